--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -283,7 +283,7 @@
                 # Until then one job goes there for each own job that ends: more would race for one free slot.
                 rest = FULL_REST * (job.line.run or job.spec.aim)
                 worker.full_until = self.now + rest * (0.5 + self.random.random())
-            job.line.net.learn(worker, 0.0, whole=False)
+            job.line.net.learn(worker, 0.0, completed=False)
         if event.final or not job.open:
             self.close(job)
         elif not any(t.out for t in job.tries) and not self.place(job):
@@ -361,7 +361,7 @@
                 continue
             if not attempt.scored:
                 attempt.scored = True
-                line.net.learn(worker, attempt.job.size / (age + line.run), whole=False)
+                line.net.learn(worker, attempt.job.size / (age + line.run), completed=False)
             if self.set.in_order and not attempt.lost and worker.last_begun > attempt.sent + OVERTAKEN:
                 self.lose(attempt)
                 self.fault(worker, line)
--- a/bitternpath/balancer/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -10,7 +10,7 @@
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.leadership import HolderState, Leadership, PendingRequest, Route
 from bitternpath.balancer.fleet.replica import ReplicaState
-from bitternpath.replication.records import Members, Role
+from bitternpath.replication.records import MemberRole, Members
 
 CLOSE_ENTRIES = 64  # by which a learner may lag to become a voter
 CHANGING = "leadership or membership is changing; ask again"
@@ -22,7 +22,7 @@
     def _command(self, now: float, leadership: Leadership, route: Route, ask: m.Ask) -> None:
         match ask.command:
             case m.Look():
-                waits = PendingRequest(self.raft.want_round(), now, route, ask)
+                waits = PendingRequest(self.raft.request_heartbeat_round(), now, route, ask)
                 leadership.awaiting_round.append(waits)
             case m.Propose():
                 self._propose_change(now, leadership, route, ask, ask.command)
@@ -122,7 +122,7 @@
             "term": raft.term,
             "voters": raft.members.voters,
             "learners": raft.members.learners,
-            "heard": now - raft.last_contact if raft.role is not Role.LEADER else 0.0,
+            "heard": now - raft.last_contact if raft.role is not MemberRole.LEADER else 0.0,
             "released": record.released.version,
             "latest": record.latest.version,
             "in_effect": min(acting, default=record.released.version),
--- a/bitternpath/balancer/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -36,7 +36,9 @@
                 late = f"a straggler for {self.record.terms.catch_up:g} s"
                 self._reply(route, m.Withheld(request.sent, f"{late}: {why}"))
                 return
-        leadership.awaiting_round.append(PendingRequest(self.raft.want_round(), now, route, request))
+        leadership.awaiting_round.append(
+            PendingRequest(self.raft.request_heartbeat_round(), now, route, request)
+        )
 
     def _lags_too_long(self, now: float, leadership: Leadership, state: HolderState) -> bool:
         since = state.behind_since or now
--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -25,7 +25,7 @@
 from bitternpath.balancer.fleet.commands import Commands
 from bitternpath.balancer.fleet.leadership import HolderState, Leadership, PendingRequest, Route
 from bitternpath.balancer.fleet.leases import LeaseGrants
-from bitternpath.replication.records import CHANGE, Entry, Role, Write
+from bitternpath.replication.records import Entry, EntryKind, MemberRole, StorageWrite
 
 COMPACT_ENTRIES = 1024  # after which the record is written down whole
 KEPT_ENTRIES = 512  # that stay for members that lag
@@ -35,7 +35,7 @@
     """What follows; `agreed` tells of entries that changed the record."""
 
     send: list[tuple[str, m.Consensus | m.Passed | m.Back]]  # to other members
-    writes: list[Write]
+    writes: list[StorageWrite]
     replies: list[tuple[int, m.ToOutside]]  # on this member's own connections
     agreed: list[tuple[int, p.Item]]
     applied: list[tuple[int, int, bytes]]  # index, term and content of all that was taken for agreed
@@ -49,7 +49,7 @@
     @property
     def alarm(self) -> float:
         """When `tick` is wanted next."""
-        return self.raft.alarm
+        return self.raft.next_timeout_at
 
     def tick(self, now: float) -> None:
         """Time has passed."""
@@ -57,13 +57,13 @@
 
     def stored(self, now: float, number: int) -> None:
         """That write and those before it are on disk."""
-        self.raft.stored(now, number)
+        self.raft.write_completed(now, number)
 
     def hear(self, now: float, sender: str, message: m.Consensus | m.Passed | m.Back) -> None:
         """Another member speaks."""
         match message:
             case m.Consensus(inner):
-                self.raft.hear(now, sender, inner)
+                self.raft.receive(now, sender, inner)
             case m.Passed(token, request):
                 self._take_request(now, (sender, token), request, passed=True)
             case m.Back(token, answer):
@@ -82,16 +82,16 @@
         effects = Effects([], [], [], [], [])
         self._keep_leadership()
         while True:
-            out = self.raft.take(now)
-            effects.send += [(to, m.Consensus(message)) for to, message in out.send]
+            out = self.raft.take_effects(now)
+            effects.send += [(to, m.Consensus(message)) for to, message in out.messages]
             effects.writes += out.writes
             if out.restore is not None:
                 self.record, self.applied = p.record_from(out.restore.data), out.restore.index
             for entry in out.committed:
                 self._apply(now, entry, effects)
-            before = self.raft.last_index, self.raft.round_wanted
+            before = self.raft.last_index, self.raft.heartbeat_round_requested
             self._lead(now)
-            if (self.raft.last_index, self.raft.round_wanted) == before:
+            if (self.raft.last_index, self.raft.heartbeat_round_requested) == before:
                 break
         self._compact()
         effects.send += self._send
@@ -105,7 +105,7 @@
         raft = self.raft
         if isinstance(request, m.Ask) and isinstance(request.command, m.Look) and request.command.stale:
             self._answer_status(now, route, request)
-        elif raft.role is Role.LEADER:
+        elif raft.role is MemberRole.LEADER:
             if self.leadership is not None and self.leadership.ready:
                 self._lead_request(now, self.leadership, route, request)
             else:
@@ -151,7 +151,7 @@
     def _lead(self, now: float) -> None:
         self._keep_leadership()
         raft, leadership = self.raft, self.leadership
-        if leadership is None or not raft.ready or self.applied < raft.first_own_index:
+        if leadership is None or not raft.ready or self.applied < raft.term_start_index:
             return
         if not leadership.ready:
             leadership.ready = True
@@ -176,7 +176,7 @@
 
     def _keep_leadership(self) -> None:
         """A leadership is one term's."""
-        leadership, leads = self.leadership, self.raft.role is Role.LEADER
+        leadership, leads = self.leadership, self.raft.role is MemberRole.LEADER
         if leadership is not None and not (leads and leadership.term == self.raft.term):
             self._step_down(leadership)
         if self.leadership is None and leads:
@@ -195,7 +195,7 @@
         leadership, pending = self.leadership, None
         if leadership is not None and leadership.term == entry.term:
             pending = leadership.awaiting_entry.pop(entry.index, None)
-        if entry.kind != CHANGE:
+        if entry.kind != EntryKind.COMMAND:
             if pending is not None and isinstance(pending.request, m.Ask):
                 self._reply(pending.route, m.Answer(pending.request.number, True, ""))
             return
--- a/bitternpath/balancer/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -12,14 +12,20 @@
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.leadership import Leadership, Route
 from bitternpath.replication.consensus import Raft
-from bitternpath.replication.records import CHANGE, MEMBERS, Kept, Members, Times
+from bitternpath.replication.records import EntryKind, Members, PersistentState, RaftTiming
 
 
 class ReplicaState:
     """A member of the consensus and the record that follows from it."""
 
     def __init__(
-        self, me: str, kept: Kept, random: Random, now: float, wall: Callable[[], float], times: Times
+        self,
+        me: str,
+        kept: PersistentState,
+        random: Random,
+        now: float,
+        wall: Callable[[], float],
+        times: RaftTiming,
     ) -> None:
         self.me, self.wall = me, wall
         self.record = p.record_from(kept.snapshot.data)
@@ -43,7 +49,7 @@
 
     def _propose(self, now: float, item: p.Item) -> int | None:
         """The index of the item's entry; None where it can't be proposed now."""
-        return self.raft.propose(now, CHANGE, p.item_bytes(item))
+        return self.raft.propose(now, EntryKind.COMMAND, p.item_bytes(item))
 
     def _propose_members(self, now: float, members: Members) -> int | None:
-        return self.raft.propose(now, MEMBERS, msgspec.msgpack.encode(members))
+        return self.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members))
--- a/bitternpath/balancer/fleet/steward.py
+++ b/bitternpath/balancer/fleet/steward.py
@@ -32,7 +32,7 @@
 from bitternpath.balancer.fleet.store import DamagedError, Store, StoreError, set_aside
 from bitternpath.balancer.fleet.wire import Wire
 from bitternpath.net.sockets import dial
-from bitternpath.replication.records import Kept, Role, Times, Write
+from bitternpath.replication.records import MemberRole, PersistentState, RaftTiming, StorageWrite
 
 log = structlog.get_logger(part="steward")
 
@@ -64,9 +64,9 @@
         log.error("the record here is damaged and was set aside", why=error, aside=str(aside))
         store = Store(folder, name)
         kept = store.read()
-    if found is not None and kept == Kept():
+    if found is not None and kept == PersistentState():
         kept = founded(store.me, found, secrets.token_hex(8))
-        begin = Write(0, kept.term, kept.vote, None, tuple(kept.entries), None, kept.before)
+        begin = StorageWrite(0, kept.term, kept.vote, None, tuple(kept.entries), None, kept.compacted_through)
         store.write([begin], voters=1)
     return store, kept
 
@@ -112,7 +112,7 @@
 class Steward:
     """The parts put together."""
 
-    def __init__(self, reactor: Any, fleet: Fleet, store: Store, kept: Any, times: Times) -> None:
+    def __init__(self, reactor: Any, fleet: Fleet, store: Store, kept: Any, times: RaftTiming) -> None:
         self.reactor, self.fleet, self.store = reactor, fleet, store
         self.random = Random()
         self.replica = RecordReplica(store.me, kept, Random(), clock.elapsed(), time.time, times)
@@ -122,13 +122,13 @@
         self.wires: dict[int, Wire] = {}  # those that others opened
         self._tokens = 0
         self.disk = ThreadPool(1, 1, name="disk")
-        self._writing: list[Write] = []
-        self._queued: list[Write] = []
+        self._writing: list[StorageWrite] = []
+        self._queued: list[StorageWrite] = []
         self._alarm: Any = None
         self._settling = False
         self.port: Any = None
         self.exit_code = 0
-        self.role = Role.FOLLOWER
+        self.role = MemberRole.FOLLOWER
 
     def begin(self) -> None:
         host, port = address(self.fleet.listen) if self.fleet.listen else where(self.fleet)[self.fleet.name]
@@ -262,7 +262,7 @@
         return self.steward.accept()
 
 
-def run(fleet: Fleet, found: bool, reactor: Any = None, times: Times | None = None) -> int:
+def run(fleet: Fleet, found: bool, reactor: Any = None, times: RaftTiming | None = None) -> int:
     """Run a steward until it is told to stop; the exit code. StoreError where its folder can't be used."""
     if reactor is None:
         from twisted.internet import reactor as installed
@@ -270,7 +270,7 @@
         reactor = installed
     terms = p.Terms(fleet.lease, fleet.drift, fleet.catch_up) if found else None
     store, kept = opened(Path(fleet.folder), fleet.name, terms)
-    steward = Steward(reactor, fleet, store, kept, times or Times())
+    steward = Steward(reactor, fleet, store, kept, times or RaftTiming())
 
     def on_signal(number: int, frame: object) -> None:
         reactor.callFromThread(steward.stop)
--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -20,7 +20,7 @@
 from blake3 import blake3
 from msgspec import Struct
 
-from bitternpath.replication.records import Entry, Kept, Snapshot, Write
+from bitternpath.replication.records import Entry, PersistentState, Snapshot, StorageWrite
 
 MAP_SIZE = 1 << 30  # bytes of address space; the file is as large as what it holds
 SUM = 8  # bytes of a checksum
@@ -134,7 +134,7 @@
         with self._env.begin(write=True) as writing:
             writing.put(STATE, _sealed(self.state), db=self._meta)
 
-    def read(self) -> Kept:
+    def read(self) -> PersistentState:
         """What is kept; DamagedError where any of it is not whole."""
         state, entries = self.state, list[Entry]()
         with self._env.begin() as reading:
@@ -154,9 +154,9 @@
             raise DamagedError(f"{self.folder}: {error}") from error
         if snapshot.index < state.before[0] or snapshot.index > state.before[0] + len(entries):
             raise DamagedError(f"{self.folder}: the snapshot at {snapshot.index} does not meet the log")
-        return Kept(state.term, state.vote, snapshot, state.before, entries)
+        return PersistentState(state.term, state.vote, snapshot, state.before, entries)
 
-    def write(self, writes: Sequence[Write], voters: int) -> None:
+    def write(self, writes: Sequence[StorageWrite], voters: int) -> None:
         """Do them in order, in one transaction that is on disk when this returns; OSError or lmdb.Error."""
         state = self.state
         with self._env.begin(write=True) as writing:
@@ -165,18 +165,18 @@
             writing.put(STATE, _sealed(state), db=self._meta)
         self.state = state
 
-    def _do(self, writing: Any, state: State, write: Write, voters: int) -> State:
+    def _do(self, writing: Any, state: State, write: StorageWrite, voters: int) -> State:
         log = self._log
-        if write.cut is not None:
-            self._delete(writing, write.cut, None)
+        if write.truncate_from is not None:
+            self._delete(writing, write.truncate_from, None)
         for entry in write.entries:
             writing.put(entry.index.to_bytes(8, "big"), _sealed(entry), db=log)
         if write.snapshot is not None:
             writing.put(SNAPSHOT, _sealed(write.snapshot), db=self._meta)
-        if write.before != state.before:
-            self._delete(writing, state.before[0] + 1, write.before[0])
+        if write.compacted_through != state.before:
+            self._delete(writing, state.before[0] + 1, write.compacted_through[0])
         return msgspec.structs.replace(
-            state, term=write.term, vote=write.vote, before=write.before, voters=voters
+            state, term=write.term, vote=write.vote, before=write.compacted_through, voters=voters
         )  # fmt: skip
 
     def _delete(self, writing: Any, first: int, last: int | None) -> None:
--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -8,13 +8,13 @@
 
 from twisted.internet import reactor
 
-from bitternpath.membership.founding import FoundingFile
-from bitternpath.storage.documents import DamagedDocument, read_document
-from bitternpath.storage.identity import folders_set_aside, read_identity
+from bitternpath.membership.bootstrap import BootstrapFile
+from bitternpath.storage.documents import CorruptDocumentError, read_document
+from bitternpath.storage.identity import quarantine_folders, read_identity
 from bitternpath.storage.journal import Journal, open_journal
-from bitternpath.storage.records import JournalDamaged
+from bitternpath.storage.records import CorruptJournalError
 from bitternpath.transport.codec import CodecError, RecordCodec
-from bitternpath.transport.messages import FeedUpdate
+from bitternpath.transport.feed_messages import FeedUpdate
 
 CACHE = "feed"
 _CACHE_CODEC = RecordCodec(FeedUpdate)
@@ -28,12 +28,12 @@
     try:
         with tempfile.TemporaryDirectory() as scratch:
             copy = Path(scratch) / "data"
-            aside = folders_set_aside(folder)
+            aside = quarantine_folders(folder)
             shutil.copytree(folder, copy, ignore=shutil.ignore_patterns(*aside))
             _print_copy(copy)
         for name in aside:
             print(f"  set aside: {name}")
-    except (JournalDamaged, DamagedDocument) as damage:
+    except (CorruptJournalError, CorruptDocumentError) as damage:
         print(f"damaged: {damage.file} at offset {damage.offset}: {damage.reason}")
         return False
     except CodecError as error:
@@ -48,7 +48,7 @@
 def _print_copy(copy: Path) -> None:
     """Raises what a start would."""
     identity = read_identity(copy)
-    founding = FoundingFile(copy).load()
+    founding = BootstrapFile(copy).load()
     sizes = _segment_sizes(copy)
     journal = open_journal(copy, reactor)
     try:
@@ -78,9 +78,9 @@
 
 def _print_groups(journal: Journal) -> None:
     for group in sorted(journal.groups()):
-        kept = journal.take_kept(group)
+        kept = journal.take_persistent_state(group)
         if kept is not None:
-            last = kept.entries[-1].index if kept.entries else kept.before[0]
+            last = kept.entries[-1].index if kept.entries else kept.compacted_through[0]
             print(
                 f"  {group} term={kept.term} snapshot_index={kept.snapshot.index}"
                 f" entries={len(kept.entries)} last_index={last}"
@@ -94,7 +94,7 @@
         if data is None:
             return
         update: FeedUpdate = _CACHE_CODEC.decode(data)
-    except (DamagedDocument, CodecError) as error:
+    except (CorruptDocumentError, CodecError) as error:
         print(f"  {CACHE} is damaged, a start drops it: {error}")
         return
     print(f"  {CACHE} version={update.configuration_version} generation={update.placement_generation}")
--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -9,13 +9,8 @@
 from twisted.internet import reactor as _reactor
 
 from bitternpath.transport.connections import Link, NodeHub
-from bitternpath.transport.messages import (
-    GroupStatus,
-    NodeDescriptor,
-    NodeKind,
-    StatusAnswer,
-    StatusRequest,
-)
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+from bitternpath.transport.operator_messages import GroupStatus, StatusRequest, StatusResponse
 
 reactor: Any = _reactor
 TOOL_USER = "tool"
@@ -25,7 +20,7 @@
     """Statuses of all nodes that can be reached."""
 
     def __init__(self, first: str) -> None:
-        self.answers: dict[str, StatusAnswer] = {}
+        self.answers: dict[str, StatusResponse] = {}
         self.known: dict[str, NodeDescriptor] = {}
         me = NodeDescriptor("tool", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
         self.hub = NodeHub(reactor, self, lambda: me, random.Random())
@@ -42,7 +37,7 @@
     def received(self, link: Link, record: Any) -> None:
         """Nothing but answers is of interest."""
 
-    def _answered(self, answer: StatusAnswer) -> None:
+    def _answered(self, answer: StatusResponse) -> None:
         self.answers[answer.node.name] = answer
         for node in (answer.node, *answer.known):
             if node.name not in self.known:
@@ -95,7 +90,7 @@
     return lines
 
 
-def _node_line(name: str, node: NodeDescriptor, answer: StatusAnswer | None) -> str:
+def _node_line(name: str, node: NodeDescriptor, answer: StatusResponse | None) -> str:
     place = f"  {name} {node.address} {node.kind.name.lower()} zone={node.zone}"
     if answer is None:
         return f"{place} no answer"
--- a/bitternpath/configuration/orders.py
+++ b/bitternpath/configuration/changes.py
@@ -29,12 +29,12 @@
     parse_configuration,
     read_document,
 )
-from bitternpath.configuration.machine import COMMANDS, AcceptOrder, ConfigurationState
+from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
 
 log = logbook.Logger("configuration")
 
 
-class OrderCode(Enum):
+class ResultCode(Enum):
     """Results of an order; the numbers stand in docs/ERRORS.md."""
 
     ACCEPTED = 1000
@@ -51,25 +51,25 @@
 
 
 _STATUS = {
-    OrderCode.ACCEPTED: 200,
-    OrderCode.CURRENT: 200,
-    OrderCode.INVALID: 400,
-    OrderCode.OTHER_VERSION: 412,
-    OrderCode.NOT_OWNER: 503,
-    OrderCode.FATE_OPEN: 503,
-    OrderCode.NO_CONFIGURATION: 404,
-    OrderCode.UNKNOWN_CALL: 404,
-    OrderCode.UNKNOWN_NODE: 404,
-    OrderCode.TOO_FEW_NODES: 409,
-    OrderCode.RETIRING: 200,
+    ResultCode.ACCEPTED: 200,
+    ResultCode.CURRENT: 200,
+    ResultCode.INVALID: 400,
+    ResultCode.OTHER_VERSION: 412,
+    ResultCode.NOT_OWNER: 503,
+    ResultCode.FATE_OPEN: 503,
+    ResultCode.NO_CONFIGURATION: 404,
+    ResultCode.UNKNOWN_CALL: 404,
+    ResultCode.UNKNOWN_NODE: 404,
+    ResultCode.TOO_FEW_NODES: 409,
+    ResultCode.RETIRING: 200,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class OrderResult:
+class OperatorResult:
     """How an order ended. `body` is JSON."""
 
-    code: OrderCode
+    code: ResultCode
     body: bytes
 
     @property
@@ -80,18 +80,18 @@
     @property
     def decided(self) -> bool:
         """False where another node should be asked."""
-        return self.code not in (OrderCode.NOT_OWNER, OrderCode.FATE_OPEN)
+        return self.code not in (ResultCode.NOT_OWNER, ResultCode.FATE_OPEN)
 
 
-def result(code: OrderCode, text: str = "", **fields: object) -> OrderResult:
+def operator_result(code: ResultCode, text: str = "", **fields: object) -> OperatorResult:
     """A result with a small JSON body."""
     content: dict[str, object] = {"code": code.value, "result": code.name.lower(), **fields}
     if text:
         content["error"] = text
-    return OrderResult(code, json.dumps(content).encode())
+    return OperatorResult(code, json.dumps(content).encode())
 
 
-class ReplicaGroup(Protocol):
+class ConsensusGroup(Protocol):
     """The configuration group, as far as orders need it."""
 
     def is_owner(self) -> bool:
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ChangeRequest:
     """A change as the operator sent it."""
 
     method: str  # PUT or PATCH
@@ -139,9 +139,9 @@
 class _Submission:
     """An order that waits for its result."""
 
-    order: Order
+    order: ChangeRequest
     digest: bytes
-    answer: Deferred[OrderResult]
+    answer: Deferred[OperatorResult]
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,19 +152,19 @@
     command: bytes
 
 
-class OrderProcessor:
+class ChangeProcessor:
     """Decides orders on the owner. Confirmations overlap; proposals are made one at a time."""
 
-    def __init__(self, state: ConfigurationState, group: ReplicaGroup) -> None:
+    def __init__(self, state: ConfigurationState, group: ConsensusGroup) -> None:
         self.state, self.group = state, group
         self._confirmed: deque[_Submission] = deque()
         self._proposing = False
 
-    def submit(self, order: Order) -> Deferred[OrderResult]:
+    def submit(self, order: ChangeRequest) -> Deferred[OperatorResult]:
         """Decide a change; never fails."""
         if not self.group.is_owner():
             return succeed(not_owner())
-        answer: Deferred[OrderResult] = Deferred()
+        answer: Deferred[OperatorResult] = Deferred()
         submission = _Submission(order, order.digest(), answer)
         self.group.barrier().addCallbacks(
             lambda _: self._confirm(submission),
@@ -172,14 +172,14 @@
         )
         return answer
 
-    def read(self) -> Deferred[OrderResult]:
+    def read(self) -> Deferred[OperatorResult]:
         """The document in force, confirmed; never fails."""
         return confirmed(self.group, self._current)
 
-    def _current(self) -> OrderResult:
+    def _current(self) -> OperatorResult:
         if not self.state.document:
-            return result(OrderCode.NO_CONFIGURATION, "no configuration has been accepted yet")
-        return OrderResult(OrderCode.CURRENT, self.state.document)
+            return operator_result(ResultCode.NO_CONFIGURATION, "no configuration has been accepted yet")
+        return OperatorResult(ResultCode.CURRENT, self.state.document)
 
     def _confirm(self, submission: _Submission) -> None:
         self._confirmed.append(submission)
@@ -202,27 +202,27 @@
             _failed,
         ).addCallback(self._decided, submission)
 
-    def _decided(self, decided: OrderResult, submission: _Submission) -> None:
+    def _decided(self, decided: OperatorResult, submission: _Submission) -> None:
         self._proposing = False
         submission.answer.callback(decided)
         self._next()
 
-    def _reckon(self, submission: _Submission) -> _Acceptable | OrderResult:
+    def _reckon(self, submission: _Submission) -> _Acceptable | OperatorResult:
         """What the order comes to in the state as it is now."""
         if not self.group.is_owner():
             return not_owner()
         known = self.state.accepted_as(submission.digest)
         if known is not None:
-            return result(OrderCode.ACCEPTED, version=known)
+            return operator_result(ResultCode.ACCEPTED, version=known)
         try:
             return self._check(submission)
         except InvalidConfiguration as error:
-            return result(OrderCode.INVALID, str(error))
+            return operator_result(ResultCode.INVALID, str(error))
         except Exception as error:  # one order must not hold up those after it
             log.exception("event=order_not_checked")
-            return result(OrderCode.INVALID, f"can't be read: {type(error).__name__}")
+            return operator_result(ResultCode.INVALID, f"can't be read: {type(error).__name__}")
 
-    def _check(self, submission: _Submission) -> _Acceptable | OrderResult:
+    def _check(self, submission: _Submission) -> _Acceptable | OperatorResult:
         """The command that the order asks for, or its refusal; raises `InvalidConfiguration`."""
         order = submission.order
         try:
@@ -232,15 +232,17 @@
         if base != self.state.version:
             return self._other_version(base)
         document = self._document(order)
-        command = AcceptOrder(base, submission.digest, encode_document(document))
+        command = ReplaceDocument(base, submission.digest, encode_document(document))
         return _Acceptable(int(document["version"]), COMMANDS.encode(command))
 
-    def _other_version(self, base: int) -> OrderResult:
-        if self.state.may_have_forgotten(base):
-            return result(OrderCode.FATE_OPEN, "too old to tell whether it was accepted")
-        return result(OrderCode.OTHER_VERSION, "another version is in force", version=self.state.version)
+    def _other_version(self, base: int) -> OperatorResult:
+        if self.state.may_have_evicted(base):
+            return operator_result(ResultCode.FATE_OPEN, "too old to tell whether it was accepted")
+        return operator_result(
+            ResultCode.OTHER_VERSION, "another version is in force", version=self.state.version
+        )
 
-    def _document(self, order: Order) -> dict[str, Any]:
+    def _document(self, order: ChangeRequest) -> dict[str, Any]:
         document: Mapping[str, Any] = read_document(order.body)
         if order.method == "PATCH":
             if not self.state.document:
@@ -252,7 +254,7 @@
         return dict(document)
 
 
-def confirmed(group: ReplicaGroup, answer: Callable[[], OrderResult]) -> Deferred[OrderResult]:
+def confirmed(group: ConsensusGroup, answer: Callable[[], OperatorResult]) -> Deferred[OperatorResult]:
     """`answer()` as of the moment at which ownership is confirmed; never fails.
 
     The answer is reckoned after the confirmation, so that it can't be older than what was told to others
@@ -266,17 +268,17 @@
     )
 
 
-def not_owner(reason: str = "") -> OrderResult:
+def not_owner(reason: str = "") -> OperatorResult:
     """Another node should be asked; nothing was changed."""
-    return result(OrderCode.NOT_OWNER, reason or "this node doesn't own the configuration")
+    return operator_result(ResultCode.NOT_OWNER, reason or "this node doesn't own the configuration")
 
 
-def _committed(applied: bool, version: int) -> OrderResult:
+def _committed(applied: bool, version: int) -> OperatorResult:
     if applied:
         log.info("event=configuration_accepted version={}", version)
-        return result(OrderCode.ACCEPTED, version=version)
-    return result(OrderCode.FATE_OPEN, "the order met another one")
+        return operator_result(ResultCode.ACCEPTED, version=version)
+    return operator_result(ResultCode.FATE_OPEN, "the order met another one")
 
 
-def _failed(failure: Failure) -> OrderResult:
-    return result(OrderCode.FATE_OPEN, f"ownership was lost: {failure.value}")
+def _failed(failure: Failure) -> OperatorResult:
+    return operator_result(ResultCode.FATE_OPEN, f"ownership was lost: {failure.value}")
--- a/bitternpath/configuration/feed.py
+++ b/bitternpath/configuration/feed.py
@@ -1,6 +1,6 @@
 """The feed by which all nodes follow the configuration group: a snapshot, then what changes.
 
-The group's owner serves it (`FeedServer`); each node follows it (`FeedFollower`). Offsets are the version of
+The group's owner serves it (`FeedServer`); each node follows it (`FeedClient`). Offsets are the version of
 the document and the generation of the placement. Updates are also sent unchanged as heartbeats, but only
 while the owner has heard a majority lately: a follower that hears none looks for another owner, and so leaves
 one that is cut off and can't know of its successor. Offsets never go back in a process's life, and an update
@@ -18,19 +18,12 @@
 import logbook
 
 from bitternpath.configuration.documents import RoutingTable, parse_configuration
-from bitternpath.configuration.machine import ConfigurationState
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.connections import ASK_SOON_AFTER_S, Link, NodeHub
-from bitternpath.transport.messages import (
-    CatalogueUpdate,
-    FeedRefused,
-    FeedSubscribe,
-    FeedUpdate,
-    GroupPlacement,
-    MemberAddress,
-    NodeDescriptor,
-    NodeKind,
-)
+from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 log = logbook.Logger("feed")
 
@@ -118,9 +111,9 @@
     def publish(self) -> None:
         """The state has changed."""
         if self.serving and self._has_lease():
-            edge_nodes = self._edge_nodes()
+            edge_node_count = self._edge_nodes()
             for link, subscriber in self._subscribers.items():
-                self._send(link, subscriber, edge_nodes)
+                self._send(link, subscriber, edge_node_count)
 
     def publish_catalogue(self, update: CatalogueUpdate) -> None:
         """The platform's list was read."""
@@ -130,7 +123,7 @@
         for link, subscriber in self._subscribers.items():
             self._send_catalogue(link, subscriber, update)
 
-    def followers(self) -> list[NodeDescriptor]:
+    def subscribed_nodes(self) -> list[NodeDescriptor]:
         """The nodes that follow now. Of two links to one, the last: the other is about to be given up."""
         peers = [link.peer for link in self._subscribers if link.peer is not None]
         return list({peer.name: peer for peer in peers}.values())
@@ -144,14 +137,16 @@
         self._timer = self.reactor.callLater(HEARTBEAT_S, self._beat)
 
     def _edge_nodes(self) -> int:
-        return max(sum(node.kind is NodeKind.EDGE for node in self.followers()), 1)
+        return max(sum(node.kind is NodeKind.EDGE for node in self.subscribed_nodes()), 1)
 
-    def _send(self, link: Link, subscriber: _Subscriber, edge_nodes: int) -> None:
+    def _send(self, link: Link, subscriber: _Subscriber, edge_node_count: int) -> None:
         state = self.state
         document = self._document() if state.version > subscriber.version else None
         placed = state.groups if state.placement_generation > subscriber.generation else None
         link.send(
-            FeedUpdate(self.epoch, state.version, document, state.placement_generation, placed, edge_nodes)
+            FeedUpdate(
+                self.epoch, state.version, document, state.placement_generation, placed, edge_node_count
+            )
         )
         subscriber.version, subscriber.generation = state.version, state.placement_generation
         if self.catalogue is not None and subscriber.catalogue_serial < 0:
@@ -184,7 +179,7 @@
         """The platform's list, as the owner has read it."""
 
 
-class FeedFollower:
+class FeedClient:
     """Follows the feed: finds the owner, subscribes, and looks on when it falls silent.
 
     A search asks one candidate after the other, those that say nothing beside the next ones; whichever sends
@@ -207,7 +202,7 @@
         self.placement_generation = 0
         self.groups: tuple[GroupPlacement, ...] = ()
         self.members: tuple[MemberAddress, ...] = ()
-        self.edge_nodes = 1
+        self.edge_node_count = 1
         self.heard_at = float("-inf")
         self.epoch = 0
         self._address = ""
@@ -251,7 +246,7 @@
         self.epoch = update.epoch
         self.heard_at = self.reactor.seconds()
         self._end_search()
-        self.edge_nodes = update.edge_nodes
+        self.edge_node_count = update.edge_node_count
         self._take(update)
 
     def restore(self, update: FeedUpdate) -> None:
@@ -340,7 +335,7 @@
         left = self._asked.pop(address, None)
         if left is self._link:
             self._link = None
-        self.hub.hang_up(address, FEED_USER)
+        self.hub.release(address, FEED_USER)
 
     def _subscribe(self) -> None:
         for address, asked in self._asked.items():
--- a/bitternpath/configuration/presence.py
+++ b/bitternpath/configuration/liveness.py
@@ -8,7 +8,7 @@
 OWN_PAUSE_S = 1.0  # the owner looks four times a second; after a longer pause it was held up itself
 
 
-class Presence:
+class NodeLiveness:
     """Times are seconds of a steady clock. A node that was never heard counts as away since `began_at`.
 
     A node's link may stay open for a while after the node has gone, so that the time counts from when it was
@@ -31,12 +31,12 @@
             self._heard_at[name] = max(at, self._heard_at.get(name, at))
             self._arrived_at.setdefault(name, now)
 
-    def away_for(self, now: float, name: str) -> float:
+    def down_for(self, now: float, name: str) -> float:
         """Seconds since a node was last heard; 0 where that was just now."""
         silent = now - max(self._heard_at.get(name, self._trusted_from), self._trusted_from)
         return silent if silent > HEARD_LATELY_S else 0.0
 
-    def here_for(self, now: float, name: str) -> float:
+    def up_for(self, now: float, name: str) -> float:
         """Seconds since a node came; infinite where it was there before the owner began to look."""
         if name in self._known:
             return float("inf")
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -12,10 +12,11 @@
 
 from msgspec.structs import replace
 
-from bitternpath.membership.founding import MOST_FOUNDERS, member_address, member_id
+from bitternpath.membership.bootstrap import MAX_FOUNDING_MEMBERS, member_address, member_id
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
-from bitternpath.transport.messages import GroupPlacement, MemberAddress, NodeDescriptor
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.node_messages import NodeDescriptor
 
 # A node that is away is replaced soon where another has just come that keeps nothing: it has come for that,
 # and is to have caught up within `catch_up_s` of its start. Else the node is waited for: most come back
@@ -42,7 +43,7 @@
     return int(group.removeprefix("queue-"))
 
 
-def first_placement(nodes: Sequence[NodeDescriptor], tolerated: int) -> tuple[GroupPlacement, ...]:
+def initial_placement(nodes: Sequence[NodeDescriptor], tolerated: int) -> tuple[GroupPlacement, ...]:
     """Shards for a new system: one for each storage node, so that each owns one."""
     ring = _interleaved(nodes)
     shards = min(max(len(ring), LEAST_SHARDS), MOST_SHARDS)
@@ -57,7 +58,7 @@
 ) -> tuple[GroupPlacement, ...]:
     """The placement without members whose disk is lost and without `gone` nodes (names), as far as there are
     others to take their place; groups that don't change keep their generation."""
-    by_name = {node.name: node for node in sorted(nodes, key=lambda node: node.life) if node.disk}
+    by_name = {node.name: node for node in sorted(nodes, key=lambda node: node.incarnation) if node.disk}
     load = _load(groups)
     return tuple(_repaired(group, by_name, gone, tolerated, load) for group in groups)
 
@@ -66,17 +67,17 @@
     groups: Sequence[GroupPlacement],
     present: Sequence[NodeDescriptor],
     retired: Collection[str],
-    away_for: Callable[[str], float],
-    here_for: Callable[[str], float] = lambda name: 0.0,
+    down_for: Callable[[str], float],
+    up_for: Callable[[str], float] = lambda name: 0.0,
 ) -> frozenset[str]:
     """Names of nodes whose replicas are to move: retired ones, and those that have been away too long.
 
-    `away_for` and `here_for` give seconds since a node was heard, and since it came.
+    `down_for` and `up_for` give seconds since a node was heard, and since it came.
     """
     placed = {member.node for group in groups for member in group.members}
-    spares = {node.name for node in present if not away_for(node.name)} - placed - set(retired)
-    patience = _patience([here_for(name) for name in spares])
-    return frozenset(retired) | frozenset(name for name in placed if away_for(name) > patience)
+    spares = {node.name for node in present if not down_for(node.name)} - placed - set(retired)
+    patience = _patience([up_for(name) for name in spares])
+    return frozenset(retired) | frozenset(name for name in placed if down_for(name) > patience)
 
 
 def _patience(spares_here_for: Sequence[float]) -> float:
@@ -86,13 +87,14 @@
 
 
 def desired_members(
-    current: Members, present: Sequence[NodeDescriptor], silent_for: Callable[[str], float], wanted: int
+    current: Members, present: Sequence[NodeDescriptor], unresponsive_for: Callable[[str], float], wanted: int
 ) -> list[str]:
     """Members that the configuration group should have, with these counted nodes present.
 
-    A node that has come back with another disk takes its own place. New nodes join, up to `MOST_FOUNDERS`.
-    Members that neither are present nor answer the owner go only while `wanted` others stay: they don't take
-    the place of a new one. `silent_for` gives the seconds since a node's member answered.
+    A node that has come back with another disk takes its own place. New nodes join, up to
+    `MAX_FOUNDING_MEMBERS`. Members that neither are present nor answer the owner go only while `wanted`
+    others stay: they don't take the place of a new one. `unresponsive_for` gives the seconds since a node's
+    member answered.
     """
     members = {node.name: member_id(node) for node in present}
     kept = list(dict.fromkeys(members.get(node_of(voter), voter) for voter in current.voters))
@@ -100,10 +102,10 @@
     gone = [
         member
         for member in kept
-        if member not in members.values() and silent_for(node_of(member)) > CORE_SILENT_S
+        if member not in members.values() and unresponsive_for(node_of(member)) > CORE_SILENT_S
     ]
     stay = [member for member in kept if member not in gone]
-    stay += joining[: max(max(MOST_FOUNDERS, wanted) - len(stay), 0)]
+    stay += joining[: max(max(MAX_FOUNDING_MEMBERS, wanted) - len(stay), 0)]
     return stay if len(stay) >= wanted else stay + gone
 
 
--- a/bitternpath/configuration/retirement.py
+++ b/bitternpath/configuration/retirement.py
@@ -14,11 +14,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from bitternpath.configuration.machine import ConfigurationState, FinishRetirement, RetireNode
 from bitternpath.configuration.placement import AWAY_WITHOUT_SPARE_S
-from bitternpath.membership.founding import member_id
+from bitternpath.configuration.state_machine import ConfigurationState, FinishRetirement, RetireNode
+from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.reconfiguration import node_of
-from bitternpath.transport.messages import GroupPlacement, GroupReport, NodeDescriptor
+from bitternpath.transport.group_messages import GroupPlacement, MembershipReport
+from bitternpath.transport.node_messages import NodeDescriptor
 
 
 class RetireCheck(Enum):
@@ -55,20 +56,20 @@
     nodes: frozenset[str]
 
 
-class GroupReports:
+class MembershipReports:
     """The newest report of each shard, as this owner of the configuration has heard it."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
 
-    def update(self, report: GroupReport) -> None:
+    def update(self, report: MembershipReport) -> None:
         """A shard's owner has reported; what is older than what is known is passed over."""
         known = self._reports.get(report.group)
         if known is None or (report.generation, report.epoch) >= (known.generation, known.epoch):
             nodes = frozenset(map(node_of, report.members))
             self._reports[report.group] = _Report(report.generation, report.epoch, nodes)
 
-    def nowhere(self, node: str, groups: Iterable[GroupPlacement]) -> bool:
+    def holds_no_replica(self, node: str, groups: Iterable[GroupPlacement]) -> bool:
         """Whether a node is known to be a member of none of these groups, by these placements or later."""
         return all(self._is_without(node, group) for group in groups)
 
@@ -84,11 +85,11 @@
     return found | {node.name: member_id(node) for node in present}
 
 
-def decide(
+def decide_retirement(
     state: ConfigurationState,
     node: str,
     present: Sequence[NodeDescriptor],
-    away_for: Callable[[str], float],
+    down_for: Callable[[str], float],
     tolerated: int,
 ) -> RetireDecision:
     """Whether a node may be retired. Nodes that have been away for long don't count as remaining."""
@@ -102,7 +103,7 @@
     remaining = [
         each
         for name, each in sorted(members.items())
-        if name != node and not state.storage.is_retired(each) and away_for(name) <= AWAY_WITHOUT_SPARE_S
+        if name != node and not state.storage.is_retired(each) and down_for(name) <= AWAY_WITHOUT_SPARE_S
     ]
     least = 2 * tolerated + 1
     if len(remaining) < least:
@@ -110,7 +111,7 @@
     return RetireDecision(RetireCheck.ACCEPTABLE, RetireNode(member, tuple(remaining), least))
 
 
-def progress(state: ConfigurationState, node: str) -> RetireState:
+def retirement_state(state: ConfigurationState, node: str) -> RetireState:
     """How far the emptying of a node is, by the committed state alone."""
     found = state.storage.retirement(node)
     if found is None:
@@ -118,14 +119,16 @@
     return RetireState.DONE if found.done else RetireState.RUNNING
 
 
-def finished(state: ConfigurationState, reports: GroupReports) -> FinishRetirement | None:
+def next_finished_retirement(
+    state: ConfigurationState, reports: MembershipReports
+) -> FinishRetirement | None:
     """The end of a retirement whose node is needed no more, if there is one to be committed."""
     if not state.groups:
         return None
     placed = {member.node for group in state.groups for member in group.members}
     for retirement in state.storage.retirements:
         node = node_of(retirement.member)
-        if not retirement.done and node not in placed and reports.nowhere(node, state.groups):
+        if not retirement.done and node not in placed and reports.holds_no_replica(node, state.groups):
             return FinishRetirement(node, state.placement_generation)
     return None
 
--- a/bitternpath/configuration/machine.py
+++ b/bitternpath/configuration/state_machine.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 from bitternpath.configuration.documents import Configuration, parse_configuration
-from bitternpath.configuration.storage_roster import Retirement, StorageRoster
+from bitternpath.configuration.storage_membership import Retirement, StorageMembership
 from bitternpath.transport.codec import RecordCodec, RecordSet
-from bitternpath.transport.messages import GroupPlacement
+from bitternpath.transport.group_messages import GroupPlacement
 
 REMEMBERED_ORDERS = 4096  # digests of accepted orders, so that one that is sent again is acknowledged again
 
 
 @dataclass(frozen=True, slots=True)
-class AcceptOrder:
+class ReplaceDocument:
     """An operator's change: the whole resulting document, in place of version `base`."""
 
     base: int
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoteStorageNodes:
+class UpdateStorageMembers:
     """Storage nodes have come, or are gone for good; each as a member id."""
 
     added: tuple[str, ...]
@@ -61,11 +61,11 @@
     placement_generation: int
 
 
-COMMANDS = RecordSet(AcceptOrder, SetPlacement, RetireNode, NoteStorageNodes, FinishRetirement)
+COMMANDS = RecordSet(ReplaceDocument, SetPlacement, RetireNode, UpdateStorageMembers, FinishRetirement)
 
 
 @dataclass(frozen=True, slots=True)
-class OrderDigest:
+class ChangeDigest:
     """An accepted order, for snapshots."""
 
     digest: bytes
@@ -77,7 +77,7 @@
     """The whole state."""
 
     document: bytes
-    orders: tuple[OrderDigest, ...]
+    orders: tuple[ChangeDigest, ...]
     placement_generation: int
     groups: tuple[GroupPlacement, ...]
     storage: tuple[str, ...]
@@ -97,7 +97,7 @@
         self.configuration: Configuration | None = None
         self.placement_generation = 0
         self.groups: tuple[GroupPlacement, ...] = ()
-        self.storage = StorageRoster()
+        self.storage = StorageMembership()
         self._orders: OrderedDict[bytes, int] = OrderedDict()
 
     @property
@@ -109,7 +109,7 @@
         """The version that an order made, if it was accepted."""
         return self._orders.get(digest)
 
-    def may_have_forgotten(self, base: int) -> bool:
+    def may_have_evicted(self, base: int) -> bool:
         """Whether an order on that version may have been accepted whose digest isn't kept any more.
 
         Each accepted order builds on the version that the one before it made, so all orders on the oldest
@@ -121,11 +121,11 @@
     def apply(self, index: int, command: bytes) -> object:
         """Apply a committed command; True where it took effect."""
         match COMMANDS.decode(command):
-            case AcceptOrder() as order:
+            case ReplaceDocument() as order:
                 return self._accept(order)
             case SetPlacement() as placement:
                 return self._place(placement)
-            case NoteStorageNodes(added, removed):
+            case UpdateStorageMembers(added, removed):
                 return self.storage.note(added, removed)
             case RetireNode(member, remaining, least):
                 return self.storage.retire(member, remaining, least)
@@ -135,7 +135,7 @@
 
     def snapshot(self) -> bytes:
         """The state as bytes."""
-        orders = tuple(OrderDigest(digest, version) for digest, version in self._orders.items())
+        orders = tuple(ChangeDigest(digest, version) for digest, version in self._orders.items())
         return _SNAPSHOT.encode(
             ConfigurationSnapshot(
                 self.document,
@@ -156,7 +156,7 @@
         if snapshot.document:
             self._put(snapshot.document)
 
-    def _accept(self, order: AcceptOrder) -> bool:
+    def _accept(self, order: ReplaceDocument) -> bool:
         if order.base != self.version:
             return False
         self._put(order.document)
--- a/bitternpath/configuration/storage_roster.py
+++ b/bitternpath/configuration/storage_membership.py
@@ -23,7 +23,7 @@
     done: bool
 
 
-class StorageRoster:
+class StorageMembership:
     """A part of the configuration group's state machine."""
 
     def __init__(self) -> None:
--- a/bitternpath/delivery/callbacks.py
+++ b/bitternpath/delivery/callback_client.py
@@ -28,7 +28,7 @@
 # Receivers are known by number: a name would be looked up, which blocks a thread.
 _URL = re.compile(r"http://([0-9]{1,3}(?:\.[0-9]{1,3}){3}(?::[0-9]{1,5})?)(?:/[!-~]*)?")
 _STATE_NAMES = {MessageState.DONE: "done", MessageState.DEAD_LETTER: "dead_letter"}
-_RESULTS = {200: CallbackResult.TAKEN, 400: CallbackResult.REFUSED}
+_RESULTS = {200: CallbackResult.ACKNOWLEDGED, 400: CallbackResult.REFUSED}
 
 
 class _Call:
--- a/bitternpath/delivery/connections.py
+++ b/bitternpath/delivery/connections.py
@@ -18,7 +18,9 @@
 LEAST_TIME_S = 0.02  # with less time left nothing is sent: no worker could answer
 GRACE_S = 0.05  # the answer may come so long after the deadline that the worker was handed
 UNACKNOWLEDGED_MS = 2_000  # sent bytes that a dead peer doesn't acknowledge for so long end the connection
-MOST_UNENDED = 500  # deliveries of one connection that ended no message: their request ids are kept
+MAX_REMEMBERED_REQUESTS = (
+    500  # deliveries of one connection that ended no message: their request ids are kept
+)
 _ENDS = (AttemptOutcome.SUCCEEDED, AttemptOutcome.REJECTED)
 USE_SHARE = 0.6  # of a worker's keep-alive time, for which we use an idle connection
 
@@ -151,7 +153,7 @@
         verdict = answer.verdict()
         if self._exchange is not None and verdict.outcome not in _ENDS:
             self._unended.add(self._exchange.message.request_id)
-        if answer.reusable and len(self._unended) < MOST_UNENDED:
+        if answer.reusable and len(self._unended) < MAX_REMEMBERED_REQUESTS:
             self.usable_until = self._owner.now() + answer.keep_alive_s * USE_SHARE
             exchange, self._exchange = self._exchange, None
             self._owner.released(self)
--- a/bitternpath/delivery/results.py
+++ b/bitternpath/delivery/results.py
@@ -42,6 +42,6 @@
 class CallbackResult(Enum):
     """How a call-back ended."""
 
-    TAKEN = "taken"  # 200
+    ACKNOWLEDGED = "taken"  # 200
     REFUSED = "refused"  # 400: the receiver says that the id is unknown or that the state is no end
     FAILED = "failed"  # anything else: to be repeated
--- a/bitternpath/discovery/catalogue.py
+++ b/bitternpath/discovery/catalogue.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from bitternpath.transport.messages import CatalogueEntry, CatalogueUpdate
+from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 
 
 class Catalogue:
--- a/bitternpath/discovery/platform_list.py
+++ b/bitternpath/discovery/endpoint_list_client.py
@@ -10,25 +10,25 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.web.client import Agent, HTTPConnectionPool
 
-from bitternpath.transport.messages import CatalogueEntry
+from bitternpath.transport.feed_messages import CatalogueEntry
 
 CALL_TIMEOUT_S = 0.8
 MOST_PAGES = 200
 
 
-class ListUnavailable(Exception):
+class EndpointListUnavailableError(Exception):
     """The list can't be read now; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListReading:
+class EndpointList:
     """The whole list, with when its reading began (seconds of the steady clock)."""
 
-    began_at: float
+    requested_at: float
     entries: tuple[CatalogueEntry, ...]
 
 
-class PlatformList:
+class EndpointListClient:
     """Calls of the platform's address, over one connection that is kept."""
 
     def __init__(self, reactor: Any, address: str) -> None:
@@ -42,8 +42,8 @@
 
     @inlineCallbacks
     def read(self) -> Any:
-        """A `ListReading` of all pages; fails with `ListUnavailable`."""
-        began_at = self.reactor.seconds()
+        """A `EndpointList` of all pages; fails with `EndpointListUnavailableError`."""
+        requested_at = self.reactor.seconds()
         entries: list[CatalogueEntry] = []
         token = ""
         for _ in range(MOST_PAGES):
@@ -51,8 +51,8 @@
             entries += [_entry(raw) for raw in page.get("instances", ())]
             token = page.get("next_page_token") or ""
             if not token:
-                return ListReading(began_at, tuple(sorted(entries, key=lambda entry: entry.instance)))
-        raise ListUnavailable(f"more than {MOST_PAGES} pages")
+                return EndpointList(requested_at, tuple(sorted(entries, key=lambda entry: entry.instance)))
+        raise EndpointListUnavailableError(f"more than {MOST_PAGES} pages")
 
     @inlineCallbacks
     def _page(self, token: str) -> Any:
@@ -69,15 +69,15 @@
             )
             body = yield _within(self.reactor, treq.content(response))
         except Exception as error:
-            raise ListUnavailable(f"no answer: {type(error).__name__} {error}") from error
+            raise EndpointListUnavailableError(f"no answer: {type(error).__name__} {error}") from error
         if response.code != 200:
-            raise ListUnavailable(f"status {response.code}")
+            raise EndpointListUnavailableError(f"status {response.code}")
         try:
             page = json.loads(body)
         except ValueError as error:
-            raise ListUnavailable(f"not JSON: {error}") from error
+            raise EndpointListUnavailableError(f"not JSON: {error}") from error
         if not isinstance(page, dict):
-            raise ListUnavailable("not an object")
+            raise EndpointListUnavailableError("not an object")
         return page
 
 
@@ -93,5 +93,5 @@
         zone=str(raw.get("zone", "")),
         slots=int(raw.get("slots") or 1),
         draining=raw.get("state") != "ready",
-        cold=bool(raw.get("cold_remaining_ms")),
+        warming_up=bool(raw.get("cold_remaining_ms")),
     )
--- a/bitternpath/discovery/reader.py
+++ b/bitternpath/discovery/endpoint_list_poller.py
@@ -8,8 +8,8 @@
 import logbook
 from twisted.python.failure import Failure
 
-from bitternpath.discovery.platform_list import ListReading, PlatformList
-from bitternpath.transport.messages import CatalogueUpdate
+from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
+from bitternpath.transport.feed_messages import CatalogueUpdate
 
 log = logbook.Logger("discovery")
 
@@ -17,13 +17,13 @@
 RETRY_S = 0.25
 
 
-class ListReader:
+class EndpointListPoller:
     """While it runs, `publish` hears each reading."""
 
     def __init__(
         self,
         reactor: Any,
-        platform: PlatformList,
+        platform: EndpointListClient,
         epoch: Callable[[], int],
         publish: Callable[[CatalogueUpdate], None],
         rate_per_s: float,
@@ -34,7 +34,7 @@
         self._reading = False
         self._timer: Any = None
         self._serial = 0
-        self._last: ListReading | None = None
+        self._last: EndpointList | None = None
 
     def start(self) -> None:
         """Begin to read."""
@@ -55,20 +55,20 @@
         self._reading = True
         self.platform.read().addCallbacks(self._succeeded, self._failed)
 
-    def _succeeded(self, reading: ListReading) -> None:
+    def _succeeded(self, reading: EndpointList) -> None:
         self._reading = False
         if not self._running:
             return
         if self._last is None or reading.entries != self._last.entries:
             self._serial += 1
         self._last = reading
-        age_ms = int((self.reactor.seconds() - reading.began_at) * 1000)
+        age_ms = int((self.reactor.seconds() - reading.requested_at) * 1000)
         self._publish(CatalogueUpdate(self._epoch(), self._serial, age_ms, reading.entries))
         self._again(max(READ_EVERY_S - age_ms / 1000, self._least_pause))
 
     def _failed(self, failure: Failure) -> None:
         self._reading = False
-        log.info("event=list_not_read error={!r}", str(failure.value))
+        log.info("event=endpoint_list_read_failed error={!r}", str(failure.value))
         if self._running:
             self._again(max(RETRY_S, self._least_pause))
 
--- a/bitternpath/dispatch/callbacks.py
+++ b/bitternpath/dispatch/callbacks.py
@@ -8,8 +8,8 @@
 
 from bitternpath.delivery.results import CallbackResult
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.transport.messages import CallbackOrder, CallbackReport
 from bitternpath.transport.records import MessageState
+from bitternpath.transport.shard_messages import CallbackReport, CallbackRequest
 
 RETRY_S = 0.1
 MOST_REPORT_TRIES = 30  # the owner repeats an order whose report it doesn't get
@@ -22,21 +22,21 @@
         """Post to a receiver; never fails."""
 
 
-class Callbacks:
+class CallbackDispatcher:
     """Carries out orders and tells the owner how they went."""
 
     def __init__(self, reactor: Any, receivers: Receivers, owners: ShardOwners) -> None:
         self.reactor, self.receivers, self.owners = reactor, receivers, owners
-        self.open = 0
+        self.in_flight = 0
 
-    def ordered(self, order: CallbackOrder) -> None:
+    def order_received(self, order: CallbackRequest) -> None:
         """An owner wants a receiver told."""
-        self.open += 1
+        self.in_flight += 1
         notified = self.receivers.notify(order.url, order.request_id, order.state, order.stamp)
         notified.addCallback(self._notified, order)
 
-    def _notified(self, result: CallbackResult, order: CallbackOrder) -> None:
-        self.open -= 1
+    def _notified(self, result: CallbackResult, order: CallbackRequest) -> None:
+        self.in_flight -= 1
         taken = result is not CallbackResult.FAILED  # a refused one would be refused again
         self._tell(CallbackReport(order.group, order.request_id, taken), MOST_REPORT_TRIES)
 
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -21,9 +21,10 @@
 from bitternpath.configuration.documents import Route, RoutingTable, Service
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
 from bitternpath.dispatch.selection import ListedWorker, WorkerSelection
-from bitternpath.shards.reports import AttemptReport, LeaseReports
-from bitternpath.transport.messages import CatalogueEntry, Delivery
+from bitternpath.shards.reports import AttemptReport, AttemptReporter
+from bitternpath.transport.feed_messages import CatalogueEntry
 from bitternpath.transport.records import AttemptOutcome, Message
+from bitternpath.transport.shard_messages import LeaseGrant
 
 log = logbook.Logger("dispatch")
 
@@ -66,7 +67,7 @@
 class _Task:
     """A lease and the sends under it."""
 
-    delivery: Delivery
+    delivery: LeaseGrant
     message: Message
     ends_at: float
     arrived_at: float
@@ -97,7 +98,7 @@
         return body
 
 
-class Deliveries:
+class DeliveryDispatcher:
     """Carries out leases."""
 
     def __init__(
@@ -105,25 +106,25 @@
         reactor: Any,
         node: NodeView,
         workers: Workers,
-        reports: LeaseReports,
+        reports: AttemptReporter,
         bodies: BodyCache,
         random: Random,
     ) -> None:
         self.reactor, self.node, self.workers, self.reports = reactor, node, workers, reports
         self.bodies, self.random = bodies, random
         self.selection = WorkerSelection(random)
-        self.open = 0
+        self.in_flight = 0
         self.stopping = False
         self._watched = False
         self._beat_at = reactor.seconds()
         self._stall_began = 0.0
         self._stalled_until = 0.0
 
-    def list_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
+    def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
         """The usable workers are these."""
-        self.selection.list_changed(entries, left)
+        self.selection.workers_changed(entries, left)
 
-    def leased(self, delivery: Delivery) -> None:
+    def lease_granted(self, delivery: LeaseGrant) -> None:
         """The owner of a shard has given this node a lease."""
         now = self.reactor.seconds()
         message = delivery.message
@@ -250,16 +251,16 @@
         self, task: _Task, route: Route, target: WorkerTarget, ended: Callable[[DeliveryResult], None]
     ) -> None:
         task.sends += 1
-        self.open += 1
+        self.in_flight += 1
 
         def finished(result: DeliveryResult) -> None:
-            self.open -= 1
+            self.in_flight -= 1
             ended(result)
 
         self.workers.deliver(target, task.message, route.timeout_ms).addCallback(finished)
 
     def _report(
-        self, delivery: Delivery, outcome: AttemptOutcome, stamp: str = "", retry_after_ms: int = 0
+        self, delivery: LeaseGrant, outcome: AttemptOutcome, stamp: str = "", retry_after_ms: int = 0
     ) -> None:
         report = AttemptReport(
             delivery.group, delivery.message.request_id, delivery.lease_id, outcome, stamp, retry_after_ms
--- a/bitternpath/dispatch/network.py
+++ b/bitternpath/dispatch/network.py
@@ -52,11 +52,11 @@
         self.place = {other.name: k for k, other in enumerate(self.neurons)}
         self.settle_all()
 
-    def learn(self, neuron: NeuronT, payoff: float, whole: bool = True) -> None:
+    def learn(self, neuron: NeuronT, payoff: float, completed: bool = True) -> None:
         """Update T by equation (4) and the weights by the two rules after it; `payoff` is R = 1/G.
 
-        `whole` is False for a job that has not ended or has failed: it leaves T as it is."""
-        if whole:
+        `completed` is False for a job that has not ended or has failed: it leaves T as it is."""
+        if completed:
             self.threshold = KEEP * self.threshold + (1 - KEEP) * payoff if self.threshold else payoff
         at, n, limit = self.place.get(neuron.name), len(self.neurons), self.threshold
         if at is None or n < 2 or payoff == limit or not limit:
--- a/bitternpath/dispatch/selection.py
+++ b/bitternpath/dispatch/selection.py
@@ -13,7 +13,7 @@
 
 from bitternpath.delivery.results import DeliveryResult, RefusalKind
 from bitternpath.dispatch.network import Network
-from bitternpath.transport.messages import CatalogueEntry
+from bitternpath.transport.feed_messages import CatalogueEntry
 from bitternpath.transport.records import AttemptOutcome
 
 EXPLORE = 0.1
@@ -65,7 +65,7 @@
         self._networks: dict[str, Network[ListedWorker]] = {}  # by route
         self._service_of: dict[str, str] = {}  # of a route's network
 
-    def list_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
+    def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
         """The usable workers are these; `left` are instances that aren't any more."""
         for instance in left:
             self._remove(instance)
@@ -108,7 +108,7 @@
         if result.outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.REJECTED):
             network.learn(worker, 1.0 / max(result.elapsed_s, LEAST_ELAPSED_S))
         else:
-            network.learn(worker, 0.0, whole=False)
+            network.learn(worker, 0.0, completed=False)
 
     def _score(self, network: Network[ListedWorker], worker: ListedWorker) -> float:
         return network.q[network.place[worker.name]] / (1 + worker.in_flight)
--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -188,7 +188,7 @@
         elif self.phase in (Phase.IDLE, Phase.HEAD, Phase.BODY):
             self.setTimeout(DRAINING_READ_S)  # type: ignore[no-untyped-call]
 
-    def answer_open(self) -> None:
+    def answer_pending(self) -> None:
         """Answer the request that waits, and those that were read behind it; then close."""
         answered = None
         while self.phase is Phase.ANSWERING and self.requests[0] is not answered:
--- a/bitternpath/ingress/control.py
+++ b/bitternpath/ingress/control.py
@@ -10,7 +10,7 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from bitternpath.ingress.service import NodeService, OperatorReply
+from bitternpath.ingress.interfaces import NodeService, OperatorReply
 from bitternpath.ingress.site import RETRY_SOON_S, answered, reply
 
 ANSWER_S = 10.0  # the operator has moved on to another node long before
--- a/bitternpath/ingress/interface.py
+++ b/bitternpath/ingress/interface.py
@@ -12,13 +12,13 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from bitternpath.ingress.service import (
+from bitternpath.ingress.interfaces import (
     FoundMessage,
     LeaseAnswer,
     LookupFailure,
     NodeService,
+    PendingPull,
     PulledJob,
-    PullTicket,
 )
 from bitternpath.ingress.site import RETRY_SOON_S, answered, reply
 from bitternpath.transport.records import Message, MessageState
@@ -183,7 +183,7 @@
     """One worker that waits for a job."""
 
     def __init__(
-        self, request: Any, ticket: PullTicket, node: NodeService, waiting: dict[_WaitingPull, None]
+        self, request: Any, ticket: PendingPull, node: NodeService, waiting: dict[_WaitingPull, None]
     ) -> None:
         self._request = request
         self._ticket = ticket
--- a/bitternpath/ingress/service.py
+++ b/bitternpath/ingress/interfaces.py
@@ -56,7 +56,7 @@
 class LeaseAnswer(Enum):
     """Answer to the end or the extension of a lease."""
 
-    TAKEN = 200
+    ACKNOWLEDGED = 200
     GONE = 409
     UNAVAILABLE = 503
 
@@ -69,7 +69,7 @@
     body: bytes
 
 
-class PullTicket(Protocol):
+class PendingPull(Protocol):
     """One waiting worker."""
 
     result: Deferred[PulledJob | None]
@@ -93,7 +93,7 @@
     def find_message(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
         """A message by the id that `Acceptance` gave, or by its request id."""
 
-    def pull(self, service: str, instance: str, wait_ms: int) -> PullTicket:
+    def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
         """A job for a worker; None after `wait_ms`."""
 
     def end_job(self, lease_id: str, request_id: str, status: int, stamp: str) -> Deferred[LeaseAnswer]:
--- a/bitternpath/ingress/messages.py
+++ b/bitternpath/ingress/messages.py
@@ -12,9 +12,9 @@
 from twisted.web.server import NOT_DONE_YET
 
 from bitternpath.ingress.intake import ClientRequest, Intake, Origin, Rejection, read_message
-from bitternpath.ingress.service import Acceptance, AcceptResult, NodeService
+from bitternpath.ingress.interfaces import Acceptance, AcceptResult, NodeService
 from bitternpath.ingress.site import reply
-from bitternpath.queue.sharding import may_name
+from bitternpath.queue.sharding import is_valid_message_id
 
 LATE_MS = 50  # the node's answer may be so much later than asked before the client gets 504
 
@@ -63,7 +63,7 @@
             self._timer.cancel()
         if acceptance.result is AcceptResult.ACCEPTED:
             name = acceptance.message_id or self._intake.message.request_id
-            if may_name(name):
+            if is_valid_message_id(name):
                 self._request.setHeader(b"X-Message-Id", name.encode("latin-1"))
             reply(self._request, 202)
         elif acceptance.result is AcceptResult.REFUSED:
--- a/bitternpath/ingress/servers.py
+++ b/bitternpath/ingress/servers.py
@@ -11,8 +11,8 @@
 
 from bitternpath.configuration.documents import RequestLimits
 from bitternpath.ingress import control, interface
+from bitternpath.ingress.interfaces import NodeService
 from bitternpath.ingress.messages import MessageResource
-from bitternpath.ingress.service import NodeService
 from bitternpath.ingress.site import HttpSite
 
 CONTROL_LIMITS = RequestLimits(max_body_bytes=16 * 1024 * 1024)  # a whole configuration
@@ -83,7 +83,7 @@
         return b""
 
 
-def build_front(
+def build_client_server(
     node: NodeService,
     reactor: Any,
     *,
@@ -95,7 +95,7 @@
     return FrontSite(node, origin, max_connections, wall_ms, reactor)
 
 
-def build_readiness(node: NodeService, reactor: Any) -> HttpSite:
+def build_readiness_server(node: NodeService, reactor: Any) -> HttpSite:
     """The server for the platform's question whether the node is ready."""
     resource = ReadinessResource(node)
 
@@ -105,7 +105,7 @@
     return HttpSite(choose, lambda: READINESS_LIMITS, READINESS_CONNECTIONS, reactor)
 
 
-def build_control(node: NodeService, reactor: Any) -> HttpSite:
+def build_operator_server(node: NodeService, reactor: Any) -> HttpSite:
     """The server for the operator."""
     calls: Resource = control.OperatorInterface(node, reactor).app.resource()
     missing: Resource = NotFoundResource()  # type: ignore[no-untyped-call]
--- a/bitternpath/ingress/site.py
+++ b/bitternpath/ingress/site.py
@@ -145,10 +145,10 @@
             self.channel_lost()
         return self._drained
 
-    def answer_open(self) -> None:
+    def answer_pending(self) -> None:
         """The process is about to end: whoever waits for an answer gets one that promises nothing."""
         for channel in tuple(self.channels):
-            channel.answer_open()
+            channel.answer_pending()
 
     def channel_lost(self) -> None:
         """A connection has ended."""
--- a/bitternpath/membership/founding.py
+++ b/bitternpath/membership/bootstrap.py
@@ -1,4 +1,4 @@
-"""The founding of a system: who first keeps its configuration. Pure but for `FoundingFile`.
+"""The founding of a system: who first keeps its configuration. Pure but for `BootstrapFile`.
 
 At the first start all nodes have the same seeds, empty disks and `bootstrap = true`. The process at the first
 seed takes down on its disk that it is the one to decide, and decides once who the founders are: the counted
@@ -15,17 +15,18 @@
 from bitternpath.membership.view import MembershipView
 from bitternpath.storage.node_disk import LocalDisk, NodeDisk
 from bitternpath.transport.codec import RecordCodec
-from bitternpath.transport.messages import Founding, GroupPlacement, MemberAddress, NodeDescriptor
+from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
+from bitternpath.transport.node_messages import NodeDescriptor
 
 AT_REST_S = 1.0  # the view of nodes with state hasn't changed for so long
 EARLIEST_S = 1.5  # after the start: all nodes start within 0.3 s of each other, and a start takes a while
 PATIENCE_S = 6.0  # after that the founders may be fewer than the fault tolerance asks for
-MOST_FOUNDERS = 7  # replicas of the configuration: more make each change dearer
+MAX_FOUNDING_MEMBERS = 7  # replicas of the configuration: more make each change dearer
 CONFIGURATION_GROUP = "configuration"
-FOUNDING_NAME = "founding"  # of a founder's file
-DECIDER_NAME = "decider"  # of the file of the process that decides: no system in it before the decision
+BOOTSTRAP_DOCUMENT = "founding"  # of a founder's file
+DECIDER_DOCUMENT = "decider"  # of the file of the process that decides: no system in it before the decision
 
-_CODEC = RecordCodec(Founding)
+_CODEC = RecordCodec(BootstrapDecision)
 
 
 def member_id(node: NodeDescriptor) -> str:
@@ -38,9 +39,9 @@
     return MemberAddress(member_id(node), node.name, node.address, node.zone)
 
 
-def decide(
+def decide_bootstrap(
     view: MembershipView, tolerated_machines: int, started_at: float, now: float, random: Random
-) -> Founding | None:
+) -> BootstrapDecision | None:
     """The decision, once it is time for it."""
     if now - started_at < EARLIEST_S or now - view.state_nodes_changed_at < AT_REST_S:
         return None
@@ -48,23 +49,23 @@
     wanted = 2 * tolerated_machines + 1
     if not nodes or (len(nodes) < wanted and now - started_at < PATIENCE_S):
         return None
-    most = max(MOST_FOUNDERS, wanted)
+    most = max(MAX_FOUNDING_MEMBERS, wanted)
     members = tuple(member_address(node) for node in nodes[:most])
     system = f"{random.getrandbits(64):016x}"
-    return Founding(system, GroupPlacement(CONFIGURATION_GROUP, 1, members))
+    return BootstrapDecision(system, GroupPlacement(CONFIGURATION_GROUP, 1, members))
 
 
-class FoundingFile:
+class BootstrapFile:
     """The decision on a disk: a founder's, or the decider's."""
 
-    def __init__(self, data_dir: Path, disk: NodeDisk | None = None, name: str = FOUNDING_NAME) -> None:
+    def __init__(self, data_dir: Path, disk: NodeDisk | None = None, name: str = BOOTSTRAP_DOCUMENT) -> None:
         self._disk, self._name = disk or LocalDisk(data_dir), name
 
-    def load(self) -> Founding | None:
+    def load(self) -> BootstrapDecision | None:
         """What was written; None before."""
         data = self._disk.read_document(self._name)
         return None if data is None else _CODEC.decode(data)
 
-    def store(self, founding: Founding) -> None:
+    def store(self, founding: BootstrapDecision) -> None:
         """Written aside, synced, renamed, folder synced: a few milliseconds, once in a disk's life."""
         self._disk.write_document(self._name, _CODEC.encode(founding))
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -9,7 +9,8 @@
 
 from bitternpath.membership.view import Datagram, MembershipView
 from bitternpath.transport.codec import CodecError
-from bitternpath.transport.messages import RECORDS, ShuffleReply, ShuffleRequest
+from bitternpath.transport.messages import RECORDS
+from bitternpath.transport.node_messages import ShuffleReply, ShuffleRequest
 
 log = logbook.Logger("membership")
 
--- a/bitternpath/membership/view.py
+++ b/bitternpath/membership/view.py
@@ -13,7 +13,7 @@
 
 from msgspec.structs import replace
 
-from bitternpath.transport.messages import NodeDescriptor, NodeKind, ShuffleReply, ShuffleRequest
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind, ShuffleReply, ShuffleRequest
 
 SHUFFLE_SIZE = 10  # entries in a datagram, which then stays below 1,400 bytes
 VIEW_SIZE = 64  # entries of nodes without state
@@ -22,7 +22,7 @@
 FIRST_ROUNDS_S = 0.15  # while the system starts, so that it is founded soon
 FIRST_ROUNDS_FOR_S = 5.0
 FEW_NODES = 3  # a view with fewer asks all seeds in each round
-LIVELY_S = 2.5  # without a newer heartbeat: two rounds
+LIVE_WITHIN_S = 2.5  # without a newer heartbeat: two rounds
 FORGET_AFTER_S = 20.0  # without a newer heartbeat
 REMEMBER_FORGOTTEN_S = 300.0  # what is still told of a forgotten node doesn't bring it back
 MOST_FORGOTTEN = 512
@@ -37,8 +37,8 @@
 @dataclass(frozen=True, slots=True)
 class _Forgotten:
     address: str  # "" where the node has said good-bye
-    life: int
-    beat: int
+    incarnation: int
+    heartbeat: int
     at: float
 
 
@@ -53,8 +53,10 @@
 class MembershipView:
     """Partial view of one node. Times are seconds of a steady clock."""
 
-    def __init__(self, me: NodeDescriptor, seeds: tuple[str, ...], random: Random, now: float) -> None:
-        self.me, self.seeds, self._random = me, seeds, random
+    def __init__(
+        self, local_node: NodeDescriptor, seeds: tuple[str, ...], random: Random, now: float
+    ) -> None:
+        self.local_node, self.seeds, self._random = local_node, seeds, random
         self._known: dict[str, _Known] = {}
         self._forgotten: dict[str, _Forgotten] = {}
         self._started_at = self._round_at = now
@@ -66,15 +68,19 @@
 
     def counted_edges(self) -> list[NodeDescriptor]:
         """Nodes that may keep the configuration, this one among them where it may."""
-        nodes = [node for node in [*self.nodes(), self.me] if node.counted and node.kind is NodeKind.EDGE]
+        nodes = [
+            node for node in [*self.nodes(), self.local_node] if node.counted and node.kind is NodeKind.EDGE
+        ]
         return sorted(nodes, key=lambda node: node.name)
 
-    def lively_edges(self, now: float) -> list[NodeDescriptor]:
+    def live_edges(self, now: float) -> list[NodeDescriptor]:
         """Other nodes that may keep the configuration and of which there was news lately."""
         return [
             known.node
             for known in self._known.values()
-            if known.node.counted and known.node.kind is NodeKind.EDGE and now - known.renewed_at <= LIVELY_S
+            if known.node.counted
+            and known.node.kind is NodeKind.EDGE
+            and now - known.renewed_at <= LIVE_WITHIN_S
         ]
 
     def find(self, name: str) -> NodeDescriptor | None:
@@ -89,9 +95,9 @@
         starting = now - self._started_at < FIRST_ROUNDS_FOR_S
         pause = FIRST_ROUNDS_S if starting else ROUND_S
         self._round_at = now + pause * (0.8 + 0.4 * self._random.random())
-        self.me = replace(self.me, beat=self.me.beat + 1)
+        self.local_node = replace(self.local_node, heartbeat=self.local_node.heartbeat + 1)
         self._forget(now)
-        request = ShuffleRequest(self.me, self._sample())
+        request = ShuffleRequest(self.local_node, self._sample())
         return [Datagram(address, request) for address in self._targets(starting)]
 
     @property
@@ -105,18 +111,18 @@
         for node in record.nodes:
             self._merge(now, node)
         if isinstance(record, ShuffleRequest):
-            return [Datagram(address, ShuffleReply(self.me, self._sample()))]
+            return [Datagram(address, ShuffleReply(self.local_node, self._sample()))]
         return []
 
-    def learned(self, now: float, node: NodeDescriptor) -> None:
+    def observe(self, now: float, node: NodeDescriptor) -> None:
         """A node has introduced itself over a connection."""
         if node.kind is not NodeKind.TOOL:
             self._merge(now, node)
 
     def leave(self) -> list[Datagram]:
         """Tell some peers that this node goes."""
-        self.me = replace(self.me, leaving=True, beat=self.me.beat + 1)
-        request = ShuffleRequest(self.me, ())
+        self.local_node = replace(self.local_node, draining=True, heartbeat=self.local_node.heartbeat + 1)
+        request = ShuffleRequest(self.local_node, ())
         return [Datagram(address, request) for address in self._targets(True)]
 
     def _targets(self, starting: bool) -> list[str]:
@@ -129,7 +135,7 @@
         outside = self._addresses_outside({node.address for node in nodes})
         if outside:
             targets.add(self._random.choice(outside))
-        targets.discard(self.me.address)
+        targets.discard(self.local_node.address)
         return sorted(targets)
 
     def _addresses_outside(self, known: set[str]) -> list[str]:
@@ -139,7 +145,7 @@
         nobody of the other part: without these addresses they would not meet again after the cut.
         """
         forgotten = {gone.address for gone in self._forgotten.values()}
-        return sorted((forgotten | set(self.seeds)) - known - {"", self.me.address})
+        return sorted((forgotten | set(self.seeds)) - known - {"", self.local_node.address})
 
     def _sample(self) -> tuple[NodeDescriptor, ...]:
         """Half of nodes with state, the rest of any."""
@@ -152,16 +158,22 @@
         return tuple(chosen)
 
     def _merge(self, now: float, node: NodeDescriptor) -> None:
-        if node.name == self.me.name:
+        if node.name == self.local_node.name:
             self._outbid(node)
             return
         known = self._known.get(node.name)
-        if known is not None and (node.life, node.beat) <= (known.node.life, known.node.beat):
+        if known is not None and (node.incarnation, node.heartbeat) <= (
+            known.node.incarnation,
+            known.node.heartbeat,
+        ):
             return
         forgotten = self._forgotten.get(node.name)
-        if forgotten is not None and (node.life, node.beat) <= (forgotten.life, forgotten.beat):
+        if forgotten is not None and (node.incarnation, node.heartbeat) <= (
+            forgotten.incarnation,
+            forgotten.heartbeat,
+        ):
             return
-        if node.leaving:
+        if node.draining:
             self._known.pop(node.name, None)
             self._remember_forgotten(now, node)
             return
@@ -172,8 +184,10 @@
 
     def _outbid(self, node: NodeDescriptor) -> None:
         """What others hold of an earlier life of this node mustn't win over this life."""
-        if node.life > self.me.life or (node.life == self.me.life and node.beat > self.me.beat):
-            self.me = replace(self.me, life=node.life + 1)
+        if node.incarnation > self.local_node.incarnation or (
+            node.incarnation == self.local_node.incarnation and node.heartbeat > self.local_node.heartbeat
+        ):
+            self.local_node = replace(self.local_node, incarnation=node.incarnation + 1)
 
     def _bound(self) -> None:
         for with_state, most in ((True, STATE_VIEW_SIZE), (False, VIEW_SIZE)):
@@ -189,7 +203,7 @@
         self._forgotten = {name: gone for name, gone in self._forgotten.items() if gone.at > past}
 
     def _remember_forgotten(self, now: float, node: NodeDescriptor) -> None:
-        address = "" if node.leaving else node.address
-        self._forgotten[node.name] = _Forgotten(address, node.life, node.beat, now)
+        address = "" if node.draining else node.address
+        self._forgotten[node.name] = _Forgotten(address, node.incarnation, node.heartbeat, now)
         while len(self._forgotten) > MOST_FORGOTTEN:
             del self._forgotten[next(iter(self._forgotten))]
--- a/bitternpath/queue/actions.py
+++ b/bitternpath/queue/actions.py
@@ -41,7 +41,7 @@
     edge: str
 
 
-class AskForPolls(Struct, frozen=True):
+class RequestPollers(Struct, frozen=True):
     """Tell edge nodes that so many jobs of a service wait here for workers that pull."""
 
     service: str
@@ -65,4 +65,6 @@
     stamp: str
 
 
-Action = ProposeCommand | SendDelivery | AnswerPoll | ExpirePoll | AskForPolls | BorrowTokens | SendCallback
+Action = (
+    ProposeCommand | SendDelivery | AnswerPoll | ExpirePoll | RequestPollers | BorrowTokens | SendCallback
+)
--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -22,8 +22,10 @@
 
 CALLBACK_TIMEOUT_S = 2.6  # without a report, which an edge node gives after 2 s: it may have gone
 MAX_CALLBACKS_PER_RECEIVER = 8  # out at once from one shard: receivers take few connections
-FAILING_AFTER = 4  # failures in a row, of whichever messages: from then on the receiver is only probed
-PROBE_PAUSE_S = 0.5  # from a failure to the next probe
+FAILURES_BEFORE_PROBING = (
+    4  # failures in a row, of whichever messages: from then on the receiver is only probed
+)
+PROBE_INTERVAL_S = 0.5  # from a failure to the next probe
 # Confirmations wait for another command, to share its round of replicas, but no longer than this; an owner
 # that is lost meanwhile has its successor call back once more.
 CONFIRM_WITHIN_S = 0.5
@@ -54,13 +56,13 @@
     @property
     def most_out(self) -> int:
         """How many calls may be out at once."""
-        return 1 if self.failures >= FAILING_AFTER else MAX_CALLBACKS_PER_RECEIVER
+        return 1 if self.failures >= FAILURES_BEFORE_PROBING else MAX_CALLBACKS_PER_RECEIVER
 
     def failed(self, now: float) -> None:
         """A call was refused, or nothing was heard of it."""
         self.failures += 1
-        if self.failures >= FAILING_AFTER:
-            self.probe_at = now + PROBE_PAUSE_S
+        if self.failures >= FAILURES_BEFORE_PROBING:
+            self.probe_at = now + PROBE_INTERVAL_S
 
     def took(self) -> None:
         """A call was taken."""
--- a/bitternpath/queue/granting.py
+++ b/bitternpath/queue/granting.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from bitternpath.queue.actions import Action, AskForPolls, BorrowTokens, ProposeCommand
+from bitternpath.queue.actions import Action, BorrowTokens, ProposeCommand, RequestPollers
 from bitternpath.queue.commands import GrantLease
 from bitternpath.queue.lanes import LaneTable, ServiceLane
 from bitternpath.queue.leases import LeaseTable
@@ -122,7 +122,7 @@
             lane.polls_asked_pause = min(
                 2 * lane.polls_asked_pause or POLLS_ASKED_FIRST_S, POLLS_ASKED_MOST_S
             )
-            self._emit(AskForPolls(lane.service.name, max(len(lane.ready), len(lane.ahead), 1)))
+            self._emit(RequestPollers(lane.service.name, max(len(lane.ready), len(lane.ahead), 1)))
         self._lanes.wake_at(lane.polls_asked_at + lane.polls_asked_pause, lane)
 
 
--- a/bitternpath/queue/lanes.py
+++ b/bitternpath/queue/lanes.py
@@ -7,8 +7,8 @@
 
 from bitternpath.configuration.documents import Service
 from bitternpath.queue.backoff import RetryBudget
-from bitternpath.queue.ceilings import CeilingShare, TokenBucket, split_ceiling
 from bitternpath.queue.loans import Loan
+from bitternpath.queue.rate_limits import CeilingShare, TokenBucket, split_ceiling
 from bitternpath.queue.ready import ReadyQueue
 
 SLOT_FACTOR = 2.0  # leases out for each slot: a lease also covers the way there and back, and the log
--- a/bitternpath/queue/leases.py
+++ b/bitternpath/queue/leases.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
-from bitternpath.queue.ceilings import GRANT_LAG_S
 from bitternpath.queue.commands import GrantLease
 from bitternpath.queue.edges import EdgeTable
 from bitternpath.queue.entries import Lease
 from bitternpath.queue.lanes import LaneTable, ServiceLane
 from bitternpath.queue.polls import PollTable
+from bitternpath.queue.rate_limits import GRANT_LAG_S
 from bitternpath.queue.tracked import OutLease, Tracked
 from bitternpath.transport.records import AttemptOutcome
 
--- a/bitternpath/queue/loans.py
+++ b/bitternpath/queue/loans.py
@@ -6,7 +6,7 @@
 from math import ceil
 
 from bitternpath.configuration.documents import Service
-from bitternpath.queue.ceilings import LOAN_S, TokenBucket, split_ceiling
+from bitternpath.queue.rate_limits import QUOTA_LEASE_S, TokenBucket, split_ceiling
 from bitternpath.queue.sharding import home_shard
 
 MOST_BORROWED = 16  # tokens at once
@@ -37,7 +37,7 @@
 
     def lent(self, now: float, tokens: int, asked_at: float) -> None:
         """The answer to a request. Tokens of two requests lapse with those of the earlier one."""
-        ends_at = asked_at + LOAN_S
+        ends_at = asked_at + QUOTA_LEASE_S
         if tokens <= 0 or now >= ends_at:
             return
         left = self.tokens(now)
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -2,7 +2,7 @@
 
 `ShardOwner` is a pure decider: its inputs are typed calls with the time, its outputs are actions for the role
 that holds it. It reads the replicated state and writes nothing but proposals. All it knows beyond the state
-is lost with the ownership; a new owner starts from `take_over`.
+is lost with the ownership; a new owner starts from `leadership_acquired`.
 
 A message leaves the shard only after its `GrantLease` has been applied, so that each later owner knows of it.
 """
@@ -35,7 +35,7 @@
 from bitternpath.queue.polls import Poll, PollTable
 from bitternpath.queue.results import (
     Added,
-    AttemptTaken,
+    AttemptEnded,
     CallbacksConfirmed,
     Expired,
     Forgotten,
@@ -56,13 +56,13 @@
 DEFAULT_RETENTION_S = 90.0  # for tombstones while there is no configuration
 UNLIMITED_ATTEMPTS = 2**31 - 1  # for ends of messages whose route is not known here (yet, or any more)
 
-HAND_BACKS_BEFORE_ANOTHER_EDGE = 2  # in a row, not run or without an answer
+RETURNS_BEFORE_EDGE_CHANGE = 2  # in a row, not run or without an answer
 
 _IDLE = frozenset({Phase.HELD, Phase.BLOCKED, Phase.WAITING, Phase.READY})
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerBounds:
+class OwnerSettings:
     """Figures of the settings' `bounds` (DEPLOY, "Settings of a process") that shards need."""
 
     visible_ms: int = 3_000
@@ -75,7 +75,7 @@
     """Owner of one shard of `shards`, on a node in `zone`, over the state that its replica applies."""
 
     def __init__(
-        self, state: QueueState, shard: int, shards: int, zone: str, bounds: OwnerBounds, random: Random
+        self, state: QueueState, shard: int, shards: int, zone: str, bounds: OwnerSettings, random: Random
     ) -> None:
         self._state = state
         self._shard = shard
@@ -104,7 +104,7 @@
 
     # ---- inputs: ownership, configuration, edge nodes
 
-    def take_over(self, now: float, epoch: int) -> list[Action]:
+    def leadership_acquired(self, now: float, epoch: int) -> list[Action]:
         """Begin, once all commands of earlier epochs are applied. Each lease counts as extended now."""
         self._epoch = epoch
         for entry in self._state:
@@ -143,21 +143,21 @@
             self._lanes.mark(service)
         return self._finish(now)
 
-    def edge_joined(self, now: float, name: str, zone: str) -> list[Action]:
-        """An edge node is connected. Of a new life, call `edge_lost` for the old one first."""
+    def edge_connected(self, now: float, name: str, zone: str) -> list[Action]:
+        """An edge node is connected. Of a new life, call `edge_process_ended` for the old one first."""
         edge = self._edges.find(name)
         edge.zone = zone
         edge.connected = True
         self._lanes.mark_all()
         return self._finish(now)
 
-    def edge_left(self, now: float, name: str) -> list[Action]:
+    def edge_disconnected(self, now: float, name: str) -> list[Action]:
         """The connection to an edge node has ended. Its leases go on: it may be at work."""
         self._edges.find(name).connected = False
         self._polls.remove_of_edge(name)
         return self._finish(now)
 
-    def edge_lost(self, now: float, name: str) -> list[Action]:
+    def edge_process_ended(self, now: float, name: str) -> list[Action]:
         """The process of an edge node has ended.
 
         Its leases on messages without an order key are over. A worker may still run one that has a key: that
@@ -203,7 +203,7 @@
         self._hold_lease(now, tracked, lease, self._pull_duration_ms)
         return True
 
-    def end_command(
+    def end_attempt_command(
         self, request_id: str, lease_id: str, outcome: AttemptOutcome, stamp: str, retry_after_ms: int
     ) -> EndAttempt:
         """The command for a holder's word, with the `max_attempts` in force. The caller proposes it.
@@ -227,7 +227,7 @@
 
     # ---- inputs: the log, time
 
-    def appending(self, now: float, message: Message) -> list[Action]:
+    def append_proposed(self, now: float, message: Message) -> list[Action]:
         """A message's append has just been proposed. Where it can be leased at once, its lease goes into the
         log right behind it: one round of replicas and one sync for both. Empty where it can't; else
         `append_failed` is to be called should the append surely never be in the log.
@@ -245,7 +245,7 @@
         return self._finish(now)
 
     def append_failed(self, request_id: str) -> None:
-        """An append for which `appending` gave actions is surely not in the log, nor is its lease."""
+        """An append for which `append_proposed` gave actions is surely not in the log, nor is its lease."""
         tracked = self._tracked.pop(request_id, None)
         if tracked is not None:
             self._leases.forget_ahead(tracked)
@@ -259,7 +259,7 @@
                 self._message_added(now, result)
             case LeaseGranted():
                 self._lease_granted(now, result)
-            case AttemptTaken(effective=True):
+            case AttemptEnded(effective=True):
                 self._attempt_ended(now, result)
             case Expired():
                 self._expiry_applied(now, result)
@@ -428,10 +428,10 @@
             self._actions.append(action)
 
     def _return_unsent(self, grant: GrantLease) -> None:
-        command = self.end_command(grant.request_id, grant.lease_id, AttemptOutcome.NOT_RUN, "", 0)
+        command = self.end_attempt_command(grant.request_id, grant.lease_id, AttemptOutcome.NOT_RUN, "", 0)
         self._actions.append(ProposeCommand(command))
 
-    def _attempt_ended(self, now: float, result: AttemptTaken) -> None:
+    def _attempt_ended(self, now: float, result: AttemptEnded) -> None:
         command = result.command
         tracked = self._tracked.get(command.request_id)
         if tracked is None:
@@ -446,7 +446,7 @@
             return
         repetitions = tracked.count_outcome(command.outcome)
         in_vain = command.outcome in (AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN)
-        if in_vain and repetitions + 1 >= HAND_BACKS_BEFORE_ANOTHER_EDGE:
+        if in_vain and repetitions + 1 >= RETURNS_BEFORE_EDGE_CHANGE:
             tracked.avoided_edge = edge
         pause = pause_after(command.outcome, repetitions, command.retry_after_ms, self._random)
         tracked.not_before = now + pause
--- a/bitternpath/queue/ceilings.py
+++ b/bitternpath/queue/rate_limits.py
@@ -10,9 +10,9 @@
 
 Where equal shares are small, a shard whose keys belong to a busy service has too little while others have too
 much. Then each shard has a smaller one, and the rest is a pool: a bucket at the owner of the service's home
-shard, which lends tokens to the shards where messages wait. A lent token lapses `LOAN_S` after it was asked
-for. An owner of the home shard lends only while it surely leads, and for at most `LEND_LAG_S` beside its
-successor, whose pool starts empty. So the pool's tokens arrive within `POOL_LAG_S`, and the bound is
+shard, which lends tokens to the shards where messages wait. A lent token lapses `QUOTA_LEASE_S` after it was
+asked for. An owner of the home shard lends only while it surely leads, and for at most `LEND_LAG_S` beside
+its successor, whose pool starts empty. So the pool's tokens arrive within `POOL_LAG_S`, and the bound is
 
     shards * (refill * (window_s + SEND_LAG_S) + burst)
         + pool refill * (window_s + POOL_LAG_S) + pool burst <= rate * window_s * over + 5.
@@ -30,9 +30,9 @@
 # then loads shards too unevenly. Else equal shares are better: they use nearly all of the rate.
 POOLED_FROM_SHARDS, POOLED_BELOW = 8, 16.0
 BASE_PART = 0.15  # of a pooled service's rate that is shared equally
-LOAN_S = 0.4  # a lent token is spent within this time of being asked for, or lapses
+QUOTA_LEASE_S = 0.4  # a lent token is spent within this time of being asked for, or lapses
 LEND_LAG_S = 0.5  # a former owner of the home shard may lend for so long beside its successor
-POOL_LAG_S = SEND_LAG_S + LOAN_S + LEND_LAG_S
+POOL_LAG_S = SEND_LAG_S + QUOTA_LEASE_S + LEND_LAG_S
 _POOL_BURST = 6.0  # tokens, at least where the bound allows it: shards ask ten times a second at most
 _LEAST_BURST = 1.0  # a smaller bucket never holds a whole token
 _ROUNDING = 1e-9  # tokens; keeps sums of small refills from missing a whole token
--- a/bitternpath/queue/results.py
+++ b/bitternpath/queue/results.py
@@ -30,7 +30,7 @@
     ok: bool
 
 
-class AttemptTaken(Struct, frozen=True):
+class AttemptEnded(Struct, frozen=True):
     """Result of `EndAttempt`.
 
     `taken`: the lease was the current one, or ended before with this very outcome. `effective`: this command
@@ -64,4 +64,4 @@
     count: int
 
 
-Result = Added | LeaseGranted | AttemptTaken | Expired | CallbacksConfirmed | Forgotten
+Result = Added | LeaseGranted | AttemptEnded | Expired | CallbacksConfirmed | Forgotten
--- a/bitternpath/queue/sharding.py
+++ b/bitternpath/queue/sharding.py
@@ -38,10 +38,10 @@
     `X-Message-Id`), is asked for by its request id, and is searched for in all shards.
     """
     text = f"s{shard}.{request_id}"
-    return text if request_id and may_name(text) else request_id
+    return text if request_id and is_valid_message_id(text) else request_id
 
 
-def may_name(text: str) -> bool:
+def is_valid_message_id(text: str) -> bool:
     """Whether a text may be told to a client as the name of its message."""
     return len(text) <= MAX_MESSAGE_ID_LENGTH and _ALLOWED.match(text) is not None
 
--- a/bitternpath/queue/state.py
+++ b/bitternpath/queue/state.py
@@ -22,7 +22,7 @@
 from bitternpath.queue.ordering import OrderQueues
 from bitternpath.queue.results import (
     Added,
-    AttemptTaken,
+    AttemptEnded,
     CallbacksConfirmed,
     Expired,
     Forgotten,
@@ -135,21 +135,21 @@
         entry.leases_granted += 1
         return LeaseGranted(command, True)
 
-    def _end_attempt(self, command: EndAttempt) -> AttemptTaken:
+    def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         entry = self._entries.get(command.request_id)
         if entry is None:
-            return AttemptTaken(command, False, False, False)
+            return AttemptEnded(command, False, False, False)
         earlier = entry.ended_leases.get(command.lease_id)
         if earlier is not None:
-            return AttemptTaken(command, earlier is command.outcome, False, False)
+            return AttemptEnded(command, earlier is command.outcome, False, False)
         if entry.lease is None or entry.lease.lease_id != command.lease_id:
-            return AttemptTaken(command, False, False, False)
+            return AttemptEnded(command, False, False, False)
         entry.lease = None
         entry.remember_end(command.lease_id, command.outcome)
         state = self._state_after(entry, command)
         if state is not MessageState.QUEUED:
             self._end(entry, state, command.stamp if state is MessageState.DONE else "")
-        return AttemptTaken(command, True, True, entry.ended)
+        return AttemptEnded(command, True, True, entry.ended)
 
     def _state_after(self, entry: Entry, command: EndAttempt) -> MessageState:
         match command.outcome:
--- a/bitternpath/replication/bandwidth.py
+++ b/bitternpath/replication/bandwidth.py
@@ -25,7 +25,7 @@
         return max(even, now)
 
 
-class Unbounded(TransferBudget):
+class UnlimitedTransferBudget(TransferBudget):
     """For groups that share their process with no other traffic."""
 
     def __init__(self) -> None:
--- a/bitternpath/replication/consensus.py
+++ b/bitternpath/replication/consensus.py
@@ -10,10 +10,10 @@
     FOLLOWER --timeout--> PRE_CANDIDATE --a majority would vote--> CANDIDATE --a majority did--> LEADER
     each --a higher term is heard--> FOLLOWER;  LEADER --no majority heard for `election`--> FOLLOWER
 
-Each input (`hear`, `tick`, `stored`, `propose`, `compact`, ...) changes the state; `take` gives all that
-follows: messages to send, writes, and what is committed. One module for each job: `log`, `elections`,
-`leadership` (the leader's side of replication), `following` (the follower's), `snapshots`; `member` is what
-they share.
+Each input (`receive`, `tick`, `stored`, `propose`, `compact`, ...) changes the state; `take_effects` gives
+all that follows: messages to send, writes, and what is committed. One module for each job: `log`,
+`elections`, `leadership` (the leader's side of replication), `following` (the follower's), `snapshots`;
+`member` is what they share.
 Rules of all of them:
 
 - The disk answers later. A write has a number, and is done when `stored(number)` comes; writes are done in
@@ -34,26 +34,26 @@
 from msgspec import Struct
 
 from bitternpath.replication.elections import Elections
-from bitternpath.replication.following import Following
+from bitternpath.replication.follower import Following
 from bitternpath.replication.leadership import Leadership
 from bitternpath.replication.messages import (
-    Append,
-    Appended,
-    AskVote,
-    Install,
-    Installed,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Message,
-    TakeOver,
-    Vote,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
-from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Role, Snapshot, Write
+from bitternpath.replication.records import Entry, EntryKind, MemberRole, Snapshot, StorageWrite
 
 
 class Out(Struct):
-    """What follows from the inputs since the last `take`."""
+    """What follows from the inputs since the last `take_effects`."""
 
-    send: list[tuple[str, Message]]
-    writes: list[Write]
+    messages: list[tuple[str, Message]]
+    writes: list[StorageWrite]
     restore: Snapshot | None  # the state is this one; comes before `committed`
     committed: list[Entry]
 
@@ -64,9 +64,9 @@
     # ---- time and disk
 
     def tick(self, now: float) -> None:
-        """Time has passed; to be called at `alarm` at the latest."""
+        """Time has passed; to be called at `next_timeout_at` at the latest."""
         self.now = now
-        if self.role is Role.LEADER:
+        if self.role is MemberRole.LEADER:
             if now >= self._piece_at:
                 self._send_due_pieces()
             if now >= self._heartbeat_at:
@@ -75,42 +75,42 @@
             self._election_timeout()
 
     @property
-    def alarm(self) -> float:
+    def next_timeout_at(self) -> float:
         """When `tick` is wanted next."""
-        if self.role is Role.LEADER:
+        if self.role is MemberRole.LEADER:
             return min(self._heartbeat_at, self._piece_at)
         return self._election_at
 
-    def stored(self, now: float, number: int) -> None:
+    def write_completed(self, now: float, number: int) -> None:
         """The disk has done the writes up to that number."""
         self.now = now
         self.log.stored(number)
         self._deliver_stored(number)
-        if self.role is Role.LEADER:
+        if self.role is MemberRole.LEADER:
             self._update_commitment()
 
     # ---- messages
 
-    def hear(self, now: float, sender: str, message: Message) -> None:
+    def receive(self, now: float, sender: str, message: Message) -> None:
         """A message has come; one that makes no sense is passed over."""
         self.now = now
         match message:
-            case AskVote():
+            case RequestVote():
                 self._answer_asking(sender, message)
-            case Vote():
+            case RequestVoteResponse():
                 self._count_vote(sender, message)
-            case Append():
-                if self._accept_leader(sender, message.term, message.round):
+            case AppendEntries():
+                if self._accept_leader(sender, message.term, message.heartbeat_round):
                     self._take_append(sender, message)
-            case Install():
-                if self._accept_leader(sender, message.term, message.round):
+            case InstallSnapshot():
+                if self._accept_leader(sender, message.term, message.heartbeat_round):
                     self._take_piece(sender, message)
-            case Appended() | Installed():
+            case AppendEntriesResponse() | InstallSnapshotResponse():
                 if message.term > self.term:
                     self._become_follower(message.term)
-                elif self.role is Role.LEADER and message.term == self.term and sender in self.peers:
+                elif self.role is MemberRole.LEADER and message.term == self.term and sender in self.peers:
                     self._take_answer(sender, message)
-            case TakeOver():
+            case TimeoutNow():
                 if message.term == self.term and sender == self.leader and self.is_voter:
                     self._stand(leadership_transfer=True)
 
@@ -119,12 +119,12 @@
     def propose(self, now: float, kind: int, data: bytes) -> int | None:
         """A leader's entry; its index, or None where this member can't take it now."""
         self.now = now
-        if self.role is not Role.LEADER or self.transfer_target:
+        if self.role is not MemberRole.LEADER or self.transfer_target:
             return None
-        if kind == MEMBERS and not self.may_change_members:
+        if kind == EntryKind.MEMBERS and not self.may_change_members:
             return None
         self.log.append(Entry(self.last_index + 1, self.term, kind, data))
-        if kind == MEMBERS:
+        if kind == EntryKind.MEMBERS:
             self._update_peers()
         for name in self.peers:
             self._send_entries(name)
@@ -132,14 +132,14 @@
 
     def propose_many(self, now: float, commands: Sequence[bytes]) -> int | None:
         """As `propose` with CHANGE for each, but a peer gets them together, and some only with the next
-        heartbeat (see `replication.eager`); the index of the first."""
+        heartbeat (see `replication.replication_targets`); the index of the first."""
         self.now = now
-        if self.role is not Role.LEADER or self.transfer_target:
+        if self.role is not MemberRole.LEADER or self.transfer_target:
             return None
         first = self.last_index + 1
         for index, command in enumerate(commands, first):
-            self.log.append(Entry(index, self.term, CHANGE, command))
-        for name in sorted(self.eager):
+            self.log.append(Entry(index, self.term, EntryKind.COMMAND, command))
+        for name in sorted(self.replication_targets):
             self._send_all_entries(name, self.peers[name])
         return first
 
@@ -154,17 +154,17 @@
     @property
     def ready(self) -> bool:
         """A leader that knows all that was committed before it (T 6.4)."""
-        return self.role is Role.LEADER and self.commit_index >= self.first_own_index
+        return self.role is MemberRole.LEADER and self.commit_index >= self.term_start_index
 
-    def want_round(self) -> int:
+    def request_heartbeat_round(self) -> int:
         """The number of a round that begins after this; it does so soon."""
-        self._round_wanted = True
-        return self.round + 1
+        self._heartbeat_round_requested = True
+        return self.heartbeat_round + 1
 
     @property
-    def round_wanted(self) -> bool:
+    def heartbeat_round_requested(self) -> bool:
         """Whether a round is asked for that has not begun."""
-        return self._round_wanted
+        return self._heartbeat_round_requested
 
     # ---- state machine
 
@@ -175,12 +175,14 @@
 
     # ---- effects
 
-    def take(self, now: float) -> Out:
+    def take_effects(self, now: float) -> Out:
         """All that follows from what was put in."""
         self.now = now
-        if self.role is Role.LEADER:
-            if self._round_wanted and (self.confirmed_round >= self.round or not self.peers):
-                self._begin_round(sorted(self.eager))
+        if self.role is MemberRole.LEADER:
+            if self._heartbeat_round_requested and (
+                self.confirmed_round >= self.heartbeat_round or not self.peers
+            ):
+                self._begin_round(sorted(self.replication_targets))
             self._update_commitment()
         writes = self._take_writes()
         out = Out(self._send, writes, self._restore, self._take_committed())
--- a/bitternpath/replication/following.py
+++ b/bitternpath/replication/follower.py
@@ -2,26 +2,28 @@
 
 from __future__ import annotations
 
-from bitternpath.replication.messages import Append, Appended
-from bitternpath.replication.records import Entry, Role
+from bitternpath.replication.messages import AppendEntries, AppendEntriesResponse
+from bitternpath.replication.records import Entry, MemberRole
 from bitternpath.replication.snapshots import SnapshotTransfer
 
 
 class Following(SnapshotTransfer):
     """A member as follower."""
 
-    def _accept_leader(self, sender: str, term: int, round: int) -> bool:
+    def _accept_leader(self, sender: str, term: int, heartbeat_round: int) -> bool:
         """Whether the sender leads this member; else it is told the term that it lacks."""
         if term < self.term:
-            self._after_writes.append((sender, Appended(self.term, False, self.last_index, round)))
+            self._after_writes.append(
+                (sender, AppendEntriesResponse(self.term, False, self.last_index, heartbeat_round))
+            )
             return False
-        if term > self.term or self.role is not Role.FOLLOWER:
+        if term > self.term or self.role is not MemberRole.FOLLOWER:
             self._become_follower(term, sender)
         self.leader, self.last_contact = sender, self.now
         self._set_election_timer()
         return True
 
-    def _take_append(self, sender: str, append: Append) -> None:
+    def _take_append(self, sender: str, append: AppendEntries) -> None:
         """AppendEntries of fig. 2."""
         previous, entries = append.previous_index, append.entries
         if previous < self.log.before[0]:  # committed long ago, and so the same here
@@ -29,7 +31,9 @@
             entries = tuple(entry for entry in entries if entry.index > previous)
         elif previous > self.last_index or self.log.term_at(previous) != append.previous_term:
             may_agree = self._last_that_may_agree(previous)
-            self._after_writes.append((sender, Appended(self.term, False, may_agree, append.round)))
+            self._after_writes.append(
+                (sender, AppendEntriesResponse(self.term, False, may_agree, append.heartbeat_round))
+            )
             return
         for entry in entries:
             self._take_entry(entry)
@@ -51,15 +55,19 @@
             if self.log.term_at(entry.index) == entry.term:
                 return
             if entry.index <= self.commit_index:
-                raise AssertionError(f"{self.me}: entry {entry.index} is committed and would be cut")
+                raise AssertionError(f"{self.member_id}: entry {entry.index} is committed and would be cut")
             self.log.cut_from(entry.index)
         self.log.append(entry)
 
-    def _answer_append(self, sender: str, append: Append, agrees: int) -> None:
+    def _answer_append(self, sender: str, append: AppendEntries, agrees: int) -> None:
         """A heartbeat is answered at once with what is on disk, so that a slow disk is no silence. The term
         itself need not be: an entry of this term that is on disk was written together with it."""
         stable = self.log.stable_index
         if agrees <= stable or not append.entries:
-            self._send.append((sender, Appended(self.term, True, min(agrees, stable), append.round)))
+            self._send.append(
+                (sender, AppendEntriesResponse(self.term, True, min(agrees, stable), append.heartbeat_round))
+            )
         if agrees > stable:
-            self._after_writes.append((sender, Appended(self.term, True, agrees, append.round)))
+            self._after_writes.append(
+                (sender, AppendEntriesResponse(self.term, True, agrees, append.heartbeat_round))
+            )
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -12,9 +12,17 @@
 
 from bitternpath.replication.bandwidth import TransferBudget
 from bitternpath.replication.consensus import Out, Raft
-from bitternpath.replication.interfaces import FateOpen, GroupListener, NotOwner, StateMachine
-from bitternpath.replication.messages import Appended, AskVote, Message
-from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members, Role, Times, Write
+from bitternpath.replication.interfaces import GroupListener, NotOwnerError, OutcomeUnknownError, StateMachine
+from bitternpath.replication.messages import AppendEntriesResponse, Message, RequestVote
+from bitternpath.replication.records import (
+    Entry,
+    EntryKind,
+    MemberRole,
+    Members,
+    PersistentState,
+    RaftTiming,
+    StorageWrite,
+)
 
 COMPACTION_BYTES = 8 << 20  # of entries applied since the last snapshot
 HOST_COMPACTION_BYTES = 32 << 20  # likewise, of all groups together: entries are also kept in memory
@@ -52,17 +60,17 @@
 
 @dataclass(slots=True)
 class _Barrier:
-    """`round`: the one that a majority must answer."""
+    """`heartbeat_round`: the one that a majority must answer."""
 
     result: Deferred[None]
-    round: int = 0
+    heartbeat_round: int = 0
 
 
 @dataclass(slots=True)
 class Effects:
     """What a flush of a group gives the host to do, in this order."""
 
-    writes: list[Write] = field(default_factory=list)
+    writes: list[StorageWrite] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
 
 
@@ -71,19 +79,19 @@
 
     def __init__(
         self,
-        me: str,
-        kept: Kept,
+        member_id: str,
+        kept: PersistentState,
         machine: StateMachine,
         listener: GroupListener,
         random: Random,
         now: float,
-        times: Times,
+        timing: RaftTiming,
         bounds: CompactionBounds,
         budget: TransferBudget | None = None,
     ) -> None:
-        self.raft = Raft(me, kept, random, now, times, budget)
+        self.raft = Raft(member_id, kept, random, now, timing, budget)
         self._machine, self._listener, self._bounds = machine, listener, bounds
-        self._times = times
+        self._times = timing
         self._proposals: list[_Proposal] = []
         self._outstanding: deque[tuple[int, _Proposal]] = deque()  # by index, of this ownership
         self._new_barriers: list[_Barrier] = []
@@ -95,26 +103,26 @@
         self._stretch = 1.0 + random.random() * COMPACTION_SPREAD
         self.size_bound = bounds.size  # the host lowers it where it has many groups
         self.owned_epoch = 0  # 0: not the owner
-        self.forgotten_at: int | None = None  # generation at which an earlier state here was given up
+        self.tombstone_generation: int | None = None  # generation at which an earlier state here was given up
         self._members_seen: tuple[int, int, bool, tuple[str, ...]] = (0, 0, False, ())
         if kept.snapshot.index:
             machine.restore(kept.snapshot.data)
 
     # ---- inputs
 
-    def hear(self, now: float, sender: str, message: Message) -> None:
+    def receive(self, now: float, sender: str, message: Message) -> None:
         """Take a consensus message. Whoever may not vote gives nobody an answer on that."""
-        if isinstance(message, AskVote) and not self._may_vote():
+        if isinstance(message, RequestVote) and not self._may_vote():
             return
-        self.raft.hear(now, sender, message)
+        self.raft.receive(now, sender, message)
 
     def _may_vote(self) -> bool:
         """Not while it knows of no members. Nor, where the state that it voted with before was given up,
         until its log holds members that name it again: an older candidate may take it for what it was."""
         members = self.raft.members
-        if self.forgotten_at is None:
+        if self.tombstone_generation is None:
             return bool(members.voters)
-        return members.generation > self.forgotten_at and self.raft.me in members.voters
+        return members.generation > self.tombstone_generation and self.raft.member_id in members.voters
 
     def propose(self, command: bytes) -> Deferred[object]:
         """Queue a command for the next flush."""
@@ -122,7 +130,7 @@
         self._proposals.append(proposal)
         return proposal.result
 
-    def barrier(self) -> Deferred[None]:
+    def read_barrier(self) -> Deferred[None]:
         """Queue a read index for the next flush."""
         barrier = _Barrier(Deferred())
         self._new_barriers.append(barrier)
@@ -132,7 +140,7 @@
         """Propose other members; False where that can't be now. One voter more or fewer at a time."""
         if not self._is_safe_change(now, members):
             return False
-        return self.raft.propose(now, MEMBERS, msgspec.msgpack.encode(members)) is not None
+        return self.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
 
     def _is_safe_change(self, now: float, members: Members) -> bool:
         voters, old = set(members.voters), set(self.raft.members.voters)
@@ -142,12 +150,12 @@
             return False
         return all(self.caught_up(name) for name in voters - old)
 
-    def hand_over(self, now: float, to: str = "") -> bool:
+    def transfer_leadership(self, now: float, to: str = "") -> bool:
         """Pass leadership to a voter that was heard lately: `to`, or the one that has most of the log."""
         peers = [
             (peer.match_index, name)
             for name, peer in self.raft.peers.items()
-            if name in self.raft.members.voters and now - peer.last_contact < self._times.election
+            if name in self.raft.members.voters and now - peer.last_contact < self._times.election_timeout
         ]
         wanted = [each for each in peers if to in ("", each[1])]
         return bool(wanted) and self.raft.transfer_leadership(now, max(wanted)[1])
@@ -166,18 +174,19 @@
         if peer is None or not peer.match_index or peer.transfer is not None:
             return False
         least = min(self.raft.commit_index - CAUGHT_UP_ENTRIES, self.raft.committed_before)
-        return peer.match_index >= max(least, self.raft.first_own_index)
+        return peer.match_index >= max(least, self.raft.term_start_index)
 
-    def silent_for(self, now: float, member: str) -> float:
+    def unresponsive_for(self, now: float, member: str) -> float:
         """Seconds since a member was heard; infinite where this replica doesn't lead or doesn't know it."""
         peer = self.raft.peers.get(member)
         return now - peer.last_contact if peer is not None else float("inf")
 
-    def has_lease(self, now: float) -> bool:
+    def hears_quorum(self, now: float) -> bool:
         """Whether this owner has heard a majority so lately that, as far as it knows, nobody else leads."""
         voters = self.raft.members.voters
         heard = sum(
-            name == self.raft.me or self.silent_for(now, name) < self._times.election for name in voters
+            name == self.raft.member_id or self.unresponsive_for(now, name) < self._times.election_timeout
+            for name in voters
         )
         return self.is_owner and 2 * heard > len(voters)
 
@@ -199,9 +208,9 @@
         self._put_barriers()
         effects = Effects()
         while True:
-            out = self.raft.take(now)
+            out = self.raft.take_effects(now)
             effects.writes += out.writes
-            effects.messages += out.send
+            effects.messages += out.messages
             self._apply(out)
             self._update_ownership()
             self._answer_barriers()
@@ -219,7 +228,7 @@
             first = self.raft.propose_many(now, [proposal.command for proposal in proposals])
         if first is None:
             for proposal in proposals:
-                proposal.result.errback(NotOwner())
+                proposal.result.errback(NotOwnerError())
         else:
             self._outstanding.extend(enumerate(proposals, first))
 
@@ -227,10 +236,10 @@
         barriers, self._new_barriers = self._new_barriers, []
         for barrier in barriers:
             if self.is_owner:
-                barrier.round = self.raft.want_round()
+                barrier.heartbeat_round = self.raft.request_heartbeat_round()
                 self._barriers.append(barrier)
             else:
-                barrier.result.errback(NotOwner())
+                barrier.result.errback(NotOwnerError())
 
     def _apply(self, out: Out) -> None:
         if out.restore is not None:
@@ -240,7 +249,7 @@
         for entry in out.committed:
             self._applied = entry.index
             self._size += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if entry.kind == CHANGE:
+            if entry.kind == EntryKind.COMMAND:
                 self._apply_command(entry)
 
     def _apply_command(self, entry: Entry) -> None:
@@ -264,13 +273,13 @@
         outstanding, self._outstanding = self._outstanding, deque()
         barriers, self._barriers = self._barriers, deque()
         for _, proposal in outstanding:
-            proposal.result.errback(FateOpen())
+            proposal.result.errback(OutcomeUnknownError())
         for barrier in barriers:
-            barrier.result.errback(NotOwner())
+            barrier.result.errback(NotOwnerError())
         self._listener.lost_ownership()
 
     def _answer_barriers(self) -> None:
-        while self._barriers and self._barriers[0].round <= self.raft.confirmed_round:
+        while self._barriers and self._barriers[0].heartbeat_round <= self.raft.confirmed_round:
             self._barriers.popleft().result.callback(None)
 
     def _compact(self) -> bool:
@@ -296,7 +305,7 @@
         still need that answer, within the bound or the state's size: a transfer ends if entries are written
         no faster than snapshots are sent."""
         few = self._last_entries(self._bounds.kept, self.size_bound // 4)
-        if self.raft.role is not Role.LEADER:
+        if self.raft.role is not MemberRole.LEADER:
             return few
         needed = self._applied + 1 - self.raft.needed_index
         return max(few, self._last_entries(needed, max(self.size_bound, self._snapshot_size)))
@@ -317,9 +326,9 @@
         proposals, self._proposals = self._proposals, []
         barriers, self._new_barriers = self._new_barriers, []
         for proposal in proposals:
-            proposal.result.errback(NotOwner())
+            proposal.result.errback(NotOwnerError())
         for barrier in barriers:
-            barrier.result.errback(NotOwner())
+            barrier.result.errback(NotOwnerError())
         if self.owned_epoch:
             self._lose_ownership()
 
@@ -328,16 +337,19 @@
     """Of consecutive positive answers to one leader in one term only the last: it covers those before it."""
     kept: list[tuple[str, Message]] = []
     for receiver, message in messages:
-        if kept and isinstance(message, Appended) and message.ok:
+        if kept and isinstance(message, AppendEntriesResponse) and message.ok:
             before_receiver, before = kept[-1]
             if (
                 before_receiver == receiver
-                and isinstance(before, Appended)
+                and isinstance(before, AppendEntriesResponse)
                 and before.ok
                 and before.term == message.term
             ):
-                index, last_round = max(before.index, message.index), max(before.round, message.round)
-                kept[-1] = (receiver, Appended(message.term, True, index, last_round))
+                index, last_round = (
+                    max(before.index, message.index),
+                    max(before.heartbeat_round, message.heartbeat_round),
+                )
+                kept[-1] = (receiver, AppendEntriesResponse(message.term, True, index, last_round))
                 continue
         kept.append((receiver, message))
     return kept
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -13,14 +13,14 @@
 
 from bitternpath.replication.bandwidth import TransferBudget
 from bitternpath.replication.group import CompactionBounds, ReplicaGroup
-from bitternpath.replication.interfaces import GroupJournal, GroupListener, NotOwner, StateMachine
-from bitternpath.replication.records import Kept, Members, Snapshot, Times
+from bitternpath.replication.interfaces import GroupJournal, GroupListener, NotOwnerError, StateMachine
+from bitternpath.replication.records import Members, PersistentState, RaftTiming, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
 from bitternpath.transport.codec import CodecError
 
 log = logbook.Logger("replication")
 
-SYSTEM_TIMES = Times(election=0.5, heartbeat=0.2)
+SYSTEM_TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)
 TIMER_GRID_SECONDS = 0.02  # timers of groups fall on multiples of this, so that they fire together
 SHORTEST_TIMER_SECONDS = 0.001  # rounding may put a timer just before its alarm: it must not spin
 
@@ -37,7 +37,7 @@
         journal: GroupJournal,
         send: Send,
         random: Random,
-        times: Times = SYSTEM_TIMES,
+        timing: RaftTiming = SYSTEM_TIMING,
         bounds: CompactionBounds | None = None,
         flushed: Callable[[], None] = lambda: None,
     ) -> None:
@@ -45,11 +45,11 @@
         is called once all messages of a turn have been sent."""
         self.member_id = member_id
         self._reactor, self._journal, self._send = reactor, journal, send
-        self._random, self._times = random, times
+        self._random, self._times = random, timing
         self._bounds = bounds or CompactionBounds()
         self._flushed = flushed
         self._budget = TransferBudget()  # of snapshot transfers of all groups
-        journal.watch_snapshots(self._rewrite_snapshot)
+        journal.on_corrupt_snapshot(self._rewrite_snapshot)
         self.groups: dict[str, ReplicaGroup] = {}
         self._dirty: dict[str, ReplicaGroup] = {}
         self._watchers: dict[str, Callable[[], None]] = {}
@@ -66,13 +66,13 @@
         as an empty member that only a leader can fill."""
         if group in self.groups:
             raise ValueError(f"group {group} is open")
-        kept = self._journal.take_kept(group)
-        forgotten_at = self._journal.forgotten_at(group)
+        kept = self._journal.take_persistent_state(group)
+        tombstone_generation = self._journal.tombstone_generation(group)
         if kept is None:
-            kept = Kept()
+            kept = PersistentState()
             names_me = founders is not None and self.member_id in founders.voters
-            if founders is not None and names_me and forgotten_at is None:
-                kept = Kept(snapshot=Snapshot(members=founders))
+            if founders is not None and names_me and tombstone_generation is None:
+                kept = PersistentState(snapshot=Snapshot(members=founders))
                 self._journal.found(group, kept)
         now = self._reactor.seconds()
         self.groups[group] = ReplicaGroup(
@@ -86,11 +86,11 @@
             self._bounds,
             self._budget,
         )
-        self.groups[group].forgotten_at = forgotten_at
+        self.groups[group].tombstone_generation = tombstone_generation
         self._share_bounds()
         self._set_timer()
 
-    def holds(self, group: str) -> bool:
+    def has_unopened_state(self, group: str) -> bool:
         """Whether the disk held something of a group at the start that nobody has opened yet."""
         return group in self._journal.groups()
 
@@ -123,7 +123,7 @@
 
     # ---- inputs
 
-    def hear(self, group: str, sender: str, body: bytes) -> None:
+    def receive(self, group: str, sender: str, body: bytes) -> None:
         """Take a message from another member; dropped where the group isn't open or it can't be read."""
         found = self.groups.get(group)
         if found is None or sender == self.member_id:
@@ -133,29 +133,29 @@
         except CodecError:
             return
         try:
-            found.hear(self._reactor.seconds(), sender, message)
+            found.receive(self._reactor.seconds(), sender, message)
         except Exception:
             self._stop_group(group, found)
             return
         self._mark(group, found)
 
     def propose(self, group: str, command: bytes) -> Deferred[object]:
-        """Fires with what `StateMachine.apply` gave here once the command is committed. Errors: `NotOwner`
-        (it was not proposed), `FateOpen` (it may or may not be committed)."""
+        """Fires with what `StateMachine.apply` gave here once the command is committed. Errors:
+        `NotOwnerError` (it was not proposed), `OutcomeUnknownError` (it may or may not be committed)."""
         found = self.groups.get(group)
         if found is None:
-            return fail(NotOwner())
+            return fail(NotOwnerError())
         self._mark(group, found)
         return found.propose(command)
 
-    def barrier(self, group: str) -> Deferred[None]:
+    def read_barrier(self, group: str) -> Deferred[None]:
         """Fires once a majority has confirmed, after this call, that this replica leads: a read of the state
-        machine then is linearizable. Error: `NotOwner`."""
+        machine then is linearizable. Error: `NotOwnerError`."""
         found = self.groups.get(group)
         if found is None:
-            return fail(NotOwner())
+            return fail(NotOwnerError())
         self._mark(group, found)
-        return found.barrier()
+        return found.read_barrier()
 
     def change_members(self, group: str, members: Members) -> bool:
         """Propose other members; False where that can't be now. Voters change one at a time, and a new voter
@@ -166,13 +166,13 @@
         self._mark(group, found)
         return found.change_members(self._reactor.seconds(), members)
 
-    def hand_over(self, group: str, to: str = "") -> bool:
+    def transfer_leadership(self, group: str, to: str = "") -> bool:
         """Pass ownership to `to`, or to the voter that has most of the log; whether that was begun."""
         found = self.groups.get(group)
         if found is None:
             return False
         self._mark(group, found)
-        return found.hand_over(self._reactor.seconds(), to)
+        return found.transfer_leadership(self._reactor.seconds(), to)
 
     # ---- views
 
@@ -181,16 +181,16 @@
         found = self.groups.get(group)
         return found is not None and found.is_owner
 
-    def has_lease(self, group: str) -> bool:
+    def hears_quorum(self, group: str) -> bool:
         """Whether this replica owns the group and has heard a majority within an election's time."""
         found = self.groups.get(group)
-        return found is not None and found.has_lease(self._reactor.seconds())
+        return found is not None and found.hears_quorum(self._reactor.seconds())
 
-    def surely_leads(self, group: str) -> bool:
-        """Whether this replica owns the group and nobody else can have been elected. Unlike `has_lease` it
+    def has_leader_lease(self, group: str) -> bool:
+        """Whether this replica owns the group and nobody else can have been elected. Unlike `hears_quorum` it
         counts from when a majority was asked, so that it holds for a process that stood still, too."""
         found = self.groups.get(group)
-        return found is not None and found.is_owner and found.raft.has_lease(self._reactor.seconds())
+        return found is not None and found.is_owner and found.raft.has_leader_lease(self._reactor.seconds())
 
     def epoch(self, group: str) -> int:
         """The highest term that this replica knows; 0 for a group not open here."""
@@ -222,10 +222,10 @@
         found = self.groups.get(group)
         return found is not None and found.caught_up(member)
 
-    def silent_for(self, group: str, member: str) -> float:
+    def unresponsive_for(self, group: str, member: str) -> float:
         """Seconds since this leader heard a member; infinite on other replicas."""
         found = self.groups.get(group)
-        return found.silent_for(self._reactor.seconds(), member) if found is not None else math.inf
+        return found.unresponsive_for(self._reactor.seconds(), member) if found is not None else math.inf
 
     # ---- turns
 
@@ -273,7 +273,7 @@
 
     def _stored(self, name: str, group: ReplicaGroup, number: int) -> None:
         if self.groups.get(name) is group:
-            group.raft.stored(self._reactor.seconds(), number)
+            group.raft.write_completed(self._reactor.seconds(), number)
             self._mark(name, group)
 
     def _rewrite_snapshot(self, name: str) -> None:
@@ -285,8 +285,8 @@
     def _set_timer(self) -> None:
         if self._stopped or not self.groups:
             return
-        alarm = min(group.raft.alarm for group in self.groups.values())
-        due = math.ceil(alarm / TIMER_GRID_SECONDS) * TIMER_GRID_SECONDS
+        next_timeout_at = min(group.raft.next_timeout_at for group in self.groups.values())
+        due = math.ceil(next_timeout_at / TIMER_GRID_SECONDS) * TIMER_GRID_SECONDS
         if self._timer is not None and self._timer.active():
             if self._timer.getTime() <= due + SHORTEST_TIMER_SECONDS:  # set at another reading of the clock
                 return
@@ -297,7 +297,7 @@
     def _tick(self) -> None:
         now = self._reactor.seconds()
         for name, group in list(self.groups.items()):
-            if group.raft.alarm <= now:
+            if group.raft.next_timeout_at <= now:
                 group.raft.tick(now)
                 self._mark(name, group)
         self._set_timer()
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from bitternpath.replication.records import Kept, Write
+from bitternpath.replication.records import PersistentState, StorageWrite
 
 
-class NotOwner(Exception):
+class NotOwnerError(Exception):
     """This replica doesn't own the group. Nothing was proposed, and nothing will come of the request."""
 
 
-class FateOpen(Exception):
+class OutcomeUnknownError(Exception):
     """Ownership was lost after the command was proposed: it may or may not be committed."""
 
 
@@ -35,19 +35,19 @@
     def groups(self) -> tuple[str, ...]:
         """The groups that the disk held at the start and that nobody has taken yet."""
 
-    def watch_snapshots(self, damaged: Callable[[str], None]) -> None:
+    def on_corrupt_snapshot(self, damaged: Callable[[str], None]) -> None:
         """`damaged` is told a group whose snapshot was found damaged on disk."""
 
-    def take_kept(self, group: str) -> Kept | None:
+    def take_persistent_state(self, group: str) -> PersistentState | None:
         """What the disk held of a group at the start; given once."""
 
-    def forgotten_at(self, group: str) -> int | None:
+    def tombstone_generation(self, group: str) -> int | None:
         """The generation of the members at which this disk gave the group up; None where it never did."""
 
-    def found(self, group: str, kept: Kept) -> None:
+    def found(self, group: str, kept: PersistentState) -> None:
         """Write the state with which a group begins here."""
 
-    def write(self, group: str, write: Write, done: Callable[[], None]) -> None:
+    def write(self, group: str, write: StorageWrite, done: Callable[[], None]) -> None:
         """Write a batch after those before it; `done` is called once it is synced."""
 
     def forget(self, group: str, generation: int) -> None:
--- a/bitternpath/replication/leadership.py
+++ b/bitternpath/replication/leadership.py
@@ -4,10 +4,15 @@
 
 from collections.abc import Iterable
 
-from bitternpath.replication.eager import choose_eager
-from bitternpath.replication.messages import Append, Appended, Installed, TakeOver
+from bitternpath.replication.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshotResponse,
+    TimeoutNow,
+)
 from bitternpath.replication.progress import Progress
-from bitternpath.replication.records import NOTHING, Entry, Role
+from bitternpath.replication.records import Entry, EntryKind, MemberRole
+from bitternpath.replication.replication_targets import choose_replication_targets
 from bitternpath.replication.snapshots import SnapshotTransfer
 
 # Of one message, so that a peer's silence is never one large write.
@@ -24,38 +29,40 @@
     # ---- beginning
 
     def _become_leader(self) -> None:
-        self.role, self.leader, self.elected_at = Role.LEADER, self.me, self.now
-        self.round = self.confirmed_round = 0
+        self.role, self.leader, self.elected_at = MemberRole.LEADER, self.member_id, self.now
+        self.heartbeat_round = self.confirmed_round = 0
         self.confirmed_at = float("-inf")
         self._rounds.clear()
         self.votes.clear()
         self._piece_at = float("inf")
         self.committed_before = self._committed_at_heartbeat = self.commit_index
-        self.peers, self.eager = {}, frozenset()
+        self.peers, self.replication_targets = {}, frozenset()
         self._update_peers()
-        self.log.append(Entry(self.last_index + 1, self.term, NOTHING, b""))
-        self.first_own_index = self.last_index
+        self.log.append(Entry(self.last_index + 1, self.term, EntryKind.NO_OP, b""))
+        self.term_start_index = self.last_index
         self._heartbeat()
 
     def _update_peers(self) -> None:
         """The peers are the members, whoever else they were."""
         before, self.peers = self.peers, {}
         for name in self.members.all:
-            if name != self.me:
+            if name != self.member_id:
                 self.peers[name] = before.get(name) or Progress(self.last_index + 1, self.now)
         self._choose_eager()
 
     def _choose_eager(self) -> None:
         """A learner is to catch up: it gets all at once, too."""
-        silence = SILENT_HEARTBEATS * self.times.heartbeat
-        followers = choose_eager(self.members.voters, self.peers, self.eager, self.now, silence)
-        self.eager = followers.union(self.members.learners).intersection(self.peers)
+        silence = SILENT_HEARTBEATS * self.timing.heartbeat_interval
+        followers = choose_replication_targets(
+            self.members.voters, self.peers, self.replication_targets, self.now, silence
+        )
+        self.replication_targets = followers.union(self.members.learners).intersection(self.peers)
 
     # ---- rounds
 
     def _heartbeat(self) -> None:
         """Once a heartbeat: is there a majority still (T 6.2)?"""
-        self._heartbeat_at = self.now + self.times.heartbeat
+        self._heartbeat_at = self.now + self.timing.heartbeat_interval
         if self.transfer_target and self.now >= self._transfer_until:
             self.transfer_target = ""
         if not self._hears_majority:
@@ -72,19 +79,19 @@
         voters = self.members.voters
         heard = int(self.is_voter)
         for name, peer in self.peers.items():
-            heard += name in voters and self.now < peer.last_contact + self.times.election
+            heard += name in voters and self.now < peer.last_contact + self.timing.election_timeout
         return 2 * heard > len(voters)
 
     def _begin_round(self, asked: Iterable[str]) -> None:
         """Ask a majority or more whether this member leads still. A round without an answer is made up for by
         the next heartbeat, which asks all."""
-        self.round += 1
-        self._rounds.append((self.round, self.now))
-        self._round_wanted = False
+        self.heartbeat_round += 1
+        self._rounds.append((self.heartbeat_round, self.now))
+        self._heartbeat_round_requested = False
         for name in asked:
             peer = self.peers[name]
             # A peer that says nothing is only asked where it stands. If what was sent is lost, it says no.
-            silent = peer.last_contact < self.now - SILENT_HEARTBEATS * self.times.heartbeat
+            silent = peer.last_contact < self.now - SILENT_HEARTBEATS * self.timing.heartbeat_interval
             lacks_all = self._needs_snapshot(peer)
             if peer.transfer is None and (silent or (lacks_all and not peer.answered_round)):
                 if lacks_all:  # which snapshot is known when it answers, and where it stands
@@ -129,7 +136,9 @@
     def _send_append(self, name: str, peer: Progress, entries: Iterable[Entry]) -> None:
         previous = peer.next_index - 1
         previous_term = self.log.term_at(previous)
-        append = Append(self.term, previous, previous_term, tuple(entries), self.commit_index, self.round)
+        append = AppendEntries(
+            self.term, previous, previous_term, tuple(entries), self.commit_index, self.heartbeat_round
+        )
         self._send.append((name, append))
 
     @property
@@ -138,7 +147,7 @@
         What a snapshot on its way lacks is needed, too: else the next one would follow it, for ever."""
         needed = self.last_index + 1
         for peer in self.peers.values():
-            if not peer.answered_round or self.now >= peer.last_contact + self.times.election:
+            if not peer.answered_round or self.now >= peer.last_contact + self.timing.election_timeout:
                 continue
             if peer.transfer is not None:
                 needed = min(needed, peer.transfer.snapshot.index + 1)
@@ -148,22 +157,22 @@
 
     # ---- answers
 
-    def _take_answer(self, name: str, answer: Appended | Installed) -> None:
+    def _take_answer(self, name: str, answer: AppendEntriesResponse | InstallSnapshotResponse) -> None:
         peer = self.peers[name]
         peer.last_contact = self.now
-        peer.answered_round = max(peer.answered_round, answer.round)
-        if isinstance(answer, Installed):
+        peer.answered_round = max(peer.answered_round, answer.heartbeat_round)
+        if isinstance(answer, InstallSnapshotResponse):
             self._take_installed(name, peer, answer)
         elif answer.ok:
             self._take_match(name, peer, answer.index)
-        elif not peer.is_known_rejection(answer.index, answer.round):
+        elif not peer.is_known_rejection(answer.index, answer.heartbeat_round):
             self._take_rejection(name, peer, answer.index)
         self._update_commitment()
 
     def _take_rejection(self, name: str, peer: Progress, index: int) -> None:
         next_index = min(index + 1, peer.next_index - 1)
         peer.next_index = max(next_index, peer.match_index + 1)
-        peer.rejected_index, peer.rejected_round = index, self.round
+        peer.rejected_index, peer.rejected_round = index, self.heartbeat_round
         self._send_entries(name, heartbeat=True)
 
     def _take_match(self, name: str, peer: Progress, index: int) -> None:
@@ -183,7 +192,7 @@
     def _goes_on(self, name: str, peer: Progress) -> bool:
         """Whether a peer gets entries before the next heartbeat: where it lacks many, too."""
         lacks = self.last_index + 1 - peer.next_index
-        at_once = name in self.eager or name == self.transfer_target
+        at_once = name in self.replication_targets or name == self.transfer_target
         return lacks >= BATCH_ENTRIES or (at_once and lacks > 0)
 
     # ---- commitment
@@ -191,13 +200,13 @@
     def _update_commitment(self) -> None:
         """What do majorities have, and which rounds have they answered?"""
         voters = self.members.voters
-        if self.role is not Role.LEADER or not voters:
+        if self.role is not MemberRole.LEADER or not voters:
             return
-        peers = [self.peers[name] for name in voters if name != self.me]
+        peers = [self.peers[name] for name in voters if name != self.member_id]
         own_match = [self.log.stable_index] * self.is_voter
-        own_round = [self.round] * self.is_voter
+        own_round = [self.heartbeat_round] * self.is_voter
         self._commit_upto(_of_majority([peer.match_index for peer in peers] + own_match))
-        if self.role is Role.LEADER:
+        if self.role is MemberRole.LEADER:
             answered = _of_majority([peer.answered_round for peer in peers] + own_round)
             self._confirm_rounds(max(self.confirmed_round, answered))
 
@@ -206,13 +215,13 @@
         while self._rounds and self._rounds[0][0] <= number:
             self.confirmed_at = self._rounds.popleft()[1]
 
-    def has_lease(self, now: float) -> bool:
+    def has_leader_lease(self, now: float) -> bool:
         """Whether nobody else can have been elected yet: a majority has heard this leader since a round began
         less than an election's time ago, and gives no vote for so long (T 6.4.1). Leadership that is being
         passed on has none."""
-        if self.role is not Role.LEADER or self.transfer_target:
+        if self.role is not MemberRole.LEADER or self.transfer_target:
             return False
-        return now < self.confirmed_at + LEASE_PART * self.times.election
+        return now < self.confirmed_at + LEASE_PART * self.timing.election_timeout
 
     def _commit_upto(self, index: int) -> None:
         """Entries of earlier terms only together with one of its own (fig. 8)."""
@@ -235,9 +244,9 @@
     def transfer_leadership(self, now: float, to: str) -> bool:
         """Leadership is to go to another voter; whether that was begun."""
         self.now = now
-        if self.role is not Role.LEADER or to not in self.members.voters or to == self.me:
+        if self.role is not MemberRole.LEADER or to not in self.members.voters or to == self.member_id:
             return False
-        self.transfer_target, self._transfer_until = to, now + self.times.election
+        self.transfer_target, self._transfer_until = to, now + self.timing.election_timeout
         self._send_entries(to)
         self._finish_transfer()
         return True
@@ -245,7 +254,7 @@
     def _finish_transfer(self) -> None:
         peer = self.peers.get(self.transfer_target)
         if peer is not None and peer.match_index == self.last_index:
-            self._send.append((self.transfer_target, TakeOver(self.term)))
+            self._send.append((self.transfer_target, TimeoutNow(self.term)))
 
 
 def _of_majority(values: list[int]) -> int:
--- a/bitternpath/replication/log.py
+++ b/bitternpath/replication/log.py
@@ -3,7 +3,15 @@
 
 from __future__ import annotations
 
-from bitternpath.replication.records import MEMBERS, Entry, Kept, Members, Snapshot, Write, members_from
+from bitternpath.replication.records import (
+    Entry,
+    EntryKind,
+    Members,
+    PersistentState,
+    Snapshot,
+    StorageWrite,
+    members_from,
+)
 
 
 class ReplicatedLog:
@@ -12,9 +20,9 @@
     Changes are collected until `flush` makes one write of them. Writes are numbered and done in order.
     """
 
-    def __init__(self, kept: Kept) -> None:
+    def __init__(self, kept: PersistentState) -> None:
         self.entries = list(kept.entries)
-        self.before = kept.before  # index and term
+        self.before = kept.compacted_through  # index and term
         self.snapshot = kept.snapshot
         self.stable_index = self.last_index  # what is on disk up to here
         self.written = self.done = 0  # numbers of writes given out, and done
@@ -55,7 +63,7 @@
     def members_upto(self, index: int) -> tuple[Members, int]:
         """The last members named by then, and by which entry."""
         for entry in reversed(self.entries):
-            if entry.kind == MEMBERS and entry.index <= index:
+            if entry.kind == EntryKind.MEMBERS and entry.index <= index:
                 return members_from(entry.data), entry.index
         return self.snapshot.members, self.snapshot.index
 
@@ -66,7 +74,7 @@
         self.entries.append(entry)
         self._new_entries.append(entry)
         self.changed = True
-        if entry.kind == MEMBERS:
+        if entry.kind == EntryKind.MEMBERS:
             self.members, self.members_index = members_from(entry.data), entry.index
 
     def cut_from(self, index: int) -> None:
@@ -118,12 +126,12 @@
 
     # ---- writing
 
-    def flush(self, term: int, vote: str) -> Write:
+    def flush(self, term: int, vote: str) -> StorageWrite:
         """All changes since the last one, as one write."""
         self.written += 1
         self._pending.append([self.written, self.last_index])
         entries, snapshot = tuple(self._new_entries), self._new_snapshot
-        write = Write(self.written, term, vote, self._cut, entries, snapshot, self.before)
+        write = StorageWrite(self.written, term, vote, self._cut, entries, snapshot, self.before)
         self.changed, self._cut, self._new_entries, self._new_snapshot = False, None, [], None
         return write
 
--- a/bitternpath/replication/member.py
+++ b/bitternpath/replication/member.py
@@ -6,11 +6,20 @@
 from collections import deque
 from random import Random
 
-from bitternpath.replication.bandwidth import TransferBudget, Unbounded
+from bitternpath.replication.bandwidth import TransferBudget, UnlimitedTransferBudget
 from bitternpath.replication.log import ReplicatedLog
 from bitternpath.replication.messages import Message
 from bitternpath.replication.progress import Progress
-from bitternpath.replication.records import USUAL, Entry, Kept, Members, Role, Snapshot, Times, Write
+from bitternpath.replication.records import (
+    DEFAULT_TIMING,
+    Entry,
+    MemberRole,
+    Members,
+    PersistentState,
+    RaftTiming,
+    Snapshot,
+    StorageWrite,
+)
 
 
 class PartialSnapshot:
@@ -26,35 +35,39 @@
 
     def __init__(
         self,
-        me: str,
-        kept: Kept,
+        member_id: str,
+        kept: PersistentState,
         random: Random,
         now: float,
-        times: Times = USUAL,
+        timing: RaftTiming = DEFAULT_TIMING,
         budget: TransferBudget | None = None,
     ) -> None:
-        self.me, self.random, self.times, self.now = me, random, times, now
+        self.member_id, self.random, self.timing, self.now = member_id, random, timing, now
         self.term, self.vote = kept.term, kept.vote
         self.log = ReplicatedLog(kept)
         self.commit_index = self.last_applied = kept.snapshot.index
-        self.role, self.leader = Role.FOLLOWER, ""
-        self.last_contact = now - 2 * times.election  # with a leader
+        self.role, self.leader = MemberRole.FOLLOWER, ""
+        self.last_contact = now - 2 * timing.election_timeout  # with a leader
         self.peers: dict[str, Progress] = {}  # of a leader
-        self.eager: frozenset[str] = frozenset()  # of a leader: the peers that get entries at once
+        self.replication_targets: frozenset[str] = (
+            frozenset()
+        )  # of a leader: the peers that get entries at once
         self.votes: set[str] = set()  # of a candidate
-        self._round_wanted = False
+        self._heartbeat_round_requested = False
         # Of a leader; they mean nothing in another role.
-        self.round = self.confirmed_round = 0  # the last one begun, and the last one that a majority answered
+        self.heartbeat_round = self.confirmed_round = (
+            0  # the last one begun, and the last one that a majority answered
+        )
         self.confirmed_at = float("-inf")  # when the last confirmed round began
         self._rounds: deque[tuple[int, float]] = deque()  # begun and not confirmed, and when
-        self.first_own_index = 0  # of the first entry that it wrote in its term
+        self.term_start_index = 0  # of the first entry that it wrote in its term
         self.elected_at = 0.0
         self.committed_before = 0  # commit index at the last heartbeat but one
         self._committed_at_heartbeat = 0  # and at the last one
         self.transfer_target = ""  # to whom leadership is being passed on
         self._heartbeat_at = self._transfer_until = 0.0
         self._piece_at = float("inf")  # when a piece of a snapshot goes out that waits for bandwidth
-        self._budget = budget or Unbounded()
+        self._budget = budget or UnlimitedTransferBudget()
         self._partial: PartialSnapshot | None = None
         self._restore: Snapshot | None = None  # the state machine's next state
         self._send: list[tuple[str, Message]] = []
@@ -63,7 +76,7 @@
         self._set_election_timer()
 
     @abstractmethod
-    def hear(self, now: float, sender: str, message: Message) -> None:
+    def receive(self, now: float, sender: str, message: Message) -> None:
         """A message has come; one that makes no sense is passed over."""
 
     @abstractmethod
@@ -90,12 +103,12 @@
     @property
     def is_voter(self) -> bool:
         """Whether its own vote and log count."""
-        return self.me in self.log.members.voters
+        return self.member_id in self.log.members.voters
 
     # ---- roles
 
     def _set_election_timer(self) -> None:
-        self._election_at = self.now + self.times.election * (1.0 + self.random.random())
+        self._election_at = self.now + self.timing.election_timeout * (1.0 + self.random.random())
 
     def _set_term(self, term: int, vote: str) -> None:
         self.term, self.vote = term, vote
@@ -104,16 +117,16 @@
     def _become_follower(self, term: int, leader: str = "") -> None:
         if term > self.term:
             self._set_term(term, "")
-        if self.role is not Role.FOLLOWER:
+        if self.role is not MemberRole.FOLLOWER:
             self._set_election_timer()
-        self.role, self.leader, self.transfer_target = Role.FOLLOWER, leader, ""
+        self.role, self.leader, self.transfer_target = MemberRole.FOLLOWER, leader, ""
         self.peers.clear()
         self.votes.clear()
-        self._round_wanted = False
+        self._heartbeat_round_requested = False
 
     # ---- outputs
 
-    def _take_writes(self) -> list[Write]:
+    def _take_writes(self) -> list[StorageWrite]:
         """All changes as writes; messages that wait for them are held back until they are done."""
         writes = []
         while self.log.changed or self._after_writes:
@@ -142,7 +155,7 @@
             self._deliver(receiver, message)
 
     def _deliver(self, receiver: str, message: Message) -> None:
-        if receiver == self.me:
-            self.hear(self.now, receiver, message)
+        if receiver == self.member_id:
+            self.receive(self.now, receiver, message)
         else:
             self._send.append((receiver, message))
--- a/bitternpath/replication/member_changes.py
+++ b/bitternpath/replication/member_changes.py
@@ -2,7 +2,7 @@
 
 `reconfiguration.next_members` says what comes next; this module asks it whenever something has happened:
 other members are desired, ownership was gained, a change was committed, a learner has caught up. A look from
-time to time (`look`) covers what no event tells: that a member has been silent for a while.
+time to time (`reconcile`) covers what no event tells: that a member has been silent for a while.
 """
 
 from __future__ import annotations
@@ -38,25 +38,25 @@
         self._host, self._committed = host, committed
         self._desired: dict[str, DesiredMembers] = {}
 
-    def opened(self, group: str) -> None:
+    def group_opened(self, group: str) -> None:
         """The host has opened a group."""
-        self._host.watch_members(group, partial(self.look, group))
+        self._host.watch_members(group, partial(self.reconcile, group))
 
-    def desire(self, group: str, members: Sequence[str], generation: int) -> None:
+    def set_desired(self, group: str, members: Sequence[str], generation: int) -> None:
         """A placement names a group's members."""
         self._desired[group] = DesiredMembers(tuple(members), generation)
-        self.look(group)
+        self.reconcile(group)
 
     def generation(self, group: str) -> int:
         """Of the placement that names the group's members here; 0 where none is known."""
         found = self._desired.get(group)
         return found.generation if found is not None else 0
 
-    def closed(self, group: str) -> None:
+    def group_closed(self, group: str) -> None:
         """The host has closed a group."""
         self._desired.pop(group, None)
 
-    def look(self, group: str) -> None:
+    def reconcile(self, group: str) -> None:
         """Take the next step, where this host owns the group and there is one."""
         desired = self._desired.get(group)
         if desired is None or not self._host.is_owner(group):
@@ -75,15 +75,15 @@
             desired.members,
             partial(self._host.caught_up, group),
             generation=desired.generation,
-            silent=lambda member: self._host.silent_for(group, member) > SILENT_AFTER_S,
+            silent=lambda member: self._host.unresponsive_for(group, member) > SILENT_AFTER_S,
             owner=self._host.member_id,
         )
 
     def _change(self, group: str, desired: DesiredMembers, changed: Members) -> None:
         """An owner that is to leave passes ownership on first, so that the group isn't without one."""
         leaves = self._host.member_id not in changed.voters
-        if leaves and any(self._host.hand_over(group, heir) for heir in desired.members):
-            log.info("event=handing_over group={} reason=leaving", group)
+        if leaves and any(self._host.transfer_leadership(group, heir) for heir in desired.members):
+            log.info("event=ownership_transfer_started group={} reason=leaving", group)
             return
         if self._host.change_members(group, changed):
             log.info(
--- a/bitternpath/replication/messages.py
+++ b/bitternpath/replication/messages.py
@@ -11,26 +11,26 @@
 from bitternpath.replication.records import Entry, Members
 
 
-class AskVote(Struct, frozen=True, tag=1, array_like=True):
-    """RequestVote of fig. 2. `pre`: only whether it would be given; `leadership_transfer`: the leader itself
-    has asked the sender to stand (T 3.10)."""
+class RequestVote(Struct, frozen=True, tag=1, array_like=True):
+    """RequestVote of fig. 2. `pre_vote`: only whether it would be given; `leadership_transfer`: the leader
+    itself has asked the sender to stand (T 3.10)."""
 
     term: int
     last_index: int
     last_term: int
-    pre: bool
+    pre_vote: bool
     leadership_transfer: bool = False
 
 
-class Vote(Struct, frozen=True, tag=2, array_like=True):
+class RequestVoteResponse(Struct, frozen=True, tag=2, array_like=True):
     """`term` of a granted pre-vote is the one asked for."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
 
 
-class Append(Struct, frozen=True, tag=3, array_like=True):
+class AppendEntries(Struct, frozen=True, tag=3, array_like=True):
     """AppendEntries of fig. 2."""
 
     term: int
@@ -38,19 +38,19 @@
     previous_term: int
     entries: tuple[Entry, ...]
     commit: int
-    round: int
+    heartbeat_round: int
 
 
-class Appended(Struct, frozen=True, tag=4, array_like=True):
+class AppendEntriesResponse(Struct, frozen=True, tag=4, array_like=True):
     """`index`: the last one that agrees, where `ok`; else the last one that may."""
 
     term: int
     ok: bool
     index: int
-    round: int
+    heartbeat_round: int
 
 
-class Install(Struct, frozen=True, tag=5, array_like=True):
+class InstallSnapshot(Struct, frozen=True, tag=5, array_like=True):
     """A piece of a snapshot (T 5.3), from `offset` on. `checksum`: CRC-32 of the piece."""
 
     term: int
@@ -59,25 +59,33 @@
     members: Members
     size: int
     offset: int
-    piece: bytes
+    chunk: bytes
     checksum: int
-    round: int
+    heartbeat_round: int
 
 
-class Installed(Struct, frozen=True, tag=6, array_like=True):
+class InstallSnapshotResponse(Struct, frozen=True, tag=6, array_like=True):
     """How much of the snapshot up to `index` is there; `stored`: all of it, on disk."""
 
     term: int
     index: int
     offset: int
     stored: bool
-    round: int
+    heartbeat_round: int
 
 
-class TakeOver(Struct, frozen=True, tag=7, array_like=True):
+class TimeoutNow(Struct, frozen=True, tag=7, array_like=True):
     """TimeoutNow of T 3.10."""
 
     term: int
 
 
-Message = AskVote | Vote | Append | Appended | Install | Installed | TakeOver
+Message = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+)
--- a/bitternpath/replication/progress.py
+++ b/bitternpath/replication/progress.py
@@ -67,7 +67,7 @@
         """Seconds until an answer to entries that go out now."""
         return max(self._delay, now - self._timed_at) if self._timed_index else self._delay
 
-    def is_known_rejection(self, index: int, round: int) -> bool:
+    def is_known_rejection(self, index: int, heartbeat_round: int) -> bool:
         """Whether a negative answer is to what was sent before `next_index` was set back for the same reason:
         what was sent since need not be sent again."""
-        return round <= self.rejected_round and index >= self.rejected_index
+        return heartbeat_round <= self.rejected_round and index >= self.rejected_index
--- a/bitternpath/replication/records.py
+++ b/bitternpath/replication/records.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from enum import Enum
+from enum import Enum, IntEnum
 
 import msgspec
 from msgspec import Struct
 
-NOTHING, CHANGE, MEMBERS = 0, 1, 2  # kinds of entries; the first one that a leader writes is of no effect
+EntryKind = IntEnum("EntryKind", [("NO_OP", 0), ("COMMAND", 1), ("MEMBERS", 2)])
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One entry of the log. `kind` is NOTHING, CHANGE or MEMBERS."""
+    """One entry of the log. `kind` is an `EntryKind`."""
 
     index: int
     term: int
@@ -42,39 +42,41 @@
     data: bytes = b""
 
 
-class Write(Struct, frozen=True):
+class StorageWrite(Struct, frozen=True):
     """One batch for the disk, to be done as a whole, after those before it."""
 
     number: int
     term: int
     vote: str
-    cut: int | None  # entries from this index on are gone, before the new ones are added
+    truncate_from: int | None  # entries from this index on are gone, before the new ones are added
     entries: tuple[Entry, ...]
     snapshot: Snapshot | None  # takes the place of the one before
-    before: tuple[int, int]  # index and term of the last entry that is not needed any more
+    compacted_through: tuple[int, int]  # index and term of the last entry that is not needed any more
 
 
-class Kept(Struct):
+class PersistentState(Struct):
     """What a disk holds at the start."""
 
     term: int = 0
     vote: str = ""
     snapshot: Snapshot = Snapshot()
-    before: tuple[int, int] = (0, 0)  # index and term of the entry before the first one kept
+    compacted_through: tuple[int, int] = (0, 0)  # index and term of the entry before the first one kept
     entries: list[Entry] = []
 
 
-class Times(Struct, frozen=True):
+class RaftTiming(Struct, frozen=True):
     """In s. An election wants messages to take much less than `election`."""
 
-    election: float = 1.0  # the least time without a leader after which a follower asks; at most twice that
-    heartbeat: float = 0.2
+    election_timeout: float = (
+        1.0  # the least time without a leader after which a follower asks; at most twice that
+    )
+    heartbeat_interval: float = 0.2
 
 
-USUAL = Times()
+DEFAULT_TIMING = RaftTiming()
 
 
-class Role(Enum):
+class MemberRole(Enum):
     """What a member does in its term. A pre-candidate asks whether it would get votes (T 9.6)."""
 
     FOLLOWER = "follower"
--- a/bitternpath/replication/eager.py
+++ b/bitternpath/replication/replication_targets.py
@@ -16,15 +16,15 @@
 FASTER_BY_SECONDS = 0.005
 
 
-def choose_eager(
+def choose_replication_targets(
     voters: Collection[str],
     peers: Mapping[str, Progress],
-    eager: Collection[str],
+    replication_targets: Collection[str],
     now: float,
     silence: float,
 ) -> frozenset[str]:
-    """The followers that get entries at once; `eager` are those that did so far. Those that haven't been
-    heard for `silence` seconds come last: of one that never answered no delay is known."""
+    """The followers that get entries at once; `replication_targets` are those that did so far. Those that
+    haven't been heard for `silence` seconds come last: of one that never answered no delay is known."""
     wanted = len(voters) // 2  # a majority, with the leader itself
     if len([name for name in voters if name in peers]) == len(voters):
         wanted += 1  # the leader is no voter (any more)
@@ -33,7 +33,7 @@
     def handicap(name: str) -> tuple[bool, float, float]:
         peer = peers[name]
         delay = peer.expected_delay(now)
-        if name not in eager:
+        if name not in replication_targets:
             delay = delay * FASTER_BY + FASTER_BY_SECONDS
         return now - peer.last_contact > silence, delay, -peer.last_contact
 
--- a/bitternpath/replication/snapshots.py
+++ b/bitternpath/replication/snapshots.py
@@ -11,11 +11,11 @@
 from abc import abstractmethod
 
 from bitternpath.replication.member import MemberState, PartialSnapshot
-from bitternpath.replication.messages import Appended, Install, Installed
+from bitternpath.replication.messages import AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
 from bitternpath.replication.progress import Progress, Transfer
 from bitternpath.replication.records import Snapshot
 
-PIECE_BYTES = 128 << 10  # of a snapshot in one message
+CHUNK_BYTES = 128 << 10  # of a snapshot in one message
 
 
 class SnapshotTransfer(MemberState):
@@ -41,7 +41,7 @@
     def _schedule_piece(self, name: str, transfer: Transfer, offset: int) -> None:
         """Send the piece at that offset as soon as there is bandwidth."""
         transfer.offset = offset
-        size = min(PIECE_BYTES, len(transfer.snapshot.data) - offset)
+        size = min(CHUNK_BYTES, len(transfer.snapshot.data) - offset)
         due = self._budget.reserve(self.now, size)
         if due > self.now:
             transfer.due = due
@@ -61,21 +61,21 @@
                 self._piece_at = min(self._piece_at, transfer.due)
 
     def _send_piece(self, name: str, transfer: Transfer) -> None:
-        transfer.due, transfer.piece_round = None, self.round
+        transfer.due, transfer.piece_round = None, self.heartbeat_round
         self._send_install(
-            name, transfer, transfer.snapshot.data[transfer.offset : transfer.offset + PIECE_BYTES]
+            name, transfer, transfer.snapshot.data[transfer.offset : transfer.offset + CHUNK_BYTES]
         )
 
-    def _send_install(self, name: str, transfer: Transfer, piece: bytes) -> None:
+    def _send_install(self, name: str, transfer: Transfer, chunk: bytes) -> None:
         """An empty piece is a heartbeat to a peer that is being sent a snapshot."""
         snapshot = transfer.snapshot
-        install = Install(
+        install = InstallSnapshot(
             self.term, snapshot.index, snapshot.term, snapshot.members, len(snapshot.data),
-            transfer.offset, piece, zlib.crc32(piece), self.round,
+            transfer.offset, chunk, zlib.crc32(chunk), self.heartbeat_round,
         )  # fmt: skip
         self._send.append((name, install))
 
-    def _take_installed(self, name: str, peer: Progress, answer: Installed) -> None:
+    def _take_installed(self, name: str, peer: Progress, answer: InstallSnapshotResponse) -> None:
         """A peer's word on a snapshot. If it was asked after the last piece went out, and doesn't have it,
         that piece is lost; or all of them, where it was started again."""
         transfer = peer.transfer
@@ -89,13 +89,13 @@
         elif answer.offset >= len(transfer.snapshot.data) > 0:  # it is writing
             return
         elif transfer.due is None and (
-            answer.offset > transfer.offset or answer.round > transfer.piece_round
+            answer.offset > transfer.offset or answer.heartbeat_round > transfer.piece_round
         ):
             self._schedule_piece(name, transfer, answer.offset)
 
     # ---- follower
 
-    def _take_piece(self, sender: str, install: Install) -> None:
+    def _take_piece(self, sender: str, install: InstallSnapshot) -> None:
         """InstallSnapshot of the paper's fig. 13. What isn't on disk yet is answered at once, since it
         promises nothing: a slow disk is no silence."""
         if install.index <= self.commit_index:
@@ -104,26 +104,33 @@
         partial = self._partial
         if partial is None or (partial.index, partial.term) != (install.index, install.last_term):
             partial = self._partial = PartialSnapshot(install.index, install.last_term)
-        if install.offset == len(partial.data) and install.checksum == zlib.crc32(install.piece):
-            partial.data += install.piece
+        if install.offset == len(partial.data) and install.checksum == zlib.crc32(install.chunk):
+            partial.data += install.chunk
         if len(partial.data) < install.size:
             self._answer_piece(sender, install, len(partial.data))
             return
         self._partial = None
         self._install(Snapshot(install.index, install.last_term, install.members, bytes(partial.data)))
-        stored = Installed(self.term, install.index, install.size, True, install.round)
+        stored = InstallSnapshotResponse(
+            self.term, install.index, install.size, True, install.heartbeat_round
+        )
         self._after_writes.append((sender, stored))
 
-    def _answer_known(self, sender: str, install: Install) -> None:
+    def _answer_known(self, sender: str, install: InstallSnapshot) -> None:
         """All of that snapshot is here already, or on its way to the disk."""
         if self.log.stable_index >= self.commit_index:
-            answer = Appended(self.term, True, self.commit_index, install.round)
+            answer = AppendEntriesResponse(self.term, True, self.commit_index, install.heartbeat_round)
             self._after_writes.append((sender, answer))
         else:
             self._answer_piece(sender, install, install.size)
 
-    def _answer_piece(self, sender: str, install: Install, offset: int) -> None:
-        self._send.append((sender, Installed(self.term, install.index, offset, False, install.round)))
+    def _answer_piece(self, sender: str, install: InstallSnapshot, offset: int) -> None:
+        self._send.append(
+            (
+                sender,
+                InstallSnapshotResponse(self.term, install.index, offset, False, install.heartbeat_round),
+            )
+        )
 
     def _install(self, snapshot: Snapshot) -> None:
         self.log.install(snapshot)
--- a/bitternpath/replication/wire.py
+++ b/bitternpath/replication/wire.py
@@ -6,18 +6,26 @@
 from __future__ import annotations
 
 from bitternpath.replication.messages import (
-    Append,
-    Appended,
-    AskVote,
-    Install,
-    Installed,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Message,
-    TakeOver,
-    Vote,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
 from bitternpath.transport.codec import RecordSet
 
-MESSAGES = RecordSet(AskVote, Vote, Append, Appended, Install, Installed, TakeOver)
+MESSAGES = RecordSet(
+    RequestVote,
+    RequestVoteResponse,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    TimeoutNow,
+)
 
 
 def encode_message(message: Message) -> bytes:
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -13,14 +13,14 @@
 import logbook
 from twisted.internet.defer import Deferred
 
+from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult
 from bitternpath.configuration.feed import FeedServer
-from bitternpath.configuration.machine import ConfigurationState
-from bitternpath.configuration.orders import Order, OrderProcessor, OrderResult
-from bitternpath.discovery.platform_list import PlatformList
-from bitternpath.discovery.reader import ListReader
-from bitternpath.membership.founding import (
+from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.discovery.endpoint_list_client import EndpointListClient
+from bitternpath.discovery.endpoint_list_poller import EndpointListPoller
+from bitternpath.membership.bootstrap import (
     CONFIGURATION_GROUP,
-    FoundingFile,
+    BootstrapFile,
     member_address,
     member_id,
 )
@@ -30,20 +30,19 @@
 from bitternpath.replication.records import Members
 from bitternpath.roles.core_members import CoreMembers
 from bitternpath.roles.founding import MEMBER_USER, NO_DECISION, FoundingKnowledge, FoundingTeller
-from bitternpath.roles.group_carrier import GroupCarrier
-from bitternpath.roles.nodes_here import NodesHere
+from bitternpath.roles.group_carrier import GroupTransport
+from bitternpath.roles.live_nodes import LiveNodes
 from bitternpath.roles.retirements import Retirements
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.shard_placement import ShardPlacement
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.connections import Link, NodeHub
-from bitternpath.transport.messages import (
-    FeedRefused,
-    FeedSubscribe,
-    Founding,
-    FoundingAnswer,
-    GroupReport,
+from bitternpath.transport.feed_messages import FeedRefused, FeedSubscribe
+from bitternpath.transport.group_messages import (
+    BootstrapDecision,
+    BootstrapDecisionStored,
     MemberAddress,
+    MembershipReport,
 )
 
 log = logbook.Logger("configuration")
@@ -62,17 +61,17 @@
         hub: NodeHub,
         view: MembershipView,
         host: ReplicaHost,
-        carrier: GroupCarrier,
+        transport: GroupTransport,
         random: Random,
         disk: NodeDisk | None = None,
     ) -> None:
         self.reactor, self.settings, self.hub, self.view = reactor, settings, hub, view
-        self.host, self.carrier, self.random = host, carrier, random
+        self.host, self.transport, self.random = host, transport, random
         self.state = ConfigurationState()
-        self.orders = OrderProcessor(self.state, self)
+        self.orders = ChangeProcessor(self.state, self)
         self.feed = FeedServer(reactor, self.state, self.has_lease)
-        platform = PlatformList(reactor, settings.platform)
-        self.reader = ListReader(
+        platform = EndpointListClient(reactor, settings.platform)
+        self.reader = EndpointListPoller(
             reactor,
             platform,
             lambda: self.feed.epoch,
@@ -80,12 +79,12 @@
             settings.platform_rate_per_s,
         )
         assert settings.data_dir is not None
-        self._knowledge = FoundingKnowledge(host.member_id, FoundingFile(settings.data_dir, disk))
+        self.bootstrap_state = FoundingKnowledge(host.member_id, BootstrapFile(settings.data_dir, disk))
         self._teller = FoundingTeller(hub, MEMBER_USER, host.member_id)
-        self._open = False
+        self.is_open = False
         self._started_at = reactor.seconds()
         tolerated = settings.tolerated_machines
-        self.nodes = NodesHere(reactor, self.feed)
+        self.nodes = LiveNodes(reactor, self.feed)
         self.core = CoreMembers(reactor, host, self.nodes, view, tolerated)
         self.placement = ShardPlacement(reactor, self, self.state, self.nodes, tolerated)
         self.retirements = Retirements(self, self.state, self.nodes, tolerated)
@@ -98,8 +97,8 @@
         A member that joined later has no founding file. It must not wait until somebody speaks: perhaps all
         that are left have joined later.
         """
-        self._knowledge.load()
-        if self._knowledge.founding is not None or self.host.holds(CONFIGURATION_GROUP):
+        self.bootstrap_state.load()
+        if self.bootstrap_state.founding is not None or self.host.has_unopened_state(CONFIGURATION_GROUP):
             self._open_group()
         self._look()
 
@@ -113,15 +112,15 @@
 
     def is_owner(self) -> bool:
         """Whether this node owns the configuration."""
-        return self._open and self.host.is_owner(CONFIGURATION_GROUP)
+        return self.is_open and self.host.is_owner(CONFIGURATION_GROUP)
 
     def epoch(self) -> int:
         """The group's term."""
-        return self.host.epoch(CONFIGURATION_GROUP) if self._open else 0
+        return self.host.epoch(CONFIGURATION_GROUP) if self.is_open else 0
 
     def has_lease(self) -> bool:
         """Whether no other node can have become owner, as far as this one has heard a majority."""
-        return self._open and self.host.has_lease(CONFIGURATION_GROUP)
+        return self.is_open and self.host.hears_quorum(CONFIGURATION_GROUP)
 
     def propose(self, command: bytes) -> Deferred[object]:
         """Commit a command."""
@@ -129,9 +128,9 @@
 
     def barrier(self) -> Deferred[None]:
         """Confirm ownership."""
-        return self.host.barrier(CONFIGURATION_GROUP)
+        return self.host.read_barrier(CONFIGURATION_GROUP)
 
-    def order(self, order: Order) -> Deferred[OrderResult]:
+    def order(self, order: ChangeRequest) -> Deferred[OperatorResult]:
         """Decide an operator's change."""
         return self.orders.submit(order)
 
@@ -139,16 +138,16 @@
 
     def group_message(self, group: str) -> None:
         """A leader speaks to this member, perhaps before it was told of anything else."""
-        if group == CONFIGURATION_GROUP and not self._open and self._knowledge.may_take_part:
+        if group == CONFIGURATION_GROUP and not self.is_open and self.bootstrap_state.may_take_part:
             self._open_group()
 
-    def founded(self, link: Link, founding: Founding) -> None:
+    def founded(self, link: Link, founding: BootstrapDecision) -> None:
         """Who founded the system has come."""
-        self._knowledge.heard(link, founding)
-        if self._knowledge.founding is not None and not self._open:
+        self.bootstrap_state.heard(link, founding)
+        if self.bootstrap_state.founding is not None and not self.is_open:
             self._open_group()
 
-    def founding_answered(self, answer: FoundingAnswer) -> None:
+    def founding_answered(self, answer: BootstrapDecisionStored) -> None:
         """A member knows of the founding."""
         self._teller.answered(answer)
 
@@ -163,23 +162,23 @@
 
     def refusal(self) -> FeedRefused:
         """Where to ask instead."""
-        if not self._open:
+        if not self.is_open:
             return FeedRefused("", ())
         leader = self.host.leader(CONFIGURATION_GROUP)
         members = self._member_addresses()
         address = next((member.address for member in members if member.member == leader), "")
         return FeedRefused(address, members)
 
-    def group_reported(self, report: GroupReport) -> None:
+    def group_reported(self, report: MembershipReport) -> None:
         """A shard's owner has told who the members are."""
         if self.is_owner():
             self.retirements.reported(report)
 
-    def retire(self, node: str) -> Deferred[OrderResult]:
+    def retire(self, node: str) -> Deferred[OperatorResult]:
         """The operator wants a storage node emptied."""
         return self.retirements.order(node)
 
-    def retirement(self, node: str) -> Deferred[OrderResult]:
+    def retirement(self, node: str) -> Deferred[OperatorResult]:
         """How far the emptying of a node is."""
         return self.retirements.state(node)
 
@@ -210,12 +209,12 @@
 
     def _open_group(self) -> None:
         founders = None
-        if self._knowledge.founding is not None:
-            members = self._knowledge.founding.group.members
-            self.carrier.learn(members)
-            self.carrier.reach(members)
+        if self.bootstrap_state.founding is not None:
+            members = self.bootstrap_state.founding.group.members
+            self.transport.learn(members)
+            self.transport.reach(members)
             founders = Members(tuple(member.member for member in members))
-        self._open = True
+        self.is_open = True
         self.host.open_group(CONFIGURATION_GROUP, self.state, founders, self)
         self.core.opened(self._look_soon)
 
@@ -231,19 +230,19 @@
 
     def _look_after(self) -> None:
         self._look_planned = False
-        if self._open:
-            self.carrier.reach(self._addresses(self._members().all))
+        if self.is_open:
+            self.transport.reach(self._addresses(self._members().all))
         if self.is_owner():
             self.nodes.update()
-            self.core.look()
-            self.placement.look()
-            self.retirements.look()
+            self.core.reconcile()
+            self.placement.reconcile()
+            self.retirements.reconcile()
         self._tell_founding()
 
     def _tell_founding(self) -> None:
         """An owner tells all members, as one that isn't told doesn't take part; without a leader founders
         tell each other: whoever decided may be gone."""
-        founding = self._knowledge.founding
+        founding = self.bootstrap_state.founding
         if self.is_owner():
             self._teller.tell(founding or NO_DECISION, self._addresses(self._members().all))
         elif founding is not None and not self.host.leader(CONFIGURATION_GROUP):
@@ -258,8 +257,8 @@
 
     def _addresses(self, members: tuple[str, ...]) -> tuple[MemberAddress, ...]:
         found: dict[str, MemberAddress] = {}
-        if self._knowledge.founding is not None:
-            found = {member.member: member for member in self._knowledge.founding.group.members}
+        if self.bootstrap_state.founding is not None:
+            found = {member.member: member for member in self.bootstrap_state.founding.group.members}
         for node in self.view.counted_edges():
             found[member_id(node)] = member_address(node)
         return tuple(found[member] for member in members if member in found)
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -9,22 +9,22 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.configuration.documents import RoutingTable
-from bitternpath.delivery.callbacks import CallbackClient
-from bitternpath.delivery.workers import WorkerClient
+from bitternpath.delivery.callback_client import CallbackClient
+from bitternpath.delivery.worker_client import WorkerClient
 from bitternpath.discovery.catalogue import Catalogue
-from bitternpath.discovery.platform_list import ListReading, PlatformList
-from bitternpath.dispatch.callbacks import Callbacks
-from bitternpath.dispatch.deliveries import BodyCache, Deliveries
-from bitternpath.ingress.service import (
+from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
+from bitternpath.dispatch.callbacks import CallbackDispatcher
+from bitternpath.dispatch.deliveries import BodyCache, DeliveryDispatcher
+from bitternpath.ingress.interfaces import (
     Acceptance,
     AcceptResult,
     FoundMessage,
     LeaseAnswer,
     LookupFailure,
     OperatorReply,
-    PullTicket,
+    PendingPull,
 )
-from bitternpath.membership.founding import CONFIGURATION_GROUP
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.roles.founding import FoundingDecider
 from bitternpath.roles.machine import LocalMachine, Machine
@@ -35,30 +35,27 @@
 from bitternpath.shards.appends import Appender
 from bitternpath.shards.lookups import MessageLookup
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.shards.pulls import Pulls
-from bitternpath.shards.reports import LeaseReports
+from bitternpath.shards.pulls import PullRouter
+from bitternpath.shards.reports import AttemptReporter
 from bitternpath.transport.connections import Link
-from bitternpath.transport.messages import (
-    CallbackOrder,
+from bitternpath.transport.feed_messages import (
     CatalogueEntry,
     CatalogueUpdate,
-    Delivery,
     FeedRefused,
     FeedSubscribe,
     FeedUpdate,
-    Founding,
-    FoundingAnswer,
+)
+from bitternpath.transport.group_messages import (
+    BootstrapDecision,
+    BootstrapDecisionStored,
     GroupMessage,
     GroupPlacement,
-    GroupReport,
-    JobsWaiting,
-    NodeKind,
-    OperatorAnswer,
-    OperatorOrder,
-    Ownership,
-    StatusRequest,
+    MembershipReport,
 )
+from bitternpath.transport.node_messages import NodeKind
+from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse, StatusRequest
 from bitternpath.transport.records import Message
+from bitternpath.transport.shard_messages import CallbackRequest, LeaseGrant, Ownership, WorkAvailable
 
 log = logbook.Logger("edge")
 
@@ -79,16 +76,18 @@
         self.base = NodeBase(reactor, settings, NodeKind.EDGE, self, self, machine or LocalMachine())
         random = self.base.random
         self.owners = ShardOwners(self._owner_changed)
-        self.reports = LeaseReports(reactor, self.owners)
-        self.pulls = Pulls(reactor, self.owners, self.reports, settings.zone, random)
+        self.reports = AttemptReporter(reactor, self.owners)
+        self.pulls = PullRouter(reactor, self.owners, self.reports, settings.zone, random)
         self.appender = Appender(reactor, self.owners, settings.zone, random, self._worker_waits_at)
         self.lookup = MessageLookup(reactor, self.owners)
         self.bodies = BodyCache(BODY_CACHE_BYTES)
         self.worker_client = WorkerClient(reactor)
-        self.deliveries = Deliveries(reactor, self, self.worker_client, self.reports, self.bodies, random)
-        self.callbacks = Callbacks(reactor, CallbackClient(reactor), self.owners)
+        self.deliveries = DeliveryDispatcher(
+            reactor, self, self.worker_client, self.reports, self.bodies, random
+        )
+        self.callbacks = CallbackDispatcher(reactor, CallbackClient(reactor), self.owners)
         self.catalogue = Catalogue(self._list_changed)
-        self.platform = PlatformList(reactor, settings.platform)
+        self.platform = EndpointListClient(reactor, settings.platform)
         self.founder = FoundingDecider(
             reactor, settings, self.base.hub, self.base.view, random, self.base.disk
         )
@@ -118,7 +117,7 @@
             self.base.hub,
             self.base.view,
             host,
-            self.base.carrier,
+            self.base.transport,
             self.base.random,
             self.base.disk,
         )
@@ -143,7 +142,7 @@
     def _worker_waits_at(self, message: Message) -> str:
         table = self.routing()
         route = table.routes.get(message.route) if table is not None else None
-        return "" if route is None or message.delay_ms else self.pulls.promise(route.service)
+        return "" if route is None or message.delay_ms else self.pulls.claim_waiting_worker(route.service)
 
     def _accepted(self, acceptance: Acceptance, message: Message) -> Acceptance:
         if acceptance.result is not AcceptResult.ACCEPTED:
@@ -154,7 +153,7 @@
         """A message by its id."""
         return self.lookup.find(message_id, wants_body)
 
-    def pull(self, service: str, instance: str, wait_ms: int) -> PullTicket:
+    def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
         """A job for a worker that pulls."""
         return self.pulls.pull(service, instance, wait_ms)
 
@@ -182,7 +181,7 @@
 
     def connection_share(self, total: int) -> int:
         """This node's share of a worker's connections."""
-        share = int(total * CONNECTION_SHARES / max(self.base.feed.edge_nodes, 1))
+        share = int(total * CONNECTION_SHARES / max(self.base.feed.edge_node_count, 1))
         return max(min(share, total), LEAST_CONNECTIONS)
 
     # ---- FeedListener
@@ -195,7 +194,7 @@
         self.appender.shards = self.lookup.shards = len(groups)
         addresses = {member.address for group in groups for member in group.members}
         for address in sorted(self._storage_addresses - addresses):
-            self.base.hub.hang_up(address, SHARD_USER)
+            self.base.hub.release(address, SHARD_USER)
         for address in sorted(addresses - self._storage_addresses):
             self.base.hub.dial(address, SHARD_USER)
         self._storage_addresses = addresses
@@ -209,7 +208,7 @@
     def link_opened(self, link: Link) -> None:
         """A peer has introduced itself."""
         if link.peer is not None:
-            self.base.view.learned(self.reactor.seconds(), link.peer)
+            self.base.view.observe(self.reactor.seconds(), link.peer)
 
     def link_closed(self, link: Link) -> None:
         """A link has ended."""
@@ -227,32 +226,32 @@
     def _link_handlers(self) -> dict[type, Callable[[Link, Any], None]]:
         feed = self.base.feed
         return {
-            Ownership: self.owners.told,
-            Delivery: lambda link, record: self.deliveries.leased(record),
-            JobsWaiting: lambda link, record: self.pulls.jobs_waiting(record),
-            CallbackOrder: lambda link, record: self.callbacks.ordered(record),
+            Ownership: self.owners.ownership_changed,
+            LeaseGrant: lambda link, record: self.deliveries.lease_granted(record),
+            WorkAvailable: lambda link, record: self.pulls.work_available(record),
+            CallbackRequest: lambda link, record: self.callbacks.order_received(record),
             FeedUpdate: feed.updated,
             FeedRefused: feed.refused,
             CatalogueUpdate: lambda link, record: self.catalogue_updated(record),
             GroupMessage: self._group_message,
-            Founding: self._founding,
-            FoundingAnswer: self._founding_answer,
+            BootstrapDecision: self._founding,
+            BootstrapDecisionStored: self._founding_answer,
             FeedSubscribe: self._subscribe,
             StatusRequest: self._status,
-            GroupReport: self._group_report,
-            OperatorOrder: self._operator_order,
+            MembershipReport: self._group_report,
+            OperatorRequest: self._operator_order,
         }
 
     def _group_message(self, link: Link, message: GroupMessage) -> None:
         if self.member is not None:
             self.member.group_message(message.group)
-            self.base.carrier.received(link, message)
+            self.base.transport.received(link, message)
 
-    def _founding(self, link: Link, founding: Founding) -> None:
+    def _founding(self, link: Link, founding: BootstrapDecision) -> None:
         if self.member is not None:
             self.member.founded(link, founding)
 
-    def _founding_answer(self, link: Link, answer: FoundingAnswer) -> None:
+    def _founding_answer(self, link: Link, answer: BootstrapDecisionStored) -> None:
         self.founder.answered(answer)
         if self.member is not None:
             self.member.founding_answered(answer)
@@ -263,14 +262,14 @@
         else:
             link.send(FeedRefused("", self.base.feed.members))
 
-    def _operator_order(self, link: Link, order: OperatorOrder) -> None:
+    def _operator_order(self, link: Link, order: OperatorRequest) -> None:
         self.operator.forwarded(order).addCallback(
             lambda decided: link.send(
-                OperatorAnswer(order.number, decided.decided, decided.status, decided.body)
+                OperatorResponse(order.number, decided.decided, decided.status, decided.body)
             )
         )
 
-    def _group_report(self, link: Link, report: GroupReport) -> None:
+    def _group_report(self, link: Link, report: MembershipReport) -> None:
         if self.member is not None:
             self.member.group_reported(report)
 
@@ -287,11 +286,11 @@
             worker = self.deliveries.selection.worker(instance)
             if worker is not None:
                 self.worker_client.forget(worker.address)
-        self.deliveries.list_changed(entries, left)
+        self.deliveries.workers_changed(entries, left)
 
     def _look_at_catalogue(self) -> None:
         """Where the feed brings no fresh list, read it here; a share of the platform's rate is ours."""
-        nodes = max(self.base.feed.edge_nodes, 1)
+        nodes = max(self.base.feed.edge_node_count, 1)
         pause = max(CATALOGUE_LOOK_S, nodes / max(self.settings.platform_rate_per_s, 0.1))
         self.reactor.callLater(pause * (0.7 + 0.6 * self.base.random.random()), self._look_at_catalogue)
         stale = self.catalogue_age() > OWN_READING_AGE_S
@@ -305,9 +304,9 @@
         services = table.services.values() if table else ()
         return any(service.endpoint is None and not service.pull_mode for service in services)
 
-    def _list_read(self, reading: ListReading) -> None:
+    def _list_read(self, reading: EndpointList) -> None:
         self._reading = False
-        self.catalogue.replace(reading.began_at, reading.entries)
+        self.catalogue.replace(reading.requested_at, reading.entries)
 
     def _list_not_read(self, _: object) -> None:
         self._reading = False
--- a/bitternpath/roles/edge_links.py
+++ b/bitternpath/roles/edge_links.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bitternpath.transport.connections import Link
-from bitternpath.transport.messages import NodeDescriptor
+from bitternpath.transport.node_messages import NodeDescriptor
 
 
 class EdgeLinks:
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -8,8 +8,8 @@
 import logbook
 from twisted.internet.defer import Deferred, DeferredList
 
-from bitternpath.ingress.servers import build_control, build_front, build_readiness
-from bitternpath.membership.founding import CONFIGURATION_GROUP
+from bitternpath.ingress.servers import build_client_server, build_operator_server, build_readiness_server
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.roles.edge import EdgeNode
 from bitternpath.roles.machine import Machine
 from bitternpath.roles.settings import Settings
@@ -18,8 +18,10 @@
 
 RESERVED_DESCRIPTORS = 600  # for files, links to nodes, workers and receivers
 UNREADY_S = 2.1  # two misses of the platform's question, a second apart: then no new connections come
-LAST_CALL_S = 1.2  # of the time of grace, kept for the end
-LAST_ANSWERS_S = 0.4  # before that, whoever waits still gets an answer without a promise, and time to read it
+EXIT_RESERVE_S = 1.2  # of the time of grace, kept for the end
+FINAL_ANSWERS_LEAD_S = (
+    0.4  # before that, whoever waits still gets an answer without a promise, and time to read it
+)
 LISTEN_BACKLOG = 1024
 LOOK_S = 0.05
 
@@ -63,12 +65,12 @@
         log.info("event=shutting_down")
         grace = self.settings.bounds.grace_s
         self._finished = finished
-        self._give_up_at = self.reactor.seconds() + grace - LAST_CALL_S
+        self._give_up_at = self.reactor.seconds() + grace - EXIT_RESERVE_S
         self.node.stopping = True
         self.node.deliveries.stopping = True
         self.node.base.leave()
         if self.node.base.host is not None:
-            self.node.base.host.hand_over(CONFIGURATION_GROUP)
+            self.node.base.host.transfer_leadership(CONFIGURATION_GROUP)
         self.reactor.callLater(min(UNREADY_S, grace / 3), self._stop_serving)
 
     def _stop_serving(self) -> None:
@@ -84,9 +86,12 @@
     def _look(self) -> None:
         node = self.node
         at_rest = (
-            self._served and not node.deliveries.open and not node.reports.open and not node.callbacks.open
+            self._served
+            and not node.deliveries.in_flight
+            and not node.reports.in_flight
+            and not node.callbacks.in_flight
         )
-        if not self._served and self.reactor.seconds() >= self._give_up_at - LAST_ANSWERS_S:
+        if not self._served and self.reactor.seconds() >= self._give_up_at - FINAL_ANSWERS_LEAD_S:
             self._give_last_answers()
         if not at_rest and self.reactor.seconds() < self._give_up_at:
             self.reactor.callLater(LOOK_S, self._look)
@@ -94,8 +99,8 @@
         log.info(
             "event=stopped served={} deliveries={} reports={} memory_mb={:.0f}",
             self._served,
-            node.deliveries.open,
-            node.reports.open,
+            node.deliveries.in_flight,
+            node.reports.in_flight,
             node.base.memory_peak_mb(),
         )
         node.base.stop()
@@ -106,7 +111,7 @@
         if not self._last_answers_given:
             self._last_answers_given = True
             for site in self._sites:
-                site.answer_open()
+                site.answer_pending()
 
     def _end(self) -> None:
         self.node.base.close_disk()
@@ -118,9 +123,11 @@
         settings, node, reactor = self.settings, self.node, self.reactor
         most = max(settings.max_fds - RESERVED_DESCRIPTORS, 64)
         wall_ms = node.base.wall_clock.wall_ms
-        front = build_front(node, reactor, origin=settings.node_name, max_connections=most, wall_ms=wall_ms)
+        front = build_client_server(
+            node, reactor, origin=settings.node_name, max_connections=most, wall_ms=wall_ms
+        )
         return [
             ("front", settings.front, front),
-            ("readiness", settings.readiness, build_readiness(node, reactor)),
-            ("control", settings.control, build_control(node, reactor)),
+            ("readiness", settings.readiness, build_readiness_server(node, reactor)),
+            ("control", settings.control, build_operator_server(node, reactor)),
         ]
