--- a/bitternpath/roles/founding.py
+++ b/bitternpath/roles/founding.py
@@ -17,25 +17,30 @@
 
 import logbook
 
-from bitternpath.membership.founding import (
+from bitternpath.membership.bootstrap import (
     CONFIGURATION_GROUP,
-    DECIDER_NAME,
-    FoundingFile,
-    decide,
+    DECIDER_DOCUMENT,
+    BootstrapFile,
+    decide_bootstrap,
 )
 from bitternpath.membership.view import MembershipView
 from bitternpath.roles.settings import Settings
-from bitternpath.storage.documents import DamagedDocument
+from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.connections import Link, NodeHub
-from bitternpath.transport.messages import Founding, FoundingAnswer, GroupPlacement, MemberAddress
+from bitternpath.transport.group_messages import (
+    BootstrapDecision,
+    BootstrapDecisionStored,
+    GroupPlacement,
+    MemberAddress,
+)
 
 log = logbook.Logger("configuration")
 
 LOOK_S = 0.25  # how often those who don't know of the founding yet are told
 DECIDER_USER, MEMBER_USER = "decider", "founding"  # of links
-NO_DECISION = Founding("", GroupPlacement(CONFIGURATION_GROUP, 1, ()))  # nobody is named
+NO_DECISION = BootstrapDecision("", GroupPlacement(CONFIGURATION_GROUP, 1, ()))  # nobody is named
 
 
 class FoundingTeller:
@@ -47,7 +52,7 @@
         self._told: set[str] = set()
         self._dialled: dict[str, str] = {}  # address by member
 
-    def tell(self, founding: Founding, members: Iterable[MemberAddress]) -> bool:
+    def tell(self, founding: BootstrapDecision, members: Iterable[MemberAddress]) -> bool:
         """Tell those that haven't answered; whether there are any."""
         waiting = [each for each in members if each.member not in self._told and each.member != self._me]
         for member in waiting:
@@ -61,7 +66,7 @@
             self._leave(gone)
         return bool(waiting)
 
-    def answered(self, answer: FoundingAnswer) -> None:
+    def answered(self, answer: BootstrapDecisionStored) -> None:
         """A member has it."""
         self._told.add(answer.member)
         self._leave(answer.member)
@@ -69,15 +74,15 @@
     def _leave(self, member: str) -> None:
         address = self._dialled.pop(member, "")
         if address and address not in self._dialled.values():
-            self._hub.hang_up(address, self._user)
+            self._hub.release(address, self._user)
 
 
 class FoundingKnowledge:
     """What a member of the configuration group knows of the founding."""
 
-    def __init__(self, me: str, file: FoundingFile) -> None:
+    def __init__(self, me: str, file: BootstrapFile) -> None:
         self._me, self._file = me, file
-        self.founding: Founding | None = None
+        self.founding: BootstrapDecision | None = None
         self._is_no_founder = False
 
     def load(self) -> None:
@@ -89,17 +94,17 @@
         """Whether it is known if this member is a founder."""
         return self.founding is not None or self._is_no_founder
 
-    def heard(self, link: Link, told: Founding) -> None:
+    def heard(self, link: Link, told: BootstrapDecision) -> None:
         """Somebody has told of the founding; answered once that is on disk."""
         if all(member.member != self._me for member in told.group.members):
             self._is_no_founder = self.founding is None
         elif not self.may_take_part:
             self._file.store(told)
             self.founding = told
-            log.info("event=founded system={} members={}", told.system, len(told.group.members))
+            log.info("event=system_bootstrapped system={} members={}", told.system, len(told.group.members))
         elif self.founding is None or self.founding.system != told.system:
             return
-        link.send(FoundingAnswer(self._me))
+        link.send(BootstrapDecisionStored(self._me))
 
 
 class FoundingDecider:
@@ -117,17 +122,20 @@
         self.reactor, self.settings, self.view, self.random = reactor, settings, view, random
         self._started_at = reactor.seconds()
         self._teller = FoundingTeller(hub, DECIDER_USER)
-        self._file: FoundingFile | None = None
+        self._file: BootstrapFile | None = None
         if settings.data_dir is not None:
-            self._file = FoundingFile(settings.data_dir, disk, DECIDER_NAME)
-        self._founding: Founding | None = None
+            self._file = BootstrapFile(settings.data_dir, disk, DECIDER_DOCUMENT)
+        self._founding: BootstrapDecision | None = None
         self._timer: Any = None
 
     def start(self) -> None:
         """Begin to look, where this node is the one to decide."""
         try:
             kept = self._file.load() if self._file is not None else None
-        except (DamagedDocument, CodecError) as error:  # a decision may have been told: there is no other
+        except (
+            CorruptDocumentError,
+            CodecError,
+        ) as error:  # a decision may have been told: there is no other
             log.warning("event=decider_dropped error={!r}", str(error))
             return
         if kept is not None:
@@ -143,7 +151,7 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def answered(self, answer: FoundingAnswer) -> None:
+    def answered(self, answer: BootstrapDecisionStored) -> None:
         """A founder has the decision on disk."""
         self._teller.answered(answer)
 
@@ -151,7 +159,7 @@
         seeds = self.settings.seed_addresses
         return self.settings.bootstrap and bool(seeds) and seeds[0] == self.settings.internal_address
 
-    def _keep(self, decision: Founding) -> None:
+    def _keep(self, decision: BootstrapDecision) -> None:
         if self._file is not None:
             self._file.store(decision)
 
@@ -159,7 +167,7 @@
         now = self.reactor.seconds()
         if self._founding is None:
             tolerated = self.settings.tolerated_machines
-            self._founding = decide(self.view, tolerated, self._started_at, now, self.random)
+            self._founding = decide_bootstrap(self.view, tolerated, self._started_at, now, self.random)
             if self._founding is not None:
                 self._keep(self._founding)
         if self._founding is not None and not self._teller.tell(self._founding, self._founding.group.members):
--- a/bitternpath/roles/group_carrier.py
+++ b/bitternpath/roles/group_carrier.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable, Iterable
 
-from bitternpath.membership.founding import member_id
+from bitternpath.membership.bootstrap import member_id
 from bitternpath.membership.view import MembershipView
 from bitternpath.transport.connections import Link, NodeHub
-from bitternpath.transport.messages import GroupMessage, MemberAddress
+from bitternpath.transport.group_messages import GroupMessage, MemberAddress
 
 CARRIER_USER = "replication"
 
 
-class GroupCarrier:
+class GroupTransport:
     """Finds where members are, and keeps links to them."""
 
     def __init__(self, me: str, hub: NodeHub, view: MembershipView) -> None:
--- a/bitternpath/roles/lenders.py
+++ b/bitternpath/roles/lenders.py
@@ -8,11 +8,12 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from bitternpath.queue.ceilings import LOAN_S
+from bitternpath.queue.rate_limits import QUOTA_LEASE_S
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.transport.connections import Link, NodeHub
-from bitternpath.transport.messages import GroupPlacement, MemberAddress, TokenAnswer, TokenRequest
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 
 LENDERS_USER = "tokens"
 
@@ -61,7 +62,7 @@
         before = self._dialled.get(group, address)
         self._dialled[group] = address
         if before not in self._dialled.values():
-            self._hub.hang_up(before, LENDERS_USER)
+            self._hub.release(before, LENDERS_USER)
         self._hub.dial(address, LENDERS_USER)
 
     def _member(self, group: str) -> MemberAddress | None:
@@ -75,11 +76,11 @@
     def _give_up_silent(self, group: str) -> None:
         """Ask another member where one hasn't answered for so long that a loan would have lapsed."""
         since = self._unanswered.get(group)
-        if since is not None and self._reactor.seconds() - since > LOAN_S:
+        if since is not None and self._reactor.seconds() - since > QUOTA_LEASE_S:
             self._failed(group)
 
     def _answered(self, record: Any, group: str) -> int:
-        if isinstance(record, TokenAnswer):
+        if isinstance(record, TokenResponse):
             self._unanswered.pop(group, None)
             return record.tokens
         return self._failed(group)
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -9,21 +9,21 @@
 from msgspec.structs import replace
 from twisted.internet.error import CannotListenError
 
-from bitternpath.configuration.feed import FeedFollower, FeedListener
-from bitternpath.membership.founding import FOUNDING_NAME, FoundingFile
+from bitternpath.configuration.feed import FeedClient, FeedListener
+from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.roles.group_carrier import GroupCarrier
+from bitternpath.roles.group_carrier import GroupTransport
 from bitternpath.roles.machine import Machine
 from bitternpath.roles.settings import Settings, SettingsError
 from bitternpath.roles.wall_clock import SteadyWallClock
-from bitternpath.storage.documents import HEADER_BYTES, DamagedDocument
+from bitternpath.storage.documents import HEADER_BYTES, CorruptDocumentError
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.connections import LinkHandler, NodeHub
-from bitternpath.transport.messages import NodeDescriptor, NodeKind
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 log = logbook.Logger("node")
 
@@ -53,15 +53,15 @@
             zone=settings.zone,
             counted=bool(disk) and (settings.counted or kind is NodeKind.STORAGE),
             disk=disk,
-            life=machine.wall_ms(),
-            beat=0,
+            incarnation=machine.wall_ms(),
+            heartbeat=0,
         )
         self.wall_clock = SteadyWallClock(machine.wall_ms, reactor.seconds)
         self.view = MembershipView(me, settings.seed_addresses, self.random, reactor.seconds())
-        self.hub = NodeHub(reactor, links, lambda: self.view.me, self.random)
+        self.hub = NodeHub(reactor, links, lambda: self.view.local_node, self.random)
         self.gossip = Gossip(reactor, self.view)
-        self.feed = FeedFollower(reactor, self.hub, feed, self._feed_candidates, wants_catalogue=True)
-        self.carrier = GroupCarrier(f"{me.name}/{disk}", self.hub, self.view)
+        self.feed = FeedClient(reactor, self.hub, feed, self._feed_candidates, wants_catalogue=True)
+        self.transport = GroupTransport(f"{me.name}/{disk}", self.hub, self.view)
         self.journal: Journal | None = None
         self.host: ReplicaHost | None = None
         if self.disk is not None:
@@ -98,8 +98,8 @@
 
     def leave(self) -> None:
         """Tell the others that this node is about to stop."""
-        self.view.me = replace(self.view.me, leaving=True)
-        self.hub.greet_all()
+        self.view.local_node = replace(self.view.local_node, draining=True)
+        self.hub.announce()
 
     def reload(self) -> None:
         """The settings file has changed: seeds may be others. One that can't be read changes nothing."""
@@ -121,14 +121,14 @@
         self.journal = disk.open_journal(self.reactor, bound)
         host = ReplicaHost(
             self.reactor,
-            self.carrier.me,
+            self.transport.me,
             self.journal,
-            self.carrier.send,
+            self.transport.send,
             self.random,
             bounds=self.machine.compaction(disk_bytes),
             flushed=self.hub.flush,
         )
-        self.carrier.connect(host.hear)
+        self.transport.connect(host.receive)
         return host
 
     def _feed_candidates(self) -> list[str]:
@@ -144,7 +144,9 @@
         return ""
     identity = disk.load_identity()
     try:
-        FoundingFile(settings.data_dir, disk).load()  # it is read later; whether it can be is known now
+        BootstrapFile(settings.data_dir, disk).load()  # it is read later; whether it can be is known now
     except CodecError as error:
-        raise DamagedDocument(settings.data_dir / FOUNDING_NAME, HEADER_BYTES, str(error)) from error
+        raise CorruptDocumentError(
+            settings.data_dir / BOOTSTRAP_DOCUMENT, HEADER_BYTES, str(error)
+        ) from error
     return identity
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -13,13 +13,13 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.feed import FeedFollower
-from bitternpath.configuration.orders import Order, OrderCode, OrderResult, result
-from bitternpath.ingress.service import OperatorReply
+from bitternpath.configuration.changes import ChangeRequest, OperatorResult, ResultCode, operator_result
+from bitternpath.configuration.feed import FeedClient
+from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.configuration_member import ConfigurationMember
-from bitternpath.transport.messages import OperatorAnswer, OperatorOrder
+from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
-ANSWER_WITHIN_S = 0.8  # the operator moves on to another node after a second of silence
+ANSWER_TIMEOUT_S = 0.8  # the operator moves on to another node after a second of silence
 BODY_BYTES_PER_S = 1 << 20  # it waits longer for a large body, which also takes longer to reach the owner
 CONFIGURATION_PATH = "/config"
 RETIRE_PREFIX = "/retire/"
@@ -28,54 +28,58 @@
 class OperatorCalls:
     """Answers the operator's calls of one node."""
 
-    def __init__(self, reactor: Any, feed: FeedFollower, member: ConfigurationMember | None) -> None:
+    def __init__(self, reactor: Any, feed: FeedClient, member: ConfigurationMember | None) -> None:
         self.reactor, self.feed, self.member = reactor, feed, member
 
     def call(self, method: str, path: str, if_match: str, body: bytes) -> Deferred[OperatorReply]:
         """A call from outside; answered in time, and never fails."""
-        order = OperatorOrder(0, method, path, if_match, body)
+        order = OperatorRequest(0, method, path, if_match, body)
         if self.member is not None and self.member.is_owner():
             answer = self.forwarded(order).addCallback(_reply)
         else:
             answer = self._forward(order)
         return answer.addTimeout(_patience(body), self.reactor).addErrback(_lost)
 
-    def forwarded(self, order: OperatorOrder) -> Deferred[OrderResult]:
+    def forwarded(self, order: OperatorRequest) -> Deferred[OperatorResult]:
         """A call that reached the owner, or a node that was it."""
         member = self.member
         if member is None or not member.is_owner():
-            return succeed(result(OrderCode.NOT_OWNER, "this node doesn't own the configuration"))
+            return succeed(operator_result(ResultCode.NOT_OWNER, "this node doesn't own the configuration"))
         if order.path == CONFIGURATION_PATH and order.method == "GET":
             return member.orders.read()
         if order.path == CONFIGURATION_PATH and order.method in ("PUT", "PATCH"):
-            return member.order(Order(order.method, order.if_match, order.body))
+            return member.order(ChangeRequest(order.method, order.if_match, order.body))
         if order.path.startswith(RETIRE_PREFIX) and order.method in ("POST", "GET"):
             node = unquote(order.path.removeprefix(RETIRE_PREFIX))
             return member.retire(node) if order.method == "POST" else member.retirement(node)
-        return succeed(result(OrderCode.UNKNOWN_CALL, f"{order.method} {order.path}"))
+        return succeed(operator_result(ResultCode.UNKNOWN_CALL, f"{order.method} {order.path}"))
 
-    def _forward(self, order: OperatorOrder) -> Deferred[OperatorReply]:
+    def _forward(self, order: OperatorRequest) -> Deferred[OperatorReply]:
         link = self.feed.owner_link()
         if link is None:
-            return succeed(_reply(result(OrderCode.NOT_OWNER, "no owner of the configuration is known")))
+            return succeed(
+                _reply(operator_result(ResultCode.NOT_OWNER, "no owner of the configuration is known"))
+            )
         return link.request(
-            lambda number: OperatorOrder(number, order.method, order.path, order.if_match, order.body)
+            lambda number: OperatorRequest(number, order.method, order.path, order.if_match, order.body)
         ).addCallback(_forwarded_reply)
 
 
 def _patience(body: bytes) -> float:
-    return ANSWER_WITHIN_S + len(body) / BODY_BYTES_PER_S
+    return ANSWER_TIMEOUT_S + len(body) / BODY_BYTES_PER_S
 
 
-def _reply(decided: OrderResult) -> OperatorReply:
+def _reply(decided: OperatorResult) -> OperatorReply:
     return OperatorReply(decided.status, decided.body)
 
 
 def _forwarded_reply(answer: Any) -> OperatorReply:
-    if isinstance(answer, OperatorAnswer):
+    if isinstance(answer, OperatorResponse):
         return OperatorReply(answer.status, answer.body)
-    return _reply(result(OrderCode.FATE_OPEN, "the configuration's owner gave no clear answer"))
+    return _reply(operator_result(ResultCode.FATE_OPEN, "the configuration's owner gave no clear answer"))
 
 
 def _lost(failure: Failure) -> OperatorReply:
-    return _reply(result(OrderCode.FATE_OPEN, f"the configuration's owner didn't answer: {failure.value}"))
+    return _reply(
+        operator_result(ResultCode.FATE_OPEN, f"the configuration's owner didn't answer: {failure.value}")
+    )
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -17,9 +17,9 @@
 from bitternpath.roles.logs import log_level, start_logging
 from bitternpath.roles.machine import LocalMachine, Machine
 from bitternpath.roles.settings import Settings, SettingsError
-from bitternpath.storage.documents import DamagedDocument
+from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.storage.records import JournalDamaged
+from bitternpath.storage.records import CorruptJournalError
 
 log = logbook.Logger("process")
 
@@ -55,7 +55,7 @@
         """Leave in order (SIGTERM), then call `finished()`; well inside the time of grace."""
 
 
-class RoleLife:
+class RoleLifecycle:
     """One life of a role in a reactor: waits for its ports, starts it, stops it; has the exit code."""
 
     def __init__(self, reactor: Any, role: Role) -> None:
@@ -134,10 +134,10 @@
     start_logging(settings.node_name, level)
     reactor = _reactor()
     try:
-        life = RoleLife(reactor, build_role(name, reactor, settings, machine))
+        life = RoleLifecycle(reactor, build_role(name, reactor, settings, machine))
     except SettingsError as error:
         return _refuse(ExitCode.WRONG_SETTINGS, error)
-    except (OSError, JournalDamaged, DamagedDocument) as error:
+    except (OSError, CorruptJournalError, CorruptDocumentError) as error:
         log.error("event=disk_not_usable error={!r}", str(error))
         return ExitCode.NO_DISK
     _handle_signals(reactor, life)
@@ -153,25 +153,27 @@
     """The role, on a disk that can be read: damage makes it a node whose disk was lost.
 
     Such a disk isn't in its first life, whatever the settings say: the node must not found a system again.
-    Raises `SettingsError`, `OSError`, and once more `JournalDamaged` or `DamagedDocument` where the disk
-    doesn't read back what is written on it now.
+    Raises `SettingsError`, `OSError`, and once more `CorruptJournalError` or `CorruptDocumentError` where the
+    disk doesn't read back what is written on it now.
     """
     machine = machine or LocalMachine()
     disk = None if settings.data_dir is None else machine.disk(settings.data_dir)
-    if disk is not None and disk.was_set_aside():
+    if disk is not None and disk.was_quarantined():
         settings = replace(settings, bootstrap=False)
     try:
         return _make_role(name, reactor, settings, machine)
-    except (JournalDamaged, DamagedDocument) as damage:
+    except (CorruptJournalError, CorruptDocumentError) as damage:
         assert disk is not None
         _set_aside(settings, disk, damage)
         return _make_role(name, reactor, replace(settings, bootstrap=False), machine)
 
 
-def _set_aside(settings: Settings, disk: NodeDisk, damage: JournalDamaged | DamagedDocument) -> None:
+def _set_aside(
+    settings: Settings, disk: NodeDisk, damage: CorruptJournalError | CorruptDocumentError
+) -> None:
     assert settings.data_dir is not None
     most = int(settings.disk_mb * (1 << 20) * ASIDE_SHARE) or None
-    folder = disk.set_aside(most)
+    folder = disk.quarantine_content(most)
     log.error(
         "event=disk_set_aside file={} offset={} reason={!r} folder={}",
         damage.file,
@@ -205,7 +207,7 @@
     return StorageProcess(reactor, settings, machine)
 
 
-def _handle_signals(reactor: Any, life: RoleLife) -> None:
+def _handle_signals(reactor: Any, life: RoleLifecycle) -> None:
     def stop(_signal: int, _frame: Any) -> None:
         reactor.callFromThread(life.stop)
 
--- a/bitternpath/roles/replica_closing.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -15,14 +15,14 @@
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.group_carrier import CARRIER_USER
 from bitternpath.transport.connections import NodeHub
-from bitternpath.transport.messages import GroupPlacement, GroupReport, MembersRequest
+from bitternpath.transport.group_messages import GroupPlacement, MembershipReport, MembershipRequest
 
 log = logbook.Logger("storage")
 
 ASK_S = 1.0  # between questions whether a replica may go; nobody waits for the room
 
 
-class ReplicaClosing:
+class ReplicaGarbageCollector:
     """The replicas here that the placement doesn't name."""
 
     def __init__(
@@ -54,15 +54,15 @@
             self._hub.dial(member.address, CARRIER_USER)
             link = self._hub.link_to(member.address)
             if link is not None:
-                link.send(MembersRequest(placement.group))
+                link.send(MembershipRequest(placement.group))
 
-    def reported(self, report: GroupReport) -> None:
+    def reported(self, report: MembershipReport) -> None:
         """An owner has told who the members are."""
         if self.may_close(report):
             log.info("event=replica_closed group={} generation={}", report.group, report.generation)
             self._close(report.group, report.generation)
 
-    def may_close(self, report: GroupReport) -> bool:
+    def may_close(self, report: MembershipReport) -> bool:
         """Whether the replica here may go. A report that is older than what is known here says nothing."""
         placement = self._placements.get(report.group)
         if placement is None or report.group not in self._host.groups or self._names_me(placement):
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -6,18 +6,24 @@
 
 import logbook
 
-from bitternpath.configuration.machine import COMMANDS, ConfigurationState, NoteStorageNodes, SetPlacement
-from bitternpath.configuration.orders import ReplicaGroup
+from bitternpath.configuration.changes import ConsensusGroup
 from bitternpath.configuration.placement import (
     AWAY_WITHOUT_SPARE_S,
-    first_placement,
+    initial_placement,
     nodes_to_replace,
     repaired_placement,
 )
-from bitternpath.membership.founding import member_id
+from bitternpath.configuration.state_machine import (
+    COMMANDS,
+    ConfigurationState,
+    SetPlacement,
+    UpdateStorageMembers,
+)
+from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.reconfiguration import node_of
-from bitternpath.roles.nodes_here import NodesHere
-from bitternpath.transport.messages import GroupPlacement, NodeDescriptor
+from bitternpath.roles.live_nodes import LiveNodes
+from bitternpath.transport.group_messages import GroupPlacement
+from bitternpath.transport.node_messages import NodeDescriptor
 
 log = logbook.Logger("configuration")
 
@@ -30,9 +36,9 @@
     def __init__(
         self,
         reactor: Any,
-        group: ReplicaGroup,
+        group: ConsensusGroup,
         state: ConfigurationState,
-        nodes: NodesHere,
+        nodes: LiveNodes,
         tolerated: int,
     ) -> None:
         self._reactor, self._group, self._state = reactor, group, state
@@ -45,7 +51,7 @@
         """This node owns the configuration from now on."""
         self._disks_changed_at = self._reactor.seconds()
 
-    def look(self) -> None:
+    def reconcile(self) -> None:
         """Compare what is committed with who is there."""
         here = self._nodes.storage()
         disks = {node.name: node.disk for node in here}
@@ -60,12 +66,12 @@
         if self._state.groups:
             retired = self._retired(here)
             gone = nodes_to_replace(
-                self._state.groups, here, retired, self._nodes.away_for, self._nodes.here_for
+                self._state.groups, here, retired, self._nodes.down_for, self._nodes.up_for
             )
             return repaired_placement(self._state.groups, here, gone, self._tolerated)
         at_rest = self._reactor.seconds() - self._disks_changed_at >= STORAGE_AT_REST_S
         if len(here) >= 2 * self._tolerated + 1 and at_rest:
-            return first_placement(here, self._tolerated)
+            return initial_placement(here, self._tolerated)
         return ()
 
     def _retired(self, here: list[NodeDescriptor]) -> set[str]:
@@ -93,11 +99,11 @@
         removed = tuple(
             member
             for member in roster.members
-            if node_of(member) not in placed and self._nodes.away_for(node_of(member)) > AWAY_WITHOUT_SPARE_S
+            if node_of(member) not in placed and self._nodes.down_for(node_of(member)) > AWAY_WITHOUT_SPARE_S
         )
         if added or removed:
             self._noting = True
-            self._group.propose(COMMANDS.encode(NoteStorageNodes(added, removed))).addBoth(self._noted)
+            self._group.propose(COMMANDS.encode(UpdateStorageMembers(added, removed))).addBoth(self._noted)
 
     def _noted(self, _: object) -> None:
         self._noting = False
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -19,46 +19,45 @@
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
-    AskForPolls,
     BorrowTokens,
     ExpirePoll,
     ProposeCommand,
+    RequestPollers,
     SendCallback,
     SendDelivery,
 )
 from bitternpath.queue.commands import COMMANDS, AppendMessage, Command
-from bitternpath.queue.owner import OwnerBounds, ShardOwner
-from bitternpath.queue.results import AttemptTaken, Result
+from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.state import QueueState
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwner
+from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.waiting_polls import WaitingPolls
 from bitternpath.transport.connections import Link
-from bitternpath.transport.messages import (
-    Appended,
+from bitternpath.transport.node_messages import NodeDescriptor
+from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
+from bitternpath.transport.records import AttemptOutcome, MessageState
+from bitternpath.transport.shard_messages import (
     AppendRequest,
-    CallbackOrder,
+    AppendResponse,
     CallbackReport,
-    Delivery,
-    Ended,
-    EndRequest,
+    CallbackRequest,
+    EndAttemptRequest,
+    EndAttemptResponse,
     ExtendRequest,
-    JobsWaiting,
-    NodeDescriptor,
+    LeaseGrant,
     Ownership,
     PullCancel,
     PullRequest,
     RefusalReason,
     Refused,
-    StateAnswer,
+    RequestOutcomeUnknown,
     StateRequest,
-    TokenAnswer,
-    TokenRequest,
-    Undecided,
+    StateResponse,
+    WorkAvailable,
 )
-from bitternpath.transport.records import AttemptOutcome, MessageState
 
 log = logbook.Logger("shard")
 
@@ -84,7 +83,7 @@
         group: str,
         shards: int,
         zone: str,
-        bounds: OwnerBounds,
+        bounds: OwnerSettings,
         edges: EdgeLinks,
         has_room: Callable[[], bool],
         random: Random,
@@ -114,13 +113,13 @@
         owner = ShardOwner(self.state, shard, self.shards, self.zone, self.bounds, self.random)
         self.owner, self.epoch = owner, epoch
         now = self.reactor.seconds()
-        self._do(owner.take_over(now, epoch))
+        self._do(owner.leadership_acquired(now, epoch))
         if self.table is not None:
             self._do(owner.configure(now, self.table))
         if self.slots is not None:
             self._do(owner.set_capacities(now, self.slots))
         for node in self.edges.nodes():
-            self._do(owner.edge_joined(now, node.name, node.zone))
+            self._do(owner.edge_connected(now, node.name, node.zone))
         self._announce(self.edges.links())
 
     def lost_ownership(self) -> None:
@@ -159,11 +158,11 @@
             return
         now = self.reactor.seconds()
         if new_life:
-            self._do(self.owner.edge_lost(now, node.name))
-        if node.leaving:
-            self._do(self.owner.edge_left(now, node.name))
+            self._do(self.owner.edge_process_ended(now, node.name))
+        if node.draining:
+            self._do(self.owner.edge_disconnected(now, node.name))
         else:
-            self._do(self.owner.edge_joined(now, node.name, node.zone))
+            self._do(self.owner.edge_connected(now, node.name, node.zone))
 
     def edge_closed(self, name: str, link: Link) -> None:
         """An edge node's link has ended, and with it the polls that came over it.
@@ -176,7 +175,7 @@
             if self.owner is not None:
                 self._do(self.owner.cancel_poll(now, poll_id))
         if name and self.owner is not None:
-            self._do(self.owner.edge_left(now, name))
+            self._do(self.owner.edge_disconnected(now, name))
 
     # ---- requests of edge nodes
 
@@ -197,29 +196,31 @@
                 owner.append_failed(request.message.request_id)
 
         command = AppendMessage(request.message)
-        self._propose_for(link, request.number, command, lambda _: Appended(request.number), not_proposed)
+        self._propose_for(
+            link, request.number, command, lambda _: AppendResponse(request.number), not_proposed
+        )
         if owner is self.owner:
-            early += owner.appending(self.reactor.seconds(), request.message)
+            early += owner.append_proposed(self.reactor.seconds(), request.message)
             self._do(early)
 
-    def end(self, link: Link, request: EndRequest) -> None:
+    def end(self, link: Link, request: EndAttemptRequest) -> None:
         """A delivery has ended."""
         if self.owner is None:
             link.send(Refused(request.number, RefusalReason.NOT_OWNER))
             return
-        command = self.owner.end_command(
+        command = self.owner.end_attempt_command(
             request.request_id, request.lease_id, request.outcome, request.stamp, request.retry_after_ms
         )
 
-        def answer(result: object) -> Ended:
-            return Ended(request.number, isinstance(result, AttemptTaken) and result.taken)
+        def answer(result: object) -> EndAttemptResponse:
+            return EndAttemptResponse(request.number, isinstance(result, AttemptEnded) and result.taken)
 
         self._propose_for(link, request.number, command, answer)
 
     def extend(self, link: Link, request: ExtendRequest) -> None:
         """A pulling worker holds its job still. Decided only once a majority has confirmed the ownership:
         an owner that was stopped or cut off may have a successor that gave the job to somebody else."""
-        self.host.barrier(self.group).addCallbacks(
+        self.host.read_barrier(self.group).addCallbacks(
             lambda _: self._extend(link, request),
             lambda _: link.send(Refused(request.number, RefusalReason.NOT_OWNER)),
         )
@@ -229,7 +230,7 @@
             link.send(Refused(request.number, RefusalReason.NOT_OWNER))
             return
         held = self.owner.extend(self.reactor.seconds(), request.request_id, request.lease_id)
-        link.send(Ended(request.number, held))
+        link.send(EndAttemptResponse(request.number, held))
         self._plan_tick()
 
     def pull(self, link: Link, request: PullRequest) -> None:
@@ -256,7 +257,7 @@
 
     def lend(self, service: str, wanted: int) -> int:
         """Tokens of a service whose home is this shard; none from an owner that may have a successor."""
-        if self.owner is None or not self.host.surely_leads(self.group):
+        if self.owner is None or not self.host.has_leader_lease(self.group):
             return 0
         return self.owner.lend_tokens(self.reactor.seconds(), service, wanted)
 
@@ -265,7 +266,7 @@
         if self.owner is None:
             link.send(Refused(request.number, RefusalReason.NOT_OWNER))
         else:
-            link.send(TokenAnswer(request.number, self.lend(request.service, request.wanted)))
+            link.send(TokenResponse(request.number, self.lend(request.service, request.wanted)))
 
     def callback_report(self, report: CallbackReport) -> None:
         """How a call-back went."""
@@ -275,17 +276,17 @@
 
     def find(self, link: Link, request: StateRequest) -> None:
         """The state of a message, confirmed by a majority."""
-        self.host.barrier(self.group).addCallbacks(
+        self.host.read_barrier(self.group).addCallbacks(
             lambda _: link.send(self._state_answer(request)),
             lambda _: link.send(Refused(request.number, RefusalReason.NOT_OWNER)),
         )
 
-    def _state_answer(self, request: StateRequest) -> StateAnswer:
+    def _state_answer(self, request: StateRequest) -> StateResponse:
         entry = self.state.find(request.request_id)
         if entry is None:
-            return StateAnswer(request.number, False, MessageState.QUEUED, "", None)
+            return StateResponse(request.number, False, MessageState.QUEUED, "", None)
         body = entry.message.body if request.wants_body else None
-        return StateAnswer(request.number, True, entry.state, entry.stamp, body)
+        return StateResponse(request.number, True, entry.state, entry.stamp, body)
 
     # ---- the log
 
@@ -298,11 +299,11 @@
         not_proposed: Callable[[], None] = lambda: None,
     ) -> None:
         def failed(failure: Failure) -> None:
-            if isinstance(failure.value, NotOwner):
+            if isinstance(failure.value, NotOwnerError):
                 not_proposed()
                 link.send(Refused(number, RefusalReason.NOT_OWNER))
             else:
-                link.send(Undecided(number))
+                link.send(RequestOutcomeUnknown(number))
 
         proposed = self.host.propose(self.group, COMMANDS.encode(command))
         proposed.addCallbacks(lambda result: link.send(answer(result)), failed)
@@ -316,7 +317,7 @@
         owner = self.owner
 
         def failed(failure: Failure) -> None:
-            if isinstance(failure.value, NotOwner):
+            if isinstance(failure.value, NotOwnerError):
                 self.reactor.callLater(PROPOSE_AGAIN_S, self._not_proposed, owner, command)
 
         self.host.propose(self.group, COMMANDS.encode(command)).addErrback(failed)
@@ -338,7 +339,7 @@
                     self._polls.answer(poll_id, lease_id, message)
                 case ExpirePoll(poll_id, _):
                     self._polls.answer(poll_id)
-                case AskForPolls(service, waiting):
+                case RequestPollers(service, waiting):
                     self._ask_for_polls(service, waiting)
                 case BorrowTokens(service, wanted):
                     self._borrow(service, wanted)
@@ -353,7 +354,7 @@
             return
         message = replace(action.message, body=b"") if action.body_omitted else action.message
         link.send(
-            Delivery(
+            LeaseGrant(
                 self.group,
                 action.lease_id,
                 action.duration_ms,
@@ -366,7 +367,7 @@
     def _return_unsent(self, action: SendDelivery) -> None:
         """The edge node has gone in this very moment."""
         if self.owner is not None:
-            command = self.owner.end_command(
+            command = self.owner.end_attempt_command(
                 action.message.request_id, action.lease_id, AttemptOutcome.NOT_RUN, "", 0
             )
             self._propose(command)
@@ -384,7 +385,7 @@
     def _call_back(self, action: SendCallback) -> None:
         link = self.edges.link(action.edge)
         if link is not None:
-            link.send(CallbackOrder(self.group, action.request_id, action.url, action.state, action.stamp))
+            link.send(CallbackRequest(self.group, action.request_id, action.url, action.state, action.stamp))
 
     def _ask_for_polls(self, service: str, waiting: int) -> None:
         """Ask nodes nearby, whose workers mostly wait nearby too; now and then, or without any, all."""
@@ -392,7 +393,7 @@
         links = near or self.edges.links()
         asked = self.random.sample(links, min(max(2 * waiting, LEAST_ASKED), MOST_ASKED, len(links)))
         for link in asked:
-            link.send(JobsWaiting(self.group, service, waiting, len(asked)))
+            link.send(WorkAvailable(self.group, service, waiting, len(asked)))
 
     def _announce(self, links: Iterable[Link]) -> None:
         told = Ownership(self.group, self.epoch, self.owner is not None)
--- a/bitternpath/roles/status.py
+++ b/bitternpath/roles/status.py
@@ -7,7 +7,7 @@
 from bitternpath.queue.state import QueueState
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.node_base import NodeBase
-from bitternpath.transport.messages import GroupStatus, StatusAnswer
+from bitternpath.transport.operator_messages import GroupStatus, StatusResponse
 from bitternpath.transport.records import MessageState
 
 
@@ -28,11 +28,11 @@
     )
 
 
-def node_status(base: NodeBase, number: int, ready: bool, groups: Sequence[GroupStatus]) -> StatusAnswer:
+def node_status(base: NodeBase, number: int, ready: bool, groups: Sequence[GroupStatus]) -> StatusResponse:
     """The answer to a question for status."""
-    return StatusAnswer(
+    return StatusResponse(
         number,
-        base.view.me,
+        base.view.local_node,
         base.feed.version,
         base.feed.placement_generation,
         ready,
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -11,42 +11,41 @@
 
 from bitternpath.configuration.documents import RoutingTable
 from bitternpath.configuration.feed import pack_document
-from bitternpath.queue.owner import OwnerBounds
+from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.records import Members
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.lenders import Lenders
 from bitternpath.roles.machine import LocalMachine, Machine
 from bitternpath.roles.node_base import NodeBase
-from bitternpath.roles.replica_closing import ReplicaClosing
+from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
 from bitternpath.roles.settings import Settings, SettingsError
 from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.roles.status import group_status, node_status
 from bitternpath.storage.document_writer import DocumentWriter
-from bitternpath.storage.documents import DamagedDocument
+from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.connections import Link
-from bitternpath.transport.messages import (
+from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
+from bitternpath.transport.group_messages import (
+    GroupMessage,
+    GroupPlacement,
+    MembershipReport,
+    MembershipRequest,
+)
+from bitternpath.transport.node_messages import NodeKind
+from bitternpath.transport.operator_messages import StatusRequest
+from bitternpath.transport.quota_messages import TokenRequest
+from bitternpath.transport.shard_messages import (
     AppendRequest,
     CallbackReport,
-    CatalogueUpdate,
-    EndRequest,
+    EndAttemptRequest,
     ExtendRequest,
-    FeedRefused,
-    FeedSubscribe,
-    FeedUpdate,
-    GroupMessage,
-    GroupPlacement,
-    GroupReport,
-    MembersRequest,
-    NodeKind,
     PullCancel,
     PullRequest,
     RefusalReason,
     Refused,
     StateRequest,
-    StatusRequest,
-    TokenRequest,
 )
 
 log = logbook.Logger("storage")
@@ -78,14 +77,16 @@
         self.placements: dict[str, GroupPlacement] = {}
         self.stopping = False
         self.changes = MemberChanges(self.host, self._report)
-        self.closing = ReplicaClosing(reactor, self.base.hub, self.host, self.placements, self._close)
+        self.closing = ReplicaGarbageCollector(
+            reactor, self.base.hub, self.host, self.placements, self._close
+        )
         self.lenders = Lenders(reactor, self.base.hub, self.host, self.placements, self.shards)
         self._cache = DocumentWriter(reactor, settings.data_dir / CACHE_NAME, self._disk)
         self._slots: dict[str, int] | None = None
         self._patience: dict[str, float] = {}
         self._fit_since: dict[str, float] = {}
         self._lives: dict[str, int] = {}
-        self._bounds = OwnerBounds(
+        self._bounds = OwnerSettings(
             visible_ms=int(settings.bounds.visible_ms),
             status_s=settings.bounds.status_s,
             ceiling_window_s=settings.bounds.ceiling_window_s,
@@ -111,7 +112,7 @@
         self.stopping = True
         owned = [group for group in self.shards if self.host.is_owner(group)]
         for group in owned:
-            self.host.hand_over(group)
+            self.host.transfer_leadership(group)
         return bool(owned)
 
     # ---- FeedListener
@@ -141,18 +142,18 @@
 
     def _place(self, groups: tuple[GroupPlacement, ...]) -> None:
         """Open what is to be here, and what is on the disk: whoever is to leave may be needed still."""
-        me = self.base.carrier.me
+        me = self.base.transport.me
         for placement in groups:
             self.placements[placement.group] = placement
-            self.base.carrier.learn(placement.members)
+            self.base.transport.learn(placement.members)
             named = any(member.member == me for member in placement.members)
-            wanted = named or self.host.holds(placement.group)
+            wanted = named or self.host.has_unopened_state(placement.group)
             if wanted and placement.group not in self.shards:
                 self._open(placement, len(groups))
             if wanted:
-                self.base.carrier.reach(placement.members)
+                self.base.transport.reach(placement.members)
             members = [member.member for member in placement.members]
-            self.changes.desire(placement.group, members, placement.generation)
+            self.changes.set_desired(placement.group, members, placement.generation)
 
     def _open(self, placement: GroupPlacement, shards: int) -> None:
         """Take part in a shard's group. Only its first placement names its founders, each by its disk: a
@@ -179,7 +180,7 @@
         if self._slots is not None:
             shard.set_capacities(self._slots)
         self.host.open_group(placement.group, shard.state, founders, shard)
-        self.changes.opened(placement.group)
+        self.changes.group_opened(placement.group)
 
     def _close(self, group: str, generation: int) -> None:
         """The shard's members are committed without this node."""
@@ -193,10 +194,10 @@
         node = link.peer
         if node is None:
             return
-        self.base.view.learned(self.reactor.seconds(), node)
+        self.base.view.observe(self.reactor.seconds(), node)
         if node.kind is NodeKind.EDGE and not link.dialled:
-            new_life = self._lives.get(node.name, node.life) != node.life
-            self._lives[node.name] = node.life
+            new_life = self._lives.get(node.name, node.incarnation) != node.incarnation
+            self._lives[node.name] = node.incarnation
             self.edges.opened(node, link)
             for shard in self.shards.values():
                 shard.edge_opened(node, link, new_life)
@@ -217,21 +218,21 @@
     def _link_handlers(self) -> dict[type, Callable[[Link, Any], None]]:
         feed = self.base.feed
         return {
-            GroupMessage: self.base.carrier.received,
+            GroupMessage: self.base.transport.received,
             FeedUpdate: feed.updated,
             FeedRefused: feed.refused,
             CatalogueUpdate: lambda link, record: self.catalogue_updated(record),
             FeedSubscribe: lambda link, record: link.send(FeedRefused("", feed.members)),
             AppendRequest: self._for_shard(ShardRuntime.append),
-            EndRequest: self._for_shard(ShardRuntime.end),
+            EndAttemptRequest: self._for_shard(ShardRuntime.end),
             ExtendRequest: self._for_shard(ShardRuntime.extend),
             PullRequest: self._for_shard(ShardRuntime.pull),
             PullCancel: self._for_shard(ShardRuntime.cancel_pull),
             StateRequest: self._for_shard(ShardRuntime.find),
             TokenRequest: self._for_shard(ShardRuntime.tokens_asked),
             StatusRequest: self._status,
-            MembersRequest: self._members_asked,
-            GroupReport: lambda link, record: self.closing.reported(record),
+            MembershipRequest: self._members_asked,
+            MembershipReport: lambda link, record: self.closing.reported(record),
             CallbackReport: self._for_shard(lambda shard, link, report: shard.callback_report(report)),
         }
 
@@ -255,7 +256,7 @@
         self._timer = self.reactor.callLater(LOOK_S, self._look)
         for group, placement in self.placements.items():
             if group in self.shards and self.host.is_owner(group):
-                self.changes.look(group)
+                self.changes.reconcile(group)
                 self._prefer_owner(group, placement)
         self.closing.ask()
 
@@ -267,9 +268,9 @@
         """
         preferred = placement.members[0].member
         fit = (
-            preferred != self.base.carrier.me
+            preferred != self.base.transport.me
             and preferred in self.host.members(group).voters
-            and self.host.silent_for(group, preferred) < HEARD_LATELY_S
+            and self.host.unresponsive_for(group, preferred) < HEARD_LATELY_S
             and self.host.caught_up(group, preferred)
         )
         now = self.reactor.seconds()
@@ -279,8 +280,8 @@
         elif now - since >= self._patience.get(group, PREFER_AFTER_S) and not self.stopping:
             self._fit_since.pop(group, None)
             self._patience[group] = min(2 * self._patience.get(group, PREFER_AFTER_S), PREFER_MOST_S)
-            log.info("event=handing_over group={} to={}", group, preferred)
-            self.host.hand_over(group, preferred)
+            log.info("event=ownership_transfer_started group={} to={}", group, preferred)
+            self.host.transfer_leadership(group, preferred)
 
     def _report(self, group: str) -> None:
         """Tell the configuration's owner who the members are, where no change is under way."""
@@ -288,17 +289,17 @@
         if link is not None:
             self._send_report(link, group)
 
-    def _members_asked(self, link: Link, request: MembersRequest) -> None:
+    def _members_asked(self, link: Link, request: MembershipRequest) -> None:
         """A replica that is to leave asks whether it may; confirmed by a majority, as it may be the last."""
         if request.group in self.shards:
-            self.host.barrier(request.group).addCallbacks(
+            self.host.read_barrier(request.group).addCallbacks(
                 lambda _: self._send_report(link, request.group), lambda _: None
             )
 
     def _send_report(self, link: Link, group: str) -> None:
         members = self.host.committed_members(group)
         if members is not None:
-            link.send(GroupReport(group, self.host.epoch(group), members.all, members.generation))
+            link.send(MembershipReport(group, self.host.epoch(group), members.all, members.generation))
 
     def _has_room(self) -> bool:
         """Whether the disk can take more messages."""
@@ -308,7 +309,9 @@
         disk = self.settings.disk_mb << 20
         if not disk:
             return True
-        return journal.bytes_used < disk * FULL_SHARE and journal.bytes_of_snapshots < disk * SNAPSHOT_SHARE
+        return (
+            journal.bytes_used < disk * FULL_SHARE and journal.snapshot_bytes_required < disk * SNAPSHOT_SHARE
+        )
 
     # ---- the feed's cache
 
@@ -320,7 +323,7 @@
                 return
             update: FeedUpdate = _CACHE.decode(data)
             self.base.feed.restore(update)
-        except (DamagedDocument, ValueError) as error:  # of the codec, or of the configuration in it
+        except (CorruptDocumentError, ValueError) as error:  # of the codec, or of the configuration in it
             log.warning("event=cache_dropped error={!r}", str(error))
             self._disk.remove_document(CACHE_NAME)
             return
@@ -334,6 +337,6 @@
         feed = self.base.feed
         document = pack_document(json.dumps(feed.document).encode()) if feed.document else None
         update = FeedUpdate(
-            0, feed.version, document, feed.placement_generation, feed.groups, feed.edge_nodes
+            0, feed.version, document, feed.placement_generation, feed.groups, feed.edge_node_count
         )
         self._cache.write(_CACHE.encode(update))
--- a/bitternpath/roles/waiting_polls.py
+++ b/bitternpath/roles/waiting_polls.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from bitternpath.transport.connections import Link
-from bitternpath.transport.messages import PullAnswer
 from bitternpath.transport.records import Message
+from bitternpath.transport.shard_messages import PullResponse
 
 
 class WaitingPolls:
@@ -31,7 +31,7 @@
         found = self._drop(poll_id)
         if found is not None:
             link, request = found
-            link.send(PullAnswer(request, lease_id, message))
+            link.send(PullResponse(request, lease_id, message))
 
     def answer_all(self) -> None:
         """No job comes from here for any of them."""
--- a/bitternpath/shards/appends.py
+++ b/bitternpath/shards/appends.py
@@ -16,11 +16,11 @@
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.placement import shard_group, shard_of
-from bitternpath.ingress.service import Acceptance, AcceptResult
+from bitternpath.ingress.interfaces import Acceptance, AcceptResult
 from bitternpath.queue.sharding import message_id, shard_for
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.transport.messages import Appended, AppendRequest, Refused
 from bitternpath.transport.records import Message
+from bitternpath.transport.shard_messages import AppendRequest, AppendResponse, Refused
 
 RETRY_S = 0.02  # between tries while the shard has no owner and the fate is open
 RETRY_AFTER_S = 1  # told to clients: an owner is found again within about that time
@@ -43,12 +43,12 @@
         self.reactor, self.owners, self.zone, self.random = reactor, owners, zone, random
         self._worker_waits_at = worker_waits_at
         self.shards = 0  # in the system; 0 until the placement is known
-        self.open = 0
+        self.in_flight = 0
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
         """Keep a message; answers within `deadline_ms`, and never fails."""
         shard = self._choose(message)
-        if shard is None or self.open >= MOST_OPEN:
+        if shard is None or self.in_flight >= MOST_OPEN:
             refused: Deferred[Acceptance] = Deferred()
             refused.callback(Acceptance(AcceptResult.REFUSED, retry_after_s=RETRY_AFTER_S))
             return refused
@@ -82,7 +82,7 @@
         self._uncertain = False  # a request was sent whose answer hasn't come
         self._done = False
         self._timer = appender.reactor.callLater(deadline_s, self._time_up)
-        appender.open += 1
+        appender.in_flight += 1
         self._try()
 
     def _try(self) -> None:
@@ -106,7 +106,7 @@
         if self._done:
             return
         match record:
-            case Appended():
+            case AppendResponse():
                 name = message_id(self.shard, self.message.request_id)
                 self._finish(Acceptance(AcceptResult.ACCEPTED, name))
             case Refused():
@@ -133,7 +133,7 @@
         if self._done:
             return
         self._done = True
-        self.appender.open -= 1
+        self.appender.in_flight -= 1
         if self._timer.active():
             self._timer.cancel()
         self.answer.callback(acceptance)
--- a/bitternpath/shards/lookups.py
+++ b/bitternpath/shards/lookups.py
@@ -8,12 +8,12 @@
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.placement import shard_group
-from bitternpath.ingress.service import FoundMessage, LookupFailure
+from bitternpath.ingress.interfaces import FoundMessage, LookupFailure
 from bitternpath.queue.sharding import split_message_id
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.transport.messages import StateAnswer, StateRequest
+from bitternpath.transport.shard_messages import StateRequest, StateResponse
 
-PATIENCE_S = 1.5  # those who ask wait two seconds, with the way there and back
+LOOKUP_TIMEOUT_S = 1.5  # those who ask wait two seconds, with the way there and back
 RETRY_S = 0.1
 
 
@@ -30,7 +30,7 @@
         A client's request id may look like an id that names a shard: it is unknown only once all shards have
         said so of the whole text.
         """
-        give_up_at = self.reactor.seconds() + PATIENCE_S
+        give_up_at = self.reactor.seconds() + LOOKUP_TIMEOUT_S
         shard, request_id = split_message_id(message_id)
         if shard is None or shard >= max(self.shards, 1):
             return self._everywhere(message_id, wants_body, give_up_at)
@@ -89,7 +89,7 @@
             request.addCallbacks(self._answered, self._lost)
 
     def _answered(self, record: Any) -> None:
-        if not isinstance(record, StateAnswer):
+        if not isinstance(record, StateResponse):
             self._later()
         elif record.known:
             self._finish(FoundMessage(record.state, record.stamp, record.body))
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from bitternpath.transport.connections import Link, LinkLost
-from bitternpath.transport.messages import Ownership
+from bitternpath.transport.shard_messages import Ownership
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
         """The groups whose owner is in a zone."""
         return [group for group, owner in self._owners.items() if owner.zone == zone]
 
-    def told(self, link: Link, ownership: Ownership) -> None:
+    def ownership_changed(self, link: Link, ownership: Ownership) -> None:
         """A storage node has become or ceased to be an owner."""
         known = self._owners.get(ownership.group)
         if ownership.owns:
--- a/bitternpath/shards/pulls.py
+++ b/bitternpath/shards/pulls.py
@@ -15,19 +15,19 @@
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.placement import shard_group
-from bitternpath.ingress.service import LeaseAnswer, PulledJob
+from bitternpath.ingress.interfaces import LeaseAnswer, PulledJob
 from bitternpath.queue.sharding import shard_of_lease
 from bitternpath.shards.owners import Owner, ShardOwners
-from bitternpath.shards.reports import AttemptReport, LeaseReports
-from bitternpath.transport.messages import (
-    Ended,
+from bitternpath.shards.reports import AttemptReport, AttemptReporter
+from bitternpath.transport.records import AttemptOutcome
+from bitternpath.transport.shard_messages import (
+    EndAttemptResponse,
     ExtendRequest,
-    JobsWaiting,
-    PullAnswer,
     PullCancel,
     PullRequest,
+    PullResponse,
+    WorkAvailable,
 )
-from bitternpath.transport.records import AttemptOutcome
 
 ANSWER_MARGIN_S = 0.5  # beyond the worker's wait, for the owner's answer
 END_PATIENCE_S = 5.0  # an end or an extension waits so long for an owner
@@ -54,9 +54,9 @@
 
 
 class Ticket:
-    """One waiting worker (see `ingress.service.PullTicket`). It may move to another shard while it waits."""
+    """One waiting worker (see `ingress.service.PendingPull`). It may move to another shard while it waits."""
 
-    def __init__(self, pulls: Pulls, number: int, service: str, instance: str, wait_s: float) -> None:
+    def __init__(self, pulls: PullRouter, number: int, service: str, instance: str, wait_s: float) -> None:
         self.result: Deferred[PulledJob | None] = Deferred()
         self.number, self.service = number, service
         self.group = ""
@@ -105,7 +105,7 @@
             self._owner = None
 
     def _answered(self, record: Any, group: str, attempt: int) -> None:
-        job = record if isinstance(record, PullAnswer) and record.message is not None else None
+        job = record if isinstance(record, PullResponse) and record.message is not None else None
         if job is not None and job.message is not None and self._done:
             self._pulls.hand_back(group, job.message.request_id, job.lease_id)
         elif job is not None and job.message is not None:
@@ -151,11 +151,11 @@
     until: float
 
 
-class Pulls:
+class PullRouter:
     """Waiting workers, and the leases they hold."""
 
     def __init__(
-        self, reactor: Any, owners: ShardOwners, reports: LeaseReports, zone: str, random: Random
+        self, reactor: Any, owners: ShardOwners, reports: AttemptReporter, zone: str, random: Random
     ) -> None:
         self.reactor, self.owners, self.reports = reactor, owners, reports
         self.zone, self.random = zone, random
@@ -175,7 +175,7 @@
         ticket.wait_at(group, owner)
         return ticket
 
-    def jobs_waiting(self, told: JobsWaiting) -> None:
+    def work_available(self, told: WorkAvailable) -> None:
         """Jobs of a service wait at a shard: this node's share of its workers goes there."""
         owner = self.owners.owner(told.group)
         if owner is None:
@@ -210,7 +210,7 @@
                 return group
         return ""
 
-    def promise(self, service: str) -> str:
+    def claim_waiting_worker(self, service: str) -> str:
         """The group of a shard at which a worker of this node waits for a job of a service, for a message
         that goes there now; "" where none does. Each waiting worker is promised one."""
         for ticket in self._tickets.values():
@@ -260,7 +260,7 @@
 class _Extension:
     """One extension, repeated until an owner answers."""
 
-    def __init__(self, pulls: Pulls, group: str, lease_id: str, request_id: str) -> None:
+    def __init__(self, pulls: PullRouter, group: str, lease_id: str, request_id: str) -> None:
         self.pulls, self.group, self.lease_id, self.request_id = pulls, group, lease_id, request_id
         self.answer: Deferred[LeaseAnswer] = Deferred()
         self._give_up_at = pulls.reactor.seconds() + END_PATIENCE_S
@@ -279,8 +279,8 @@
             request.addCallbacks(self._answered, lambda _: self._later())
 
     def _answered(self, record: Any) -> None:
-        if isinstance(record, Ended):
-            self.answer.callback(LeaseAnswer.TAKEN if record.taken else LeaseAnswer.GONE)
+        if isinstance(record, EndAttemptResponse):
+            self.answer.callback(LeaseAnswer.ACKNOWLEDGED if record.taken else LeaseAnswer.GONE)
         else:
             self._later()
 
@@ -297,4 +297,4 @@
 def _lease_answer(taken: bool | None) -> LeaseAnswer:
     if taken is None:
         return LeaseAnswer.UNAVAILABLE
-    return LeaseAnswer.TAKEN if taken else LeaseAnswer.GONE
+    return LeaseAnswer.ACKNOWLEDGED if taken else LeaseAnswer.GONE
--- a/bitternpath/shards/reports.py
+++ b/bitternpath/shards/reports.py
@@ -10,8 +10,8 @@
 from twisted.python.failure import Failure
 
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.transport.messages import Ended, EndRequest
 from bitternpath.transport.records import AttemptOutcome
+from bitternpath.transport.shard_messages import EndAttemptRequest, EndAttemptResponse
 
 RETRY_S = 0.1
 GIVE_UP_S = 60.0  # longer than any lease: the owner has long given the message to somebody else
@@ -28,9 +28,9 @@
     stamp: str = ""
     retry_after_ms: int = 0
 
-    def request(self, number: int) -> EndRequest:
+    def request(self, number: int) -> EndAttemptRequest:
         """The record for the owner."""
-        return EndRequest(
+        return EndAttemptRequest(
             number, self.group, self.request_id, self.lease_id, self.outcome, self.stamp, self.retry_after_ms
         )
 
@@ -42,24 +42,24 @@
     answer: Deferred[bool | None] = field(default_factory=Deferred)
 
 
-class LeaseReports:
+class AttemptReporter:
     """Reports on their way."""
 
     def __init__(self, reactor: Any, owners: ShardOwners) -> None:
         self.reactor, self.owners = reactor, owners
-        self.open = 0
+        self.in_flight = 0
         self._idle: list[Callable[[], None]] = []
 
     def send(self, report: AttemptReport, patience_s: float = GIVE_UP_S) -> Deferred[bool | None]:
         """Whether the owner took it; None where no owner could be asked in time. Never fails."""
         pending = _Pending(report, self.reactor.seconds() + patience_s)
-        self.open += 1
+        self.in_flight += 1
         self._try(pending)
         return pending.answer
 
     def when_idle(self, call: Callable[[], None]) -> None:
         """Call back once no report is on its way."""
-        if self.open:
+        if self.in_flight:
             self._idle.append(call)
         else:
             call()
@@ -75,7 +75,7 @@
         request.addCallbacks(self._answered, self._lost, callbackArgs=(pending,), errbackArgs=(pending,))
 
     def _answered(self, record: Any, pending: _Pending) -> None:
-        if isinstance(record, Ended):
+        if isinstance(record, EndAttemptResponse):
             self._finish(pending, record.taken)
         else:
             self._later(pending)
@@ -87,9 +87,9 @@
         self.reactor.callLater(RETRY_S, self._try, pending)
 
     def _finish(self, pending: _Pending, taken: bool | None) -> None:
-        self.open -= 1
+        self.in_flight -= 1
         pending.answer.callback(taken)
-        if not self.open:
+        if not self.in_flight:
             idle, self._idle = self._idle, []
             for call in idle:
                 call()
--- a/bitternpath/storage/disk.py
+++ b/bitternpath/storage/disk.py
@@ -23,7 +23,7 @@
 SnapshotDamaged = Callable[[str], None]  # told the group
 
 
-class DiskRunner(Protocol):
+class JournalWriter(Protocol):
     """Owns a `SegmentLog` and works through the commands in order."""
 
     @property
@@ -41,8 +41,8 @@
         """Write what waits, unless the disk fails, and end; False where it still is at work on the files."""
 
 
-class DiskThread:
-    """`DiskRunner` in a thread of its own. All commands that wait while a sync runs are the next batch."""
+class JournalWriterThread:
+    """`JournalWriter` in a thread of its own. All commands that wait while a sync runs are the next batch."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -84,7 +84,7 @@
         except BaseException:
             # Nothing is written any more, so nothing is promised any more either.
             self._write_failing = True
-            log.exception("event=disk_thread_ended")
+            log.exception("event=journal_writer_crashed")
 
     def _work(self) -> None:
         """A checkpoint goes on in single steps between the batches, so that none waits long."""
--- a/bitternpath/storage/document_writer.py
+++ b/bitternpath/storage/document_writer.py
@@ -51,7 +51,7 @@
 
     def _failed(self, failure: Failure, content: bytes) -> None:
         if not self._failing:
-            log.warning("event=document_not_written file={} error={!r}", self.path.name, str(failure.value))
+            log.warning("event=document_write_failed file={} error={!r}", self.path.name, str(failure.value))
         self._failing = True
         if self._waiting is None:
             self._waiting = content
--- a/bitternpath/storage/documents.py
+++ b/bitternpath/storage/documents.py
@@ -16,7 +16,7 @@
 HEADER_BYTES = _HEADER.size
 
 
-class DamagedDocument(Exception):
+class CorruptDocumentError(Exception):
     """A file that isn't what was written; the text names it."""
 
     def __init__(self, file: Path, offset: int, reason: str) -> None:
@@ -25,7 +25,7 @@
 
 
 def read_document(path: Path) -> bytes | None:
-    """The content; None where there is no file. Raises `DamagedDocument`."""
+    """The content; None where there is no file. Raises `CorruptDocumentError`."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -34,15 +34,15 @@
 
 
 def decode_document(path: Path, data: bytes) -> bytes:
-    """The content of a file that holds `data`; raises `DamagedDocument`."""
+    """The content of a file that holds `data`; raises `CorruptDocumentError`."""
     if len(data) < _HEADER.size:
-        raise DamagedDocument(path, 0, f"{len(data)} bytes are no whole header")
+        raise CorruptDocumentError(path, 0, f"{len(data)} bytes are no whole header")
     magic, version, length, checksum = _HEADER.unpack_from(data)
     content = data[_HEADER.size :]
     if magic != _MAGIC or version != FORMAT_VERSION:
-        raise DamagedDocument(path, 0, f"format {version}, this release reads {FORMAT_VERSION}")
+        raise CorruptDocumentError(path, 0, f"format {version}, this release reads {FORMAT_VERSION}")
     if len(content) != length or zlib.crc32(content) != checksum:
-        raise DamagedDocument(path, HEADER_BYTES, "the checksum doesn't match")
+        raise CorruptDocumentError(path, HEADER_BYTES, "the checksum doesn't match")
     return content
 
 
@@ -58,7 +58,7 @@
         data = files.read(name)
     except FileNotFoundError:
         return None
-    files.sync_folder("")
+    files.sync_directory("")
     return decode_document(Path(name), data)
 
 
@@ -69,16 +69,16 @@
     files.write_at(draft, 0, encode_document(content))
     files.sync(draft)
     files.rename(draft, name)
-    files.sync_folder("")
+    files.sync_directory("")
 
 
-def drop_document(files: FileSystem, name: str) -> None:
+def remove_document(files: FileSystem, name: str) -> None:
     """Remove a document for good; no error where it is missing. Raises `OSError`."""
     files.remove(name)
-    files.sync_folder("")
+    files.sync_directory("")
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(folder: Path) -> None:
     """Make names that were made, renamed or removed in a folder last."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
--- a/bitternpath/storage/files.py
+++ b/bitternpath/storage/files.py
@@ -13,7 +13,7 @@
 class FileSystem(Protocol):
     """What the journal asks of a disk. Every operation blocks and may raise `OSError`."""
 
-    def make_folder(self, folder: str) -> None:
+    def make_directory(self, folder: str) -> None:
         """Make it where it is missing, and persist its name."""
 
     def list_names(self, folder: str) -> list[str]:
@@ -37,7 +37,7 @@
     def sync(self, path: str) -> None:
         """What was written to the file survives a loss of power."""
 
-    def sync_folder(self, folder: str) -> None:
+    def sync_directory(self, folder: str) -> None:
         """Names made, renamed and removed in the folder survive a loss of power."""
 
     def rename(self, old: str, new: str) -> None:
@@ -50,14 +50,14 @@
         """Close all files."""
 
 
-class LocalFiles:
+class LocalFileSystem:
     """`FileSystem` on the operating system's files. What is written stays open until renamed or removed."""
 
     def __init__(self, data_dir: Path) -> None:
         self._root = data_dir
         self._open: dict[str, int] = {}
 
-    def make_folder(self, folder: str) -> None:
+    def make_directory(self, folder: str) -> None:
         path = self._root / folder
         path.mkdir(parents=True, exist_ok=True)
         self._sync_directory(path.parent)  # also one that is there: its maker may have died before its sync
@@ -90,7 +90,7 @@
     def sync(self, path: str) -> None:
         os.fdatasync(self._descriptor(path))
 
-    def sync_folder(self, folder: str) -> None:
+    def sync_directory(self, folder: str) -> None:
         self._sync_directory(self._root / folder)
 
     def rename(self, old: str, new: str) -> None:
--- a/bitternpath/storage/groups.py
+++ b/bitternpath/storage/group_state.py
@@ -4,8 +4,14 @@
 
 from dataclasses import dataclass, field
 
-from bitternpath.replication.records import Entry, Kept, Members, Write
-from bitternpath.storage.records import ForgetRecord, Record, SnapshotReference, StateRecord, WriteRecord
+from bitternpath.replication.records import Entry, Members, PersistentState, StorageWrite
+from bitternpath.storage.records import (
+    CheckpointRecord,
+    Record,
+    SnapshotReference,
+    TombstoneRecord,
+    WriteRecord,
+)
 
 NO_SNAPSHOT = SnapshotReference(0, 0, Members(), 0)
 
@@ -58,7 +64,7 @@
         match record:
             case WriteRecord():
                 self.by_group.setdefault(record.group, GroupState()).apply(record)
-            case StateRecord():
+            case CheckpointRecord():
                 self.by_group[record.group] = GroupState(
                     record.term,
                     record.vote,
@@ -67,25 +73,32 @@
                     record.snapshot,
                     list(record.entries),
                 )
-            case ForgetRecord():
+            case TombstoneRecord():
                 self.by_group.pop(record.group, None)
                 self.forgotten[record.group] = record.generation
 
 
-def write_record(group: str, write: Write) -> WriteRecord:
+def write_record(group: str, write: StorageWrite) -> WriteRecord:
     """The record of a consensus write."""
     reference = None
     if write.snapshot is not None:
         snapshot = write.snapshot
         reference = SnapshotReference(snapshot.index, snapshot.term, snapshot.members, len(snapshot.data))
     return WriteRecord(
-        group, write.term, write.vote, write.cut, write.before[0], write.before[1], reference, write.entries
+        group,
+        write.term,
+        write.vote,
+        write.truncate_from,
+        write.compacted_through[0],
+        write.compacted_through[1],
+        reference,
+        write.entries,
     )
 
 
-def state_record(group: str, state: GroupState) -> StateRecord:
+def state_record(group: str, state: GroupState) -> CheckpointRecord:
     """The record that stands for all records of a group so far."""
-    return StateRecord(
+    return CheckpointRecord(
         group,
         state.term,
         state.vote,
@@ -96,8 +109,10 @@
     )
 
 
-def founding_record(group: str, kept: Kept) -> StateRecord:
+def bootstrap_record(group: str, kept: PersistentState) -> CheckpointRecord:
     """The first record of a group whose state is given, not heard from a leader. Its snapshot has no data."""
     snapshot = kept.snapshot
     reference = SnapshotReference(snapshot.index, snapshot.term, snapshot.members, 0)
-    return StateRecord(group, kept.term, kept.vote, *kept.before, reference, tuple(kept.entries))
+    return CheckpointRecord(
+        group, kept.term, kept.vote, *kept.compacted_through, reference, tuple(kept.entries)
+    )
--- a/bitternpath/storage/identity.py
+++ b/bitternpath/storage/identity.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from bitternpath.storage.documents import sync_folder
-from bitternpath.storage.files import FileSystem, LocalFiles
-from bitternpath.storage.records import JournalDamaged
+from bitternpath.storage.documents import sync_directory
+from bitternpath.storage.files import FileSystem, LocalFileSystem
+from bitternpath.storage.records import CorruptJournalError
 
 IDENTITY_FILE = "identity"
 _DRAFT = "identity.new"
@@ -33,12 +33,12 @@
 def load_identity(data_dir: Path, files: FileSystem | None = None, draw: Callable[[], str] = _draw) -> str:
     """The disk's 8 hex digits; drawn and synced first where the disk has none.
 
-    Raises `JournalDamaged` where the file holds anything else, and `OSError`.
+    Raises `CorruptJournalError` where the file holds anything else, and `OSError`.
     """
     if files is None and not data_dir.is_dir():
         data_dir.mkdir(parents=True, exist_ok=True)
-        sync_folder(data_dir.parent)
-    disk = files or LocalFiles(data_dir)
+        sync_directory(data_dir.parent)
+    disk = files or LocalFileSystem(data_dir)
     try:
         return _load(disk, draw)
     finally:
@@ -49,19 +49,19 @@
 def _load(disk: FileSystem, draw: Callable[[], str]) -> str:
     if IDENTITY_FILE in disk.list_names(""):
         identity = _parse(disk.read(IDENTITY_FILE))
-        disk.sync_folder("")  # the process that drew it may have died before its own sync
+        disk.sync_directory("")  # the process that drew it may have died before its own sync
         return identity
     identity = draw()
     disk.write_at(_DRAFT, 0, identity.encode())
     disk.truncate(_DRAFT, len(identity))
     disk.sync(_DRAFT)
     disk.rename(_DRAFT, IDENTITY_FILE)
-    disk.sync_folder("")
+    disk.sync_directory("")
     return identity
 
 
 def read_identity(data_dir: Path) -> str | None:
-    """The disk's identity; None where it has none. Draws none. Raises `JournalDamaged` and `OSError`."""
+    """The disk's identity; None where it has none. Draws none. Raises `CorruptJournalError` and `OSError`."""
     try:
         return _parse((data_dir / IDENTITY_FILE).read_bytes())
     except FileNotFoundError:
@@ -70,39 +70,39 @@
 
 def _parse(data: bytes) -> str:
     if not _FORM.fullmatch(data):
-        raise JournalDamaged(IDENTITY_FILE, 0, "not 8 hex digits")
+        raise CorruptJournalError(IDENTITY_FILE, 0, "not 8 hex digits")
     return data.decode()
 
 
-def folders_set_aside(data_dir: Path) -> list[str]:
+def quarantine_folders(data_dir: Path) -> list[str]:
     """Names of the folders with what was set aside; one at most, unless a process was killed on the way."""
     names = os.listdir(data_dir) if data_dir.is_dir() else []
     return sorted(name for name in names if _ASIDE.fullmatch(name) or _UNFINISHED.fullmatch(name))
 
 
-def set_aside(data_dir: Path, most_bytes: int | None = None) -> str:
+def quarantine_content(data_dir: Path, max_bytes: int | None = None) -> str:
     """Move all that a data folder holds into a folder of it, `damaged-N`; its name.
 
-    What was set aside before is removed, and so are files of more than `most_bytes` together: the room is
+    What was set aside before is removed, and so are files of more than `max_bytes` together: the room is
     needed. The folder itself stays, and tells that this disk isn't in its first life. Raises `OSError`; then
-    it is to be called again, or `finish_setting_aside`.
+    it is to be called again, or `finish_quarantine`.
     """
-    before = [name for name in folders_set_aside(data_dir) if _ASIDE.fullmatch(name)]
+    before = [name for name in quarantine_folders(data_dir) if _ASIDE.fullmatch(name)]
     for name in before:
         _remove_content(data_dir / name)  # first of all, since a full disk may not take another folder
     number = 1 + max((int(name.partition("-")[2]) for name in before), default=0)
     (data_dir / f"damaged-{number}.moving").mkdir(exist_ok=True)
-    sync_folder(data_dir)
-    finish_setting_aside(data_dir)
+    sync_directory(data_dir)
+    finish_quarantine(data_dir)
     name = f"damaged-{number}"
-    if most_bytes is not None and _bytes_in(data_dir / name) > most_bytes:
+    if max_bytes is not None and _bytes_in(data_dir / name) > max_bytes:
         _remove_content(data_dir / name)
     return name
 
 
-def finish_setting_aside(data_dir: Path) -> None:
+def finish_quarantine(data_dir: Path) -> None:
     """Go on where a process was killed while it set a disk's content aside. Raises `OSError`."""
-    for name in folders_set_aside(data_dir):
+    for name in quarantine_folders(data_dir):
         if _UNFINISHED.fullmatch(name):
             _move_content(data_dir, name)
 
@@ -114,10 +114,10 @@
             shutil.rmtree(data_dir / name)
         elif name not in (unfinished, _OF_THE_FILE_SYSTEM):
             os.rename(data_dir / name, folder / name)
-    sync_folder(folder)
-    sync_folder(data_dir)
+    sync_directory(folder)
+    sync_directory(data_dir)
     os.rename(folder, data_dir / unfinished.removesuffix(".moving"))
-    sync_folder(data_dir)
+    sync_directory(data_dir)
 
 
 def _remove_content(folder: Path) -> None:
@@ -126,7 +126,7 @@
             shutil.rmtree(path)
         else:
             path.unlink()
-    sync_folder(folder)
+    sync_directory(folder)
 
 
 def _bytes_in(folder: Path) -> int:
--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -6,9 +6,14 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from bitternpath.storage.documents import DamagedDocument, drop_document, load_document, store_document
-from bitternpath.storage.files import LocalFiles
-from bitternpath.storage.identity import finish_setting_aside, folders_set_aside, load_identity, set_aside
+from bitternpath.storage.documents import CorruptDocumentError, load_document, remove_document, store_document
+from bitternpath.storage.files import LocalFileSystem
+from bitternpath.storage.identity import (
+    finish_quarantine,
+    load_identity,
+    quarantine_content,
+    quarantine_folders,
+)
 from bitternpath.storage.journal import Journal, open_journal
 
 
@@ -19,10 +24,10 @@
         """The disk's identity, drawn where it has none. Nothing is read of a disk before this."""
 
     def open_journal(self, reactor: Any, checkpoint_bytes: int) -> Journal:
-        """Load the write-ahead log and start its runner; raises `JournalDamaged`."""
+        """Load the write-ahead log and start its runner; raises `CorruptJournalError`."""
 
     def read_document(self, name: str) -> bytes | None:
-        """A document's content, None where there is none; raises `DamagedDocument`."""
+        """A document's content, None where there is none; raises `CorruptDocumentError`."""
 
     def write_document(self, name: str, content: bytes) -> None:
         """Replace a document; it is on disk when this returns."""
@@ -30,10 +35,10 @@
     def remove_document(self, name: str) -> None:
         """Remove a document; no error where it is missing."""
 
-    def was_set_aside(self) -> bool:
+    def was_quarantined(self) -> bool:
         """Whether content of this disk was set aside as damaged: then it isn't in its first life."""
 
-    def set_aside(self, most_bytes: int | None) -> str:
+    def quarantine_content(self, max_bytes: int | None) -> str:
         """Set all content aside as damaged; the name of the folder that has it."""
 
 
@@ -44,30 +49,30 @@
         self._data_dir = data_dir
 
     def load_identity(self) -> str:
-        finish_setting_aside(self._data_dir)
+        finish_quarantine(self._data_dir)
         return load_identity(self._data_dir)
 
     def open_journal(self, reactor: Any, checkpoint_bytes: int) -> Journal:
         return open_journal(self._data_dir, reactor, checkpoint_bytes)
 
     def read_document(self, name: str) -> bytes | None:
-        with closing(LocalFiles(self._data_dir)) as files:
+        with closing(LocalFileSystem(self._data_dir)) as files:
             try:
                 return load_document(files, name)
-            except DamagedDocument as damage:
+            except CorruptDocumentError as damage:
                 path = self._data_dir / name
-                raise DamagedDocument(path, damage.offset, damage.reason) from damage
+                raise CorruptDocumentError(path, damage.offset, damage.reason) from damage
 
     def write_document(self, name: str, content: bytes) -> None:
-        with closing(LocalFiles(self._data_dir)) as files:
+        with closing(LocalFileSystem(self._data_dir)) as files:
             store_document(files, name, content)
 
     def remove_document(self, name: str) -> None:
-        with closing(LocalFiles(self._data_dir)) as files:
-            drop_document(files, name)
+        with closing(LocalFileSystem(self._data_dir)) as files:
+            remove_document(files, name)
 
-    def was_set_aside(self) -> bool:
-        return bool(folders_set_aside(self._data_dir))
+    def was_quarantined(self) -> bool:
+        return bool(quarantine_folders(self._data_dir))
 
-    def set_aside(self, most_bytes: int | None) -> str:
-        return set_aside(self._data_dir, most_bytes)
+    def quarantine_content(self, max_bytes: int | None) -> str:
+        return quarantine_content(self._data_dir, max_bytes)
--- a/bitternpath/storage/records.py
+++ b/bitternpath/storage/records.py
@@ -33,7 +33,7 @@
 LAST_OF_BATCH = 1
 
 
-class JournalDamaged(Exception):
+class CorruptJournalError(Exception):
     """Something that was synced doesn't read back whole."""
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StateRecord:
+class CheckpointRecord:
     """All that is kept of a group, in place of what the records before it gave."""
 
     group: str
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForgetRecord:
+class TombstoneRecord:
     """Nothing is kept of a group any more, since members of this generation that don't name the replica were
     committed."""
 
@@ -95,12 +95,12 @@
     generation: int = 0
 
 
-Record = WriteRecord | StateRecord | ForgetRecord
+Record = WriteRecord | CheckpointRecord | TombstoneRecord
 
 _KINDS: dict[type, RecordKind] = {
     WriteRecord: RecordKind.WRITE,
-    StateRecord: RecordKind.STATE,
-    ForgetRecord: RecordKind.FORGET,
+    CheckpointRecord: RecordKind.STATE,
+    TombstoneRecord: RecordKind.FORGET,
 }
 _CODECS = {kind: RecordCodec(record) for record, kind in _KINDS.items()}
 
@@ -152,7 +152,7 @@
 def read_frame(file: str, salt: int, data: bytes, offset: int) -> Frame | None:
     """The record at that offset, or None where none is whole there.
 
-    A body that has its checksum and is no record raises `JournalDamaged`.
+    A body that has its checksum and is no record raises `CorruptJournalError`.
     """
     start = offset + HEADER_BYTES
     if start > len(data):
@@ -167,7 +167,7 @@
     try:
         record: Record = _CODECS[RecordKind(kind)].decode(bytes(body))
     except (ValueError, CodecError) as error:
-        raise JournalDamaged(file, offset, f"unreadable record: {error}") from error
+        raise CorruptJournalError(file, offset, f"unreadable record: {error}") from error
     return Frame(offset, end, batch, bool(flags & LAST_OF_BATCH), record)
 
 
--- a/bitternpath/storage/scrub.py
+++ b/bitternpath/storage/scrub.py
@@ -11,7 +11,7 @@
 from bitternpath.storage.files import FileSystem
 from bitternpath.storage.records import (
     SEGMENT_HEADER_BYTES,
-    JournalDamaged,
+    CorruptJournalError,
     decode_segment_header,
     read_frame,
 )
@@ -51,7 +51,7 @@
         try:
             while (frame := read_frame(self._path, salt, self._rest, offset)) is not None:
                 offset = frame.end
-        except JournalDamaged:
+        except CorruptJournalError:
             pass  # what is left is no record
         return offset
 
--- a/bitternpath/storage/segments.py
+++ b/bitternpath/storage/segments.py
@@ -21,15 +21,15 @@
 
 import logbook
 
-from bitternpath.replication.records import Kept
+from bitternpath.replication.records import PersistentState
 from bitternpath.storage.commands import Batch
 from bitternpath.storage.files import FileSystem
-from bitternpath.storage.groups import GroupStates, state_record
+from bitternpath.storage.group_state import GroupStates, state_record
 from bitternpath.storage.records import (
     SEGMENT_HEADER_BYTES,
-    ForgetRecord,
-    JournalDamaged,
+    CorruptJournalError,
     Record,
+    TombstoneRecord,
     decode_segment_header,
     encode_batch,
     encode_segment_header,
@@ -74,7 +74,7 @@
         checkpoint_bytes: int,
         segment_bytes: int = SEGMENT_BYTES,
     ) -> None:
-        """Loads what is there. Raises `JournalDamaged` and `OSError`."""
+        """Loads what is there. Raises `CorruptJournalError` and `OSError`."""
         self._files, self._draw_salt = files, draw_salt
         self._segment_bytes, self._checkpoint_bytes = segment_bytes, checkpoint_bytes
         self._checkpoint_above = checkpoint_bytes  # bytes of all segments
@@ -86,7 +86,7 @@
         self._closed: dict[int, int] = {}  # sizes of the segments before the current one
         self._batch = 0  # number of the last one
         self._states = GroupStates()
-        files.make_folder(FOLDER)
+        files.make_directory(FOLDER)
         self._snapshots = SnapshotFiles(files)
         self._scrubber = Scrubber(files)
         self._segment = self._load()
@@ -102,12 +102,12 @@
         """The groups of which anything is kept."""
         return tuple(self._states.by_group)
 
-    def kept(self, group: str) -> Kept:
-        """What is kept of a group; raises `JournalDamaged`."""
+    def kept(self, group: str) -> PersistentState:
+        """What is kept of a group; raises `CorruptJournalError`."""
         state = self._states.by_group[group]
         snapshot = self._snapshots.read(group, state.snapshot)
         before = state.before_index, state.before_term
-        return Kept(state.term, state.vote, snapshot, before, list(state.entries))
+        return PersistentState(state.term, state.vote, snapshot, before, list(state.entries))
 
     @property
     def forgotten(self) -> dict[str, int]:
@@ -120,7 +120,7 @@
         return self._segments_bytes + self._snapshots.bytes_used
 
     @property
-    def bytes_of_snapshots(self) -> int:
+    def snapshot_bytes_required(self) -> int:
         """Bytes of all snapshots and of the largest one again: it is replaced by one beside it."""
         return self._snapshots.bytes_used + self._snapshots.largest
 
@@ -132,11 +132,11 @@
         numbers = sorted(int(match[1]) for match in map(_NAME.fullmatch, names) if match)
         for before, after in pairwise(numbers):
             if after != before + 1:
-                raise JournalDamaged(_path(before + 1), 0, "the segment is missing")
+                raise CorruptJournalError(_path(before + 1), 0, "the segment is missing")
         for number in numbers[:-1]:
             segment, size = self._load_segment(number)
             if segment is None or segment.end != size:
-                raise JournalDamaged(_path(number), segment.end if segment else 0, "not a whole record")
+                raise CorruptJournalError(_path(number), segment.end if segment else 0, "not a whole record")
             self._closed[number] = size
         return self._load_last(numbers[-1] if numbers else 0)
 
@@ -146,13 +146,13 @@
         segment, size = self._load_segment(number)
         if segment is None:
             if size > SEGMENT_HEADER_BYTES:
-                raise JournalDamaged(_path(number), 0, "no header of a segment")
+                raise CorruptJournalError(_path(number), 0, "no header of a segment")
             return _Segment(number, 0, 0)  # the process ended before its header was synced
         if segment.end != size:
             self._files.truncate(segment.path, segment.end)
         # Whole records may have been written by a process that was killed before it synced them.
         self._files.sync(segment.path)
-        self._files.sync_folder(FOLDER)
+        self._files.sync_directory(FOLDER)
         return segment
 
     def _load_segment(self, number: int) -> tuple[_Segment | None, int]:
@@ -177,13 +177,13 @@
                     self._states.apply(record)
                 records.clear()
         if has_batch_from(path, salt, data, offset, self._batch + 2):
-            raise JournalDamaged(path, offset, "not a whole record, and later ones follow")
+            raise CorruptJournalError(path, offset, "not a whole record, and later ones follow")
         return _Segment(number, salt, end), len(data)
 
     def _check_states(self) -> None:
         for group, state in self._states.by_group.items():
             if fault := state.fault():
-                raise JournalDamaged(self._segment.path, self._segment.end, f"group {group}: {fault}")
+                raise CorruptJournalError(self._segment.path, self._segment.end, f"group {group}: {fault}")
 
     # ---- writing
 
@@ -206,7 +206,7 @@
             self._snapshots.write(new.group, new.snapshot)
             batch.snapshots.pop(0)
         self._append(batch.records)
-        if any(isinstance(record, ForgetRecord) or record.snapshot for record in batch.records):
+        if any(isinstance(record, TombstoneRecord) or record.snapshot for record in batch.records):
             self._remove_unnamed_snapshots()
 
     def _append(self, records: Sequence[Record]) -> None:
@@ -248,7 +248,7 @@
         that was synced whole, and the torn end of a batch in it for damage."""
         if self._unfinished:
             self._files.remove(self._unfinished)
-            self._files.sync_folder(FOLDER)
+            self._files.sync_directory(FOLDER)
             self._unfinished = ""
 
     def _begin_segment(self, number: int) -> _Segment:
@@ -256,7 +256,7 @@
         self._files.truncate(path, 0)
         self._files.write_at(path, 0, encode_segment_header(salt))
         self._files.sync(path)
-        self._files.sync_folder(FOLDER)
+        self._files.sync_directory(FOLDER)
         return _Segment(number, salt, SEGMENT_HEADER_BYTES)
 
     def _remove_unnamed_snapshots(self) -> None:
@@ -284,7 +284,7 @@
         found = self._scrubber.step(self._scrub_targets())
         if found is None:
             return ""
-        log.error("event=damage_found file={}", found.path)
+        log.error("event=corruption_detected file={}", found.path)
         if found.is_segment:
             self._checkpoint_above = -1
             return ""
@@ -330,14 +330,14 @@
     def _write_state(self, group: str) -> None:
         state = self._states.by_group.get(group)
         forgotten = self._states.forgotten.get(group)
-        records: list[Record] = [] if forgotten is None else [ForgetRecord(group, forgotten)]
+        records: list[Record] = [] if forgotten is None else [TombstoneRecord(group, forgotten)]
         if state is not None:  # of a group that was forgotten and joined again: both stay known
             records.append(state_record(group, state))
         self._append(records)
 
     def _remove_segment(self, number: int) -> None:
         self._files.remove(_path(number))
-        self._files.sync_folder(FOLDER)
+        self._files.sync_directory(FOLDER)
         del self._closed[number]
         self._count()
 
--- a/bitternpath/storage/snapshots.py
+++ b/bitternpath/storage/snapshots.py
@@ -8,7 +8,7 @@
 
 from bitternpath.replication.records import Snapshot
 from bitternpath.storage.files import FileSystem
-from bitternpath.storage.records import JournalDamaged, SnapshotReference
+from bitternpath.storage.records import CorruptJournalError, SnapshotReference
 
 FOLDER = "snapshots"
 _SUFFIX = ".snap"
@@ -27,7 +27,7 @@
         self._sizes: dict[str, int] = {}
         self.bytes_used = 0  # of all snapshot files; another thread may read it
         self.largest = 0  # bytes of the largest one
-        files.make_folder(FOLDER)
+        files.make_directory(FOLDER)
         for name in files.list_names(FOLDER):
             self._sizes[name] = files.size(f"{FOLDER}/{name}")
         self._count()
@@ -44,24 +44,26 @@
         self._files.write_at(draft, len(header), snapshot.data)
         self._files.sync(draft)
         self._files.rename(draft, f"{FOLDER}/{name}")
-        self._files.sync_folder(FOLDER)
+        self._files.sync_directory(FOLDER)
         self._sizes[name] = self._sizes.pop(name + _DRAFT_SUFFIX)
         self._count()
 
     def read(self, group: str, reference: SnapshotReference) -> Snapshot:
-        """The snapshot that a record names; raises `JournalDamaged`."""
+        """The snapshot that a record names; raises `CorruptJournalError`."""
         if not reference.size:
             return Snapshot(reference.index, reference.term, reference.members, b"")
         name = file_name(group, reference.index, reference.term)
         path = f"{FOLDER}/{name}"
         if name not in self._sizes:
-            raise JournalDamaged(path, 0, "the snapshot is missing")
+            raise CorruptJournalError(path, 0, "the snapshot is missing")
         content = self._files.read(path)
         data = content[_HEADER.size :]
         if len(data) != reference.size:
-            raise JournalDamaged(path, 0, f"{len(data)} bytes of data where {reference.size} were written")
+            raise CorruptJournalError(
+                path, 0, f"{len(data)} bytes of data where {reference.size} were written"
+            )
         if content[: _HEADER.size] != header_of(zlib.crc32(data), len(data)):
-            raise JournalDamaged(path, 0, "the checksum or the version doesn't match")
+            raise CorruptJournalError(path, 0, "the checksum or the version doesn't match")
         return Snapshot(reference.index, reference.term, reference.members, data)
 
     def remove_drafts(self) -> None:
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -13,8 +13,8 @@
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.leadership import Leadership
 from bitternpath.replication import consensus, leadership
-from bitternpath.replication.messages import Append
-from bitternpath.replication.records import CHANGE, Kept, Role, Write
+from bitternpath.replication.messages import AppendEntries
+from bitternpath.replication.records import EntryKind, MemberRole, PersistentState, StorageWrite
 from bitternpath.testing.emulator.fleet import world
 
 Build = Callable[[ExitStack], None]
@@ -28,7 +28,7 @@
     """A steward that comes back does not know for whom it voted."""
     keep = world.keep
 
-    def forgetful(kept: Kept, write: Write) -> None:
+    def forgetful(kept: PersistentState, write: StorageWrite) -> None:
         keep(kept, write)
         kept.vote = ""
 
@@ -39,7 +39,7 @@
     """A follower says yes to entries that are not on its disk yet."""
     add = consensus.Raft._take_append
 
-    def hasty(self: Any, sender: str, told: Append) -> None:
+    def hasty(self: Any, sender: str, told: AppendEntries) -> None:
         before, self._after_writes = self._after_writes, []
         add(self, sender, told)
         self._send += self._after_writes
@@ -55,10 +55,12 @@
 
     def counted(self: Any) -> None:
         count(self)
-        voters = self.members.voters
-        if self.role is Role.LEADER and voters:
-            mine = [self.log.stable_index] * (self.me in voters)
-            matches = sorted([self.peers[v].match_index for v in voters if v != self.me] + mine, reverse=True)
+        voters = self.member_idmbers.voters
+        if self.role is MemberRole.LEADER and voters:
+            mine = [self.log.stable_index] * (self.member_id in voters)
+            matches = sorted(
+                [self.peers[v].match_index for v in voters if v != self.member_id] + mine, reverse=True
+            )
             self.commit_index = max(self.commit_index, matches[len(voters) // 2])
 
     _put(stack, consensus.Raft, "_update_commitment", counted)
@@ -99,7 +101,7 @@
         released = self.record.released.version
         if self.record.latest.version > released and leadership.release_index <= self.applied:
             item = p.Release(released + 1, self.wall())
-            leadership.release_index = self.raft.propose(now, CHANGE, p.item_bytes(item)) or 0
+            leadership.release_index = self.raft.propose(now, EntryKind.COMMAND, p.item_bytes(item)) or 0
 
     _put(stack, record_replica.RecordReplica, "_release_next", hasty)
 
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -11,7 +11,14 @@
 from msgspec import Struct
 
 from bitternpath.replication.consensus import Raft
-from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members, Role, Write
+from bitternpath.replication.records import (
+    Entry,
+    EntryKind,
+    MemberRole,
+    Members,
+    PersistentState,
+    StorageWrite,
+)
 from bitternpath.testing.emulator.fleet import world
 from bitternpath.testing.emulator.fleet.search.explore import Move
 from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copied, cut
@@ -31,7 +38,7 @@
 class Member:
     """A steward's consensus, its disk, and the writes under way."""
 
-    def __init__(self, raft: Raft, disk: Kept, writing: list[Write]) -> None:
+    def __init__(self, raft: Raft, disk: PersistentState, writing: list[StorageWrite]) -> None:
         self.raft, self.disk, self.writing = raft, disk, writing
 
     def copy(self) -> Member:
@@ -39,7 +46,7 @@
 
     def key(self) -> Hashable:
         raft, disk, done = self.raft, self.disk, self.raft.log.done
-        age = raft.now - raft.last_contact < raft.times.election
+        age = raft.now - raft.last_contact < raft.timing.election_timeout
         peers = tuple(
             (
                 name,
@@ -47,18 +54,19 @@
                 peer.match_index,
                 peer.answered_round,
                 peer.transfer.offset if peer.transfer is not None else None,
-                raft.now - peer.last_contact < raft.times.election,
+                raft.now - peer.last_contact < raft.timing.election_timeout,
             )
             for name, peer in raft.peers.items()
         )
         return (
             raft.term, raft.vote, raft.role.value, raft.leader, tuple(raft.log.entries), raft.commit_index,
-            raft.last_applied, raft.log.stable_index, frozenset(raft.votes), raft.round, raft.confirmed_round,
-            raft.first_own_index, age, peers,
-            raft._round_wanted, raft.log._cut, tuple((n - done, upto) for n, upto in raft.log._pending),
+            raft.last_applied, raft.log.stable_index, frozenset(raft.votes), raft.heartbeat_round,
+            raft.confirmed_round, raft.term_start_index, age, peers,
+            raft._heartbeat_round_requested, raft.log._cut,
+            tuple((n - done, upto) for n, upto in raft.log._pending),
             tuple((n - done, to, said) for n, to, said in raft._held),
             disk.term, disk.vote, tuple(disk.entries),
-            tuple((w.term, w.vote, w.cut, w.entries) for w in self.writing),
+            tuple((w.term, w.vote, w.truncate_from, w.entries) for w in self.writing),
         )  # fmt: skip
 
 
@@ -68,7 +76,7 @@
     NAMES = ("a", "b", "c")
 
     def __init__(self, scope: Scope) -> None:
-        members = Entry(1, 1, MEMBERS, msgspec.msgpack.encode(Members(self.NAMES)))
+        members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(self.NAMES)))
         self.scope = scope
         self.left = {"ring": scope.rings, "change": scope.changes, "crash": scope.crashes}
         self.left["cut"] = scope.cuts
@@ -78,11 +86,11 @@
         self.agreed: dict[int, Entry] = {}
         self.broken = ""
         for name in self.NAMES:
-            disk = Kept(term=1, entries=[members])
+            disk = PersistentState(term=1, entries=[members])
             self.members[name] = self._started(name, disk, 0.0)
 
     @staticmethod
-    def _started(name: str, disk: Kept, now: float) -> Member:
+    def _started(name: str, disk: PersistentState, now: float) -> Member:
         fixed: Any = FixedRandom()
         return Member(Raft(name, world.kept_copy(disk), fixed, now), disk, [])
 
@@ -114,18 +122,18 @@
                 yield f"{name}: its timer rings", partial(_ring, name=name)
             if self.left["crash"] and member.raft.term > 1:
                 yield f"{name}: ends and comes back", partial(_crash, name=name)
-            if self.left["change"] and member.raft.role is Role.LEADER:
+            if self.left["change"] and member.raft.role is MemberRole.LEADER:
                 yield f"{name}: a change", partial(_change, name=name)
 
     def settle(self, name: str) -> None:
         """What follows, held against the rules."""
         member = self.members[name]
         raft = member.raft
-        out = raft.take(raft.now)
+        out = raft.take_effects(raft.now)
         member.writing += out.writes
-        for to, said in out.send:
+        for to, said in out.messages:
             self.channels = self.channels.with_message(name, to, said)
-        if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, name) != name:
+        if raft.role is MemberRole.LEADER and self.leaders.setdefault(raft.term, name) != name:
             self.broken = f"{name} and {self.leaders[raft.term]} lead in term {raft.term}"
         for entry in out.committed:
             if self.agreed.setdefault(entry.index, entry) != entry:
@@ -137,7 +145,7 @@
 def _deliver(state: Consensus, sender: str, to: str, said: Any, rest: Channels) -> None:
     state.channels = rest
     raft = state.members[to].raft
-    raft.hear(raft.now, sender, said)
+    raft.receive(raft.now, sender, said)
     state.settle(to)
 
 
@@ -145,14 +153,14 @@
     member = state.members[name]
     write = member.writing.pop(0)
     world.keep(member.disk, write)
-    member.raft.stored(member.raft.now, write.number)
+    member.raft.write_completed(member.raft.now, write.number)
     state.settle(name)
 
 
 def _ring(state: Consensus, name: str) -> None:
     state.left["ring"] -= 1
     raft = state.members[name].raft
-    raft.tick(raft.alarm)
+    raft.tick(raft.next_timeout_at)
     state.settle(name)
 
 
@@ -166,5 +174,5 @@
 def _change(state: Consensus, name: str) -> None:
     state.left["change"] -= 1
     raft = state.members[name].raft
-    raft.propose(raft.now, CHANGE, bytes([state.left["change"]]))
+    raft.propose(raft.now, EntryKind.COMMAND, bytes([state.left["change"]]))
     state.settle(name)
--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -16,7 +16,7 @@
 from bitternpath.balancer.fleet.leadership import PendingRequest
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
 from bitternpath.balancer.fleet.record_replica import RecordReplica
-from bitternpath.replication.records import Times
+from bitternpath.replication.records import RaftTiming
 from bitternpath.testing.emulator.fleet import world
 from bitternpath.testing.emulator.fleet.search.explore import Move
 from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copied, cut, encoded
@@ -67,7 +67,7 @@
     def _new_replica(self) -> RecordReplica:
         fixed: Any = FixedRandom()
         kept, now = world.kept_copy(self.disk), self.steward_clock()
-        return RecordReplica("S", kept, fixed, now, lambda: 0.0, Times())
+        return RecordReplica("S", kept, fixed, now, lambda: 0.0, RaftTiming())
 
     def clock(self, node: int) -> float:
         return 100.0 * (node + 1) + RATES[node % len(RATES)] * STEP * self.now
@@ -119,7 +119,7 @@
         )  # fmt: skip
         return (
             self.now, tuple(self.left.values()), tuple(e.data for e in raft.log.entries), raft.term,
-            raft.role.value, raft.commit_index, raft.log.stable_index, raft.last_index, raft.round,
+            raft.role.value, raft.commit_index, raft.log.stable_index, raft.last_index, raft.heartbeat_round,
             raft.confirmed_round, holders, waiting, nodes,
             self.channels.key(self.scope.shuffled),
             own,
--- a/bitternpath/testing/emulator/fleet/walk.py
+++ b/bitternpath/testing/emulator/fleet/walk.py
@@ -16,7 +16,15 @@
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.record_replica import RecordReplica
-from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members, Role, Times, Write
+from bitternpath.replication.records import (
+    Entry,
+    EntryKind,
+    MemberRole,
+    Members,
+    PersistentState,
+    RaftTiming,
+    StorageWrite,
+)
 from bitternpath.testing.emulator.fleet import world
 from bitternpath.testing.emulator.fleet.checker import Broken, FleetChecker
 
@@ -37,9 +45,9 @@
 class One:
     """A steward in the scheduler's hands."""
 
-    def __init__(self, name: str, kept: Kept) -> None:
+    def __init__(self, name: str, kept: PersistentState) -> None:
         self.name, self.disk, self.now = name, kept, 0.0
-        self.writing: list[Write] = []
+        self.writing: list[StorageWrite] = []
         self.lives = 0
         self.replica: RecordReplica
 
@@ -56,9 +64,9 @@
         self.asked: dict[float, int] = {}  # a request's `sent`: the step in which it came to its steward
         self.sequence = 0
         names = [f"S{k}" for k in range(stewards)]
-        members = Entry(1, 1, MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
-        found = Entry(2, 1, CHANGE, p.item_bytes(p.Found(p.Terms(), "f")))
-        self.all = {name: One(name, Kept(term=1, entries=[members, found])) for name in names}
+        members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
+        found = Entry(2, 1, EntryKind.COMMAND, p.item_bytes(p.Found(p.Terms(), "f")))
+        self.all = {name: One(name, PersistentState(term=1, entries=[members, found])) for name in names}
         for one in self.all.values():
             self._start(one)
 
@@ -67,7 +75,7 @@
         one.writing = []
         kept = world.kept_copy(one.disk)
         random = Random(self.random.random())
-        one.replica = RecordReplica(one.name, kept, random, one.now, lambda: 0.0, Times())
+        one.replica = RecordReplica(one.name, kept, random, one.now, lambda: 0.0, RaftTiming())
         self._settle(one)
 
     def run(self, steps: int) -> FleetChecker:
@@ -111,7 +119,7 @@
 
     def _ring(self) -> None:
         one = self._any()
-        if one.replica.raft.role is Role.LEADER and self.random.random() < 0.8:
+        if one.replica.raft.role is MemberRole.LEADER and self.random.random() < 0.8:
             one.now = one.replica.alarm  # a heartbeat
         else:
             one.now += JUMP
@@ -152,7 +160,7 @@
             self.checker.applied(step, one.name, index, term, data)
         for index, item in effects.agreed:
             self.checker.agreed(step, replica.record, index, item)
-        if replica.raft.role is Role.LEADER:
+        if replica.raft.role is MemberRole.LEADER:
             self.checker.leads(step, one.name, replica.raft.term)
             self.elected.setdefault(replica.raft.term, self.step)
         one.writing += effects.writes
@@ -161,7 +169,7 @@
                 self._granted(one, said.said)
             self.flying.append(Flying(one.name, to, said))
         for _, answer in effects.replies:
-            if isinstance(answer, m.Lease) and replica.raft.role is Role.LEADER:
+            if isinstance(answer, m.Lease) and replica.raft.role is MemberRole.LEADER:
                 self._granted(one, answer)
         del self.flying[:-IN_FLIGHT]
 
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -22,7 +22,7 @@
 from bitternpath.balancer.fleet.founding import founded
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
 from bitternpath.balancer.fleet.record_replica import RecordReplica
-from bitternpath.replication.records import Kept, Role, Times, Write
+from bitternpath.replication.records import MemberRole, PersistentState, RaftTiming, StorageWrite
 from bitternpath.testing.emulator.clock import Scheduler
 from bitternpath.testing.emulator.fleet.checker import FleetChecker
 
@@ -111,11 +111,11 @@
 
 
 class StewardHost(Host):
-    def __init__(self, world: FleetWorld, name: str, kept: Kept) -> None:
+    def __init__(self, world: FleetWorld, name: str, kept: PersistentState) -> None:
         super().__init__(world, name)
         self.disk = kept  # what is synced
         self.slow_disk = 0.0  # s added to each write
-        self._writing: list[Write] = []
+        self._writing: list[StorageWrite] = []
         self.replica: Any = None
         self.connections: dict[
             int, tuple[Host, int]
@@ -167,7 +167,7 @@
             world.checker.applied(world.later.now, self.name, index, term, data)
         for index, item in effects.agreed:
             world.checker.agreed(world.later.now, replica.record, index, item)
-        if replica.raft.role is Role.LEADER:
+        if replica.raft.role is MemberRole.LEADER:
             world.checker.leads(world.later.now, self.name, replica.raft.term)
         if effects.writes:
             idle = not self._writing
@@ -369,7 +369,7 @@
     def __init__(self, seed: int, stewards: int, nodes: int, terms: p.Terms, drift: float) -> None:
         self.random = Random(seed)
         self.later = Scheduler()
-        self.drift, self.terms, self.times = drift, terms, Times()
+        self.drift, self.terms, self.times = drift, terms, RaftTiming()
         self.checker = FleetChecker()
         self.links: dict[tuple[str, str], Link] = {}
         self.everywhere = Link()
@@ -378,7 +378,7 @@
         self.check: Callable[[p.Plan], str] = lambda plan: ""
         names = [f"S{k}" for k in range(stewards)]
         self.stewards = {
-            name: StewardHost(self, name, founded(name, terms, "f") if name == "S0" else Kept())
+            name: StewardHost(self, name, founded(name, terms, "f") if name == "S0" else PersistentState())
             for name in names
         }
         self.nodes = {f"n{k}": NodeHost(self, f"n{k}", f"site{k % 3}") for k in range(nodes)}
@@ -421,7 +421,7 @@
             wait += 0.5
 
     def leader(self) -> StewardHost | None:
-        leads = [s for s in self.stewards.values() if s.up and s.replica.raft.role is Role.LEADER]
+        leads = [s for s in self.stewards.values() if s.up and s.replica.raft.role is MemberRole.LEADER]
         return max(leads, key=lambda s: int(s.replica.raft.term), default=None)
 
     def look(self) -> None:
@@ -457,17 +457,17 @@
         return ""
 
 
-def kept_copy(kept: Kept) -> Kept:
-    return Kept(kept.term, kept.vote, kept.snapshot, kept.before, list(kept.entries))
+def kept_copy(kept: PersistentState) -> PersistentState:
+    return PersistentState(kept.term, kept.vote, kept.snapshot, kept.compacted_through, list(kept.entries))
 
 
-def keep(kept: Kept, write: Write) -> None:
+def keep(kept: PersistentState, write: StorageWrite) -> None:
     """Do a write, as a disk does."""
     kept.term, kept.vote = write.term, write.vote
     if write.snapshot is not None:
         kept.snapshot = write.snapshot
-    if write.cut is not None:
-        kept.entries = [entry for entry in kept.entries if entry.index < write.cut]
+    if write.truncate_from is not None:
+        kept.entries = [entry for entry in kept.entries if entry.index < write.truncate_from]
     kept.entries += write.entries
-    kept.before = write.before
-    kept.entries = [entry for entry in kept.entries if entry.index > write.before[0]]
+    kept.compacted_through = write.compacted_through
+    kept.entries = [entry for entry in kept.entries if entry.index > write.compacted_through[0]]
--- a/bitternpath/testing/fault_injection/status.py
+++ b/bitternpath/testing/fault_injection/status.py
@@ -7,10 +7,11 @@
 from random import Random
 from typing import Any
 
-from bitternpath.membership.founding import CONFIGURATION_GROUP
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.testing.fault_injection.plan import Machine, Port
 from bitternpath.transport.connections import Link, NodeHub
-from bitternpath.transport.messages import NodeDescriptor, NodeKind, StatusAnswer, StatusRequest
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+from bitternpath.transport.operator_messages import StatusRequest, StatusResponse
 
 ASK_EVERY_S = 0.3
 USER = "rehearsal"
@@ -61,7 +62,7 @@
                 link.request(StatusRequest).addCallbacks(self._answered, lambda _: None)
 
     def _answered(self, answer: Any) -> None:
-        if not isinstance(answer, StatusAnswer):
+        if not isinstance(answer, StatusResponse):
             return
         epochs = [group.epoch for group in answer.groups if group.group == CONFIGURATION_GROUP and group.owns]
         if epochs:
--- a/bitternpath/testing/simulation/__init__.py
+++ b/bitternpath/testing/simulation/__init__.py
@@ -47,7 +47,7 @@
     world.stall_disk(name, seconds), world.bound_disk(name, free_bytes)
     world.terminate(name)                      SIGTERM; starts again after `down_s` unless it was removed
     world.reload(name, **settings)             other settings in its file, then SIGHUP
-    world.disk(name)                           its `SimulatedDisk`
+    world.disk(name)                           its `SimulatedFileSystem`
     world.add_node(role, ...) -> SimulatedNode an empty one, started at once
     world.replace(name) -> SimulatedNode       gone for good; an empty one at another address takes its place
     world.remove(name)                         gone for good
--- a/bitternpath/testing/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -1,4 +1,4 @@
-"""The data folder of a simulated node: journal, documents and identity on a `SimulatedDisk`."""
+"""The data folder of a simulated node: journal, documents and identity on a `SimulatedFileSystem`."""
 
 from __future__ import annotations
 
@@ -8,11 +8,15 @@
 from random import Random
 from typing import Any
 
-from bitternpath.storage.documents import drop_document, load_document, store_document
+from bitternpath.storage.documents import load_document, remove_document, store_document
 from bitternpath.storage.identity import load_identity
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import PowerCut, SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.file_system import (
+    SimulatedCrashError,
+    SimulatedFileSystem,
+    VirtualTimeJournalWriter,
+)
 from bitternpath.testing.simulation.settings import LogSizes
 
 IDENTITY_BITS = 32
@@ -26,11 +30,11 @@
     """`storage.node_disk.NodeDisk` for one life of a process. What is on it outlives the process."""
 
     def __init__(
-        self, disk: SimulatedDisk, reactor: Any, random: Random, sync_seconds: float, logs: LogSizes
+        self, disk: SimulatedFileSystem, reactor: Any, random: Random, sync_seconds: float, logs: LogSizes
     ) -> None:
         self._disk, self._reactor, self._random, self._logs = disk, reactor, random, logs
         self._sync_seconds = sync_seconds
-        self._runner: VirtualRunner | None = None
+        self._journal_writer: VirtualTimeJournalWriter | None = None
         self._works: dict[int, Callable[[], object]] = {}
         self._last_work = 0
 
@@ -46,8 +50,8 @@
             self._logs.checkpoint_bytes or checkpoint_bytes,
             self._logs.segment_bytes,
         )
-        self._runner = VirtualRunner(reactor, self._disk, self._sync_seconds)
-        return Journal(log, self._runner)
+        self._journal_writer = VirtualTimeJournalWriter(reactor, self._disk, self._sync_seconds)
+        return Journal(log, self._journal_writer)
 
     def read_document(self, name: str) -> bytes | None:
         return load_document(self._disk, name)
@@ -56,17 +60,17 @@
         store_document(self._disk, name, content)
 
     def remove_document(self, name: str) -> None:
-        drop_document(self._disk, name)
+        remove_document(self._disk, name)
 
-    def was_set_aside(self) -> bool:
+    def was_quarantined(self) -> bool:
         return any(path.startswith(SET_ASIDE) for path in self._disk.paths())
 
-    def set_aside(self, most_bytes: int | None) -> str:
+    def quarantine_content(self, max_bytes: int | None) -> str:
         """What was damaged is gone at once; the folder's name is kept."""
         self._disk.wipe()
         self._disk.write_at(f"{SET_ASIDE}/empty", 0, b"")
         self._disk.sync(f"{SET_ASIDE}/empty")
-        self._disk.sync_folder(SET_ASIDE)
+        self._disk.sync_directory(SET_ASIDE)
         return SET_ASIDE
 
     # ---- time and ends
@@ -74,8 +78,8 @@
     def set_sync_seconds(self, seconds: float) -> None:
         """How long a sync takes from now on."""
         self._sync_seconds = seconds
-        if self._runner is not None:
-            self._runner.sync_seconds = seconds
+        if self._journal_writer is not None:
+            self._journal_writer.sync_seconds = seconds
 
     def work(self, work: Callable[[], object]) -> None:
         """Work of another thread that writes a document: done when its syncs are over."""
@@ -85,13 +89,13 @@
 
     def end(self) -> None:
         """The process ends: inside whatever it is writing."""
-        if self._runner is not None:
-            self._runner.end_inside_batch(self._random)
+        if self._journal_writer is not None:
+            self._journal_writer.crash_during_batch(self._random)
         if self._stall_left() > 0:
             self._works.clear()
         for number in list(self._works):
-            self._disk.cut_at = self._disk.steps + self._random.randint(1, MOST_STEPS_OF_DOCUMENT + 1)
-            with suppress(PowerCut):
+            self._disk.crash_at = self._disk.steps + self._random.randint(1, MOST_STEPS_OF_DOCUMENT + 1)
+            with suppress(SimulatedCrashError):
                 self._works.pop(number)()
         self._disk.restart()
 
--- a/bitternpath/testing/simulation/faults.py
+++ b/bitternpath/testing/simulation/faults.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from bitternpath.storage.simulated import SimulatedDisk
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
 from bitternpath.testing.simulation.network import Network
 from bitternpath.testing.simulation.processes import SimulatedNode
 from bitternpath.testing.simulation.recorder import Recorder
@@ -139,7 +139,7 @@
 
     # ---- disks
 
-    def disk(self, name: str) -> SimulatedDisk:
+    def disk(self, name: str) -> SimulatedFileSystem:
         """A node's disk."""
         return self.nodes[name].disk
 
--- a/bitternpath/storage/simulated.py
+++ b/bitternpath/testing/simulation/file_system.py
@@ -3,7 +3,7 @@
 After a loss of power (DEPLOY, "Disk") a file holds what its last sync covered, and each later write is
 present, missing or torn; at some losses all of them are gone. Names that were made, renamed or removed
 persist once their folder has been synced; until then each is kept or lost by itself. Whether a new file's
-name persists through the file's own sync, too, is `own_sync_keeps_name`: the pages say both.
+name persists through the file's own sync, too, is `fsync_persists_name`: the pages say both.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 TORN_SHARE = 0.3  # of unsynced writes that are neither whole nor missing
 
 
-class PowerCut(Exception):
+class SimulatedCrashError(Exception):
     """The process ends inside this operation."""
 
 
@@ -75,15 +75,15 @@
         self.unsynced.clear()
 
 
-class SimulatedDisk:
+class SimulatedFileSystem:
     """`FileSystem` in memory."""
 
-    def __init__(self, own_sync_keeps_name: bool = True) -> None:
-        self._own_sync_keeps_name = own_sync_keeps_name
+    def __init__(self, fsync_persists_name: bool = True) -> None:
+        self._own_sync_keeps_name = fsync_persists_name
         self._names: dict[str, _File] = {}
         self._durable: dict[str, _File] = {}
         self.steps = 0  # operations that change something, so far
-        self.cut_at: int | None = None  # at which of them the process ends
+        self.crash_at: int | None = None  # at which of them the process ends
         self.capacity: int | None = None  # bytes
         self.stalled_until = 0.0  # by the clock of the runner: nothing is written before
         self.failing_syncs = 0  # how many of the next syncs fail, and lose what they were to cover
@@ -109,7 +109,7 @@
 
     def restart(self) -> None:
         """Another process goes on with the files as they are."""
-        self.cut_at = None
+        self.crash_at = None
 
     def wipe(self) -> None:
         """Another disk, an empty one, is in its place."""
@@ -117,7 +117,7 @@
         self._durable.clear()
         self.restart()
 
-    def flip(self, path: str, offset: int) -> None:
+    def corrupt_byte(self, path: str, offset: int) -> None:
         """Damage one byte, for good."""
         file = self._names[path]
         for content in (file.current, file.synced):
@@ -136,11 +136,11 @@
     def _step(self) -> bool:
         """Count an operation; whether the process ends in it."""
         self.steps += 1
-        return self.cut_at is not None and self.steps >= self.cut_at
+        return self.crash_at is not None and self.steps >= self.crash_at
 
     # ---- FileSystem
 
-    def make_folder(self, folder: str) -> None:
+    def make_directory(self, folder: str) -> None:
         """Folders need not be made."""
 
     def list_names(self, folder: str) -> list[str]:
@@ -165,7 +165,7 @@
             room = max(self.capacity - self.used + max(len(file.current) - offset, 0), 0)
         file.change(_Change(offset, data[:room]))
         if ends:
-            raise PowerCut
+            raise SimulatedCrashError
         if room < len(data):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
@@ -173,11 +173,11 @@
         ends = self._step()
         self._file(path).change(_Change(size, None))
         if ends:
-            raise PowerCut
+            raise SimulatedCrashError
 
     def sync(self, path: str) -> None:
         if self._step():
-            raise PowerCut
+            raise SimulatedCrashError
         file = self._file(path)
         if self.failing_syncs:
             self.failing_syncs -= 1
@@ -187,9 +187,9 @@
         if self._own_sync_keeps_name and file.born_as == path:
             self._durable[path] = file
 
-    def sync_folder(self, folder: str) -> None:
+    def sync_directory(self, folder: str) -> None:
         if self._step():
-            raise PowerCut
+            raise SimulatedCrashError
         start = f"{folder}/" if folder else ""
         inside = {path for path in self._names.keys() | self._durable.keys() if path.startswith(start)}
         for path in inside:
@@ -202,13 +202,13 @@
         ends = self._step()
         self._names[new] = self._names.pop(old)
         if ends:
-            raise PowerCut
+            raise SimulatedCrashError
 
     def remove(self, path: str) -> None:
         ends = self._step()
         self._names.pop(path, None)
         if ends:
-            raise PowerCut
+            raise SimulatedCrashError
 
     def close(self) -> None:
         """Nothing is open."""
@@ -223,10 +223,10 @@
         return self._names.setdefault(path, _File(path))
 
 
-class VirtualRunner:
-    """`DiskRunner` on a clock: a batch is written when its sync time is over."""
+class VirtualTimeJournalWriter:
+    """`JournalWriter` on a clock: a batch is written when its sync time is over."""
 
-    def __init__(self, clock: Any, disk: SimulatedDisk, sync_seconds: float) -> None:
+    def __init__(self, clock: Any, disk: SimulatedFileSystem, sync_seconds: float) -> None:
         self._clock, self._disk, self.sync_seconds = clock, disk, sync_seconds
         self._waiting: list[JournalCommand] = []
         self._writing: list[JournalCommand] = []
@@ -260,11 +260,11 @@
         self._ended = True
         return True
 
-    def end_inside_batch(self, random: Random) -> None:
+    def crash_during_batch(self, random: Random) -> None:
         """The process ends, in the middle of a batch if there is one; a stalled disk did nothing of it."""
         if self._writing and not self._ended and not self._stall_left():
-            self._disk.cut_at = self._disk.steps + random.randint(1, 8)
-            with suppress(PowerCut, OSError):
+            self._disk.crash_at = self._disk.steps + random.randint(1, 8)
+            with suppress(SimulatedCrashError, OSError):
                 self._write(self._writing)
         self._ended = True
 
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from bitternpath.replication.group import CompactionBounds
-from bitternpath.roles.process import RoleLife, build_role
+from bitternpath.roles.process import RoleLifecycle, build_role
 from bitternpath.roles.settings import Settings, SettingsError, read_settings
-from bitternpath.storage.documents import DamagedDocument
-from bitternpath.storage.records import JournalDamaged
-from bitternpath.storage.simulated import SimulatedDisk
+from bitternpath.storage.documents import CorruptDocumentError
+from bitternpath.storage.records import CorruptJournalError
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
 from bitternpath.testing.simulation.errors import failure
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
 from bitternpath.testing.simulation.inside import InsideChecker
 from bitternpath.testing.simulation.network import Host, Network
 from bitternpath.testing.simulation.reactor import VirtualReactor
@@ -89,7 +89,7 @@
         self.state = NodeState.DOWN
         self.skew_ms, self.logs = skew_ms, logs
         self.factor = 1.0  # of its links' delays and its disk's times
-        self.disk = SimulatedDisk(own_sync_keeps_name=False)
+        self.disk = SimulatedFileSystem(fsync_persists_name=False)
         self.sync_seconds = random.uniform(SYNC_LEAST_S, SYNC_MOST_S)
         self.host: Host = network.add_host(place.ip, place.zone)
         self.lives = 0
@@ -97,7 +97,7 @@
         self._network, self._inside, self._random = network, inside, random
         self._reactor: VirtualReactor | None = None
         self._machine: SimulatedMachine | None = None
-        self._life: RoleLife | None = None
+        self._life: RoleLifecycle | None = None
         self._again: Any = None  # timer
 
     @property
@@ -133,14 +133,14 @@
     def _build(self, reactor: VirtualReactor, machine: SimulatedMachine) -> None:
         try:
             role = build_role(self.role, reactor, machine.load_settings(), machine)
-        except (SettingsError, OSError, JournalDamaged, DamagedDocument) as error:
+        except (SettingsError, OSError, CorruptJournalError, CorruptDocumentError) as error:
             self._network.recorder.failed(failure(error))
             reactor.callLater(0, self._ended, -1)
             return
         base = role.node.base  # type: ignore[attr-defined]
         if base.host is not None:
             self._inside.observe(self.name, base.host)
-        self._life = RoleLife(reactor, role)
+        self._life = RoleLifecycle(reactor, role)
         self._life.begin()
 
     # ---- ends
--- a/bitternpath/testing/simulation/repair_controller.py
+++ b/bitternpath/testing/simulation/repair_controller.py
@@ -6,10 +6,11 @@
 from functools import partial
 from typing import Protocol
 
+from bitternpath.configuration.liveness import NodeLiveness
 from bitternpath.configuration.placement import nodes_to_replace, repaired_placement
-from bitternpath.configuration.presence import Presence
-from bitternpath.replication.virtual_time import EventClock
-from bitternpath.transport.messages import GroupPlacement, NodeDescriptor
+from bitternpath.testing.simulation.virtual_time import EventClock
+from bitternpath.transport.group_messages import GroupPlacement
+from bitternpath.transport.node_messages import NodeDescriptor
 
 LATENCY_S = 0.002  # of a message, one way
 SYNC_S = 0.005  # of a batch of the journal
@@ -35,7 +36,7 @@
         self.world, self._tolerated = world, tolerated
         self.present: dict[str, NodeDescriptor] = {}
         self._planned = False
-        self.presence = Presence(0.0)
+        self.presence = NodeLiveness(0.0)
         self.groups: tuple[GroupPlacement, ...] = ()
         self.retired: set[str] = set()
         self._placing = False
@@ -66,14 +67,14 @@
         """Compare the placement with who is there."""
         self._planned = False
         now = self.world.clock.seconds()
-        heard = {node.name: self.world.heard_at(node) for node in self.present.values() if not node.leaving}
+        heard = {node.name: self.world.heard_at(node) for node in self.present.values() if not node.draining}
         self.presence.update(now, heard)
         if self._placing or not self.groups:
             return
-        away_for = partial(self.presence.away_for, now)
-        here = [node for node in self.present.values() if not away_for(node.name)]
-        here_for = partial(self.presence.here_for, now)
-        gone = nodes_to_replace(self.groups, here, self.retired, away_for, here_for)
+        down_for = partial(self.presence.down_for, now)
+        here = [node for node in self.present.values() if not down_for(node.name)]
+        up_for = partial(self.presence.up_for, now)
+        gone = nodes_to_replace(self.groups, here, self.retired, down_for, up_for)
         groups = repaired_placement(self.groups, here, gone, self._tolerated)
         if groups != self.groups:
             self._placing = True
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -18,21 +18,27 @@
 from msgspec.structs import replace
 
 from bitternpath.configuration.placement import (
-    first_placement,
+    initial_placement,
 )
-from bitternpath.membership.founding import member_id
-from bitternpath.replication.checking import Broken, Checker, Listener, Register
+from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import SYSTEM_TIMES, ReplicaHost
+from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
-from bitternpath.replication.virtual_time import EventClock, ProcessClock
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
 from bitternpath.testing.simulation.repair_controller import LATENCY_S, SYNC_S, Controller
-from bitternpath.transport.messages import GroupPlacement, NodeDescriptor, NodeKind
+from bitternpath.testing.simulation.replica_checker import (
+    Checker,
+    CommandLogMachine,
+    InvariantViolationError,
+    Listener,
+)
+from bitternpath.testing.simulation.virtual_time import EventClock, ProcessClock
+from bitternpath.transport.group_messages import GroupPlacement
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
 GREETING_S = 0.1  # from the start of a process until the configuration's owner has its subscription
@@ -49,7 +55,7 @@
 
     descriptor: NodeDescriptor
     clock: ProcessClock
-    runner: VirtualRunner
+    journal_writer: VirtualTimeJournalWriter
     host: ReplicaHost
     changes: MemberChanges
     placements: dict[str, GroupPlacement] = field(default_factory=dict)
@@ -61,7 +67,7 @@
 
     name: str
     zone: str
-    disk: SimulatedDisk = field(default_factory=SimulatedDisk)
+    disk: SimulatedFileSystem = field(default_factory=SimulatedFileSystem)
     disks: int = 1  # how many it has had
     lives: int = 0
     process: Process | None = None
@@ -106,7 +112,7 @@
         self.plan, self.random, self.clock = plan, Random(seed), EventClock()
         self.checkers: dict[str, Checker] = {}
         self.machines: dict[str, Machine] = {}
-        self.registers: dict[tuple[str, str], Register] = {}  # by member and group
+        self.registers: dict[tuple[str, str], CommandLogMachine] = {}  # by member and group
         self.controller = Controller(self, plan.tolerated)
         self.times: dict[str, GroupTimes] = {}
         self.ended_at: dict[tuple[str, int], float] = {}  # by name and life
@@ -140,14 +146,14 @@
         clock = ProcessClock(self.clock)
         salts = count(self.random.getrandbits(31))
         log = SegmentLog(machine.disk, lambda: next(salts), 32 << 20, 4 << 20)
-        runner = VirtualRunner(clock, machine.disk, SYNC_S)
+        journal_writer = VirtualTimeJournalWriter(clock, machine.disk, SYNC_S)
         member = member_id(descriptor)
         send = partial(self._send, machine, member)
         host = ReplicaHost(
-            clock, member, Journal(log, runner), send, Random(self.random.random()), SYSTEM_TIMES,
+            clock, member, Journal(log, journal_writer), send, Random(self.random.random()), SYSTEM_TIMING,
             CompactionBounds(),
         )  # fmt: skip
-        machine.process = Process(descriptor, clock, runner, host, MemberChanges(host))
+        machine.process = Process(descriptor, clock, journal_writer, host, MemberChanges(host))
         self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
         self.clock.callLater(GREETING_S, self._greet, name, machine.process)
 
@@ -158,8 +164,8 @@
     def heard_at(self, node: NodeDescriptor) -> float:
         """When the configuration's owner heard a node last."""
         process = self.machines[node.name].process
-        alive = process is not None and process.descriptor.life == node.life
-        return self.clock.seconds() if alive else self.ended_at.get((node.name, node.life), 0.0)
+        alive = process is not None and process.descriptor.incarnation == node.incarnation
+        return self.clock.seconds() if alive else self.ended_at.get((node.name, node.incarnation), 0.0)
 
     def stop(self, name: str, *, says_so: bool, wipe: bool = False) -> None:
         """End a process: after a SIGTERM (`says_so`) or by a loss of power."""
@@ -167,13 +173,13 @@
         process, machine.process = machine.process, None
         assert process is not None
         if says_so:
-            process.runner.stop()
+            process.journal_writer.stop()
             self.clock.callLater(LATENCY_S, self.controller.gone, process.descriptor)
         else:
-            process.runner.end_inside_batch(self.random)
+            process.journal_writer.crash_during_batch(self.random)
             self.clock.callLater(SILENCE_S, self.controller.gone, process.descriptor)
         process.clock.end()
-        self.ended_at[name, process.descriptor.life] = self.clock.seconds()
+        self.ended_at[name, process.descriptor.incarnation] = self.clock.seconds()
         if wipe:
             machine.disk.wipe()
             machine.disks += 1
@@ -184,12 +190,12 @@
         """SIGTERM: say so, pass on what it owns."""
         process = self.machines[name].process
         assert process is not None
-        leaving = replace(process.descriptor, leaving=True)
-        process.descriptor = leaving
-        self.clock.callLater(LATENCY_S, self.controller.subscribed, leaving)
+        draining = replace(process.descriptor, draining=True)
+        process.descriptor = draining
+        self.clock.callLater(LATENCY_S, self.controller.subscribed, draining)
         for group in list(process.host.groups):
             if process.host.is_owner(group):
-                process.clock.run(partial(process.host.hand_over, group))
+                process.clock.run(partial(process.host.transfer_leadership, group))
 
     # ---- groups
 
@@ -204,25 +210,25 @@
         for placement in groups:
             process.placements[placement.group] = placement
             named = any(member.member == me for member in placement.members)
-            wanted = named or process.host.holds(placement.group)
+            wanted = named or process.host.has_unopened_state(placement.group)
             if wanted and placement.group not in process.host.groups:
                 self._open_group(process, placement)
             members = [member.member for member in placement.members]
-            process.changes.desire(placement.group, members, placement.generation)
+            process.changes.set_desired(placement.group, members, placement.generation)
 
     def _open_group(self, process: Process, placement: GroupPlacement) -> None:
         founders = None
         if placement.generation == 1:
             founders = Members(tuple(member.member for member in placement.members), (), 1)
         me, checker = process.host.member_id, self.checkers[placement.group]
-        register = self.registers[me, placement.group] = Register(me, checker)
+        register = self.registers[me, placement.group] = CommandLogMachine(me, checker)
         process.host.open_group(placement.group, register, founders, Listener(me, checker, register))
-        process.changes.opened(placement.group)
+        process.changes.group_opened(placement.group)
 
     @staticmethod
     def _step(process: Process) -> None:
         for group in process.placements:
-            process.changes.look(group)
+            process.changes.reconcile(group)
 
     def _repeat_look(self) -> None:
         self.clock.callLater(LOOK_S, self._repeat_look)
@@ -249,7 +255,7 @@
         machine = self.machines.get(node_of(receiver))
         process = machine.process if machine is not None else None
         if process is not None and process.host.member_id == receiver:
-            process.clock.run(lambda: process.host.hear(group, sender, body))
+            process.clock.run(lambda: process.host.receive(group, sender, body))
 
     def owner(self, group: str) -> Process | None:
         """The process that owns a group, of the highest epoch."""
@@ -357,7 +363,7 @@
         self.run_until(lambda: False, seconds)
 
     def run_until(self, holds: Callable[[], bool], seconds: float) -> bool:
-        """Play events until something holds, for so long at most. Raises `Broken`."""
+        """Play events until something holds, for so long at most. Raises `InvariantViolationError`."""
         end = self.clock.seconds() + seconds
         look = self.clock.seconds()
         while self.clock.step(end):
@@ -378,17 +384,17 @@
         return bool(changed) and all(self.times[group].complete_at is not None for group in changed)
 
     def check_nothing_lost(self) -> None:
-        """Each group's owner has all that was acknowledged. Raises `Broken`."""
+        """Each group's owner has all that was acknowledged. Raises `InvariantViolationError`."""
         for group, checker in self.checkers.items():
             owner = self.owner(group)
             if owner is None:
-                raise Broken(f"{group} has no owner")
+                raise InvariantViolationError(f"{group} has no owner")
             has = self.registers[owner.host.member_id, group].commands
             if has[: checker.acknowledged] != checker.committed[: checker.acknowledged]:
-                raise Broken(f"{group}: the owner lacks what was acknowledged")
+                raise InvariantViolationError(f"{group}: the owner lacks what was acknowledged")
 
 
 def _placement(nodes: Sequence[NodeDescriptor], plan: RepairPlan) -> tuple[GroupPlacement, ...]:
-    """As many groups as the plan says, spread as `first_placement` spreads them."""
-    base = first_placement(nodes, plan.tolerated)
+    """As many groups as the plan says, spread as `initial_placement` spreads them."""
+    base = initial_placement(nodes, plan.tolerated)
     return tuple(replace(base[number % len(base)], group=f"queue-{number}") for number in range(plan.groups))
--- a/bitternpath/replication/checking.py
+++ b/bitternpath/testing/simulation/replica_checker.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """A property does not hold."""
 
 
@@ -20,11 +20,13 @@
         self.acknowledged = 0  # how many of the committed ones, from the first on, a client may know of
         self._places: dict[bytes, int] = {}
         self._owners: dict[int, str] = {}
-        self.violation: Broken | None = None  # the first; a host may have caught the exception
+        self.violation: InvariantViolationError | None = (
+            None  # the first; a host may have caught the exception
+        )
 
     def fail(self, text: str) -> NoReturn:
         """A property does not hold."""
-        error = Broken(text)
+        error = InvariantViolationError(text)
         self.violation = self.violation or error
         raise error
 
@@ -61,7 +63,7 @@
             self.fail(f"{node} owns epoch {epoch} with {applied} of {self.acknowledged} acknowledged")
 
 
-class Register:
+class CommandLogMachine:
     """State machine: the list of all commands."""
 
     def __init__(self, node: str, checker: Checker) -> None:
@@ -88,7 +90,7 @@
 class Listener:
     """Tells the checker who owns."""
 
-    def __init__(self, node: str, checker: Checker, register: Register) -> None:
+    def __init__(self, node: str, checker: Checker, register: CommandLogMachine) -> None:
         self.node, self.checker, self.register = node, checker, register
 
     def became_owner(self, epoch: int) -> None:
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -16,19 +16,24 @@
 
 from twisted.python.failure import Failure
 
-from bitternpath.replication.checking import Broken, Checker, Listener, Register
 from bitternpath.replication.group import CompactionBounds
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwner
+from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.replication.reconfiguration import next_members
-from bitternpath.replication.records import Members, Times
-from bitternpath.replication.virtual_time import EventClock, ProcessClock
+from bitternpath.replication.records import Members, RaftTiming
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.replica_checker import (
+    Checker,
+    CommandLogMachine,
+    InvariantViolationError,
+    Listener,
+)
+from bitternpath.testing.simulation.virtual_time import EventClock, ProcessClock
 
 GROUP = "shard-1"
-TIMES = Times(election=0.5, heartbeat=0.2)  # long heartbeats: fewer messages to play
+TIMES = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)  # long heartbeats: fewer messages to play
 BOUNDS = CompactionBounds(size=600, entries=12, kept=3)  # small, so that snapshots are sent often
 CHECKPOINT_BYTES, SEGMENT_BYTES = 3_000, 1_000
 CLIENT_SECONDS = 0.06  # between requests
@@ -43,9 +48,9 @@
 
     member: str
     clock: ProcessClock
-    runner: VirtualRunner
+    journal_writer: VirtualTimeJournalWriter
     host: ReplicaHost
-    register: Register
+    register: CommandLogMachine
 
 
 @dataclass(slots=True)
@@ -53,7 +58,7 @@
     """A machine with its disk."""
 
     name: str
-    disk: SimulatedDisk = field(default_factory=partial(SimulatedDisk, own_sync_keeps_name=False))
+    disk: SimulatedFileSystem = field(default_factory=partial(SimulatedFileSystem, fsync_persists_name=False))
     wipes: int = 0
     process: Process | None = None
 
@@ -98,22 +103,22 @@
         clock = ProcessClock(self.clock)
         salts = count(self.random.getrandbits(31))
         log = SegmentLog(node.disk, lambda: next(salts), CHECKPOINT_BYTES, SEGMENT_BYTES)
-        runner = VirtualRunner(clock, node.disk, self.random.choice([0.001, 0.005]))
-        journal = Journal(log, runner)
+        journal_writer = VirtualTimeJournalWriter(clock, node.disk, self.random.choice([0.001, 0.005]))
+        journal = Journal(log, journal_writer)
         member = node.member
 
         def send(group: str, receiver: str, body: bytes) -> None:
             self._send(node.name, member, receiver, group, body)
 
         host = ReplicaHost(clock, member, journal, send, Random(self.random.random()), TIMES, BOUNDS)
-        register = Register(node.name, self.checker)
-        node.process = Process(member, clock, runner, host, register)
+        register = CommandLogMachine(node.name, self.checker)
+        node.process = Process(member, clock, journal_writer, host, register)
         host.open_group(GROUP, register, founders, Listener(node.name, self.checker, register))
 
     def _end(self, node: Node) -> None:
         process, node.process = node.process, None
         assert process is not None
-        process.runner.end_inside_batch(self.random)
+        process.journal_writer.crash_during_batch(self.random)
         process.clock.end()
 
     def _send(self, sender_node: str, sender: str, receiver: str, group: str, body: bytes) -> None:
@@ -127,7 +132,7 @@
     def _deliver(self, name: str, sender: str, receiver: str, group: str, body: bytes) -> None:
         process = self.nodes[name].process
         if process is not None and process.member == receiver:
-            process.clock.run(lambda: process.host.hear(group, sender, body))
+            process.clock.run(lambda: process.host.receive(group, sender, body))
 
     # ---- clients
 
@@ -157,7 +162,7 @@
                 self.clock.callLater(0.0, self._lose_power_everywhere)
 
         def failed(failure: Failure) -> None:
-            if isinstance(failure.value, NotOwner):
+            if isinstance(failure.value, NotOwnerError):
                 self.checker.refuse(command)
 
         deferred = process.host.propose(GROUP, command)
@@ -171,8 +176,8 @@
             if len(process.register.commands) < floor:
                 self.checker.fail(f"{process.member} read a state older than what was acknowledged before")
 
-        deferred = process.host.barrier(GROUP)
-        deferred.addCallbacks(confirmed, lambda failure: failure.trap(NotOwner))
+        deferred = process.host.read_barrier(GROUP)
+        deferred.addCallbacks(confirmed, lambda failure: failure.trap(NotOwnerError))
         deferred.addErrback(self._note)
 
     def _note(self, failure: Failure) -> None:
@@ -280,12 +285,12 @@
         for each in self.nodes.values():
             if each.process is not None:
                 process = each.process
-                process.clock.run(partial(process.host.hand_over, GROUP))
+                process.clock.run(partial(process.host.transfer_leadership, GROUP))
 
     def _isolate_in_hand_over(self, node: Node) -> None:
         """The heir is elected at once, and the owner before it doesn't hear of that."""
         for each in self.nodes.values():
-            if each.process is not None and each.process.host.hand_over(GROUP):
+            if each.process is not None and each.process.host.transfer_leadership(GROUP):
                 self.blocked.update((other, each.name) for other in self.nodes)
                 self._later(self.blocked.clear)
 
@@ -299,20 +304,22 @@
 
     def _slow(self, node: Node) -> None:
         assert node.process is not None
-        node.process.runner.sync_seconds = self.random.choice([0.05, 0.3])
-        self._later(setattr, node.process.runner, "sync_seconds", 0.001)
+        node.process.journal_writer.sync_seconds = self.random.choice([0.05, 0.3])
+        self._later(setattr, node.process.journal_writer, "sync_seconds", 0.001)
 
     # ---- play
 
     def play(self) -> Checker:
-        """Faults, then calm until all agree. Raises `Broken`."""
+        """Faults, then calm until all agree. Raises `InvariantViolationError`."""
         self._repeat(CLIENT_SECONDS, self._request)
         self._repeat(MEMBERSHIP_SECONDS, self._look_at_members)
         self._repeat(self.plan.fault_every, self._fault)
         self.run_until(lambda: False, self.plan.seconds)
         self._calm_down()
         if not self.run_until(self._agrees, self.plan.settle_seconds):
-            raise Broken(f"no agreement after {self.plan.settle_seconds} s of calm: {self._describe()}")
+            raise InvariantViolationError(
+                f"no agreement after {self.plan.settle_seconds} s of calm: {self._describe()}"
+            )
         return self.checker
 
     def _repeat(self, mean: float, call: Callable[[], object]) -> None:
--- a/bitternpath/transport/connections.py
+++ b/bitternpath/transport/connections.py
@@ -20,7 +20,8 @@
 from bitternpath.net.writing import write_now
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.frames import FrameBuffer, frame
-from bitternpath.transport.messages import ANSWER_RECORDS, RECORDS, Hello, NodeDescriptor, Ping, Pong
+from bitternpath.transport.messages import ANSWER_RECORDS, RECORDS
+from bitternpath.transport.node_messages import Hello, NodeDescriptor, Ping, Pong
 
 log = logbook.Logger("transport")
 
@@ -315,7 +316,7 @@
         dialler.users.add(user)
         return dialler
 
-    def hang_up(self, address: str, user: str) -> None:
+    def release(self, address: str, user: str) -> None:
         """A user doesn't want an address any more; the link ends when nobody does."""
         dialler = self._diallers.get(address)
         if dialler is None:
@@ -334,7 +335,7 @@
         """The addresses that are wanted."""
         return tuple(self._diallers)
 
-    def greet_all(self) -> None:
+    def announce(self) -> None:
         """Tell all peers anew who this node is."""
         for link in self.links:
             link.send(Hello(self.describe()))
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from bitternpath.configuration.retirement import GroupReports
+from bitternpath.configuration.retirement import MembershipReports
 from bitternpath.replication import member_changes
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.group import ReplicaGroup
-from bitternpath.replication.records import MEMBERS, Members
+from bitternpath.replication.records import EntryKind, Members
 from bitternpath.shards import appends
 from bitternpath.transport.connections import Link
 
@@ -27,7 +27,7 @@
     """Changes any number of members in one step, and before the step before is committed."""
 
     def change_members(group: Any, now: float, members: Members) -> bool:
-        return group.raft.propose(now, MEMBERS, msgspec.msgpack.encode(members)) is not None
+        return group.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
 
     def at_once(current: Members, desired: Any, *_: Any, generation: int = 0, **__: Any) -> Members | None:
         changed = Members(tuple(desired), (), generation)
@@ -54,7 +54,7 @@
 
 def retirement_without_reports() -> Patches:
     """Says that a machine is empty as soon as its shards are placed elsewhere, whatever owners report."""
-    yield patch.object(GroupReports, "nowhere", lambda reports, node, groups: True)
+    yield patch.object(MembershipReports, "holds_no_replica", lambda reports, node, groups: True)
 
 
 def link_number_used_again() -> Patches:
--- a/tests/system/test_callback_client.py
+++ b/tests/system/test_callback_client.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Protocol
 
-from bitternpath.delivery.callbacks import CALL_S, PER_RECEIVER, WAIT_S, CallbackClient
+from bitternpath.delivery.callback_client import CALL_S, PER_RECEIVER, WAIT_S, CallbackClient
 from bitternpath.delivery.results import CallbackResult
 from bitternpath.net.http1 import Request, RequestReader
 from bitternpath.transport.records import MessageState
@@ -93,7 +93,7 @@
                 self.assertEqual(request.headers[b"host"], self.address.encode())
                 self.assertEqual(json.loads(request.body), document)
                 self.answer(OK, index)
-                self.assertIs(self.loopback.result(notified), CallbackResult.TAKEN)
+                self.assertIs(self.loopback.result(notified), CallbackResult.ACKNOWLEDGED)
 
 
 class TestAnswers(ReceiverCase):
@@ -101,7 +101,7 @@
 
     def test_statuses(self) -> None:
         table = [
-            (b"200 OK", CallbackResult.TAKEN),
+            (b"200 OK", CallbackResult.ACKNOWLEDGED),
             (b"400 Bad Request", CallbackResult.REFUSED),
             (b"201 Created", CallbackResult.FAILED),
             (b"204 No Content", CallbackResult.FAILED),
@@ -183,7 +183,7 @@
             self.assertLessEqual(len(open_connections), PER_RECEIVER)
             self.answer(OK, index)
             self.loopback.until(lambda index=index: sum(map(bool, all_results)) > index)  # type: ignore[misc]
-        self.assertEqual(all_results, [[CallbackResult.TAKEN]] * (PER_RECEIVER + 2))
+        self.assertEqual(all_results, [[CallbackResult.ACKNOWLEDGED]] * (PER_RECEIVER + 2))
 
     def test_wait_for_a_full_receiver_ends(self) -> None:
         for _ in range(PER_RECEIVER):
@@ -203,4 +203,4 @@
         self.request(PER_RECEIVER)
         self.answer(OK, PER_RECEIVER)
         self.loopback.until(lambda: bool(results))
-        self.assertEqual(results, [CallbackResult.TAKEN])
+        self.assertEqual(results, [CallbackResult.ACKNOWLEDGED])
--- a/tests/system/test_callback_recovery.py
+++ b/tests/system/test_callback_recovery.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from bitternpath.queue.actions import SendCallback, SendDelivery
-from bitternpath.queue.callbacks import CALLBACK_TIMEOUT_S, FAILING_AFTER, PROBE_PAUSE_S
+from bitternpath.queue.callbacks import CALLBACK_TIMEOUT_S, FAILURES_BEFORE_PROBING, PROBE_INTERVAL_S
 from tests.system.test_queue_rig import SUCCEEDED, Rig
 
 URL = "http://10.0.0.9:80/done"
@@ -66,7 +66,7 @@
     def test_a_receiver_that_resets_costs_little_and_is_told_soon_after(self) -> None:
         _, receivers = owing(60)
         receivers.play(DOWN_S)
-        self.assertLess(len(receivers.calls), FAILING_AFTER + 8 + DOWN_S / PROBE_PAUSE_S + 1)
+        self.assertLess(len(receivers.calls), FAILURES_BEFORE_PROBING + 8 + DOWN_S / PROBE_INTERVAL_S + 1)
         receivers.takes = lambda order: True
         receivers.play(STEADY_S)
         self.assertEqual(len(receivers.taken), 60)
@@ -77,9 +77,9 @@
         receivers.play(DOWN_S)
         up = rig.now
         receivers.takes = lambda order: True
-        receivers.play(CALLBACK_TIMEOUT_S + PROBE_PAUSE_S + 0.1)
+        receivers.play(CALLBACK_TIMEOUT_S + PROBE_INTERVAL_S + 0.1)
         self.assertTrue(receivers.taken, "the first within a time-out and a probe's pause")
-        self.assertLess(min(receivers.taken.values()) - up, CALLBACK_TIMEOUT_S + PROBE_PAUSE_S + 0.1)
+        self.assertLess(min(receivers.taken.values()) - up, CALLBACK_TIMEOUT_S + PROBE_INTERVAL_S + 0.1)
         receivers.play(2.0)
         self.assertEqual(len(receivers.taken), 60)
 
--- a/tests/system/test_command_line.py
+++ b/tests/system/test_command_line.py
@@ -20,18 +20,19 @@
 from bitternpath.cli import main
 from bitternpath.cli.system import app
 from bitternpath.cli.system_tree import command as system_tree
-from bitternpath.membership.founding import FoundingFile
-from bitternpath.replication.records import CHANGE, Entry, Kept, Members, Snapshot, Write
+from bitternpath.membership.bootstrap import BootstrapFile
+from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot, StorageWrite
 from bitternpath.storage.commands import Batch, NewSnapshot
-from bitternpath.storage.files import LocalFiles
-from bitternpath.storage.groups import founding_record, write_record
-from bitternpath.storage.identity import load_identity, set_aside
+from bitternpath.storage.files import LocalFileSystem
+from bitternpath.storage.group_state import bootstrap_record, write_record
+from bitternpath.storage.identity import load_identity, quarantine_content
 from bitternpath.storage.node_disk import LocalDisk
 from bitternpath.storage.records import SEGMENT_HEADER_BYTES
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.storage.snapshots import file_name
 from bitternpath.transport.codec import RecordCodec
-from bitternpath.transport.messages import FeedUpdate, Founding, GroupPlacement, MemberAddress
+from bitternpath.transport.feed_messages import FeedUpdate
+from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
 
 COMMANDS = ("edge", "storage", "check-config", "check-disk", "show", "demo", "load")
 MEMBERS = Members(("a", "b", "c"))
@@ -74,19 +75,21 @@
 
 
 def entries(first: int, number: int) -> tuple[Entry, ...]:
-    return tuple(Entry(index, 1, CHANGE, b"x" * 20) for index in range(first, first + number))
+    return tuple(Entry(index, 1, EntryKind.COMMAND, b"x" * 20) for index in range(first, first + number))
 
 
 def make_folder(folder: Path) -> None:
     """Two groups; one has a snapshot and an entry behind it."""
     load_identity(folder, draw=lambda: "0123abcd")
-    log = SegmentLog(LocalFiles(folder), lambda: SALT, 1 << 30)
-    founded = [founding_record(group, Kept(snapshot=Snapshot(members=MEMBERS))) for group in ("g", "h")]
+    log = SegmentLog(LocalFileSystem(folder), lambda: SALT, 1 << 30)
+    founded = [
+        bootstrap_record(group, PersistentState(snapshot=Snapshot(members=MEMBERS))) for group in ("g", "h")
+    ]
     log.write(Batch(founded, []))
-    log.write(Batch([write_record("g", Write(1, 1, "a", None, entries(1, 2), None, (0, 0)))], []))
-    named = Write(2, 1, "a", None, entries(3, 1), SNAPSHOT, (2, 1))
+    log.write(Batch([write_record("g", StorageWrite(1, 1, "a", None, entries(1, 2), None, (0, 0)))], []))
+    named = StorageWrite(2, 1, "a", None, entries(3, 1), SNAPSHOT, (2, 1))
     log.write(Batch([write_record("g", named)], [NewSnapshot("g", SNAPSHOT)]))
-    log.write(Batch([write_record("h", Write(1, 3, "b", None, entries(1, 4), None, (0, 0)))], []))
+    log.write(Batch([write_record("h", StorageWrite(1, 3, "b", None, entries(1, 4), None, (0, 0)))], []))
     log.close()
 
 
@@ -236,7 +239,7 @@
 
     def test_founding(self) -> None:
         placement = GroupPlacement("configuration", 1, (MemberAddress("a/1", "a", "10.0.0.1:1", "z"),))
-        FoundingFile(self.folder).store(Founding("5ec0", placement))
+        BootstrapFile(self.folder).store(BootstrapDecision("5ec0", placement))
         self.assertIn("  founding system=5ec0 members=1\n", self.check(0))
         flip(self.folder / "founding", -1)
         self.assertRegex(self.check(1), r"^damaged: \S+founding at offset 16: the checksum")
@@ -253,7 +256,7 @@
         self.assertIn("  feed is damaged, a start drops it: ", self.check(0))
 
     def test_what_was_set_aside(self) -> None:
-        set_aside(self.folder)
+        quarantine_content(self.folder)
         self.assertEqual(self.check(0), "identity=False bytes=0\n  set aside: damaged-1\n")
 
     def test_folder_that_cannot_be_read(self) -> None:
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -8,6 +8,7 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
+from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult, ResultCode
 from bitternpath.configuration.documents import (
     InvalidConfiguration,
     RoutingTable,
@@ -15,10 +16,9 @@
     parse_configuration,
     read_document,
 )
-from bitternpath.configuration.machine import COMMANDS, ConfigurationState, SetPlacement
-from bitternpath.configuration.orders import Order, OrderCode, OrderProcessor, OrderResult
-from bitternpath.replication.interfaces import FateOpen, NotOwner
-from bitternpath.transport.messages import GroupPlacement
+from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, SetPlacement
+from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
+from bitternpath.transport.group_messages import GroupPlacement
 
 
 def route(name: str = "r1", **changes: Any) -> dict[str, Any]:
@@ -65,7 +65,7 @@
         return succeed(self.state.apply(1, command))
 
     def barrier(self) -> Deferred[None]:
-        return succeed(None) if self.confirms else fail(NotOwner())
+        return succeed(None) if self.confirms else fail(NotOwnerError())
 
 
 class DocumentTest(unittest.TestCase):
@@ -167,21 +167,21 @@
     def setUp(self) -> None:
         self.state = ConfigurationState()
         self.group = FakeGroup(self.state)
-        self.orders = OrderProcessor(self.state, self.group)
+        self.orders = ChangeProcessor(self.state, self.group)
 
-    def answer(self, waiting: Deferred[OrderResult]) -> OrderResult:
-        results: list[OrderResult] = []
+    def answer(self, waiting: Deferred[OperatorResult]) -> OperatorResult:
+        results: list[OperatorResult] = []
         waiting.addCallback(results.append)
         self.assertEqual(len(results), 1)
         return results[0]
 
-    def put(self, version: int, base: str, **changes: Any) -> OrderResult:
+    def put(self, version: int, base: str, **changes: Any) -> OperatorResult:
         body = json.dumps(document(version, **changes)).encode()
-        return self.answer(self.orders.submit(Order("PUT", base, body)))
+        return self.answer(self.orders.submit(ChangeRequest("PUT", base, body)))
 
-    def patch(self, version: int, base: str, **changes: Any) -> OrderResult:
+    def patch(self, version: int, base: str, **changes: Any) -> OperatorResult:
         body = json.dumps({"version": version, **changes}).encode()
-        return self.answer(self.orders.submit(Order("PATCH", base, body)))
+        return self.answer(self.orders.submit(ChangeRequest("PATCH", base, body)))
 
     def test_the_first_builds_on_nothing(self) -> None:
         self.assertEqual(self.put(3, "0").status, 200)
@@ -231,7 +231,7 @@
     def test_methods_and_bodies_make_another_order(self) -> None:
         body = json.dumps(document(3)).encode()
         digests = {
-            Order(method, base, content).digest()
+            ChangeRequest(method, base, content).digest()
             for method in ("PUT", "PATCH")
             for base in ("0", "1", "x")
             for content in (body, body + b" ", b"")
@@ -242,7 +242,7 @@
         self.put(3, "0")
         self.group.hold = True
         body = json.dumps(document(5)).encode()
-        waiting = [self.orders.submit(Order("PUT", "3", body)) for _ in range(2)]
+        waiting = [self.orders.submit(ChangeRequest("PUT", "3", body)) for _ in range(2)]
         command, proposed = self.group.held.pop()
         proposed.callback(self.state.apply(2, command))
         self.assertEqual([self.answer(each).status for each in waiting], [200, 200])
@@ -254,14 +254,14 @@
         restored = ConfigurationState()
         restored.restore(self.state.snapshot())
         self.state, self.group = restored, FakeGroup(restored)
-        self.orders = OrderProcessor(restored, self.group)
+        self.orders = ChangeProcessor(restored, self.group)
         self.assertEqual((self.put(3, "0").status, self.state.version), (200, 5))
 
     def test_of_two_on_one_version_one_wins(self) -> None:
         self.put(3, "0")
         self.group.hold = True
         bodies = [json.dumps(document(5, limits={"max_body_bytes": n})).encode() for n in (1, 2)]
-        waiting = [self.orders.submit(Order("PUT", "3", body)) for body in bodies]
+        waiting = [self.orders.submit(ChangeRequest("PUT", "3", body)) for body in bodies]
         self.assertEqual(len(self.group.held), 1)  # the second waits for the first one's fate
         command, proposed = self.group.held.pop()
         proposed.callback(self.state.apply(2, command))
@@ -271,8 +271,8 @@
         self.put(3, "0")
         self.group.hold = True
         body = json.dumps(document(5)).encode()
-        waiting = self.orders.submit(Order("PUT", "3", body))
-        self.group.held.pop()[1].errback(FateOpen())
+        waiting = self.orders.submit(ChangeRequest("PUT", "3", body))
+        self.group.held.pop()[1].errback(OutcomeUnknownError())
         self.assertEqual(self.answer(waiting).status, 503)
 
     def test_a_node_that_is_not_owner_or_cannot_confirm_it_refuses_nothing(self) -> None:
@@ -282,7 +282,7 @@
         self.assertEqual(self.answer(self.orders.read()).status, 503)
         self.group.owner = False
         self.assertEqual(
-            [self.put(5, "3").code, self.answer(self.orders.read()).code], [OrderCode.NOT_OWNER] * 2
+            [self.put(5, "3").code, self.answer(self.orders.read()).code], [ResultCode.NOT_OWNER] * 2
         )
 
     def test_it_reads_back_what_was_sent(self) -> None:
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -15,7 +15,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from bitternpath.configuration.orders import OrderProcessor, OrderResult, not_owner
+from bitternpath.configuration.changes import ChangeProcessor, OperatorResult, not_owner
 from bitternpath.membership.view import FORGET_AFTER_S
 from bitternpath.roles import operator_calls
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
@@ -284,7 +284,7 @@
 def systems(system: SmallSystem) -> set[str]:
     """The systems that nodes take themselves for founders of."""
     members = [edge.process.node.member for edge in system.world.edges() if edge.process is not None]
-    foundings = [member._knowledge.founding for member in members if member is not None]
+    foundings = [member.bootstrap_state.founding for member in members if member is not None]
     return {founding.system for founding in foundings if founding is not None}
 
 
@@ -303,15 +303,15 @@
         return found
 
     def test_broken_no_confirmation_before_a_read(self) -> None:
-        def read(processor: OrderProcessor) -> Deferred[OrderResult]:
+        def read(processor: ChangeProcessor) -> Deferred[OperatorResult]:
             return succeed(processor._current() if processor.group.is_owner() else not_owner())
 
-        with patch.object(OrderProcessor, "read", read):
+        with patch.object(ChangeProcessor, "read", read):
             found = self.play("from all nodes")
         self.assertTrue(any("alone" in each for each in found), found)
 
     def test_broken_answers_without_a_bound(self) -> None:
-        with patch.object(operator_calls, "ANSWER_WITHIN_S", 3.0):
+        with patch.object(operator_calls, "ANSWER_TIMEOUT_S", 3.0):
             found = self.play("frozen")
         self.assertTrue(any("said nothing" in each for each in found), found)
 
--- a/tests/system/test_dispatch.py
+++ b/tests/system/test_dispatch.py
@@ -20,12 +20,13 @@
     MOST_SENDS,
     SEND_WITHIN_S,
     BodyCache,
-    Deliveries,
+    DeliveryDispatcher,
 )
 from bitternpath.dispatch.selection import WorkerSelection
 from bitternpath.shards.reports import AttemptReport
-from bitternpath.transport.messages import CatalogueEntry, CatalogueUpdate, Delivery
+from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 from bitternpath.transport.records import AttemptOutcome, Message
+from bitternpath.transport.shard_messages import LeaseGrant
 
 DONE = DeliveryResult(AttemptOutcome.SUCCEEDED, "stamp", 200, RefusalKind.NONE, 0.05)
 BUSY = DeliveryResult(AttemptOutcome.NOT_RUN, "", 503, RefusalKind.BUSY, 0.002)
@@ -100,11 +101,15 @@
         self.clock = Clock()
         self.node = FakeNode()
         self.bodies = BodyCache(100)
-        self.deliveries = Deliveries(self.clock, self.node, self.node, self.node, self.bodies, Random(1))  # type: ignore[arg-type]
-        self.deliveries.list_changed([entry(1), entry(2), entry(3)], [])
+        self.deliveries = DeliveryDispatcher(
+            self.clock, self.node, self.node, self.node, self.bodies, Random(1)
+        )  # type: ignore[arg-type]
+        self.deliveries.workers_changed([entry(1), entry(2), entry(3)], [])
 
     def lease(self, given: Message | None = None, duration_ms: int = 3000, omitted: bool = False) -> None:
-        self.deliveries.leased(Delivery("queue-0", "l1", duration_ms, 0, omitted, given or message()))
+        self.deliveries.lease_granted(
+            LeaseGrant("queue-0", "l1", duration_ms, 0, omitted, given or message())
+        )
 
     def outcome(self) -> AttemptOutcome:
         self.assertEqual(len(self.node.reports), 1)
@@ -184,7 +189,7 @@
                 self.assertEqual((self.outcome(), self.node.calls), (expected, []))
 
     def test_a_moved_route_goes_to_the_new_service_alone(self) -> None:
-        self.deliveries.list_changed([entry(1), entry(9, "others")], [])
+        self.deliveries.workers_changed([entry(1), entry(9, "others")], [])
         self.node.table = table(4, listed="others")
         self.lease()
         self.assertEqual(self.node.calls[0][0].instance, "i9")
@@ -200,7 +205,7 @@
         self.assertEqual((len(self.node.calls), len(self.node.reports)), (1, 2))
 
     def test_no_worker_or_shutting_down_hands_the_lease_back(self) -> None:
-        self.deliveries.list_changed([], ["i1", "i2", "i3"])
+        self.deliveries.workers_changed([], ["i1", "i2", "i3"])
         self.lease()
         self.deliveries.stopping = True
         self.lease(message("/endpoint/1"))
@@ -225,7 +230,7 @@
 
     def setUp(self) -> None:
         self.selection = WorkerSelection(Random(7))
-        self.selection.list_changed([entry(n, slots=100) for n in range(4)], [])
+        self.selection.workers_changed([entry(n, slots=100) for n in range(4)], [])
 
     def play(self, times: dict[str, float], rounds: int) -> dict[str, int]:
         """One delivery at a time; how often each worker was chosen in the last half."""
@@ -253,7 +258,7 @@
         self.assertTrue(all(chosen.count(f"i{n}") >= 5 for n in range(4)))
 
     def test_no_more_than_its_slots(self) -> None:
-        self.selection.list_changed([entry(8, "small", slots=2)], [])
+        self.selection.workers_changed([entry(8, "small", slots=2)], [])
         for _ in range(2):
             worker = self.selection.choose(0.0, "r", "small")
             assert worker is not None
@@ -263,7 +268,7 @@
     def test_a_worker_in_trouble_is_left_out_for_a_while_and_comes_back(self) -> None:
         for result, within in ((SILENT, 1.0), (NO_CONNECTION, 1.0), (BUSY, 0.1), (WRONG_INSTANCE, 6.0)):
             with self.subTest(result=result):
-                self.selection.list_changed([entry(8, "one")], ["i8"])
+                self.selection.workers_changed([entry(8, "one")], ["i8"])
                 worker = self.selection.choose(0.0, "r", "one")
                 assert worker is not None
                 self.selection.started(worker)
@@ -273,7 +278,7 @@
 
     def test_a_new_incarnation_is_a_new_neuron(self) -> None:
         self.play({"i0": 0.1, "i1": 0.1, "i2": 0.02, "i3": 0.1}, 400)
-        self.selection.list_changed([entry(7)], ["i2"])
+        self.selection.workers_changed([entry(7)], ["i2"])
         self.assertIsNone(self.selection.worker("i2"))
         self.assertIsNotNone(self.selection.worker("i7"))
         worker = self.selection.choose(1.0, "route", "workers", without=["i0", "i1", "i3"])
@@ -283,7 +288,7 @@
         worker = self.selection.choose(0.0, "route", "workers")
         assert worker is not None
         self.selection.started(worker)
-        self.selection.list_changed([], [f"i{n}" for n in range(4)])
+        self.selection.workers_changed([], [f"i{n}" for n in range(4)])
         self.selection.ended(1.0, "route", worker, DONE)
         self.assertIsNone(self.selection.choose(1.0, "route", "workers"))
 
--- a/tests/system/test_documents.py
+++ b/tests/system/test_documents.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 
 from bitternpath.cli.system_settings import print_settings
-from bitternpath.configuration.orders import OrderCode, OrderResult
+from bitternpath.configuration.changes import OperatorResult, ResultCode
 from bitternpath.roles.logs import LEVELS
 from bitternpath.roles.process import ExitCode
-from bitternpath.transport.messages import RefusalReason
+from bitternpath.transport.shard_messages import RefusalReason
 
 DOCS = Path(__file__).parents[2] / "docs"
 ORDERS = "Results of the operator's calls"
@@ -85,7 +85,7 @@
         self.page = (DOCS / "ERRORS.md").read_text("utf-8")
 
     def test_each_table_has_each_member_and_nothing_else(self) -> None:
-        tables: list[tuple[str, type[Enum]]] = [(ORDERS, OrderCode), (REFUSALS, RefusalReason)]
+        tables: list[tuple[str, type[Enum]]] = [(ORDERS, ResultCode), (REFUSALS, RefusalReason)]
         for heading, kind in tables:
             with self.subTest(heading):
                 self.assertEqual(sorted(numbered(self.page, heading)), members(kind))
@@ -97,7 +97,7 @@
     def test_statuses_of_orders(self) -> None:
         for row in rows(self.page, ORDERS):
             with self.subTest(row[1]):
-                self.assertEqual(int(row[2]), OrderResult(OrderCode[row[1]], b"").status)
+                self.assertEqual(int(row[2]), OperatorResult(ResultCode[row[1]], b"").status)
 
     def test_a_change_of_the_table_is_noticed(self) -> None:
         changes: list[tuple[str, Callable[[str], str]]] = [
@@ -108,7 +108,7 @@
         ]
         for change, make in changes:
             with self.subTest(change):
-                self.assertNotEqual(sorted(numbered(make(self.page), ORDERS)), members(OrderCode))
+                self.assertNotEqual(sorted(numbered(make(self.page), ORDERS)), members(ResultCode))
 
 
 class OperatorsPage(unittest.TestCase):
--- a/tests/system/test_early_leases.py
+++ b/tests/system/test_early_leases.py
@@ -40,7 +40,7 @@
     def propose(self, request_id: str, path: str = "/plain/x", **fields: Any) -> list[Any]:
         """An append and what the owner proposes right behind it."""
         command = AppendMessage(message(request_id, path, **fields))
-        self.rig.do(self.rig.owner.appending(self.rig.now, command.message))
+        self.rig.do(self.rig.owner.append_proposed(self.rig.now, command.message))
         return [command, *self.rig.take_proposed()]
 
     def commit(self, commands: list[Any]) -> None:
@@ -166,7 +166,7 @@
 
     def test_an_edge_node_lost_before_the_commit_gets_nothing(self) -> None:
         proposed = self.propose("m")
-        self.rig.do(self.rig.owner.edge_lost(self.rig.now, "edge-1"))
+        self.rig.do(self.rig.owner.edge_process_ended(self.rig.now, "edge-1"))
         self.commit(proposed)
         self.assertEqual(self.rig.take_sent(SendDelivery), [])
 
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -13,23 +13,21 @@
 from bitternpath.configuration.feed import (
     HEARTBEAT_S,
     SILENCE_S,
-    FeedFollower,
+    FeedClient,
     FeedServer,
     pack_document,
     unpack_document,
 )
-from bitternpath.configuration.machine import COMMANDS, AcceptOrder, ConfigurationState, SetPlacement
-from bitternpath.transport.codec import CodecError
-from bitternpath.transport.messages import (
-    CatalogueUpdate,
-    FeedRefused,
-    FeedSubscribe,
-    FeedUpdate,
-    GroupPlacement,
-    MemberAddress,
-    NodeDescriptor,
-    NodeKind,
+from bitternpath.configuration.state_machine import (
+    COMMANDS,
+    ConfigurationState,
+    ReplaceDocument,
+    SetPlacement,
 )
+from bitternpath.transport.codec import CodecError
+from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 GROUPS = (GroupPlacement("queue-0", 1, ()),)
 
@@ -75,13 +73,13 @@
         self.random = Random(1)
         self.links: dict[str, FakeLink] = {}
         self.dead: set[str] = set()
-        self.follower: FeedFollower | None = None
+        self.follower: FeedClient | None = None
 
     def dial(self, address: str, user: str) -> None:
         if address not in self.dead:
             self.links.setdefault(address, FakeLink(address))
 
-    def hang_up(self, address: str, user: str) -> None:
+    def release(self, address: str, user: str) -> None:
         link = self.links.pop(address, None)
         if link is not None and self.follower is not None:
             link.open = False
@@ -116,7 +114,7 @@
         self.hub = FakeHub()
         self.listener = Listener()
         self.addresses = ["a:1", "b:1", "c:1"]
-        self.follower = FeedFollower(self.clock, self.hub, self.listener, lambda: self.addresses, True)  # type: ignore[arg-type]
+        self.follower = FeedClient(self.clock, self.hub, self.listener, lambda: self.addresses, True)  # type: ignore[arg-type]
         self.hub.follower = self.follower
         self.follower.start()
 
@@ -219,7 +217,7 @@
     def test_what_a_cache_gave_is_not_taken_back_by_an_older_offset(self) -> None:
         self.follower.stop()
         self.hub = FakeHub()
-        self.follower = FeedFollower(self.clock, self.hub, self.listener, lambda: self.addresses, True)  # type: ignore[arg-type]
+        self.follower = FeedClient(self.clock, self.hub, self.listener, lambda: self.addresses, True)  # type: ignore[arg-type]
         self.hub.follower = self.follower
         self.follower.restore(FeedUpdate(0, 9, pack_document(document(9)), 4, GROUPS, 3))
         self.follower.start()
@@ -246,7 +244,7 @@
 
     def accept(self, version: int) -> None:
         self.state.apply(
-            1, COMMANDS.encode(AcceptOrder(self.state.version, bytes([version]), document(version)))
+            1, COMMANDS.encode(ReplaceDocument(self.state.version, bytes([version]), document(version)))
         )
         self.server.publish()
 
--- a/tests/system/test_feed_behind.py
+++ b/tests/system/test_feed_behind.py
@@ -6,9 +6,15 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.feed import FeedFollower, FeedServer, pack_document, unpack_document
-from bitternpath.configuration.machine import COMMANDS, AcceptOrder, ConfigurationState, SetPlacement
-from bitternpath.transport.messages import FeedSubscribe, FeedUpdate, GroupPlacement
+from bitternpath.configuration.feed import FeedClient, FeedServer, pack_document, unpack_document
+from bitternpath.configuration.state_machine import (
+    COMMANDS,
+    ConfigurationState,
+    ReplaceDocument,
+    SetPlacement,
+)
+from bitternpath.transport.feed_messages import FeedSubscribe, FeedUpdate
+from bitternpath.transport.group_messages import GroupPlacement
 from tests.system.test_feed import FakeHub, FakeLink, Listener, document
 
 VERSIONS = 600
@@ -21,15 +27,15 @@
         self.server = FeedServer(self.clock, self.state, lambda: True)
         self.server.begin(7)
         for version in range(1, VERSIONS + 1):
-            order = AcceptOrder(version - 1, version.to_bytes(8, "big"), document(version))
+            order = ReplaceDocument(version - 1, version.to_bytes(8, "big"), document(version))
             self.state.apply(2 * version, COMMANDS.encode(order))
             placed = (GroupPlacement(f"queue-{version}", version, ()),)
             self.state.apply(2 * version + 1, COMMANDS.encode(SetPlacement(version - 1, placed)))
             self.server.publish()
 
-    def follower(self) -> tuple[FeedFollower, Listener, FakeHub]:
+    def follower(self) -> tuple[FeedClient, Listener, FakeHub]:
         hub, listener = FakeHub(), Listener()
-        follower = FeedFollower(self.clock, hub, listener, lambda: ["a:1"], True)  # type: ignore[arg-type]
+        follower = FeedClient(self.clock, hub, listener, lambda: ["a:1"], True)  # type: ignore[arg-type]
         hub.follower = follower
         return follower, listener, hub
 
--- a/tests/system/test_feed_search.py
+++ b/tests/system/test_feed_search.py
@@ -14,17 +14,11 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.feed import HEARTBEAT_S, SILENCE_S, FeedFollower, FeedServer, pack_document
-from bitternpath.configuration.machine import COMMANDS, AcceptOrder, ConfigurationState
-from bitternpath.transport.messages import (
-    CatalogueUpdate,
-    FeedRefused,
-    FeedSubscribe,
-    FeedUpdate,
-    MemberAddress,
-    NodeDescriptor,
-    NodeKind,
-)
+from bitternpath.configuration.feed import HEARTBEAT_S, SILENCE_S, FeedClient, FeedServer, pack_document
+from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
+from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
+from bitternpath.transport.group_messages import MemberAddress
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 STEP_S = 0.01
 ROUND_TRIP_S = 0.02
@@ -79,7 +73,7 @@
             self.links[address] = Link(self, address)
             self.later(self._opened, self.links[address])
 
-    def hang_up(self, address: str, user: str) -> None:
+    def release(self, address: str, user: str) -> None:
         link = self.links.pop(address, None)
         if link is not None and link.open:
             link.open = False
@@ -136,7 +130,7 @@
         self.clock = Clock()
         self.listener = Listener()
         self.network = Network(self.clock, members, Random(seed))
-        self.follower = FeedFollower(
+        self.follower = FeedClient(
             self.clock,
             self.network,  # type: ignore[arg-type]
             self.listener,
@@ -227,7 +221,7 @@
         self.assertIsNone(self.follower.owner_link())
 
 
-class Untaught(FeedFollower):
+class Untaught(FeedClient):
     """Broken build: epochs aren't compared."""
 
     def updated(self, link: Any, update: FeedUpdate) -> None:
@@ -239,7 +233,7 @@
     """What the checks above are for."""
 
     def test_broken_feed_that_takes_an_older_epoch(self) -> None:
-        for build, versions in ((FeedFollower, [5, 7]), (Untaught, [5, 7, 11])):
+        for build, versions in ((FeedClient, [5, 7]), (Untaught, [5, 7, 11])):
             with self.subTest(build.__name__):
                 clock, listener = Clock(), Listener()
                 members = {"a:1": Member(1, 5), "b:1": Member(names="a:1")}
@@ -263,7 +257,7 @@
     def setUp(self) -> None:
         self.clock = Clock()
         self.state = ConfigurationState()
-        self.state.apply(1, COMMANDS.encode(AcceptOrder(0, b"1", document(3))))
+        self.state.apply(1, COMMANDS.encode(ReplaceDocument(0, b"1", document(3))))
         self.lease = True
         self.server = FeedServer(self.clock, self.state, lambda: self.lease)
         self.server.begin(7)
--- a/tests/system/test_first_votes.py
+++ b/tests/system/test_first_votes.py
@@ -5,8 +5,8 @@
 import unittest
 from statistics import median
 
-from bitternpath.membership.founding import CONFIGURATION_GROUP
-from bitternpath.replication.host import SYSTEM_TIMES
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
+from bitternpath.replication.host import SYSTEM_TIMING
 from bitternpath.testing.simulation.recorder import Ownership
 from tests.system.small_actors import SmallSystem
 
@@ -15,7 +15,7 @@
 SETTLED_S = 6.0
 # The first of three members asks after 0.625 s on average. A vote that is asked for while the link is still
 # being made is lost, and the next one comes another election's time later (medians 0.79 and 0.92 s then).
-MEDIAN_S = 1.4 * SYSTEM_TIMES.election
+MEDIAN_S = 1.4 * SYSTEM_TIMING.election_timeout
 
 
 class FirstVotes(unittest.TestCase):
--- a/tests/system/test_folder_syncs.py
+++ b/tests/system/test_folder_syncs.py
@@ -12,26 +12,26 @@
 from unittest.mock import patch
 
 from bitternpath.storage import snapshots
-from bitternpath.storage.documents import DamagedDocument, drop_document, load_document, store_document
+from bitternpath.storage.documents import CorruptDocumentError, load_document, remove_document, store_document
 from bitternpath.storage.identity import load_identity
-from bitternpath.storage.simulated import PowerCut, SimulatedDisk
+from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
 from tests.system.test_journal import PowerLoss
 
 NAME = "founding"
 SEEDS = 8  # of what a loss of power leaves
 STEPS_OF_DOCUMENT = 6  # operations of one write, and one more
 
-strict_disk = partial(SimulatedDisk, own_sync_keeps_name=False)
+strict_disk = partial(SimulatedFileSystem, fsync_persists_name=False)
 
 
 class Documents(unittest.TestCase):
     """Founding, and the feed's cache."""
 
-    def cut(self, disk: SimulatedDisk, work: Callable[[], None], steps: int) -> bool:
+    def cut(self, disk: SimulatedFileSystem, work: Callable[[], None], steps: int) -> bool:
         """Do it, with the process killed after so many operations; whether it came to its end."""
-        disk.cut_at = disk.steps + steps
+        disk.crash_at = disk.steps + steps
         done = False
-        with suppress(PowerCut):
+        with suppress(SimulatedCrashError):
             work()
             done = True
         disk.restart()
@@ -62,7 +62,7 @@
         for seed in range(SEEDS):
             disk = strict_disk()
             store_document(disk, NAME, b"old")
-            drop_document(disk, NAME)
+            remove_document(disk, NAME)
             disk.lose_power(Random(seed))
             self.assertIsNone(load_document(disk, NAME))
 
@@ -74,20 +74,20 @@
         for check in checks:
             with (
                 self.subTest(check.__name__),
-                patch.object(SimulatedDisk, "sync_folder", lambda self, folder: None),
-                self.assertRaises((AssertionError, DamagedDocument)),
+                patch.object(SimulatedFileSystem, "sync_directory", lambda self, folder: None),
+                self.assertRaises((AssertionError, CorruptDocumentError)),
             ):
                 check()
 
     def test_a_build_that_drops_without_a_sync_is_caught(self) -> None:
-        real = drop_document
+        real = remove_document
 
-        def unsynced(files: SimulatedDisk, name: str) -> None:
-            with patch.object(SimulatedDisk, "sync_folder", lambda self, folder: None):
+        def unsynced(files: SimulatedFileSystem, name: str) -> None:
+            with patch.object(SimulatedFileSystem, "sync_directory", lambda self, folder: None):
                 real(files, name)
 
         with (
-            patch.dict(globals(), {"drop_document": unsynced}),
+            patch.dict(globals(), {"remove_document": unsynced}),
             self.assertRaises(AssertionError),
         ):
             self.test_one_that_was_dropped_does_not_come_back()
@@ -98,8 +98,8 @@
         for steps in range(1, STEPS_OF_DOCUMENT + 1):
             for seed in range(SEEDS):
                 disk = strict_disk()
-                disk.cut_at = steps
-                with suppress(PowerCut):
+                disk.crash_at = steps
+                with suppress(SimulatedCrashError):
                     load_identity(Path(), disk, lambda: "11111111")
                 disk.restart()
                 used = load_identity(Path(), disk, lambda: "22222222")
@@ -111,7 +111,7 @@
 
     def test_a_build_without_a_sync_of_the_folder_is_caught(self) -> None:
         with (
-            patch.object(SimulatedDisk, "sync_folder", lambda self, folder: None),
+            patch.object(SimulatedFileSystem, "sync_directory", lambda self, folder: None),
             self.assertRaises(AssertionError),
         ):
             self.used_is_found_again()
@@ -121,7 +121,7 @@
     """The losses of power of `test_journal`, on this disk."""
 
     def setUp(self) -> None:
-        strict = patch("tests.system.test_journal.SimulatedDisk", strict_disk)
+        strict = patch("tests.system.test_journal.SimulatedFileSystem", strict_disk)
         strict.start()
         self.addCleanup(strict.stop)
         self.losses = PowerLoss()
@@ -133,17 +133,17 @@
         self.losses.test_repeated_losses_and_kills()
 
     def test_a_build_without_a_sync_of_a_folder_is_caught(self) -> None:
-        real = SimulatedDisk.sync_folder
+        real = SimulatedFileSystem.sync_directory
         for folder in ("journal", snapshots.FOLDER):
 
-            def unsynced(self: SimulatedDisk, synced: str, folder: str = folder) -> None:
+            def unsynced(self: SimulatedFileSystem, synced: str, folder: str = folder) -> None:
                 if synced != folder:
                     real(self, synced)
 
             with (
                 self.subTest(folder),
-                patch.object(SimulatedDisk, "sync_folder", unsynced),
+                patch.object(SimulatedFileSystem, "sync_directory", unsynced),
                 self.assertRaises(Exception) as caught,
             ):
                 self.losses.test_power_loss_at_each_step_keeps_what_was_acknowledged()
-            self.assertNotIsInstance(caught.exception, PowerCut)
+            self.assertNotIsInstance(caught.exception, SimulatedCrashError)
--- a/tests/system/test_founding_faults.py
+++ b/tests/system/test_founding_faults.py
@@ -33,7 +33,7 @@
 
 def founded_systems(system: SmallSystem) -> set[str]:
     """As the founders have them on disk."""
-    foundings = [member._knowledge.founding for member in members(system)]
+    foundings = [member.bootstrap_state.founding for member in members(system)]
     return {founding.system for founding in foundings if founding is not None}
 
 
@@ -53,7 +53,7 @@
 
 def has_members(member: Any) -> bool:
     """Whether a replica takes part and knows the voters: only then it votes."""
-    return bool(member._open and member.host.members(GROUP).voters)
+    return bool(member.is_open and member.host.members(GROUP).voters)
 
 
 class FoundingTest(unittest.TestCase):
@@ -128,7 +128,7 @@
                     world.at(6.0, world.kill, name)
                 world.run_until(25.0)
                 cores = [world.nodes[name] for name in far if world.nodes[name].role == "edge"]
-                opened = [member_of(core)._open for core in cores if core.counted]
+                opened = [member_of(core).is_open for core in cores if core.counted]
                 self.assertEqual(opened, [False] * len(opened))
                 for name in far:  # they have never heard of the others: only the file can name them
                     world.rejoin(name)
--- a/tests/system/test_full_disks.py
+++ b/tests/system/test_full_disks.py
@@ -15,13 +15,13 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds, bounds_for_disk
-from bitternpath.replication.host import SYSTEM_TIMES, ReplicaHost
-from bitternpath.replication.records import CHANGE, Entry, Members, Snapshot, Write
+from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.storage.commands import Batch, NewSnapshot
-from bitternpath.storage.groups import write_record
+from bitternpath.storage.group_state import write_record
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
 
 DISK = 64 << 10  # bytes: a disk of 64 MB at a thousandth of its size
 LOG_SHARE = 0.35  # of the disk, before a checkpoint
@@ -64,28 +64,31 @@
         self.addCleanup(handler.pop_application)
 
 
-def opened(disk: SimulatedDisk) -> SegmentLog:
+def opened(disk: SimulatedFileSystem) -> SegmentLog:
     """Its log."""
     return SegmentLog(disk, lambda: 1, int(DISK * LOG_SHARE), SEGMENT_BYTES)
 
 
 class Batches(Quiet):
-    def overwritten(self) -> tuple[SimulatedDisk, SegmentLog]:
+    def overwritten(self) -> tuple[SimulatedFileSystem, SegmentLog]:
         """A log whose segments hold little that is still needed, and a snapshot."""
-        disk = SimulatedDisk()
+        disk = SimulatedFileSystem()
         log = opened(disk)
         first = Snapshot(1, 1, Members(("a",)), bytes(20_000))
-        founding = Write(1, 1, "", None, (), first, (1, 1))
+        founding = StorageWrite(1, 1, "", None, (), first, (1, 1))
         log.write(Batch([write_record("g", founding)], [NewSnapshot("g", first)]))
         for number in range(2, 40):
-            write = Write(number, 1, "", 2, (Entry(2, 1, CHANGE, bytes(500)),), None, (1, 1))
+            write = StorageWrite(
+                number, 1, "", 2, (Entry(2, 1, EntryKind.COMMAND, bytes(500)),), None, (1, 1)
+            )
             log.write(Batch([write_record("g", write)], []))
         return disk, log
 
     def snapshot_batch(self) -> Batch:
         snapshot = Snapshot(2, 1, Members(("a",)), bytes(21_000))
         return Batch(
-            [write_record("g", Write(40, 1, "", None, (), snapshot, (2, 1)))], [NewSnapshot("g", snapshot)]
+            [write_record("g", StorageWrite(40, 1, "", None, (), snapshot, (2, 1)))],
+            [NewSnapshot("g", snapshot)],
         )
 
     def test_a_snapshot_finds_the_room_that_old_segments_hold(self) -> None:
@@ -121,7 +124,7 @@
     def test_a_segment_that_was_refused_does_not_make_a_torn_end_look_like_damage(self) -> None:
         """A checkpoint on a full disk left the next segment with a part of its header. Batches went on in
         the one before; killed within one of them, the process found its disk damaged and gave it up."""
-        record = write_record("g", Write(40, 2, "a", None, (), None, (1, 1)))
+        record = write_record("g", StorageWrite(40, 2, "a", None, (), None, (1, 1)))
         for room in range(1, 60):
             disk, log = self.overwritten()
             disk.capacity = disk.used + 5
@@ -148,11 +151,17 @@
 
     def run_changes(self, kept: int, bounds: CompactionBounds) -> tuple[int, int]:
         """How many changes were made, and the most bytes that the disk held."""
-        clock, disk = Clock(), SimulatedDisk()
+        clock, disk = Clock(), SimulatedFileSystem()
         disk.capacity = DISK
-        runner = VirtualRunner(clock, disk, 0.001)
+        journal_writer = VirtualTimeJournalWriter(clock, disk, 0.001)
         host = ReplicaHost(
-            clock, "a", Journal(opened(disk), runner), lambda *_: None, _seeded(), SYSTEM_TIMES, bounds
+            clock,
+            "a",
+            Journal(opened(disk), journal_writer),
+            lambda *_: None,
+            _seeded(),
+            SYSTEM_TIMING,
+            bounds,
         )
         machine = Last(kept)
         host.open_group("g", machine, Members(("a",)), Nobody())
@@ -165,7 +174,7 @@
             for _ in range(4):
                 clock.advance(0.001)
             most = max(most, disk.used)
-            if runner.failing:
+            if journal_writer.failing:
                 break
             made = number
         return made, most
