--- a/tests/system/test_ingress.py
+++ b/tests/system/test_ingress.py
@@ -21,8 +21,7 @@
 from bitternpath.configuration.documents import RoutingTable, parse_configuration
 from bitternpath.ingress.channel import DRAINING_READ_S, FLUSH_S, LINGER_S
 from bitternpath.ingress.interface import LEASE_ANSWER_S, PULL_LATE_S, STATUS_ANSWER_S
-from bitternpath.ingress.servers import build_control, build_front, build_readiness
-from bitternpath.ingress.service import (
+from bitternpath.ingress.interfaces import (
     Acceptance,
     AcceptResult,
     FoundMessage,
@@ -31,6 +30,7 @@
     OperatorReply,
     PulledJob,
 )
+from bitternpath.ingress.servers import build_client_server, build_operator_server, build_readiness_server
 from bitternpath.net.http1 import Response, ResponseReader
 from bitternpath.transport.records import Header, Message, MessageState
 from tests.system import Loopback
@@ -91,7 +91,7 @@
         self.lookups: list[tuple[str, bool]] = []
         self.tickets: list[Ticket] = []
         self.pulls: list[tuple[str, str, int]] = []
-        self.lease: LeaseAnswer | None = LeaseAnswer.TAKEN  # None: no answer
+        self.lease: LeaseAnswer | None = LeaseAnswer.ACKNOWLEDGED  # None: no answer
         self.ends: list[tuple[str, str, int, str]] = []
         self.extensions: list[tuple[str, str]] = []
         self.orders: list[tuple[str, str, str, bytes]] = []
@@ -222,7 +222,7 @@
         self.site = self.front()
 
     def front(self, max_connections: int = 100) -> Any:
-        return build_front(
+        return build_client_server(
             self.node, self.clock, origin="edge-1", max_connections=max_connections, wall_ms=lambda: 77
         )
 
@@ -833,11 +833,11 @@
     def test_ends(self) -> None:
         lease, ok, stamp = b"X-Lease-Id: L", b"X-Job-Status: 200", b"X-Server-Stamp: s.1"
         table = [
-            ((lease, ok, stamp), LeaseAnswer.TAKEN, 200, ("L", "r1", 200, "s.1")),
+            ((lease, ok, stamp), LeaseAnswer.ACKNOWLEDGED, 200, ("L", "r1", 200, "s.1")),
             ((lease, ok, stamp), LeaseAnswer.GONE, 409, ("L", "r1", 200, "s.1")),
             ((lease, ok, stamp), LeaseAnswer.UNAVAILABLE, 503, ("L", "r1", 200, "s.1")),
-            ((lease, b"X-Job-Status: 500"), LeaseAnswer.TAKEN, 200, ("L", "r1", 500, "")),
-            ((lease, b"X-Job-Status: 503"), LeaseAnswer.TAKEN, 200, ("L", "r1", 503, "")),
+            ((lease, b"X-Job-Status: 500"), LeaseAnswer.ACKNOWLEDGED, 200, ("L", "r1", 500, "")),
+            ((lease, b"X-Job-Status: 503"), LeaseAnswer.ACKNOWLEDGED, 200, ("L", "r1", 503, "")),
             ((lease, ok), None, 400, None),
             ((ok, stamp), None, 400, None),
             ((lease, stamp), None, 400, None),
@@ -878,7 +878,7 @@
     def setUp(self) -> None:
         self.clock = Clock()
         self.node = Node()
-        self.site = build_control(self.node, self.clock)
+        self.site = build_operator_server(self.node, self.clock)
 
     def call(self, line: bytes, body: bytes = b"", *headers: bytes) -> Client:
         lines = (line + b" HTTP/1.1", b"Host: a", b"Content-Length: %d" % len(body), *headers)
@@ -937,7 +937,7 @@
 class TestReadiness(unittest.TestCase):
     def test_readiness(self) -> None:
         node = Node()
-        site = build_readiness(node, Clock())
+        site = build_readiness_server(node, Clock())
         for ready, path, status in ((True, b"/readyz", 200), (False, b"/readyz", 503), (True, b"/", 404)):
             node.ready = ready
             client = Client(site).send(b"GET " + path + b" HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -951,7 +951,7 @@
         self.loopback = Loopback()
         self.addCleanup(self.loopback.close)
         self.node = Node()
-        self.site = build_front(self.node, self.loopback.reactor, origin="e", max_connections=2)
+        self.site = build_client_server(self.node, self.loopback.reactor, origin="e", max_connections=2)
         host, port = self.loopback.listen(self.site).split(":")
         self.address = (host, int(port))
 
--- a/tests/system/test_job_ends.py
+++ b/tests/system/test_job_ends.py
@@ -32,7 +32,7 @@
     rig.own()
 
 
-def take_over(rig: Rig) -> None:
+def leadership_acquired(rig: Rig) -> None:
     """Another replica is the owner."""
     rig.own()
 
@@ -50,7 +50,7 @@
     """At once."""
 
 
-MEANWHILE: tuple[Callable[[Rig], None], ...] = (nothing, take_over, restart, run_on)
+MEANWHILE: tuple[Callable[[Rig], None], ...] = (nothing, leadership_acquired, restart, run_on)
 
 
 class Repeated(unittest.TestCase):
@@ -90,7 +90,7 @@
                         self.assertFalse(rig.end(job, second))
 
     def test_two_leases_are_never_both_taken(self) -> None:
-        for meanwhile in (nothing, take_over, restart):
+        for meanwhile in (nothing, leadership_acquired, restart):
             for order in (0, 1):
                 with self.subTest(meanwhile.__doc__, order=order):
                     rig, first = self.job()
@@ -162,7 +162,7 @@
         return rig.delivery()
 
     def test_failures_and_rejections(self) -> None:
-        for meanwhile in (nothing, take_over, restart):
+        for meanwhile in (nothing, leadership_acquired, restart):
             with self.subTest(meanwhile.__doc__):
                 self.assertEqual(self.runs(FAILED, meanwhile), MOST_ATTEMPTS)
                 self.assertEqual(self.runs(REJECTED, meanwhile), 1)
--- a/tests/system/test_lagging_voters.py
+++ b/tests/system/test_lagging_voters.py
@@ -11,14 +11,14 @@
 
 from bitternpath.replication import leadership
 from bitternpath.replication.consensus import Raft
-from bitternpath.replication.host import SYSTEM_TIMES
-from bitternpath.replication.records import CHANGE, Entry, Kept, Members, Snapshot
+from bitternpath.replication.host import SYSTEM_TIMING
+from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot
 
 MEMBERS = Members(("a", "b", "c", "d", "e"), (), 1)
 LATENCY_S = 0.003
 SYNC_S = 0.012
 SEEDS = 200
-LONGEST_S = 4 * SYSTEM_TIMES.election  # of an election, in any of the runs
+LONGEST_S = 4 * SYSTEM_TIMING.election_timeout  # of an election, in any of the runs
 
 
 class Election:
@@ -29,9 +29,9 @@
         self.now = 0.0
         self.members: dict[str, Raft] = {}
         for name, length in lengths.items():
-            entries = [Entry(index, 1, CHANGE, b"x") for index in range(1, length + 1)]
-            kept = Kept(1, "a", Snapshot(members=MEMBERS), (0, 0), entries)
-            raft = Raft(name, kept, Random(self.random.random()), 0.0, SYSTEM_TIMES)
+            entries = [Entry(index, 1, EntryKind.COMMAND, b"x") for index in range(1, length + 1)]
+            kept = PersistentState(1, "a", Snapshot(members=MEMBERS), (0, 0), entries)
+            raft = Raft(name, kept, Random(self.random.random()), 0.0, SYSTEM_TIMING)
             self.members[name] = raft
         self.queue: list[tuple[float, int, str, object]] = []
         self.count = 0
@@ -53,10 +53,10 @@
             self._collect(name, raft)
 
     def _collect(self, name: str, raft: Raft) -> None:
-        out = raft.take(self.now)
+        out = raft.take_effects(self.now)
         for write in out.writes:
             self._later(SYNC_S, name, write.number)
-        for receiver, message in out.send:
+        for receiver, message in out.messages:
             if receiver in self.members:
                 self._later(LATENCY_S * (0.8 + 0.4 * self.random.random()), receiver, (name, message))
 
@@ -65,14 +65,14 @@
         self.queue.append((self.now + seconds, self.count, name, what))
 
     def _next(self) -> None:
-        alarm = min((raft.alarm, name) for name, raft in self.members.items())
+        alarm = min((raft.next_timeout_at, name) for name, raft in self.members.items())
         self.queue.sort(key=lambda item: item[:2])
         if self.queue and self.queue[0][0] <= alarm[0]:
             self.now, _, name, what = self.queue.pop(0)
             if isinstance(what, tuple):
-                self.members[name].hear(self.now, *what)
+                self.members[name].receive(self.now, *what)
             else:
-                self.members[name].stored(self.now, what)  # type: ignore[arg-type]
+                self.members[name].write_completed(self.now, what)  # type: ignore[arg-type]
         else:
             self.now = alarm[0]
             self.members[alarm[1]].tick(self.now)
@@ -103,11 +103,11 @@
         end = election.now + 0.4
         while election.now < end:
             election.step()
-        self.assertNotIn("a", election.members[leader].eager)
+        self.assertNotIn("a", election.members[leader].replication_targets)
 
     def test_one_that_lacks_entries_hastens_those_that_have_them(self) -> None:
         times = [Election(seed, {"b": 100, "c": 40, "d": 40, "e": 40}).run()[0] for seed in range(SEEDS)]
-        self.assertLess(sum(times) / SEEDS, 1.6 * SYSTEM_TIMES.election)
+        self.assertLess(sum(times) / SEEDS, 1.6 * SYSTEM_TIMING.election_timeout)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -8,9 +8,9 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.configuration.placement import shard_group
-from bitternpath.ingress.service import Acceptance, AcceptResult, FoundMessage, LookupFailure
-from bitternpath.roles.edge_process import LAST_ANSWERS_S, LAST_CALL_S, EdgeProcess
-from bitternpath.transport.messages import Ownership
+from bitternpath.ingress.interfaces import Acceptance, AcceptResult, FoundMessage, LookupFailure
+from bitternpath.roles.edge_process import EXIT_RESERVE_S, FINAL_ANSWERS_LEAD_S, EdgeProcess
+from bitternpath.transport.shard_messages import Ownership
 from tests.system.test_ingress import HEAD, Client, FrontCase, routing
 from tests.system.test_process import DiskCase, FakeReactor
 from tests.system.test_shards import FakeLink
@@ -25,7 +25,7 @@
     def test_a_message_whose_fate_is_open_gets_no_promise(self) -> None:
         client = self.ask(HEAD + b"\r\n")
         self.site.begin_shutdown()
-        self.site.answer_open()
+        self.site.answer_pending()
         self.assertEqual(client.statuses(), [504])
         self.assertTrue(client.closed)
         self.accept()  # the word comes after all
@@ -35,7 +35,7 @@
         client = self.ask((HEAD + b"\r\n") * 3)
         self.site.begin_shutdown()
         self.accept()
-        self.site.answer_open()
+        self.site.answer_pending()
         self.assertEqual(client.statuses(), [202, 504, 504])
         self.assertTrue(client.closed)
 
@@ -44,13 +44,13 @@
         end = b"POST /job-end/r1 HTTP/1.1\r\nHost: n\r\nX-Lease-Id: 0-1-1\r\nX-Job-Status: 500\r\n\r\n"
         clients = [self.ask(call) for call in (b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n", end)]
         self.site.begin_shutdown()
-        self.site.answer_open()
+        self.site.answer_pending()
         self.assertEqual([client.statuses() for client in clients], [[503], [503]])
 
     def test_a_request_that_is_not_whole_gets_nothing(self) -> None:
         clients = [self.ask(HEAD), self.ask(HEAD + b"Content-Length: 4\r\n\r\nab"), self.client()]
         self.site.begin_shutdown()
-        self.site.answer_open()
+        self.site.answer_pending()
         self.assertEqual([client.statuses() for client in clients], [[], [], []])
         self.assertTrue(all(client.closed for client in clients))
 
@@ -65,7 +65,7 @@
         node = self.process.node
         node.base.feed.table = routing()
         node.base.feed.heard_at = self.reactor.seconds()
-        node.owners.told(FakeLink("storage-1", "z"), Ownership(shard_group(0), 1, True))  # type: ignore[arg-type]
+        node.owners.ownership_changed(FakeLink("storage-1", "z"), Ownership(shard_group(0), 1, True))  # type: ignore[arg-type]
         self.grace_s = self.process.settings.bounds.grace_s
         self.never: list[Deferred[Any]] = []
         node.accept = self.undecided  # type: ignore[method-assign]
@@ -95,12 +95,12 @@
         message = Client(self.sites["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
         state = Client(self.sites["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
         self.leave()
-        self.reactor.pump([0.05] * round((self.grace_s - LAST_CALL_S - LAST_ANSWERS_S) / 0.05 - 1))
+        self.reactor.pump([0.05] * round((self.grace_s - EXIT_RESERVE_S - FINAL_ANSWERS_LEAD_S) / 0.05 - 1))
         self.assertEqual((message.statuses(), state.statuses()), ([], [503]))
         self.reactor.pump([0.05] * 3)
         self.assertEqual(message.statuses(), [504])
         self.assertTrue(message.closed)
-        self.reactor.pump([0.05] * round(LAST_CALL_S / 0.05))
+        self.reactor.pump([0.05] * round(EXIT_RESERVE_S / 0.05))
         self.assertEqual(len(self.ends), 1)
         self.assertLess(self.ends[0], self.grace_s)
 
--- a/tests/system/test_lenders.py
+++ b/tests/system/test_lenders.py
@@ -12,21 +12,16 @@
 
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
 from bitternpath.configuration.placement import shard_group
-from bitternpath.queue.ceilings import LOAN_S
-from bitternpath.queue.owner import OwnerBounds
+from bitternpath.queue.owner import OwnerSettings
+from bitternpath.queue.rate_limits import QUOTA_LEASE_S
 from bitternpath.queue.sharding import home_shard
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.lenders import Lenders
 from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.transport.connections import LinkLost
-from bitternpath.transport.messages import (
-    GroupPlacement,
-    MemberAddress,
-    RefusalReason,
-    Refused,
-    TokenAnswer,
-    TokenRequest,
-)
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
+from bitternpath.transport.shard_messages import RefusalReason, Refused
 
 SHARDS = 19
 HOME = home_shard("limited", SHARDS)
@@ -63,7 +58,7 @@
         if address not in self.dialled:
             self.dialled.append(address)
 
-    def hang_up(self, address: str, user: str) -> None:
+    def release(self, address: str, user: str) -> None:
         self.dialled.remove(address)
 
     def link_to(self, address: str) -> FakeLink | None:
@@ -81,7 +76,7 @@
     def leader(self, group: str) -> str:
         return self.known_leader
 
-    def surely_leads(self, group: str) -> bool:
+    def has_leader_lease(self, group: str) -> bool:
         return self.lease
 
 
@@ -104,7 +99,7 @@
         found = self.borrow()
         ((request, answer),) = self.open_requests(1)
         self.assertEqual(request, TokenRequest(1, GROUP, "limited", 4))
-        answer.callback(TokenAnswer(1, 3))
+        answer.callback(TokenResponse(1, 3))
         self.assertEqual(found, [3])
 
     def test_a_leader_that_a_replica_here_knows_is_asked(self) -> None:
@@ -123,10 +118,10 @@
 
     def test_another_member_is_asked_where_one_says_nothing(self) -> None:
         self.borrow()
-        self.clock.advance(LOAN_S / 2)
+        self.clock.advance(QUOTA_LEASE_S / 2)
         self.borrow()
         self.assertEqual(len(self.open_requests(1)), 2)
-        self.clock.advance(LOAN_S)
+        self.clock.advance(QUOTA_LEASE_S)
         self.borrow()
         self.assertEqual(len(self.open_requests(2)), 1)
 
@@ -159,7 +154,7 @@
             GROUP,
             SHARDS,
             "north",
-            OwnerBounds(),
+            OwnerSettings(),
             EdgeLinks(),
             lambda: True,
             Random(1),
@@ -173,11 +168,11 @@
 
     def test_it_lends_while_it_surely_leads(self) -> None:
         self.runtime.became_owner(1)
-        self.assertEqual(self.ask(), TokenAnswer(7, 0))  # the pool begins empty
+        self.assertEqual(self.ask(), TokenResponse(7, 0))  # the pool begins empty
         self.clock.advance(1.0)
-        self.assertEqual(self.ask(), TokenAnswer(7, 2))
+        self.assertEqual(self.ask(), TokenResponse(7, 2))
         self.host.lease = False
-        self.assertEqual(self.ask(), TokenAnswer(7, 0))
+        self.assertEqual(self.ask(), TokenResponse(7, 0))
         self.runtime.lost_ownership()
         self.assertEqual(self.ask(), Refused(7, RefusalReason.NOT_OWNER))
 
@@ -186,7 +181,7 @@
         self.clock.advance(10.0)
         self.runtime.lost_ownership()
         self.runtime.became_owner(2)
-        self.assertEqual(self.ask(), TokenAnswer(7, 0))
+        self.assertEqual(self.ask(), TokenResponse(7, 0))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_lending.py
+++ b/tests/system/test_lending.py
@@ -13,19 +13,19 @@
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
 from bitternpath.queue import loans
 from bitternpath.queue.actions import BorrowTokens, SendDelivery
-from bitternpath.queue.ceilings import (
+from bitternpath.queue.loans import BORROW_FIRST_S, BORROW_MOST_S, MOST_BORROWED, Loan, TokenPools
+from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.rate_limits import (
     ALLOWED_EXCESS,
     LEND_LAG_S,
-    LOAN_S,
     POOL_LAG_S,
+    QUOTA_LEASE_S,
     SEND_LAG_S,
     CeilingShare,
     TokenBucket,
     ceiling_share,
     split_ceiling,
 )
-from bitternpath.queue.loans import BORROW_FIRST_S, BORROW_MOST_S, MOST_BORROWED, Loan, TokenPools
-from bitternpath.queue.owner import OwnerBounds, ShardOwner
 from bitternpath.queue.sharding import home_shard
 from tests.system.test_queue_rig import SUCCEEDED, Rig
 
@@ -69,8 +69,8 @@
     def test_tokens_lapse_by_when_they_were_asked_for(self) -> None:
         loan = Loan()
         loan.lent(100.3, 3, asked_at=100.0)
-        self.assertEqual(loan.tokens(100.0 + LOAN_S - 0.01), 3)
-        self.assertEqual(loan.tokens(100.0 + LOAN_S), 0)
+        self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S - 0.01), 3)
+        self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S), 0)
         loan.lent(101.0, 5, asked_at=100.5)  # the answer came too late
         self.assertEqual(loan.tokens(101.0), 0)
 
@@ -79,7 +79,7 @@
         loan.lent(100.1, 3, asked_at=100.0)
         loan.lent(100.2, 2, asked_at=100.1)
         self.assertEqual(loan.tokens(100.2), 5)
-        self.assertEqual(loan.tokens(100.0 + LOAN_S), 0)
+        self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S), 0)
 
     def test_pauses_double_while_nothing_is_lent(self) -> None:
         loan, now, pauses = Loan(), 100.0, []
@@ -122,10 +122,10 @@
 
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
         self.proposed, self.sent, self.asked = [], [], []
-        self.owner = ShardOwner(self.state, self.shard, SHARDS, "north", OwnerBounds(), Random(self.shard))
-        self.do(self.owner.take_over(self.now, 1 + self.index))
+        self.owner = ShardOwner(self.state, self.shard, SHARDS, "north", OwnerSettings(), Random(self.shard))
+        self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
         for edge in edges:
-            self.do(self.owner.edge_joined(self.now, edge, "north"))
+            self.do(self.owner.edge_connected(self.now, edge, "north"))
         self.configure(TABLE)
 
 
@@ -156,7 +156,7 @@
                 self._act(rig)
                 rig.advance(STEP_S)
 
-    def take_over(self, shard: int) -> None:
+    def leadership_acquired(self, shard: int) -> None:
         """Another owner; a former one of the home lends for a while, as one does that hasn't heard of it."""
         rig = self.rigs[shard]
         if shard == self.home:
@@ -208,7 +208,9 @@
         shards.append(shard, 40)
     for _ in range(8):
         shards.run(shards.random.uniform(0.5, 4.0))
-        shards.take_over(shards.home if shards.random.random() < 0.6 else shards.random.randrange(SHARDS))
+        shards.leadership_acquired(
+            shards.home if shards.random.random() < 0.6 else shards.random.randrange(SHARDS)
+        )
     return shards.most_in_a_window()
 
 
@@ -219,7 +221,7 @@
         shards.append(shard, 40)
     for _ in range(20):
         shards.run(0.4)
-        shards.take_over(shards.home)
+        shards.leadership_acquired(shards.home)
         shards.former = None
     return shards.most_in_a_window()
 
@@ -263,7 +265,7 @@
         with patch.object(TokenBucket, "__init__", full_at_first):
             self.assertGreater(restless_home(1), ALLOWED)
         self.assertLessEqual(hoarded(), ALLOWED)
-        with patch.object(loans, "LOAN_S", 1_000.0):
+        with patch.object(loans, "QUOTA_LEASE_S", 1_000.0):
             self.assertGreater(hoarded(), ALLOWED)
 
 
--- a/tests/system/test_link_numbers.py
+++ b/tests/system/test_link_numbers.py
@@ -11,8 +11,9 @@
 
 from bitternpath.transport import connections
 from bitternpath.transport.connections import Link, LinkLost, NodeHub
-from bitternpath.transport.messages import NodeDescriptor, NodeKind, StateAnswer, StateRequest
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import MessageState
+from bitternpath.transport.shard_messages import StateRequest, StateResponse
 from tests.system import Loopback
 
 
@@ -37,9 +38,9 @@
             self.asked.append((link, record))
 
 
-def answer(request: StateRequest) -> StateAnswer:
+def answer(request: StateRequest) -> StateResponse:
     """The answer that names the message that was asked for."""
-    return StateAnswer(request.number, True, MessageState.DONE, request.request_id, None)
+    return StateResponse(request.number, True, MessageState.DONE, request.request_id, None)
 
 
 class LinkCase(unittest.TestCase):
@@ -81,7 +82,7 @@
 
     def stamps(self, *results: list[Any]) -> list[list[str]]:
         """Which messages the answers name."""
-        return [[record.stamp for record in each if isinstance(record, StateAnswer)] for each in results]
+        return [[record.stamp for record in each if isinstance(record, StateResponse)] for each in results]
 
     def two_at_once(self) -> list[list[str]]:
         """Two requests on one link, answered in the other order."""
@@ -129,8 +130,8 @@
         first = self.ask("first")
         link, request = self.owner.asked[0]
         link.send(answer(request))
-        link.send(StateAnswer(request.number, False, MessageState.QUEUED, "again", None))
-        link.send(StateAnswer(99, False, MessageState.QUEUED, "nothing", None))
+        link.send(StateResponse(request.number, False, MessageState.QUEUED, "again", None))
+        link.send(StateResponse(99, False, MessageState.QUEUED, "nothing", None))
         second = self.ask("second")
         link.send(answer(self.owner.asked[1][1]))
         self.loopback.until(lambda: bool(second))
--- a/tests/system/test_link_upkeep.py
+++ b/tests/system/test_link_upkeep.py
@@ -21,15 +21,9 @@
     NodeHub,
 )
 from bitternpath.transport.frames import FrameBuffer
-from bitternpath.transport.messages import (
-    RECORDS,
-    Hello,
-    NodeDescriptor,
-    NodeKind,
-    Ping,
-    Pong,
-    StateRequest,
-)
+from bitternpath.transport.messages import RECORDS
+from bitternpath.transport.node_messages import Hello, NodeDescriptor, NodeKind, Ping, Pong
+from bitternpath.transport.shard_messages import StateRequest
 
 ME = NodeDescriptor("edge-1", "10.0.0.1:1", NodeKind.EDGE, "north", False, "", 1, 0)
 
--- a/tests/system/test_member_changes.py
+++ b/tests/system/test_member_changes.py
@@ -10,17 +10,17 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds, ReplicaGroup
-from bitternpath.replication.host import SYSTEM_TIMES, ReplicaHost
+from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
 from bitternpath.replication.member_changes import DesiredMembers, MemberChanges
-from bitternpath.replication.messages import Append, AskVote, Vote
+from bitternpath.replication.messages import AppendEntries, RequestVote, RequestVoteResponse
 from bitternpath.replication.reconfiguration import next_members
-from bitternpath.replication.records import MEMBERS, Entry, Kept, Members, Snapshot
+from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.roles.replica_closing import ReplicaClosing
+from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import SimulatedDisk, VirtualRunner
-from bitternpath.transport.messages import GroupPlacement, GroupReport, MemberAddress
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress, MembershipReport
 
 
 def members(voters: str, learners: str = "", generation: int = 0) -> Members:
@@ -126,12 +126,12 @@
 class Host:
     """A replica host `c/c` with a disk that outlives it."""
 
-    def __init__(self, disk: SimulatedDisk | None = None) -> None:
-        self.disk = disk or SimulatedDisk()
+    def __init__(self, disk: SimulatedFileSystem | None = None) -> None:
+        self.disk = disk or SimulatedFileSystem()
         self.clock = Clock()
         self.sent: list[tuple[str, Any]] = []
         log = SegmentLog(self.disk, lambda: 7, 400, 200)
-        self.journal = Journal(log, VirtualRunner(self.clock, self.disk, 0.001))
+        self.journal = Journal(log, VirtualTimeJournalWriter(self.clock, self.disk, 0.001))
         self.host = ReplicaHost(
             self.clock,
             "c/c",
@@ -144,10 +144,10 @@
         machine = Machine()
         self.host.open_group("g", machine, founders, machine)
 
-    def hear(self, sender: str, message: Any) -> list[Any]:
+    def receive(self, sender: str, message: Any) -> list[Any]:
         """What is answered to that sender."""
         self.sent.clear()
-        self.host.hear("g", sender, encode_message(message))
+        self.host.receive("g", sender, encode_message(message))
         for _ in range(10):
             self.clock.advance(0.002)
         return [answer for receiver, answer in self.sent if receiver == sender]
@@ -158,7 +158,7 @@
 
 
 def member_entry(index: int, term: int, named: Members) -> Entry:
-    return Entry(index, term, MEMBERS, msgspec.msgpack.encode(named))
+    return Entry(index, term, EntryKind.MEMBERS, msgspec.msgpack.encode(named))
 
 
 class GivenUpTest(unittest.TestCase):
@@ -169,14 +169,16 @@
     def given_up(self) -> Host:
         host = Host()
         host.open(self.OLD)
-        host.hear("a/a", Append(3, 0, 0, (member_entry(1, 3, self.OLD), Entry(2, 3, 1, b"x")), 2, 1))
+        host.receive(
+            "a/a", AppendEntries(3, 0, 0, (member_entry(1, 3, self.OLD), Entry(2, 3, 1, b"x")), 2, 1)
+        )
         host.host.close_group("g", 2)
         host.clock.advance(0.1)
         return host
 
     def votes(self, host: Host) -> list[Any]:
         """For an heir that still takes it for a voter: no leader stands in its way."""
-        return host.hear("a/a", AskVote(9, 2, 3, False, leadership_transfer=True))
+        return host.receive("a/a", RequestVote(9, 2, 3, False, leadership_transfer=True))
 
     def test_it_votes_for_nobody_until_it_is_named_again(self) -> None:
         """Else `a`, cut off since `c` was a voter, leads with `c` while `b` and `d` go on."""
@@ -187,7 +189,7 @@
                     host = host.restarted()
                 host.open(None)
                 self.assertEqual(self.votes(host), [])
-                host.hear("b/b", Append(4, 0, 0, (member_entry(1, 3, self.OLD),), 1, 1))
+                host.receive("b/b", AppendEntries(4, 0, 0, (member_entry(1, 3, self.OLD),), 1, 1))
                 self.assertEqual(host.host.members("g"), self.OLD)  # it has begun to catch up
                 if restart:
                     host = host.restarted()
@@ -198,16 +200,18 @@
         host = self.given_up()
         host.open(None)
         named = members("bdc", generation=3)
-        host.hear("b/b", Append(4, 0, 0, (member_entry(1, 3, self.OLD), member_entry(2, 4, named)), 2, 1))
+        host.receive(
+            "b/b", AppendEntries(4, 0, 0, (member_entry(1, 3, self.OLD), member_entry(2, 4, named)), 2, 1)
+        )
         self.assertEqual(
-            host.hear("b/b", AskVote(9, 2, 4, False, leadership_transfer=True)),
-            [Vote(9, pre=False, granted=True)],
+            host.receive("b/b", RequestVote(9, 2, 4, False, leadership_transfer=True)),
+            [RequestVoteResponse(9, pre_vote=False, granted=True)],
         )
         again = host.restarted()
         again.open(None)
         self.assertEqual(
-            again.hear("d/d", AskVote(10, 2, 4, False, leadership_transfer=True)),
-            [Vote(10, pre=False, granted=True)],
+            again.receive("d/d", RequestVote(10, 2, 4, False, leadership_transfer=True)),
+            [RequestVoteResponse(10, pre_vote=False, granted=True)],
         )
 
     def test_that_it_was_given_up_outlives_checkpoints_after_it_joined_again(self) -> None:
@@ -215,10 +219,10 @@
         host.open(None)
         for index in range(1, 40):
             entry = Entry(index, 4, 1, bytes(60))
-            host.hear("b/b", Append(4, index - 1, 4 if index > 1 else 0, (entry,), index, 1))
+            host.receive("b/b", AppendEntries(4, index - 1, 4 if index > 1 else 0, (entry,), index, 1))
         self.assertFalse(any(name.endswith("000000000001.wal") for name in host.disk.paths()))
         again = host.restarted()
-        self.assertEqual(again.journal.forgotten_at("g"), 2)
+        self.assertEqual(again.journal.tombstone_generation("g"), 2)
         self.assertEqual(again.journal.groups(), ("g",))
 
     def test_it_founds_nothing(self) -> None:
@@ -232,14 +236,14 @@
 
     def test_generations_never_fall(self) -> None:
         machine = Machine()
-        kept = Kept(snapshot=Snapshot(members=members("a", generation=5)))
-        group = ReplicaGroup("a/a", kept, machine, machine, Random(1), 0.0, SYSTEM_TIMES, CompactionBounds())
+        kept = PersistentState(snapshot=Snapshot(members=members("a", generation=5)))
+        group = ReplicaGroup("a/a", kept, machine, machine, Random(1), 0.0, SYSTEM_TIMING, CompactionBounds())
         now = 0.0
         for _ in range(100):
             now += 0.05
             group.raft.tick(now)
             for write in group.flush(now).writes:
-                group.raft.stored(now, write.number)
+                group.raft.write_completed(now, write.number)
         self.assertTrue(group.is_owner)
         self.assertFalse(group.change_members(now, members("a", "b", 4)))
         self.assertTrue(group.change_members(now, members("a", "b", 6)))
@@ -268,10 +272,10 @@
     def caught_up(self, group: str, member: str) -> bool:
         return member in self.caught
 
-    def silent_for(self, group: str, member: str) -> float:
+    def unresponsive_for(self, group: str, member: str) -> float:
         return 0.0
 
-    def hand_over(self, group: str, to: str) -> bool:
+    def transfer_leadership(self, group: str, to: str) -> bool:
         self.handed_to.append(to)
         return to == "c/c"
 
@@ -287,23 +291,23 @@
         host = OwnerHost(members("abc", generation=1))
         committed: list[Members] = []
         changes = MemberChanges(cast(Any, host), lambda group: committed.append(host.current))
-        changes.desire("g", ids("abC"), 2)
+        changes.set_desired("g", ids("abC"), 2)
         self.assertEqual(host.current, members("ab", "C", 2))
         host.caught.add("c/C")
-        changes.look("g")
+        changes.reconcile("g")
         self.assertEqual(host.current, members("ab", "C", 2))  # the one before isn't committed
         host.open_change = False
-        changes.look("g")
+        changes.reconcile("g")
         self.assertEqual(host.current, members("abC", "", 2))
         host.open_change = False
         committed.clear()
-        changes.look("g")
+        changes.reconcile("g")
         self.assertEqual(committed, [members("abC", "", 2)])
 
     def test_an_owner_that_is_to_leave_passes_ownership_on_first(self) -> None:
         host = OwnerHost(members("abcd", generation=1))
         changes = MemberChanges(cast(Any, host))
-        changes.desire("g", ids("bcd"), 2)
+        changes.set_desired("g", ids("bcd"), 2)
         self.assertEqual(host.handed_to, ["b/b", "c/c"])
         self.assertEqual(host.current, members("abcd", generation=1))
 
@@ -311,12 +315,12 @@
         self.assertEqual(DesiredMembers(ids("a"), 3).generation, 3)
         host = OwnerHost(members("abc", generation=7))
         changes = MemberChanges(cast(Any, host))
-        changes.desire("g", ids("abd"), 6)  # this owner hasn't heard of the newest placement
+        changes.set_desired("g", ids("abd"), 6)  # this owner hasn't heard of the newest placement
         self.assertEqual(host.current, members("abc", generation=7))
 
 
 class ClosingHost:
-    """A host with replicas, as `ReplicaClosing` sees it."""
+    """A host with replicas, as `ReplicaGarbageCollector` sees it."""
 
     member_id = "c/c"
 
@@ -347,14 +351,14 @@
                 addresses = tuple(MemberAddress(f"{n}/{n}", n, f"{n}:1", "z") for n in placed)
                 placements = {"g": GroupPlacement("g", generation, addresses)}
                 done: list[tuple[str, int]] = []
-                closing = ReplicaClosing(
+                closing = ReplicaGarbageCollector(
                     Clock(),
                     cast(Any, None),
                     cast(Any, ClosingHost(known)),
                     placements,
                     lambda group, at: done.append((group, at)),  # noqa: B023
                 )
-                closing.reported(GroupReport("g", 4, ids(reported), by))
+                closing.reported(MembershipReport("g", 4, ids(reported), by))
                 self.assertEqual(done, [("g", by)] if closed else [])
 
 
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -9,30 +9,31 @@
 
 from bitternpath.configuration.placement import (
     desired_members,
-    first_placement,
+    initial_placement,
     nodes_to_replace,
     repaired_placement,
     shard_group,
     shard_of,
 )
-from bitternpath.membership.founding import decide, member_id
+from bitternpath.membership.bootstrap import decide_bootstrap, member_id
 from bitternpath.membership.view import STATE_VIEW_SIZE, VIEW_SIZE, MembershipView
 from bitternpath.replication.reconfiguration import next_members
 from bitternpath.replication.records import Members
-from bitternpath.transport.messages import RECORDS, NodeDescriptor, NodeKind, ShuffleRequest
+from bitternpath.transport.messages import RECORDS
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind, ShuffleRequest
 
 ZONES = ("z1", "z2", "z3")
 LARGEST_DATAGRAM = 1_400
 
 
 def node(
-    number: int, kind: NodeKind = NodeKind.EDGE, disk: str = "", zone: str = "", life: int = 1
+    number: int, kind: NodeKind = NodeKind.EDGE, disk: str = "", zone: str = "", incarnation: int = 1
 ) -> NodeDescriptor:
     """A node whose address tells its number."""
     name = f"{kind.name.lower()}-some-long-zone-{number}"
     place = zone or ZONES[number % len(ZONES)]
     return NodeDescriptor(
-        name, f"10.0.{number // 250}.{number % 250}:7000", kind, place, bool(disk), disk, life, 0
+        name, f"10.0.{number // 250}.{number % 250}:7000", kind, place, bool(disk), disk, incarnation, 0
     )
 
 
@@ -79,28 +80,28 @@
     def test_a_view_is_bounded(self) -> None:
         view = MembershipView(node(0), (), Random(1), 0.0)
         for number in range(1, 400):
-            view.learned(1.0, node(number, disk="d" if number % 2 else ""))
+            view.observe(1.0, node(number, disk="d" if number % 2 else ""))
         kept = view.nodes()
         self.assertEqual(sum(bool(each.disk) for each in kept), STATE_VIEW_SIZE)
         self.assertEqual(sum(not each.disk for each in kept), VIEW_SIZE)
 
     def test_the_newest_word_wins_and_an_older_life_never_comes_back(self) -> None:
         view = MembershipView(node(0), (), Random(1), 0.0)
-        view.learned(1.0, node(1, disk="new", life=5))
-        view.learned(2.0, node(1, disk="old", life=4))
+        view.observe(1.0, node(1, disk="new", incarnation=5))
+        view.observe(2.0, node(1, disk="old", incarnation=4))
         found = view.find(node(1).name)
         self.assertEqual(found.disk if found else "", "new")
 
     def test_a_node_that_leaves_or_falls_silent_is_forgotten(self) -> None:
         world = World([node(n) for n in range(6)], seeds=2, loss=0.0, seed=3)
         world.run(6.0)
-        silent, leaving = node(4), node(5)
+        silent, draining = node(4), node(5)
         del world.views[silent.address]
-        for datagram in world.views.pop(leaving.address).leave():
-            world._carry(leaving.address, [datagram])
+        for datagram in world.views.pop(draining.address).leave():
+            world._carry(draining.address, [datagram])
         world.run(50.0)
         for view in world.views.values():
-            self.assertEqual({each.name for each in view.nodes()} & {silent.name, leaving.name}, set())
+            self.assertEqual({each.name for each in view.nodes()} & {silent.name, draining.name}, set())
 
     def test_parts_that_were_cut_off_for_long_find_each_other_though_seeds_name_their_own_part(self) -> None:
         for seed in range(5):
@@ -119,7 +120,7 @@
                     world.now = began
                 world.now += 40.0
                 for address in parts[1]:
-                    me = replace(views[address].me, life=2)
+                    me = replace(views[address].local_node, incarnation=2)
                     views[address] = MembershipView(me, parts[1][:2], Random(seed), world.now)
                 world.views = views
                 world.run(3.0)
@@ -129,9 +130,9 @@
                     self.assertGreaterEqual(len(known & set(parts[1])), 2)
 
     def test_after_a_clock_that_stepped_back_a_node_outbids_its_earlier_life(self) -> None:
-        view = MembershipView(node(0, life=100), (), Random(1), 0.0)
-        view.received(1.0, "10.0.0.9:1", ShuffleRequest(node(9), (node(0, life=900),)))
-        self.assertGreater(view.me.life, 900)
+        view = MembershipView(node(0, incarnation=100), (), Random(1), 0.0)
+        view.received(1.0, "10.0.0.9:1", ShuffleRequest(node(9), (node(0, incarnation=900),)))
+        self.assertGreater(view.local_node.incarnation, 900)
 
 
 class FoundingTest(unittest.TestCase):
@@ -140,7 +141,7 @@
     def view(self, counted: int, at: float = 0.0) -> MembershipView:
         view = MembershipView(node(0, disk="d0"), (), Random(1), 0.0)
         for number in range(1, counted):
-            view.learned(at, node(number, disk=f"d{number}"))
+            view.observe(at, node(number, disk=f"d{number}"))
         return view
 
     def test_when_it_falls(self) -> None:
@@ -155,7 +156,7 @@
         )
         for label, counted, last_change, now, members in cases:
             with self.subTest(label):
-                founding = decide(self.view(counted, last_change), 1, 0.0, now, Random(2))
+                founding = decide_bootstrap(self.view(counted, last_change), 1, 0.0, now, Random(2))
                 self.assertEqual(len(founding.group.members) if founding else None, members)
 
 
@@ -168,7 +169,7 @@
     def test_replicas_are_spread_over_zones_and_owners_over_nodes(self) -> None:
         for count, zones, tolerated in ((3, 3, 1), (4, 4, 1), (5, 2, 1), (17, 5, 2), (18, 3, 2)):
             with self.subTest(count=count, zones=zones):
-                groups = first_placement(self.storage(count, zones), tolerated)
+                groups = initial_placement(self.storage(count, zones), tolerated)
                 self.assertEqual(len(groups), count)
                 self.assertEqual(len({group.members[0].node for group in groups}), count)
                 for group in groups:
@@ -179,7 +180,7 @@
 
     def test_a_lost_disk_changes_its_own_replicas_only(self) -> None:
         nodes = self.storage(5)
-        groups = first_placement(nodes, 1)
+        groups = initial_placement(nodes, 1)
         nodes[1] = node(1, NodeKind.STORAGE, "another", "z1")
         repaired = repaired_placement(groups, nodes, frozenset(), 1)
         for before, after in zip(groups, repaired, strict=True):
@@ -189,7 +190,7 @@
             self.assertEqual(hit, any(each.member == member_id(nodes[1]) for each in after.members))
 
     def test_nodes_that_are_away_keep_their_place(self) -> None:
-        groups = first_placement(self.storage(4), 1)
+        groups = initial_placement(self.storage(4), 1)
         self.assertEqual(repaired_placement(groups, self.storage(2), frozenset(), 1), groups)
 
     def test_shards_of_a_replaced_node_land_on_the_one_in_its_place(self) -> None:
@@ -197,7 +198,7 @@
         for count, tolerated in ((3, 1), (4, 1), (6, 1), (7, 2)):
             with self.subTest(count=count, tolerated=tolerated):
                 nodes = self.storage(count)
-                groups = first_placement(nodes, tolerated)
+                groups = initial_placement(nodes, tolerated)
                 successor = node(99, NodeKind.STORAGE, "d99", nodes[1].zone)
                 present = [each for each in nodes if each is not nodes[1]] + [successor]
                 moved = repaired_placement(groups, present, frozenset({nodes[1].name}), tolerated)
@@ -209,12 +210,12 @@
 
     def test_a_retired_node_is_replaced_where_there_is_another(self) -> None:
         nodes = self.storage(4)
-        groups = first_placement(nodes, 1)
+        groups = initial_placement(nodes, 1)
         gone = frozenset({nodes[0].name})
         for group in repaired_placement(groups, nodes, gone, 1):
             self.assertNotIn(nodes[0].name, [each.node for each in group.members])
             self.assertEqual(len(group.members), 3)
-        stuck = repaired_placement(first_placement(nodes[:3], 1), nodes[:3], gone, 1)
+        stuck = repaired_placement(initial_placement(nodes[:3], 1), nodes[:3], gone, 1)
         self.assertTrue(all(len(group.members) == 3 for group in stuck))
 
     def test_group_names(self) -> None:
@@ -251,13 +252,13 @@
         for label, voters, present, away, desired in self.CONFIGURATION:
             with self.subTest(label):
                 nodes = self.nodes(present, NodeKind.EDGE)
-                away_for = dict.fromkeys("abcd", 0.0) | dict.fromkeys(away, 9.0)
-                found = desired_members(Members(tuple(ids(voters))), nodes, away_for.__getitem__, 3)
+                down_for = dict.fromkeys("abcd", 0.0) | dict.fromkeys(away, 9.0)
+                found = desired_members(Members(tuple(ids(voters))), nodes, down_for.__getitem__, 3)
                 self.assertEqual(sorted(found), sorted(ids(desired)))
 
     def test_which_storage_nodes_are_replaced(self) -> None:
         nodes = self.nodes("abcd", NodeKind.STORAGE)
-        groups = first_placement(nodes[:3], 1)
+        groups = initial_placement(nodes[:3], 1)
         cases = (
             ("all there, a spare too", nodes, "", {}, ""),
             ("away a moment, a spare there", nodes[1:], "", {"a": 1.0}, ""),
@@ -269,8 +270,8 @@
         )
         for label, present, retired, away, expected in cases:
             with self.subTest(label):
-                away_for = dict.fromkeys("abcd", 0.0) | away
-                gone = nodes_to_replace(groups, present, set(retired), away_for.__getitem__)
+                down_for = dict.fromkeys("abcd", 0.0) | away
+                gone = nodes_to_replace(groups, present, set(retired), down_for.__getitem__)
                 self.assertEqual(sorted(gone), list(expected))
 
 
--- a/tests/system/test_membership_reunion.py
+++ b/tests/system/test_membership_reunion.py
@@ -37,7 +37,7 @@
         """Processes of the far part begin anew, with seeds of their own side only."""
         far = [address for address in self.views if address not in self.near]
         for number, address in enumerate(far):
-            later = replace(self.views[address].me, life=2, beat=0)
+            later = replace(self.views[address].local_node, incarnation=2, heartbeat=0)
             self.views[address] = MembershipView(later, tuple(far[:SEEDS]), Random(number), self.now)
 
 
@@ -59,8 +59,8 @@
 
     def test_a_node_that_said_good_bye_is_asked_no_more(self) -> None:
         view = MembershipView(node(0), (), Random(1), 0.0)
-        view.learned(1.0, node(1))
-        view.learned(1.0, replace(node(2), leaving=True))
+        view.observe(1.0, node(1))
+        view.observe(1.0, replace(node(2), draining=True))
         asked = {datagram.address for second in range(2, 60) for datagram in view.tick(float(second))}
         self.assertEqual(asked, {node(1).address})
 
--- a/tests/system/test_old_members.py
+++ b/tests/system/test_old_members.py
@@ -6,9 +6,9 @@
 from unittest.mock import patch
 
 from bitternpath.replication.consensus import Raft
-from bitternpath.replication.host import SYSTEM_TIMES
-from bitternpath.replication.messages import AskVote, Install, Vote
-from bitternpath.replication.records import Kept, Members, Snapshot
+from bitternpath.replication.host import SYSTEM_TIMING
+from bitternpath.replication.messages import InstallSnapshot, RequestVote, RequestVoteResponse
+from bitternpath.replication.records import Members, PersistentState, Snapshot
 from bitternpath.replication.wire import decode_message
 from bitternpath.testing.simulation.replica_group import GROUP, Node, Process
 from tests.system.loaded_group import Loaded, Quiet
@@ -80,19 +80,21 @@
             world.run_until(lambda: False, 1.0)
 
     def test_a_vote_of_one_that_is_no_member_does_not_count(self) -> None:
-        raft = Raft("a", Kept(snapshot=Snapshot(members=Members(("a", "b", "c")))), _Fixed(), 0.0)  # type: ignore[arg-type]
+        raft = Raft("a", PersistentState(snapshot=Snapshot(members=Members(("a", "b", "c")))), _Fixed(), 0.0)  # type: ignore[arg-type]
         raft.tick(5.0)
-        raft.take(5.0)
-        raft.hear(5.0, "gone", Vote(1, True, True))
-        raft.take(5.0)
+        raft.take_effects(5.0)
+        raft.receive(5.0, "gone", RequestVoteResponse(1, True, True))
+        raft.take_effects(5.0)
         self.assertEqual(raft.term, 0)
-        raft.hear(5.0, "b", Vote(1, True, True))
+        raft.receive(5.0, "b", RequestVoteResponse(1, True, True))
         self.assertEqual(raft.term, 1)
 
     def test_asking_for_votes_beforehand_raises_no_term(self) -> None:
-        raft = Raft("a", Kept(term=3, snapshot=Snapshot(members=Members(("a", "b")))), _Fixed(), 0.0)  # type: ignore[arg-type]
-        raft.hear(5.0, "gone", AskVote(90, 0, 0, True))
-        raft.take(5.0)
+        raft = Raft(
+            "a", PersistentState(term=3, snapshot=Snapshot(members=Members(("a", "b")))), _Fixed(), 0.0
+        )  # type: ignore[arg-type]
+        raft.receive(5.0, "gone", RequestVote(90, 0, 0, True))
+        raft.take_effects(5.0)
         self.assertEqual(raft.term, 3)
 
 
@@ -113,11 +115,11 @@
         host = Host("a")
         host.open(TRIO)
         host.lead()
-        beat = host.run(1.5 * SYSTEM_TIMES.heartbeat)  # a heartbeat, whose answers come late
+        beat = host.run(1.5 * SYSTEM_TIMING.heartbeat_interval)  # a heartbeat, whose answers come late
         self.assertTrue(beat)
         host.clock.rightNow += FROZEN_SECONDS  # no timer has run meanwhile
         host.answer("b", beat)
-        barrier = host.host.barrier("g")
+        barrier = host.host.read_barrier("g")
         host.turn()
         found = result_of(barrier)  # type: ignore[arg-type]
         barrier.addErrback(lambda _: None)
@@ -127,36 +129,36 @@
         self.assertEqual(self.read_on_waking(), (False, None))
 
     def test_a_build_that_counts_rounds_from_before_is_caught(self) -> None:
-        with patch.object(Raft, "want_round", lambda self: self.confirmed_round):
+        with patch.object(Raft, "request_heartbeat_round", lambda self: self.confirmed_round):
             self.assertEqual(self.read_on_waking(), (True, None))
 
     def test_a_lease_counts_from_when_a_majority_was_asked(self) -> None:
         host = Host("a")
         host.open(TRIO)
         host.lead()
-        host.answer("b", host.run(1.5 * SYSTEM_TIMES.heartbeat))
-        self.assertTrue(host.host.surely_leads("g"))
-        beat = host.run(1.1 * SYSTEM_TIMES.heartbeat)
+        host.answer("b", host.run(1.5 * SYSTEM_TIMING.heartbeat_interval))
+        self.assertTrue(host.host.has_leader_lease("g"))
+        beat = host.run(1.1 * SYSTEM_TIMING.heartbeat_interval)
         self.assertTrue(beat)
         host.clock.rightNow += FROZEN_SECONDS
         host.answer("b", beat)
         host.turn()
-        self.assertTrue(host.host.has_lease("g"), "by when the answers came")
-        self.assertFalse(host.host.surely_leads("g"))
+        self.assertTrue(host.host.hears_quorum("g"), "by when the answers came")
+        self.assertFalse(host.host.has_leader_lease("g"))
 
     def test_a_lease_ends_without_answers_and_with_a_transfer(self) -> None:
         host = Host("a")
         host.open(TRIO)
         host.lead()
-        host.answer("b", host.run(1.5 * SYSTEM_TIMES.heartbeat))
-        host.run(0.8 * SYSTEM_TIMES.election)
-        self.assertFalse(host.host.surely_leads("g"))
+        host.answer("b", host.run(1.5 * SYSTEM_TIMING.heartbeat_interval))
+        host.run(0.8 * SYSTEM_TIMING.election_timeout)
+        self.assertFalse(host.host.has_leader_lease("g"))
         other = Host("a")
         other.open(TRIO)
         other.lead()
-        other.answer("b", other.run(1.5 * SYSTEM_TIMES.heartbeat))
-        self.assertTrue(other.host.hand_over("g", "b"))
-        self.assertFalse(other.host.surely_leads("g"))
+        other.answer("b", other.run(1.5 * SYSTEM_TIMING.heartbeat_interval))
+        self.assertTrue(other.host.transfer_leadership("g", "b"))
+        self.assertFalse(other.host.has_leader_lease("g"))
 
     def test_a_frozen_owner_in_a_group_reads_nothing_old(self) -> None:
         """The checker holds what a read gives against what was acknowledged before it was asked."""
@@ -192,7 +194,7 @@
 
     def _send(self, sender_node: str, sender: str, receiver: str, group: str, body: bytes) -> None:
         message = decode_message(body)
-        self.begun += isinstance(message, Install) and message.offset == 0 and bool(message.piece)
+        self.begun += isinstance(message, InstallSnapshot) and message.offset == 0 and bool(message.chunk)
         super()._send(sender_node, sender, receiver, group, body)
 
 
@@ -203,7 +205,7 @@
         world = Counting()
         node = world.follower()
         assert node.process is not None
-        node.process.runner.sync_seconds = 0.05
+        node.process.journal_writer.sync_seconds = 0.05
         world.changes(0.005)
         world.run_until(lambda: False, 5.0)
         world.every = 0.0
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -8,11 +8,12 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.orders import OrderCode, OrderResult, result
-from bitternpath.ingress.service import OperatorReply
+from bitternpath.configuration.changes import OperatorResult, ResultCode, operator_result
+from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.operator_calls import OperatorCalls
 from bitternpath.transport.connections import LinkLost
-from bitternpath.transport.messages import OperatorAnswer, OperatorOrder, Pong
+from bitternpath.transport.node_messages import Pong
+from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
 SILENCE_S = 1.0  # of a node, after which the operator moves on
 MIB = 1 << 20
@@ -22,9 +23,9 @@
     """A processor that decides when the test says so."""
 
     def __init__(self) -> None:
-        self.open: list[Deferred[OrderResult]] = []
+        self.open: list[Deferred[OperatorResult]] = []
 
-    def read(self) -> Deferred[OrderResult]:
+    def read(self) -> Deferred[OperatorResult]:
         self.open.append(Deferred())
         return self.open[-1]
 
@@ -38,7 +39,7 @@
     def is_owner(self) -> bool:
         return self.owner
 
-    def order(self, order: Any) -> Deferred[OrderResult]:
+    def order(self, order: Any) -> Deferred[OperatorResult]:
         return self.orders.read()
 
 
@@ -46,7 +47,7 @@
     """The link to the owner."""
 
     def __init__(self) -> None:
-        self.sent: list[OperatorOrder] = []
+        self.sent: list[OperatorRequest] = []
         self.open: list[Deferred[Any]] = []
 
     def request(self, make: Any) -> Deferred[Any]:
@@ -92,14 +93,16 @@
                 self.assertEqual(replies, [])
                 self.clock.advance(SILENCE_S - 0.7)
                 self.assertEqual([reply.status for reply in replies], [503])
-        self.owner.orders.open[0].callback(result(OrderCode.ACCEPTED, version=5))  # nobody waits for it
-        self.link.open[0].callback(OperatorAnswer(1, True, 200, b"{}"))
+        self.owner.orders.open[0].callback(
+            operator_result(ResultCode.ACCEPTED, version=5)
+        )  # nobody waits for it
+        self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
 
     def test_a_large_body_has_longer(self) -> None:
         replies = self.put(self.calls(None, self.link), b"x" * (2 * MIB))
         self.clock.advance(2.5)
         self.assertEqual(replies, [])
-        self.link.open[0].callback(OperatorAnswer(1, True, 200, b"{}"))
+        self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
         self.assertEqual([reply.status for reply in replies], [200])
 
     def test_without_an_owner_it_says_503_at_once(self) -> None:
@@ -114,11 +117,11 @@
         self.assertEqual([reply.status for reply in first + second], [503, 503])
 
     def test_what_was_forwarded_is_not_forwarded_again(self) -> None:
-        decided: list[OrderResult] = []
+        decided: list[OperatorResult] = []
         for member in (None, self.follower):
-            order = OperatorOrder(1, "PUT", "/config", "3", b"{}")
+            order = OperatorRequest(1, "PUT", "/config", "3", b"{}")
             self.calls(member, self.link).forwarded(order).addCallback(decided.append)
-        self.assertEqual([each.code for each in decided], [OrderCode.NOT_OWNER] * 2)
+        self.assertEqual([each.code for each in decided], [ResultCode.NOT_OWNER] * 2)
         self.assertEqual(self.link.sent, [])
 
 
--- a/tests/system/test_order_bodies.py
+++ b/tests/system/test_order_bodies.py
@@ -13,11 +13,11 @@
 
 from twisted.internet.defer import Deferred, succeed
 
+from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult
 from bitternpath.configuration.documents import LARGEST_VERSION, MOST_NESTED
-from bitternpath.configuration.machine import ConfigurationState
-from bitternpath.configuration.orders import Order, OrderProcessor, OrderResult
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.codec import RecordCodec
-from bitternpath.transport.messages import FeedUpdate
+from bitternpath.transport.feed_messages import FeedUpdate
 
 
 def route(**changes: Any) -> dict[str, Any]:
@@ -107,12 +107,12 @@
 
     def setUp(self) -> None:
         self.state = ConfigurationState()
-        self.processor = OrderProcessor(self.state, Group(self.state))
+        self.processor = ChangeProcessor(self.state, Group(self.state))
         self.assertEqual(self.send("PUT", "0", encoded(document(3, extra=[{"name": ["x"]}]))), 200)
 
     def send(self, method: str, base: str, body: bytes) -> int:
-        results: list[OrderResult] = []
-        self.processor.submit(Order(method, base, body)).addCallback(results.append)
+        results: list[OperatorResult] = []
+        self.processor.submit(ChangeRequest(method, base, body)).addCallback(results.append)
         return results[0].status
 
     def check(self, method: str, cases: dict[str, tuple[str, bytes]]) -> None:
@@ -146,8 +146,8 @@
                 RecordCodec(FeedUpdate).encode(FeedUpdate(1, self.state.version, b"", 0, None, 1))
 
     def test_a_check_that_fails_inside_holds_up_no_other_order(self) -> None:
-        class Faulty(OrderProcessor):
-            def _document(self, order: Order) -> dict[str, Any]:
+        class Faulty(ChangeProcessor):
+            def _document(self, order: ChangeRequest) -> dict[str, Any]:
                 if order.body == b"faulty":
                     raise ZeroDivisionError
                 return super()._document(order)
--- a/tests/system/test_order_key.py
+++ b/tests/system/test_order_key.py
@@ -8,8 +8,8 @@
 
 from bitternpath.delivery.requests import request_bytes
 from bitternpath.delivery.results import WorkerTarget
-from bitternpath.ingress.servers import build_front
-from bitternpath.ingress.service import Acceptance, AcceptResult, PulledJob
+from bitternpath.ingress.interfaces import Acceptance, AcceptResult, PulledJob
+from bitternpath.ingress.servers import build_client_server
 from bitternpath.net.http1 import RequestReader, ResponseReader
 from bitternpath.queue.commands import COMMANDS, AppendMessage
 from bitternpath.queue.state import QueueState
@@ -25,7 +25,7 @@
 
     def setUp(self) -> None:
         self.node = Node()
-        self.site = build_front(self.node, Clock(), origin="e", max_connections=99, wall_ms=lambda: 0)
+        self.site = build_client_server(self.node, Clock(), origin="e", max_connections=99, wall_ms=lambda: 0)
 
     def accepted(self, path: bytes, *headers: bytes) -> Message:
         lines = [b"POST %b HTTP/1.1" % path, b"Host: a.example", b"X-Request-Id: r1", *headers]
--- a/tests/system/test_order_races.py
+++ b/tests/system/test_order_races.py
@@ -19,17 +19,17 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
-from bitternpath.configuration.machine import ConfigurationSnapshot, ConfigurationState
-from bitternpath.configuration.orders import (
-    Order,
-    OrderCode,
-    OrderProcessor,
-    OrderResult,
+from bitternpath.configuration.changes import (
+    ChangeProcessor,
+    ChangeRequest,
+    OperatorResult,
+    ResultCode,
     _Acceptable,
     _Submission,
-    result,
+    operator_result,
 )
-from bitternpath.replication.interfaces import FateOpen, NotOwner
+from bitternpath.configuration.state_machine import ConfigurationSnapshot, ConfigurationState
+from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
 from bitternpath.transport.codec import RecordCodec
 
 
@@ -41,11 +41,11 @@
     version: int
     method: str = "PUT"
 
-    def order(self, name: str) -> Order:
+    def order(self, name: str) -> ChangeRequest:
         """As it is on the wire."""
         content = {"version": self.version, "by": name}
         whole = {"routes": [], "services": []} if self.method == "PUT" else {}
-        return Order(self.method, str(self.base), json.dumps({**content, **whole}).encode())
+        return ChangeRequest(self.method, str(self.base), json.dumps({**content, **whole}).encode())
 
 
 ORDERS = {
@@ -56,14 +56,14 @@
     "D": Sent(9, 11),
 }
 WIRE = {name: sent.order(name) for name, sent in ORDERS.items()}
-FIRST = Order("PUT", "0", json.dumps({"version": 3, "routes": [], "services": []}).encode())
+FIRST = ChangeRequest("PUT", "0", json.dumps({"version": 3, "routes": [], "services": []}).encode())
 
 
 @dataclass
 class Build:
     """What is played."""
 
-    processor: type[OrderProcessor] = OrderProcessor
+    processor: type[ChangeProcessor] = ChangeProcessor
     state: type[ConfigurationState] = ConfigurationState
     remembered: int = 100
 
@@ -85,13 +85,13 @@
 
     def propose(self, command: bytes) -> Deferred[object]:
         if not self.owner:
-            return fail(NotOwner())
+            return fail(NotOwnerError())
         self.open.append((command, Deferred()))
         return self.open[-1][1]
 
     def barrier(self) -> Deferred[None]:
         if not self.owner:
-            return fail(NotOwner())
+            return fail(NotOwnerError())
         self.barriers.append(Deferred())
         return self.barriers[-1]
 
@@ -107,9 +107,9 @@
         barriers, self.barriers = self.barriers, []
         open_, self.open = self.open, []
         for _, proposed in open_:
-            proposed.errback(FateOpen())
+            proposed.errback(OutcomeUnknownError())
         for barrier in barriers:
-            barrier.errback(NotOwner())
+            barrier.errback(NotOwnerError())
         self.catch_up()
 
 
@@ -119,7 +119,7 @@
 
     build: Build
     log: list[bytes] = field(default_factory=list)
-    answers: dict[str, list[OrderResult]] = field(default_factory=dict)
+    answers: dict[str, list[OperatorResult]] = field(default_factory=dict)
     contacts: int = 0  # how often a majority has answered the owner
     violation: str = ""
 
@@ -183,7 +183,7 @@
         """An operator sends an order to a node; where that isn't the owner it gets 503 or is forwarded."""
         contacts = self.contacts
 
-        def come(answer: OrderResult) -> None:
+        def come(answer: OperatorResult) -> None:
             self.answers.setdefault(name, []).append(answer)
             self._look_at(name, answer, contacts)
 
@@ -193,8 +193,8 @@
         """An operator reads the configuration."""
         contacts, known = self.contacts, self.history.version
 
-        def come(answer: OrderResult) -> None:
-            if answer.code is not OrderCode.CURRENT:
+        def come(answer: OperatorResult) -> None:
+            if answer.code is not ResultCode.CURRENT:
                 return
             if self.contacts == contacts:
                 self._break("a read was answered without a word of a majority")
@@ -247,7 +247,7 @@
     def _took_effect(self, name: str) -> bool:
         return self.history.accepted_as(WIRE[name].digest()) is not None
 
-    def _look_at(self, name: str, answer: OrderResult, contacts: int) -> None:
+    def _look_at(self, name: str, answer: OperatorResult, contacts: int) -> None:
         """An answer, when it comes."""
         if not answer.decided:
             return
@@ -364,7 +364,7 @@
         return ""
 
 
-def search(build: type[OrderProcessor], state: type[ConfigurationState], scope: Scope) -> tuple[int, str]:
+def search(build: type[ChangeProcessor], state: type[ConfigurationState], scope: Scope) -> tuple[int, str]:
     """How many sequences were played, and the first that breaks a rule, or ""."""
     played = Search(Build(build, state, scope.remembered), scope)
     found = played.run()
@@ -374,53 +374,55 @@
 # ---- broken builds
 
 
-class WithoutConfirmation(OrderProcessor):
+class WithoutConfirmation(ChangeProcessor):
     """Answers are given without asking a majority."""
 
-    def submit(self, order: Order) -> Deferred[OrderResult]:
+    def submit(self, order: ChangeRequest) -> Deferred[OperatorResult]:
         if not self.group.is_owner():
             return super().submit(order)
-        answer: Deferred[OrderResult] = Deferred()
+        answer: Deferred[OperatorResult] = Deferred()
         self._confirm(_Submission(order, order.digest(), answer))
         return answer
 
 
-class ReadWithoutConfirmation(OrderProcessor):
+class ReadWithoutConfirmation(ChangeProcessor):
     """A read is answered from what this node has."""
 
-    def read(self) -> Deferred[OrderResult]:
+    def read(self) -> Deferred[OperatorResult]:
         return succeed(self._current()) if self.group.is_owner() else super().read()
 
 
-class ReckonedBefore(OrderProcessor):
+class ReckonedBefore(ChangeProcessor):
     """Answers are reckoned when the order comes, and sent once ownership is confirmed."""
 
     def __init__(self, state: ConfigurationState, group: Node) -> None:
         super().__init__(state, group)
-        self.reckoned: dict[int, _Acceptable | OrderResult] = {}
+        self.reckoned: dict[int, _Acceptable | OperatorResult] = {}
 
-    def submit(self, order: Order) -> Deferred[OrderResult]:
+    def submit(self, order: ChangeRequest) -> Deferred[OperatorResult]:
         early = super()._reckon(_Submission(order, order.digest(), Deferred()))
-        if isinstance(early, OrderResult) and early.decided:
-            return self.group.barrier().addCallbacks(lambda _: early, lambda _: result(OrderCode.NOT_OWNER))
+        if isinstance(early, OperatorResult) and early.decided:
+            return self.group.barrier().addCallbacks(
+                lambda _: early, lambda _: operator_result(ResultCode.NOT_OWNER)
+            )
         return super().submit(order)
 
 
-class AcknowledgedBeforeCommit(OrderProcessor):
+class AcknowledgedBeforeCommit(ChangeProcessor):
     """An order is acknowledged once it is proposed."""
 
     def _propose(self, submission: _Submission, acceptable: _Acceptable) -> None:
-        submission.answer.callback(result(OrderCode.ACCEPTED, version=acceptable.version))
+        submission.answer.callback(operator_result(ResultCode.ACCEPTED, version=acceptable.version))
         early = _Submission(submission.order, submission.digest, Deferred())
         super()._propose(early, acceptable)
 
 
-class RefusedWhileOpen(OrderProcessor):
+class RefusedWhileOpen(ChangeProcessor):
     """An order whose proposal failed is refused, though it may be committed still."""
 
-    def _decided(self, decided: OrderResult, submission: _Submission) -> None:
-        open_ = decided.code is OrderCode.FATE_OPEN
-        super()._decided(result(OrderCode.OTHER_VERSION) if open_ else decided, submission)
+    def _decided(self, decided: OperatorResult, submission: _Submission) -> None:
+        open_ = decided.code is ResultCode.FATE_OPEN
+        super()._decided(operator_result(ResultCode.OTHER_VERSION) if open_ else decided, submission)
 
 
 class ForgetsAccepted(ConfigurationState):
@@ -443,7 +445,7 @@
 class RefusesForgotten(ConfigurationState):
     """What was too long ago to be remembered is refused."""
 
-    def may_have_forgotten(self, base: int) -> bool:
+    def may_have_evicted(self, base: int) -> bool:
         return False
 
 
@@ -453,12 +455,12 @@
     def test_no_sequence_of_events_breaks_a_rule(self) -> None:
         for label, scope in SCOPES.items():
             with self.subTest(label):
-                count, found = search(OrderProcessor, ConfigurationState, scope)
+                count, found = search(ChangeProcessor, ConfigurationState, scope)
                 self.assertEqual(found, "")
                 self.assertEqual(count, SEQUENCES[label])
 
     def assert_found(
-        self, label: str, build: type = OrderProcessor, state: type = ConfigurationState
+        self, label: str, build: type = ChangeProcessor, state: type = ConfigurationState
     ) -> None:
         self.assertNotEqual(search(build, state, SCOPES[label])[1], "")
 
--- a/tests/system/test_orders_under_way.py
+++ b/tests/system/test_orders_under_way.py
@@ -16,9 +16,15 @@
 
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration import orders
-from bitternpath.configuration.machine import ConfigurationState
-from bitternpath.configuration.orders import OrderCode, OrderProcessor, _Acceptable, _Submission, result
+from bitternpath.configuration import changes as orders
+from bitternpath.configuration.changes import (
+    ChangeProcessor,
+    ResultCode,
+    _Acceptable,
+    _Submission,
+    operator_result,
+)
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
@@ -248,17 +254,17 @@
             self.assert_fails("test_an_answer_lost_and_other_versions_accepted_before_it_is_sent_again")
 
     def test_broken_acknowledged_before_commit(self) -> None:
-        proper = OrderProcessor._propose
+        proper = ChangeProcessor._propose
 
-        def propose(processor: OrderProcessor, submission: _Submission, acceptable: _Acceptable) -> None:
-            submission.answer.callback(result(OrderCode.ACCEPTED, version=acceptable.version))
+        def propose(processor: ChangeProcessor, submission: _Submission, acceptable: _Acceptable) -> None:
+            submission.answer.callback(operator_result(ResultCode.ACCEPTED, version=acceptable.version))
             proper(processor, _Submission(submission.order, submission.digest, Deferred()), acceptable)
 
-        with patch.object(OrderProcessor, "_propose", propose):
+        with patch.object(ChangeProcessor, "_propose", propose):
             self.assert_fails("test_all_members_lose_power")
 
     def test_broken_refused_while_its_fate_is_open(self) -> None:
-        with patch.object(orders, "_failed", lambda failure: result(OrderCode.OTHER_VERSION)):
+        with patch.object(orders, "_failed", lambda failure: operator_result(ResultCode.OTHER_VERSION)):
             self.assert_fails("test_the_owner_hears_nothing_from_the_core")
 
 
--- a/tests/system/test_owner_changes.py
+++ b/tests/system/test_owner_changes.py
@@ -5,28 +5,28 @@
 from random import Random
 
 from bitternpath.configuration.placement import shard_group
-from bitternpath.ingress.service import Acceptance, AcceptResult, FoundMessage, LeaseAnswer, LookupFailure
+from bitternpath.ingress.interfaces import Acceptance, AcceptResult, FoundMessage, LeaseAnswer, LookupFailure
 from bitternpath.queue.sharding import lease_id, message_id
 from bitternpath.shards.appends import Appender
-from bitternpath.shards.lookups import PATIENCE_S, MessageLookup
-from bitternpath.shards.pulls import Pulls
-from bitternpath.shards.reports import AttemptReport, LeaseReports
-from bitternpath.transport.messages import (
-    Appended,
+from bitternpath.shards.lookups import LOOKUP_TIMEOUT_S, MessageLookup
+from bitternpath.shards.pulls import PullRouter
+from bitternpath.shards.reports import AttemptReport, AttemptReporter
+from bitternpath.transport.records import AttemptOutcome, MessageState
+from bitternpath.transport.shard_messages import (
     AppendRequest,
-    Ended,
-    EndRequest,
+    AppendResponse,
+    EndAttemptRequest,
+    EndAttemptResponse,
     ExtendRequest,
-    PullAnswer,
     PullCancel,
     PullRequest,
+    PullResponse,
     RefusalReason,
     Refused,
-    StateAnswer,
+    RequestOutcomeUnknown,
     StateRequest,
-    Undecided,
+    StateResponse,
 )
-from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_shards import SHARDS, FakeLink, ShardTest, message
 
 GROUP = shard_group(0)
@@ -61,53 +61,53 @@
         self.assertIsNone(self.result(waiting))
         self.silent.answer(Refused(1, RefusalReason.NOT_OWNER))  # thawed; too late to mean anything
         self.assertIsNone(self.result(waiting))
-        self.successor.answer(Appended(2))
+        self.successor.answer(AppendResponse(2))
         self.assertEqual(self.result(waiting), Acceptance(AcceptResult.ACCEPTED, message_id(0, "r1")))
-        self.assertEqual(appender.open, 0)
+        self.assertEqual(appender.in_flight, 0)
 
     def test_a_report_is_repeated_and_ends_once(self) -> None:
-        reports = LeaseReports(self.clock, self.owners)
+        reports = AttemptReporter(self.clock, self.owners)
         report = AttemptReport(GROUP, "r1", lease_id(0, 1, 1), AttemptOutcome.FAILED)
         waiting = reports.send(report)
         self.change()
         self.clock.advance(0.1)
-        self.assertEqual(self.asked(self.successor, EndRequest), 1)
-        self.successor.answer(Ended(1, True))
-        self.silent.answer(Ended(1, False))
+        self.assertEqual(self.asked(self.successor, EndAttemptRequest), 1)
+        self.successor.answer(EndAttemptResponse(1, True))
+        self.silent.answer(EndAttemptResponse(1, False))
         self.assertTrue(self.result(waiting))
-        self.assertEqual(reports.open, 0)
+        self.assertEqual(reports.in_flight, 0)
 
     def test_a_state_and_an_extension_come_from_the_successor(self) -> None:
         lookup = MessageLookup(self.clock, self.owners)
         lookup.shards = SHARDS
-        pulls = Pulls(self.clock, self.owners, LeaseReports(self.clock, self.owners), "z0", Random(1))
+        pulls = PullRouter(self.clock, self.owners, AttemptReporter(self.clock, self.owners), "z0", Random(1))
         state = lookup.find(message_id(0, "r1"), False)
         extension = pulls.extend(lease_id(0, 1, 1), "r1")
         self.change()
         self.assertEqual([self.asked(self.successor, kind) for kind in (StateRequest, ExtendRequest)], [1, 1])
-        self.successor.answer(StateAnswer(1, True, MessageState.QUEUED, "", None))
-        self.successor.answer(Ended(2, True))
-        self.silent.answer(StateAnswer(1, False, MessageState.QUEUED, "", None))
-        self.silent.answer(Ended(2, False))
+        self.successor.answer(StateResponse(1, True, MessageState.QUEUED, "", None))
+        self.successor.answer(EndAttemptResponse(2, True))
+        self.silent.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
+        self.silent.answer(EndAttemptResponse(2, False))
         self.assertEqual(self.result(state), FoundMessage(MessageState.QUEUED, "", None))
-        self.assertEqual(self.result(extension), LeaseAnswer.TAKEN)
+        self.assertEqual(self.result(extension), LeaseAnswer.ACKNOWLEDGED)
 
     def test_a_worker_waits_there_and_gets_one_job(self) -> None:
-        reports = LeaseReports(self.clock, self.owners)
-        pulls = Pulls(self.clock, self.owners, reports, "z0", Random(1))
+        reports = AttemptReporter(self.clock, self.owners)
+        pulls = PullRouter(self.clock, self.owners, reports, "z0", Random(1))
         waiting = pulls.pull("puller", "i-1", 1_000).result
         self.owned(0, self.successor, 2)
         pulls.owner_changed(GROUP)
         self.assertEqual([type(record) for record in self.silent.sent], [PullCancel])
         self.assertEqual(self.asked(self.successor, PullRequest), 1)
-        self.successor.answer(PullAnswer(1, "0-2-1", message("r2")))
+        self.successor.answer(PullResponse(1, "0-2-1", message("r2")))
         self.assertEqual(self.result(waiting).message.request_id, "r2")
-        self.silent.answer(PullAnswer(1, "0-1-1", message("r1")))  # a second job goes back
+        self.silent.answer(PullResponse(1, "0-1-1", message("r1")))  # a second job goes back
         (request, _) = self.successor.requests[-1]
         self.assertEqual((request.request_id, request.outcome), ("r1", AttemptOutcome.NOT_RUN))
 
     def test_the_same_owner_told_again_is_asked_nothing_twice(self) -> None:
-        reports = LeaseReports(self.clock, self.owners)
+        reports = AttemptReporter(self.clock, self.owners)
         reports.send(AttemptReport(GROUP, "r1", lease_id(0, 1, 1), AttemptOutcome.FAILED))
         self.owned(0, self.silent, 2)
         self.clock.advance(0.2)
@@ -123,7 +123,7 @@
         self.lookup.shards = SHARDS
 
     def unknown(self, link: FakeLink) -> None:
-        link.answer(StateAnswer(1, False, MessageState.QUEUED, "", None))
+        link.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
 
     def test_a_request_id_that_looks_like_a_name_is_searched_everywhere(self) -> None:
         waiting = self.lookup.find("s0.abc", False)
@@ -132,7 +132,7 @@
         requests = [link.requests[-1][0].request_id for link in self.links]
         self.assertEqual(requests, ["s0.abc"] * SHARDS)
         for shard, link in enumerate(self.links):
-            link.answer(StateAnswer(1, shard == 2, MessageState.QUEUED, "", None))
+            link.answer(StateResponse(1, shard == 2, MessageState.QUEUED, "", None))
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.QUEUED, "", None))
 
     def test_unknown_by_all(self) -> None:
@@ -146,20 +146,20 @@
         self.owners.closed(self.links[2])  # type: ignore[arg-type]
         begun = self.clock.seconds()
         answers = [self.lookup.find(name, False) for name in ("s0.abc", "abc", "s2.abc")]
-        while self.clock.seconds() < begun + PATIENCE_S:
+        while self.clock.seconds() < begun + LOOKUP_TIMEOUT_S:
             for link in self.links[:2]:
                 for _, waiting in list(link.requests):
                     link.requests.pop(0)
-                    waiting.callback(StateAnswer(1, False, MessageState.QUEUED, "", None))
+                    waiting.callback(StateResponse(1, False, MessageState.QUEUED, "", None))
             self.clock.advance(0.05)
         self.assertEqual([self.result(each) for each in answers], [LookupFailure.UNAVAILABLE] * 3)
         self.assertLess(self.clock.seconds() - begun, 2.0)
 
     def test_an_owner_that_could_not_confirm_is_asked_again(self) -> None:
         waiting = self.lookup.find(message_id(0, "r1"), False)
-        for record in (Refused(1, RefusalReason.NOT_OWNER), Undecided(1)):
+        for record in (Refused(1, RefusalReason.NOT_OWNER), RequestOutcomeUnknown(1)):
             self.silent.answer(record)
             self.assertIsNone(self.result(waiting))
             self.clock.advance(0.1)
-        self.silent.answer(StateAnswer(1, True, MessageState.DEAD_LETTER, "", None))
+        self.silent.answer(StateResponse(1, True, MessageState.DEAD_LETTER, "", None))
         self.assertEqual(self.result(waiting).state, MessageState.DEAD_LETTER)
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -21,42 +21,37 @@
 from twisted.internet.task import Clock
 
 from bitternpath.cli import main
-from bitternpath.configuration.orders import OrderCode
-from bitternpath.membership.founding import CONFIGURATION_GROUP, FoundingFile
-from bitternpath.replication.records import Kept, Members, Snapshot
+from bitternpath.configuration.changes import ResultCode
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP, BootstrapFile
+from bitternpath.replication.records import Members, PersistentState, Snapshot
 from bitternpath.roles.edge_process import EdgeProcess
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.roles.process import PORT_PATIENCE_S, ExitCode, RoleLife, build_role
+from bitternpath.roles.process import PORT_PATIENCE_S, ExitCode, RoleLifecycle, build_role
 from bitternpath.roles.settings import Settings, read_settings
 from bitternpath.roles.storage import CACHE_NAME, StorageNode
 from bitternpath.roles.storage_process import StorageProcess
 from bitternpath.storage.commands import Batch
 from bitternpath.storage.document_writer import RETRY_S, DocumentWriter
 from bitternpath.storage.documents import read_document
-from bitternpath.storage.files import LocalFiles
-from bitternpath.storage.groups import founding_record
+from bitternpath.storage.files import LocalFileSystem
+from bitternpath.storage.group_state import bootstrap_record
 from bitternpath.storage.identity import (
-    finish_setting_aside,
-    folders_set_aside,
+    finish_quarantine,
     load_identity,
+    quarantine_content,
+    quarantine_folders,
     read_identity,
-    set_aside,
 )
 from bitternpath.storage.node_disk import LocalDisk
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.transport.messages import (
-    Founding,
-    GroupPlacement,
-    MemberAddress,
-    OperatorOrder,
-    RefusalReason,
-    Refused,
-)
+from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
+from bitternpath.transport.operator_messages import OperatorRequest
+from bitternpath.transport.shard_messages import RefusalReason, Refused
 
 OLD = "0123abcd"
 SEGMENT = "journal/segment-00000001.log"
 ME = MemberAddress(f"n/{OLD}", "n", "127.0.0.1:7780", "z")
-FOUNDING = Founding("5ec0", GroupPlacement(CONFIGURATION_GROUP, 1, (ME,)))
+FOUNDING = BootstrapDecision("5ec0", GroupPlacement(CONFIGURATION_GROUP, 1, (ME,)))
 
 
 class Pool:
@@ -129,8 +124,8 @@
     def events(self) -> list[str]:
         return [str(record.message).partition(" ")[0] for record in self.logged.records]
 
-    def begin(self, role: FakeRole) -> RoleLife:
-        life = RoleLife(self.reactor, role)
+    def begin(self, role: FakeRole) -> RoleLifecycle:
+        life = RoleLifecycle(self.reactor, role)
         life.begin()
         return life
 
@@ -209,11 +204,13 @@
     def make_disk(self) -> None:
         """A founder's disk, with one group."""
         load_identity(self.data, draw=lambda: OLD)
-        FoundingFile(self.data).store(FOUNDING)
+        BootstrapFile(self.data).store(FOUNDING)
         LocalDisk(self.data).write_document(CACHE_NAME, b"any")
-        log = SegmentLog(LocalFiles(self.data), lambda: 7, 1 << 30)
+        log = SegmentLog(LocalFileSystem(self.data), lambda: 7, 1 << 30)
         for group in ("g", "h"):
-            founded = founding_record(group, Kept(snapshot=Snapshot(members=Members((ME.member,)))))
+            founded = bootstrap_record(
+                group, PersistentState(snapshot=Snapshot(members=Members((ME.member,))))
+            )
             log.write(Batch([founded], []))
         log.close()
 
@@ -266,10 +263,10 @@
         identity = read_identity(self.data)
         self.assertIsNotNone(identity)
         self.assertNotEqual(identity, OLD)
-        self.assertEqual(node.base.view.me.disk, identity)
-        self.assertEqual((node.base.carrier.me, node.base.host.member_id), (f"n/{identity}",) * 2)
+        self.assertEqual(node.base.view.local_node.disk, identity)
+        self.assertEqual((node.base.transport.me, node.base.host.member_id), (f"n/{identity}",) * 2)
         self.assertEqual(node.base.journal.groups(), ())
-        self.assertIsNone(FoundingFile(self.data).load())
+        self.assertIsNone(BootstrapFile(self.data).load())
         self.assertFalse((self.data / CACHE_NAME).exists())
         self.assertFalse(node.settings.bootstrap)
         self.assertFalse(node.base.settings.bootstrap)
@@ -278,18 +275,18 @@
         self.make_disk()
         before = self.contents(self.data)
         node = self.build("storage")
-        self.assertEqual((node.base.view.me.disk, node.base.journal.groups()), (OLD, ("g", "h")))
+        self.assertEqual((node.base.view.local_node.disk, node.base.journal.groups()), (OLD, ("g", "h")))
         self.assertEqual(self.contents(self.data), before)
         self.assertTrue(node.settings.bootstrap)
 
     def test_the_next_life_has_the_new_identity_and_founds_nothing_either(self) -> None:
         self.make_disk()
         flip(self.data / "identity", 0)
-        identity = self.build("edge").base.view.me.disk
+        identity = self.build("edge").base.view.local_node.disk
         again = self.build("edge")
-        self.assertEqual(again.base.view.me.disk, identity)
+        self.assertEqual(again.base.view.local_node.disk, identity)
         self.assertFalse(again.settings.bootstrap)
-        self.assertEqual(folders_set_aside(self.data), ["damaged-1"])
+        self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
 
     def test_only_the_last_is_kept(self) -> None:
         for number in (1, 2, 3):
@@ -299,7 +296,7 @@
             self.make_disk()
             flip(self.data / SEGMENT, 40)
             self.build("storage")
-            self.assertEqual(folders_set_aside(self.data), [f"damaged-{number}"])
+            self.assertEqual(quarantine_folders(self.data), [f"damaged-{number}"])
 
     def test_it_does_not_fill_a_small_disk(self) -> None:
         self.make_disk()
@@ -308,7 +305,7 @@
         flip(self.data / "identity", 0)
         node = self.build("storage", disk_mb=1)
         self.assertEqual(self.contents(self.data / "damaged-1"), {})
-        self.assertEqual(folders_set_aside(self.data), ["damaged-1"])
+        self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
         self.check_new(node)
 
     def test_a_process_that_is_killed_on_the_way_goes_on_at_the_next_start(self) -> None:
@@ -326,16 +323,16 @@
                     whole(old, new)
 
                 with patch("os.rename", rename), self.assertRaises(KeyboardInterrupt):
-                    set_aside(self.data)
+                    quarantine_content(self.data)
                 node = self.build("edge")
                 self.check_new(node)
-                self.assertEqual(folders_set_aside(self.data), ["damaged-1"])
+                self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
                 self.assertEqual((self.data / "damaged-1" / "identity").read_text(), OLD)
 
     def test_without_anything_to_finish_nothing_moves(self) -> None:
         self.make_disk()
         before = self.contents(self.data)
-        finish_setting_aside(self.data)
+        finish_quarantine(self.data)
         self.assertEqual(self.contents(self.data), before)
 
 
@@ -401,7 +398,7 @@
         self.writer = DocumentWriter(self.reactor, self.path)
 
     def warnings(self) -> int:
-        return sum("document_not_written" in record.message for record in self.logged.records)
+        return sum("document_write_failed" in record.message for record in self.logged.records)
 
     def test_a_write_that_failed_is_repeated(self) -> None:
         self.writer.write(b"one")  # there is no folder
@@ -479,11 +476,11 @@
                 journal = process.node.base.journal
                 assert journal is not None
                 process.shut_down(lambda: calls.append(("end", reactor.seconds())))  # noqa: B023
-                journal.found("g", Kept(snapshot=Snapshot(members=Members((ME.member,)))))
+                journal.found("g", PersistentState(snapshot=Snapshot(members=Members((ME.member,)))))
                 reactor.pump([0.05] * 200)
                 self.assertEqual([name for name, _ in calls], ["links", "disk", "end"])
                 self.assertGreater(calls[1][1], calls[0][1])  # links are closed in a turn of the reactor
-                log = SegmentLog(LocalFiles(self.data), lambda: 7, 1 << 30)
+                log = SegmentLog(LocalFileSystem(self.data), lambda: 7, 1 << 30)
                 self.assertEqual(log.groups, ("g",))
 
 
@@ -495,7 +492,7 @@
 
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
         order = make(1)
-        assert isinstance(order, OperatorOrder)
+        assert isinstance(order, OperatorRequest)
         return succeed(Refused(1, RefusalReason.NOT_OWNER))
 
 
@@ -506,7 +503,7 @@
         calls.call("PUT", "/config", "", b"{}").addCallback(answers.append)
         self.assertEqual(answers[0].status, 503)
         body = json.loads(answers[0].body)
-        self.assertEqual((body["code"], body["result"]), (OrderCode.FATE_OPEN.value, "fate_open"))
+        self.assertEqual((body["code"], body["result"]), (ResultCode.FATE_OPEN.value, "fate_open"))
         self.assertIn("no clear answer", body["error"])
 
 
--- a/tests/system/test_queue_campaign.py
+++ b/tests/system/test_queue_campaign.py
@@ -8,13 +8,13 @@
 from msgspec import structs
 
 from bitternpath.queue.actions import Action, ProposeCommand
-from bitternpath.queue.ceilings import CeilingShare, TokenBucket, split_ceiling
 from bitternpath.queue.commands import AppendMessage, Command, EndAttempt, GrantLease
 from bitternpath.queue.entries import Entry
 from bitternpath.queue.lanes import LaneTable
 from bitternpath.queue.owner import ShardOwner
 from bitternpath.queue.placement import Placement
-from bitternpath.queue.results import AttemptTaken, Result
+from bitternpath.queue.rate_limits import CeilingShare, TokenBucket, split_ceiling
+from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.state import QueueState
 from bitternpath.queue.tracked import Tracked
 from bitternpath.transport.records import AttemptOutcome, MessageState
@@ -71,7 +71,7 @@
 class TwoEndsTaken(QueueState):
     """Takes a success of any lease of a message that is done."""
 
-    def _end_attempt(self, command: EndAttempt) -> AttemptTaken:
+    def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         result = super()._end_attempt(command)
         entry = self.find(command.request_id)
         done = entry is not None and entry.state is MessageState.DONE
@@ -109,7 +109,7 @@
 class SilenceCountsAsAttempt(QueueState):
     """Takes a delivery without an answer for a failed one."""
 
-    def _end_attempt(self, command: EndAttempt) -> AttemptTaken:
+    def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         if command.outcome is AttemptOutcome.UNKNOWN:
             command = structs.replace(command, outcome=AttemptOutcome.FAILED)
         return super()._end_attempt(command)
@@ -118,7 +118,7 @@
 class StampOfNobody(QueueState):
     """Ends a message without the stamp of its run."""
 
-    def _end_attempt(self, command: EndAttempt) -> AttemptTaken:
+    def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         return super()._end_attempt(structs.replace(command, stamp="unknown"))
 
 
--- a/tests/system/test_queue_ends.py
+++ b/tests/system/test_queue_ends.py
@@ -89,7 +89,7 @@
         rig.advance(85.1)
         delivery = rig.delivery()
         rig.advance(PUSH_LEASE_S - 0.2)
-        rig.do(rig.owner.edge_left(rig.now, "edge-1"))
+        rig.do(rig.owner.edge_disconnected(rig.now, "edge-1"))
         rig.automatic = False
         rig.advance(5.0)
         (expiry,) = rig.take_proposed()
@@ -126,7 +126,7 @@
 
     def test_receivers_are_shared_among_the_nodes_of_the_owners_zone(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2", "edge-3"))
-        rig.do(rig.owner.edge_joined(rig.now, "far", "south"))
+        rig.do(rig.owner.edge_connected(rig.now, "far", "south"))
         told = set()
         for number in range(40):
             rig.append(f"m{number}", callback_url=f"http://10.0.0.{number}:80/done")
@@ -142,7 +142,7 @@
         self.assertNotEqual(rig.take_sent()[0].edge, first)
         rig.append("n", callback_url=self.URL)
         delivery = rig.delivery()
-        rig.do(rig.owner.edge_left(rig.now, first))
+        rig.do(rig.owner.edge_disconnected(rig.now, first))
         rig.end(delivery, SUCCEEDED)
         self.assertNotEqual(rig.take_sent()[0].edge, first)
 
@@ -150,10 +150,10 @@
         rig = Rig()
         rig.append("m", callback_url=self.URL)
         delivery = rig.delivery()
-        rig.do(rig.owner.edge_left(rig.now, "edge-1"))
+        rig.do(rig.owner.edge_disconnected(rig.now, "edge-1"))
         rig.end(delivery, SUCCEEDED)
         self.assertEqual(rig.take_sent(), [])
-        rig.do(rig.owner.edge_joined(rig.now, "edge-9", "south"))
+        rig.do(rig.owner.edge_connected(rig.now, "edge-9", "south"))
         self.assertEqual(rig.take_sent()[0].edge, "edge-9")
 
     def test_it_is_repeated_until_it_is_confirmed(self) -> None:
--- a/tests/system/test_queue_limits.py
+++ b/tests/system/test_queue_limits.py
@@ -10,9 +10,9 @@
     SendDelivery,
 )
 from bitternpath.queue.backoff import LEAST_WINDOW, PACE_S, RetryBudget, pause_after
-from bitternpath.queue.ceilings import ALLOWED_EXCESS, SEND_LAG_S, TokenBucket, ceiling_share
 from bitternpath.queue.edges import MAX_LEASES_PER_EDGE
 from bitternpath.queue.lanes import LEAST_OUT
+from bitternpath.queue.rate_limits import ALLOWED_EXCESS, SEND_LAG_S, TokenBucket, ceiling_share
 from tests.system.test_queue_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 
--- a/tests/system/test_queue_nodes.py
+++ b/tests/system/test_queue_nodes.py
@@ -22,8 +22,8 @@
     SendDelivery,
 )
 from bitternpath.queue.commands import COMMANDS, Command
-from bitternpath.queue.owner import OwnerBounds, ShardOwner
-from bitternpath.queue.results import AttemptTaken, Expired, Result
+from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.results import AttemptEnded, Expired, Result
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import AttemptOutcome
@@ -60,7 +60,7 @@
     Service("pulled", pull_mode=True),
     Service("dead"),
 )
-BOUNDS = OwnerBounds(visible_ms=1_500)
+BOUNDS = OwnerSettings(visible_ms=1_500)
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
         self.epoch = 0
         self._pending: list[tuple[Command, Callable[[Result | None], None] | None]] = []
         self._wakeup = float("inf")
-        self.take_over()
+        self.leadership_acquired()
 
     def _new_state(self) -> QueueState:
         simulation, step_ms = self.world.simulation, self.step_ms
@@ -136,7 +136,7 @@
             lambda: simulation.now, lambda: WALL_START_MS + int(simulation.now * 1000) + step_ms
         )
 
-    def take_over(self) -> None:
+    def leadership_acquired(self) -> None:
         """A new owner begins; all that is committed has been applied."""
         self.epoch += 1
         now = self.world.simulation.now
@@ -144,9 +144,9 @@
             self.state, self.number, self.world.shards_count, ZONES[0], BOUNDS, self.world.random
         )
         self._wakeup = float("inf")
-        self.perform(self.owner.take_over(now, self.epoch))
+        self.perform(self.owner.leadership_acquired(now, self.epoch))
         for edge in self.world.edges:
-            self.perform(self.owner.edge_joined(now, edge.name, edge.zone))
+            self.perform(self.owner.edge_connected(now, edge.name, edge.zone))
         self.perform(self.owner.configure(now, self.world.random.choice(self.world.tables[-2:])))
         self.world.configure_later(self)
 
@@ -162,7 +162,7 @@
             self._restart()
         for command, _ in survivors:
             self._commit(command)
-        self.world.simulation.after(random.uniform(0.02, 1.0), self.take_over)
+        self.world.simulation.after(random.uniform(0.02, 1.0), self.leadership_acquired)
 
     def _restart(self) -> None:
         """The next owner starts from a snapshot and the log, by a clock that has stepped."""
@@ -203,9 +203,9 @@
         data = COMMANDS.encode(command)
         self.log.append(data)
         result = self.state.apply(len(self.log), data)
-        if isinstance(result, AttemptTaken) and result.effective:
+        if isinstance(result, AttemptEnded) and result.effective:
             self.world.history.released[result.command.lease_id] = self.world.simulation.now
-        if isinstance(result, AttemptTaken | Expired) and result.ended_now:
+        if isinstance(result, AttemptEnded | Expired) and result.ended_now:
             self._tell(result.command.request_id)
         return result
 
@@ -289,9 +289,9 @@
             if poll.edge is self:
                 del self.world.polls[poll_id]
         for shard in self.world.shards:
-            shard.input(lambda owner, now: owner.edge_lost(now, self.name))
+            shard.input(lambda owner, now: owner.edge_process_ended(now, self.name))
         for shard in self.world.shards:
-            shard.input(lambda owner, now: owner.edge_joined(now, self.name, self.zone))
+            shard.input(lambda owner, now: owner.edge_connected(now, self.name, self.zone))
 
     def later(self, delay: float, event: Callable[[], None]) -> None:
         """Do something unless this life is over by then."""
--- a/tests/system/test_queue_owner.py
+++ b/tests/system/test_queue_owner.py
@@ -48,7 +48,7 @@
         self.assertEqual((delivery.edge, delivery.lease_id, delivery.duration_ms), ("edge-1", "0-1-1", 3_000))
 
     def test_an_edge_that_has_gone_meanwhile_hands_back(self) -> None:
-        for vanish in ("edge_left", "edge_lost"):
+        for vanish in ("edge_disconnected", "edge_process_ended"):
             with self.subTest(vanish):
                 rig = Rig()
                 rig.automatic = False
@@ -70,7 +70,7 @@
             with self.subTest(expected):
                 rig = Rig(edges=())
                 for name, zone in edges.items():
-                    rig.do(rig.owner.edge_joined(rig.now, name, zone))
+                    rig.do(rig.owner.edge_connected(rig.now, name, zone))
                 for number in range(10):
                     rig.append(f"m{number}", origin="origin")
                 self.assertEqual({delivery.edge for delivery in rig.take_sent()}, {expected})
@@ -79,7 +79,7 @@
         rig = Rig(edges=())
         rig.append("m")
         self.assertEqual(rig.state.find("m").leases_granted, 0)
-        rig.do(rig.owner.edge_joined(rig.now, "edge-2", "north"))
+        rig.do(rig.owner.edge_connected(rig.now, "edge-2", "north"))
         self.assertEqual(rig.delivery().edge, "edge-2")
 
     def test_the_body_is_omitted_only_to_the_life_that_took_it_and_once(self) -> None:
@@ -97,8 +97,8 @@
         rig = Rig()
         rig.append("m", delay_ms=1_000)
         rig.now += 0.1
-        rig.do(rig.owner.edge_lost(rig.now, "edge-1"))
-        rig.do(rig.owner.edge_joined(rig.now, "edge-1", "north"))
+        rig.do(rig.owner.edge_process_ended(rig.now, "edge-1"))
+        rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
         rig.advance(1.0)
         self.assertFalse(rig.delivery().body_omitted)
 
@@ -170,7 +170,7 @@
         rig.append("older", "/plain/x")
         rig.append("newer", "/plain/x")
         rig.append("urgent", "/urgent/x")
-        rig.do(rig.owner.edge_joined(rig.now, "edge-1", "north"))
+        rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
         order = ["urgent", "older", "newer", "relaxed", "late", "past the late limit"]
         self.assertEqual(request_ids(rig.take_sent()), order)
 
@@ -211,7 +211,7 @@
                 rig = Rig(edges=("edge-1", "edge-2"))
                 rig.append("m", order_key=key)
                 rig.delivery()
-                rig.do(rig.owner.edge_lost(rig.now, "edge-1"))
+                rig.do(rig.owner.edge_process_ended(rig.now, "edge-1"))
                 self.assertEqual(len(rig.sent), at_once)
                 rig.advance(PUSH_LEASE_S + 0.1)
                 self.assertEqual(rig.take_sent()[0].edge, "edge-2")
@@ -220,7 +220,7 @@
         rig = Rig(edges=("edge-1", "edge-2"))
         rig.append("m")
         delivery = rig.delivery()
-        rig.do(rig.owner.edge_left(rig.now, "edge-1"))
+        rig.do(rig.owner.edge_disconnected(rig.now, "edge-1"))
         self.assertEqual(rig.sent, [])
         self.assertTrue(rig.end(delivery, SUCCEEDED))
 
@@ -264,7 +264,7 @@
         rig = Rig()
         rig.append("m")
         rig.own(edges=("edge-2",))
-        rig.do(rig.owner.edge_lost(rig.now, "edge-1"))
+        rig.do(rig.owner.edge_process_ended(rig.now, "edge-1"))
         self.assertEqual(rig.delivery().edge, "edge-2")
 
 
@@ -293,7 +293,7 @@
         rig = Rig(edges=())
         rig.append("m")
         rig.configure(without("plain"))
-        rig.do(rig.owner.edge_joined(rig.now, "edge-1", "north"))
+        rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
         rig.advance(10.0)
         self.assertEqual(rig.sent, [])
 
@@ -371,7 +371,7 @@
         for number in range(5_000):
             rig.append(f"m{number}")
         self.assertEqual(rig.owner.next_wakeup(rig.now), rig.now + 90.0)
-        rig.do(rig.owner.edge_joined(rig.now, "edge-1", "north"))
+        rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
         self.assertEqual(request_ids(rig.take_sent())[0], "m0")
 
     def test_waiting_jobs_wake_the_owner_only_to_ask_for_workers(self) -> None:
--- a/tests/system/test_queue_pulls.py
+++ b/tests/system/test_queue_pulls.py
@@ -7,8 +7,8 @@
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
-    AskForPolls,
     ExpirePoll,
+    RequestPollers,
 )
 from bitternpath.queue.commands import (
     GrantLease,
@@ -35,9 +35,9 @@
         rig = Rig()
         rig.append("m", "/jobs/x")
         rig.append("n", "/jobs/x")
-        self.assertEqual(rig.asked, [AskForPolls("puller", 1)])
+        self.assertEqual(rig.asked, [RequestPollers("puller", 1)])
         rig.advance(POLLS_ASKED_FIRST_S)
-        self.assertEqual(rig.asked[1:], [AskForPolls("puller", 2)])
+        self.assertEqual(rig.asked[1:], [RequestPollers("puller", 2)])
         rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # pauses that double up to POLLS_ASKED_MOST_S
         self.assertEqual(len(rig.asked), 6)
 
@@ -61,7 +61,7 @@
 
     def test_nearer_workers_go_first_then_longer_waiting_ones(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2"))
-        rig.do(rig.owner.edge_joined(rig.now, "far", "south"))
+        rig.do(rig.owner.edge_connected(rig.now, "far", "south"))
         for number, edge in ((1, "far"), (2, "edge-1"), (3, "edge-2"), (4, "far")):
             rig.poll(number, edge)
         for number in range(4):
@@ -81,7 +81,7 @@
             return rig.owner.cancel_poll(rig.now, 1)
 
         def leave(rig: Rig) -> list[Action]:
-            return rig.owner.edge_left(rig.now, "edge-1")
+            return rig.owner.edge_disconnected(rig.now, "edge-1")
 
         for vanish in (cancel, leave):
             with self.subTest(vanish.__name__):
@@ -96,7 +96,7 @@
                 self.assertEqual((command.lease_id, command.outcome), ("0-1-1", NOT_RUN))
                 rig.commit()
                 rig.automatic = True
-                rig.do(rig.owner.edge_joined(rig.now, "edge-1", "north"))
+                rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
                 rig.poll(2, wait_s=2.0)
                 rig.advance(1.0)
                 self.assertEqual(rig.answer().poll_id, 2)
@@ -176,7 +176,7 @@
         rig.poll(1)
         rig.append("m", "/jobs/x")
         answer = rig.answer()
-        rig.do(rig.owner.edge_lost(rig.now, "edge-1"))
+        rig.do(rig.owner.edge_process_ended(rig.now, "edge-1"))
         rig.poll(2, "edge-2")
         self.assertEqual(rig.sent, [])
         self.assertTrue(rig.end(answer, SUCCEEDED))
--- a/tests/system/test_queue_rig.py
+++ b/tests/system/test_queue_rig.py
@@ -11,8 +11,8 @@
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
-    AskForPolls,
     ProposeCommand,
+    RequestPollers,
     SendDelivery,
 )
 from bitternpath.queue.commands import (
@@ -21,7 +21,7 @@
     Command,
 )
 from bitternpath.queue.leases import PUSH_LEASE_MARGIN_MS
-from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnerBounds, ShardOwner
+from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnerSettings, ShardOwner
 from bitternpath.queue.results import Result
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
@@ -79,12 +79,12 @@
         """A new owner takes over."""
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
-        self.asked: list[AskForPolls] = []
-        bounds = OwnerBounds(visible_ms=3_000, status_s=120.0)
+        self.asked: list[RequestPollers] = []
+        bounds = OwnerSettings(visible_ms=3_000, status_s=120.0)
         self.owner = ShardOwner(self.state, 0, 1, "north", bounds, Random(1))
-        self.do(self.owner.take_over(self.now, 1 + self.index))
+        self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
         for edge in edges:
-            self.do(self.owner.edge_joined(self.now, edge, "north"))
+            self.do(self.owner.edge_connected(self.now, edge, "north"))
         if routing is not None:
             self.configure(routing)
 
@@ -93,7 +93,7 @@
         for action in actions:
             if isinstance(action, ProposeCommand):
                 self.proposed.append(action.command)
-            elif isinstance(action, AskForPolls):
+            elif isinstance(action, RequestPollers):
                 self.asked.append(action)
             else:
                 self.sent.append(action)
@@ -148,7 +148,7 @@
     ) -> bool:
         """A holder's word; whether it is taken."""
         request_id, lease_id = delivery.message.request_id, delivery.lease_id
-        command = self.owner.end_command(request_id, lease_id, outcome, "stamp", retry_after_ms)
+        command = self.owner.end_attempt_command(request_id, lease_id, outcome, "stamp", retry_after_ms)
         return self.apply(command).taken
 
     def configure(self, routing: RoutingTable) -> None:
--- a/tests/system/test_queue_state.py
+++ b/tests/system/test_queue_state.py
@@ -19,7 +19,7 @@
     GrantLease,
 )
 from bitternpath.queue.entries import Entry
-from bitternpath.queue.results import AttemptTaken, Result
+from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.sharding import lease_id, message_id, shard_for, shard_of_lease, split_message_id
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.codec import CodecError
@@ -123,7 +123,7 @@
             with self.subTest(case):
                 replica = self.leased(case.before)
                 result = replica.apply(end("m", "L", case.outcome))
-                assert isinstance(result, AttemptTaken)
+                assert isinstance(result, AttemptEnded)
                 self.assertEqual(
                     (result.taken, result.effective, result.ended_now), (True, True, case.state is not QUEUED)
                 )
@@ -140,14 +140,14 @@
                 attempts = replica.entry("m").attempts
                 for _ in range(3):
                     result = replica.apply(end("m", "L", outcome))
-                    self.assertEqual(result, AttemptTaken(end("m", "L", outcome), True, False, False))
+                    self.assertEqual(result, AttemptEnded(end("m", "L", outcome), True, False, False))
                 self.assertEqual(replica.entry("m").attempts, attempts)
 
     def test_another_end_of_an_ended_lease_is_not_taken(self) -> None:
         replica = self.leased()
         replica.apply(end("m", "L", NOT_RUN))
         result = replica.apply(end("m", "L", SUCCEEDED))
-        self.assertEqual(result, AttemptTaken(end("m", "L", SUCCEEDED), False, False, False))
+        self.assertEqual(result, AttemptEnded(end("m", "L", SUCCEEDED), False, False, False))
         self.assertIs(replica.entry("m").state, QUEUED)
 
     def test_a_lease_that_is_not_current_is_not_taken(self) -> None:
@@ -155,7 +155,7 @@
         replica.apply(grant("m", "L2"))
         for lease in ("L", "never granted"):
             result = replica.apply(end("m", lease, SUCCEEDED))
-            self.assertEqual(result, AttemptTaken(end("m", lease, SUCCEEDED), False, False, False))
+            self.assertEqual(result, AttemptEnded(end("m", lease, SUCCEEDED), False, False, False))
         self.assertIs(replica.entry("m").state, QUEUED)
         self.assertEqual(replica.apply(end("unknown", "L", SUCCEEDED)).taken, False)
 
--- a/tests/system/test_queue_world.py
+++ b/tests/system/test_queue_world.py
@@ -17,7 +17,7 @@
 
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable
 from bitternpath.queue.commands import AppendMessage, EndAttempt
-from bitternpath.queue.results import Added, AttemptTaken, Result
+from bitternpath.queue.results import Added, AttemptEnded, Result
 from bitternpath.queue.sharding import shard_for
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from tests.system.test_queue_checkers import (
@@ -273,7 +273,7 @@
         answered = [False]
 
         def applied(result: Result | None) -> None:
-            assert isinstance(result, AttemptTaken)
+            assert isinstance(result, AttemptEnded)
             if self.lost():
                 return
             answered[0] = True
@@ -283,7 +283,7 @@
 
         def attempt() -> None:
             if not self.lost() and shard.owner is not None:
-                command: EndAttempt = shard.owner.end_command(request_id, lease_id, outcome, stamp, 0)
+                command: EndAttempt = shard.owner.end_attempt_command(request_id, lease_id, outcome, stamp, 0)
                 shard.propose(command, applied)
 
         def again() -> None:
--- a/tests/system/test_repairs.py
+++ b/tests/system/test_repairs.py
@@ -7,10 +7,10 @@
 from unittest import mock
 
 from bitternpath.replication import reconfiguration
-from bitternpath.replication.checking import Broken
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.testing.simulation.repairs import RepairPlan, RepairWorld
+from bitternpath.testing.simulation.replica_checker import InvariantViolationError
 
 CATCH_UP_S = 4.2
 AWAY_S = 0.6  # between the loss of a machine and its return
@@ -115,12 +115,12 @@
 
 
 def still_serves(world: RepairWorld, seconds: float = 1.0) -> None:
-    """Every group commits something. Raises `Broken`."""
+    """Every group commits something. Raises `InvariantViolationError`."""
     before = {group: checker.acknowledged for group, checker in world.checkers.items()}
     world.run(seconds)
     for group, checker in world.checkers.items():
         if checker.acknowledged <= before[group]:
-            raise Broken(f"{group} commits nothing")
+            raise InvariantViolationError(f"{group} commits nothing")
 
 
 def leaving_machine_restarts(seed: int) -> None:
@@ -181,7 +181,10 @@
     """What the steps exclude is found by the runs above."""
 
     def test_a_voter_before_it_has_caught_up(self) -> None:
-        with mock.patch.object(ReplicaGroup, "caught_up", lambda *_: True), self.assertRaises(Broken):
+        with (
+            mock.patch.object(ReplicaGroup, "caught_up", lambda *_: True),
+            self.assertRaises(InvariantViolationError),
+        ):
             successor_is_slow(0)
 
     def test_removal_before_the_others_have_it(self) -> None:
@@ -189,11 +192,14 @@
             return next((name for name in voters if name not in desired), None)
 
         patched = mock.patch.object(reconfiguration, "_leaving_voter", at_once)
-        with patched, self.assertRaises(Broken):
+        with patched, self.assertRaises(InvariantViolationError):
             leaving_machine_restarts(0)
 
     def test_a_replica_that_the_placement_no_longer_names_stays_shut_after_a_restart(self) -> None:
-        with mock.patch.object(ReplicaHost, "holds", lambda *_: False), self.assertRaises(Broken):
+        with (
+            mock.patch.object(ReplicaHost, "has_unopened_state", lambda *_: False),
+            self.assertRaises(InvariantViolationError),
+        ):
             leaving_machine_restarts(0)
 
 
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -19,27 +19,31 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication import consensus, leadership, snapshots
-from bitternpath.replication.checking import Broken, Checker, Register
 from bitternpath.replication.group import CompactionBounds, ReplicaGroup, without_repeated_answers
-from bitternpath.replication.host import SYSTEM_TIMES, ReplicaHost
-from bitternpath.replication.interfaces import FateOpen, NotOwner
+from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
 from bitternpath.replication.messages import (
-    Append,
-    Appended,
-    AskVote,
-    Install,
-    Installed,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Message,
-    TakeOver,
-    Vote,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
-from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Members, Snapshot, Write
+from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.storage.groups import GroupState
+from bitternpath.storage.group_state import GroupState
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.records import WriteRecord
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import JournalCommand, SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.file_system import (
+    JournalCommand,
+    SimulatedFileSystem,
+    VirtualTimeJournalWriter,
+)
+from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Plan, Process, World
 from bitternpath.transport.codec import CodecError
 
@@ -59,14 +63,21 @@
 
 class Wire(unittest.TestCase):
     MESSAGES = (
-        AskVote(3, 10, 2, True, False),
-        Vote(3, False, True),
-        Append(3, 9, 2, (Entry(10, 3, CHANGE, b"x" * 300), Entry(11, 3, MEMBERS, b"")), 8, 77),
-        Append(1, 0, 0, (), 0, 0),
-        Appended(3, False, 1 << 40, 5),
-        Install(3, 9, 2, Members(("a", "b"), ("c",)), 1000, 128, b"\0\xff", 0xFFFF_FFFF, 6),
-        Installed(3, 9, 130, False, 6),
-        TakeOver(9),
+        RequestVote(3, 10, 2, True, False),
+        RequestVoteResponse(3, False, True),
+        AppendEntries(
+            3,
+            9,
+            2,
+            (Entry(10, 3, EntryKind.COMMAND, b"x" * 300), Entry(11, 3, EntryKind.MEMBERS, b"")),
+            8,
+            77,
+        ),
+        AppendEntries(1, 0, 0, (), 0, 0),
+        AppendEntriesResponse(3, False, 1 << 40, 5),
+        InstallSnapshot(3, 9, 2, Members(("a", "b"), ("c",)), 1000, 128, b"\0\xff", 0xFFFF_FFFF, 6),
+        InstallSnapshotResponse(3, 9, 130, False, 6),
+        TimeoutNow(9),
     )
 
     def test_each_message_comes_back(self) -> None:
@@ -124,14 +135,14 @@
     """One host whose peers are the test."""
 
     def __init__(
-        self, name: str, disk: SimulatedDisk | None = None, bounds: CompactionBounds | None = None
+        self, name: str, disk: SimulatedFileSystem | None = None, bounds: CompactionBounds | None = None
     ) -> None:
-        self.clock, self.disk = Clock(), disk or SimulatedDisk()
+        self.clock, self.disk = Clock(), disk or SimulatedFileSystem()
         self.machine, self.events = Machine(), Events()
-        self.runner = VirtualRunner(self.clock, self.disk, SYNC_SECONDS)
-        self.journal = Journal(SegmentLog(self.disk, lambda: 1, 1 << 20), self.runner)
+        self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, SYNC_SECONDS)
+        self.journal = Journal(SegmentLog(self.disk, lambda: 1, 1 << 20), self.journal_writer)
         self.sent: list[tuple[str, Message]] = []
-        self.host = ReplicaHost(self.clock, name, self.journal, self._send, Random(1), SYSTEM_TIMES, bounds)
+        self.host = ReplicaHost(self.clock, name, self.journal, self._send, Random(1), SYSTEM_TIMING, bounds)
 
     def _send(self, group: str, receiver: str, body: bytes) -> None:
         self.sent.append((receiver, decode_message(body)))
@@ -152,8 +163,8 @@
         self.clock.advance(0)
         return self.sent[before:]
 
-    def hear(self, sender: str, message: Message) -> None:
-        self.host.hear("g", sender, encode_message(message))
+    def receive(self, sender: str, message: Message) -> None:
+        self.host.receive("g", sender, encode_message(message))
 
     def lead(self) -> None:
         """Be elected by `b`, and have all stored there."""
@@ -166,15 +177,22 @@
             if receiver != peer:
                 continue
             match message:
-                case AskVote():
-                    self.hear(peer, Vote(message.term, message.pre, True))
-                case Append():
+                case RequestVote():
+                    self.receive(peer, RequestVoteResponse(message.term, message.pre_vote, True))
+                case AppendEntries():
                     agrees = message.previous_index + len(message.entries)
-                    self.hear(peer, Appended(message.term, True, agrees, message.round))
-                case Install():
-                    there = message.offset + len(message.piece)
+                    self.receive(
+                        peer, AppendEntriesResponse(message.term, True, agrees, message.heartbeat_round)
+                    )
+                case InstallSnapshot():
+                    there = message.offset + len(message.chunk)
                     stored = there >= message.size
-                    self.hear(peer, Installed(message.term, message.index, there, stored, message.round))
+                    self.receive(
+                        peer,
+                        InstallSnapshotResponse(
+                            message.term, message.index, there, stored, message.heartbeat_round
+                        ),
+                    )
 
 
 TRIO = Members(("a", "b", "c"))
@@ -196,16 +214,16 @@
 
     def test_the_proposals_of_a_turn_are_one_append_for_a_majority_and_one_write(self) -> None:
         host = self.leader()
-        batches, steps = host.runner.batches, host.disk.steps
+        batches, steps = host.journal_writer.batches, host.disk.steps
         results = [host.host.propose("g", b"%d" % i) for i in range(40)]
         sent = host.turn()
-        self.assertEqual([(name, type(message)) for name, message in sent], [("b", Append)])
+        self.assertEqual([(name, type(message)) for name, message in sent], [("b", AppendEntries)])
         for _, message in sent:
-            assert isinstance(message, Append)
+            assert isinstance(message, AppendEntries)
             self.assertEqual([e.data for e in message.entries], [b"%d" % i for i in range(40)])
         host.answer("b", sent)
         host.run(0.01)
-        self.assertEqual(host.runner.batches - batches, 1)
+        self.assertEqual(host.journal_writer.batches - batches, 1)
         self.assertEqual(host.disk.steps - steps, 2)
         self.assertEqual([result_of(r) for r in results], [b"did %d" % i for i in range(40)])
 
@@ -243,12 +261,14 @@
     def test_the_others_get_the_entries_together_with_the_next_heartbeat(self) -> None:
         host = self.leader()
         raft = host.host.groups["g"].raft
-        host.hear("c", Appended(raft.term, True, raft.last_index, raft.round))
+        host.receive("c", AppendEntriesResponse(raft.term, True, raft.last_index, raft.heartbeat_round))
         for i in range(10):
             host.host.propose("g", b"%d" % i)
             host.answer("b", host.turn())
-        sent = [message for receiver, message in host.run(SYSTEM_TIMES.heartbeat) if receiver == "c"]
-        self.assertEqual([len(m.entries) for m in sent if isinstance(m, Append) and m.entries], [10])
+        sent = [
+            message for receiver, message in host.run(SYSTEM_TIMING.heartbeat_interval) if receiver == "c"
+        ]
+        self.assertEqual([len(m.entries) for m in sent if isinstance(m, AppendEntries) and m.entries], [10])
 
     def test_a_follower_that_becomes_slow_is_replaced_at_the_next_heartbeat(self) -> None:
         host = self.leader()
@@ -257,7 +277,7 @@
             host.answer("c", host.turn())
             host.answer("c", host.run(0.01))
         raft = host.host.groups["g"].raft
-        self.assertEqual(raft.eager, {"c"})
+        self.assertEqual(raft.replication_targets, {"c"})
         before = raft.commit_index
         host.host.propose("g", b"last")
         host.answer("c", host.turn())
@@ -274,20 +294,29 @@
         host = Host("b")
         host.open(TRIO)
         for index in range(1, 6):
-            entry = Entry(index, 1, CHANGE, b"x")
-            host.hear("a", Append(1, index - 1, 1 if index > 1 else 0, (entry,), 0, index))
+            entry = Entry(index, 1, EntryKind.COMMAND, b"x")
+            host.receive("a", AppendEntries(1, index - 1, 1 if index > 1 else 0, (entry,), 0, index))
         self.assertEqual(host.turn(), [])
-        self.assertEqual(host.run(0.005), [("a", Appended(1, True, 5, 5))])
-        self.assertEqual(host.runner.batches, 2)  # the founding, and all five
+        self.assertEqual(host.run(0.005), [("a", AppendEntriesResponse(1, True, 5, 5))])
+        self.assertEqual(host.journal_writer.batches, 2)  # the founding, and all five
 
     def test_only_answers_that_cover_one_another_are_left_out(self) -> None:
-        yes, older = Appended(2, True, 5, 3), Appended(2, True, 4, 4)
+        yes, older = AppendEntriesResponse(2, True, 5, 3), AppendEntriesResponse(2, True, 4, 4)
         table: list[tuple[list[tuple[str, Message]], list[tuple[str, Message]]]] = [
-            ([("a", yes), ("a", older)], [("a", Appended(2, True, 5, 4))]),
+            ([("a", yes), ("a", older)], [("a", AppendEntriesResponse(2, True, 5, 4))]),
             ([("a", yes), ("b", older)], [("a", yes), ("b", older)]),
-            ([("a", yes), ("a", Appended(3, True, 6, 1))], [("a", yes), ("a", Appended(3, True, 6, 1))]),
-            ([("a", yes), ("a", Appended(2, False, 9, 4))], [("a", yes), ("a", Appended(2, False, 9, 4))]),
-            ([("a", Vote(2, False, True)), ("a", yes)], [("a", Vote(2, False, True)), ("a", yes)]),
+            (
+                [("a", yes), ("a", AppendEntriesResponse(3, True, 6, 1))],
+                [("a", yes), ("a", AppendEntriesResponse(3, True, 6, 1))],
+            ),
+            (
+                [("a", yes), ("a", AppendEntriesResponse(2, False, 9, 4))],
+                [("a", yes), ("a", AppendEntriesResponse(2, False, 9, 4))],
+            ),
+            (
+                [("a", RequestVoteResponse(2, False, True)), ("a", yes)],
+                [("a", RequestVoteResponse(2, False, True)), ("a", yes)],
+            ),
         ]
         for messages, expected in table:
             self.assertEqual(without_repeated_answers(messages), expected)
@@ -296,42 +325,46 @@
         host = Host("b")
         host.open(TRIO)
         host.run(0.01)
-        host.hear("a", AskVote(1, 0, 0, False))
+        host.receive("a", RequestVote(1, 0, 0, False))
         self.assertEqual(host.run(SYNC_SECONDS - 0.001), [])
-        self.assertEqual(host.run(0.002), [("a", Vote(1, False, True))])
-        host.hear("a", Append(1, 0, 0, (Entry(1, 1, CHANGE, b"x"),), 0, 1))
+        self.assertEqual(host.run(0.002), [("a", RequestVoteResponse(1, False, True))])
+        host.receive("a", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.COMMAND, b"x"),), 0, 1))
         self.assertEqual(host.run(SYNC_SECONDS - 0.001), [])
-        self.assertEqual(host.run(0.002), [("a", Appended(1, True, 1, 1))])
+        self.assertEqual(host.run(0.002), [("a", AppendEntriesResponse(1, True, 1, 1))])
 
     def test_a_heartbeat_is_answered_while_the_disk_is_slow_with_what_is_on_disk(self) -> None:
         """Held back behind a long sync it once made the leader think itself alone."""
         host = Host("b")
         host.open(TRIO)
-        host.hear("a", Append(1, 0, 0, (Entry(1, 1, CHANGE, b"x"),), 0, 1))
+        host.receive("a", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.COMMAND, b"x"),), 0, 1))
         host.run(0.01)
-        host.runner.sync_seconds = 0.3
-        host.hear("a", Append(1, 1, 1, (Entry(2, 1, CHANGE, b"y"),), 0, 2))
+        host.journal_writer.sync_seconds = 0.3
+        host.receive("a", AppendEntries(1, 1, 1, (Entry(2, 1, EntryKind.COMMAND, b"y"),), 0, 2))
         self.assertEqual(host.run(0.01), [])
-        host.hear("a", Append(1, 2, 1, (), 0, 3))
-        self.assertEqual(host.run(0.01), [("a", Appended(1, True, 1, 3))])
-        host.hear("a", Append(1, 1, 1, (), 1, 4))
-        self.assertEqual(host.run(0.01), [("a", Appended(1, True, 1, 4))])
-        self.assertEqual(host.run(0.35), [("a", Appended(1, True, 2, 3))])
+        host.receive("a", AppendEntries(1, 2, 1, (), 0, 3))
+        self.assertEqual(host.run(0.01), [("a", AppendEntriesResponse(1, True, 1, 3))])
+        host.receive("a", AppendEntries(1, 1, 1, (), 1, 4))
+        self.assertEqual(host.run(0.01), [("a", AppendEntriesResponse(1, True, 1, 4))])
+        self.assertEqual(host.run(0.35), [("a", AppendEntriesResponse(1, True, 2, 3))])
 
     def test_a_heartbeat_does_not_confirm_a_snapshot_that_is_not_on_disk(self) -> None:
         host = Host("b")
         host.open(TRIO)
-        junk = tuple(Entry(index, 1, CHANGE, b"junk") for index in range(1, 10))
-        host.hear("a", Append(1, 0, 0, junk, 0, 1))
+        junk = tuple(Entry(index, 1, EntryKind.COMMAND, b"junk") for index in range(1, 10))
+        host.receive("a", AppendEntries(1, 0, 0, junk, 0, 1))
         host.run(0.01)
-        host.runner.sync_seconds = 0.3
+        host.journal_writer.sync_seconds = 0.3
         state = msgspec.msgpack.encode([b"x"])
-        host.hear("c", Install(2, 5, 2, TRIO, len(state), 0, state, crc32(state), 1))
+        host.receive("c", InstallSnapshot(2, 5, 2, TRIO, len(state), 0, state, crc32(state), 1))
         host.run(0.01)
-        host.hear("c", Append(2, 5, 2, (), 5, 2))
-        self.assertEqual(host.run(0.01), [("c", Appended(2, True, 0, 2))])
+        host.receive("c", AppendEntries(2, 5, 2, (), 5, 2))
+        self.assertEqual(host.run(0.01), [("c", AppendEntriesResponse(2, True, 0, 2))])
         self.assertEqual(
-            host.run(0.35), [("c", Installed(2, 5, len(state), True, 1)), ("c", Appended(2, True, 5, 2))]
+            host.run(0.35),
+            [
+                ("c", InstallSnapshotResponse(2, 5, len(state), True, 1)),
+                ("c", AppendEntriesResponse(2, True, 5, 2)),
+            ],
         )
 
     def test_while_the_disk_refuses_nothing_is_promised(self) -> None:
@@ -339,27 +372,27 @@
         host.open(TRIO)
         host.run(0.01)
         host.disk.capacity = host.disk.used
-        host.hear("a", AskVote(1, 0, 0, False))
+        host.receive("a", RequestVote(1, 0, 0, False))
         self.assertEqual(host.run(0.3), [])
         self.assertTrue(host.journal.failing)
         host.disk.capacity = None
-        self.assertEqual(host.run(0.3)[:1], [("a", Vote(1, False, True))])
+        self.assertEqual(host.run(0.3)[:1], [("a", RequestVoteResponse(1, False, True))])
 
     def test_a_vote_outlives_the_process(self) -> None:
         host = Host("b")
         host.open(TRIO)
-        host.hear("a", AskVote(1, 0, 0, False))
-        self.assertEqual(host.run(0.01), [("a", Vote(1, False, True))])
+        host.receive("a", RequestVote(1, 0, 0, False))
+        self.assertEqual(host.run(0.01), [("a", RequestVoteResponse(1, False, True))])
         host.disk.lose_power(Random(1))
         again = Host("b", host.disk)
         again.open(TRIO)
-        again.hear("c", AskVote(1, 0, 0, False))
-        self.assertEqual(again.run(0.01), [("c", Vote(1, False, False))])
+        again.receive("c", RequestVote(1, 0, 0, False))
+        self.assertEqual(again.run(0.01), [("c", RequestVoteResponse(1, False, False))])
 
     def test_what_the_journal_holds_goes_before_the_founders(self) -> None:
         host = Host("b")
         host.open(TRIO)
-        host.hear("a", Append(4, 0, 0, (Entry(1, 4, CHANGE, b"x"),), 1, 1))
+        host.receive("a", AppendEntries(4, 0, 0, (Entry(1, 4, EntryKind.COMMAND, b"x"),), 1, 1))
         host.run(0.01)
         again = Host("b", host.disk)
         again.open(Members(("b",)))
@@ -370,9 +403,9 @@
     def test_one_that_is_no_founder_neither_asks_for_votes_nor_gives_one(self) -> None:
         host = Host("d")
         host.open(TRIO)
-        host.hear("a", AskVote(1, 0, 0, True))
-        host.hear("a", AskVote(1, 0, 0, False))
-        host.hear("a", AskVote(2, 0, 0, False, leadership_transfer=True))
+        host.receive("a", RequestVote(1, 0, 0, True))
+        host.receive("a", RequestVote(1, 0, 0, False))
+        host.receive("a", RequestVote(2, 0, 0, False, leadership_transfer=True))
         self.assertEqual(host.run(3), [])
         self.assertEqual(host.host.members("g"), Members())
 
@@ -408,9 +441,9 @@
         host.answer("b", sent)
         host.run(0.05)
         found = [result_of(result) for result in results]
-        self.assertEqual(found, [b"did ok", FateOpen, FateOpen])
+        self.assertEqual(found, [b"did ok", OutcomeUnknownError, OutcomeUnknownError])
         self.assertFalse(host.host.is_owner("g"))
-        self.assertIs(result_of(host.host.propose("g", b"more")), NotOwner)
+        self.assertIs(result_of(host.host.propose("g", b"more")), NotOwnerError)
         result = host.host.propose("h", b"x")
         host.run(0.05)
         self.assertEqual((result_of(result), other.commands), (b"did x", [b"x"]))
@@ -419,47 +452,47 @@
         """Another entry where one was committed: going on could only spread the damage."""
         host = Host("b")
         host.open(TRIO)
-        host.hear("a", Append(1, 0, 0, (Entry(1, 1, CHANGE, b"x"),), 1, 1))
+        host.receive("a", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.COMMAND, b"x"),), 1, 1))
         host.run(0.01)
-        host.hear("c", Append(2, 0, 0, (Entry(1, 2, CHANGE, b"y"),), 1, 1))
+        host.receive("c", AppendEntries(2, 0, 0, (Entry(1, 2, EntryKind.COMMAND, b"y"),), 1, 1))
         host.run(0.01)
         self.assertEqual(host.machine.commands, [b"x"])
         self.assertEqual(host.host.members("g"), Members())
         again = Host("b", host.disk)
         again.open(TRIO)
-        self.assertEqual(again.host.groups["g"].raft.log.entries, [Entry(1, 1, CHANGE, b"x")])
+        self.assertEqual(again.host.groups["g"].raft.log.entries, [Entry(1, 1, EntryKind.COMMAND, b"x")])
 
     def test_only_an_owner_takes_proposals_and_barriers(self) -> None:
         host = Host("b")
         host.open(TRIO)
-        results = [host.host.propose("g", b"x"), host.host.barrier("g"), host.host.propose("no", b"x")]
+        results = [host.host.propose("g", b"x"), host.host.read_barrier("g"), host.host.propose("no", b"x")]
         host.turn()
-        self.assertEqual([result_of(result) for result in results], [NotOwner] * 3)  # type: ignore[arg-type]
+        self.assertEqual([result_of(result) for result in results], [NotOwnerError] * 3)  # type: ignore[arg-type]
 
     def test_a_leader_owns_once_its_own_entry_is_committed(self) -> None:
         host = Host("a")
         host.open(TRIO)
         while host.host.leader("g") != "a":
             sent = host.run(0.01)
-            host.answer("b", [(to, m) for to, m in sent if not isinstance(m, Append)])
+            host.answer("b", [(to, m) for to, m in sent if not isinstance(m, AppendEntries)])
         self.assertFalse(host.host.is_owner("g"))
         result = host.host.propose("g", b"x")
         host.turn()
-        self.assertIs(result_of(result), NotOwner)
+        self.assertIs(result_of(result), NotOwnerError)
         host.lead()
         self.assertEqual(host.events.seen, [("owner", host.host.epoch("g"))])
 
     def test_a_leader_that_hears_nobody_gives_up_with_fates_open(self) -> None:
         host = self.leader()
-        results: list[Deferred[object]] = [host.host.propose("g", b"x"), host.host.barrier("g")]  # type: ignore[list-item]
+        results: list[Deferred[object]] = [host.host.propose("g", b"x"), host.host.read_barrier("g")]  # type: ignore[list-item]
         host.run(1)
-        self.assertEqual([result_of(result) for result in results], [FateOpen, NotOwner])
+        self.assertEqual([result_of(result) for result in results], [OutcomeUnknownError, NotOwnerError])
         self.assertEqual(host.events.seen[-1], ("lost",))
 
     def test_a_barrier_wants_answers_to_what_was_sent_after_it(self) -> None:
         host = self.leader()
         beat = host.run(0.15)
-        barrier = host.host.barrier("g")
+        barrier = host.host.read_barrier("g")
         host.answer("b", beat)  # to heartbeats from before
         sent = host.turn()
         found: list[object] = []
@@ -476,7 +509,7 @@
         result = host.host.propose("g", b"x")
         host.clock.advance(0)
         self.assertFalse(host.host.is_owner("g"))
-        self.assertIn(result_of(result), (NotOwner, FateOpen))
+        self.assertIn(result_of(result), (NotOwnerError, OutcomeUnknownError))
 
     def test_rounding_does_not_make_a_timer_spin(self) -> None:
         host = Host("d")
@@ -532,11 +565,11 @@
             turn = host.run(0.01)
             host.answer("b", turn)
             sent += [message for receiver, message in turn if receiver == "c"]
-        self.assertGreater(len(sent), 0.75 * 2.0 / SYSTEM_TIMES.heartbeat)
-        self.assertEqual([m for m in sent if not isinstance(m, Append) or m.entries], [])
-        self.assertGreater(host.host.silent_for("g", "c"), 2)
-        self.assertLess(host.host.silent_for("g", "b"), 0.2)
-        self.assertEqual(host.host.silent_for("g", "x"), float("inf"))
+        self.assertGreater(len(sent), 0.75 * 2.0 / SYSTEM_TIMING.heartbeat_interval)
+        self.assertEqual([m for m in sent if not isinstance(m, AppendEntries) or m.entries], [])
+        self.assertGreater(host.host.unresponsive_for("g", "c"), 2)
+        self.assertLess(host.host.unresponsive_for("g", "b"), 0.2)
+        self.assertEqual(host.host.unresponsive_for("g", "x"), float("inf"))
 
     def test_entries_give_way_to_a_snapshot_and_some_stay(self) -> None:
         host = self.leader(CompactionBounds(size=1 << 20, entries=50, kept=10))
@@ -575,7 +608,7 @@
 class SnapshotTransfer(Quiet):
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "PIECE_BYTES", 100)
+        small = patch.object(snapshots, "CHUNK_BYTES", 100)
         small.start()
         self.addCleanup(small.stop)
         self.host = Host("a", bounds=CompactionBounds(size=1 << 20, entries=20, kept=0))
@@ -595,14 +628,14 @@
             for receiver, message in sent:
                 if receiver != "c":
                     continue
-                if isinstance(message, Install) and message.piece:
+                if isinstance(message, InstallSnapshot) and message.chunk:
                     pieces += 1
                     if pieces in lost:
                         continue
-                follower.hear("a", message)
+                follower.receive("a", message)
             for _, answer in follower.run(0.002):
-                if isinstance(answer, Appended | Installed):
-                    self.host.hear("c", answer)
+                if isinstance(answer, AppendEntriesResponse | InstallSnapshotResponse):
+                    self.host.receive("c", answer)
         return pieces
 
     def follower(self) -> Host:
@@ -680,10 +713,10 @@
     def test_ownership_is_handed_over_in_much_less_than_an_election(self) -> None:
         owner = self.owner()
         epoch = owner.host.epoch(GROUP)
-        self.assertTrue(owner.host.hand_over(GROUP))
+        self.assertTrue(owner.host.transfer_leadership(GROUP))
         refused = owner.host.propose(GROUP, b"x")
         self.world.run_until(lambda: False, 0.1)
-        self.assertIs(result_of(refused), NotOwner)
+        self.assertIs(result_of(refused), NotOwnerError)
         after = self.owner()
         self.assertNotEqual(after.member, owner.member)
         self.assertEqual(after.host.epoch(GROUP), epoch + 1)
@@ -721,7 +754,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "PIECE_BYTES", SMALL_PIECE)
+        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE)
         small.start()
         self.addCleanup(small.stop)
 
@@ -751,22 +784,22 @@
     MOST_SEEDS = 150
 
     def assert_caught(self, plan: Plan | None = None) -> None:
-        with patch.object(snapshots, "PIECE_BYTES", SMALL_PIECE):
+        with patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE):
             for seed in range(self.MOST_SEEDS):
                 try:
                     World(seed, plan or Plan()).play()
-                except Broken:
+                except InvariantViolationError:
                     return
         self.fail(f"not caught in {self.MOST_SEEDS} seeds")
 
     def test_acknowledging_before_the_sync(self) -> None:
-        def hasty(self: VirtualRunner, command: JournalCommand) -> None:
+        def hasty(self: VirtualTimeJournalWriter, command: JournalCommand) -> None:
             if command.done is not None:
                 self._clock.callLater(0, command.done)
             real(self, JournalCommand(command.record, command.snapshot, None))
 
-        real = VirtualRunner.submit
-        with patch.object(VirtualRunner, "submit", hasty):
+        real = VirtualTimeJournalWriter.submit
+        with patch.object(VirtualTimeJournalWriter, "submit", hasty):
             self.assert_caught()
 
     def test_an_empty_disk_that_votes(self) -> None:
@@ -777,7 +810,7 @@
             self.assert_caught()
 
     def test_an_open_fate_told_as_refusal(self) -> None:
-        with patch("bitternpath.replication.group.FateOpen", NotOwner):
+        with patch("bitternpath.replication.group.OutcomeUnknownError", NotOwnerError):
             self.assert_caught()
 
     def test_a_barrier_that_asks_nobody(self) -> None:
@@ -787,7 +820,7 @@
                 if self.is_owner:
                     barrier.result.callback(None)
                 else:
-                    barrier.result.errback(NotOwner())
+                    barrier.result.errback(NotOwnerError())
 
         with patch.object(ReplicaGroup, "_put_barriers", hasty):
             self.assert_caught()
@@ -822,7 +855,7 @@
     def test_an_owner_with_old_state(self) -> None:
         self.checker.acknowledge(b"x")
         self.checker.owns(1, "n0", 1)
-        with self.assertRaises(Broken):
+        with self.assertRaises(InvariantViolationError):
             self.checker.owns(2, "n1", 0)
 
     def test_table(self) -> None:
@@ -835,23 +868,23 @@
             "refused before": lambda: (self.checker.refuse(b"y"), self.checker.applied("n1", 1, b"y")),
         }
         for name, check in checks.items():
-            with self.subTest(name), self.assertRaises(Broken):
+            with self.subTest(name), self.assertRaises(InvariantViolationError):
                 check()
 
     def test_a_snapshot_of_what_was_not_committed(self) -> None:
-        register = Register("n1", self.checker)
-        with self.assertRaises(Broken):
+        register = CommandLogMachine("n1", self.checker)
+        with self.assertRaises(InvariantViolationError):
             register.restore(msgspec.msgpack.encode([b"y"]))
 
 
 class Restored(unittest.TestCase):
     def test_a_snapshot_with_no_data_is_one(self) -> None:
         """A state machine's state may be no bytes at all."""
-        disk = SimulatedDisk()
+        disk = SimulatedFileSystem()
         log = SegmentLog(disk, lambda: 1, 1 << 20)
         clock = Clock()
-        journal = Journal(log, VirtualRunner(clock, disk, 0.0))
-        write = Write(1, 1, "", None, (), Snapshot(4, 1, TRIO, b""), (4, 1))
+        journal = Journal(log, VirtualTimeJournalWriter(clock, disk, 0.0))
+        write = StorageWrite(1, 1, "", None, (), Snapshot(4, 1, TRIO, b""), (4, 1))
         journal.write("g", write, lambda: None)
         clock.advance(0)
         self.assertEqual(SegmentLog(disk, lambda: 1, 1 << 20).kept("g").snapshot, Snapshot(4, 1, TRIO, b""))
--- a/tests/system/test_scrub.py
+++ b/tests/system/test_scrub.py
@@ -13,15 +13,15 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import SYSTEM_TIMES, ReplicaHost
+from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
 from bitternpath.replication.records import Members
 from bitternpath.storage import disk as disk_module
-from bitternpath.storage.disk import DiskThread
-from bitternpath.storage.files import LocalFiles
+from bitternpath.storage.disk import JournalWriterThread
+from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.journal import Journal
-from bitternpath.storage.records import JournalDamaged
+from bitternpath.storage.records import CorruptJournalError
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.storage.simulated import SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
 from tests.system.test_full_disks import Last, Nobody
 
 SEGMENT_BYTES = 4_000
@@ -35,7 +35,7 @@
         self.addCleanup(handler.pop_application)
 
 
-def opened(files: SimulatedDisk | LocalFiles) -> SegmentLog:
+def opened(files: SimulatedFileSystem | LocalFileSystem) -> SegmentLog:
     """Its log."""
     return SegmentLog(files, lambda: 7, 1 << 20, SEGMENT_BYTES)
 
@@ -44,11 +44,11 @@
     def setUp(self) -> None:
         """A group alone, with several segments and a snapshot."""
         super().setUp()
-        self.clock, self.disk = Clock(), SimulatedDisk()
-        self.runner = VirtualRunner(self.clock, self.disk, 0.001)
+        self.clock, self.disk = Clock(), SimulatedFileSystem()
+        self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, 0.001)
         bounds = CompactionBounds(size=2_000, host_size=2_000, kept=0)
-        journal = Journal(opened(self.disk), self.runner)
-        self.host = ReplicaHost(self.clock, "a", journal, lambda *_: None, Random(1), SYSTEM_TIMES, bounds)
+        journal = Journal(opened(self.disk), self.journal_writer)
+        self.host = ReplicaHost(self.clock, "a", journal, lambda *_: None, Random(1), SYSTEM_TIMING, bounds)
         self.machine = Last(40)
         self.host.open_group("g", self.machine, Members(("a",)), Nobody())
         while not self.host.is_owner("g"):
@@ -66,15 +66,15 @@
 
     def test_whole_files_are_left_alone(self) -> None:
         before = self.disk.steps
-        self.runner.scrub(STEPS)
+        self.journal_writer.scrub(STEPS)
         self.settle(0.1)
         self.assertEqual(self.disk.steps, before)
 
     def assert_mended(self, path: str, offset: int) -> None:
-        self.disk.flip(path, offset)
-        with self.assertRaises(JournalDamaged):
+        self.disk.corrupt_byte(path, offset)
+        with self.assertRaises(CorruptJournalError):
             opened(self.disk).kept("g")
-        self.runner.scrub(STEPS)
+        self.journal_writer.scrub(STEPS)
         self.settle(0.1)
         kept = opened(self.disk).kept("g")
         raft = self.host.groups["g"].raft
@@ -100,7 +100,7 @@
         (path,) = self.files("snapshots")
         with (
             patch.object(SegmentLog, "scrub_step", lambda self: ""),
-            self.assertRaises(JournalDamaged),
+            self.assertRaises(CorruptJournalError),
         ):
             self.assert_mended(path, 500)
 
@@ -124,8 +124,8 @@
             patch.object(disk_module, "SCRUB_SECONDS", 0.001),
             patch.object(SegmentLog, "scrub_step", lambda self: "g"),
         ):
-            thread = DiskThread(Reactor())
-            files = LocalFiles(Path(folder))
+            thread = JournalWriterThread(Reactor())
+            files = LocalFileSystem(Path(folder))
             thread.start(opened(files), lambda commands: None, lambda group: scrubbed.set())
             self.assertTrue(scrubbed.wait(20))
             self.assertTrue(thread.stop())
--- a/tests/system/test_second_answers.py
+++ b/tests/system/test_second_answers.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bitternpath.delivery.connections import MOST_UNENDED
+from bitternpath.delivery.connections import MAX_REMEMBERED_REQUESTS
 from bitternpath.transport.records import AttemptOutcome
 from tests.system.test_worker_client import ClientCase, Wire, answer
 
@@ -77,10 +77,10 @@
 
     def test_a_connection_that_ended_many_messages_without_an_end_is_closed(self) -> None:
         _, wire = self.delivered()
-        for number in range(MOST_UNENDED):
+        for number in range(MAX_REMEMBERED_REQUESTS):
             self.assertFalse(wire.closed)
             wire.answer(answer("r1" if number == 0 else f"n{number}", status=500, headers=b""))
-            if number + 1 < MOST_UNENDED:
+            if number + 1 < MAX_REMEMBERED_REQUESTS:
                 self.deliver(f"n{number + 1}")
         self.assertTrue(wire.closed)
 
--- a/tests/system/test_sent_once.py
+++ b/tests/system/test_sent_once.py
@@ -16,10 +16,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Protocol
 
-from bitternpath.delivery.callbacks import CallbackClient
+from bitternpath.delivery.callback_client import CallbackClient
 from bitternpath.delivery.results import DeliveryResult, WorkerTarget
-from bitternpath.delivery.workers import WorkerClient
-from bitternpath.discovery.platform_list import PlatformList
+from bitternpath.delivery.worker_client import WorkerClient
+from bitternpath.discovery.endpoint_list_client import EndpointListClient
 from bitternpath.net.http1 import Request, RequestReader
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from tests.system import Loopback
@@ -30,8 +30,8 @@
 MESSAGE = Message("r1", "POST", "a.example", "/p/x", (), "", "plain", 5, 0, "", "edge-1", 77, b"body")
 DEADLINE_MS = 60_000  # its timer is fired by hand
 CLIENT_LIMITS = (
-    "bitternpath.discovery.platform_list.CALL_TIMEOUT_S",
-    "bitternpath.delivery.callbacks.CALL_S",
+    "bitternpath.discovery.endpoint_list_client.CALL_TIMEOUT_S",
+    "bitternpath.delivery.callback_client.CALL_S",
 )
 
 
@@ -118,7 +118,7 @@
         url = f"http://{self.address}/done"
         return lambda name: client.notify(url, name, MessageState.DONE, "s.1")
 
-    def platform(self, client: PlatformList) -> Call:
+    def platform(self, client: EndpointListClient) -> Call:
         return lambda name: client.read()
 
     def clients(self) -> dict[str, Call]:
@@ -126,7 +126,7 @@
         return {
             "worker": self.worker(WorkerClient(reactor)),
             "receiver": self.receiver(CallbackClient(reactor)),
-            "platform": self.platform(PlatformList(reactor, self.address)),
+            "platform": self.platform(EndpointListClient(reactor, self.address)),
         }
 
     def arrivals(self, call: Call, fault: Fault, warm: bool) -> tuple[int, list[Any]]:
@@ -211,7 +211,7 @@
         self.assertEqual(len(Server.arrived), 2)
 
     def test_a_library_that_repeats_by_itself_is_caught(self) -> None:
-        platform = PlatformList(self.loopback.reactor, self.address)
+        platform = EndpointListClient(self.loopback.reactor, self.address)
         platform._agent._pool.retryAutomatically = True
         self.ended(self.platform(platform)("warm"))
         Server.arrived, Server.fault = [], Fault.RESET_BEFORE
--- a/tests/system/test_shard_runtime.py
+++ b/tests/system/test_shard_runtime.py
@@ -12,30 +12,29 @@
 
 from bitternpath.configuration.placement import shard_group
 from bitternpath.queue.commands import COMMANDS, EndAttempt, GrantLease
-from bitternpath.queue.owner import OwnerBounds
-from bitternpath.replication.interfaces import FateOpen, NotOwner
+from bitternpath.queue.owner import OwnerSettings
+from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.shard_runtime import LEAST_ASKED, MOST_ASKED, ShardRuntime
-from bitternpath.transport.messages import (
-    Appended,
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+from bitternpath.transport.records import AttemptOutcome, Message, MessageState
+from bitternpath.transport.shard_messages import (
     AppendRequest,
-    CallbackOrder,
+    AppendResponse,
     CallbackReport,
-    Delivery,
-    Ended,
-    EndRequest,
+    CallbackRequest,
+    EndAttemptRequest,
+    EndAttemptResponse,
     ExtendRequest,
-    JobsWaiting,
-    NodeDescriptor,
-    NodeKind,
-    PullAnswer,
+    LeaseGrant,
     PullCancel,
     PullRequest,
+    PullResponse,
     Refused,
-    StateAnswer,
     StateRequest,
+    StateResponse,
+    WorkAvailable,
 )
-from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from tests.system.test_queue_rig import TABLE
 
 GROUP = shard_group(0)
@@ -56,7 +55,7 @@
     def propose(self, group: str, data: bytes) -> Deferred[object]:
         self.proposals += 1
         if self.handing_over:
-            return fail(NotOwner())
+            return fail(NotOwnerError())
         self.index += 1
         result = self.runtime.state.apply(self.index, data)
         waiting: Deferred[object] = Deferred()
@@ -105,7 +104,7 @@
             GROUP,
             1,
             "north",
-            OwnerBounds(),
+            OwnerSettings(),
             self.edges,
             lambda: True,
             Random(1),
@@ -132,8 +131,10 @@
     def pull(self, link: EdgeLink | None = None, number: int = 7) -> None:
         self.ask(self.runtime.pull, PullRequest(number, GROUP, "puller", "i-1", 5_000), link)
 
-    def end(self, delivery: Delivery, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED) -> None:
-        request = EndRequest(9, GROUP, delivery.message.request_id, delivery.lease_id, outcome, "stamp", 0)
+    def end(self, delivery: LeaseGrant, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED) -> None:
+        request = EndAttemptRequest(
+            9, GROUP, delivery.message.request_id, delivery.lease_id, outcome, "stamp", 0
+        )
         self.ask(self.runtime.end, request)
 
 
@@ -142,21 +143,21 @@
 
     def test_a_message_whose_grant_was_refused_goes_out_after_all(self) -> None:
         self.append("m")
-        (delivery,) = self.link.take(Delivery)
+        (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery, AttemptOutcome.NOT_RUN)
         self.log.handing_over = True
         self.clock.pump([0.02] * round(HAND_OVER_S / 0.02))  # its back-off ends: the grant is refused
-        self.assertEqual(self.link.take(Delivery), [])
+        self.assertEqual(self.link.take(LeaseGrant), [])
         self.log.handing_over = False
         self.clock.pump([0.02] * 50)
-        (delivery,) = self.link.take(Delivery)
+        (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery)
         entry = self.runtime.state.find("m")
         self.assertIs(entry and entry.state, MessageState.DONE)
 
     def test_what_is_refused_is_not_proposed_in_each_turn(self) -> None:
         self.append("m")
-        (delivery,) = self.link.take(Delivery)
+        (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery, AttemptOutcome.NOT_RUN)
         self.clock.advance(0)
         before = self.log.proposals
@@ -166,15 +167,15 @@
 
     def test_a_confirmation_that_was_refused_is_made_up_for(self) -> None:
         self.append("m", callback_url="http://10.0.0.9:80/done")
-        (delivery,) = self.link.take(Delivery)
+        (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery)
-        (order,) = self.link.take(CallbackOrder)
+        (order,) = self.link.take(CallbackRequest)
         self.log.handing_over = True
         self.runtime.callback_report(CallbackReport(GROUP, order.request_id, True))
         self.clock.pump([0.05] * 11)  # the confirmation is proposed, and refused
         self.log.handing_over = False
         self.clock.pump([0.05] * 20)
-        (again,) = self.link.take(CallbackOrder)
+        (again,) = self.link.take(CallbackRequest)
         self.runtime.callback_report(CallbackReport(GROUP, again.request_id, True))
         self.clock.pump([0.05] * 11)
         entry = self.runtime.state.find("m")
@@ -188,7 +189,7 @@
         self.log.handing_over = False
         self.edges.opened(self.link.peer, self.link)  # type: ignore[arg-type]
         self.clock.pump([0.05] * 12)
-        (delivery,) = self.link.take(Delivery)
+        (delivery,) = self.link.take(LeaseGrant)
         self.assertFalse(delivery.body_omitted)
 
     def refusing_from_the_second_on(self) -> Callable[[], int]:
@@ -198,14 +199,14 @@
         def choose(group: str, data: bytes) -> Deferred[object]:
             if isinstance(COMMANDS.decode(data), EndAttempt) and not refused:
                 refused.append(data)
-                return fail(NotOwner())
+                return fail(NotOwnerError())
             return propose(group, data)
 
         self.log.propose = choose  # type: ignore[method-assign]
         return lambda: len(refused)
 
     def test_an_open_fate_is_the_next_owners(self) -> None:
-        self.log.propose = lambda group, data: fail(FateOpen())  # type: ignore[method-assign]
+        self.log.propose = lambda group, data: fail(OutcomeUnknownError())  # type: ignore[method-assign]
         self.runtime._propose(GrantLease("m", "0-1-1", "edge-1", 1_000, False))
         self.assertEqual(len(self.clock.getDelayedCalls()), 0)
 
@@ -229,11 +230,11 @@
         for link in links:
             self.join(link)
         self.append("m", "/jobs/x")
-        first = {link.peer.name for link in links if link.take(JobsWaiting)}
+        first = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertLessEqual(len(first), MOST_ASKED)
         self.assertGreaterEqual(len(first), LEAST_ASKED - 1)  # edge-1 may be one of them
         self.clock.advance(1.0)
-        later = {link.peer.name for link in links if link.take(JobsWaiting)}
+        later = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertTrue(later - first)
 
     def test_mostly_nodes_nearby_are_asked(self) -> None:
@@ -243,41 +244,41 @@
             self.join(link)
         self.append("m", "/jobs/x")
         self.clock.pump([0.05] * 400)
-        asked = {zone: sum(len(link.take(JobsWaiting)) for link in links[zone]) for zone in links}
+        asked = {zone: sum(len(link.take(WorkAvailable)) for link in links[zone]) for zone in links}
         self.assertGreater(asked["north"], 3 * asked["south"])
         self.assertGreater(asked["south"], 0)
 
     def test_where_there_are_few_all_are_asked(self) -> None:
         self.append("m", "/jobs/x")
-        (asked,) = self.link.take(JobsWaiting)
+        (asked,) = self.link.take(WorkAvailable)
         self.assertEqual((asked.waiting, asked.nodes), (1, 1))
 
 
 class FromMemory(RuntimeCase):
     """An owner that was stopped or cut off says nothing before a majority has confirmed it."""
 
-    def job(self) -> PullAnswer:
+    def job(self) -> PullResponse:
         self.append("m", "/jobs/x")
         self.pull()
-        (answer,) = self.link.take(PullAnswer)
+        (answer,) = self.link.take(PullResponse)
         self.log.answers_barriers = False
         return answer  # type: ignore[no-any-return]
 
     def test_an_extension_waits_for_the_confirmation(self) -> None:
         job = self.job()
         self.ask(self.runtime.extend, ExtendRequest(8, GROUP, "m", job.lease_id))
-        self.assertEqual(self.link.take(Ended), [])
+        self.assertEqual(self.link.take(EndAttemptResponse), [])
         self.log.barriers.pop().callback(None)
-        self.assertEqual(self.link.take(Ended), [Ended(8, True)])
+        self.assertEqual(self.link.take(EndAttemptResponse), [EndAttemptResponse(8, True)])
 
     def test_a_deposed_owner_neither_extends_nor_calls_a_lease_gone(self) -> None:
         job = self.job()
         self.clock.advance(10.0)  # it was stopped: by its memory the lease is long over
         for lease_id in (job.lease_id, "0-1-99"):
             self.ask(self.runtime.extend, ExtendRequest(8, GROUP, "m", lease_id))
-            self.log.barriers.pop().errback(NotOwner())
+            self.log.barriers.pop().errback(NotOwnerError())
             self.assertEqual([type(record) for record in self.link.take(Refused)], [Refused])
-        self.assertEqual(self.link.take(Ended), [])
+        self.assertEqual(self.link.take(EndAttemptResponse), [])
 
     def test_a_confirmation_that_comes_with_the_end_of_the_ownership(self) -> None:
         job = self.job()
@@ -290,11 +291,11 @@
         self.log.answers_barriers = False
         self.ask(self.runtime.find, StateRequest(5, GROUP, "m", False))
         self.append("m")  # committed while the question waits
-        self.assertEqual(self.link.take(StateAnswer), [])
+        self.assertEqual(self.link.take(StateResponse), [])
         self.log.barriers.pop().callback(None)
-        (answer,) = self.link.take(StateAnswer)
+        (answer,) = self.link.take(StateResponse)
         self.assertTrue(answer.known)
-        self.assertEqual(len(self.link.take(Appended)), 1)
+        self.assertEqual(len(self.link.take(AppendResponse)), 1)
 
 
 class ReplacedLinks(RuntimeCase):
@@ -308,8 +309,8 @@
         self.runtime.edge_closed("", self.link)  # type: ignore[arg-type]
         self.pull(later, number=7)  # numbers begin anew on each link
         self.append("m", "/jobs/x")
-        self.assertEqual(self.link.take(PullAnswer), [])
-        (answer,) = later.take(PullAnswer)
+        self.assertEqual(self.link.take(PullResponse), [])
+        (answer,) = later.take(PullResponse)
         self.assertEqual((answer.number, answer.message.request_id), (7, "m"))
 
     def test_the_node_is_still_connected(self) -> None:
@@ -318,15 +319,15 @@
         self.assertEqual(self.edges.closed(self.link), "")  # type: ignore[arg-type]
         self.runtime.edge_closed("", self.link)  # type: ignore[arg-type]
         self.append("m")
-        self.assertEqual(len(later.take(Delivery)), 1)
+        self.assertEqual(len(later.take(LeaseGrant)), 1)
 
     def test_a_poll_that_is_given_up_is_answered_once(self) -> None:
         self.pull(number=7)
         for _ in range(2):
             self.runtime.cancel_pull(self.link, PullCancel(7, GROUP))  # type: ignore[arg-type]
-        self.assertEqual(self.link.take(PullAnswer), [PullAnswer(7, "", None)])
+        self.assertEqual(self.link.take(PullResponse), [PullResponse(7, "", None)])
         self.append("m", "/jobs/x")
-        self.assertEqual(self.link.take(PullAnswer), [])
+        self.assertEqual(self.link.take(PullResponse), [])
 
     def test_one_number_on_two_links_is_two_polls(self) -> None:
         other = EdgeLink("edge-2")
@@ -335,7 +336,7 @@
         self.pull(other, number=7)
         self.append("m", "/jobs/x")
         self.append("n", "/jobs/x")
-        got = [link.take(PullAnswer)[0].message.request_id for link in (self.link, other)]
+        got = [link.take(PullResponse)[0].message.request_id for link in (self.link, other)]
         self.assertEqual(sorted(got), ["m", "n"])
 
 
--- a/tests/system/test_shards.py
+++ b/tests/system/test_shards.py
@@ -11,30 +11,29 @@
 from twisted.internet.task import Clock
 
 from bitternpath.configuration.placement import shard_group
-from bitternpath.ingress.service import Acceptance, AcceptResult, FoundMessage, LeaseAnswer, LookupFailure
+from bitternpath.ingress.interfaces import Acceptance, AcceptResult, FoundMessage, LeaseAnswer, LookupFailure
 from bitternpath.queue.sharding import lease_id, message_id, shard_for
 from bitternpath.shards.appends import Appender
 from bitternpath.shards.lookups import MessageLookup
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.shards.pulls import WANTED_S, Pulls, outcome_of
-from bitternpath.shards.reports import AttemptReport, LeaseReports
+from bitternpath.shards.pulls import WANTED_S, PullRouter, outcome_of
+from bitternpath.shards.reports import AttemptReport, AttemptReporter
 from bitternpath.transport.connections import LinkLost
-from bitternpath.transport.messages import (
-    Appended,
-    Ended,
-    EndRequest,
-    JobsWaiting,
-    NodeDescriptor,
-    NodeKind,
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+from bitternpath.transport.records import AttemptOutcome, Message, MessageState
+from bitternpath.transport.shard_messages import (
+    AppendResponse,
+    EndAttemptRequest,
+    EndAttemptResponse,
     Ownership,
-    PullAnswer,
     PullCancel,
+    PullResponse,
     RefusalReason,
     Refused,
-    StateAnswer,
-    Undecided,
+    RequestOutcomeUnknown,
+    StateResponse,
+    WorkAvailable,
 )
-from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 
 SHARDS = 3
 
@@ -81,7 +80,7 @@
             self.owned(shard, self.links[shard], 1)
 
     def owned(self, shard: int, link: FakeLink, epoch: int, owns: bool = True) -> None:
-        self.owners.told(link, Ownership(shard_group(shard), epoch, owns))  # type: ignore[arg-type]
+        self.owners.ownership_changed(link, Ownership(shard_group(shard), epoch, owns))  # type: ignore[arg-type]
 
     def result(self, waiting: Deferred[Any]) -> Any:
         """What has come, or None."""
@@ -119,7 +118,7 @@
 
     def test_an_unordered_message_goes_to_the_owner_in_the_zone(self) -> None:
         waiting = self.accept()
-        self.links[0].answer(Appended(1))
+        self.links[0].answer(AppendResponse(1))
         self.assertEqual(self.result(waiting), Acceptance(AcceptResult.ACCEPTED, message_id(0, "r1")))
 
     def test_an_unordered_message_goes_to_where_a_worker_of_this_node_waits(self) -> None:
@@ -157,12 +156,20 @@
     def test_what_the_owner_makes_of_it(self) -> None:
         refusal = Refused(1, RefusalReason.NOT_OWNER)
         cases: tuple[tuple[str, list[Any], AcceptResult], ...] = (
-            ("appended", [Appended(1)], AcceptResult.ACCEPTED),
+            ("appended", [AppendResponse(1)], AcceptResult.ACCEPTED),
             ("refused", [refusal], AcceptResult.REFUSED),
             ("full", [Refused(1, RefusalReason.FULL)], AcceptResult.REFUSED),
-            ("undecided, then appended", [Undecided(1), Appended(1)], AcceptResult.ACCEPTED),
-            ("undecided, then refused, to the end", [Undecided(1), refusal, refusal], AcceptResult.UNDECIDED),
-            ("answer lost, then appended", [None, Appended(1)], AcceptResult.ACCEPTED),
+            (
+                "undecided, then appended",
+                [RequestOutcomeUnknown(1), AppendResponse(1)],
+                AcceptResult.ACCEPTED,
+            ),
+            (
+                "undecided, then refused, to the end",
+                [RequestOutcomeUnknown(1), refusal, refusal],
+                AcceptResult.UNDECIDED,
+            ),
+            ("answer lost, then appended", [None, AppendResponse(1)], AcceptResult.ACCEPTED),
             ("answer lost, then refused", [None, refusal], AcceptResult.UNDECIDED),
             ("silence", [], AcceptResult.UNDECIDED),
         )
@@ -178,7 +185,7 @@
                         self.links[0].answer(answer)
                 self.clock.advance(0.5)
                 self.assertEqual(self.result(waiting).result, expected)
-                self.assertEqual(self.appender.open, 0)
+                self.assertEqual(self.appender.in_flight, 0)
 
     def test_after_an_answer_was_lost_it_stays_with_its_shard_and_id(self) -> None:
         waiting = self.accept()
@@ -189,13 +196,13 @@
         self.clock.advance(0.05)
         request = self.links[2].requests[0][0]
         self.assertEqual((request.group, request.message.request_id), (shard_group(0), "r1"))
-        self.links[2].answer(Appended(1))
+        self.links[2].answer(AppendResponse(1))
         self.assertEqual(self.result(waiting).message_id, message_id(0, "r1"))
 
     def test_an_answer_after_the_end_changes_nothing(self) -> None:
         waiting = self.accept()
         self.clock.advance(0.5)
-        self.links[0].answer(Appended(1))
+        self.links[0].answer(AppendResponse(1))
         self.assertEqual(self.result(waiting).result, AcceptResult.UNDECIDED)
 
 
@@ -204,7 +211,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.reports = LeaseReports(self.clock, self.owners)
+        self.reports = AttemptReporter(self.clock, self.owners)
         self.report = AttemptReport(shard_group(0), "r1", "l1", AttemptOutcome.SUCCEEDED, "stamp")
 
     def test_it_follows_the_shard_to_its_next_owner(self) -> None:
@@ -216,12 +223,16 @@
         self.assertEqual(
             (request.lease_id, request.outcome, request.stamp), ("l1", AttemptOutcome.SUCCEEDED, "stamp")
         )
-        self.links[1].answer(Ended(1, True))
+        self.links[1].answer(EndAttemptResponse(1, True))
         self.assertIs(self.result(waiting), True)
 
     def test_refusals_and_open_fates_are_repeated(self) -> None:
         waiting = self.reports.send(self.report)
-        for answer in (Refused(1, RefusalReason.NOT_OWNER), Undecided(1), Ended(1, False)):
+        for answer in (
+            Refused(1, RefusalReason.NOT_OWNER),
+            RequestOutcomeUnknown(1),
+            EndAttemptResponse(1, False),
+        ):
             self.links[0].answer(answer)
             self.clock.advance(0.2)
         self.assertIs(self.result(waiting), False)
@@ -231,7 +242,7 @@
         self.reports.send(self.report)
         self.reports.when_idle(lambda: idle.append(True))
         self.assertEqual(idle, [])
-        self.links[0].answer(Ended(1, True))
+        self.links[0].answer(EndAttemptResponse(1, True))
         self.assertEqual(idle, [True])
 
 
@@ -253,8 +264,8 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.reports = LeaseReports(self.clock, self.owners)
-        self.pulls = Pulls(self.clock, self.owners, self.reports, "z0", Random(1))
+        self.reports = AttemptReporter(self.clock, self.owners)
+        self.pulls = PullRouter(self.clock, self.owners, self.reports, "z0", Random(1))
 
     def asked(self) -> FakeLink:
         return next(link for link in self.links if link.requests)
@@ -266,10 +277,10 @@
 
     def test_a_job_comes_or_the_wait_ends(self) -> None:
         job = self.pulls.pull("s", "i", 1000)
-        self.asked().answer(PullAnswer(1, "l1", message()))
+        self.asked().answer(PullResponse(1, "l1", message()))
         self.assertEqual(self.result(job.result).lease_id, "l1")
         empty = self.pulls.pull("s", "i", 1000)
-        self.asked().answer(PullAnswer(1, "", None))
+        self.asked().answer(PullResponse(1, "", None))
         self.assertTrue(empty.result.called)
 
     def test_a_job_for_a_worker_that_has_gone_is_handed_back_as_not_run(self) -> None:
@@ -278,10 +289,10 @@
         group = link.requests[0][0].group
         ticket.cancel()
         self.assertIsInstance(link.sent[0], PullCancel)
-        link.answer(PullAnswer(1, "l1", message()))
+        link.answer(PullResponse(1, "l1", message()))
         owner = self.owners.owner(group)
         returned = [request for request, _ in (owner.link.requests if owner else [])]  # type: ignore[attr-defined]
-        self.assertIsInstance(returned[0], EndRequest)
+        self.assertIsInstance(returned[0], EndAttemptRequest)
         self.assertEqual((returned[0].lease_id, returned[0].outcome), ("l1", AttemptOutcome.NOT_RUN))
 
     def waiting_at(self, number: int) -> int:
@@ -301,13 +312,13 @@
         for _ in range(30):
             self.pulls.pull("s", "i", 1000)
         before = self.waiting_at(2)
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(2), "s", 20, 4))
+        self.pulls.work_available(WorkAvailable(shard_group(2), "s", 20, 4))
         self.assertEqual(self.waiting_at(2), before + 5)
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(2), "other", 20, 4))
+        self.pulls.work_available(WorkAvailable(shard_group(2), "other", 20, 4))
         self.assertEqual(self.waiting_at(2), before + 5)
 
     def test_a_worker_that_comes_later_goes_to_a_shard_that_has_asked_for_it(self) -> None:
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(2), "s", 1, 4))
+        self.pulls.work_available(WorkAvailable(shard_group(2), "s", 1, 4))
         self.pulls.pull("other", "i", 1000)
         self.pulls.pull("s", "i", 1000)
         self.assertEqual(self.waiting_at(2), 1)
@@ -315,7 +326,7 @@
         self.assertEqual(self.waiting_at(2), 1)
 
     def test_what_a_shard_has_asked_for_lapses(self) -> None:
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(2), "s", 1, 4))
+        self.pulls.work_available(WorkAvailable(shard_group(2), "s", 1, 4))
         self.clock.advance(WANTED_S + 0.01)
         self.pulls.pull("s", "i", 1000)
         self.assertEqual(self.waiting_at(2), 0)
@@ -323,25 +334,25 @@
     def test_a_message_is_promised_each_waiting_worker_once(self) -> None:
         self.pulls.pull("s", "i", 1000)
         self.pulls.pull("other", "i", 1000)
-        self.assertEqual([self.pulls.promise("s") for _ in range(2)], [shard_group(0), ""])
+        self.assertEqual([self.pulls.claim_waiting_worker("s") for _ in range(2)], [shard_group(0), ""])
         self.pulls.pull("s", "i", 1000)
-        self.assertEqual(self.pulls.promise("s"), shard_group(0))
+        self.assertEqual(self.pulls.claim_waiting_worker("s"), shard_group(0))
 
     def test_a_worker_that_has_moved_may_be_promised_another(self) -> None:
         self.pulls.pull("s", "i", 1000)
-        self.pulls.promise("s")
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(2), "s", 1, 1))
-        self.assertEqual(self.pulls.promise("s"), shard_group(2))
+        self.pulls.claim_waiting_worker("s")
+        self.pulls.work_available(WorkAvailable(shard_group(2), "s", 1, 1))
+        self.assertEqual(self.pulls.claim_waiting_worker("s"), shard_group(2))
 
     def test_a_job_that_comes_after_the_move_still_goes_to_the_worker_and_a_second_one_back(self) -> None:
         ticket = self.pulls.pull("s", "i", 1000)
         left = self.asked()
         target = next(number for number, link in enumerate(self.links) if link is not left)
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(target), "s", 1, 1))
-        left.answer(PullAnswer(1, "first", message()))
+        self.pulls.work_available(WorkAvailable(shard_group(target), "s", 1, 1))
+        left.answer(PullResponse(1, "first", message()))
         self.assertEqual(self.result(ticket.result).lease_id, "first")
         self.assertIsInstance(self.links[target].sent[0], PullCancel)
-        self.links[target].answer(PullAnswer(1, "second", message("r2")))
+        self.links[target].answer(PullResponse(1, "second", message("r2")))
         returned = [request for request, _ in self.links[target].requests]
         self.assertEqual([request.lease_id for request in returned], ["second"])
 
@@ -349,8 +360,8 @@
         ticket = self.pulls.pull("s", "i", 1000)
         left = self.asked()
         target = next(number for number, link in enumerate(self.links) if link is not left)
-        self.pulls.jobs_waiting(JobsWaiting(shard_group(target), "s", 1, 1))
-        left.answer(PullAnswer(1, "", None))
+        self.pulls.work_available(WorkAvailable(shard_group(target), "s", 1, 1))
+        left.answer(PullResponse(1, "", None))
         self.assertFalse(ticket.result.called)
 
     def test_without_an_owner_a_worker_waits_its_time(self) -> None:
@@ -364,7 +375,10 @@
 
     def test_ends_and_extensions(self) -> None:
         lease = lease_id(1, 3, 9)
-        cases = ((Ended(1, True), LeaseAnswer.TAKEN), (Ended(1, False), LeaseAnswer.GONE))
+        cases = (
+            (EndAttemptResponse(1, True), LeaseAnswer.ACKNOWLEDGED),
+            (EndAttemptResponse(1, False), LeaseAnswer.GONE),
+        )
         for record, expected in cases:
             end = self.pulls.end(lease, "r1", 200, "stamp")
             self.links[1].answer(record)
@@ -395,23 +409,23 @@
     def test_an_id_that_names_its_shard_asks_there_alone(self) -> None:
         waiting = self.lookup.find(message_id(2, "r1"), True)
         self.assertEqual([len(link.requests) for link in self.links], [0, 0, 1])
-        self.links[2].answer(StateAnswer(1, True, MessageState.DONE, "stamp", b"x"))
+        self.links[2].answer(StateResponse(1, True, MessageState.DONE, "stamp", b"x"))
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.DONE, "stamp", b"x"))
 
     def test_a_request_id_asks_all(self) -> None:
         waiting = self.lookup.find("r1", False)
         for shard, link in enumerate(self.links):
-            link.answer(StateAnswer(1, shard == 1, MessageState.QUEUED, "", None))
+            link.answer(StateResponse(1, shard == 1, MessageState.QUEUED, "", None))
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.QUEUED, "", None))
 
     def test_unknown_only_where_all_have_answered(self) -> None:
         waiting = self.lookup.find("r1", False)
         for link in self.links:
-            link.answer(StateAnswer(1, False, MessageState.QUEUED, "", None))
+            link.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
         self.assertEqual(self.result(waiting), LookupFailure.UNKNOWN_MESSAGE)
         waiting = self.lookup.find("r1", False)
         for link in self.links[:2]:
-            link.answer(StateAnswer(1, False, MessageState.QUEUED, "", None))
+            link.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
         self.links[2].lose()
         self.owners.closed(self.links[2])  # type: ignore[arg-type]
         self.clock.pump([0.1] * 20)
@@ -422,7 +436,7 @@
         self.links[0].answer(Refused(1, RefusalReason.NOT_OWNER))
         self.owned(0, self.links[1], 2)
         self.clock.advance(0.2)
-        self.links[1].answer(StateAnswer(1, True, MessageState.QUEUED, "", None))
+        self.links[1].answer(StateResponse(1, True, MessageState.QUEUED, "", None))
         self.assertEqual(self.result(waiting).state, MessageState.QUEUED)
 
 
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -11,9 +11,9 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
-from bitternpath.configuration.machine import ConfigurationState
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwner
+from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
 from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
@@ -154,7 +154,7 @@
 
 def hasty_barrier(self: ReplicaHost, group: str) -> Deferred[None]:
     """Nobody is asked whether this is the owner still."""
-    return succeed(None) if self.is_owner(group) else fail(NotOwner())
+    return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
 
 def forgetful_snapshot(self: ConfigurationState) -> bytes:
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, fail, succeed
 
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwner
+from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.testing.simulation.processes import SimulatedNode
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
@@ -85,7 +85,7 @@
 
     def test_a_build_that_asks_nobody_is_caught(self) -> None:
         def hasty(self: ReplicaHost, group: str) -> Deferred[None]:
-            return succeed(None) if self.is_owner(group) else fail(NotOwner())
+            return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
         with patch.object(ReplicaHost, "barrier", hasty):
             statuses = {answer.status for answer in self.play("owner", "both", 0.0)}
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -188,7 +188,7 @@
         disk = self.world.disk(name)
         self.world.kill(name, down_s=None)
         path = next(path for path in disk.paths() if path.endswith(".log"))
-        disk.flip(path, 40)
+        disk.corrupt_byte(path, 40)
         self.world.nodes[name].start()
         self.check_well()
         self.assertTrue(any(path.startswith("damaged-") for path in disk.paths()))
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -9,7 +9,7 @@
 from tests.system.small_actors import SmallSystem
 
 LATEST_S = 12.0  # for the first configuration
-FOUNDED = "event=founded system="
+FOUNDED = "event=system_bootstrapped system="
 
 
 def one_loss(world: World, random: Random, name: str) -> None:
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Callable
 
-from bitternpath.membership.founding import CONFIGURATION_GROUP
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.records import Members
 from bitternpath.testing.simulation.recorder import Ownership
--- a/tests/system/test_snapshot_transfer.py
+++ b/tests/system/test_snapshot_transfer.py
@@ -10,11 +10,16 @@
 from zlib import crc32
 
 from bitternpath.replication import snapshots
-from bitternpath.replication.bandwidth import TransferBudget, Unbounded
+from bitternpath.replication.bandwidth import TransferBudget, UnlimitedTransferBudget
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.messages import Append, Appended, Install, Installed
-from bitternpath.replication.records import CHANGE, Entry, Kept, Members, Snapshot
+from bitternpath.replication.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+)
+from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot
 from bitternpath.replication.wire import decode_message
 from bitternpath.testing.simulation import replica_group
 from bitternpath.testing.simulation.replica_group import GROUP, Process
@@ -36,7 +41,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "PIECE_BYTES", SMALL_PIECE)
+        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE)
         small.start()
         self.addCleanup(small.stop)
 
@@ -98,51 +103,53 @@
     """One member, fed by hand."""
 
     def raft(self, entries: list[Entry] | None = None, term: int = 1) -> Raft:
-        kept = Kept(term, "", Snapshot(members=TRIO), (0, 0), entries or [])
+        kept = PersistentState(term, "", Snapshot(members=TRIO), (0, 0), entries or [])
         return Raft("b", kept, Random(1), 0.0)
 
     def test_a_damaged_piece_is_not_taken(self) -> None:
         raft = self.raft()
-        raft.hear(1.0, "a", Install(2, 9, 2, TRIO, 6, 0, b"abc", crc32(b"abd"), 1))
-        self.assertEqual(raft.take(1.0).send, [("a", Installed(2, 9, 0, False, 1))])
-        raft.hear(1.0, "a", Install(2, 9, 2, TRIO, 6, 0, b"abc", crc32(b"abc"), 2))
-        self.assertEqual(raft.take(1.0).send, [("a", Installed(2, 9, 3, False, 2))])
+        raft.receive(1.0, "a", InstallSnapshot(2, 9, 2, TRIO, 6, 0, b"abc", crc32(b"abd"), 1))
+        self.assertEqual(raft.take_effects(1.0).messages, [("a", InstallSnapshotResponse(2, 9, 0, False, 1))])
+        raft.receive(1.0, "a", InstallSnapshot(2, 9, 2, TRIO, 6, 0, b"abc", crc32(b"abc"), 2))
+        self.assertEqual(raft.take_effects(1.0).messages, [("a", InstallSnapshotResponse(2, 9, 3, False, 2))])
 
     def test_a_snapshot_takes_the_place_of_a_longer_wrong_log(self) -> None:
-        wrong = [Entry(index, 1, CHANGE, b"wrong") for index in range(1, 40)]
+        wrong = [Entry(index, 1, EntryKind.COMMAND, b"wrong") for index in range(1, 40)]
         raft = self.raft(wrong)
         data = b"state"
-        raft.hear(1.0, "a", Install(3, 9, 2, TRIO, len(data), 0, data, crc32(data), 1))
-        out = raft.take(1.0)
+        raft.receive(1.0, "a", InstallSnapshot(3, 9, 2, TRIO, len(data), 0, data, crc32(data), 1))
+        out = raft.take_effects(1.0)
         self.assertEqual((raft.log.entries, raft.last_index, raft.log.stable_index), ([], 9, 0))
         self.assertEqual(out.restore, Snapshot(9, 2, TRIO, data))
-        self.assertEqual(out.send, [], "nothing is confirmed before it is on disk")
+        self.assertEqual(out.messages, [], "nothing is confirmed before it is on disk")
         write = out.writes[-1]
-        self.assertEqual((write.cut, write.before), (1, (9, 2)))
-        raft.stored(1.1, write.number)
-        self.assertEqual(raft.take(1.1).send, [("a", Installed(3, 9, len(data), True, 1))])
-        raft.hear(1.2, "a", Append(3, 9, 2, (Entry(10, 3, CHANGE, b"x"),), 9, 2))
-        self.assertEqual(raft.log.entries, [Entry(10, 3, CHANGE, b"x")])
+        self.assertEqual((write.truncate_from, write.compacted_through), (1, (9, 2)))
+        raft.write_completed(1.1, write.number)
+        self.assertEqual(
+            raft.take_effects(1.1).messages, [("a", InstallSnapshotResponse(3, 9, len(data), True, 1))]
+        )
+        raft.receive(1.2, "a", AppendEntries(3, 9, 2, (Entry(10, 3, EntryKind.COMMAND, b"x"),), 9, 2))
+        self.assertEqual(raft.log.entries, [Entry(10, 3, EntryKind.COMMAND, b"x")])
 
     def test_entries_behind_a_snapshot_stay_only_where_the_log_agrees_with_it(self) -> None:
-        entries = [Entry(index, 2, CHANGE, b"x") for index in range(1, 20)]
+        entries = [Entry(index, 2, EntryKind.COMMAND, b"x") for index in range(1, 20)]
         for term, left in ((2, 10), (3, 0)):
             raft = self.raft(list(entries), term=2)
-            raft.hear(1.0, "a", Install(4, 9, term, TRIO, 1, 0, b"s", crc32(b"s"), 1))
+            raft.receive(1.0, "a", InstallSnapshot(4, 9, term, TRIO, 1, 0, b"s", crc32(b"s"), 1))
             self.assertEqual(len(raft.log.entries), left)
 
     def test_a_follower_that_writes_a_snapshot_is_not_silent(self) -> None:
         """Its answers waited for the disk; the leader took it for gone, and led no more without it."""
         raft = self.raft()
-        install = Install(2, 9, 2, TRIO, 1, 0, b"s", crc32(b"s"), 1)
-        raft.hear(1.0, "a", install)
-        (write,) = raft.take(1.0).writes
-        raft.hear(1.5, "a", Install(2, 9, 2, TRIO, 1, 0, b"", 0, 2))
-        self.assertEqual(raft.take(1.5).send, [("a", Installed(2, 9, 1, False, 2))])
-        raft.stored(2.0, write.number)
-        raft.take(2.0)
-        raft.hear(2.1, "a", Install(2, 9, 2, TRIO, 1, 0, b"", 0, 3))
-        self.assertEqual(raft.take(2.1).send, [("a", Appended(2, True, 9, 3))])
+        install = InstallSnapshot(2, 9, 2, TRIO, 1, 0, b"s", crc32(b"s"), 1)
+        raft.receive(1.0, "a", install)
+        (write,) = raft.take_effects(1.0).writes
+        raft.receive(1.5, "a", InstallSnapshot(2, 9, 2, TRIO, 1, 0, b"", 0, 2))
+        self.assertEqual(raft.take_effects(1.5).messages, [("a", InstallSnapshotResponse(2, 9, 1, False, 2))])
+        raft.write_completed(2.0, write.number)
+        raft.take_effects(2.0)
+        raft.receive(2.1, "a", InstallSnapshot(2, 9, 2, TRIO, 1, 0, b"", 0, 3))
+        self.assertEqual(raft.take_effects(2.1).messages, [("a", AppendEntriesResponse(2, True, 9, 3))])
 
 
 class Budget(unittest.TestCase):
@@ -171,8 +178,8 @@
     def _send(self, sender_node: str, sender: str, receiver: str, group: str, body: bytes) -> None:
         now = self.clock.seconds()
         message = decode_message(body)
-        if isinstance(message, Install):
-            self.sent.append((now, len(message.piece)))
+        if isinstance(message, InstallSnapshot):
+            self.sent.append((now, len(message.chunk)))
         free = max(self.free.get(sender_node, 0.0), now) + len(body) / LINK_BYTES_PER_SECOND
         self.free[sender_node] = free
         name = receiver.partition(".")[0]
@@ -217,7 +224,7 @@
 
     def test_a_transfer_keeps_to_its_rate_and_commits_stay_as_fast(self) -> None:
         seconds, most, slowest = self.bring_up(TransferBudget)
-        free_seconds, free_most, free_slowest = self.bring_up(Unbounded)
+        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedTransferBudget)
         print(
             f"\nsnapshot of 8 MiB on a link of 50 MiB/s: bounded {seconds:.2f} s, {most / 2**18:.1f} MiB/s "
             f"at most, slowest commit {slowest * 1000:.1f} ms; unbounded {free_seconds:.2f} s, "
@@ -248,7 +255,7 @@
                 for each in world.nodes.values():
                     if each.process is not None and each.process is not owner:
                         for group in extra:
-                            each.process.host.hand_over(group, owner.member)
+                            each.process.host.transfer_leadership(group, owner.member)
                 world.run_until(lambda: False, 0.2)
             world._end(node)
             for _ in range(GROUP_BYTES >> 17):
@@ -276,7 +283,7 @@
 
     def test_many_transfers_share_one_bound(self) -> None:
         seconds, most, slowest = self.bring_up(TransferBudget)
-        free_seconds, free_most, free_slowest = self.bring_up(Unbounded)
+        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedTransferBudget)
         print(
             f"\n{GROUPS} snapshots of {GROUP_BYTES >> 20} MiB on a link of 50 MiB/s: "
             f"bounded {seconds:.2f} s, {most / 2**18:.1f} MiB/s at most, "
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from bitternpath.configuration.machine import COMMANDS, AcceptOrder, ConfigurationState
+from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
 from bitternpath.replication import snapshots
-from bitternpath.replication.checking import Broken, Checker, Register
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.member import MemberState
 from bitternpath.replication.records import Members
 from bitternpath.testing.simulation import replica_group
+from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Node
 from tests.system.loaded_group import Loaded, Quiet
 
@@ -88,12 +88,12 @@
 class ThousandChanges(Quiet):
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "PIECE_BYTES", SMALL_PIECE)
+        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE)
         small.start()
         self.addCleanup(small.stop)
 
     def play(self, event: Event, moment: int, away: float, to_owner: bool) -> Loaded:
-        """One run; raises `Broken`."""
+        """One run; raises `InvariantViolationError`."""
         world = Loaded(moment)
         world.owner()
         world._repeat(0.1, world._look_at_members)
@@ -103,11 +103,11 @@
         nodes = [node for node in world.nodes.values() if (node.process is leads) == to_owner]
         world.clock.callLater(away, event(world, nodes[0]))
         if not world.run_until(lambda: world.serial >= CHANGES, 60):
-            raise Broken(f"no more changes after {world.serial}: {world._describe()}")
+            raise InvariantViolationError(f"no more changes after {world.serial}: {world._describe()}")
         world.every = 0.0
         world.run_until(lambda: False, max(away, 0.2))
         if not world.run_until(world._agrees, CATCH_UP_SECONDS):
-            raise Broken(f"no agreement: {world._describe()}")
+            raise InvariantViolationError(f"no agreement: {world._describe()}")
         return world
 
     def play_all(self, event: Event) -> None:
@@ -143,7 +143,7 @@
             for to_owner in (False, True):
                 try:
                     self.play(event, moment, AWAY[1], to_owner)
-                except Broken:
+                except InvariantViolationError:
                     return
         self.fail("not caught")
 
@@ -176,7 +176,7 @@
         node = world.nodes[world.far]
         if world.owner() is node.process:
             assert node.process is not None
-            node.process.host.hand_over(GROUP)
+            node.process.host.transfer_leadership(GROUP)
             world.run_until(lambda: world.owner() is not node.process, 2)
         world._repeat(0.1, world._look_at_members)
         world.changes(0.0005)
@@ -204,7 +204,7 @@
             self.assertFalse(self.become_voter())
 
 
-class OrdersRegister(Register):
+class OrdersRegister(CommandLogMachine):
     """The commands, each of which is also an operator's order to the configuration's state machine."""
 
     def __init__(self, node: str, checker: Checker) -> None:
@@ -212,8 +212,10 @@
         self.state = ConfigurationState()
 
     def apply(self, index: int, command: bytes) -> object:
-        order = AcceptOrder(self.state.version, command[:8], b'{"version": %d}' % (self.state.version + 1))
-        with patch("bitternpath.configuration.machine.parse_configuration", _numbered):
+        order = ReplaceDocument(
+            self.state.version, command[:8], b'{"version": %d}' % (self.state.version + 1)
+        )
+        with patch("bitternpath.configuration.state_machine.parse_configuration", _numbered):
             self.state.apply(index, COMMANDS.encode(order))
         return super().apply(index, command)
 
@@ -223,7 +225,7 @@
     def restore(self, data: bytes) -> None:
         commands, state = msgspec.msgpack.decode(data, type=tuple[bytes, bytes])
         super().restore(commands)
-        with patch("bitternpath.configuration.machine.parse_configuration", _numbered):
+        with patch("bitternpath.configuration.state_machine.parse_configuration", _numbered):
             self.state.restore(state)
 
 
@@ -238,8 +240,8 @@
     def remembered(self) -> bool:
         """Whether a node that was brought up by a snapshot knows all orders that were accepted before."""
         with (
-            patch.object(replica_group, "Register", OrdersRegister),
-            patch.object(snapshots, "PIECE_BYTES", SMALL_PIECE),
+            patch.object(replica_group, "CommandLogMachine", OrdersRegister),
+            patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE),
         ):
             world = Loaded()
             node = world.follower()
@@ -272,7 +274,7 @@
 class TwoAtOnce(Quiet):
     def test_a_build_that_changes_two_voters_at_once_is_caught(self) -> None:
         """The others' majority and the new members' have nobody in common: two owners of different logs."""
-        with self.assertRaises(Broken):
+        with self.assertRaises(InvariantViolationError):
             for seed in range(40):
                 self.split(seed)
 
--- a/tests/system/test_unreachable_holders.py
+++ b/tests/system/test_unreachable_holders.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bitternpath.queue.owner import HAND_BACKS_BEFORE_ANOTHER_EDGE
+from bitternpath.queue.owner import RETURNS_BEFORE_EDGE_CHANGE
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_queue_rig import NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
@@ -30,8 +30,8 @@
             with self.subTest(outcome):
                 rig = Rig(edges=EDGES)
                 rig.append("m")
-                edges = self.tried(rig, outcome, HAND_BACKS_BEFORE_ANOTHER_EDGE + 1)
-                self.assertEqual(edges[:-1], ["edge-1"] * HAND_BACKS_BEFORE_ANOTHER_EDGE)
+                edges = self.tried(rig, outcome, RETURNS_BEFORE_EDGE_CHANGE + 1)
+                self.assertEqual(edges[:-1], ["edge-1"] * RETURNS_BEFORE_EDGE_CHANGE)
                 self.assertNotEqual(edges[-1], "edge-1")
 
     def test_the_only_node_is_tried_on(self) -> None:
--- a/tests/system/test_worker_client.py
+++ b/tests/system/test_worker_client.py
@@ -23,7 +23,7 @@
 from bitternpath.delivery.pool import WAIT_SHARE, connect_timeout_s
 from bitternpath.delivery.requests import request_bytes
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
-from bitternpath.delivery.workers import SWEEP_S, WorkerClient
+from bitternpath.delivery.worker_client import SWEEP_S, WorkerClient
 from bitternpath.transport.records import AttemptOutcome, Header, Message
 from tests.system import Loopback
 
