--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -15,8 +15,13 @@
 from bitternpath.balancer.fleet.founding import founded
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
 from bitternpath.replication.consensus import Raft
-from bitternpath.replication.messages import Append, Appended, AskVote, Vote
-from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members, Role, Snapshot
+from bitternpath.replication.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    RequestVote,
+    RequestVoteResponse,
+)
+from bitternpath.replication.records import Entry, EntryKind, MemberRole, Members, PersistentState, Snapshot
 from bitternpath.testing.emulator.fleet.broken import BUILDS, broken
 from bitternpath.testing.emulator.fleet.campaign import play
 from bitternpath.testing.emulator.fleet.search.consensus import Scope
@@ -141,67 +146,67 @@
 
 def raft(me: str, voters: tuple[str, ...], entries: list[Entry] | None = None, term: int = 1) -> Raft:
     snapshot = Snapshot(0, 0, Members(voters))
-    return Raft(me, Kept(term, "", snapshot, (0, 0), entries or []), Random(1), 0.0)
+    return Raft(me, PersistentState(term, "", snapshot, (0, 0), entries or []), Random(1), 0.0)
 
 
 def stored(member: Raft, now: float) -> list[tuple[str, object]]:
     """Take, do all writes, and take again; what is sent."""
-    out = member.take(now)
-    sent: list[tuple[str, object]] = list(out.send)
+    out = member.take_effects(now)
+    sent: list[tuple[str, object]] = list(out.messages)
     while out.writes:
-        member.stored(now, out.writes[-1].number)
-        out = member.take(now)
-        sent += out.send
+        member.write_completed(now, out.writes[-1].number)
+        out = member.take_effects(now)
+        sent += out.messages
     return sent
 
 
 def test_a_vote_is_told_only_once_it_is_on_disk() -> None:
     member = raft("b", ("a", "b", "c"))
-    member.hear(5.0, "a", AskVote(2, 0, 0, pre=False))
-    out = member.take(5.0)
-    assert not out.send and out.writes[0].vote == "a" and out.writes[0].term == 2
-    member.stored(5.0, out.writes[0].number)
-    assert member.take(5.0).send == [("a", Vote(2, False, True))]
-    member.hear(5.1, "c", AskVote(2, 0, 0, pre=False))
-    assert stored(member, 5.1) == [("c", Vote(2, False, False))]
+    member.receive(5.0, "a", RequestVote(2, 0, 0, pre_vote=False))
+    out = member.take_effects(5.0)
+    assert not out.messages and out.writes[0].vote == "a" and out.writes[0].term == 2
+    member.write_completed(5.0, out.writes[0].number)
+    assert member.take_effects(5.0).messages == [("a", RequestVoteResponse(2, False, True))]
+    member.receive(5.1, "c", RequestVote(2, 0, 0, pre_vote=False))
+    assert stored(member, 5.1) == [("c", RequestVoteResponse(2, False, False))]
 
 
 def test_no_vote_is_given_while_a_leader_is_heard_but_at_its_own_word() -> None:
     member = raft("b", ("a", "b", "c"))
-    member.hear(5.0, "a", Append(2, 0, 0, (), 0, 1))
+    member.receive(5.0, "a", AppendEntries(2, 0, 0, (), 0, 1))
     stored(member, 5.0)
-    member.hear(5.5, "c", AskVote(3, 9, 2, pre=False))
-    assert stored(member, 5.5) == [("c", Vote(2, False, False))] and member.term == 2
-    member.hear(5.6, "c", AskVote(3, 9, 2, pre=False, leadership_transfer=True))
-    assert stored(member, 5.6) == [("c", Vote(3, False, True))]
+    member.receive(5.5, "c", RequestVote(3, 9, 2, pre_vote=False))
+    assert stored(member, 5.5) == [("c", RequestVoteResponse(2, False, False))] and member.term == 2
+    member.receive(5.6, "c", RequestVote(3, 9, 2, pre_vote=False, leadership_transfer=True))
+    assert stored(member, 5.6) == [("c", RequestVoteResponse(3, False, True))]
 
 
 def test_one_that_is_no_member_any_more_stands_while_that_is_not_agreed() -> None:
     """Each of three had the removal of another as its last entry, and none could win: no leader for ever."""
-    gone = Entry(1, 1, MEMBERS, msgspec.msgpack.encode(Members(("a", "b"))))
+    gone = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("a", "b"))))
     member = raft("c", ("a", "b", "c"), [gone])
-    assert member.me not in member.members.voters
+    assert member.member_id not in member.members.voters
     member.tick(9.0)
     stored(member, 9.0)
-    assert member.role is Role.PRE_CANDIDATE
+    assert member.role is MemberRole.PRE_CANDIDATE
     agreed = raft("c", ("a", "b"))
     agreed.tick(9.0)
-    assert agreed.role is Role.FOLLOWER
+    assert agreed.role is MemberRole.FOLLOWER
 
 
 def test_a_leader_that_is_put_back_as_a_learner_gives_way_once_that_is_agreed() -> None:
-    back = Entry(1, 1, MEMBERS, msgspec.msgpack.encode(Members(("b", "c"), ("a",))))
+    back = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("b", "c"), ("a",))))
     member = raft("a", ("a", "b", "c"), [back])
     member.tick(9.0)
-    for pre in (True, False):
+    for pre_vote in (True, False):
         stored(member, 9.0)
         for name in ("b", "c"):
-            member.hear(9.0, name, Vote(2, pre, True))
+            member.receive(9.0, name, RequestVoteResponse(2, pre_vote, True))
     stored(member, 9.0)
-    assert member.role is Role.LEADER
+    assert member.role is MemberRole.LEADER
     for name in ("b", "c"):
-        member.hear(9.1, name, Appended(2, True, member.last_index, 1))
-    assert member.role is Role.FOLLOWER and member.commit_index == member.last_index
+        member.receive(9.1, name, AppendEntriesResponse(2, True, member.last_index, 1))
+    assert member.role is MemberRole.FOLLOWER and member.commit_index == member.last_index
 
 
 def test_a_lease_of_which_nothing_was_told_is_not_forgotten_before_its_time() -> None:
@@ -218,25 +223,25 @@
 
 def test_what_is_agreed_is_never_cut() -> None:
     member = raft("b", ("a", "b", "c"))
-    entry = Entry(1, 2, CHANGE, b"x")
-    member.hear(5.0, "a", Append(2, 0, 0, (entry,), 1, 1))
-    assert member.take(5.0).committed == [entry]
+    entry = Entry(1, 2, EntryKind.COMMAND, b"x")
+    member.receive(5.0, "a", AppendEntries(2, 0, 0, (entry,), 1, 1))
+    assert member.take_effects(5.0).committed == [entry]
     with pytest.raises(AssertionError):
-        member.hear(6.0, "c", Append(3, 0, 0, (Entry(1, 3, CHANGE, b"y"),), 0, 1))
+        member.receive(6.0, "c", AppendEntries(3, 0, 0, (Entry(1, 3, EntryKind.COMMAND, b"y"),), 0, 1))
 
 
 def test_the_only_member_leads_once_its_vote_is_stored() -> None:
     member = Raft("a", founded("a", p.Terms(), "f"), Random(1), 0.0)
     member.tick(9.0)
-    first = member.take(9.0)
-    assert member.role is Role.PRE_CANDIDATE or first.writes
+    first = member.take_effects(9.0)
+    assert member.role is MemberRole.PRE_CANDIDATE or first.writes
     stored(member, 9.0)
     out = first
     for _ in range(4):
         for write in out.writes:
-            member.stored(9.0, write.number)
-        out = member.take(9.0)
-    assert member.role is Role.LEADER and member.commit_index == 3 and member.ready
+            member.write_completed(9.0, write.number)
+        out = member.take_effects(9.0)
+    assert member.role is MemberRole.LEADER and member.commit_index == 3 and member.ready
 
 
 # ---- the plan
@@ -298,7 +303,7 @@
     renew = m.Renew("n1", "b", "suva", (1, 2), "serve", 1.5, 7, 3, 4, b"d")
     said: list[m.Said] = [
         m.Hello(m.VERSION, "vanua", "agent", "n1#b"), renew, m.Passed(4, renew),
-        m.Consensus(Append(2, 0, 0, (Entry(1, 2, CHANGE, b"x"),), 1, 1)),
+        m.Consensus(AppendEntries(2, 0, 0, (Entry(1, 2, EntryKind.COMMAND, b"x"),), 1, 1)),
         m.Ask(1, m.Propose("c", "ana", "because", p.SetClass("lookup", {"aim": 50.0}))),
     ]  # fmt: skip
     data = b"".join(m.frame(each) for each in said)
--- a/tests/test_fleet_stewards.py
+++ b/tests/test_fleet_stewards.py
@@ -19,7 +19,7 @@
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.store import DamagedError, Store, StoreError
-from bitternpath.replication.records import Entry, Kept, Members, Snapshot, Write
+from bitternpath.replication.records import Entry, Members, PersistentState, Snapshot, StorageWrite
 
 
 def test_what_was_agreed_survives_the_leader_and_all_of_them_and_is_one_change(tmp_path: Path) -> None:
@@ -205,15 +205,17 @@
 def test_a_store_gives_back_what_was_written_and_tells_what_is_missing(tmp_path: Path) -> None:
     store = Store(tmp_path / "s", "S1")
     entries = tuple(Entry(k, 1, 1, b"x" * k) for k in range(1, 9))
-    store.write([Write(1, 1, "S1", None, entries, None, (0, 0))], 1)
+    store.write([StorageWrite(1, 1, "S1", None, entries, None, (0, 0))], 1)
     again = (Entry(6, 2, 1, b"y"),)
-    store.write([Write(2, 2, "", 6, again, None, (0, 0))], 1)
+    store.write([StorageWrite(2, 2, "", 6, again, None, (0, 0))], 1)
     snapshot = Snapshot(4, 1, Members(("S1",)), b"state")
-    store.write([Write(3, 2, "", None, (), snapshot, (2, 1))], 3)
+    store.write([StorageWrite(3, 2, "", None, (), snapshot, (2, 1))], 3)
     store.close()
     store = Store(tmp_path / "s", "S1")
     kept = store.read()
-    assert kept == Kept(2, "", snapshot, (2, 1), [*entries[2:5], *again]) and store.state.voters == 3
+    assert (
+        kept == PersistentState(2, "", snapshot, (2, 1), [*entries[2:5], *again]) and store.state.voters == 3
+    )
     with store._env.begin(write=True) as writing:
         writing.delete((4).to_bytes(8, "big"), db=store._log)
     with pytest.raises(DamagedError, match="entry 4 is missing"):
