--- a/tests/system/test_shard_runtime.py
+++ b/tests/system/test_shard_runtime.py
@@ -66,7 +66,7 @@
         waiting.callback(result)
         self.runtime.applied(self.index, data, result)
 
-    def barrier(self, group: str) -> Deferred[None]:
+    def read_barrier(self, group: str) -> Deferred[None]:
         if self.answers_barriers:
             return succeed(None)
         waiting: Deferred[None] = Deferred()
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -204,7 +204,7 @@
             self.assert_caught(all_lose_power_right_after_an_acknowledgement)
 
     def test_no_confirmation_before_an_answer(self) -> None:
-        with patch.object(ReplicaHost, "barrier", hasty_barrier):
+        with patch.object(ReplicaHost, "read_barrier", hasty_barrier):
             self.assert_caught(read_at_an_owner_that_does_not_know_it_was_replaced)
 
     def test_digests_not_in_the_snapshot(self) -> None:
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -87,7 +87,7 @@
         def hasty(self: ReplicaHost, group: str) -> Deferred[None]:
             return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
-        with patch.object(ReplicaHost, "barrier", hasty):
+        with patch.object(ReplicaHost, "read_barrier", hasty):
             statuses = {answer.status for answer in self.play("owner", "both", 0.0)}
         self.assertTrue(statuses & {200, 400, 404, 409, 412}, statuses)
 
