--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -8,7 +8,8 @@
 
 from twisted.internet import reactor as _reactor
 
-from bitternpath.transport.connections import Link, NodeHub
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.operator_messages import GroupStatus, StatusRequest, StatusResponse
 
--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -10,131 +10,28 @@
 
 from __future__ import annotations
 
-import hashlib
-import json
 from collections import deque
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
-from enum import Enum
-from typing import Any, Protocol
+from typing import Any
 
 import logbook
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.documents import (
-    InvalidConfiguration,
-    apply_patch,
-    encode_document,
-    parse_configuration,
-    read_document,
-)
-from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.commands import COMMANDS, ReplaceDocument
+from bitternpath.configuration.consensus_group import ConsensusGroup, confirmed
+from bitternpath.configuration.errors import InvalidConfiguration
+from bitternpath.configuration.json_documents import encode_document, read_document
+from bitternpath.configuration.patches import apply_patch
+from bitternpath.configuration.results import OperatorResult, ResultCode, not_owner, operator_result
+from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.configuration.validation import parse_configuration
 
 log = logbook.Logger("configuration")
 
 
-class ResultCode(Enum):
-    """Results of an order; the numbers stand in docs/ERRORS.md."""
-
-    ACCEPTED = 1000
-    CURRENT = 1001  # the answer to a read
-    INVALID = 1100
-    OTHER_VERSION = 1101
-    NOT_OWNER = 1200
-    FATE_OPEN = 1201
-    NO_CONFIGURATION = 1202
-    UNKNOWN_CALL = 1203
-    UNKNOWN_NODE = 1300
-    TOO_FEW_NODES = 1301
-    RETIRING = 1302
-
-
-_STATUS = {
-    ResultCode.ACCEPTED: 200,
-    ResultCode.CURRENT: 200,
-    ResultCode.INVALID: 400,
-    ResultCode.OTHER_VERSION: 412,
-    ResultCode.NOT_OWNER: 503,
-    ResultCode.FATE_OPEN: 503,
-    ResultCode.NO_CONFIGURATION: 404,
-    ResultCode.UNKNOWN_CALL: 404,
-    ResultCode.UNKNOWN_NODE: 404,
-    ResultCode.TOO_FEW_NODES: 409,
-    ResultCode.RETIRING: 200,
-}
-
-
-@dataclass(frozen=True, slots=True)
-class OperatorResult:
-    """How an order ended. `body` is JSON."""
-
-    code: ResultCode
-    body: bytes
-
-    @property
-    def status(self) -> int:
-        """The HTTP status for the operator."""
-        return _STATUS[self.code]
-
-    @property
-    def decided(self) -> bool:
-        """False where another node should be asked."""
-        return self.code not in (ResultCode.NOT_OWNER, ResultCode.FATE_OPEN)
-
-
-def operator_result(code: ResultCode, text: str = "", **fields: object) -> OperatorResult:
-    """A result with a small JSON body."""
-    content: dict[str, object] = {"code": code.value, "result": code.name.lower(), **fields}
-    if text:
-        content["error"] = text
-    return OperatorResult(code, json.dumps(content).encode())
-
-
-class ConsensusGroup(Protocol):
-    """The configuration group, as far as orders need it."""
-
-    def is_owner(self) -> bool:
-        """Whether this node owns the group and has applied all before it."""
-
-    def propose(self, command: bytes) -> Deferred[object]:
-        """Commit and apply; fails where the node doesn't own the group (any more)."""
-
-    def barrier(self) -> Deferred[None]:
-        """Fires once ownership was confirmed after the call."""
-
-
-@dataclass(frozen=True, slots=True)
-class ChangeRequest:
-    """A change as the operator sent it."""
-
-    method: str  # PUT or PATCH
-    if_match: str
-    body: bytes
-
-    def base_version(self) -> int:
-        """The version that it builds on; raises `ValueError`."""
-        text = self.if_match.strip().strip('"')
-        if not text:
-            return 0
-        if not (text.isascii() and text.isdigit()):
-            raise ValueError(text)
-        return int(text)
-
-    def digest(self) -> bytes:
-        """Tells this order apart from all others. Spellings of the same `If-Match` don't differ; bodies are
-        compared byte for byte, as an order is sent again unchanged."""
-        try:
-            base = str(self.base_version())
-        except ValueError:
-            base = self.if_match
-        summed = hashlib.blake2b(digest_size=24)
-        for part in (self.method.encode(), base.encode(), self.body):
-            summed.update(len(part).to_bytes(8, "big"))
-            summed.update(part)
-        return summed.digest()
-
-
 @dataclass(frozen=True, slots=True)
 class _Submission:
     """An order that waits for its result."""
@@ -254,25 +151,6 @@
         return dict(document)
 
 
-def confirmed(group: ConsensusGroup, answer: Callable[[], OperatorResult]) -> Deferred[OperatorResult]:
-    """`answer()` as of the moment at which ownership is confirmed; never fails.
-
-    The answer is reckoned after the confirmation, so that it can't be older than what was told to others
-    before the call came.
-    """
-    if not group.is_owner():
-        return succeed(not_owner())
-    return group.barrier().addCallbacks(
-        lambda _: answer(),
-        lambda failure: not_owner(str(failure.value)),
-    )
-
-
-def not_owner(reason: str = "") -> OperatorResult:
-    """Another node should be asked; nothing was changed."""
-    return operator_result(ResultCode.NOT_OWNER, reason or "this node doesn't own the configuration")
-
-
 def _committed(applied: bool, version: int) -> OperatorResult:
     if applied:
         log.info("event=configuration_accepted version={}", version)
--- a/bitternpath/configuration/feed.py
+++ b/bitternpath/configuration/feed_client.py
@@ -10,26 +10,20 @@
 from __future__ import annotations
 
 import json
-import zlib
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any, Protocol
 
 import logbook
 
-from bitternpath.configuration.documents import RoutingTable, parse_configuration
-from bitternpath.configuration.state_machine import ConfigurationState
-from bitternpath.transport.codec import CodecError
-from bitternpath.transport.connections import ASK_SOON_AFTER_S, Link, NodeHub
+from bitternpath.configuration.feed_documents import unpack_document
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.configuration.validation import parse_configuration
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
-from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import ASK_SOON_AFTER_S, Link
 
 log = logbook.Logger("feed")
-
-MOST_DOCUMENT_BYTES = 64 << 20  # of a configuration, unpacked
-
-HEARTBEAT_S = 0.4
 SILENCE_S = 1.3  # three heartbeats
 LOOK_S = 0.15  # how often a follower without an owner looks on
 REFUSED_PAUSE_S = 0.03  # before the next one is asked: soon, but not in a loop
@@ -39,133 +33,6 @@
 FEED_USER = "feed"
 
 
-def pack_document(document: bytes) -> bytes:
-    """A configuration as `FeedUpdate` carries it: its JSON repeats itself, and each node gets all of it."""
-    return zlib.compress(document)
-
-
-def unpack_document(packed: bytes) -> bytes:
-    """What `pack_document` was given; raises `CodecError`."""
-    unpacker = zlib.decompressobj()
-    try:
-        document = unpacker.decompress(packed, MOST_DOCUMENT_BYTES)
-    except zlib.error as error:
-        raise CodecError(f"a configuration that can't be unpacked: {error}") from error
-    if not unpacker.eof:
-        raise CodecError("a configuration that is cut or too long")
-    return document
-
-
-@dataclass(slots=True)
-class _Subscriber:
-    version: int
-    generation: int
-    wants_catalogue: bool
-    catalogue_serial: int = -1
-
-
-class FeedServer:
-    """Serves the feed while this node owns the configuration group."""
-
-    def __init__(
-        self, reactor: Any, state: ConfigurationState, has_lease: Callable[[], bool] = lambda: True
-    ) -> None:
-        """`has_lease`: whether a majority was heard so lately that there is no later owner yet."""
-        self.reactor, self.state, self._has_lease = reactor, state, has_lease
-        self.epoch = 0  # of this ownership: the group's own may already be a later owner's
-        self._subscribers: dict[Link, _Subscriber] = {}
-        self._timer: Any = None
-        self.catalogue: CatalogueUpdate | None = None
-        self.serving = False
-        self._packed: tuple[int, bytes] = (0, b"")  # the version that was packed last
-
-    def begin(self, epoch: int) -> None:
-        """This node owns the group now."""
-        self.epoch = epoch
-        self.serving = True
-        self._beat()
-
-    def end(self, refusal: FeedRefused) -> None:
-        """It doesn't any more: subscribers are sent on."""
-        self.serving = False
-        self.catalogue = None
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        subscribers, self._subscribers = self._subscribers, {}
-        for link in subscribers:
-            link.send(refusal)
-
-    def subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
-        """A node follows from its offsets on."""
-        subscriber = _Subscriber(
-            wanted.configuration_version, wanted.placement_generation, wanted.wants_catalogue
-        )
-        self._subscribers[link] = subscriber
-        if self._has_lease():
-            self._send(link, subscriber, self._edge_nodes())
-
-    def dropped(self, link: Link) -> None:
-        """A link has ended."""
-        self._subscribers.pop(link, None)
-
-    def publish(self) -> None:
-        """The state has changed."""
-        if self.serving and self._has_lease():
-            edge_node_count = self._edge_nodes()
-            for link, subscriber in self._subscribers.items():
-                self._send(link, subscriber, edge_node_count)
-
-    def publish_catalogue(self, update: CatalogueUpdate) -> None:
-        """The platform's list was read."""
-        self.catalogue = update
-        if not self._has_lease():
-            return
-        for link, subscriber in self._subscribers.items():
-            self._send_catalogue(link, subscriber, update)
-
-    def subscribed_nodes(self) -> list[NodeDescriptor]:
-        """The nodes that follow now. Of two links to one, the last: the other is about to be given up."""
-        peers = [link.peer for link in self._subscribers if link.peer is not None]
-        return list({peer.name: peer for peer in peers}.values())
-
-    def heard_at(self) -> list[tuple[NodeDescriptor, float]]:
-        """The nodes that follow now, and when each was last heard."""
-        return [(link.peer, link.heard_at) for link in self._subscribers if link.peer is not None]
-
-    def _beat(self) -> None:
-        self.publish()
-        self._timer = self.reactor.callLater(HEARTBEAT_S, self._beat)
-
-    def _edge_nodes(self) -> int:
-        return max(sum(node.kind is NodeKind.EDGE for node in self.subscribed_nodes()), 1)
-
-    def _send(self, link: Link, subscriber: _Subscriber, edge_node_count: int) -> None:
-        state = self.state
-        document = self._document() if state.version > subscriber.version else None
-        placed = state.groups if state.placement_generation > subscriber.generation else None
-        link.send(
-            FeedUpdate(
-                self.epoch, state.version, document, state.placement_generation, placed, edge_node_count
-            )
-        )
-        subscriber.version, subscriber.generation = state.version, state.placement_generation
-        if self.catalogue is not None and subscriber.catalogue_serial < 0:
-            self._send_catalogue(link, subscriber, self.catalogue)
-
-    def _document(self) -> bytes:
-        """The document in force, packed once for all."""
-        if self._packed[0] != self.state.version:
-            self._packed = self.state.version, pack_document(self.state.document)
-        return self._packed[1]
-
-    def _send_catalogue(self, link: Link, subscriber: _Subscriber, update: CatalogueUpdate) -> None:
-        if not subscriber.wants_catalogue:
-            return
-        entries = None if subscriber.catalogue_serial == update.serial else update.entries
-        link.send(CatalogueUpdate(update.epoch, update.serial, update.age_ms, entries))
-        subscriber.catalogue_serial = update.serial
-
-
 class FeedListener(Protocol):
     """Who hears what the feed brings."""
 
--- a/bitternpath/configuration/retirement.py
+++ b/bitternpath/configuration/retirement.py
@@ -14,8 +14,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from bitternpath.configuration.commands import FinishRetirement, RetireNode
 from bitternpath.configuration.placement import AWAY_WITHOUT_SPARE_S
-from bitternpath.configuration.state_machine import ConfigurationState, FinishRetirement, RetireNode
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.transport.group_messages import GroupPlacement, MembershipReport
--- a/bitternpath/configuration/state_machine.py
+++ b/bitternpath/configuration/state_machine.py
@@ -10,60 +10,23 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bitternpath.configuration.documents import Configuration, parse_configuration
+from bitternpath.configuration.commands import (
+    COMMANDS,
+    FinishRetirement,
+    ReplaceDocument,
+    RetireNode,
+    SetPlacement,
+    UpdateStorageMembers,
+)
+from bitternpath.configuration.documents import Configuration
 from bitternpath.configuration.storage_membership import Retirement, StorageMembership
-from bitternpath.transport.codec import RecordCodec, RecordSet
+from bitternpath.configuration.validation import parse_configuration
+from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.group_messages import GroupPlacement
 
 REMEMBERED_ORDERS = 4096  # digests of accepted orders, so that one that is sent again is acknowledged again
 
 
-@dataclass(frozen=True, slots=True)
-class ReplaceDocument:
-    """An operator's change: the whole resulting document, in place of version `base`."""
-
-    base: int
-    digest: bytes  # of the order as it was sent
-    document: bytes  # JSON
-
-
-@dataclass(frozen=True, slots=True)
-class SetPlacement:
-    """Desired members of all queue shards; no effect unless it builds on the current generation."""
-
-    base: int
-    groups: tuple[GroupPlacement, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class UpdateStorageMembers:
-    """Storage nodes have come, or are gone for good; each as a member id."""
-
-    added: tuple[str, ...]
-    removed: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class RetireNode:
-    """A storage node is to be emptied; no effect unless `least` of the `remaining` members are left then."""
-
-    member: str
-    remaining: tuple[str, ...]
-    least: int
-
-
-@dataclass(frozen=True, slots=True)
-class FinishRetirement:
-    """No shard has a replica on a node, as committed by the shards' groups at this placement or a later one.
-    No effect where the placement has changed since."""
-
-    node: str
-    placement_generation: int
-
-
-COMMANDS = RecordSet(ReplaceDocument, SetPlacement, RetireNode, UpdateStorageMembers, FinishRetirement)
-
-
 @dataclass(frozen=True, slots=True)
 class ChangeDigest:
     """An accepted order, for snapshots."""
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -18,7 +18,8 @@
 from msgspec.structs import replace
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration.documents import Route, RoutingTable, Service
+from bitternpath.configuration.documents import Route, Service
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
 from bitternpath.dispatch.selection import ListedWorker, WorkerSelection
 from bitternpath.shards.reports import AttemptReport, AttemptReporter
--- a/bitternpath/ingress/intake.py
+++ b/bitternpath/ingress/intake.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from bitternpath.configuration.documents import Route, RoutingTable
+from bitternpath.configuration.documents import Route
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.ingress.site import RETRY_SOON_S
 from bitternpath.net.http1 import HOP_BY_HOP
 from bitternpath.transport.records import Header, Message
--- a/bitternpath/ingress/interfaces.py
+++ b/bitternpath/ingress/interfaces.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.transport.records import Message, MessageState
 
 
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.actions import Action, ExpirePoll, ProposeCommand
 from bitternpath.queue.backoff import pause_after
 from bitternpath.queue.callbacks import CallbackQueue
--- a/bitternpath/queue/routes.py
+++ b/bitternpath/queue/routes.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterator
 
-from bitternpath.configuration.documents import Route, RoutingTable
+from bitternpath.configuration.documents import Route
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.tracked import Tracked
 
 Members = dict[str, Tracked]  # by request id
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -13,8 +13,10 @@
 import logbook
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult
-from bitternpath.configuration.feed import FeedServer
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.changes import ChangeProcessor
+from bitternpath.configuration.feed_server import FeedServer
+from bitternpath.configuration.results import OperatorResult
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.discovery.endpoint_list_client import EndpointListClient
 from bitternpath.discovery.endpoint_list_poller import EndpointListPoller
@@ -36,7 +38,6 @@
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.shard_placement import ShardPlacement
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.transport.connections import Link, NodeHub
 from bitternpath.transport.feed_messages import FeedRefused, FeedSubscribe
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
@@ -44,6 +45,8 @@
     MemberAddress,
     MembershipReport,
 )
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link
 
 log = logbook.Logger("configuration")
 
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -8,7 +8,7 @@
 import logbook
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.delivery.callback_client import CallbackClient
 from bitternpath.delivery.worker_client import WorkerClient
 from bitternpath.discovery.catalogue import Catalogue
@@ -37,7 +37,6 @@
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.shards.pulls import PullRouter
 from bitternpath.shards.reports import AttemptReporter
-from bitternpath.transport.connections import Link
 from bitternpath.transport.feed_messages import (
     CatalogueEntry,
     CatalogueUpdate,
@@ -52,6 +51,7 @@
     GroupPlacement,
     MembershipReport,
 )
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeKind
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse, StatusRequest
 from bitternpath.transport.records import Message
--- a/bitternpath/roles/edge_links.py
+++ b/bitternpath/roles/edge_links.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor
 
 
--- a/bitternpath/roles/founding.py
+++ b/bitternpath/roles/founding.py
@@ -28,13 +28,14 @@
 from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import CodecError
-from bitternpath.transport.connections import Link, NodeHub
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
     BootstrapDecisionStored,
     GroupPlacement,
     MemberAddress,
 )
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link
 
 log = logbook.Logger("configuration")
 
--- a/bitternpath/roles/group_carrier.py
+++ b/bitternpath/roles/group_carrier.py
@@ -6,8 +6,9 @@
 
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.membership.view import MembershipView
-from bitternpath.transport.connections import Link, NodeHub
 from bitternpath.transport.group_messages import GroupMessage, MemberAddress
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link
 
 CARRIER_USER = "replication"
 
--- a/bitternpath/roles/lenders.py
+++ b/bitternpath/roles/lenders.py
@@ -11,8 +11,9 @@
 from bitternpath.queue.rate_limits import QUOTA_LEASE_S
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.shard_runtime import ShardRuntime
-from bitternpath.transport.connections import Link, NodeHub
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 
 LENDERS_USER = "tokens"
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from bitternpath.configuration.feed import FeedServer
+from bitternpath.configuration.feed_server import FeedServer
 from bitternpath.configuration.liveness import NodeLiveness
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 from twisted.internet.error import CannotListenError
 
-from bitternpath.configuration.feed import FeedClient, FeedListener
+from bitternpath.configuration.feed_client import FeedClient, FeedListener
 from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
@@ -22,7 +22,8 @@
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import CodecError
-from bitternpath.transport.connections import LinkHandler, NodeHub
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import LinkHandler
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 log = logbook.Logger("node")
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -13,8 +13,9 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.changes import ChangeRequest, OperatorResult, ResultCode, operator_result
-from bitternpath.configuration.feed import FeedClient
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.feed_client import FeedClient
+from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
--- a/bitternpath/roles/replica_garbage_collection.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -14,8 +14,8 @@
 
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.group_carrier import CARRIER_USER
-from bitternpath.transport.connections import NodeHub
 from bitternpath.transport.group_messages import GroupPlacement, MembershipReport, MembershipRequest
+from bitternpath.transport.hub import NodeHub
 
 log = logbook.Logger("storage")
 
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -6,7 +6,9 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.changes import ConsensusGroup, OperatorResult, ResultCode, operator_result
+from bitternpath.configuration.commands import COMMANDS, RetireNode
+from bitternpath.configuration.consensus_group import ConsensusGroup
+from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.configuration.retirement import (
     MembershipReports,
     RetireCheck,
@@ -16,7 +18,7 @@
     retirement_state,
     state_body,
 )
-from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, RetireNode
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.roles.live_nodes import LiveNodes
 from bitternpath.transport.group_messages import MembershipReport
 
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -6,19 +6,15 @@
 
 import logbook
 
-from bitternpath.configuration.changes import ConsensusGroup
+from bitternpath.configuration.commands import COMMANDS, SetPlacement, UpdateStorageMembers
+from bitternpath.configuration.consensus_group import ConsensusGroup
 from bitternpath.configuration.placement import (
     AWAY_WITHOUT_SPARE_S,
     initial_placement,
     nodes_to_replace,
     repaired_placement,
 )
-from bitternpath.configuration.state_machine import (
-    COMMANDS,
-    ConfigurationState,
-    SetPlacement,
-    UpdateStorageMembers,
-)
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.roles.live_nodes import LiveNodes
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -14,8 +14,8 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.documents import RoutingTable
 from bitternpath.configuration.placement import shard_group, shard_of
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
@@ -35,7 +35,7 @@
 from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.waiting_polls import WaitingPolls
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 from bitternpath.transport.records import AttemptOutcome, MessageState
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -9,8 +9,8 @@
 
 import logbook
 
-from bitternpath.configuration.documents import RoutingTable
-from bitternpath.configuration.feed import pack_document
+from bitternpath.configuration.feed_documents import pack_document
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.records import Members
@@ -25,7 +25,6 @@
 from bitternpath.storage.document_writer import DocumentWriter
 from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.transport.codec import RecordCodec
-from bitternpath.transport.connections import Link
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import (
     GroupMessage,
@@ -33,6 +32,7 @@
     MembershipReport,
     MembershipRequest,
 )
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeKind
 from bitternpath.transport.operator_messages import StatusRequest
 from bitternpath.transport.quota_messages import TokenRequest
--- a/bitternpath/roles/waiting_polls.py
+++ b/bitternpath/roles/waiting_polls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 from bitternpath.transport.records import Message
 from bitternpath.transport.shard_messages import PullResponse
 
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.transport.connections import Link, LinkLost
+from bitternpath.transport.links import Link, LinkLost
 from bitternpath.transport.shard_messages import Ownership
 
 
--- a/bitternpath/testing/fault_injection/status.py
+++ b/bitternpath/testing/fault_injection/status.py
@@ -9,7 +9,8 @@
 
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.testing.fault_injection.plan import Machine, Port
-from bitternpath.transport.connections import Link, NodeHub
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.operator_messages import StatusRequest, StatusResponse
 
--- a/bitternpath/transport/connections.py
+++ b/bitternpath/transport/links.py
@@ -13,8 +13,8 @@
 
 import logbook
 from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory, connectionDone
 from twisted.internet.protocol import Protocol as TwistedProtocol
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from bitternpath.net.writing import write_now
@@ -25,15 +25,12 @@
 
 log = logbook.Logger("transport")
 
-LOOK_S = 0.5  # all links are looked at together
 # The end that dialled asks for a sign of life after so long without a byte one way or the other: a system at
 # rest costs two records a link each time. Sooner while an answer is awaited over the link, and much sooner
 # where the other end counts who is there.
 ASK_AFTER_S, ASK_AWAITED_AFTER_S, ASK_SOON_AFTER_S = 2.0, 0.75, 0.25
 ANSWER_LIMIT_S = 1.65  # the end that has asked gives a link up after so long without a byte
 SILENCE_LIMIT_S = 6.0  # the other end, which hears the questions, does so after two of them have not come
-CONNECT_TIMEOUT_S = 1.0
-RECONNECT_FIRST_S, RECONNECT_MOST_S = 0.05, 1.0
 USER_TIMEOUT_MS = 2_000  # of the kernel, for bytes that nobody acknowledges
 
 
@@ -54,12 +51,34 @@
         """A record that is no answer to a request of ours."""
 
 
+class LinkOwner(Protocol):
+    """What a link needs of the hub that it belongs to."""
+
+    reactor: Any
+    random: Any
+    handler: LinkHandler
+    links: dict[Link, None]
+    describe: Callable[[], NodeDescriptor]
+
+    def make_link(self, dialled: str) -> Link:
+        """A link for a connection that is being made."""
+
+    def watch(self) -> None:
+        """Begin to check links for silence."""
+
+    def flush_soon(self, link: Link) -> None:
+        """Have a link written at the end of this turn of the reactor."""
+
+    def link_ended(self, link: Link) -> None:
+        """A link's connection has ended."""
+
+
 class Link(TwistedProtocol):
     """One connection to another node."""
 
     transport: Any
 
-    def __init__(self, hub: NodeHub, dialled: str) -> None:
+    def __init__(self, hub: LinkOwner, dialled: str) -> None:
         self.hub = hub
         self.dialled = dialled  # the address that was dialled; "" for an accepted connection
         self.peer: NodeDescriptor | None = None
@@ -199,199 +218,6 @@
         return min(self.ask_after_s, ASK_AWAITED_AFTER_S) if self._requests else self.ask_after_s
 
 
-class Dialler:
-    """Keeps a link to one address for as long as it is wanted."""
-
-    def __init__(self, hub: NodeHub, address: str) -> None:
-        self.hub, self.address = hub, address
-        self.link: Link | None = None
-        self.users: set[str] = set()
-        self._pause = RECONNECT_FIRST_S
-        self._timer: Any = None
-        self._attempt: Any = None
-        self._stopped = False
-
-    def start(self) -> None:
-        """Dial now."""
-        self._timer = None
-        if self._stopped:
-            return
-        host, _, port = self.address.rpartition(":")
-        factory = _DialFactory(self)
-        self._attempt = self.hub.reactor.connectTCP(host, int(port), factory, timeout=CONNECT_TIMEOUT_S)
-
-    def stop(self) -> None:
-        """Close the link and dial no more."""
-        self._stopped = True
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        if self.link is not None:
-            self.link.close()
-        elif self._attempt is not None:
-            with contextlib.suppress(Exception):
-                self._attempt.stopConnecting()
-
-    @property
-    def opened(self) -> Link | None:
-        """The link, once its peer has said who it is."""
-        return self.link if self.link is not None and self.link.open else None
-
-    def connected(self, link: Link) -> None:
-        """A connection was made."""
-        self.link = link
-        if self._stopped:
-            link.close()
-
-    def ended(self, was_open: bool) -> None:
-        """The connection ended, or couldn't be made."""
-        self.link = None
-        if self._stopped:
-            return
-        if was_open:
-            self._pause = RECONNECT_FIRST_S
-        pause = self._pause * (0.7 + 0.6 * self.hub.random.random())
-        self._pause = min(2 * self._pause, RECONNECT_MOST_S)
-        self._timer = self.hub.reactor.callLater(pause, self.start)
-
-
-class NodeHub:
-    """All links of a process: those it accepts and those it dials."""
-
-    def __init__(
-        self,
-        reactor: Any,
-        handler: LinkHandler,
-        describe: Callable[[], NodeDescriptor],
-        random: Any,
-    ) -> None:
-        self.reactor, self.handler, self.describe, self.random = reactor, handler, describe, random
-        self.links: dict[Link, None] = {}  # in the order in which they were made
-        self._diallers: dict[str, Dialler] = {}
-        self._port: Any = None
-        self._watch_timer: Any = None
-        self._unflushed: list[Link] = []
-        self._flush_call: Any = None
-
-    def watch(self) -> None:
-        """Look at all links from now on, together: one timer and one turn for all questions."""
-        if self._watch_timer is None:
-            self._watch_timer = self.reactor.callLater(LOOK_S, self._look)
-
-    def _look(self) -> None:
-        self._watch_timer = None
-        now = self.reactor.seconds()
-        for link in list(self.links):
-            link.look(now)
-        if self.links:
-            self.watch()
-
-    def flush_soon(self, link: Link) -> None:
-        """Have a link written at the end of this turn of the reactor, with all others that have anything."""
-        self._unflushed.append(link)
-        if self._flush_call is None:
-            self._flush_call = self.reactor.callLater(0, self._flush_planned)
-
-    def flush(self) -> None:
-        """Write what all links have queued; whoever knows that nothing follows in this turn calls it."""
-        if self._flush_call is not None:
-            self._flush_call.cancel()
-            self._flush_planned()
-
-    def _flush_planned(self) -> None:
-        self._flush_call = None
-        links, self._unflushed = self._unflushed, []
-        for link in links:
-            link.flush()
-
-    def listen(self, host: str, port: int) -> None:
-        """Accept links; raises `CannotListenError`."""
-        self._port = self.reactor.listenTCP(port, _AcceptFactory(self), backlog=1024, interface=host)
-
-    def dial(self, address: str, user: str) -> Dialler:
-        """The dialler of an address, made and started where there is none. `user` names who wants it."""
-        dialler = self._diallers.get(address)
-        if dialler is None:
-            dialler = self._diallers[address] = Dialler(self, address)
-            dialler.start()
-        dialler.users.add(user)
-        return dialler
-
-    def release(self, address: str, user: str) -> None:
-        """A user doesn't want an address any more; the link ends when nobody does."""
-        dialler = self._diallers.get(address)
-        if dialler is None:
-            return
-        dialler.users.discard(user)
-        if not dialler.users:
-            del self._diallers[address]
-            dialler.stop()
-
-    def link_to(self, address: str) -> Link | None:
-        """The opened link that was dialled to an address."""
-        dialler = self._diallers.get(address)
-        return dialler.opened if dialler else None
-
-    def dialled(self) -> tuple[str, ...]:
-        """The addresses that are wanted."""
-        return tuple(self._diallers)
-
-    def announce(self) -> None:
-        """Tell all peers anew who this node is."""
-        for link in self.links:
-            link.send(Hello(self.describe()))
-
-    def link_ended(self, link: Link) -> None:
-        """Called by a link when its connection has ended."""
-        dialler = self._diallers.get(link.dialled)
-        if dialler is not None and dialler.link is link:
-            dialler.ended(link.peer is not None)
-
-    def stop(self) -> None:
-        """Close all."""
-        if self._port is not None:
-            self._port.stopListening()
-        if self._watch_timer is not None:
-            self._watch_timer.cancel()
-            self._watch_timer = None
-        diallers, self._diallers = self._diallers, {}
-        for dialler in diallers.values():
-            dialler.stop()
-        for link in list(self.links):
-            link.close()
-
-
-class _AcceptFactory(Factory):
-    noisy = False
-
-    def __init__(self, hub: NodeHub) -> None:
-        self.hub = hub
-
-    def buildProtocol(self, addr: Any) -> Link:
-        return Link(self.hub, "")
-
-
-class _DialFactory(Factory):
-    noisy = False
-
-    def __init__(self, dialler: Dialler) -> None:
-        self.dialler = dialler
-
-    def buildProtocol(self, addr: Any) -> Link:
-        link = Link(self.dialler.hub, self.dialler.address)
-        self.dialler.connected(link)
-        return link
-
-    def startedConnecting(self, connector: Any) -> None:
-        """Part of Twisted's client factory interface."""
-
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Nobody answered, or the port is closed."""
-        self.dialler.ended(False)
-
-    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """The link itself has seen to it."""
-
-
 def _tune(handle: Any) -> None:
     with contextlib.suppress(OSError, AttributeError):
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -18,7 +18,7 @@
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.records import EntryKind, Members
 from bitternpath.shards import appends
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 
 Patches = Iterator[Any]
 
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -8,15 +8,16 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
-from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult, ResultCode
-from bitternpath.configuration.documents import (
-    InvalidConfiguration,
-    RoutingTable,
-    apply_patch,
-    parse_configuration,
-    read_document,
-)
-from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, SetPlacement
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.changes import ChangeProcessor
+from bitternpath.configuration.commands import COMMANDS, SetPlacement
+from bitternpath.configuration.errors import InvalidConfiguration
+from bitternpath.configuration.json_documents import read_document
+from bitternpath.configuration.patches import apply_patch
+from bitternpath.configuration.results import OperatorResult, ResultCode
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.configuration.validation import parse_configuration
 from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
 from bitternpath.transport.group_messages import GroupPlacement
 
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -15,7 +15,8 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from bitternpath.configuration.changes import ChangeProcessor, OperatorResult, not_owner
+from bitternpath.configuration.changes import ChangeProcessor
+from bitternpath.configuration.results import OperatorResult, not_owner
 from bitternpath.membership.view import FORGET_AFTER_S
 from bitternpath.roles import operator_calls
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
--- a/tests/system/test_dispatch.py
+++ b/tests/system/test_dispatch.py
@@ -11,7 +11,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
+from bitternpath.configuration.documents import Configuration, Route, Service
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
 from bitternpath.discovery.catalogue import Catalogue
 from bitternpath.dispatch.deliveries import (
--- a/tests/system/test_documents.py
+++ b/tests/system/test_documents.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from bitternpath.cli.system_settings import print_settings
-from bitternpath.configuration.changes import OperatorResult, ResultCode
+from bitternpath.configuration.results import OperatorResult, ResultCode
 from bitternpath.roles.logs import LEVELS
 from bitternpath.roles.process import ExitCode
 from bitternpath.transport.shard_messages import RefusalReason
--- a/tests/system/test_feed.py
+++ b/tests/system/test_feed.py
@@ -9,21 +9,12 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.documents import RoutingTable
-from bitternpath.configuration.feed import (
-    HEARTBEAT_S,
-    SILENCE_S,
-    FeedClient,
-    FeedServer,
-    pack_document,
-    unpack_document,
-)
-from bitternpath.configuration.state_machine import (
-    COMMANDS,
-    ConfigurationState,
-    ReplaceDocument,
-    SetPlacement,
-)
+from bitternpath.configuration.commands import COMMANDS, ReplaceDocument, SetPlacement
+from bitternpath.configuration.feed_client import SILENCE_S, FeedClient
+from bitternpath.configuration.feed_documents import pack_document, unpack_document
+from bitternpath.configuration.feed_server import HEARTBEAT_S, FeedServer
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
--- a/tests/system/test_feed_behind.py
+++ b/tests/system/test_feed_behind.py
@@ -6,13 +6,11 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.feed import FeedClient, FeedServer, pack_document, unpack_document
-from bitternpath.configuration.state_machine import (
-    COMMANDS,
-    ConfigurationState,
-    ReplaceDocument,
-    SetPlacement,
-)
+from bitternpath.configuration.commands import COMMANDS, ReplaceDocument, SetPlacement
+from bitternpath.configuration.feed_client import FeedClient
+from bitternpath.configuration.feed_documents import pack_document, unpack_document
+from bitternpath.configuration.feed_server import FeedServer
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.feed_messages import FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import GroupPlacement
 from tests.system.test_feed import FakeHub, FakeLink, Listener, document
--- a/tests/system/test_feed_search.py
+++ b/tests/system/test_feed_search.py
@@ -14,8 +14,11 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.feed import HEARTBEAT_S, SILENCE_S, FeedClient, FeedServer, pack_document
-from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
+from bitternpath.configuration.commands import COMMANDS, ReplaceDocument
+from bitternpath.configuration.feed_client import SILENCE_S, FeedClient
+from bitternpath.configuration.feed_documents import pack_document
+from bitternpath.configuration.feed_server import HEARTBEAT_S, FeedServer
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import MemberAddress
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
--- a/tests/system/test_import_graph.py
+++ b/tests/system/test_import_graph.py
@@ -122,7 +122,7 @@
 
     def test_the_whole_program_is_read(self) -> None:
         self.assertIn(f"{PROGRAM}.roles.edge", self.graph)
-        self.assertIn(f"{PROGRAM}.transport.connections", self.graph[f"{PROGRAM}.roles.edge"])
+        self.assertIn(f"{PROGRAM}.transport.links", self.graph[f"{PROGRAM}.roles.edge"])
 
     def test_no_circle_between_modules(self) -> None:
         self.assertEqual([], circles(self.graph))
--- a/tests/system/test_ingress.py
+++ b/tests/system/test_ingress.py
@@ -18,7 +18,8 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.documents import RoutingTable, parse_configuration
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.configuration.validation import parse_configuration
 from bitternpath.ingress.channel import DRAINING_READ_S, FLUSH_S, LINGER_S
 from bitternpath.ingress.interface import LEASE_ANSWER_S, PULL_LATE_S, STATUS_ANSWER_S
 from bitternpath.ingress.interfaces import (
--- a/tests/system/test_lenders.py
+++ b/tests/system/test_lenders.py
@@ -10,16 +10,17 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
+from bitternpath.configuration.documents import Configuration, Route, Service
 from bitternpath.configuration.placement import shard_group
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.queue.rate_limits import QUOTA_LEASE_S
 from bitternpath.queue.sharding import home_shard
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.lenders import Lenders
 from bitternpath.roles.shard_runtime import ShardRuntime
-from bitternpath.transport.connections import LinkLost
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.links import LinkLost
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 from bitternpath.transport.shard_messages import RefusalReason, Refused
 
--- a/tests/system/test_lending.py
+++ b/tests/system/test_lending.py
@@ -10,7 +10,8 @@
 from random import Random
 from unittest.mock import patch
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
+from bitternpath.configuration.documents import Configuration, Route, Service
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue import loans
 from bitternpath.queue.actions import BorrowTokens, SendDelivery
 from bitternpath.queue.loans import BORROW_FIRST_S, BORROW_MOST_S, MOST_BORROWED, Loan, TokenPools
--- a/tests/system/test_link_numbers.py
+++ b/tests/system/test_link_numbers.py
@@ -9,8 +9,9 @@
 
 from twisted.internet.defer import Deferred
 
-from bitternpath.transport import connections
-from bitternpath.transport.connections import Link, LinkLost, NodeHub
+from bitternpath.transport import hub
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link, LinkLost
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import MessageState
 from bitternpath.transport.shard_messages import StateRequest, StateResponse
@@ -172,9 +173,9 @@
     """Number of a link used again: both ways of doing it are caught by the runs above."""
 
     def setUp(self) -> None:
-        self.whole = connections.Link
-        connections.Link = OneNumber  # type: ignore[misc]
-        self.addCleanup(setattr, connections, "Link", self.whole)
+        self.whole = hub.Link
+        hub.Link = OneNumber  # type: ignore[misc]
+        self.addCleanup(setattr, hub, "Link", self.whole)
         super().setUp()
 
     def test_a_number_that_is_used_again_is_caught(self) -> None:
--- a/tests/system/test_link_upkeep.py
+++ b/tests/system/test_link_upkeep.py
@@ -10,17 +10,16 @@
 from twisted.internet.task import Clock
 
 from bitternpath.net.writing import write_now
-from bitternpath.transport.connections import (
+from bitternpath.transport.frames import FrameBuffer
+from bitternpath.transport.hub import LOOK_S, NodeHub
+from bitternpath.transport.links import (
     ANSWER_LIMIT_S,
     ASK_AFTER_S,
     ASK_AWAITED_AFTER_S,
     ASK_SOON_AFTER_S,
-    LOOK_S,
     SILENCE_LIMIT_S,
     Link,
-    NodeHub,
 )
-from bitternpath.transport.frames import FrameBuffer
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import Hello, NodeDescriptor, NodeKind, Ping, Pong
 from bitternpath.transport.shard_messages import StateRequest
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -8,10 +8,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.changes import OperatorResult, ResultCode, operator_result
+from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.transport.connections import LinkLost
+from bitternpath.transport.links import LinkLost
 from bitternpath.transport.node_messages import Pong
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
--- a/tests/system/test_order_bodies.py
+++ b/tests/system/test_order_bodies.py
@@ -13,9 +13,12 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult
-from bitternpath.configuration.documents import LARGEST_VERSION, MOST_NESTED
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.changes import ChangeProcessor
+from bitternpath.configuration.json_documents import MOST_NESTED
+from bitternpath.configuration.results import OperatorResult
 from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.configuration.validation import LARGEST_VERSION
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.feed_messages import FeedUpdate
 
--- a/tests/system/test_order_races.py
+++ b/tests/system/test_order_races.py
@@ -19,15 +19,9 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
-from bitternpath.configuration.changes import (
-    ChangeProcessor,
-    ChangeRequest,
-    OperatorResult,
-    ResultCode,
-    _Acceptable,
-    _Submission,
-    operator_result,
-)
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.changes import ChangeProcessor, _Acceptable, _Submission
+from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.configuration.state_machine import ConfigurationSnapshot, ConfigurationState
 from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
 from bitternpath.transport.codec import RecordCodec
--- a/tests/system/test_orders_under_way.py
+++ b/tests/system/test_orders_under_way.py
@@ -17,13 +17,8 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.configuration import changes as orders
-from bitternpath.configuration.changes import (
-    ChangeProcessor,
-    ResultCode,
-    _Acceptable,
-    _Submission,
-    operator_result,
-)
+from bitternpath.configuration.changes import ChangeProcessor, _Acceptable, _Submission
+from bitternpath.configuration.results import ResultCode, operator_result
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
 from bitternpath.testing.simulation.world import Plan
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -21,7 +21,7 @@
 from twisted.internet.task import Clock
 
 from bitternpath.cli import main
-from bitternpath.configuration.changes import ResultCode
+from bitternpath.configuration.results import ResultCode
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP, BootstrapFile
 from bitternpath.replication.records import Members, PersistentState, Snapshot
 from bitternpath.roles.edge_process import EdgeProcess
--- a/tests/system/test_queue_rig.py
+++ b/tests/system/test_queue_rig.py
@@ -7,7 +7,8 @@
 from random import Random
 from typing import Any
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
+from bitternpath.configuration.documents import Configuration, Route, Service
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
--- a/tests/system/test_queue_world.py
+++ b/tests/system/test_queue_world.py
@@ -15,7 +15,8 @@
 
 from msgspec import structs
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable
+from bitternpath.configuration.documents import Configuration, Route
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.commands import AppendMessage, EndAttempt
 from bitternpath.queue.results import Added, AttemptEnded, Result
 from bitternpath.queue.sharding import shard_for
--- a/tests/system/test_retirement.py
+++ b/tests/system/test_retirement.py
@@ -13,10 +13,17 @@
 from twisted.internet.task import Clock
 
 from bitternpath.configuration import retirement
-from bitternpath.configuration.changes import OperatorResult, ResultCode
-from bitternpath.configuration.feed import FeedServer
+from bitternpath.configuration.commands import (
+    COMMANDS,
+    FinishRetirement,
+    RetireNode,
+    SetPlacement,
+    UpdateStorageMembers,
+)
+from bitternpath.configuration.feed_server import FeedServer
 from bitternpath.configuration.liveness import NodeLiveness
 from bitternpath.configuration.placement import initial_placement, repaired_placement
+from bitternpath.configuration.results import OperatorResult, ResultCode
 from bitternpath.configuration.retirement import (
     MembershipReports,
     RetireCheck,
@@ -25,14 +32,7 @@
     next_finished_retirement,
     retirement_state,
 )
-from bitternpath.configuration.state_machine import (
-    COMMANDS,
-    ConfigurationState,
-    FinishRetirement,
-    RetireNode,
-    SetPlacement,
-    UpdateStorageMembers,
-)
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.configuration.storage_membership import StorageMembership
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
+from bitternpath.configuration.commands import COMMANDS, ReplaceDocument
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.replication import snapshots
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.member import MemberState
