--- a/bitternpath/queue/backoff.py
+++ b/bitternpath/queue/backoff.py
@@ -33,23 +33,23 @@
 }
 
 
-def pause_after(outcome: AttemptOutcome, repetition: int, retry_after_ms: int, random: Random) -> float:
+def backoff_after(outcome: AttemptOutcome, repetition: int, retry_after_ms: int, random: Random) -> float:
     """Seconds until a message may be handed out again after its `repetition`-th such end in a row."""
     schedule = _SCHEDULES.get(outcome)
     pause = 0.0 if schedule is None else schedule.pause(repetition, random)
     return max(retry_after_ms / 1000, pause)
 
 
-LEAST_WINDOW = 4.0  # leases out, however badly a service does: they are its probes
-WIDEST_WINDOW = 4096.0  # leases out: no limit in practice
+MIN_LIMIT = 4.0  # leases out, however badly a service does: they are its probes
+MAX_LIMIT = 4096.0  # leases out: no limit in practice
 CUT_INTERVAL_S = 0.1  # a burst of failures of one cause halves the window once
 FAILING_SHARE = 0.5  # of recent attempts
 _SHARE_WEIGHT = 1 / 8  # of the newest attempt in the share of failures
 _PACED_AFTER = 8  # ends in a row without an answer
-PACE_S = 0.025  # between fresh leases to a service that answers nothing; an answer lifts it
+PACING_INTERVAL_S = 0.025  # between fresh leases to a service that answers nothing; an answer lifts it
 
 
-class RetryBudget:
+class AdaptiveConcurrencyLimit:
     """Limit of leases out to one service: halved while most attempts fail, doubled by each success.
 
     Attempts that did not run say nothing of the window; but after several ends in a row without any answer,
@@ -57,7 +57,7 @@
     """
 
     def __init__(self) -> None:
-        self.window = WIDEST_WINDOW
+        self.window = MAX_LIMIT
         self._failing_share = 0.0
         self._next_cut = 0.0
         self._barren = 0
@@ -72,7 +72,7 @@
     def granted(self, now: float) -> None:
         """A fresh lease goes out."""
         if self._barren >= _PACED_AFTER:
-            self._next_grant = now + PACE_S
+            self._next_grant = now + PACING_INTERVAL_S
 
     def record(self, now: float, outcome: AttemptOutcome, out: int) -> None:
         """An attempt has ended, with `out` leases out before its end."""
@@ -80,12 +80,12 @@
             self._failing_share -= self._failing_share * _SHARE_WEIGHT
             self._barren = 0
             self._next_grant = 0.0
-            self.window = min(WIDEST_WINDOW, self.window * 2)
+            self.window = min(MAX_LIMIT, self.window * 2)
             return
         self._barren = 0 if outcome is AttemptOutcome.FAILED else self._barren + 1
         if outcome not in (AttemptOutcome.FAILED, AttemptOutcome.UNKNOWN):
             return
         self._failing_share += (1 - self._failing_share) * _SHARE_WEIGHT
         if self._failing_share > FAILING_SHARE and now >= self._next_cut:
-            self.window = max(LEAST_WINDOW, min(self.window, float(out)) / 2)
+            self.window = max(MIN_LIMIT, min(self.window, float(out)) / 2)
             self._next_cut = now + CUT_INTERVAL_S
--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -17,7 +17,7 @@
 from bitternpath.queue.actions import SendCallback
 from bitternpath.queue.backoff import CALLBACK_BACKOFF
 from bitternpath.queue.commands import ConfirmCallbacks
-from bitternpath.queue.edges import EdgeTable
+from bitternpath.queue.edge_nodes import EdgeNodeTable
 from bitternpath.queue.entries import Entry
 
 CALLBACK_TIMEOUT_S = 2.6  # without a report, which an edge node gives after 2 s: it may have gone
@@ -28,8 +28,8 @@
 PROBE_INTERVAL_S = 0.5  # from a failure to the next probe
 # Confirmations wait for another command, to share its round of replicas, but no longer than this; an owner
 # that is lost meanwhile has its successor call back once more.
-CONFIRM_WITHIN_S = 0.5
-MOST_CONFIRMED_TOGETHER = 64
+MAX_CONFIRMATION_DELAY_S = 0.5
+CONFIRMATION_BATCH_SIZE = 64
 
 
 @dataclass(slots=True, eq=False)
@@ -73,7 +73,7 @@
 class CallbackQueue:
     """All call-backs owed and not confirmed. Rebuilt from the state by a new owner."""
 
-    def __init__(self, edges: EdgeTable, random: Random) -> None:
+    def __init__(self, edges: EdgeNodeTable, random: Random) -> None:
         self._edges = edges
         self._random = random
         self._owed: dict[str, _Owed] = {}
@@ -127,14 +127,14 @@
             self._receivers[owed.receiver].took()
             self._mark(owed.receiver)
             self._unconfirmed.append(request_id)
-            self._confirm_by = min(self._confirm_by, now + CONFIRM_WITHIN_S)
+            self._confirm_by = min(self._confirm_by, now + MAX_CONFIRMATION_DELAY_S)
         elif owed.out:
             self._retry_later(now, owed)
 
     def confirmation(self, now: float, others_go: bool) -> ConfirmCallbacks | None:
         """The command that confirms what was taken: now, where other commands go, time is up or there are
         many; else None."""
-        due = others_go or now >= self._confirm_by or len(self._unconfirmed) >= MOST_CONFIRMED_TOGETHER
+        due = others_go or now >= self._confirm_by or len(self._unconfirmed) >= CONFIRMATION_BATCH_SIZE
         if not self._unconfirmed or not due:
             return None
         taken, self._unconfirmed, self._confirm_by = tuple(self._unconfirmed), [], inf
--- a/bitternpath/queue/commands.py
+++ b/bitternpath/queue/commands.py
@@ -52,12 +52,12 @@
     request_ids: tuple[str, ...]
 
 
-class ForgetMessages(Struct, frozen=True):
+class RemoveTombstones(Struct, frozen=True):
     """Tombstones older than `status_s` go."""
 
     request_ids: tuple[str, ...]
 
 
-Command = AppendMessage | GrantLease | EndAttempt | ExpireMessage | ConfirmCallbacks | ForgetMessages
+Command = AppendMessage | GrantLease | EndAttempt | ExpireMessage | ConfirmCallbacks | RemoveTombstones
 
-COMMANDS = RecordSet(AppendMessage, GrantLease, EndAttempt, ExpireMessage, ConfirmCallbacks, ForgetMessages)
+COMMANDS = RecordSet(AppendMessage, GrantLease, EndAttempt, ExpireMessage, ConfirmCallbacks, RemoveTombstones)
--- a/bitternpath/queue/edges.py
+++ b/bitternpath/queue/edge_nodes.py
@@ -7,59 +7,59 @@
 from random import Random
 from zlib import crc32
 
-from bitternpath.queue.tracked import OutLease, Tracked
+from bitternpath.queue.tracked_messages import InFlightLease, TrackedMessage
 
 MAX_LEASES_PER_EDGE = 64  # of one service, so that a backlog of a dead service isn't all leased
 
 
 @dataclass(slots=True)
-class Edge:
+class EdgeNode:
     """One edge node; kept while it is away, as its leases go on."""
 
     name: str
     zone: str = ""
     connected: bool = False
-    lost_at: float = float("-inf")  # when a life of it was last known to have ended
-    leases: dict[str, OutLease] = field(default_factory=dict)
+    process_ended_at: float = float("-inf")  # when a life of it was last known to have ended
+    leases: dict[str, InFlightLease] = field(default_factory=dict)
     out: Counter[str] = field(default_factory=Counter)  # leases by service
 
-    def has_room(self, service: str) -> bool:
+    def has_capacity(self, service: str) -> bool:
         """Whether another lease of a service may go there."""
         return self.connected and self.out[service] < MAX_LEASES_PER_EDGE
 
 
-class EdgeTable:
+class EdgeNodeTable:
     """All edge nodes that were ever seen by this owner."""
 
     def __init__(self, zone: str, random: Random) -> None:
         self._zone = zone
         self._random = random
-        self._edges: dict[str, Edge] = {}
+        self._edges: dict[str, EdgeNode] = {}
 
-    def find(self, name: str) -> Edge:
+    def find(self, name: str) -> EdgeNode:
         """An edge node, connected or not."""
         edge = self._edges.get(name)
         if edge is None:
-            edge = self._edges[name] = Edge(name)
+            edge = self._edges[name] = EdgeNode(name)
         return edge
 
     def is_local(self, name: str) -> bool:
         """Whether an edge node is in the owner's zone."""
         return self.find(name).zone == self._zone
 
-    def choose(self, origin: str, service: str, avoided: str = "") -> Edge | None:
+    def choose(self, origin: str, service: str, avoided: str = "") -> EdgeNode | None:
         """Where a delivery goes: the origin, else a random node, rather one in the owner's zone.
 
         Nothing goes to `avoided`, which didn't get the message run, unless there is no other node.
         """
         home = self._edges.get(origin)
-        if home is not None and home.name != avoided and home.has_room(service):
+        if home is not None and home.name != avoided and home.has_capacity(service):
             return home
-        candidates = [edge for edge in self._edges.values() if edge.has_room(service)]
+        candidates = [edge for edge in self._edges.values() if edge.has_capacity(service)]
         others = [edge for edge in candidates if edge.name != avoided]
         return self._pick(others or candidates)
 
-    def choose_for_callback(self, receiver: str, failures: int) -> Edge | None:
+    def choose_for_callback(self, receiver: str, failures: int) -> EdgeNode | None:
         """Where a call-back goes: the same node for a receiver, in the owner's zone where there is one.
 
         So few nodes hold connections there and use them again. After each failure it is another one.
@@ -69,16 +69,16 @@
         near.sort(key=lambda edge: edge.name)
         return near[(crc32(receiver.encode()) + failures) % len(near)] if near else None
 
-    def has_body(self, edge: Edge, tracked: Tracked) -> bool:
+    def holds_body(self, edge: EdgeNode, tracked: TrackedMessage) -> bool:
         """Whether an edge node took the message in its present life and has not been sent it before.
 
         Of messages that an earlier owner accepted the origin's process may have ended unheard.
         """
         entry = tracked.entry
-        first = tracked.accepted_here and entry.leases_granted == 1
-        return first and edge.name == entry.message.origin and entry.accepted > edge.lost_at
+        first = tracked.accepted_by_this_owner and entry.leases_granted == 1
+        return first and edge.name == entry.message.origin and entry.accepted > edge.process_ended_at
 
-    def _pick(self, candidates: list[Edge]) -> Edge | None:
+    def _pick(self, candidates: list[EdgeNode]) -> EdgeNode | None:
         near = [edge for edge in candidates if edge.zone == self._zone]
         pool = near or candidates
         return self._random.choice(pool) if pool else None
--- a/bitternpath/queue/leases.py
+++ b/bitternpath/queue/lease_table.py
@@ -6,12 +6,12 @@
 
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
 from bitternpath.queue.commands import GrantLease
-from bitternpath.queue.edges import EdgeTable
+from bitternpath.queue.edge_nodes import EdgeNodeTable
 from bitternpath.queue.entries import Lease
-from bitternpath.queue.lanes import LaneTable, ServiceLane
-from bitternpath.queue.polls import PollTable
-from bitternpath.queue.rate_limits import GRANT_LAG_S
-from bitternpath.queue.tracked import OutLease, Tracked
+from bitternpath.queue.long_polls import LongPollTable
+from bitternpath.queue.rate_limits import MAX_GRANT_DELAY_S
+from bitternpath.queue.service_queues import ServiceQueue, ServiceQueueTable
+from bitternpath.queue.tracked_messages import InFlightLease, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome
 
 PUSH_LEASE_MARGIN_MS = (
@@ -27,65 +27,67 @@
 
     def __init__(
         self,
-        lanes: LaneTable,
-        edges: EdgeTable,
-        polls: PollTable,
+        services: ServiceQueueTable,
+        edges: EdgeNodeTable,
+        polls: LongPollTable,
         next_lease_id: Callable[[], str],
         pull_duration_ms: int,
     ) -> None:
-        self._lanes = lanes
+        self._services = services
         self._edges = edges
         self._polls = polls
         self._next_lease_id = next_lease_id
         self._pull_duration_ms = pull_duration_ms
 
-    def grant(self, now: float, lane: ServiceLane, tracked: Tracked) -> GrantLease | None:
+    def grant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
         """The command that leases a ready message; None where nobody can take it."""
-        if lane.service.pull_mode:
-            command = self._grant_to_poll(now, lane, tracked)
+        if queue.service.pull_mode:
+            command = self._grant_to_poll(now, queue, tracked)
         else:
-            command = self._grant_to_edge(now, lane, tracked)
+            command = self._grant_to_edge(now, queue, tracked)
         if command is not None:
-            lane.granted(now)
+            queue.granted(now)
         return command
 
-    def grant_ahead(self, now: float, lane: ServiceLane, tracked: Tracked) -> GrantLease:
+    def grant_ahead(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease:
         """The command that leases a message to whichever worker asks next: its lease is in the log before."""
         lease_id = self._next_lease_id()
-        tracked.lease = OutLease(tracked.request_id, lease_id, "", lane.service.name, now)
+        tracked.lease = InFlightLease(tracked.request_id, lease_id, "", queue.service.name, now)
         tracked.ahead = GrantLease(tracked.request_id, lease_id, "", self._pull_duration_ms, True)
-        lane.ahead.add(tracked.request_id)
+        queue.ahead.add(tracked.request_id)
         return tracked.ahead
 
-    def hand_out_ahead(self, now: float, lane: ServiceLane, tracked: Tracked) -> AnswerPoll | None:
+    def hand_out_ahead(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> AnswerPoll | None:
         """Give a message whose lease is in the log to a worker that waits; None where none does."""
-        poll, command = self._polls.first(lane.service.name), tracked.ahead
+        poll, command = self._polls.first(queue.service.name), tracked.ahead
         if poll is None or command is None:
             return None
         self._polls.remove(poll.poll_id)
         self.forget_ahead(tracked)
-        lane.granted(now)
-        tracked.lease = OutLease(
-            tracked.request_id, command.lease_id, "", lane.service.name, now, poll.poll_id
+        queue.granted(now)
+        tracked.lease = InFlightLease(
+            tracked.request_id, command.lease_id, "", queue.service.name, now, poll.poll_id
         )
         return AnswerPoll(poll.poll_id, poll.edge, command.lease_id, tracked.entry.message)
 
-    def forget_ahead(self, tracked: Tracked) -> None:
+    def forget_ahead(self, tracked: TrackedMessage) -> None:
         """A lease that was granted ahead is handed out, void, or not wanted any more."""
         if tracked.ahead is not None:
             tracked.ahead = None
-            for lane in self._lanes.all():
-                lane.ahead.discard(tracked.request_id)
+            for queue in self._services.all():
+                queue.ahead.discard(tracked.request_id)
 
-    def adopt(self, now: float, tracked: Tracked, lease: Lease) -> None:
+    def adopt(self, now: float, tracked: TrackedMessage, lease: Lease) -> None:
         """Count a lease that is in the state but was granted or given up earlier."""
         edge = "" if lease.pulled else lease.holder
         service = "" if tracked.route is None else tracked.route.service
-        tracked.lease = OutLease(tracked.request_id, lease.lease_id, edge, service, now)
+        tracked.lease = InFlightLease(tracked.request_id, lease.lease_id, edge, service, now)
         if not lease.pulled:
             self._occupy(tracked.lease)
 
-    def hand_out(self, now: float, tracked: Tracked, command: GrantLease) -> SendDelivery | AnswerPoll | None:
+    def hand_out(
+        self, now: float, tracked: TrackedMessage, command: GrantLease
+    ) -> SendDelivery | AnswerPoll | None:
         """What goes out now that the grant is in the log.
 
         None: its receiver has gone, or it took so long that the token of a limited service has lapsed; the
@@ -93,80 +95,80 @@
         """
         lease = tracked.lease
         assert lease is not None
-        lane = self._lanes.find(lease.service)
-        if lane is not None and lane.bucket is not None and now - lease.proposed_at > GRANT_LAG_S:
+        queue = self._services.find(lease.service)
+        if queue is not None and queue.bucket is not None and now - lease.proposed_at > MAX_GRANT_DELAY_S:
             self._let_wait(lease)
             return None
         if lease.poll_id is not None:
             return self._answer_poll(lease.poll_id, tracked, command)
         return self._send(lease.edge, tracked, command)
 
-    def release(self, tracked: Tracked) -> None:
+    def release(self, tracked: TrackedMessage) -> None:
         """A lease is over, or was not granted: its room is free; a worker that was to have it waits on."""
         lease, tracked.lease = tracked.lease, None
         if lease is None:
             return
         self._let_wait(lease)
-        self._lanes.mark(lease.service)
+        self._services.mark_dirty(lease.service)
         edge = self._edges.find(lease.edge)
         if edge.leases.pop(lease.lease_id, None) is None:
             return
         edge.out[lease.service] -= 1
-        lane = self._lanes.find(lease.service)
-        if lane is not None:
-            lane.out -= 1
+        queue = self._services.find(lease.service)
+        if queue is not None:
+            queue.out -= 1
 
-    def record(self, now: float, tracked: Tracked, outcome: AttemptOutcome) -> None:
+    def record(self, now: float, tracked: TrackedMessage, outcome: AttemptOutcome) -> None:
         """Tell the service's retry budget how the attempt under the message's lease has ended."""
-        lane = None if tracked.lease is None else self._lanes.find(tracked.lease.service)
-        if lane is not None:
-            lane.budget.record(now, outcome, lane.out)
+        queue = None if tracked.lease is None else self._services.find(tracked.lease.service)
+        if queue is not None:
+            queue.concurrency.record(now, outcome, queue.out)
 
-    def _grant_to_poll(self, now: float, lane: ServiceLane, tracked: Tracked) -> GrantLease | None:
-        service = lane.service.name
+    def _grant_to_poll(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
+        service = queue.service.name
         poll = self._polls.first(service)
         if poll is None:
             return None
         self._polls.reserve(poll)
         lease_id = self._next_lease_id()
-        tracked.lease = OutLease(tracked.request_id, lease_id, "", service, now, poll.poll_id)
+        tracked.lease = InFlightLease(tracked.request_id, lease_id, "", service, now, poll.poll_id)
         return GrantLease(tracked.request_id, lease_id, poll.instance, self._pull_duration_ms, True)
 
-    def _grant_to_edge(self, now: float, lane: ServiceLane, tracked: Tracked) -> GrantLease | None:
-        route, service = tracked.route, lane.service.name
+    def _grant_to_edge(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
+        route, service = tracked.route, queue.service.name
         assert route is not None
         edge = self._edges.choose(tracked.entry.message.origin, service, tracked.avoided_edge)
         if edge is None:
             return None
         lease_id = self._next_lease_id()
-        tracked.lease = OutLease(tracked.request_id, lease_id, edge.name, service, now)
+        tracked.lease = InFlightLease(tracked.request_id, lease_id, edge.name, service, now)
         self._occupy(tracked.lease)
         duration_ms = route.timeout_ms + PUSH_LEASE_MARGIN_MS
         return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, False)
 
-    def _occupy(self, lease: OutLease) -> None:
+    def _occupy(self, lease: InFlightLease) -> None:
         edge = self._edges.find(lease.edge)
         edge.leases[lease.lease_id] = lease
         edge.out[lease.service] += 1
-        lane = self._lanes.find(lease.service)
-        if lane is not None:
-            lane.out += 1
+        queue = self._services.find(lease.service)
+        if queue is not None:
+            queue.out += 1
 
-    def _let_wait(self, lease: OutLease) -> None:
+    def _let_wait(self, lease: InFlightLease) -> None:
         if lease.poll_id is not None:
             self._polls.release(lease.poll_id)
 
-    def _answer_poll(self, poll_id: int, tracked: Tracked, command: GrantLease) -> AnswerPoll | None:
+    def _answer_poll(self, poll_id: int, tracked: TrackedMessage, command: GrantLease) -> AnswerPoll | None:
         poll = self._polls.remove(poll_id)
         if poll is None:
             return None
         return AnswerPoll(poll.poll_id, poll.edge, command.lease_id, tracked.entry.message)
 
-    def _send(self, name: str, tracked: Tracked, command: GrantLease) -> SendDelivery | None:
+    def _send(self, name: str, tracked: TrackedMessage, command: GrantLease) -> SendDelivery | None:
         edge, entry = self._edges.find(name), tracked.entry
         if not edge.connected:
             return None
-        omitted = self._edges.has_body(edge, tracked)
+        omitted = self._edges.holds_body(edge, tracked)
         return SendDelivery(
             name, entry.message, command.lease_id, command.duration_ms, entry.attempts, omitted
         )
--- a/bitternpath/queue/polls.py
+++ b/bitternpath/queue/long_polls.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Poll:
+class LongPoll:
     """A waiting worker. `reserved`: a lease for it has been proposed."""
 
     poll_id: int
@@ -16,37 +16,37 @@
     service: str
     instance: str
     deadline: float
-    local: bool  # its edge node is in the owner's zone
+    is_local: bool  # its edge node is in the owner's zone
     reserved: bool = False
 
 
-class PollTable:
+class LongPollTable:
     """All waiting workers of a shard, by service: those in the owner's zone first, then the longest wait."""
 
     def __init__(self) -> None:
-        self._polls: dict[int, Poll] = {}
-        self._waiting: dict[tuple[str, bool], OrderedDict[int, Poll]] = {}
+        self._polls: dict[int, LongPoll] = {}
+        self._waiting: dict[tuple[str, bool], OrderedDict[int, LongPoll]] = {}
         self._deadlines: list[tuple[float, int]] = []
 
-    def add(self, poll: Poll) -> None:
+    def add(self, poll: LongPoll) -> None:
         """A worker begins to wait."""
         self._polls[poll.poll_id] = poll
         self._queue(poll)[poll.poll_id] = poll
         heapq.heappush(self._deadlines, (poll.deadline, poll.poll_id))
 
-    def find(self, poll_id: int) -> Poll | None:
+    def find(self, poll_id: int) -> LongPoll | None:
         """A poll that has neither been answered, cancelled nor expired."""
         return self._polls.get(poll_id)
 
-    def first(self, service: str) -> Poll | None:
+    def first(self, service: str) -> LongPoll | None:
         """The poll that should get the next job of a service."""
-        for local in (True, False):
-            queue = self._waiting.get((service, local))
+        for is_local in (True, False):
+            queue = self._waiting.get((service, is_local))
             if queue:
                 return next(iter(queue.values()))
         return None
 
-    def reserve(self, poll: Poll) -> None:
+    def reserve(self, poll: LongPoll) -> None:
         """A lease for it is being granted; it doesn't expire meanwhile."""
         poll.reserved = True
         self._queue(poll).pop(poll.poll_id, None)
@@ -62,7 +62,7 @@
         queue.move_to_end(poll_id, last=False)
         heapq.heappush(self._deadlines, (poll.deadline, poll_id))
 
-    def remove(self, poll_id: int) -> Poll | None:
+    def remove(self, poll_id: int) -> LongPoll | None:
         """It has been answered, or its worker has gone."""
         poll = self._polls.pop(poll_id, None)
         if poll is not None:
@@ -74,7 +74,7 @@
         for poll in [poll for poll in self._polls.values() if poll.edge == edge]:
             self.remove(poll.poll_id)
 
-    def pop_expired(self, now: float) -> Poll | None:
+    def pop_expired(self, now: float) -> LongPoll | None:
         """A poll whose time is over; it is removed."""
         when = self.next_deadline()
         if when is None or when > now:
@@ -90,5 +90,5 @@
             heapq.heappop(self._deadlines)
         return None
 
-    def _queue(self, poll: Poll) -> OrderedDict[int, Poll]:
-        return self._waiting.setdefault((poll.service, poll.local), OrderedDict())
+    def _queue(self, poll: LongPoll) -> OrderedDict[int, LongPoll]:
+        return self._waiting.setdefault((poll.service, poll.is_local), OrderedDict())
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -14,7 +14,7 @@
 
 from bitternpath.configuration.documents import RoutingTable
 from bitternpath.queue.actions import Action, ExpirePoll, ProposeCommand
-from bitternpath.queue.backoff import pause_after
+from bitternpath.queue.backoff import backoff_after
 from bitternpath.queue.callbacks import CallbackQueue
 from bitternpath.queue.commands import (
     AppendMessage,
@@ -22,32 +22,32 @@
     ConfirmCallbacks,
     EndAttempt,
     ExpireMessage,
-    ForgetMessages,
     GrantLease,
+    RemoveTombstones,
 )
-from bitternpath.queue.edges import EdgeTable
+from bitternpath.queue.edge_nodes import EdgeNodeTable
 from bitternpath.queue.entries import Entry, Lease, provisional_entry
-from bitternpath.queue.granting import Granting
-from bitternpath.queue.lanes import LaneTable
-from bitternpath.queue.leases import LeaseTable
-from bitternpath.queue.loans import TokenPools
+from bitternpath.queue.lease_granting import Granting
+from bitternpath.queue.lease_table import LeaseTable
+from bitternpath.queue.long_polls import LongPoll, LongPollTable
 from bitternpath.queue.placement import Placement
-from bitternpath.queue.polls import Poll, PollTable
+from bitternpath.queue.quota_leases import QuotaPools
 from bitternpath.queue.results import (
-    Added,
     AttemptEnded,
     CallbacksConfirmed,
-    Expired,
-    Forgotten,
     LeaseGranted,
+    MessageAppended,
+    MessageExpired,
     Result,
+    TombstonesRemoved,
 )
 from bitternpath.queue.routes import RouteIndex
+from bitternpath.queue.service_queues import ServiceQueueTable
 from bitternpath.queue.sharding import lease_id
 from bitternpath.queue.state import QueueState
 from bitternpath.queue.timers import Timer, TimerKind, TimerQueue
 from bitternpath.queue.tombstones import TombstoneQueue
-from bitternpath.queue.tracked import Phase, Tracked
+from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, Message
 
 PULL_LEASE_MARGIN_MS = (
@@ -58,7 +58,7 @@
 
 RETURNS_BEFORE_EDGE_CHANGE = 2  # in a row, not run or without an answer
 
-_IDLE = frozenset({Phase.HELD, Phase.BLOCKED, Phase.WAITING, Phase.READY})
+_IDLE = frozenset({MessagePhase.UNROUTED, MessagePhase.BLOCKED, MessagePhase.DELAYED, MessagePhase.READY})
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,21 +83,21 @@
         self._random = random
         self._epoch = 0
         self._leases_counted = 0
-        self._tracked: dict[str, Tracked] = {}
+        self._tracked: dict[str, TrackedMessage] = {}
         self._routes = RouteIndex()
-        self._lanes = LaneTable(shards, bounds.ceiling_window_s, bounds.origin_rate_over)
-        self._pools = TokenPools(shard, shards, bounds.ceiling_window_s, bounds.origin_rate_over)
-        self._edges = EdgeTable(zone, random)
-        self._polls = PollTable()
+        self._services = ServiceQueueTable(shards, bounds.ceiling_window_s, bounds.origin_rate_over)
+        self._pools = QuotaPools(shard, shards, bounds.ceiling_window_s, bounds.origin_rate_over)
+        self._edges = EdgeNodeTable(zone, random)
+        self._polls = LongPollTable()
         self._pull_duration_ms = bounds.visible_ms + PULL_LEASE_MARGIN_MS
         self._leases = LeaseTable(
-            self._lanes, self._edges, self._polls, self._next_lease_id, self._pull_duration_ms
+            self._services, self._edges, self._polls, self._next_lease_id, self._pull_duration_ms
         )
         self._granting = Granting(
-            state, self._routes, self._lanes, self._leases, self._emit, self._enter_leased
+            state, self._routes, self._services, self._leases, self._emit, self._enter_leased
         )
         self._timers = TimerQueue()
-        self._placement = Placement(state, self._routes, self._lanes, self._timers)
+        self._placement = Placement(state, self._routes, self._services, self._timers)
         self._callbacks = CallbackQueue(self._edges, random)
         self._tombstones = TombstoneQueue(bounds.status_s)
         self._actions: list[Action] = []
@@ -118,7 +118,7 @@
         """Follow another configuration from now on; an older one than the present one is ignored."""
         if self._routes.table is not None and table.version < self._routes.table.version:
             return []
-        self._lanes.configure(now, table.services)
+        self._services.configure(now, table.services)
         self._pools.configure(now, table.services)
         for tracked in self._routes.configure(table):
             if tracked.phase in _IDLE:
@@ -127,7 +127,7 @@
 
     def set_capacities(self, now: float, slots: dict[str, int]) -> list[Action]:
         """How many slots the listed workers of each service have, by the platform's list."""
-        self._lanes.set_capacities(slots)
+        self._services.set_capacities(slots)
         return self._finish(now)
 
     def lend_tokens(self, now: float, service: str, wanted: int) -> int:
@@ -137,10 +137,10 @@
 
     def tokens_lent(self, now: float, service: str, tokens: int, asked_at: float) -> list[Action]:
         """The answer to `BorrowTokens`, which was handed over at `asked_at`."""
-        lane = self._lanes.find(service)
-        if lane is not None and lane.loan is not None:
-            lane.loan.lent(now, tokens, asked_at)
-            self._lanes.mark(service)
+        queue = self._services.find(service)
+        if queue is not None and queue.loan is not None:
+            queue.loan.lent(now, tokens, asked_at)
+            self._services.mark_dirty(service)
         return self._finish(now)
 
     def edge_connected(self, now: float, name: str, zone: str) -> list[Action]:
@@ -148,7 +148,7 @@
         edge = self._edges.find(name)
         edge.zone = zone
         edge.connected = True
-        self._lanes.mark_all()
+        self._services.mark_all_dirty()
         return self._finish(now)
 
     def edge_disconnected(self, now: float, name: str) -> list[Action]:
@@ -165,11 +165,11 @@
         """
         edge = self._edges.find(name)
         edge.connected = False
-        edge.lost_at = now
+        edge.process_ended_at = now
         self._polls.remove_of_edge(name)
         for lease in list(edge.leases.values()):
             tracked = self._tracked[lease.request_id]
-            if tracked.phase is Phase.LEASED and not tracked.entry.message.order_key:
+            if tracked.phase is MessagePhase.LEASED and not tracked.entry.message.order_key:
                 self._lease_over(now, tracked)
         return self._finish(now)
 
@@ -179,9 +179,9 @@
         self, now: float, poll_id: int, edge: str, service: str, instance: str, wait_s: float
     ) -> list[Action]:
         """A worker waits for a job at an edge node. `poll_id` is unique over all edge nodes."""
-        local = self._edges.is_local(edge)
-        self._polls.add(Poll(poll_id, edge, service, instance, now + wait_s, local))
-        self._lanes.mark(service)
+        is_local = self._edges.is_local(edge)
+        self._polls.add(LongPoll(poll_id, edge, service, instance, now + wait_s, is_local))
+        self._services.mark_dirty(service)
         return self._finish(now)
 
     def cancel_poll(self, now: float, poll_id: int) -> list[Action]:
@@ -195,8 +195,8 @@
         lease = None if tracked is None else tracked.entry.lease
         if tracked is None or lease is None or lease.lease_id != lease_id or not lease.pulled:
             return False
-        if tracked.phase is Phase.LEASED:
-            tracked.ends_at = now + self._pull_duration_ms / 1000
+        if tracked.phase is MessagePhase.LEASED:
+            tracked.lease_ends_at = now + self._pull_duration_ms / 1000
             return True
         if tracked.phase not in _IDLE:
             return False
@@ -234,13 +234,13 @@
         """
         if message.request_id in self._tracked or self._state.find(message.request_id) is not None:
             return []
-        tracked = Tracked(provisional_entry(message, now), accepted_here=True)
+        tracked = TrackedMessage(provisional_entry(message, now), accepted_by_this_owner=True)
         command = self._granting.at_once(now, tracked)
         if command is None:
             self._routes.remove(tracked)
             return []
         self._tracked[message.request_id] = tracked
-        tracked.enter(Phase.GRANTING)
+        tracked.enter(MessagePhase.GRANTING)
         self._actions.append(ProposeCommand(command))
         return self._finish(now)
 
@@ -255,15 +255,15 @@
     def applied(self, now: float, command: Command, result: Result) -> list[Action]:
         """A command has been applied to the state; to be called after each one, before the next."""
         match result:
-            case Added(new=True):
+            case MessageAppended(new=True):
                 self._message_added(now, result)
             case LeaseGranted():
                 self._lease_granted(now, result)
             case AttemptEnded(effective=True):
                 self._attempt_ended(now, result)
-            case Expired():
+            case MessageExpired():
                 self._expiry_applied(now, result)
-            case CallbacksConfirmed() | Forgotten():
+            case CallbacksConfirmed() | TombstonesRemoved():
                 for request_id in result.command.request_ids:
                     self._callbacks.confirmed(request_id)
             case _:
@@ -280,12 +280,12 @@
                     self._not_granted(now, tracked)
             case ExpireMessage():
                 tracked = self._tracked.get(command.request_id)
-                if tracked is not None and tracked.phase is Phase.ENDING:
+                if tracked is not None and tracked.phase is MessagePhase.EXPIRING:
                     self._not_granted(now, tracked)
             case ConfirmCallbacks():
                 for request_id in command.request_ids:
                     self._callbacks.reopen(request_id)
-            case ForgetMessages():
+            case RemoveTombstones():
                 for request_id in command.request_ids:
                     entry = self._state.find(request_id)
                     if entry is not None:
@@ -299,7 +299,7 @@
                 pass
         return self._finish(now)
 
-    def _not_granted(self, now: float, tracked: Tracked) -> None:
+    def _not_granted(self, now: float, tracked: TrackedMessage) -> None:
         self._leases.forget_ahead(tracked)
         self._leases.release(tracked)
         self._place(now, tracked)
@@ -308,7 +308,7 @@
         """Let everything happen whose time has come."""
         while (timer := self._timers.pop_due(now)) is not None:
             self._fire(now, timer)
-        self._lanes.advance(now)
+        self._services.advance(now)
         while (poll := self._polls.pop_expired(now)) is not None:
             self._actions.append(ExpirePoll(poll.poll_id, poll.edge))
         for command in self._tombstones.collect(now, self._longest_retention()):
@@ -319,7 +319,7 @@
         """When `tick` is wanted next; None: not before another input."""
         times = (
             self._timers.next_time(),
-            self._lanes.next_wakeup(),
+            self._services.next_wakeup(),
             self._polls.next_deadline(),
             self._callbacks.next_wakeup(),
             self._tombstones.next_wakeup(),
@@ -330,24 +330,26 @@
 
     def _take_in(self, now: float, entry: Entry) -> None:
         """Track a message at a take-over. Its holder may be at work on it: the lease counts from now."""
-        tracked = self._tracked[entry.message.request_id] = Tracked(entry, accepted_here=False)
+        tracked = self._tracked[entry.message.request_id] = TrackedMessage(
+            entry, accepted_by_this_owner=False
+        )
         if entry.lease is None:
             self._place(now, tracked)
         else:
             self._routes.assign(tracked)
             self._hold_lease(now, tracked, entry.lease, entry.lease.duration_ms)
 
-    def _hold_lease(self, now: float, tracked: Tracked, lease: Lease, duration_ms: int) -> None:
+    def _hold_lease(self, now: float, tracked: TrackedMessage, lease: Lease, duration_ms: int) -> None:
         """Regard the lease in the state as out, from now on."""
         self._leases.adopt(now, tracked, lease)
         self._enter_leased(now, tracked, duration_ms)
 
-    def _enter_leased(self, now: float, tracked: Tracked, duration_ms: int) -> None:
-        tracked.enter(Phase.LEASED)
-        tracked.ends_at = now + duration_ms / 1000
-        self._timers.set(tracked.ends_at, TimerKind.PHASE, tracked)
+    def _enter_leased(self, now: float, tracked: TrackedMessage, duration_ms: int) -> None:
+        tracked.enter(MessagePhase.LEASED)
+        tracked.lease_ends_at = now + duration_ms / 1000
+        self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
 
-    def _place(self, now: float, tracked: Tracked) -> None:
+    def _place(self, now: float, tracked: TrackedMessage) -> None:
         """Put a message that is neither leased nor ended where it belongs now."""
         command = self._placement.place(now, tracked)
         if command is not None:
@@ -360,14 +362,14 @@
                 tracked.retention_timer = float("inf")
             if tracked.phase in _IDLE:
                 self._place(now, tracked)
-        elif tracked.phase in (Phase.WAITING, Phase.HELD):
+        elif tracked.phase in (MessagePhase.DELAYED, MessagePhase.UNROUTED):
             self._place(now, tracked)
-        elif tracked.phase is Phase.LEASED and now < tracked.ends_at:
-            self._timers.set(tracked.ends_at, TimerKind.PHASE, tracked)
-        elif tracked.phase is Phase.LEASED:
+        elif tracked.phase is MessagePhase.LEASED and now < tracked.lease_ends_at:
+            self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
+        elif tracked.phase is MessagePhase.LEASED:
             self._lease_over(now, tracked)
 
-    def _lease_over(self, now: float, tracked: Tracked) -> None:
+    def _lease_over(self, now: float, tracked: TrackedMessage) -> None:
         """Its holder has said nothing in time. Until the next grant the state still takes its word."""
         if tracked.lease is not None:
             tracked.avoided_edge = tracked.lease.edge
@@ -378,8 +380,8 @@
 
     def _finish(self, now: float) -> list[Action]:
         """Grant what can be granted, send call-backs, and hand over the actions."""
-        for lane in self._lanes.take_marked():
-            self._granting.grant_ready(now, lane)
+        for queue in self._services.take_dirty():
+            self._granting.grant_ready(now, queue)
         self._actions.extend(self._callbacks.advance(now))
         proposes = any(isinstance(action, ProposeCommand) for action in self._actions)
         if (command := self._callbacks.confirmation(now, proposes)) is not None:
@@ -396,7 +398,7 @@
 
     # ---- applied commands
 
-    def _message_added(self, now: float, result: Added) -> None:
+    def _message_added(self, now: float, result: MessageAppended) -> None:
         entry = self._state.find(result.command.message.request_id)
         if entry is None or entry.ended:
             return
@@ -405,7 +407,7 @@
         if early is not None:
             early.entry = entry  # its lease is the next command
             return
-        tracked = self._tracked[entry.message.request_id] = Tracked(entry, accepted_here=True)
+        tracked = self._tracked[entry.message.request_id] = TrackedMessage(entry, accepted_by_this_owner=True)
         self._place(now, tracked)
 
     def _lease_granted(self, now: float, result: LeaseGranted) -> None:
@@ -444,36 +446,36 @@
         if result.ended_now:
             self._message_ended(now, tracked)
             return
-        repetitions = tracked.count_outcome(command.outcome)
+        repetitions = tracked.count_repetitions(command.outcome)
         in_vain = command.outcome in (AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN)
         if in_vain and repetitions + 1 >= RETURNS_BEFORE_EDGE_CHANGE:
             tracked.avoided_edge = edge
-        pause = pause_after(command.outcome, repetitions, command.retry_after_ms, self._random)
-        tracked.not_before = now + pause
-        if tracked.phase not in (Phase.GRANTING, Phase.ENDING):
+        pause = backoff_after(command.outcome, repetitions, command.retry_after_ms, self._random)
+        tracked.retry_at = now + pause
+        if tracked.phase not in (MessagePhase.GRANTING, MessagePhase.EXPIRING):
             self._place(now, tracked)
 
-    def _expiry_applied(self, now: float, result: Expired) -> None:
+    def _expiry_applied(self, now: float, result: MessageExpired) -> None:
         tracked = self._tracked.get(result.command.request_id)
         if tracked is None:
             return
         if result.ended_now:
             self._message_ended(now, tracked)
-        elif tracked.phase is Phase.ENDING:
+        elif tracked.phase is MessagePhase.EXPIRING:
             self._place(now, tracked)
 
-    def _message_ended(self, now: float, tracked: Tracked) -> None:
+    def _message_ended(self, now: float, tracked: TrackedMessage) -> None:
         """Keep the tombstone, and let the next message of its order key go."""
         self._leases.forget_ahead(tracked)
         self._leases.release(tracked)
-        tracked.enter(Phase.ENDED)
+        tracked.enter(MessagePhase.ENDED)
         del self._tracked[tracked.request_id]
         self._routes.remove(tracked)
         self._keep_tombstone(tracked.entry)
         key = tracked.entry.message.order_key
         head = self._state.order_head(key) if key else None
         successor = None if head is None else self._tracked.get(head.message.request_id)
-        if successor is not None and successor.phase is Phase.BLOCKED:
+        if successor is not None and successor.phase is MessagePhase.BLOCKED:
             self._place(now, successor)
 
     def _keep_tombstone(self, entry: Entry) -> None:
--- a/bitternpath/queue/loans.py
+++ b/bitternpath/queue/quota_leases.py
@@ -6,19 +6,19 @@
 from math import ceil
 
 from bitternpath.configuration.documents import Service
-from bitternpath.queue.rate_limits import QUOTA_LEASE_S, TokenBucket, split_ceiling
+from bitternpath.queue.rate_limits import QUOTA_LEASE_S, TokenBucket, split_rate
 from bitternpath.queue.sharding import home_shard
 
-MOST_BORROWED = 16  # tokens at once
-BORROW_FIRST_S, BORROW_MOST_S = 0.15, 0.4  # between requests; doubled while nothing is lent
+MAX_BORROWED_TOKENS = 16  # tokens at once
+MIN_BORROW_INTERVAL_S, MAX_BORROW_INTERVAL_S = 0.15, 0.4  # between requests; doubled while nothing is lent
 
 
-class Loan:
+class QuotaBorrower:
     """Borrowed tokens of one service in one shard, and when to ask for more."""
 
     def __init__(self) -> None:
         self.ask_at = float("-inf")  # not before
-        self._pause = BORROW_FIRST_S
+        self._pause = MIN_BORROW_INTERVAL_S
         self._tokens = 0
         self._ends_at = 0.0
 
@@ -33,7 +33,7 @@
     def asked(self, now: float) -> None:
         """A request goes out."""
         self.ask_at = now + self._pause
-        self._pause = min(2 * self._pause, BORROW_MOST_S)
+        self._pause = min(2 * self._pause, MAX_BORROW_INTERVAL_S)
 
     def lent(self, now: float, tokens: int, asked_at: float) -> None:
         """The answer to a request. Tokens of two requests lapse with those of the earlier one."""
@@ -43,10 +43,10 @@
         left = self.tokens(now)
         self._ends_at = min(self._ends_at, ends_at) if left else ends_at
         self._tokens = left + tokens
-        self._pause = BORROW_FIRST_S
+        self._pause = MIN_BORROW_INTERVAL_S
 
 
-class TokenPools:
+class QuotaPools:
     """The pools of the services whose home is one shard, at its owner. Each begins empty."""
 
     def __init__(self, shard: int, shards: int, window_s: float, over: float) -> None:
@@ -60,7 +60,7 @@
         for name, service in services.items():
             if service.rate_per_s <= 0 or home_shard(name, self._shards) != self._shard:
                 continue
-            split = split_ceiling(service.rate_per_s, self._shards, self._window_s, self._over)
+            split = split_rate(service.rate_per_s, self._shards, self._window_s, self._over)
             if not split.is_pooled:
                 continue
             pool = self._pools[name] = before.get(name) or TokenBucket(split.pool, now)
@@ -71,4 +71,4 @@
         pool = self._pools.get(service)
         if pool is None:
             return 0
-        return pool.take(now, min(wanted, MOST_BORROWED, ceil(pool.tokens(now) / 2)))
+        return pool.take(now, min(wanted, MAX_BORROWED_TOKENS, ceil(pool.tokens(now) / 2)))
--- a/bitternpath/queue/ready.py
+++ b/bitternpath/queue/ready.py
@@ -5,20 +5,20 @@
 import heapq
 from dataclasses import dataclass
 
-from bitternpath.queue.tracked import Phase, Tracked
+from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 
-LATE_LIMIT_S = 15.0  # after a message was due, a start is worth little (SYSTEM, tables of requests: "late")
+STALE_AFTER_S = 15.0  # after a message was due, a start is worth little (SYSTEM, tables of requests: "late")
 
 
 @dataclass(slots=True, eq=False)
 class _Candidate:
     start_by: float
-    tracked: Tracked
+    tracked: TrackedMessage
     serial: int
 
     @property
     def valid(self) -> bool:
-        return self.tracked.phase is Phase.READY and self.tracked.serial == self.serial
+        return self.tracked.phase is MessagePhase.READY and self.tracked.serial == self.serial
 
 
 class _Tier:
@@ -63,7 +63,7 @@
 class ReadyQueue:
     """Orders by priority (0 first), then timely before late, then the nearest start target, then the oldest.
 
-    Messages that were due over `LATE_LIMIT_S` ago come after all others, whatever their priority. Each
+    Messages that were due over `STALE_AFTER_S` ago come after all others, whatever their priority. Each
     message moves down at most twice, so that an operation is O(log n) on average.
     """
 
@@ -76,7 +76,7 @@
         timely_and_late = sum(len(members.timely) + len(members.late) for members in self._classes.values())
         return timely_and_late + len(self._expired)
 
-    def push(self, tracked: Tracked) -> None:
+    def push(self, tracked: TrackedMessage) -> None:
         """Add a message in phase READY with its route."""
         route = tracked.route
         assert route is not None
@@ -84,7 +84,7 @@
         candidate = _Candidate(start_by, tracked, tracked.serial)
         self._classes.setdefault(route.priority, _PriorityClass()).timely.push(candidate)
 
-    def first(self, now: float) -> Tracked | None:
+    def first(self, now: float) -> TrackedMessage | None:
         """The message that should go next; it leaves the queue when it leaves the phase READY."""
         for priority in sorted(self._classes):
             tier = self._first_tier(priority, now)
@@ -98,7 +98,7 @@
         members = self._classes[priority]
         while (tier := members.first_tier(now)) is members.late:
             candidate = tier.first()
-            if candidate is None or candidate.tracked.entry.due + LATE_LIMIT_S >= now:
+            if candidate is None or candidate.tracked.entry.due + STALE_AFTER_S >= now:
                 return tier
             self._expired.push(tier.pop())
         return tier
--- a/bitternpath/queue/results.py
+++ b/bitternpath/queue/results.py
@@ -9,13 +9,13 @@
     ConfirmCallbacks,
     EndAttempt,
     ExpireMessage,
-    ForgetMessages,
     GrantLease,
+    RemoveTombstones,
 )
 from bitternpath.transport.records import MessageState
 
 
-class Added(Struct, frozen=True):
+class MessageAppended(Struct, frozen=True):
     """Result of `AppendMessage`. `new` False: the request id was known, and is in `known_state`."""
 
     command: AppendMessage
@@ -43,7 +43,7 @@
     ended_now: bool
 
 
-class Expired(Struct, frozen=True):
+class MessageExpired(Struct, frozen=True):
     """Result of `ExpireMessage`. `ended_now` False: it had ended, was unknown, or is leased anew."""
 
     command: ExpireMessage
@@ -57,11 +57,13 @@
     count: int
 
 
-class Forgotten(Struct, frozen=True):
-    """Result of `ForgetMessages`: how many tombstones went."""
+class TombstonesRemoved(Struct, frozen=True):
+    """Result of `RemoveTombstones`: how many tombstones went."""
 
-    command: ForgetMessages
+    command: RemoveTombstones
     count: int
 
 
-Result = Added | LeaseGranted | AttemptEnded | Expired | CallbacksConfirmed | Forgotten
+Result = (
+    MessageAppended | LeaseGranted | AttemptEnded | MessageExpired | CallbacksConfirmed | TombstonesRemoved
+)
--- a/bitternpath/queue/routes.py
+++ b/bitternpath/queue/routes.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 
 from bitternpath.configuration.documents import Route, RoutingTable
-from bitternpath.queue.tracked import Tracked
+from bitternpath.queue.tracked_messages import TrackedMessage
 
-Members = dict[str, Tracked]  # by request id
+Members = dict[str, TrackedMessage]  # by request id
 
 
 class RouteIndex:
@@ -18,7 +18,7 @@
         self._by_route: dict[str, Members] = {}
         self._unrouted: Members = {}
 
-    def assign(self, tracked: Tracked) -> None:
+    def assign(self, tracked: TrackedMessage) -> None:
         """Set `tracked.route` by the table in force; None where it has none."""
         if tracked.route is not None:
             return
@@ -28,13 +28,13 @@
         members = self._unrouted if tracked.route is None else self._members(tracked.route.name)
         members[tracked.request_id] = tracked
 
-    def remove(self, tracked: Tracked) -> None:
+    def remove(self, tracked: TrackedMessage) -> None:
         """Its message has ended."""
         self._unrouted.pop(tracked.request_id, None)
         if tracked.route is not None:
             self._members(tracked.route.name).pop(tracked.request_id, None)
 
-    def configure(self, table: RoutingTable) -> list[Tracked]:
+    def configure(self, table: RoutingTable) -> list[TrackedMessage]:
         """Take another table; returns the messages to look at again, without a route where it may differ."""
         old, self.table = self.table, table
         affected = list(self._release(self._unrouted))
@@ -47,7 +47,7 @@
                 affected.extend(self._taken_over(old, route))
         return affected
 
-    def _update(self, old: Route, new: Route | None) -> Iterator[Tracked]:
+    def _update(self, old: Route, new: Route | None) -> Iterator[TrackedMessage]:
         """Messages of a route that has changed. Those of an unchanged one keep it at no cost."""
         if old == new:
             return
@@ -61,14 +61,14 @@
             if replaced:
                 yield tracked
 
-    def _taken_over(self, old: RoutingTable, added: Route) -> Iterator[Tracked]:
+    def _taken_over(self, old: RoutingTable, added: Route) -> Iterator[TrackedMessage]:
         """Messages of routes with a shorter prefix on the host of a route that is new."""
         for route in old.routes.values():
             same_host = route.host.lower() == added.host.lower()
             if same_host and added.path_prefix.startswith(route.path_prefix):
                 yield from self._release(self._members(route.name))
 
-    def _release(self, members: Members) -> Iterator[Tracked]:
+    def _release(self, members: Members) -> Iterator[TrackedMessage]:
         released = list(members.values())
         members.clear()
         for tracked in released:
--- a/bitternpath/queue/state.py
+++ b/bitternpath/queue/state.py
@@ -15,19 +15,19 @@
     ConfirmCallbacks,
     EndAttempt,
     ExpireMessage,
-    ForgetMessages,
     GrantLease,
+    RemoveTombstones,
 )
 from bitternpath.queue.entries import Entry, Lease, new_entry
 from bitternpath.queue.ordering import OrderQueues
 from bitternpath.queue.results import (
-    Added,
     AttemptEnded,
     CallbacksConfirmed,
-    Expired,
-    Forgotten,
     LeaseGranted,
+    MessageAppended,
+    MessageExpired,
     Result,
+    TombstonesRemoved,
 )
 from bitternpath.queue.snapshot import decode_snapshot, encode_snapshot
 from bitternpath.transport.records import AttemptOutcome, MessageState
@@ -90,7 +90,7 @@
                 return self._expire(command)
             case ConfirmCallbacks():
                 return self._confirm(command)
-            case ForgetMessages():
+            case RemoveTombstones():
                 return self._forget(command)
 
     def snapshot(self) -> bytes:
@@ -115,17 +115,17 @@
         if entry.message.order_key:
             self._order.append(entry.message.order_key, entry.message.request_id)
 
-    def _append(self, index: int, command: AppendMessage) -> Added:
+    def _append(self, index: int, command: AppendMessage) -> MessageAppended:
         message = command.message
         known = self._entries.get(message.request_id)
         if known is not None:
-            return Added(command, False, known.state)
+            return MessageAppended(command, False, known.state)
         entry = new_entry(message, index, self._clock(), self._wall_ms())
         self._entries[message.request_id] = entry
         self.queued += 1
         self.body_bytes += len(message.body)
         self._enqueue(entry)
-        return Added(command, True, entry.state)
+        return MessageAppended(command, True, entry.state)
 
     def _grant(self, command: GrantLease) -> LeaseGranted:
         entry = self._entries.get(command.request_id)
@@ -164,15 +164,15 @@
             case AttemptOutcome.NOT_RUN | AttemptOutcome.UNKNOWN:
                 return MessageState.QUEUED
 
-    def _expire(self, command: ExpireMessage) -> Expired:
+    def _expire(self, command: ExpireMessage) -> MessageExpired:
         entry = self._entries.get(command.request_id)
         if entry is None or entry.ended:
-            return Expired(command, False)
+            return MessageExpired(command, False)
         current = "" if entry.lease is None else entry.lease.lease_id
         if current != command.lease_id:
-            return Expired(command, False)
+            return MessageExpired(command, False)
         self._end(entry, MessageState.DEAD_LETTER, "")
-        return Expired(command, True)
+        return MessageExpired(command, True)
 
     def _end(self, entry: Entry, state: MessageState, stamp: str) -> None:
         self.body_bytes -= len(entry.message.body)
@@ -191,7 +191,7 @@
                 count += 1
         return CallbacksConfirmed(command, count)
 
-    def _forget(self, command: ForgetMessages) -> Forgotten:
+    def _forget(self, command: RemoveTombstones) -> TombstonesRemoved:
         count = 0
         for request_id in command.request_ids:
             entry = self._entries.get(request_id)
@@ -200,4 +200,4 @@
             del self._entries[request_id]
             self.body_bytes -= len(entry.message.body)
             count += 1
-        return Forgotten(command, count)
+        return TombstonesRemoved(command, count)
--- a/bitternpath/queue/timers.py
+++ b/bitternpath/queue/timers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from bitternpath.queue.tracked import Phase, Tracked
+from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 
 
 class TimerKind(Enum):
@@ -22,7 +22,7 @@
 
     when: float
     kind: TimerKind
-    tracked: Tracked
+    tracked: TrackedMessage
     serial: int
 
     @property
@@ -30,7 +30,7 @@
         """Whether nothing is left to do."""
         if self.kind is TimerKind.PHASE:
             return self.serial != self.tracked.serial
-        return self.tracked.phase is Phase.ENDED
+        return self.tracked.phase is MessagePhase.ENDED
 
 
 class TimerQueue:
@@ -40,7 +40,7 @@
         self._heap: list[tuple[float, int, Timer]] = []
         self._sequence = 0
 
-    def set(self, when: float, kind: TimerKind, tracked: Tracked) -> None:
+    def set(self, when: float, kind: TimerKind, tracked: TrackedMessage) -> None:
         """Fire at `when`."""
         self._sequence += 1
         heapq.heappush(self._heap, (when, self._sequence, Timer(when, kind, tracked, tracked.serial)))
--- a/bitternpath/queue/tombstones.py
+++ b/bitternpath/queue/tombstones.py
@@ -4,11 +4,11 @@
 
 import heapq
 
-from bitternpath.queue.commands import ForgetMessages
+from bitternpath.queue.commands import RemoveTombstones
 from bitternpath.queue.entries import Entry
 
-FORGET_MARGIN_S = 10.0  # beyond `status_s`, for clients whose clock or network is slow
-FORGET_BATCH = 256  # messages a command
+REMOVAL_MARGIN_S = 10.0  # beyond `status_s`, for clients whose clock or network is slow
+REMOVAL_BATCH_SIZE = 256  # messages a command
 UNCONFIRMED_RECHECK_S = 10.0  # while a call-back is owed
 
 
@@ -16,7 +16,7 @@
     """Ended messages by the time at which they may go. `status_s` is how long states are told."""
 
     def __init__(self, status_s: float) -> None:
-        self._keep_s = status_s + FORGET_MARGIN_S
+        self._keep_s = status_s + REMOVAL_MARGIN_S
         self._heap: list[tuple[float, int, Entry]] = []
         self._sequence = 0
 
@@ -28,7 +28,7 @@
         """The command that should forget it got lost before the log."""
         self._push(now + UNCONFIRMED_RECHECK_S, entry)
 
-    def collect(self, now: float, retention_s: float) -> list[ForgetMessages]:
+    def collect(self, now: float, retention_s: float) -> list[RemoveTombstones]:
         """Commands that forget what may go: told long enough, and called back or beyond `retention_s`."""
         ids: list[str] = []
         while self._heap and self._heap[0][0] <= now:
@@ -38,8 +38,8 @@
                 continue
             ids.append(entry.message.request_id)
         return [
-            ForgetMessages(tuple(ids[start : start + FORGET_BATCH]))
-            for start in range(0, len(ids), FORGET_BATCH)
+            RemoveTombstones(tuple(ids[start : start + REMOVAL_BATCH_SIZE]))
+            for start in range(0, len(ids), REMOVAL_BATCH_SIZE)
         ]
 
     def next_wakeup(self) -> float | None:
--- a/bitternpath/queue/tracked.py
+++ b/bitternpath/queue/tracked_messages.py
@@ -12,21 +12,21 @@
 from bitternpath.transport.records import AttemptOutcome
 
 
-class Phase(Enum):
+class MessagePhase(Enum):
     """Where an unended message stands with the owner."""
 
-    HELD = "it has no route, or not yet"
+    UNROUTED = "it has no route, or not yet"
     BLOCKED = "an earlier message has its order key"
-    WAITING = "its delay or a back-off is not over"
+    DELAYED = "its delay or a back-off is not over"
     READY = "it may be leased"
     GRANTING = "a lease has been proposed"
     LEASED = "a lease is out"
-    ENDING = "its end has been proposed"
+    EXPIRING = "its end has been proposed"
     ENDED = "it has ended"
 
 
 @dataclass(slots=True, eq=False)
-class OutLease:
+class InFlightLease:
     """A lease that takes up room at a service; `poll_id` is that of a pulling worker, else None."""
 
     request_id: str
@@ -38,19 +38,19 @@
 
 
 @dataclass(slots=True, eq=False)
-class Tracked:
+class TrackedMessage:
     """An unended message. `serial` rises with each change of phase; timers and queues of older ones lapse."""
 
     entry: Entry
-    accepted_here: bool  # by this owner, which has heard of each end of an edge node's process since
-    phase: Phase = Phase.HELD
+    accepted_by_this_owner: bool  # by this owner, which has heard of each end of an edge node's process since
+    phase: MessagePhase = MessagePhase.UNROUTED
     serial: int = 0
     route: Route | None = None
     unrouted_since: float = inf  # when its route was found to be gone
-    not_before: float = 0.0  # end of its back-off
-    ends_at: float = 0.0  # of its lease
+    retry_at: float = 0.0  # end of its back-off
+    lease_ends_at: float = 0.0  # of its lease
     retention_timer: float = inf  # when its retention timer fires
-    lease: OutLease | None = None
+    lease: InFlightLease | None = None
     ahead: GrantLease | None = None  # in the log or proposed for it, for whichever worker asks next
     last_outcome: AttemptOutcome | None = None
     repetitions: int = 0  # of that outcome in a row, before the last
@@ -61,12 +61,12 @@
         """The message's request id."""
         return self.entry.message.request_id
 
-    def enter(self, phase: Phase) -> None:
+    def enter(self, phase: MessagePhase) -> None:
         """Change its phase."""
         self.phase = phase
         self.serial += 1
 
-    def count_outcome(self, outcome: AttemptOutcome) -> int:
+    def count_repetitions(self, outcome: AttemptOutcome) -> int:
         """How often this outcome came in a row before."""
         self.repetitions = self.repetitions + 1 if outcome is self.last_outcome else 0
         self.last_outcome = outcome
--- a/tests/system/test_early_leases.py
+++ b/tests/system/test_early_leases.py
@@ -7,7 +7,7 @@
 
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
 from bitternpath.queue.commands import AppendMessage, GrantLease
-from bitternpath.queue.granting import MOST_AHEAD
+from bitternpath.queue.lease_granting import MAX_PREGRANTED_LEASES
 from bitternpath.transport.records import Message, MessageState
 from tests.system.test_queue_rig import PULL_LEASE_S, SUCCEEDED, WALL_MS, Rig, changed, request_ids
 
@@ -89,14 +89,14 @@
         self.assertIsInstance(grant, GrantLease)
 
     def test_jobs_leased_ahead_are_bounded(self) -> None:
-        for number in range(MOST_AHEAD + 5):
+        for number in range(MAX_PREGRANTED_LEASES + 5):
             self.commit(self.propose(f"m{number}", "/jobs/x"))
             self.commit(self.rig.take_proposed())
         leased = [entry for entry in self.rig.state if entry.lease is not None]
-        self.assertEqual(len(leased), MOST_AHEAD)
+        self.assertEqual(len(leased), MAX_PREGRANTED_LEASES)
         self.rig.poll(1)
         self.assertEqual(self.rig.answer().message.request_id, "m0")
-        self.assertEqual(len(self.rig.owner._lanes.find("puller").ahead), MOST_AHEAD - 1)
+        self.assertEqual(len(self.rig.owner._services.find("puller").ahead), MAX_PREGRANTED_LEASES - 1)
 
     def test_after_a_take_over_a_job_leased_ahead_counts_as_handed_out(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
@@ -115,7 +115,7 @@
         self.assertIs(self.rig.state_of("m"), MessageState.DEAD_LETTER)
         self.rig.poll(1)
         self.assertEqual(self.rig.take_sent(AnswerPoll), [])
-        self.assertEqual(self.rig.owner._lanes.find("puller").ahead, set())
+        self.assertEqual(self.rig.owner._services.find("puller").ahead, set())
 
     def test_a_delayed_message_waits(self) -> None:
         self.assertEqual(len(self.propose("m", delay_ms=1)), 1)
--- a/tests/system/test_lending.py
+++ b/tests/system/test_lending.py
@@ -11,20 +11,26 @@
 from unittest.mock import patch
 
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
-from bitternpath.queue import loans
+from bitternpath.queue import quota_leases as loans
 from bitternpath.queue.actions import BorrowTokens, SendDelivery
-from bitternpath.queue.loans import BORROW_FIRST_S, BORROW_MOST_S, MOST_BORROWED, Loan, TokenPools
 from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.quota_leases import (
+    MAX_BORROW_INTERVAL_S,
+    MAX_BORROWED_TOKENS,
+    MIN_BORROW_INTERVAL_S,
+    QuotaBorrower,
+    QuotaPools,
+)
 from bitternpath.queue.rate_limits import (
     ALLOWED_EXCESS,
-    LEND_LAG_S,
-    POOL_LAG_S,
+    LENDER_OVERLAP_S,
+    MAX_POOL_DELAY_S,
+    MAX_SEND_DELAY_S,
     QUOTA_LEASE_S,
-    SEND_LAG_S,
-    CeilingShare,
+    BucketShare,
     TokenBucket,
-    ceiling_share,
-    split_ceiling,
+    equal_share,
+    split_rate,
 )
 from bitternpath.queue.sharding import home_shard
 from tests.system.test_queue_rig import SUCCEEDED, Rig
@@ -42,17 +48,17 @@
             for shards in (1, 2, 3, 7, 12, 19, 40, 300, 2_000):
                 for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
                     with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        split = split_ceiling(rate, shards, window_s, over)
+                        split = split_rate(rate, shards, window_s, over)
                         base, pool = split.base, split.pool
-                        spent = shards * (base.refill_per_s * (window_s + SEND_LAG_S) + base.burst)
-                        lent = pool.refill_per_s * (window_s + POOL_LAG_S) + pool.burst
+                        spent = shards * (base.refill_per_s * (window_s + MAX_SEND_DELAY_S) + base.burst)
+                        lent = pool.refill_per_s * (window_s + MAX_POOL_DELAY_S) + pool.burst
                         self.assertLessEqual(spent + lent, rate * window_s * over + ALLOWED_EXCESS + 1e-6)
                         self.assertLessEqual(shards * base.refill_per_s + pool.refill_per_s, rate + 1e-9)
 
     def test_a_rate_is_not_lost_over_many_shards(self) -> None:
         for rate, shards in ((32.0, 19), (32.0, 300), (2.0, 300), (19.5, 2_000)):
             with self.subTest(rate=rate, shards=shards):
-                split = split_ceiling(rate, shards, WINDOW_S, OVER)
+                split = split_rate(rate, shards, WINDOW_S, OVER)
                 self.assertTrue(split.is_pooled)
                 whole = shards * split.base.refill_per_s + split.pool.refill_per_s
                 self.assertGreater(whole, 0.75 * rate)
@@ -60,14 +66,14 @@
     def test_few_shards_have_equal_shares_and_nothing_is_lent(self) -> None:
         for rate, shards in ((19.5, 3), (2.0, 1), (0.5, 7), (32.0, 7), (400.0, 19)):
             with self.subTest(rate=rate, shards=shards):
-                split = split_ceiling(rate, shards, WINDOW_S, OVER)
+                split = split_rate(rate, shards, WINDOW_S, OVER)
                 self.assertFalse(split.is_pooled)
-                self.assertEqual(split.base, ceiling_share(rate, shards, WINDOW_S, OVER))
+                self.assertEqual(split.base, equal_share(rate, shards, WINDOW_S, OVER))
 
 
 class Loans(unittest.TestCase):
     def test_tokens_lapse_by_when_they_were_asked_for(self) -> None:
-        loan = Loan()
+        loan = QuotaBorrower()
         loan.lent(100.3, 3, asked_at=100.0)
         self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S - 0.01), 3)
         self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S), 0)
@@ -75,14 +81,14 @@
         self.assertEqual(loan.tokens(101.0), 0)
 
     def test_tokens_of_two_requests_lapse_with_those_of_the_earlier_one(self) -> None:
-        loan = Loan()
+        loan = QuotaBorrower()
         loan.lent(100.1, 3, asked_at=100.0)
         loan.lent(100.2, 2, asked_at=100.1)
         self.assertEqual(loan.tokens(100.2), 5)
         self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S), 0)
 
     def test_pauses_double_while_nothing_is_lent(self) -> None:
-        loan, now, pauses = Loan(), 100.0, []
+        loan, now, pauses = QuotaBorrower(), 100.0, []
         for _ in range(6):
             loan.asked(now)
             pauses.append(round(loan.ask_at - now, 6))
@@ -90,15 +96,15 @@
         self.assertEqual(pauses, [0.15, 0.3, 0.4, 0.4, 0.4, 0.4])
         loan.lent(now, 1, asked_at=now - 0.01)
         loan.asked(now)
-        self.assertAlmostEqual(loan.ask_at, now + BORROW_FIRST_S)
-        self.assertEqual(pauses[-1], BORROW_MOST_S)
+        self.assertAlmostEqual(loan.ask_at, now + MIN_BORROW_INTERVAL_S)
+        self.assertEqual(pauses[-1], MAX_BORROW_INTERVAL_S)
 
     def test_a_pool_begins_empty_and_lends_what_it_has(self) -> None:
         home = home_shard("limited", SHARDS)
-        pools = TokenPools(home, SHARDS, WINDOW_S, OVER)
+        pools = QuotaPools(home, SHARDS, WINDOW_S, OVER)
         pools.configure(100.0, TABLE.services)
         self.assertEqual(pools.lend(100.0, "limited", 5), 0)
-        pool = split_ceiling(RATE, SHARDS, WINDOW_S, OVER).pool
+        pool = split_rate(RATE, SHARDS, WINDOW_S, OVER).pool
         there = int(0.2 * pool.refill_per_s)
         self.assertEqual(pools.lend(100.2, "limited", 100), ceil(there / 2))
         self.assertEqual(pools.lend(105.0, "limited", 100), ceil(int(pool.burst) / 2))
@@ -107,7 +113,7 @@
 
     def test_only_the_home_shard_has_a_pool(self) -> None:
         for shard in range(SHARDS):
-            pools = TokenPools(shard, SHARDS, WINDOW_S, OVER)
+            pools = QuotaPools(shard, SHARDS, WINDOW_S, OVER)
             pools.configure(100.0, TABLE.services)
             lent = pools.lend(200.0, "limited", 1)
             self.assertEqual(lent, int(shard == home_shard("limited", SHARDS)))
@@ -160,7 +166,7 @@
         """Another owner; a former one of the home lends for a while, as one does that hasn't heard of it."""
         rig = self.rigs[shard]
         if shard == self.home:
-            self.former = rig.now + LEND_LAG_S, rig.owner
+            self.former = rig.now + LENDER_OVERLAP_S, rig.owner
         rig.own()
 
     def _act(self, rig: ShardRig) -> None:
@@ -169,7 +175,7 @@
                 self._borrow(rig, action)
                 continue
             self.begun[rig.shard] += 1
-            self.arrivals.append(rig.now + self.random.uniform(0.0, SEND_LAG_S - 0.25))
+            self.arrivals.append(rig.now + self.random.uniform(0.0, MAX_SEND_DELAY_S - 0.25))
             rig.end(action, SUCCEEDED)
 
     def _borrow(self, rig: ShardRig, asked: BorrowTokens) -> None:
@@ -232,7 +238,7 @@
         busy = (shards.home + 1) % SHARDS
         shards.append(busy, 400)
         shards.run(10.0)
-        equal = 10.0 * ceiling_share(RATE, SHARDS, WINDOW_S, OVER).refill_per_s
+        equal = 10.0 * equal_share(RATE, SHARDS, WINDOW_S, OVER).refill_per_s
         self.assertGreater(shards.begun[busy], 6 * equal)
         self.assertLessEqual(shards.most_in_a_window(), ALLOWED)
 
@@ -258,7 +264,7 @@
     def test_broken_builds_break_the_bound(self) -> None:
         begin = TokenBucket.__init__
 
-        def full_at_first(bucket: TokenBucket, share: CeilingShare, now: float) -> None:
+        def full_at_first(bucket: TokenBucket, share: BucketShare, now: float) -> None:
             begin(bucket, share, now - 1_000.0)
 
         self.assertLessEqual(restless_home(1), ALLOWED)
@@ -273,8 +279,8 @@
     """The most arrivals in a window where each shard has borrowed and then had nothing to send for long."""
     shards = Shards(3)
     for rig in shards.rigs:
-        lane = rig.owner._lanes.find("limited")
-        lane.loan.lent(rig.now, MOST_BORROWED, rig.now)
+        lane = rig.owner._services.find("limited")
+        lane.loan.lent(rig.now, MAX_BORROWED_TOKENS, rig.now)
     shards.run(2.0)
     for shard in range(SHARDS):
         shards.append(shard, 40)
--- a/tests/system/test_queue_campaign.py
+++ b/tests/system/test_queue_campaign.py
@@ -10,13 +10,13 @@
 from bitternpath.queue.actions import Action, ProposeCommand
 from bitternpath.queue.commands import AppendMessage, Command, EndAttempt, GrantLease
 from bitternpath.queue.entries import Entry
-from bitternpath.queue.lanes import LaneTable
 from bitternpath.queue.owner import ShardOwner
 from bitternpath.queue.placement import Placement
-from bitternpath.queue.rate_limits import CeilingShare, TokenBucket, split_ceiling
+from bitternpath.queue.rate_limits import BucketShare, TokenBucket, split_rate
 from bitternpath.queue.results import AttemptEnded, Result
+from bitternpath.queue.service_queues import ServiceQueueTable
 from bitternpath.queue.state import QueueState
-from bitternpath.queue.tracked import Tracked
+from bitternpath.queue.tracked_messages import TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_queue_checkers import Rule, check_all
 from tests.system.test_queue_nodes import CALM, RESTLESS, Build, Faults
@@ -50,7 +50,9 @@
     """Hands out at once what an earlier owner has leased."""
 
     def _take_in(self, now: float, entry: Entry) -> None:
-        tracked = self._tracked[entry.message.request_id] = Tracked(entry, accepted_here=False)
+        tracked = self._tracked[entry.message.request_id] = TrackedMessage(
+            entry, accepted_by_this_owner=False
+        )
         self._place(now, tracked)
 
 
@@ -123,7 +125,7 @@
 
 
 class _AnyTableEnds(Placement):
-    def _place_unrouted(self, now: float, tracked: Tracked) -> None:
+    def _place_unrouted(self, now: float, tracked: TrackedMessage) -> None:
         return self._end(tracked)
 
 
@@ -132,11 +134,11 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
-        self._placement = _AnyTableEnds(self._state, self._routes, self._lanes, self._timers)
+        self._placement = _AnyTableEnds(self._state, self._routes, self._services, self._timers)
 
 
-class _FullBuckets(LaneTable):
-    def new_bucket(self, now: float, service: str, share: CeilingShare) -> TokenBucket:
+class _FullBuckets(ServiceQueueTable):
+    def new_bucket(self, now: float, service: str, share: BucketShare) -> TokenBucket:
         return TokenBucket(share, now - 1_000.0)
 
 
@@ -145,9 +147,9 @@
 
     def __init__(self, state: QueueState, shard: int, shards: int, *rest: object) -> None:
         super().__init__(state, shard, shards, *rest)
-        self._lanes = _FullBuckets(shards, self._bounds.ceiling_window_s, self._bounds.origin_rate_over)
-        self._placement = Placement(state, self._routes, self._lanes, self._timers)
-        self._leases._lanes = self._lanes
+        self._services = _FullBuckets(shards, self._bounds.ceiling_window_s, self._bounds.origin_rate_over)
+        self._placement = Placement(state, self._routes, self._services, self._timers)
+        self._leases._services = self._services
 
 
 class NoCeilingShares(ShardOwner):
@@ -212,7 +214,7 @@
         for seed in range(4):
             with self.subTest(seed=seed):
                 world = World(seed, shards=10)
-                self.assertTrue(split_ceiling(2.0, 10, 5.0, 1.1).is_pooled)
+                self.assertTrue(split_rate(2.0, 10, 5.0, 1.1).is_pooled)
                 self.assertEqual(check_all(world.run(), world.terms), [])
 
     def test_without_faults(self) -> None:
--- a/tests/system/test_queue_ends.py
+++ b/tests/system/test_queue_ends.py
@@ -11,17 +11,17 @@
 )
 from bitternpath.queue.callbacks import (
     CALLBACK_TIMEOUT_S,
-    CONFIRM_WITHIN_S,
+    CONFIRMATION_BATCH_SIZE,
     MAX_CALLBACKS_PER_RECEIVER,
-    MOST_CONFIRMED_TOGETHER,
+    MAX_CONFIRMATION_DELAY_S,
 )
 from bitternpath.queue.commands import (
     ConfirmCallbacks,
     ExpireMessage,
-    ForgetMessages,
     GrantLease,
+    RemoveTombstones,
 )
-from bitternpath.queue.tombstones import FORGET_MARGIN_S
+from bitternpath.queue.tombstones import REMOVAL_MARGIN_S
 from bitternpath.transport.records import MessageState
 from tests.system.test_queue_rig import (
     NOT_RUN,
@@ -165,7 +165,7 @@
             rig.advance(longest + 0.01)
             self.assertEqual(len(rig.take_sent()), 1)
         rig.do(rig.owner.callback_report(rig.now, "m", True))
-        rig.advance(CONFIRM_WITHIN_S)
+        rig.advance(MAX_CONFIRMATION_DELAY_S)
         self.assertFalse(rig.state.find("m").callback_pending)
         rig.advance(60.0)
         self.assertEqual(rig.take_sent(), [])
@@ -188,7 +188,7 @@
         rig.take_sent()
         rig.automatic = False
         rig.do(rig.owner.callback_report(rig.now, "m", True))
-        rig.advance(CONFIRM_WITHIN_S)
+        rig.advance(MAX_CONFIRMATION_DELAY_S)
         (command,) = rig.take_proposed()
         self.assertEqual(command, ConfirmCallbacks(("m",)))
         rig.do(rig.owner.proposal_failed(rig.now, command))
@@ -211,14 +211,14 @@
 
     def test_many_confirmations_do_not_wait(self) -> None:
         rig = Rig()
-        for number in range(MOST_CONFIRMED_TOGETHER):
+        for number in range(CONFIRMATION_BATCH_SIZE):
             rig.append(f"m{number}", callback_url=self.URL)
             rig.end(rig.delivery(), SUCCEEDED)
         rig.automatic = False
-        for number in range(MOST_CONFIRMED_TOGETHER):
+        for number in range(CONFIRMATION_BATCH_SIZE):
             rig.do(rig.owner.callback_report(rig.now, f"m{number}", True))
         (confirmation,) = [each for each in rig.take_proposed() if isinstance(each, ConfirmCallbacks)]
-        self.assertEqual(len(confirmation.request_ids), MOST_CONFIRMED_TOGETHER)
+        self.assertEqual(len(confirmation.request_ids), CONFIRMATION_BATCH_SIZE)
 
     def test_few_go_to_one_receiver_at_once(self) -> None:
         rig = Rig()
@@ -241,7 +241,7 @@
         rig = Rig()
         rig.append("m")
         rig.end(rig.delivery(), SUCCEEDED)
-        rig.advance(120.0 + FORGET_MARGIN_S - 0.1)
+        rig.advance(120.0 + REMOVAL_MARGIN_S - 0.1)
         self.assertIsNotNone(rig.state.find("m"))
         rig.advance(0.2)
         self.assertIsNone(rig.state.find("m"))
@@ -275,4 +275,4 @@
         rig.automatic = False
         rig.advance(131.0)
         self.assertEqual([len(command.request_ids) for command in rig.proposed], [256, 256, 88])
-        self.assertTrue(all(isinstance(command, ForgetMessages) for command in rig.proposed))
+        self.assertTrue(all(isinstance(command, RemoveTombstones) for command in rig.proposed))
--- a/tests/system/test_queue_limits.py
+++ b/tests/system/test_queue_limits.py
@@ -9,10 +9,10 @@
     AnswerPoll,
     SendDelivery,
 )
-from bitternpath.queue.backoff import LEAST_WINDOW, PACE_S, RetryBudget, pause_after
-from bitternpath.queue.edges import MAX_LEASES_PER_EDGE
-from bitternpath.queue.lanes import LEAST_OUT
-from bitternpath.queue.rate_limits import ALLOWED_EXCESS, SEND_LAG_S, TokenBucket, ceiling_share
+from bitternpath.queue.backoff import MIN_LIMIT, PACING_INTERVAL_S, AdaptiveConcurrencyLimit, backoff_after
+from bitternpath.queue.edge_nodes import MAX_LEASES_PER_EDGE
+from bitternpath.queue.rate_limits import ALLOWED_EXCESS, MAX_SEND_DELAY_S, TokenBucket, equal_share
+from bitternpath.queue.service_queues import MIN_IN_FLIGHT
 from tests.system.test_queue_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 
@@ -30,10 +30,10 @@
         for outcome, pauses in cases:
             for repetition, expected in enumerate(pauses):
                 with self.subTest(outcome=outcome, repetition=repetition):
-                    drawn = [pause_after(outcome, repetition, 0, random) for _ in range(50)]
+                    drawn = [backoff_after(outcome, repetition, 0, random) for _ in range(50)]
                     self.assertGreaterEqual(min(drawn), expected * 0.75)
                     self.assertLessEqual(max(drawn), expected * 1.25)
-        self.assertEqual(pause_after(FAILED, 0, 5_000, random), 5.0)
+        self.assertEqual(backoff_after(FAILED, 0, 5_000, random), 5.0)
 
     def test_a_message_waits_for_its_pause(self) -> None:
         rig = Rig()
@@ -45,19 +45,19 @@
         rig.delivery()
 
     def test_a_failing_service_is_not_stormed_and_recovers_at_once(self) -> None:
-        budget = RetryBudget()
+        budget = AdaptiveConcurrencyLimit()
         now = 0.0
         for _ in range(40):
             now += 0.2
             budget.record(now, FAILED, 64)
-        self.assertEqual(budget.window, LEAST_WINDOW)
+        self.assertEqual(budget.window, MIN_LIMIT)
         self.assertIsNone(budget.next_grant(now, 4))
         for _ in range(4):
             budget.record(now, SUCCEEDED, 4)
-        self.assertEqual(budget.window, LEAST_WINDOW * 16)
+        self.assertEqual(budget.window, MIN_LIMIT * 16)
 
     def test_a_few_failures_among_successes_limit_nothing(self) -> None:
-        budget = RetryBudget()
+        budget = AdaptiveConcurrencyLimit()
         for number in range(200):
             budget.record(number * 0.2, FAILED if number % 3 == 0 else SUCCEEDED, 10)
         self.assertEqual(budget.next_grant(100.0, 500), 100.0)
@@ -72,7 +72,7 @@
                 grants += 1
                 rig.end(delivery, NOT_RUN)
             rig.advance(0.01)
-        self.assertLess(grants, 10.0 / PACE_S + 2 * MAX_LEASES_PER_EDGE)
+        self.assertLess(grants, 10.0 / PACING_INTERVAL_S + 2 * MAX_LEASES_PER_EDGE)
         for delivery in rig.take_sent(SendDelivery):
             rig.end(delivery, SUCCEEDED)
         rig.advance(0.1)
@@ -105,9 +105,9 @@
         rig.do(rig.owner.set_capacities(rig.now, {}))
         for number in range(20):
             rig.append(f"m{number}")
-        self.assertEqual(len(rig.take_sent(SendDelivery)), LEAST_OUT)
+        self.assertEqual(len(rig.take_sent(SendDelivery)), MIN_IN_FLIGHT)
         rig.do(rig.owner.set_capacities(rig.now, {"worker": 5}))
-        self.assertEqual(len(rig.take_sent(SendDelivery)), 10 - LEAST_OUT)
+        self.assertEqual(len(rig.take_sent(SendDelivery)), 10 - MIN_IN_FLIGHT)
 
     def test_endpoints_and_workers_that_pull_are_on_no_list(self) -> None:
         rig = Rig()
@@ -126,8 +126,8 @@
             for shards in range(1, 13):
                 for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
                     with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        share = ceiling_share(rate, shards, window_s, over)
-                        spent = share.refill_per_s * (window_s + SEND_LAG_S) + share.burst
+                        share = equal_share(rate, shards, window_s, over)
+                        spent = share.refill_per_s * (window_s + MAX_SEND_DELAY_S) + share.burst
                         allowed = rate * window_s * over + ALLOWED_EXCESS
                         self.assertLessEqual(shards * spent, allowed + 1e-6)
                         self.assertLessEqual(share.refill_per_s, rate / shards)
@@ -135,11 +135,11 @@
 
     def test_nearly_the_whole_rate_is_used(self) -> None:
         for shards in (1, 2, 3, 4):
-            share = ceiling_share(19.5, shards, 5.0, 1.1)
+            share = equal_share(19.5, shards, 5.0, 1.1)
             self.assertGreater(share.refill_per_s * shards, 0.9 * 19.5)
 
     def test_a_bucket_is_empty_at_first_and_never_over_its_burst(self) -> None:
-        share = ceiling_share(2.0, 1, 5.0, 1.1)
+        share = equal_share(2.0, 1, 5.0, 1.1)
         bucket = TokenBucket(share, 100.0)
         self.assertFalse(bucket.ready(100.0))
         self.assertAlmostEqual(bucket.next_ready(100.0), 100.0 + 1.0 / share.refill_per_s)
--- a/tests/system/test_queue_nodes.py
+++ b/tests/system/test_queue_nodes.py
@@ -23,7 +23,7 @@
 )
 from bitternpath.queue.commands import COMMANDS, Command
 from bitternpath.queue.owner import OwnerSettings, ShardOwner
-from bitternpath.queue.results import AttemptEnded, Expired, Result
+from bitternpath.queue.results import AttemptEnded, MessageExpired, Result
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import AttemptOutcome
@@ -205,7 +205,7 @@
         result = self.state.apply(len(self.log), data)
         if isinstance(result, AttemptEnded) and result.effective:
             self.world.history.released[result.command.lease_id] = self.world.simulation.now
-        if isinstance(result, AttemptEnded | Expired) and result.ended_now:
+        if isinstance(result, AttemptEnded | MessageExpired) and result.ended_now:
             self._tell(result.command.request_id)
         return result
 
--- a/tests/system/test_queue_owner.py
+++ b/tests/system/test_queue_owner.py
@@ -9,11 +9,11 @@
     EndAttempt,
     GrantLease,
 )
-from bitternpath.queue.edges import MAX_LEASES_PER_EDGE
-from bitternpath.queue.granting import POLLS_ASKED_FIRST_S, POLLS_ASKED_MOST_S
-from bitternpath.queue.leases import PUSH_LEASE_MARGIN_MS
+from bitternpath.queue.edge_nodes import MAX_LEASES_PER_EDGE
+from bitternpath.queue.lease_granting import MAX_POLLERS_REQUEST_INTERVAL_S, MIN_POLLERS_REQUEST_INTERVAL_S
+from bitternpath.queue.lease_table import PUSH_LEASE_MARGIN_MS
 from bitternpath.queue.placement import UNROUTED_GRACE_S
-from bitternpath.queue.ready import LATE_LIMIT_S
+from bitternpath.queue.ready import STALE_AFTER_S
 from bitternpath.transport.records import MessageState
 from tests.system.test_queue_rig import (
     FAILED,
@@ -163,7 +163,7 @@
     def test_the_best_goes_first(self) -> None:
         rig = Rig(edges=())
         rig.append("past the late limit", "/urgent/x")
-        rig.advance(LATE_LIMIT_S - 2.0)
+        rig.advance(STALE_AFTER_S - 2.0)
         rig.append("late", "/plain/x")
         rig.advance(2.1)
         rig.append("relaxed", "/relaxed/x")
@@ -378,7 +378,7 @@
         rig = Rig()
         for number in range(5_000):
             rig.append(f"m{number}", "/jobs/x")
-        self.assertEqual(rig.owner.next_wakeup(rig.now), rig.now + POLLS_ASKED_FIRST_S)
+        self.assertEqual(rig.owner.next_wakeup(rig.now), rig.now + MIN_POLLERS_REQUEST_INTERVAL_S)
         rig.poll(1)
         self.assertEqual(rig.answer().message.request_id, "m0")
 
@@ -387,8 +387,8 @@
         rig.append("m0", "/jobs/x")
         rig.append("m1", "/jobs/x")
         rig.advance(10.0)
-        self.assertLess(len(rig.asked), 10.0 / POLLS_ASKED_MOST_S + 5)
-        self.assertGreater(len(rig.asked), 10.0 / POLLS_ASKED_MOST_S - 5)
+        self.assertLess(len(rig.asked), 10.0 / MAX_POLLERS_REQUEST_INTERVAL_S + 5)
+        self.assertGreater(len(rig.asked), 10.0 / MAX_POLLERS_REQUEST_INTERVAL_S - 5)
 
     def test_a_job_after_the_others_have_gone_is_asked_for_soon(self) -> None:
         rig = Rig()
@@ -396,7 +396,7 @@
         rig.advance(10.0)
         rig.poll(1)
         rig.answer()
-        rig.advance(POLLS_ASKED_FIRST_S)
+        rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
         asked = len(rig.asked)
         rig.append("m1", "/jobs/x")
         self.assertEqual(len(rig.asked), asked + 1)
--- a/tests/system/test_queue_pulls.py
+++ b/tests/system/test_queue_pulls.py
@@ -13,7 +13,7 @@
 from bitternpath.queue.commands import (
     GrantLease,
 )
-from bitternpath.queue.granting import POLLS_ASKED_FIRST_S
+from bitternpath.queue.lease_granting import MIN_POLLERS_REQUEST_INTERVAL_S
 from tests.system.test_queue_rig import NOT_RUN, PULL_LEASE_S, SUCCEEDED, Rig
 
 
@@ -36,7 +36,7 @@
         rig.append("m", "/jobs/x")
         rig.append("n", "/jobs/x")
         self.assertEqual(rig.asked, [RequestPollers("puller", 1)])
-        rig.advance(POLLS_ASKED_FIRST_S)
+        rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
         self.assertEqual(rig.asked[1:], [RequestPollers("puller", 2)])
         rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # pauses that double up to POLLS_ASKED_MOST_S
         self.assertEqual(len(rig.asked), 6)
--- a/tests/system/test_queue_rig.py
+++ b/tests/system/test_queue_rig.py
@@ -20,7 +20,7 @@
     AppendMessage,
     Command,
 )
-from bitternpath.queue.leases import PUSH_LEASE_MARGIN_MS
+from bitternpath.queue.lease_table import PUSH_LEASE_MARGIN_MS
 from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnerSettings, ShardOwner
 from bitternpath.queue.results import Result
 from bitternpath.queue.state import QueueState
--- a/tests/system/test_queue_state.py
+++ b/tests/system/test_queue_state.py
@@ -15,8 +15,8 @@
     ConfirmCallbacks,
     EndAttempt,
     ExpireMessage,
-    ForgetMessages,
     GrantLease,
+    RemoveTombstones,
 )
 from bitternpath.queue.entries import Entry
 from bitternpath.queue.results import AttemptEnded, Result
@@ -196,13 +196,13 @@
             replica.apply(AppendMessage(message("m")), grant("m", "L"), end("m", "L", outcome))
             self.assertEqual(replica.entry("m").message.body, body)
             self.assertEqual(replica.state.body_bytes, len(body))
-            replica.apply(ForgetMessages(("m",)))
+            replica.apply(RemoveTombstones(("m",)))
             self.assertEqual((replica.state.find("m"), replica.state.body_bytes), (None, 0))
 
     def test_only_tombstones_are_forgotten(self) -> None:
         replica = Replica()
         replica.apply(AppendMessage(message("m")))
-        self.assertEqual(replica.apply(ForgetMessages(("m", "unknown"))).count, 0)
+        self.assertEqual(replica.apply(RemoveTombstones(("m", "unknown"))).count, 0)
         self.assertIsNotNone(replica.state.find("m"))
 
     def test_a_call_back_is_owed_from_the_end_to_its_confirmation(self) -> None:
@@ -354,7 +354,7 @@
         end(request_id, lease, random.choice(list(AttemptOutcome))),
         ExpireMessage(request_id, random.choice(("", lease))),
         ConfirmCallbacks((request_id,)),
-        ForgetMessages((request_id,)),
+        RemoveTombstones((request_id,)),
     )
     return random.choices(choices, (30, 30, 30, 2, 3, 1))[0]
 
--- a/tests/system/test_queue_world.py
+++ b/tests/system/test_queue_world.py
@@ -17,7 +17,7 @@
 
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable
 from bitternpath.queue.commands import AppendMessage, EndAttempt
-from bitternpath.queue.results import Added, AttemptEnded, Result
+from bitternpath.queue.results import AttemptEnded, MessageAppended, Result
 from bitternpath.queue.sharding import shard_for
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from tests.system.test_queue_checkers import (
@@ -199,7 +199,7 @@
         accepted = structs.replace(message, accepted_version=edge.table.version)
 
         def applied(result: Result | None) -> None:
-            assert isinstance(result, Added)
+            assert isinstance(result, MessageAppended)
             if not self.lost():
                 self._accept(message, sent)
 
