--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -1,8 +1,21 @@
-"""Call-backs that a shard owes: who is told next, and when one is repeated.
+"""Call-backs that a shard owes: which receiver is notified next, and when a call is repeated.
 
-A receiver that fails call after call is asked with one call at a time, a probe, until one is taken: then all
+A receiver that fails call after call gets one call at a time, a probe, until it acknowledges one: then all
 that waits for it goes out again. So a receiver that is down costs little, and one that has come back hears
-of the first message within a probe's pause and time-out, and of the others right after it.
+of the first message within a probe's interval and time-out, and of the others right after it.
+
+The states of a call-back, from the message's end to the commit of `ConfirmCallbacks`:
+
+    ============  =====================================================  ===============================
+    state         meaning                                                goes on to
+    ============  =====================================================  ===============================
+    queued        due, in its receiver's queue                           in flight
+    in flight     with an edge node                                      acknowledged; backing off after
+                                                                         a failure or no report in time
+    backing off   failed, until a timer fires                            queued; acknowledged
+    acknowledged  the confirmation is to be proposed, or is              removed; queued where it was
+                                                                         surely not proposed
+    ============  =====================================================  ===============================
 """
 
 from __future__ import annotations
@@ -21,139 +34,146 @@
 from bitternpath.queue.entries import Entry
 
 CALLBACK_TIMEOUT_S = 2.6  # without a report, which an edge node gives after 2 s: it may have gone
-MAX_CALLBACKS_PER_RECEIVER = 8  # out at once from one shard: receivers take few connections
-FAILURES_BEFORE_PROBING = (
-    4  # failures in a row, of whichever messages: from then on the receiver is only probed
-)
+MAX_CALLBACKS_PER_RECEIVER = 8  # in flight from one shard: receivers take few connections
+FAILURES_BEFORE_PROBING = 4  # in a row, of whichever messages: the receiver is only probed from then on
 PROBE_INTERVAL_S = 0.5  # from a failure to the next probe
 # Confirmations wait for another command, to share its round of replicas, but no longer than this; an owner
 # that is lost meanwhile has its successor call back once more.
 MAX_CONFIRMATION_DELAY_S = 0.5
-CONFIRMATION_BATCH_SIZE = 64
+CONFIRMATION_BATCH_SIZE = 64  # so many don't wait
 
 
 @dataclass(slots=True, eq=False)
-class _Owed:
+class _PendingCallback:
+    """A call-back that is owed. A timer with an older `serial` is stale."""
+
     entry: Entry
     receiver: str
     failures: int = 0
-    out: bool = False
+    in_flight: bool = False
     serial: int = 0
-    taken: bool = False  # only the confirmation has to be applied
+    acknowledged: bool = False  # only the confirmation has to be applied
 
 
 @dataclass(slots=True)
 class _Receiver:
-    """One address that is called back: a few calls out, the others in the order in which they became due."""
+    """One address that is called back: a few calls in flight, the others in the order they came due."""
 
-    owed: int = 0  # call-backs that aren't confirmed; the receiver is forgotten with the last
-    out: int = 0
+    pending: int = 0  # call-backs that aren't confirmed; the receiver is dropped with the last
+    in_flight: int = 0
     failures: int = 0  # in a row
     probe_at: float = 0.0
-    probe_planned: float = 0.0  # the time of the last probe that is in the heap
-    queue: deque[_Owed] = field(default_factory=deque)
+    scheduled_probe_at: float = 0.0  # the time of the last probe that is in the heap
+    queue: deque[_PendingCallback] = field(default_factory=deque)
 
     @property
-    def most_out(self) -> int:
-        """How many calls may be out at once."""
+    def max_in_flight(self) -> int:
+        """How many calls may be in flight."""
         return 1 if self.failures >= FAILURES_BEFORE_PROBING else MAX_CALLBACKS_PER_RECEIVER
 
-    def failed(self, now: float) -> None:
-        """A call was refused, or nothing was heard of it."""
+    def record_failure(self, now: float) -> None:
+        """Count a call that was refused, or of which no report came."""
         self.failures += 1
         if self.failures >= FAILURES_BEFORE_PROBING:
             self.probe_at = now + PROBE_INTERVAL_S
 
-    def took(self) -> None:
-        """A call was taken."""
+    def record_success(self) -> None:
+        """Count a call that was acknowledged."""
         self.failures = 0
         self.probe_at = 0.0
 
 
 class CallbackQueue:
-    """All call-backs owed and not confirmed. Rebuilt from the state by a new owner."""
+    """All call-backs that are owed and not confirmed. Rebuilt from the state by a new owner."""
 
     def __init__(self, edges: EdgeNodeTable, random: Random) -> None:
+        """Send by the edge nodes of `edges`; `random` spreads the back-off."""
         self._edges = edges
         self._random = random
-        self._owed: dict[str, _Owed] = {}
-        self._receivers: dict[str, _Receiver] = {}
-        self._sendable: dict[str, None] = {}  # receivers for which something may go out
-        self._timers: list[tuple[float, str, int]] = []
+        self._pending: dict[str, _PendingCallback] = {}  # by request id
+        self._receivers: dict[str, _Receiver] = {}  # by address
+        self._sendable: dict[str, None] = {}  # receivers to which something may be sent
+        self._timers: list[tuple[float, str, int]] = []  # time, request id, serial
         self._probes: list[tuple[float, str]] = []  # receivers by the time of their next probe
-        self._unconfirmed: list[str] = []  # taken call-backs whose confirmation is to be proposed
+        self._unconfirmed: list[str] = []  # acknowledged ones whose confirmation is to be proposed
         self._confirm_by = inf
 
-    def owe(self, entry: Entry) -> None:
-        """A message with a call-back URL has ended."""
+    def add(self, entry: Entry) -> None:
+        """Owe the call-back of a message that has ended and has a call-back URL."""
         request_id = entry.message.request_id
-        if request_id in self._owed:
+        if request_id in self._pending:
             return
-        owed = _Owed(entry, urlsplit(entry.message.callback_url).netloc)
-        self._owed[request_id] = owed
-        self._receivers.setdefault(owed.receiver, _Receiver()).owed += 1
-        self._enqueue(owed)
-
-    def confirmed(self, request_id: str) -> None:
-        """The confirmation has been applied, or the message was forgotten."""
-        owed = self._owed.pop(request_id, None)
-        if owed is None:
+        pending = _PendingCallback(entry, urlsplit(entry.message.callback_url).netloc)
+        self._pending[request_id] = pending
+        self._receivers.setdefault(pending.receiver, _Receiver()).pending += 1
+        self._enqueue(pending)
+
+    def remove(self, request_id: str) -> None:
+        """Owe a call-back no more: its confirmation has been applied, or its tombstone is removed."""
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
             return
-        self._recall(owed)
-        owed.taken = True
-        owed.serial += 1
-        receiver = self._receivers[owed.receiver]
-        receiver.owed -= 1
-        if not receiver.owed:
-            del self._receivers[owed.receiver]
-            self._sendable.pop(owed.receiver, None)
-
-    def reopen(self, request_id: str) -> None:
-        """Its confirmation got lost before the log: call back again."""
-        owed = self._owed.get(request_id)
-        if owed is not None and owed.taken:
-            owed.taken = False
-            owed.serial += 1
-            self._enqueue(owed)
-
-    def report(self, now: float, request_id: str, taken: bool) -> None:
-        """An edge node tells how a call-back went. It is confirmed by each report that it was taken."""
-        owed = self._owed.get(request_id)
-        if owed is None:
+        self._clear_in_flight(pending)
+        pending.acknowledged = True
+        pending.serial += 1
+        receiver = self._receivers[pending.receiver]
+        receiver.pending -= 1
+        if not receiver.pending:
+            del self._receivers[pending.receiver]
+            self._sendable.pop(pending.receiver, None)
+
+    def confirmation_failed(self, request_id: str) -> None:
+        """Call back again: the confirmation was surely not proposed."""
+        pending = self._pending.get(request_id)
+        if pending is not None and pending.acknowledged:
+            pending.acknowledged = False
+            pending.serial += 1
+            self._enqueue(pending)
+
+    def report(self, now: float, request_id: str, *, acknowledged: bool) -> None:
+        """Take an edge node's report. A call-back is confirmed by any report that it was acknowledged."""
+        pending = self._pending.get(request_id)
+        if pending is None:
             return
-        if taken:
-            self._recall(owed)
-            owed.taken = True
-            self._receivers[owed.receiver].took()
-            self._mark(owed.receiver)
+        if acknowledged:
+            self._clear_in_flight(pending)
+            pending.acknowledged = True
+            self._receivers[pending.receiver].record_success()
+            self._mark_sendable(pending.receiver)
             self._unconfirmed.append(request_id)
             self._confirm_by = min(self._confirm_by, now + MAX_CONFIRMATION_DELAY_S)
-        elif owed.out:
-            self._retry_later(now, owed)
-
-    def confirmation(self, now: float, others_go: bool) -> ConfirmCallbacks | None:
-        """The command that confirms what was taken: now, where other commands go, time is up or there are
-        many; else None."""
-        due = others_go or now >= self._confirm_by or len(self._unconfirmed) >= CONFIRMATION_BATCH_SIZE
-        if not self._unconfirmed or not due:
+        elif pending.in_flight:
+            self._back_off(now, pending)
+
+    def take_confirmation(self, now: float, *, others_proposed: bool) -> ConfirmCallbacks | None:
+        """Return the command that confirms what was acknowledged; None while that may still wait.
+
+        It goes where other commands are proposed, where its time is up, or where there are many.
+        """
+        is_due = (
+            others_proposed or now >= self._confirm_by or len(self._unconfirmed) >= CONFIRMATION_BATCH_SIZE
+        )
+        if not self._unconfirmed or not is_due:
             return None
-        taken, self._unconfirmed, self._confirm_by = tuple(self._unconfirmed), [], inf
-        return ConfirmCallbacks(taken)
+        request_ids = tuple(self._unconfirmed)
+        self._unconfirmed = []
+        self._confirm_by = inf
+        return ConfirmCallbacks(request_ids)
 
     def advance(self, now: float) -> list[SendCallback]:
-        """Let timers fire, and send what may go out."""
+        """Fire the timers whose time has come; returns what may be sent."""
         while self._timers and self._timers[0][0] <= now:
             self._fire(now, heapq.heappop(self._timers))
         while self._probes and self._probes[0][0] <= now:
-            self._mark(heapq.heappop(self._probes)[1])
+            self._mark_sendable(heapq.heappop(self._probes)[1])
         actions: list[SendCallback] = []
         for name in list(self._sendable):
             self._send(now, name, actions)
         return actions
 
     def next_wakeup(self) -> float | None:
-        """When a timer fires next."""
-        while self._timers and self._lapsed(self._timers[0]):
+        """Return when `advance` or `take_confirmation` is wanted next; None where no time is set."""
+        while self._timers and self._is_stale(self._timers[0]):
             heapq.heappop(self._timers)
         times = [heap[0][0] for heap in (self._timers, self._probes) if heap]
         if self._unconfirmed:
@@ -162,68 +182,68 @@
 
     def _send(self, now: float, name: str, actions: list[SendCallback]) -> None:
         receiver = self._receivers[name]
-        while receiver.queue and receiver.out < receiver.most_out:
-            owed = receiver.queue[0]
-            if owed.taken:
+        while receiver.queue and receiver.in_flight < receiver.max_in_flight:
+            pending = receiver.queue[0]
+            if pending.acknowledged:
                 receiver.queue.popleft()
                 continue
             if now < receiver.probe_at:
-                self._plan_probe(name, receiver)
+                self._schedule_probe(name, receiver)
                 break
-            edge = self._edges.choose_for_callback(name, owed.failures)
+            edge = self._edges.choose_for_callback(name, pending.failures)
             if edge is None:
                 return
             receiver.queue.popleft()
-            actions.append(self._order(now, receiver, owed, edge.name))
+            actions.append(self._call(now, receiver, pending, edge.name))
         del self._sendable[name]
 
-    def _plan_probe(self, name: str, receiver: _Receiver) -> None:
-        if receiver.probe_planned < receiver.probe_at:
-            receiver.probe_planned = receiver.probe_at
+    def _schedule_probe(self, name: str, receiver: _Receiver) -> None:
+        if receiver.scheduled_probe_at < receiver.probe_at:
+            receiver.scheduled_probe_at = receiver.probe_at
             heapq.heappush(self._probes, (receiver.probe_at, name))
 
-    def _order(self, now: float, receiver: _Receiver, owed: _Owed, edge: str) -> SendCallback:
-        receiver.out += 1
-        owed.out = True
-        self._set_timer(now + CALLBACK_TIMEOUT_S, owed)
-        message, entry = owed.entry.message, owed.entry
+    def _call(self, now: float, receiver: _Receiver, pending: _PendingCallback, edge: str) -> SendCallback:
+        receiver.in_flight += 1
+        pending.in_flight = True
+        self._set_timer(now + CALLBACK_TIMEOUT_S, pending)
+        entry = pending.entry
+        message = entry.message
         return SendCallback(edge, message.request_id, message.callback_url, entry.state, entry.stamp)
 
     def _fire(self, now: float, timer: tuple[float, str, int]) -> None:
-        if self._lapsed(timer):
+        if self._is_stale(timer):
             return
-        owed = self._owed[timer[1]]
-        if owed.out:
-            self._retry_later(now, owed)
+        pending = self._pending[timer[1]]
+        if pending.in_flight:
+            self._back_off(now, pending)
         else:
-            self._enqueue(owed)
-
-    def _retry_later(self, now: float, owed: _Owed) -> None:
-        self._receivers[owed.receiver].failed(now)
-        self._recall(owed)
-        pause = CALLBACK_BACKOFF.pause(owed.failures, self._random)
-        owed.failures += 1
-        self._set_timer(now + pause, owed)
-
-    def _recall(self, owed: _Owed) -> None:
-        if owed.out:
-            owed.out = False
-            self._receivers[owed.receiver].out -= 1
-            self._mark(owed.receiver)
-
-    def _enqueue(self, owed: _Owed) -> None:
-        self._receivers[owed.receiver].queue.append(owed)
-        self._mark(owed.receiver)
-
-    def _mark(self, name: str) -> None:
-        """Something may go out to a receiver."""
+            self._enqueue(pending)
+
+    def _back_off(self, now: float, pending: _PendingCallback) -> None:
+        self._receivers[pending.receiver].record_failure(now)
+        self._clear_in_flight(pending)
+        delay = CALLBACK_BACKOFF.delay(pending.failures, self._random)
+        pending.failures += 1
+        self._set_timer(now + delay, pending)
+
+    def _clear_in_flight(self, pending: _PendingCallback) -> None:
+        if pending.in_flight:
+            pending.in_flight = False
+            self._receivers[pending.receiver].in_flight -= 1
+            self._mark_sendable(pending.receiver)
+
+    def _enqueue(self, pending: _PendingCallback) -> None:
+        self._receivers[pending.receiver].queue.append(pending)
+        self._mark_sendable(pending.receiver)
+
+    def _mark_sendable(self, name: str) -> None:
         if name in self._receivers:
             self._sendable[name] = None
 
-    def _set_timer(self, when: float, owed: _Owed) -> None:
-        owed.serial += 1
-        heapq.heappush(self._timers, (when, owed.entry.message.request_id, owed.serial))
+    def _set_timer(self, when: float, pending: _PendingCallback) -> None:
+        pending.serial += 1
+        heapq.heappush(self._timers, (when, pending.entry.message.request_id, pending.serial))
 
-    def _lapsed(self, timer: tuple[float, str, int]) -> bool:
-        owed = self._owed.get(timer[1])
-        return owed is None or owed.taken or owed.serial != timer[2]
+    def _is_stale(self, timer: tuple[float, str, int]) -> bool:
+        pending = self._pending.get(timer[1])
+        return pending is None or pending.acknowledged or pending.serial != timer[2]
--- a/bitternpath/queue/commands.py
+++ b/bitternpath/queue/commands.py
@@ -1,4 +1,8 @@
-"""Commands of a queue shard's replicated log. Applied in order, they give the same state on every replica."""
+"""Commands of a queue shard's replicated log. Applied in order, they give the same state on every replica.
+
+The commands are on disk and on the wire: the order and the types of their fields, and the order of the
+classes in `COMMANDS`, don't change.
+"""
 
 from __future__ import annotations
 
@@ -15,31 +19,31 @@
 
 
 class GrantLease(Struct, frozen=True):
-    """Give a message to a holder. `lease_id` is unique over all shards and owners."""
+    """Lease a message to a holder, in place of the lease that it may have; `state` says when it is void."""
 
     request_id: str
-    lease_id: str
-    holder: str  # edge node's name, or the instance id of a worker that pulls
+    lease_id: str  # unique over all shards and owners
+    holder: str  # name of an edge node, or instance id of a pulling worker; "": whichever worker polls next
     duration_ms: int
-    pulled: bool
+    pulled: bool  # the holder is a pulling worker
 
 
 class EndAttempt(Struct, frozen=True):
-    """A holder's word on its delivery; no effect unless the lease is the current one."""
+    """End the attempt under a lease; no effect unless the lease is the current one."""
 
     request_id: str
     lease_id: str
     outcome: AttemptOutcome
-    stamp: str
-    max_attempts: int  # of the route when it ended
-    retry_after_ms: int  # the least pause before the message is handed out again
+    stamp: str  # of the worker, with a success
+    max_attempts: int  # of the route that was in force at the end
+    retry_after_ms: int  # the shortest time until the message is leased again
 
 
 class ExpireMessage(Struct, frozen=True):
-    """Its retention is over, or its route is gone: it ends as a dead letter.
+    """End a message as a dead letter: its retention is over, or its route is gone.
 
-    No effect unless `lease_id` is the message's current lease ("": none), so that an order which was decided
-    before a later grant does not end a message that is out again.
+    No effect unless `lease_id` is the message's current lease ("": none): the lease is the fencing token, so
+    that a decision which was made before a later grant does not end a message that is out again.
     """
 
     request_id: str
@@ -47,13 +51,13 @@
 
 
 class ConfirmCallbacks(Struct, frozen=True):
-    """The receivers have taken the call-backs of these messages."""
+    """Record that receivers have acknowledged the call-backs of these messages."""
 
     request_ids: tuple[str, ...]
 
 
 class RemoveTombstones(Struct, frozen=True):
-    """Tombstones older than `status_s` go."""
+    """Remove ended messages whose state nobody may ask for any more; no effect on others."""
 
     request_ids: tuple[str, ...]
 
--- a/bitternpath/queue/edge_nodes.py
+++ b/bitternpath/queue/edge_nodes.py
@@ -1,4 +1,4 @@
-"""Edge nodes as the owner of a shard sees them, with the leases they hold."""
+"""Edge nodes as the owner of a shard knows them, with the leases they hold."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
     name: str
     zone: str = ""
     connected: bool = False
-    process_ended_at: float = float("-inf")  # when a life of it was last known to have ended
-    leases: dict[str, InFlightLease] = field(default_factory=dict)
-    out: Counter[str] = field(default_factory=Counter)  # leases by service
+    process_ended_at: float = float("-inf")  # when an incarnation of it was last known to have ended
+    leases: dict[str, InFlightLease] = field(default_factory=dict)  # by lease id
+    leases_by_service: Counter[str] = field(default_factory=Counter)
 
     def has_capacity(self, service: str) -> bool:
         """Whether another lease of a service may go there."""
-        return self.connected and self.out[service] < MAX_LEASES_PER_EDGE
+        return self.connected and self.leases_by_service[service] < MAX_LEASES_PER_EDGE
 
 
 class EdgeNodeTable:
-    """All edge nodes that were ever seen by this owner."""
+    """All edge nodes that this owner has heard of."""
 
     def __init__(self, zone: str, random: Random) -> None:
+        """Prefer edge nodes in `zone`, the owner's; choose among equals with `random`."""
         self._zone = zone
         self._random = random
         self._edges: dict[str, EdgeNode] = {}
 
     def find(self, name: str) -> EdgeNode:
-        """An edge node, connected or not."""
+        """Return an edge node, connected or not; an unknown one is added."""
         edge = self._edges.get(name)
         if edge is None:
             edge = self._edges[name] = EdgeNode(name)
@@ -48,9 +49,10 @@
         return self.find(name).zone == self._zone
 
     def choose(self, origin: str, service: str, avoided: str = "") -> EdgeNode | None:
-        """Where a delivery goes: the origin, else a random node, rather one in the owner's zone.
+        """Choose the edge node for a delivery; None where none has capacity.
 
-        Nothing goes to `avoided`, which didn't get the message run, unless there is no other node.
+        It is the origin, which accepted the message, else a random one, preferably in the owner's zone.
+        Nothing goes to `avoided`, at which the message was not run, unless there is no other node.
         """
         home = self._edges.get(origin)
         if home is not None and home.name != avoided and home.has_capacity(service):
@@ -60,9 +62,10 @@
         return self._pick(others or candidates)
 
     def choose_for_callback(self, receiver: str, failures: int) -> EdgeNode | None:
-        """Where a call-back goes: the same node for a receiver, in the owner's zone where there is one.
+        """Choose the edge node for a call-back; None where none is connected.
 
-        So few nodes hold connections there and use them again. After each failure it is another one.
+        It is the same one for a receiver, in the owner's zone where there is one: so few nodes hold
+        connections to the receiver and use them again. After each failure it is another one.
         """
         connected = [edge for edge in self._edges.values() if edge.connected]
         near = [edge for edge in connected if edge.zone == self._zone] or connected
@@ -70,13 +73,14 @@
         return near[(crc32(receiver.encode()) + failures) % len(near)] if near else None
 
     def holds_body(self, edge: EdgeNode, tracked: TrackedMessage) -> bool:
-        """Whether an edge node took the message in its present life and has not been sent it before.
+        """Whether an edge node still has a message's body: its present process accepted it from the client.
 
-        Of messages that an earlier owner accepted the origin's process may have ended unheard.
+        It drops the body with the first delivery. Of messages that an earlier owner accepted the origin's
+        process may have ended unnoticed.
         """
         entry = tracked.entry
-        first = tracked.accepted_by_this_owner and entry.leases_granted == 1
-        return first and edge.name == entry.message.origin and entry.accepted > edge.process_ended_at
+        is_first = tracked.accepted_by_this_owner and entry.leases_granted == 1
+        return is_first and edge.name == entry.message.origin and entry.accepted_at > edge.process_ended_at
 
     def _pick(self, candidates: list[EdgeNode]) -> EdgeNode | None:
         near = [edge for edge in candidates if edge.zone == self._zone]
--- a/bitternpath/queue/entries.py
+++ b/bitternpath/queue/entries.py
@@ -1,4 +1,4 @@
-"""A message as a shard keeps it, and how its times survive a restart.
+"""A message as a shard stores it, and how its times survive a restart.
 
 Times of an entry are on the local steady clock, in seconds; they serve timers only and differ between
 replicas. Everything else is the same on each replica that has applied the same commands.
@@ -14,16 +14,16 @@
 from bitternpath.transport.records import AttemptOutcome, Header, Message, MessageState
 
 # A time-of-day clock may step, and clocks of two machines differ; elapsed wall time counts only beyond this,
-# and for delays alone. Ages (retention, tombstones) count only what the steady clock has seen: a dead letter
-# or a forgotten state too early breaks a rule, one too late costs memory.
+# and for delays alone. Ages (retention, tombstones) count only what the steady clock has measured: a dead
+# letter or a removed tombstone too early breaks a rule, one too late costs memory.
 DELAY_CLOCK_MARGIN_S = 2.0  # a delay is then never cut short by a step up to 2 s; it lasts 2 s longer at most
 
-MAX_ENDED_LEASES = 64  # remembered ends of one message; the oldest goes first
+MAX_ENDED_LEASES = 64  # remembered ends of one message; the oldest is dropped first
 
 
 @dataclass(slots=True)
 class Lease:
-    """The current lease of a message."""
+    """The current lease of a message, as in `commands.GrantLease`."""
 
     lease_id: str
     holder: str
@@ -37,10 +37,10 @@
 
     message: Message
     index: int  # of the log entry that accepted it
-    accepted: float  # local steady time of the accept; moved back by what had passed before a restart
-    due: float  # local steady time at which its delay is over
+    accepted_at: float  # local steady time of the accept; moved back by what had passed before a restart
+    due_at: float  # local steady time at which its delay is over
     state: MessageState = MessageState.QUEUED
-    stamp: str = ""
+    stamp: str = ""  # of the worker that ran it, once it is done
     attempts: int = 0  # failed ones
     leases_granted: int = 0
     lease: Lease | None = None
@@ -63,24 +63,24 @@
         if state is MessageState.DONE:
             self.message = replace(self.message, body=b"", headers=())
 
-    def count_delay_from(self, now: float) -> None:
-        """Its delay counts whole from now: its sender's request is being accepted here at this moment."""
-        self.due = now + max(0.0, self.message.delay_ms / 1000)
+    def restart_delay(self, now: float) -> None:
+        """Count its complete delay from now, the moment at which its owner accepts it."""
+        self.due_at = now + max(0.0, self.message.delay_ms / 1000)
 
     def remember_end(self, lease_id: str, outcome: AttemptOutcome) -> None:
-        """Keep what a lease's end was, for its repetitions."""
+        """Keep the outcome of a lease, so that a repeated report gets the same answer."""
         self.ended_leases[lease_id] = outcome
         if len(self.ended_leases) > MAX_ENDED_LEASES:
             del self.ended_leases[next(iter(self.ended_leases))]
 
 
 def elapsed_beyond(margin_s: float, since_wall_ms: int, wall_ms: int) -> float:
-    """Seconds of wall time that have surely passed, given that the clocks may be off by `margin_s`."""
+    """Return the seconds of wall time that have surely passed, where clocks may differ by `margin_s`."""
     return max(0.0, (wall_ms - since_wall_ms) / 1000 - margin_s)
 
 
 def compact(message: Message) -> Message:
-    """The same message, sharing the texts that many messages have in common."""
+    """Return the same message with interned texts: many messages have them in common."""
     return replace(
         message,
         method=intern(message.method),
@@ -94,17 +94,17 @@
 
 
 def new_entry(message: Message, index: int, now: float, wall_ms: int) -> Entry:
-    """The entry of a message that is being appended, now or in a replay of the log after a restart.
+    """Return the entry of a message that is being appended, now or in a replay of the log after a restart.
 
     Its retention counts from now. Its delay counts from now, less the wall time since the accept beyond
     `DELAY_CLOCK_MARGIN_S` (none when the append is recent); so it ends at most one delay from now. The owner
-    that accepts it counts the whole delay (`Entry.count_delay_from`).
+    that accepts it counts the complete delay (`Entry.restart_delay`).
     """
     delay = max(0.0, message.delay_ms / 1000)
     passed = elapsed_beyond(DELAY_CLOCK_MARGIN_S, message.accepted_wall_ms, wall_ms)
-    return Entry(compact(message), index, accepted=now, due=now + max(0.0, delay - passed))
+    return Entry(compact(message), index, accepted_at=now, due_at=now + max(0.0, delay - passed))
 
 
 def provisional_entry(message: Message, now: float) -> Entry:
-    """Stands for the entry of a message whose append has been proposed, until it is applied."""
-    return Entry(message, 0, accepted=now, due=now)
+    """Return a stand-in for the entry of a message whose append is proposed but not applied yet."""
+    return Entry(message, 0, accepted_at=now, due_at=now)
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -1,8 +1,31 @@
-"""Leases of a shard's owner: who gets a message, what room that takes, and what goes out when."""
+"""Leases at a shard's owner: to whom they go, what capacity they take, and what is sent when.
+
+The states of a lease, which follow from the message's `phase`, `lease` and `pregrant`:
+
+    ==========  ====================================================  ==================================
+    state       meaning                                               goes on to
+    ==========  ====================================================  ==================================
+    proposed    `GrantLease` is proposed; it takes capacity of its    out, pregranted; released where it
+                edge node and service, or a poll is reserved for it   is void, not proposed, or can't be
+                                                                      sent any more
+    pregranted  committed in advance for a pulling worker; nobody     out, with the next poll; released
+                has the message                                       when the message ends
+    out         the holder has the message; an extension moves the    released
+                lease's end
+    released    its time is over, its edge node's process has ended,  out, by an extension of a pulled
+                or its attempt has                                    lease that is still current
+    ==========  ====================================================  ==================================
+
+In the replicated state (`state`) a lease is current from `GrantLease` to `EndAttempt`, the next `GrantLease`
+or the message's end. So the report of a released lease still counts while no other one is granted: a holder
+that is late has done the work, and nobody else has begun it.
+
+A message is sent only after its `GrantLease` has been applied, so that each later owner knows of it.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from dataclasses import dataclass
 
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
 from bitternpath.queue.commands import GrantLease
@@ -11,118 +34,141 @@
 from bitternpath.queue.long_polls import LongPollTable
 from bitternpath.queue.rate_limits import MAX_GRANT_DELAY_S
 from bitternpath.queue.service_queues import ServiceQueue, ServiceQueueTable
-from bitternpath.queue.tracked_messages import InFlightLease, TrackedMessage
+from bitternpath.queue.sharding import LeaseIdSequence
+from bitternpath.queue.timers import TimerKind, TimerQueue
+from bitternpath.queue.tracked_messages import InFlightLease, MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome
 
-PUSH_LEASE_MARGIN_MS = (
-    2_000  # beyond the route's time-out: way to the edge node, choice of a worker, way back
-)
+# Beyond the route's time-out: way to the edge node, choice of a worker, way back.
+PUSH_LEASE_MARGIN_MS = 2_000
 
 
-class LeaseTable:
-    """Leases that are being granted or are out.
+@dataclass(frozen=True, slots=True)
+class LeaseHolders:
+    """Who may get a lease: edge nodes for messages that are pushed, long polls for those that are pulled."""
+
+    edges: EdgeNodeTable
+    polls: LongPollTable
 
-    `next_lease_id` draws identifiers; `pull_duration_ms` is that of leases for workers that pull.
-    """
+
+class LeaseTable:
+    """Leases that are proposed or out, with the capacity they take of edge nodes, services and polls."""
 
     def __init__(
         self,
         services: ServiceQueueTable,
-        edges: EdgeNodeTable,
-        polls: LongPollTable,
-        next_lease_id: Callable[[], str],
+        holders: LeaseHolders,
+        timers: TimerQueue,
+        ids: LeaseIdSequence,
         pull_duration_ms: int,
     ) -> None:
+        """Begin without leases; those for pulling workers last `pull_duration_ms`."""
+        self.pull_duration_ms = pull_duration_ms
         self._services = services
-        self._edges = edges
-        self._polls = polls
-        self._next_lease_id = next_lease_id
-        self._pull_duration_ms = pull_duration_ms
+        self._edges = holders.edges
+        self._polls = holders.polls
+        self._timers = timers
+        self._ids = ids
 
     def grant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
-        """The command that leases a ready message; None where nobody can take it."""
+        """Return the command that leases a ready message; None where nobody can take it."""
         if queue.service.pull_mode:
             command = self._grant_to_poll(now, queue, tracked)
         else:
             command = self._grant_to_edge(now, queue, tracked)
         if command is not None:
-            queue.granted(now)
+            queue.record_grant(now)
         return command
 
-    def grant_ahead(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease:
-        """The command that leases a message to whichever worker asks next: its lease is in the log before."""
-        lease_id = self._next_lease_id()
+    def pregrant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease:
+        """Return the command that leases a message in advance, to whichever worker polls next."""
+        lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", queue.service.name, now)
-        tracked.ahead = GrantLease(tracked.request_id, lease_id, "", self._pull_duration_ms, True)
-        queue.ahead.add(tracked.request_id)
-        return tracked.ahead
-
-    def hand_out_ahead(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> AnswerPoll | None:
-        """Give a message whose lease is in the log to a worker that waits; None where none does."""
-        poll, command = self._polls.first(queue.service.name), tracked.ahead
-        if poll is None or command is None:
+        tracked.pregrant = GrantLease(tracked.request_id, lease_id, "", self.pull_duration_ms, True)
+        queue.pregranted.add(tracked.request_id)
+        return tracked.pregrant
+
+    def hand_out_pregranted(
+        self, now: float, queue: ServiceQueue, tracked: TrackedMessage, grant: GrantLease
+    ) -> AnswerPoll | None:
+        """Give a message whose lease is committed to a worker that waits; None where none does."""
+        poll = self._polls.first(queue.service.name)
+        if poll is None:
             return None
         self._polls.remove(poll.poll_id)
-        self.forget_ahead(tracked)
-        queue.granted(now)
+        self.drop_pregrant(tracked)
+        queue.record_grant(now)
         tracked.lease = InFlightLease(
-            tracked.request_id, command.lease_id, "", queue.service.name, now, poll.poll_id
+            tracked.request_id, grant.lease_id, "", queue.service.name, now, poll.poll_id
         )
-        return AnswerPoll(poll.poll_id, poll.edge, command.lease_id, tracked.entry.message)
+        self.begin(now, tracked, grant.duration_ms)
+        return AnswerPoll(poll.poll_id, poll.request.edge, grant.lease_id, tracked.entry.message)
 
-    def forget_ahead(self, tracked: TrackedMessage) -> None:
-        """A lease that was granted ahead is handed out, void, or not wanted any more."""
-        if tracked.ahead is not None:
-            tracked.ahead = None
+    def drop_pregrant(self, tracked: TrackedMessage) -> None:
+        """Count a lease in advance no more: it is handed out, void, or not wanted."""
+        if tracked.pregrant is not None:
+            tracked.pregrant = None
             for queue in self._services.all():
-                queue.ahead.discard(tracked.request_id)
+                queue.pregranted.discard(tracked.request_id)
 
-    def adopt(self, now: float, tracked: TrackedMessage, lease: Lease) -> None:
-        """Count a lease that is in the state but was granted or given up earlier."""
+    def begin(self, now: float, tracked: TrackedMessage, duration_ms: int) -> None:
+        """Regard a message as leased from now."""
+        tracked.enter(MessagePhase.LEASED)
+        tracked.lease_ends_at = now + duration_ms / 1000
+        self.set_timer(tracked)
+
+    def set_timer(self, tracked: TrackedMessage) -> None:
+        """Have the owner look at a leased message at `lease_ends_at`."""
+        self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
+
+    def adopt(self, now: float, tracked: TrackedMessage, lease: Lease, duration_ms: int) -> None:
+        """Regard a lease as out from now that is current but was granted by another owner, or released."""
         edge = "" if lease.pulled else lease.holder
         service = "" if tracked.route is None else tracked.route.service
         tracked.lease = InFlightLease(tracked.request_id, lease.lease_id, edge, service, now)
         if not lease.pulled:
-            self._occupy(tracked.lease)
+            self._take_capacity(tracked.lease)
+        self.begin(now, tracked, duration_ms)
 
     def hand_out(
         self, now: float, tracked: TrackedMessage, command: GrantLease
     ) -> SendDelivery | AnswerPoll | None:
-        """What goes out now that the grant is in the log.
+        """Return what is sent now that the grant is committed.
 
-        None: its receiver has gone, or it took so long that the token of a limited service has lapsed; the
-        lease is then to be ended as not run.
+        None: the receiver has gone, or the grant took so long that the token of a limited service has lapsed;
+        the lease is then to be ended as not run.
         """
         lease = tracked.lease
-        assert lease is not None
+        assert lease is not None, "the caller has found the lease that the command grants"
         queue = self._services.find(lease.service)
         if queue is not None and queue.bucket is not None and now - lease.proposed_at > MAX_GRANT_DELAY_S:
-            self._let_wait(lease)
+            self._release_poll(lease)
             return None
         if lease.poll_id is not None:
             return self._answer_poll(lease.poll_id, tracked, command)
         return self._send(lease.edge, tracked, command)
 
     def release(self, tracked: TrackedMessage) -> None:
-        """A lease is over, or was not granted: its room is free; a worker that was to have it waits on."""
-        lease, tracked.lease = tracked.lease, None
+        """Free the capacity of a lease that is over or was not granted; a worker meant for it waits on."""
+        lease = tracked.lease
         if lease is None:
             return
-        self._let_wait(lease)
+        tracked.lease = None
+        self._release_poll(lease)
         self._services.mark_dirty(lease.service)
         edge = self._edges.find(lease.edge)
         if edge.leases.pop(lease.lease_id, None) is None:
             return
-        edge.out[lease.service] -= 1
+        edge.leases_by_service[lease.service] -= 1
         queue = self._services.find(lease.service)
         if queue is not None:
-            queue.out -= 1
+            queue.in_flight -= 1
 
-    def record(self, now: float, tracked: TrackedMessage, outcome: AttemptOutcome) -> None:
-        """Tell the service's retry budget how the attempt under the message's lease has ended."""
+    def record_outcome(self, now: float, tracked: TrackedMessage, outcome: AttemptOutcome) -> None:
+        """Count the end of the attempt under the message's lease in the concurrency limit of its service."""
         queue = None if tracked.lease is None else self._services.find(tracked.lease.service)
         if queue is not None:
-            queue.concurrency.record(now, outcome, queue.out)
+            queue.concurrency.record_outcome(now, outcome, queue.in_flight)
 
     def _grant_to_poll(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
         service = queue.service.name
@@ -130,31 +176,32 @@
         if poll is None:
             return None
         self._polls.reserve(poll)
-        lease_id = self._next_lease_id()
+        lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", service, now, poll.poll_id)
-        return GrantLease(tracked.request_id, lease_id, poll.instance, self._pull_duration_ms, True)
+        return GrantLease(tracked.request_id, lease_id, poll.request.instance, self.pull_duration_ms, True)
 
     def _grant_to_edge(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
-        route, service = tracked.route, queue.service.name
-        assert route is not None
+        route = tracked.route
+        service = queue.service.name
+        assert route is not None, "a ready message has a route"
         edge = self._edges.choose(tracked.entry.message.origin, service, tracked.avoided_edge)
         if edge is None:
             return None
-        lease_id = self._next_lease_id()
+        lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, edge.name, service, now)
-        self._occupy(tracked.lease)
+        self._take_capacity(tracked.lease)
         duration_ms = route.timeout_ms + PUSH_LEASE_MARGIN_MS
         return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, False)
 
-    def _occupy(self, lease: InFlightLease) -> None:
+    def _take_capacity(self, lease: InFlightLease) -> None:
         edge = self._edges.find(lease.edge)
         edge.leases[lease.lease_id] = lease
-        edge.out[lease.service] += 1
+        edge.leases_by_service[lease.service] += 1
         queue = self._services.find(lease.service)
         if queue is not None:
-            queue.out += 1
+            queue.in_flight += 1
 
-    def _let_wait(self, lease: InFlightLease) -> None:
+    def _release_poll(self, lease: InFlightLease) -> None:
         if lease.poll_id is not None:
             self._polls.release(lease.poll_id)
 
@@ -162,13 +209,18 @@
         poll = self._polls.remove(poll_id)
         if poll is None:
             return None
-        return AnswerPoll(poll.poll_id, poll.edge, command.lease_id, tracked.entry.message)
+        return AnswerPoll(poll.poll_id, poll.request.edge, command.lease_id, tracked.entry.message)
 
     def _send(self, name: str, tracked: TrackedMessage, command: GrantLease) -> SendDelivery | None:
-        edge, entry = self._edges.find(name), tracked.entry
+        edge = self._edges.find(name)
+        entry = tracked.entry
         if not edge.connected:
             return None
-        omitted = self._edges.holds_body(edge, tracked)
         return SendDelivery(
-            name, entry.message, command.lease_id, command.duration_ms, entry.attempts, omitted
+            name,
+            entry.message,
+            command.lease_id,
+            command.duration_ms,
+            entry.attempts,
+            body_omitted=self._edges.holds_body(edge, tracked),
         )
--- /dev/null
+++ b/bitternpath/queue/lifecycle.py
@@ -0,0 +1,271 @@
+"""The unended messages of a shard at its owner, and how events take them from phase to phase.
+
+`tracked_messages` has the table of phases. Each event of one message has at most one action as its
+consequence, which is returned; leases of messages that become ready are granted later, by `lease_granting`.
+"""
+
+from __future__ import annotations
+
+from math import inf
+from random import Random
+
+from bitternpath.queue.actions import Action, ProposeCommand
+from bitternpath.queue.backoff import backoff_after
+from bitternpath.queue.commands import EndAttempt, ExpireMessage, GrantLease
+from bitternpath.queue.ended_messages import EndedMessages
+from bitternpath.queue.entries import Entry
+from bitternpath.queue.lease_table import LeaseTable
+from bitternpath.queue.placement import Placement
+from bitternpath.queue.results import AttemptEnded, LeaseGranted, MessageAppended, MessageExpired
+from bitternpath.queue.state import QueueState
+from bitternpath.queue.timers import Timer, TimerKind
+from bitternpath.queue.tracked_messages import IDLE_PHASES, MessagePhase, TrackedMessage
+from bitternpath.transport.records import AttemptOutcome
+
+UNLIMITED_ATTEMPTS = 2**31 - 1  # for ends of messages whose route is not known here (yet, or any more)
+
+# In a row, not run or without an answer: then the message goes to another edge node.
+RETURNS_BEFORE_EDGE_CHANGE = 2
+_RETURNED = frozenset({AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN})
+
+
+class MessageLifecycle:
+    """The unended messages of one shard. Nobody else changes their phases but `Placement` and the leases."""
+
+    def __init__(
+        self,
+        state: QueueState,
+        placement: Placement,
+        leases: LeaseTable,
+        ended: EndedMessages,
+        random: Random,
+    ) -> None:
+        """Track the messages of `state`; `random` spreads the back-off."""
+        self._state = state
+        self._placement = placement
+        self._leases = leases
+        self._ended = ended
+        self._random = random
+        self._tracked: dict[str, TrackedMessage] = {}
+
+    # ---- the table
+
+    def find(self, request_id: str) -> TrackedMessage | None:
+        """Return a tracked message; None where it is unknown or has ended."""
+        return self._tracked.get(request_id)
+
+    def find_leased(self, request_id: str, lease_id: str) -> TrackedMessage | None:
+        """Return a message whose lease, proposed or out, is this one."""
+        tracked = self._tracked.get(request_id)
+        if tracked is None or tracked.lease is None or tracked.lease.lease_id != lease_id:
+            return None
+        return tracked
+
+    def adopt(self, now: float, entry: Entry) -> Action | None:
+        """Track a message of an earlier owner. Its holder may be running it: its lease begins anew."""
+        tracked = TrackedMessage(entry, accepted_by_this_owner=False)
+        self._tracked[entry.message.request_id] = tracked
+        if entry.lease is None:
+            return self.place(now, tracked)
+        self._placement.assign_route(tracked)
+        self._leases.adopt(now, tracked, entry.lease, entry.lease.duration_ms)
+        return None
+
+    def add_provisional(self, tracked: TrackedMessage) -> None:
+        """Track a message whose append and first lease have been proposed."""
+        self._tracked[tracked.request_id] = tracked
+        tracked.enter(MessagePhase.GRANTING)
+
+    def remove_provisional(self, request_id: str) -> None:
+        """Drop a message whose append is surely not in the log."""
+        tracked = self._tracked.pop(request_id, None)
+        if tracked is not None:
+            self._leases.drop_pregrant(tracked)
+            self._leases.release(tracked)
+            self._placement.remove(tracked)
+
+    def place(self, now: float, tracked: TrackedMessage) -> Action | None:
+        """Put a message that is neither leased nor ended into its phase."""
+        command = self._placement.place(now, tracked)
+        return None if command is None else ProposeCommand(command)
+
+    def place_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
+        """Put a message into its phase where it is idle."""
+        return self.place(now, tracked) if tracked.phase in IDLE_PHASES else None
+
+    # ---- applied commands
+
+    def message_appended(self, now: float, result: MessageAppended) -> Action | None:
+        """Track a message that this owner has accepted."""
+        entry = self._state.find(result.command.message.request_id)
+        if entry is None or entry.ended:
+            return None
+        self._state.restart_delay(entry)
+        provisional = self._tracked.get(entry.message.request_id)
+        if provisional is not None:
+            provisional.entry = entry  # its lease is the next command
+            return None
+        tracked = TrackedMessage(entry, accepted_by_this_owner=True)
+        self._tracked[entry.message.request_id] = tracked
+        return self.place(now, tracked)
+
+    def lease_granted(self, now: float, result: LeaseGranted) -> Action | None:
+        """Send a message under a lease of this owner that is committed; place it where that is void."""
+        command = result.command
+        tracked = self.find_leased(command.request_id, command.lease_id)
+        if tracked is None:
+            return None
+        if not result.granted:
+            return self._return_to_idle(now, tracked)
+        if tracked.pregrant is not None and tracked.pregrant.lease_id == command.lease_id:
+            tracked.lease = None
+            return self.place(now, tracked)
+        self._leases.begin(now, tracked, command.duration_ms)
+        sent = self._leases.hand_out(now, tracked, command)
+        return self._return_unsent(command) if sent is None else sent
+
+    def attempt_ended(self, now: float, result: AttemptEnded) -> Action | None:
+        """Back off, or end the message, after a lease of any owner has ended."""
+        command = result.command
+        tracked = self._tracked.get(command.request_id)
+        if tracked is None:
+            return None
+        edge = ""
+        if tracked.lease is not None and tracked.lease.lease_id == command.lease_id:
+            edge = tracked.lease.edge
+            self._leases.record_outcome(now, tracked, command.outcome)
+            self._leases.release(tracked)
+        if result.ended_message:
+            return self._end(now, tracked)
+        self._back_off(now, tracked, command, edge)
+        if tracked.phase in (MessagePhase.GRANTING, MessagePhase.EXPIRING):
+            return None
+        return self.place(now, tracked)
+
+    def expiry_applied(self, now: float, result: MessageExpired) -> Action | None:
+        """End a message as a dead letter; place it where the expiry was void."""
+        tracked = self._tracked.get(result.command.request_id)
+        if tracked is None:
+            return None
+        if result.ended_message:
+            return self._end(now, tracked)
+        if tracked.phase is MessagePhase.EXPIRING:
+            return self.place(now, tracked)
+        return None
+
+    # ---- proposals that are surely not in the log
+
+    def grant_not_proposed(self, now: float, command: GrantLease) -> Action | None:
+        """Place a message whose lease was not proposed."""
+        tracked = self.find_leased(command.request_id, command.lease_id)
+        return None if tracked is None else self._return_to_idle(now, tracked)
+
+    def expiry_not_proposed(self, now: float, command: ExpireMessage) -> Action | None:
+        """Place a message whose expiry was not proposed."""
+        tracked = self._tracked.get(command.request_id)
+        if tracked is None or tracked.phase is not MessagePhase.EXPIRING:
+            return None
+        return self._return_to_idle(now, tracked)
+
+    def end_not_proposed(self, command: EndAttempt) -> Action | None:
+        """Propose the end of an attempt again, unless another lease has been granted."""
+        tracked = self.find_leased(command.request_id, command.lease_id)
+        return None if tracked is None else ProposeCommand(command)
+
+    # ---- time and edge nodes
+
+    def timer_fired(self, now: float, timer: Timer) -> Action | None:
+        """Go on with a message whose delay, back-off, grace, lease or retention is over."""
+        tracked = timer.tracked
+        if timer.kind is TimerKind.RETENTION:
+            if timer.when == tracked.retention_timer:
+                tracked.retention_timer = inf
+            return self.place_idle(now, tracked)
+        if tracked.phase in (MessagePhase.DELAYED, MessagePhase.UNROUTED):
+            return self.place(now, tracked)
+        if tracked.phase is not MessagePhase.LEASED:
+            return None
+        if now < tracked.lease_ends_at:  # it was extended
+            self._leases.set_timer(tracked)
+            return None
+        return self._lease_timed_out(now, tracked)
+
+    def edge_process_ended(self, now: float, request_id: str) -> Action | None:
+        """Release a lease of an edge node whose process has ended.
+
+        A worker may still run a message that has an order key: its lease goes on until its end.
+        """
+        tracked = self._tracked[request_id]
+        if tracked.phase is not MessagePhase.LEASED or tracked.entry.message.order_key:
+            return None
+        return self._lease_timed_out(now, tracked)
+
+    # ---- reports of holders
+
+    def extend(self, now: float, request_id: str, lease_id: str) -> bool:
+        """Extend a pulled lease from now; False where it is not current."""
+        tracked = self._tracked.get(request_id)
+        lease = None if tracked is None else tracked.entry.lease
+        if tracked is None or lease is None or lease.lease_id != lease_id or not lease.pulled:
+            return False
+        duration_ms = self._leases.pull_duration_ms
+        if tracked.phase is MessagePhase.LEASED:
+            tracked.lease_ends_at = now + duration_ms / 1000
+            return True
+        if tracked.phase not in IDLE_PHASES:
+            return False
+        self._leases.adopt(now, tracked, lease, duration_ms)
+        return True
+
+    def end_attempt_command(
+        self, request_id: str, lease_id: str, outcome: AttemptOutcome, stamp: str, retry_after_ms: int
+    ) -> EndAttempt:
+        """Return the command for a holder's report, with the `max_attempts` in force."""
+        if outcome is AttemptOutcome.ROUTE_GONE:
+            outcome = AttemptOutcome.NOT_RUN
+        tracked = self._tracked.get(request_id)
+        if tracked is not None:
+            self._placement.assign_route(tracked)
+        route = None if tracked is None else tracked.route
+        max_attempts = UNLIMITED_ATTEMPTS if route is None else route.max_attempts
+        return EndAttempt(request_id, lease_id, outcome, stamp, max_attempts, retry_after_ms)
+
+    def _return_unsent(self, grant: GrantLease) -> ProposeCommand:
+        command = self.end_attempt_command(
+            grant.request_id, grant.lease_id, AttemptOutcome.NOT_RUN, stamp="", retry_after_ms=0
+        )
+        return ProposeCommand(command)
+
+    def _return_to_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
+        self._leases.drop_pregrant(tracked)
+        self._leases.release(tracked)
+        return self.place(now, tracked)
+
+    def _lease_timed_out(self, now: float, tracked: TrackedMessage) -> Action | None:
+        """Release a lease whose holder did not report in time. It stays current until the next grant."""
+        if tracked.lease is not None:
+            tracked.avoided_edge = tracked.lease.edge
+        self._leases.release(tracked)
+        return self.place(now, tracked)
+
+    def _back_off(self, now: float, tracked: TrackedMessage, command: EndAttempt, edge: str) -> None:
+        repetitions = tracked.count_repetitions(command.outcome)
+        if command.outcome in _RETURNED and repetitions + 1 >= RETURNS_BEFORE_EDGE_CHANGE:
+            tracked.avoided_edge = edge
+        delay = backoff_after(command.outcome, repetitions, command.retry_after_ms, self._random)
+        tracked.retry_at = now + delay
+
+    def _end(self, now: float, tracked: TrackedMessage) -> Action | None:
+        """Hand a message over to `EndedMessages`, and place the next one of its order key."""
+        self._leases.drop_pregrant(tracked)
+        self._leases.release(tracked)
+        tracked.enter(MessagePhase.ENDED)
+        del self._tracked[tracked.request_id]
+        self._placement.remove(tracked)
+        self._ended.add(tracked.entry)
+        key = tracked.entry.message.order_key
+        head = self._state.order_head(key) if key else None
+        successor = None if head is None else self._tracked.get(head.message.request_id)
+        if successor is None or successor.phase is not MessagePhase.BLOCKED:
+            return None
+        return self.place(now, successor)
--- a/bitternpath/queue/long_polls.py
+++ b/bitternpath/queue/long_polls.py
@@ -1,4 +1,4 @@
-"""Workers that wait for a job of one service."""
+"""Long polls: pulling workers that wait for a message of one service."""
 
 from __future__ import annotations
 
@@ -7,39 +7,49 @@
 from dataclasses import dataclass
 
 
+@dataclass(frozen=True, slots=True)
+class LongPollRequest:
+    """A worker's request for a message."""
+
+    poll_id: int  # unique over all edge nodes
+    edge: str  # name of the edge node at which it waits
+    service: str
+    instance: str  # id of the worker's instance
+    wait_s: float  # it is answered with nothing after that
+
+
 @dataclass(slots=True, eq=False)
 class LongPoll:
-    """A waiting worker. `reserved`: a lease for it has been proposed."""
+    """A worker that waits."""
 
-    poll_id: int
-    edge: str
-    service: str
-    instance: str
-    deadline: float
+    request: LongPollRequest
+    deadline: float  # local steady time
     is_local: bool  # its edge node is in the owner's zone
-    reserved: bool = False
+    reserved: bool = False  # a lease for it has been proposed
+
+    @property
+    def poll_id(self) -> int:
+        """The number of the poll."""
+        return self.request.poll_id
 
 
 class LongPollTable:
     """All waiting workers of a shard, by service: those in the owner's zone first, then the longest wait."""
 
     def __init__(self) -> None:
+        """Begin without polls."""
         self._polls: dict[int, LongPoll] = {}
-        self._waiting: dict[tuple[str, bool], OrderedDict[int, LongPoll]] = {}
+        self._waiting: dict[tuple[str, bool], OrderedDict[int, LongPoll]] = {}  # by service and `is_local`
         self._deadlines: list[tuple[float, int]] = []
 
     def add(self, poll: LongPoll) -> None:
-        """A worker begins to wait."""
+        """Add a worker that begins to wait."""
         self._polls[poll.poll_id] = poll
         self._queue(poll)[poll.poll_id] = poll
         heapq.heappush(self._deadlines, (poll.deadline, poll.poll_id))
 
-    def find(self, poll_id: int) -> LongPoll | None:
-        """A poll that has neither been answered, cancelled nor expired."""
-        return self._polls.get(poll_id)
-
     def first(self, service: str) -> LongPoll | None:
-        """The poll that should get the next job of a service."""
+        """Return the poll that should get the next message of a service; None where none waits."""
         for is_local in (True, False):
             queue = self._waiting.get((service, is_local))
             if queue:
@@ -47,12 +57,12 @@
         return None
 
     def reserve(self, poll: LongPoll) -> None:
-        """A lease for it is being granted; it doesn't expire meanwhile."""
+        """Take a poll out of its queue while a lease for it is being granted; it doesn't expire meanwhile."""
         poll.reserved = True
         self._queue(poll).pop(poll.poll_id, None)
 
     def release(self, poll_id: int) -> None:
-        """The lease for it was not granted: it waits on, before the others."""
+        """Put a reserved poll back, before the others: the lease for it was not granted."""
         poll = self._polls.get(poll_id)
         if poll is None or not poll.reserved:
             return
@@ -63,26 +73,26 @@
         heapq.heappush(self._deadlines, (poll.deadline, poll_id))
 
     def remove(self, poll_id: int) -> LongPoll | None:
-        """It has been answered, or its worker has gone."""
+        """Remove a poll that is answered or cancelled; None where it is unknown."""
         poll = self._polls.pop(poll_id, None)
         if poll is not None:
             self._queue(poll).pop(poll_id, None)
         return poll
 
     def remove_of_edge(self, edge: str) -> None:
-        """An edge node has gone, and with it the workers that wait there."""
-        for poll in [poll for poll in self._polls.values() if poll.edge == edge]:
+        """Remove the polls of an edge node that has gone."""
+        for poll in [poll for poll in self._polls.values() if poll.request.edge == edge]:
             self.remove(poll.poll_id)
 
     def pop_expired(self, now: float) -> LongPoll | None:
-        """A poll whose time is over; it is removed."""
+        """Remove a poll whose deadline has passed, and return it; None where there is none."""
         when = self.next_deadline()
         if when is None or when > now:
             return None
         return self.remove(heapq.heappop(self._deadlines)[1])
 
     def next_deadline(self) -> float | None:
-        """When the next poll expires."""
+        """Return when the next poll expires; None where none will."""
         while self._deadlines:
             poll = self._polls.get(self._deadlines[0][1])
             if poll is not None and not poll.reserved:
@@ -91,4 +101,4 @@
         return None
 
     def _queue(self, poll: LongPoll) -> OrderedDict[int, LongPoll]:
-        return self._waiting.setdefault((poll.service, poll.is_local), OrderedDict())
+        return self._waiting.setdefault((poll.request.service, poll.is_local), OrderedDict())
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -1,10 +1,15 @@
 """Decisions of the owner of a queue shard.
 
-`ShardOwner` is a pure decider: its inputs are typed calls with the time, its outputs are actions for the role
-that holds it. It reads the replicated state and writes nothing but proposals. All it knows beyond the state
-is lost with the ownership; a new owner starts from `leadership_acquired`.
+`ShardOwner` is a pure decider: its inputs are events, each a call with the time, its outputs are `actions`
+for the role that holds it. It reads the replicated state and changes it only by the commands it proposes. All
+it knows beyond the state is lost with the ownership; a new owner starts from `leadership_acquired`.
 
-A message leaves the shard only after its `GrantLease` has been applied, so that each later owner knows of it.
+Invariants:
+
+- a message is sent only after its `GrantLease` has been applied, so that each later owner knows of the lease;
+- a lease of an earlier owner starts anew when a new owner begins: its holder may be running the message;
+- after each event the owner's role calls `next_wakeup`, and `tick` at that time: nothing waits for another
+  event whose time has come.
 """
 
 from __future__ import annotations
@@ -14,8 +19,6 @@
 
 from bitternpath.configuration.documents import RoutingTable
 from bitternpath.queue.actions import Action, ExpirePoll, ProposeCommand
-from bitternpath.queue.backoff import backoff_after
-from bitternpath.queue.callbacks import CallbackQueue
 from bitternpath.queue.commands import (
     AppendMessage,
     Command,
@@ -26,12 +29,15 @@
     RemoveTombstones,
 )
 from bitternpath.queue.edge_nodes import EdgeNodeTable
-from bitternpath.queue.entries import Entry, Lease, provisional_entry
-from bitternpath.queue.lease_granting import Granting
-from bitternpath.queue.lease_table import LeaseTable
-from bitternpath.queue.long_polls import LongPoll, LongPollTable
+from bitternpath.queue.ended_messages import EndedMessages
+from bitternpath.queue.entries import provisional_entry
+from bitternpath.queue.lease_granting import LeaseGranter
+from bitternpath.queue.lease_table import LeaseHolders, LeaseTable
+from bitternpath.queue.lifecycle import MessageLifecycle
+from bitternpath.queue.long_polls import LongPoll, LongPollRequest, LongPollTable
 from bitternpath.queue.placement import Placement
 from bitternpath.queue.quota_leases import QuotaPools
+from bitternpath.queue.rate_limits import RateBound
 from bitternpath.queue.results import (
     AttemptEnded,
     CallbacksConfirmed,
@@ -43,76 +49,83 @@
 )
 from bitternpath.queue.routes import RouteIndex
 from bitternpath.queue.service_queues import ServiceQueueTable
-from bitternpath.queue.sharding import lease_id
+from bitternpath.queue.sharding import LeaseIdSequence
 from bitternpath.queue.state import QueueState
-from bitternpath.queue.timers import Timer, TimerKind, TimerQueue
-from bitternpath.queue.tombstones import TombstoneQueue
-from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
+from bitternpath.queue.timers import TimerQueue
+from bitternpath.queue.tracked_messages import TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, Message
 
-PULL_LEASE_MARGIN_MS = (
-    500  # beyond `visible_ms`: the worker counts from an answer that is later than the grant
-)
+# Beyond the visibility time-out: the worker counts from an answer that is later than the grant.
+PULL_LEASE_MARGIN_MS = 500
 DEFAULT_RETENTION_S = 90.0  # for tombstones while there is no configuration
-UNLIMITED_ATTEMPTS = 2**31 - 1  # for ends of messages whose route is not known here (yet, or any more)
 
-RETURNS_BEFORE_EDGE_CHANGE = 2  # in a row, not run or without an answer
 
-_IDLE = frozenset({MessagePhase.UNROUTED, MessagePhase.BLOCKED, MessagePhase.DELAYED, MessagePhase.READY})
+@dataclass(frozen=True, slots=True)
+class OwnerSettings:
+    """Values of the settings' `bounds` (DEPLOY, "Settings of a process") that shards need."""
+
+    visibility_timeout_ms: int = 3_000  # `visible_ms`: a pulled message is given to nobody else for so long
+    status_retention_s: float = 120.0  # `status_s`: states of ended messages are answered for so long
+    rate_window_s: float = 5.0  # `ceiling_window_s`: sliding window of rate limits
+    rate_tolerance: float = 1.1  # `origin_rate_over`: factor on a rate, within each window
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerSettings:
-    """Figures of the settings' `bounds` (DEPLOY, "Settings of a process") that shards need."""
+class OwnedShard:
+    """Which shard is owned, and where."""
 
-    visible_ms: int = 3_000
-    status_s: float = 120.0
-    ceiling_window_s: float = 5.0
-    origin_rate_over: float = 1.1
+    number: int
+    shards: int  # of the system
+    zone: str  # of the owner's node
 
 
 class ShardOwner:
-    """Owner of one shard of `shards`, on a node in `zone`, over the state that its replica applies."""
+    """Owner of one shard, over the state that its replica applies.
 
-    def __init__(
-        self, state: QueueState, shard: int, shards: int, zone: str, bounds: OwnerSettings, random: Random
-    ) -> None:
+    Each event returns the actions to carry out now, in order. Times are on the local steady clock, in
+    seconds, and never go back.
+    """
+
+    def __init__(self, state: QueueState, shard: OwnedShard, settings: OwnerSettings, random: Random) -> None:
+        """Begin without messages; call `leadership_acquired` before anything else."""
+        bound = RateBound(shard.shards, settings.rate_window_s, settings.rate_tolerance)
         self._state = state
-        self._shard = shard
-        self._bounds = bounds
-        self._random = random
-        self._epoch = 0
-        self._leases_counted = 0
-        self._tracked: dict[str, TrackedMessage] = {}
+        self._actions: list[Action] = []
+        self._lease_ids = LeaseIdSequence(shard.number)
         self._routes = RouteIndex()
-        self._services = ServiceQueueTable(shards, bounds.ceiling_window_s, bounds.origin_rate_over)
-        self._pools = QuotaPools(shard, shards, bounds.ceiling_window_s, bounds.origin_rate_over)
-        self._edges = EdgeNodeTable(zone, random)
+        self._services = ServiceQueueTable(bound)
+        self._pools = QuotaPools(shard.number, bound)
+        self._edges = EdgeNodeTable(shard.zone, random)
         self._polls = LongPollTable()
-        self._pull_duration_ms = bounds.visible_ms + PULL_LEASE_MARGIN_MS
+        self._timers = TimerQueue()
         self._leases = LeaseTable(
-            self._services, self._edges, self._polls, self._next_lease_id, self._pull_duration_ms
+            self._services,
+            LeaseHolders(self._edges, self._polls),
+            self._timers,
+            self._lease_ids,
+            settings.visibility_timeout_ms + PULL_LEASE_MARGIN_MS,
         )
-        self._granting = Granting(
-            state, self._routes, self._services, self._leases, self._emit, self._enter_leased
+        self._granter = LeaseGranter(state, self._routes, self._services, self._leases, self._emit)
+        self._ended = EndedMessages(self._edges, random, settings.status_retention_s)
+        self._lifecycle = MessageLifecycle(
+            state,
+            Placement(state, self._routes, self._services, self._timers),
+            self._leases,
+            self._ended,
+            random,
         )
-        self._timers = TimerQueue()
-        self._placement = Placement(state, self._routes, self._services, self._timers)
-        self._callbacks = CallbackQueue(self._edges, random)
-        self._tombstones = TombstoneQueue(bounds.status_s)
-        self._actions: list[Action] = []
 
-    # ---- inputs: ownership, configuration, edge nodes
+    # ---- events: ownership, configuration, edge nodes
 
     def leadership_acquired(self, now: float, epoch: int) -> list[Action]:
         """Begin, once all commands of earlier epochs are applied. Each lease counts as extended now."""
-        self._epoch = epoch
+        self._lease_ids.epoch = epoch
         for entry in self._state:
             if entry.ended:
-                self._keep_tombstone(entry)
+                self._ended.add(entry)
             else:
-                self._take_in(now, entry)
-        return self._finish(now)
+                self._emit_any(self._lifecycle.adopt(now, entry))
+        return self._take_actions(now)
 
     def configure(self, now: float, table: RoutingTable) -> list[Action]:
         """Follow another configuration from now on; an older one than the present one is ignored."""
@@ -121,370 +134,203 @@
         self._services.configure(now, table.services)
         self._pools.configure(now, table.services)
         for tracked in self._routes.configure(table):
-            if tracked.phase in _IDLE:
-                self._place(now, tracked)
-        return self._finish(now)
+            self._emit_any(self._lifecycle.place_idle(now, tracked))
+        return self._take_actions(now)
 
     def set_capacities(self, now: float, slots: dict[str, int]) -> list[Action]:
-        """How many slots the listed workers of each service have, by the platform's list."""
+        """Take the number of slots that the listed workers of each service have."""
         self._services.set_capacities(slots)
-        return self._finish(now)
-
-    def lend_tokens(self, now: float, service: str, wanted: int) -> int:
-        """Tokens for another shard, or this one, of a service whose home is here. The caller knows that this
-        owner has no successor yet."""
-        return self._pools.lend(now, service, wanted)
-
-    def tokens_lent(self, now: float, service: str, tokens: int, asked_at: float) -> list[Action]:
-        """The answer to `BorrowTokens`, which was handed over at `asked_at`."""
-        queue = self._services.find(service)
-        if queue is not None and queue.loan is not None:
-            queue.loan.lent(now, tokens, asked_at)
-            self._services.mark_dirty(service)
-        return self._finish(now)
+        return self._take_actions(now)
 
     def edge_connected(self, now: float, name: str, zone: str) -> list[Action]:
-        """An edge node is connected. Of a new life, call `edge_process_ended` for the old one first."""
+        """An edge node is connected. Of a new process, call `edge_process_ended` for the old one first."""
         edge = self._edges.find(name)
         edge.zone = zone
         edge.connected = True
         self._services.mark_all_dirty()
-        return self._finish(now)
+        return self._take_actions(now)
 
     def edge_disconnected(self, now: float, name: str) -> list[Action]:
-        """The connection to an edge node has ended. Its leases go on: it may be at work."""
+        """The connection to an edge node has ended. Its leases go on: it may be running the messages."""
         self._edges.find(name).connected = False
         self._polls.remove_of_edge(name)
-        return self._finish(now)
+        return self._take_actions(now)
 
     def edge_process_ended(self, now: float, name: str) -> list[Action]:
-        """The process of an edge node has ended.
-
-        Its leases on messages without an order key are over. A worker may still run one that has a key: that
-        lease goes on until its end.
-        """
+        """The process of an edge node has ended, and with it its leases on messages without an order key."""
         edge = self._edges.find(name)
         edge.connected = False
         edge.process_ended_at = now
         self._polls.remove_of_edge(name)
         for lease in list(edge.leases.values()):
-            tracked = self._tracked[lease.request_id]
-            if tracked.phase is MessagePhase.LEASED and not tracked.entry.message.order_key:
-                self._lease_over(now, tracked)
-        return self._finish(now)
-
-    # ---- inputs: workers that pull, ends, call-backs
-
-    def poll(
-        self, now: float, poll_id: int, edge: str, service: str, instance: str, wait_s: float
-    ) -> list[Action]:
-        """A worker waits for a job at an edge node. `poll_id` is unique over all edge nodes."""
-        is_local = self._edges.is_local(edge)
-        self._polls.add(LongPoll(poll_id, edge, service, instance, now + wait_s, is_local))
-        self._services.mark_dirty(service)
-        return self._finish(now)
+            self._emit_any(self._lifecycle.edge_process_ended(now, lease.request_id))
+        return self._take_actions(now)
+
+    # ---- events: rate limits that shards share
+
+    def lend_tokens(self, now: float, service: str, wanted: int) -> int:
+        """Lend tokens of a service whose home is this shard; returns how many.
+
+        The caller knows that this owner has no successor yet.
+        """
+        return self._pools.lend(now, service, wanted)
+
+    def tokens_lent(self, now: float, service: str, tokens: int, requested_at: float) -> list[Action]:
+        """`BorrowTokens`, which was handed over at `requested_at`, is answered."""
+        queue = self._services.find(service)
+        if queue is not None and queue.borrower is not None:
+            queue.borrower.tokens_lent(now, tokens, requested_at)
+            self._services.mark_dirty(service)
+        return self._take_actions(now)
+
+    # ---- events: workers that pull, reports of holders, call-backs
+
+    def poll(self, now: float, request: LongPollRequest) -> list[Action]:
+        """A worker waits for a message at an edge node."""
+        is_local = self._edges.is_local(request.edge)
+        self._polls.add(LongPoll(request, now + request.wait_s, is_local))
+        self._services.mark_dirty(request.service)
+        return self._take_actions(now)
 
     def cancel_poll(self, now: float, poll_id: int) -> list[Action]:
-        """The worker waits no more; a job that is being granted to it will be handed back."""
+        """The worker waits no more; a message that is being leased to it will be returned."""
         self._polls.remove(poll_id)
-        return self._finish(now)
+        return self._take_actions(now)
 
     def extend(self, now: float, request_id: str, lease_id: str) -> bool:
-        """A worker still holds its pulled job; False where the lease is gone. Not in the log."""
-        tracked = self._tracked.get(request_id)
-        lease = None if tracked is None else tracked.entry.lease
-        if tracked is None or lease is None or lease.lease_id != lease_id or not lease.pulled:
-            return False
-        if tracked.phase is MessagePhase.LEASED:
-            tracked.lease_ends_at = now + self._pull_duration_ms / 1000
-            return True
-        if tracked.phase not in _IDLE:
-            return False
-        self._hold_lease(now, tracked, lease, self._pull_duration_ms)
-        return True
+        """Extend the lease of a pulled message, which is not in the log; False where it is not current."""
+        return self._lifecycle.extend(now, request_id, lease_id)
 
     def end_attempt_command(
         self, request_id: str, lease_id: str, outcome: AttemptOutcome, stamp: str, retry_after_ms: int
     ) -> EndAttempt:
-        """The command for a holder's word, with the `max_attempts` in force. The caller proposes it.
+        """Return the command for a holder's report, with the `max_attempts` in force. The caller proposes it.
 
-        A holder's word that the route is gone hands the message back: its configuration may be older than the
+        A report that the route is gone returns the message: the holder's configuration may be older than the
         message. Whether the message ends is decided here, by the table in force.
         """
-        if outcome is AttemptOutcome.ROUTE_GONE:
-            outcome = AttemptOutcome.NOT_RUN
-        tracked = self._tracked.get(request_id)
-        if tracked is not None:
-            self._routes.assign(tracked)
-        route = None if tracked is None else tracked.route
-        attempts = UNLIMITED_ATTEMPTS if route is None else route.max_attempts
-        return EndAttempt(request_id, lease_id, outcome, stamp, attempts, retry_after_ms)
-
-    def callback_report(self, now: float, request_id: str, taken: bool) -> list[Action]:
-        """How a call-back went."""
-        self._callbacks.report(now, request_id, taken)
-        return self._finish(now)
-
-    # ---- inputs: the log, time
+        return self._lifecycle.end_attempt_command(request_id, lease_id, outcome, stamp, retry_after_ms)
+
+    def callback_report(self, now: float, request_id: str, *, acknowledged: bool) -> list[Action]:
+        """An edge node has made a call-back, which the receiver acknowledged or not."""
+        self._ended.callbacks.report(now, request_id, acknowledged=acknowledged)
+        return self._take_actions(now)
+
+    # ---- events: the log
 
     def append_proposed(self, now: float, message: Message) -> list[Action]:
-        """A message's append has just been proposed. Where it can be leased at once, its lease goes into the
-        log right behind it: one round of replicas and one sync for both. Empty where it can't; else
-        `append_failed` is to be called should the append surely never be in the log.
+        """A message's append has just been proposed.
+
+        Where it can be leased at once, its lease goes into the log right behind it: one round of replicas and
+        one sync for both. Empty where it can't; else `append_failed` is to be called should the append surely
+        never be in the log.
         """
-        if message.request_id in self._tracked or self._state.find(message.request_id) is not None:
+        request_id = message.request_id
+        if self._lifecycle.find(request_id) is not None or self._state.find(request_id) is not None:
             return []
         tracked = TrackedMessage(provisional_entry(message, now), accepted_by_this_owner=True)
-        command = self._granting.at_once(now, tracked)
+        command = self._granter.grant_on_append(now, tracked)
         if command is None:
             self._routes.remove(tracked)
             return []
-        self._tracked[message.request_id] = tracked
-        tracked.enter(MessagePhase.GRANTING)
-        self._actions.append(ProposeCommand(command))
-        return self._finish(now)
+        self._lifecycle.add_provisional(tracked)
+        self._emit(ProposeCommand(command))
+        return self._take_actions(now)
 
     def append_failed(self, request_id: str) -> None:
         """An append for which `append_proposed` gave actions is surely not in the log, nor is its lease."""
-        tracked = self._tracked.pop(request_id, None)
-        if tracked is not None:
-            self._leases.forget_ahead(tracked)
-            self._leases.release(tracked)
-            self._routes.remove(tracked)
+        self._lifecycle.remove_provisional(request_id)
 
-    def applied(self, now: float, command: Command, result: Result) -> list[Action]:
+    def applied(self, now: float, result: Result) -> list[Action]:
         """A command has been applied to the state; to be called after each one, before the next."""
         match result:
-            case MessageAppended(new=True):
-                self._message_added(now, result)
+            case MessageAppended(is_new=True):
+                self._emit_any(self._lifecycle.message_appended(now, result))
             case LeaseGranted():
-                self._lease_granted(now, result)
+                self._emit_any(self._lifecycle.lease_granted(now, result))
             case AttemptEnded(effective=True):
-                self._attempt_ended(now, result)
+                self._emit_any(self._lifecycle.attempt_ended(now, result))
             case MessageExpired():
-                self._expiry_applied(now, result)
+                self._emit_any(self._lifecycle.expiry_applied(now, result))
             case CallbacksConfirmed() | TombstonesRemoved():
                 for request_id in result.command.request_ids:
-                    self._callbacks.confirmed(request_id)
+                    self._ended.callbacks.remove(request_id)
             case _:
                 pass
-        return self._finish(now)
+        return self._take_actions(now)
 
     def proposal_failed(self, now: float, command: Command) -> list[Action]:
         """A proposal of this owner will surely never be in the log, though it still owns the shard."""
         match command:
             case GrantLease():
-                tracked = self._tracked.get(command.request_id)
-                lease = None if tracked is None else tracked.lease
-                if tracked is not None and lease is not None and lease.lease_id == command.lease_id:
-                    self._not_granted(now, tracked)
+                self._emit_any(self._lifecycle.grant_not_proposed(now, command))
             case ExpireMessage():
-                tracked = self._tracked.get(command.request_id)
-                if tracked is not None and tracked.phase is MessagePhase.EXPIRING:
-                    self._not_granted(now, tracked)
+                self._emit_any(self._lifecycle.expiry_not_proposed(now, command))
+            case EndAttempt():
+                self._emit_any(self._lifecycle.end_not_proposed(command))
             case ConfirmCallbacks():
                 for request_id in command.request_ids:
-                    self._callbacks.reopen(request_id)
+                    self._ended.callbacks.confirmation_failed(request_id)
             case RemoveTombstones():
-                for request_id in command.request_ids:
-                    entry = self._state.find(request_id)
-                    if entry is not None:
-                        self._tombstones.retry(now, entry)
-            case EndAttempt():
-                tracked = self._tracked.get(command.request_id)
-                lease = None if tracked is None else tracked.lease
-                if lease is not None and lease.lease_id == command.lease_id:
-                    self._actions.append(ProposeCommand(command))
+                self._retry_removal(now, command)
             case AppendMessage():
-                pass
-        return self._finish(now)
+                pass  # the client's request is refused, and repeated there
+        return self._take_actions(now)
 
-    def _not_granted(self, now: float, tracked: TrackedMessage) -> None:
-        self._leases.forget_ahead(tracked)
-        self._leases.release(tracked)
-        self._place(now, tracked)
+    # ---- time
 
     def tick(self, now: float) -> list[Action]:
         """Let everything happen whose time has come."""
         while (timer := self._timers.pop_due(now)) is not None:
-            self._fire(now, timer)
-        self._services.advance(now)
+            self._emit_any(self._lifecycle.timer_fired(now, timer))
+        self._services.wake_due(now)
         while (poll := self._polls.pop_expired(now)) is not None:
-            self._actions.append(ExpirePoll(poll.poll_id, poll.edge))
-        for command in self._tombstones.collect(now, self._longest_retention()):
-            self._actions.append(ProposeCommand(command))
-        return self._finish(now)
+            self._emit(ExpirePoll(poll.poll_id, poll.request.edge))
+        for command in self._ended.tombstones.collect(now, self._longest_retention()):
+            self._emit(ProposeCommand(command))
+        return self._take_actions(now)
 
     def next_wakeup(self, now: float) -> float | None:
-        """When `tick` is wanted next; None: not before another input."""
+        """Return when `tick` is wanted next; None: not before another event."""
         times = (
             self._timers.next_time(),
             self._services.next_wakeup(),
             self._polls.next_deadline(),
-            self._callbacks.next_wakeup(),
-            self._tombstones.next_wakeup(),
+            self._ended.callbacks.next_wakeup(),
+            self._ended.tombstones.next_wakeup(),
         )
         return min((max(now, when) for when in times if when is not None), default=None)
 
-    # ---- messages and their phases
+    def _longest_retention(self) -> float:
+        table = self._routes.table
+        if table is None:
+            return DEFAULT_RETENTION_S
+        return max((route.retention_s for route in table.routes.values()), default=DEFAULT_RETENTION_S)
+
+    def _retry_removal(self, now: float, command: RemoveTombstones) -> None:
+        for request_id in command.request_ids:
+            entry = self._state.find(request_id)
+            if entry is not None:
+                self._ended.tombstones.retry(now, entry)
 
-    def _take_in(self, now: float, entry: Entry) -> None:
-        """Track a message at a take-over. Its holder may be at work on it: the lease counts from now."""
-        tracked = self._tracked[entry.message.request_id] = TrackedMessage(
-            entry, accepted_by_this_owner=False
-        )
-        if entry.lease is None:
-            self._place(now, tracked)
-        else:
-            self._routes.assign(tracked)
-            self._hold_lease(now, tracked, entry.lease, entry.lease.duration_ms)
-
-    def _hold_lease(self, now: float, tracked: TrackedMessage, lease: Lease, duration_ms: int) -> None:
-        """Regard the lease in the state as out, from now on."""
-        self._leases.adopt(now, tracked, lease)
-        self._enter_leased(now, tracked, duration_ms)
-
-    def _enter_leased(self, now: float, tracked: TrackedMessage, duration_ms: int) -> None:
-        tracked.enter(MessagePhase.LEASED)
-        tracked.lease_ends_at = now + duration_ms / 1000
-        self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
-
-    def _place(self, now: float, tracked: TrackedMessage) -> None:
-        """Put a message that is neither leased nor ended where it belongs now."""
-        command = self._placement.place(now, tracked)
-        if command is not None:
-            self._actions.append(ProposeCommand(command))
-
-    def _fire(self, now: float, timer: Timer) -> None:
-        tracked = timer.tracked
-        if timer.kind is TimerKind.RETENTION:
-            if timer.when == tracked.retention_timer:
-                tracked.retention_timer = float("inf")
-            if tracked.phase in _IDLE:
-                self._place(now, tracked)
-        elif tracked.phase in (MessagePhase.DELAYED, MessagePhase.UNROUTED):
-            self._place(now, tracked)
-        elif tracked.phase is MessagePhase.LEASED and now < tracked.lease_ends_at:
-            self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
-        elif tracked.phase is MessagePhase.LEASED:
-            self._lease_over(now, tracked)
-
-    def _lease_over(self, now: float, tracked: TrackedMessage) -> None:
-        """Its holder has said nothing in time. Until the next grant the state still takes its word."""
-        if tracked.lease is not None:
-            tracked.avoided_edge = tracked.lease.edge
-        self._leases.release(tracked)
-        self._place(now, tracked)
-
-    # ---- leases
-
-    def _finish(self, now: float) -> list[Action]:
-        """Grant what can be granted, send call-backs, and hand over the actions."""
-        for queue in self._services.take_dirty():
-            self._granting.grant_ready(now, queue)
-        self._actions.extend(self._callbacks.advance(now))
-        proposes = any(isinstance(action, ProposeCommand) for action in self._actions)
-        if (command := self._callbacks.confirmation(now, proposes)) is not None:
-            self._actions.append(ProposeCommand(command))
-        actions, self._actions = self._actions, []
-        return actions
+    # ---- actions
 
     def _emit(self, action: Action) -> None:
         self._actions.append(action)
 
-    def _next_lease_id(self) -> str:
-        self._leases_counted += 1
-        return lease_id(self._shard, self._epoch, self._leases_counted)
-
-    # ---- applied commands
-
-    def _message_added(self, now: float, result: MessageAppended) -> None:
-        entry = self._state.find(result.command.message.request_id)
-        if entry is None or entry.ended:
-            return
-        self._state.count_delay_from_now(entry)
-        early = self._tracked.get(entry.message.request_id)
-        if early is not None:
-            early.entry = entry  # its lease is the next command
-            return
-        tracked = self._tracked[entry.message.request_id] = TrackedMessage(entry, accepted_by_this_owner=True)
-        self._place(now, tracked)
-
-    def _lease_granted(self, now: float, result: LeaseGranted) -> None:
-        command = result.command
-        tracked = self._tracked.get(command.request_id)
-        if tracked is None or tracked.lease is None or tracked.lease.lease_id != command.lease_id:
-            return
-        if not result.ok:
-            self._not_granted(now, tracked)
-            return
-        if tracked.ahead is not None and tracked.ahead.lease_id == command.lease_id:
-            tracked.lease = None
-            self._place(now, tracked)
-            return
-        self._enter_leased(now, tracked, command.duration_ms)
-        action = self._leases.hand_out(now, tracked, command)
-        if action is None:
-            self._return_unsent(command)
-        else:
+    def _emit_any(self, action: Action | None) -> None:
+        if action is not None:
             self._actions.append(action)
 
-    def _return_unsent(self, grant: GrantLease) -> None:
-        command = self.end_attempt_command(grant.request_id, grant.lease_id, AttemptOutcome.NOT_RUN, "", 0)
-        self._actions.append(ProposeCommand(command))
-
-    def _attempt_ended(self, now: float, result: AttemptEnded) -> None:
-        command = result.command
-        tracked = self._tracked.get(command.request_id)
-        if tracked is None:
-            return
-        edge = ""
-        if tracked.lease is not None and tracked.lease.lease_id == command.lease_id:
-            edge = tracked.lease.edge
-            self._leases.record(now, tracked, command.outcome)
-            self._leases.release(tracked)
-        if result.ended_now:
-            self._message_ended(now, tracked)
-            return
-        repetitions = tracked.count_repetitions(command.outcome)
-        in_vain = command.outcome in (AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN)
-        if in_vain and repetitions + 1 >= RETURNS_BEFORE_EDGE_CHANGE:
-            tracked.avoided_edge = edge
-        pause = backoff_after(command.outcome, repetitions, command.retry_after_ms, self._random)
-        tracked.retry_at = now + pause
-        if tracked.phase not in (MessagePhase.GRANTING, MessagePhase.EXPIRING):
-            self._place(now, tracked)
-
-    def _expiry_applied(self, now: float, result: MessageExpired) -> None:
-        tracked = self._tracked.get(result.command.request_id)
-        if tracked is None:
-            return
-        if result.ended_now:
-            self._message_ended(now, tracked)
-        elif tracked.phase is MessagePhase.EXPIRING:
-            self._place(now, tracked)
-
-    def _message_ended(self, now: float, tracked: TrackedMessage) -> None:
-        """Keep the tombstone, and let the next message of its order key go."""
-        self._leases.forget_ahead(tracked)
-        self._leases.release(tracked)
-        tracked.enter(MessagePhase.ENDED)
-        del self._tracked[tracked.request_id]
-        self._routes.remove(tracked)
-        self._keep_tombstone(tracked.entry)
-        key = tracked.entry.message.order_key
-        head = self._state.order_head(key) if key else None
-        successor = None if head is None else self._tracked.get(head.message.request_id)
-        if successor is not None and successor.phase is MessagePhase.BLOCKED:
-            self._place(now, successor)
-
-    def _keep_tombstone(self, entry: Entry) -> None:
-        self._tombstones.add(entry)
-        if entry.callback_pending:
-            self._callbacks.owe(entry)
-
-    def _longest_retention(self) -> float:
-        table = self._routes.table
-        if table is None:
-            return DEFAULT_RETENTION_S
-        return max((route.retention_s for route in table.routes.values()), default=DEFAULT_RETENTION_S)
+    def _take_actions(self, now: float) -> list[Action]:
+        """Grant what can be granted, send call-backs, and hand over the actions."""
+        for queue in self._services.take_dirty():
+            self._granter.grant_ready(now, queue)
+        self._actions.extend(self._ended.callbacks.advance(now))
+        others_proposed = any(isinstance(action, ProposeCommand) for action in self._actions)
+        confirmation = self._ended.callbacks.take_confirmation(now, others_proposed=others_proposed)
+        if confirmation is not None:
+            self._actions.append(ProposeCommand(confirmation))
+        actions = self._actions
+        self._actions = []
+        return actions
--- a/bitternpath/queue/rate_limits.py
+++ b/bitternpath/queue/rate_limits.py
@@ -1,11 +1,11 @@
 """How the rate limit of a service is divided among the token buckets of the shards.
 
 RULES, "CEILING": in each sliding window of `window_s`, arrivals at a service over all shards stay at or below
-`rate * window_s * over + 5`. A token is spent when a lease is granted; the arrival follows within
+`rate * window_s * tolerance + 5`. A token is spent when a lease is granted; the arrival follows within
 `MAX_SEND_DELAY_S`. Tokens spent in a span W by one bucket are at most refill * W + burst, so the bound holds
 if
 
-    shards * (refill * (window_s + MAX_SEND_DELAY_S) + burst) <= rate * window_s * over + 5.
+    shards * (refill * (window_s + MAX_SEND_DELAY_S) + burst) <= rate * window_s * tolerance + 5.
 
 A bucket starts empty when a shard gets a new owner: its predecessor may just have spent its burst.
 
@@ -17,58 +17,50 @@
 `MAX_POOL_DELAY_S`, and the bound is
 
     shards * (refill * (window_s + MAX_SEND_DELAY_S) + burst)
-        + pool refill * (window_s + MAX_POOL_DELAY_S) + pool burst <= rate * window_s * over + 5.
+        + pool refill * (window_s + MAX_POOL_DELAY_S) + pool burst <= rate * window_s * tolerance + 5.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from bitternpath.queue.token_bucket import NO_SHARE, BucketShare
+
 ALLOWED_EXCESS = 5.0  # arrivals a window beyond the rate (RULES, "CEILING")
 EDGE_SEND_DELAY_S = 0.5  # an edge node sends within this time of receiving a lease, or hands it back
 MAX_GRANT_DELAY_S = 0.25  # a lease whose grant takes longer to commit is handed back unsent
 MAX_SEND_DELAY_S = EDGE_SEND_DELAY_S + MAX_GRANT_DELAY_S
-# A ceiling is pooled over so many shards where an equal share is below so many tokens in a window: chance
-# then loads shards too unevenly. Else equal shares are better: they use nearly all of the rate.
-MIN_POOLED_SHARDS, MAX_POOLED_TOKENS_PER_SHARD = 8, 16.0
+# A limit is pooled over so many shards where an equal share is below so many tokens in a window: chance then
+# loads shards too unevenly. Else equal shares are better: they use nearly all of the rate.
+MIN_POOLED_SHARDS = 8
+MAX_POOLED_TOKENS_PER_SHARD = 16.0
 BASE_FRACTION = 0.15  # of a pooled service's rate that is shared equally
 QUOTA_LEASE_S = 0.4  # a lent token is spent within this time of being asked for, or lapses
 LENDER_OVERLAP_S = 0.5  # a former owner of the home shard may lend for so long beside its successor
 MAX_POOL_DELAY_S = MAX_SEND_DELAY_S + QUOTA_LEASE_S + LENDER_OVERLAP_S
 _POOL_BURST = 6.0  # tokens, at least where the bound allows it: shards ask ten times a second at most
-_LEAST_BURST = 1.0  # a smaller bucket never holds a whole token
-_ROUNDING = 1e-9  # tokens; keeps sums of small refills from missing a whole token
+_MIN_BURST = 1.0  # a smaller bucket never holds a complete token
 
 
 @dataclass(frozen=True, slots=True)
-class BucketShare:
-    """Refill (tokens a second) and burst (tokens) of one shard's bucket."""
-
-    refill_per_s: float
-    burst: float
-
+class RateBound:
+    """The bound on the arrivals at each rate-limited service, by settings that all nodes have in common."""
 
-def equal_share(rate_per_s: float, shards: int, window_s: float, over: float) -> BucketShare:
-    """The largest share up to rate/shards that keeps the bound above with a burst of one token or more.
+    shards: int
+    window_s: float
+    tolerance: float  # factor on the rate, 1 or more
 
-    Many shards or a low rate can push the refill under rate/shards: the bound goes first, and the service
-    then gets less than its rate. Where even one token a window for each shard would break the bound
-    (rate * window_s * over + 5 < shards), the share is nothing at all.
-    """
-    allowed = (rate_per_s * window_s * over + ALLOWED_EXCESS) / shards
-    if allowed < _LEAST_BURST:
-        return BucketShare(0.0, 0.0)
-    span = window_s + MAX_SEND_DELAY_S
-    refill = min(rate_per_s / shards, (allowed - _LEAST_BURST) / span)
-    return BucketShare(refill, max(_LEAST_BURST, allowed - refill * span))
+    def allowed(self, rate_per_s: float) -> float:
+        """Return the arrivals at a service that a window may have, over all shards."""
+        return rate_per_s * self.window_s * self.tolerance + ALLOWED_EXCESS
 
 
 @dataclass(frozen=True, slots=True)
 class RateSplit:
-    """What each shard has for itself, and the pool from which the shards borrow."""
+    """How a service's rate is divided."""
 
-    base: BucketShare
-    pool: BucketShare
+    base: BucketShare  # of each shard
+    pool: BucketShare  # from which the shards borrow
 
     @property
     def is_pooled(self) -> bool:
@@ -76,72 +68,37 @@
         return self.pool.refill_per_s > 0.0
 
 
-NO_SHARE = BucketShare(0.0, 0.0)
+def equal_share(rate_per_s: float, bound: RateBound) -> BucketShare:
+    """Return the largest share up to rate/shards that keeps the bound with a burst of one token or more.
 
+    Many shards or a low rate can push the refill under rate/shards: the bound goes first, and the service
+    then gets less than its rate. Where even one token a window for each shard would break the bound
+    (rate * window_s * tolerance + 5 < shards), the share is nothing at all.
+    """
+    allowed = bound.allowed(rate_per_s) / bound.shards
+    if allowed < _MIN_BURST:
+        return NO_SHARE
+    span = bound.window_s + MAX_SEND_DELAY_S
+    refill = min(rate_per_s / bound.shards, (allowed - _MIN_BURST) / span)
+    return BucketShare(refill, max(_MIN_BURST, allowed - refill * span))
 
-def split_rate(rate_per_s: float, shards: int, window_s: float, over: float) -> RateSplit:
-    """Equal shares where they are large, else a part in equal shares and the rest in a pool.
+
+def split_rate(rate_per_s: float, bound: RateBound) -> RateSplit:
+    """Divide a rate: equal shares where they are large, else a part in equal shares and the rest in a pool.
 
     Where equal shares of a part would take half of what the bound allows, all is in the pool.
     """
-    allowed = rate_per_s * window_s * over + ALLOWED_EXCESS
+    allowed = bound.allowed(rate_per_s)
+    shards = bound.shards
     if shards < MIN_POOLED_SHARDS or allowed / shards >= MAX_POOLED_TOKENS_PER_SHARD:
-        return RateSplit(equal_share(rate_per_s, shards, window_s, over), NO_SHARE)
-    base = BucketShare(BASE_FRACTION * rate_per_s / shards, _LEAST_BURST)
-    taken = shards * (base.refill_per_s * (window_s + MAX_SEND_DELAY_S) + base.burst)
+        return RateSplit(equal_share(rate_per_s, bound), NO_SHARE)
+    base = BucketShare(BASE_FRACTION * rate_per_s / shards, _MIN_BURST)
+    taken = shards * (base.refill_per_s * (bound.window_s + MAX_SEND_DELAY_S) + base.burst)
     if taken > allowed / 2:
-        base, taken = NO_SHARE, 0.0
-    span = window_s + MAX_POOL_DELAY_S
+        base = NO_SHARE
+        taken = 0.0
+    span = bound.window_s + MAX_POOL_DELAY_S
     left = allowed - taken
     burst = min(_POOL_BURST, left / 2)
     refill = min(rate_per_s - shards * base.refill_per_s, (left - burst) / span)
     return RateSplit(base, BucketShare(refill, left - refill * span))
-
-
-class TokenBucket:
-    """Tokens of one service in one shard; empty at first."""
-
-    def __init__(self, share: BucketShare, now: float) -> None:
-        self._share = share
-        self._tokens = 0.0
-        self._updated = now
-
-    def configure(self, now: float, share: BucketShare) -> None:
-        """Go on with another share; saved tokens beyond its burst lapse."""
-        self._refill(now)
-        self._share = share
-        self._tokens = min(self._tokens, share.burst)
-
-    def ready(self, now: float) -> bool:
-        """Whether a token is there."""
-        self._refill(now)
-        return self._tokens >= 1.0 - _ROUNDING
-
-    def spend(self) -> None:
-        """Take a token that `ready` has found."""
-        self._tokens -= 1.0
-
-    def tokens(self, now: float) -> int:
-        """How many whole tokens are there."""
-        self._refill(now)
-        return int(self._tokens + _ROUNDING)
-
-    def take(self, now: float, most: int) -> int:
-        """Take tokens, `most` at most; how many."""
-        taken = min(most, self.tokens(now))
-        self._tokens -= taken
-        return taken
-
-    def next_ready(self, now: float) -> float | None:
-        """When the next token will be there; None where there is no refill."""
-        self._refill(now)
-        if self._tokens >= 1.0 - _ROUNDING:
-            return now
-        if self._share.refill_per_s <= 0.0:
-            return None
-        return now + (1.0 - self._tokens) / self._share.refill_per_s
-
-    def _refill(self, now: float) -> None:
-        elapsed = max(0.0, now - self._updated)
-        self._updated = max(now, self._updated)
-        self._tokens = min(self._share.burst, self._tokens + elapsed * self._share.refill_per_s)
--- a/bitternpath/queue/ready.py
+++ b/bitternpath/queue/ready.py
@@ -1,4 +1,4 @@
-"""Messages of one service that may be leased now, in the order in which they should go."""
+"""Messages of one service that may be leased now, in the order in which they should be."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 
-STALE_AFTER_S = 15.0  # after a message was due, a start is worth little (SYSTEM, tables of requests: "late")
+# After a message was due, a start is worth little (SYSTEM, tables of requests: "late").
+STALE_AFTER_S = 15.0
 
 
 @dataclass(slots=True, eq=False)
@@ -17,26 +18,28 @@
     serial: int
 
     @property
-    def valid(self) -> bool:
+    def is_valid(self) -> bool:
         return self.tracked.phase is MessagePhase.READY and self.tracked.serial == self.serial
 
 
-class _Tier:
-    """A heap of candidates by the time at which they should start, then by age."""
+class _CandidateHeap:
+    """A heap of candidates by the time at which they should start, then by age.
+
+    Candidates that have left the phase READY stay until they come first.
+    """
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, int, _Candidate]] = []
 
     def push(self, candidate: _Candidate) -> None:
-        tracked = candidate.tracked
-        item = (candidate.start_by, tracked.entry.index, candidate.serial, candidate)
+        item = (candidate.start_by, candidate.tracked.entry.index, candidate.serial, candidate)
         heapq.heappush(self._heap, item)
 
     def __len__(self) -> int:
         return len(self._heap)
 
     def first(self) -> _Candidate | None:
-        while self._heap and not self._heap[0][3].valid:
+        while self._heap and not self._heap[0][3].is_valid:
             heapq.heappop(self._heap)
         return self._heap[0][3] if self._heap else None
 
@@ -48,11 +51,11 @@
     """Candidates of one priority: those that can still start in time, and those that are late."""
 
     def __init__(self) -> None:
-        self.timely = _Tier()
-        self.late = _Tier()
+        self.timely = _CandidateHeap()
+        self.late = _CandidateHeap()
 
-    def first_tier(self, now: float) -> _Tier | None:
-        """The tier from which to take; candidates whose start target has passed become late here."""
+    def first_heap(self, now: float) -> _CandidateHeap | None:
+        """Return the heap to take from; candidates whose start target has passed become late here."""
         while (candidate := self.timely.first()) is not None and candidate.start_by < now:
             self.late.push(self.timely.pop())
         if candidate is not None:
@@ -68,37 +71,38 @@
     """
 
     def __init__(self) -> None:
-        self._classes: dict[int, _PriorityClass] = {}
-        self._expired = _Tier()
+        """Begin without messages."""
+        self._classes: dict[int, _PriorityClass] = {}  # by priority
+        self._stale = _CandidateHeap()
 
     def __len__(self) -> int:
-        """How many messages wait, at most: those that left out of turn count until they come first."""
+        """Return the most messages that may wait: those that left out of turn count until they come first."""
         timely_and_late = sum(len(members.timely) + len(members.late) for members in self._classes.values())
-        return timely_and_late + len(self._expired)
+        return timely_and_late + len(self._stale)
 
     def push(self, tracked: TrackedMessage) -> None:
         """Add a message in phase READY with its route."""
         route = tracked.route
         assert route is not None
-        start_by = tracked.entry.due + route.start_target_ms / 1000
+        start_by = tracked.entry.due_at + route.start_target_ms / 1000
         candidate = _Candidate(start_by, tracked, tracked.serial)
         self._classes.setdefault(route.priority, _PriorityClass()).timely.push(candidate)
 
     def first(self, now: float) -> TrackedMessage | None:
-        """The message that should go next; it leaves the queue when it leaves the phase READY."""
+        """Return the message to lease next; it leaves the queue when it leaves the phase READY."""
         for priority in sorted(self._classes):
-            tier = self._first_tier(priority, now)
-            candidate = None if tier is None else tier.first()
+            heap = self._first_heap(priority, now)
+            candidate = None if heap is None else heap.first()
             if candidate is not None:
                 return candidate.tracked
-        last = self._expired.first()
+        last = self._stale.first()
         return None if last is None else last.tracked
 
-    def _first_tier(self, priority: int, now: float) -> _Tier | None:
+    def _first_heap(self, priority: int, now: float) -> _CandidateHeap | None:
         members = self._classes[priority]
-        while (tier := members.first_tier(now)) is members.late:
-            candidate = tier.first()
-            if candidate is None or candidate.tracked.entry.due + STALE_AFTER_S >= now:
-                return tier
-            self._expired.push(tier.pop())
-        return tier
+        while (heap := members.first_heap(now)) is members.late:
+            candidate = heap.first()
+            if candidate is None or candidate.tracked.entry.due_at + STALE_AFTER_S >= now:
+                return heap
+            self._stale.push(heap.pop())
+        return heap
--- a/bitternpath/queue/results.py
+++ b/bitternpath/queue/results.py
@@ -16,52 +16,48 @@
 
 
 class MessageAppended(Struct, frozen=True):
-    """Result of `AppendMessage`. `new` False: the request id was known, and is in `known_state`."""
+    """Result of `AppendMessage`."""
 
     command: AppendMessage
-    new: bool
-    known_state: MessageState
+    is_new: bool  # False: the request id was known before
+    state: MessageState  # of the message with this request id
 
 
 class LeaseGranted(Struct, frozen=True):
-    """Result of `GrantLease`. `ok` False: unknown, ended, or not the head of its order key."""
+    """Result of `GrantLease`."""
 
     command: GrantLease
-    ok: bool
+    granted: bool  # False: the message is unknown, has ended, or is not the head of its order key
 
 
 class AttemptEnded(Struct, frozen=True):
-    """Result of `EndAttempt`.
-
-    `taken`: the lease was the current one, or ended before with this very outcome. `effective`: this command
-    ended the lease (False for a repetition). `ended_now`: it ended the message.
-    """
+    """Result of `EndAttempt`."""
 
     command: EndAttempt
-    taken: bool
-    effective: bool
-    ended_now: bool
+    accepted: bool = False  # the lease was the current one, or has ended before with this very outcome
+    effective: bool = False  # this command ended the lease; False for a repetition
+    ended_message: bool = False  # this command ended the message
 
 
 class MessageExpired(Struct, frozen=True):
-    """Result of `ExpireMessage`. `ended_now` False: it had ended, was unknown, or is leased anew."""
+    """Result of `ExpireMessage`."""
 
     command: ExpireMessage
-    ended_now: bool
+    ended_message: bool  # False: it had ended, is unknown, or has another lease than the one named
 
 
 class CallbacksConfirmed(Struct, frozen=True):
-    """Result of `ConfirmCallbacks`. `count`: how many of them were owed."""
+    """Result of `ConfirmCallbacks`."""
 
     command: ConfirmCallbacks
-    count: int
+    count: int  # call-backs among them that were pending
 
 
 class TombstonesRemoved(Struct, frozen=True):
-    """Result of `RemoveTombstones`: how many tombstones went."""
+    """Result of `RemoveTombstones`."""
 
     command: RemoveTombstones
-    count: int
+    count: int  # tombstones that were removed
 
 
 Result = (
--- a/bitternpath/queue/routes.py
+++ b/bitternpath/queue/routes.py
@@ -1,4 +1,4 @@
-"""Finds the routes of waiting messages, and which messages a new configuration concerns."""
+"""The routes of unended messages, and which messages a new configuration concerns."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 from bitternpath.configuration.documents import Route, RoutingTable
 from bitternpath.queue.tracked_messages import TrackedMessage
 
-Members = dict[str, TrackedMessage]  # by request id
+_Members = dict[str, TrackedMessage]  # by request id
 
 
 class RouteIndex:
     """The route in force of each unended message, looked up once and again when its routes change."""
 
     def __init__(self) -> None:
+        """Begin without a configuration."""
         self.table: RoutingTable | None = None
-        self._by_route: dict[str, Members] = {}
-        self._unrouted: Members = {}
+        self._by_route: dict[str, _Members] = {}
+        self._unrouted: _Members = {}
 
     def assign(self, tracked: TrackedMessage) -> None:
         """Set `tracked.route` by the table in force; None where it has none."""
@@ -29,60 +30,65 @@
         members[tracked.request_id] = tracked
 
     def remove(self, tracked: TrackedMessage) -> None:
-        """Its message has ended."""
+        """Remove a message that has ended."""
         self._unrouted.pop(tracked.request_id, None)
         if tracked.route is not None:
             self._members(tracked.route.name).pop(tracked.request_id, None)
 
     def configure(self, table: RoutingTable) -> list[TrackedMessage]:
-        """Take another table; returns the messages to look at again, without a route where it may differ."""
-        old, self.table = self.table, table
+        """Take another table.
+
+        Returns the messages that it concerns, without a route where that may be another one now.
+        """
+        old = self.table
+        self.table = table
         affected = list(self._release(self._unrouted))
         if old is None:
             return affected
         for name, route in old.routes.items():
             affected.extend(self._update(route, table.routes.get(name)))
         for route in table.routes.values():
-            if _moved(old.routes.get(route.name), route):
-                affected.extend(self._taken_over(old, route))
+            if _matches_anew(old.routes.get(route.name), route):
+                affected.extend(self._overlapped(old, route))
         return affected
 
     def _update(self, old: Route, new: Route | None) -> Iterator[TrackedMessage]:
-        """Messages of a route that has changed. Those of an unchanged one keep it at no cost."""
+        """Yield the messages that a changed route concerns. Those of an unchanged one cost nothing."""
         if old == new:
             return
         members = self._members(old.name)
-        if new is None or _moved(old, new):
+        if new is None or _matches_anew(old, new):
             yield from self._release(members)
             return
-        replaced = _placement_of(old) != _placement_of(new)
+        placed_anew = _placement_of(old) != _placement_of(new)
         for tracked in members.values():
             tracked.route = new
-            if replaced:
+            if placed_anew:
                 yield tracked
 
-    def _taken_over(self, old: RoutingTable, added: Route) -> Iterator[TrackedMessage]:
-        """Messages of routes with a shorter prefix on the host of a route that is new."""
+    def _overlapped(self, old: RoutingTable, added: Route) -> Iterator[TrackedMessage]:
+        """Yield the messages of routes with a shorter prefix on the host of a route that is new."""
         for route in old.routes.values():
             same_host = route.host.lower() == added.host.lower()
             if same_host and added.path_prefix.startswith(route.path_prefix):
                 yield from self._release(self._members(route.name))
 
-    def _release(self, members: Members) -> Iterator[TrackedMessage]:
+    def _release(self, members: _Members) -> Iterator[TrackedMessage]:
         released = list(members.values())
         members.clear()
         for tracked in released:
             tracked.route = None
             yield tracked
 
-    def _members(self, name: str) -> Members:
+    def _members(self, name: str) -> _Members:
         return self._by_route.setdefault(name, {})
 
 
 def _placement_of(route: Route) -> tuple[str, int, int, float]:
-    """What decides where a waiting message stands; the rest matters only from its next lease on."""
+    """Return what decides where an idle message is placed; the rest matters only from its next lease on."""
     return route.service, route.priority, route.start_target_ms, route.retention_s
 
 
-def _moved(old: Route | None, new: Route) -> bool:
+def _matches_anew(old: Route | None, new: Route) -> bool:
+    """Whether a route matches other paths than before."""
     return old is None or (old.host.lower(), old.path_prefix) != (new.host.lower(), new.path_prefix)
--- a/bitternpath/queue/sharding.py
+++ b/bitternpath/queue/sharding.py
@@ -1,4 +1,4 @@
-"""Which shard keeps a message, and the identifiers that tell the shard again later."""
+"""Which shard keeps a message, and the identifiers that name the shard again later."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def shard_for(order_key: str, preferred: int, shards: int) -> int:
-    """The shard of a new message: by the order key alone where there is one, else the preferred one.
+    """Return the shard of a new message: by its order key alone where it has one, else the preferred one.
 
     The route takes no part, since a route may move to another service while messages of a key wait.
     """
@@ -21,7 +21,7 @@
 
 
 def home_shard(service: str, shards: int) -> int:
-    """The shard whose owner holds the pool of a service's tokens."""
+    """Return the shard whose owner holds the pool of a rate-limited service's tokens."""
     return _shard_by_hash(service, shards)
 
 
@@ -31,7 +31,7 @@
 
 
 def message_id(shard: int, request_id: str) -> str:
-    """The name of a message: `s<shard>.<request id>`.
+    """Return the name of a message for clients: `s<shard>.<request id>`.
 
     Where that would be longer than 64 characters, or the request id has a character outside letters, digits,
     `-_.`, the request id itself is returned: such a message must not be named to the client (no
@@ -42,15 +42,15 @@
 
 
 def is_valid_message_id(text: str) -> bool:
-    """Whether a text may be told to a client as the name of its message."""
+    """Whether a text may be given to a client as the name of its message."""
     return len(text) <= MAX_MESSAGE_ID_LENGTH and _ALLOWED.match(text) is not None
 
 
 def split_message_id(text: str) -> tuple[int | None, str]:
-    """Shard and request id of a message's name; the shard is None where the text is a bare request id.
+    """Return shard and request id of a message's name; the shard is None where the text is a bare request id.
 
-    A bare request id that happens to look like a name yields a shard that doesn't know the rest: askers then
-    look for the whole text in all shards.
+    A bare request id that happens to look like a name yields a shard that doesn't know the rest: callers then
+    look for the complete text in all shards.
     """
     found = _MESSAGE_ID.match(text)
     if found is None:
@@ -59,11 +59,26 @@
 
 
 def lease_id(shard: int, epoch: int, counter: int) -> str:
-    """Identifier of a lease, unique over shards and owners: an epoch has one owner, which counts."""
+    """Return the identifier of a lease, unique over shards and owners: an epoch has one owner, who counts."""
     return f"{shard}-{epoch}-{counter}"
 
 
 def shard_of_lease(text: str) -> int | None:
-    """The shard that granted a lease; None where the text is no lease identifier."""
+    """Return the shard that granted a lease; None where the text is no lease identifier."""
     found = _LEASE_ID.match(text)
     return None if found is None else int(found[1])
+
+
+class LeaseIdSequence:
+    """Draws the lease identifiers of one owner of a shard."""
+
+    def __init__(self, shard: int) -> None:
+        """Begin in epoch 0; the owner sets `epoch` before it grants a lease."""
+        self.epoch = 0
+        self._shard = shard
+        self._counted = 0
+
+    def next(self) -> str:
+        """Return an identifier that no lease has had."""
+        self._counted += 1
+        return lease_id(self._shard, self.epoch, self._counted)
--- a/bitternpath/queue/snapshot.py
+++ b/bitternpath/queue/snapshot.py
@@ -1,8 +1,9 @@
-"""Encoding of a shard's whole state.
+"""Encoding of a shard's complete state.
 
 A snapshot is a sequence of Avro records, each behind its length (4 bytes, big-endian): a header, then one
 record a message in log order. Times are durations at the moment of the snapshot, with the time of day at
-which it was taken.
+which it was taken. The records are on disk and on the wire: the order and the types of their fields don't
+change.
 """
 
 from __future__ import annotations
@@ -26,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotHeader:
-    """First record: the last applied log index and the time of day of the snapshot."""
+    """First record of a snapshot."""
 
-    index: int
-    wall_ms: int
-    entries: int
+    index: int  # of the last applied command
+    wall_ms: int  # time of day of the snapshot, since 1970
+    entries: int  # records that follow
 
 
 @dataclass(frozen=True, slots=True)
 class SavedLease:
-    """The current lease of a message."""
+    """The current lease of a message, as `entries.Lease`."""
 
     lease_id: str
     holder: str
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedEnd:
-    """A lease that has ended."""
+    """A lease that has ended, with the outcome of its attempt."""
 
     lease_id: str
     outcome: AttemptOutcome
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedEntry:
-    """One message. `age_ms`: since its accept; `ended_ms`: since its end; `delay_left_ms`: until due."""
+    """One message, as `entries.Entry`."""
 
     message: Message
     index: int
@@ -64,14 +65,14 @@
     lease: SavedLease | None
     ended_leases: tuple[SavedEnd, ...]
     callback_pending: bool
-    age_ms: int
-    delay_left_ms: int
-    ended_ms: int
+    age_ms: int  # since its accept
+    delay_left_ms: int  # until it is due
+    ended_ms: int  # since its end; 0: it has not ended
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What a snapshot holds, with its times on the local steady clock."""
+    """Contents of a snapshot, with its times on the local steady clock."""
 
     index: int
     entries: tuple[Entry, ...]
@@ -82,7 +83,10 @@
 
 
 def encode_snapshot(index: int, entries: Iterable[Entry], now: float, wall_ms: int) -> bytes:
-    """The bytes of a state whose last applied command is `index`."""
+    """Return the bytes of a state whose last applied command is `index`.
+
+    `now` is the local steady time in seconds, `wall_ms` the time of day in milliseconds since 1970.
+    """
     ordered = sorted(entries, key=lambda entry: entry.index)
     result = bytearray()
     _write(result, _HEADER.encode(SnapshotHeader(index, wall_ms, len(ordered))))
@@ -92,7 +96,12 @@
 
 
 def decode_snapshot(data: bytes, now: float, wall_ms: int) -> RestoredState:
-    """The state that `encode_snapshot` wrote; raises `CodecError`."""
+    """Return the state that `encode_snapshot` wrote.
+
+    Raises:
+        CodecError: the data are damaged or incomplete.
+
+    """
     records = _records(data)
     header = _HEADER.decode(next(records, b""))
     entries = tuple(_restored(_ENTRY.decode(record), header.wall_ms, now, wall_ms) for record in records)
@@ -133,8 +142,8 @@
         else SavedLease(lease.lease_id, lease.holder, lease.duration_ms, lease.pulled),
         ended_leases=tuple(SavedEnd(lease_id, outcome) for lease_id, outcome in entry.ended_leases.items()),
         callback_pending=entry.callback_pending,
-        age_ms=_milliseconds(now - entry.accepted),
-        delay_left_ms=_milliseconds(entry.due - now),
+        age_ms=_milliseconds(now - entry.accepted_at),
+        delay_left_ms=_milliseconds(entry.due_at - now),
         ended_ms=_milliseconds(now - entry.ended_at) if entry.ended else 0,
     )
 
@@ -145,8 +154,8 @@
     return Entry(
         message=compact(saved.message),
         index=saved.index,
-        accepted=now - saved.age_ms / 1000,
-        due=now + max(0.0, saved.delay_left_ms / 1000 - passed),
+        accepted_at=now - saved.age_ms / 1000,
+        due_at=now + max(0.0, saved.delay_left_ms / 1000 - passed),
         state=saved.state,
         stamp=saved.stamp,
         attempts=saved.attempts,
--- a/bitternpath/queue/timers.py
+++ b/bitternpath/queue/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a shard's owner: one heap, whose lapsed entries are dropped when they come up."""
+"""Timers of a shard's owner: one heap, whose stale entries are dropped when they come up."""
 
 from __future__ import annotations
 
@@ -12,48 +12,49 @@
 class TimerKind(Enum):
     """What a timer is for."""
 
-    PHASE = "the end of a message's delay, back-off or lease"
+    PHASE = "the end of a message's delay, back-off, grace or lease"
     RETENTION = "the end of a message's retention"
 
 
 @dataclass(slots=True, eq=False)
 class Timer:
-    """Fires at `when` unless the message has left the phase for which it was set."""
+    """Fires at `when`, on the local steady clock, unless it is stale by then."""
 
     when: float
     kind: TimerKind
     tracked: TrackedMessage
-    serial: int
+    serial: int  # of the message when the timer was set
 
     @property
-    def lapsed(self) -> bool:
-        """Whether nothing is left to do."""
+    def is_stale(self) -> bool:
+        """Whether nothing is left to do: the message has left the phase, or has ended."""
         if self.kind is TimerKind.PHASE:
             return self.serial != self.tracked.serial
         return self.tracked.phase is MessagePhase.ENDED
 
 
 class TimerQueue:
-    """Timers by time. Setting one is O(log n); a lapsed one stays until its time, or until it comes first."""
+    """Timers by time. Setting one is O(log n); a stale one stays until its time, or until it comes first."""
 
     def __init__(self) -> None:
+        """Begin without timers."""
         self._heap: list[tuple[float, int, Timer]] = []
         self._sequence = 0
 
     def set(self, when: float, kind: TimerKind, tracked: TrackedMessage) -> None:
-        """Fire at `when`."""
+        """Set a timer of a message."""
         self._sequence += 1
         heapq.heappush(self._heap, (when, self._sequence, Timer(when, kind, tracked, tracked.serial)))
 
     def pop_due(self, now: float) -> Timer | None:
-        """The next timer whose time has come."""
+        """Take out the next timer whose time has come; None where there is none."""
         when = self.next_time()
         if when is None or when > now:
             return None
         return heapq.heappop(self._heap)[2]
 
     def next_time(self) -> float | None:
-        """When the next timer fires."""
-        while self._heap and self._heap[0][2].lapsed:
+        """Return when the next timer fires; None where there is none."""
+        while self._heap and self._heap[0][2].is_stale:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
--- a/bitternpath/queue/tombstones.py
+++ b/bitternpath/queue/tombstones.py
@@ -1,4 +1,4 @@
-"""When ended messages are forgotten."""
+"""When the tombstones of ended messages are removed."""
 
 from __future__ import annotations
 
@@ -7,33 +7,37 @@
 from bitternpath.queue.commands import RemoveTombstones
 from bitternpath.queue.entries import Entry
 
-REMOVAL_MARGIN_S = 10.0  # beyond `status_s`, for clients whose clock or network is slow
+REMOVAL_MARGIN_S = 10.0  # beyond the time for which states are answered: clocks and networks may be slow
 REMOVAL_BATCH_SIZE = 256  # messages a command
-UNCONFIRMED_RECHECK_S = 10.0  # while a call-back is owed
+UNCONFIRMED_RECHECK_S = 10.0  # while a call-back is pending
 
 
 class TombstoneQueue:
-    """Ended messages by the time at which they may go. `status_s` is how long states are told."""
+    """Ended messages by the time at which their tombstones may be removed."""
 
-    def __init__(self, status_s: float) -> None:
-        self._keep_s = status_s + REMOVAL_MARGIN_S
+    def __init__(self, status_retention_s: float) -> None:
+        """Keep tombstones for `status_retention_s`, for which clients may ask for a state, and a margin."""
+        self._retention_s = status_retention_s + REMOVAL_MARGIN_S
         self._heap: list[tuple[float, int, Entry]] = []
         self._sequence = 0
 
     def add(self, entry: Entry) -> None:
-        """A message has ended."""
-        self._push(entry.ended_at + self._keep_s, entry)
+        """Add a message that has ended."""
+        self._push(entry.ended_at + self._retention_s, entry)
 
     def retry(self, now: float, entry: Entry) -> None:
-        """The command that should forget it got lost before the log."""
+        """Add a message again, whose `RemoveTombstones` was surely not proposed."""
         self._push(now + UNCONFIRMED_RECHECK_S, entry)
 
     def collect(self, now: float, retention_s: float) -> list[RemoveTombstones]:
-        """Commands that forget what may go: told long enough, and called back or beyond `retention_s`."""
+        """Return commands that remove the tombstones whose time is over.
+
+        One whose call-back is pending stays until `retention_s` after its accept.
+        """
         ids: list[str] = []
         while self._heap and self._heap[0][0] <= now:
             entry = heapq.heappop(self._heap)[2]
-            if entry.callback_pending and now < entry.accepted + retention_s:
+            if entry.callback_pending and now < entry.accepted_at + retention_s:
                 self._push(now + UNCONFIRMED_RECHECK_S, entry)
                 continue
             ids.append(entry.message.request_id)
@@ -43,7 +47,7 @@
         ]
 
     def next_wakeup(self) -> float | None:
-        """When a message may go next."""
+        """Return when the next tombstone is due; None where there is none."""
         return self._heap[0][0] if self._heap else None
 
     def _push(self, when: float, entry: Entry) -> None:
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -27,7 +27,8 @@
     SendDelivery,
 )
 from bitternpath.queue.commands import COMMANDS, AppendMessage, Command
-from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.long_polls import LongPollRequest
+from bitternpath.queue.owner import OwnedShard, OwnerSettings, ShardOwner
 from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.state import QueueState
@@ -110,7 +111,7 @@
         """This node owns the shard from now on."""
         log.info("event=owner group={} epoch={} queued={}", self.group, epoch, self.state.queued)
         shard = shard_of(self.group)
-        owner = ShardOwner(self.state, shard, self.shards, self.zone, self.bounds, self.random)
+        owner = ShardOwner(self.state, OwnedShard(shard, self.shards, self.zone), self.bounds, self.random)
         self.owner, self.epoch = owner, epoch
         now = self.reactor.seconds()
         self._do(owner.leadership_acquired(now, epoch))
@@ -133,7 +134,7 @@
     def applied(self, index: int, command: bytes, result: object) -> None:
         """A command was applied on this replica."""
         if self.owner is not None and isinstance(result, Result):
-            self._do(self.owner.applied(self.reactor.seconds(), result.command, result))
+            self._do(self.owner.applied(self.reactor.seconds(), result))
 
     # ---- configuration and edge nodes
 
@@ -213,7 +214,7 @@
         )
 
         def answer(result: object) -> EndAttemptResponse:
-            return EndAttemptResponse(request.number, isinstance(result, AttemptEnded) and result.taken)
+            return EndAttemptResponse(request.number, isinstance(result, AttemptEnded) and result.accepted)
 
         self._propose_for(link, request.number, command, answer)
 
@@ -240,11 +241,10 @@
             return
         poll_id = self._polls.add(link, request.number)
         now = self.reactor.seconds()
-        self._do(
-            self.owner.poll(
-                now, poll_id, link.peer.name, request.service, request.instance, request.wait_ms / 1000
-            )
+        poll = LongPollRequest(
+            poll_id, link.peer.name, request.service, request.instance, request.wait_ms / 1000
         )
+        self._do(self.owner.poll(now, poll))
 
     def cancel_pull(self, link: Link, request: PullCancel) -> None:
         """It waits no more. Its request is answered all the same: the link keeps it until then."""
@@ -272,7 +272,7 @@
         """How a call-back went."""
         if self.owner is not None:
             now = self.reactor.seconds()
-            self._do(self.owner.callback_report(now, report.request_id, report.taken))
+            self._do(self.owner.callback_report(now, report.request_id, acknowledged=report.taken))
 
     def find(self, link: Link, request: StateRequest) -> None:
         """The state of a message, confirmed by a majority."""
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -87,10 +87,10 @@
         self._fit_since: dict[str, float] = {}
         self._lives: dict[str, int] = {}
         self._bounds = OwnerSettings(
-            visible_ms=int(settings.bounds.visible_ms),
-            status_s=settings.bounds.status_s,
-            ceiling_window_s=settings.bounds.ceiling_window_s,
-            origin_rate_over=settings.bounds.origin_rate_over,
+            visibility_timeout_ms=int(settings.bounds.visible_ms),
+            status_retention_s=settings.bounds.status_s,
+            rate_window_s=settings.bounds.ceiling_window_s,
+            rate_tolerance=settings.bounds.origin_rate_over,
         )
         self._timer: Any = None
         self._handlers = self._link_handlers()
--- a/tests/system/test_callback_recovery.py
+++ b/tests/system/test_callback_recovery.py
@@ -36,7 +36,7 @@
             due = [report for report in self._reports if report[0] <= self.rig.now]
             self._reports = [report for report in self._reports if report[0] > self.rig.now]
             for _, request_id, taken in due:
-                self.rig.do(self.rig.owner.callback_report(self.rig.now, request_id, taken))
+                self.rig.do(self.rig.owner.callback_report(self.rig.now, request_id, acknowledged=taken))
 
     def _ordered(self, order: SendCallback) -> None:
         self.calls.append(self.rig.now)
--- a/tests/system/test_delays.py
+++ b/tests/system/test_delays.py
@@ -95,7 +95,7 @@
                 state.apply(1, data)
                 entry = state.find("m")
                 assert entry is not None
-                self.assertEqual(entry.due, steady + DELAY_S)
+                self.assertEqual(entry.due_at, steady + DELAY_S)
 
     def test_a_snapshot_and_a_restart_never_cut_it_short(self) -> None:
         for away_s in (0.0, 1.0, DELAY_S / 2, DELAY_S, 3 * DELAY_S):
@@ -108,7 +108,7 @@
                     after.restore(before.snapshot())
                     entry = after.find("m")
                     assert entry is not None
-                    left = entry.due - 7.0
+                    left = entry.due_at - 7.0
                     self.assertGreaterEqual(left, DELAY_S - away_s - 0.001)
                     self.assertLessEqual(left, DELAY_S)
 
@@ -120,7 +120,7 @@
                 state.apply(1, COMMANDS.encode(AppendMessage(message("m", WALL_MS))))
                 entry = state.find("m")
                 assert entry is not None
-                self.assertGreaterEqual(entry.due - 7.0, DELAY_S - away_s - 0.001)
+                self.assertGreaterEqual(entry.due_at - 7.0, DELAY_S - away_s - 0.001)
 
 
 class Ages(unittest.TestCase):
@@ -143,7 +143,7 @@
                 state.restore(rig.state.snapshot())
                 waits, done = state.find("waits"), state.find("done")
                 assert waits is not None and done is not None
-                self.assertGreaterEqual(waits.accepted, 7.0 - 0.001)
+                self.assertGreaterEqual(waits.accepted_at, 7.0 - 0.001)
                 self.assertGreaterEqual(done.ended_at, 7.0 - 0.001)
 
 
--- a/tests/system/test_early_leases.py
+++ b/tests/system/test_early_leases.py
@@ -96,7 +96,7 @@
         self.assertEqual(len(leased), MAX_PREGRANTED_LEASES)
         self.rig.poll(1)
         self.assertEqual(self.rig.answer().message.request_id, "m0")
-        self.assertEqual(len(self.rig.owner._services.find("puller").ahead), MAX_PREGRANTED_LEASES - 1)
+        self.assertEqual(len(self.rig.owner._services.find("puller").pregranted), MAX_PREGRANTED_LEASES - 1)
 
     def test_after_a_take_over_a_job_leased_ahead_counts_as_handed_out(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
@@ -115,7 +115,7 @@
         self.assertIs(self.rig.state_of("m"), MessageState.DEAD_LETTER)
         self.rig.poll(1)
         self.assertEqual(self.rig.take_sent(AnswerPoll), [])
-        self.assertEqual(self.rig.owner._services.find("puller").ahead, set())
+        self.assertEqual(self.rig.owner._services.find("puller").pregranted, set())
 
     def test_a_delayed_message_waits(self) -> None:
         self.assertEqual(len(self.propose("m", delay_ms=1)), 1)
--- a/tests/system/test_lending.py
+++ b/tests/system/test_lending.py
@@ -1,4 +1,4 @@
-"""Ceilings whose tokens are lent: the split, loans, and the bound over many shards with take-overs."""
+"""Rate limits whose tokens are lent: the split, quota leases, and the bound over many shards and owners."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from unittest.mock import patch
 
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
-from bitternpath.queue import quota_leases as loans
+from bitternpath.queue import quota_leases
 from bitternpath.queue.actions import BorrowTokens, SendDelivery
-from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.owner import OwnedShard, OwnerSettings, ShardOwner
 from bitternpath.queue.quota_leases import (
     MAX_BORROW_INTERVAL_S,
     MAX_BORROWED_TOKENS,
@@ -27,16 +27,20 @@
     MAX_POOL_DELAY_S,
     MAX_SEND_DELAY_S,
     QUOTA_LEASE_S,
-    BucketShare,
-    TokenBucket,
+    RateBound,
     equal_share,
     split_rate,
 )
 from bitternpath.queue.sharding import home_shard
+from bitternpath.queue.token_bucket import BucketShare, TokenBucket
 from tests.system.test_queue_rig import SUCCEEDED, Rig
 
-SHARDS, RATE, WINDOW_S, OVER = 19, 32.0, 5.0, 1.1
-ALLOWED = RATE * WINDOW_S * OVER + ALLOWED_EXCESS
+SHARDS = 19
+RATE = 32.0
+WINDOW_S = 5.0
+TOLERANCE = 1.1
+BOUND = RateBound(SHARDS, WINDOW_S, TOLERANCE)
+ALLOWED = RATE * WINDOW_S * TOLERANCE + ALLOWED_EXCESS
 ROUTES = (Route("limited", "a.example", "/limited/", "limited", 1_000),)
 TABLE = RoutingTable(Configuration(5, ROUTES, (Service("limited", rate_per_s=RATE),)))
 STEP_S = 0.02
@@ -48,7 +52,7 @@
             for shards in (1, 2, 3, 7, 12, 19, 40, 300, 2_000):
                 for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
                     with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        split = split_rate(rate, shards, window_s, over)
+                        split = split_rate(rate, RateBound(shards, window_s, over))
                         base, pool = split.base, split.pool
                         spent = shards * (base.refill_per_s * (window_s + MAX_SEND_DELAY_S) + base.burst)
                         lent = pool.refill_per_s * (window_s + MAX_POOL_DELAY_S) + pool.burst
@@ -58,7 +62,7 @@
     def test_a_rate_is_not_lost_over_many_shards(self) -> None:
         for rate, shards in ((32.0, 19), (32.0, 300), (2.0, 300), (19.5, 2_000)):
             with self.subTest(rate=rate, shards=shards):
-                split = split_rate(rate, shards, WINDOW_S, OVER)
+                split = split_rate(rate, RateBound(shards, WINDOW_S, TOLERANCE))
                 self.assertTrue(split.is_pooled)
                 whole = shards * split.base.refill_per_s + split.pool.refill_per_s
                 self.assertGreater(whole, 0.75 * rate)
@@ -66,45 +70,47 @@
     def test_few_shards_have_equal_shares_and_nothing_is_lent(self) -> None:
         for rate, shards in ((19.5, 3), (2.0, 1), (0.5, 7), (32.0, 7), (400.0, 19)):
             with self.subTest(rate=rate, shards=shards):
-                split = split_rate(rate, shards, WINDOW_S, OVER)
+                split = split_rate(rate, RateBound(shards, WINDOW_S, TOLERANCE))
                 self.assertFalse(split.is_pooled)
-                self.assertEqual(split.base, equal_share(rate, shards, WINDOW_S, OVER))
+                self.assertEqual(split.base, equal_share(rate, RateBound(shards, WINDOW_S, TOLERANCE)))
 
 
-class Loans(unittest.TestCase):
+class QuotaLeases(unittest.TestCase):
     def test_tokens_lapse_by_when_they_were_asked_for(self) -> None:
-        loan = QuotaBorrower()
-        loan.lent(100.3, 3, asked_at=100.0)
-        self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S - 0.01), 3)
-        self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S), 0)
-        loan.lent(101.0, 5, asked_at=100.5)  # the answer came too late
-        self.assertEqual(loan.tokens(101.0), 0)
+        borrower = QuotaBorrower()
+        borrower.tokens_lent(100.3, 3, requested_at=100.0)
+        self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S - 0.01), 3)
+        self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S), 0)
+        borrower.tokens_lent(101.0, 5, requested_at=100.5)  # the answer came too late
+        self.assertEqual(borrower.available(101.0), 0)
 
     def test_tokens_of_two_requests_lapse_with_those_of_the_earlier_one(self) -> None:
-        loan = QuotaBorrower()
-        loan.lent(100.1, 3, asked_at=100.0)
-        loan.lent(100.2, 2, asked_at=100.1)
-        self.assertEqual(loan.tokens(100.2), 5)
-        self.assertEqual(loan.tokens(100.0 + QUOTA_LEASE_S), 0)
+        borrower = QuotaBorrower()
+        borrower.tokens_lent(100.1, 3, requested_at=100.0)
+        borrower.tokens_lent(100.2, 2, requested_at=100.1)
+        self.assertEqual(borrower.available(100.2), 5)
+        self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S), 0)
 
     def test_pauses_double_while_nothing_is_lent(self) -> None:
-        loan, now, pauses = QuotaBorrower(), 100.0, []
+        borrower = QuotaBorrower()
+        now = 100.0
+        intervals = []
         for _ in range(6):
-            loan.asked(now)
-            pauses.append(round(loan.ask_at - now, 6))
-            now = loan.ask_at
-        self.assertEqual(pauses, [0.15, 0.3, 0.4, 0.4, 0.4, 0.4])
-        loan.lent(now, 1, asked_at=now - 0.01)
-        loan.asked(now)
-        self.assertAlmostEqual(loan.ask_at, now + MIN_BORROW_INTERVAL_S)
-        self.assertEqual(pauses[-1], MAX_BORROW_INTERVAL_S)
+            borrower.request_sent(now)
+            intervals.append(round(borrower.next_request_at - now, 6))
+            now = borrower.next_request_at
+        self.assertEqual(intervals, [0.15, 0.3, 0.4, 0.4, 0.4, 0.4])
+        borrower.tokens_lent(now, 1, requested_at=now - 0.01)
+        borrower.request_sent(now)
+        self.assertAlmostEqual(borrower.next_request_at, now + MIN_BORROW_INTERVAL_S)
+        self.assertEqual(intervals[-1], MAX_BORROW_INTERVAL_S)
 
     def test_a_pool_begins_empty_and_lends_what_it_has(self) -> None:
         home = home_shard("limited", SHARDS)
-        pools = QuotaPools(home, SHARDS, WINDOW_S, OVER)
+        pools = QuotaPools(home, BOUND)
         pools.configure(100.0, TABLE.services)
         self.assertEqual(pools.lend(100.0, "limited", 5), 0)
-        pool = split_rate(RATE, SHARDS, WINDOW_S, OVER).pool
+        pool = split_rate(RATE, BOUND).pool
         there = int(0.2 * pool.refill_per_s)
         self.assertEqual(pools.lend(100.2, "limited", 100), ceil(there / 2))
         self.assertEqual(pools.lend(105.0, "limited", 100), ceil(int(pool.burst) / 2))
@@ -113,7 +119,7 @@
 
     def test_only_the_home_shard_has_a_pool(self) -> None:
         for shard in range(SHARDS):
-            pools = QuotaPools(shard, SHARDS, WINDOW_S, OVER)
+            pools = QuotaPools(shard, BOUND)
             pools.configure(100.0, TABLE.services)
             lent = pools.lend(200.0, "limited", 1)
             self.assertEqual(lent, int(shard == home_shard("limited", SHARDS)))
@@ -128,7 +134,9 @@
 
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
         self.proposed, self.sent, self.asked = [], [], []
-        self.owner = ShardOwner(self.state, self.shard, SHARDS, "north", OwnerSettings(), Random(self.shard))
+        self.owner = ShardOwner(
+            self.state, OwnedShard(self.shard, SHARDS, "north"), OwnerSettings(), Random(self.shard)
+        )
         self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
         for edge in edges:
             self.do(self.owner.edge_connected(self.now, edge, "north"))
@@ -238,7 +246,7 @@
         busy = (shards.home + 1) % SHARDS
         shards.append(busy, 400)
         shards.run(10.0)
-        equal = 10.0 * equal_share(RATE, SHARDS, WINDOW_S, OVER).refill_per_s
+        equal = 10.0 * equal_share(RATE, BOUND).refill_per_s
         self.assertGreater(shards.begun[busy], 6 * equal)
         self.assertLessEqual(shards.most_in_a_window(), ALLOWED)
 
@@ -271,7 +279,7 @@
         with patch.object(TokenBucket, "__init__", full_at_first):
             self.assertGreater(restless_home(1), ALLOWED)
         self.assertLessEqual(hoarded(), ALLOWED)
-        with patch.object(loans, "QUOTA_LEASE_S", 1_000.0):
+        with patch.object(quota_leases, "QUOTA_LEASE_S", 1_000.0):
             self.assertGreater(hoarded(), ALLOWED)
 
 
@@ -279,8 +287,8 @@
     """The most arrivals in a window where each shard has borrowed and then had nothing to send for long."""
     shards = Shards(3)
     for rig in shards.rigs:
-        lane = rig.owner._services.find("limited")
-        lane.loan.lent(rig.now, MAX_BORROWED_TOKENS, rig.now)
+        queue = rig.owner._services.find("limited")
+        queue.borrower.tokens_lent(rig.now, MAX_BORROWED_TOKENS, rig.now)
     shards.run(2.0)
     for shard in range(SHARDS):
         shards.append(shard, 40)
--- a/tests/system/test_queue_campaign.py
+++ b/tests/system/test_queue_campaign.py
@@ -10,12 +10,13 @@
 from bitternpath.queue.actions import Action, ProposeCommand
 from bitternpath.queue.commands import AppendMessage, Command, EndAttempt, GrantLease
 from bitternpath.queue.entries import Entry
-from bitternpath.queue.owner import ShardOwner
+from bitternpath.queue.lifecycle import MessageLifecycle
+from bitternpath.queue.owner import OwnedShard, ShardOwner
 from bitternpath.queue.placement import Placement
-from bitternpath.queue.rate_limits import BucketShare, TokenBucket, split_rate
+from bitternpath.queue.rate_limits import RateBound, split_rate
 from bitternpath.queue.results import AttemptEnded, Result
-from bitternpath.queue.service_queues import ServiceQueueTable
 from bitternpath.queue.state import QueueState
+from bitternpath.queue.token_bucket import TokenBucket
 from bitternpath.queue.tracked_messages import TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_queue_checkers import Rule, check_all
@@ -46,25 +47,33 @@
         return super().apply_command(index, command)
 
 
+class _IgnoresLeases(MessageLifecycle):
+    def adopt(self, now: float, entry: Entry) -> Action | None:
+        tracked = TrackedMessage(entry, accepted_by_this_owner=False)
+        self._tracked[entry.message.request_id] = tracked
+        return self.place(now, tracked)
+
+
 class LeaseOverAtTakeOver(ShardOwner):
     """Hands out at once what an earlier owner has leased."""
 
-    def _take_in(self, now: float, entry: Entry) -> None:
-        tracked = self._tracked[entry.message.request_id] = TrackedMessage(
-            entry, accepted_by_this_owner=False
+    def __init__(self, *arguments: object) -> None:
+        super().__init__(*arguments)
+        sound = self._lifecycle
+        self._lifecycle = _IgnoresLeases(
+            self._state, sound._placement, self._leases, self._ended, sound._random
         )
-        self._place(now, tracked)
 
 
 class HandsOutBeforeTheGrant(ShardOwner):
     """Gives a job to a worker when its lease is proposed."""
 
-    def _finish(self, now: float) -> list[Action]:
+    def _take_actions(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        for action in super()._finish(now):
+        for action in super()._take_actions(now):
             actions.append(action)
             if isinstance(action, ProposeCommand) and isinstance(action.command, GrantLease):
-                tracked = self._tracked[action.command.request_id]
+                tracked = self._lifecycle.find(action.command.request_id)
                 handed = self._leases.hand_out(now, tracked, action.command)
                 actions.extend(() if handed is None else (handed,))
         return actions
@@ -78,7 +87,7 @@
         entry = self.find(command.request_id)
         done = entry is not None and entry.state is MessageState.DONE
         late = done and command.outcome is AttemptOutcome.SUCCEEDED
-        return structs.replace(result, taken=result.taken or late)
+        return structs.replace(result, accepted=result.accepted or late)
 
 
 class EndsForgottenAtRestore(QueueState):
@@ -126,7 +135,7 @@
 
 class _AnyTableEnds(Placement):
     def _place_unrouted(self, now: float, tracked: TrackedMessage) -> None:
-        return self._end(tracked)
+        return self._expire(tracked)
 
 
 class OlderTableEndsMessages(ShardOwner):
@@ -134,29 +143,22 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
-        self._placement = _AnyTableEnds(self._state, self._routes, self._services, self._timers)
-
-
-class _FullBuckets(ServiceQueueTable):
-    def new_bucket(self, now: float, service: str, share: BucketShare) -> TokenBucket:
-        return TokenBucket(share, now - 1_000.0)
+        self._lifecycle._placement = _AnyTableEnds(self._state, self._routes, self._services, self._timers)
 
 
 class BucketFullAtTakeOver(ShardOwner):
     """Gives a new owner a whole burst, which its predecessor may just have spent."""
 
-    def __init__(self, state: QueueState, shard: int, shards: int, *rest: object) -> None:
-        super().__init__(state, shard, shards, *rest)
-        self._services = _FullBuckets(shards, self._bounds.ceiling_window_s, self._bounds.origin_rate_over)
-        self._placement = Placement(state, self._routes, self._services, self._timers)
-        self._leases._services = self._services
+    def __init__(self, *arguments: object) -> None:
+        super().__init__(*arguments)
+        self._services.new_bucket = lambda now, share: TokenBucket(share, now - 1_000.0)
 
 
 class NoCeilingShares(ShardOwner):
     """Gives each shard the whole rate of a service."""
 
-    def __init__(self, state: QueueState, shard: int, shards: int, *rest: object) -> None:
-        super().__init__(state, shard, 1, *rest)
+    def __init__(self, state: QueueState, shard: OwnedShard, *rest: object) -> None:
+        super().__init__(state, replace(shard, shards=1), *rest)
 
 
 @dataclass(frozen=True, slots=True)
@@ -214,7 +216,7 @@
         for seed in range(4):
             with self.subTest(seed=seed):
                 world = World(seed, shards=10)
-                self.assertTrue(split_rate(2.0, 10, 5.0, 1.1).is_pooled)
+                self.assertTrue(split_rate(2.0, RateBound(10, 5.0, 1.1)).is_pooled)
                 self.assertEqual(check_all(world.run(), world.terms), [])
 
     def test_without_faults(self) -> None:
@@ -247,7 +249,7 @@
 
 def replicated(entry: Entry) -> Entry:
     """An entry without its local times."""
-    return replace(entry, accepted=0.0, due=0.0, ended_at=0.0)
+    return replace(entry, accepted_at=0.0, due_at=0.0, ended_at=0.0)
 
 
 class BrokenBuilds(unittest.TestCase):
--- a/tests/system/test_queue_ends.py
+++ b/tests/system/test_queue_ends.py
@@ -137,7 +137,7 @@
     def test_another_node_tells_where_that_one_is_gone_or_fails(self) -> None:
         rig = self.ended()
         first = rig.take_sent()[0].edge
-        rig.do(rig.owner.callback_report(rig.now, "m", False))
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=False))
         rig.advance(1.0)
         self.assertNotEqual(rig.take_sent()[0].edge, first)
         rig.append("n", callback_url=self.URL)
@@ -160,11 +160,11 @@
         rig = self.ended()
         rig.take_sent()
         for longest in (0.375, 0.75, 1.5, 1.875, 1.875, 1.875, 1.875):
-            rig.do(rig.owner.callback_report(rig.now, "m", False))
+            rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=False))
             self.assertEqual(rig.take_sent(), [])
             rig.advance(longest + 0.01)
             self.assertEqual(len(rig.take_sent()), 1)
-        rig.do(rig.owner.callback_report(rig.now, "m", True))
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
         rig.advance(MAX_CONFIRMATION_DELAY_S)
         self.assertFalse(rig.state.find("m").callback_pending)
         rig.advance(60.0)
@@ -187,7 +187,7 @@
         rig = self.ended()
         rig.take_sent()
         rig.automatic = False
-        rig.do(rig.owner.callback_report(rig.now, "m", True))
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
         rig.advance(MAX_CONFIRMATION_DELAY_S)
         (command,) = rig.take_proposed()
         self.assertEqual(command, ConfirmCallbacks(("m",)))
@@ -199,7 +199,7 @@
         rig.append("other", delay_ms=100)
         rig.take_sent()
         rig.automatic = False
-        rig.do(rig.owner.callback_report(rig.now, "m", True))
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
         self.assertEqual(rig.take_proposed(), [])
         rig.advance(0.1)
         grant, confirmation = rig.take_proposed()
@@ -216,7 +216,7 @@
             rig.end(rig.delivery(), SUCCEEDED)
         rig.automatic = False
         for number in range(CONFIRMATION_BATCH_SIZE):
-            rig.do(rig.owner.callback_report(rig.now, f"m{number}", True))
+            rig.do(rig.owner.callback_report(rig.now, f"m{number}", acknowledged=True))
         (confirmation,) = [each for each in rig.take_proposed() if isinstance(each, ConfirmCallbacks)]
         self.assertEqual(len(confirmation.request_ids), CONFIRMATION_BATCH_SIZE)
 
@@ -230,7 +230,7 @@
         sent = request_id_of(rig.take_sent(SendCallback))
         self.assertEqual(len(sent), MAX_CALLBACKS_PER_RECEIVER + 1)
         self.assertIn("other", sent)
-        rig.do(rig.owner.callback_report(rig.now, "m0", True))
+        rig.do(rig.owner.callback_report(rig.now, "m0", acknowledged=True))
         self.assertEqual(request_id_of(rig.take_sent(SendCallback)), [f"m{MAX_CALLBACKS_PER_RECEIVER}"])
 
 
--- a/tests/system/test_queue_limits.py
+++ b/tests/system/test_queue_limits.py
@@ -1,18 +1,17 @@
-"""Conformance of a shard owner: back-off, retry budgets and rate ceilings."""
+"""Conformance of a shard owner: back-off, concurrency limits and rate limits."""
 
 from __future__ import annotations
 
 import unittest
 from random import Random
 
-from bitternpath.queue.actions import (
-    AnswerPoll,
-    SendDelivery,
-)
-from bitternpath.queue.backoff import MIN_LIMIT, PACING_INTERVAL_S, AdaptiveConcurrencyLimit, backoff_after
+from bitternpath.queue.actions import AnswerPoll, SendDelivery
+from bitternpath.queue.adaptive_limit import MIN_LIMIT, PACING_INTERVAL_S, AdaptiveConcurrencyLimit
+from bitternpath.queue.backoff import backoff_after
 from bitternpath.queue.edge_nodes import MAX_LEASES_PER_EDGE
-from bitternpath.queue.rate_limits import ALLOWED_EXCESS, MAX_SEND_DELAY_S, TokenBucket, equal_share
+from bitternpath.queue.rate_limits import ALLOWED_EXCESS, MAX_SEND_DELAY_S, RateBound, equal_share
 from bitternpath.queue.service_queues import MIN_IN_FLIGHT
+from bitternpath.queue.token_bucket import TokenBucket
 from tests.system.test_queue_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 
@@ -45,22 +44,22 @@
         rig.delivery()
 
     def test_a_failing_service_is_not_stormed_and_recovers_at_once(self) -> None:
-        budget = AdaptiveConcurrencyLimit()
+        limit = AdaptiveConcurrencyLimit()
         now = 0.0
         for _ in range(40):
             now += 0.2
-            budget.record(now, FAILED, 64)
-        self.assertEqual(budget.window, MIN_LIMIT)
-        self.assertIsNone(budget.next_grant(now, 4))
+            limit.record_outcome(now, FAILED, 64)
+        self.assertEqual(limit.limit, MIN_LIMIT)
+        self.assertIsNone(limit.next_grant_time(now, 4))
         for _ in range(4):
-            budget.record(now, SUCCEEDED, 4)
-        self.assertEqual(budget.window, MIN_LIMIT * 16)
+            limit.record_outcome(now, SUCCEEDED, 4)
+        self.assertEqual(limit.limit, MIN_LIMIT * 16)
 
     def test_a_few_failures_among_successes_limit_nothing(self) -> None:
-        budget = AdaptiveConcurrencyLimit()
+        limit = AdaptiveConcurrencyLimit()
         for number in range(200):
-            budget.record(number * 0.2, FAILED if number % 3 == 0 else SUCCEEDED, 10)
-        self.assertEqual(budget.next_grant(100.0, 500), 100.0)
+            limit.record_outcome(number * 0.2, FAILED if number % 3 == 0 else SUCCEEDED, 10)
+        self.assertEqual(limit.next_grant_time(100.0, 500), 100.0)
 
     def test_a_service_that_is_down_costs_few_leases(self) -> None:
         rig = Rig()
@@ -126,7 +125,7 @@
             for shards in range(1, 13):
                 for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
                     with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        share = equal_share(rate, shards, window_s, over)
+                        share = equal_share(rate, RateBound(shards, window_s, over))
                         spent = share.refill_per_s * (window_s + MAX_SEND_DELAY_S) + share.burst
                         allowed = rate * window_s * over + ALLOWED_EXCESS
                         self.assertLessEqual(shards * spent, allowed + 1e-6)
@@ -135,16 +134,16 @@
 
     def test_nearly_the_whole_rate_is_used(self) -> None:
         for shards in (1, 2, 3, 4):
-            share = equal_share(19.5, shards, 5.0, 1.1)
+            share = equal_share(19.5, RateBound(shards, 5.0, 1.1))
             self.assertGreater(share.refill_per_s * shards, 0.9 * 19.5)
 
     def test_a_bucket_is_empty_at_first_and_never_over_its_burst(self) -> None:
-        share = equal_share(2.0, 1, 5.0, 1.1)
+        share = equal_share(2.0, RateBound(1, 5.0, 1.1))
         bucket = TokenBucket(share, 100.0)
-        self.assertFalse(bucket.ready(100.0))
-        self.assertAlmostEqual(bucket.next_ready(100.0), 100.0 + 1.0 / share.refill_per_s)
+        self.assertFalse(bucket.has_token(100.0))
+        self.assertAlmostEqual(bucket.next_token_time(100.0), 100.0 + 1.0 / share.refill_per_s)
         spent = 0
-        while bucket.ready(1_000.0):
+        while bucket.has_token(1_000.0):
             bucket.spend()
             spent += 1
         self.assertEqual(spent, int(share.burst))
--- a/tests/system/test_queue_nodes.py
+++ b/tests/system/test_queue_nodes.py
@@ -22,7 +22,8 @@
     SendDelivery,
 )
 from bitternpath.queue.commands import COMMANDS, Command
-from bitternpath.queue.owner import OwnerSettings, ShardOwner
+from bitternpath.queue.long_polls import LongPollRequest
+from bitternpath.queue.owner import OwnedShard, OwnerSettings, ShardOwner
 from bitternpath.queue.results import AttemptEnded, MessageExpired, Result
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.state import QueueState
@@ -60,7 +61,7 @@
     Service("pulled", pull_mode=True),
     Service("dead"),
 )
-BOUNDS = OwnerSettings(visible_ms=1_500)
+BOUNDS = OwnerSettings(visibility_timeout_ms=1_500)
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +142,7 @@
         self.epoch += 1
         now = self.world.simulation.now
         self.owner = self.world.build.owner(
-            self.state, self.number, self.world.shards_count, ZONES[0], BOUNDS, self.world.random
+            self.state, OwnedShard(self.number, self.world.shards_count, ZONES[0]), BOUNDS, self.world.random
         )
         self._wakeup = float("inf")
         self.perform(self.owner.leadership_acquired(now, self.epoch))
@@ -195,7 +196,7 @@
             return
         command, done = self._pending.pop(0)
         result = self._commit(command)
-        self.perform(owner.applied(self.world.simulation.now, result.command, result))
+        self.perform(owner.applied(self.world.simulation.now, result))
         if done is not None:
             done(result)
 
@@ -205,7 +206,7 @@
         result = self.state.apply(len(self.log), data)
         if isinstance(result, AttemptEnded) and result.effective:
             self.world.history.released[result.command.lease_id] = self.world.simulation.now
-        if isinstance(result, AttemptEnded | MessageExpired) and result.ended_now:
+        if isinstance(result, AttemptEnded | MessageExpired) and result.ended_message:
             self._tell(result.command.request_id)
         return result
 
@@ -346,7 +347,9 @@
         world.called_back.add(callback.request_id)
         taken = world.random.random() > 0.2 * world.trouble
         if not world.lost():
-            shard.input(lambda owner, now: owner.callback_report(now, callback.request_id, taken))
+            shard.input(
+                lambda owner, now: owner.callback_report(now, callback.request_id, acknowledged=taken)
+            )
 
 
 _OUTCOMES = {
@@ -381,7 +384,8 @@
         edge, shard = world.random.choice(world.edges), world.random.choice(world.shards)
         poll_id = next(world.numbers)
         world.polls[poll_id] = WaitingPoll(self, edge)
-        shard.input(lambda owner, now: owner.poll(now, poll_id, edge.name, "pulled", self.name, 1.0))
+        request = LongPollRequest(poll_id, edge.name, "pulled", self.name, 1.0)
+        shard.input(lambda owner, now: owner.poll(now, request))
         edge.later(POLL_LIMIT_S, lambda: world.polls.pop(poll_id, None))
         if shard.owner is None or world.random.random() < 0.1 * world.trouble:
             world.polls.pop(poll_id, None)
--- a/tests/system/test_queue_owner.py
+++ b/tests/system/test_queue_owner.py
@@ -404,7 +404,7 @@
     def test_an_unconcerned_change_of_configuration_touches_no_message(self) -> None:
         rig = Rig()
         rig.append("m", "/jobs/x")
-        tracked = rig.owner._tracked["m"]
+        tracked = rig.owner._lifecycle.find("m")
         serial = tracked.serial
         rig.configure(changed("plain", priority=3))
         rig.configure(changed("jobs", version=7, timeout_ms=900))
--- a/tests/system/test_queue_rig.py
+++ b/tests/system/test_queue_rig.py
@@ -21,7 +21,8 @@
     Command,
 )
 from bitternpath.queue.lease_table import PUSH_LEASE_MARGIN_MS
-from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnerSettings, ShardOwner
+from bitternpath.queue.long_polls import LongPollRequest
+from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnedShard, OwnerSettings, ShardOwner
 from bitternpath.queue.results import Result
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
@@ -80,8 +81,8 @@
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
         self.asked: list[RequestPollers] = []
-        bounds = OwnerSettings(visible_ms=3_000, status_s=120.0)
-        self.owner = ShardOwner(self.state, 0, 1, "north", bounds, Random(1))
+        settings = OwnerSettings(visibility_timeout_ms=3_000, status_retention_s=120.0)
+        self.owner = ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
         self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
         for edge in edges:
             self.do(self.owner.edge_connected(self.now, edge, "north"))
@@ -109,7 +110,7 @@
         """Commit and apply one command."""
         self.index += 1
         result = self.state.apply(self.index, COMMANDS.encode(command))
-        self.do(self.owner.applied(self.now, result.command, result))
+        self.do(self.owner.applied(self.now, result))
         return result
 
     def take_proposed(self) -> list[Command]:
@@ -149,7 +150,7 @@
         """A holder's word; whether it is taken."""
         request_id, lease_id = delivery.message.request_id, delivery.lease_id
         command = self.owner.end_attempt_command(request_id, lease_id, outcome, "stamp", retry_after_ms)
-        return self.apply(command).taken
+        return self.apply(command).accepted
 
     def configure(self, routing: RoutingTable) -> None:
         """Another configuration comes into force."""
@@ -157,7 +158,8 @@
 
     def poll(self, number: int, edge: str = "edge-1", wait_s: float = 1.0) -> None:
         """A worker asks for a job."""
-        self.do(self.owner.poll(self.now, number, edge, "puller", f"instance-{number}", wait_s))
+        request = LongPollRequest(number, edge, "puller", f"instance-{number}", wait_s)
+        self.do(self.owner.poll(self.now, request))
 
     def delivery(self) -> SendDelivery:
         """The only delivery since the last time."""
--- a/tests/system/test_queue_state.py
+++ b/tests/system/test_queue_state.py
@@ -125,7 +125,8 @@
                 result = replica.apply(end("m", "L", case.outcome))
                 assert isinstance(result, AttemptEnded)
                 self.assertEqual(
-                    (result.taken, result.effective, result.ended_now), (True, True, case.state is not QUEUED)
+                    (result.accepted, result.effective, result.ended_message),
+                    (True, True, case.state is not QUEUED),
                 )
                 entry = replica.entry("m")
                 self.assertEqual((entry.state, entry.attempts), (case.state, case.attempts))
@@ -140,14 +141,14 @@
                 attempts = replica.entry("m").attempts
                 for _ in range(3):
                     result = replica.apply(end("m", "L", outcome))
-                    self.assertEqual(result, AttemptEnded(end("m", "L", outcome), True, False, False))
+                    self.assertEqual(result, AttemptEnded(end("m", "L", outcome), accepted=True))
                 self.assertEqual(replica.entry("m").attempts, attempts)
 
     def test_another_end_of_an_ended_lease_is_not_taken(self) -> None:
         replica = self.leased()
         replica.apply(end("m", "L", NOT_RUN))
         result = replica.apply(end("m", "L", SUCCEEDED))
-        self.assertEqual(result, AttemptEnded(end("m", "L", SUCCEEDED), False, False, False))
+        self.assertEqual(result, AttemptEnded(end("m", "L", SUCCEEDED)))
         self.assertIs(replica.entry("m").state, QUEUED)
 
     def test_a_lease_that_is_not_current_is_not_taken(self) -> None:
@@ -155,14 +156,14 @@
         replica.apply(grant("m", "L2"))
         for lease in ("L", "never granted"):
             result = replica.apply(end("m", lease, SUCCEEDED))
-            self.assertEqual(result, AttemptEnded(end("m", lease, SUCCEEDED), False, False, False))
+            self.assertEqual(result, AttemptEnded(end("m", lease, SUCCEEDED)))
         self.assertIs(replica.entry("m").state, QUEUED)
-        self.assertEqual(replica.apply(end("unknown", "L", SUCCEEDED)).taken, False)
+        self.assertEqual(replica.apply(end("unknown", "L", SUCCEEDED)).accepted, False)
 
     def test_a_late_success_of_the_latest_lease_is_taken(self) -> None:
         replica = self.leased()
         replica.now += 1_000.0
-        self.assertTrue(replica.apply(end("m", "L", SUCCEEDED)).ended_now)
+        self.assertTrue(replica.apply(end("m", "L", SUCCEEDED)).ended_message)
 
     def test_nothing_changes_what_is_done(self) -> None:
         replica = self.leased()
@@ -180,14 +181,14 @@
 
     def test_a_known_request_id_has_no_effect_and_says_so(self) -> None:
         replica = Replica()
-        self.assertTrue(replica.apply(AppendMessage(message("m"))).new)
+        self.assertTrue(replica.apply(AppendMessage(message("m"))).is_new)
         other = structs.replace(message("m"), body=b"other")
         self.assertEqual(
-            (replica.apply(AppendMessage(other)).new, replica.entry("m").message.body), (False, b"body")
+            (replica.apply(AppendMessage(other)).is_new, replica.entry("m").message.body), (False, b"body")
         )
         replica.apply(grant("m", "L"), end("m", "L", SUCCEEDED))
         result = replica.apply(AppendMessage(other))
-        self.assertEqual((result.new, result.known_state), (False, DONE))
+        self.assertEqual((result.is_new, result.state), (False, DONE))
         self.assertEqual(replica.state.queued, 0)
 
     def test_a_body_goes_when_done_and_stays_with_a_dead_letter(self) -> None:
@@ -222,7 +223,7 @@
                 replica.apply(AppendMessage(message("m")))
                 if current:
                     replica.apply(grant("m", current))
-                self.assertEqual(replica.apply(ExpireMessage("m", named)).ended_now, ended)
+                self.assertEqual(replica.apply(ExpireMessage("m", named)).ended_message, ended)
                 self.assertIs(replica.entry("m").state, DEAD if ended else QUEUED)
 
     def test_bytes_that_are_no_command_are_refused(self) -> None:
@@ -238,30 +239,30 @@
             with self.subTest(ending):
                 replica = Replica()
                 replica.apply(AppendMessage(message("a", "k")), AppendMessage(message("b", "k")))
-                self.assertFalse(replica.apply(grant("b", "X")).ok)
-                self.assertTrue(replica.apply(grant("a", "L")).ok)
-                self.assertFalse(replica.apply(grant("b", "X")).ok)
+                self.assertFalse(replica.apply(grant("b", "X")).granted)
+                self.assertTrue(replica.apply(grant("a", "L")).granted)
+                self.assertFalse(replica.apply(grant("b", "X")).granted)
                 replica.apply(ending)
-                self.assertTrue(replica.apply(grant("b", "X")).ok)
+                self.assertTrue(replica.apply(grant("b", "X")).granted)
 
     def test_the_route_does_not_matter(self) -> None:
         replica = Replica()
         replica.apply(AppendMessage(message("a", "k")))
         replica.apply(AppendMessage(structs.replace(message("b", "k"), route="other", target="/y/")))
-        self.assertFalse(replica.apply(grant("b", "X")).ok)
+        self.assertFalse(replica.apply(grant("b", "X")).granted)
 
     def test_keys_do_not_hold_one_another(self) -> None:
         replica = Replica()
         replica.apply(
             AppendMessage(message("a", "k")), AppendMessage(message("b", "l")), AppendMessage(message("c"))
         )
-        self.assertTrue(all(replica.apply(grant(name, f"L{name}")).ok for name in "abc"))
+        self.assertTrue(all(replica.apply(grant(name, f"L{name}")).granted for name in "abc"))
 
     def test_one_that_ends_in_the_middle_is_passed_over(self) -> None:
         replica = Replica()
         replica.apply(*(AppendMessage(message(name, "k")) for name in "abc"))
         replica.apply(ExpireMessage("b"), ExpireMessage("a"))
-        self.assertTrue(replica.apply(grant("c", "L")).ok)
+        self.assertTrue(replica.apply(grant("c", "L")).granted)
         replica.apply(end("c", "L", SUCCEEDED))
         self.assertIsNone(replica.state.order_head("k"))
 
@@ -296,7 +297,7 @@
                 replica.apply(AppendMessage(message("m", delay_ms=10_000)))
                 replica.now += case.waited_s
                 other = replica.restart(case.restart_s)
-                self.assertAlmostEqual(other.entry("m").due - other.now, case.left_s, places=3)
+                self.assertAlmostEqual(other.entry("m").due_at - other.now, case.left_s, places=3)
 
     def test_a_delay_goes_on_after_a_replay_of_the_log(self) -> None:
         for passed_s, left_s in ((0.0, 10.0), (2.0, 10.0), (-5.0, 10.0), (6.0, 6.0), (60.0, 0.0)):
@@ -304,7 +305,7 @@
                 replica = Replica()
                 replica.wall_ms += round(passed_s * 1000)
                 replica.apply(AppendMessage(message("m", delay_ms=10_000)))
-                self.assertAlmostEqual(replica.entry("m").due - replica.now, left_s)
+                self.assertAlmostEqual(replica.entry("m").due_at - replica.now, left_s)
 
     def test_retention_counts_on_and_is_never_cut_by_a_clock_step(self) -> None:
         for restart_s, age_s in ((0.0, 20.0), (9.0, 20.0), (-9.0, 20.0), (40.0, 20.0), (3_600.0, 20.0)):
@@ -313,7 +314,7 @@
                 replica.apply(AppendMessage(message("m")))
                 replica.now += 20.0
                 other = replica.restart(restart_s)
-                self.assertAlmostEqual(other.now - other.entry("m").accepted, age_s, places=3)
+                self.assertAlmostEqual(other.now - other.entry("m").accepted_at, age_s, places=3)
 
     def test_everything_survives(self) -> None:
         replica = Replica()
@@ -362,7 +363,7 @@
 def contents(replica: Replica) -> list[Entry]:
     """All entries, without their local times."""
     state = replica.state
-    entries = [replace(entry, accepted=0.0, due=0.0, ended_at=0.0) for entry in state]
+    entries = [replace(entry, accepted_at=0.0, due_at=0.0, ended_at=0.0) for entry in state]
     assert state.queued == sum(not entry.ended for entry in entries)
     assert state.body_bytes == sum(len(entry.message.body) for entry in entries)
     return entries
--- a/tests/system/test_queue_world.py
+++ b/tests/system/test_queue_world.py
@@ -81,10 +81,10 @@
         return Terms(
             {route.name: route.max_attempts for route in ROUTES},
             {route.name: route.retention_s for route in ROUTES},
-            BOUNDS.visible_ms / 1000,
+            BOUNDS.visibility_timeout_ms / 1000,
             {service.name: service.rate_per_s for service in SERVICES if service.rate_per_s > 0},
-            BOUNDS.ceiling_window_s,
-            BOUNDS.origin_rate_over,
+            BOUNDS.rate_window_s,
+            BOUNDS.rate_tolerance,
             calm=self.faults == CALM,
         )
 
@@ -278,7 +278,7 @@
                 return
             answered[0] = True
             success = outcome is AttemptOutcome.SUCCEEDED
-            end = EndAnswer(request_id, lease_id, self.simulation.now, success, pulled, result.taken)
+            end = EndAnswer(request_id, lease_id, self.simulation.now, success, pulled, result.accepted)
             self.history.ends.append(end)
 
         def attempt() -> None:
--- a/tests/system/test_unreachable_holders.py
+++ b/tests/system/test_unreachable_holders.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bitternpath.queue.owner import RETURNS_BEFORE_EDGE_CHANGE
+from bitternpath.queue.lifecycle import RETURNS_BEFORE_EDGE_CHANGE
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_queue_rig import NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
