--- /dev/null
+++ b/bitternpath/roles/bootstrap.py
@@ -0,0 +1,187 @@
+"""The bootstrap of a new system: who decides on the founders, and how they learn of it.
+
+Only the process at the first seed may decide. It claims that right by a document on its disk, written at its
+first start before anything else, and the decision replaces that document before anybody is notified. A
+coordinator that is killed at any moment resumes with the same decision, and there is never a second one.
+
+A member of the configuration group opens the group only once it knows whether it is a founder: a founder that
+began as an empty member would never learn who the others are, and would never vote. So the group's owner
+notifies all members of the decision until they acknowledge it; a member that isn't named begins empty and is
+brought up to date by the leader.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+import logbook
+
+from bitternpath.membership.bootstrap import (
+    CONFIGURATION_GROUP,
+    DECIDER_DOCUMENT,
+    BootstrapFile,
+    decide_bootstrap,
+)
+from bitternpath.roles.node_base import NodeBase
+from bitternpath.roles.reactor import NodeReactor, ScheduledCall, cancel_call
+from bitternpath.storage.documents import CorruptDocumentError
+from bitternpath.transport.codec import CodecError
+from bitternpath.transport.connections import Link, NodeHub
+from bitternpath.transport.group_messages import (
+    BootstrapDecision,
+    BootstrapDecisionStored,
+    GroupPlacement,
+    MemberAddress,
+)
+
+log = logbook.Logger("configuration")
+
+CHECK_INTERVAL_S = 0.25  # between attempts to decide, and between notifications
+COORDINATOR_LINK_USER = "decider"  # of the hub's links
+MEMBER_LINK_USER = "founding"  # likewise
+NO_DECISION = BootstrapDecision("", GroupPlacement(CONFIGURATION_GROUP, 1, ()))  # names nobody
+
+
+class BootstrapNotifier:
+    """Notifies members of the decision until they have it on disk."""
+
+    def __init__(self, hub: NodeHub, link_user: str, own_member_id: str = "") -> None:
+        """`link_user` names the user of the hub's links; `own_member_id` isn't notified."""
+        self._hub = hub
+        self._link_user = link_user
+        self._own_member_id = own_member_id
+        self._acknowledged: set[str] = set()
+        self._dialled: dict[str, str] = {}  # address by member
+
+    def notify(self, decision: BootstrapDecision, members: Iterable[MemberAddress]) -> bool:
+        """Send the decision to the members that haven't acknowledged it; whether there are any.
+
+        Members that were notified earlier and aren't in `members` any more are given up.
+        """
+        pending = [each for each in members if self._is_pending(each.member)]
+        for member in pending:
+            self._dialled[member.member] = member.address
+            self._hub.dial(member.address, self._link_user)
+            link = self._hub.link_to(member.address)
+            if link is not None:
+                link.send(decision)
+        names = {member.member for member in pending}
+        for gone in [member for member in self._dialled if member not in names]:
+            self._release(gone)
+        return bool(pending)
+
+    def _is_pending(self, member: str) -> bool:
+        return member not in self._acknowledged and member != self._own_member_id
+
+    def acknowledged(self, answer: BootstrapDecisionStored) -> None:
+        """A member has the decision on disk."""
+        self._acknowledged.add(answer.member)
+        self._release(answer.member)
+
+    def _release(self, member: str) -> None:
+        address = self._dialled.pop(member, "")
+        if address and address not in self._dialled.values():
+            self._hub.release(address, self._link_user)
+
+
+class BootstrapState:
+    """What a member of the configuration group knows of the decision.
+
+    Attributes:
+        decision: the one that names this member as a founder, None for others; the same as on disk.
+    """
+
+    def __init__(self, own_member_id: str, file: BootstrapFile) -> None:
+        self.decision: BootstrapDecision | None = None
+        self._own_member_id = own_member_id
+        self._file = file
+        self._is_no_founder = False
+
+    def load(self) -> None:
+        """Read the decision from disk; raises `CorruptDocumentError` and `CodecError`."""
+        self.decision = self._file.load()
+
+    @property
+    def is_known(self) -> bool:
+        """Whether it is known if this member is a founder: only then it may open the group."""
+        return self.decision is not None or self._is_no_founder
+
+    def decision_received(self, link: Link, received: BootstrapDecision) -> None:
+        """Note the decision that another node sent, and acknowledge it once it is on disk."""
+        if all(member.member != self._own_member_id for member in received.group.members):
+            self._is_no_founder = self.decision is None
+        elif not self.is_known:
+            self._file.store(received)
+            self.decision = received
+            members = len(received.group.members)
+            log.info("event=system_bootstrapped system={} members={}", received.system, members)
+        elif self.decision is None or self.decision.system != received.system:
+            return
+        link.send(BootstrapDecisionStored(self._own_member_id))
+
+
+class BootstrapCoordinator:
+    """Decides who founds the system, on the node that may, and notifies the founders."""
+
+    def __init__(self, reactor: NodeReactor, base: NodeBase) -> None:
+        self._reactor = reactor
+        self._base = base
+        self._settings = base.settings
+        self._started_at = reactor.seconds()
+        self._notifier = BootstrapNotifier(base.hub, COORDINATOR_LINK_USER)
+        self._file: BootstrapFile | None = None
+        if base.settings.data_dir is not None:
+            self._file = BootstrapFile(base.settings.data_dir, base.disk, DECIDER_DOCUMENT)
+        self._decision: BootstrapDecision | None = None
+        self._scheduled: ScheduledCall | None = None
+
+    def start(self) -> None:
+        """Claim the right to decide where this node has it, or resume with an earlier claim or decision.
+
+        A document that can't be read may have held a decision that others know, so then nothing is decided.
+        """
+        try:
+            stored = self._file.load() if self._file is not None else None
+        except (CorruptDocumentError, CodecError) as error:
+            log.warning("event=bootstrap_decision_unreadable error={!r}", str(error))
+            return
+        if stored is not None:
+            self._decision = stored if stored.system else None
+        elif self._is_first_seed():
+            self._store(NO_DECISION)
+        else:
+            return
+        self._advance()
+
+    def stop(self) -> None:
+        """Decide and notify no more."""
+        cancel_call(self._scheduled)
+
+    def acknowledged(self, answer: BootstrapDecisionStored) -> None:
+        """A founder has the decision on disk."""
+        self._notifier.acknowledged(answer)
+
+    def _is_first_seed(self) -> bool:
+        seeds = self._settings.seed_addresses
+        return self._settings.bootstrap and bool(seeds) and seeds[0] == self._settings.internal_address
+
+    def _store(self, decision: BootstrapDecision) -> None:
+        if self._file is not None:
+            self._file.store(decision)
+
+    def _advance(self) -> None:
+        """Decide, if that is possible by now, and notify the founders; again until all have acknowledged."""
+        if self._decision is None:
+            self._decision = decide_bootstrap(
+                self._base.view,
+                self._settings.tolerated_machines,
+                self._started_at,
+                self._reactor.seconds(),
+                self._base.random,
+            )
+            if self._decision is not None:
+                self._store(self._decision)
+        decision = self._decision
+        if decision is not None and not self._notifier.notify(decision, decision.group.members):
+            return
+        self._scheduled = self._reactor.callLater(CHECK_INTERVAL_S, self._advance)
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -1,15 +1,12 @@
-"""A member of the configuration group: a counted edge node's replica, and what its owner does.
+"""A member of the configuration group: the replica on a counted edge node, and the work of the group's owner.
 
-The owner decides the operator's orders, serves the feed, reads the platform's list, places the queue shards
-and keeps the group's members up to date. Owning the group is the fencing token of all of these: each starts
-when the node becomes owner and stops when it isn't any more, and what it sends carries the epoch.
+The owner decides the operator's changes, serves the feed, polls the platform's endpoint list, places the
+queue shards and reconciles the group's own members. Owning the group is the fencing token of all of these:
+each begins when the node becomes owner and stops when it no longer is, and what it sends carries the epoch.
 """
 
 from __future__ import annotations
 
-from random import Random
-from typing import Any
-
 import logbook
 from twisted.internet.defer import Deferred
 
@@ -24,241 +21,243 @@
     member_address,
     member_id,
 )
-from bitternpath.membership.view import MembershipView
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
-from bitternpath.roles.core_members import CoreMembers
-from bitternpath.roles.founding import MEMBER_USER, NO_DECISION, FoundingKnowledge, FoundingTeller
-from bitternpath.roles.group_carrier import GroupTransport
+from bitternpath.roles.bootstrap import MEMBER_LINK_USER, NO_DECISION, BootstrapNotifier, BootstrapState
+from bitternpath.roles.configuration_voters import ConfigurationVoters
 from bitternpath.roles.live_nodes import LiveNodes
+from bitternpath.roles.node_base import NodeBase
+from bitternpath.roles.reactor import NodeReactor, PeriodicCall
 from bitternpath.roles.retirements import Retirements
-from bitternpath.roles.settings import Settings
 from bitternpath.roles.shard_placement import ShardPlacement
-from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.transport.connections import Link, NodeHub
+from bitternpath.transport.connections import Link
 from bitternpath.transport.feed_messages import FeedRefused, FeedSubscribe
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
     BootstrapDecisionStored,
+    GroupMessage,
     MemberAddress,
     MembershipReport,
 )
 
 log = logbook.Logger("configuration")
 
-LOOK_S = 0.25  # how often the owner looks at what no event tells, and founders at the founding
-SOON_S = 0.01  # after something has happened: all nodes may come at once, and a look goes through them all
+CHECK_INTERVAL_S = 0.25  # between checks for what no event reports; founders notify each other as often
+COALESCE_S = 0.01  # after an event: many nodes may come at once, and a check goes through all of them
 
 
 class ConfigurationMember:
-    """This node's replica of the configuration group."""
-
-    def __init__(
-        self,
-        reactor: Any,
-        settings: Settings,
-        hub: NodeHub,
-        view: MembershipView,
-        host: ReplicaHost,
-        transport: GroupTransport,
-        random: Random,
-        disk: NodeDisk | None = None,
-    ) -> None:
-        self.reactor, self.settings, self.hub, self.view = reactor, settings, hub, view
-        self.host, self.transport, self.random = host, transport, random
+    """This node's replica of the configuration group.
+
+    Implements `replication.interfaces.GroupListener`, and `configuration.changes.ConsensusGroup` for the
+    parts that propose commands.
+
+    Attributes:
+        host: has the replica.
+        is_open: whether the replica takes part in its group.
+        state: the replicated configuration.
+        orders: decides the operator's changes, while this node owns the group.
+        feed: serves the feed, likewise.
+        bootstrap_state: what is known of the bootstrap decision.
+    """
+
+    def __init__(self, reactor: NodeReactor, base: NodeBase, host: ReplicaHost) -> None:
+        settings = base.settings
+        assert settings.data_dir is not None
+        self.host = host
+        self.is_open = False
         self.state = ConfigurationState()
         self.orders = ChangeProcessor(self.state, self)
         self.feed = FeedServer(reactor, self.state, self.has_lease)
-        platform = EndpointListClient(reactor, settings.platform)
-        self.reader = EndpointListPoller(
+        self.bootstrap_state = BootstrapState(host.member_id, BootstrapFile(settings.data_dir, base.disk))
+        self._reactor = reactor
+        self._transport = base.transport
+        self._view = base.view
+        self._notifier = BootstrapNotifier(base.hub, MEMBER_LINK_USER, host.member_id)
+        self._endpoint_poller = EndpointListPoller(
             reactor,
-            platform,
+            EndpointListClient(reactor, settings.platform),
             lambda: self.feed.epoch,
             self.feed.publish_catalogue,
             settings.platform_rate_per_s,
         )
-        assert settings.data_dir is not None
-        self.bootstrap_state = FoundingKnowledge(host.member_id, BootstrapFile(settings.data_dir, disk))
-        self._teller = FoundingTeller(hub, MEMBER_USER, host.member_id)
-        self.is_open = False
-        self._started_at = reactor.seconds()
         tolerated = settings.tolerated_machines
-        self.nodes = LiveNodes(reactor, self.feed)
-        self.core = CoreMembers(reactor, host, self.nodes, view, tolerated)
-        self.placement = ShardPlacement(reactor, self, self.state, self.nodes, tolerated)
-        self.retirements = Retirements(self, self.state, self.nodes, tolerated)
-        self._look_planned = False
-        self._timer: Any = None
+        self._nodes = LiveNodes(reactor, self.feed)
+        self._voters = ConfigurationVoters(reactor, host, self._nodes, base.view, tolerated)
+        self._placement = ShardPlacement(reactor, self, self.state, self._nodes, tolerated)
+        self._retirements = Retirements(self, self.state, self._nodes, tolerated)
+        self._check_scheduled = False
+        self._checks = PeriodicCall(reactor, CHECK_INTERVAL_S, self._check)
 
     def start(self) -> None:
-        """Take part: as before, as a founder once there is a system, or when a leader adds this member.
+        """Take part: with the state on disk, as a founder once there is a decision, or when a leader adds
+        this member.
 
-        A member that joined later has no founding file. It must not wait until somebody speaks: perhaps all
-        that are left have joined later.
+        A member that joined later has no bootstrap decision on disk, only the group's state. It must not wait
+        to be notified: perhaps all members that are left have joined later.
         """
         self.bootstrap_state.load()
-        if self.bootstrap_state.founding is not None or self.host.has_unopened_state(CONFIGURATION_GROUP):
+        decided = self.bootstrap_state.decision is not None
+        if decided or self.host.has_unopened_state(CONFIGURATION_GROUP):
             self._open_group()
-        self._look()
+        self._checks.start()
 
     def stop(self) -> None:
-        """Look after nothing more."""
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        self.reader.stop()
+        """Stop the owner's work; the replica is stopped by its host."""
+        self._checks.stop()
+        self._endpoint_poller.stop()
 
-    # ---- the group, as orders see it
+    # ---- ConsensusGroup
 
     def is_owner(self) -> bool:
-        """Whether this node owns the configuration."""
+        """Whether this node owns the configuration group."""
         return self.is_open and self.host.is_owner(CONFIGURATION_GROUP)
 
     def epoch(self) -> int:
-        """The group's term."""
+        """The highest term that this member knows; 0 before it takes part."""
         return self.host.epoch(CONFIGURATION_GROUP) if self.is_open else 0
 
     def has_lease(self) -> bool:
-        """Whether no other node can have become owner, as far as this one has heard a majority."""
+        """Whether this node owns the group and has heard a quorum within an election time-out."""
         return self.is_open and self.host.hears_quorum(CONFIGURATION_GROUP)
 
     def propose(self, command: bytes) -> Deferred[object]:
-        """Commit a command."""
+        """Commit and apply a command. Errors: `NotOwnerError` (had no effect, another owner may be asked),
+        `OutcomeUnknownError` (it may be committed)."""
         return self.host.propose(CONFIGURATION_GROUP, command)
 
     def barrier(self) -> Deferred[None]:
-        """Confirm ownership."""
+        """Fires once a majority has confirmed the ownership after this call. Error: `NotOwnerError`."""
         return self.host.read_barrier(CONFIGURATION_GROUP)
 
+    # ---- operator's calls
+
     def order(self, order: ChangeRequest) -> Deferred[OperatorResult]:
-        """Decide an operator's change."""
+        """Decide a change of the configuration; never fails."""
         return self.orders.submit(order)
 
-    # ---- what comes over links
+    def retire(self, node: str) -> Deferred[OperatorResult]:
+        """Begin to move all replicas away from a storage node; never fails."""
+        return self._retirements.order(node)
 
-    def group_message(self, group: str) -> None:
-        """A leader speaks to this member, perhaps before it was told of anything else."""
-        if group == CONFIGURATION_GROUP and not self.is_open and self.bootstrap_state.may_take_part:
-            self._open_group()
+    def retirement(self, node: str) -> Deferred[OperatorResult]:
+        """The progress of a node's retirement; never fails."""
+        return self._retirements.state(node)
 
-    def founded(self, link: Link, founding: BootstrapDecision) -> None:
-        """Who founded the system has come."""
-        self.bootstrap_state.heard(link, founding)
-        if self.bootstrap_state.founding is not None and not self.is_open:
-            self._open_group()
+    # ---- records of other nodes
 
-    def founding_answered(self, answer: BootstrapDecisionStored) -> None:
-        """A member knows of the founding."""
-        self._teller.answered(answer)
+    def group_message_received(self, link: Link, message: GroupMessage) -> None:
+        """Pass a consensus message on; one of a leader may come before any notification."""
+        if message.group == CONFIGURATION_GROUP and not self.is_open and self.bootstrap_state.is_known:
+            self._open_group()
+        self._transport.received(link, message)
 
-    def subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
-        """A node wants the feed."""
-        if self.is_owner():
-            self.feed.subscribe(link, wanted)
-            if link.peer is not None and link.peer.disk:  # others keep nothing, and there may be thousands
-                self._look_soon()
-        else:
-            link.send(self.refusal())
-
-    def refusal(self) -> FeedRefused:
-        """Where to ask instead."""
-        if not self.is_open:
-            return FeedRefused("", ())
-        leader = self.host.leader(CONFIGURATION_GROUP)
-        members = self._member_addresses()
-        address = next((member.address for member in members if member.member == leader), "")
-        return FeedRefused(address, members)
+    def decision_received(self, link: Link, decision: BootstrapDecision) -> None:
+        """Another node has sent the bootstrap decision."""
+        self.bootstrap_state.decision_received(link, decision)
+        if self.bootstrap_state.decision is not None and not self.is_open:
+            self._open_group()
 
-    def group_reported(self, report: MembershipReport) -> None:
-        """A shard's owner has told who the members are."""
+    def decision_stored(self, answer: BootstrapDecisionStored) -> None:
+        """Another member has the bootstrap decision on disk."""
+        self._notifier.acknowledged(answer)
+
+    def subscribe(self, link: Link, request: FeedSubscribe) -> None:
+        """Subscribe a node to the feed, or say where to ask instead."""
+        if not self.is_owner():
+            link.send(self._refusal())
+            return
+        self.feed.subscribe(link, request)
+        if link.peer is not None and link.peer.disk:  # nodes without a disk hold no replica; there are many
+            self._check_soon()
+
+    def membership_reported(self, _link: Link, report: MembershipReport) -> None:
+        """A shard's owner has reported its committed members."""
         if self.is_owner():
-            self.retirements.reported(report)
-
-    def retire(self, node: str) -> Deferred[OperatorResult]:
-        """The operator wants a storage node emptied."""
-        return self.retirements.order(node)
-
-    def retirement(self, node: str) -> Deferred[OperatorResult]:
-        """How far the emptying of a node is."""
-        return self.retirements.state(node)
+            self._retirements.reported(report)
 
     # ---- GroupListener
 
     def became_owner(self, epoch: int) -> None:
-        """This node owns the configuration from now on."""
-        log.info("event=owner group={} epoch={}", CONFIGURATION_GROUP, epoch)
-        self.nodes.begin([node_of(member) for member in self.state.storage.members])
-        self.placement.begin()
-        self.retirements.begin()
+        """This replica leads the group and has applied all that was committed before."""
+        log.info("event=ownership_acquired group={} epoch={}", CONFIGURATION_GROUP, epoch)
+        self._nodes.begin([node_of(member) for member in self.state.storage.members])
+        self._placement.begin()
+        self._retirements.begin()
         self.feed.begin(epoch)
-        self.reader.start()
+        self._endpoint_poller.start()
 
     def lost_ownership(self) -> None:
-        """Another node does, or will."""
-        log.info("event=not_owner group={}", CONFIGURATION_GROUP)
-        self.reader.stop()
-        self.feed.end(self.refusal())
+        """This replica no longer leads the group."""
+        log.info("event=ownership_lost group={}", CONFIGURATION_GROUP)
+        self._endpoint_poller.stop()
+        self.feed.end(self._refusal())
 
     def applied(self, index: int, command: bytes, result: object) -> None:
-        """The state has changed."""
+        """A committed command has been applied; `result` is true where it changed the state."""
         if result:
             self.feed.publish()
-            self._look_soon()
+            self._check_soon()
 
-    # ---- looking after things
+    # ---- the group
 
     def _open_group(self) -> None:
         founders = None
-        if self.bootstrap_state.founding is not None:
-            members = self.bootstrap_state.founding.group.members
-            self.transport.learn(members)
-            self.transport.reach(members)
+        decision = self.bootstrap_state.decision
+        if decision is not None:
+            members = decision.group.members
+            self._transport.update_addresses(members)
+            self._transport.connect_members(members)
             founders = Members(tuple(member.member for member in members))
         self.is_open = True
         self.host.open_group(CONFIGURATION_GROUP, self.state, founders, self)
-        self.core.opened(self._look_soon)
+        self._voters.group_opened(self._check_soon)
 
-    def _look(self) -> None:
-        self._timer = self.reactor.callLater(LOOK_S, self._look)
-        self._look_after()
+    def _check_soon(self) -> None:
+        """Have all that happens within `COALESCE_S` checked together."""
+        if not self._check_scheduled:
+            self._check_scheduled = True
+            self._reactor.callLater(COALESCE_S, self._check)
 
-    def _look_soon(self) -> None:
-        """Something has happened; looked at once for all that happens together."""
-        if not self._look_planned:
-            self._look_planned = True
-            self.reactor.callLater(SOON_S, self._look_after)
-
-    def _look_after(self) -> None:
-        self._look_planned = False
+    def _check(self) -> None:
+        """Bring the system closer to its desired state: links, members, placement, retirements."""
+        self._check_scheduled = False
         if self.is_open:
-            self.transport.reach(self._addresses(self._members().all))
+            self._transport.connect_members(self._addresses(self._members().all))
         if self.is_owner():
-            self.nodes.update()
-            self.core.reconcile()
-            self.placement.reconcile()
-            self.retirements.reconcile()
-        self._tell_founding()
-
-    def _tell_founding(self) -> None:
-        """An owner tells all members, as one that isn't told doesn't take part; without a leader founders
-        tell each other: whoever decided may be gone."""
-        founding = self.bootstrap_state.founding
+            self._nodes.update()
+            self._voters.reconcile()
+            self._placement.reconcile()
+            self._retirements.reconcile()
+        self._notify_of_bootstrap()
+
+    def _notify_of_bootstrap(self) -> None:
+        """The owner notifies all members, as one that isn't notified doesn't take part. Without a leader the
+        founders notify each other: the coordinator may be lost."""
+        decision = self.bootstrap_state.decision
         if self.is_owner():
-            self._teller.tell(founding or NO_DECISION, self._addresses(self._members().all))
-        elif founding is not None and not self.host.leader(CONFIGURATION_GROUP):
-            self._teller.tell(founding, founding.group.members)
+            self._notifier.notify(decision or NO_DECISION, self._addresses(self._members().all))
+        elif decision is not None and not self.host.leader(CONFIGURATION_GROUP):
+            self._notifier.notify(decision, decision.group.members)
+
+    def _refusal(self) -> FeedRefused:
+        """Names the leader, as far as it is known, and the voters."""
+        if not self.is_open:
+            return FeedRefused("", ())
+        leader = self.host.leader(CONFIGURATION_GROUP)
+        voters = self._addresses(self._members().voters)
+        address = next((voter.address for voter in voters if voter.member == leader), "")
+        return FeedRefused(address, voters)
 
     def _members(self) -> Members:
         return self.host.members(CONFIGURATION_GROUP)
 
-    def _member_addresses(self) -> tuple[MemberAddress, ...]:
-        """Voters whose address is known."""
-        return self._addresses(self._members().voters)
-
     def _addresses(self, members: tuple[str, ...]) -> tuple[MemberAddress, ...]:
+        """Of those members whose address is known, by the membership view or by the bootstrap decision."""
         found: dict[str, MemberAddress] = {}
-        if self.bootstrap_state.founding is not None:
-            found = {member.member: member for member in self.bootstrap_state.founding.group.members}
-        for node in self.view.counted_edges():
+        if self.bootstrap_state.decision is not None:
+            found = {member.member: member for member in self.bootstrap_state.decision.group.members}
+        for node in self._view.counted_edges():
             found[member_id(node)] = member_address(node)
         return tuple(found[member] for member in members if member in found)
--- /dev/null
+++ b/bitternpath/roles/configuration_voters.py
@@ -0,0 +1,97 @@
+"""Chooses the members of the configuration group: a part of the work of its owner.
+
+Three sources say which nodes are live: a member answers heartbeats, a node follows the feed, the membership
+view has a recent heartbeat of it. A new node may need seconds to find an owner that is new itself, so the
+view is enough to make it a learner; it becomes a voter only once it has caught up, whatever the view says.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from bitternpath.configuration.placement import desired_members
+from bitternpath.membership.bootstrap import CONFIGURATION_GROUP, member_id
+from bitternpath.membership.view import MembershipView
+from bitternpath.replication.host import ReplicaHost
+from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.reconfiguration import node_of
+from bitternpath.replication.records import Members
+from bitternpath.roles.live_nodes import LiveNodes
+from bitternpath.roles.reactor import ReactorTime
+from bitternpath.transport.node_messages import NodeDescriptor
+
+
+class _Heartbeat(NamedTuple):
+    """The heartbeat of a node; a later one compares greater."""
+
+    incarnation: int
+    number: int
+
+
+class ConfigurationVoters:
+    """Computes the desired members from the live nodes; `MemberChanges` takes the steps that lead there."""
+
+    def __init__(
+        self,
+        reactor: ReactorTime,
+        host: ReplicaHost,
+        nodes: LiveNodes,
+        view: MembershipView,
+        tolerated_machines: int,
+    ) -> None:
+        self._reactor = reactor
+        self._host = host
+        self._nodes = nodes
+        self._view = view
+        self._voter_count = 2 * tolerated_machines + 1
+        self._changes = MemberChanges(host)
+        self._voter_heartbeats: dict[str, _Heartbeat] = {}  # the last one seen of each node that had a voter
+
+    def group_opened(self, progressed: Callable[[], None]) -> None:
+        """The group is open here; `progressed` is called when its owner may take the next step."""
+        self._host.watch_members(CONFIGURATION_GROUP, progressed)
+
+    def reconcile(self) -> None:
+        """Take the next step towards the desired members, if there is one."""
+        current = self._host.members(CONFIGURATION_GROUP)
+        candidates = self._candidates(current)
+        desired = desired_members(current, candidates, self._unresponsive_for, self._voter_count)
+        self._changes.set_desired(CONFIGURATION_GROUP, desired, current.generation)
+
+    def _candidates(self, current: Members) -> list[NodeDescriptor]:
+        """Live nodes that may have a member.
+
+        The view is believed for new nodes and learners only. Whether a voter is live, its answers show; that
+        its node has another disk is believed of the node itself, as the view may still have the earlier disk.
+        """
+        live = self._view.live_edges(self._reactor.seconds())
+        voters = {node_of(voter) for voter in current.voters}
+        self._voter_heartbeats |= {node.name: _heartbeat(node) for node in live if node.name in voters}
+        found = {
+            node.name: node
+            for node in live
+            if member_id(node) in current.learners or self._is_new(node, current)
+        }
+        found |= {node.name: node for node in self._nodes.counted_edges()}
+        found |= {self._view.local_node.name: self._view.local_node}
+        return list(found.values())
+
+    def _is_new(self, node: NodeDescriptor, current: Members) -> bool:
+        """Whether a node has no member and, if it had a voter once, has sent a heartbeat since."""
+        has_member = any(node_of(member) == node.name for member in current.all)
+        last = self._voter_heartbeats.get(node.name, _Heartbeat(0, 0))
+        return not has_member and _heartbeat(node) > last
+
+    def _unresponsive_for(self, node: str) -> float:
+        """Seconds since the owner last heard a node's member; 0 for nodes without one.
+
+        Heartbeats of the group show it without the feed, which a node finds again only seconds after the
+        owner has changed.
+        """
+        members = [each for each in self._host.members(CONFIGURATION_GROUP).all if node_of(each) == node]
+        return min((self._host.unresponsive_for(CONFIGURATION_GROUP, each) for each in members), default=0.0)
+
+
+def _heartbeat(node: NodeDescriptor) -> _Heartbeat:
+    return _Heartbeat(node.incarnation, node.heartbeat)
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -1,4 +1,8 @@
-"""The edge role: ingress, dispatcher and call-backs; with a disk also a member of the configuration group."""
+"""The edge role: ingress, dispatchers and call-backs; on a counted node also a configuration member.
+
+`EdgeNode` assembles the parts. Its HTTP servers call it as `NodeService`, and its dispatchers ask it as
+`NodeView`; records of other nodes are passed on to the part that they concern.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 from bitternpath.delivery.callback_client import CallbackClient
 from bitternpath.delivery.worker_client import WorkerClient
 from bitternpath.discovery.catalogue import Catalogue
-from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
+from bitternpath.discovery.endpoint_list_client import EndpointListClient
 from bitternpath.dispatch.callbacks import CallbackDispatcher
 from bitternpath.dispatch.deliveries import BodyCache, DeliveryDispatcher
 from bitternpath.ingress.interfaces import (
@@ -25,11 +29,13 @@
     PendingPull,
 )
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
+from bitternpath.roles.bootstrap import BootstrapCoordinator
 from bitternpath.roles.configuration_member import ConfigurationMember
-from bitternpath.roles.founding import FoundingDecider
-from bitternpath.roles.machine import LocalMachine, Machine
-from bitternpath.roles.node_base import NodeBase
+from bitternpath.roles.endpoint_list_fallback import EndpointListFallback
+from bitternpath.roles.environment import ProcessEnvironment
+from bitternpath.roles.node_base import NodeBase, ProcessContext
 from bitternpath.roles.operator_calls import OperatorCalls
+from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.status import group_status, node_status
 from bitternpath.shards.appends import Appender
@@ -59,21 +65,38 @@
 
 log = logbook.Logger("edge")
 
-BODY_CACHE_BYTES = 24 << 20
+BODY_CACHE_BYTES = 24 << 20  # of accepted messages that have not been leased yet
 READY_FEED_AGE_S = 20.0  # a node cut off from the configuration for longer takes no new connections
-OWN_READING_AGE_S = 1.3  # an older catalogue makes this node read the platform's list itself
-CATALOGUE_LOOK_S = 0.25
 CONNECTION_SHARES = 2.0  # nodes' shares of a worker's connections overlap: not all use theirs at once
-LEAST_CONNECTIONS = 2
-SHARD_USER = "shards"
+LEAST_CONNECTIONS = 2  # to a worker, however many edge nodes share it
+SHARD_LINK_USER = "shards"  # of the hub's links
 
+RecordHandler = Callable[[Link, Any], None]
 
-class EdgeNode:
-    """One edge process. Implements `ingress.service.NodeService`, `LinkHandler` and `FeedListener`."""
 
-    def __init__(self, reactor: Any, settings: Settings, machine: Machine | None = None) -> None:
-        self.reactor, self.settings = reactor, settings
-        self.base = NodeBase(reactor, settings, NodeKind.EDGE, self, self, machine or LocalMachine())
+class EdgeNode:
+    """One edge node.
+
+    Implements `ingress.interfaces.NodeService`, `dispatch.deliveries.NodeView`,
+    `transport.connections.LinkHandler` and `configuration.feed.FeedListener`.
+
+    Attributes:
+        base: identity, links, membership, feed and, with a disk, journal and replica host.
+        member: the replica of the configuration group, None on nodes that aren't counted.
+        owners: the owner of each shard, as far as this node knows.
+        stopping: whether the process is shutting down.
+    """
+
+    def __init__(
+        self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
+    ) -> None:
+        """Open the disk, where there is one; raises `OSError`, `CorruptJournalError` and
+        `CorruptDocumentError`."""
+        self.settings = settings
+        self.stopping = False
+        self._reactor = reactor
+        self._storage_addresses: set[str] = set()
+        self.base = NodeBase(ProcessContext(reactor, settings, environment), NodeKind.EDGE, self, self)
         random = self.base.random
         self.owners = ShardOwners(self._owner_changed)
         self.reports = AttemptReporter(reactor, self.owners)
@@ -86,41 +109,25 @@
             reactor, self, self.worker_client, self.reports, self.bodies, random
         )
         self.callbacks = CallbackDispatcher(reactor, CallbackClient(reactor), self.owners)
-        self.catalogue = Catalogue(self._list_changed)
-        self.platform = EndpointListClient(reactor, settings.platform)
-        self.founder = FoundingDecider(
-            reactor, settings, self.base.hub, self.base.view, random, self.base.disk
+        self.catalogue = Catalogue(self._workers_changed)
+        self._endpoint_list = EndpointListFallback(
+            reactor, EndpointListClient(reactor, settings.platform), self.catalogue, self.base.feed, random
         )
-        self.member = self._configuration_member()
-        self.operator = OperatorCalls(reactor, self.base.feed, self.member)
-        self.stopping = False
-        self._reading = False
-        self._storage_addresses: set[str] = set()
-        self._handlers = self._link_handlers()
+        self._bootstrap = BootstrapCoordinator(reactor, self.base)
+        self.member: ConfigurationMember | None = None
+        if self.base.host is not None and settings.counted:
+            self.member = ConfigurationMember(reactor, self.base, self.base.host)
+        self._operator = OperatorCalls(reactor, self.base.feed, self.member)
+        self._handlers = self._record_handlers()
 
     def start(self) -> None:
-        """Listen for other nodes and look for the system."""
+        """Begin to follow the feed, and to take part in the configuration group."""
         self.base.start()
-        self.founder.start()
+        self._bootstrap.start()
         self.deliveries.start()
         if self.member is not None:
             self.member.start()
-        self._look_at_catalogue()
-
-    def _configuration_member(self) -> ConfigurationMember | None:
-        host = self.base.host
-        if host is None or not self.settings.counted:
-            return None
-        return ConfigurationMember(
-            self.reactor,
-            self.settings,
-            self.base.hub,
-            self.base.view,
-            host,
-            self.base.transport,
-            self.base.random,
-            self.base.disk,
-        )
+        self._endpoint_list.start(self.settings.platform_rate_per_s)
 
     # ---- NodeService
 
@@ -131,84 +138,85 @@
         return bool(self.owners.owned_groups()) and self.configuration_age() < READY_FEED_AGE_S
 
     def routing(self) -> RoutingTable | None:
-        """The configuration in force here."""
+        """The configuration in force here; None before the first."""
         return self.base.feed.table
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
-        """Keep a message."""
+        """Have a message committed by a shard; keep its body for the first lease, which comes without it."""
         self.bodies.keep(message)
         return self.appender.accept(message, deadline_ms).addCallback(self._accepted, message)
 
-    def _worker_waits_at(self, message: Message) -> str:
-        table = self.routing()
-        route = table.routes.get(message.route) if table is not None else None
-        return "" if route is None or message.delay_ms else self.pulls.claim_waiting_worker(route.service)
-
     def _accepted(self, acceptance: Acceptance, message: Message) -> Acceptance:
         if acceptance.result is not AcceptResult.ACCEPTED:
             self.bodies.take(message.request_id)
         return acceptance
 
+    def _worker_waits_at(self, message: Message) -> str:
+        """The group of a shard at which a worker waits for such a message; "" where none is known."""
+        table = self.routing()
+        route = table.routes.get(message.route) if table is not None else None
+        return "" if route is None or message.delay_ms else self.pulls.claim_waiting_worker(route.service)
+
     def find_message(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
-        """A message by its id."""
+        """The state of a message, by the id that its client was given or by its request id."""
         return self.lookup.find(message_id, wants_body)
 
     def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
-        """A job for a worker that pulls."""
+        """Wait for a job for a pulling worker."""
         return self.pulls.pull(service, instance, wait_ms)
 
     def end_job(self, lease_id: str, request_id: str, status: int, stamp: str) -> Deferred[LeaseAnswer]:
-        """A pulling worker's word on its job."""
+        """A pulling worker reports the outcome of its job."""
         return self.pulls.end(lease_id, request_id, status, stamp)
 
     def extend_job(self, lease_id: str, request_id: str) -> Deferred[LeaseAnswer]:
-        """A pulling worker holds its job still."""
+        """A pulling worker extends the lease of its job."""
         return self.pulls.extend(lease_id, request_id)
 
     def operator_call(self, method: str, path: str, if_match: str, body: bytes) -> Deferred[OperatorReply]:
-        """A call of the operator's API."""
-        return self.operator.call(method, path, if_match, body)
+        """A call of the operator's API, answered here or forwarded."""
+        return self._operator.call(method, path, if_match, body)
 
-    # ---- NodeView of the dispatcher
+    # ---- NodeView
 
     def configuration_age(self) -> float:
         """Seconds since the configuration's owner was last heard."""
-        return float(self.reactor.seconds() - self.base.feed.heard_at)
+        return float(self._reactor.seconds() - self.base.feed.heard_at)
 
     def catalogue_age(self) -> float:
-        """Seconds since the newest reading of the platform's list began."""
-        return self.catalogue.age(self.reactor.seconds())
+        """Seconds since the newest endpoint list was requested of the platform."""
+        return self.catalogue.age(self._reactor.seconds())
 
     def connection_share(self, total: int) -> int:
-        """This node's share of a worker's connections."""
+        """How many of a worker's `total` connections this node may use."""
         share = int(total * CONNECTION_SHARES / max(self.base.feed.edge_node_count, 1))
         return max(min(share, total), LEAST_CONNECTIONS)
 
     # ---- FeedListener
 
     def configuration_changed(self, table: RoutingTable) -> None:
-        """Another version is in force here."""
+        """Another version is in force; all parts read it from the feed when they need it."""
 
     def placement_changed(self, generation: int, groups: tuple[GroupPlacement, ...]) -> None:
-        """Shards have other members: keep links to all storage nodes that are any."""
+        """Shards have other members: keep a link to each storage node that is one."""
         self.appender.shards = self.lookup.shards = len(groups)
         addresses = {member.address for group in groups for member in group.members}
         for address in sorted(self._storage_addresses - addresses):
-            self.base.hub.release(address, SHARD_USER)
+            self.base.hub.release(address, SHARD_LINK_USER)
         for address in sorted(addresses - self._storage_addresses):
-            self.base.hub.dial(address, SHARD_USER)
+            self.base.hub.dial(address, SHARD_LINK_USER)
         self._storage_addresses = addresses
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """The platform's list was read."""
-        self.catalogue.update(self.reactor.seconds(), update)
+        """The configuration's owner has read the platform's endpoint list."""
+        self.catalogue.update(self._reactor.seconds(), update)
 
     # ---- LinkHandler
 
     def link_opened(self, link: Link) -> None:
-        """A peer has introduced itself."""
+        """A peer has introduced itself, for the first time on this link or with another descriptor."""
         if link.peer is not None:
-            self.base.view.observe(self.reactor.seconds(), link.peer)
+            self.base.view.observe(self._reactor.seconds(), link.peer)
 
     def link_closed(self, link: Link) -> None:
         """A link has ended."""
@@ -218,100 +226,64 @@
             self.member.feed.dropped(link)
 
     def received(self, link: Link, record: Any) -> None:
-        """A record from another node."""
+        """Pass a record of another node on; kinds that are none of this role's business are dropped."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
 
-    def _link_handlers(self) -> dict[type, Callable[[Link, Any], None]]:
+    def _record_handlers(self) -> dict[type, RecordHandler]:
         feed = self.base.feed
-        return {
+        handlers: dict[type, RecordHandler] = {
             Ownership: self.owners.ownership_changed,
             LeaseGrant: lambda link, record: self.deliveries.lease_granted(record),
             WorkAvailable: lambda link, record: self.pulls.work_available(record),
             CallbackRequest: lambda link, record: self.callbacks.order_received(record),
             FeedUpdate: feed.updated,
             FeedRefused: feed.refused,
+            FeedSubscribe: lambda link, record: link.send(FeedRefused("", feed.members)),
             CatalogueUpdate: lambda link, record: self.catalogue_updated(record),
-            GroupMessage: self._group_message,
-            BootstrapDecision: self._founding,
-            BootstrapDecisionStored: self._founding_answer,
-            FeedSubscribe: self._subscribe,
-            StatusRequest: self._status,
-            MembershipReport: self._group_report,
-            OperatorRequest: self._operator_order,
+            BootstrapDecisionStored: self._bootstrap_acknowledged,
+            StatusRequest: self._send_status,
+            OperatorRequest: self._forwarded_call,
         }
-
-    def _group_message(self, link: Link, message: GroupMessage) -> None:
         if self.member is not None:
-            self.member.group_message(message.group)
-            self.base.transport.received(link, message)
-
-    def _founding(self, link: Link, founding: BootstrapDecision) -> None:
-        if self.member is not None:
-            self.member.founded(link, founding)
-
-    def _founding_answer(self, link: Link, answer: BootstrapDecisionStored) -> None:
-        self.founder.answered(answer)
+            handlers |= {
+                FeedSubscribe: self.member.subscribe,
+                GroupMessage: self.member.group_message_received,
+                BootstrapDecision: self.member.decision_received,
+                MembershipReport: self.member.membership_reported,
+            }
+        return handlers
+
+    def _bootstrap_acknowledged(self, _link: Link, answer: BootstrapDecisionStored) -> None:
+        self._bootstrap.acknowledged(answer)
         if self.member is not None:
-            self.member.founding_answered(answer)
+            self.member.decision_stored(answer)
 
-    def _subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
-        if self.member is not None:
-            self.member.subscribe(link, wanted)
-        else:
-            link.send(FeedRefused("", self.base.feed.members))
-
-    def _operator_order(self, link: Link, order: OperatorRequest) -> None:
-        self.operator.forwarded(order).addCallback(
-            lambda decided: link.send(
-                OperatorResponse(order.number, decided.decided, decided.status, decided.body)
+    def _forwarded_call(self, link: Link, request: OperatorRequest) -> None:
+        self._operator.forwarded(request).addCallback(
+            lambda result: link.send(
+                OperatorResponse(request.number, result.decided, result.status, result.body)
             )
         )
 
-    def _group_report(self, link: Link, report: MembershipReport) -> None:
-        if self.member is not None:
-            self.member.group_reported(report)
-
-    def _status(self, link: Link, request: StatusRequest) -> None:
+    def _send_status(self, link: Link, request: StatusRequest) -> None:
         groups = []
-        if self.member is not None and self.base.host is not None:
-            groups.append(group_status(self.base.host, CONFIGURATION_GROUP, None))
-        link.send(node_status(self.base, request.number, self.is_ready(), groups))
+        if self.member is not None:
+            groups.append(group_status(self.member.host, CONFIGURATION_GROUP, None))
+        link.send(node_status(self.base, request.number, ready=self.is_ready(), groups=groups))
 
-    # ---- the catalogue
+    # ---- changes that other parts hear of
 
-    def _list_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
-        for instance in left:
+    def _workers_changed(self, entries: list[CatalogueEntry], removed: list[str]) -> None:
+        """The catalogue has other entries; `removed` are the names of instances that are gone."""
+        for instance in removed:
             worker = self.deliveries.selection.worker(instance)
             if worker is not None:
                 self.worker_client.forget(worker.address)
-        self.deliveries.workers_changed(entries, left)
-
-    def _look_at_catalogue(self) -> None:
-        """Where the feed brings no fresh list, read it here; a share of the platform's rate is ours."""
-        nodes = max(self.base.feed.edge_node_count, 1)
-        pause = max(CATALOGUE_LOOK_S, nodes / max(self.settings.platform_rate_per_s, 0.1))
-        self.reactor.callLater(pause * (0.7 + 0.6 * self.base.random.random()), self._look_at_catalogue)
-        stale = self.catalogue_age() > OWN_READING_AGE_S
-        if stale and not self._reading and self._wants_list():
-            self._reading = True
-            self.platform.read().addCallbacks(self._list_read, self._list_not_read)
-
-    def _wants_list(self) -> bool:
-        """Whether any service has listed workers."""
-        table = self.routing()
-        services = table.services.values() if table else ()
-        return any(service.endpoint is None and not service.pull_mode for service in services)
-
-    def _list_read(self, reading: EndpointList) -> None:
-        self._reading = False
-        self.catalogue.replace(reading.requested_at, reading.entries)
-
-    def _list_not_read(self, _: object) -> None:
-        self._reading = False
+        self.deliveries.workers_changed(entries, removed)
 
     def _owner_changed(self, group: str) -> None:
         self.pulls.owner_changed(group)
         owner = self.owners.owner(group)
-        log.debug("event=shard_owner group={} owner={}", group, owner.link.peer_name if owner else "")
+        log.debug("event=shard_owner_changed group={} owner={}", group, owner.link.peer_name if owner else "")
--- a/bitternpath/roles/edge_links.py
+++ b/bitternpath/roles/edge_links.py
@@ -1,4 +1,4 @@
-"""The links of edge nodes to a storage node."""
+"""The links of edge nodes to this storage node."""
 
 from __future__ import annotations
 
@@ -7,35 +7,38 @@
 
 
 class EdgeLinks:
-    """The links of edge nodes to this storage node, by node name."""
+    """The newest link of each connected edge node."""
 
     def __init__(self) -> None:
-        self._links: dict[str, Link] = {}
-
-    def link(self, name: str) -> Link | None:
-        """The link of an edge node."""
-        return self._links.get(name)
+        self._links: dict[str, Link] = {}  # by node name
 
     def opened(self, node: NodeDescriptor, link: Link) -> None:
-        """An edge node has introduced itself."""
+        """An edge node has introduced itself on a link, which replaces an earlier one."""
         self._links[node.name] = link
 
     def closed(self, link: Link) -> str:
-        """A link has ended; the name of the edge node that has none any more, or ""."""
+        """A link has ended; the name of the edge node that is no longer connected.
+
+        "" where the link wasn't the newest one of an edge node: that node is still connected.
+        """
         for name, known in self._links.items():
             if known is link:
                 del self._links[name]
                 return name
         return ""
 
+    def link(self, name: str) -> Link | None:
+        """The link of an edge node, None while it isn't connected."""
+        return self._links.get(name)
+
     def nodes(self) -> list[NodeDescriptor]:
-        """The edge nodes that are connected."""
+        """The connected edge nodes, as they describe themselves."""
         return [link.peer for link in self._links.values() if link.peer is not None]
 
     def links_in(self, zone: str) -> list[Link]:
-        """The links of nodes in a zone."""
+        """The links of the edge nodes in a zone."""
         return [link for link in self._links.values() if link.peer is not None and link.peer.zone == zone]
 
     def links(self) -> list[Link]:
-        """All links."""
+        """The links of all edge nodes."""
         return list(self._links.values())
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -1,133 +1,159 @@
-"""The life of an edge process: its listeners, and leaving in order."""
+"""An edge node as a process: its HTTP servers, and its graceful shutdown."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import NamedTuple
 
 import logbook
 from twisted.internet.defer import Deferred, DeferredList
 
 from bitternpath.ingress.servers import build_client_server, build_operator_server, build_readiness_server
+from bitternpath.ingress.site import HttpSite
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.roles.edge import EdgeNode
-from bitternpath.roles.machine import Machine
+from bitternpath.roles.environment import ProcessEnvironment
+from bitternpath.roles.reactor import ListeningPort, NodeReactor
 from bitternpath.roles.settings import Settings
 
 log = logbook.Logger("edge")
 
 RESERVED_DESCRIPTORS = 600  # for files, links to nodes, workers and receivers
-UNREADY_S = 2.1  # two misses of the platform's question, a second apart: then no new connections come
-EXIT_RESERVE_S = 1.2  # of the time of grace, kept for the end
-FINAL_ANSWERS_LEAD_S = (
-    0.4  # before that, whoever waits still gets an answer without a promise, and time to read it
-)
+LEAST_CONNECTIONS = 64  # of clients, however few descriptors the settings allow
+UNREADY_S = 2.1  # two failed readiness probes of the platform, a second apart: then no new connections come
+UNREADY_GRACE_DIVISOR = 3  # the time of grace divided by this is the longest time for that
+EXIT_RESERVE_S = 1.2  # of the time of grace, kept for the end of the process
+FINAL_ANSWERS_LEAD_S = 0.4  # before that: pending requests are answered, and clients have time to read it
 LISTEN_BACKLOG = 1024
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05  # between checks whether all work is done; also from closing links to the disk
 
 
-class EdgeProcess:
-    """One edge process (see `roles.process.Role`)."""
+class Server(NamedTuple):
+    """One of the process's HTTP servers."""
+
+    name: str  # as in the settings' table `listen`
+    address: str  # `ip:port`, or "" where the settings have none
+    site: HttpSite
 
-    def __init__(self, reactor: Any, settings: Settings, machine: Machine | None = None) -> None:
-        self.reactor, self.settings = reactor, settings
-        self.node = EdgeNode(reactor, settings, machine)
+
+class EdgeProcess:
+    """One edge process. Implements `roles.process.Role`."""
+
+    def __init__(
+        self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
+    ) -> None:
+        """Raises what `EdgeNode` raises."""
+        self.settings = settings
+        self.node = EdgeNode(reactor, settings, environment)
+        self._reactor = reactor
         self._servers = self._build_servers()
-        self._ports: dict[str, Any] = {}
-        self._sites: list[Any] = []
+        self._ports: dict[str, ListeningPort] = {}
+        self._sites: list[HttpSite] = []
         self._give_up_at = 0.0
         self._finished: Callable[[], None] | None = None
         self._served = False
-        self._last_answers_given = False
+        self._final_answers_given = False
+
+    # ---- start
 
     def listen(self) -> None:
         """Open all ports, the internal one last; raises `CannotListenError`, and may be called again then."""
         for name, address, site in self._servers:
             if address and name not in self._ports:
                 host, _, port = address.rpartition(":")
-                self._ports[name] = self.reactor.listenTCP(
+                self._ports[name] = self._reactor.listenTCP(
                     int(port), site, backlog=LISTEN_BACKLOG, interface=host
                 )
                 self._sites.append(site)
         self.node.base.listen()
 
     def start(self) -> None:
-        """Take part."""
+        """Take part in the system."""
         self.node.start()
         log.info("event=listening node={} front={}", self.settings.node_name, self.settings.front)
 
     def reload(self) -> None:
-        """Read the settings again."""
+        """Read the settings file again."""
         self.node.base.reload()
 
+    # ---- graceful shutdown
+
     def shut_down(self, finished: Callable[[], None]) -> None:
-        """Unready at once; whole answers for all that was read; leases back; reports out; then the end."""
-        log.info("event=shutting_down")
+        """Turn unready at once, answer all requests that were read, return leases, send reports; then close
+        links and disk, and call `finished()`."""
+        log.info("event=shutdown_started")
         grace = self.settings.bounds.grace_s
         self._finished = finished
-        self._give_up_at = self.reactor.seconds() + grace - EXIT_RESERVE_S
+        self._give_up_at = self._reactor.seconds() + grace - EXIT_RESERVE_S
         self.node.stopping = True
         self.node.deliveries.stopping = True
-        self.node.base.leave()
+        self.node.base.announce_draining()
         if self.node.base.host is not None:
             self.node.base.host.transfer_leadership(CONFIGURATION_GROUP)
-        self.reactor.callLater(min(UNREADY_S, grace / 3), self._stop_serving)
+        self._reactor.callLater(min(UNREADY_S, grace / UNREADY_GRACE_DIVISOR), self._stop_serving)
 
     def _stop_serving(self) -> None:
         if "front" in self._ports:
             self._ports["front"].stopListening()
-        sites: list[Deferred[None]] = [site.begin_shutdown() for site in self._sites]
-        DeferredList(sites).addCallback(self._all_served)
-        self._look()
+        drained: list[Deferred[None]] = [site.begin_shutdown() for site in self._sites]
+        DeferredList(drained).addCallback(self._all_served)
+        self._check_finished()
 
     def _all_served(self, _: object) -> None:
         self._served = True
 
-    def _look(self) -> None:
-        node = self.node
-        at_rest = (
-            self._served
-            and not node.deliveries.in_flight
-            and not node.reports.in_flight
-            and not node.callbacks.in_flight
-        )
-        if not self._served and self.reactor.seconds() >= self._give_up_at - FINAL_ANSWERS_LEAD_S:
-            self._give_last_answers()
-        if not at_rest and self.reactor.seconds() < self._give_up_at:
-            self.reactor.callLater(LOOK_S, self._look)
+    def _check_finished(self) -> None:
+        """Wait until all work is done, but no longer than the time of grace allows."""
+        now = self._reactor.seconds()
+        finished = self._is_finished()
+        if not self._served and now >= self._give_up_at - FINAL_ANSWERS_LEAD_S:
+            self._give_final_answers()
+        if not finished and now < self._give_up_at:
+            self._reactor.callLater(CHECK_INTERVAL_S, self._check_finished)
             return
+        node = self.node
         log.info(
-            "event=stopped served={} deliveries={} reports={} memory_mb={:.0f}",
+            "event=shutdown_completed served={} deliveries={} reports={} memory_mb={:.0f}",
             self._served,
             node.deliveries.in_flight,
             node.reports.in_flight,
             node.base.memory_peak_mb(),
         )
         node.base.stop()
-        self.reactor.callLater(LOOK_S, self._end)
+        self._reactor.callLater(CHECK_INTERVAL_S, self._close_disk)
+
+    def _is_finished(self) -> bool:
+        node = self.node
+        pending = node.deliveries.in_flight or node.reports.in_flight or node.callbacks.in_flight
+        return self._served and not pending
 
-    def _give_last_answers(self) -> None:
-        """A request that was read must not end without an answer, however long its deadline is."""
-        if not self._last_answers_given:
-            self._last_answers_given = True
+    def _give_final_answers(self) -> None:
+        """Answer each request that was read and is still pending, however long its deadline is."""
+        if not self._final_answers_given:
+            self._final_answers_given = True
             for site in self._sites:
                 site.answer_pending()
 
-    def _end(self) -> None:
+    def _close_disk(self) -> None:
         self.node.base.close_disk()
         if self._finished is not None:
             self._finished()
 
-    def _build_servers(self) -> list[tuple[str, str, Any]]:
-        """Name, address and site of the listeners for clients, the platform and the operator."""
-        settings, node, reactor = self.settings, self.node, self.reactor
-        most = max(settings.max_fds - RESERVED_DESCRIPTORS, 64)
-        wall_ms = node.base.wall_clock.wall_ms
-        front = build_client_server(
-            node, reactor, origin=settings.node_name, max_connections=most, wall_ms=wall_ms
+    # ---- assembly
+
+    def _build_servers(self) -> list[Server]:
+        """The servers for clients and workers, the platform and the operator."""
+        settings = self.settings
+        node = self.node
+        client_server = build_client_server(
+            node,
+            self._reactor,
+            origin=settings.node_name,
+            max_connections=max(settings.max_fds - RESERVED_DESCRIPTORS, LEAST_CONNECTIONS),
+            wall_ms=node.base.wall_clock.wall_ms,
         )
         return [
-            ("front", settings.front, front),
-            ("readiness", settings.readiness, build_readiness_server(node, reactor)),
-            ("control", settings.control, build_operator_server(node, reactor)),
+            Server("front", settings.front, client_server),
+            Server("readiness", settings.readiness, build_readiness_server(node, self._reactor)),
+            Server("control", settings.control, build_operator_server(node, self._reactor)),
         ]
--- /dev/null
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -0,0 +1,68 @@
+"""Reads the platform's endpoint list on an edge node itself while the feed brings no fresh one.
+
+The configuration's owner reads the list for all nodes. While there is no owner, or this node is cut off from
+it, the edge nodes read it independently, each at its share of the rate that the platform allows.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+from bitternpath.configuration.feed import FeedClient
+from bitternpath.discovery.catalogue import Catalogue
+from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
+from bitternpath.roles.reactor import ReactorTime
+
+MAX_FEED_AGE_S = 1.3  # an older catalogue makes this node read the list itself
+MIN_INTERVAL_S = 0.25  # between checks, on average
+MIN_RATE_PER_S = 0.1  # of all nodes together, where the settings allow less
+JITTER = (0.7, 0.6)  # an interval is drawn from 0.7 to 1.3 of its mean
+
+
+class EndpointListFallback:
+    """Checks the age of the catalogue and, where it is too old, reads the list into it."""
+
+    def __init__(
+        self,
+        reactor: ReactorTime,
+        client: EndpointListClient,
+        catalogue: Catalogue,
+        feed: FeedClient,
+        random: Random,
+    ) -> None:
+        self._reactor = reactor
+        self._client = client
+        self._catalogue = catalogue
+        self._feed = feed
+        self._random = random
+        self._max_rate_per_s = MIN_RATE_PER_S
+        self._reading = False
+
+    def start(self, max_rate_per_s: float) -> None:
+        """Check from now on. `max_rate_per_s` is that of all nodes together."""
+        self._max_rate_per_s = max(max_rate_per_s, MIN_RATE_PER_S)
+        self._check()
+
+    def _check(self) -> None:
+        node_count = max(self._feed.edge_node_count, 1)
+        interval = max(MIN_INTERVAL_S, node_count / self._max_rate_per_s)
+        least, spread = JITTER
+        self._reactor.callLater(interval * (least + spread * self._random.random()), self._check)
+        stale = self._catalogue.age(self._reactor.seconds()) > MAX_FEED_AGE_S
+        if stale and not self._reading and self._is_wanted():
+            self._reading = True
+            self._client.read().addCallbacks(self._read, self._failed)
+
+    def _is_wanted(self) -> bool:
+        """Whether any service has listed workers."""
+        table = self._feed.table
+        services = table.services.values() if table else ()
+        return any(service.endpoint is None and not service.pull_mode for service in services)
+
+    def _read(self, endpoints: EndpointList) -> None:
+        self._reading = False
+        self._catalogue.replace(endpoints.requested_at, endpoints.entries)
+
+    def _failed(self, _: object) -> None:
+        """The client has logged why; the next check reads again."""
+        self._reading = False
--- a/bitternpath/roles/machine.py
+++ b/bitternpath/roles/environment.py
@@ -1,6 +1,6 @@
-"""What a role asks of the machine it runs on, besides the reactor: chance, time of day, disk, settings.
+"""What a role needs of the operating system besides the reactor: randomness, time of day, disk and settings.
 
-Behind a protocol, so that a simulation can run the roles as they are with another machine under them.
+It stands behind a protocol, so that the simulation runs the roles unchanged on simulated machines.
 """
 
 from __future__ import annotations
@@ -15,44 +15,49 @@
 from bitternpath.storage.node_disk import LocalDisk, NodeDisk
 
 
-class Machine(Protocol):
-    """The machine of a process."""
+class ProcessEnvironment(Protocol):
+    """The surroundings of one process."""
 
     @property
     def random(self) -> Random:
-        """The one source of chance of this process."""
+        """The one source of randomness of this process."""
 
     def compaction(self, disk_bytes: int) -> CompactionBounds:
-        """When replica groups on a disk of that size replace entries by a snapshot."""
+        """At which sizes replica groups replace log entries by a snapshot; `disk_bytes` 0: unknown."""
 
     def wall_ms(self) -> int:
-        """The time of day in milliseconds since 1970. It may step."""
+        """Time of day in milliseconds since 1970. It may step."""
 
     def disk(self, data_dir: Path) -> NodeDisk:
-        """The disk that has this folder."""
+        """The disk that has this data folder."""
 
     def load_settings(self) -> Settings:
-        """The settings as they are now; raises `SettingsError`."""
+        """Read the settings file again; raises `SettingsError`."""
 
 
-class LocalMachine:
-    """`Machine` by the operating system."""
+class LocalEnvironment:
+    """`ProcessEnvironment` of the operating system."""
 
     def __init__(self) -> None:
         self._random = Random()
 
     @property
     def random(self) -> Random:
+        """See `ProcessEnvironment`."""
         return self._random
 
     def compaction(self, disk_bytes: int) -> CompactionBounds:
+        """See `ProcessEnvironment`."""
         return bounds_for_disk(disk_bytes)
 
     def wall_ms(self) -> int:
+        """See `ProcessEnvironment`."""
         return int(time.time() * 1000)
 
     def disk(self, data_dir: Path) -> NodeDisk:
+        """See `ProcessEnvironment`."""
         return LocalDisk(data_dir)
 
     def load_settings(self) -> Settings:
+        """See `ProcessEnvironment`."""
         return load_settings(settings_path())
--- a/bitternpath/roles/logs.py
+++ b/bitternpath/roles/logs.py
@@ -1,4 +1,8 @@
-"""Logs of the system's processes: logbook, one line an event, `key=value` pairs, to standard error."""
+"""Log lines of the system's processes, on standard error.
+
+One line an event: `t=SECONDS level=LEVEL part=CHANNEL event=NAME key=value ...`. The events are listed in
+docs/operate/system.md.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +21,17 @@
 
 
 class _Stream(logbook.StreamHandler):  # type: ignore[misc]
-    """Writes without a lock around threads: only the reactor's thread logs."""
+    """Writes without a lock: only the reactor's thread logs."""
 
     def format(self, record: Any) -> str:
+        """One log line; `record` is logbook's."""
         level = record.level_name.lower()
         trace = f" traceback={record.formatted_exception!r}" if record.exc_info else ""
         return f"t={time.monotonic():.3f} level={level} part={record.channel} {record.message}{trace}"
 
 
 def log_level() -> str:
-    """The least severe level that the environment wants logged, in lower case; raises `SettingsError`."""
+    """The least severe level that the environment asks for, one of `LEVELS`; raises `SettingsError`."""
     given = os.environ.get(LEVEL_VARIABLE) or "info"
     if given.lower() not in LEVELS:
         raise SettingsError(f"{LEVEL_VARIABLE}: must be one of {', '.join(LEVELS)}, not {given!r}")
@@ -34,7 +39,7 @@
 
 
 def start_logging(node_name: str, level: str) -> None:
-    """Log at one of `LEVELS` from now on."""
+    """Log from now on what is at least as severe as `level`, one of `LEVELS`; also what Twisted logs."""
     handler = _Stream(sys.stderr, level=level.upper())
     handler.push_application()
     observers = cast("list[ILogObserver]", [_observe])
@@ -43,10 +48,10 @@
 
 
 def _observe(event: Any) -> None:
-    """Failures that Twisted logs: an error in a callback, or a Deferred that nobody handled."""
+    """Log errors that Twisted reports: a failure in a call of the reactor, or one that no errback handled."""
     failure = event.get("log_failure")
     if failure is not None:
-        logbook.Logger("twisted").error("event=failure traceback={!r}", failure.getTraceback())
+        logbook.Logger("twisted").error("event=unhandled_failure traceback={!r}", failure.getTraceback())
     elif event.get("log_level") in (LogLevel.error, LogLevel.critical):
         text = event.get("log_text") or event.get("log_format")
-        logbook.Logger("twisted").error("event=error text={!r}", str(text))
+        logbook.Logger("twisted").error("event=twisted_error text={!r}", str(text))
--- /dev/null
+++ b/bitternpath/roles/membership_reports.py
@@ -0,0 +1,41 @@
+"""Reports of a shard's committed members by its owner.
+
+The configuration's owner learns from them which retirements are complete, and a replica that was removed
+learns that it may be deleted.
+"""
+
+from __future__ import annotations
+
+from bitternpath.configuration.feed import FeedClient
+from bitternpath.replication.host import ReplicaHost
+from bitternpath.transport.connections import Link
+from bitternpath.transport.group_messages import MembershipReport, MembershipRequest
+
+
+class MembershipReporter:
+    """Sends `MembershipReport` for groups that this node owns and that have no open change of members."""
+
+    def __init__(self, host: ReplicaHost, feed: FeedClient) -> None:
+        self._host = host
+        self._feed = feed
+
+    def report(self, group: str) -> None:
+        """Report to the configuration's owner, if it can be reached; called again and again."""
+        link = self._feed.owner_link()
+        if link is not None:
+            self._send(link, group)
+
+    def respond(self, link: Link, request: MembershipRequest) -> None:
+        """Report to a replica that asks whether it may be deleted.
+
+        A read barrier comes first: the replica may hold the last copy, so an owner that may have a successor
+        says nothing.
+        """
+        self._host.read_barrier(request.group).addCallbacks(
+            lambda _: self._send(link, request.group), lambda _: None
+        )
+
+    def _send(self, link: Link, group: str) -> None:
+        members = self._host.committed_members(group)
+        if members is not None:
+            link.send(MembershipReport(group, self._host.epoch(group), members.all, members.generation))
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -1,9 +1,9 @@
-"""What both roles have in common: identity, links, membership, the feed, replica groups."""
+"""The parts that nodes of both roles have: disk, identity, links, membership, the feed, replica groups."""
 
 from __future__ import annotations
 
 import resource
-from typing import Any
+from dataclasses import dataclass
 
 import logbook
 from msgspec.structs import replace
@@ -14,8 +14,9 @@
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.roles.group_carrier import GroupTransport
-from bitternpath.roles.machine import Machine
+from bitternpath.roles.environment import LocalEnvironment, ProcessEnvironment
+from bitternpath.roles.group_transport import GroupTransport
+from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings, SettingsError
 from bitternpath.roles.wall_clock import SteadyWallClock
 from bitternpath.storage.documents import HEADER_BYTES, CorruptDocumentError
@@ -27,63 +28,84 @@
 
 log = logbook.Logger("node")
 
-DISK_SHARE_OF_LOG = 0.35  # of the disk, before the journal is written anew
+LOG_DISK_SHARE = 0.35  # of the disk: at this size the journal is replaced by a checkpoint
+LOG_BYTES = 64 << 20  # the same where the size of the disk isn't known
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessContext:
+    """What a process gives its node. Without an environment the node runs in that of the operating system."""
+
+    reactor: NodeReactor
+    settings: Settings
+    environment: ProcessEnvironment | None = None
 
 
 class NodeBase:
-    """The parts that a process of either role is made of."""
+    """Assembles the common parts.
+
+    Attributes:
+        disk: None for a node without a data folder; `journal` and `host` then are None, too.
+        journal: the write-ahead log of all replica groups; None again once the disk is closed.
+        host: the replica groups that this node takes part in.
+        view: the nodes of the system, by gossip.
+        hub: links to other nodes.
+        feed: follows the configuration group.
+        transport: carries the messages of replica groups.
+        wall_clock: time of day that doesn't step.
+        random: the process's one source of randomness.
+    """
 
     def __init__(
-        self,
-        reactor: Any,
-        settings: Settings,
-        kind: NodeKind,
-        links: LinkHandler,
-        feed: FeedListener,
-        machine: Machine,
+        self, context: ProcessContext, kind: NodeKind, link_handler: LinkHandler, feed_listener: FeedListener
     ) -> None:
-        self.reactor, self.settings = reactor, settings
-        self.machine, self.random = machine, machine.random
-        self.disk = None if settings.data_dir is None else machine.disk(settings.data_dir)
-        disk = _identity(settings, self.disk)
-        me = NodeDescriptor(
+        """Open the disk; raises `OSError`, `CorruptJournalError` and `CorruptDocumentError`."""
+        reactor = context.reactor
+        settings = context.settings
+        environment = context.environment or LocalEnvironment()
+        self.settings = settings
+        self.random = environment.random
+        self._reactor = reactor
+        self._environment = environment
+        self.disk = None if settings.data_dir is None else environment.disk(settings.data_dir)
+        identity = _load_identity(settings, self.disk)
+        node = NodeDescriptor(
             name=settings.node_name,
             address=settings.internal_address,
             kind=kind,
             zone=settings.zone,
-            counted=bool(disk) and (settings.counted or kind is NodeKind.STORAGE),
-            disk=disk,
-            incarnation=machine.wall_ms(),
+            counted=bool(identity) and (settings.counted or kind is NodeKind.STORAGE),
+            disk=identity,
+            incarnation=environment.wall_ms(),
             heartbeat=0,
         )
-        self.wall_clock = SteadyWallClock(machine.wall_ms, reactor.seconds)
-        self.view = MembershipView(me, settings.seed_addresses, self.random, reactor.seconds())
-        self.hub = NodeHub(reactor, links, lambda: self.view.local_node, self.random)
+        self.wall_clock = SteadyWallClock(environment.wall_ms, reactor.seconds)
+        self.view = MembershipView(node, settings.seed_addresses, self.random, reactor.seconds())
+        self.hub = NodeHub(reactor, link_handler, lambda: self.view.local_node, self.random)
         self.gossip = Gossip(reactor, self.view)
-        self.feed = FeedClient(reactor, self.hub, feed, self._feed_candidates, wants_catalogue=True)
-        self.transport = GroupTransport(f"{me.name}/{disk}", self.hub, self.view)
+        self.feed = FeedClient(reactor, self.hub, feed_listener, self._feed_candidates, wants_catalogue=True)
+        self.transport = GroupTransport(f"{node.name}/{identity}", self.hub, self.view)
         self.journal: Journal | None = None
         self.host: ReplicaHost | None = None
         if self.disk is not None:
             self.host = self._open_host(self.disk)
-        self._udp: Any = None
 
     def listen(self) -> None:
-        """Open the internal port; raises `CannotListenError`, and may be called again then."""
+        """Open the internal port, TCP and UDP; raises `CannotListenError`, and may be called again then."""
         host, _, port = self.settings.internal_address.rpartition(":")
         self.hub.listen(host, int(port))
         try:
-            self._udp = self.reactor.listenUDP(int(port), self.gossip, interface=host)
+            self._reactor.listenUDP(int(port), self.gossip, interface=host)
         except CannotListenError:
             self.hub.stop()
             raise
 
     def start(self) -> None:
-        """Look for other nodes; they can reach this one since `listen`."""
+        """Begin to follow the feed; other nodes reach this one since `listen`."""
         self.feed.start()
 
     def stop(self) -> None:
-        """Close all links; what is on disk stays, and what waits to be written waits for `close_disk`."""
+        """Close all links. The disk stays open: `close_disk` writes what is still queued."""
         self.feed.stop()
         self.gossip.stop()
         if self.host is not None:
@@ -91,60 +113,64 @@
         self.hub.stop()
 
     def close_disk(self) -> None:
-        """Write what waits and close the files. Blocks up to 2 s: only once the links have been closed."""
-        journal, self.journal = self.journal, None
+        """Write what is queued and close the files. Blocks for up to 2 s: only once the links are closed."""
+        journal = self.journal
+        self.journal = None
         if journal is not None:
             journal.close()
 
-    def leave(self) -> None:
-        """Tell the others that this node is about to stop."""
+    def announce_draining(self) -> None:
+        """Tell all nodes that this one is about to stop."""
         self.view.local_node = replace(self.view.local_node, draining=True)
         self.hub.announce()
 
     def reload(self) -> None:
-        """The settings file has changed: seeds may be others. One that can't be read changes nothing."""
+        """Read the settings file again. Only `seeds` take effect; a file with an error changes nothing."""
         try:
-            settings = self.machine.load_settings()
+            settings = self._environment.load_settings()
         except SettingsError as error:
-            log.warning("event=settings_not_read error={!r}", str(error))
+            log.warning("event=settings_reload_failed error={!r}", str(error))
             return
         self.view.seeds = settings.seed_addresses
-        log.info("event=settings_read seeds={}", len(settings.seeds))
+        log.info("event=settings_reloaded seeds={}", len(settings.seeds))
 
     def memory_peak_mb(self) -> float:
-        """Peak resident memory of this process."""
+        """Peak resident memory of this process in MiB."""
         return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
     def _open_host(self, disk: NodeDisk) -> ReplicaHost:
         disk_bytes = self.settings.disk_mb << 20
-        bound = int(disk_bytes * DISK_SHARE_OF_LOG) or (64 << 20)
-        self.journal = disk.open_journal(self.reactor, bound)
+        checkpoint_bytes = int(disk_bytes * LOG_DISK_SHARE) or LOG_BYTES
+        self.journal = disk.open_journal(self._reactor, checkpoint_bytes)
         host = ReplicaHost(
-            self.reactor,
-            self.transport.me,
+            self._reactor,
+            self.transport.member_id,
             self.journal,
             self.transport.send,
             self.random,
-            bounds=self.machine.compaction(disk_bytes),
+            bounds=self._environment.compaction(disk_bytes),
             flushed=self.hub.flush,
         )
         self.transport.connect(host.receive)
         return host
 
     def _feed_candidates(self) -> list[str]:
-        """Where the configuration's owner may be: counted edge nodes, then anybody."""
+        """Addresses where the configuration's owner may be: counted edge nodes, then the seeds."""
         counted = [node.address for node in self.view.counted_edges()]
         seeds = [address for address in self.settings.seed_addresses if address not in counted]
         return counted + seeds
 
 
-def _identity(settings: Settings, disk: NodeDisk | None) -> str:
-    """The disk's identity, "" without a disk. Nothing is read of a disk before this."""
+def _load_identity(settings: Settings, disk: NodeDisk | None) -> str:
+    """The disk's identity, "" without a disk. It is the first thing that is read of a disk.
+
+    The bootstrap decision is only read to find damage now, while the process can still quarantine the disk.
+    """
     if settings.data_dir is None or disk is None:
         return ""
     identity = disk.load_identity()
     try:
-        BootstrapFile(settings.data_dir, disk).load()  # it is read later; whether it can be is known now
+        BootstrapFile(settings.data_dir, disk).load()
     except CodecError as error:
         raise CorruptDocumentError(
             settings.data_dir / BOOTSTRAP_DOCUMENT, HEADER_BYTES, str(error)
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -1,8 +1,8 @@
-"""The operator's calls on any edge node: decided by the configuration's owner, forwarded to it elsewhere.
+"""The operator's calls on any edge node: the configuration's owner decides them, other nodes forward them.
 
-A call is passed on once at most: a node that gets a forwarded call and doesn't own the group says so. Every
-call has an answer before the operator moves on to another node; one without a clear answer by then gets 503,
-and the same call sent again meets the first one's result at the owner.
+A call is forwarded at most once: a node that receives a forwarded call and doesn't own the group says so.
+Every call is answered before the operator turns to another node. One without a clear answer by then gets 503,
+and when the operator sends it again, the owner finds the result of the first one.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 from typing import Any
 from urllib.parse import unquote
 
+from msgspec.structs import replace
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
@@ -17,55 +18,57 @@
 from bitternpath.configuration.feed import FeedClient
 from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.configuration_member import ConfigurationMember
+from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
-ANSWER_TIMEOUT_S = 0.8  # the operator moves on to another node after a second of silence
-BODY_BYTES_PER_S = 1 << 20  # it waits longer for a large body, which also takes longer to reach the owner
+ANSWER_TIMEOUT_S = 0.8  # the operator turns to another node after a second without an answer
+BODY_BYTES_PER_S = 1 << 20  # large bodies take longer to reach the owner, and the operator waits longer
 CONFIGURATION_PATH = "/config"
 RETIRE_PREFIX = "/retire/"
 
 
 class OperatorCalls:
-    """Answers the operator's calls of one node."""
+    """Answers the calls that reach one node."""
 
-    def __init__(self, reactor: Any, feed: FeedClient, member: ConfigurationMember | None) -> None:
-        self.reactor, self.feed, self.member = reactor, feed, member
+    def __init__(self, reactor: ReactorTime, feed: FeedClient, member: ConfigurationMember | None) -> None:
+        """`feed` knows the link to the owner; `member` is None on nodes that can't be the owner."""
+        self._reactor: Any = reactor  # Deferred.addTimeout asks for the zope interface
+        self._feed = feed
+        self._member = member
 
     def call(self, method: str, path: str, if_match: str, body: bytes) -> Deferred[OperatorReply]:
-        """A call from outside; answered in time, and never fails."""
-        order = OperatorRequest(0, method, path, if_match, body)
-        if self.member is not None and self.member.is_owner():
-            answer = self.forwarded(order).addCallback(_reply)
+        """Answer a call of the operator within the timeout; never fails."""
+        request = OperatorRequest(0, method, path, if_match, body)
+        if self._member is not None and self._member.is_owner():
+            answer = self.forwarded(request).addCallback(_reply)
         else:
-            answer = self._forward(order)
-        return answer.addTimeout(_patience(body), self.reactor).addErrback(_lost)
+            answer = self._forward(request)
+        return answer.addTimeout(_timeout_s(body), self._reactor).addErrback(_no_answer)
 
-    def forwarded(self, order: OperatorRequest) -> Deferred[OperatorResult]:
-        """A call that reached the owner, or a node that was it."""
-        member = self.member
+    def forwarded(self, request: OperatorRequest) -> Deferred[OperatorResult]:
+        """Decide a call on the owner; other nodes answer `NOT_OWNER`. Never fails."""
+        member = self._member
         if member is None or not member.is_owner():
             return succeed(operator_result(ResultCode.NOT_OWNER, "this node doesn't own the configuration"))
-        if order.path == CONFIGURATION_PATH and order.method == "GET":
+        if request.path == CONFIGURATION_PATH and request.method == "GET":
             return member.orders.read()
-        if order.path == CONFIGURATION_PATH and order.method in ("PUT", "PATCH"):
-            return member.order(ChangeRequest(order.method, order.if_match, order.body))
-        if order.path.startswith(RETIRE_PREFIX) and order.method in ("POST", "GET"):
-            node = unquote(order.path.removeprefix(RETIRE_PREFIX))
-            return member.retire(node) if order.method == "POST" else member.retirement(node)
-        return succeed(operator_result(ResultCode.UNKNOWN_CALL, f"{order.method} {order.path}"))
-
-    def _forward(self, order: OperatorRequest) -> Deferred[OperatorReply]:
-        link = self.feed.owner_link()
+        if request.path == CONFIGURATION_PATH and request.method in ("PUT", "PATCH"):
+            return member.order(ChangeRequest(request.method, request.if_match, request.body))
+        if request.path.startswith(RETIRE_PREFIX) and request.method in ("POST", "GET"):
+            node = unquote(request.path.removeprefix(RETIRE_PREFIX))
+            return member.retire(node) if request.method == "POST" else member.retirement(node)
+        return succeed(operator_result(ResultCode.UNKNOWN_CALL, f"{request.method} {request.path}"))
+
+    def _forward(self, request: OperatorRequest) -> Deferred[OperatorReply]:
+        link = self._feed.owner_link()
         if link is None:
             return succeed(
                 _reply(operator_result(ResultCode.NOT_OWNER, "no owner of the configuration is known"))
             )
-        return link.request(
-            lambda number: OperatorRequest(number, order.method, order.path, order.if_match, order.body)
-        ).addCallback(_forwarded_reply)
+        return link.request(lambda number: replace(request, number=number)).addCallback(_forwarded_reply)
 
 
-def _patience(body: bytes) -> float:
+def _timeout_s(body: bytes) -> float:
     return ANSWER_TIMEOUT_S + len(body) / BODY_BYTES_PER_S
 
 
@@ -79,7 +82,7 @@
     return _reply(operator_result(ResultCode.FATE_OPEN, "the configuration's owner gave no clear answer"))
 
 
-def _lost(failure: Failure) -> OperatorReply:
+def _no_answer(failure: Failure) -> OperatorReply:
     return _reply(
         operator_result(ResultCode.FATE_OPEN, f"the configuration's owner didn't answer: {failure.value}")
     )
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -1,4 +1,4 @@
-"""Starts a role as a process, and ends it: signals, settings, ports, a damaged disk, the reactor's clock."""
+"""Runs a role as a process: settings, logging, a damaged disk, ports, signals, the exit code."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
-from enum import IntEnum
+from enum import Enum, IntEnum
 from typing import Any, Protocol
 
 import logbook
 from twisted.internet.error import CannotListenError
 
+from bitternpath.roles.environment import LocalEnvironment, ProcessEnvironment
 from bitternpath.roles.logs import log_level, start_logging
-from bitternpath.roles.machine import LocalMachine, Machine
+from bitternpath.roles.reactor import NodeReactor, ScheduledCall, cancel_call
 from bitternpath.roles.settings import Settings, SettingsError
 from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
@@ -25,8 +26,8 @@
 
 BLOCKED_AT_START = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 PORT_RETRY_S = 0.1
-PORT_PATIENCE_S = 5.0  # the process before may still be ending; a storage node ends within 4 s
-ASIDE_SHARE = 0.25  # of the disk, for what was set aside: what an owner leaves free (roles/storage.py)
+PORT_RETRY_TIMEOUT_S = 5.0  # the process before may still be ending; a storage node ends within 4 s
+QUARANTINE_DISK_SHARE = 0.25  # of the disk: what `disk_capacity.MAX_USED_SHARE` leaves free
 
 
 class ExitCode(IntEnum):
@@ -40,142 +41,176 @@
 
 
 class Role(Protocol):
-    """A running role."""
+    """An edge or a storage node, as its process drives it."""
 
     def listen(self) -> None:
         """Open all ports; raises `CannotListenError`, and may be called again then."""
 
     def start(self) -> None:
-        """Take part. Called once, in the reactor's turn in which the last port was opened."""
+        """Take part in the system. Called once, in the reactor's turn in which the last port was opened."""
 
     def reload(self) -> None:
-        """The settings file has changed (SIGHUP)."""
+        """Read the settings file again (SIGHUP)."""
 
     def shut_down(self, finished: Callable[[], None]) -> None:
-        """Leave in order (SIGTERM), then call `finished()`; well inside the time of grace."""
+        """Shut down gracefully (SIGTERM), then call `finished()`, well within the time of grace."""
+
+
+class LifecycleState(Enum):
+    """Where a process stands in its life; it only ever moves on to a later state."""
+
+    WAITING_FOR_PORTS = "waiting for ports"
+    RUNNING = "running"
+    STOPPING = "stopping"
 
 
 class RoleLifecycle:
-    """One life of a role in a reactor: waits for its ports, starts it, stops it; has the exit code."""
+    """The life of a role in a reactor.
+
+    The role listens, again and again while a port is taken, and starts once it does. A fault before or at its
+    start ends the process with a code of its own; after that it ends by `stop`.
+
+    Attributes:
+        role: the running role.
+        exit_code: valid once the reactor has stopped.
+        state: moves as above.
+    """
 
-    def __init__(self, reactor: Any, role: Role) -> None:
-        self.reactor, self.role = reactor, role
+    def __init__(self, reactor: NodeReactor, role: Role) -> None:
+        self.role = role
         self.exit_code = ExitCode.STOPPED
+        self.state = LifecycleState.WAITING_FOR_PORTS
+        self._reactor = reactor
         self._give_up_at = 0.0
-        self._retry: Any = None
-        self._started = self._ending = False
+        self._retry: ScheduledCall | None = None
 
     def begin(self) -> None:
-        """Called when the reactor runs."""
-        self._give_up_at = self.reactor.seconds() + PORT_PATIENCE_S
+        """Begin to listen; to be called when the reactor runs."""
+        self._give_up_at = self._reactor.seconds() + PORT_RETRY_TIMEOUT_S
         self._listen()
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Have the settings file read again (SIGHUP)."""
         self.role.reload()
 
     def stop(self) -> None:
-        """SIGTERM; further ones change nothing."""
-        if self._ending:
-            return
-        if self._started:
-            self._ending = True
-            self.role.shut_down(self.reactor.stop)
-        else:
-            self._end(ExitCode.STOPPED)
+        """End the process gracefully (SIGTERM); repeated calls change nothing."""
+        match self.state:
+            case LifecycleState.WAITING_FOR_PORTS:
+                self._end(ExitCode.STOPPED)
+            case LifecycleState.RUNNING:
+                self.state = LifecycleState.STOPPING
+                self.role.shut_down(self._reactor.stop)
+            case LifecycleState.STOPPING:
+                pass
 
     def _listen(self) -> None:
         try:
             self.role.listen()
         except CannotListenError as error:
-            self._port_taken(error)
+            self._listen_failed(error)
         except Exception:
-            self._not_started()
+            self._start_failed()
         else:
             self._start()
 
     def _start(self) -> None:
-        self._started = True
+        self.state = LifecycleState.RUNNING
         try:
             self.role.start()
         except Exception:
-            self._not_started()
+            self._start_failed()
 
-    def _not_started(self) -> None:
-        log.exception("event=not_started")
+    def _start_failed(self) -> None:
+        log.exception("event=role_start_failed")
         self._end(ExitCode.FAULT)
 
-    def _port_taken(self, error: CannotListenError) -> None:
+    def _listen_failed(self, error: CannotListenError) -> None:
         address = f"{error.interface}:{error.port}"
-        if self.reactor.seconds() >= self._give_up_at:
-            log.error("event=port_taken address={} error={!r}", address, str(error.socketError))
+        if self._reactor.seconds() >= self._give_up_at:
+            log.error("event=listen_failed address={} error={!r}", address, str(error.socketError))
             self._end(ExitCode.NO_PORT)
             return
         if self._retry is None:
-            log.warning("event=port_awaited address={} error={!r}", address, str(error.socketError))
-        self._retry = self.reactor.callLater(PORT_RETRY_S, self._listen)
+            log.warning("event=listen_retrying address={} error={!r}", address, str(error.socketError))
+        self._retry = self._reactor.callLater(PORT_RETRY_S, self._listen)
 
     def _end(self, code: ExitCode) -> None:
-        self._ending = True
+        self.state = LifecycleState.STOPPING
         self.exit_code = code
-        if self._retry is not None and self._retry.active():
-            self._retry.cancel()
-        self.reactor.stop()
+        cancel_call(self._retry)
+        self._reactor.stop()
 
 
 def run_role(name: str) -> int:
-    """Run `edge` or `storage` until it is stopped; the exit code."""
-    machine = LocalMachine()
+    """Run the role `edge` or `storage` until it is stopped; the process's exit code."""
+    environment = LocalEnvironment()
     try:
-        settings = machine.load_settings()
+        settings = environment.load_settings()
         level = log_level()
     except SettingsError as error:
-        return _refuse(ExitCode.WRONG_SETTINGS, error)
+        return _refuse(error)
     start_logging(settings.node_name, level)
-    reactor = _reactor()
+    reactor = _monotonic_reactor()
     try:
-        life = RoleLifecycle(reactor, build_role(name, reactor, settings, machine))
+        lifecycle = RoleLifecycle(reactor, build_role(name, reactor, settings, environment))
     except SettingsError as error:
-        return _refuse(ExitCode.WRONG_SETTINGS, error)
+        return _refuse(error)
     except (OSError, CorruptJournalError, CorruptDocumentError) as error:
-        log.error("event=disk_not_usable error={!r}", str(error))
+        log.error("event=disk_unusable error={!r}", str(error))
         return ExitCode.NO_DISK
-    _handle_signals(reactor, life)
-    reactor.callWhenRunning(life.begin)
+    _handle_signals(reactor, lifecycle)
+    reactor.callWhenRunning(lifecycle.begin)
     gc.collect()
     gc.freeze()
     gc.enable()
     reactor.run(installSignalHandlers=False)
-    return life.exit_code
+    return lifecycle.exit_code
+
 
+def build_role(
+    name: str, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
+) -> Role:
+    """Build the role `edge` or `storage`, on a disk that can be read.
 
-def build_role(name: str, reactor: Any, settings: Settings, machine: Machine | None = None) -> Role:
-    """The role, on a disk that can be read: damage makes it a node whose disk was lost.
+    The content of a damaged disk is quarantined, so that the node continues as one whose disk was lost. Such
+    a disk isn't a new one, whatever the settings say: the node must not bootstrap a system again.
 
-    Such a disk isn't in its first life, whatever the settings say: the node must not found a system again.
-    Raises `SettingsError`, `OSError`, and once more `CorruptJournalError` or `CorruptDocumentError` where the
-    disk doesn't read back what is written on it now.
+    Raises:
+        SettingsError: the role can't run with these settings.
+        OSError: the disk can't be read or written.
+        CorruptJournalError, CorruptDocumentError: the disk doesn't even read back what is written on it now.
     """
-    machine = machine or LocalMachine()
-    disk = None if settings.data_dir is None else machine.disk(settings.data_dir)
+    environment = environment or LocalEnvironment()
+    disk = None if settings.data_dir is None else environment.disk(settings.data_dir)
     if disk is not None and disk.was_quarantined():
         settings = replace(settings, bootstrap=False)
     try:
-        return _make_role(name, reactor, settings, machine)
+        return _make_role(name, reactor, settings, environment)
     except (CorruptJournalError, CorruptDocumentError) as damage:
         assert disk is not None
-        _set_aside(settings, disk, damage)
-        return _make_role(name, reactor, replace(settings, bootstrap=False), machine)
+        _quarantine(settings, disk, damage)
+        return _make_role(name, reactor, replace(settings, bootstrap=False), environment)
 
 
-def _set_aside(
+def _make_role(name: str, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment) -> Role:
+    if name == "edge":
+        from bitternpath.roles.edge_process import EdgeProcess
+
+        return EdgeProcess(reactor, settings, environment)
+    from bitternpath.roles.storage_process import StorageProcess
+
+    return StorageProcess(reactor, settings, environment)
+
+
+def _quarantine(
     settings: Settings, disk: NodeDisk, damage: CorruptJournalError | CorruptDocumentError
 ) -> None:
     assert settings.data_dir is not None
-    most = int(settings.disk_mb * (1 << 20) * ASIDE_SHARE) or None
-    folder = disk.quarantine_content(most)
+    max_bytes = int(settings.disk_mb * (1 << 20) * QUARANTINE_DISK_SHARE) or None
+    folder = disk.quarantine_content(max_bytes)
     log.error(
-        "event=disk_set_aside file={} offset={} reason={!r} folder={}",
+        "event=disk_quarantined file={} offset={} reason={!r} folder={}",
         damage.file,
         damage.offset,
         damage.reason,
@@ -183,13 +218,13 @@
     )
 
 
-def _refuse(code: ExitCode, error: SettingsError) -> ExitCode:
+def _refuse(error: SettingsError) -> ExitCode:
     print(f"bitternpath: {error}", file=sys.stderr)
-    return code
+    return ExitCode.WRONG_SETTINGS
 
 
-def _reactor() -> Any:
-    """The reactor, with timers on the steady clock: the time of day may step by seconds."""
+def _monotonic_reactor() -> Any:
+    """Twisted's reactor, with timers on the monotonic clock: the time of day may step by seconds."""
     from twisted.internet import reactor
 
     running: Any = reactor
@@ -197,21 +232,16 @@
     return running
 
 
-def _make_role(name: str, reactor: Any, settings: Settings, machine: Machine) -> Role:
-    if name == "edge":
-        from bitternpath.roles.edge_process import EdgeProcess
-
-        return EdgeProcess(reactor, settings, machine)
-    from bitternpath.roles.storage_process import StorageProcess
-
-    return StorageProcess(reactor, settings, machine)
+def _handle_signals(reactor: NodeReactor, lifecycle: RoleLifecycle) -> None:
+    """Handle signals in the reactor's thread. Those that came earlier were blocked, and are handled now."""
 
+    def stop(_signal: int, _frame: object) -> None:
+        reactor.callFromThread(lifecycle.stop)
 
-def _handle_signals(reactor: Any, life: RoleLifecycle) -> None:
-    def stop(_signal: int, _frame: Any) -> None:
-        reactor.callFromThread(life.stop)
+    def reload(_signal: int, _frame: object) -> None:
+        reactor.callFromThread(lifecycle.reload)
 
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
-    signal.signal(signal.SIGHUP, lambda _signal, _frame: reactor.callFromThread(life.reload))
+    signal.signal(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_AT_START)
--- /dev/null
+++ b/bitternpath/roles/quota_borrowing.py
@@ -0,0 +1,108 @@
+"""Borrowing of rate-limit tokens from the owners of other shards.
+
+Each service with a rate limit has a home shard, whose owner lends tokens to the owners of the other shards
+under short quota leases (see `queue.rate_limits`).
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Mapping
+from typing import Any
+
+from twisted.internet.defer import Deferred, succeed
+
+from bitternpath.queue.rate_limits import QUOTA_LEASE_S
+from bitternpath.replication.host import ReplicaHost
+from bitternpath.roles.reactor import ReactorTime
+from bitternpath.roles.shard_runtime import ShardRuntime
+from bitternpath.transport.connections import Link, NodeHub
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
+from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
+
+QUOTA_LINK_USER = "tokens"  # of the hub's links
+
+
+class QuotaBorrower:
+    """Finds the owner of a home shard and asks it for tokens.
+
+    The owner is this node, or the leader that a replica here knows; else the members of the placement are
+    asked in turn, the preferred one first.
+    """
+
+    def __init__(
+        self,
+        reactor: ReactorTime,
+        hub: NodeHub,
+        host: ReplicaHost,
+        placements: Mapping[str, GroupPlacement],
+        shards: Mapping[str, ShardRuntime],
+    ) -> None:
+        """`placements` and `shards`, both by group, are the tables of `HostedShards`; they are only read."""
+        self._reactor = reactor
+        self._hub = hub
+        self._host = host
+        self._placements = placements
+        self._shards = shards
+        self._attempts: Counter[str] = Counter()  # by group: members that were asked in vain
+        self._dialled: dict[str, str] = {}  # by group: the address that is asked
+        self._unanswered_since: dict[str, float] = {}  # by group: when the first unanswered request was sent
+
+    def borrow(self, group: str, service: str, wanted: int) -> Deferred[int]:
+        """Ask the owner of `group` for up to `wanted` tokens of a service.
+
+        Fires with the tokens that are lent, 0 where no owner is found; never fails.
+        """
+        local = self._shards.get(group)
+        if local is not None and local.ownership is not None:
+            return succeed(local.lend_tokens(service, wanted))
+        link = self._link(group)
+        if link is None:
+            return succeed(0)
+        self._unanswered_since.setdefault(group, self._reactor.seconds())
+        request = link.request(lambda number: TokenRequest(number, group, service, wanted))
+        return request.addCallbacks(self._answered, lambda _: self._failed(group), callbackArgs=(group,))
+
+    def _link(self, group: str) -> Link | None:
+        """The link to the member that is asked now; None where there is none yet."""
+        self._give_up_unresponsive(group)
+        member = self._candidate(group)
+        if member is None or member.member == self._host.member_id:
+            self._attempts[group] += 1
+            return None
+        self._dial(group, member.address)
+        return self._hub.link_to(member.address)
+
+    def _dial(self, group: str, address: str) -> None:
+        """Keep a link to the member that is asked. That to the one before is released, as it may be gone for
+        good and would be dialled again and again."""
+        before = self._dialled.get(group, address)
+        self._dialled[group] = address
+        if before not in self._dialled.values():
+            self._hub.release(before, QUOTA_LINK_USER)
+        self._hub.dial(address, QUOTA_LINK_USER)
+
+    def _candidate(self, group: str) -> MemberAddress | None:
+        placement = self._placements.get(group)
+        if placement is None or not placement.members:
+            return None
+        leader = self._host.leader(group)
+        known = next((member for member in placement.members if member.member == leader), None)
+        return known or placement.members[self._attempts[group] % len(placement.members)]
+
+    def _give_up_unresponsive(self, group: str) -> None:
+        """Go on to another member where one hasn't answered for so long that a loan would have lapsed."""
+        since = self._unanswered_since.get(group)
+        if since is not None and self._reactor.seconds() - since > QUOTA_LEASE_S:
+            self._failed(group)
+
+    def _answered(self, record: Any, group: str) -> int:
+        if isinstance(record, TokenResponse):
+            self._unanswered_since.pop(group, None)
+            return record.tokens
+        return self._failed(group)
+
+    def _failed(self, group: str) -> int:
+        self._unanswered_since.pop(group, None)
+        self._attempts[group] += 1
+        return 0
--- a/bitternpath/roles/replica_garbage_collection.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -1,74 +1,79 @@
-"""Closes replicas that this node needn't keep any more.
+"""Deletes replicas that this node no longer needs to keep.
 
-A replica stays as long as it may hold the only copy of something: until the owner of its group has told that
-members without it are committed, by the newest placement known here. Those that stay have then all that was
-committed before, a majority of them on disk. A node that was away meanwhile asks when it is back.
+A replica stays for as long as it may be the last copy of something: until the owner of its group reports that
+members without it are committed, by a placement at least as new as the newest one known here. Those members
+then have all that was committed before, a majority of them on disk. A node that was down meanwhile asks when
+it is back.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any
 
 import logbook
 
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.roles.group_carrier import CARRIER_USER
+from bitternpath.roles.group_transport import REPLICATION_LINK_USER
+from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.connections import NodeHub
 from bitternpath.transport.group_messages import GroupPlacement, MembershipReport, MembershipRequest
 
 log = logbook.Logger("storage")
 
-ASK_S = 1.0  # between questions whether a replica may go; nobody waits for the room
+QUERY_INTERVAL_S = 1.0  # between queries whether a replica may be deleted; nothing waits for the space
 
 
 class ReplicaGarbageCollector:
-    """The replicas here that the placement doesn't name."""
+    """Finds the replicas here that the placement doesn't name, and closes each once that is safe."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: ReactorTime,
         hub: NodeHub,
         host: ReplicaHost,
         placements: Mapping[str, GroupPlacement],
         close: Callable[[str, int], None],
     ) -> None:
-        """`close(group, generation)` closes a replica and forgets what it keeps."""
-        self._reactor, self._hub, self._host = reactor, hub, host
-        self._placements, self._close = placements, close
-        self._asked_at = float("-inf")
+        """`close(group, generation)` closes a replica and deletes its state. `placements` by group is the
+        table of `HostedShards`; it is only read."""
+        self._reactor = reactor
+        self._hub = hub
+        self._host = host
+        self._placements = placements
+        self._close = close
+        self._queried_at = float("-inf")
 
-    def ask(self) -> None:
-        """Ask the owners of such groups, from time to time."""
+    def query_owners(self) -> None:
+        """Ask the members of such groups for a report, every `QUERY_INTERVAL_S`; their owner answers."""
         now = self._reactor.seconds()
-        if now - self._asked_at < ASK_S:
+        if now - self._queried_at < QUERY_INTERVAL_S:
             return
-        self._asked_at = now
+        self._queried_at = now
         for group in self._host.groups:
             placement = self._placements.get(group)
-            if placement is not None and not self._names_me(placement):
-                self._ask(placement)
+            if placement is not None and not self._names_this_node(placement):
+                self._query(placement)
 
-    def _ask(self, placement: GroupPlacement) -> None:
+    def _query(self, placement: GroupPlacement) -> None:
         for member in placement.members:
-            self._hub.dial(member.address, CARRIER_USER)
+            self._hub.dial(member.address, REPLICATION_LINK_USER)
             link = self._hub.link_to(member.address)
             if link is not None:
                 link.send(MembershipRequest(placement.group))
 
     def reported(self, report: MembershipReport) -> None:
-        """An owner has told who the members are."""
+        """An owner has reported its committed members."""
         if self.may_close(report):
             log.info("event=replica_closed group={} generation={}", report.group, report.generation)
             self._close(report.group, report.generation)
 
     def may_close(self, report: MembershipReport) -> bool:
-        """Whether the replica here may go. A report that is older than what is known here says nothing."""
+        """Whether the replica here may be closed. A report older than what is known here shows nothing."""
         placement = self._placements.get(report.group)
-        if placement is None or report.group not in self._host.groups or self._names_me(placement):
+        if placement is None or report.group not in self._host.groups or self._names_this_node(placement):
             return False
         known = max(placement.generation, self._host.members(report.group).generation)
         return report.generation >= known and self._host.member_id not in report.members
 
-    def _names_me(self, placement: GroupPlacement) -> bool:
+    def _names_this_node(self, placement: GroupPlacement) -> bool:
         return any(member.member == self._host.member_id for member in placement.members)
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -1,4 +1,5 @@
-"""The operator's orders to empty storage nodes, answered by the configuration's owner."""
+"""Retirement of storage nodes by the operator: all replicas move away from a node (work of the
+configuration's owner)."""
 
 from __future__ import annotations
 
@@ -22,34 +23,39 @@
 
 log = logbook.Logger("configuration")
 
-FOLLOWERS_KNOWN_AFTER_S = 3.0  # of ownership: a follower notices within 1.3 s that the owner before is gone
+FOLLOWERS_KNOWN_AFTER_S = 3.0  # of ownership: followers need 1.3 s to notice that the last owner is gone
 
 
 class Retirements:
-    """All answers are reckoned after the owner has confirmed that it still is the owner."""
+    """Answers the operator's calls; each answer follows a read barrier of the configuration group."""
 
     def __init__(
-        self, group: ConsensusGroup, state: ConfigurationState, nodes: LiveNodes, tolerated: int
+        self, group: ConsensusGroup, state: ConfigurationState, nodes: LiveNodes, tolerated_machines: int
     ) -> None:
-        self._group, self._state, self._nodes = group, state, nodes
-        self._tolerated = tolerated
+        self._group = group
+        self._state = state
+        self._nodes = nodes
+        self._tolerated_machines = tolerated_machines
         self._reports = MembershipReports()
         self._finishing = False
 
     def begin(self) -> None:
-        """This node owns the configuration from now on. Reports are heard anew; what is done is committed."""
+        """This node owns the configuration from now on.
+
+        Reports to an earlier owner are lost and come again; completed retirements are committed.
+        """
         self._reports = MembershipReports()
 
     def reported(self, report: MembershipReport) -> None:
-        """A shard's owner has told who the members are."""
+        """A shard's owner has reported its committed members."""
         self._reports.update(report)
         self.reconcile()
 
     def reconcile(self) -> None:
-        """Commit the end of a retirement, once there is one."""
+        """Commit the completion of a retirement, once the reports show one."""
         finish = None if self._finishing else next_finished_retirement(self._state, self._reports)
         if finish is not None:
-            log.info("event=retirement_done node={}", finish.node)
+            log.info("event=retirement_completed node={}", finish.node)
             self._finishing = True
             self._group.propose(COMMANDS.encode(finish)).addBoth(self._finished)
 
@@ -57,12 +63,12 @@
         self._finishing = False
 
     def order(self, node: str) -> Deferred[OperatorResult]:
-        """The operator wants a node emptied; never fails."""
+        """Begin the retirement of a node; fires with the result for the operator, and never fails."""
         return self._group.barrier().addCallbacks(lambda _: self._decide(node), _not_owner)
 
     def _decide(self, node: str) -> OperatorResult | Deferred[OperatorResult]:
-        here = self._nodes.storage()
-        decision = decide_retirement(self._state, node, here, self._nodes.down_for, self._tolerated)
+        live = self._nodes.storage()
+        decision = decide_retirement(self._state, node, live, self._nodes.down_for, self._tolerated_machines)
         if decision.command is not None:
             return self._accept(decision.command)
         match decision.check:
@@ -76,10 +82,10 @@
                 return operator_result(ResultCode.TOO_FEW_NODES, decision.check.value)
 
     def _accept(self, command: RetireNode) -> Deferred[OperatorResult]:
-        return self._group.propose(COMMANDS.encode(command)).addCallbacks(_accepted, _fate_open)
+        return self._group.propose(COMMANDS.encode(command)).addCallbacks(_accepted, _outcome_unknown)
 
     def state(self, node: str) -> Deferred[OperatorResult]:
-        """How far the emptying of a node is; never fails."""
+        """The progress of a node's retirement; fires with the result for the operator, and never fails."""
         return self._group.barrier().addCallbacks(lambda _: self._state_now(node), _not_owner)
 
     def _state_now(self, node: str) -> OperatorResult:
@@ -90,13 +96,13 @@
 
 
 def _accepted(applied: object) -> OperatorResult:
-    """By the committed state: of two orders at once, one may have left too few nodes for the other."""
+    """By the committed state: of two retirements at once, one may leave too few nodes for the other."""
     if applied:
         return OperatorResult(ResultCode.RETIRING, state_body(RetireState.RUNNING))
     return operator_result(ResultCode.TOO_FEW_NODES, RetireCheck.TOO_FEW_LEFT.value)
 
 
-def _fate_open(failure: Failure) -> OperatorResult:
+def _outcome_unknown(failure: Failure) -> OperatorResult:
     return operator_result(ResultCode.FATE_OPEN, str(failure.value))
 
 
--- /dev/null
+++ b/bitternpath/roles/shard_context.py
@@ -0,0 +1,38 @@
+"""What all queue shards of one storage node share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+
+from twisted.internet.defer import Deferred, succeed
+
+from bitternpath.queue.owner import OwnerSettings
+from bitternpath.replication.host import ReplicaHost
+from bitternpath.roles.edge_links import EdgeLinks
+from bitternpath.roles.reactor import ReactorTime
+
+Borrow = Callable[[str, str, int], "Deferred[int]"]
+
+
+def borrow_nothing(_group: str, _service: str, _wanted: int) -> Deferred[int]:
+    """A `ShardContext.borrow` for nodes on which no other shard can be asked."""
+    return succeed(0)
+
+
+@dataclass(frozen=True, slots=True)
+class ShardContext:
+    """Node-wide collaborators of `ShardRuntime`, `ShardOwnership` and `ShardRequests`."""
+
+    reactor: ReactorTime
+    host: ReplicaHost  # proposals, read barriers, leader leases
+    edges: EdgeLinks  # where leases, call-backs and announcements of ownership are sent
+    random: Random
+    zone: str  # of this node; edge nodes in it are preferred
+    owner_settings: OwnerSettings
+    wall_ms: Callable[[], int]  # time of day in milliseconds since 1970
+    has_capacity: Callable[[], bool]  # whether the disk can take more messages
+    borrow: Borrow = borrow_nothing
+    """`borrow(group, service, wanted)` fires with the tokens (0 or more) that the owner of another shard's
+    group lends of a service's rate limit; it never fails."""
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -1,9 +1,8 @@
-"""Keeps the placement of the queue shards and the roster of storage nodes: the configuration owner's work."""
+"""Keeps the placement of the queue shards and the list of storage members: work of the configuration's
+owner."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import logbook
 
 from bitternpath.configuration.changes import ConsensusGroup
@@ -22,88 +21,102 @@
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.roles.live_nodes import LiveNodes
+from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.group_messages import GroupPlacement
 from bitternpath.transport.node_messages import NodeDescriptor
 
 log = logbook.Logger("configuration")
 
-STORAGE_AT_REST_S = 0.8  # the first placement waits until the storage nodes have been the same for so long
+STORAGE_STABLE_S = 0.8  # the initial placement waits until no storage node has come or gone for so long
 
 
 class ShardPlacement:
-    """One proposal of each kind at a time; the next look follows when it is decided."""
+    """Proposes changes of both, one of each kind at a time.
+
+    What is right follows anew from the committed state and the live nodes in each `reconcile`; so a proposal
+    that failed needs no handling of its own.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: ReactorTime,
         group: ConsensusGroup,
         state: ConfigurationState,
         nodes: LiveNodes,
-        tolerated: int,
+        tolerated_machines: int,
     ) -> None:
-        self._reactor, self._group, self._state = reactor, group, state
-        self._nodes, self._tolerated = nodes, tolerated
-        self._disks: dict[str, str] = {}
-        self._disks_changed_at: float = reactor.seconds()
-        self._placing = self._noting = False
+        self._reactor = reactor
+        self._group = group
+        self._state = state
+        self._nodes = nodes
+        self._tolerated_machines = tolerated_machines
+        self._disks: dict[str, str] = {}  # identity by name of the live storage nodes
+        self._disks_changed_at = reactor.seconds()
+        self._proposing_placement = False
+        self._proposing_members = False
 
     def begin(self) -> None:
         """This node owns the configuration from now on."""
         self._disks_changed_at = self._reactor.seconds()
 
     def reconcile(self) -> None:
-        """Compare what is committed with who is there."""
-        here = self._nodes.storage()
-        disks = {node.name: node.disk for node in here}
+        """Propose what follows from the committed state and the live storage nodes."""
+        live = self._nodes.storage()
+        disks = {node.name: node.disk for node in live}
         if disks != self._disks:
-            self._disks, self._disks_changed_at = disks, self._reactor.seconds()
-        self._note(here)
-        groups = self._groups(here)
-        if groups != self._state.groups and not self._placing:
-            self._place(SetPlacement(self._state.placement_generation, groups))
-
-    def _groups(self, here: list[NodeDescriptor]) -> tuple[GroupPlacement, ...]:
+            self._disks = disks
+            self._disks_changed_at = self._reactor.seconds()
+        self._update_members(live)
+        groups = self._desired_groups(live)
+        if groups != self._state.groups and not self._proposing_placement:
+            self._propose_placement(SetPlacement(self._state.placement_generation, groups))
+
+    def _desired_groups(self, live: list[NodeDescriptor]) -> tuple[GroupPlacement, ...]:
         if self._state.groups:
-            retired = self._retired(here)
-            gone = nodes_to_replace(
-                self._state.groups, here, retired, self._nodes.down_for, self._nodes.up_for
+            retired = self._retired_nodes(live)
+            lost = nodes_to_replace(
+                self._state.groups, live, retired, self._nodes.down_for, self._nodes.up_for
             )
-            return repaired_placement(self._state.groups, here, gone, self._tolerated)
-        at_rest = self._reactor.seconds() - self._disks_changed_at >= STORAGE_AT_REST_S
-        if len(here) >= 2 * self._tolerated + 1 and at_rest:
-            return initial_placement(here, self._tolerated)
+            return repaired_placement(self._state.groups, live, lost, self._tolerated_machines)
+        stable = self._reactor.seconds() - self._disks_changed_at >= STORAGE_STABLE_S
+        if len(live) >= 2 * self._tolerated_machines + 1 and stable:
+            return initial_placement(live, self._tolerated_machines)
         return ()
 
-    def _retired(self, here: list[NodeDescriptor]) -> set[str]:
-        """Names of nodes that are to keep nothing."""
+    def _retired_nodes(self, live: list[NodeDescriptor]) -> set[str]:
+        """Names of the nodes that may have no replica."""
         members = {member.member for group in self._state.groups for member in group.members}
-        members |= {member_id(node) for node in here}
+        members |= {member_id(node) for node in live}
         return {node_of(member) for member in members if self._state.storage.is_retired(member)}
 
-    def _place(self, placement: SetPlacement) -> None:
-        log.info("event=placing generation={} groups={}", placement.base + 1, len(placement.groups))
-        self._placing = True
-        self._group.propose(COMMANDS.encode(placement)).addBoth(self._placed)
+    def _propose_placement(self, placement: SetPlacement) -> None:
+        generation = placement.base + 1
+        log.info("event=placement_proposed generation={} groups={}", generation, len(placement.groups))
+        self._proposing_placement = True
+        self._group.propose(COMMANDS.encode(placement)).addBoth(self._placement_decided)
 
-    def _placed(self, _: object) -> None:
-        self._placing = False
+    def _placement_decided(self, _: object) -> None:
+        self._proposing_placement = False
 
-    def _note(self, here: list[NodeDescriptor]) -> None:
-        """Keep the roster: who follows is in it, who keeps nothing and has been away for long isn't."""
-        if self._noting:
+    def _update_members(self, live: list[NodeDescriptor]) -> None:
+        """Add storage nodes that follow; remove those without replicas that have been down for long."""
+        if self._proposing_members:
             return
-        roster = self._state.storage
+        storage = self._state.storage
         placed = {member.node for group in self._state.groups for member in group.members}
-        members = [member_id(node) for node in here]
-        added = tuple(each for each in members if each not in roster.members and not roster.is_retired(each))
+        members = [member_id(node) for node in live]
+        added = tuple(
+            member for member in members if member not in storage.members and not storage.is_retired(member)
+        )
         removed = tuple(
             member
-            for member in roster.members
+            for member in storage.members
             if node_of(member) not in placed and self._nodes.down_for(node_of(member)) > AWAY_WITHOUT_SPARE_S
         )
         if added or removed:
-            self._noting = True
-            self._group.propose(COMMANDS.encode(UpdateStorageMembers(added, removed))).addBoth(self._noted)
+            self._proposing_members = True
+            command = COMMANDS.encode(UpdateStorageMembers(added, removed))
+            self._group.propose(command).addBoth(self._members_decided)
 
-    def _noted(self, _: object) -> None:
-        self._noting = False
+    def _members_decided(self, _: object) -> None:
+        self._proposing_members = False
--- a/bitternpath/roles/status.py
+++ b/bitternpath/roles/status.py
@@ -1,4 +1,4 @@
-"""What a node tells operators of itself."""
+"""What a node reports of itself to `bitternpath system show`."""
 
 from __future__ import annotations
 
@@ -12,9 +12,15 @@
 
 
 def group_status(host: ReplicaHost, group: str, state: QueueState | None) -> GroupStatus:
-    """A group as this member sees it; `state` is that of a queue shard."""
+    """A replica group as its member here sees it. `state` is a queue shard's, None for other groups."""
     members = host.members(group)
-    dead = sum(entry.state is MessageState.DEAD_LETTER for entry in state) if state is not None else 0
+    dead_letters = 0
+    queued = 0
+    ended = 0
+    if state is not None:
+        dead_letters = sum(entry.state is MessageState.DEAD_LETTER for entry in state)
+        queued = state.queued
+        ended = len(state) - state.queued
     return GroupStatus(
         group,
         host.epoch(group),
@@ -22,14 +28,14 @@
         host.leader(group),
         members.voters,
         members.learners,
-        state.queued if state is not None else 0,
-        dead,
-        len(state) - state.queued if state is not None else 0,
+        queued,
+        dead_letters,
+        ended,
     )
 
 
-def node_status(base: NodeBase, number: int, ready: bool, groups: Sequence[GroupStatus]) -> StatusResponse:
-    """The answer to a question for status."""
+def node_status(base: NodeBase, number: int, *, ready: bool, groups: Sequence[GroupStatus]) -> StatusResponse:
+    """The response to `StatusRequest` `number`. `ready`: whether the node takes requests."""
     return StatusResponse(
         number,
         base.view.local_node,
--- a/bitternpath/roles/storage_process.py
+++ b/bitternpath/roles/storage_process.py
@@ -1,29 +1,33 @@
-"""The life of a storage process: leaving in order."""
+"""A storage node as a process: its start, and its graceful shutdown."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 import logbook
 
-from bitternpath.roles.machine import Machine
+from bitternpath.roles.environment import ProcessEnvironment
+from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.storage import StorageNode
 
 log = logbook.Logger("storage")
 
-HAND_OVER_S = 1.5  # then the shards' other replicas elect an owner by themselves
-LOOK_S = 0.05
-FLUSH_S = 0.1  # for what was sent last
+TRANSFER_TIMEOUT_S = 1.5  # for the transfer of owned shards; then other replicas elect an owner themselves
+CHECK_INTERVAL_S = 0.05  # between checks whether all shards have been transferred
+FLUSH_S = 0.1  # for the records that were sent last
+LINKS_CLOSE_S = 0.05  # from the closing of links to that of the disk, which blocks
 
 
 class StorageProcess:
-    """One storage process (see `roles.process.Role`)."""
-
-    def __init__(self, reactor: Any, settings: Settings, machine: Machine | None = None) -> None:
-        self.reactor = reactor
-        self.node = StorageNode(reactor, settings, machine)
+    """One storage process. Implements `roles.process.Role`."""
+
+    def __init__(
+        self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
+    ) -> None:
+        """Raises what `StorageNode` raises."""
+        self.node = StorageNode(reactor, settings, environment)
+        self._reactor = reactor
         self._give_up_at = 0.0
 
     def listen(self) -> None:
@@ -31,31 +35,31 @@
         self.node.base.listen()
 
     def start(self) -> None:
-        """Take part."""
+        """Take part in the system."""
         self.node.start()
         log.info("event=listening node={}", self.node.settings.node_name)
 
     def reload(self) -> None:
-        """Read the settings again."""
+        """Read the settings file again."""
         self.node.base.reload()
 
     def shut_down(self, finished: Callable[[], None]) -> None:
-        """Pass the owned shards on, then end."""
-        log.info("event=shutting_down")
-        self._give_up_at = self.reactor.seconds() + HAND_OVER_S
-        self._look(finished)
-
-    def _look(self, finished: Callable[[], None]) -> None:
-        if self.node.hand_over() and self.reactor.seconds() < self._give_up_at:
-            self.reactor.callLater(LOOK_S, self._look, finished)
+        """Transfer the owned shards, close the links, then the disk, and call `finished()`."""
+        log.info("event=shutdown_started")
+        self._give_up_at = self._reactor.seconds() + TRANSFER_TIMEOUT_S
+        self._transfer_shards(finished)
+
+    def _transfer_shards(self, finished: Callable[[], None]) -> None:
+        if self.node.transfer_shards() and self._reactor.seconds() < self._give_up_at:
+            self._reactor.callLater(CHECK_INTERVAL_S, self._transfer_shards, finished)
             return
-        log.info("event=stopped memory_mb={:.0f}", self.node.base.memory_peak_mb())
-        self.reactor.callLater(FLUSH_S, self._end, finished)
+        log.info("event=shutdown_completed memory_mb={:.0f}", self.node.base.memory_peak_mb())
+        self._reactor.callLater(FLUSH_S, self._close_links, finished)
 
-    def _end(self, finished: Callable[[], None]) -> None:
+    def _close_links(self, finished: Callable[[], None]) -> None:
         self.node.stop()
-        self.reactor.callLater(LOOK_S, self._close, finished)
+        self._reactor.callLater(LINKS_CLOSE_S, self._close_disk, finished)
 
-    def _close(self, finished: Callable[[], None]) -> None:
+    def _close_disk(self, finished: Callable[[], None]) -> None:
         self.node.base.close_disk()
         finished()
--- a/bitternpath/roles/wall_clock.py
+++ b/bitternpath/roles/wall_clock.py
@@ -1,4 +1,4 @@
-"""Time of day that doesn't step within a process's life."""
+"""Time of day that doesn't step while a process runs."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 
 class SteadyWallClock:
-    """The time of day as it was at the start, carried on by the steady clock.
+    """The time of day at the start of the process, continued by the steady clock.
 
     Times of day of two machines are compared only where a replica applies a message that it did not accept
-    itself, or reads its disk after a restart. A step of the clock meanwhile would cut a delay short.
+    itself, or reads its disk after a restart. A step of the clock in between would shorten a message's delay.
     """
 
     def __init__(self, wall_ms: Callable[[], int], steady_s: Callable[[], float]) -> None:
+        """`wall_ms` is read once; `steady_s` gives seconds of a clock that never steps."""
         self._steady_s = steady_s
         self._offset_ms = wall_ms() - steady_s() * 1000
 
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -284,7 +284,7 @@
 def systems(system: SmallSystem) -> set[str]:
     """The systems that nodes take themselves for founders of."""
     members = [edge.process.node.member for edge in system.world.edges() if edge.process is not None]
-    foundings = [member.bootstrap_state.founding for member in members if member is not None]
+    foundings = [member.bootstrap_state.decision for member in members if member is not None]
     return {founding.system for founding in foundings if founding is not None}
 
 
--- a/tests/system/test_founding_faults.py
+++ b/tests/system/test_founding_faults.py
@@ -33,7 +33,7 @@
 
 def founded_systems(system: SmallSystem) -> set[str]:
     """As the founders have them on disk."""
-    foundings = [member.bootstrap_state.founding for member in members(system)]
+    foundings = [member.bootstrap_state.decision for member in members(system)]
     return {founding.system for founding in foundings if founding is not None}
 
 
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -25,10 +25,11 @@
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP, BootstrapFile
 from bitternpath.replication.records import Members, PersistentState, Snapshot
 from bitternpath.roles.edge_process import EdgeProcess
+from bitternpath.roles.feed_cache import CACHE_DOCUMENT
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.roles.process import PORT_PATIENCE_S, ExitCode, RoleLifecycle, build_role
+from bitternpath.roles.process import PORT_RETRY_TIMEOUT_S, ExitCode, RoleLifecycle, build_role
 from bitternpath.roles.settings import Settings, read_settings
-from bitternpath.roles.storage import CACHE_NAME, StorageNode
+from bitternpath.roles.storage import StorageNode
 from bitternpath.roles.storage_process import StorageProcess
 from bitternpath.storage.commands import Batch
 from bitternpath.storage.document_writer import RETRY_S, DocumentWriter
@@ -135,17 +136,17 @@
         self.assertEqual(role.calls, [])
         self.reactor.pump([0.1] * 10)
         self.assertEqual((role.calls, self.reactor.stops), (["listen", "start"], 0))
-        self.assertEqual((life.exit_code, self.events()), (ExitCode.STOPPED, ["event=port_awaited"]))
+        self.assertEqual((life.exit_code, self.events()), (ExitCode.STOPPED, ["event=listen_retrying"]))
 
     def test_a_port_that_stays_taken_ends_the_process(self) -> None:
         role = FakeRole(taken=float("inf"))
         life = self.begin(role)
-        self.reactor.pump([0.1] * int(10 * PORT_PATIENCE_S - 1))
+        self.reactor.pump([0.1] * int(10 * PORT_RETRY_TIMEOUT_S - 1))
         self.assertEqual(self.reactor.stops, 0)
         self.reactor.pump([0.1] * 10)
         self.assertEqual((role.calls, self.reactor.stops), ([], 1))
         self.assertEqual(life.exit_code, ExitCode.NO_PORT)
-        self.assertEqual(self.events(), ["event=port_awaited", "event=port_taken"])
+        self.assertEqual(self.events(), ["event=listen_retrying", "event=listen_failed"])
         self.assertIn("address=127.0.0.1:8069", self.logged.records[-1].message)
         self.assertEqual(self.reactor.getDelayedCalls(), [])
 
@@ -156,7 +157,7 @@
                 self.setUp()
                 life = self.begin(FakeRole(fault=fault))
                 self.assertEqual((life.exit_code, self.reactor.stops), (ExitCode.FAULT, 1))
-                self.assertEqual(self.events(), ["event=not_started"])
+                self.assertEqual(self.events(), ["event=role_start_failed"])
                 self.assertEqual(self.reactor.getDelayedCalls(), [])
 
     def test_sigterm_while_a_port_is_awaited(self) -> None:
@@ -205,7 +206,7 @@
         """A founder's disk, with one group."""
         load_identity(self.data, draw=lambda: OLD)
         BootstrapFile(self.data).store(FOUNDING)
-        LocalDisk(self.data).write_document(CACHE_NAME, b"any")
+        LocalDisk(self.data).write_document(CACHE_DOCUMENT, b"any")
         log = SegmentLog(LocalFileSystem(self.data), lambda: 7, 1 << 30)
         for group in ("g", "h"):
             founded = bootstrap_record(
@@ -255,7 +256,7 @@
                         record.message for record in self.logged.records if record.level_name == "ERROR"
                     ]
                     self.assertEqual(len(errors), 1)
-                    self.assertIn("event=disk_set_aside", errors[0])
+                    self.assertIn("event=disk_quarantined", errors[0])
                     self.assertIn(told, errors[0])
 
     def check_new(self, node: Any) -> None:
@@ -264,10 +265,10 @@
         self.assertIsNotNone(identity)
         self.assertNotEqual(identity, OLD)
         self.assertEqual(node.base.view.local_node.disk, identity)
-        self.assertEqual((node.base.transport.me, node.base.host.member_id), (f"n/{identity}",) * 2)
+        self.assertEqual((node.base.transport.member_id, node.base.host.member_id), (f"n/{identity}",) * 2)
         self.assertEqual(node.base.journal.groups(), ())
         self.assertIsNone(BootstrapFile(self.data).load())
-        self.assertFalse((self.data / CACHE_NAME).exists())
+        self.assertFalse((self.data / CACHE_DOCUMENT).exists())
         self.assertFalse(node.settings.bootstrap)
         self.assertFalse(node.base.settings.bootstrap)
 
@@ -290,7 +291,7 @@
 
     def test_only_the_last_is_kept(self) -> None:
         for number in (1, 2, 3):
-            for name in ("identity", "founding", CACHE_NAME):
+            for name in ("identity", "founding", CACHE_DOCUMENT):
                 (self.data / name).unlink(missing_ok=True)
             (self.data / SEGMENT).unlink(missing_ok=True)
             self.make_disk()
@@ -366,7 +367,7 @@
             with self.subTest(role):
                 code, lines = self.run_role(role, f'data_dir = "{self.data}"\n')
                 self.assertEqual((code, lines), (ExitCode.NO_DISK, []))
-                self.assertIn("event=disk_not_usable", self.logged.records[-1].message)
+                self.assertIn("event=disk_unusable", self.logged.records[-1].message)
         self.assertEqual(self.data.read_text(), "no folder")
 
 
@@ -377,17 +378,19 @@
                 self.setUp()
                 self.data.mkdir()
                 if content is None:
-                    LocalDisk(self.data).write_document(CACHE_NAME, b"\xff\xff no record")
+                    LocalDisk(self.data).write_document(CACHE_DOCUMENT, b"\xff\xff no record")
                 else:
-                    (self.data / CACHE_NAME).write_bytes(content)
+                    (self.data / CACHE_DOCUMENT).write_bytes(content)
                 reactor = FakeReactor()
                 node = StorageNode(reactor, self.settings(seeds=()))
                 self.addCleanup(node.base.close_disk)
                 node.start()
                 self.assertTrue(reactor.getDelayedCalls())
-                self.assertFalse((self.data / CACHE_NAME).exists())
+                self.assertFalse((self.data / CACHE_DOCUMENT).exists())
                 warnings = [record.message for record in self.logged.records if "cache" in record.message]
-                self.assertEqual([line.partition(" ")[0] for line in warnings], ["event=cache_dropped"])
+                self.assertEqual(
+                    [line.partition(" ")[0] for line in warnings], ["event=feed_cache_discarded"]
+                )
 
 
 class Documents(DiskCase):
--- a/tests/system/test_lenders.py
+++ b/tests/system/test_quota_borrowing.py
@@ -16,7 +16,9 @@
 from bitternpath.queue.rate_limits import QUOTA_LEASE_S
 from bitternpath.queue.sharding import home_shard
 from bitternpath.roles.edge_links import EdgeLinks
-from bitternpath.roles.lenders import Lenders
+from bitternpath.roles.quota_borrowing import QuotaBorrower
+from bitternpath.roles.shard_context import ShardContext
+from bitternpath.roles.shard_requests import ShardRequests
 from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.transport.connections import LinkLost
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
@@ -80,16 +82,16 @@
         return self.lease
 
 
-class LendersCase(unittest.TestCase):
+class QuotaBorrowerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock, self.hub, self.host = Clock(), FakeHub(), FakeHost()
         self.shards: dict[str, ShardRuntime] = {}
         placements = {GROUP: GroupPlacement(GROUP, 1, MEMBERS)}
-        self.lenders = Lenders(self.clock, self.hub, self.host, placements, self.shards)  # type: ignore[arg-type]
+        self.borrower = QuotaBorrower(self.clock, self.hub, self.host, placements, self.shards)  # type: ignore[arg-type]
 
     def borrow(self) -> list[int]:
         found: list[int] = []
-        self.lenders.borrow(GROUP, "limited", 4).addCallback(found.append)
+        self.borrower.borrow(GROUP, "limited", 4).addCallback(found.append)
         return found
 
     def open_requests(self, node: int) -> list[tuple[TokenRequest, Deferred[Any]]]:
@@ -138,7 +140,7 @@
         self.assertEqual(self.borrow(), [0])
         self.assertEqual(self.hub.dialled, ["10.0.0.1:1"])
         found: list[int] = []
-        self.lenders.borrow("shard-99", "limited", 4).addCallback(found.append)
+        self.borrower.borrow("shard-99", "limited", 4).addCallback(found.append)
         self.assertEqual(found, [0])
 
 
@@ -148,22 +150,22 @@
     def setUp(self) -> None:
         self.clock, self.host, self.link = Clock(), FakeHost(), FakeLink()
         self.clock.advance(100.0)
-        self.runtime = ShardRuntime(
-            self.clock,
-            self.host,  # type: ignore[arg-type]
-            GROUP,
-            SHARDS,
-            "north",
-            OwnerSettings(),
-            EdgeLinks(),
-            lambda: True,
-            Random(1),
-            lambda: 0,
+        context = ShardContext(
+            reactor=self.clock,
+            host=self.host,  # type: ignore[arg-type]
+            edges=EdgeLinks(),
+            random=Random(1),
+            zone="north",
+            owner_settings=OwnerSettings(),
+            wall_ms=lambda: 0,
+            has_capacity=lambda: True,
         )
+        self.runtime = ShardRuntime(context, GROUP, SHARDS)
+        self.requests = ShardRequests(context, self.runtime)
         self.runtime.configure(TABLE)
 
     def ask(self) -> Any:
-        self.runtime.tokens_asked(self.link, TokenRequest(7, GROUP, "limited", 2))  # type: ignore[arg-type]
+        self.requests.lend_tokens(self.link, TokenRequest(7, GROUP, "limited", 2))  # type: ignore[arg-type]
         return self.link.sent.pop()
 
     def test_it_lends_while_it_surely_leads(self) -> None:
--- a/tests/system/test_shard_runtime.py
+++ b/tests/system/test_shard_runtime.py
@@ -11,11 +11,15 @@
 from twisted.internet.task import Clock
 
 from bitternpath.configuration.placement import shard_group
-from bitternpath.queue.commands import COMMANDS, EndAttempt, GrantLease
+from bitternpath.queue.actions import ProposeCommand
+from bitternpath.queue.commands import COMMANDS, Command, EndAttempt, GrantLease
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
 from bitternpath.roles.edge_links import EdgeLinks
-from bitternpath.roles.shard_runtime import LEAST_ASKED, MOST_ASKED, ShardRuntime
+from bitternpath.roles.shard_context import ShardContext
+from bitternpath.roles.shard_ownership import MAX_EDGES_ASKED, MIN_EDGES_ASKED
+from bitternpath.roles.shard_requests import ShardRequests
+from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from bitternpath.transport.shard_messages import (
@@ -44,7 +48,8 @@
 class Log:
     """Stands for `ReplicaHost`: commits at once, or refuses as a leader that hands over does."""
 
-    def __init__(self) -> None:
+    def __init__(self, clock: Clock) -> None:
+        self.clock = clock
         self.runtime: ShardRuntime
         self.handing_over = False
         self.answers_barriers = True
@@ -59,7 +64,7 @@
         self.index += 1
         result = self.runtime.state.apply(self.index, data)
         waiting: Deferred[object] = Deferred()
-        self.runtime.reactor.callLater(0, self._applied, data, result, waiting)
+        self.clock.callLater(0, self._applied, data, result, waiting)
         return waiting
 
     def _applied(self, data: bytes, result: object, waiting: Deferred[object]) -> None:
@@ -95,47 +100,54 @@
 
     def setUp(self) -> None:
         self.clock = Clock()
-        self.log = Log()
+        self.log = Log(self.clock)
         self.edges = EdgeLinks()
         self.link = EdgeLink()
-        self.runtime = self.log.runtime = ShardRuntime(
-            self.clock,
-            self.log,  # type: ignore[arg-type]
-            GROUP,
-            1,
-            "north",
-            OwnerSettings(),
-            self.edges,
-            lambda: True,
-            Random(1),
-            lambda: 0,
+        context = ShardContext(
+            reactor=self.clock,
+            host=self.log,  # type: ignore[arg-type]
+            edges=self.edges,
+            random=Random(1),
+            zone="north",
+            owner_settings=OwnerSettings(),
+            wall_ms=lambda: 0,
+            has_capacity=lambda: True,
         )
+        self.runtime = ShardRuntime(context, GROUP, 1)
+        self.log.runtime = self.runtime
+        self.requests = ShardRequests(context, self.runtime)
         self.runtime.configure(TABLE)
         self.runtime.became_owner(1)
         self.join(self.link)
 
     def join(self, link: EdgeLink) -> None:
         self.edges.opened(link.peer, link)  # type: ignore[arg-type]
-        self.runtime.edge_opened(link.peer, link, False)  # type: ignore[arg-type]
+        self.runtime.edge_connected(link.peer, link, restarted=False)  # type: ignore[arg-type]
 
     def ask(self, handle: Callable[..., None], request: Any, link: EdgeLink | None = None) -> None:
         handle(link or self.link, request)
         self.clock.advance(0)
 
+    def propose(self, command: Command) -> None:
+        """Propose a command as the owner does."""
+        ownership = self.runtime.ownership
+        assert ownership is not None
+        ownership.execute([ProposeCommand(command)])
+
     def append(self, request_id: str, path: str = "/plain/x", callback_url: str = "") -> None:
         message = Message(
             request_id, "POST", "a.example", path, (), "", "plain", 5, 0, callback_url, "edge-1", 0, b"body"
         )
-        self.ask(self.runtime.append, AppendRequest(1, GROUP, message))
+        self.ask(self.requests.append, AppendRequest(1, GROUP, message))
 
     def pull(self, link: EdgeLink | None = None, number: int = 7) -> None:
-        self.ask(self.runtime.pull, PullRequest(number, GROUP, "puller", "i-1", 5_000), link)
+        self.ask(self.requests.pull, PullRequest(number, GROUP, "puller", "i-1", 5_000), link)
 
     def end(self, delivery: LeaseGrant, outcome: AttemptOutcome = AttemptOutcome.SUCCEEDED) -> None:
         request = EndAttemptRequest(
             9, GROUP, delivery.message.request_id, delivery.lease_id, outcome, "stamp", 0
         )
-        self.ask(self.runtime.end, request)
+        self.ask(self.requests.end_attempt, request)
 
 
 class HandOvers(RuntimeCase):
@@ -171,12 +183,12 @@
         self.end(delivery)
         (order,) = self.link.take(CallbackRequest)
         self.log.handing_over = True
-        self.runtime.callback_report(CallbackReport(GROUP, order.request_id, True))
+        self.requests.callback_report(self.link, CallbackReport(GROUP, order.request_id, True))
         self.clock.pump([0.05] * 11)  # the confirmation is proposed, and refused
         self.log.handing_over = False
         self.clock.pump([0.05] * 20)
         (again,) = self.link.take(CallbackRequest)
-        self.runtime.callback_report(CallbackReport(GROUP, again.request_id, True))
+        self.requests.callback_report(self.link, CallbackReport(GROUP, again.request_id, True))
         self.clock.pump([0.05] * 11)
         entry = self.runtime.state.find("m")
         self.assertFalse(entry is None or entry.callback_pending)
@@ -207,13 +219,13 @@
 
     def test_an_open_fate_is_the_next_owners(self) -> None:
         self.log.propose = lambda group, data: fail(OutcomeUnknownError())  # type: ignore[method-assign]
-        self.runtime._propose(GrantLease("m", "0-1-1", "edge-1", 1_000, False))
+        self.propose(GrantLease("m", "0-1-1", "edge-1", 1_000, False))
         self.assertEqual(len(self.clock.getDelayedCalls()), 0)
 
     def test_a_refusal_of_an_earlier_ownership_does_nothing_in_a_later_one(self) -> None:
         self.log.handing_over = True
         self.append("n")
-        self.runtime._propose(GrantLease("m", "0-1-1", "edge-1", 1_000, False))
+        self.propose(GrantLease("m", "0-1-1", "edge-1", 1_000, False))
         self.log.handing_over = False
         self.runtime.lost_ownership()
         self.runtime.became_owner(2)
@@ -231,8 +243,8 @@
             self.join(link)
         self.append("m", "/jobs/x")
         first = {link.peer.name for link in links if link.take(WorkAvailable)}
-        self.assertLessEqual(len(first), MOST_ASKED)
-        self.assertGreaterEqual(len(first), LEAST_ASKED - 1)  # edge-1 may be one of them
+        self.assertLessEqual(len(first), MAX_EDGES_ASKED)
+        self.assertGreaterEqual(len(first), MIN_EDGES_ASKED - 1)  # edge-1 may be one of them
         self.clock.advance(1.0)
         later = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertTrue(later - first)
@@ -266,7 +278,7 @@
 
     def test_an_extension_waits_for_the_confirmation(self) -> None:
         job = self.job()
-        self.ask(self.runtime.extend, ExtendRequest(8, GROUP, "m", job.lease_id))
+        self.ask(self.requests.extend, ExtendRequest(8, GROUP, "m", job.lease_id))
         self.assertEqual(self.link.take(EndAttemptResponse), [])
         self.log.barriers.pop().callback(None)
         self.assertEqual(self.link.take(EndAttemptResponse), [EndAttemptResponse(8, True)])
@@ -275,21 +287,21 @@
         job = self.job()
         self.clock.advance(10.0)  # it was stopped: by its memory the lease is long over
         for lease_id in (job.lease_id, "0-1-99"):
-            self.ask(self.runtime.extend, ExtendRequest(8, GROUP, "m", lease_id))
+            self.ask(self.requests.extend, ExtendRequest(8, GROUP, "m", lease_id))
             self.log.barriers.pop().errback(NotOwnerError())
             self.assertEqual([type(record) for record in self.link.take(Refused)], [Refused])
         self.assertEqual(self.link.take(EndAttemptResponse), [])
 
     def test_a_confirmation_that_comes_with_the_end_of_the_ownership(self) -> None:
         job = self.job()
-        self.ask(self.runtime.extend, ExtendRequest(8, GROUP, "m", job.lease_id))
+        self.ask(self.requests.extend, ExtendRequest(8, GROUP, "m", job.lease_id))
         self.runtime.lost_ownership()
         self.log.barriers.pop().callback(None)
         self.assertEqual(len(self.link.take(Refused)), 1)
 
     def test_a_state_is_read_after_the_confirmation(self) -> None:
         self.log.answers_barriers = False
-        self.ask(self.runtime.find, StateRequest(5, GROUP, "m", False))
+        self.ask(self.requests.find, StateRequest(5, GROUP, "m", False))
         self.append("m")  # committed while the question waits
         self.assertEqual(self.link.take(StateResponse), [])
         self.log.barriers.pop().callback(None)
@@ -306,7 +318,7 @@
         later = EdgeLink()
         self.join(later)
         self.assertEqual(self.edges.closed(self.link), "")  # type: ignore[arg-type]
-        self.runtime.edge_closed("", self.link)  # type: ignore[arg-type]
+        self.runtime.edge_link_closed("", self.link)  # type: ignore[arg-type]
         self.pull(later, number=7)  # numbers begin anew on each link
         self.append("m", "/jobs/x")
         self.assertEqual(self.link.take(PullResponse), [])
@@ -317,14 +329,14 @@
         later = EdgeLink()
         self.join(later)
         self.assertEqual(self.edges.closed(self.link), "")  # type: ignore[arg-type]
-        self.runtime.edge_closed("", self.link)  # type: ignore[arg-type]
+        self.runtime.edge_link_closed("", self.link)  # type: ignore[arg-type]
         self.append("m")
         self.assertEqual(len(later.take(LeaseGrant)), 1)
 
     def test_a_poll_that_is_given_up_is_answered_once(self) -> None:
         self.pull(number=7)
         for _ in range(2):
-            self.runtime.cancel_pull(self.link, PullCancel(7, GROUP))  # type: ignore[arg-type]
+            self.requests.cancel_pull(self.link, PullCancel(7, GROUP))  # type: ignore[arg-type]
         self.assertEqual(self.link.take(PullResponse), [PullResponse(7, "", None)])
         self.append("m", "/jobs/x")
         self.assertEqual(self.link.take(PullResponse), [])
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -168,7 +168,9 @@
         world = system.world
         members = world.nodes[owner].process.node.base.host.members("configuration")
         present = {
-            node.process.node.base.transport.me for node in world.edges() if node.counted and node.process
+            node.process.node.base.transport.member_id
+            for node in world.edges()
+            if node.counted and node.process
         }
         return set(members.voters) == present and not members.learners
 
