--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -10,7 +10,8 @@
 
 from bitternpath.replication.group import CompactionBounds
 from bitternpath.roles.process import RoleLifecycle, build_role
-from bitternpath.roles.settings import Settings, SettingsError, read_settings
+from bitternpath.roles.settings import Settings, read_settings
+from bitternpath.roles.settings_reader import SettingsError
 from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.storage.records import CorruptJournalError
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -34,15 +34,12 @@
 )
 from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.replication.wire import decode_message, encode_message
+from bitternpath.storage.commands import JournalCommand
 from bitternpath.storage.group_state import GroupState
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.records import WriteRecord
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import (
-    JournalCommand,
-    SimulatedFileSystem,
-    VirtualTimeJournalWriter,
-)
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
 from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Plan, Process, World
 from bitternpath.transport.codec import CodecError
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -16,7 +16,8 @@
 from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
-from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.settings import SMALL_LOGS
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem
 
 SEEDS = range(12)
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -11,8 +11,8 @@
 from itertools import combinations
 from typing import Any
 
-from bitternpath.testing.simulation.settings import LogSizes
-from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.settings import SMALL_LOGS, LogSizes
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 CHANGES = 150
@@ -168,7 +168,9 @@
         world = system.world
         members = world.nodes[owner].process.node.base.host.members("configuration")
         present = {
-            node.process.node.base.transport.me for node in world.edges() if node.counted and node.process
+            node.process.node.base.transport.member_id
+            for node in world.edges()
+            if node.counted and node.process
         }
         return set(members.voters) == present and not members.learners
 
