--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -10,8 +10,9 @@
 
 from bitternpath.membership.bootstrap import BootstrapFile
 from bitternpath.storage.documents import CorruptDocumentError, read_document
-from bitternpath.storage.identity import quarantine_folders, read_identity
+from bitternpath.storage.identity import read_identity
 from bitternpath.storage.journal import Journal, open_journal
+from bitternpath.storage.quarantine import quarantine_folders
 from bitternpath.storage.records import CorruptJournalError
 from bitternpath.transport.codec import CodecError, RecordCodec
 from bitternpath.transport.feed_messages import FeedUpdate
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -73,7 +73,7 @@
             names_me = founders is not None and self.member_id in founders.voters
             if founders is not None and names_me and tombstone_generation is None:
                 kept = PersistentState(snapshot=Snapshot(members=founders))
-                self._journal.found(group, kept)
+                self._journal.bootstrap_group(group, kept)
         now = self._reactor.seconds()
         self.groups[group] = ReplicaGroup(
             self.member_id,
@@ -103,7 +103,7 @@
         if closed is not None:
             closed.close()
         self._share_bounds()
-        self._journal.forget(group, generation)
+        self._journal.remove_group(group, generation)
 
     def _share_bounds(self) -> None:
         share = self._bounds.host_size // max(len(self.groups), 1)
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -44,13 +44,13 @@
     def tombstone_generation(self, group: str) -> int | None:
         """The generation of the members at which this disk gave the group up; None where it never did."""
 
-    def found(self, group: str, kept: PersistentState) -> None:
+    def bootstrap_group(self, group: str, kept: PersistentState) -> None:
         """Write the state with which a group begins here."""
 
     def write(self, group: str, write: StorageWrite, done: Callable[[], None]) -> None:
         """Write a batch after those before it; `done` is called once it is synced."""
 
-    def forget(self, group: str, generation: int) -> None:
+    def remove_group(self, group: str, generation: int) -> None:
         """Remove all that is kept of a group, given up at that generation of its members."""
 
 
--- a/bitternpath/storage/__init__.py
+++ b/bitternpath/storage/__init__.py
@@ -1,1 +1,13 @@
-"""Files of a node: versioned documents, the write-ahead log, the identity of the disk."""
+"""Durable state of one node: the write-ahead log of its replica groups, documents, the identity of the disk.
+
+On-disk formats and recovery are described in `docs/design/storage.md`. Modules, from the bottom up:
+
+- `errors`: what is raised for content that isn't what was written
+- `files`: file system operations, behind a protocol that tests and simulations replace
+- `records`, `record_format`: records of the write-ahead log and their framing
+- `group_state`: the state of each replica group, as the records build it
+- `segment_loading`, `segment_files`, `snapshots`: reading and writing of the log's files
+- `checkpoint`, `scrub`, `segments`: bounding, verifying and operating the log
+- `journal_writer`, `journal_writer_thread`, `journal`: group commit in a thread of its own
+- `documents`, `document_writer`, `identity`, `quarantine`, `node_disk`: the rest of a data directory
+"""
--- a/bitternpath/storage/commands.py
+++ b/bitternpath/storage/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the owner of the log's files."""
+"""Commands to the journal writer, and the batches that it makes of them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from bitternpath.replication.records import Snapshot
 from bitternpath.storage.records import Record
 
-Done = Callable[[], None]
+DoneCallback = Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class NewSnapshot:
-    """A snapshot that a record of the same batch names."""
+    """A snapshot of a group that isn't on disk yet and that a record of the same batch names."""
 
     group: str
     snapshot: Snapshot
@@ -21,22 +21,34 @@
 
 @dataclass(slots=True)
 class Batch:
-    """Records to be written and synced together, after the snapshots that they name."""
+    """Records that are written and synced together.
+
+    Attributes:
+        records: in the order in which they are applied.
+        snapshots: those that the records name and that aren't on disk yet; each is removed once it is, so
+            that a batch that is repeated after an error goes on with the rest.
+    """
 
     records: Sequence[Record]
-    snapshots: list[NewSnapshot]  # those that are not on disk yet
+    snapshots: list[NewSnapshot]
 
 
 @dataclass(frozen=True, slots=True)
 class JournalCommand:
-    """A record to be written, the snapshot that it names, and whom to tell when both are on disk."""
+    """One record to be written.
+
+    Attributes:
+        record: the record.
+        snapshot: the new snapshot that it names, if it names one that has data.
+        done: called once both are synced.
+    """
 
     record: Record
     snapshot: NewSnapshot | None
-    done: Done | None
+    done: DoneCallback | None
 
 
 def batch_of(commands: Sequence[JournalCommand]) -> Batch:
-    """The commands as one batch, in their order."""
+    """Put commands into one batch, in their order."""
     snapshots = [command.snapshot for command in commands if command.snapshot is not None]
     return Batch([command.record for command in commands], snapshots)
--- a/bitternpath/storage/document_writer.py
+++ b/bitternpath/storage/document_writer.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any
+from typing import cast
 
 import logbook
+from twisted.internet.interfaces import IReactorFromThreads
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 
 from bitternpath.storage.node_disk import LocalDisk, NodeDisk
+from bitternpath.storage.reactor import ThreadPoolReactor
 
 log = logbook.Logger("storage")
 
@@ -17,42 +19,53 @@
 
 
 class DocumentWriter:
-    """Keeps a file up to date; of several contents that wait only the last is written.
+    """Keeps a document up to date; of several contents that wait only the last is written.
 
-    A write that fails is repeated after a pause, with the last content that has come meanwhile.
+    A write that fails is repeated after `RETRY_S`, with the last content that has arrived meanwhile.
+    Failures are logged once, until a write succeeds.
     """
 
-    def __init__(self, reactor: Any, path: Path, disk: NodeDisk | None = None) -> None:
-        self.reactor, self.path = reactor, path
+    def __init__(self, reactor: ThreadPoolReactor, path: Path, disk: NodeDisk | None = None) -> None:
+        """Write nothing yet.
+
+        Args:
+            reactor: writes run in its pool of threads.
+            path: the document's file.
+            disk: used in place of the local disk below the file's directory.
+        """
+        self._reactor = reactor
+        self._name = path.name
         self._disk = disk or LocalDisk(path.parent)
         self._waiting: bytes | None = None
         self._busy = False  # a write runs, or the pause after one that failed
         self._failing = False
 
     def write(self, content: bytes) -> None:
-        """The file is to hold this."""
+        """Replace the document's content soon."""
         self._waiting = content
         if not self._busy:
-            self._begin()
+            self._write_next()
 
-    def _begin(self) -> None:
-        if self._waiting is None:
+    def _write_next(self) -> None:
+        content = self._waiting
+        if content is None:
             self._busy = False
             return
-        content, self._waiting = self._waiting, None
+        self._waiting = None
         self._busy = True
-        pool = self.reactor.getThreadPool()
-        writing = deferToThreadPool(self.reactor, pool, self._disk.write_document, self.path.name, content)
-        writing.addCallbacks(self._written, self._failed, errbackArgs=(content,))
+        reactor = cast(IReactorFromThreads, self._reactor)
+        pool = self._reactor.getThreadPool()
+        writing = deferToThreadPool(reactor, pool, self._disk.write_document, self._name, content)
+        writing.addCallbacks(self._succeeded, self._failed, errbackArgs=(content,))
 
-    def _written(self, _: None) -> None:
+    def _succeeded(self, _: None) -> None:
         self._failing = False
-        self._begin()
+        self._write_next()
 
     def _failed(self, failure: Failure, content: bytes) -> None:
         if not self._failing:
-            log.warning("event=document_write_failed file={} error={!r}", self.path.name, str(failure.value))
+            log.warning("event=document_write_failed file={} error={!r}", self._name, str(failure.value))
         self._failing = True
         if self._waiting is None:
             self._waiting = content
-        self.reactor.callLater(RETRY_S, self._begin)
+        self._reactor.callLater(RETRY_S, self._write_next)
--- a/bitternpath/storage/documents.py
+++ b/bitternpath/storage/documents.py
@@ -1,31 +1,31 @@
-"""Small files with a checksum: one whole document each, written aside, synced, renamed, folder synced."""
+"""Documents: small files with a checksum, replaced as one.
+
+A document is written as a draft, synced, renamed, and its directory synced, so that after a loss of power
+the old content or the new one is there, complete. A file is a header (magic, format version, length, CRC-32
+of the content; big-endian) and the content.
+"""
 
 from __future__ import annotations
 
-import os
 import struct
 import zlib
 from pathlib import Path
 
+from bitternpath.storage.errors import CorruptDocumentError as CorruptDocumentError
 from bitternpath.storage.files import FileSystem
 
 FORMAT_VERSION = 1
 DRAFT_SUFFIX = ".draft"
-_HEADER = struct.Struct("!4sIII")  # magic, format, length, CRC32 of the content
+_HEADER = struct.Struct("!4sIII")  # magic, format version, length, CRC-32 of the content
 _MAGIC = b"BTPD"
 HEADER_BYTES = _HEADER.size
 
 
-class CorruptDocumentError(Exception):
-    """A file that isn't what was written; the text names it."""
-
-    def __init__(self, file: Path, offset: int, reason: str) -> None:
-        super().__init__(f"{file} at offset {offset}: {reason}")
-        self.file, self.offset, self.reason = file, offset, reason
-
-
 def read_document(path: Path) -> bytes | None:
-    """The content; None where there is no file. Raises `CorruptDocumentError`."""
+    """Read a document's content, without making it durable; None where there is no file.
+
+    For a reader that doesn't act on it; see `load_document`. Raises `CorruptDocumentError` and `OSError`.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -34,11 +34,11 @@
 
 
 def decode_document(path: Path, data: bytes) -> bytes:
-    """The content of a file that holds `data`; raises `CorruptDocumentError`."""
-    if len(data) < _HEADER.size:
-        raise CorruptDocumentError(path, 0, f"{len(data)} bytes are no whole header")
+    """Return the content of a file that holds `data`; raises `CorruptDocumentError`, which names `path`."""
+    if len(data) < HEADER_BYTES:
+        raise CorruptDocumentError(path, 0, f"{len(data)} bytes, less than the header")
     magic, version, length, checksum = _HEADER.unpack_from(data)
-    content = data[_HEADER.size :]
+    content = data[HEADER_BYTES:]
     if magic != _MAGIC or version != FORMAT_VERSION:
         raise CorruptDocumentError(path, 0, f"format {version}, this release reads {FORMAT_VERSION}")
     if len(content) != length or zlib.crc32(content) != checksum:
@@ -47,13 +47,16 @@
 
 
 def encode_document(content: bytes) -> bytes:
-    """What the file of a document holds."""
+    """Encode the file of a document."""
     return _HEADER.pack(_MAGIC, FORMAT_VERSION, len(content), zlib.crc32(content)) + content
 
 
 def load_document(files: FileSystem, name: str) -> bytes | None:
-    """As `read_document`, of a node that will act on it: what was read stays, also after a loss of power.
-    The process that wrote it may have died before it synced the folder."""
+    """Read a document's content for a node that will act on it; None where there is no file.
+
+    The directory is synced first: the process that wrote the document may have died before its own sync, and
+    what a node has acted on must not be lost with the power. Raises `CorruptDocumentError` and `OSError`.
+    """
     try:
         data = files.read(name)
     except FileNotFoundError:
@@ -63,7 +66,7 @@
 
 
 def store_document(files: FileSystem, name: str, content: bytes) -> None:
-    """Replace a document; it is on disk when this returns. Raises `OSError`."""
+    """Replace a document; it is durable when this returns. Raises `OSError`."""
     draft = name + DRAFT_SUFFIX
     files.truncate(draft, 0)
     files.write_at(draft, 0, encode_document(content))
@@ -73,15 +76,6 @@
 
 
 def remove_document(files: FileSystem, name: str) -> None:
-    """Remove a document for good; no error where it is missing. Raises `OSError`."""
+    """Remove a document durably; no error where it is missing. Raises `OSError`."""
     files.remove(name)
     files.sync_directory("")
-
-
-def sync_directory(folder: Path) -> None:
-    """Make names that were made, renamed or removed in a folder last."""
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
-    try:
-        os.fsync(descriptor)
-    finally:
-        os.close(descriptor)
--- a/bitternpath/storage/files.py
+++ b/bitternpath/storage/files.py
@@ -1,6 +1,8 @@
-"""File operations of the write-ahead log, behind a protocol so that tests can lose, tear and refuse writes.
+"""File system operations of the storage package, behind a protocol.
 
-All paths are relative to the data directory, with `/` between folder and name.
+Tests and simulations replace it by one that loses, tears and refuses writes
+(`testing/simulation/file_system.py`). All paths are relative to the data directory, with `/` between
+directory and name; the empty path is the data directory itself.
 """
 
 from __future__ import annotations
@@ -9,39 +11,41 @@
 from pathlib import Path
 from typing import Protocol
 
+FILE_MODE = 0o600  # messages of clients are readable by the service's user only
+
 
 class FileSystem(Protocol):
-    """What the journal asks of a disk. Every operation blocks and may raise `OSError`."""
+    """What the storage package needs of a file system. Every operation blocks and may raise `OSError`."""
 
-    def make_directory(self, folder: str) -> None:
-        """Make it where it is missing, and persist its name."""
+    def make_directory(self, directory: str) -> None:
+        """Make a directory where it is missing, and make its name durable."""
 
-    def list_names(self, folder: str) -> list[str]:
-        """Names of the files in a folder."""
+    def list_names(self, directory: str) -> list[str]:
+        """Return the sorted names of the files in a directory."""
 
     def read(self, path: str) -> bytes:
-        """The whole file."""
+        """Return the content of a file."""
 
     def read_range(self, path: str, offset: int, size: int) -> bytes:
-        """That many bytes from the offset on, or up to the end of the file."""
+        """Return `size` bytes from the offset on, or fewer up to the end of the file."""
 
     def size(self, path: str) -> int:
-        """Length in bytes."""
+        """Return the length of a file in bytes."""
 
     def write_at(self, path: str, offset: int, data: bytes) -> None:
-        """Write all of `data`; the file is made where it is missing. After an error any part may be there."""
+        """Write all of `data`, to a new file where there is none. After an error any part may be written."""
 
     def truncate(self, path: str, size: int) -> None:
-        """Set the length."""
+        """Set the length of a file in bytes; the file is made where it is missing."""
 
     def sync(self, path: str) -> None:
-        """What was written to the file survives a loss of power."""
+        """Make what was written to a file durable: it survives a loss of power."""
 
-    def sync_directory(self, folder: str) -> None:
-        """Names made, renamed and removed in the folder survive a loss of power."""
+    def sync_directory(self, directory: str) -> None:
+        """Make names that were added, renamed and removed in a directory durable."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in place of a file that has it."""
+        """Rename a file, in place of a file of that name."""
 
     def remove(self, path: str) -> None:
         """Remove a file; no error where it is missing."""
@@ -51,32 +55,42 @@
 
 
 class LocalFileSystem:
-    """`FileSystem` on the operating system's files. What is written stays open until renamed or removed."""
+    """`FileSystem` on the operating system's files.
+
+    A file that was written to stays open until it is renamed or removed, or until `close`.
+    """
 
     def __init__(self, data_dir: Path) -> None:
+        """Open no file yet; `data_dir` is the root of all paths."""
         self._root = data_dir
-        self._open: dict[str, int] = {}
+        self._descriptors: dict[str, int] = {}
 
-    def make_directory(self, folder: str) -> None:
-        path = self._root / folder
+    def make_directory(self, directory: str) -> None:
+        """See `FileSystem`. One that exists is synced too: its maker may have died before its sync."""
+        path = self._root / directory
         path.mkdir(parents=True, exist_ok=True)
-        self._sync_directory(path.parent)  # also one that is there: its maker may have died before its sync
+        fsync_directory(path.parent)
 
-    def list_names(self, folder: str) -> list[str]:
-        return sorted(os.listdir(self._root / folder))
+    def list_names(self, directory: str) -> list[str]:
+        """See `FileSystem`."""
+        return sorted(os.listdir(self._root / directory))
 
     def read(self, path: str) -> bytes:
+        """See `FileSystem`."""
         return (self._root / path).read_bytes()
 
     def read_range(self, path: str, offset: int, size: int) -> bytes:
+        """See `FileSystem`."""
         with (self._root / path).open("rb") as file:
             file.seek(offset)
             return file.read(size)
 
     def size(self, path: str) -> int:
+        """See `FileSystem`."""
         return os.stat(self._root / path).st_size
 
     def write_at(self, path: str, offset: int, data: bytes) -> None:
+        """See `FileSystem`."""
         descriptor = self._descriptor(path)
         view = memoryview(data)
         while view:
@@ -85,43 +99,51 @@
             view = view[written:]
 
     def truncate(self, path: str, size: int) -> None:
+        """See `FileSystem`."""
         os.ftruncate(self._descriptor(path), size)
 
     def sync(self, path: str) -> None:
+        """See `FileSystem`."""
         os.fdatasync(self._descriptor(path))
 
-    def sync_directory(self, folder: str) -> None:
-        self._sync_directory(self._root / folder)
+    def sync_directory(self, directory: str) -> None:
+        """See `FileSystem`."""
+        fsync_directory(self._root / directory)
 
     def rename(self, old: str, new: str) -> None:
-        self._forget(old)
-        self._forget(new)
+        """See `FileSystem`."""
+        self._close_file(old)
+        self._close_file(new)
         os.rename(self._root / old, self._root / new)
 
     def remove(self, path: str) -> None:
-        self._forget(path)
+        """See `FileSystem`."""
+        self._close_file(path)
         (self._root / path).unlink(missing_ok=True)
 
     def close(self) -> None:
-        for path in list(self._open):
-            self._forget(path)
+        """See `FileSystem`."""
+        for path in list(self._descriptors):
+            self._close_file(path)
 
     def _descriptor(self, path: str) -> int:
-        descriptor = self._open.get(path)
+        descriptor = self._descriptors.get(path)
         if descriptor is None:
             flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
-            descriptor = self._open[path] = os.open(self._root / path, flags, 0o600)
+            descriptor = os.open(self._root / path, flags, FILE_MODE)
+            self._descriptors[path] = descriptor
         return descriptor
 
-    def _forget(self, path: str) -> None:
-        descriptor = self._open.pop(path, None)
+    def _close_file(self, path: str) -> None:
+        descriptor = self._descriptors.pop(path, None)
         if descriptor is not None:
             os.close(descriptor)
 
-    @staticmethod
-    def _sync_directory(path: Path) -> None:
-        descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        try:
-            os.fsync(descriptor)
-        finally:
-            os.close(descriptor)
+
+def fsync_directory(directory: Path) -> None:
+    """Make names that were added, renamed or removed in a directory durable. Raises `OSError`."""
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
--- a/bitternpath/storage/group_state.py
+++ b/bitternpath/storage/group_state.py
@@ -1,10 +1,13 @@
-"""What the write-ahead log holds of each replica group, kept by the owner of the files. Pure."""
+"""The persistent state of each replica group, built from the records of the write-ahead log. Pure.
+
+This is what the owner of the log's files keeps in memory beside them: checkpoints are written from it.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from bitternpath.replication.records import Entry, Members, PersistentState, StorageWrite
+from bitternpath.replication.records import Entry, Members, PersistentState, Snapshot, StorageWrite
 from bitternpath.storage.records import (
     CheckpointRecord,
     Record,
@@ -18,49 +21,63 @@
 
 @dataclass(slots=True)
 class GroupState:
-    """Kept state of one group. `broken` says why it isn't whole: a record before it is missing."""
+    """Persistent state of one group. The fields are those of `WriteRecord`.
+
+    Attributes:
+        gap: the first missing entry, as a sentence, where a record's entries didn't join the log; else empty.
+    """
 
     term: int = 0
     vote: str = ""
-    before_index: int = 0
-    before_term: int = 0
+    compacted_index: int = 0
+    compacted_term: int = 0
     snapshot: SnapshotReference = NO_SNAPSHOT
     entries: list[Entry] = field(default_factory=list)
-    broken: str = ""
+    gap: str = ""
 
     def apply(self, record: WriteRecord) -> None:
-        """Cut first, then drop what isn't needed any more, then add."""
-        self.term, self.vote = record.term, record.vote
-        if record.cut is not None:
-            del self.entries[max(record.cut - self.before_index - 1, 0) :]
-        if record.before_index != self.before_index:
-            del self.entries[: max(record.before_index - self.before_index, 0)]
-            self.before_index, self.before_term = record.before_index, record.before_term
+        """Truncate the log first, then drop its compacted part, then append."""
+        self.term = record.term
+        self.vote = record.vote
+        if record.truncate_from is not None:
+            del self.entries[max(record.truncate_from - self.compacted_index - 1, 0) :]
+        if record.compacted_index != self.compacted_index:
+            del self.entries[: max(record.compacted_index - self.compacted_index, 0)]
+            self.compacted_index = record.compacted_index
+            self.compacted_term = record.compacted_term
         if record.snapshot is not None:
             self.snapshot = record.snapshot
-        if record.entries and record.entries[0].index != self.before_index + len(self.entries) + 1:
-            self.broken = f"entry {self.before_index + len(self.entries) + 1} is missing"
+        next_index = self.compacted_index + len(self.entries) + 1
+        if record.entries and record.entries[0].index != next_index:
+            self.gap = f"entry {next_index} is missing"
         self.entries.extend(record.entries)
 
-    def fault(self) -> str:
-        """Why this can't be the state of a group; empty where it can."""
-        if self.broken:
-            return self.broken
-        if not self.before_index <= self.snapshot.index <= self.before_index + len(self.entries):
+    def inconsistency(self) -> str:
+        """Say why this can't be the state of a group; empty where it can."""
+        if self.gap:
+            return self.gap
+        last_index = self.compacted_index + len(self.entries)
+        if not self.compacted_index <= self.snapshot.index <= last_index:
             return f"the snapshot at {self.snapshot.index} doesn't meet the log"
         return ""
 
 
 class GroupStates:
-    """All groups' states, as given by the records in order. `forgotten`: of which there was one once, with
-    the generation of the members at which it was given up."""
+    """The states of all groups, as the records give them in order.
+
+    Attributes:
+        by_group: state of each group that is on the disk.
+        tombstones: groups that were removed from the disk, with the generation of `TombstoneRecord`. A group
+            may be in both: removed once and joined again.
+    """
 
     def __init__(self) -> None:
+        """Begin without any group."""
         self.by_group: dict[str, GroupState] = {}
-        self.forgotten: dict[str, int] = {}
+        self.tombstones: dict[str, int] = {}
 
     def apply(self, record: Record) -> None:
-        """Take the next record."""
+        """Apply the next record."""
         match record:
             case WriteRecord():
                 self.by_group.setdefault(record.group, GroupState()).apply(record)
@@ -68,51 +85,60 @@
                 self.by_group[record.group] = GroupState(
                     record.term,
                     record.vote,
-                    record.before_index,
-                    record.before_term,
+                    record.compacted_index,
+                    record.compacted_term,
                     record.snapshot,
                     list(record.entries),
                 )
             case TombstoneRecord():
                 self.by_group.pop(record.group, None)
-                self.forgotten[record.group] = record.generation
+                self.tombstones[record.group] = record.generation
 
 
 def write_record(group: str, write: StorageWrite) -> WriteRecord:
-    """The record of a consensus write."""
-    reference = None
-    if write.snapshot is not None:
-        snapshot = write.snapshot
-        reference = SnapshotReference(snapshot.index, snapshot.term, snapshot.members, len(snapshot.data))
+    """Make the record of one write of the consensus module."""
+    compacted_index, compacted_term = write.compacted_through
     return WriteRecord(
         group,
         write.term,
         write.vote,
         write.truncate_from,
-        write.compacted_through[0],
-        write.compacted_through[1],
-        reference,
+        compacted_index,
+        compacted_term,
+        None if write.snapshot is None else _reference(write.snapshot, len(write.snapshot.data)),
         write.entries,
     )
 
 
-def state_record(group: str, state: GroupState) -> CheckpointRecord:
-    """The record that stands for all records of a group so far."""
+def checkpoint_record(group: str, state: GroupState) -> CheckpointRecord:
+    """Make the record that supersedes all records of a group so far."""
     return CheckpointRecord(
         group,
         state.term,
         state.vote,
-        state.before_index,
-        state.before_term,
+        state.compacted_index,
+        state.compacted_term,
         state.snapshot,
         tuple(state.entries),
     )
 
 
-def bootstrap_record(group: str, kept: PersistentState) -> CheckpointRecord:
-    """The first record of a group whose state is given, not heard from a leader. Its snapshot has no data."""
-    snapshot = kept.snapshot
-    reference = SnapshotReference(snapshot.index, snapshot.term, snapshot.members, 0)
+def bootstrap_record(group: str, state: PersistentState) -> CheckpointRecord:
+    """Make the first record of a group that is bootstrapped here, rather than joined through a leader.
+
+    Its snapshot has no data: the state machine begins empty.
+    """
+    compacted_index, compacted_term = state.compacted_through
     return CheckpointRecord(
-        group, kept.term, kept.vote, *kept.compacted_through, reference, tuple(kept.entries)
+        group,
+        state.term,
+        state.vote,
+        compacted_index,
+        compacted_term,
+        _reference(state.snapshot, 0),
+        tuple(state.entries),
     )
+
+
+def _reference(snapshot: Snapshot, size: int) -> SnapshotReference:
+    return SnapshotReference(snapshot.index, snapshot.term, snapshot.members, size)
--- a/bitternpath/storage/disk.py
+++ b/bitternpath/storage/journal_writer_thread.py
@@ -1,65 +1,58 @@
-"""Runners that own the log's files and work through a queue of commands; here, a thread."""
+"""Journal writer in a thread of its own."""
 
 from __future__ import annotations
 
 import threading
 import time
-from collections.abc import Callable, Sequence
-from typing import Any, Protocol
 
 import logbook
 
 from bitternpath.storage.commands import JournalCommand, batch_of
+from bitternpath.storage.journal_writer import RETRY_SECONDS, CompletedCallback, CorruptSnapshotCallback
+from bitternpath.storage.reactor import ThreadCallReactor
 from bitternpath.storage.segments import SegmentLog
 
 log = logbook.Logger("disk")
 
-RETRY_SECONDS = 0.25  # between attempts at a write that the disk refused
 STOP_SECONDS = 2.0  # for what waits to be written when the process ends
+SCRUB_SECONDS = 0.25  # between chunks of the scrub: 1 MiB/s, so 64 MB in about a minute
 
-SCRUB_SECONDS = 0.25  # between pieces of files that are read again: 1 MiB/s, so 64 MB in about a minute
 
-Completed = Callable[[Sequence[JournalCommand]], None]
-SnapshotDamaged = Callable[[str], None]  # told the group
-
-
-class JournalWriter(Protocol):
-    """Owns a `SegmentLog` and works through the commands in order."""
-
-    @property
-    def failing(self) -> bool:
-        """Whether the last write, or the last step of a checkpoint, failed; it is being repeated."""
-
-    def start(self, log: SegmentLog, completed: Completed, damaged: SnapshotDamaged) -> None:
-        """Begin; `completed` is called in the reactor's thread with commands that are on disk, `damaged` with
-        a group whose snapshot's file is damaged."""
-
-    def submit(self, command: JournalCommand) -> None:
-        """Add a command to the queue."""
-
-    def stop(self) -> bool:
-        """Write what waits, unless the disk fails, and end; False where it still is at work on the files."""
+class JournalWriterThread:
+    """`JournalWriter` in a thread.
 
+    Work in order of priority: batches; steps of a checkpoint, one between two batches, so that no batch waits
+    long; the scrub, only while nothing waits.
+    """
 
-class JournalWriterThread:
-    """`JournalWriter` in a thread of its own. All commands that wait while a sync runs are the next batch."""
+    _log: SegmentLog
+    _completed: CompletedCallback
+    _snapshot_corrupted: CorruptSnapshotCallback
+    _thread: threading.Thread
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: ThreadCallReactor) -> None:
+        """Make a writer whose callbacks run in that reactor's thread; `start` begins the work."""
         self._reactor = reactor
         self._waiting: list[JournalCommand] = []
-        self._changed = threading.Condition()
+        self._changed = threading.Condition()  # guards `_waiting`
         self._stopping = threading.Event()
-        self._write_failing = self._checkpoint_failing = False
+        self._write_failing = False
+        self._checkpoint_failing = False
         self._checkpoint_from = 0.0  # when the next step of a checkpoint may be tried, by `time.monotonic`
+        self._scrub_from = 0.0  # when the next chunk of the scrub is due, by `time.monotonic`
 
     @property
     def failing(self) -> bool:
-        """Whether the last write, or the last step of a checkpoint, failed; it is being repeated."""
+        """See `JournalWriter`."""
         return self._write_failing or self._checkpoint_failing
 
-    def start(self, log: SegmentLog, completed: Completed, damaged: SnapshotDamaged) -> None:
-        """Begin to work on the log."""
-        self._log, self._completed, self._damaged = log, completed, damaged
+    def start(
+        self, log: SegmentLog, completed: CompletedCallback, snapshot_corrupted: CorruptSnapshotCallback
+    ) -> None:
+        """See `JournalWriter`."""
+        self._log = log
+        self._completed = completed
+        self._snapshot_corrupted = snapshot_corrupted
         self._scrub_from = time.monotonic() + SCRUB_SECONDS
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
@@ -71,32 +64,63 @@
             self._changed.notify()
 
     def stop(self) -> bool:
-        """Write what waits, unless the disk fails, and end; False where it still is at work on the files."""
+        """See `JournalWriter`."""
         with self._changed:
             self._stopping.set()
             self._changed.notify()
         self._thread.join(STOP_SECONDS)
         return not self._thread.is_alive()
 
+    # ---- in the thread
+
     def _run(self) -> None:
         try:
             self._work()
         except BaseException:
-            # Nothing is written any more, so nothing is promised any more either.
+            # Nothing will be written any more: owners of groups have to know.
             self._write_failing = True
             log.exception("event=journal_writer_crashed")
 
     def _work(self) -> None:
-        """A checkpoint goes on in single steps between the batches, so that none waits long."""
-        while (commands := self._next()) is not None:
+        while (commands := self._next_commands()) is not None:
             if commands and not self._write(commands):
                 return
-            if self._checkpoint_wait() == 0.0:
-                self._checkpoint()
+            if self._seconds_to_checkpoint() == 0.0:
+                self._step_checkpoint()
             elif not commands:
                 self._scrub()
 
+    def _next_commands(self) -> list[JournalCommand] | None:
+        """Wait for work; return all commands that wait.
+
+        An empty list: a checkpoint or the scrub goes on. None: the writer is stopped and nothing waits.
+        """
+        with self._changed:
+            while not self._waiting:
+                if self._stopping.is_set():
+                    return None
+                seconds = self._seconds_to_work()
+                if seconds == 0.0:
+                    return []
+                self._changed.wait(seconds)
+            commands = self._waiting
+            self._waiting = []
+            return commands
+
+    def _seconds_to_work(self) -> float:
+        """Seconds until there is something to do besides commands."""
+        scrub = max(self._scrub_from - time.monotonic(), 0.0)
+        checkpoint = self._seconds_to_checkpoint()
+        return scrub if checkpoint is None else min(scrub, checkpoint)
+
+    def _seconds_to_checkpoint(self) -> float | None:
+        """Seconds until a step of a checkpoint may be tried; None where none is due."""
+        if not self._log.wants_checkpoint:
+            return None
+        return max(self._checkpoint_from - time.monotonic(), 0.0)
+
     def _write(self, commands: list[JournalCommand]) -> bool:
+        """Write commands as one batch, as often as it takes; False where the writer was stopped meanwhile."""
         batch = batch_of(commands)
         while True:
             try:
@@ -110,8 +134,8 @@
             if self._stopping.wait(RETRY_SECONDS):
                 return False
 
-    def _checkpoint(self) -> None:
-        """One step. Where it fails, batches go on: they may need less room."""
+    def _step_checkpoint(self) -> None:
+        """Do one step. Where it fails, batches go on: they may need less space."""
         try:
             self._log.checkpoint_step()
         except OSError:
@@ -121,32 +145,6 @@
             self._checkpoint_failing = False
 
     def _scrub(self) -> None:
-        """Read a piece; only while nothing waits."""
         self._scrub_from = time.monotonic() + SCRUB_SECONDS
         if group := self._log.scrub_step():
-            self._reactor.callFromThread(self._damaged, group)
-
-    def _wait(self) -> float:
-        """Seconds until there is something to do besides commands."""
-        scrub = max(self._scrub_from - time.monotonic(), 0.0)
-        checkpoint = self._checkpoint_wait()
-        return scrub if checkpoint is None else min(scrub, checkpoint)
-
-    def _checkpoint_wait(self) -> float | None:
-        """Seconds until a step of a checkpoint may be tried; None where none is due."""
-        if not self._log.wants_checkpoint:
-            return None
-        return max(self._checkpoint_from - time.monotonic(), 0.0)
-
-    def _next(self) -> list[JournalCommand] | None:
-        """The commands that wait; an empty list: a checkpoint or the scrub goes on; None: the end."""
-        with self._changed:
-            while not self._waiting:
-                if self._stopping.is_set():
-                    return None
-                wait = self._wait()
-                if wait == 0.0:
-                    return []
-                self._changed.wait(wait)
-            commands, self._waiting = self._waiting, []
-            return commands
+            self._reactor.callFromThread(self._snapshot_corrupted, group)
--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -1,61 +1,72 @@
-"""The data folder of a node as its role uses it, behind a protocol so that a simulation can give another."""
+"""The data directory of a node as its role uses it, behind a protocol that simulations replace."""
 
 from __future__ import annotations
 
 from contextlib import closing
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Protocol
 
-from bitternpath.storage.documents import CorruptDocumentError, load_document, remove_document, store_document
+from bitternpath.storage.documents import load_document, remove_document, store_document
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.files import LocalFileSystem
-from bitternpath.storage.identity import (
-    finish_quarantine,
-    load_identity,
-    quarantine_content,
-    quarantine_folders,
-)
+from bitternpath.storage.identity import load_identity
 from bitternpath.storage.journal import Journal, open_journal
+from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_folders
+from bitternpath.storage.reactor import ThreadCallReactor
 
 
 class NodeDisk(Protocol):
-    """Identity, journal and documents of one data folder. Every operation blocks, and may raise `OSError`."""
+    """Identity, journal and documents of a data directory. Each operation blocks and may raise `OSError`."""
 
     def load_identity(self) -> str:
-        """The disk's identity, drawn where it has none. Nothing is read of a disk before this."""
+        """Return the disk's identity, drawn where it has none. Nothing is read of a disk before this.
 
-    def open_journal(self, reactor: Any, checkpoint_bytes: int) -> Journal:
-        """Load the write-ahead log and start its runner; raises `CorruptJournalError`."""
+        Raises `CorruptJournalError`.
+        """
+
+    def open_journal(self, reactor: ThreadCallReactor, checkpoint_bytes: int) -> Journal:
+        """Load the write-ahead log and start its writer; raises `CorruptJournalError`.
+
+        `checkpoint_bytes` is the size of all segments above which a checkpoint is made.
+        """
 
     def read_document(self, name: str) -> bytes | None:
-        """A document's content, None where there is none; raises `CorruptDocumentError`."""
+        """Return a document's content, None where there is none; raises `CorruptDocumentError`."""
 
     def write_document(self, name: str, content: bytes) -> None:
-        """Replace a document; it is on disk when this returns."""
+        """Replace a document; it is durable when this returns."""
 
     def remove_document(self, name: str) -> None:
-        """Remove a document; no error where it is missing."""
+        """Remove a document durably; no error where it is missing."""
 
     def was_quarantined(self) -> bool:
-        """Whether content of this disk was set aside as damaged: then it isn't in its first life."""
+        """Whether content of this disk was quarantined: then it isn't in its first life."""
 
     def quarantine_content(self, max_bytes: int | None) -> str:
-        """Set all content aside as damaged; the name of the folder that has it."""
+        """Quarantine all content as corrupt, and keep it where it isn't more than `max_bytes`.
+
+        Returns the name of the quarantine's directory.
+        """
 
 
 class LocalDisk:
     """`NodeDisk` on the operating system's files."""
 
     def __init__(self, data_dir: Path) -> None:
+        """Open nothing yet."""
         self._data_dir = data_dir
 
     def load_identity(self) -> str:
+        """See `NodeDisk`. A quarantine that was interrupted is finished first."""
         finish_quarantine(self._data_dir)
         return load_identity(self._data_dir)
 
-    def open_journal(self, reactor: Any, checkpoint_bytes: int) -> Journal:
+    def open_journal(self, reactor: ThreadCallReactor, checkpoint_bytes: int) -> Journal:
+        """See `NodeDisk`."""
         return open_journal(self._data_dir, reactor, checkpoint_bytes)
 
     def read_document(self, name: str) -> bytes | None:
+        """See `NodeDisk`. The error names the file with its whole path."""
         with closing(LocalFileSystem(self._data_dir)) as files:
             try:
                 return load_document(files, name)
@@ -64,15 +75,19 @@
                 raise CorruptDocumentError(path, damage.offset, damage.reason) from damage
 
     def write_document(self, name: str, content: bytes) -> None:
+        """See `NodeDisk`."""
         with closing(LocalFileSystem(self._data_dir)) as files:
             store_document(files, name, content)
 
     def remove_document(self, name: str) -> None:
+        """See `NodeDisk`."""
         with closing(LocalFileSystem(self._data_dir)) as files:
             remove_document(files, name)
 
     def was_quarantined(self) -> bool:
+        """See `NodeDisk`."""
         return bool(quarantine_folders(self._data_dir))
 
     def quarantine_content(self, max_bytes: int | None) -> str:
+        """See `NodeDisk`."""
         return quarantine_content(self._data_dir, max_bytes)
--- /dev/null
+++ b/bitternpath/storage/record_format.py
@@ -0,0 +1,130 @@
+"""Encoding of the write-ahead log's records and segment headers.
+
+A record is a header and an Avro body. The header, little-endian: magic (4 bytes), CRC-32 of everything behind
+the checksum (4), length of the body (4), batch number (4), kind (1), flags (1). All records that are synced
+together are one batch; the last of them has the flag `LAST_OF_BATCH`. A batch is written only after the one
+before it was synced, so an intact record of a later batch behind a corrupt one proves that the corrupt one
+had been synced.
+
+A segment begins with a header of its own: magic, format version, salt, CRC-32. The salt is drawn for each
+segment and is the initial value of each record's CRC-32, so that payload bytes chosen by a client can't pass
+for a record.
+"""
+
+from __future__ import annotations
+
+import struct
+import zlib
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from bitternpath.storage.errors import CorruptJournalError
+from bitternpath.storage.records import CheckpointRecord, Record, RecordKind, TombstoneRecord, WriteRecord
+from bitternpath.transport.codec import CodecError, RecordCodec
+
+FORMAT_VERSION = 1  # of a segment
+MAGIC = b"\xb1WAL"
+SEGMENT_MAGIC = b"BTWL"
+LAST_OF_BATCH = 1  # flag
+
+_HEADER = struct.Struct("<4sIIIBB")  # magic, checksum, body length, batch, kind, flags
+_CHECKED_FIELDS = struct.Struct("<IIBB")  # the header's fields behind the checksum
+_CHECKED_FROM = _HEADER.size - _CHECKED_FIELDS.size
+_SEGMENT = struct.Struct("<4sII")  # magic, format version, salt
+_SEGMENT_CHECKSUM = struct.Struct("<I")
+HEADER_BYTES = _HEADER.size
+SEGMENT_HEADER_BYTES = _SEGMENT.size + _SEGMENT_CHECKSUM.size
+
+_KINDS: dict[type, RecordKind] = {
+    WriteRecord: RecordKind.WRITE,
+    CheckpointRecord: RecordKind.CHECKPOINT,
+    TombstoneRecord: RecordKind.TOMBSTONE,
+}
+_CODECS = {kind: RecordCodec(record) for record, kind in _KINDS.items()}
+
+
+@dataclass(frozen=True, slots=True)
+class RecordFrame:
+    """An intact record, as found in a segment.
+
+    Attributes:
+        start: offset of the header in the segment.
+        end: offset behind the body.
+        batch: number of the batch.
+        is_last: whether the batch ends with it.
+        record: the decoded body.
+    """
+
+    start: int
+    end: int
+    batch: int
+    is_last: bool
+    record: Record
+
+
+def encode_segment_header(salt: int) -> bytes:
+    """Encode the first `SEGMENT_HEADER_BYTES` of a segment."""
+    fields = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT_VERSION, salt)
+    return fields + _SEGMENT_CHECKSUM.pack(zlib.crc32(fields))
+
+
+def decode_segment_header(data: bytes) -> int | None:
+    """Return the salt of the segment that begins with `data`; None where its header isn't intact."""
+    if len(data) < SEGMENT_HEADER_BYTES:
+        return None
+    magic, version, salt = _SEGMENT.unpack_from(data)
+    (checksum,) = _SEGMENT_CHECKSUM.unpack_from(data, _SEGMENT.size)
+    is_intact = magic == SEGMENT_MAGIC and checksum == zlib.crc32(data[: _SEGMENT.size])
+    return int(salt) if is_intact and version == FORMAT_VERSION else None
+
+
+def encode_batch(salt: int, batch: int, records: Sequence[Record]) -> bytes:
+    """Encode the records of one batch, for a segment with that salt."""
+    parts = []
+    for position, record in enumerate(records, 1):
+        kind = _KINDS[type(record)]
+        body = _CODECS[kind].encode(record)
+        flags = LAST_OF_BATCH if position == len(records) else 0
+        checked_fields = _CHECKED_FIELDS.pack(len(body), batch, kind, flags)
+        checksum = _checksum(salt, checked_fields, body)
+        parts.append(_HEADER.pack(MAGIC, checksum, len(body), batch, kind, flags))
+        parts.append(body)
+    return b"".join(parts)
+
+
+def read_frame(file: str, salt: int, data: bytes, offset: int) -> RecordFrame | None:
+    """Decode the record at an offset of a segment's data; None where none is intact there.
+
+    Raises:
+        CorruptJournalError: a body with the right checksum is no record; `file` names the segment in it.
+    """
+    start = offset + HEADER_BYTES
+    if start > len(data):
+        return None
+    magic, checksum, length, batch, kind, flags = _HEADER.unpack_from(data, offset)
+    end = start + length
+    if magic != MAGIC or end > len(data):
+        return None
+    body = memoryview(data)[start:end]
+    if _checksum(salt, data[offset + _CHECKED_FROM : start], body) != checksum:
+        return None
+    try:
+        record: Record = _CODECS[RecordKind(kind)].decode(bytes(body))
+    except (ValueError, CodecError) as error:
+        raise CorruptJournalError(file, offset, f"unreadable record: {error}") from error
+    return RecordFrame(offset, end, batch, bool(flags & LAST_OF_BATCH), record)
+
+
+def contains_batch_from(file: str, salt: int, data: bytes, offset: int, batch: int) -> bool:
+    """Whether an intact record of that batch or a later one begins anywhere from the offset on."""
+    position = data.find(MAGIC, offset)
+    while position >= 0:
+        frame = read_frame(file, salt, data, position)
+        if frame is not None and frame.batch >= batch:
+            return True
+        position = data.find(MAGIC, position + 1)
+    return False
+
+
+def _checksum(salt: int, checked_fields: bytes, body: bytes | memoryview) -> int:
+    return zlib.crc32(body, zlib.crc32(checked_fields, salt))
--- a/bitternpath/storage/scrub.py
+++ b/bitternpath/storage/scrub.py
@@ -1,128 +1,157 @@
-"""Reads files that were synced again, piece by piece, and checks them: damage is found while memory and the
-other replicas still hold what the file held. Blocks; for the owner of the files."""
+"""Checksum scrub: reads synced files again, chunk by chunk, and verifies them.
+
+Corruption is found this way while memory and the other replicas still hold what the file held. Blocks; for
+the thread that owns the files.
+"""
 
 from __future__ import annotations
 
 import zlib
 from collections.abc import Sequence
+from contextlib import suppress
 from dataclasses import dataclass
 from typing import Protocol
 
+from bitternpath.storage.errors import CorruptJournalError
 from bitternpath.storage.files import FileSystem
-from bitternpath.storage.records import (
-    SEGMENT_HEADER_BYTES,
-    CorruptJournalError,
-    decode_segment_header,
-    read_frame,
-)
-from bitternpath.storage.snapshots import HEADER_BYTES, header_of
+from bitternpath.storage.record_format import SEGMENT_HEADER_BYTES, decode_segment_header, read_frame
+from bitternpath.storage.snapshots import HEADER_BYTES as SNAPSHOT_HEADER_BYTES
+from bitternpath.storage.snapshots import encode_header as encode_snapshot_header
 
-PIECE_BYTES = 256 << 10  # read at once: a batch that comes meanwhile waits a few milliseconds at most
+CHUNK_BYTES = 256 << 10  # read at once: a batch that arrives meanwhile waits a few milliseconds at most
 
 
-class Check(Protocol):
-    """Takes a file's bytes in order."""
+class FileVerifier(Protocol):
+    """Verifies one file, whose bytes it gets in order."""
 
-    def add(self, piece: bytes) -> None:
-        """The next ones."""
+    def update(self, chunk: bytes) -> None:
+        """Take the next bytes."""
 
-    def is_whole(self) -> bool:
-        """Whether all of them were what was written."""
+    def is_intact(self) -> bool:
+        """Whether all bytes so far are what was written."""
 
 
-class SegmentCheck:
-    """Whole records from the header to the end."""
+class SegmentVerifier:
+    """Expects a segment's header and intact records up to the end."""
 
     def __init__(self, path: str) -> None:
-        self._path, self._rest = path, b""
+        """Begin with the file at `path`, which errors name."""
+        self._path = path
+        self._unverified = b""
         self._salt: int | None = None
-        self._begun = False
-
-    def add(self, piece: bytes) -> None:
-        self._rest += piece
-        if not self._begun and len(self._rest) >= SEGMENT_HEADER_BYTES:
-            self._salt = decode_segment_header(self._rest)
-            self._rest, self._begun = self._rest[SEGMENT_HEADER_BYTES:], True
+        self._header_read = False
+
+    def update(self, chunk: bytes) -> None:
+        """Take the next bytes; the rest of a record that isn't complete yet waits for the next chunk."""
+        self._unverified += chunk
+        if not self._header_read and len(self._unverified) >= SEGMENT_HEADER_BYTES:
+            self._salt = decode_segment_header(self._unverified)
+            self._unverified = self._unverified[SEGMENT_HEADER_BYTES:]
+            self._header_read = True
         if self._salt is not None:
-            self._rest = self._rest[self._whole_records(self._salt) :]
+            self._unverified = self._unverified[self._intact_bytes(self._salt) :]
 
-    def _whole_records(self, salt: int) -> int:
+    def _intact_bytes(self, salt: int) -> int:
         offset = 0
-        try:
-            while (frame := read_frame(self._path, salt, self._rest, offset)) is not None:
+        with suppress(CorruptJournalError):  # then what is left is no record
+            while (frame := read_frame(self._path, salt, self._unverified, offset)) is not None:
                 offset = frame.end
-        except CorruptJournalError:
-            pass  # what is left is no record
         return offset
 
-    def is_whole(self) -> bool:
-        return self._salt is not None and not self._rest
+    def is_intact(self) -> bool:
+        """Whether there was a header, and nothing but records behind it."""
+        return self._salt is not None and not self._unverified
 
 
-class SnapshotCheck:
-    """A header that fits the data behind it."""
+class SnapshotVerifier:
+    """Expects a snapshot's header that fits the data behind it."""
 
     def __init__(self) -> None:
-        self._header, self._checksum, self._size = b"", 0, 0
+        """Begin with a file."""
+        self._header = b""
+        self._checksum = 0
+        self._size = 0
 
-    def add(self, piece: bytes) -> None:
-        missing = HEADER_BYTES - len(self._header)
-        self._header += piece[:missing]
-        data = piece[missing:] if missing else piece
-        self._checksum, self._size = zlib.crc32(data, self._checksum), self._size + len(data)
+    def update(self, chunk: bytes) -> None:
+        """Take the next bytes, those of the header first."""
+        missing = SNAPSHOT_HEADER_BYTES - len(self._header)
+        self._header += chunk[:missing]
+        data = chunk[missing:] if missing else chunk
+        self._checksum = zlib.crc32(data, self._checksum)
+        self._size += len(data)
 
-    def is_whole(self) -> bool:
-        return self._header == header_of(self._checksum, self._size)
+    def is_intact(self) -> bool:
+        """Whether the header has the checksum and the length of the data."""
+        return self._header == encode_snapshot_header(self._checksum, self._size)
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
-    """A file, and up to where it was synced."""
+class ScrubTarget:
+    """A file to be verified.
+
+    Attributes:
+        path: the file.
+        size: bytes up to which it was synced.
+        is_segment: a segment, else a snapshot.
+    """
 
     path: str
     size: int
     is_segment: bool
 
+    def verifier(self) -> FileVerifier:
+        """Make the verifier for the kind of file."""
+        return SegmentVerifier(self.path) if self.is_segment else SnapshotVerifier()
+
 
 class Scrubber:
-    """Goes round all files, a piece a step."""
+    """Verifies all files in turn, ordered by path, one chunk a step."""
 
     def __init__(self, files: FileSystem) -> None:
+        """Begin with the first file by path."""
         self._files = files
-        self._target: Target | None = None
-        self._offset = 0
-        self._next_after = ""  # path of the last one that was read whole
-        self._check: Check = SnapshotCheck()
+        self._target: ScrubTarget | None = None  # being read
+        self._verifier: FileVerifier = SnapshotVerifier()  # of the target
+        self._offset = 0  # in the target
+        self._last_verified = ""  # path
+
+    def step(self, targets: Sequence[ScrubTarget]) -> ScrubTarget | None:
+        """Read one chunk.
 
-    def step(self, targets: Sequence[Target]) -> Target | None:
-        """Read on; the file that was found damaged, if one was. `targets`: all files, in any order."""
+        Args:
+            targets: all files that there are now, in any order.
+
+        Returns:
+            The file that this step found to be corrupt; a file that can't be read counts as that.
+        """
         paths = {target.path for target in targets}
         if self._target is None or self._target.path not in paths:
-            self._begin(targets)
+            self._begin_next(targets)
         target = self._target
         if target is None:
             return None
-        try:
-            piece = self._files.read_range(
-                target.path, self._offset, min(PIECE_BYTES, target.size - self._offset)
-            )
-        except OSError:
-            piece = b""  # it can't be read: as bad as damaged
-        self._check.add(piece)
-        self._offset += len(piece)
-        if piece and self._offset < target.size:
+        chunk = self._read_chunk(target)
+        self._verifier.update(chunk)
+        self._offset += len(chunk)
+        if chunk and self._offset < target.size:
             return None
-        damaged = self._offset < target.size or not self._check.is_whole()
-        self._next_after = target.path
+        is_corrupt = self._offset < target.size or not self._verifier.is_intact()
+        self._last_verified = target.path
         self._target = None
-        return target if damaged else None
+        return target if is_corrupt else None
+
+    def _read_chunk(self, target: ScrubTarget) -> bytes:
+        size = min(CHUNK_BYTES, target.size - self._offset)
+        try:
+            return self._files.read_range(target.path, self._offset, size)
+        except OSError:
+            return b""
 
-    def _begin(self, targets: Sequence[Target]) -> None:
-        """The next file by name, or the first one again."""
+    def _begin_next(self, targets: Sequence[ScrubTarget]) -> None:
+        """Choose the next file by path; behind the last one, the first one again."""
         ordered = sorted((target for target in targets if target.size), key=lambda target: target.path)
-        later = [target for target in ordered if target.path > self._next_after]
+        later = [target for target in ordered if target.path > self._last_verified]
         self._target = next(iter(later or ordered), None)
         self._offset = 0
         if self._target is not None:
-            is_segment = self._target.is_segment
-            self._check = SegmentCheck(self._target.path) if is_segment else SnapshotCheck()
+            self._verifier = self._target.verifier()
--- a/bitternpath/testing/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -12,11 +12,8 @@
 from bitternpath.storage.identity import load_identity
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import (
-    SimulatedCrashError,
-    SimulatedFileSystem,
-    VirtualTimeJournalWriter,
-)
+from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.testing.simulation.settings import LogSizes
 
 IDENTITY_BITS = 32
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -28,7 +28,8 @@
 from bitternpath.replication.records import Members
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.testing.simulation.repair_controller import LATENCY_S, SYNC_S, Controller
 from bitternpath.testing.simulation.replica_checker import (
     Checker,
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -23,7 +23,8 @@
 from bitternpath.replication.records import Members, RaftTiming
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.testing.simulation.replica_checker import (
     Checker,
     CommandLogMachine,
--- a/tests/system/test_command_line.py
+++ b/tests/system/test_command_line.py
@@ -25,9 +25,10 @@
 from bitternpath.storage.commands import Batch, NewSnapshot
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.group_state import bootstrap_record, write_record
-from bitternpath.storage.identity import load_identity, quarantine_content
+from bitternpath.storage.identity import load_identity
 from bitternpath.storage.node_disk import LocalDisk
-from bitternpath.storage.records import SEGMENT_HEADER_BYTES
+from bitternpath.storage.quarantine import quarantine_content
+from bitternpath.storage.record_format import SEGMENT_HEADER_BYTES
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.storage.snapshots import file_name
 from bitternpath.transport.codec import RecordCodec
--- a/tests/system/test_folder_syncs.py
+++ b/tests/system/test_folder_syncs.py
@@ -12,7 +12,8 @@
 from unittest.mock import patch
 
 from bitternpath.storage import snapshots
-from bitternpath.storage.documents import CorruptDocumentError, load_document, remove_document, store_document
+from bitternpath.storage.documents import load_document, remove_document, store_document
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.identity import load_identity
 from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
 from tests.system.test_journal import PowerLoss
@@ -134,7 +135,7 @@
 
     def test_a_build_without_a_sync_of_a_folder_is_caught(self) -> None:
         real = SimulatedFileSystem.sync_directory
-        for folder in ("journal", snapshots.FOLDER):
+        for folder in ("journal", snapshots.DIRECTORY):
 
             def unsynced(self: SimulatedFileSystem, synced: str, folder: str = folder) -> None:
                 if synced != folder:
--- a/tests/system/test_full_disks.py
+++ b/tests/system/test_full_disks.py
@@ -21,7 +21,8 @@
 from bitternpath.storage.group_state import write_record
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 
 DISK = 64 << 10  # bytes: a disk of 64 MB at a thousandth of its size
 LOG_SHARE = 0.35  # of the disk, before a checkpoint
@@ -98,13 +99,13 @@
         disk.capacity = 52_000
         self.assertGreater(disk.used + 21_000, disk.capacity)
         log.write(self.snapshot_batch())
-        self.assertEqual(log.kept("g").snapshot.index, 2)
-        self.assertEqual(opened(disk).kept("g").snapshot, log.kept("g").snapshot)
+        self.assertEqual(log.persistent_state("g").snapshot.index, 2)
+        self.assertEqual(opened(disk).persistent_state("g").snapshot, log.persistent_state("g").snapshot)
 
     def test_a_build_that_frees_nothing_is_caught(self) -> None:
         disk, log = self.overwritten()
         disk.capacity = 52_000
-        with patch.object(SegmentLog, "_free_room", lambda self: False):
+        with patch.object(SegmentLog, "_free_space", lambda self: False):
             for _ in range(20):
                 with self.assertRaises(OSError):
                     log.write(self.snapshot_batch())
@@ -119,7 +120,7 @@
             self.assertEqual(caught.exception.errno, errno.ENOSPC)
         disk.capacity = None
         log.write(batch)
-        self.assertEqual(opened(disk).kept("g").snapshot.index, 2)
+        self.assertEqual(opened(disk).persistent_state("g").snapshot.index, 2)
 
     def test_a_segment_that_was_refused_does_not_make_a_torn_end_look_like_damage(self) -> None:
         """A checkpoint on a full disk left the next segment with a part of its header. Batches went on in
@@ -134,7 +135,7 @@
             with suppress(OSError):
                 log.write(Batch([record], []))
             disk.restart()
-            self.assertEqual(len(opened(disk).kept("g").entries), 1)
+            self.assertEqual(len(opened(disk).persistent_state("g").entries), 1)
 
     def test_a_failing_disk_that_is_not_full_is_not_written_anew(self) -> None:
         disk, log = self.overwritten()
--- a/tests/system/test_journal.py
+++ b/tests/system/test_journal.py
@@ -16,26 +16,19 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot, StorageWrite
-from bitternpath.storage import disk as disk_module
-from bitternpath.storage import snapshots
+from bitternpath.storage import journal_writer_thread, snapshots
+from bitternpath.storage.checkpoint import Checkpointer
 from bitternpath.storage.commands import Batch, JournalCommand, NewSnapshot, batch_of
-from bitternpath.storage.disk import JournalWriterThread
+from bitternpath.storage.errors import CorruptJournalError
 from bitternpath.storage.group_state import GroupStates, bootstrap_record, write_record
 from bitternpath.storage.identity import IDENTITY_FILE, load_identity
 from bitternpath.storage.journal import Journal, open_journal
-from bitternpath.storage.records import (
-    HEADER_BYTES,
-    SEGMENT_HEADER_BYTES,
-    CorruptJournalError,
-    TombstoneRecord,
-    encode_batch,
-)
+from bitternpath.storage.journal_writer_thread import JournalWriterThread
+from bitternpath.storage.record_format import HEADER_BYTES, SEGMENT_HEADER_BYTES, encode_batch
+from bitternpath.storage.records import TombstoneRecord
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import (
-    SimulatedCrashError,
-    SimulatedFileSystem,
-    VirtualTimeJournalWriter,
-)
+from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 
 FIRST = "journal/segment-00000001.log"
 MEMBERS = Members(("a", "b", "c"))
@@ -66,7 +59,7 @@
 
 
 def plain(log: SegmentLog) -> dict[str, PersistentState]:
-    return {group: log.kept(group) for group in log.groups}
+    return {group: log.persistent_state(group) for group in log.groups}
 
 
 class Reading(unittest.TestCase):
@@ -105,7 +98,7 @@
             log.checkpoint_step()
         self.assertNotIn(FIRST, disk.paths())
         again = open_log(disk)
-        self.assertEqual((again.groups, again.forgotten), ((), {"g/1": 0}))
+        self.assertEqual((again.groups, again.tombstones), ((), {"g/1": 0}))
 
     def test_bytes_used_are_those_of_the_files(self) -> None:
         disk = SimulatedFileSystem()
@@ -135,7 +128,7 @@
             torn = SimulatedFileSystem()
             torn.write_at(FIRST, 0, data[:size])
             again = open_log(torn)
-            self.assertEqual(again.kept("g").entries, list(entries(1, 1)), size)
+            self.assertEqual(again.persistent_state("g").entries, list(entries(1, 1)), size)
             self.assertEqual(torn.size(FIRST), whole)
             again.write(batch(("g", write(2, term=5))))
             self.assertEqual(plain(open_log(torn))["g"].entries, [*entries(1, 1), *entries(2, 1, term=5)])
@@ -151,7 +144,7 @@
             torn = SimulatedFileSystem()
             torn.write_at(FIRST, 0, data)
             torn.corrupt_byte(FIRST, place)
-            self.assertEqual(open_log(torn).kept("g").entries, list(entries(1, 1)), place)
+            self.assertEqual(open_log(torn).persistent_state("g").entries, list(entries(1, 1)), place)
 
     def test_a_segment_whose_header_was_not_synced_is_begun_again(self) -> None:
         for size in range(SEGMENT_HEADER_BYTES + 1):
@@ -186,9 +179,9 @@
         log.write(batch(("g", write(1))))
         data = encode_batch(SALT, 2, batch(("g", write(2, term=9))).records)
         disk.write_at(FIRST, disk.size(FIRST), data)  # the process is killed before the sync
-        self.assertEqual(open_log(disk).kept("g").term, 9)
+        self.assertEqual(open_log(disk).persistent_state("g").term, 9)
         disk.lose_power(Random(1))
-        self.assertEqual(open_log(disk).kept("g").term, 9)
+        self.assertEqual(open_log(disk).persistent_state("g").term, 9)
 
     def test_a_clients_bytes_that_look_like_a_record_prove_nothing(self) -> None:
         """A torn record whose body holds what would be a whole record of a later batch."""
@@ -203,7 +196,7 @@
             )
         )
         disk.corrupt_byte(FIRST, whole + HEADER_BYTES)
-        self.assertEqual(open_log(disk).kept("g").entries, list(entries(1, 1)))
+        self.assertEqual(open_log(disk).persistent_state("g").entries, list(entries(1, 1)))
 
 
 class Damage(unittest.TestCase):
@@ -307,7 +300,7 @@
         found = {}
         for group, state in self.states.by_group.items():
             snapshot = self.snapshots[group] if state.snapshot.size else Snapshot()
-            before = state.before_index, state.before_term
+            before = state.compacted_index, state.compacted_term
             found[group] = PersistentState(state.term, state.vote, snapshot, before, list(state.entries))
         return found
 
@@ -320,7 +313,7 @@
             return JournalCommand(TombstoneRecord(group), None, None)
         before, last, term = (0, 0), 0, 1
         if state is not None:
-            before = state.before_index, state.before_term
+            before = state.compacted_index, state.compacted_term
             last, term = before[0] + len(state.entries), state.term
         cut = None
         if random.random() < 0.2 and state is not None and last > state.snapshot.index:
@@ -390,7 +383,7 @@
         found = plain(open_log(disk))
         place = max(i for i, state in enumerate(history.seen) if state == found)
         history.acknowledged, history.seen = 0, [history.seen[place]]
-        history.states = open_log(disk)._states
+        history.states = open_log(disk).states
         history.snapshots = {group: kept.snapshot for group, kept in found.items()}
 
     def test_a_build_that_acknowledges_before_the_sync_is_caught(self) -> None:
@@ -403,21 +396,21 @@
             self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
 
     def test_a_build_that_removes_old_segments_before_the_checkpoint_is_whole_is_caught(self) -> None:
-        def hasty(self: SegmentLog, group: str) -> None:
-            if self._closed:
-                self._remove_segment(min(self._closed))
+        def hasty(self: Checkpointer, group: str) -> None:
+            if (oldest := self._segments.oldest_closed) is not None:
+                self._segments.remove_closed(oldest)
             real(self, group)
 
-        real = SegmentLog._write_state
+        real = Checkpointer._write_state
         with (
-            patch.object(SegmentLog, "_write_state", hasty),
+            patch.object(Checkpointer, "_write_state", hasty),
             self.assertRaises((AssertionError, CorruptJournalError)),
         ):
             self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
 
     def test_a_build_that_names_a_snapshot_before_its_folder_is_synced_is_caught(self) -> None:
         def unsynced(self: SimulatedFileSystem, folder: str) -> None:
-            if folder != snapshots.FOLDER:
+            if folder != snapshots.DIRECTORY:
                 real(self, folder)
 
         real = SimulatedFileSystem.sync_directory
@@ -569,7 +562,8 @@
             call(*arguments)  # type: ignore[operator]
 
     def test_writes_survive_a_restart(self) -> None:
-        unhurried = patch.object(disk_module, "STOP_SECONDS", 60.0)  # 300 syncs may take a full disk seconds
+        # 300 syncs may take a busy disk seconds.
+        unhurried = patch.object(journal_writer_thread, "STOP_SECONDS", 60.0)
         with tempfile.TemporaryDirectory() as folder, unhurried:
             data_dir = Path(folder) / "data"
             journal = open_journal(data_dir, self.Reactor(), checkpoint_bytes=20_000, segment_bytes=4_000)
@@ -600,7 +594,7 @@
             real(batch)
 
         log.write = refuse_twice  # type: ignore[method-assign]
-        with patch.object(disk_module, "RETRY_SECONDS", 0.0):
+        with patch.object(journal_writer_thread, "RETRY_SECONDS", 0.0):
             journal = Journal(log, JournalWriterThread(RealFiles.Reactor()))
             journal.write("g", write(1), written.set)
             self.assertTrue(written.wait(10))
--- a/tests/system/test_member_changes.py
+++ b/tests/system/test_member_changes.py
@@ -19,7 +19,8 @@
 from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress, MembershipReport
 
 
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -35,14 +35,9 @@
 from bitternpath.storage.documents import read_document
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.group_state import bootstrap_record
-from bitternpath.storage.identity import (
-    finish_quarantine,
-    load_identity,
-    quarantine_content,
-    quarantine_folders,
-    read_identity,
-)
+from bitternpath.storage.identity import load_identity, read_identity
 from bitternpath.storage.node_disk import LocalDisk
+from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_folders
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
 from bitternpath.transport.operator_messages import OperatorRequest
@@ -476,7 +471,8 @@
                 journal = process.node.base.journal
                 assert journal is not None
                 process.shut_down(lambda: calls.append(("end", reactor.seconds())))  # noqa: B023
-                journal.found("g", PersistentState(snapshot=Snapshot(members=Members((ME.member,)))))
+                first = PersistentState(snapshot=Snapshot(members=Members((ME.member,))))
+                journal.bootstrap_group("g", first)
                 reactor.pump([0.05] * 200)
                 self.assertEqual([name for name, _ in calls], ["links", "disk", "end"])
                 self.assertGreater(calls[1][1], calls[0][1])  # links are closed in a turn of the reactor
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -34,15 +34,13 @@
 )
 from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.replication.wire import decode_message, encode_message
+from bitternpath.storage.commands import JournalCommand
 from bitternpath.storage.group_state import GroupState
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.records import WriteRecord
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import (
-    JournalCommand,
-    SimulatedFileSystem,
-    VirtualTimeJournalWriter,
-)
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Plan, Process, World
 from bitternpath.transport.codec import CodecError
@@ -887,7 +885,9 @@
         write = StorageWrite(1, 1, "", None, (), Snapshot(4, 1, TRIO, b""), (4, 1))
         journal.write("g", write, lambda: None)
         clock.advance(0)
-        self.assertEqual(SegmentLog(disk, lambda: 1, 1 << 20).kept("g").snapshot, Snapshot(4, 1, TRIO, b""))
+        self.assertEqual(
+            SegmentLog(disk, lambda: 1, 1 << 20).persistent_state("g").snapshot, Snapshot(4, 1, TRIO, b"")
+        )
 
 
 if __name__ == "__main__":
--- a/tests/system/test_scrub.py
+++ b/tests/system/test_scrub.py
@@ -15,13 +15,14 @@
 from bitternpath.replication.group import CompactionBounds
 from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
 from bitternpath.replication.records import Members
-from bitternpath.storage import disk as disk_module
-from bitternpath.storage.disk import JournalWriterThread
+from bitternpath.storage import journal_writer_thread
+from bitternpath.storage.errors import CorruptJournalError
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.journal import Journal
-from bitternpath.storage.records import CorruptJournalError
+from bitternpath.storage.journal_writer_thread import JournalWriterThread
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from tests.system.test_full_disks import Last, Nobody
 
 SEGMENT_BYTES = 4_000
@@ -73,10 +74,10 @@
     def assert_mended(self, path: str, offset: int) -> None:
         self.disk.corrupt_byte(path, offset)
         with self.assertRaises(CorruptJournalError):
-            opened(self.disk).kept("g")
+            opened(self.disk).persistent_state("g")
         self.journal_writer.scrub(STEPS)
         self.settle(0.1)
-        kept = opened(self.disk).kept("g")
+        kept = opened(self.disk).persistent_state("g")
         raft = self.host.groups["g"].raft
         self.assertEqual((kept.snapshot, kept.entries), (raft.snapshot, raft.log.entries))
 
@@ -99,7 +100,7 @@
     def test_a_build_that_scrubs_nothing_is_caught(self) -> None:
         (path,) = self.files("snapshots")
         with (
-            patch.object(SegmentLog, "scrub_step", lambda self: ""),
+            patch.object(SegmentLog, "scrub_step", lambda self: None),
             self.assertRaises(CorruptJournalError),
         ):
             self.assert_mended(path, 500)
@@ -121,7 +122,7 @@
         scrubbed = threading.Event()
         with (
             tempfile.TemporaryDirectory() as folder,
-            patch.object(disk_module, "SCRUB_SECONDS", 0.001),
+            patch.object(journal_writer_thread, "SCRUB_SECONDS", 0.001),
             patch.object(SegmentLog, "scrub_step", lambda self: "g"),
         ):
             thread = JournalWriterThread(Reactor())
