--- /dev/null
+++ b/tests/system/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the storage package."""
--- /dev/null
+++ b/tests/system/storage/test_directory_syncs.py
@@ -0,0 +1,146 @@
+"""Each writer of files on a disk on which every name that was added, renamed or removed without a sync of its
+directory is kept or lost by itself at a loss of power (DEPLOY, "On the machines")."""
+
+from __future__ import annotations
+
+import unittest
+from collections.abc import Callable
+from contextlib import AbstractContextManager, suppress
+from functools import partial
+from pathlib import Path
+from random import Random
+from unittest.mock import patch
+
+from bitternpath.storage import segment_loading, snapshots
+from bitternpath.storage.documents import load_document, remove_document, store_document
+from bitternpath.storage.errors import CorruptDocumentError
+from bitternpath.storage.files import FileSystem
+from bitternpath.storage.identity import load_identity
+from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
+from tests.system.storage import test_power_loss
+
+NAME = "founding"
+SEEDS = 8  # of what a loss of power leaves
+STEPS_OF_DOCUMENT = 6  # operations of one write, and one more
+
+make_strict_disk = partial(SimulatedFileSystem, fsync_persists_name=False)
+
+
+def without_directory_syncs() -> AbstractContextManager[object]:
+    """A build that doesn't sync directories."""
+    return patch.object(SimulatedFileSystem, "sync_directory", lambda self, directory: None)
+
+
+class Documents(unittest.TestCase):
+    """The bootstrap decision, and the feed's cache."""
+
+    def crash(self, disk: SimulatedFileSystem, work: Callable[[], None], steps: int) -> bool:
+        """Do the work, with the process killed after so many operations; whether it was completed."""
+        disk.crash_at = disk.steps + steps
+        completed = False
+        with suppress(SimulatedCrashError):
+            work()
+            completed = True
+        disk.restart()
+        return completed
+
+    def assert_removal_is_durable(self, remove: Callable[[FileSystem, str], None]) -> None:
+        for seed in range(SEEDS):
+            disk = make_strict_disk()
+            store_document(disk, NAME, b"old")
+            remove(disk, NAME)
+            disk.lose_power(Random(seed))
+            self.assertIsNone(load_document(disk, NAME))
+
+    def test_a_completed_write_is_kept_and_another_leaves_the_old_or_the_new_content(self) -> None:
+        for steps in range(1, STEPS_OF_DOCUMENT + 1):
+            for seed in range(SEEDS):
+                disk = make_strict_disk()
+                store_document(disk, NAME, b"old")
+                completed = self.crash(disk, partial(store_document, disk, NAME, b"new content"), steps)
+                disk.lose_power(Random(seed))
+                allowed = (b"new content",) if completed else (b"old", b"new content")
+                self.assertIn(load_document(disk, NAME), allowed, (steps, seed))
+
+    def test_what_a_process_has_read_is_kept(self) -> None:
+        """Its writer was killed between the rename and the sync of the directory. A founding member that took
+        part on the strength of it had no bootstrap decision after the next loss of power."""
+        for steps in range(1, STEPS_OF_DOCUMENT + 1):
+            for seed in range(SEEDS):
+                disk = make_strict_disk()
+                self.crash(disk, partial(store_document, disk, NAME, b"new"), steps)
+                read = load_document(disk, NAME)
+                disk.lose_power(Random(seed))
+                self.assertEqual(load_document(disk, NAME) if read else None, read, (steps, seed))
+
+    def test_a_removed_document_does_not_come_back(self) -> None:
+        self.assert_removal_is_durable(remove_document)
+
+    def test_builds_without_a_sync_of_the_directory_are_caught(self) -> None:
+        checks = (
+            self.test_a_completed_write_is_kept_and_another_leaves_the_old_or_the_new_content,
+            self.test_what_a_process_has_read_is_kept,
+        )
+        for check in checks:
+            with (
+                self.subTest(check.__name__),
+                without_directory_syncs(),
+                self.assertRaises((AssertionError, CorruptDocumentError)),
+            ):
+                check()
+
+    def test_a_build_that_removes_without_a_sync_is_caught(self) -> None:
+        def unsynced(files: FileSystem, name: str) -> None:
+            with without_directory_syncs():
+                remove_document(files, name)
+
+        with self.assertRaises(AssertionError):
+            self.assert_removal_is_durable(unsynced)
+
+
+class Identity(unittest.TestCase):
+    def assert_used_identity_is_found_again(self) -> None:
+        for steps in range(1, STEPS_OF_DOCUMENT + 1):
+            for seed in range(SEEDS):
+                disk = make_strict_disk()
+                disk.crash_at = steps
+                with suppress(SimulatedCrashError):
+                    load_identity(Path(), disk, lambda: "11111111")
+                disk.restart()
+                used = load_identity(Path(), disk, lambda: "22222222")
+                disk.lose_power(Random(seed))
+                self.assertEqual(load_identity(Path(), disk, lambda: "33333333"), used, (steps, seed))
+
+    def test_an_identity_that_was_used_is_never_lost(self) -> None:
+        self.assert_used_identity_is_found_again()
+
+    def test_a_build_without_a_sync_of_the_directory_is_caught(self) -> None:
+        with without_directory_syncs(), self.assertRaises(AssertionError):
+            self.assert_used_identity_is_found_again()
+
+
+class JournalAndSnapshots(test_power_loss.PowerLoss):
+    """All power losses of the write-ahead log, on this disk."""
+
+    def make_disk(self) -> SimulatedFileSystem:
+        return make_strict_disk()
+
+    def test_a_build_without_a_sync_of_a_directory_is_caught(self) -> None:
+        real = SimulatedFileSystem.sync_directory
+        for directory in (segment_loading.DIRECTORY, snapshots.DIRECTORY):
+
+            def unsynced(self: SimulatedFileSystem, synced: str, unsynced: str = directory) -> None:
+                if synced != unsynced:
+                    real(self, synced)
+
+            with (
+                self.subTest(directory),
+                patch.object(SimulatedFileSystem, "sync_directory", unsynced),
+                self.assertRaises(Exception) as caught,
+            ):
+                self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+            self.assertNotIsInstance(caught.exception, SimulatedCrashError)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/system/test_full_disks.py
+++ b/tests/system/storage/test_full_disks.py
@@ -1,17 +1,13 @@
-"""Tests of disks that fill: a checkpoint and two snapshots at once fit, or the batch waits without damage."""
+"""Tests of disks that fill: a checkpoint and two snapshots fit at once, or the batch waits, uncorrupted."""
 
 from __future__ import annotations
 
 import errno
 import os
-import unittest
-from collections import deque
 from contextlib import suppress
 from random import Random
 from unittest.mock import patch
 
-import logbook
-import msgspec
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds, bounds_for_disk
@@ -23,65 +19,31 @@
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
 from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
+from tests.system.storage.quiet import QuietTestCase
+from tests.system.storage.state_machines import LastCommands, SilentListener
 
-DISK = 64 << 10  # bytes: a disk of 64 MB at a thousandth of its size
+DISK_BYTES = 64 << 10  # a disk of 64 MB at a thousandth of its size
 LOG_SHARE = 0.35  # of the disk, before a checkpoint
-KEPT = 100  # changes of which the state consists
 CHANGE_BYTES = 100
 SEGMENT_BYTES = 8 << 10
 
 
-class Last:
-    """State machine: the last changes."""
+def open_segment_log(disk: SimulatedFileSystem) -> SegmentLog:
+    """Load the log of a disk."""
+    return SegmentLog(disk, lambda: 1, int(DISK_BYTES * LOG_SHARE), SEGMENT_BYTES)
 
-    def __init__(self, kept: int) -> None:
-        self.commands: deque[bytes] = deque(maxlen=kept)
 
-    def apply(self, index: int, command: bytes) -> object:
-        self.commands.append(command)
-        return None
-
-    def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(list(self.commands))
-
-    def restore(self, data: bytes) -> None:
-        self.commands.extend(msgspec.msgpack.decode(data, type=list[bytes]))
-
-
-class Nobody:
-    """Isn't told anything."""
-
-    def became_owner(self, epoch: int) -> None: ...
-
-    def lost_ownership(self) -> None: ...
-
-    def applied(self, index: int, command: bytes, result: object) -> None: ...
-
-
-class Quiet(unittest.TestCase):
-    def setUp(self) -> None:
-        handler = logbook.NullHandler()
-        handler.push_application()
-        self.addCleanup(handler.pop_application)
-
-
-def opened(disk: SimulatedFileSystem) -> SegmentLog:
-    """Its log."""
-    return SegmentLog(disk, lambda: 1, int(DISK * LOG_SHARE), SEGMENT_BYTES)
-
-
-class Batches(Quiet):
-    def overwritten(self) -> tuple[SimulatedFileSystem, SegmentLog]:
+class RefusedBatches(QuietTestCase):
+    def superseded_log(self) -> tuple[SimulatedFileSystem, SegmentLog]:
         """A log whose segments hold little that is still needed, and a snapshot."""
         disk = SimulatedFileSystem()
-        log = opened(disk)
+        log = open_segment_log(disk)
         first = Snapshot(1, 1, Members(("a",)), bytes(20_000))
-        founding = StorageWrite(1, 1, "", None, (), first, (1, 1))
-        log.write(Batch([write_record("g", founding)], [NewSnapshot("g", first)]))
+        first_write = StorageWrite(1, 1, "", None, (), first, (1, 1))
+        log.write(Batch([write_record("g", first_write)], [NewSnapshot("g", first)]))
         for number in range(2, 40):
-            write = StorageWrite(
-                number, 1, "", 2, (Entry(2, 1, EntryKind.COMMAND, bytes(500)),), None, (1, 1)
-            )
+            entry = Entry(2, 1, EntryKind.COMMAND, bytes(500))
+            write = StorageWrite(number, 1, "", 2, (entry,), None, (1, 1))
             log.write(Batch([write_record("g", write)], []))
         return disk, log
 
@@ -92,26 +54,28 @@
             [NewSnapshot("g", snapshot)],
         )
 
-    def test_a_snapshot_finds_the_room_that_old_segments_hold(self) -> None:
+    def test_a_snapshot_gets_the_space_that_old_segments_hold(self) -> None:
         """Both the snapshot and the journal's rest fit; but the batch was tried again and again for ever, and
         no checkpoint came between."""
-        disk, log = self.overwritten()
+        disk, log = self.superseded_log()
         disk.capacity = 52_000
         self.assertGreater(disk.used + 21_000, disk.capacity)
         log.write(self.snapshot_batch())
         self.assertEqual(log.persistent_state("g").snapshot.index, 2)
-        self.assertEqual(opened(disk).persistent_state("g").snapshot, log.persistent_state("g").snapshot)
+        self.assertEqual(
+            open_segment_log(disk).persistent_state("g").snapshot, log.persistent_state("g").snapshot
+        )
 
     def test_a_build_that_frees_nothing_is_caught(self) -> None:
-        disk, log = self.overwritten()
+        disk, log = self.superseded_log()
         disk.capacity = 52_000
         with patch.object(SegmentLog, "_free_space", lambda self: False):
             for _ in range(20):
                 with self.assertRaises(OSError):
                     log.write(self.snapshot_batch())
 
-    def test_what_does_not_fit_is_refused_and_leaves_no_draft_in_the_way(self) -> None:
-        disk, log = self.overwritten()
+    def test_a_batch_that_does_not_fit_is_refused_and_leaves_no_draft(self) -> None:
+        disk, log = self.superseded_log()
         disk.capacity = 30_000
         batch = self.snapshot_batch()
         for _ in range(3):
@@ -120,14 +84,14 @@
             self.assertEqual(caught.exception.errno, errno.ENOSPC)
         disk.capacity = None
         log.write(batch)
-        self.assertEqual(opened(disk).persistent_state("g").snapshot.index, 2)
+        self.assertEqual(open_segment_log(disk).persistent_state("g").snapshot.index, 2)
 
-    def test_a_segment_that_was_refused_does_not_make_a_torn_end_look_like_damage(self) -> None:
+    def test_a_refused_segment_does_not_make_a_torn_tail_look_like_corruption(self) -> None:
         """A checkpoint on a full disk left the next segment with a part of its header. Batches went on in
-        the one before; killed within one of them, the process found its disk damaged and gave it up."""
+        the one before; killed within one of them, the process found its disk corrupt and gave it up."""
         record = write_record("g", StorageWrite(40, 2, "a", None, (), None, (1, 1)))
         for room in range(1, 60):
-            disk, log = self.overwritten()
+            disk, log = self.superseded_log()
             disk.capacity = disk.used + 5
             with self.assertRaises(OSError):
                 log.checkpoint_step()
@@ -135,10 +99,10 @@
             with suppress(OSError):
                 log.write(Batch([record], []))
             disk.restart()
-            self.assertEqual(len(opened(disk).persistent_state("g").entries), 1)
+            self.assertEqual(len(open_segment_log(disk).persistent_state("g").entries), 1)
 
-    def test_a_failing_disk_that_is_not_full_is_not_written_anew(self) -> None:
-        disk, log = self.overwritten()
+    def test_a_failing_disk_that_is_not_full_gets_no_checkpoint(self) -> None:
+        disk, log = self.superseded_log()
         segments = list(disk.paths())
         disk.failing_syncs = 1
         with self.assertRaises(OSError) as caught:
@@ -147,29 +111,29 @@
         self.assertLessEqual(set(segments), set(disk.paths()))
 
 
-class SmallDisk(Quiet):
+class SmallDisk(QuietTestCase):
     """One group alone on a disk of 64 MB, at a thousandth of the size, for ten times what the disk holds."""
 
-    def run_changes(self, kept: int, bounds: CompactionBounds) -> tuple[int, int]:
+    def run_changes(self, number: int, bounds: CompactionBounds) -> tuple[int, int]:
         """How many changes were made, and the most bytes that the disk held."""
         clock, disk = Clock(), SimulatedFileSystem()
-        disk.capacity = DISK
+        disk.capacity = DISK_BYTES
         journal_writer = VirtualTimeJournalWriter(clock, disk, 0.001)
         host = ReplicaHost(
             clock,
             "a",
-            Journal(opened(disk), journal_writer),
+            Journal(open_segment_log(disk), journal_writer),
             lambda *_: None,
             _seeded(),
             SYSTEM_TIMING,
             bounds,
         )
-        machine = Last(kept)
-        host.open_group("g", machine, Members(("a",)), Nobody())
+        machine = LastCommands(number)
+        host.open_group("g", machine, Members(("a",)), SilentListener())
         while not host.is_owner("g"):
             clock.advance(0.01)
         made, most = 0, 0
-        for number in range(10 * DISK // CHANGE_BYTES):
+        for number in range(10 * DISK_BYTES // CHANGE_BYTES):
             result = host.propose("g", b"%08d" % number + bytes(CHANGE_BYTES - 8))
             result.addErrback(lambda _: None)
             for _ in range(4):
@@ -180,17 +144,17 @@
             made = number
         return made, most
 
-    def test_a_third_of_the_disk_as_state_goes_on_for_ever(self) -> None:
-        made, most = self.run_changes(DISK // 3 // CHANGE_BYTES, bounds_for_disk(DISK))
-        self.assertEqual(made, 10 * DISK // CHANGE_BYTES - 1)
-        self.assertLess(most, DISK)
-        print(f"\nstate of a third of the disk: {most / DISK:.2f} of it used at most")
+    def test_a_state_of_a_third_of_the_disk_never_fills_it(self) -> None:
+        made, most = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds_for_disk(DISK_BYTES))
+        self.assertEqual(made, 10 * DISK_BYTES // CHANGE_BYTES - 1)
+        self.assertLess(most, DISK_BYTES)
+        print(f"\nstate of a third of the disk: {most / DISK_BYTES:.2f} of it used at most")
 
     def test_a_build_with_the_bounds_of_large_disks_is_caught(self) -> None:
         """Entries between snapshots took half of the disk and more, and a checkpoint wrote them twice."""
-        bounds = CompactionBounds(size=DISK // 2, host_size=DISK // 2)
-        made, _ = self.run_changes(DISK // 3 // CHANGE_BYTES, bounds)
-        self.assertLess(made, 10 * DISK // CHANGE_BYTES - 1)
+        bounds = CompactionBounds(size=DISK_BYTES // 2, host_size=DISK_BYTES // 2)
+        made, _ = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds)
+        self.assertLess(made, 10 * DISK_BYTES // CHANGE_BYTES - 1)
 
     def test_bounds_of_disks(self) -> None:
         self.assertEqual(bounds_for_disk(0), CompactionBounds())
--- /dev/null
+++ b/tests/system/storage/test_power_loss.py
@@ -0,0 +1,113 @@
+"""Tests of the write-ahead log under power losses and kills at any operation on the disk."""
+
+from __future__ import annotations
+
+import unittest
+from contextlib import suppress
+from random import Random
+from unittest.mock import patch
+
+from bitternpath.storage import snapshots
+from bitternpath.storage.checkpoint import Checkpointer
+from bitternpath.storage.errors import CorruptJournalError
+from bitternpath.storage.record_format import SEGMENT_HEADER_BYTES
+from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
+from tests.system.storage.log_samples import loaded_states, open_segment_log
+from tests.system.storage.write_history import History
+
+
+class PowerLoss(unittest.TestCase):
+    """On a disk on which the sync of a new file makes its name durable, too."""
+
+    def make_disk(self) -> SimulatedFileSystem:
+        return SimulatedFileSystem()
+
+    def assert_state_is_allowed(self, disk: SimulatedFileSystem, history: History, case: object) -> None:
+        """What a process finds is the state after the last acknowledged batch, or after a later one."""
+        self.assertIn(loaded_states(disk), history.seen[history.acknowledged :], case)
+
+    def test_power_loss_at_each_step_keeps_what_was_acknowledged(self) -> None:
+        """Batches, snapshots, segments, several checkpoints; a crash at every operation on the disk."""
+        batches = 40
+        complete = self.make_disk()
+        history = History(1)
+        history.open(complete)
+        for _ in range(batches):
+            history.step()
+        first_segment = min(int(path[-12:-4]) for path in complete.paths() if path.startswith("journal"))
+        self.assertGreater(first_segment, 4)
+        for crash_at in range(1, complete.steps + 1):
+            for seed in range(4):
+                disk = self.make_disk()
+                history = History(1)
+                disk.crash_at = crash_at
+                with self.assertRaises(SimulatedCrashError):
+                    history.open(disk)
+                    for _ in range(batches):
+                        history.step()
+                disk.lose_power(Random(seed))
+                self.assert_state_is_allowed(disk, history, (crash_at, seed))
+
+    def test_repeated_losses_and_kills(self) -> None:
+        """The disk goes through many processes; each begins with what the one before left."""
+        for seed in range(150):
+            random = Random(seed)
+            disk = self.make_disk()
+            history = History(seed)
+            for life in range(6):
+                disk.crash_at = disk.steps + random.randint(1, 60)
+                with suppress(SimulatedCrashError):
+                    history.open(disk)
+                    while True:
+                        history.step()
+                if random.random() < 0.6:
+                    disk.lose_power(random)
+                disk.restart()
+                self.assert_state_is_allowed(disk, history, (seed, life))
+                self._continue_from(history, disk)
+
+    @staticmethod
+    def _continue_from(history: History, disk: SimulatedFileSystem) -> None:
+        """Let the history go on from what is on the disk."""
+        found = loaded_states(disk)
+        last = max(position for position, states in enumerate(history.seen) if states == found)
+        history.seen = [history.seen[last]]
+        history.acknowledged = 0
+        history.states = open_segment_log(disk).states
+        history.snapshots = {group: state.snapshot for group, state in found.items()}
+
+    def test_a_build_that_acknowledges_before_the_sync_is_caught(self) -> None:
+        def unsynced(self: SimulatedFileSystem, path: str) -> None:
+            if not path.startswith("journal") or self.size(path) <= SEGMENT_HEADER_BYTES:
+                real(self, path)
+
+        real = SimulatedFileSystem.sync
+        with patch.object(SimulatedFileSystem, "sync", unsynced), self.assertRaises(AssertionError):
+            self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+
+    def test_a_build_that_removes_old_segments_before_the_checkpoint_is_complete_is_caught(self) -> None:
+        def hasty(self: Checkpointer, group: str) -> None:
+            if (oldest := self._segments.oldest_closed) is not None:
+                self._segments.remove_closed(oldest)
+            real(self, group)
+
+        real = Checkpointer._write_state
+        with (
+            patch.object(Checkpointer, "_write_state", hasty),
+            self.assertRaises((AssertionError, CorruptJournalError)),
+        ):
+            self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+
+    def test_a_build_that_names_a_snapshot_before_its_directory_is_synced_is_caught(self) -> None:
+        def unsynced(self: SimulatedFileSystem, directory: str) -> None:
+            if directory != snapshots.DIRECTORY:
+                real(self, directory)
+
+        real = SimulatedFileSystem.sync_directory
+        caught = AssertionError, CorruptJournalError
+        with patch.object(SimulatedFileSystem, "sync_directory", unsynced), self.assertRaises(caught):
+            self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/system/test_scrub.py
+++ b/tests/system/storage/test_scrub.py
@@ -1,15 +1,13 @@
-"""Tests of the scrub: damage on a disk is found while the process runs, and mended from memory."""
+"""Tests of the checksum scrub: corruption is found while the process runs, and repaired from memory."""
 
 from __future__ import annotations
 
 import tempfile
 import threading
-import unittest
 from pathlib import Path
 from random import Random
 from unittest.mock import patch
 
-import logbook
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds
@@ -17,41 +15,35 @@
 from bitternpath.replication.records import Members
 from bitternpath.storage import journal_writer_thread
 from bitternpath.storage.errors import CorruptJournalError
-from bitternpath.storage.files import LocalFileSystem
+from bitternpath.storage.files import FileSystem, LocalFileSystem
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.journal_writer_thread import JournalWriterThread
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
 from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
-from tests.system.test_full_disks import Last, Nobody
+from tests.system.storage.quiet import QuietTestCase
+from tests.system.storage.state_machines import LastCommands, SilentListener
 
 SEGMENT_BYTES = 4_000
-STEPS = 60  # pieces: more than there are files, twice
+STEPS = 60  # chunks: more than there are files, twice
 
 
-class Quiet(unittest.TestCase):
-    def setUp(self) -> None:
-        handler = logbook.NullHandler()
-        handler.push_application()
-        self.addCleanup(handler.pop_application)
-
-
-def opened(files: SimulatedFileSystem | LocalFileSystem) -> SegmentLog:
-    """Its log."""
+def open_segment_log(files: FileSystem) -> SegmentLog:
+    """Load the log of a disk."""
     return SegmentLog(files, lambda: 7, 1 << 20, SEGMENT_BYTES)
 
 
-class Scrub(Quiet):
+class Scrub(QuietTestCase):
     def setUp(self) -> None:
         """A group alone, with several segments and a snapshot."""
         super().setUp()
         self.clock, self.disk = Clock(), SimulatedFileSystem()
         self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, 0.001)
         bounds = CompactionBounds(size=2_000, host_size=2_000, kept=0)
-        journal = Journal(opened(self.disk), self.journal_writer)
+        journal = Journal(open_segment_log(self.disk), self.journal_writer)
         self.host = ReplicaHost(self.clock, "a", journal, lambda *_: None, Random(1), SYSTEM_TIMING, bounds)
-        self.machine = Last(40)
-        self.host.open_group("g", self.machine, Members(("a",)), Nobody())
+        self.machine = LastCommands(40)
+        self.host.open_group("g", self.machine, Members(("a",)), SilentListener())
         while not self.host.is_owner("g"):
             self.clock.advance(0.01)
         for number in range(150):
@@ -65,37 +57,37 @@
     def files(self, folder: str) -> list[str]:
         return [path for path in self.disk.paths() if path.startswith(folder)]
 
-    def test_whole_files_are_left_alone(self) -> None:
+    def test_intact_files_are_left_alone(self) -> None:
         before = self.disk.steps
         self.journal_writer.scrub(STEPS)
         self.settle(0.1)
         self.assertEqual(self.disk.steps, before)
 
-    def assert_mended(self, path: str, offset: int) -> None:
+    def assert_repaired(self, path: str, offset: int) -> None:
         self.disk.corrupt_byte(path, offset)
         with self.assertRaises(CorruptJournalError):
-            opened(self.disk).persistent_state("g")
+            open_segment_log(self.disk).persistent_state("g")
         self.journal_writer.scrub(STEPS)
         self.settle(0.1)
-        kept = opened(self.disk).persistent_state("g")
+        state = open_segment_log(self.disk).persistent_state("g")
         raft = self.host.groups["g"].raft
-        self.assertEqual((kept.snapshot, kept.entries), (raft.snapshot, raft.log.entries))
+        self.assertEqual((state.snapshot, state.entries), (raft.snapshot, raft.log.entries))
 
-    def test_any_damaged_byte_of_a_closed_segment_is_mended(self) -> None:
+    def test_a_corrupt_byte_of_a_closed_segment_is_repaired(self) -> None:
         segments = self.files("journal")
         self.assertGreater(len(segments), 2)
         for offset in (3, 20, 40, 1_000, 3_900):
-            self.assert_mended(self.files("journal")[0], offset)
+            self.assert_repaired(self.files("journal")[0], offset)
             for number in range(60):
                 self.host.propose("g", b"%08d" % number + bytes(92))
                 self.settle(0.004)
             if len(self.files("journal")) < 2:
                 self.fail("there is no closed segment any more")
 
-    def test_any_damaged_byte_of_a_snapshot_is_mended(self) -> None:
+    def test_a_corrupt_byte_of_a_snapshot_is_repaired(self) -> None:
         for offset in (0, 5, 13, 20, 500, 2_000):
             (path,) = self.files("snapshots")
-            self.assert_mended(path, offset)
+            self.assert_repaired(path, offset)
 
     def test_a_build_that_scrubs_nothing_is_caught(self) -> None:
         (path,) = self.files("snapshots")
@@ -103,7 +95,7 @@
             patch.object(SegmentLog, "scrub_step", lambda self: None),
             self.assertRaises(CorruptJournalError),
         ):
-            self.assert_mended(path, 500)
+            self.assert_repaired(path, 500)
 
 
 class Reactor:
@@ -116,9 +108,8 @@
         call(*arguments)  # type: ignore[operator]
 
 
-class Thread(Quiet):
-    def test_the_disks_thread_scrubs_while_it_has_nothing_to_write(self) -> None:
-
+class WriterThread(QuietTestCase):
+    def test_the_thread_scrubs_while_it_has_nothing_to_write(self) -> None:
         scrubbed = threading.Event()
         with (
             tempfile.TemporaryDirectory() as folder,
@@ -127,7 +118,7 @@
         ):
             thread = JournalWriterThread(Reactor())
             files = LocalFileSystem(Path(folder))
-            thread.start(opened(files), lambda commands: None, lambda group: scrubbed.set())
+            thread.start(open_segment_log(files), lambda commands: None, lambda group: scrubbed.set())
             self.assertTrue(scrubbed.wait(20))
             self.assertTrue(thread.stop())
             files.close()
--- a/tests/system/test_snapshot_transfer.py
+++ b/tests/system/test_snapshot_transfer.py
@@ -24,7 +24,7 @@
 from bitternpath.testing.simulation import replica_group
 from bitternpath.testing.simulation.replica_group import GROUP, Process
 from tests.system.loaded_group import Loaded, Quiet
-from tests.system.test_full_disks import Last, Nobody
+from tests.system.storage.state_machines import LastCommands, SilentListener
 
 TRIO = Members(("a", "b", "c"))
 SMALL_PIECE = 150  # bytes
@@ -279,7 +279,7 @@
     @staticmethod
     def open(world: Loaded, process: Process, groups: list[str]) -> None:
         for group in groups:
-            process.host.open_group(group, Last(GROUP_BYTES >> 17), world.founders, Nobody())
+            process.host.open_group(group, LastCommands(GROUP_BYTES >> 17), world.founders, SilentListener())
 
     def test_many_transfers_share_one_bound(self) -> None:
         seconds, most, slowest = self.bring_up(TransferBudget)
