--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -10,10 +10,11 @@
 
 from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.roles.feed_cache import CACHE_CODEC, CACHE_DOCUMENT
-from bitternpath.storage.documents import CorruptDocumentError, read_document
-from bitternpath.storage.identity import quarantine_folders, read_identity
+from bitternpath.storage.documents import read_document
+from bitternpath.storage.errors import CorruptDocumentError, CorruptJournalError
+from bitternpath.storage.identity import read_identity
 from bitternpath.storage.journal import Journal, open_journal
-from bitternpath.storage.records import CorruptJournalError
+from bitternpath.storage.quarantine import quarantine_folders
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.feed_messages import FeedUpdate
 
--- a/bitternpath/roles/bootstrap.py
+++ b/bitternpath/roles/bootstrap.py
@@ -24,7 +24,7 @@
 )
 from bitternpath.roles.node_base import NodeBase
 from bitternpath.roles.reactor import NodeReactor, ScheduledCall, cancel_call
-from bitternpath.storage.documents import CorruptDocumentError
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -22,7 +22,8 @@
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.settings_reader import SettingsError
 from bitternpath.roles.wall_clock import SteadyWallClock
-from bitternpath.storage.documents import HEADER_BYTES, CorruptDocumentError
+from bitternpath.storage.documents import HEADER_BYTES
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import CodecError
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -19,9 +19,8 @@
 from bitternpath.roles.reactor import NodeReactor, ScheduledCall, cancel_call
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.settings_reader import SettingsError
-from bitternpath.storage.documents import CorruptDocumentError
+from bitternpath.storage.errors import CorruptDocumentError, CorruptJournalError
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.storage.records import CorruptJournalError
 
 log = logbook.Logger("process")
 
--- a/bitternpath/roles/reactor.py
+++ b/bitternpath/roles/reactor.py
@@ -9,6 +9,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from bitternpath.storage.reactor import ThreadPoolReactor
+
 
 class ScheduledCall(Protocol):
     """A call that `callLater` has scheduled (Twisted's `IDelayedCall`)."""
@@ -29,10 +31,8 @@
     def seconds(self) -> float:
         """Seconds of a clock that never steps; its zero has no meaning."""
 
-    def callLater(
-        self, delay: float, call: Callable[..., Any], /, *arguments: Any, **keywords: Any
-    ) -> ScheduledCall:
-        """Call `call(*arguments)` in a turn of its own, `delay` seconds (0 or more) from now."""
+    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> ScheduledCall:
+        """Call `call(*args)` in a turn of its own, `delay` seconds (0 or more) from now."""
 
 
 class ListeningPort(Protocol):
@@ -42,7 +42,7 @@
         """Accept nothing more."""
 
 
-class NodeReactor(ReactorTime, Protocol):
+class NodeReactor(ReactorTime, ThreadPoolReactor, Protocol):
     """A reactor that also listens, runs calls of other threads, and can be stopped."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> ListeningPort:
@@ -53,9 +53,6 @@
     ) -> ListeningPort:
         """Receive datagrams; raises `CannotListenError`."""
 
-    def callFromThread(self, call: Callable[..., Any], /, *arguments: Any, **keywords: Any) -> Any:
-        """Call `call(*arguments)` in the reactor's thread; safe in a signal handler."""
-
     def stop(self) -> Any:
         """End the reactor's loop, and with it the process."""
 
