--- a/bitternpath/ingress/interface.py
+++ b/bitternpath/ingress/interface.py
@@ -66,13 +66,13 @@
     @app.route("/message/<message_id>", methods=["GET"])
     def state(self, request: Any, message_id: str) -> Deferred[None]:
         """The state of a message."""
-        found = self._node.find_message(message_id, False)
+        found = self._node.find_message(message_id, wants_body=False)
         return self._answer(request, found, STATUS_ANSWER_S, _send_state)
 
     @app.route("/message-body/<message_id>", methods=["GET"])
     def body(self, request: Any, message_id: str) -> Deferred[None]:
         """The bytes of a message that is queued or dead."""
-        found = self._node.find_message(message_id, True)
+        found = self._node.find_message(message_id, wants_body=True)
         return self._answer(request, found, STATUS_ANSWER_S, _send_body)
 
     @app.route("/pull/<service>", methods=["POST"])
--- a/bitternpath/ingress/interfaces.py
+++ b/bitternpath/ingress/interfaces.py
@@ -16,8 +16,8 @@
     """What became of a message that a client handed in."""
 
     ACCEPTED = "accepted"  # f+1 replicas have it on disk
-    REFUSED = "refused"  # never taken, and never will be: a promise
-    UNDECIDED = "undecided"  # may have been taken: no promise
+    REJECTED = "rejected"  # not stored, and never will be: a promise that it won't run
+    UNKNOWN = "outcome unknown"  # may have been stored: nothing is promised
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
         """Keep a message; answers within `deadline_ms`."""
 
-    def find_message(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
+    def find_message(self, message_id: str, *, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
         """A message by the id that `Acceptance` gave, or by its request id."""
 
     def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
--- a/bitternpath/ingress/messages.py
+++ b/bitternpath/ingress/messages.py
@@ -66,14 +66,14 @@
             if is_valid_message_id(name):
                 self._request.setHeader(b"X-Message-Id", name.encode("latin-1"))
             reply(self._request, 202)
-        elif acceptance.result is AcceptResult.REFUSED:
+        elif acceptance.result is AcceptResult.REJECTED:
             reply(self._request, 503, retry_after_s=max(1, acceptance.retry_after_s))
         else:
             reply(self._request, 504)
 
     def _failed(self, failure: Failure) -> None:
         _log.failure("accepting a message failed", failure)
-        self._decided(Acceptance(AcceptResult.UNDECIDED))
+        self._decided(Acceptance(AcceptResult.UNKNOWN))
 
     def _too_late(self) -> None:
         reply(self._request, 504)
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -69,7 +69,7 @@
 
 
 class EdgeNode:
-    """One edge process. Implements `ingress.service.NodeService`, `LinkHandler` and `FeedListener`."""
+    """One edge process. Implements `ingress.interfaces.NodeService`, `LinkHandler` and `FeedListener`."""
 
     def __init__(self, reactor: Any, settings: Settings, machine: Machine | None = None) -> None:
         self.reactor, self.settings = reactor, settings
@@ -149,9 +149,9 @@
             self.bodies.take(message.request_id)
         return acceptance
 
-    def find_message(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
+    def find_message(self, message_id: str, *, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
         """A message by its id."""
-        return self.lookup.find(message_id, wants_body)
+        return self.lookup.find(message_id, wants_body=wants_body)
 
     def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
         """A job for a worker that pulls."""
@@ -191,7 +191,8 @@
 
     def placement_changed(self, generation: int, groups: tuple[GroupPlacement, ...]) -> None:
         """Shards have other members: keep links to all storage nodes that are any."""
-        self.appender.shards = self.lookup.shards = len(groups)
+        self.appender.shard_count = len(groups)
+        self.lookup.shard_count = len(groups)
         addresses = {member.address for group in groups for member in group.members}
         for address in sorted(self._storage_addresses - addresses):
             self.base.hub.release(address, SHARD_USER)
@@ -213,7 +214,7 @@
     def link_closed(self, link: Link) -> None:
         """A link has ended."""
         self.base.feed.closed(link)
-        self.owners.closed(link)
+        self.owners.link_closed(link)
         if self.member is not None:
             self.member.feed.dropped(link)
 
--- a/bitternpath/shards/appends.py
+++ b/bitternpath/shards/appends.py
@@ -1,139 +1,144 @@
-"""Appends messages to a shard until their fate is known or their time is up.
+"""Appends messages to a shard until their outcome is known or their deadline has passed.
 
-A refusal is a promise that the message will never run, so it is given only while nothing was ever sent that
-could be appended: before the first request, or after owners that refused before they proposed anything. From
-the first request whose answer was lost the message stays with its shard: an append is idempotent by its
-request id, so it is repeated there, and the end is either an acceptance or no promise at all.
+A rejection promises that the message will never run. It is given only while nothing was sent that could be
+appended: before the first request, or after owners that refused before they proposed anything. From the first
+request whose response was lost the message stays with its shard. An append is idempotent by its request id,
+so it is retried there until it is accepted or its outcome is reported as unknown.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from random import Random
-from typing import Any
 
-from twisted.internet.defer import Deferred
+from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.placement import shard_group, shard_of
 from bitternpath.ingress.interfaces import Acceptance, AcceptResult
+from bitternpath.net.clock import Clock, cancel_if_active
 from bitternpath.queue.sharding import message_id, shard_for
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.transport.records import Message
 from bitternpath.transport.shard_messages import AppendRequest, AppendResponse, Refused
 
-RETRY_S = 0.02  # between tries while the shard has no owner and the fate is open
-RETRY_AFTER_S = 1  # told to clients: an owner is found again within about that time
-MOST_OPEN = 2_000  # appends under way in this node; more are refused at once
+RETRY_INTERVAL_S = 0.02  # between attempts while the shard has no owner and the outcome is unknown
+CLIENT_RETRY_AFTER_S = 1  # sent to rejected clients: a shard has an owner again within about that time
+MAX_IN_FLIGHT = 2_000  # appends of this node; more are rejected at once
+
+_REJECTED = Acceptance(AcceptResult.REJECTED, retry_after_s=CLIENT_RETRY_AFTER_S)
+
+
+def _no_waiting_worker(_: Message) -> str:
+    return ""
 
 
 class Appender:
-    """Starts appends and counts those under way."""
+    """Appends messages to the shards and counts the appends in flight."""
 
     def __init__(
         self,
-        reactor: Any,
+        clock: Clock,
         owners: ShardOwners,
         zone: str,
         random: Random,
-        worker_waits_at: Callable[[Message], str] = lambda message: "",
+        waiting_worker_group: Callable[[Message], str] = _no_waiting_worker,
     ) -> None:
-        """`worker_waits_at` names a shard's group at which a worker of this node waits for such a message, if
-        any."""
-        self.reactor, self.owners, self.zone, self.random = reactor, owners, zone, random
-        self._worker_waits_at = worker_waits_at
-        self.shards = 0  # in the system; 0 until the placement is known
+        """`waiting_worker_group(message)`: a group at which a worker of this node waits for it, or ""."""
+        self.clock = clock
+        self.owners = owners
+        self._zone = zone
+        self._random = random
+        self._waiting_worker_group = waiting_worker_group
+        self.shard_count = 0  # in the system; 0 until the placement is known
         self.in_flight = 0
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
-        """Keep a message; answers within `deadline_ms`, and never fails."""
-        shard = self._choose(message)
-        if shard is None or self.in_flight >= MOST_OPEN:
-            refused: Deferred[Acceptance] = Deferred()
-            refused.callback(Acceptance(AcceptResult.REFUSED, retry_after_s=RETRY_AFTER_S))
-            return refused
-        return _Append(self, message, shard, deadline_ms / 1000).answer
-
-    def _choose(self, message: Message) -> int | None:
-        """The shard of a message; None where it has no owner now.
-
-        Ordered messages have one shard, by their key. Others go to where a worker waits for them, else to an
-        owner in this zone, or to any.
+        """Append a message; the result fires within `deadline_ms` milliseconds and never fails."""
+        shard = self._choose_shard(message)
+        if shard is None or self.in_flight >= MAX_IN_FLIGHT:
+            return succeed(_REJECTED)
+        return _PendingAppend(self, message, shard, deadline_ms / 1000).result
+
+    def _choose_shard(self, message: Message) -> int | None:
+        """The shard of a message; None where that shard has no owner.
+
+        An ordered message has one shard, by its key. Others go to where a worker of this node waits, else to
+        an owner in this zone, else to any owner.
         """
-        if not self.shards:
+        if not self.shard_count:
             return None
         if message.order_key:
-            shard = shard_for(message.order_key, 0, self.shards)
+            shard = shard_for(message.order_key, 0, self.shard_count)
             return shard if self.owners.owner(shard_group(shard)) else None
-        groups = self.owners.groups_near(self.zone) or self.owners.owned_groups()
-        waits_at = self._worker_waits_at(message)
-        if waits_at in groups:
-            return shard_of(waits_at)
-        return shard_of(self.random.choice(groups)) if groups else None
+        groups = self.owners.groups_in_zone(self._zone) or self.owners.owned_groups()
+        waiting_at = self._waiting_worker_group(message)
+        if waiting_at in groups:
+            return shard_of(waiting_at)
+        return shard_of(self._random.choice(groups)) if groups else None
 
 
-class _Append:
-    """One message on its way."""
+class _PendingAppend:
+    """One append, from its first request to its result."""
 
     def __init__(self, appender: Appender, message: Message, shard: int, deadline_s: float) -> None:
-        self.appender, self.message, self.shard = appender, message, shard
-        self.answer: Deferred[Acceptance] = Deferred()
+        self.result: Deferred[Acceptance] = Deferred()
+        self._appender = appender
+        self._message = message
+        self._shard = shard
         self._group = shard_group(shard)
-        self._uncertain = False  # a request was sent whose answer hasn't come
+        self._outcome_unknown = False  # a request was sent that may have been, or may still be, appended
         self._done = False
-        self._timer = appender.reactor.callLater(deadline_s, self._time_up)
+        self._timer = appender.clock.callLater(deadline_s, self._deadline_passed)
         appender.in_flight += 1
-        self._try()
+        self._attempt()
 
-    def _try(self) -> None:
+    def _attempt(self) -> None:
         if self._done:
             return
-        request = self.appender.owners.ask(
-            self._group, lambda number: AppendRequest(number, self._group, self.message)
+        response = self._appender.owners.request(
+            self._group, lambda number: AppendRequest(number, self._group, self._message)
         )
-        if request is None:
-            self._without_owner()
+        if response is None:
+            self._retry_or_reject()
         else:
-            request.addCallbacks(self._answered, self._lost)
+            response.addCallbacks(self._responded, self._response_lost)
 
-    def _without_owner(self) -> None:
-        if not self._uncertain:
-            self._finish(Acceptance(AcceptResult.REFUSED, retry_after_s=RETRY_AFTER_S))
-            return
-        self.appender.reactor.callLater(RETRY_S, self._try)
-
-    def _answered(self, record: Any) -> None:
+    def _responded(self, record: object) -> None:
         if self._done:
             return
         match record:
             case AppendResponse():
-                name = message_id(self.shard, self.message.request_id)
+                name = message_id(self._shard, self._message.request_id)
                 self._finish(Acceptance(AcceptResult.ACCEPTED, name))
             case Refused():
-                self._refused()
+                self._retry_or_reject()
             case _:
-                self._uncertain = True
-                self.appender.reactor.callLater(RETRY_S, self._try)
+                self._outcome_unknown = True
+                self._retry()
 
-    def _refused(self) -> None:
-        if self._uncertain:
-            self.appender.reactor.callLater(RETRY_S, self._try)
+    def _response_lost(self, _: Failure) -> None:
+        if not self._done:
+            self._outcome_unknown = True
+            self._retry()
+
+    def _retry_or_reject(self) -> None:
+        """Nothing came of this attempt; only where that holds for all of them may the client be told so."""
+        if self._outcome_unknown:
+            self._retry()
         else:
-            self._finish(Acceptance(AcceptResult.REFUSED, retry_after_s=RETRY_AFTER_S))
+            self._finish(_REJECTED)
 
-    def _lost(self, failure: Failure) -> None:
-        if not self._done:
-            self._uncertain = True
-            self.appender.reactor.callLater(RETRY_S, self._try)
+    def _retry(self) -> None:
+        self._appender.clock.callLater(RETRY_INTERVAL_S, self._attempt)
 
-    def _time_up(self) -> None:
-        self._finish(Acceptance(AcceptResult.UNDECIDED))
+    def _deadline_passed(self) -> None:
+        self._finish(Acceptance(AcceptResult.UNKNOWN))
 
     def _finish(self, acceptance: Acceptance) -> None:
         if self._done:
             return
         self._done = True
-        self.appender.in_flight -= 1
-        if self._timer.active():
-            self._timer.cancel()
-        self.answer.callback(acceptance)
+        self._appender.in_flight -= 1
+        cancel_if_active(self._timer)
+        self.result.callback(acceptance)
--- /dev/null
+++ b/bitternpath/shards/lease_requests.py
@@ -0,0 +1,55 @@
+"""A request about a lease, repeated until the shard's owner has answered it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.internet.defer import Deferred
+
+from bitternpath.net.clock import Clock
+from bitternpath.shards.owners import ShardOwners
+from bitternpath.transport.shard_messages import EndAttemptResponse
+
+RETRY_INTERVAL_S = 0.1  # between attempts while the shard has no owner or the outcome is unknown
+
+LeaseRecord = Callable[[int], object]  # makes the record to send from its request number
+
+
+class LeaseRequest:
+    """One idempotent request about a lease: the end of an attempt, or an extension.
+
+    `result` fires with True where the owner has accepted it, False where it has rejected it because the lease
+    isn't the current one, and None where no owner has answered within `timeout_s`. It never fails.
+    """
+
+    __slots__ = ("_clock", "_give_up_at", "_group", "_make", "_owners", "result")
+
+    def __init__(
+        self, clock: Clock, owners: ShardOwners, group: str, make: LeaseRecord, timeout_s: float
+    ) -> None:
+        self.result: Deferred[bool | None] = Deferred()
+        self._clock = clock
+        self._owners = owners
+        self._group = group
+        self._make = make
+        self._give_up_at = clock.seconds() + timeout_s
+        self._attempt()
+
+    def _attempt(self) -> None:
+        if self._clock.seconds() >= self._give_up_at:
+            self.result.callback(None)
+            return
+        response = self._owners.request(self._group, self._make)
+        if response is None:
+            self._retry()
+        else:
+            response.addCallbacks(self._responded, lambda _: self._retry())
+
+    def _responded(self, record: object) -> None:
+        if isinstance(record, EndAttemptResponse):
+            self.result.callback(record.taken)
+        else:  # refused by a node that isn't the owner, or its outcome is unknown
+            self._retry()
+
+    def _retry(self) -> None:
+        self._clock.callLater(RETRY_INTERVAL_S, self._attempt)
--- a/bitternpath/shards/lookups.py
+++ b/bitternpath/shards/lookups.py
@@ -1,112 +1,122 @@
-"""Looks a message up by its id, on any edge node."""
+"""Looks up the state of a message by its id, on any edge node (PROTOCOL, "Messages")."""
 
 from __future__ import annotations
 
-from typing import Any
+from dataclasses import dataclass
 
 from twisted.internet.defer import Deferred, DeferredList
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.placement import shard_group
 from bitternpath.ingress.interfaces import FoundMessage, LookupFailure
+from bitternpath.net.clock import Clock, cancel_if_active
 from bitternpath.queue.sharding import split_message_id
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.transport.shard_messages import StateRequest, StateResponse
 
-LOOKUP_TIMEOUT_S = 1.5  # those who ask wait two seconds, with the way there and back
-RETRY_S = 0.1
+LOOKUP_TIMEOUT_S = 1.5  # clients wait for two seconds, including the way there and back
+RETRY_INTERVAL_S = 0.1  # between requests while a shard has no owner, or its owner could not confirm
+
+LookupResult = FoundMessage | LookupFailure
+
+
+@dataclass(frozen=True, slots=True)
+class _Query:
+    """What all shards are asked alike."""
+
+    request_id: str
+    wants_body: bool
+    give_up_at: float  # of the clock
 
 
 class MessageLookup:
-    """Asks owners for the state of messages."""
+    """Asks the owners of shards for the state of messages."""
 
-    def __init__(self, reactor: Any, owners: ShardOwners) -> None:
-        self.reactor, self.owners = reactor, owners
-        self.shards = 0
+    def __init__(self, clock: Clock, owners: ShardOwners) -> None:
+        self.clock = clock
+        self.owners = owners
+        self.shard_count = 0  # in the system; 0 until the placement is known
 
-    def find(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
-        """By the id that names the shard, or by a request id, for which all shards are asked.
+    def find(self, message_id: str, *, wants_body: bool) -> Deferred[LookupResult]:
+        """Look up by an id that names its shard, or by a request id, for which all shards are asked.
 
-        A client's request id may look like an id that names a shard: it is unknown only once all shards have
-        said so of the whole text.
+        A client's request id may look like an id that names a shard. So the message is unknown only once all
+        shards have said so of the complete text. Fires within `LOOKUP_TIMEOUT_S` and never fails.
         """
-        give_up_at = self.reactor.seconds() + LOOKUP_TIMEOUT_S
+        give_up_at = self.clock.seconds() + LOOKUP_TIMEOUT_S
+        everywhere = _Query(message_id, wants_body, give_up_at)
         shard, request_id = split_message_id(message_id)
-        if shard is None or shard >= max(self.shards, 1):
-            return self._everywhere(message_id, wants_body, give_up_at)
-        named = _Search(self, shard, request_id, wants_body, give_up_at).answer
-        return named.addCallback(self._or_everywhere, message_id, wants_body, give_up_at)
-
-    def _or_everywhere(
-        self, found: FoundMessage | LookupFailure, message_id: str, wants_body: bool, give_up_at: float
-    ) -> FoundMessage | LookupFailure | Deferred[FoundMessage | LookupFailure]:
+        if shard is None or shard >= max(self.shard_count, 1):
+            return self._search_all(everywhere)
+        named = _ShardSearch(self, shard, _Query(request_id, wants_body, give_up_at)).result
+        return named.addCallback(self._search_all_if_unknown, everywhere)
+
+    def _search_all_if_unknown(
+        self, found: LookupResult, query: _Query
+    ) -> LookupResult | Deferred[LookupResult]:
         if found is not LookupFailure.UNKNOWN_MESSAGE:
             return found
-        return self._everywhere(message_id, wants_body, give_up_at)
-
-    def _everywhere(
-        self, request_id: str, wants_body: bool, give_up_at: float
-    ) -> Deferred[FoundMessage | LookupFailure]:
-        searches = [
-            _Search(self, shard, request_id, wants_body, give_up_at).answer for shard in range(self.shards)
-        ]
-        return DeferredList(searches).addCallback(_first_found)
-
-
-def _first_found(results: list[tuple[bool, Any]]) -> FoundMessage | LookupFailure:
-    answers = [answer for _, answer in results]
-    for answer in answers:
-        if isinstance(answer, FoundMessage):
-            return answer
-    if not answers or LookupFailure.UNAVAILABLE in answers:
+        return self._search_all(query)
+
+    def _search_all(self, query: _Query) -> Deferred[LookupResult]:
+        searches = [_ShardSearch(self, shard, query).result for shard in range(self.shard_count)]
+        return DeferredList(searches).addCallback(_combined)
+
+
+def _combined(results: list[tuple[bool, LookupResult]]) -> LookupResult:
+    """The result of a search in all shards: unknown only where every shard has said so."""
+    found = [result for _, result in results]
+    for result in found:
+        if isinstance(result, FoundMessage):
+            return result
+    if not found or LookupFailure.UNAVAILABLE in found:
         return LookupFailure.UNAVAILABLE
     return LookupFailure.UNKNOWN_MESSAGE
 
 
-class _Search:
-    """One question to one shard, repeated until its owner answers."""
+class _ShardSearch:
+    """One query to one shard, repeated until its owner has answered."""
 
-    def __init__(
-        self, lookup: MessageLookup, shard: int, request_id: str, wants_body: bool, give_up_at: float
-    ) -> None:
-        self.lookup, self.group = lookup, shard_group(shard)
-        self.request_id, self.wants_body = request_id, wants_body
-        self.answer: Deferred[FoundMessage | LookupFailure] = Deferred()
+    def __init__(self, lookup: MessageLookup, shard: int, query: _Query) -> None:
+        self.result: Deferred[LookupResult] = Deferred()
+        self._lookup = lookup
+        self._group = shard_group(shard)
+        self._query = query
         self._done = False
-        patience = max(give_up_at - lookup.reactor.seconds(), 0.0)
-        self._timer = lookup.reactor.callLater(patience, self._finish, LookupFailure.UNAVAILABLE)
-        self._try()
+        timeout_s = max(query.give_up_at - lookup.clock.seconds(), 0.0)
+        self._timer = lookup.clock.callLater(timeout_s, self._finish, LookupFailure.UNAVAILABLE)
+        self._attempt()
 
-    def _try(self) -> None:
+    def _attempt(self) -> None:
         if self._done:
             return
-        request = self.lookup.owners.ask(
-            self.group, lambda number: StateRequest(number, self.group, self.request_id, self.wants_body)
+        query = self._query
+        response = self._lookup.owners.request(
+            self._group, lambda number: StateRequest(number, self._group, query.request_id, query.wants_body)
         )
-        if request is None:
-            self._later()
+        if response is None:
+            self._retry()
         else:
-            request.addCallbacks(self._answered, self._lost)
+            response.addCallbacks(self._responded, self._response_lost)
 
-    def _answered(self, record: Any) -> None:
+    def _responded(self, record: object) -> None:
         if not isinstance(record, StateResponse):
-            self._later()
+            self._retry()
         elif record.known:
             self._finish(FoundMessage(record.state, record.stamp, record.body))
         else:
             self._finish(LookupFailure.UNKNOWN_MESSAGE)
 
-    def _lost(self, failure: Failure) -> None:
-        self._later()
+    def _response_lost(self, _: Failure) -> None:
+        self._retry()
 
-    def _later(self) -> None:
+    def _retry(self) -> None:
         if not self._done:
-            self.lookup.reactor.callLater(RETRY_S, self._try)
+            self._lookup.clock.callLater(RETRY_INTERVAL_S, self._attempt)
 
-    def _finish(self, found: FoundMessage | LookupFailure) -> None:
+    def _finish(self, found: LookupResult) -> None:
         if self._done:
             return
         self._done = True
-        if self._timer.active():
-            self._timer.cancel()
-        self.answer.callback(found)
+        cancel_if_active(self._timer)
+        self.result.callback(found)
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -1,4 +1,4 @@
-"""Which storage node owns which shard, as the owners themselves have told, and questions to owners."""
+"""Which storage node owns which shard, as the storage nodes announce it, and requests to these owners."""
 
 from __future__ import annotations
 
@@ -15,99 +15,103 @@
 
 @dataclass(frozen=True, slots=True)
 class Owner:
-    """A shard's owner. A higher epoch is a later one."""
+    """A shard's owner."""
 
     link: Link
-    epoch: int
-    zone: str
+    epoch: int  # rises with each change of owner; of two announcements the higher one holds
+    zone: str  # the owner's failure domain; "" where its node hasn't named one
 
 
-class _Question:
-    """A request to an owner. It ends with the first of: its answer, the link's end, another owner."""
+class _PendingRequest:
+    """A request to an owner. It ends with the first of: its response, the link's end, a change of owner."""
 
-    def __init__(self, link: Link, open_questions: dict[_Question, None]) -> None:
+    def __init__(self, link: Link, pending: dict[_PendingRequest, None]) -> None:
         self.link = link
-        self.answer: Deferred[Any] = Deferred()
-        self._open = open_questions
-        open_questions[self] = None
-
-    def answered(self, record: Any) -> None:
-        """The owner's answer; one that comes after the end is dropped."""
-        if self._ends():
-            self.answer.callback(record)
-
-    def lost(self, _: Failure | None = None) -> None:
-        """No answer will come from there, or none that is worth the wait."""
-        if self._ends():
-            self.answer.errback(LinkLost())
-
-    def _ends(self) -> bool:
-        """Whether it was open; it no longer is."""
-        if self not in self._open:
+        self.response: Deferred[Any] = Deferred()
+        self._pending = pending
+        pending[self] = None
+
+    def complete(self, record: object) -> None:
+        """Pass the owner's response on; one that arrives after the end is dropped."""
+        if self._end():
+            self.response.callback(record)
+
+    def fail(self, _: Failure | None = None) -> None:
+        """Fail with `LinkLost`: no response will come, or the node that was asked is no longer the owner."""
+        if self._end():
+            self.response.errback(LinkLost())
+
+    def _end(self) -> bool:
+        """Whether the request was still pending; it no longer is."""
+        if self not in self._pending:
             return False
-        del self._open[self]
+        del self._pending[self]
         return True
 
 
 class ShardOwners:
-    """Owners by replica group. `changed` hears a group whose owner is another one now."""
+    """The owners by replica group, and the requests that are pending with them.
 
-    def __init__(self, changed: Callable[[str], None]) -> None:
+    `owner_changed` is called with a group's name after each change of its owner, also when it has none.
+    """
+
+    def __init__(self, owner_changed: Callable[[str], None]) -> None:
         self._owners: dict[str, Owner] = {}
-        self._questions: dict[str, dict[_Question, None]] = {}
-        self._changed = changed
+        self._pending: dict[str, dict[_PendingRequest, None]] = {}  # by group; in the order of sending
+        self._owner_changed = owner_changed
 
-    def ask(self, group: str, make: Callable[[int], Any]) -> Deferred[Any] | None:
-        """Send `make(number)` to the owner; None where nobody is known to be it.
+    def request(self, group: str, make: Callable[[int], object]) -> Deferred[Any] | None:
+        """Send the record `make(request number)` to the group's owner; None where the group has no owner.
 
-        Fails with `LinkLost` as soon as another node is the owner: the one that was asked may be stopped or
-        cut off, and its link is given up much later. For requests that may be repeated: the first may have
-        been done, and an answer that comes after all is dropped.
+        The result fires with the response record. It fails with `LinkLost` when the link ends, and as soon as
+        another node announces itself as owner: the one that was asked may be stopped or partitioned, which
+        its link shows only much later. Only for idempotent requests: after a failure the outcome is unknown,
+        and a retry is in order.
         """
         owner = self._owners.get(group)
         if owner is None:
             return None
-        question = _Question(owner.link, self._questions.setdefault(group, {}))
-        owner.link.request(make).addCallbacks(question.answered, question.lost)
-        return question.answer
+        pending = _PendingRequest(owner.link, self._pending.setdefault(group, {}))
+        owner.link.request(make).addCallbacks(pending.complete, pending.fail)
+        return pending.response
 
     def owner(self, group: str) -> Owner | None:
-        """The owner as last told; None while nobody is known to be it."""
+        """The group's owner as last announced; None where it has none."""
         return self._owners.get(group)
 
     def owned_groups(self) -> list[str]:
         """The groups that have an owner."""
         return list(self._owners)
 
-    def groups_near(self, zone: str) -> list[str]:
+    def groups_in_zone(self, zone: str) -> list[str]:
         """The groups whose owner is in a zone."""
         return [group for group, owner in self._owners.items() if owner.zone == zone]
 
     def ownership_changed(self, link: Link, ownership: Ownership) -> None:
-        """A storage node has become or ceased to be an owner."""
+        """A storage node announces that it owns a shard, or no longer does; a stale epoch is ignored."""
         known = self._owners.get(ownership.group)
         if ownership.owns:
             if known is not None and known.epoch > ownership.epoch:
                 return
             zone = link.peer.zone if link.peer else ""
             self._owners[ownership.group] = Owner(link, ownership.epoch, zone)
-            self._changed(ownership.group)
-            self._ask_anew(ownership.group)
+            self._owner_changed(ownership.group)
+            self._fail_requests_to_others(ownership.group)
         elif known is not None and known.link is link:
             del self._owners[ownership.group]
-            self._changed(ownership.group)
+            self._owner_changed(ownership.group)
 
-    def closed(self, link: Link) -> None:
-        """A link has ended, and with it what its node has told."""
-        gone = [group for group, owner in self._owners.items() if owner.link is link]
-        for group in gone:
+    def link_closed(self, link: Link) -> None:
+        """A link has ended: the node at its other end owns nothing any more, as far as is known."""
+        groups = [group for group, owner in self._owners.items() if owner.link is link]
+        for group in groups:
             del self._owners[group]
-            self._changed(group)
-            self._ask_anew(group)
+            self._owner_changed(group)
+            self._fail_requests_to_others(group)
 
-    def _ask_anew(self, group: str) -> None:
-        """End the questions to another node than the present owner."""
+    def _fail_requests_to_others(self, group: str) -> None:
+        """Fail the pending requests to nodes other than the present owner."""
         owner = self._owners.get(group)
-        for question in list(self._questions.get(group, ())):
-            if owner is None or question.link is not owner.link:
-                question.lost()
+        for pending in list(self._pending.get(group, ())):
+            if owner is None or pending.link is not owner.link:
+                pending.fail()
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -72,9 +72,9 @@
     """A message that was sent to an owner whose link ended is promised not to run."""
 
     def lost(append: Any, failure: Any) -> None:
-        append._without_owner()
+        append._retry_or_reject()
 
-    yield patch.object(appends._Append, "_lost", lost)
+    yield patch.object(appends._PendingAppend, "_response_lost", lost)
 
 
 @contextmanager
--- a/tests/system/test_ingress.py
+++ b/tests/system/test_ingress.py
@@ -109,7 +109,7 @@
         self.answers.append(Deferred())
         return self.answers[-1]
 
-    def find_message(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
+    def find_message(self, message_id: str, *, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
         self.lookups.append((message_id, wants_body))
         return self.found
 
@@ -334,9 +334,9 @@
         table = [
             (Acceptance(AcceptResult.ACCEPTED, "s1-r1"), 202, {b"x-message-id": b"s1-r1"}),
             (Acceptance(AcceptResult.ACCEPTED), 202, {b"x-message-id": b"r1"}),
-            (Acceptance(AcceptResult.REFUSED, retry_after_s=3), 503, {b"retry-after": b"3"}),
-            (Acceptance(AcceptResult.REFUSED, retry_after_s=0), 503, {b"retry-after": b"1"}),
-            (Acceptance(AcceptResult.UNDECIDED), 504, {}),
+            (Acceptance(AcceptResult.REJECTED, retry_after_s=3), 503, {b"retry-after": b"3"}),
+            (Acceptance(AcceptResult.REJECTED, retry_after_s=0), 503, {b"retry-after": b"1"}),
+            (Acceptance(AcceptResult.UNKNOWN), 504, {}),
         ]
         for acceptance, status, headers in table:
             with self.subTest(acceptance):
--- a/tests/system/test_job_ends.py
+++ b/tests/system/test_job_ends.py
@@ -8,7 +8,7 @@
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
 from bitternpath.queue.entries import MAX_ENDED_LEASES
 from bitternpath.queue.state import QueueState
-from bitternpath.shards.pulls import outcome_of
+from bitternpath.shards.job_results import outcome_of
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_queue_rig import (
     FAILED,
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -74,7 +74,7 @@
         self.process._sites = list(self.sites.values())
         self.ends: list[float] = []
 
-    def undecided(self, *_: object) -> Deferred[Any]:
+    def undecided(self, *_: object, **__: object) -> Deferred[Any]:
         self.never.append(Deferred())
         return self.never[-1]
 
--- a/tests/system/test_owner_changes.py
+++ b/tests/system/test_owner_changes.py
@@ -52,7 +52,7 @@
 
     def test_an_append_is_repeated_and_a_refusal_there_is_no_promise(self) -> None:
         appender = Appender(self.clock, self.owners, "z0", Random(1))
-        appender.shards = SHARDS
+        appender.shard_count = SHARDS
         waiting = appender.accept(message(), 900)
         self.change()
         self.assertEqual(self.asked(self.successor, AppendRequest), 1)
@@ -79,9 +79,9 @@
 
     def test_a_state_and_an_extension_come_from_the_successor(self) -> None:
         lookup = MessageLookup(self.clock, self.owners)
-        lookup.shards = SHARDS
+        lookup.shard_count = SHARDS
         pulls = PullRouter(self.clock, self.owners, AttemptReporter(self.clock, self.owners), "z0", Random(1))
-        state = lookup.find(message_id(0, "r1"), False)
+        state = lookup.find(message_id(0, "r1"), wants_body=False)
         extension = pulls.extend(lease_id(0, 1, 1), "r1")
         self.change()
         self.assertEqual([self.asked(self.successor, kind) for kind in (StateRequest, ExtendRequest)], [1, 1])
@@ -120,13 +120,13 @@
     def setUp(self) -> None:
         super().setUp()
         self.lookup = MessageLookup(self.clock, self.owners)
-        self.lookup.shards = SHARDS
+        self.lookup.shard_count = SHARDS
 
     def unknown(self, link: FakeLink) -> None:
         link.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
 
     def test_a_request_id_that_looks_like_a_name_is_searched_everywhere(self) -> None:
-        waiting = self.lookup.find("s0.abc", False)
+        waiting = self.lookup.find("s0.abc", wants_body=False)
         self.unknown(self.links[0])
         self.assertIsNone(self.result(waiting))
         requests = [link.requests[-1][0].request_id for link in self.links]
@@ -136,16 +136,16 @@
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.QUEUED, "", None))
 
     def test_unknown_by_all(self) -> None:
-        waiting = self.lookup.find("s0.abc", False)
+        waiting = self.lookup.find("s0.abc", wants_body=False)
         self.unknown(self.links[0])
         for link in self.links:
             self.unknown(link)
         self.assertEqual(self.result(waiting), LookupFailure.UNKNOWN_MESSAGE)
 
     def test_one_shard_without_an_answer_makes_it_unsure_within_the_askers_time(self) -> None:
-        self.owners.closed(self.links[2])  # type: ignore[arg-type]
+        self.owners.link_closed(self.links[2])  # type: ignore[arg-type]
         begun = self.clock.seconds()
-        answers = [self.lookup.find(name, False) for name in ("s0.abc", "abc", "s2.abc")]
+        answers = [self.lookup.find(name, wants_body=False) for name in ("s0.abc", "abc", "s2.abc")]
         while self.clock.seconds() < begun + LOOKUP_TIMEOUT_S:
             for link in self.links[:2]:
                 for _, waiting in list(link.requests):
@@ -156,7 +156,7 @@
         self.assertLess(self.clock.seconds() - begun, 2.0)
 
     def test_an_owner_that_could_not_confirm_is_asked_again(self) -> None:
-        waiting = self.lookup.find(message_id(0, "r1"), False)
+        waiting = self.lookup.find(message_id(0, "r1"), wants_body=False)
         for record in (Refused(1, RefusalReason.NOT_OWNER), RequestOutcomeUnknown(1)):
             self.silent.answer(record)
             self.assertIsNone(self.result(waiting))
