--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -106,7 +106,7 @@
         del self.workers[worker.name]
         worker.out_until = worker.shy_until = float("inf")  # for jobs of a class that is no more
         for line in self.lines.values():
-            if worker.name in line.net.place:
+            if worker.name in line.net.index:
                 line.net.leave(worker)
 
     def share(self, worker: Worker) -> float:
@@ -198,7 +198,7 @@
         broken = [w for w in workers if w.faults and w.broken(job.line.spec, now)]
         broken = broken if 2 * len(broken) <= n else []  # else it is hardly the workers' fault
         best, best_score = None, 0.0
-        homes = [net.place[name] for name in self.homes if name in net.place] if 1 < many < n else []
+        homes = [net.index[name] for name in self.homes if name in net.index] if 1 < many < n else []
         for places in (homes, [int(rand() * n) for _ in range(many if many < n else 0)], range(n)):
             for k in places:
                 w = workers[k]
--- a/bitternpath/balancer/dispatch/jobs.py
+++ b/bitternpath/balancer/dispatch/jobs.py
@@ -18,7 +18,7 @@
         self.ended, self.patience = 0, 0.0  # jobs ended; the longest time that a client gave a try
 
     def join(self, worker: Worker) -> None:
-        if worker.entry.runs(self.spec) and worker.name not in self.net.place:
+        if worker.entry.runs(self.spec) and worker.name not in self.net.index:
             self.net.join(worker)
 
     def earns(self) -> float:
--- a/bitternpath/dispatch/callbacks.py
+++ b/bitternpath/dispatch/callbacks.py
@@ -1,48 +1,52 @@
-"""Call-backs that owners of shards order from this edge node."""
+"""Call-backs that owners of shards request from this edge node."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from twisted.internet.defer import Deferred
 
 from bitternpath.delivery.results import CallbackResult
+from bitternpath.net.clock import Clock
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.transport.records import MessageState
 from bitternpath.transport.shard_messages import CallbackReport, CallbackRequest
 
-RETRY_S = 0.1
-MOST_REPORT_TRIES = 30  # the owner repeats an order whose report it doesn't get
+RETRY_INTERVAL_S = 0.1  # between attempts to report while the shard has no owner
+MAX_REPORT_ATTEMPTS = 30  # after that the owner repeats a request whose report it doesn't get
 
 
-class Receivers(Protocol):
-    """`delivery.callback_client.CallbackClient`, as far as call-backs need it."""
+class CallbackSender(Protocol):
+    """`delivery.callback_client.CallbackClient`, as far as it is needed here."""
 
     def notify(self, url: str, request_id: str, state: MessageState, stamp: str) -> Deferred[CallbackResult]:
-        """Post to a receiver; never fails."""
+        """Send one call-back; the result never fails."""
 
 
 class CallbackDispatcher:
-    """Carries out orders and tells the owner how they went."""
+    """Carries out call-back requests and reports to the shard's owner how they ended."""
 
-    def __init__(self, reactor: Any, receivers: Receivers, owners: ShardOwners) -> None:
-        self.reactor, self.receivers, self.owners = reactor, receivers, owners
-        self.in_flight = 0
+    def __init__(self, clock: Clock, sender: CallbackSender, owners: ShardOwners) -> None:
+        self._clock = clock
+        self._sender = sender
+        self._owners = owners
+        self.in_flight = 0  # call-backs; reports don't count
 
-    def order_received(self, order: CallbackRequest) -> None:
-        """An owner wants a receiver told."""
+    def order_received(self, request: CallbackRequest) -> None:
+        """An owner requests a call-back."""
         self.in_flight += 1
-        notified = self.receivers.notify(order.url, order.request_id, order.state, order.stamp)
-        notified.addCallback(self._notified, order)
+        sent = self._sender.notify(request.url, request.request_id, request.state, request.stamp)
+        sent.addCallback(self._ended, request)
 
-    def _notified(self, result: CallbackResult, order: CallbackRequest) -> None:
+    def _ended(self, result: CallbackResult, request: CallbackRequest) -> None:
         self.in_flight -= 1
-        taken = result is not CallbackResult.FAILED  # a refused one would be refused again
-        self._tell(CallbackReport(order.group, order.request_id, taken), MOST_REPORT_TRIES)
+        final = result is not CallbackResult.FAILED  # a rejected call-back would be rejected again
+        report = CallbackReport(request.group, request.request_id, final)
+        self._report(report, MAX_REPORT_ATTEMPTS)
 
-    def _tell(self, report: CallbackReport, tries: int) -> None:
-        owner = self.owners.owner(report.group)
+    def _report(self, report: CallbackReport, attempts_left: int) -> None:
+        owner = self._owners.owner(report.group)
         if owner is not None:
             owner.link.send(report)
-        elif tries > 1:
-            self.reactor.callLater(RETRY_S, self._tell, report, tries - 1)
+        elif attempts_left > 1:
+            self._clock.callLater(RETRY_INTERVAL_S, self._report, report, attempts_left - 1)
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -1,9 +1,9 @@
-"""Deliveries of one edge node: from a lease to the report of how it ended.
+"""Deliveries of an edge node: from a lease to the report of how its attempt ended.
 
-A lease allows sends until its end, by this node's clock counted from its arrival; the clock is looked at in
-the moment of each send, so that a process that was stopped in between sends nothing on an old lease. The
-route and the service are those of the configuration in force here at that moment. A refused send (proven not
-run) is tried again at another worker within the lease; anything else ends the attempt.
+A lease allows sends until its end, by this node's clock counted from the lease's arrival. The clock is read
+at the moment of each send, so a process that was stopped in between sends nothing on an old lease. The route
+and the service are those of the configuration in force here at that moment. A rejected send, which proves
+that the message didn't run, is retried at another worker within the lease; any other result ends the attempt.
 """
 
 from __future__ import annotations
@@ -12,260 +12,231 @@
 from dataclasses import dataclass, field
 from math import inf
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
-import logbook
 from msgspec.structs import replace
 from twisted.internet.defer import Deferred
 
 from bitternpath.configuration.documents import Route, RoutingTable, Service
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
+from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.selection import ListedWorker, WorkerSelection
+from bitternpath.dispatch.stall_detector import StallDetector
+from bitternpath.net.clock import Clock
 from bitternpath.shards.reports import AttemptReport, AttemptReporter
 from bitternpath.transport.feed_messages import CatalogueEntry
 from bitternpath.transport.records import AttemptOutcome, Message
 from bitternpath.transport.shard_messages import LeaseGrant
 
-log = logbook.Logger("dispatch")
+MAX_SENDS = 4  # under one lease
+RATED_SEND_WITHIN_S = (
+    0.5  # of a lease's arrival, where the service has a rate: the owner's tokens count on it
+)
+LEASE_MARGIN_S = 0.2  # a delivery must have ended so long before its lease
+CATALOGUE_STALE_S = 1.9  # an older catalogue may miss a worker that drains
+CONFIGURATION_STALE_S = 8.0  # without a message of the configuration's owner nothing is sent
 
-MOST_SENDS = 4  # under one lease
-SEND_WITHIN_S = 0.5  # of a lease's arrival, for services with a rate: the owner's tokens count on it
-LEASE_MARGIN_S = 0.2  # a delivery must be over so long before its lease
-CATALOGUE_STALE_S = 1.9  # an older list may miss a worker that drains
-CONFIGURATION_STALE_S = 8.0  # without word of the configuration's owner deliveries are held
-BEAT_S = 0.25  # of the watch on this process itself
-STALL_S = 0.75  # without a beat: the process stood still, and what it reads now may have waited long
-AFTER_STALL_S = 0.3
-RETURN_PAUSE_MS = 80  # before the owner hands a message out again that found no worker
-STALE_PAUSE_MS = 300
+# The least back-off that a report of "not run" asks the owner for.
+RETRY_AT_ONCE_MS = 1  # another node, or another lease, may send the message now
+RETRY_NO_WORKER_MS = 80  # no worker took it
+RETRY_STALE_MS = 300  # this node's configuration or catalogue is out of date
 
 
-class Workers(Protocol):
-    """`delivery.worker_client.WorkerClient`, as far as deliveries need it."""
+class WorkerSender(Protocol):
+    """`delivery.worker_client.WorkerClient`, as far as it is needed here."""
 
     def deliver(self, target: WorkerTarget, message: Message, deadline_ms: int) -> Deferred[DeliveryResult]:
-        """Send a message; never fails."""
+        """Send a message once; the result never fails."""
 
 
 class NodeView(Protocol):
-    """What a dispatcher must know of its node."""
+    """What a dispatcher must know of its node; `roles.edge.EdgeNode` is one."""
 
     def routing(self) -> RoutingTable | None:
-        """The configuration in force here."""
+        """The configuration in force here; None before the first."""
 
     def configuration_age(self) -> float:
-        """Seconds since the configuration's owner was last heard."""
+        """Seconds since the configuration's owner was last heard of."""
 
     def catalogue_age(self) -> float:
         """Seconds since the newest reading of the platform's list began."""
 
     def connection_share(self, total: int) -> int:
-        """This node's share of a worker's connections."""
+        """Share of this node in the `total` connections that a worker allows."""
+
+
+@dataclass(frozen=True, slots=True)
+class DeliveryParts:
+    """The parts of an edge node that carry out a lease together."""
+
+    workers: WorkerSender
+    reports: AttemptReporter
+    bodies: BodyCache
 
 
 @dataclass(slots=True)
-class _Task:
-    """A lease and the sends under it."""
+class _Attempt:
+    """A lease and the sends under it. Times are of this node's clock."""
 
-    delivery: LeaseGrant
+    lease: LeaseGrant
     message: Message
-    ends_at: float
     arrived_at: float
+    ends_at: float
     sends: int = 0
-    tried: set[str] = field(default_factory=set)
-
+    rejected_by: set[str] = field(default_factory=set)  # instances
 
-class BodyCache:
-    """Bodies of messages that this node accepted, for the owner's first lease, which comes without one."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self._bodies: dict[str, bytes] = {}
-        self._most_bytes, self._bytes = most_bytes, 0
-
-    def keep(self, message: Message) -> None:
-        """Remember a body; the oldest go where there are too many."""
-        self._bodies[message.request_id] = message.body
-        self._bytes += len(message.body)
-        while self._bytes > self._most_bytes and self._bodies:
-            oldest = next(iter(self._bodies))
-            self._bytes -= len(self._bodies.pop(oldest))
+@dataclass(slots=True)
+class _Send:
+    """One send of an attempt, by the configuration in force at its moment."""
 
-    def take(self, request_id: str) -> bytes | None:
-        """The body, which isn't kept any longer; None where it isn't here."""
-        body = self._bodies.pop(request_id, None)
-        if body is not None:
-            self._bytes -= len(body)
-        return body
+    attempt: _Attempt
+    route: Route
+    service: Service
 
 
 class DeliveryDispatcher:
-    """Carries out leases."""
-
-    def __init__(
-        self,
-        reactor: Any,
-        node: NodeView,
-        workers: Workers,
-        reports: AttemptReporter,
-        bodies: BodyCache,
-        random: Random,
-    ) -> None:
-        self.reactor, self.node, self.workers, self.reports = reactor, node, workers, reports
-        self.bodies, self.random = bodies, random
+    """Carries out leases, and counts the sends in flight."""
+
+    def __init__(self, clock: Clock, node: NodeView, parts: DeliveryParts, random: Random) -> None:
         self.selection = WorkerSelection(random)
-        self.in_flight = 0
-        self.stopping = False
-        self._watched = False
-        self._beat_at = reactor.seconds()
-        self._stall_began = 0.0
-        self._stalled_until = 0.0
+        self.in_flight = 0  # sends
+        self.stopping = False  # set when the process drains: leases are returned at once
+        self._clock = clock
+        self._node = node
+        self._parts = parts
+        self._stalls = StallDetector(clock)
+
+    def start(self) -> None:
+        """Begin to watch for stalls of this process."""
+        self._stalls.start()
 
     def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
-        """The usable workers are these."""
+        """The usable workers are `entries`; `left` are the instances that no longer are."""
         self.selection.workers_changed(entries, left)
 
-    def lease_granted(self, delivery: LeaseGrant) -> None:
-        """The owner of a shard has given this node a lease."""
-        now = self.reactor.seconds()
-        message = delivery.message
-        if delivery.body_omitted:
-            body = self.bodies.take(message.request_id)
+    def lease_granted(self, lease: LeaseGrant) -> None:
+        """The owner of a shard has granted this node a lease."""
+        now = self._clock.seconds()
+        message = lease.message
+        body = self._parts.bodies.take(message.request_id)
+        if lease.body_omitted:
             if body is None:
-                self._report(delivery, AttemptOutcome.NOT_RUN, retry_after_ms=1)
+                self._report_not_run(lease, RETRY_AT_ONCE_MS)
                 return
             message = replace(message, body=body)
-        else:
-            self.bodies.take(message.request_id)
-        arrived_at = self._arrival(now)
-        ends_at = arrived_at + delivery.duration_ms / 1000
-        self._begin(_Task(delivery, message, ends_at, arrived_at))
+        arrived_at = self._stalls.earliest_arrival(now)
+        ends_at = arrived_at + lease.duration_ms / 1000
+        self._next_send(_Attempt(lease, message, arrived_at, ends_at))
 
     # ---- sends
 
-    def _begin(self, task: _Task) -> None:
+    def _next_send(self, attempt: _Attempt) -> None:
+        """Send the message by the configuration in force now, or report that it can't be sent."""
         if self.stopping:
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=1)
+            self._report_not_run(attempt.lease, RETRY_AT_ONCE_MS)
             return
-        table = self.node.routing()
-        route = table.match(task.message.host, _path(task.message.target)) if table else None
+        table = self._node.routing()
+        route = table.match(attempt.message.host, _path(attempt.message.target)) if table else None
         if table is None or route is None:
-            self._without_route(task, table)
+            self._report_no_route(attempt, table)
             return
-        if self.node.configuration_age() > CONFIGURATION_STALE_S:
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=STALE_PAUSE_MS)
+        if self._node.configuration_age() > CONFIGURATION_STALE_S:
+            self._report_not_run(attempt.lease, RETRY_STALE_MS)
             return
-        service = table.service_of(route)
-        if not self._in_time(task, route, service) or service.pull_mode:
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=1)
-        elif service.endpoint is not None:
-            self._to_endpoint(task, route, service, service.endpoint)
+        send = _Send(attempt, route, table.service_of(route))
+        if not self._in_time(send) or send.service.pull_mode:
+            self._report_not_run(attempt.lease, RETRY_AT_ONCE_MS)
+        elif send.service.endpoint is not None:
+            self._send_to_endpoint(send, send.service.endpoint)
         else:
-            self._to_worker(task, route, service)
+            self._send_to_worker(send)
 
-    def start(self) -> None:
-        """Begin to watch whether this process stands still."""
-        now = self.reactor.seconds()
-        if self._watched and now - self._beat_at > STALL_S:
-            self._stall_began = self._beat_at
-            self._stalled_until = now + AFTER_STALL_S
-        self._watched = True
-        self._beat_at = now
-        self.reactor.callLater(BEAT_S, self.start)
-
-    def _arrival(self, now: float) -> float:
-        """When a lease that is read now came, at the earliest.
-
-        It may have waited here as long as this process stood still: the owner has counted its time meanwhile,
-        and may have given the message to another node.
-        """
-        if now < self._stalled_until:
-            return self._stall_began
-        if self._watched and now - self._beat_at > STALL_S:
-            return float(self._beat_at)
-        return now
-
-    def _stalled(self, now: float) -> bool:
-        """Whether leases that arrive now may have waited while this process stood still."""
-        return now - self._beat_at > STALL_S or now < self._stalled_until
-
-    def _without_route(self, task: _Task, table: RoutingTable | None) -> None:
-        if table is not None and table.version >= task.message.accepted_version:
-            self._report(task.delivery, AttemptOutcome.ROUTE_GONE)
-        else:  # another node knows a newer configuration
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=STALE_PAUSE_MS)
-
-    def _in_time(self, task: _Task, route: Route, service: Service) -> bool:
-        now = self.reactor.seconds()
-        if service.rate_per_s > 0 and self._stalled(now):
-            return False
-        if service.rate_per_s > 0 and now - task.arrived_at > SEND_WITHIN_S:
+    def _in_time(self, send: _Send) -> bool:
+        """Whether the send can end within its lease, and its rate token is still valid."""
+        now = self._clock.seconds()
+        if send.service.rate_per_s > 0 and not self._token_valid(now, send.attempt):
             return False
-        return bool(now + route.timeout_ms / 1000 + LEASE_MARGIN_S <= task.ends_at)
+        return now + send.route.timeout_ms / 1000 + LEASE_MARGIN_S <= send.attempt.ends_at
 
-    def _to_endpoint(self, task: _Task, route: Route, service: Service, address: str) -> None:
-        within_s = self._send_within_s(task, service)
-        target = WorkerTarget(address, "", self.node.connection_share(service.max_connections), within_s)
-        self._send(task, route, target, lambda result: self._endpoint_ended(task, result))
+    def _token_valid(self, now: float, attempt: _Attempt) -> bool:
+        """Whether the rate token that came with a lease may still be used."""
+        return not self._stalls.stalled(now) and now - attempt.arrived_at <= RATED_SEND_WITHIN_S
 
-    def _send_within_s(self, task: _Task, service: Service) -> float:
-        """How long a send may still wait for a connection."""
-        if service.rate_per_s <= 0:
+    def _send_within_s(self, send: _Send) -> float:
+        """How long the send may still wait for a connection, in seconds."""
+        if send.service.rate_per_s <= 0:
             return inf
-        return max(task.arrived_at + SEND_WITHIN_S - float(self.reactor.seconds()), 0.0)
-
-    def _endpoint_ended(self, task: _Task, result: DeliveryResult) -> None:
-        pause = RETURN_PAUSE_MS if result.outcome is AttemptOutcome.NOT_RUN else 0
-        self._report(task.delivery, result.outcome, result.stamp, pause)
-
-    def _to_worker(self, task: _Task, route: Route, service: Service) -> None:
-        now = self.reactor.seconds()
-        if self.node.catalogue_age() > CATALOGUE_STALE_S:
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=STALE_PAUSE_MS)
+        return max(send.attempt.arrived_at + RATED_SEND_WITHIN_S - self._clock.seconds(), 0.0)
+
+    def _send_to_endpoint(self, send: _Send, address: str) -> None:
+        within_s = self._send_within_s(send)
+        share = self._node.connection_share(send.service.max_connections)
+        target = WorkerTarget(address, "", share, within_s)
+        self._deliver(send, target, lambda result: self._endpoint_ended(send.attempt, result))
+
+    def _endpoint_ended(self, attempt: _Attempt, result: DeliveryResult) -> None:
+        retry_after_ms = RETRY_NO_WORKER_MS if result.outcome is AttemptOutcome.NOT_RUN else 0
+        self._report(attempt.lease, result.outcome, result.stamp, retry_after_ms)
+
+    def _send_to_worker(self, send: _Send) -> None:
+        now = self._clock.seconds()
+        attempt = send.attempt
+        if self._node.catalogue_age() > CATALOGUE_STALE_S:
+            self._report_not_run(attempt.lease, RETRY_STALE_MS)
             return
-        worker = self.selection.choose(now, route.name, service.name, task.tried)
+        worker = self.selection.choose(now, send.route.name, send.service.name, attempt.rejected_by)
         if worker is None:
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=RETURN_PAUSE_MS)
+            self._report_not_run(attempt.lease, RETRY_NO_WORKER_MS)
             return
-        share = self.node.connection_share(service.max_connections)
-        target = WorkerTarget(worker.address, worker.name, share, self._send_within_s(task, service))
-        self.selection.started(worker)
-        self._send(
-            task, route, target, lambda result: self._worker_ended(task, route, service, worker, result)
-        )
-
-    def _worker_ended(
-        self, task: _Task, route: Route, service: Service, worker: ListedWorker, result: DeliveryResult
-    ) -> None:
-        self.selection.ended(self.reactor.seconds(), route.name, worker, result)
+        share = self._node.connection_share(send.service.max_connections)
+        target = WorkerTarget(worker.address, worker.name, share, self._send_within_s(send))
+        self.selection.delivery_started(worker)
+        self._deliver(send, target, lambda result: self._worker_ended(send, worker, result))
+
+    def _worker_ended(self, send: _Send, worker: ListedWorker, result: DeliveryResult) -> None:
+        attempt = send.attempt
+        self.selection.delivery_ended(self._clock.seconds(), send.route.name, worker, result)
         if result.outcome is not AttemptOutcome.NOT_RUN:
-            self._report(task.delivery, result.outcome, result.stamp)
+            self._report(attempt.lease, result.outcome, result.stamp)
             return
-        task.tried.add(worker.name)
-        once = service.rate_per_s > 0 and result.refusal is not RefusalKind.NO_CONNECTION
-        if once or task.sends >= MOST_SENDS:
-            self._report(task.delivery, AttemptOutcome.NOT_RUN, retry_after_ms=RETURN_PAUSE_MS)
+        attempt.rejected_by.add(worker.name)
+        # A request that was sent has used up its rate token, whatever the worker made of it.
+        token_used = send.service.rate_per_s > 0 and result.refusal is not RefusalKind.NO_CONNECTION
+        if token_used or attempt.sends >= MAX_SENDS:
+            self._report_not_run(attempt.lease, RETRY_NO_WORKER_MS)
         else:
-            self._begin(task)
+            self._next_send(attempt)
 
-    def _send(
-        self, task: _Task, route: Route, target: WorkerTarget, ended: Callable[[DeliveryResult], None]
-    ) -> None:
-        task.sends += 1
+    def _deliver(self, send: _Send, target: WorkerTarget, ended: Callable[[DeliveryResult], None]) -> None:
+        send.attempt.sends += 1
         self.in_flight += 1
 
         def finished(result: DeliveryResult) -> None:
             self.in_flight -= 1
             ended(result)
 
-        self.workers.deliver(target, task.message, route.timeout_ms).addCallback(finished)
+        delivered = self._parts.workers.deliver(target, send.attempt.message, send.route.timeout_ms)
+        delivered.addCallback(finished)
+
+    # ---- reports
+
+    def _report_no_route(self, attempt: _Attempt, table: RoutingTable | None) -> None:
+        if table is not None and table.version >= attempt.message.accepted_version:
+            self._report(attempt.lease, AttemptOutcome.ROUTE_GONE)
+        else:  # another node has a newer configuration
+            self._report_not_run(attempt.lease, RETRY_STALE_MS)
+
+    def _report_not_run(self, lease: LeaseGrant, retry_after_ms: int) -> None:
+        self._report(lease, AttemptOutcome.NOT_RUN, retry_after_ms=retry_after_ms)
 
     def _report(
-        self, delivery: LeaseGrant, outcome: AttemptOutcome, stamp: str = "", retry_after_ms: int = 0
+        self, lease: LeaseGrant, outcome: AttemptOutcome, stamp: str = "", retry_after_ms: int = 0
     ) -> None:
-        report = AttemptReport(
-            delivery.group, delivery.message.request_id, delivery.lease_id, outcome, stamp, retry_after_ms
+        request_id = lease.message.request_id
+        self._parts.reports.send(
+            AttemptReport(lease.group, request_id, lease.lease_id, outcome, stamp, retry_after_ms)
         )
-        self.reports.send(report)
 
 
 def _path(target: str) -> str:
--- a/bitternpath/dispatch/network.py
+++ b/bitternpath/dispatch/network.py
@@ -1,20 +1,24 @@
 """Random neural network that learns from payoffs which worker serves a job class best.
 
-Source: Wang, Brun, Gelenbe, "Online Work Distribution to Clouds" (MASCOTS 2016), section II."""
+Source: Wang, Brun, Gelenbe, "Online Work Distribution to Clouds" (MASCOTS 2016), section II. Both dispatchers
+use it: `dispatch.selection` of the queue service and `balancer.dispatch.dispatcher`.
+"""
 
 from typing import Generic, Protocol, TypeVar
 
 GAIN = 0.15  # what a payoff equal to the threshold adds, as a share of a neuron's mean excitatory weight
 KEEP = 0.95  # the paper's alpha: how much of the threshold T one payoff leaves
 PAYOFF_CAP = 4.0  # no payoff counts for more than this multiple of T, nor a failure for more than its mirror
-SETTLED = 1e-3  # q is settled when no neuron moves by more
+CONVERGED = 1e-3  # the iteration of q ends when no neuron moves by more
+MAX_ITERATIONS = 30  # of all neurons, where it doesn't converge sooner
+MAX_TOTAL_WEIGHT = 1e9  # above it the weights are scaled down to a total of 1
 
 
 class Neuron(Protocol):
-    """What a network needs to know of a worker: its name (unique) and its kind of machine."""
+    """What a network needs to know of a worker."""
 
-    name: str
-    kind: str
+    name: str  # unique in its network
+    kind: str  # workers of one kind are expected to be alike: a new one starts with their mean weights
 
 
 NeuronT = TypeVar("NeuronT", bound=Neuron)
@@ -24,41 +28,50 @@
     """Network of one job class, factored: q[i] is the excitation probability of neurons[i], equation (1).
 
     An update adds the same for all j, so w+(j,i) = plus[i] + plus_all and w-(j,i) = minus[i] + minus_all.
-    They are read in a unit that keeps the mean firing rate at 1: else weights only grow and learning ends."""
+    They are read in a unit that keeps the mean firing rate at 1: else weights only grow and learning ends.
+    """
 
     def __init__(self) -> None:
+        """An empty network. `index` gives a neuron's position in the lists by its name."""
         self.neurons: list[NeuronT] = []
-        self.place: dict[str, int] = {}
-        self.plus, self.minus, self.q = list[float](), list[float](), list[float]()
-        self.plus_all = self.minus_all = self.total = self.sum_q = self.threshold = 0.0
-        self.unsettled = 0
+        self.index: dict[str, int] = {}
+        self.plus: list[float] = []  # excitatory weights w+ towards each neuron, without `plus_all`
+        self.minus: list[float] = []  # inhibitory weights w- towards each neuron, without `minus_all`
+        self.q: list[float] = []  # excitation probabilities
+        self.plus_all = 0.0
+        self.minus_all = 0.0
+        self.total = 0.0  # of all weights
+        self.sum_q = 0.0
+        self.threshold = 0.0  # T, the moving mean of the payoffs; 0 before the first
+        self.unsettled = 0  # updates since all neurons were last iterated
 
     def join(self, neuron: NeuronT) -> None:
         """Add a neuron with the mean weights of its kind, or of all."""
         n = len(self.neurons)
-        kin = [k for k, other in enumerate(self.neurons) if other.kind == neuron.kind] or list(range(n))
+        alike = [k for k, other in enumerate(self.neurons) if other.kind == neuron.kind] or list(range(n))
         for row in (self.plus, self.minus, self.q):
-            row.append(sum(row[k] for k in kin) / len(kin) if kin else 0.5)
+            row.append(sum(row[k] for k in alike) / len(alike) if alike else 0.5)
         self.neurons.append(neuron)
-        self.place[neuron.name] = self.unsettled = n
+        self.index[neuron.name] = self.unsettled = n
         self.total += self.plus[n] + self.plus_all + self.minus[n] + self.minus_all
         self.sum_q += self.q[n]
 
     def leave(self, neuron: NeuronT) -> None:
         """Remove a neuron; what was learned of the rest stays."""
-        at = self.place[neuron.name]
+        at = self.index[neuron.name]
         self.total -= self.plus[at] + self.plus_all + self.minus[at] + self.minus_all
         del self.neurons[at], self.plus[at], self.minus[at], self.q[at]
-        self.place = {other.name: k for k, other in enumerate(self.neurons)}
+        self.index = {other.name: k for k, other in enumerate(self.neurons)}
         self.settle_all()
 
-    def learn(self, neuron: NeuronT, payoff: float, completed: bool = True) -> None:
+    def learn(self, neuron: NeuronT, payoff: float, *, completed: bool = True) -> None:
         """Update T by equation (4) and the weights by the two rules after it; `payoff` is R = 1/G.
 
-        `completed` is False for a job that has not ended or has failed: it leaves T as it is."""
+        `completed` is False for a job that has not ended or has failed: it leaves T as it is.
+        """
         if completed:
             self.threshold = KEEP * self.threshold + (1 - KEEP) * payoff if self.threshold else payoff
-        at, n, limit = self.place.get(neuron.name), len(self.neurons), self.threshold
+        at, n, limit = self.index.get(neuron.name), len(self.neurons), self.threshold
         if at is None or n < 2 or payoff == limit or not limit:
             return
         # In units of T. A worse result must punish more: a loss counts for T/R, the mirror of a win's R/T.
@@ -88,14 +101,15 @@
         return abs(new - old)
 
     def settle_all(self) -> None:
-        """Iterate equation (2) until it settles; also keep the raw weights in a range floats hold well."""
-        self.unsettled, n = 0, len(self.q)
-        if self.total > 1e9:
+        """Iterate equation (2) until it converges; also keep the weights in a range that floats hold well."""
+        self.unsettled = 0
+        n = len(self.q)
+        if self.total > MAX_TOTAL_WEIGHT:
             self.plus = [(weight + self.plus_all) / self.total for weight in self.plus]
             self.minus = [(weight + self.minus_all) / self.total for weight in self.minus]
             self.plus_all = self.minus_all = 0.0
             self.total = sum(self.plus) + sum(self.minus)
         self.sum_q = sum(self.q)
-        for _ in range(30 if n > 1 else 0):
-            if max([self.settle(k) for k in range(n)]) < SETTLED:
+        for _ in range(MAX_ITERATIONS if n > 1 else 0):
+            if max([self.settle(k) for k in range(n)]) < CONVERGED:
                 break
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -13,8 +13,9 @@
 from bitternpath.delivery.worker_client import WorkerClient
 from bitternpath.discovery.catalogue import Catalogue
 from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
+from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.callbacks import CallbackDispatcher
-from bitternpath.dispatch.deliveries import BodyCache, DeliveryDispatcher
+from bitternpath.dispatch.deliveries import DeliveryDispatcher, DeliveryParts
 from bitternpath.ingress.interfaces import (
     Acceptance,
     AcceptResult,
@@ -82,9 +83,8 @@
         self.lookup = MessageLookup(reactor, self.owners)
         self.bodies = BodyCache(BODY_CACHE_BYTES)
         self.worker_client = WorkerClient(reactor)
-        self.deliveries = DeliveryDispatcher(
-            reactor, self, self.worker_client, self.reports, self.bodies, random
-        )
+        delivery_parts = DeliveryParts(self.worker_client, self.reports, self.bodies)
+        self.deliveries = DeliveryDispatcher(reactor, self, delivery_parts, random)
         self.callbacks = CallbackDispatcher(reactor, CallbackClient(reactor), self.owners)
         self.catalogue = Catalogue(self._list_changed)
         self.platform = EndpointListClient(reactor, settings.platform)
--- a/tests/system/test_dispatch.py
+++ b/tests/system/test_dispatch.py
@@ -14,13 +14,14 @@
 from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
 from bitternpath.discovery.catalogue import Catalogue
+from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.deliveries import (
     CATALOGUE_STALE_S,
     CONFIGURATION_STALE_S,
-    MOST_SENDS,
-    SEND_WITHIN_S,
-    BodyCache,
+    MAX_SENDS,
+    RATED_SEND_WITHIN_S,
     DeliveryDispatcher,
+    DeliveryParts,
 )
 from bitternpath.dispatch.selection import WorkerSelection
 from bitternpath.shards.reports import AttemptReport
@@ -32,7 +33,7 @@
 BUSY = DeliveryResult(AttemptOutcome.NOT_RUN, "", 503, RefusalKind.BUSY, 0.002)
 NO_CONNECTION = DeliveryResult(AttemptOutcome.NOT_RUN, "", 0, RefusalKind.NO_CONNECTION, 0.25)
 WRONG_INSTANCE = DeliveryResult(AttemptOutcome.NOT_RUN, "", 421, RefusalKind.WRONG_INSTANCE, 0.002)
-SILENT = DeliveryResult(AttemptOutcome.UNKNOWN, "", 0, RefusalKind.NONE, 1.0)
+TIMED_OUT = DeliveryResult(AttemptOutcome.UNKNOWN, "", 0, RefusalKind.NONE, 1.0)
 
 
 def message(target: str = "/listed/1", version: int = 3) -> Message:
@@ -62,7 +63,7 @@
 
 
 class FakeNode:
-    """What the dispatcher sees of its node, the workers and the reports."""
+    """What the dispatcher sees of its node, the workers and the attempt reports."""
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = table()
@@ -101,9 +102,8 @@
         self.clock = Clock()
         self.node = FakeNode()
         self.bodies = BodyCache(100)
-        self.deliveries = DeliveryDispatcher(
-            self.clock, self.node, self.node, self.node, self.bodies, Random(1)
-        )  # type: ignore[arg-type]
+        parts = DeliveryParts(self.node, self.node, self.bodies)  # type: ignore[arg-type]
+        self.deliveries = DeliveryDispatcher(self.clock, self.node, parts, Random(1))  # type: ignore[arg-type]
         self.deliveries.workers_changed([entry(1), entry(2), entry(3)], [])
 
     def lease(self, given: Message | None = None, duration_ms: int = 3000, omitted: bool = False) -> None:
@@ -132,7 +132,7 @@
                 self.node.end(replace(DONE, outcome=outcome, stamp=""))
                 self.assertEqual((self.outcome(), self.node.calls), (outcome, []))
 
-    def test_a_refused_send_goes_to_other_workers_within_the_lease(self) -> None:
+    def test_a_rejected_send_is_retried_at_other_workers_within_the_lease(self) -> None:
         for refusal in (BUSY, NO_CONNECTION, WRONG_INSTANCE):
             with self.subTest(refusal=refusal.refusal):
                 self.setUp()
@@ -142,7 +142,7 @@
                     tried.append(self.node.calls[0][0].instance)
                     self.node.end(refusal)
                 self.assertEqual(sorted(tried), ["i1", "i2", "i3"])
-                self.assertLessEqual(len(tried), MOST_SENDS)
+                self.assertLessEqual(len(tried), MAX_SENDS)
                 self.assertEqual(self.outcome(), AttemptOutcome.NOT_RUN)
 
     def test_a_send_never_outlives_its_lease(self) -> None:
@@ -155,12 +155,12 @@
         self.lease(message("/endpoint/1"))
         self.node.end(BUSY)
         self.assertEqual((self.outcome(), self.node.calls), (AttemptOutcome.NOT_RUN, []))
-        self.assertLess(SEND_WITHIN_S, 1.0)
+        self.assertLess(RATED_SEND_WITHIN_S, 1.0)
 
-    def test_a_process_that_stood_still_sends_nothing_to_a_service_with_a_rate(self) -> None:
+    def test_a_stalled_process_sends_nothing_to_a_service_with_a_rate(self) -> None:
         self.deliveries.start()
         self.clock.advance(0.2)
-        self.clock.rightNow += 3.0  # the time passes and no timer fires: frozen
+        self.clock.rightNow += 3.0  # time passes and no timer fires: a stall
         self.lease(message("/endpoint/1"))
         self.clock.advance(0.0)  # its timers fire before the next read
         self.lease(message("/endpoint/1"))
@@ -172,9 +172,11 @@
     def test_a_send_to_a_service_with_a_rate_does_not_wait_beyond_its_token(self) -> None:
         self.lease(message("/endpoint/1"))
         self.lease()
-        self.assertEqual([call[0].send_within_s for call in self.node.calls], [SEND_WITHIN_S, float("inf")])
+        self.assertEqual(
+            [call[0].send_within_s for call in self.node.calls], [RATED_SEND_WITHIN_S, float("inf")]
+        )
 
-    def test_what_is_in_force_at_the_send_decides(self) -> None:
+    def test_the_configuration_in_force_at_the_send_decides(self) -> None:
         cases = (
             ("dropped, table as new", table(3), "/none/1", AttemptOutcome.ROUTE_GONE),
             ("unknown, table older than the message", table(2), "/none/1", AttemptOutcome.NOT_RUN),
@@ -194,7 +196,7 @@
         self.lease()
         self.assertEqual(self.node.calls[0][0].instance, "i9")
 
-    def test_stale_knowledge_holds_deliveries(self) -> None:
+    def test_a_stale_catalogue_or_configuration_stops_deliveries(self) -> None:
         self.node.catalogue_s = CATALOGUE_STALE_S + 0.1
         self.lease()
         self.assertEqual(self.outcome(), AttemptOutcome.NOT_RUN)
@@ -204,14 +206,14 @@
         self.lease(message("/endpoint/1"))
         self.assertEqual((len(self.node.calls), len(self.node.reports)), (1, 2))
 
-    def test_no_worker_or_shutting_down_hands_the_lease_back(self) -> None:
+    def test_without_a_worker_or_while_draining_the_lease_is_returned(self) -> None:
         self.deliveries.workers_changed([], ["i1", "i2", "i3"])
         self.lease()
         self.deliveries.stopping = True
         self.lease(message("/endpoint/1"))
         self.assertEqual([report.outcome for report in self.node.reports], [AttemptOutcome.NOT_RUN] * 2)
 
-    def test_a_body_is_kept_for_the_first_lease_and_asked_for_after(self) -> None:
+    def test_a_body_is_cached_for_the_first_lease_alone(self) -> None:
         self.bodies.keep(message())
         self.lease(structs.replace(message(), body=b""), omitted=True)
         self.assertEqual(self.node.calls[0][1].body, b"body")
@@ -226,7 +228,7 @@
 
 
 class SelectionTest(unittest.TestCase):
-    """The networks' choice."""
+    """The choice by the networks."""
 
     def setUp(self) -> None:
         self.selection = WorkerSelection(Random(7))
@@ -238,12 +240,14 @@
         for number in range(rounds):
             worker = self.selection.choose(float(number), "route", "workers")
             assert worker is not None
-            self.selection.started(worker)
-            self.selection.ended(float(number), "route", worker, replace(DONE, elapsed_s=times[worker.name]))
+            self.selection.delivery_started(worker)
+            self.selection.delivery_ended(
+                float(number), "route", worker, replace(DONE, elapsed_s=times[worker.name])
+            )
             counts[worker.name] += number >= rounds / 2
         return counts
 
-    def test_the_quick_worker_gets_most_and_others_are_still_tried(self) -> None:
+    def test_the_fastest_worker_gets_most_and_others_are_still_explored(self) -> None:
         counts = self.play({"i0": 0.1, "i1": 0.1, "i2": 0.02, "i3": 0.1}, 1000)
         self.assertGreater(counts["i2"], 300)
         self.assertTrue(all(count > 0 for count in counts.values()))
@@ -253,7 +257,7 @@
         for _ in range(40):
             worker = self.selection.choose(0.0, "route", "workers")
             assert worker is not None
-            self.selection.started(worker)
+            self.selection.delivery_started(worker)
             chosen.append(worker.name)
         self.assertTrue(all(chosen.count(f"i{n}") >= 5 for n in range(4)))
 
@@ -262,17 +266,17 @@
         for _ in range(2):
             worker = self.selection.choose(0.0, "r", "small")
             assert worker is not None
-            self.selection.started(worker)
+            self.selection.delivery_started(worker)
         self.assertIsNone(self.selection.choose(0.0, "r", "small"))
 
-    def test_a_worker_in_trouble_is_left_out_for_a_while_and_comes_back(self) -> None:
-        for result, within in ((SILENT, 1.0), (NO_CONNECTION, 1.0), (BUSY, 0.1), (WRONG_INSTANCE, 6.0)):
+    def test_an_unhealthy_worker_is_suspended_for_a_while(self) -> None:
+        for result, within in ((TIMED_OUT, 1.0), (NO_CONNECTION, 1.0), (BUSY, 0.1), (WRONG_INSTANCE, 6.0)):
             with self.subTest(result=result):
                 self.selection.workers_changed([entry(8, "one")], ["i8"])
                 worker = self.selection.choose(0.0, "r", "one")
                 assert worker is not None
-                self.selection.started(worker)
-                self.selection.ended(0.0, "r", worker, result)
+                self.selection.delivery_started(worker)
+                self.selection.delivery_ended(0.0, "r", worker, result)
                 self.assertIsNone(self.selection.choose(0.01, "r", "one"))
                 self.assertIsNotNone(self.selection.choose(within, "r", "one"))
 
@@ -281,20 +285,20 @@
         self.selection.workers_changed([entry(7)], ["i2"])
         self.assertIsNone(self.selection.worker("i2"))
         self.assertIsNotNone(self.selection.worker("i7"))
-        worker = self.selection.choose(1.0, "route", "workers", without=["i0", "i1", "i3"])
+        worker = self.selection.choose(1.0, "route", "workers", exclude=["i0", "i1", "i3"])
         self.assertEqual(worker.name if worker else "", "i7")
 
-    def test_an_end_after_the_worker_left_does_no_harm(self) -> None:
+    def test_a_result_after_the_worker_has_left_is_ignored(self) -> None:
         worker = self.selection.choose(0.0, "route", "workers")
         assert worker is not None
-        self.selection.started(worker)
+        self.selection.delivery_started(worker)
         self.selection.workers_changed([], [f"i{n}" for n in range(4)])
-        self.selection.ended(1.0, "route", worker, DONE)
+        self.selection.delivery_ended(1.0, "route", worker, DONE)
         self.assertIsNone(self.selection.choose(1.0, "route", "workers"))
 
 
 class CatalogueTest(unittest.TestCase):
-    """The list as an edge node holds it (RULES, DRAIN)."""
+    """The catalogue as an edge node keeps it (RULES, DRAIN)."""
 
     def setUp(self) -> None:
         self.changes: list[tuple[list[str], list[str]]] = []
@@ -310,7 +314,7 @@
         self.update(2.0, 2, (entry(1), entry(2, draining=True)))
         self.assertEqual(self.changes[-1], (["i1"], ["i2", "i3"]))
 
-    def test_age_counts_from_the_readings_begin(self) -> None:
+    def test_age_counts_from_the_start_of_the_reading(self) -> None:
         self.update(1.0, 1, (entry(1),), age_ms=400)
         self.assertAlmostEqual(self.catalogue.age(1.5), 0.9)
         self.update(2.0, 1, None, age_ms=100)
--- a/tests/system/test_stalled_edge.py
+++ b/tests/system/test_stalled_edge.py
@@ -1,4 +1,4 @@
-"""Leases that waited while their edge node stood still: nothing is sent that may be another node's by now."""
+"""Leases that waited during a stall of their edge node: nothing is sent that another node may have by now."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
         self.rig.setUp()
         self.clock, self.node = self.rig.clock, self.rig.node
 
-    def stop(self, seconds: float) -> None:
+    def stall(self, seconds: float) -> None:
         self.rig.deliveries.start()
         self.clock.pump([0.1] * 5)
         self.clock.rightNow += seconds  # the time passes and no timer fires
 
-    def test_a_lease_that_may_be_over_is_handed_back(self) -> None:
+    def test_a_lease_that_may_have_ended_is_returned(self) -> None:
         for timers_first in (False, True):
             with self.subTest(timers_first=timers_first):
                 self.setUp()
-                self.stop(MARGIN_S + 0.1)
+                self.stall(MARGIN_S + 0.1)
                 if timers_first:
                     self.clock.advance(0.0)
                 self.rig.lease(duration_ms=DURATION_MS)
@@ -36,13 +36,13 @@
                 self.assertEqual(self.rig.outcome(), AttemptOutcome.NOT_RUN)
 
     def test_a_short_stall_costs_its_own_time_alone(self) -> None:
-        self.stop(1.0)
+        self.stall(1.0)
         self.clock.advance(0.0)
         self.rig.lease(duration_ms=DURATION_MS)
         self.assertEqual(len(self.node.calls), 1)
 
-    def test_leases_that_come_later_are_whole(self) -> None:
-        self.stop(5.0)
+    def test_later_leases_have_their_full_time(self) -> None:
+        self.stall(5.0)
         self.clock.advance(0.0)
         self.clock.pump([0.1] * 5)
         self.rig.lease(duration_ms=DURATION_MS)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -64,7 +64,7 @@
     net.settle_all()
     assert net.threshold == pytest.approx(dense.t)
     wanted = dense.solve()
-    assert net.q == pytest.approx(wanted, abs=5 * network.SETTLED)
+    assert net.q == pytest.approx(wanted, abs=5 * network.CONVERGED)
     assert max(wanted) - min(wanted) > 0.01
 
 
@@ -72,7 +72,7 @@
     net = network.Network[Worker]()
     for k in range(5):
         net.join(Worker(entry(f"w{k}")))
-    assert max(net.q) - min(net.q) < network.SETTLED
+    assert max(net.q) - min(net.q) < network.CONVERGED
 
 
 def test_a_tie_and_a_single_worker_change_nothing() -> None:
@@ -111,11 +111,11 @@
         net.join(worker)
     for turn in range(60):
         net.learn(workers[turn % 6], 2.0 if turn % 6 < 3 else 1.0)
-    kept = {w.name: net.q[net.place[w.name]] for w in workers[1:]}
+    kept = {w.name: net.q[net.index[w.name]] for w in workers[1:]}
     net.leave(workers[0])
-    assert set(net.place) == set(kept)
-    now = {name: net.q[at] for name, at in net.place.items()}
+    assert set(net.index) == set(kept)
+    now = {name: net.q[at] for name, at in net.index.items()}
     assert min(now["w1"], now["w2"]) > max(now["w3"], now["w4"], now["w5"])
     fresh = Worker(entry("new", kind="x"))
     net.join(fresh)
-    assert net.q[net.place["new"]] > net.q[net.place["w4"]]
+    assert net.q[net.index["new"]] > net.q[net.index["w4"]]
