--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -1,7 +1,8 @@
-"""The server's side of one HTTP/1.1 connection: strict reading, limits, time-outs and closing.
+"""The server's end of one HTTP/1.1 connection: strict parsing, limits, time-outs and closing.
 
 `StrictChannel` narrows `twisted.web.http.HTTPChannel`: whatever two readers could understand differently
 (RFC 9112, sections 6.1, 6.3 and 11.2) is answered with one error, after which nothing more is read.
+A connection's life is the phases of `Phase`; `_enter` sets the time-out of each.
 """
 
 from __future__ import annotations
@@ -17,11 +18,12 @@
 from zope.interface import implementer
 
 from bitternpath.configuration.documents import RequestLimits
+from bitternpath.ingress.http_requests import HttpRequest
 from bitternpath.net.sockets import peek
 
-LINGER_S = 1.0  # after an error answer: input is discarded so long, because a reset could destroy the answer
-FLUSH_S = 5.0  # a peer that takes no more of an answer for so long is given up
-DRAINING_READ_S = 2.0  # during a shutdown, the rest of a request must come within this
+LINGER_S = 1.0  # after an error: input is discarded for so long, since a reset could destroy the response
+FLUSH_TIMEOUT_S = 5.0  # a peer that reads no more of a response for so long is given up
+DRAINING_READ_TIMEOUT_S = 2.0  # during a shutdown, the rest of a request must come within this
 MAX_LENGTH_DIGITS = 15  # of Content-Length; more can't be a real size
 
 
@@ -31,12 +33,12 @@
     IDLE = "between requests"
     HEAD = "reading a head"
     BODY = "reading a body"
-    ANSWERING = "a request is being answered"
+    RESPONDING = "a request has been read, and its response is awaited or written"
     CLOSING = "closing"
 
 
 class ChannelSite(Protocol):
-    """What a connection needs of its server; `HttpSite` is one."""
+    """What a connection needs of its server; `http_server.HttpServer` is one."""
 
     channels: dict[StrictChannel, None]  # the open ones, in the order in which they were made
     closing: bool  # whether the server is shutting down
@@ -65,6 +67,7 @@
         self._read_closed = False
 
     def connectionMade(self) -> None:
+        """Begin, idle."""
         super().connectionMade()  # type: ignore[no-untyped-call]
         self.site.channels[self] = None
         self._enter(Phase.IDLE)
@@ -72,14 +75,16 @@
     # ---- reading
 
     def dataReceived(self, data: bytes) -> None:
+        """Read what has come, unless the connection is being closed after an error."""
         if self._rejected:
             return
         if self.phase is Phase.BODY:
             self.setTimeout(self._body_timeout())  # type: ignore[no-untyped-call]
         LineReceiver.dataReceived(self, data)  # type: ignore[no-untyped-call]
-        self._note_partial_line()
+        self._begin_head_if_data_waits()
 
     def lineReceived(self, line: bytes) -> None:
+        """Read a line of a head, within the limit of all heads; line folding (RFC 9112, 5.2) is an error."""
         if self._rejected:
             return
         if self.phase is Phase.IDLE and line:
@@ -95,9 +100,11 @@
         super().lineReceived(line)  # type: ignore[no-untyped-call]
 
     def lineLengthExceeded(self, line: bytes) -> None:
+        """Reject a head with a line over the limit."""
         self.reject(431)
 
     def rawDataReceived(self, data: bytes) -> None:
+        """Read a part of a body, or drop it after an error."""
         if not self._rejected:
             super().rawDataReceived(data)
 
@@ -108,7 +115,7 @@
         self.MAX_LENGTH = self.totalHeadersSize = limits.max_header_bytes
         self._enter(Phase.HEAD)
 
-    def _note_partial_line(self) -> None:
+    def _begin_head_if_data_waits(self) -> None:
         if self.phase is Phase.IDLE and self._buffer:
             self._begin_head()
 
@@ -123,6 +130,7 @@
         return bool(super()._maybeChooseTransferDecoder(header, data))  # type: ignore[no-untyped-call]
 
     def allHeadersReceived(self) -> None:
+        """Check what only a complete head shows: one `Host`, and a length within the limit."""
         request = self.requests[-1]
         hosts = request.requestHeaders.getRawHeaders(b"Host", ())
         if len(hosts) > 1 or (not hosts and self._version == b"HTTP/1.1"):
@@ -135,32 +143,35 @@
         super().allHeadersReceived()  # type: ignore[no-untyped-call]
 
     def allContentReceived(self) -> None:
+        """A request is complete: let it be processed."""
         if not self._rejected:
-            self._enter(Phase.ANSWERING)
+            self._enter(Phase.RESPONDING)
             super().allContentReceived()  # type: ignore[no-untyped-call]
 
-    def checkPersistence(self, request: Any, version: bytes) -> bool:
+    def checkPersistence(self, request: HttpRequest, version: bytes) -> bool:
+        """Whether the connection stays open after the response."""
         values = request.requestHeaders.getRawHeaders(b"Connection", ())
         options = {option.strip().lower() for value in values for option in value.split(b",")}
         return version == b"HTTP/1.1" and b"close" not in options
 
-    # ---- answering
+    # ---- responding
 
-    def before_answer(self, request: Any) -> None:
-        """The head of the answer to `request` is about to be written."""
+    def before_response(self, request: HttpRequest) -> None:
+        """Decide, before the head of the response to `request` is written, whether the connection closes."""
         pipelined = bool(self._dataBuffer)
         if self._read_closed or (self.site.closing and not pipelined):
             self.persistent = False
         if not self.persistent:
             request.responseHeaders.setRawHeaders(b"Connection", [b"close"])
 
-    def requestDone(self, request: Any) -> None:
+    def requestDone(self, request: HttpRequest) -> None:
+        """A response is complete: read on."""
         self._enter(Phase.IDLE)
         super().requestDone(request)  # type: ignore[no-untyped-call]
-        self._note_partial_line()
+        self._begin_head_if_data_waits()
 
     def reject(self, status: int) -> None:
-        """Answer a request that can't be read, and close the connection without reading more of it."""
+        """Respond to a request that can't be parsed, and close the connection without reading more of it."""
         if self._rejected:
             return
         self._rejected = True
@@ -182,45 +193,48 @@
     # ---- time-outs and closing
 
     def begin_shutdown(self) -> None:
-        """Close an idle connection now, any other one after the answer that it waits for."""
+        """Close an idle connection now, any other one after the response that it waits for."""
         if self.phase is Phase.IDLE and not self._has_unread_input():
             self.loseConnection()
         elif self.phase in (Phase.IDLE, Phase.HEAD, Phase.BODY):
-            self.setTimeout(DRAINING_READ_S)  # type: ignore[no-untyped-call]
+            self.setTimeout(DRAINING_READ_TIMEOUT_S)  # type: ignore[no-untyped-call]
 
     def answer_pending(self) -> None:
-        """Answer the request that waits, and those that were read behind it; then close."""
-        answered = None
-        while self.phase is Phase.ANSWERING and self.requests[0] is not answered:
+        """Respond, without a result, to the request that waits and those read behind it; then close."""
+        answered: HttpRequest | None = None
+        while self.phase is Phase.RESPONDING and self.requests[0] is not answered:
             answered = self.requests[0]
-            answered.end_without_answer()
-        if self.phase not in (Phase.ANSWERING, Phase.CLOSING):
+            answered.reply_fallback()
+        if self.phase not in (Phase.RESPONDING, Phase.CLOSING):
             self.loseConnection()
 
     def loseConnection(self) -> None:
-        self._enter(Phase.CLOSING, FLUSH_S)
+        """Close once all that was written is sent, or after the flush time-out."""
+        self._enter(Phase.CLOSING, FLUSH_TIMEOUT_S)
         super().loseConnection()  # type: ignore[no-untyped-call]
 
     def timeoutConnection(self) -> None:
+        """The time-out of the present phase has passed."""
         if self.phase in (Phase.HEAD, Phase.BODY):
             self.reject(408)
         elif self.phase is Phase.CLOSING:
             self.transport.abortConnection()
         elif self._has_unread_input():
-            self.setTimeout(DRAINING_READ_S)  # type: ignore[no-untyped-call]
+            self.setTimeout(DRAINING_READ_TIMEOUT_S)  # type: ignore[no-untyped-call]
         else:
             self.loseConnection()
 
     def readConnectionLost(self) -> None:
-        """The peer sends no more; it may still wait for its answer."""
+        """The peer sends no more; it may still wait for its response."""
         self._read_closed = True
-        if self.phase is not Phase.ANSWERING or self.requests[0].needs_open_peer:
+        if self.phase is not Phase.RESPONDING or self.requests[0].needs_open_peer:
             self.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """Our own half-close after an error answer; the linger time runs."""
+        """Our own half-close after an error; the linger time runs."""
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """The connection has ended, whoever ended it."""
         self.site.channels.pop(self, None)
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
         self.site.channel_lost()
@@ -244,4 +258,4 @@
 
     def _body_timeout(self) -> float:
         seconds = self.site.limits().idle_timeout_ms / 1000
-        return min(seconds, DRAINING_READ_S) if self.site.closing else seconds
+        return min(seconds, DRAINING_READ_TIMEOUT_S) if self.site.closing else seconds
--- /dev/null
+++ b/bitternpath/ingress/http_server.py
@@ -0,0 +1,86 @@
+"""An HTTP server of an edge node: the set of its open connections, their number, and shutdown."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from io import BytesIO
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.web import server
+from twisted.web.resource import Resource
+
+from bitternpath.configuration.documents import RequestLimits
+from bitternpath.ingress.channel import StrictChannel
+from bitternpath.ingress.http_requests import HttpRequest
+
+
+class HttpServer(server.Site):
+    """A server, as a factory of `StrictChannel`s (in Twisted's terms a site)."""
+
+    noisy = False
+
+    def __init__(
+        self,
+        resource_for: Callable[[HttpRequest], Resource],
+        limits: Callable[[], RequestLimits],
+        max_connections: int,
+        reactor: Any,
+    ) -> None:
+        """`resource_for` chooses who responds; `limits` is called at each request; both must be quick."""
+        super().__init__(  # type: ignore[no-untyped-call]
+            None, requestFactory=HttpRequest, reactor=reactor, parsePOSTFormSubmission=False
+        )
+        self.resource_for = resource_for
+        self.limits = limits
+        self.max_connections = max_connections
+        self.reactor = reactor
+        self.channels: dict[StrictChannel, None] = {}  # in the order in which they were made
+        self.closing = False
+        self._drained: Deferred[None] | None = None
+
+    def begin_shutdown(self) -> Deferred[None]:
+        """Close idle connections, and others after their response; fires once none is open."""
+        self.closing = True
+        if self._drained is None:
+            self._drained = Deferred()
+            for channel in tuple(self.channels):
+                channel.begin_shutdown()
+            self.channel_lost()
+        return self._drained
+
+    def answer_pending(self) -> None:
+        """The process is about to end: whoever waits gets a response that promises nothing."""
+        for channel in tuple(self.channels):
+            channel.answer_pending()
+
+    def channel_lost(self) -> None:
+        """A connection has ended."""
+        if self._drained is not None and not self.channels and not self._drained.called:
+            self._drained.callback(None)
+
+    # ---- hooks of twisted.web
+
+    def buildProtocol(self, addr: Any) -> Any:
+        """A `StrictChannel`; None, which closes the connection unread, where there are too many."""
+        if len(self.channels) >= self.max_connections:
+            return None
+        channel: Any = StrictChannel()
+        channel.factory = self
+        channel.site = self
+        channel.requestFactory = self.requestFactory
+        channel.callLater = self.reactor.callLater
+        return channel
+
+    def startFactory(self) -> None:
+        """Without the log file and the clock of Twisted's access log."""
+
+    def stopFactory(self) -> None:
+        """Nothing has been started."""
+
+    def log(self, request: Any) -> None:
+        """There is no access log: writing it uses processor time."""
+
+    def getContentFile(self, length: int | None) -> BytesIO:
+        """Bodies are bounded by the limits and stay in memory."""
+        return BytesIO()
--- a/bitternpath/ingress/intake.py
+++ b/bitternpath/ingress/message_parser.py
@@ -1,4 +1,4 @@
-"""Turns a client's request into a message, or into the answer that refuses it. Pure."""
+"""Parses a client's request into a message, or into the response that rejects it. Pure."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 
 from bitternpath.configuration.documents import Route, RoutingTable
-from bitternpath.ingress.site import RETRY_SOON_S
+from bitternpath.ingress.http_requests import RETRY_SOON_S
 from bitternpath.net.http1 import HOP_BY_HOP
 from bitternpath.transport.records import Header, Message
 
 DEFAULT_DEADLINE_MS = 1_000  # where the client names none
 MAX_DEADLINE_MS = 60_000  # no client is kept waiting longer
-ANSWER_MARGIN_MS = 150  # the answer is on its way so long before the client's deadline
+RESPONSE_MARGIN_MS = 150  # the response is on its way so long before the client's deadline
 MAX_DELAY_MS = 30 * 24 * 3_600_000  # a month; more is taken for an error
 
 _ORDER_KEY = b"x-order-key"
@@ -25,47 +25,51 @@
     b"x-request-id x-deadline-ms x-delay-ms x-callback-url x-expect-instance".split()
 )
 
+_Headers = Mapping[bytes, Sequence[bytes]]  # values by name, in the order of the request
+
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as it was read. `headers` maps canonical names to their values in order."""
+    """A request as it was read."""
 
     method: bytes
     target: bytes
-    headers: Mapping[bytes, Sequence[bytes]]
+    headers: _Headers  # by canonical name
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where and when a message was taken."""
+    """Where and when a message was received."""
 
     node: str
-    wall_ms: int
+    wall_ms: int  # Unix time in milliseconds
 
 
 @dataclass(frozen=True, slots=True)
-class Intake:
-    """A message to accept, and how long its client may wait for the answer."""
+class ParsedMessage:
+    """A message to accept."""
 
     message: Message
-    wait_ms: int
+    wait_ms: int  # for which its client may wait for the node's result
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The answer to a request that isn't taken."""
+    """The response to a request that isn't accepted."""
 
     status: int
     reason: str
-    retry_after_s: int | None = None
+    retry_after_s: int | None = None  # None: a retry is useless
 
 
-class _BadHeader(ValueError):
-    """A header that can't be read; the text names it."""
+class BadHeaderError(ValueError):
+    """A header that can't be parsed. The client's fault; a retry is useless. The text names the header."""
 
 
-def read_message(request: ClientRequest, routing: RoutingTable | None, origin: Origin) -> Intake | Rejection:
+def parse_message(
+    request: ClientRequest, routing: RoutingTable | None, origin: Origin
+) -> ParsedMessage | Rejection:
     """The message in a client's request (PROTOCOL, "Messages")."""
     if routing is None:
         return Rejection(503, "no configuration yet", RETRY_SOON_S)
@@ -86,7 +90,7 @@
             method=_text(request.method),
             host=_text(host),
             target=_text(request.target),
-            headers=_kept_headers(headers, request.headers, route),
+            headers=_forwarded_headers(headers, request.headers, route),
             order_key=_order_key(headers, route),
             route=route.name,
             accepted_version=routing.version,
@@ -96,12 +100,9 @@
             accepted_wall_ms=origin.wall_ms,
             body=request.body,
         )
-    except _BadHeader as error:
+    except BadHeaderError as error:
         return Rejection(400, str(error))
-    return Intake(message, wait_ms)
-
-
-_Headers = Mapping[bytes, Sequence[bytes]]
+    return ParsedMessage(message, wait_ms)
 
 
 def _text(value: bytes) -> str:
@@ -109,11 +110,12 @@
 
 
 def _single(headers: _Headers, name: bytes, pattern: re.Pattern[bytes]) -> bytes:
+    """The value of a header that may stand once; b"" where it is missing."""
     values = headers.get(name, ())
     if not values:
         return b""
     if len(values) > 1 or not pattern.fullmatch(values[0]):
-        raise _BadHeader(f"{_text(name)}: given twice or malformed")
+        raise BadHeaderError(f"{_text(name)}: given twice or malformed")
     return values[0]
 
 
@@ -123,13 +125,13 @@
 
 
 def _wait_ms(deadline_ms: int) -> int:
-    return max(deadline_ms - ANSWER_MARGIN_MS, deadline_ms // 2)
+    return max(deadline_ms - RESPONSE_MARGIN_MS, deadline_ms // 2)
 
 
 def _order_key(headers: _Headers, route: Route) -> str:
     values = headers.get(_ORDER_KEY, ())
     if len(values) > 1:
-        raise _BadHeader("x-order-key: given twice")
+        raise BadHeaderError("x-order-key: given twice")
     return _text(values[0]) if values and route.ordered else ""
 
 
@@ -137,8 +139,8 @@
     return _text(_single(headers, b"x-callback-url", _CALLBACK_URL)) if route.callback_url else ""
 
 
-def _kept_headers(headers: _Headers, original: _Headers, route: Route) -> tuple[Header, ...]:
-    """End-to-end headers, in the order and case in which the worker gets them."""
+def _forwarded_headers(headers: _Headers, original: _Headers, route: Route) -> tuple[Header, ...]:
+    """The end-to-end headers, in the order and case in which the worker gets them."""
     dropped = _OWN_HEADERS | _connection_options(headers.get(b"connection", ()))
     # A worker gets the sender's key in any case: from the message's own field, or as one of its headers.
     dropped = dropped | {_ORDER_KEY} if route.ordered else dropped - {_ORDER_KEY}
--- /dev/null
+++ b/bitternpath/ingress/operator_api.py
@@ -0,0 +1,67 @@
+"""The operator's calls (PROTOCOL, "The operator's API"), passed to the node as they came."""
+
+from __future__ import annotations
+
+import re
+
+from klein import Klein
+from twisted.internet.defer import Deferred
+from twisted.logger import Logger
+from twisted.python.failure import Failure
+
+from bitternpath.ingress.http_requests import RETRY_SOON_S, HttpRequest
+from bitternpath.ingress.interfaces import NodeService, OperatorReply
+from bitternpath.net.clock import Clock
+
+CALL_TIMEOUT_S = 10.0  # the operator has moved on to another node long before
+
+_CALLS = re.compile(rb"/config|/retire/[!-.0-~]+")
+_log = Logger()
+
+
+def is_call(path: bytes) -> bool:
+    """Whether the operator has a call with this path."""
+    return _CALLS.fullmatch(path) is not None
+
+
+class OperatorApi:
+    """Passes the operator's calls to the node."""
+
+    app = Klein()
+    app.url_map.merge_slashes = False
+
+    def __init__(self, node: NodeService, clock: Clock) -> None:
+        self._node = node
+        self._clock = clock
+
+    @app.route("/config", methods=["GET", "PUT", "PATCH"])
+    def configuration(self, request: HttpRequest) -> Deferred[None]:
+        """Read, replace or patch the configuration."""
+        return self._forward(request)
+
+    @app.route("/retire/<node>", methods=["GET", "POST"])
+    def retire(self, request: HttpRequest, node: str) -> Deferred[None]:
+        """Empty a storage machine, or show how far that is."""
+        return self._forward(request)
+
+    def _forward(self, request: HttpRequest) -> Deferred[None]:
+        timer = self._clock.callLater(CALL_TIMEOUT_S, request.reply, 503, b"", RETRY_SOON_S)
+
+        def replied(reply: OperatorReply) -> None:
+            if timer.active():
+                timer.cancel()
+                request.set_header(b"Content-Type", b"application/json")
+                request.reply(reply.status, reply.body)
+
+        def failed(failure: Failure) -> None:
+            _log.failure("operator_call_failed", failure)
+            replied(OperatorReply(500, b"{}"))
+
+        call = self._node.operator_call(
+            request.method.decode("latin-1"),
+            request.path.decode("latin-1"),
+            request.getHeader("If-Match") or "",
+            request.content.read(),
+        )
+        call.addCallbacks(replied, failed)
+        return request.ended()
--- a/bitternpath/ingress/servers.py
+++ b/bitternpath/ingress/servers.py
@@ -1,4 +1,4 @@
-"""The three HTTP servers of an edge node: front, readiness and control."""
+"""The three HTTP servers of an edge node: for clients, for the readiness probe, for the operator."""
 
 from __future__ import annotations
 
@@ -10,52 +10,53 @@
 from twisted.web.resource import Resource
 
 from bitternpath.configuration.documents import RequestLimits
-from bitternpath.ingress import control, interface
+from bitternpath.ingress import client_api, operator_api
+from bitternpath.ingress.http_requests import HttpRequest
+from bitternpath.ingress.http_server import HttpServer
 from bitternpath.ingress.interfaces import NodeService
 from bitternpath.ingress.messages import MessageResource
-from bitternpath.ingress.site import HttpSite
 
-CONTROL_LIMITS = RequestLimits(max_body_bytes=16 * 1024 * 1024)  # a whole configuration
+OPERATOR_LIMITS = RequestLimits(max_body_bytes=16 * 1024 * 1024)  # a complete configuration
 READINESS_LIMITS = RequestLimits(max_header_bytes=4_096, max_body_bytes=0)
-CONTROL_CONNECTIONS = 64  # callers of the control address are few
-READINESS_CONNECTIONS = 64  # a question a second, each of which may leave its connection idle
+OPERATOR_MAX_CONNECTIONS = 64  # the operator's programs are few
+READINESS_MAX_CONNECTIONS = 64  # one probe a second, each of which may leave its connection idle
 
 
 def _wall_ms() -> int:
     return int(time.time() * 1000)
 
 
-class FrontSite(HttpSite):
-    """The server of `listen.front`."""
+class ClientServer(HttpServer):
+    """The server of the setting `listen.front`: clients and pulling workers."""
 
     def __init__(
-        self, node: NodeService, origin: str, max_connections: int, wall_ms: Callable[[], int], reactor: Any
+        self, node: NodeService, messages: MessageResource, max_connections: int, reactor: Any
     ) -> None:
-        super().__init__(self._choose, self._limits, max_connections, reactor)
+        super().__init__(self._choose_resource, self._current_limits, max_connections, reactor)
         self._node = node
-        self._interface = interface.FrontInterface(node, reactor)
-        self._calls: Resource = self._interface.app.resource()
-        self._messages = MessageResource(node, origin, wall_ms, reactor)
+        self._messages = messages
+        self._api = client_api.ClientApi(node, reactor)
+        self._calls: Resource = self._api.app.resource()
         self._default_limits = RequestLimits()
 
     def begin_shutdown(self) -> Deferred[None]:
-        """As `HttpSite.begin_shutdown`; workers that wait for a job get 204 at once."""
+        """As `HttpServer.begin_shutdown`; workers that wait for a job get 204 at once."""
         drained = super().begin_shutdown()
-        self._interface.release_pulls()
+        self._api.release_pulls()
         return drained
 
-    def _limits(self) -> RequestLimits:
+    def _current_limits(self) -> RequestLimits:
         routing = self._node.routing()
         return self._default_limits if routing is None else routing.configuration.limits
 
-    def _choose(self, request: Any) -> Resource:
-        if interface.is_call(request.method, request.path):
+    def _choose_resource(self, request: HttpRequest) -> Resource:
+        if client_api.is_call(request.method, request.path):
             return self._calls
         return self._messages
 
 
 class ReadinessResource(Resource):
-    """Answers whether the node takes new connections."""
+    """Answers whether the node wants new connections."""
 
     isLeaf = True
 
@@ -63,8 +64,8 @@
         super().__init__()  # type: ignore[no-untyped-call]
         self._node = node
 
-    def render(self, request: Any) -> bytes:
-        """200 or 503, without a body."""
+    def render(self, request: HttpRequest) -> bytes:
+        """Respond with 200 or 503, without a body."""
         if request.path != b"/readyz":
             request.setResponseCode(404)
         elif not self._node.is_ready():
@@ -77,8 +78,8 @@
 
     isLeaf = True
 
-    def render(self, request: Any) -> bytes:
-        """404, without a body."""
+    def render(self, request: HttpRequest) -> bytes:
+        """Respond with 404, without a body."""
         request.setResponseCode(404)
         return b""
 
@@ -90,27 +91,27 @@
     origin: str,
     max_connections: int,
     wall_ms: Callable[[], int] = _wall_ms,
-) -> FrontSite:
-    """The server for clients and pulling workers. `origin` is this node's name, written into messages."""
-    return FrontSite(node, origin, max_connections, wall_ms, reactor)
+) -> ClientServer:
+    """The server for clients and pulling workers.
 
+    `origin` is this node's name, and `wall_ms` the Unix time in milliseconds; both are written into messages.
+    """
+    messages = MessageResource(node, origin, wall_ms, reactor)
+    return ClientServer(node, messages, max_connections, reactor)
 
-def build_readiness_server(node: NodeService, reactor: Any) -> HttpSite:
-    """The server for the platform's question whether the node is ready."""
-    resource = ReadinessResource(node)
-
-    def choose(request: Any) -> Resource:
-        return resource
 
-    return HttpSite(choose, lambda: READINESS_LIMITS, READINESS_CONNECTIONS, reactor)
+def build_readiness_server(node: NodeService, reactor: Any) -> HttpServer:
+    """The server for the platform's readiness probe."""
+    resource = ReadinessResource(node)
+    return HttpServer(lambda _: resource, lambda: READINESS_LIMITS, READINESS_MAX_CONNECTIONS, reactor)
 
 
-def build_operator_server(node: NodeService, reactor: Any) -> HttpSite:
+def build_operator_server(node: NodeService, reactor: Any) -> HttpServer:
     """The server for the operator."""
-    calls: Resource = control.OperatorInterface(node, reactor).app.resource()
-    missing: Resource = NotFoundResource()  # type: ignore[no-untyped-call]
+    calls: Resource = operator_api.OperatorApi(node, reactor).app.resource()
+    not_found: Resource = NotFoundResource()  # type: ignore[no-untyped-call]
 
-    def choose(request: Any) -> Resource:
-        return calls if control.is_call(request.path) else missing
+    def choose_resource(request: HttpRequest) -> Resource:
+        return calls if operator_api.is_call(request.path) else not_found
 
-    return HttpSite(choose, lambda: CONTROL_LIMITS, CONTROL_CONNECTIONS, reactor)
+    return HttpServer(choose_resource, lambda: OPERATOR_LIMITS, OPERATOR_MAX_CONNECTIONS, reactor)
--- a/tests/system/test_ingress.py
+++ b/tests/system/test_ingress.py
@@ -19,8 +19,8 @@
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.documents import RoutingTable, parse_configuration
-from bitternpath.ingress.channel import DRAINING_READ_S, FLUSH_S, LINGER_S
-from bitternpath.ingress.interface import LEASE_ANSWER_S, PULL_LATE_S, STATUS_ANSWER_S
+from bitternpath.ingress.channel import DRAINING_READ_TIMEOUT_S, FLUSH_TIMEOUT_S, LINGER_S
+from bitternpath.ingress.client_api import LEASE_CALL_TIMEOUT_S, LOOKUP_TIMEOUT_S
 from bitternpath.ingress.interfaces import (
     Acceptance,
     AcceptResult,
@@ -30,6 +30,7 @@
     OperatorReply,
     PulledJob,
 )
+from bitternpath.ingress.pull_calls import PULL_GRACE_S
 from bitternpath.ingress.servers import build_client_server, build_operator_server, build_readiness_server
 from bitternpath.net.http1 import Response, ResponseReader
 from bitternpath.transport.records import Header, Message, MessageState
@@ -68,7 +69,7 @@
     return PulledJob(lease_id, message)
 
 
-class Ticket:
+class FakePull:
     """A waiting pull whose end the test decides."""
 
     def __init__(self) -> None:
@@ -79,23 +80,23 @@
         self.cancelled = True
 
 
-class Node:
-    """An edge node whose answers the test gives."""
+class FakeNode:
+    """An edge node whose results the test gives."""
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = routing()
         self.ready = True
         self.accepted: list[tuple[Message, int]] = []
-        self.answers: list[Deferred[Acceptance]] = []
+        self.acceptances: list[Deferred[Acceptance]] = []
         self.found: Deferred[FoundMessage | LookupFailure] = Deferred()
         self.lookups: list[tuple[str, bool]] = []
-        self.tickets: list[Ticket] = []
+        self.waiting_pulls: list[FakePull] = []
         self.pulls: list[tuple[str, str, int]] = []
-        self.lease: LeaseAnswer | None = LeaseAnswer.ACKNOWLEDGED  # None: no answer
+        self.lease: LeaseAnswer | None = LeaseAnswer.ACKNOWLEDGED  # None: no response
         self.ends: list[tuple[str, str, int, str]] = []
         self.extensions: list[tuple[str, str]] = []
         self.orders: list[tuple[str, str, str, bytes]] = []
-        self.reply: OperatorReply | None = OperatorReply(200, b'{"version":5}')  # None: no answer
+        self.reply: OperatorReply | None = OperatorReply(200, b'{"version":5}')  # None: no response
         self.late_reply: Deferred[OperatorReply] = Deferred()
 
     def is_ready(self) -> bool:
@@ -106,17 +107,17 @@
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
         self.accepted.append((message, deadline_ms))
-        self.answers.append(Deferred())
-        return self.answers[-1]
+        self.acceptances.append(Deferred())
+        return self.acceptances[-1]
 
     def find_message(self, message_id: str, *, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
         self.lookups.append((message_id, wants_body))
         return self.found
 
-    def pull(self, service: str, instance: str, wait_ms: int) -> Ticket:
+    def pull(self, service: str, instance: str, wait_ms: int) -> FakePull:
         self.pulls.append((service, instance, wait_ms))
-        self.tickets.append(Ticket())
-        return self.tickets[-1]
+        self.waiting_pulls.append(FakePull())
+        return self.waiting_pulls[-1]
 
     def end_job(self, lease_id: str, request_id: str, status: int, stamp: str) -> Deferred[LeaseAnswer]:
         self.ends.append((lease_id, request_id, status, stamp))
@@ -143,7 +144,7 @@
 
 
 class _Wire:
-    """A connection in memory that tells what was written and how it was closed."""
+    """A connection in memory that records what was written and how it was closed."""
 
     def __init__(self) -> None:
         self.handle = _Handle()
@@ -178,13 +179,13 @@
 class Client:
     """One connection to a server, in memory."""
 
-    def __init__(self, site: Any) -> None:
-        self.channel = site.buildProtocol(None)
+    def __init__(self, server: Any) -> None:
+        self.channel = server.buildProtocol(None)
         self.wire = _Wire()
         self.channel.makeConnection(self.wire)
 
     def send(self, data: bytes, step: int = 0) -> Client:
-        """Let the server read `data`, in pieces of `step` bytes if that isn't 0."""
+        """Let the server read `data`, in chunks of `step` bytes if that isn't 0."""
         for at in range(0, len(data), step or len(data)):
             self.channel.dataReceived(data[at : at + (step or len(data))])
         return self
@@ -192,20 +193,20 @@
     def lose(self, clean: bool = False) -> None:
         self.channel.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
-    def answers(self) -> list[Response]:
-        """All answers so far; fails if the bytes are anything else."""
+    def responses(self) -> list[Response]:
+        """All responses so far; fails if the bytes are anything else."""
         reader = ResponseReader()
         reader.feed(bytes(self.wire.written))
-        answers = []
-        while (answer := reader.next()) is not None:
-            assert isinstance(answer, Response)
-            answers.append(answer)
+        responses = []
+        while (response := reader.next()) is not None:
+            assert isinstance(response, Response)
+            responses.append(response)
         if reader.begun:
-            raise AssertionError(f"no whole answer: {self.wire.written!r}")
-        return answers
+            raise AssertionError(f"incomplete response: {self.wire.written!r}")
+        return responses
 
     def statuses(self) -> list[int]:
-        return [answer.status for answer in self.answers()]
+        return [response.status for response in self.responses()]
 
     @property
     def closed(self) -> bool:
@@ -213,33 +214,33 @@
         return self.wire.disconnecting or self.wire.half_closed or self.wire.aborted
 
 
-class FrontCase(unittest.TestCase):
-    """A front server in virtual time."""
+class ClientServerCase(unittest.TestCase):
+    """A server for clients in virtual time."""
 
     def setUp(self) -> None:
         self.clock = Clock()
-        self.node = Node()
-        self.site = self.front()
+        self.node = FakeNode()
+        self.server = self.new_server()
 
-    def front(self, max_connections: int = 100) -> Any:
+    def new_server(self, max_connections: int = 100) -> Any:
         return build_client_server(
             self.node, self.clock, origin="edge-1", max_connections=max_connections, wall_ms=lambda: 77
         )
 
     def client(self) -> Client:
-        return Client(self.site)
+        return Client(self.server)
 
     def ask(self, data: bytes, step: int = 0) -> Client:
         return self.client().send(data, step)
 
     def accept(self, index: int = -1, message_id: str = "m-1") -> None:
-        self.node.answers[index].callback(Acceptance(AcceptResult.ACCEPTED, message_id))
+        self.node.acceptances[index].callback(Acceptance(AcceptResult.ACCEPTED, message_id))
 
 
-class TestAcceptance(FrontCase):
-    """A message that is taken, and what the node is handed."""
+class TestAcceptance(ClientServerCase):
+    """A message that is accepted, and what the node gets."""
 
-    def test_whole_message(self) -> None:
+    def test_all_fields_of_a_message(self) -> None:
         head = (
             b"PATCH /p/full/%2e%2e//a;b?q=%41&r HTTP/1.1\r\nHost: A.example:8069\r\nX-Request-Id: r1\r\n"
             b"X-Order-Key: k 1\r\nX-Delay-Ms: 1500\r\nX-Callback-Url: http://10.0.0.1:80/done?x=%20\r\n"
@@ -250,13 +251,13 @@
         )
         self.ask(head + b"\x00\r\n\xff.")
         (message, wait_ms), *more = self.node.accepted
-        kept = (Header("Content-Type", "a/b"), Header("Accept", "x"), Header("Accept", "y"))
+        forwarded = (Header("Content-Type", "a/b"), Header("Accept", "x"), Header("Accept", "y"))
         expected = Message(
             request_id="r1",
             method="PATCH",
             host="A.example:8069",
             target="/p/full/%2e%2e//a;b?q=%41&r",
-            headers=kept,
+            headers=forwarded,
             order_key="k 1",
             route="full",
             accepted_version=5,
@@ -275,7 +276,7 @@
         self.assertEqual((message.order_key, message.callback_url), ("", ""))
         self.assertEqual(message.headers, (Header("X-Order-Key", "k"),))
 
-    def test_bodies_however_they_come(self) -> None:
+    def test_bodies_in_each_framing(self) -> None:
         table = [
             ("no body", b"\r\n", b""),
             ("empty", b"Content-Length: 0\r\n\r\n", b""),
@@ -330,7 +331,7 @@
         self.accept()
         self.assertEqual(client.statuses(), [100, 202])
 
-    def test_result_becomes_the_answer(self) -> None:
+    def test_response_for_each_result(self) -> None:
         table = [
             (Acceptance(AcceptResult.ACCEPTED, "s1-r1"), 202, {b"x-message-id": b"s1-r1"}),
             (Acceptance(AcceptResult.ACCEPTED), 202, {b"x-message-id": b"r1"}),
@@ -341,15 +342,15 @@
         for acceptance, status, headers in table:
             with self.subTest(acceptance):
                 client = self.ask(HEAD + b"\r\n")
-                self.assertEqual(client.answers(), [])
-                self.node.answers[-1].callback(acceptance)
-                (answer,) = client.answers()
-                self.assertEqual(answer.status, status)
-                self.assertLessEqual(headers.items(), answer.headers.items())
+                self.assertEqual(client.responses(), [])
+                self.node.acceptances[-1].callback(acceptance)
+                (response,) = client.responses()
+                self.assertEqual(response.status, status)
+                self.assertLessEqual(headers.items(), response.headers.items())
 
-    def test_node_that_fails_or_is_silent_makes_no_promise(self) -> None:
+    def test_node_that_fails_or_times_out_gives_504(self) -> None:
         client = self.ask(HEAD + b"\r\n")
-        self.node.answers[-1].errback(RuntimeError("planned"))
+        self.node.acceptances[-1].errback(RuntimeError("planned"))
         self.assertEqual(client.statuses(), [504])
         for header, deadline_s in (
             (b"", 1.0),
@@ -360,20 +361,20 @@
                 client = self.ask(HEAD + header + b"\r\n")
                 self.clock.advance(deadline_s)
                 self.assertEqual(client.statuses(), [504])
-                self.accept()  # too late: no second answer
+                self.accept()  # too late: no second response
                 self.assertEqual(client.statuses(), [504])
 
-    def test_client_that_goes_while_its_message_is_appended(self) -> None:
+    def test_client_that_disconnects_while_its_message_is_appended(self) -> None:
         for acceptance in AcceptResult:
             with self.subTest(acceptance):
                 client = self.ask(HEAD + b"\r\n")
                 client.lose()
-                self.node.answers[-1].callback(Acceptance(acceptance, "m"))
+                self.node.acceptances[-1].callback(Acceptance(acceptance, "m"))
                 self.clock.advance(5)
-                self.assertEqual(client.answers(), [])
+                self.assertEqual(client.responses(), [])
         self.assertEqual(len(self.node.accepted), len(AcceptResult))
 
-    def test_client_that_goes_before_its_message_is_whole(self) -> None:
+    def test_client_that_disconnects_before_its_message_is_complete(self) -> None:
         for data in (
             HEAD,
             HEAD + b"Content-Length: 3\r\n\r\nab",
@@ -383,7 +384,7 @@
                 self.ask(data).lose(clean=True)
                 self.assertEqual(self.node.accepted, [])
 
-    def test_client_that_closes_its_sending_side_gets_its_answer(self) -> None:
+    def test_client_that_half_closes_gets_its_response(self) -> None:
         client = self.ask(HEAD + b"\r\n")
         client.channel.readConnectionLost()
         self.assertFalse(client.closed)
@@ -391,7 +392,7 @@
         self.assertEqual(client.statuses(), [202])
         self.assertTrue(client.closed)
 
-    def test_message_beside_the_interface_paths(self) -> None:
+    def test_messages_with_paths_like_those_of_calls(self) -> None:
         for line in (
             b"POST /message/r1",
             b"GET /pull/s",
@@ -405,10 +406,10 @@
         self.assertEqual((self.node.lookups, self.node.pulls), ([], []))
 
 
-class TestRefusal(FrontCase):
-    """Requests that are not taken: one answer, and the node is never asked."""
+class TestRejection(ClientServerCase):
+    """Requests that are not accepted: one response, and the node is never called."""
 
-    def assert_refused(self, data: bytes, status: int, closed: bool) -> None:
+    def assert_rejected(self, data: bytes, status: int, closed: bool) -> None:
         for step in (0, 1, 5):
             with self.subTest(data[:80], step=step):
                 client = self.ask(data, step)
@@ -439,22 +440,22 @@
             (HEAD.replace(b"/p/x", b"*") + b"\r\n", 400),
         ]
         for data, status in table:
-            self.assert_refused(data, status, closed=False)
+            self.assert_rejected(data, status, closed=False)
 
     def test_without_a_configuration(self) -> None:
         self.node.table = None
         client = self.ask(HEAD + b"\r\n")
-        (answer,) = client.answers()
-        self.assertEqual((answer.status, answer.headers[b"retry-after"]), (503, b"1"))
+        (response,) = client.responses()
+        self.assertEqual((response.status, response.headers[b"retry-after"]), (503, b"1"))
 
-    def test_unreadable_requests_are_answered_once_and_nothing_after_them_is_read(self) -> None:
+    def test_malformed_requests_get_one_response_and_nothing_after_them_is_read(self) -> None:
         smuggled = HEAD.replace(b"r1", b"smuggled") + b"\r\n"
         chunked = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
         body = b"Content-Length: 3\r\n\r\nabc"
         table = [
             ("both lengths", HEAD + b"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"),
             (
-                "both lengths, turned",
+                "both lengths, reversed",
                 HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             ),
             ("two lengths", HEAD + b"Content-Length: 3\r\nContent-Length: 5\r\n\r\nabc"),
@@ -494,7 +495,7 @@
         ]
         for name, data in table:
             with self.subTest(name):
-                self.assert_refused(data + smuggled, 400, closed=True)
+                self.assert_rejected(data + smuggled, 400, closed=True)
 
     def test_sizes(self) -> None:
         over = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -510,7 +511,7 @@
             (b"x" * 20_000, 431),
         ]
         for data, status in table:
-            self.assert_refused(data, status, closed=True)
+            self.assert_rejected(data, status, closed=True)
 
     def test_limits_are_those_in_force_at_the_request(self) -> None:
         client = self.ask(HEAD + b"Content-Length: 1500\r\n\r\n" + b"x" * 1500)
@@ -521,7 +522,7 @@
         client.send(HEAD + b"Content-Length: 1500\r\n\r\n")
         self.assertEqual(client.statuses(), [202, 413])
 
-    def test_after_an_error_input_is_read_for_a_while_and_then_the_connection_ends(self) -> None:
+    def test_after_an_error_input_is_discarded_for_the_linger_time(self) -> None:
         client = self.ask(HEAD + b"Content-Length: 5000\r\n\r\n")
         self.assertTrue(client.wire.half_closed)
         self.assertFalse(client.wire.disconnecting)
@@ -531,7 +532,7 @@
         self.assertTrue(client.wire.aborted)
 
 
-class TestPipelining(FrontCase):
+class TestPipelining(ClientServerCase):
     """Several requests on one connection."""
 
     def test_in_turn(self) -> None:
@@ -544,11 +545,11 @@
                 self.accept(message_id="one")
                 self.assertEqual([m.request_id for m, _ in self.node.accepted], ["r1", "r2"])
                 self.accept(message_id="two")
-                names = [answer.headers[b"x-message-id"] for answer in client.answers()]
+                names = [response.headers[b"x-message-id"] for response in client.responses()]
                 self.assertEqual(names, [b"one", b"two"])
                 self.assertFalse(client.closed)
 
-    def test_many_that_are_answered_at_once(self) -> None:
+    def test_many_requests_in_one_segment(self) -> None:
         unknown = HEAD.replace(b"/p/x", b"/q") + b"\r\n"
         client = self.ask(unknown * 500)
         self.assertEqual(client.statuses(), [404] * 500)
@@ -563,7 +564,7 @@
         client = self.ask(HEAD + b"Connection: foo, Close\r\n\r\n" + HEAD + b"\r\n")
         self.accept()
         self.assertEqual(client.statuses(), [202])
-        self.assertEqual(client.answers()[0].headers[b"connection"], b"close")
+        self.assertEqual(client.responses()[0].headers[b"connection"], b"close")
         self.assertTrue(client.closed)
         self.assertEqual(len(self.node.accepted), 1)
 
@@ -573,15 +574,15 @@
         self.assertTrue(client.closed)
 
 
-class TestTimeouts(FrontCase):
+class TestTimeouts(ClientServerCase):
     """Connections that are slow or idle."""
 
-    def test_slow_head_however_it_trickles(self) -> None:
+    def test_head_that_trickles(self) -> None:
         client = self.client()
         for byte in HEAD[:29]:
             client.send(bytes((byte,)))
             self.clock.advance(0.1)
-        self.assertEqual(client.answers(), [])
+        self.assertEqual(client.responses(), [])
         client.send(b"x")
         self.clock.advance(0.2)
         self.assertEqual(client.statuses(), [408])
@@ -614,43 +615,43 @@
         self.clock.advance(15)
         self.assertFalse(client.closed)
 
-    def test_not_while_a_request_is_answered(self) -> None:
+    def test_no_idle_time_out_while_a_response_is_awaited(self) -> None:
         client = self.ask(b"POST /pull/s HTTP/1.1\r\nHost: a\r\nX-Instance-Id: i\r\nX-Wait-Ms: 29000\r\n\r\n")
         self.clock.advance(28)
         self.assertFalse(client.closed)
 
-    def test_peer_that_takes_nothing_is_given_up(self) -> None:
+    def test_peer_that_reads_nothing_is_aborted(self) -> None:
         client = self.ask(HEAD + b"Connection: close\r\n\r\n")
         self.accept()
         self.assertFalse(client.wire.aborted)
-        self.clock.advance(FLUSH_S)
+        self.clock.advance(FLUSH_TIMEOUT_S)
         self.assertTrue(client.wire.aborted)
 
-    def test_nothing_is_left_of_a_lost_connection(self) -> None:
+    def test_a_lost_connection_leaves_no_timer(self) -> None:
         for data in (b"", HEAD, HEAD + b"Content-Length: 4\r\n\r\n", b"garbage\r\n\r\n"):
             (self.ask(data) if data else self.client()).lose()
-        self.assertEqual((self.clock.getDelayedCalls(), self.site.channels), ([], {}))
+        self.assertEqual((self.clock.getDelayedCalls(), self.server.channels), ([], {}))
 
     def test_too_many_connections(self) -> None:
-        self.site = self.front(max_connections=2)
+        self.server = self.new_server(max_connections=2)
         first = self.client()
         self.client()
-        self.assertIsNone(self.site.buildProtocol(None))
+        self.assertIsNone(self.server.buildProtocol(None))
         first.lose()
-        self.assertIsNotNone(self.site.buildProtocol(None))
+        self.assertIsNotNone(self.server.buildProtocol(None))
 
 
-class TestShutdown(FrontCase):
-    """What was read whole is answered; then every connection ends."""
+class TestShutdown(ClientServerCase):
+    """Complete requests get their response; then every connection ends."""
 
     def test_idle_and_busy_connections(self) -> None:
         idle, busy = self.client(), self.ask(HEAD + b"\r\n")
-        done = self.site.begin_shutdown()
+        done = self.server.begin_shutdown()
         self.assertTrue(idle.closed)
         self.assertFalse(busy.closed)
         idle.lose(clean=True)
         self.accept()
-        self.assertEqual(busy.answers()[0].headers[b"connection"], b"close")
+        self.assertEqual(busy.responses()[0].headers[b"connection"], b"close")
         self.assertEqual(busy.statuses(), [202])
         self.assertTrue(busy.closed)
         self.assertFalse(done.called)
@@ -659,16 +660,16 @@
 
     def test_partly_read_request(self) -> None:
         quick, slow = self.ask(HEAD), self.ask(HEAD + b"Content-Length: 4\r\n\r\nab")
-        self.site.begin_shutdown()
+        self.server.begin_shutdown()
         quick.send(b"\r\n")
         self.accept()
         self.assertEqual(quick.statuses(), [202])
-        self.clock.advance(DRAINING_READ_S)
+        self.clock.advance(DRAINING_READ_TIMEOUT_S)
         self.assertEqual(slow.statuses(), [408])
 
-    def test_pipelined_requests_are_all_answered(self) -> None:
+    def test_pipelined_requests_all_get_a_response(self) -> None:
         client = self.ask((HEAD + b"\r\n") * 3)
-        self.site.begin_shutdown()
+        self.server.begin_shutdown()
         for _ in range(3):
             self.accept()
         self.assertEqual(client.statuses(), [202, 202, 202])
@@ -677,7 +678,7 @@
     def test_request_that_has_come_but_is_not_read(self) -> None:
         client = self.client()
         client.wire.handle.unread = b"P"
-        self.site.begin_shutdown()
+        self.server.begin_shutdown()
         self.assertFalse(client.closed)
         client.wire.handle.unread = b""
         client.send(HEAD + b"\r\n")
@@ -686,27 +687,27 @@
         self.assertTrue(client.closed)
 
     def test_new_connection_is_still_served(self) -> None:
-        self.site.begin_shutdown()
+        self.server.begin_shutdown()
         client = self.ask(HEAD + b"\r\n")
         self.accept()
         self.assertEqual(client.statuses(), [202])
         self.assertTrue(client.closed)
 
-    def test_waiting_pulls_are_sent_away(self) -> None:
+    def test_waiting_pulls_get_204(self) -> None:
         pull = b"POST /pull/s HTTP/1.1\r\nHost: a\r\nX-Instance-Id: i\r\nX-Wait-Ms: 9000\r\n\r\n"
         client = self.ask(pull)
-        self.site.begin_shutdown()
+        self.server.begin_shutdown()
         self.assertEqual(client.statuses(), [204])
-        self.assertTrue(self.node.tickets[0].cancelled)
+        self.assertTrue(self.node.waiting_pulls[0].cancelled)
         self.assertTrue(client.closed)
         self.assertEqual(self.ask(pull).statuses(), [204])
-        self.assertEqual(len(self.node.tickets), 1)
+        self.assertEqual(len(self.node.waiting_pulls), 1)
 
     def test_no_connection_at_all(self) -> None:
-        self.assertTrue(self.site.begin_shutdown().called)
+        self.assertTrue(self.server.begin_shutdown().called)
 
 
-class TestMessageStates(FrontCase):
+class TestMessageStates(ClientServerCase):
     """GET /message and /message-body."""
 
     def get(self, path: bytes) -> Client:
@@ -724,11 +725,11 @@
         for result, status, body in table:
             with self.subTest(result):
                 self.node.found = succeed(result)
-                (answer,) = self.get(b"/message/Ab.1_-").answers()
-                self.assertEqual((answer.status, answer.body), (status, body))
+                (response,) = self.get(b"/message/Ab.1_-").responses()
+                self.assertEqual((response.status, response.body), (status, body))
                 if status == 200:
-                    self.assertEqual(answer.headers[b"content-type"], b"application/json")
-                self.assertEqual(b"retry-after" in answer.headers, status == 503)
+                    self.assertEqual(response.headers[b"content-type"], b"application/json")
+                self.assertEqual(b"retry-after" in response.headers, status == 503)
         self.assertEqual(set(self.node.lookups), {("Ab.1_-", False)})
 
     def test_bodies(self) -> None:
@@ -744,24 +745,24 @@
         for result, status, body in table:
             with self.subTest(result):
                 self.node.found = succeed(result)
-                (answer,) = self.get(b"/message-body/r1").answers()
-                self.assertEqual((answer.status, answer.body), (status, body))
+                (response,) = self.get(b"/message-body/r1").responses()
+                self.assertEqual((response.status, response.body), (status, body))
         self.assertEqual(set(self.node.lookups), {("r1", True)})
 
-    def test_answer_that_takes_too_long(self) -> None:
+    def test_lookup_time_out(self) -> None:
         client = self.get(b"/message/r1")
-        self.assertLess(STATUS_ANSWER_S, 1.8)
-        self.clock.advance(STATUS_ANSWER_S)
+        self.assertLess(LOOKUP_TIMEOUT_S, 1.8)
+        self.clock.advance(LOOKUP_TIMEOUT_S)
         self.assertEqual(client.statuses(), [503])
         self.node.found.callback(LookupFailure.UNKNOWN_MESSAGE)
         self.assertEqual(client.statuses(), [503])
 
-    def test_asker_that_goes(self) -> None:
+    def test_client_that_disconnects(self) -> None:
         client = self.get(b"/message/r1")
         client.lose()
         self.node.found.callback(FoundMessage(MessageState.QUEUED, "", None))
         self.clock.advance(5)
-        self.assertEqual(client.answers(), [])
+        self.assertEqual(client.responses(), [])
 
     def test_node_that_fails(self) -> None:
         client = self.get(b"/message/r1")
@@ -769,8 +770,8 @@
         self.assertEqual(client.statuses(), [503])
 
 
-class TestPulls(FrontCase):
-    """Calls of workers that pull."""
+class TestPulls(ClientServerCase):
+    """Calls of pulling workers."""
 
     def call(self, path: bytes, *headers: bytes) -> Client:
         lines = (b"POST " + path + b" HTTP/1.1", b"Host: a", *headers)
@@ -781,37 +782,37 @@
 
     def test_job(self) -> None:
         client = self.pull()
-        self.assertEqual(client.answers(), [])
-        self.node.tickets[0].result.callback(job())
-        (answer,) = client.answers()
+        self.assertEqual(client.responses(), [])
+        self.node.waiting_pulls[0].result.callback(job())
+        (response,) = client.responses()
         expected = {
             b"x-request-id": b"r9",
             b"x-job-method": b"PUT",
             b"x-job-target": b"/p/%41?q=\xe9",
             b"x-lease-id": b"L1",
         }
-        self.assertLessEqual(expected.items(), answer.headers.items())
-        self.assertEqual((answer.status, answer.body), (200, b"\x00body"))
+        self.assertLessEqual(expected.items(), response.headers.items())
+        self.assertEqual((response.status, response.body), (200, b"\x00body"))
         self.assertEqual(self.node.pulls, [("huvo11a", "i-7", 1000)])
         self.assertEqual(self.node.ends, [])
 
     def test_no_job(self) -> None:
         client = self.pull()
-        self.node.tickets[0].result.callback(None)
-        (answer,) = client.answers()
-        self.assertEqual((answer.status, answer.body), (204, b""))
-        self.assertNotIn(b"transfer-encoding", answer.headers)
+        self.node.waiting_pulls[0].result.callback(None)
+        (response,) = client.responses()
+        self.assertEqual((response.status, response.body), (204, b""))
+        self.assertNotIn(b"transfer-encoding", response.headers)
 
-    def test_node_that_does_not_keep_the_time(self) -> None:
+    def test_node_that_exceeds_the_wait(self) -> None:
         client = self.pull()
-        self.clock.advance(1.0 + PULL_LATE_S)
+        self.clock.advance(1.0 + PULL_GRACE_S)
         self.assertEqual(client.statuses(), [204])
-        self.assertTrue(self.node.tickets[0].cancelled)
-        self.node.tickets[0].result.callback(job())
+        self.assertTrue(self.node.waiting_pulls[0].cancelled)
+        self.node.waiting_pulls[0].result.callback(job())
         self.assertEqual(self.node.ends, [("L1", "r9", 503, "")])
         self.assertEqual(client.statuses(), [204])
 
-    def test_worker_that_goes(self) -> None:
+    def test_worker_that_disconnects(self) -> None:
         for gone in ("lose", "half"):
             with self.subTest(gone):
                 client = self.pull()
@@ -819,9 +820,9 @@
                     client.channel.readConnectionLost()
                     self.assertTrue(client.closed)
                 client.lose(clean=True)
-                self.assertTrue(self.node.tickets[-1].cancelled)
+                self.assertTrue(self.node.waiting_pulls[-1].cancelled)
                 self.node.ends.clear()
-                self.node.tickets[-1].result.callback(job())
+                self.node.waiting_pulls[-1].result.callback(job())
                 self.assertEqual(self.node.ends, [("L1", "r9", 503, "")])
 
     def test_bad_pulls(self) -> None:
@@ -865,26 +866,26 @@
         self.assertEqual(self.call(b"/job-extend/r1").statuses(), [400])
         self.assertEqual(self.node.extensions, [("L", "r1")] * 3)
 
-    def test_lease_answer_that_takes_too_long(self) -> None:
+    def test_lease_call_time_out(self) -> None:
         self.node.lease = None
         client = self.call(b"/job-extend/r1", b"X-Lease-Id: L")
-        self.clock.advance(LEASE_ANSWER_S)
+        self.clock.advance(LEASE_CALL_TIMEOUT_S)
         self.assertEqual(client.statuses(), [503])
 
 
-class TestControl(unittest.TestCase):
+class TestOperatorApi(unittest.TestCase):
     """The operator's calls."""
 
     def setUp(self) -> None:
         self.clock = Clock()
-        self.node = Node()
-        self.site = build_operator_server(self.node, self.clock)
+        self.node = FakeNode()
+        self.server = build_operator_server(self.node, self.clock)
 
     def call(self, line: bytes, body: bytes = b"", *headers: bytes) -> Client:
         lines = (line + b" HTTP/1.1", b"Host: a", b"Content-Length: %d" % len(body), *headers)
-        return Client(self.site).send(b"\r\n".join(lines) + b"\r\n\r\n" + body)
+        return Client(self.server).send(b"\r\n".join(lines) + b"\r\n\r\n" + body)
 
-    def test_calls_are_passed_as_they_came(self) -> None:
+    def test_calls_are_forwarded_unchanged(self) -> None:
         big = b"\x00{" * 500_000
         table = [
             ((b"PUT /config", big, b"If-Match: 5"), ("PUT", "/config", "5", big)),
@@ -896,17 +897,17 @@
         for call, order in table:
             with self.subTest(call[0]):
                 self.node.orders.clear()
-                (answer,) = self.call(*call).answers()
-                self.assertEqual((answer.status, answer.body), (200, b'{"version":5}'))
-                self.assertEqual(answer.headers[b"content-type"], b"application/json")
+                (response,) = self.call(*call).responses()
+                self.assertEqual((response.status, response.body), (200, b'{"version":5}'))
+                self.assertEqual(response.headers[b"content-type"], b"application/json")
                 self.assertEqual(self.node.orders, [order])
 
-    def test_answers(self) -> None:
+    def test_responses(self) -> None:
         for status in (200, 400, 404, 409, 412, 503):
             with self.subTest(status):
                 self.node.reply = OperatorReply(status, b'{"a":1}')
-                (answer,) = self.call(b"GET /config").answers()
-                self.assertEqual((answer.status, answer.body), (status, b'{"a":1}'))
+                (response,) = self.call(b"GET /config").responses()
+                self.assertEqual((response.status, response.body), (status, b'{"a":1}'))
 
     def test_other_paths_and_methods(self) -> None:
         table = [(b"GET /", 404), (b"GET /config/", 404), (b"GET //config", 404), (b"GET /retire/", 404)]
@@ -919,9 +920,9 @@
 
     def test_body_over_the_limit(self) -> None:
         data = b"PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 16777217\r\n\r\n"
-        self.assertEqual(Client(self.site).send(data).statuses(), [413])
+        self.assertEqual(Client(self.server).send(data).statuses(), [413])
 
-    def test_node_that_is_silent_or_fails(self) -> None:
+    def test_node_that_times_out_or_fails(self) -> None:
         self.node.reply = None
         client = self.call(b"PUT /config", b"{}")
         self.clock.advance(10)
@@ -936,11 +937,11 @@
 
 class TestReadiness(unittest.TestCase):
     def test_readiness(self) -> None:
-        node = Node()
-        site = build_readiness_server(node, Clock())
+        node = FakeNode()
+        server = build_readiness_server(node, Clock())
         for ready, path, status in ((True, b"/readyz", 200), (False, b"/readyz", 503), (True, b"/", 404)):
             node.ready = ready
-            client = Client(site).send(b"GET " + path + b" HTTP/1.1\r\nHost: a\r\n\r\n")
+            client = Client(server).send(b"GET " + path + b" HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertEqual(client.statuses(), [status])
 
 
@@ -950,9 +951,9 @@
     def setUp(self) -> None:
         self.loopback = Loopback()
         self.addCleanup(self.loopback.close)
-        self.node = Node()
-        self.site = build_client_server(self.node, self.loopback.reactor, origin="e", max_connections=2)
-        host, port = self.loopback.listen(self.site).split(":")
+        self.node = FakeNode()
+        self.server = build_client_server(self.node, self.loopback.reactor, origin="e", max_connections=2)
+        host, port = self.loopback.listen(self.server).split(":")
         self.address = (host, int(port))
 
     def connect(self) -> socket.socket:
@@ -975,39 +976,39 @@
         self.loopback.until(ended)
         return bytes(received)
 
-    def test_error_answer_arrives_although_the_client_is_still_sending(self) -> None:
+    def test_error_response_arrives_although_the_client_is_still_sending(self) -> None:
         client = self.connect()
         client.send(HEAD + b"Content-Length: 9000000\r\n\r\n" + b"x" * 50_000)
-        self.loopback.until(lambda: bool(self.site.channels))
+        self.loopback.until(lambda: bool(self.server.channels))
         for _ in range(5):
             self.loopback.reactor.iterate(0)
             client.send(b"x" * 10_000)
         self.assertTrue(self.read_to_end(client).startswith(b"HTTP/1.1 413 "))
         client.close()
-        self.loopback.until(lambda: not self.site.channels)
+        self.loopback.until(lambda: not self.server.channels)
 
-    def test_answer_to_a_client_that_has_closed_its_sending_side(self) -> None:
+    def test_response_to_a_client_that_has_half_closed(self) -> None:
         client = self.connect()
         client.send(HEAD + b"\r\n")
         client.shutdown(socket.SHUT_WR)
-        self.loopback.until(lambda: bool(self.node.answers))
+        self.loopback.until(lambda: bool(self.node.acceptances))
         self.loopback.reactor.iterate(0)
-        self.node.answers[0].callback(Acceptance(AcceptResult.ACCEPTED, "m"))
+        self.node.acceptances[0].callback(Acceptance(AcceptResult.ACCEPTED, "m"))
         self.assertTrue(self.read_to_end(client).startswith(b"HTTP/1.1 202 "))
-        self.loopback.until(lambda: not self.site.channels)
+        self.loopback.until(lambda: not self.server.channels)
 
     def test_shutdown(self) -> None:
         idle, busy = self.connect(), self.connect()
         busy.send(HEAD + b"\r\n")
-        self.loopback.until(lambda: len(self.site.channels) == 2 and bool(self.node.answers))
-        done = self.site.begin_shutdown()
+        self.loopback.until(lambda: len(self.server.channels) == 2 and bool(self.node.acceptances))
+        done = self.server.begin_shutdown()
         self.assertEqual(self.read_to_end(idle), b"")
-        self.node.answers[0].callback(Acceptance(AcceptResult.ACCEPTED, "m"))
+        self.node.acceptances[0].callback(Acceptance(AcceptResult.ACCEPTED, "m"))
         self.assertIn(b"Connection: close", self.read_to_end(busy))
         self.loopback.result(done)
 
     def test_connections_over_the_limit_are_closed(self) -> None:
         for _ in range(2):
             self.connect()
-        self.loopback.until(lambda: len(self.site.channels) == 2)
+        self.loopback.until(lambda: len(self.server.channels) == 2)
         self.assertEqual(self.read_to_end(self.connect()), b"")
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -1,4 +1,4 @@
-"""SIGTERM of an edge process: unready at once, and an answer to all that was read, however long it takes."""
+"""SIGTERM of an edge process: unready at once, and a response to each complete request, however slow."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
 from bitternpath.ingress.interfaces import Acceptance, AcceptResult, FoundMessage, LookupFailure
 from bitternpath.roles.edge_process import EXIT_RESERVE_S, FINAL_ANSWERS_LEAD_S, EdgeProcess
 from bitternpath.transport.shard_messages import Ownership
-from tests.system.test_ingress import HEAD, Client, FrontCase, routing
+from tests.system.test_ingress import HEAD, Client, ClientServerCase, routing
 from tests.system.test_process import DiskCase, FakeReactor
 from tests.system.test_shards import FakeLink
 
 READY = b"GET /readyz HTTP/1.1\r\nHost: n\r\n\r\n"
-UNREADY_WITHIN_S = 4.0  # RULES, DRAIN: after SIGTERM, also where several machines leave at once
+UNREADY_WITHIN_S = 4.0  # RULES, DRAIN: after SIGTERM, also where several machines drain at once
 
 
-class OpenRequests(FrontCase):
-    """What a site answers when its process is about to end."""
+class PendingRequests(ClientServerCase):
+    """What a server responds when its process is about to end."""
 
-    def test_a_message_whose_fate_is_open_gets_no_promise(self) -> None:
+    def test_a_message_whose_outcome_is_unknown_gets_504(self) -> None:
         client = self.ask(HEAD + b"\r\n")
-        self.site.begin_shutdown()
-        self.site.answer_pending()
+        self.server.begin_shutdown()
+        self.server.answer_pending()
         self.assertEqual(client.statuses(), [504])
         self.assertTrue(client.closed)
-        self.accept()  # the word comes after all
+        self.accept()  # the result comes after all
         self.assertEqual(client.statuses(), [504])
 
-    def test_all_that_were_read_are_answered_once(self) -> None:
+    def test_complete_requests_get_one_response_each(self) -> None:
         client = self.ask((HEAD + b"\r\n") * 3)
-        self.site.begin_shutdown()
+        self.server.begin_shutdown()
         self.accept()
-        self.site.answer_pending()
+        self.server.answer_pending()
         self.assertEqual(client.statuses(), [202, 504, 504])
         self.assertTrue(client.closed)
 
-    def test_the_systems_own_calls_get_503(self) -> None:
+    def test_the_services_own_calls_get_503(self) -> None:
         self.node.lease = None
         end = b"POST /job-end/r1 HTTP/1.1\r\nHost: n\r\nX-Lease-Id: 0-1-1\r\nX-Job-Status: 500\r\n\r\n"
         clients = [self.ask(call) for call in (b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n", end)]
-        self.site.begin_shutdown()
-        self.site.answer_pending()
+        self.server.begin_shutdown()
+        self.server.answer_pending()
         self.assertEqual([client.statuses() for client in clients], [[503], [503]])
 
-    def test_a_request_that_is_not_whole_gets_nothing(self) -> None:
+    def test_an_incomplete_request_gets_nothing(self) -> None:
         clients = [self.ask(HEAD), self.ask(HEAD + b"Content-Length: 4\r\n\r\nab"), self.client()]
-        self.site.begin_shutdown()
-        self.site.answer_pending()
+        self.server.begin_shutdown()
+        self.server.answer_pending()
         self.assertEqual([client.statuses() for client in clients], [[], [], []])
         self.assertTrue(all(client.closed for client in clients))
 
 
 class Sigterm(DiskCase):
-    """The whole edge process in virtual time, with a node that doesn't decide."""
+    """The edge process in virtual time, with a node that gives no results."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -67,34 +67,34 @@
         node.base.feed.heard_at = self.reactor.seconds()
         node.owners.ownership_changed(FakeLink("storage-1", "z"), Ownership(shard_group(0), 1, True))  # type: ignore[arg-type]
         self.grace_s = self.process.settings.bounds.grace_s
-        self.never: list[Deferred[Any]] = []
-        node.accept = self.undecided  # type: ignore[method-assign]
-        node.find_message = self.undecided  # type: ignore[method-assign]
-        self.sites = {name: site for name, _, site in self.process._servers}
-        self.process._sites = list(self.sites.values())
+        self.pending: list[Deferred[Any]] = []
+        node.accept = self.no_result  # type: ignore[method-assign]
+        node.find_message = self.no_result  # type: ignore[method-assign]
+        self.servers = {name: site for name, _, site in self.process._servers}
+        self.process._sites = list(self.servers.values())
         self.ends: list[float] = []
 
-    def undecided(self, *_: object, **__: object) -> Deferred[Any]:
-        self.never.append(Deferred())
-        return self.never[-1]
+    def no_result(self, *_: object, **__: object) -> Deferred[Any]:
+        self.pending.append(Deferred())
+        return self.pending[-1]
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         self.process.shut_down(lambda: self.ends.append(self.reactor.seconds()))
 
     def test_it_is_unready_at_once_and_stays_so(self) -> None:
-        self.assertEqual(Client(self.sites["readiness"]).send(READY).statuses(), [200])
-        self.leave()
+        self.assertEqual(Client(self.servers["readiness"]).send(READY).statuses(), [200])
+        self.shut_down()
         asked = self.reactor.seconds()
         while self.reactor.seconds() < asked + UNREADY_WITHIN_S:
-            client = Client(self.sites["readiness"]).send(READY)
+            client = Client(self.servers["readiness"]).send(READY)
             self.assertEqual(client.statuses(), [503])
             client.lose(clean=True)
             self.reactor.advance(0.25)
 
-    def test_whoever_waits_has_an_answer_before_the_end(self) -> None:
-        message = Client(self.sites["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
-        state = Client(self.sites["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
-        self.leave()
+    def test_pending_requests_get_a_response_before_the_end(self) -> None:
+        message = Client(self.servers["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
+        state = Client(self.servers["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
+        self.shut_down()
         self.reactor.pump([0.05] * round((self.grace_s - EXIT_RESERVE_S - FINAL_ANSWERS_LEAD_S) / 0.05 - 1))
         self.assertEqual((message.statuses(), state.statuses()), ([], [503]))
         self.reactor.pump([0.05] * 3)
@@ -104,14 +104,14 @@
         self.assertEqual(len(self.ends), 1)
         self.assertLess(self.ends[0], self.grace_s)
 
-    def test_an_answer_that_comes_in_time_is_the_answer(self) -> None:
-        message = Client(self.sites["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
-        state = Client(self.sites["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
-        self.leave()
+    def test_a_result_that_comes_in_time_is_the_response(self) -> None:
+        message = Client(self.servers["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
+        state = Client(self.servers["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
+        self.shut_down()
         self.reactor.pump([0.05] * 20)
-        self.never[0].callback(Acceptance(AcceptResult.ACCEPTED, "s0.r1"))
+        self.pending[0].callback(Acceptance(AcceptResult.ACCEPTED, "s0.r1"))
         found: FoundMessage | LookupFailure = LookupFailure.UNKNOWN_MESSAGE
-        self.never[1].callback(found)
+        self.pending[1].callback(found)
         self.reactor.pump([0.05] * 100)
         self.assertEqual((message.statuses(), state.statuses()), ([202], [404]))
 
--- a/tests/system/test_order_key.py
+++ b/tests/system/test_order_key.py
@@ -14,7 +14,7 @@
 from bitternpath.queue.commands import COMMANDS, AppendMessage
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import Message
-from tests.system.test_ingress import Client, Node
+from tests.system.test_ingress import Client, FakeNode
 
 KEYS = (b"k", b"K", b"a  b", b"Order/7; x=1, y", b"\xe9\xff\x80", b"%41", b"key:with:colons", b"k" * 300)
 PATHS = {"ordered": b"/p/full/x", "not ordered": b"/p/x"}
@@ -24,12 +24,14 @@
     """A client's request, through a replica's log and a snapshot, to workers of each kind."""
 
     def setUp(self) -> None:
-        self.node = Node()
-        self.site = build_client_server(self.node, Clock(), origin="e", max_connections=99, wall_ms=lambda: 0)
+        self.node = FakeNode()
+        self.server = build_client_server(
+            self.node, Clock(), origin="e", max_connections=99, wall_ms=lambda: 0
+        )
 
     def accepted(self, path: bytes, *headers: bytes) -> Message:
         lines = [b"POST %b HTTP/1.1" % path, b"Host: a.example", b"X-Request-Id: r1", *headers]
-        Client(self.site).send(b"\r\n".join(lines) + b"\r\n\r\n")
+        Client(self.server).send(b"\r\n".join(lines) + b"\r\n\r\n")
         return self.stored(self.node.accepted[-1][0])
 
     def stored(self, message: Message) -> Message:
@@ -50,10 +52,10 @@
         return [value for name, value in head.headers.items() if name == b"x-order-key"]
 
     def pulled(self, message: Message) -> list[bytes]:
-        """The keys in the answer that a pulling worker reads."""
-        client = Client(self.site)
+        """The keys in the response that a pulling worker reads."""
+        client = Client(self.server)
         client.send(b"POST /pull/s HTTP/1.1\r\nHost: h\r\nX-Instance-Id: i\r\nContent-Length: 0\r\n\r\n")
-        self.node.tickets[-1].result.callback(PulledJob("L1", message))
+        self.node.waiting_pulls[-1].result.callback(PulledJob("L1", message))
         reader = ResponseReader()
         reader.feed(bytes(client.wire.written))
         head = reader.head()
@@ -61,7 +63,7 @@
         return [value for name, value in head.headers.items() if name == b"x-order-key"]
 
 
-class Unchanged(OrderKeyCase):
+class ByteForByte(OrderKeyCase):
     """The bytes, their case and the spaces within."""
 
     def test_each_key_to_each_kind_of_worker(self) -> None:
@@ -84,24 +86,24 @@
             message = self.accepted(path)
             self.assertEqual(self.delivered(message) + self.pulled(message), [])
 
-    def test_two_keys_are_refused(self) -> None:
-        client = Client(self.site)
+    def test_two_keys_are_rejected(self) -> None:
+        client = Client(self.server)
         head = b"POST /p/full/x HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: r1\r\n"
         client.send(head + b"X-Order-Key: a\r\nX-Order-Key: b\r\n\r\n")
         self.assertEqual(client.statuses(), [400])
 
 
-class Names(OrderKeyCase):
-    """A message is named to its client only by what the pages allow as a name."""
+class MessageIds(OrderKeyCase):
+    """A client gets `X-Message-Id` only where the id is valid (PROTOCOL, "Messages")."""
 
-    def test_an_id_that_is_no_name_is_not_told(self) -> None:
-        for request_id, told in ((b"r1", True), (b"r" * 64, True), (b"r" * 65, False), (b"a~b", False)):
+    def test_an_invalid_message_id_is_not_sent(self) -> None:
+        for request_id, sent in ((b"r1", True), (b"r" * 64, True), (b"r" * 65, False), (b"a~b", False)):
             with self.subTest(request_id):
-                client = Client(self.site)
+                client = Client(self.server)
                 client.send(b"POST /p/x HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: %b\r\n\r\n" % request_id)
-                self.node.answers[-1].callback(Acceptance(AcceptResult.ACCEPTED, request_id.decode()))
-                (answer,) = client.answers()
-                self.assertEqual(b"x-message-id" in answer.headers, told)
+                self.node.acceptances[-1].callback(Acceptance(AcceptResult.ACCEPTED, request_id.decode()))
+                (response,) = client.responses()
+                self.assertEqual(b"x-message-id" in response.headers, sent)
 
 
 if __name__ == "__main__":
