--- a/bitternpath/delivery/callback_client.py
+++ b/bitternpath/delivery/callback_client.py
@@ -17,7 +17,7 @@
 from zope.interface import implementer
 
 from bitternpath.delivery.results import CallbackResult
-from bitternpath.net.clock import Timer, cancel_if_active
+from bitternpath.net.clock import TcpReactor, Timer, cancel_if_active
 from bitternpath.transport.records import MessageState
 
 MAX_CALLS_PER_RECEIVER = 4  # in flight from this node: receivers accept few connections
@@ -79,7 +79,7 @@
     def __init__(self) -> None:
         self.ended: Deferred[None] = Deferred(lambda _: self.transport.loseConnection())
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _: Failure = connectionDone) -> None:
         if not self.ended.called:
             self.ended.callback(None)
 
@@ -91,7 +91,7 @@
     accept few.
     """
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: TcpReactor) -> None:
         self._reactor = reactor
         pool: Any = HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
         pool.maxPersistentPerHost = MAX_IDLE_PER_RECEIVER
--- a/bitternpath/delivery/connections.py
+++ b/bitternpath/delivery/connections.py
@@ -90,7 +90,7 @@
         elif progress is Progress.INVALID:
             self._abort()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _: Failure = connectionDone) -> None:
         """End the delivery that waits for a response: whether it ran is unknown."""
         self._leave_pool()
         self._complete(NO_RESPONSE)
--- a/bitternpath/delivery/pool.py
+++ b/bitternpath/delivery/pool.py
@@ -4,13 +4,13 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 from twisted.python.failure import Failure
 
 from bitternpath.delivery.connections import WorkerConnection
 from bitternpath.delivery.exchanges import MIN_REMAINING_S, Exchange
 from bitternpath.delivery.results import RefusalKind
+from bitternpath.net.clock import TcpReactor
 from bitternpath.net.sockets import dial, peek
 
 MAX_WAIT_SHARE = 1 / 3  # of a delivery's time, for which it waits for a free connection
@@ -32,7 +32,7 @@
     which closes it, before another delivery uses it.
     """
 
-    def __init__(self, address: str, reactor: Any, connections_changed: Callable[[], None]) -> None:
+    def __init__(self, address: str, reactor: TcpReactor, connections_changed: Callable[[], None]) -> None:
         """`connections_changed` is called when a connection becomes idle, and when one ends."""
         host, _, port = address.rpartition(":")
         self._host = host
@@ -57,7 +57,7 @@
 
     def now(self) -> float:
         """The pool's clock, in seconds."""
-        return float(self._reactor.seconds())
+        return self._reactor.seconds()
 
     def submit(self, exchange: Exchange) -> None:
         """Deliver over an idle connection, a new one, or the next that becomes free."""
--- a/bitternpath/delivery/worker_client.py
+++ b/bitternpath/delivery/worker_client.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from twisted.internet.defer import Deferred, succeed
 
 from bitternpath.delivery.exchanges import Exchange
 from bitternpath.delivery.pool import AddressPool
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
-from bitternpath.net.clock import Timer
+from bitternpath.net.clock import TcpReactor, Timer
 from bitternpath.transport.records import Message
 
 SWEEP_INTERVAL_S = 0.5  # between checks for idle connections that are too old
@@ -22,7 +20,7 @@
     shard.
     """
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: TcpReactor) -> None:
         self._reactor = reactor
         self._pools: dict[str, AddressPool] = {}
         self._retired: list[AddressPool] = []  # of workers that have gone, until their deliveries have ended
--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -99,7 +99,7 @@
                 return
         super().lineReceived(line)  # type: ignore[no-untyped-call]
 
-    def lineLengthExceeded(self, line: bytes) -> None:
+    def lineLengthExceeded(self, _: bytes) -> None:
         """Reject a head with a line over the limit."""
         self.reject(431)
 
--- a/bitternpath/ingress/http_server.py
+++ b/bitternpath/ingress/http_server.py
@@ -13,6 +13,7 @@
 from bitternpath.configuration.documents import RequestLimits
 from bitternpath.ingress.channel import StrictChannel
 from bitternpath.ingress.http_requests import HttpRequest
+from bitternpath.net.clock import Clock
 
 
 class HttpServer(server.Site):
@@ -25,16 +26,16 @@
         resource_for: Callable[[HttpRequest], Resource],
         limits: Callable[[], RequestLimits],
         max_connections: int,
-        reactor: Any,
+        clock: Clock,
     ) -> None:
         """`resource_for` chooses who responds; `limits` is called at each request; both must be quick."""
         super().__init__(  # type: ignore[no-untyped-call]
-            None, requestFactory=HttpRequest, reactor=reactor, parsePOSTFormSubmission=False
+            None, requestFactory=HttpRequest, reactor=clock, parsePOSTFormSubmission=False
         )
         self.resource_for = resource_for
         self.limits = limits
         self.max_connections = max_connections
-        self.reactor = reactor
+        self._clock = clock
         self.channels: dict[StrictChannel, None] = {}  # in the order in which they were made
         self.closing = False
         self._drained: Deferred[None] | None = None
@@ -61,7 +62,7 @@
 
     # ---- hooks of twisted.web
 
-    def buildProtocol(self, addr: Any) -> Any:
+    def buildProtocol(self, _: object) -> Any:
         """A `StrictChannel`; None, which closes the connection unread, where there are too many."""
         if len(self.channels) >= self.max_connections:
             return None
@@ -69,7 +70,7 @@
         channel.factory = self
         channel.site = self
         channel.requestFactory = self.requestFactory
-        channel.callLater = self.reactor.callLater
+        channel.callLater = self._clock.callLater
         return channel
 
     def startFactory(self) -> None:
@@ -78,9 +79,9 @@
     def stopFactory(self) -> None:
         """Nothing has been started."""
 
-    def log(self, request: Any) -> None:
+    def log(self, _: object) -> None:
         """There is no access log: writing it uses processor time."""
 
-    def getContentFile(self, length: int | None) -> BytesIO:
+    def getContentFile(self, _: int | None) -> BytesIO:
         """Bodies are bounded by the limits and stay in memory."""
         return BytesIO()
--- a/bitternpath/ingress/operator_api.py
+++ b/bitternpath/ingress/operator_api.py
@@ -40,7 +40,7 @@
         return self._forward(request)
 
     @app.route("/retire/<node>", methods=["GET", "POST"])
-    def retire(self, request: HttpRequest, node: str) -> Deferred[None]:
+    def retire(self, request: HttpRequest, **_: str) -> Deferred[None]:
         """Empty a storage machine, or show how far that is."""
         return self._forward(request)
 
--- a/bitternpath/ingress/servers.py
+++ b/bitternpath/ingress/servers.py
@@ -4,7 +4,6 @@
 
 import time
 from collections.abc import Callable
-from typing import Any
 
 from twisted.internet.defer import Deferred
 from twisted.web.resource import Resource
@@ -15,6 +14,7 @@
 from bitternpath.ingress.http_server import HttpServer
 from bitternpath.ingress.interfaces import NodeService
 from bitternpath.ingress.messages import MessageResource
+from bitternpath.net.clock import Clock
 
 OPERATOR_LIMITS = RequestLimits(max_body_bytes=16 * 1024 * 1024)  # a complete configuration
 READINESS_LIMITS = RequestLimits(max_header_bytes=4_096, max_body_bytes=0)
@@ -30,12 +30,12 @@
     """The server of the setting `listen.front`: clients and pulling workers."""
 
     def __init__(
-        self, node: NodeService, messages: MessageResource, max_connections: int, reactor: Any
+        self, node: NodeService, messages: MessageResource, max_connections: int, clock: Clock
     ) -> None:
-        super().__init__(self._choose_resource, self._current_limits, max_connections, reactor)
+        super().__init__(self._choose_resource, self._current_limits, max_connections, clock)
         self._node = node
         self._messages = messages
-        self._api = client_api.ClientApi(node, reactor)
+        self._api = client_api.ClientApi(node, clock)
         self._calls: Resource = self._api.app.resource()
         self._default_limits = RequestLimits()
 
@@ -86,7 +86,7 @@
 
 def build_client_server(
     node: NodeService,
-    reactor: Any,
+    clock: Clock,
     *,
     origin: str,
     max_connections: int,
@@ -96,22 +96,22 @@
 
     `origin` is this node's name, and `wall_ms` the Unix time in milliseconds; both are written into messages.
     """
-    messages = MessageResource(node, origin, wall_ms, reactor)
-    return ClientServer(node, messages, max_connections, reactor)
+    messages = MessageResource(node, origin, wall_ms, clock)
+    return ClientServer(node, messages, max_connections, clock)
 
 
-def build_readiness_server(node: NodeService, reactor: Any) -> HttpServer:
+def build_readiness_server(node: NodeService, clock: Clock) -> HttpServer:
     """The server for the platform's readiness probe."""
     resource = ReadinessResource(node)
-    return HttpServer(lambda _: resource, lambda: READINESS_LIMITS, READINESS_MAX_CONNECTIONS, reactor)
+    return HttpServer(lambda _: resource, lambda: READINESS_LIMITS, READINESS_MAX_CONNECTIONS, clock)
 
 
-def build_operator_server(node: NodeService, reactor: Any) -> HttpServer:
+def build_operator_server(node: NodeService, clock: Clock) -> HttpServer:
     """The server for the operator."""
-    calls: Resource = operator_api.OperatorApi(node, reactor).app.resource()
+    calls: Resource = operator_api.OperatorApi(node, clock).app.resource()
     not_found: Resource = NotFoundResource()  # type: ignore[no-untyped-call]
 
     def choose_resource(request: HttpRequest) -> Resource:
         return calls if operator_api.is_call(request.path) else not_found
 
-    return HttpServer(choose_resource, lambda: OPERATOR_LIMITS, OPERATOR_MAX_CONNECTIONS, reactor)
+    return HttpServer(choose_resource, lambda: OPERATOR_LIMITS, OPERATOR_MAX_CONNECTIONS, clock)
--- a/bitternpath/net/clock.py
+++ b/bitternpath/net/clock.py
@@ -1,6 +1,7 @@
-"""The part of a reactor that gives time: what code needs that sets timers but opens no connections.
+"""Types of the parts of a reactor: time alone, and time with connections.
 
-`twisted.internet.reactor`, `twisted.internet.task.Clock` and the simulations' clocks all have it.
+`twisted.internet.reactor` and the simulations' reactors have all of them; `twisted.internet.task.Clock` is
+the usual `Clock` of tests.
 """
 
 from __future__ import annotations
@@ -29,6 +30,15 @@
         """Call `call(*arguments)` in the reactor's thread after `delay` seconds."""
 
 
+class TcpReactor(Clock, Protocol):
+    """A clock that also dials (`twisted.internet.interfaces.IReactorTCP`); `net.sockets.dial` uses it."""
+
+    def connectTCP(
+        self, host: str, port: int, factory: object, timeout: float = 30, bindAddress: object = None
+    ) -> object:
+        """Connect to an address, and make a protocol with `factory` once connected."""
+
+
 def cancel_if_active(timer: Timer) -> None:
     """Cancel a timer that may have run already."""
     if timer.active():
--- a/bitternpath/shards/lease_requests.py
+++ b/bitternpath/shards/lease_requests.py
@@ -6,6 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
+from bitternpath.ingress.interfaces import LeaseAnswer
 from bitternpath.net.clock import Clock
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.transport.shard_messages import EndAttemptResponse
@@ -18,8 +19,8 @@
 class LeaseRequest:
     """One idempotent request about a lease: the end of an attempt, or an extension.
 
-    `result` fires with True where the owner has accepted it, False where it has rejected it because the lease
-    isn't the current one, and None where no owner has answered within `timeout_s`. It never fails.
+    `result` fires with the owner's answer, or with `UNAVAILABLE` where no owner has answered within
+    `timeout_s` seconds. It never fails.
     """
 
     __slots__ = ("_clock", "_give_up_at", "_group", "_make", "_owners", "result")
@@ -27,7 +28,7 @@
     def __init__(
         self, clock: Clock, owners: ShardOwners, group: str, make: LeaseRecord, timeout_s: float
     ) -> None:
-        self.result: Deferred[bool | None] = Deferred()
+        self.result: Deferred[LeaseAnswer] = Deferred()
         self._clock = clock
         self._owners = owners
         self._group = group
@@ -37,7 +38,7 @@
 
     def _attempt(self) -> None:
         if self._clock.seconds() >= self._give_up_at:
-            self.result.callback(None)
+            self.result.callback(LeaseAnswer.UNAVAILABLE)
             return
         response = self._owners.request(self._group, self._make)
         if response is None:
@@ -47,7 +48,7 @@
 
     def _responded(self, record: object) -> None:
         if isinstance(record, EndAttemptResponse):
-            self.result.callback(record.taken)
+            self.result.callback(LeaseAnswer.ACKNOWLEDGED if record.taken else LeaseAnswer.GONE)
         else:  # refused by a node that isn't the owner, or its outcome is unknown
             self._retry()
 
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
@@ -27,7 +26,7 @@
 
     def __init__(self, link: Link, pending: dict[_PendingRequest, None]) -> None:
         self.link = link
-        self.response: Deferred[Any] = Deferred()
+        self.response: Deferred[object] = Deferred()
         self._pending = pending
         pending[self] = None
 
@@ -60,7 +59,7 @@
         self._pending: dict[str, dict[_PendingRequest, None]] = {}  # by group; in the order of sending
         self._owner_changed = owner_changed
 
-    def request(self, group: str, make: Callable[[int], object]) -> Deferred[Any] | None:
+    def request(self, group: str, make: Callable[[int], object]) -> Deferred[object] | None:
         """Send the record `make(request number)` to the group's owner; None where the group has no owner.
 
         The result fires with the response record. It fails with `LinkLost` when the link ends, and as soon as
--- a/bitternpath/shards/pulls.py
+++ b/bitternpath/shards/pulls.py
@@ -110,7 +110,7 @@
         if shard is None:
             return succeed(LeaseAnswer.GONE)
         report = AttemptReport(shard_group(shard), request_id, lease_id, outcome_of(status, stamp), stamp)
-        return self._reports.send(report, LEASE_CALL_TIMEOUT_S).addCallback(_lease_answer)
+        return self._reports.send(report, LEASE_CALL_TIMEOUT_S)
 
     def extend(self, lease_id: str, request_id: str) -> Deferred[LeaseAnswer]:
         """Extend the lease of a worker that still holds its job; never fails."""
@@ -122,8 +122,7 @@
         def make(number: int) -> ExtendRequest:
             return ExtendRequest(number, group, request_id, lease_id)
 
-        extension = LeaseRequest(self._clock, self._owners, group, make, LEASE_CALL_TIMEOUT_S)
-        return extension.result.addCallback(_lease_answer)
+        return LeaseRequest(self._clock, self._owners, group, make, LEASE_CALL_TIMEOUT_S).result
 
     def _any_group(self) -> str:
         """A random group whose owner is in this zone, else any that has an owner; "" where none has."""
@@ -142,9 +141,3 @@
                 demand.workers -= 1
                 return group
         return ""
-
-
-def _lease_answer(accepted: bool | None) -> LeaseAnswer:
-    if accepted is None:
-        return LeaseAnswer.UNAVAILABLE
-    return LeaseAnswer.ACKNOWLEDGED if accepted else LeaseAnswer.GONE
--- a/bitternpath/shards/reports.py
+++ b/bitternpath/shards/reports.py
@@ -6,6 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
+from bitternpath.ingress.interfaces import LeaseAnswer
 from bitternpath.net.clock import Clock
 from bitternpath.shards.lease_requests import LeaseRequest
 from bitternpath.shards.owners import ShardOwners
@@ -41,15 +42,12 @@
         self._owners = owners
         self.in_flight = 0
 
-    def send(self, report: AttemptReport, timeout_s: float = REPORT_TIMEOUT_S) -> Deferred[bool | None]:
-        """Send a report until an owner has answered; the result never fails.
-
-        True: accepted. False: the lease isn't the current one. None: no owner has answered in time.
-        """
+    def send(self, report: AttemptReport, timeout_s: float = REPORT_TIMEOUT_S) -> Deferred[LeaseAnswer]:
+        """Send a report until an owner has answered, or for `timeout_s` seconds; the result never fails."""
         self.in_flight += 1
         request = LeaseRequest(self._clock, self._owners, report.group, report.request, timeout_s)
         return request.result.addCallback(self._ended)
 
-    def _ended(self, accepted: bool | None) -> bool | None:
+    def _ended(self, answer: LeaseAnswer) -> LeaseAnswer:
         self.in_flight -= 1
-        return accepted
+        return answer
--- a/tests/system/test_owner_changes.py
+++ b/tests/system/test_owner_changes.py
@@ -74,7 +74,7 @@
         self.assertEqual(self.asked(self.successor, EndAttemptRequest), 1)
         self.successor.answer(EndAttemptResponse(1, True))
         self.silent.answer(EndAttemptResponse(1, False))
-        self.assertTrue(self.result(waiting))
+        self.assertIs(self.result(waiting), LeaseAnswer.ACKNOWLEDGED)
         self.assertEqual(reports.in_flight, 0)
 
     def test_a_state_and_an_extension_come_from_the_successor(self) -> None:
--- a/tests/system/test_shards.py
+++ b/tests/system/test_shards.py
@@ -225,7 +225,7 @@
             (request.lease_id, request.outcome, request.stamp), ("l1", AttemptOutcome.SUCCEEDED, "stamp")
         )
         self.links[1].answer(EndAttemptResponse(1, True))
-        self.assertIs(self.result(waiting), True)
+        self.assertIs(self.result(waiting), LeaseAnswer.ACKNOWLEDGED)
 
     def test_refusals_and_unknown_outcomes_are_retried(self) -> None:
         waiting = self.reports.send(self.report)
@@ -236,7 +236,7 @@
         ):
             self.links[0].answer(answer)
             self.clock.advance(0.2)
-        self.assertIs(self.result(waiting), False)
+        self.assertIs(self.result(waiting), LeaseAnswer.GONE)
 
     def test_it_is_in_flight_until_an_owner_has_answered(self) -> None:
         in_flight_at_result: list[int] = []
