--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -8,8 +8,8 @@
 import logbook
 from twisted.internet.defer import Deferred, DeferredList
 
+from bitternpath.ingress.http_server import HttpServer
 from bitternpath.ingress.servers import build_client_server, build_operator_server, build_readiness_server
-from bitternpath.ingress.site import HttpSite
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.roles.edge import EdgeNode
 from bitternpath.roles.environment import ProcessEnvironment
@@ -33,7 +33,7 @@
 
     name: str  # as in the settings' table `listen`
     address: str  # `ip:port`, or "" where the settings have none
-    site: HttpSite
+    site: HttpServer
 
 
 class EdgeProcess:
@@ -48,7 +48,7 @@
         self._reactor = reactor
         self._servers = self._build_servers()
         self._ports: dict[str, ListeningPort] = {}
-        self._sites: list[HttpSite] = []
+        self._sites: list[HttpServer] = []
         self._give_up_at = 0.0
         self._finished: Callable[[], None] | None = None
         self._served = False
--- a/bitternpath/roles/reactor.py
+++ b/bitternpath/roles/reactor.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from bitternpath.net.clock import TcpReactor
 from bitternpath.storage.reactor import ThreadPoolReactor
 
 
@@ -42,7 +43,7 @@
         """Accept nothing more."""
 
 
-class NodeReactor(ReactorTime, ThreadPoolReactor, Protocol):
+class NodeReactor(ReactorTime, TcpReactor, ThreadPoolReactor, Protocol):
     """A reactor that also listens, runs calls of other threads, and can be stopped."""
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> ListeningPort:
