--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -55,7 +55,7 @@
 
     def counted(self: Any) -> None:
         count(self)
-        voters = self.member_idmbers.voters
+        voters = self.members.voters
         if self.role is MemberRole.LEADER and voters:
             mine = [self.log.stable_index] * (self.member_id in voters)
             matches = sorted(
