--- a/bitternpath/balancer/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -12,6 +12,7 @@
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.leadership import Leadership, Route
 from bitternpath.replication.consensus import Raft
+from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.records import EntryKind, Members, PersistentState, RaftTiming
 
 
@@ -30,7 +31,7 @@
         self.me, self.wall = me, wall
         self.record = p.record_from(kept.snapshot.data)
         self.applied = kept.snapshot.index
-        self.raft = Raft(me, kept, random, now, times)
+        self.raft = Raft(me, kept, random, now, RaftOptions(times))
         self.leadership: Leadership | None = None
         self.member_ids: dict[str, str] = {}  # a member's name: the incarnation that it is, as it last said
         self._send: list[tuple[str, m.Consensus | m.Passed | m.Back]] = []
--- a/bitternpath/replication/bandwidth.py
+++ b/bitternpath/replication/bandwidth.py
@@ -7,7 +7,7 @@
 
 
 class TransferBudget:
-    """The generic cell rate algorithm (ITU-T I.371): each piece is given the time at which it may go out."""
+    """The generic cell rate algorithm (ITU-T I.371): each chunk gets the time at which it may be sent."""
 
     def __init__(
         self,
@@ -16,12 +16,12 @@
     ) -> None:
         self._rate = bytes_per_second
         self._burst_seconds = burst_bytes / bytes_per_second
-        self._next = float("-inf")  # when the next piece would be due if all went at an even rate
+        self._next_at = float("-inf")  # theoretical arrival time: when the next chunk is due at an even rate
 
     def reserve(self, now: float, size: int) -> float:
-        """When a piece of that many bytes may go out: `now`, or later."""
-        even = max(self._next, now - self._burst_seconds)
-        self._next = even + size / self._rate
+        """Reserve bandwidth for `size` bytes; the time at which they may be sent, `now` or later."""
+        even = max(self._next_at, now - self._burst_seconds)
+        self._next_at = even + size / self._rate
         return max(even, now)
 
 
@@ -32,4 +32,5 @@
         super().__init__(float("inf"), 0.0)
 
     def reserve(self, now: float, size: int) -> float:
+        """Any chunk may be sent now."""
         return now
--- a/bitternpath/replication/consensus.py
+++ b/bitternpath/replication/consensus.py
@@ -1,28 +1,45 @@
-"""Consensus of one replica group, as a pure function of messages, ticks and answers of the disk.
-
-From the extended Raft paper, figure 2 (Ongaro and Ousterhout 2014; below "fig. 2"), and Ongaro's thesis
-(2014; below "T" and a section): pre-vote (T 9.6), no vote while a leader is heard (T 4.2.3), a leader that
-hears no majority steps down (T 6.2), transfer of leadership (T 3.10), read index (T 6.4), snapshots in pieces
-(T 5), one member at a time with learners first (T 4).
-
-Theory of operation. A member is a follower, asks whether it would get votes, is a candidate, or leads:
-
-    FOLLOWER --timeout--> PRE_CANDIDATE --a majority would vote--> CANDIDATE --a majority did--> LEADER
-    each --a higher term is heard--> FOLLOWER;  LEADER --no majority heard for `election`--> FOLLOWER
-
-Each input (`receive`, `tick`, `stored`, `propose`, `compact`, ...) changes the state; `take_effects` gives
-all that follows: messages to send, writes, and what is committed. One module for each job: `log`,
-`elections`, `leadership` (the leader's side of replication), `following` (the follower's), `snapshots`;
-`member` is what they share.
-Rules of all of them:
-
-- The disk answers later. A write has a number, and is done when `stored(number)` comes; writes are done in
-  order. What promises something (a vote, a candidate's asking, a follower's yes) is held back until the write
-  that keeps the promise is done. A leader's entries go out at once, but it counts itself among those that
-  have them only when its own write is done (T 10.2.1).
-- A message may come late, twice, out of order or never. Only a term, an index and a round tell what it means.
-- A *round* is a number that a leader's messages carry and the answers bring back. It only goes up in a term.
-  A majority's answers to round r prove that when r began no other leader had been chosen since.
+"""Consensus of one replica group, as a pure function of messages, ticks and completed writes.
+
+From the extended Raft paper (Ongaro and Ousterhout 2014; "fig. 2" below is its figure 2) and Ongaro's thesis
+(2014; "T" below and a section): pre-vote (T 9.6), no vote while a leader is heard (T 4.2.3), a leader that
+hears no majority steps down (T 6.2), leadership transfer (T 3.10), read index (T 6.4), snapshots in chunks
+(T 5), membership changes of one voter at a time with learners first (T 4).
+
+Each input (`receive`, `tick`, `write_completed`, `propose`, `compact`, ...) changes the state; `take_effects`
+returns what follows: messages to send, writes, and committed entries. One module for each part: `log`,
+`elections`, `leadership` (the leader's side of replication), `follower`, `snapshots`; `member` has the state
+that they share.
+
+The life of a member, by `MemberRole` (`ReplicaHost` logs what a turn changed as `role_changed`, old and new):
+
+    FROM            INPUT                                                         TO
+    FOLLOWER        election timeout, may stand                                   PRE_CANDIDATE
+    FOLLOWER        TimeoutNow of its leader, is a voter                          CANDIDATE
+    PRE_CANDIDATE   a majority would grant its vote                               CANDIDATE (term + 1)
+    PRE_CANDIDATE   election timeout, may stand                                   PRE_CANDIDATE (anew)
+    CANDIDATE       a majority granted its vote                                   LEADER
+    CANDIDATE       election timeout, may stand                                   PRE_CANDIDATE
+    LEADER          heartbeat due and no majority heard for `election_timeout`    FOLLOWER
+    LEADER          a membership is committed in which it is no voter             FOLLOWER
+    not FOLLOWER    AppendEntries or InstallSnapshot of its own term              FOLLOWER
+    any             a message with a higher term (*)                              FOLLOWER
+
+A voter may stand for election, and so may one that was removed while its removal is not committed. (*) Not a
+pre-vote request, a granted pre-vote, or a vote request while a leader is known, unless the leader
+caused it (`leadership_transfer`).
+
+Invariants, beside the safety properties of the paper's fig. 3:
+
+- Writes are numbered and done in order. Whatever promises something (a vote, a candidate's requests, a
+  follower's confirmation) is held back until the write that keeps the promise is done. A leader sends entries
+  at once, but counts itself among those that have them only when its own write is done (T 10.2.1).
+- A message may come late, twice, out of order or never. Only its term, index and heartbeat round say what it
+  means.
+- A *heartbeat round* is a number that a leader's requests carry and the responses return. It only rises in a
+  term. Responses of a majority to round r prove that no other leader had been elected when r was started:
+  this confirms reads (read index) and the leader's lease.
+- At most one membership change is uncommitted, and a leader changes the membership only after it has
+  committed an entry of its own term.
 
 Times are in seconds on any clock that does not go back. Nothing here looks at a clock or at the network.
 """
@@ -34,7 +51,7 @@
 from msgspec import Struct
 
 from bitternpath.replication.elections import Elections
-from bitternpath.replication.follower import Following
+from bitternpath.replication.follower import Follower
 from bitternpath.replication.leadership import Leadership
 from bitternpath.replication.messages import (
     AppendEntries,
@@ -48,18 +65,20 @@
 )
 from bitternpath.replication.records import Entry, EntryKind, MemberRole, Snapshot, StorageWrite
 
+_COMMAND_KIND = int(EntryKind.COMMAND)  # an enum member's look-up costs as much as the rest of an append
+
 
-class Out(Struct):
-    """What follows from the inputs since the last `take_effects`."""
+class RaftEffects(Struct):
+    """What follows from the inputs since the last `Raft.take_effects`."""
 
-    messages: list[tuple[str, Message]]
-    writes: list[StorageWrite]
-    restore: Snapshot | None  # the state is this one; comes before `committed`
-    committed: list[Entry]
+    messages: list[tuple[str, Message]]  # receivers and messages, to be sent in this order
+    writes: list[StorageWrite]  # to be done in this order; each is reported by `Raft.write_completed`
+    restore: Snapshot | None  # replaces the state of the state machine, before `committed` is applied
+    committed: list[Entry]  # to be applied in this order
 
 
-class Raft(Elections, Leadership, Following):
-    """One member."""
+class Raft(Elections, Leadership, Follower):
+    """One consensus member."""
 
     # ---- time and disk
 
@@ -67,8 +86,8 @@
         """Time has passed; to be called at `next_timeout_at` at the latest."""
         self.now = now
         if self.role is MemberRole.LEADER:
-            if now >= self._piece_at:
-                self._send_due_pieces()
+            if now >= self._chunk_at:
+                self._send_due_chunks()
             if now >= self._heartbeat_at:
                 self._heartbeat()
         elif now >= self._election_at:
@@ -76,40 +95,40 @@
 
     @property
     def next_timeout_at(self) -> float:
-        """When `tick` is wanted next."""
+        """When `tick` is to be called next."""
         if self.role is MemberRole.LEADER:
-            return min(self._heartbeat_at, self._piece_at)
+            return min(self._heartbeat_at, self._chunk_at)
         return self._election_at
 
     def write_completed(self, now: float, number: int) -> None:
-        """The disk has done the writes up to that number."""
+        """The writes up to that number are on disk."""
         self.now = now
-        self.log.stored(number)
-        self._deliver_stored(number)
+        self.log.write_completed(number)
+        self._release_held_messages(number)
         if self.role is MemberRole.LEADER:
             self._update_commitment()
 
     # ---- messages
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """A message has come; one that makes no sense is passed over."""
+        """Take a message from another member. One that is stale or makes no sense is ignored."""
         self.now = now
         match message:
             case RequestVote():
-                self._answer_asking(sender, message)
+                self._on_vote_request(sender, message)
             case RequestVoteResponse():
-                self._count_vote(sender, message)
+                self._on_vote_response(sender, message)
             case AppendEntries():
                 if self._accept_leader(sender, message.term, message.heartbeat_round):
-                    self._take_append(sender, message)
+                    self._on_append_entries(sender, message)
             case InstallSnapshot():
                 if self._accept_leader(sender, message.term, message.heartbeat_round):
-                    self._take_piece(sender, message)
+                    self._on_install_snapshot(sender, message)
             case AppendEntriesResponse() | InstallSnapshotResponse():
                 if message.term > self.term:
                     self._become_follower(message.term)
                 elif self.role is MemberRole.LEADER and message.term == self.term and sender in self.peers:
-                    self._take_answer(sender, message)
+                    self._on_peer_response(sender, message)
             case TimeoutNow():
                 if message.term == self.term and sender == self.leader and self.is_voter:
                     self._stand(leadership_transfer=True)
@@ -117,7 +136,7 @@
     # ---- proposals
 
     def propose(self, now: float, kind: int, data: bytes) -> int | None:
-        """A leader's entry; its index, or None where this member can't take it now."""
+        """Append an entry of that `EntryKind` as leader; its index, or None where this member can't now."""
         self.now = now
         if self.role is not MemberRole.LEADER or self.transfer_target:
             return None
@@ -131,60 +150,63 @@
         return self.last_index
 
     def propose_many(self, now: float, commands: Sequence[bytes]) -> int | None:
-        """As `propose` with CHANGE for each, but a peer gets them together, and some only with the next
-        heartbeat (see `replication.replication_targets`); the index of the first."""
+        """Append commands as leader; the index of the first, or None where this member can't now.
+
+        Unlike with `propose`, a peer gets them together, and only replication targets get them at once.
+        """
         self.now = now
         if self.role is not MemberRole.LEADER or self.transfer_target:
             return None
         first = self.last_index + 1
         for index, command in enumerate(commands, first):
-            self.log.append(Entry(index, self.term, EntryKind.COMMAND, command))
+            self.log.append(Entry(index, self.term, _COMMAND_KIND, command))
         for name in sorted(self.replication_targets):
             self._send_all_entries(name, self.peers[name])
         return first
 
     @property
     def may_change_members(self) -> bool:
-        """One change at a time, and the leader has committed something in its own term (Ongaro's correction
-        of T 4 on the raft-dev list, 2015)."""
+        """Whether this leader may propose a membership.
+
+        One change at a time, and only after the leader has committed an entry of its own term (Ongaro's
+        correction of T 4 on the raft-dev list, 2015).
+        """
         return self.ready and self.log.members_index <= self.commit_index
 
     # ---- reads
 
     @property
     def ready(self) -> bool:
-        """A leader that knows all that was committed before it (T 6.4)."""
+        """Whether this is a leader that has committed all that was committed before it (T 6.4)."""
         return self.role is MemberRole.LEADER and self.commit_index >= self.term_start_index
 
     def request_heartbeat_round(self) -> int:
-        """The number of a round that begins after this; it does so soon."""
-        self._heartbeat_round_requested = True
-        return self.heartbeat_round + 1
+        """Have a heartbeat round started soon; its number.
 
-    @property
-    def heartbeat_round_requested(self) -> bool:
-        """Whether a round is asked for that has not begun."""
-        return self._heartbeat_round_requested
+        Once it is confirmed, this member led when the round was requested (read index, T 6.4).
+        """
+        self.heartbeat_round_requested = True
+        return self.heartbeat_round + 1
 
     # ---- state machine
 
     def compact(self, index: int, data: bytes, keep: int) -> None:
-        """`data` is the state after that index, which is committed; `keep` entries before it stay."""
+        """Take `data` as the state after the committed entry `index`; `keep` entries before it stay."""
         if self.snapshot.index < index <= self.last_applied:
             self.log.compact(index, data, keep)
 
     # ---- effects
 
-    def take_effects(self, now: float) -> Out:
-        """All that follows from what was put in."""
+    def take_effects(self, now: float) -> RaftEffects:
+        """Return all that follows from the inputs since the last call."""
         self.now = now
         if self.role is MemberRole.LEADER:
-            if self._heartbeat_round_requested and (
-                self.confirmed_round >= self.heartbeat_round or not self.peers
-            ):
-                self._begin_round(sorted(self.replication_targets))
+            may_start_round = self.confirmed_round >= self.heartbeat_round or not self.peers
+            if self.heartbeat_round_requested and may_start_round:
+                self._start_round(sorted(self.replication_targets))
             self._update_commitment()
         writes = self._take_writes()
-        out = Out(self._send, writes, self._restore, self._take_committed())
-        self._send, self._restore = [], None
-        return out
+        effects = RaftEffects(self._messages, writes, self._restore, self._take_committed())
+        self._messages = []
+        self._restore = None
+        return effects
--- a/bitternpath/replication/follower.py
+++ b/bitternpath/replication/follower.py
@@ -1,48 +1,49 @@
-"""The follower's side of replication: entries from a leader, and what is answered when."""
+"""The follower's side of replication: a leader's entries, and when they are confirmed to it."""
 
 from __future__ import annotations
 
+from bitternpath.replication.errors import CommittedEntryConflictError
 from bitternpath.replication.messages import AppendEntries, AppendEntriesResponse
 from bitternpath.replication.records import Entry, MemberRole
 from bitternpath.replication.snapshots import SnapshotTransfer
 
 
-class Following(SnapshotTransfer):
+class Follower(SnapshotTransfer):
     """A member as follower."""
 
     def _accept_leader(self, sender: str, term: int, heartbeat_round: int) -> bool:
-        """Whether the sender leads this member; else it is told the term that it lacks."""
+        """Whether the sender leads this member; where it doesn't, it is sent the higher term."""
         if term < self.term:
-            self._after_writes.append(
-                (sender, AppendEntriesResponse(self.term, False, self.last_index, heartbeat_round))
-            )
+            response = AppendEntriesResponse(self.term, False, self.last_index, heartbeat_round)
+            self._after_writes.append((sender, response))
             return False
         if term > self.term or self.role is not MemberRole.FOLLOWER:
             self._become_follower(term, sender)
-        self.leader, self.last_contact = sender, self.now
+        self.leader = sender
+        self.last_contact = self.now
         self._set_election_timer()
         return True
 
-    def _take_append(self, sender: str, append: AppendEntries) -> None:
+    def _on_append_entries(self, sender: str, request: AppendEntries) -> None:
         """AppendEntries of fig. 2."""
-        previous, entries = append.previous_index, append.entries
-        if previous < self.log.before[0]:  # committed long ago, and so the same here
-            previous = self.log.before[0]
+        previous = request.previous_index
+        entries = request.entries
+        if previous < self.log.compacted_index:  # committed long ago, and so the same here
+            previous = self.log.compacted_index
             entries = tuple(entry for entry in entries if entry.index > previous)
-        elif previous > self.last_index or self.log.term_at(previous) != append.previous_term:
-            may_agree = self._last_that_may_agree(previous)
-            self._after_writes.append(
-                (sender, AppendEntriesResponse(self.term, False, may_agree, append.heartbeat_round))
-            )
+        elif previous > self.last_index or self.log.term_at(previous) != request.previous_term:
+            may_agree = self._last_index_that_may_agree(previous)
+            response = AppendEntriesResponse(self.term, False, may_agree, request.heartbeat_round)
+            self._after_writes.append((sender, response))
             return
         for entry in entries:
-            self._take_entry(entry)
-        agrees = min(max(previous + len(entries), append.previous_index), self.last_index)
-        self.commit_index = max(self.commit_index, min(append.commit, agrees))
-        self._answer_append(sender, append, agrees)
+            self._append_entry(entry)
+        agrees = min(max(previous + len(entries), request.previous_index), self.last_index)
+        self.commit_index = max(self.commit_index, min(request.leader_commit, agrees))
+        self._confirm_entries(sender, request, agrees)
 
-    def _last_that_may_agree(self, previous: int) -> int:
-        """Of an entry that doesn't agree, the whole of the term goes (section 5.3 of the paper)."""
+    def _last_index_that_may_agree(self, previous: int) -> int:
+        """The next index to try: all entries of the term that conflicts are skipped (section 5.3)."""
         index = min(previous - 1, self.last_index)
         if previous <= self.last_index:
             term = self.log.term_at(previous)
@@ -50,24 +51,30 @@
                 index -= 1
         return max(index, self.commit_index)
 
-    def _take_entry(self, entry: Entry) -> None:
+    def _append_entry(self, entry: Entry) -> None:
+        """Append an entry unless it is there; entries that conflict with it are truncated first.
+
+        Raises `CommittedEntryConflictError`.
+        """
         if entry.index <= self.last_index:
             if self.log.term_at(entry.index) == entry.term:
                 return
             if entry.index <= self.commit_index:
-                raise AssertionError(f"{self.member_id}: entry {entry.index} is committed and would be cut")
-            self.log.cut_from(entry.index)
+                raise CommittedEntryConflictError(self.member_id, entry.index)
+            self.log.truncate(entry.index)
         self.log.append(entry)
 
-    def _answer_append(self, sender: str, append: AppendEntries, agrees: int) -> None:
-        """A heartbeat is answered at once with what is on disk, so that a slow disk is no silence. The term
-        itself need not be: an entry of this term that is on disk was written together with it."""
+    def _confirm_entries(self, sender: str, request: AppendEntries, agrees: int) -> None:
+        """Confirm the log up to `agrees`: what is on disk at once, the rest after the writes.
+
+        A heartbeat gets an answer at once, so that a slow disk isn't taken for silence. The term itself need
+        not be on disk: an entry of this term that is on disk was written together with it.
+        """
         stable = self.log.stable_index
-        if agrees <= stable or not append.entries:
-            self._send.append(
-                (sender, AppendEntriesResponse(self.term, True, min(agrees, stable), append.heartbeat_round))
-            )
+        heartbeat_round = request.heartbeat_round
+        if agrees <= stable or not request.entries:
+            response = AppendEntriesResponse(self.term, True, min(agrees, stable), heartbeat_round)
+            self._messages.append((sender, response))
         if agrees > stable:
-            self._after_writes.append(
-                (sender, AppendEntriesResponse(self.term, True, agrees, append.heartbeat_round))
-            )
+            response = AppendEntriesResponse(self.term, True, agrees, heartbeat_round)
+            self._after_writes.append((sender, response))
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -1,261 +1,268 @@
-"""One replica group's part of a process: consensus, state machine, and who waits for what."""
+"""One replica group's part of a process: consensus, state machine, and the requests that wait for them."""
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Sequence
 from dataclasses import dataclass, field
 from random import Random
+from typing import NamedTuple
 
 import msgspec
 from twisted.internet.defer import Deferred
 
-from bitternpath.replication.bandwidth import TransferBudget
-from bitternpath.replication.consensus import Out, Raft
-from bitternpath.replication.interfaces import GroupListener, NotOwnerError, OutcomeUnknownError, StateMachine
-from bitternpath.replication.messages import AppendEntriesResponse, Message, RequestVote
+from bitternpath.replication import peer_status
+from bitternpath.replication.compaction import CompactionBounds as CompactionBounds
+from bitternpath.replication.compaction import CompactionSchedule
+from bitternpath.replication.compaction import bounds_for_disk as bounds_for_disk
+from bitternpath.replication.consensus import Raft, RaftEffects
+from bitternpath.replication.errors import NotOwnerError
+from bitternpath.replication.interfaces import GroupListener, StateMachine
+from bitternpath.replication.member import RaftOptions
+from bitternpath.replication.messages import Message, RequestVote
+from bitternpath.replication.pending_requests import PendingProposals, PendingReads
 from bitternpath.replication.records import (
     Entry,
     EntryKind,
     MemberRole,
     Members,
     PersistentState,
-    RaftTiming,
     StorageWrite,
 )
+from bitternpath.replication.response_coalescing import coalesce_append_responses
 
-COMPACTION_BYTES = 8 << 20  # of entries applied since the last snapshot
-HOST_COMPACTION_BYTES = 32 << 20  # likewise, of all groups together: entries are also kept in memory
-DISK_PARTS = 8  # entries of all groups between snapshots take one part of a disk, or twice that (`GROWTH`)
-COMPACTION_ENTRIES = 20_000  # likewise
-KEPT_ENTRIES = 256  # left before a snapshot, for followers that are a little behind
-COMPACTION_SPREAD = 0.25  # the bounds grow by up to this share, so that replicas don't compact together
-ENTRY_OVERHEAD_BYTES = 64  # of an entry besides its data, roughly
-GROWTH = 2  # entries between snapshots may exceed their bound by this where the state is large
-CAUGHT_UP_ENTRIES = 64  # a learner that lacks no more than these is close to the leader
+_COMMAND_KIND = int(EntryKind.COMMAND)  # an enum member's look-up is not free on the path of each entry
 
 
 @dataclass(frozen=True, slots=True)
-class CompactionBounds:
-    """When entries are replaced by a snapshot. `host_size` is shared by all groups of a process."""
+class MemberIdentity:
+    """Which member a replica is, and the persistent state that it starts with.
 
-    size: int = COMPACTION_BYTES
-    host_size: int = HOST_COMPACTION_BYTES
-    entries: int = COMPACTION_ENTRIES
-    kept: int = KEPT_ENTRIES
+    `tombstone_generation`: generation of the membership at which this disk gave an earlier state of the group
+    up; None where it never did.
+    """
 
+    member_id: str
+    state: PersistentState
+    tombstone_generation: int | None = None
 
-def bounds_for_disk(size: int) -> CompactionBounds:
-    """Bounds for a disk of that many bytes, which also holds the entries: twice over in a checkpoint, and
-    beside each group's old and new snapshot. 0: of no known size."""
-    host_size = min(HOST_COMPACTION_BYTES, size // DISK_PARTS) if size else HOST_COMPACTION_BYTES
-    return CompactionBounds(size=min(COMPACTION_BYTES, host_size), host_size=host_size)
 
+@dataclass(frozen=True, slots=True)
+class GroupApplication:
+    """The program that a group replicates: its state machine, and who is notified of the group's events."""
 
-@dataclass(slots=True)
-class _Proposal:
-    command: bytes
-    result: Deferred[object]
+    machine: StateMachine
+    listener: GroupListener
 
 
-@dataclass(slots=True)
-class _Barrier:
-    """`heartbeat_round`: the one that a majority must answer."""
+@dataclass(frozen=True, slots=True)
+class GroupOptions:
+    """What a group is run with."""
 
-    result: Deferred[None]
-    heartbeat_round: int = 0
+    raft: RaftOptions = field(default_factory=RaftOptions)
+    bounds: CompactionBounds = field(default_factory=CompactionBounds)
 
 
 @dataclass(slots=True)
-class Effects:
-    """What a flush of a group gives the host to do, in this order."""
+class GroupEffects:
+    """What a flush of a group gives the host to do: first the writes, then the messages."""
 
     writes: list[StorageWrite] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
 
 
+class RoleTransition(NamedTuple):
+    """What a member's role was after the flush before, and what it is now."""
+
+    old: MemberRole
+    new: MemberRole
+
+
+class MembershipProgress(NamedTuple):
+    """What an owner knows of its group's membership; a change of it is worth another reconciliation."""
+
+    owned_epoch: int = 0
+    members_index: int = 0
+    may_change_members: bool = False
+    caught_up_learners: tuple[str, ...] = ()
+
+
 class ReplicaGroup:
     """A member of one group. Time is an argument; the host does the writes and sends the messages."""
 
     def __init__(
         self,
-        member_id: str,
-        kept: PersistentState,
-        machine: StateMachine,
-        listener: GroupListener,
+        identity: MemberIdentity,
+        application: GroupApplication,
         random: Random,
         now: float,
-        timing: RaftTiming,
-        bounds: CompactionBounds,
-        budget: TransferBudget | None = None,
+        options: GroupOptions,
     ) -> None:
-        self.raft = Raft(member_id, kept, random, now, timing, budget)
-        self._machine, self._listener, self._bounds = machine, listener, bounds
-        self._times = timing
-        self._proposals: list[_Proposal] = []
-        self._outstanding: deque[tuple[int, _Proposal]] = deque()  # by index, of this ownership
-        self._new_barriers: list[_Barrier] = []
-        self._barriers: deque[_Barrier] = deque()
-        self._applied = kept.snapshot.index
-        self._size = 0  # bytes of entries applied since the last snapshot
-        self._snapshot_size = len(kept.snapshot.data)
-        self._random = random
-        self._stretch = 1.0 + random.random() * COMPACTION_SPREAD
-        self.size_bound = bounds.size  # the host lowers it where it has many groups
-        self.owned_epoch = 0  # 0: not the owner
-        self.tombstone_generation: int | None = None  # generation at which an earlier state here was given up
-        self._members_seen: tuple[int, int, bool, tuple[str, ...]] = (0, 0, False, ())
-        if kept.snapshot.index:
-            machine.restore(kept.snapshot.data)
+        state = identity.state
+        self.raft = Raft(identity.member_id, state, random, now, options.raft)
+        self.compaction = CompactionSchedule(options.bounds, random, len(state.snapshot.data))
+        self.owned_epoch = 0  # the term in which this replica owns the group; 0: it doesn't
+        self._machine = application.machine
+        self._listener = application.listener
+        self._tombstone_generation = identity.tombstone_generation
+        self._proposals = PendingProposals()
+        self._reads = PendingReads()
+        self._applied = state.snapshot.index
+        self._role_seen = self.raft.role
+        self._progress_seen = MembershipProgress()
+        if state.snapshot.index:
+            self._machine.restore(state.snapshot.data)
 
     # ---- inputs
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """Take a consensus message. Whoever may not vote gives nobody an answer on that."""
+        """Take a consensus message. A member that may not vote doesn't answer a request for its vote."""
         if isinstance(message, RequestVote) and not self._may_vote():
             return
         self.raft.receive(now, sender, message)
 
     def _may_vote(self) -> bool:
-        """Not while it knows of no members. Nor, where the state that it voted with before was given up,
-        until its log holds members that name it again: an older candidate may take it for what it was."""
+        """Whether this member may vote: not while it knows of no members.
+
+        Where the state that it voted with before was given up, it may not vote until its log holds a later
+        membership that names it: an older candidate may take it for the member that it was.
+        """
         members = self.raft.members
-        if self.tombstone_generation is None:
+        if self._tombstone_generation is None:
             return bool(members.voters)
-        return members.generation > self.tombstone_generation and self.raft.member_id in members.voters
+        return members.generation > self._tombstone_generation and self.raft.member_id in members.voters
 
     def propose(self, command: bytes) -> Deferred[object]:
-        """Queue a command for the next flush."""
-        proposal = _Proposal(command, Deferred())
-        self._proposals.append(proposal)
-        return proposal.result
+        """Queue a command for the next flush; see `ReplicaHost.propose`."""
+        return self._proposals.add(command)
 
     def read_barrier(self) -> Deferred[None]:
-        """Queue a read index for the next flush."""
-        barrier = _Barrier(Deferred())
-        self._new_barriers.append(barrier)
-        return barrier.result
+        """Queue a read index for the next flush; see `ReplicaHost.read_barrier`."""
+        return self._reads.add()
 
     def change_members(self, now: float, members: Members) -> bool:
-        """Propose other members; False where that can't be now. One voter more or fewer at a time."""
-        if not self._is_safe_change(now, members):
+        """Propose a membership; False where that can't be now. At most one voter is added or removed."""
+        if not self._is_safe_change(members):
             return False
         return self.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
 
-    def _is_safe_change(self, now: float, members: Members) -> bool:
-        voters, old = set(members.voters), set(self.raft.members.voters)
+    def _is_safe_change(self, members: Members) -> bool:
+        voters = set(members.voters)
+        old_voters = set(self.raft.members.voters)
         if not voters or len(voters | set(members.learners)) != len(members.all):
             return False
-        if len(voters ^ old) > 1 or members.generation < self.raft.members.generation:
+        if len(voters ^ old_voters) > 1 or members.generation < self.raft.members.generation:
             return False
-        return all(self.caught_up(name) for name in voters - old)
+        return all(self.caught_up(name) for name in voters - old_voters)
 
     def transfer_leadership(self, now: float, to: str = "") -> bool:
-        """Pass leadership to a voter that was heard lately: `to`, or the one that has most of the log."""
-        peers = [
-            (peer.match_index, name)
-            for name, peer in self.raft.peers.items()
-            if name in self.raft.members.voters and now - peer.last_contact < self._times.election_timeout
-        ]
-        wanted = [each for each in peers if to in ("", each[1])]
-        return bool(wanted) and self.raft.transfer_leadership(now, max(wanted)[1])
+        """Begin to transfer leadership to a voter that was heard lately; whether that was begun.
+
+        The target is `to`, or where this is empty the voter that has most of the log.
+        """
+        target = peer_status.transfer_candidate(self.raft, now, to)
+        return target is not None and self.raft.transfer_leadership(now, target)
 
     # ---- views
 
     @property
     def is_owner(self) -> bool:
-        """Whether this replica leads, and has applied all that was committed before."""
+        """Whether this replica leads and has applied all that was committed before."""
         return self.raft.ready and self.raft.term == self.owned_epoch
 
     def caught_up(self, member: str) -> bool:
-        """Whether a member lacks little of what is committed; only a leader knows. Little is a few entries,
-        or what was committed in the last heartbeats: under traffic some are always on the way (T 4.2.1)."""
-        peer = self.raft.peers.get(member) if self.raft.ready else None
-        if peer is None or not peer.match_index or peer.transfer is not None:
-            return False
-        least = min(self.raft.commit_index - CAUGHT_UP_ENTRIES, self.raft.committed_before)
-        return peer.match_index >= max(least, self.raft.term_start_index)
+        """Whether a member lacks little of what is committed; False where this replica doesn't lead."""
+        return peer_status.is_caught_up(self.raft, member)
 
     def unresponsive_for(self, now: float, member: str) -> float:
         """Seconds since a member was heard; infinite where this replica doesn't lead or doesn't know it."""
-        peer = self.raft.peers.get(member)
-        return now - peer.last_contact if peer is not None else float("inf")
+        return peer_status.unresponsive_for(self.raft, now, member)
 
     def hears_quorum(self, now: float) -> bool:
         """Whether this owner has heard a majority so lately that, as far as it knows, nobody else leads."""
-        voters = self.raft.members.voters
-        heard = sum(
-            name == self.raft.member_id or self.unresponsive_for(now, name) < self._times.election_timeout
-            for name in voters
-        )
-        return self.is_owner and 2 * heard > len(voters)
+        return self.is_owner and peer_status.hears_quorum(self.raft, now)
 
     def members_progressed(self) -> bool:
-        """Whether, since the last call, this replica became owner, or as such saw a change of members
-        committed or a learner catch up."""
-        seen: tuple[int, int, bool, tuple[str, ...]] = (0, 0, False, ())
+        """Whether the membership may be reconciled again.
+
+        That is: since the last call this replica became owner, or as owner saw a membership committed or a
+        learner catch up.
+        """
+        seen = MembershipProgress()
         if self.is_owner:
-            learners = tuple(filter(self.caught_up, self.raft.members.learners))
-            seen = (self.owned_epoch, self.raft.log.members_index, self.raft.may_change_members, learners)
-        before, self._members_seen = self._members_seen, seen
+            seen = MembershipProgress(
+                self.owned_epoch,
+                self.raft.log.members_index,
+                self.raft.may_change_members,
+                tuple(filter(self.caught_up, self.raft.members.learners)),
+            )
+        before = self._progress_seen
+        self._progress_seen = seen
         return seen != before and self.is_owner
 
+    def role_transition(self) -> RoleTransition | None:
+        """How the role of this member changed since the last call; None where it didn't."""
+        old = self._role_seen
+        new = self.raft.role
+        if old is new:
+            return None
+        self._role_seen = new
+        return RoleTransition(old, new)
+
     # ---- effects
 
-    def flush(self, now: float) -> Effects:
-        """All that follows from the inputs so far. Calls the state machine and the listener."""
-        self._put_proposals(now)
-        self._put_barriers()
-        effects = Effects()
+    def flush(self, now: float) -> GroupEffects:
+        """Do all that follows from the inputs so far. Calls the state machine and the listener."""
+        self._propose_queued(now)
+        self._start_reads()
+        effects = GroupEffects()
         while True:
-            out = self.raft.take_effects(now)
-            effects.writes += out.writes
-            effects.messages += out.messages
-            self._apply(out)
+            raft_effects = self.raft.take_effects(now)
+            effects.writes += raft_effects.writes
+            effects.messages += raft_effects.messages
+            self._apply(raft_effects)
             self._update_ownership()
-            self._answer_barriers()
+            self._reads.confirmed(self.raft.confirmed_round)
             if not self._compact():
                 break
-        effects.messages = without_repeated_answers(effects.messages)
+        effects.messages = coalesce_append_responses(effects.messages)
         return effects
 
-    def _put_proposals(self, now: float) -> None:
-        proposals, self._proposals = self._proposals, []
+    def _propose_queued(self, now: float) -> None:
+        proposals = self._proposals.take_queued()
         if not proposals:
             return
         first = None
         if self.is_owner:
             first = self.raft.propose_many(now, [proposal.command for proposal in proposals])
-        if first is None:
-            for proposal in proposals:
-                proposal.result.errback(NotOwnerError())
+        if first is not None:
+            self._proposals.proposed(first, proposals)
+            return
+        for proposal in proposals:
+            proposal.result.errback(NotOwnerError())
+
+    def _start_reads(self) -> None:
+        if self.is_owner:
+            self._reads.start(self.raft.request_heartbeat_round)
         else:
-            self._outstanding.extend(enumerate(proposals, first))
-
-    def _put_barriers(self) -> None:
-        barriers, self._new_barriers = self._new_barriers, []
-        for barrier in barriers:
-            if self.is_owner:
-                barrier.heartbeat_round = self.raft.request_heartbeat_round()
-                self._barriers.append(barrier)
-            else:
-                barrier.result.errback(NotOwnerError())
-
-    def _apply(self, out: Out) -> None:
-        if out.restore is not None:
-            self._machine.restore(out.restore.data)
-            self._applied, self._size = out.restore.index, 0
-            self._snapshot_size = len(out.restore.data)
-        for entry in out.committed:
+            self._reads.fail_queued()
+
+    def _apply(self, effects: RaftEffects) -> None:
+        if effects.restore is not None:
+            data = effects.restore.data
+            self._machine.restore(data)
+            self._applied = effects.restore.index
+            self.compaction.restored(len(data))
+        applied_bytes = 0
+        for entry in effects.committed:
             self._applied = entry.index
-            self._size += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if entry.kind == EntryKind.COMMAND:
+            applied_bytes += len(entry.data)
+            if entry.kind == _COMMAND_KIND:
                 self._apply_command(entry)
+        self.compaction.entries_applied(len(effects.committed), applied_bytes)
 
     def _apply_command(self, entry: Entry) -> None:
         result = self._machine.apply(entry.index, entry.data)
-        if self._outstanding and self._outstanding[0][0] == entry.index and entry.term == self.owned_epoch:
-            self._outstanding.popleft()[1].result.callback(result)
+        if entry.term == self.owned_epoch:
+            self._proposals.applied(entry.index, result)
         self._listener.applied(entry.index, entry.data, result)
 
     def _update_ownership(self) -> None:
@@ -270,86 +277,25 @@
 
     def _lose_ownership(self) -> None:
         self.owned_epoch = 0
-        outstanding, self._outstanding = self._outstanding, deque()
-        barriers, self._barriers = self._barriers, deque()
-        for _, proposal in outstanding:
-            proposal.result.errback(OutcomeUnknownError())
-        for barrier in barriers:
-            barrier.result.errback(NotOwnerError())
+        self._proposals.fail_in_flight()
+        self._reads.fail_started()
         self._listener.lost_ownership()
 
-    def _answer_barriers(self) -> None:
-        while self._barriers and self._barriers[0].heartbeat_round <= self.raft.confirmed_round:
-            self._barriers.popleft().result.callback(None)
-
     def _compact(self) -> bool:
-        """Replace old entries by a snapshot where there are many; whether it did."""
-        entries = self._applied - self.raft.snapshot.index
-        size = self._entries_bound * self._stretch
-        if entries <= self._bounds.entries * self._stretch and self._size <= size:
+        """Replace applied entries by a snapshot where that is due; whether it was."""
+        if not self.compaction.is_due(self._applied - self.raft.snapshot.index):
             return False
         data = self._machine.snapshot()
-        self.raft.compact(self._applied, data, self._kept_entries())
-        self._size, self._snapshot_size = 0, len(data)
-        self._stretch = 1.0 + self._random.random() * COMPACTION_SPREAD
+        needed_index = self.raft.needed_index if self.raft.role is MemberRole.LEADER else None
+        keep = self.compaction.entries_to_keep(self.raft.log, self._applied, needed_index)
+        self.raft.compact(self._applied, data, keep)
+        self.compaction.compacted(len(data))
         return True
 
-    @property
-    def _entries_bound(self) -> int:
-        """Bytes of entries between snapshots. It grows with the state, so that writing snapshots costs little
-        more than writing entries, up to a bound: the disk holds them all until there is a checkpoint."""
-        return max(self.size_bound, min(self._snapshot_size, GROWTH * self.size_bound))
-
-    def _kept_entries(self) -> int:
-        """How many entries stay: few, and not more than a quarter of the bound on bytes; or as many as peers
-        still need that answer, within the bound or the state's size: a transfer ends if entries are written
-        no faster than snapshots are sent."""
-        few = self._last_entries(self._bounds.kept, self.size_bound // 4)
-        if self.raft.role is not MemberRole.LEADER:
-            return few
-        needed = self._applied + 1 - self.raft.needed_index
-        return max(few, self._last_entries(needed, max(self.size_bound, self._snapshot_size)))
-
-    def _last_entries(self, most: int, most_bytes: int) -> int:
-        """How many of the applied entries, from the last one back, stay within both bounds."""
-        log, kept, size = self.raft.log.entries, 0, 0
-        applied = self._applied - self.raft.log.before[0]  # number of applied ones in the log
-        while kept < min(most, applied):
-            size += len(log[applied - kept - 1].data)
-            if size > most_bytes:
-                break
-            kept += 1
-        return kept
-
     def close(self) -> None:
-        """Whoever waits gets an error; nothing comes of later inputs."""
-        proposals, self._proposals = self._proposals, []
-        barriers, self._new_barriers = self._new_barriers, []
-        for proposal in proposals:
+        """Fail all requests that wait; nothing comes of later inputs."""
+        for proposal in self._proposals.take_queued():
             proposal.result.errback(NotOwnerError())
-        for barrier in barriers:
-            barrier.result.errback(NotOwnerError())
+        self._reads.fail_queued()
         if self.owned_epoch:
             self._lose_ownership()
-
-
-def without_repeated_answers(messages: Sequence[tuple[str, Message]]) -> list[tuple[str, Message]]:
-    """Of consecutive positive answers to one leader in one term only the last: it covers those before it."""
-    kept: list[tuple[str, Message]] = []
-    for receiver, message in messages:
-        if kept and isinstance(message, AppendEntriesResponse) and message.ok:
-            before_receiver, before = kept[-1]
-            if (
-                before_receiver == receiver
-                and isinstance(before, AppendEntriesResponse)
-                and before.ok
-                and before.term == message.term
-            ):
-                index, last_round = (
-                    max(before.index, message.index),
-                    max(before.heartbeat_round, message.heartbeat_round),
-                )
-                kept[-1] = (receiver, AppendEntriesResponse(message.term, True, index, last_round))
-                continue
-        kept.append((receiver, message))
-    return kept
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -1,19 +1,39 @@
-"""Many replica groups in one process: one timer, one journal, inputs of a reactor turn taken together."""
+"""Many replica groups in one process: one timer, one journal, inputs of a reactor turn taken together.
+
+Inputs mark a group as dirty; dirty groups are flushed once in the next reactor turn, so that the proposals of
+a turn share messages and writes. A group that raises is stopped and logged, the others go on.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from functools import partial
 from random import Random
-from typing import Any
 
 import logbook
 from twisted.internet.defer import Deferred, fail
 
 from bitternpath.replication.bandwidth import TransferBudget
-from bitternpath.replication.group import CompactionBounds, ReplicaGroup
-from bitternpath.replication.interfaces import GroupJournal, GroupListener, NotOwnerError, StateMachine
+from bitternpath.replication.compaction import CompactionBounds
+from bitternpath.replication.errors import GroupAlreadyOpenError, NotOwnerError
+from bitternpath.replication.group import (
+    GroupApplication,
+    GroupEffects,
+    GroupOptions,
+    MemberIdentity,
+    ReplicaGroup,
+)
+from bitternpath.replication.interfaces import (
+    DelayedCall,
+    GroupJournal,
+    GroupListener,
+    MessageTransport,
+    ReactorTime,
+    StateMachine,
+)
+from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.records import Members, PersistentState, RaftTiming, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
 from bitternpath.transport.codec import CodecError
@@ -22,9 +42,16 @@
 
 SYSTEM_TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)
 TIMER_GRID_SECONDS = 0.02  # timers of groups fall on multiples of this, so that they fire together
-SHORTEST_TIMER_SECONDS = 0.001  # rounding may put a timer just before its alarm: it must not spin
+SHORTEST_TIMER_SECONDS = 0.001  # rounding may put a timer just before its due time: it must not spin
+
+
+@dataclass(frozen=True, slots=True)
+class HostOptions:
+    """What a host is run with. `random`: source of election timeouts and of the spread of compactions."""
 
-Send = Callable[[str, str, bytes], None]
+    random: Random
+    timing: RaftTiming = SYSTEM_TIMING
+    bounds: CompactionBounds = field(default_factory=CompactionBounds)
 
 
 class ReplicaHost:
@@ -32,61 +59,55 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: ReactorTime,
         member_id: str,
         journal: GroupJournal,
-        send: Send,
-        random: Random,
-        timing: RaftTiming = SYSTEM_TIMING,
-        bounds: CompactionBounds | None = None,
-        flushed: Callable[[], None] = lambda: None,
+        transport: MessageTransport,
+        options: HostOptions,
     ) -> None:
-        """`send(group, receiver, body)` is called with messages in their order; it may lose them. `flushed`
-        is called once all messages of a turn have been sent."""
         self.member_id = member_id
-        self._reactor, self._journal, self._send = reactor, journal, send
-        self._random, self._times = random, timing
-        self._bounds = bounds or CompactionBounds()
-        self._flushed = flushed
-        self._budget = TransferBudget()  # of snapshot transfers of all groups
-        journal.on_corrupt_snapshot(self._rewrite_snapshot)
         self.groups: dict[str, ReplicaGroup] = {}
+        self._reactor = reactor
+        self._journal = journal
+        self._transport = transport
+        self._random = options.random
+        self._bounds = options.bounds
+        budget = TransferBudget()  # of snapshot transfers of all groups
+        self._group_options = GroupOptions(RaftOptions(options.timing, budget), options.bounds)
         self._dirty: dict[str, ReplicaGroup] = {}
         self._watchers: dict[str, Callable[[], None]] = {}
-        self._flush_call: Any = None
-        self._timer: Any = None
+        self._flush_call: DelayedCall | None = None
+        self._timer: DelayedCall | None = None
         self._stopped = False
+        journal.on_corrupt_snapshot(self._rewrite_snapshot)
 
     # ---- groups
 
     def open_group(
         self, group: str, machine: StateMachine, founders: Members | None, listener: GroupListener
     ) -> None:
-        """Take part. What the journal holds goes first; else founders that name this member; else it begins
-        as an empty member that only a leader can fill."""
+        """Take part in a group; raises `GroupAlreadyOpenError`.
+
+        It begins with what the journal holds; else as one of the `founders` where they name this member; else
+        as an empty member that only a leader can fill.
+        """
         if group in self.groups:
-            raise ValueError(f"group {group} is open")
+            raise GroupAlreadyOpenError(group)
         kept = self._journal.take_persistent_state(group)
         tombstone_generation = self._journal.tombstone_generation(group)
         if kept is None:
             kept = PersistentState()
-            names_me = founders is not None and self.member_id in founders.voters
-            if founders is not None and names_me and tombstone_generation is None:
+            is_founder = founders is not None and self.member_id in founders.voters
+            if founders is not None and is_founder and tombstone_generation is None:
                 kept = PersistentState(snapshot=Snapshot(members=founders))
                 self._journal.found(group, kept)
-        now = self._reactor.seconds()
         self.groups[group] = ReplicaGroup(
-            self.member_id,
-            kept,
-            machine,
-            listener,
+            MemberIdentity(self.member_id, kept, tombstone_generation),
+            GroupApplication(machine, listener),
             self._random,
-            now,
-            self._times,
-            self._bounds,
-            self._budget,
+            self._reactor.seconds(),
+            self._group_options,
         )
-        self.groups[group].tombstone_generation = tombstone_generation
         self._share_bounds()
         self._set_timer()
 
@@ -95,8 +116,10 @@
         return group in self._journal.groups()
 
     def close_group(self, group: str, generation: int) -> None:
-        """Stop taking part, and forget the group's state on disk. Only once members of this generation that
-        don't name this replica are committed."""
+        """Stop taking part, and remove the group's state from the disk.
+
+        Only to be called once a membership of this generation that doesn't name this replica is committed.
+        """
         closed = self.groups.pop(group, None)
         self._watchers.pop(group, None)
         self._dirty.pop(group, None)
@@ -108,7 +131,7 @@
     def _share_bounds(self) -> None:
         share = self._bounds.host_size // max(len(self.groups), 1)
         for group in self.groups.values():
-            group.size_bound = min(self._bounds.size, share)
+            group.compaction.size_bound = min(self._bounds.size, share)
 
     def stop(self) -> None:
         """Stop taking part in all groups; their state stays."""
@@ -116,7 +139,8 @@
         for call in (self._flush_call, self._timer):
             if call is not None and call.active():
                 call.cancel()
-        groups, self.groups = self.groups, {}
+        groups = self.groups
+        self.groups = {}
         self._dirty.clear()
         for group in groups.values():
             group.close()
@@ -124,7 +148,7 @@
     # ---- inputs
 
     def receive(self, group: str, sender: str, body: bytes) -> None:
-        """Take a message from another member; dropped where the group isn't open or it can't be read."""
+        """Take an encoded message of another member; dropped if the group isn't open or it can't be read."""
         found = self.groups.get(group)
         if found is None or sender == self.member_id:
             return
@@ -140,8 +164,10 @@
         self._mark(group, found)
 
     def propose(self, group: str, command: bytes) -> Deferred[object]:
-        """Fires with what `StateMachine.apply` gave here once the command is committed. Errors:
-        `NotOwnerError` (it was not proposed), `OutcomeUnknownError` (it may or may not be committed)."""
+        """Propose a command; fires with what `StateMachine.apply` returned here once it is committed.
+
+        Errors: `NotOwnerError` (it was not proposed), `OutcomeUnknownError` (it may or may not be committed).
+        """
         found = self.groups.get(group)
         if found is None:
             return fail(NotOwnerError())
@@ -149,8 +175,10 @@
         return found.propose(command)
 
     def read_barrier(self, group: str) -> Deferred[None]:
-        """Fires once a majority has confirmed, after this call, that this replica leads: a read of the state
-        machine then is linearizable. Error: `NotOwnerError`."""
+        """Fires once a majority has confirmed, after this call, that this replica leads (read index, T 6.4).
+
+        A read of the state machine then is linearizable. Error: `NotOwnerError`.
+        """
         found = self.groups.get(group)
         if found is None:
             return fail(NotOwnerError())
@@ -158,8 +186,10 @@
         return found.read_barrier()
 
     def change_members(self, group: str, members: Members) -> bool:
-        """Propose other members; False where that can't be now. Voters change one at a time, and a new voter
-        must have caught up as a learner."""
+        """Propose a membership; False where that can't be now.
+
+        Voters change one at a time, and a new voter must have caught up as a learner.
+        """
         found = self.groups.get(group)
         if found is None:
             return False
@@ -167,7 +197,7 @@
         return found.change_members(self._reactor.seconds(), members)
 
     def transfer_leadership(self, group: str, to: str = "") -> bool:
-        """Pass ownership to `to`, or to the voter that has most of the log; whether that was begun."""
+        """Begin to transfer ownership to `to`, or to the voter that has most of the log; whether it began."""
         found = self.groups.get(group)
         if found is None:
             return False
@@ -182,13 +212,19 @@
         return found is not None and found.is_owner
 
     def hears_quorum(self, group: str) -> bool:
-        """Whether this replica owns the group and has heard a majority within an election's time."""
+        """Whether this replica owns the group and has heard a majority within an election timeout.
+
+        Responses count from when they came: see `has_leader_lease` for a process that may have stood still.
+        """
         found = self.groups.get(group)
         return found is not None and found.hears_quorum(self._reactor.seconds())
 
     def has_leader_lease(self, group: str) -> bool:
-        """Whether this replica owns the group and nobody else can have been elected. Unlike `hears_quorum` it
-        counts from when a majority was asked, so that it holds for a process that stood still, too."""
+        """Whether this replica owns the group and no other member can have been elected (T 6.4.1).
+
+        Unlike `hears_quorum` it counts from when a majority was asked, not from when it responded, so that it
+        also holds for a process that stood still.
+        """
         found = self.groups.get(group)
         return found is not None and found.is_owner and found.raft.has_leader_lease(self._reactor.seconds())
 
@@ -203,8 +239,11 @@
         return found.raft.leader if found is not None else ""
 
     def watch_members(self, group: str, progressed: Callable[[], None]) -> None:
-        """`progressed` is called, in a turn of its own, when this replica became the group's owner, or owns
-        it and a change of members was committed or a learner has caught up."""
+        """Have `progressed` called whenever the membership of a group may be reconciled again.
+
+        That is, in a turn of its own, when this replica became the group's owner, or owns it and a membership
+        was committed or a learner has caught up.
+        """
         self._watchers[group] = progressed
 
     def members(self, group: str) -> Members:
@@ -237,12 +276,13 @@
     def _flush(self) -> None:
         self._flush_call = None
         now = self._reactor.seconds()
-        dirty, self._dirty = self._dirty, {}
+        dirty = self._dirty
+        self._dirty = {}
         for name, group in dirty.items():
             if self.groups.get(name) is group:
                 self._flush_group(now, name, group)
         self._set_timer()
-        self._flushed()
+        self._transport.turn_ended()
 
     def _flush_group(self, now: float, name: str, group: ReplicaGroup) -> None:
         try:
@@ -252,26 +292,43 @@
             return
         if self.groups.get(name) is not group:  # closed by its listener; nothing may be written any more
             return
+        self._execute(name, group, effects)
+        self._log_role_transition(name, group)
+        if name in self._watchers and group.members_progressed():
+            self._reactor.callLater(0, self._notify_watcher, name, group)
+
+    def _execute(self, name: str, group: ReplicaGroup, effects: GroupEffects) -> None:
         for write in effects.writes:
-            done = partial(self._stored, name, group, write.number)
+            done = partial(self._write_completed, name, group, write.number)
             self._journal.write(name, write, done)
         for receiver, message in effects.messages:
-            self._send(name, receiver, encode_message(message))
-        if name in self._watchers and group.members_progressed():
-            self._reactor.callLater(0, self._tell_watcher, name, group)
+            self._transport.send(name, receiver, encode_message(message))
+
+    @staticmethod
+    def _log_role_transition(name: str, group: ReplicaGroup) -> None:
+        transition = group.role_transition()
+        if transition is None:
+            return
+        log.debug(
+            "event=role_changed group={} term={} old={} new={}",
+            name,
+            group.raft.term,
+            transition.old.value,
+            transition.new.value,
+        )
 
-    def _tell_watcher(self, name: str, group: ReplicaGroup) -> None:
+    def _notify_watcher(self, name: str, group: ReplicaGroup) -> None:
         if self.groups.get(name) is group and name in self._watchers:
             self._watchers[name]()
 
     def _stop_group(self, name: str, group: ReplicaGroup) -> None:
-        """In an `except`: consensus or the state machine may have done half of something."""
+        """Called in an `except`: consensus or the state machine may be half changed."""
         log.exception("event=group_stopped group={}", name)
         if self.groups.get(name) is group:
             del self.groups[name]
         group.close()
 
-    def _stored(self, name: str, group: ReplicaGroup, number: int) -> None:
+    def _write_completed(self, name: str, group: ReplicaGroup, number: int) -> None:
         if self.groups.get(name) is group:
             group.raft.write_completed(self._reactor.seconds(), number)
             self._mark(name, group)
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -1,48 +1,58 @@
-"""What a replica group asks of the program around it, and the errors that it answers with."""
+"""What a replica group asks of the program around it: state machine, journal, listener, transport, clock."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
+from bitternpath.replication.errors import NotOwnerError as NotOwnerError
+from bitternpath.replication.errors import OutcomeUnknownError as OutcomeUnknownError
 from bitternpath.replication.records import PersistentState, StorageWrite
 
+SendMessage = Callable[[str, str, bytes], None]
+"""Sends an encoded message: group, receiver, body. May lose it; keeps the order of those that it doesn't."""
 
-class NotOwnerError(Exception):
-    """This replica doesn't own the group. Nothing was proposed, and nothing will come of the request."""
 
+def _no_op() -> None:
+    """Nothing is to be done after a turn."""
 
-class OutcomeUnknownError(Exception):
-    """Ownership was lost after the command was proposed: it may or may not be committed."""
+
+@dataclass(frozen=True, slots=True)
+class MessageTransport:
+    """Sends consensus messages. `turn_ended` is called once all messages of a reactor turn were sent."""
+
+    send: SendMessage
+    turn_ended: Callable[[], None] = _no_op
 
 
 class StateMachine(Protocol):
     """The replicated state of a group. The same commands in the same order give the same state."""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply a committed command; the result goes to who proposed it here."""
+        """Apply a committed command; the result goes to whoever proposed it here."""
 
     def snapshot(self) -> bytes:
         """The state after the last applied command."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state by that of a snapshot."""
 
 
 class GroupJournal(Protocol):
-    """Where the groups of a process are kept; `storage/journal.py` has it."""
+    """Persistent state of the groups of a process; implemented by `storage.journal`."""
 
     def groups(self) -> tuple[str, ...]:
         """The groups that the disk held at the start and that nobody has taken yet."""
 
     def on_corrupt_snapshot(self, damaged: Callable[[str], None]) -> None:
-        """`damaged` is told a group whose snapshot was found damaged on disk."""
+        """Have `damaged` called with a group whose snapshot was found corrupt on disk."""
 
     def take_persistent_state(self, group: str) -> PersistentState | None:
-        """What the disk held of a group at the start; given once."""
+        """What the disk held of a group at the start; None where that was nothing. Given once."""
 
     def tombstone_generation(self, group: str) -> int | None:
-        """The generation of the members at which this disk gave the group up; None where it never did."""
+        """Generation of the membership at which this disk gave the group up; None where it never did."""
 
     def found(self, group: str, kept: PersistentState) -> None:
         """Write the state with which a group begins here."""
@@ -51,17 +61,40 @@
         """Write a batch after those before it; `done` is called once it is synced."""
 
     def forget(self, group: str, generation: int) -> None:
-        """Remove all that is kept of a group, given up at that generation of its members."""
+        """Remove all state of a group, given up at that generation of its membership."""
 
 
 class GroupListener(Protocol):
-    """Is told of a group's course on this replica."""
+    """Is notified of what happens to a group on this replica. Called inside of a flush of the group."""
 
     def became_owner(self, epoch: int) -> None:
-        """This replica leads, and has applied all that was committed before."""
+        """This replica leads and has applied all that was committed before; `epoch` is its term."""
 
     def lost_ownership(self) -> None:
         """It no longer does."""
 
     def applied(self, index: int, command: bytes, result: object) -> None:
         """A command was applied; on each replica."""
+
+
+class DelayedCall(Protocol):
+    """A timer of a reactor (`twisted.internet.interfaces.IDelayedCall`)."""
+
+    def getTime(self) -> float:
+        """When it is due."""
+
+    def active(self) -> bool:
+        """Whether it has neither fired nor been cancelled."""
+
+    def cancel(self) -> None:
+        """Keep it from firing."""
+
+
+class ReactorTime(Protocol):
+    """The time of a reactor (`twisted.internet.interfaces.IReactorTime`)."""
+
+    def seconds(self) -> float:
+        """A clock that doesn't go back, in seconds."""
+
+    def callLater(self, delay: float, call: Callable[..., object], /, *arguments: object) -> DelayedCall:
+        """Call after `delay` seconds."""
--- a/bitternpath/replication/member.py
+++ b/bitternpath/replication/member.py
@@ -1,10 +1,12 @@
-"""What the jobs of a member share: its term, its role, its log, and messages that wait for the disk."""
+"""State that the parts of a consensus member share: term, role, log, and messages that wait for the disk."""
 
 from __future__ import annotations
 
 from abc import ABC, abstractmethod
 from collections import deque
+from dataclasses import dataclass, field
 from random import Random
+from typing import NamedTuple
 
 from bitternpath.replication.bandwidth import TransferBudget, UnlimitedTransferBudget
 from bitternpath.replication.log import ReplicatedLog
@@ -21,63 +23,109 @@
     StorageWrite,
 )
 
+NEVER = float("inf")  # of a timer that isn't set
+
+
+@dataclass(frozen=True, slots=True)
+class RaftOptions:
+    """What a member is run with. `transfer_budget` may be shared by the members of many groups."""
+
+    timing: RaftTiming = DEFAULT_TIMING
+    transfer_budget: TransferBudget = field(default_factory=UnlimitedTransferBudget)
+
+
+class HeldMessage(NamedTuple):
+    """A message that promises something which is not on disk before the write of that number is done."""
+
+    write_number: int
+    receiver: str
+    message: Message
+
+
+class StartedRound(NamedTuple):
+    """A heartbeat round that a majority has not answered yet, and when it was started."""
+
+    number: int
+    started_at: float
+
 
 class PartialSnapshot:
-    """A snapshot of which a follower has a part."""
+    """The chunks of a snapshot that a follower has received so far, in order."""
 
     def __init__(self, index: int, term: int) -> None:
-        self.index, self.term = index, term
+        self.index = index
+        self.term = term
         self.data = bytearray()
 
 
 class MemberState(ABC):
-    """State of one member, and its outputs until they are taken."""
+    """State of one member, and its outputs until they are taken.
+
+    The attributes of a leader mean nothing in another role. Times are seconds of the caller's clock.
+    """
 
     def __init__(
         self,
         member_id: str,
-        kept: PersistentState,
+        state: PersistentState,
         random: Random,
         now: float,
-        timing: RaftTiming = DEFAULT_TIMING,
-        budget: TransferBudget | None = None,
+        options: RaftOptions = RaftOptions(),
     ) -> None:
-        self.member_id, self.random, self.timing, self.now = member_id, random, timing, now
-        self.term, self.vote = kept.term, kept.vote
-        self.log = ReplicatedLog(kept)
-        self.commit_index = self.last_applied = kept.snapshot.index
-        self.role, self.leader = MemberRole.FOLLOWER, ""
-        self.last_contact = now - 2 * timing.election_timeout  # with a leader
-        self.peers: dict[str, Progress] = {}  # of a leader
-        self.replication_targets: frozenset[str] = (
-            frozenset()
-        )  # of a leader: the peers that get entries at once
-        self.votes: set[str] = set()  # of a candidate
-        self._heartbeat_round_requested = False
-        # Of a leader; they mean nothing in another role.
-        self.heartbeat_round = self.confirmed_round = (
-            0  # the last one begun, and the last one that a majority answered
-        )
-        self.confirmed_at = float("-inf")  # when the last confirmed round began
-        self._rounds: deque[tuple[int, float]] = deque()  # begun and not confirmed, and when
-        self.term_start_index = 0  # of the first entry that it wrote in its term
+        self.member_id = member_id
+        self.random = random
+        self.timing = options.timing
+        self.now = now  # when the input came that is being worked on
+
+        # Persistent state of all members (fig. 2).
+        self.term = state.term
+        self.vote = state.vote
+        self.log = ReplicatedLog(state)
+
+        # Volatile state of all members.
+        self.commit_index = state.snapshot.index
+        self.last_applied = state.snapshot.index
+        self.role = MemberRole.FOLLOWER
+        self.leader = ""  # "" where none is known
+        self.last_contact = now - 2 * self.timing.election_timeout  # of a follower: with its leader
+
+        # Of a candidate or pre-candidate.
+        self.votes: set[str] = set()
+
+        # Of a leader: replication.
+        self.peers: dict[str, Progress] = {}
+        self.replication_targets: frozenset[str] = frozenset()  # peers that get new entries at once
+        self.term_start_index = 0  # index of the no-op that it appended when it was elected
         self.elected_at = 0.0
-        self.committed_before = 0  # commit index at the last heartbeat but one
-        self._committed_at_heartbeat = 0  # and at the last one
-        self.transfer_target = ""  # to whom leadership is being passed on
-        self._heartbeat_at = self._transfer_until = 0.0
-        self._piece_at = float("inf")  # when a piece of a snapshot goes out that waits for bandwidth
-        self._budget = budget or UnlimitedTransferBudget()
-        self._partial: PartialSnapshot | None = None
-        self._restore: Snapshot | None = None  # the state machine's next state
-        self._send: list[tuple[str, Message]] = []
-        self._after_writes: list[tuple[str, Message]] = []  # wait until all that there is now is on disk
-        self._held: list[tuple[int, str, Message]] = []  # until which write is done
+        self.commit_index_at_heartbeat = 0  # at the last heartbeat
+        self.commit_index_at_heartbeat_before = 0  # at the one before that
+        self.transfer_target = ""  # the voter to which leadership is being transferred
+
+        # Of a leader: heartbeat rounds.
+        self.heartbeat_round = 0  # the last one started
+        self.confirmed_round = 0  # the last one that a majority answered
+        self.confirmed_at = -NEVER  # when that one was started
+        self.heartbeat_round_requested = False  # one is wanted and hasn't started
+        self._unconfirmed_rounds: deque[StartedRound] = deque()
+
+        # Timers.
+        self._election_at = NEVER
+        self._heartbeat_at = 0.0
+        self._transfer_until = 0.0  # when the leader gives a transfer of leadership up
+        self._chunk_at = NEVER  # when a snapshot chunk is due that waits for bandwidth
+
+        # Outputs until they are taken.
+        self._transfer_budget = options.transfer_budget
+        self._partial_snapshot: PartialSnapshot | None = None
+        self._restore: Snapshot | None = None  # next state of the state machine
+        self._messages: list[tuple[str, Message]] = []
+        self._after_writes: list[tuple[str, Message]] = []  # wait for all changes made so far
+        self.held_messages: list[HeldMessage] = []
         self._set_election_timer()
 
     @abstractmethod
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """A message has come; one that makes no sense is passed over."""
+        """Take a message from another member. One that is stale or makes no sense is ignored."""
 
     @abstractmethod
     def _become_leader(self) -> None:
@@ -87,7 +135,7 @@
 
     @property
     def members(self) -> Members:
-        """The last ones in the log, committed or not."""
+        """The last membership in the log, committed or not."""
         return self.log.members
 
     @property
@@ -97,21 +145,22 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The last one, its own or a leader's."""
+        """The last one, this member's own or a leader's."""
         return self.log.snapshot
 
     @property
     def is_voter(self) -> bool:
-        """Whether its own vote and log count."""
+        """Whether this member's vote and log count."""
         return self.member_id in self.log.members.voters
 
-    # ---- roles
+    # ---- role and term
 
     def _set_election_timer(self) -> None:
         self._election_at = self.now + self.timing.election_timeout * (1.0 + self.random.random())
 
     def _set_term(self, term: int, vote: str) -> None:
-        self.term, self.vote = term, vote
+        self.term = term
+        self.vote = vote
         self.log.changed = True
 
     def _become_follower(self, term: int, leader: str = "") -> None:
@@ -119,43 +168,48 @@
             self._set_term(term, "")
         if self.role is not MemberRole.FOLLOWER:
             self._set_election_timer()
-        self.role, self.leader, self.transfer_target = MemberRole.FOLLOWER, leader, ""
+        self.role = MemberRole.FOLLOWER
+        self.leader = leader
+        self.transfer_target = ""
         self.peers.clear()
         self.votes.clear()
-        self._heartbeat_round_requested = False
+        self.heartbeat_round_requested = False
 
     # ---- outputs
 
     def _take_writes(self) -> list[StorageWrite]:
-        """All changes as writes; messages that wait for them are held back until they are done."""
+        """Give out all changes as writes, and hold the messages that wait for them until they are done."""
         writes = []
         while self.log.changed or self._after_writes:
             if self.log.changed:
                 writes.append(self.log.flush(self.term, self.vote))
-            waiting, self._after_writes = self._after_writes, []
+            waiting = self._after_writes
+            self._after_writes = []
             for receiver, message in waiting:
                 if self.log.all_stored:
                     self._deliver(receiver, message)
                 else:
-                    self._held.append((self.log.written, receiver, message))
+                    self.held_messages.append(HeldMessage(self.log.written, receiver, message))
         return writes
 
     def _take_committed(self) -> list[Entry]:
-        """The entries committed since the last call."""
+        """Give out the entries committed since the last call."""
         if self.commit_index <= self.last_applied:
             return []
-        first, self.last_applied = self.last_applied + 1, self.commit_index
+        first = self.last_applied + 1
+        self.last_applied = self.commit_index
         return self.log.entries_from(first, self.commit_index - first + 1)
 
-    def _deliver_stored(self, number: int) -> None:
-        """The writes up to that number are done: what waited for them goes out."""
-        due = [held for held in self._held if held[0] <= number]
-        self._held = [held for held in self._held if held[0] > number]
-        for _, receiver, message in due:
-            self._deliver(receiver, message)
+    def _release_held_messages(self, number: int) -> None:
+        """The writes up to that number are done: send what waited for them."""
+        due = [held for held in self.held_messages if held.write_number <= number]
+        self.held_messages = [held for held in self.held_messages if held.write_number > number]
+        for held in due:
+            self._deliver(held.receiver, held.message)
 
     def _deliver(self, receiver: str, message: Message) -> None:
+        """Send a message; one for this member itself, its own vote, is received at once."""
         if receiver == self.member_id:
             self.receive(self.now, receiver, message)
         else:
-            self._send.append((receiver, message))
+            self._messages.append((receiver, message))
--- a/bitternpath/replication/records.py
+++ b/bitternpath/replication/records.py
@@ -1,4 +1,8 @@
-"""What a member of a replica group keeps and writes: entries, members, snapshots. Plain data."""
+"""Plain data of a replica group: log entries, membership, snapshots, storage writes, timing.
+
+`Entry`, `Members` and `Snapshot` are sent between members and stored on disk. Their names are free, but the
+order and the types of their fields are a format, and so are the numbers of `EntryKind`.
+"""
 
 from __future__ import annotations
 
@@ -7,21 +11,41 @@
 import msgspec
 from msgspec import Struct
 
-EntryKind = IntEnum("EntryKind", [("NO_OP", 0), ("COMMAND", 1), ("MEMBERS", 2)])
+
+class EntryKind(IntEnum):
+    """What the data of a log entry is. The numbers are stored and sent."""
+
+    NO_OP = 0
+    """Of no effect: the first entry that a leader appends in its term, so that it can commit (T 6.4)."""
+
+    COMMAND = 1
+    """A command for the state machine."""
+
+    MEMBERS = 2
+    """A change of the membership: encoded `Members`, in force as soon as it is in the log (T 4.1)."""
+
+
+LogPosition = tuple[int, int]
+"""Index and term of a log entry; (0, 0) is the position before the first one."""
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One entry of the log. `kind` is an `EntryKind`."""
+    """One entry of the replicated log.
+
+    `kind` is an `EntryKind`, typed as int: decoding it as an enum would cost more than the rest of the entry.
+    """
 
-    index: int
-    term: int
+    index: int  # from 1 on, without gaps
+    term: int  # of the leader that appended it
     kind: int
     data: bytes
 
 
 class Members(Struct, frozen=True, array_like=True):
-    """Who takes part. Learners get all entries, and neither vote nor count. `generation`: of the placement
-    that this follows; it never falls in a log."""
+    """Members of a replica group. Learners get all entries; they neither vote nor count for commitment.
+
+    `generation` is that of the placement that the membership follows. It never falls in a log.
+    """
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
@@ -34,42 +58,43 @@
 
 
 class Snapshot(Struct, frozen=True, array_like=True):
-    """The state after `index`, in place of all entries up to it."""
+    """State of the state machine after the entry `index`, in place of all entries up to it."""
 
     index: int = 0
-    term: int = 0
-    members: Members = Members()
+    term: int = 0  # of the entry `index`
+    members: Members = Members()  # in force at `index`
     data: bytes = b""
 
 
 class StorageWrite(Struct, frozen=True):
-    """One batch for the disk, to be done as a whole, after those before it."""
+    """One atomic write to the disk, done after those before it. Truncation precedes appending."""
 
-    number: int
-    term: int
-    vote: str
-    truncate_from: int | None  # entries from this index on are gone, before the new ones are added
-    entries: tuple[Entry, ...]
-    snapshot: Snapshot | None  # takes the place of the one before
-    compacted_through: tuple[int, int]  # index and term of the last entry that is not needed any more
+    number: int  # from 1 on, in the order in which the writes are to be done
+    term: int  # current term
+    vote: str  # for whom this member voted in that term; "" for nobody yet
+    truncate_from: int | None  # index of the first of the entries that are removed; None: none is
+    entries: tuple[Entry, ...]  # appended after the truncation
+    snapshot: Snapshot | None  # replaces the one before; None: that one stays
+    compacted_through: LogPosition  # the last entry that is no longer needed
 
 
 class PersistentState(Struct):
-    """What a disk holds at the start."""
+    """What a disk holds of a member at the start: fig. 2's persistent state, and a snapshot."""
 
     term: int = 0
     vote: str = ""
     snapshot: Snapshot = Snapshot()
-    compacted_through: tuple[int, int] = (0, 0)  # index and term of the entry before the first one kept
+    compacted_through: LogPosition = (0, 0)  # position of the entry before `entries[0]`
     entries: list[Entry] = []
 
 
 class RaftTiming(Struct, frozen=True):
-    """In s. An election wants messages to take much less than `election`."""
+    """Timing of elections, in seconds.
+
+    Elections settle quickly only where a message and a sync together take much less than `election_timeout`.
+    """
 
-    election_timeout: float = (
-        1.0  # the least time without a leader after which a follower asks; at most twice that
-    )
+    election_timeout: float = 1.0  # shortest silence of a leader after which a follower stands; at most twice
     heartbeat_interval: float = 0.2
 
 
@@ -77,14 +102,14 @@
 
 
 class MemberRole(Enum):
-    """What a member does in its term. A pre-candidate asks whether it would get votes (T 9.6)."""
+    """Role of a member in its term; `replication.consensus` has the table of transitions."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"
+    PRE_CANDIDATE = "pre-candidate"  # asks whether it would get votes, without a new term (T 9.6)
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 def members_from(data: bytes) -> Members:
-    """The members that an entry of the kind MEMBERS names."""
+    """Decode the membership that an entry of the kind `EntryKind.MEMBERS` carries."""
     return msgspec.msgpack.decode(data, type=Members)
--- a/bitternpath/replication/replication_targets.py
+++ b/bitternpath/replication/replication_targets.py
@@ -1,8 +1,9 @@
-"""Which followers get new entries at once: as many as a majority needs, those that answer soonest.
+"""Replication targets: the followers that get new entries at once. Pure.
 
-The others get them in batches with the heartbeats. An entry costs a message, a sync and an answer at each
-follower that it is sent to alone; only a majority's are waited for. A follower that becomes slow or silent is
-replaced at the next heartbeat, which is also when entries that still lack a majority reach all.
+Targets are as many followers as a majority needs, those that confirm soonest. The others get entries in
+batches with the heartbeats: an entry costs a message, a sync and a response at each follower that it is sent
+to alone, and only a majority's responses are waited for. A target that becomes slow or silent is replaced at
+the next heartbeat, which is also when entries that still lack a majority reach all followers.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from bitternpath.replication.progress import Progress
 
-# Another follower takes a place only if it is faster by this much: each change costs it its backlog.
+# Another follower becomes a target only if it is faster by this much: each change costs it its backlog.
 FASTER_BY = 1.5
 FASTER_BY_SECONDS = 0.005
 
@@ -19,21 +20,24 @@
 def choose_replication_targets(
     voters: Collection[str],
     peers: Mapping[str, Progress],
-    replication_targets: Collection[str],
+    current: Collection[str],
     now: float,
     silence: float,
 ) -> frozenset[str]:
-    """The followers that get entries at once; `replication_targets` are those that did so far. Those that
-    haven't been heard for `silence` seconds come last: of one that never answered no delay is known."""
-    wanted = len(voters) // 2  # a majority, with the leader itself
-    if len([name for name in voters if name in peers]) == len(voters):
-        wanted += 1  # the leader is no voter (any more)
+    """The voters to which a leader sends new entries at once.
+
+    `peers`: the leader's progress of the others. `current`: the targets so far. A peer that hasn't been heard
+    for `silence` seconds comes last: the delay of one that never responded isn't known.
+    """
     candidates = [name for name in voters if name in peers]
+    wanted = len(voters) // 2  # a majority, together with the leader itself
+    if len(candidates) == len(voters):
+        wanted += 1  # the leader is not a voter (any more)
 
     def handicap(name: str) -> tuple[bool, float, float]:
         peer = peers[name]
         delay = peer.expected_delay(now)
-        if name not in replication_targets:
+        if name not in current:
             delay = delay * FASTER_BY + FASTER_BY_SECONDS
         return now - peer.last_contact > silence, delay, -peer.last_contact
 
--- a/bitternpath/replication/snapshots.py
+++ b/bitternpath/replication/snapshots.py
@@ -1,8 +1,8 @@
-"""Transfer of snapshots, in pieces (T 5.3): the leader's side and the follower's.
+"""Snapshot transfer in chunks (T 5.3): the leader's side and the follower's.
 
-A peer is sent one piece at a time; its answer names the next one, so that a transfer goes on where it was
-after a lost piece or a lost link. A leader sends the snapshot that it began with to its end, and keeps the
-entries behind it for as long (`Leadership.needed_index`). Pieces wait for a share of the bandwidth.
+A peer is sent one chunk at a time; its response names the next one, so a transfer continues where it was
+after a lost chunk or a lost connection. A leader sends the snapshot that it began with to its end, and keeps
+the entries behind it for as long (`Leadership.needed_index`). Chunks wait for a share of the bandwidth.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import zlib
 from abc import abstractmethod
 
-from bitternpath.replication.member import MemberState, PartialSnapshot
+from bitternpath.replication.member import NEVER, MemberState, PartialSnapshot
 from bitternpath.replication.messages import AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
 from bitternpath.replication.progress import Progress, Transfer
 from bitternpath.replication.records import Snapshot
@@ -22,117 +22,129 @@
     """A member as sender and as receiver of snapshots."""
 
     @abstractmethod
-    def _send_entries(self, name: str, heartbeat: bool = False) -> None:
-        """Send a peer what it lacks; a heartbeat is sent even where that is nothing."""
+    def _send_entries(self, name: str, *, heartbeat: bool = False) -> None:
+        """Send a peer the entries that it lacks; a heartbeat is sent even without any."""
 
     # ---- leader
 
     def _needs_snapshot(self, peer: Progress) -> bool:
-        """Whether the entries that a peer lacks are gone, or a snapshot is on its way to it."""
+        """Whether the entries that a peer lacks are compacted away, or a snapshot is being sent to it."""
         return peer.transfer is not None or not self.log.has_entry_after(peer.next_index - 1)
 
-    def _continue_transfer(self, name: str, peer: Progress, heartbeat: bool) -> None:
+    def _continue_transfer(self, name: str, peer: Progress, *, heartbeat: bool) -> None:
         if peer.transfer is None:
             peer.transfer = Transfer(self.snapshot)
-            self._schedule_piece(name, peer.transfer, 0)
+            self._schedule_chunk(name, peer.transfer, 0)
         elif heartbeat:
             self._send_install(name, peer.transfer, b"")
 
-    def _schedule_piece(self, name: str, transfer: Transfer, offset: int) -> None:
-        """Send the piece at that offset as soon as there is bandwidth."""
+    def _schedule_chunk(self, name: str, transfer: Transfer, offset: int) -> None:
+        """Send the chunk at that offset as soon as there is bandwidth."""
         transfer.offset = offset
         size = min(CHUNK_BYTES, len(transfer.snapshot.data) - offset)
-        due = self._budget.reserve(self.now, size)
+        due = self._transfer_budget.reserve(self.now, size)
         if due > self.now:
             transfer.due = due
-            self._piece_at = min(self._piece_at, due)
+            self._chunk_at = min(self._chunk_at, due)
         else:
-            self._send_piece(name, transfer)
+            self._send_chunk(name, transfer)
 
-    def _send_due_pieces(self) -> None:
-        self._piece_at = float("inf")
+    def _send_due_chunks(self) -> None:
+        self._chunk_at = NEVER
         for name, peer in self.peers.items():
             transfer = peer.transfer
             if transfer is None or transfer.due is None:
                 continue
             if transfer.due <= self.now:
-                self._send_piece(name, transfer)
+                self._send_chunk(name, transfer)
             else:
-                self._piece_at = min(self._piece_at, transfer.due)
+                self._chunk_at = min(self._chunk_at, transfer.due)
 
-    def _send_piece(self, name: str, transfer: Transfer) -> None:
-        transfer.due, transfer.piece_round = None, self.heartbeat_round
-        self._send_install(
-            name, transfer, transfer.snapshot.data[transfer.offset : transfer.offset + CHUNK_BYTES]
-        )
+    def _send_chunk(self, name: str, transfer: Transfer) -> None:
+        transfer.due = None
+        transfer.chunk_round = self.heartbeat_round
+        chunk = transfer.snapshot.data[transfer.offset : transfer.offset + CHUNK_BYTES]
+        self._send_install(name, transfer, chunk)
 
     def _send_install(self, name: str, transfer: Transfer, chunk: bytes) -> None:
-        """An empty piece is a heartbeat to a peer that is being sent a snapshot."""
+        """Send a chunk; an empty one is a heartbeat to a peer that is being sent a snapshot."""
         snapshot = transfer.snapshot
-        install = InstallSnapshot(
-            self.term, snapshot.index, snapshot.term, snapshot.members, len(snapshot.data),
-            transfer.offset, chunk, zlib.crc32(chunk), self.heartbeat_round,
-        )  # fmt: skip
-        self._send.append((name, install))
-
-    def _take_installed(self, name: str, peer: Progress, answer: InstallSnapshotResponse) -> None:
-        """A peer's word on a snapshot. If it was asked after the last piece went out, and doesn't have it,
-        that piece is lost; or all of them, where it was started again."""
+        request = InstallSnapshot(
+            term=self.term,
+            index=snapshot.index,
+            last_term=snapshot.term,
+            members=snapshot.members,
+            size=len(snapshot.data),
+            offset=transfer.offset,
+            chunk=chunk,
+            checksum=zlib.crc32(chunk),
+            heartbeat_round=self.heartbeat_round,
+        )
+        self._messages.append((name, request))
+
+    def _on_install_response(self, name: str, peer: Progress, response: InstallSnapshotResponse) -> None:
+        """A peer tells how much of a snapshot it has.
+
+        If it was asked after the last chunk was sent and doesn't have it, that chunk is lost; or all of them,
+        where the peer's process was restarted.
+        """
         transfer = peer.transfer
-        if transfer is None or answer.index != transfer.snapshot.index:  # it speaks of an older one
+        if transfer is None or response.index != transfer.snapshot.index:  # about an older transfer
             return
-        if answer.stored:
+        if response.stored:
             peer.transfer = None
-            peer.match_index = max(peer.match_index, answer.index)
-            peer.next_index = answer.index + 1
+            peer.match_index = max(peer.match_index, response.index)
+            peer.next_index = response.index + 1
             self._send_entries(name)
-        elif answer.offset >= len(transfer.snapshot.data) > 0:  # it is writing
             return
-        elif transfer.due is None and (
-            answer.offset > transfer.offset or answer.heartbeat_round > transfer.piece_round
-        ):
-            self._schedule_piece(name, transfer, answer.offset)
+        if response.offset >= len(transfer.snapshot.data) > 0:  # it has all and is writing it
+            return
+        chunk_is_through = response.offset > transfer.offset
+        chunk_is_lost = response.heartbeat_round > transfer.chunk_round
+        if transfer.due is None and (chunk_is_through or chunk_is_lost):
+            self._schedule_chunk(name, transfer, response.offset)
 
     # ---- follower
 
-    def _take_piece(self, sender: str, install: InstallSnapshot) -> None:
-        """InstallSnapshot of the paper's fig. 13. What isn't on disk yet is answered at once, since it
-        promises nothing: a slow disk is no silence."""
-        if install.index <= self.commit_index:
-            self._answer_known(sender, install)
+    def _on_install_snapshot(self, sender: str, request: InstallSnapshot) -> None:
+        """InstallSnapshot of the paper's fig. 13.
+
+        Chunks that aren't on disk yet are acknowledged at once, since that promises nothing: a slow disk must
+        not be taken for silence.
+        """
+        if request.index <= self.commit_index:
+            self._acknowledge_known_snapshot(sender, request)
             return
-        partial = self._partial
-        if partial is None or (partial.index, partial.term) != (install.index, install.last_term):
-            partial = self._partial = PartialSnapshot(install.index, install.last_term)
-        if install.offset == len(partial.data) and install.checksum == zlib.crc32(install.chunk):
-            partial.data += install.chunk
-        if len(partial.data) < install.size:
-            self._answer_piece(sender, install, len(partial.data))
+        partial = self._partial_snapshot
+        if partial is None or (partial.index, partial.term) != (request.index, request.last_term):
+            partial = PartialSnapshot(request.index, request.last_term)
+            self._partial_snapshot = partial
+        if request.offset == len(partial.data) and request.checksum == zlib.crc32(request.chunk):
+            partial.data += request.chunk
+        if len(partial.data) < request.size:
+            self._acknowledge_chunk(sender, request, len(partial.data))
             return
-        self._partial = None
-        self._install(Snapshot(install.index, install.last_term, install.members, bytes(partial.data)))
-        stored = InstallSnapshotResponse(
-            self.term, install.index, install.size, True, install.heartbeat_round
+        self._partial_snapshot = None
+        self._install(Snapshot(request.index, request.last_term, request.members, bytes(partial.data)))
+        response = InstallSnapshotResponse(
+            self.term, request.index, request.size, True, request.heartbeat_round
         )
-        self._after_writes.append((sender, stored))
+        self._after_writes.append((sender, response))
 
-    def _answer_known(self, sender: str, install: InstallSnapshot) -> None:
-        """All of that snapshot is here already, or on its way to the disk."""
+    def _acknowledge_known_snapshot(self, sender: str, request: InstallSnapshot) -> None:
+        """All that the snapshot holds is here already, on disk or on its way to it."""
         if self.log.stable_index >= self.commit_index:
-            answer = AppendEntriesResponse(self.term, True, self.commit_index, install.heartbeat_round)
-            self._after_writes.append((sender, answer))
+            response = AppendEntriesResponse(self.term, True, self.commit_index, request.heartbeat_round)
+            self._after_writes.append((sender, response))
         else:
-            self._answer_piece(sender, install, install.size)
-
-    def _answer_piece(self, sender: str, install: InstallSnapshot, offset: int) -> None:
-        self._send.append(
-            (
-                sender,
-                InstallSnapshotResponse(self.term, install.index, offset, False, install.heartbeat_round),
-            )
-        )
+            self._acknowledge_chunk(sender, request, request.size)
+
+    def _acknowledge_chunk(self, sender: str, request: InstallSnapshot, offset: int) -> None:
+        response = InstallSnapshotResponse(self.term, request.index, offset, False, request.heartbeat_round)
+        self._messages.append((sender, response))
 
     def _install(self, snapshot: Snapshot) -> None:
         self.log.install(snapshot)
         self._restore = snapshot
-        self.commit_index = self.last_applied = snapshot.index
+        self.commit_index = snapshot.index
+        self.last_applied = snapshot.index
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -13,7 +13,8 @@
 from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
-from bitternpath.replication.host import ReplicaHost
+from bitternpath.replication.host import HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.roles.group_carrier import GroupTransport
 from bitternpath.roles.machine import Machine
 from bitternpath.roles.settings import Settings, SettingsError
@@ -123,10 +124,8 @@
             self.reactor,
             self.transport.me,
             self.journal,
-            self.transport.send,
-            self.random,
-            bounds=self.machine.compaction(disk_bytes),
-            flushed=self.hub.flush,
+            MessageTransport(self.transport.send, self.hub.flush),
+            HostOptions(self.random, bounds=self.machine.compaction(disk_bytes)),
         )
         self.transport.connect(host.receive)
         return host
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -37,15 +37,15 @@
 
 def yes_before_the_disk(stack: ExitStack) -> None:
     """A follower says yes to entries that are not on its disk yet."""
-    add = consensus.Raft._take_append
+    add = consensus.Raft._on_append_entries
 
     def hasty(self: Any, sender: str, told: AppendEntries) -> None:
         before, self._after_writes = self._after_writes, []
         add(self, sender, told)
-        self._send += self._after_writes
+        self._messages += self._after_writes
         self._after_writes = before
 
-    _put(stack, consensus.Raft, "_take_append", hasty)
+    _put(stack, consensus.Raft, "_on_append_entries", hasty)
 
 
 def other_terms_counted(stack: ExitStack) -> None:
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -62,9 +62,9 @@
             raft.term, raft.vote, raft.role.value, raft.leader, tuple(raft.log.entries), raft.commit_index,
             raft.last_applied, raft.log.stable_index, frozenset(raft.votes), raft.heartbeat_round,
             raft.confirmed_round, raft.term_start_index, age, peers,
-            raft._heartbeat_round_requested, raft.log._cut,
-            tuple((n - done, upto) for n, upto in raft.log._pending),
-            tuple((n - done, to, said) for n, to, said in raft._held),
+            raft.heartbeat_round_requested, raft.log.truncate_from,
+            tuple((n - done, upto) for n, upto in raft.log.unfinished_writes),
+            tuple((n - done, to, said) for n, to, said in raft.held_messages),
             disk.term, disk.vote, tuple(disk.entries),
             tuple((w.term, w.vote, w.truncate_from, w.entries) for w in self.writing),
         )  # fmt: skip
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -21,8 +21,8 @@
     initial_placement,
 )
 from bitternpath.membership.bootstrap import member_id
-from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.host import HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
@@ -149,10 +149,8 @@
         journal_writer = VirtualTimeJournalWriter(clock, machine.disk, SYNC_S)
         member = member_id(descriptor)
         send = partial(self._send, machine, member)
-        host = ReplicaHost(
-            clock, member, Journal(log, journal_writer), send, Random(self.random.random()), SYSTEM_TIMING,
-            CompactionBounds(),
-        )  # fmt: skip
+        options = HostOptions(Random(self.random.random()))
+        host = ReplicaHost(clock, member, Journal(log, journal_writer), MessageTransport(send), options)
         machine.process = Process(descriptor, clock, journal_writer, host, MemberChanges(host))
         self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
         self.clock.callLater(GREETING_S, self._greet, name, machine.process)
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -17,8 +17,8 @@
 from twisted.python.failure import Failure
 
 from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwnerError
+from bitternpath.replication.host import HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport, NotOwnerError
 from bitternpath.replication.reconfiguration import next_members
 from bitternpath.replication.records import Members, RaftTiming
 from bitternpath.storage.journal import Journal
@@ -110,7 +110,8 @@
         def send(group: str, receiver: str, body: bytes) -> None:
             self._send(node.name, member, receiver, group, body)
 
-        host = ReplicaHost(clock, member, journal, send, Random(self.random.random()), TIMES, BOUNDS)
+        options = HostOptions(Random(self.random.random()), TIMES, BOUNDS)
+        host = ReplicaHost(clock, member, journal, MessageTransport(send), options)
         register = CommandLogMachine(node.name, self.checker)
         node.process = Process(member, clock, journal_writer, host, register)
         host.open_group(GROUP, register, founders, Listener(node.name, self.checker, register))
--- a/tests/system/test_full_disks.py
+++ b/tests/system/test_full_disks.py
@@ -15,7 +15,8 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds, bounds_for_disk
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.storage.commands import Batch, NewSnapshot
 from bitternpath.storage.group_state import write_record
@@ -158,10 +159,8 @@
             clock,
             "a",
             Journal(opened(disk), journal_writer),
-            lambda *_: None,
-            _seeded(),
-            SYSTEM_TIMING,
-            bounds,
+            MessageTransport(lambda *_: None),
+            HostOptions(_seeded(), SYSTEM_TIMING, bounds),
         )
         machine = Last(kept)
         host.open_group("g", machine, Members(("a",)), Nobody())
--- a/tests/system/test_lagging_voters.py
+++ b/tests/system/test_lagging_voters.py
@@ -12,6 +12,7 @@
 from bitternpath.replication import leadership
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.host import SYSTEM_TIMING
+from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot
 
 MEMBERS = Members(("a", "b", "c", "d", "e"), (), 1)
@@ -31,7 +32,7 @@
         for name, length in lengths.items():
             entries = [Entry(index, 1, EntryKind.COMMAND, b"x") for index in range(1, length + 1)]
             kept = PersistentState(1, "a", Snapshot(members=MEMBERS), (0, 0), entries)
-            raft = Raft(name, kept, Random(self.random.random()), 0.0, SYSTEM_TIMING)
+            raft = Raft(name, kept, Random(self.random.random()), 0.0, RaftOptions(SYSTEM_TIMING))
             self.members[name] = raft
         self.queue: list[tuple[float, int, str, object]] = []
         self.count = 0
--- a/tests/system/test_member_changes.py
+++ b/tests/system/test_member_changes.py
@@ -9,8 +9,10 @@
 import msgspec
 from twisted.internet.task import Clock
 
-from bitternpath.replication.group import CompactionBounds, ReplicaGroup
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.group import GroupApplication, GroupOptions, MemberIdentity, ReplicaGroup
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
+from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.member_changes import DesiredMembers, MemberChanges
 from bitternpath.replication.messages import AppendEntries, RequestVote, RequestVoteResponse
 from bitternpath.replication.reconfiguration import next_members
@@ -136,8 +138,10 @@
             self.clock,
             "c/c",
             self.journal,
-            lambda group, receiver, body: self.sent.append((receiver, decode_message(body))),
-            Random(1),
+            MessageTransport(
+                lambda group, receiver, body: self.sent.append((receiver, decode_message(body)))
+            ),
+            HostOptions(Random(1)),
         )
 
     def open(self, founders: Members | None) -> None:
@@ -237,7 +241,13 @@
     def test_generations_never_fall(self) -> None:
         machine = Machine()
         kept = PersistentState(snapshot=Snapshot(members=members("a", generation=5)))
-        group = ReplicaGroup("a/a", kept, machine, machine, Random(1), 0.0, SYSTEM_TIMING, CompactionBounds())
+        group = ReplicaGroup(
+            MemberIdentity("a/a", kept),
+            GroupApplication(machine, machine),
+            Random(1),
+            0.0,
+            GroupOptions(RaftOptions(SYSTEM_TIMING)),
+        )
         now = 0.0
         for _ in range(100):
             now += 0.05
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -19,9 +19,11 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication import consensus, leadership, snapshots
-from bitternpath.replication.group import CompactionBounds, ReplicaGroup, without_repeated_answers
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
-from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
+from bitternpath.replication.compaction import CompactionBounds
+from bitternpath.replication.errors import NotOwnerError, OutcomeUnknownError
+from bitternpath.replication.group import ReplicaGroup
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -33,6 +35,7 @@
     TimeoutNow,
 )
 from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
+from bitternpath.replication.response_coalescing import coalesce_append_responses
 from bitternpath.replication.wire import decode_message, encode_message
 from bitternpath.storage.group_state import GroupState
 from bitternpath.storage.journal import Journal
@@ -142,7 +145,8 @@
         self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, SYNC_SECONDS)
         self.journal = Journal(SegmentLog(self.disk, lambda: 1, 1 << 20), self.journal_writer)
         self.sent: list[tuple[str, Message]] = []
-        self.host = ReplicaHost(self.clock, name, self.journal, self._send, Random(1), SYSTEM_TIMING, bounds)
+        options = HostOptions(Random(1), SYSTEM_TIMING, bounds or CompactionBounds())
+        self.host = ReplicaHost(self.clock, name, self.journal, MessageTransport(self._send), options)
 
     def _send(self, group: str, receiver: str, body: bytes) -> None:
         self.sent.append((receiver, decode_message(body)))
@@ -319,7 +323,7 @@
             ),
         ]
         for messages, expected in table:
-            self.assertEqual(without_repeated_answers(messages), expected)
+            self.assertEqual(coalesce_append_responses(messages), expected)
 
     def test_a_vote_and_a_yes_are_sent_only_after_the_sync(self) -> None:
         host = Host("b")
@@ -579,7 +583,7 @@
             host.run(0.003)
         raft = host.host.groups["g"].raft
         self.assertLess(len(raft.log.entries), 80)
-        self.assertGreaterEqual(raft.snapshot.index - raft.log.before[0], 10)
+        self.assertGreaterEqual(raft.snapshot.index - raft.log.compacted_index, 10)
         self.assertLess(host.disk.used, 40_000)
         again = Host("a", host.disk)
         again.open(TRIO)
@@ -590,10 +594,10 @@
         host = Host("a", bounds=CompactionBounds(size=100, host_size=300))
         for name in "wxyz":
             host.host.open_group(name, Machine(), None, Events())
-        self.assertEqual([group.size_bound for group in host.host.groups.values()], [75] * 4)
+        self.assertEqual([group.compaction.size_bound for group in host.host.groups.values()], [75] * 4)
         for name in "wx":
             host.host.close_group(name, 1)
-        self.assertEqual([group.size_bound for group in host.host.groups.values()], [100] * 2)
+        self.assertEqual([group.compaction.size_bound for group in host.host.groups.values()], [100] * 2)
 
     def test_large_entries_that_stay_are_bounded_by_their_bytes(self) -> None:
         host = self.leader(CompactionBounds(size=10_000, entries=1000, kept=256))
@@ -810,19 +814,18 @@
             self.assert_caught()
 
     def test_an_open_fate_told_as_refusal(self) -> None:
-        with patch("bitternpath.replication.group.OutcomeUnknownError", NotOwnerError):
+        with patch("bitternpath.replication.pending_requests.OutcomeUnknownError", NotOwnerError):
             self.assert_caught()
 
     def test_a_barrier_that_asks_nobody(self) -> None:
         def hasty(self: ReplicaGroup) -> None:
-            barriers, self._new_barriers = self._new_barriers, []
-            for barrier in barriers:
-                if self.is_owner:
-                    barrier.result.callback(None)
-                else:
-                    barrier.result.errback(NotOwnerError())
-
-        with patch.object(ReplicaGroup, "_put_barriers", hasty):
+            if self.is_owner:
+                self._reads.start(lambda: 0)
+                self._reads.confirmed(0)
+            else:
+                self._reads.fail_queued()
+
+        with patch.object(ReplicaGroup, "_start_reads", hasty):
             self.assert_caught()
 
     def test_a_term_that_is_not_kept(self) -> None:
--- a/tests/system/test_scrub.py
+++ b/tests/system/test_scrub.py
@@ -13,7 +13,8 @@
 from twisted.internet.task import Clock
 
 from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.records import Members
 from bitternpath.storage import disk as disk_module
 from bitternpath.storage.disk import JournalWriterThread
@@ -48,7 +49,8 @@
         self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, 0.001)
         bounds = CompactionBounds(size=2_000, host_size=2_000, kept=0)
         journal = Journal(opened(self.disk), self.journal_writer)
-        self.host = ReplicaHost(self.clock, "a", journal, lambda *_: None, Random(1), SYSTEM_TIMING, bounds)
+        options = HostOptions(Random(1), SYSTEM_TIMING, bounds)
+        self.host = ReplicaHost(self.clock, "a", journal, MessageTransport(lambda *_: None), options)
         self.machine = Last(40)
         self.host.open_group("g", self.machine, Members(("a",)), Nobody())
         while not self.host.is_owner("g"):
