--- a/bitternpath/roles/environment.py
+++ b/bitternpath/roles/environment.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Protocol
 
-from bitternpath.replication.group import CompactionBounds, bounds_for_disk
+from bitternpath.replication.compaction import CompactionBounds, bounds_for_disk
 from bitternpath.roles.settings import Settings, load_settings, settings_path
 from bitternpath.storage.node_disk import LocalDisk, NodeDisk
 
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -15,7 +15,8 @@
 from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
-from bitternpath.replication.host import ReplicaHost
+from bitternpath.replication.host import HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.roles.environment import LocalEnvironment, ProcessEnvironment
 from bitternpath.roles.group_transport import GroupTransport
 from bitternpath.roles.reactor import NodeReactor
@@ -153,10 +154,8 @@
             self._reactor,
             self.transport.member_id,
             self.journal,
-            self.transport.send,
-            self.random,
-            bounds=self._environment.compaction(disk_bytes),
-            flushed=self.hub.flush,
+            MessageTransport(self.transport.send, self.hub.flush),
+            HostOptions(self.random, bounds=self._environment.compaction(disk_bytes)),
         )
         self.transport.connect(host.receive)
         return host
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -26,7 +26,7 @@
 from bitternpath.queue.commands import COMMANDS, Command
 from bitternpath.queue.owner import ShardOwner
 from bitternpath.queue.sharding import home_shard
-from bitternpath.replication.interfaces import NotOwnerError
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.roles.pending_polls import PendingPolls
 from bitternpath.roles.reactor import ScheduledCall, cancel_call
 from bitternpath.roles.shard_context import ShardContext
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -16,7 +16,7 @@
 from bitternpath.queue.commands import COMMANDS, AppendMessage, Command
 from bitternpath.queue.long_polls import LongPollRequest
 from bitternpath.queue.results import AttemptEnded
-from bitternpath.replication.interfaces import NotOwnerError
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_ownership import ShardOwnership
 from bitternpath.roles.shard_runtime import ShardRuntime
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from bitternpath.replication.group import CompactionBounds
+from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.roles.process import RoleLifecycle, build_role
 from bitternpath.roles.settings import Settings, read_settings
 from bitternpath.roles.settings_reader import SettingsError
--- a/tests/system/storage/test_scrub.py
+++ b/tests/system/storage/test_scrub.py
@@ -10,8 +10,9 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.compaction import CompactionBounds
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.records import Members
 from bitternpath.storage import journal_writer_thread
 from bitternpath.storage.errors import CorruptJournalError
@@ -41,7 +42,8 @@
         self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, 0.001)
         bounds = CompactionBounds(size=2_000, host_size=2_000, kept=0)
         journal = Journal(open_segment_log(self.disk), self.journal_writer)
-        self.host = ReplicaHost(self.clock, "a", journal, lambda *_: None, Random(1), SYSTEM_TIMING, bounds)
+        options = HostOptions(Random(1), SYSTEM_TIMING, bounds)
+        self.host = ReplicaHost(self.clock, "a", journal, MessageTransport(lambda *_: None), options)
         self.machine = LastCommands(40)
         self.host.open_group("g", self.machine, Members(("a",)), SilentListener())
         while not self.host.is_owner("g"):
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -18,7 +18,7 @@
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.configuration.validation import parse_configuration
-from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
+from bitternpath.replication.errors import NotOwnerError, OutcomeUnknownError
 from bitternpath.transport.group_messages import GroupPlacement
 
 
--- a/tests/system/test_order_races.py
+++ b/tests/system/test_order_races.py
@@ -23,7 +23,7 @@
 from bitternpath.configuration.changes import ChangeProcessor, _Acceptable, _Submission
 from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.configuration.state_machine import ConfigurationSnapshot, ConfigurationState
-from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
+from bitternpath.replication.errors import NotOwnerError, OutcomeUnknownError
 from bitternpath.transport.codec import RecordCodec
 
 
--- a/tests/system/test_retirement.py
+++ b/tests/system/test_retirement.py
@@ -35,7 +35,7 @@
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.configuration.storage_membership import StorageMembership
 from bitternpath.membership.bootstrap import member_id
-from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
+from bitternpath.replication.errors import NotOwnerError, OutcomeUnknownError
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.roles.live_nodes import LiveNodes
 from bitternpath.roles.retirements import FOLLOWERS_KNOWN_AFTER_S, Retirements
--- a/tests/system/test_shard_runtime.py
+++ b/tests/system/test_shard_runtime.py
@@ -14,7 +14,7 @@
 from bitternpath.queue.actions import ProposeCommand
 from bitternpath.queue.commands import COMMANDS, Command, EndAttempt, GrantLease
 from bitternpath.queue.owner import OwnerSettings
-from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
+from bitternpath.replication.errors import NotOwnerError, OutcomeUnknownError
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_ownership import MAX_EDGES_ASKED, MIN_EDGES_ASKED
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -12,8 +12,8 @@
 from twisted.internet.defer import Deferred, fail, succeed
 
 from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
 from bitternpath.testing.simulation.settings import SMALL_LOGS
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -12,8 +12,8 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.testing.simulation.processes import SimulatedNode
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
--- a/tests/system/test_snapshot_transfer.py
+++ b/tests/system/test_snapshot_transfer.py
@@ -11,8 +11,8 @@
 
 from bitternpath.replication import snapshots
 from bitternpath.replication.bandwidth import TransferBudget, UnlimitedTransferBudget
+from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.replication.consensus import Raft
-from bitternpath.replication.group import CompactionBounds
 from bitternpath.replication.messages import (
     AppendEntries,
     AppendEntriesResponse,
