--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,29 +1,64 @@
-"""Has the tests that KNOWN-RED.txt names fail as known: they are passed over, and must not pass."""
+"""Has the tests that KNOWN-RED.txt names fail as known: they are passed over, and must not pass.
+
+Under pytest-xdist its processes collect, mark and run the tests; the one that was started reports.
+"""
 
 from __future__ import annotations
 
+import os
+from collections.abc import Iterable, Sequence
+from typing import TYPE_CHECKING
+
 import pytest
 from known_red import entries
 
+if TYPE_CHECKING:
+    from xdist.workermanage import WorkerController
+
 pytest_plugins = "pytester"
 RED = pytest.StashKey[dict[str, str]]()
 
 
-@pytest.hookimpl(tryfirst=True)
-def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+def pytest_configure(config: pytest.Config) -> None:
     file = config.rootpath / "KNOWN-RED.txt"
     try:
-        red = entries(file.read_text() if file.exists() else "")
+        config.stash[RED] = entries(file.read_text() if file.exists() else "")
     except ValueError as error:
         raise pytest.UsageError(str(error)) from None
-    config.stash[RED] = red
-    known = {item.nodeid: item for item in items}
-    whole = not config.invocation_params.args or not any("tests/" in a for a in config.invocation_params.args)
-    if whole and (unknown := sorted(red.keys() - known.keys())):
+
+
+def runs_all(config: pytest.Config) -> bool:
+    """Whether pytest was started without the name of a test or of a file of tests."""
+    return not any("tests/" in argument for argument in config.invocation_params.args)
+
+
+@pytest.hookimpl(optionalhook=True)
+def pytest_xdist_auto_num_workers(config: pytest.Config) -> int:
+    """What `-n auto` means: three quarters of the cores; some tests start processes and have limits on time.
+
+    None but this process for a part of the tests: there the start of others would take longest.
+    """
+    return max(1, (os.cpu_count() or 1) * 3 // 4) if runs_all(config) else 0
+
+
+def check_names(config: pytest.Config, collected: Iterable[str]) -> None:
+    """UsageError where KNOWN-RED.txt names a test that is not there, if all tests are run."""
+    if runs_all(config) and (unknown := sorted(config.stash[RED].keys() - set(collected))):
         raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {unknown[0]}")
-    for test, cause in red.items():
-        if test in known:
-            known[test].add_marker(pytest.mark.xfail(reason=cause, strict=True))
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    if not hasattr(config, "workerinput"):  # one of xdist's processes leaves that to the one that was started
+        check_names(config, [item.nodeid for item in items])
+    for item in items:
+        if (cause := config.stash[RED].get(item.nodeid)) is not None:
+            item.add_marker(pytest.mark.xfail(reason=cause, strict=True))
+
+
+@pytest.hookimpl(optionalhook=True)
+def pytest_xdist_node_collection_finished(node: WorkerController, ids: Sequence[str]) -> None:
+    check_names(node.config, ids)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -119,6 +119,8 @@
 class BrokenBuilds(unittest.TestCase):
     """All builds, and the program as it is."""
 
+    longest_test_s = 90
+
     def test_each_is_caught(self) -> None:
         for name, catch in CATCHES.items():
             with self.subTest(build=name):
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -171,6 +171,8 @@
 class CutOffTest(unittest.TestCase):
     """Twenty seconds without the owner, in each way."""
 
+    longest_test_s = 45
+
     def begin(self, seed: int) -> tuple[SmallSystem, Watch, int]:
         system = SmallSystem(seed, Plan(core_edges=3, other_edges=2))
         system.found()
--- a/tests/system/test_folder_syncs.py
+++ b/tests/system/test_folder_syncs.py
@@ -120,6 +120,8 @@
 class JournalAndSnapshots(unittest.TestCase):
     """The losses of power of `test_journal`, on this disk."""
 
+    longest_test_s = 20
+
     def setUp(self) -> None:
         strict = patch("tests.system.test_journal.SimulatedFileSystem", strict_disk)
         strict.start()
--- a/tests/system/test_founding_faults.py
+++ b/tests/system/test_founding_faults.py
@@ -59,6 +59,8 @@
 class FoundingTest(unittest.TestCase):
     """Faults during the founding."""
 
+    longest_test_s = 70
+
     def take_first(self, system: SmallSystem, since: float) -> None:
         """The first configuration is accepted."""
         world = system.world
--- a/tests/system/test_order_races.py
+++ b/tests/system/test_order_races.py
@@ -452,6 +452,8 @@
 class RaceTest(unittest.TestCase):
     """The search."""
 
+    longest_test_s = 55
+
     def test_no_sequence_of_events_breaks_a_rule(self) -> None:
         for label, scope in SCOPES.items():
             with self.subTest(label):
--- a/tests/system/test_orders_under_way.py
+++ b/tests/system/test_orders_under_way.py
@@ -93,6 +93,8 @@
 class UnderWayTest(unittest.TestCase):
     """Orders that something happens to."""
 
+    longest_test_s = 15
+
     def setUp(self) -> None:
         self.begin(7)
 
--- a/tests/system/test_queue_campaign.py
+++ b/tests/system/test_queue_campaign.py
@@ -251,6 +251,8 @@
 class BrokenBuilds(unittest.TestCase):
     """Each fault is seen by the checker of its rule, so that a silent checker means something."""
 
+    longest_test_s = 30
+
     def test_each_is_caught(self) -> None:
         for broken in BROKEN_BUILDS:
             name = (
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -749,6 +749,8 @@
 class Campaign(Quiet):
     """Seeded runs with all faults. A seed that failed once is added to `ONCE_BROKEN`."""
 
+    longest_test_s = 20
+
     SHORT = Plan(seconds=2.0, fault_every=0.3)
     ONCE_BROKEN = (155, 205, 352)  # a snapshot's receiver was started again in between: stuck for ever
 
--- a/tests/system/test_simulation_answers.py
+++ b/tests/system/test_simulation_answers.py
@@ -62,6 +62,8 @@
 class States(StatesCase):
     """LOST: never 404 for a message that was accepted over 2 s ago."""
 
+    longest_test_s = 50
+
     def owned(self) -> str:
         return self.owner(SHARDS[0])
 
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -178,6 +178,8 @@
 class Sound(unittest.TestCase):
     """The runs find nothing in the system as it is."""
 
+    longest_test_s = 20
+
     def test_all_runs(self) -> None:
         for run in (
             read_at_an_owner_that_does_not_know_it_was_replaced,
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -83,6 +83,8 @@
 
 
 class ManyChanges(unittest.TestCase):
+    longest_test_s = 25
+
     def test_all_members_come_to_the_newest_version(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
@@ -121,6 +123,8 @@
 class Transfers(unittest.TestCase):
     """A state of some size, over narrow links, while it changes faster than it is sent once."""
 
+    longest_test_s = 30
+
     def complete_after(self, logs: LogSizes, seed: int) -> float:
         """Seconds from a wiped member's start until it votes and its former self doesn't."""
         system = SmallSystem(f"transfer-{seed}", Plan(logs=logs))
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -48,6 +48,8 @@
 
 
 class CutOff(unittest.TestCase):
+    longest_test_s = 30
+
     def play(self, kind: str, way: str, after_s: float) -> list[Answer]:
         """The answers of one node that is cut off, in one direction or both."""
         system = SmallSystem(f"cut-off-{kind}-{way}-{after_s}", Plan(storages=4))
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -212,6 +212,8 @@
 
 
 class SameSeedSameRun(unittest.TestCase):
+    longest_test_s = 15
+
     def test_in_one_process(self) -> None:
         digests = {seed: faulty_run(seed).digest() for seed in (1, 2)}
         self.assertNotEqual(digests[1], digests[2])
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -31,6 +31,8 @@
 
 
 class Losses(unittest.TestCase):
+    longest_test_s = 35
+
     def check_founded(self, system: SmallSystem) -> None:
         """One system, one first configuration, in force everywhere, by a time."""
         world = system.world
@@ -75,6 +77,8 @@
 class SeedsOfTheSmallerSide(unittest.TestCase):
     """A node starts again while it is cut off, with settings whose seeds are all on its side."""
 
+    longest_test_s = 20
+
     def play(self, seed: int) -> None:
         system = SmallSystem(f"seeds-{seed}", Plan(keep_log=True))
         world = system.world
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -115,6 +115,8 @@
 class Runs(unittest.TestCase):
     """Whole runs: one seed of each scenario keeps the rules, and a seed gives one run."""
 
+    longest_test_s = 75
+
     def test_one_seed_of_each_scenario(self) -> None:
         for seed in range(len(SCENARIOS)):
             with self.subTest(seed=seed, scenario=scenario_of(seed)):
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -86,6 +86,8 @@
 
 
 class ThousandChanges(Quiet):
+    longest_test_s = 25
+
     def setUp(self) -> None:
         super().setUp()
         small = patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE)
@@ -169,6 +171,8 @@
 
 
 class FarLearner(Quiet):
+    longest_test_s = 25
+
     def become_voter(self) -> bool:
         """Whether a far node that lost its disk votes again within 5 s of unbroken traffic."""
         world = Distant()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -10,15 +10,18 @@
 LINE = "tests/test_it.py::test_bad | it is broken | issue 27"
 
 
-@pytest.fixture
-def suite(pytester: pytest.Pytester) -> pytest.Pytester:
-    """One test that fails and five that pass, under this repository's rules."""
+@pytest.fixture(params=["-n0", "-n2"])
+def suite(pytester: pytest.Pytester, request: pytest.FixtureRequest) -> pytest.Pytester:
+    """One test that fails and five that pass, under this repository's rules; in one and more processes."""
     folder = pytester.mkdir("tests")
     for name in ("conftest.py", "known_red.py"):
         (folder / name).write_text((HERE / name).read_text())
     good = "".join(f"def test_good{k}(): pass\n" for k in range(5))
     (folder / "test_it.py").write_text(f"def test_bad(): assert False\n{good}")
-    pytester.makepyprojecttoml("[tool.pytest.ini_options]\npythonpath = ['tests']\ntestpaths = ['tests']\n")
+    pytester.makepyprojecttoml(
+        "[tool.pytest.ini_options]\npythonpath = ['tests']\ntestpaths = ['tests']\n"
+        f"addopts = '-p xdist {request.param}'\n"
+    )
     return pytester
 
 
