--- a/tests/system/storage/test_directory_syncs.py
+++ b/tests/system/storage/test_directory_syncs.py
@@ -122,6 +122,8 @@
 class JournalAndSnapshots(test_power_loss.PowerLoss):
     """All power losses of the write-ahead log, on this disk."""
 
+    longest_test_s = 20
+
     def make_disk(self) -> SimulatedFileSystem:
         return make_strict_disk()
 
