--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -1,76 +1,79 @@
-"""The operator's orders, decided by the owner of the configuration group.
-
-Each order goes through the same three steps: the owner confirms that it still owns the group (a read index
-that begins after the order came); only then it reckons the answer, from the state as it is at that moment;
-what changes the state is proposed in the same turn and acknowledged once it is committed. Proposals are made
-one at a time. So no answer but 503 is given without a majority's word, none is older than the state in which
-it is told, and no refusal meets an earlier try that may still be committed: entries of earlier epochs are
-settled when an owner is ready, and those of its own epoch have had their result.
+"""Processing of the operator's changes by the owner of the configuration group.
+
+Each change goes through the same three steps. The owner confirms by a majority that it still leads the group
+(a read index that begins after the request came). Only then is the request evaluated, against the state of
+that moment. A valid change is proposed in the same turn of the reactor and acknowledged once it is
+committed. Proposals are made one at a time.
+
+Invariants that follow:
+- No result but 503 is given without a confirmation by a majority, and none is older than the state at it.
+- No request is refused while an earlier attempt of it may still be committed: entries of earlier epochs are
+  settled when an owner is ready, and those of its own epoch have had their result.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
 
 import logbook
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
+from bitternpath.configuration.change_evaluation import ProposedChange, evaluate_change
 from bitternpath.configuration.change_requests import ChangeRequest
-from bitternpath.configuration.commands import COMMANDS, ReplaceDocument
 from bitternpath.configuration.consensus_group import ConsensusGroup, confirmed
-from bitternpath.configuration.errors import InvalidConfiguration
-from bitternpath.configuration.json_documents import encode_document, read_document
-from bitternpath.configuration.patches import apply_patch
+from bitternpath.configuration.errors import InvalidConfigurationError
 from bitternpath.configuration.results import OperatorResult, ResultCode, not_owner, operator_result
 from bitternpath.configuration.state_machine import ConfigurationState
-from bitternpath.configuration.validation import parse_configuration
 
 log = logbook.Logger("configuration")
 
 
 @dataclass(frozen=True, slots=True)
-class _Submission:
-    """An order that waits for its result."""
-
-    order: ChangeRequest
-    digest: bytes
-    answer: Deferred[OperatorResult]
+class PendingChange:
+    """A request that waits for its result.
 
+    Attributes:
+        request: as it came.
+        digest: the request's own, computed once.
+        result: fires with the result, once.
+    """
 
-@dataclass(frozen=True, slots=True)
-class _Acceptable:
-    """An order that may be proposed now, and the document that it makes."""
-
-    version: int
-    command: bytes
+    request: ChangeRequest
+    digest: bytes
+    result: Deferred[OperatorResult]
 
 
 class ChangeProcessor:
-    """Decides orders on the owner. Confirmations overlap; proposals are made one at a time."""
+    """Processes changes and reads on the owner. Confirmations overlap; proposals are made one at a time.
+
+    Attributes:
+        state: this node's replica of the configuration.
+        group: the replica group that commits changes.
+    """
 
     def __init__(self, state: ConfigurationState, group: ConsensusGroup) -> None:
-        self.state, self.group = state, group
-        self._confirmed: deque[_Submission] = deque()
+        """Without requests; nothing is done until one is submitted."""
+        self.state = state
+        self.group = group
+        self._confirmed: deque[PendingChange] = deque()  # ownership was confirmed after they came
         self._proposing = False
 
-    def submit(self, order: ChangeRequest) -> Deferred[OperatorResult]:
-        """Decide a change; never fails."""
+    def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
+        """Process a change; the Deferred never fails."""
         if not self.group.is_owner():
             return succeed(not_owner())
-        answer: Deferred[OperatorResult] = Deferred()
-        submission = _Submission(order, order.digest(), answer)
+        result: Deferred[OperatorResult] = Deferred()
+        change = PendingChange(request, request.digest(), result)
         self.group.barrier().addCallbacks(
-            lambda _: self._confirm(submission),
-            lambda failure: answer.callback(not_owner(str(failure.value))),
+            lambda _: self._ownership_confirmed(change),
+            lambda failure: result.callback(not_owner(str(failure.value))),
         )
-        return answer
+        return result
 
     def read(self) -> Deferred[OperatorResult]:
-        """The document in force, confirmed; never fails."""
+        """The document in force, confirmed by a majority; the Deferred never fails."""
         return confirmed(self.group, self._current)
 
     def _current(self) -> OperatorResult:
@@ -78,85 +81,51 @@
             return operator_result(ResultCode.NO_CONFIGURATION, "no configuration has been accepted yet")
         return OperatorResult(ResultCode.CURRENT, self.state.document)
 
-    def _confirm(self, submission: _Submission) -> None:
-        self._confirmed.append(submission)
-        self._next()
+    def _ownership_confirmed(self, change: PendingChange) -> None:
+        self._confirmed.append(change)
+        self._process_confirmed()
 
-    def _next(self) -> None:
-        """Decide what was confirmed, up to the first order that has to be proposed."""
+    def _process_confirmed(self) -> None:
+        """Evaluate confirmed requests in order, up to the first that has to be proposed."""
         while self._confirmed and not self._proposing:
-            submission = self._confirmed.popleft()
-            reckoned = self._reckon(submission)
-            if isinstance(reckoned, _Acceptable):
-                self._propose(submission, reckoned)
+            change = self._confirmed.popleft()
+            evaluated = self._evaluate(change)
+            if isinstance(evaluated, ProposedChange):
+                self._propose(change, evaluated)
             else:
-                submission.answer.callback(reckoned)
+                change.result.callback(evaluated)
 
-    def _propose(self, submission: _Submission, acceptable: _Acceptable) -> None:
-        self._proposing = True
-        self.group.propose(acceptable.command).addCallbacks(
-            lambda applied: _committed(bool(applied), acceptable.version),
-            _failed,
-        ).addCallback(self._decided, submission)
-
-    def _decided(self, decided: OperatorResult, submission: _Submission) -> None:
-        self._proposing = False
-        submission.answer.callback(decided)
-        self._next()
-
-    def _reckon(self, submission: _Submission) -> _Acceptable | OperatorResult:
-        """What the order comes to in the state as it is now."""
+    def _evaluate(self, change: PendingChange) -> ProposedChange | OperatorResult:
+        """What the request comes to in the state as it is now; never raises."""
         if not self.group.is_owner():
             return not_owner()
-        known = self.state.accepted_as(submission.digest)
-        if known is not None:
-            return operator_result(ResultCode.ACCEPTED, version=known)
         try:
-            return self._check(submission)
-        except InvalidConfiguration as error:
+            return evaluate_change(self.state, change.request, change.digest)
+        except InvalidConfigurationError as error:
             return operator_result(ResultCode.INVALID, str(error))
-        except Exception as error:  # one order must not hold up those after it
-            log.exception("event=order_not_checked")
+        except Exception as error:  # a fault in the evaluation of one request must not block those after it
+            log.exception("event=change_evaluation_failed")
             return operator_result(ResultCode.INVALID, f"can't be read: {type(error).__name__}")
 
-    def _check(self, submission: _Submission) -> _Acceptable | OperatorResult:
-        """The command that the order asks for, or its refusal; raises `InvalidConfiguration`."""
-        order = submission.order
-        try:
-            base = order.base_version()
-        except ValueError:
-            raise InvalidConfiguration("If-Match: must be the version that the change builds on") from None
-        if base != self.state.version:
-            return self._other_version(base)
-        document = self._document(order)
-        command = ReplaceDocument(base, submission.digest, encode_document(document))
-        return _Acceptable(int(document["version"]), COMMANDS.encode(command))
-
-    def _other_version(self, base: int) -> OperatorResult:
-        if self.state.may_have_evicted(base):
-            return operator_result(ResultCode.FATE_OPEN, "too old to tell whether it was accepted")
-        return operator_result(
-            ResultCode.OTHER_VERSION, "another version is in force", version=self.state.version
-        )
+    def _propose(self, change: PendingChange, proposed: ProposedChange) -> None:
+        self._proposing = True
+        self.group.propose(proposed.command).addCallbacks(
+            lambda applied: _commit_result(proposed.version, took_effect=bool(applied)),
+            _failure_result,
+        ).addCallback(self._proposal_ended, change)
 
-    def _document(self, order: ChangeRequest) -> dict[str, Any]:
-        document: Mapping[str, Any] = read_document(order.body)
-        if order.method == "PATCH":
-            if not self.state.document:
-                raise InvalidConfiguration("there is no configuration to change yet")
-            document = apply_patch(self.state.raw, document)
-        configuration = parse_configuration(document)
-        if configuration.version <= self.state.version:
-            raise InvalidConfiguration(f"version: must be above {self.state.version}")
-        return dict(document)
+    def _proposal_ended(self, result: OperatorResult, change: PendingChange) -> None:
+        self._proposing = False
+        change.result.callback(result)
+        self._process_confirmed()
 
 
-def _committed(applied: bool, version: int) -> OperatorResult:
-    if applied:
+def _commit_result(version: int, *, took_effect: bool) -> OperatorResult:
+    if took_effect:
         log.info("event=configuration_accepted version={}", version)
         return operator_result(ResultCode.ACCEPTED, version=version)
     return operator_result(ResultCode.FATE_OPEN, "the order met another one")
 
 
-def _failed(failure: Failure) -> OperatorResult:
+def _failure_result(failure: Failure) -> OperatorResult:
     return operator_result(ResultCode.FATE_OPEN, f"ownership was lost: {failure.value}")
--- a/bitternpath/configuration/commands.py
+++ b/bitternpath/configuration/commands.py
@@ -1,4 +1,8 @@
-"""Commands of the configuration group's log."""
+"""Commands of the configuration group's log.
+
+The log is stored: the order of the records in `COMMANDS` and of the fields in a record must stay as it is
+(Avro, schemaless). A new command goes to the end of the set.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +14,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceDocument:
-    """An operator's change: the whole resulting document, in place of version `base`."""
+    """Put an operator's change in force: a whole document in place of version `base`.
+
+    No effect where another version is in force.
+
+    Attributes:
+        base: version that the change builds on; 0 for the first configuration.
+        digest: `ChangeRequest.digest()` of the request, by which a retry is recognised.
+        document: the whole resulting document, JSON.
+    """
 
     base: int
-    digest: bytes  # of the order as it was sent
-    document: bytes  # JSON
+    digest: bytes
+    document: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SetPlacement:
-    """Desired members of all queue shards; no effect unless it builds on the current generation."""
+    """Set the desired members of all queue shards.
+
+    No effect unless it builds on the current generation, and where it would put a replica on a retired node.
+
+    Attributes:
+        base: placement generation that it builds on.
+        groups: all queue shards.
+    """
 
     base: int
     groups: tuple[GroupPlacement, ...]
@@ -27,7 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateStorageMembers:
-    """Storage nodes have come, or are gone for good; each as a member id."""
+    """Record storage nodes that have joined, or are gone for good.
+
+    Attributes:
+        added: member ids.
+        removed: member ids.
+    """
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
@@ -35,7 +59,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireNode:
-    """A storage node is to be emptied; no effect unless `least` of the `remaining` members are left then."""
+    """Begin to empty a storage node; no effect unless enough nodes are left.
+
+    Attributes:
+        member: member id of the node.
+        remaining: member ids of the nodes that would be left, when the command was proposed.
+        least: how many of `remaining` must not be retired themselves when the command is applied.
+    """
 
     member: str
     remaining: tuple[str, ...]
@@ -44,8 +74,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishRetirement:
-    """No shard has a replica on a node, as committed by the shards' groups at this placement or a later one.
-    No effect where the placement has changed since."""
+    """Record that a retired node holds no replica any more; no effect where the placement has changed since.
+
+    Attributes:
+        node: the node's name.
+        placement_generation: generation at which, or after which, the owners of all shards have reported
+            committed members without the node.
+    """
 
     node: str
     placement_generation: int
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -1,10 +1,12 @@
-"""The feed by which all nodes follow the configuration group: a snapshot, then what changes.
+"""A node's end of the configuration feed: it finds the owner, subscribes, and follows what it sends.
 
-The group's owner serves it (`FeedServer`); each node follows it (`FeedClient`). Offsets are the version of
-the document and the generation of the placement. Updates are also sent unchanged as heartbeats, but only
-while the owner has heard a majority lately: a follower that hears none looks for another owner, and so leaves
-one that is cut off and can't know of its successor. Offsets never go back in a process's life, and an update
-of an older epoch is passed over.
+Invariants:
+- Offsets (version of the document, generation of the placement) never go back in a process's life.
+- An update of an epoch older than the newest one seen is ignored: its sender owns the group no longer.
+
+A search asks one candidate after the other; those that don't respond stay subscribed beside the next ones,
+up to `MAX_CANDIDATES`. Whichever sends an update first is followed. The owner followed before stays one of
+those asked, as it may have been silent for a moment only.
 """
 
 from __future__ import annotations
@@ -16,206 +18,234 @@
 import logbook
 
 from bitternpath.configuration.feed_documents import unpack_document
+from bitternpath.configuration.owner_search import OwnerSearch
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.configuration.validation import parse_configuration
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.hub import NodeHub
 from bitternpath.transport.links import ASK_SOON_AFTER_S, Link
+from bitternpath.transport.reactor import DelayedCall, ReactorTime
 
 log = logbook.Logger("feed")
-SILENCE_S = 1.3  # three heartbeats
-LOOK_S = 0.15  # how often a follower without an owner looks on
-REFUSED_PAUSE_S = 0.03  # before the next one is asked: soon, but not in a loop
-ATTEMPT_S = 0.45  # so long one candidate is asked alone: a connection and an answer, far away
-MOST_ASKED = 3  # candidates at once: those that say nothing hold nobody up
-HINT_AGAIN_S = 0.3  # a node that was asked so lately isn't asked again because another one names it
-FEED_USER = "feed"
+
+OWNER_TIMEOUT_S = 1.3  # without an update: three heartbeats
+CHECK_INTERVAL_S = 0.15  # how often the feed is checked for silence, and new links for subscriptions
+REFUSED_PAUSE_S = 0.03  # after a refusal, before the next candidate is asked: soon, but not in a loop
+ATTEMPT_S = 0.45  # how long one candidate is asked alone: a connection and a response, far away
+MAX_CANDIDATES = 3  # asked at once, so that those that don't respond hold nobody up
+FEED_USER = "feed"  # name under which the hub keeps the feed's links
+
+_NEVER = float("-inf")
 
 
 class FeedListener(Protocol):
-    """Who hears what the feed brings."""
+    """Hears what the feed brings."""
 
     def configuration_changed(self, table: RoutingTable) -> None:
         """Another version is in force."""
 
     def placement_changed(self, generation: int, groups: tuple[GroupPlacement, ...]) -> None:
-        """Shards have other members."""
+        """Another placement of the queue shards is in force."""
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """The platform's list, as the owner has read it."""
+        """The owner has read the endpoint catalogue."""
 
 
 class FeedClient:
-    """Follows the feed: finds the owner, subscribes, and looks on when it falls silent.
-
-    A search asks one candidate after the other, those that say nothing beside the next ones; whichever sends
-    an update first is followed. The owner followed before stays one of those asked, as it may have been
-    silent for a moment only.
+    """Follows the feed.
+
+    Attributes:
+        table: the configuration in force here; None before the first.
+        document: the same as decoded JSON; empty before the first.
+        placement_generation: generation of `groups`; 0 before the first.
+        groups: the placement in force here.
+        members: the configuration group's members, as a node that refused has named them.
+        edge_node_count: how many edge nodes the system has, as far as the owner knows.
+        heard_at: when, by the reactor's clock, the last update came; minus infinity before the first.
+        epoch: the newest epoch of which an update came.
     """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: ReactorTime,
         hub: NodeHub,
         listener: FeedListener,
         candidates: Callable[[], list[str]],
+        *,
         wants_catalogue: bool,
     ) -> None:
-        self.reactor, self.hub, self.listener = reactor, hub, listener
-        self._candidates, self._wants_catalogue = candidates, wants_catalogue
+        """Not started yet.
+
+        Args:
+            reactor: clock and timers.
+            hub: dials candidates.
+            listener: hears changes.
+            candidates: addresses of nodes that may be, or know, the owner.
+            wants_catalogue: whether to get the endpoint catalogue too.
+        """
         self.table: RoutingTable | None = None
         self.document: dict[str, Any] = {}
         self.placement_generation = 0
         self.groups: tuple[GroupPlacement, ...] = ()
         self.members: tuple[MemberAddress, ...] = ()
         self.edge_node_count = 1
-        self.heard_at = float("-inf")
+        self.heard_at = _NEVER
         self.epoch = 0
-        self._address = ""
-        self._link: Link | None = None  # followed, while its owner is
-        self._asked: dict[str, Link | None] = {}  # by address: where it has been subscribed, if anywhere
-        self._tried: dict[str, float] = {}  # in this search, and when
-        self._asked_at = float("-inf")
-        self._timer: Any = None
+        self._reactor = reactor
+        self._hub = hub
+        self._listener = listener
+        self._candidates = candidates
+        self._wants_catalogue = wants_catalogue
+        self._search = OwnerSearch()
+        self._owner_address = ""  # of the owner, or of the candidate that was asked last
+        self._owner_link: Link | None = None  # the link that is followed, while it is open
+        self._asked: dict[str, Link | None] = {}  # by address: the link that was subscribed on, if any
+        self._asked_at = _NEVER  # when the last candidate was asked
+        self._check: DelayedCall | None = None
 
     @property
     def version(self) -> int:
-        """Of the configuration in force here; 0 before the first."""
+        """Version of the configuration in force here; 0 before the first."""
         return self.table.version if self.table else 0
 
     @property
     def owner_address(self) -> str:
-        """The address that the feed is followed from, or was looked for at last."""
-        return self._address
+        """The address that the feed is followed from, or was last looked for at."""
+        return self._owner_address
 
     def owner_link(self) -> Link | None:
-        """The link to the owner, while the feed is alive."""
-        return self._link if self._alive() else None
-
-    def _alive(self) -> bool:
-        heard = self.reactor.seconds() - self.heard_at < SILENCE_S
-        return heard and self._link is not None and self._link.open
+        """The link to the owner, while updates come from it."""
+        return self._owner_link if self._is_alive() else None
 
     def start(self) -> None:
         """Begin to look for the owner."""
-        self._look()
+        self._run_check()
 
     def stop(self) -> None:
-        """Follow no more."""
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        """Stop looking for the owner; updates that come still are followed."""
+        if self._check is not None and self._check.active():
+            self._check.cancel()
+
+    def restore(self, update: FeedUpdate) -> None:
+        """Begin from what an earlier process of this node had stored."""
+        self._apply(update)
+
+    # ---- what comes over links
 
     def updated(self, link: Link, update: FeedUpdate) -> None:
-        """An owner's word."""
+        """An update, or a heartbeat, has come."""
         if update.epoch < self.epoch or not self._follow(link):
             return
         self.epoch = update.epoch
-        self.heard_at = self.reactor.seconds()
+        self.heard_at = self._reactor.seconds()
         self._end_search()
         self.edge_node_count = update.edge_node_count
-        self._take(update)
-
-    def restore(self, update: FeedUpdate) -> None:
-        """Begin from what an earlier process of this node had heard."""
-        self._take(update)
-
-    def _take(self, update: FeedUpdate) -> None:
-        if update.placement is not None and update.placement_generation > self.placement_generation:
-            self.placement_generation, self.groups = update.placement_generation, update.placement
-            self.listener.placement_changed(self.placement_generation, self.groups)
-        if update.configuration and update.configuration_version > self.version:
-            self.document = json.loads(unpack_document(update.configuration))
-            self.table = RoutingTable(parse_configuration(self.document))
-            log.info("event=configuration_in_force version={}", self.table.version)
-            self.listener.configuration_changed(self.table)
-
-    def _follow(self, link: Link) -> bool:
-        """Whether a link was asked for the feed; it is followed from now on."""
-        address = self._address_of(link)
-        if not address:
-            return False
-        self._link, self._address = link, address
-        link.ask_after_s = ASK_SOON_AFTER_S
-        return True
-
-    def _address_of(self, link: Link) -> str:
-        return next((address for address, asked in self._asked.items() if asked is link), "")
-
-    def _end_search(self) -> None:
-        """The owner is known: nobody else is asked any more."""
-        self._tried = {self._address: self.reactor.seconds()}
-        for other in [other for other in self._asked if other != self._address]:
-            self._leave(other)
+        self._apply(update)
 
     def refused(self, link: Link, refusal: FeedRefused) -> None:
-        """An asked node doesn't own the group."""
+        """An asked node doesn't own the group; perhaps it names the owner."""
         address = self._address_of(link)
         if not address:
             return
+        now = self._reactor.seconds()
         self.members = refusal.members or self.members
-        self._leave(address)
-        self._tried[address] = self.reactor.seconds()
-        if refusal.leader_address and not self._tried_lately(refusal.leader_address):
+        self._stop_asking(address)
+        self._search.tried(address, now)
+        if refusal.leader_address and self._search.may_follow_hint(refusal.leader_address, now):
             self._ask(refusal.leader_address)
         else:
-            self._asked_at = float("-inf")  # the next look asks another one
-            self._look_within(REFUSED_PAUSE_S)
-
-    def _tried_lately(self, address: str) -> bool:
-        return bool(self.reactor.seconds() - self._tried.get(address, float("-inf")) < HINT_AGAIN_S)
+            self._asked_at = _NEVER  # the next check asks another candidate
+            self._check_within(REFUSED_PAUSE_S)
 
     def closed(self, link: Link) -> None:
-        """A link has ended."""
-        if link is self._link:
-            self._link = None
-            self._asked_at = float("-inf")
+        """A link has closed. Its address stays asked: the subscription is repeated on the next link."""
+        if link is self._owner_link:
+            self._owner_link = None
+            self._asked_at = _NEVER
         for address, asked in self._asked.items():
             if asked is link:
-                self._asked[address] = None  # subscribed again if it is dialled again
+                self._asked[address] = None
+
+    # ---- following
+
+    def _is_alive(self) -> bool:
+        heard_lately = self._reactor.seconds() - self.heard_at < OWNER_TIMEOUT_S
+        return heard_lately and self._owner_link is not None and self._owner_link.open
 
-    def _look_within(self, seconds: float) -> None:
-        if self._timer is not None and self._timer.active():
-            due = self.reactor.seconds() + seconds
-            if self._timer.getTime() > due:
-                self._timer.reset(seconds)
+    def _follow(self, link: Link) -> bool:
+        """Follow a link from now on; False where it wasn't asked for the feed."""
+        address = self._address_of(link)
+        if not address:
+            return False
+        self._owner_link = link
+        self._owner_address = address
+        link.ask_after_s = ASK_SOON_AFTER_S
+        return True
 
-    def _look(self) -> None:
-        self._timer = self.reactor.callLater(LOOK_S, self._look)
-        if not self._alive() and self.reactor.seconds() - self._asked_at >= ATTEMPT_S:
+    def _apply(self, update: FeedUpdate) -> None:
+        if update.placement is not None and update.placement_generation > self.placement_generation:
+            self.placement_generation = update.placement_generation
+            self.groups = update.placement
+            self._listener.placement_changed(self.placement_generation, self.groups)
+        if update.configuration and update.configuration_version > self.version:
+            self.document = json.loads(unpack_document(update.configuration))
+            self.table = RoutingTable(parse_configuration(self.document))
+            log.info("event=configuration_in_force version={}", self.table.version)
+            self._listener.configuration_changed(self.table)
+
+    # ---- the search for the owner
+
+    def _run_check(self) -> None:
+        self._check = self._reactor.callLater(CHECK_INTERVAL_S, self._run_check)
+        if not self._is_alive() and self._reactor.seconds() - self._asked_at >= ATTEMPT_S:
             self._ask(self._next_candidate())
         self._subscribe()
 
+    def _check_within(self, seconds: float) -> None:
+        """Bring the next check forward, where it is due later than that."""
+        if self._check is not None and self._check.active():
+            due = self._reactor.seconds() + seconds
+            if self._check.getTime() > due:
+                self._check.reset(seconds)
+
+    def _next_candidate(self) -> str:
+        addresses = [*(member.address for member in self.members), *self._candidates()]
+        return self._search.next_candidate(addresses, self._asked, self._hub.random)
+
     def _ask(self, address: str) -> None:
         if not address:
             return
-        self._tried[address] = self.reactor.seconds()
-        self._address = address
-        self._asked_at = self.reactor.seconds()
+        now = self._reactor.seconds()
+        self._search.tried(address, now)
+        self._owner_address = address
+        self._asked_at = now
         self._asked.setdefault(address, None)
-        for oldest in list(self._asked)[:-MOST_ASKED]:
-            self._leave(oldest)
-        self.hub.dial(address, FEED_USER)
+        for oldest in list(self._asked)[:-MAX_CANDIDATES]:
+            self._stop_asking(oldest)
+        self._hub.dial(address, FEED_USER)
         self._subscribe()
 
-    def _leave(self, address: str) -> None:
-        left = self._asked.pop(address, None)
-        if left is self._link:
-            self._link = None
-        self.hub.release(address, FEED_USER)
-
     def _subscribe(self) -> None:
+        """Subscribe on all links to asked addresses that have opened since."""
         for address, asked in self._asked.items():
-            link = self.hub.link_to(address)
+            link = self._hub.link_to(address)
             if link is not None and link is not asked:
                 self._asked[address] = link
                 link.send(FeedSubscribe(self.version, self.placement_generation, self._wants_catalogue))
 
-    def _next_candidate(self) -> str:
-        """One that wasn't tried in this search; when all were, the search begins anew."""
-        addresses = dict.fromkeys([*(member.address for member in self.members), *self._candidates()])
-        left = [address for address in addresses if address not in self._tried]
-        if not left:
-            self._tried.clear()
-            left = [address for address in addresses if address not in self._asked] or list(addresses)
-        return str(self.hub.random.choice(left)) if left else ""
+    def _stop_asking(self, address: str) -> None:
+        link = self._asked.pop(address, None)
+        if link is self._owner_link:
+            self._owner_link = None
+        self._hub.release(address, FEED_USER)
+
+    def _end_search(self) -> None:
+        """The owner is known: stop asking all others."""
+        self._search.found(self._owner_address, self._reactor.seconds())
+        for address in [address for address in self._asked if address != self._owner_address]:
+            self._stop_asking(address)
+
+    def _address_of(self, link: Link) -> str:
+        """The address at which a link was asked for the feed; "" where it wasn't."""
+        return next((address for address, asked in self._asked.items() if asked is link), "")
--- a/bitternpath/configuration/feed_documents.py
+++ b/bitternpath/configuration/feed_documents.py
@@ -1,4 +1,7 @@
-"""Compression of configuration documents in feed updates."""
+"""Compression of configuration documents in feed updates.
+
+A document is sent to every node of the system, and its JSON repeats itself.
+"""
 
 from __future__ import annotations
 
@@ -6,21 +9,25 @@
 
 from bitternpath.transport.codec import CodecError
 
-MOST_DOCUMENT_BYTES = 64 << 20  # of a configuration, unpacked
+MAX_DOCUMENT_BYTES = 64 << 20  # of a decompressed document: bounds what a damaged update can allocate
 
 
 def pack_document(document: bytes) -> bytes:
-    """A configuration as `FeedUpdate` carries it: its JSON repeats itself, and each node gets all of it."""
+    """Compress a document (zlib) for `FeedUpdate.configuration`."""
     return zlib.compress(document)
 
 
 def unpack_document(packed: bytes) -> bytes:
-    """What `pack_document` was given; raises `CodecError`."""
-    unpacker = zlib.decompressobj()
+    """Decompress what `pack_document` made.
+
+    Raises:
+        CodecError: truncated, damaged, or larger than `MAX_DOCUMENT_BYTES`.
+    """
+    decompressor = zlib.decompressobj()
     try:
-        document = unpacker.decompress(packed, MOST_DOCUMENT_BYTES)
+        document = decompressor.decompress(packed, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         raise CodecError(f"a configuration that can't be unpacked: {error}") from error
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise CodecError("a configuration that is cut or too long")
     return document
--- a/bitternpath/configuration/feed_server.py
+++ b/bitternpath/configuration/feed_server.py
@@ -1,81 +1,117 @@
-"""The owner's end of the configuration feed."""
+"""The owner's end of the configuration feed: a snapshot for each subscriber, then what changes.
+
+Offsets are the version of the document and the generation of the placement. A subscriber gets what is newer
+than its offsets. Without a change the same update, empty, is sent as a heartbeat.
+
+Nothing is sent while the owner has no lease, that is, while it hasn't heard a majority lately: its
+subscribers then time out and look for another owner, and so leave one that is partitioned and can't know its
+successor.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from bitternpath.configuration.feed_documents import pack_document
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+from bitternpath.transport.reactor import DelayedCall, ReactorTime
+
+HEARTBEAT_INTERVAL_S = 0.4
 
-HEARTBEAT_S = 0.4
+_NEVER_SENT = -1  # below every serial of the catalogue
 
 
 @dataclass(slots=True)
 class _Subscriber:
+    """A subscription, and what the subscriber has: updates on a link arrive in order or not at all."""
+
     version: int
     generation: int
     wants_catalogue: bool
-    catalogue_serial: int = -1
+    catalogue_serial: int = _NEVER_SENT
+
+
+@dataclass(frozen=True, slots=True)
+class _PackedDocument:
+    version: int
+    packed: bytes
 
 
 class FeedServer:
-    """Serves the feed while this node owns the configuration group."""
+    """Serves the feed while this node owns the configuration group.
+
+    Attributes:
+        epoch: term of this ownership. The group's own term may already be a later owner's.
+        serving: whether this node serves the feed now.
+        catalogue: the endpoint catalogue as last read by this owner; None before that.
+    """
 
     def __init__(
-        self, reactor: Any, state: ConfigurationState, has_lease: Callable[[], bool] = lambda: True
+        self,
+        reactor: ReactorTime,
+        state: ConfigurationState,
+        has_lease: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`has_lease`: whether a majority was heard so lately that there is no later owner yet."""
-        self.reactor, self.state, self._has_lease = reactor, state, has_lease
-        self.epoch = 0  # of this ownership: the group's own may already be a later owner's
-        self._subscribers: dict[Link, _Subscriber] = {}
-        self._timer: Any = None
-        self.catalogue: CatalogueUpdate | None = None
+        """Not serving yet.
+
+        Args:
+            reactor: clock and timers.
+            state: this node's replica of the configuration.
+            has_lease: whether a majority was heard so lately that there can be no later owner yet.
+        """
+        self.epoch = 0
         self.serving = False
-        self._packed: tuple[int, bytes] = (0, b"")  # the version that was packed last
+        self.catalogue: CatalogueUpdate | None = None
+        self._reactor = reactor
+        self._state = state
+        self._has_lease = has_lease
+        self._subscribers: dict[Link, _Subscriber] = {}
+        self._heartbeat: DelayedCall | None = None
+        self._packed = _PackedDocument(0, b"")  # the version that was sent last
 
     def begin(self, epoch: int) -> None:
-        """This node owns the group now."""
+        """Serve the feed: this node owns the group from now on."""
         self.epoch = epoch
         self.serving = True
-        self._beat()
+        self._send_heartbeat()
 
     def end(self, refusal: FeedRefused) -> None:
-        """It doesn't any more: subscribers are sent on."""
+        """Stop serving and redirect all subscribers: this node doesn't own the group any more."""
         self.serving = False
         self.catalogue = None
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        subscribers, self._subscribers = self._subscribers, {}
+        if self._heartbeat is not None and self._heartbeat.active():
+            self._heartbeat.cancel()
+        subscribers = self._subscribers
+        self._subscribers = {}
         for link in subscribers:
             link.send(refusal)
 
     def subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
-        """A node follows from its offsets on."""
+        """Add a subscriber, or set its offsets anew, and send what it lacks."""
         subscriber = _Subscriber(
             wanted.configuration_version, wanted.placement_generation, wanted.wants_catalogue
         )
         self._subscribers[link] = subscriber
         if self._has_lease():
-            self._send(link, subscriber, self._edge_nodes())
+            self._send(link, subscriber, self._edge_node_count())
 
     def dropped(self, link: Link) -> None:
-        """A link has ended."""
+        """A link has closed; its subscription ends."""
         self._subscribers.pop(link, None)
 
     def publish(self) -> None:
-        """The state has changed."""
+        """Send to all subscribers what they lack: the state has changed."""
         if self.serving and self._has_lease():
-            edge_node_count = self._edge_nodes()
+            edge_node_count = self._edge_node_count()
             for link, subscriber in self._subscribers.items():
                 self._send(link, subscriber, edge_node_count)
 
     def publish_catalogue(self, update: CatalogueUpdate) -> None:
-        """The platform's list was read."""
+        """Send a catalogue that was just read to all subscribers that want it."""
         self.catalogue = update
         if not self._has_lease():
             return
@@ -83,39 +119,45 @@
             self._send_catalogue(link, subscriber, update)
 
     def subscribed_nodes(self) -> list[NodeDescriptor]:
-        """The nodes that follow now. Of two links to one, the last: the other is about to be given up."""
+        """The nodes that are subscribed now. Of two links to one, the last: the other is about to end."""
         peers = [link.peer for link in self._subscribers if link.peer is not None]
         return list({peer.name: peer for peer in peers}.values())
 
     def heard_at(self) -> list[tuple[NodeDescriptor, float]]:
-        """The nodes that follow now, and when each was last heard."""
+        """The subscribed nodes by link, and when (by the reactor's clock) each was last heard."""
         return [(link.peer, link.heard_at) for link in self._subscribers if link.peer is not None]
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         self.publish()
-        self._timer = self.reactor.callLater(HEARTBEAT_S, self._beat)
+        self._heartbeat = self._reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
-    def _edge_nodes(self) -> int:
+    def _edge_node_count(self) -> int:
         return max(sum(node.kind is NodeKind.EDGE for node in self.subscribed_nodes()), 1)
 
     def _send(self, link: Link, subscriber: _Subscriber, edge_node_count: int) -> None:
-        state = self.state
-        document = self._document() if state.version > subscriber.version else None
-        placed = state.groups if state.placement_generation > subscriber.generation else None
+        state = self._state
+        has_new_version = state.version > subscriber.version
+        has_new_placement = state.placement_generation > subscriber.generation
         link.send(
             FeedUpdate(
-                self.epoch, state.version, document, state.placement_generation, placed, edge_node_count
+                epoch=self.epoch,
+                configuration_version=state.version,
+                configuration=self._packed_document() if has_new_version else None,
+                placement_generation=state.placement_generation,
+                placement=state.groups if has_new_placement else None,
+                edge_node_count=edge_node_count,
             )
         )
-        subscriber.version, subscriber.generation = state.version, state.placement_generation
-        if self.catalogue is not None and subscriber.catalogue_serial < 0:
+        subscriber.version = state.version
+        subscriber.generation = state.placement_generation
+        if self.catalogue is not None and subscriber.catalogue_serial == _NEVER_SENT:
             self._send_catalogue(link, subscriber, self.catalogue)
 
-    def _document(self) -> bytes:
-        """The document in force, packed once for all."""
-        if self._packed[0] != self.state.version:
-            self._packed = self.state.version, pack_document(self.state.document)
-        return self._packed[1]
+    def _packed_document(self) -> bytes:
+        """The document in force, compressed once for all subscribers."""
+        if self._packed.version != self._state.version:
+            self._packed = _PackedDocument(self._state.version, pack_document(self._state.document))
+        return self._packed.packed
 
     def _send_catalogue(self, link: Link, subscriber: _Subscriber, update: CatalogueUpdate) -> None:
         if not subscriber.wants_catalogue:
--- a/bitternpath/configuration/json_documents.py
+++ b/bitternpath/configuration/json_documents.py
@@ -1,4 +1,8 @@
-"""JSON bodies of the operator's calls, and the bytes in which accepted documents are kept."""
+"""JSON bodies of the operator's calls, and the bytes in which accepted documents are stored.
+
+Every replica decodes the stored bytes again, so that a body must be refused before it is replicated if any
+replica could fail on it: numbers that aren't finite and documents nested beyond the parser's recursion limit.
+"""
 
 from __future__ import annotations
 
@@ -7,49 +11,59 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from bitternpath.configuration.errors import InvalidConfiguration
+from bitternpath.configuration.errors import InvalidConfigurationError
+
+MAX_NESTING_LEVELS = 32  # a deeper document might be decoded on one replica and not on another
+
+JsonObject = dict[str, Any]  # as `json.loads` returns it: the operator's fields, known or not
 
-MOST_NESTED = 32  # levels of a document; a deeper one could be read on one replica and not on another
 
+def decode_document(body: bytes) -> JsonObject:
+    """Decode the JSON object in a request's body.
 
-def read_document(body: bytes) -> dict[str, Any]:
-    """The JSON object in a request's body; raises `InvalidConfiguration`."""
+    Raises:
+        InvalidConfigurationError: not UTF-8, not JSON, not an object, nested too deeply, or with numbers that
+            aren't finite.
+    """
     try:
-        document = json.loads(body.decode("utf-8"), parse_constant=_no_number, parse_float=_finite)
+        document = json.loads(
+            body.decode("utf-8"), parse_constant=_reject_constant, parse_float=_finite_float
+        )
     except (ValueError, RecursionError) as error:
-        raise InvalidConfiguration(f"the body is not JSON: {error}") from error
+        raise InvalidConfigurationError(f"the body is not JSON: {error}") from error
     if not isinstance(document, dict):
-        raise InvalidConfiguration("the body must be a JSON object")
+        raise InvalidConfigurationError("the body must be a JSON object")
     _check_nesting(document)
     return document
 
 
 def encode_document(document: Mapping[str, Any]) -> bytes:
-    """The bytes in which a checked document is kept and read back."""
+    """The bytes in which a validated document is stored and sent (UTF-8 JSON)."""
     return json.dumps(document, allow_nan=False).encode()
 
 
-def _no_number(name: str) -> float:
+def _reject_constant(name: str) -> float:
     raise ValueError(f"{name} is no number")
 
 
-def _finite(text: str) -> float:
+def _finite_float(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
         raise ValueError(f"{text} is too large")
     return number
 
 
-def _check_nesting(document: Any) -> None:
-    level: list[Any] = [document]
-    for _ in range(MOST_NESTED):
-        level = [inner for outer in level for inner in _children(outer)]
+def _check_nesting(document: JsonObject) -> None:
+    """Walk the document level by level: recursion could itself overflow."""
+    level: list[object] = [document]
+    for _ in range(MAX_NESTING_LEVELS):
+        level = [child for parent in level for child in _children(parent)]
         if not level:
             return
-    raise InvalidConfiguration(f"the body is nested deeper than {MOST_NESTED} levels")
+    raise InvalidConfigurationError(f"the body is nested deeper than {MAX_NESTING_LEVELS} levels")
 
 
-def _children(value: Any) -> Iterable[Any]:
+def _children(value: object) -> Iterable[object]:
     if isinstance(value, dict):
         return value.values()
     return value if isinstance(value, list) else ()
--- a/bitternpath/configuration/patches.py
+++ b/bitternpath/configuration/patches.py
@@ -1,46 +1,62 @@
-"""Patches of a configuration document (PROTOCOL, "PATCH /config")."""
+"""Patches of a configuration document (PROTOCOL, "PATCH /config").
+
+A patch names items to add or replace (`upsert`) and names to remove (`remove`), by section. Sections that are
+objects, such as `limits`, are updated key by key.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
-from bitternpath.configuration.errors import InvalidConfiguration
-from bitternpath.configuration.validation import _list
+from bitternpath.configuration.errors import InvalidConfigurationError
+from bitternpath.configuration.validation import section_items
 
 
 def apply_patch(base: Mapping[str, Any], patch: Mapping[str, Any]) -> dict[str, Any]:
-    """The document that a patch makes of `base`, not checked yet; raises `InvalidConfiguration`."""
-    result = dict(base)
-    result["version"] = patch.get("version")
-    upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
+    """The document that a patch makes of `base`; `base` stays as it is, and the result isn't validated yet.
+
+    Raises:
+        InvalidConfigurationError: the patch hasn't the form of one, or a section can't be patched.
+    """
+    patched = dict(base)
+    patched["version"] = patch.get("version")
+    upsert = patch.get("upsert", {})
+    remove = patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
-        raise InvalidConfiguration("upsert, remove: must be objects")
+        raise InvalidConfigurationError("upsert, remove: must be objects")
     for section in dict.fromkeys([*upsert, *remove]):
-        _patch_section(result, section, upsert.get(section), remove.get(section))
-    return result
-
-
-def _patch_section(result: dict[str, Any], section: str, upsert: Any, remove: Any) -> None:
-    if isinstance(upsert, dict) and remove is None and isinstance(result.get(section, {}), dict):
-        result[section] = {**result.get(section, {}), **upsert}
-        return
-    if remove is not None and not (isinstance(remove, list) and all(isinstance(n, str) for n in remove)):
-        raise InvalidConfiguration(f"remove.{section}: must be a list of names")
-    items = {_name(section, item): item for item in _list(result, section)}
-    for name in remove or ():
+        patched[section] = _patched_section(patched, section, upsert.get(section), remove.get(section))
+    return patched
+
+
+def _patched_section(document: Mapping[str, Any], section: str, upsert: object, remove: object) -> object:
+    current = document.get(section, {})
+    if isinstance(upsert, dict) and remove is None and isinstance(current, dict):
+        return {**current, **upsert}
+    names_to_remove = _names_to_remove(section, remove)
+    items = {_item_name(section, item): item for item in section_items(document, section)}
+    for name in names_to_remove:
         items.pop(name, None)
     if upsert is not None and not isinstance(upsert, list):
-        raise InvalidConfiguration(f"upsert.{section}: must be a list")
+        raise InvalidConfigurationError(f"upsert.{section}: must be a list")
     for item in upsert or ():
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
-            raise InvalidConfiguration(f"upsert.{section}: each item needs a name")
+            raise InvalidConfigurationError(f"upsert.{section}: each item needs a name")
         items[item["name"]] = item
-    result[section] = list(items.values())
+    return list(items.values())
+
+
+def _names_to_remove(section: str, remove: object) -> list[str]:
+    if remove is None:
+        return []
+    if not isinstance(remove, list) or not all(isinstance(name, str) for name in remove):
+        raise InvalidConfigurationError(f"remove.{section}: must be a list of names")
+    return remove
 
 
-def _name(section: str, item: Mapping[str, Any]) -> str:
+def _item_name(section: str, item: Mapping[str, Any]) -> str:
     name = item.get("name")
     if not isinstance(name, str):
-        raise InvalidConfiguration(f"{section}: has items without a name, which a patch can't alter")
+        raise InvalidConfigurationError(f"{section}: has items without a name, which a patch can't alter")
     return name
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -1,66 +1,81 @@
-"""Where the queue shards' replicas are. Pure: desired members from the storage nodes that are known.
+"""Placement of the queue shards' replicas on storage nodes. Pure.
 
-The number of shards is fixed when the system is founded, because it decides where a message is kept. Each
-shard has 2f+1 replicas in different zones where there are enough; the first one named is the preferred owner.
-A change moves the least: a replica stays where it is unless its node is gone, retired or has lost its disk.
+The number of shards is fixed when the system is bootstrapped, because it decides in which shard a message is
+stored. Each shard has 2f+1 replicas in different zones where there are enough; the first one named is the
+preferred owner. A change moves as little as possible: a replica stays where it is unless its node is down for
+long, retired, or has lost its disk.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Callable, Collection, Sequence
+from collections.abc import Callable, Collection, Mapping, Sequence
 
 from msgspec.structs import replace
 
-from bitternpath.membership.bootstrap import MAX_FOUNDING_MEMBERS, member_address, member_id
-from bitternpath.replication.reconfiguration import node_of
-from bitternpath.replication.records import Members
+from bitternpath.membership.bootstrap import member_address, member_id
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.node_messages import NodeDescriptor
 
-# A node that is away is replaced soon where another has just come that keeps nothing: it has come for that,
-# and is to have caught up within `catch_up_s` of its start. Else the node is waited for: most come back
-# within seconds, and moving its shards costs more than waiting. Where a spare has been there all the time,
-# no replacement has begun, so there is time to see whether the node comes back.
-AWAY_WITH_SPARE_S = 1.5
-AWAY_WITH_IDLE_SPARE_S = 5.0
+# A node that is down is replaced soon where a spare (a node without replicas) has just joined: it was added
+# for that, and has to have caught up within `catch_up_s` of its start. Otherwise the node is waited for:
+# most come back within seconds, and moving its shards costs more than waiting. Where a spare has been there
+# all along, no replacement has begun, so there is time to see whether the node comes back.
+DOWN_WITH_NEW_SPARE_S = 1.5
+DOWN_WITH_IDLE_SPARE_S = 5.0
 AWAY_WITHOUT_SPARE_S = 30.0
-# A member of the configuration group that answers no heartbeat for so long doesn't count where enough others
-# are there: its state is small, so that it comes in again within milliseconds.
-CORE_SILENT_S = 1.0
-SPARE_IS_IDLE_AFTER_S = 10.0
-LEAST_SHARDS = 3
-MOST_SHARDS = 256
+SPARE_IS_IDLE_AFTER_S = 10.0  # since it joined
+
+MIN_SHARDS = 3
+MAX_SHARDS = 256
+
+_GROUP_PREFIX = "queue-"
 
 
 def shard_group(shard: int) -> str:
-    """The replica group of a queue shard."""
-    return f"queue-{shard}"
+    """Name of a queue shard's replica group."""
+    return f"{_GROUP_PREFIX}{shard}"
 
 
 def shard_of(group: str) -> int:
-    """The shard that a replica group keeps."""
-    return int(group.removeprefix("queue-"))
+    """Number of the shard that a replica group stores; raises `ValueError` for other groups."""
+    return int(group.removeprefix(_GROUP_PREFIX))
 
 
 def initial_placement(nodes: Sequence[NodeDescriptor], tolerated: int) -> tuple[GroupPlacement, ...]:
-    """Shards for a new system: one for each storage node, so that each owns one."""
-    ring = _interleaved(nodes)
-    shards = min(max(len(ring), LEAST_SHARDS), MOST_SHARDS)
-    copies = min(2 * tolerated + 1, len(ring))
+    """The placement of a new system: one shard for each storage node, so that each owns one.
+
+    `tolerated` is how many faults the system must survive (f); with fewer than 2f+1 nodes, each shard has a
+    replica on every node.
+    """
+    ring = _interleaved_by_zone(nodes)
+    shard_count = min(max(len(ring), MIN_SHARDS), MAX_SHARDS)
+    replica_count = min(2 * tolerated + 1, len(ring))
     return tuple(
-        GroupPlacement(shard_group(shard), 1, _members(ring, shard, copies)) for shard in range(shards)
+        GroupPlacement(shard_group(shard), 1, _choose_members(ring, shard, replica_count))
+        for shard in range(shard_count)
     )
 
 
 def repaired_placement(
-    groups: Sequence[GroupPlacement], nodes: Sequence[NodeDescriptor], gone: frozenset[str], tolerated: int
+    groups: Sequence[GroupPlacement],
+    nodes: Sequence[NodeDescriptor],
+    to_replace: frozenset[str],
+    tolerated: int,
 ) -> tuple[GroupPlacement, ...]:
-    """The placement without members whose disk is lost and without `gone` nodes (names), as far as there are
-    others to take their place; groups that don't change keep their generation."""
+    """The placement with other members in place of lost ones, as far as there are nodes for them.
+
+    Groups that don't change keep their generation.
+
+    Args:
+        groups: the placement in force.
+        nodes: storage nodes that are up; a member whose node has another disk now is lost.
+        to_replace: names of nodes that must hold no replica (`nodes_to_replace`).
+        tolerated: how many faults the system must survive.
+    """
     by_name = {node.name: node for node in sorted(nodes, key=lambda node: node.incarnation) if node.disk}
-    load = _load(groups)
-    return tuple(_repaired(group, by_name, gone, tolerated, load) for group in groups)
+    repair = _Repair(by_name, to_replace, 2 * tolerated + 1, _replica_counts(groups))
+    return tuple(repair.repaired(group) for group in groups)
 
 
 def nodes_to_replace(
@@ -70,104 +85,103 @@
     down_for: Callable[[str], float],
     up_for: Callable[[str], float] = lambda name: 0.0,
 ) -> frozenset[str]:
-    """Names of nodes whose replicas are to move: retired ones, and those that have been away too long.
-
-    `down_for` and `up_for` give seconds since a node was heard, and since it came.
+    """Names of nodes whose replicas must move: retired ones, and those that have been down too long.
+
+    Args:
+        groups: the placement in force.
+        present: storage nodes that are subscribed to the feed.
+        retired: names of nodes that may hold no replica.
+        down_for: seconds since a node (by name) was last heard; 0 while it is up.
+        up_for: seconds since a node (by name) joined.
     """
     placed = {member.node for group in groups for member in group.members}
     spares = {node.name for node in present if not down_for(node.name)} - placed - set(retired)
-    patience = _patience([up_for(name) for name in spares])
-    return frozenset(retired) | frozenset(name for name in placed if down_for(name) > patience)
+    limit = _down_limit([up_for(name) for name in spares])
+    return frozenset(retired) | frozenset(name for name in placed if down_for(name) > limit)
 
 
-def _patience(spares_here_for: Sequence[float]) -> float:
-    if not spares_here_for:
+def _down_limit(spares_up_for: Sequence[float]) -> float:
+    """Seconds for which a node may be down before it is replaced, by when each spare joined."""
+    if not spares_up_for:
         return AWAY_WITHOUT_SPARE_S
-    return AWAY_WITH_SPARE_S if min(spares_here_for) < SPARE_IS_IDLE_AFTER_S else AWAY_WITH_IDLE_SPARE_S
-
-
-def desired_members(
-    current: Members, present: Sequence[NodeDescriptor], unresponsive_for: Callable[[str], float], wanted: int
-) -> list[str]:
-    """Members that the configuration group should have, with these counted nodes present.
-
-    A node that has come back with another disk takes its own place. New nodes join, up to
-    `MAX_FOUNDING_MEMBERS`. Members that neither are present nor answer the owner go only while `wanted`
-    others stay: they don't take the place of a new one. `unresponsive_for` gives the seconds since a node's
-    member answered.
-    """
-    members = {node.name: member_id(node) for node in present}
-    kept = list(dict.fromkeys(members.get(node_of(voter), voter) for voter in current.voters))
-    joining = [member for member in sorted(members.values()) if member not in kept]
-    gone = [
-        member
-        for member in kept
-        if member not in members.values() and unresponsive_for(node_of(member)) > CORE_SILENT_S
-    ]
-    stay = [member for member in kept if member not in gone]
-    stay += joining[: max(max(MAX_FOUNDING_MEMBERS, wanted) - len(stay), 0)]
-    return stay if len(stay) >= wanted else stay + gone
-
-
-def _repaired(
-    group: GroupPlacement,
-    nodes: dict[str, NodeDescriptor],
-    gone: frozenset[str],
-    tolerated: int,
-    load: dict[str, int],
-) -> GroupPlacement:
-    kept = {
-        place: _as_it_is_now(member, nodes)
-        for place, member in enumerate(group.members)
-        if member.node not in gone
-    }
-    wanted = 2 * tolerated + 1
-    for place in range(max(wanted, len(group.members))):
-        if place in kept or len(kept) >= wanted:
-            continue
-        chosen = _replacement(list(kept.values()), nodes, gone, load)
-        if chosen is not None:  # in the lost one's place, so that it is the preferred owner of as many shards
-            kept[place] = member_address(chosen)
-            load[chosen.name] += 1
-    for place, member in enumerate(group.members):
-        if place not in kept and len(kept) < wanted:
-            kept[place] = member  # nobody can take its place: it stays named
-    members = tuple(kept[place] for place in sorted(kept))
-    if members == group.members:
-        return group
-    return GroupPlacement(group.group, group.generation + 1, members)
-
-
-def _as_it_is_now(member: MemberAddress, nodes: dict[str, NodeDescriptor]) -> MemberAddress:
-    """The member that its node is now: another one where the disk is empty, perhaps at another address."""
-    node = nodes.get(member.node)
-    if node is None:
-        return member
-    if member_id(node) != member.member:
-        return member_address(node)
-    return replace(member, address=node.address)
-
-
-def _replacement(
-    kept: list[MemberAddress], nodes: dict[str, NodeDescriptor], gone: frozenset[str], load: dict[str, int]
-) -> NodeDescriptor | None:
-    """The least loaded node, in a zone of its own where there is one."""
-    names = {member.node for member in kept}
-    zones = {member.zone for member in kept}
-    free = [node for node in nodes.values() if node.name not in names and node.name not in gone]
-    return min(free, key=lambda node: (node.zone in zones, load[node.name], node.name), default=None)
-
-
-def _load(groups: Sequence[GroupPlacement]) -> dict[str, int]:
-    load: dict[str, int] = defaultdict(int)
+    newest_spare = min(spares_up_for)
+    return DOWN_WITH_NEW_SPARE_S if newest_spare < SPARE_IS_IDLE_AFTER_S else DOWN_WITH_IDLE_SPARE_S
+
+
+class _Repair:
+    """One repair of all groups: `replica_counts`, by node, takes the replicas along that it has placed."""
+
+    def __init__(
+        self,
+        nodes: Mapping[str, NodeDescriptor],
+        to_replace: frozenset[str],
+        wanted: int,
+        replica_counts: dict[str, int],
+    ) -> None:
+        self._nodes = nodes
+        self._to_replace = to_replace
+        self._wanted = wanted
+        self._replica_counts = replica_counts
+
+    def repaired(self, group: GroupPlacement) -> GroupPlacement:
+        """The group with its lost members replaced; the same where none is lost or none can be replaced."""
+        kept = {
+            slot: self._as_it_is_now(member)
+            for slot, member in enumerate(group.members)
+            if member.node not in self._to_replace
+        }
+        # A new member takes the lost one's slot, so that it is the preferred owner of as many shards.
+        for slot in range(max(self._wanted, len(group.members))):
+            if slot in kept or len(kept) >= self._wanted:
+                continue
+            replacement = self._replacement(list(kept.values()))
+            if replacement is not None:
+                kept[slot] = member_address(replacement)
+                self._replica_counts[replacement.name] += 1
+        for slot, member in enumerate(group.members):
+            if slot not in kept and len(kept) < self._wanted:
+                kept[slot] = member  # no node can take its place: it stays named
+        members = tuple(kept[slot] for slot in sorted(kept))
+        if members == group.members:
+            return group
+        return GroupPlacement(group.group, group.generation + 1, members)
+
+    def _as_it_is_now(self, member: MemberAddress) -> MemberAddress:
+        """The member that its node is now: another one with a new disk, or the same at another address."""
+        node = self._nodes.get(member.node)
+        if node is None:
+            return member
+        if member_id(node) != member.member:
+            return member_address(node)
+        return replace(member, address=node.address)
+
+    def _replacement(self, kept: Sequence[MemberAddress]) -> NodeDescriptor | None:
+        """The node with the fewest replicas, in a zone of its own where there is one."""
+        names = {member.node for member in kept}
+        zones = {member.zone for member in kept}
+        free = [
+            node
+            for node in self._nodes.values()
+            if node.name not in names and node.name not in self._to_replace
+        ]
+        return min(
+            free,
+            key=lambda node: (node.zone in zones, self._replica_counts[node.name], node.name),
+            default=None,
+        )
+
+
+def _replica_counts(groups: Sequence[GroupPlacement]) -> dict[str, int]:
+    """How many replicas each node holds; 0 for nodes that aren't named."""
+    counts: dict[str, int] = defaultdict(int)
     for group in groups:
         for member in group.members:
-            load[member.node] += 1
-    return load
+            counts[member.node] += 1
+    return counts
 
 
-def _interleaved(nodes: Sequence[NodeDescriptor]) -> list[NodeDescriptor]:
-    """Nodes so ordered that neighbours are in different zones."""
+def _interleaved_by_zone(nodes: Sequence[NodeDescriptor]) -> list[NodeDescriptor]:
+    """Nodes in such an order that neighbours are in different zones, as far as possible."""
     zones: dict[str, list[NodeDescriptor]] = defaultdict(list)
     for node in sorted(nodes, key=lambda node: node.name):
         zones[node.zone].append(node)
@@ -178,13 +192,14 @@
     return ring
 
 
-def _members(ring: list[NodeDescriptor], start: int, copies: int) -> tuple[MemberAddress, ...]:
-    """`copies` nodes from a place of the ring on, in different zones as far as there are enough."""
-    turned = [ring[(start + offset) % len(ring)] for offset in range(len(ring))]
-    chosen = [turned[0]]
-    for distinct in (True, False):
-        for node in turned[1:]:
+def _choose_members(ring: list[NodeDescriptor], start: int, replica_count: int) -> tuple[MemberAddress, ...]:
+    """Nodes of the ring from an index on, in different zones as far as there are enough."""
+    candidates = [ring[(start + offset) % len(ring)] for offset in range(len(ring))]
+    chosen = [candidates[0]]
+    for needs_own_zone in (True, False):
+        for node in candidates[1:]:
             zones = {member.zone for member in chosen}
-            if len(chosen) < copies and node not in chosen and (not distinct or node.zone not in zones):
+            is_free = node not in chosen and (not needs_own_zone or node.zone not in zones)
+            if len(chosen) < replica_count and is_free:
                 chosen.append(node)
     return tuple(member_address(node) for node in chosen)
--- a/bitternpath/configuration/results.py
+++ b/bitternpath/configuration/results.py
@@ -1,4 +1,4 @@
-"""Results of the operator's calls: codes, HTTP statuses, and JSON bodies."""
+"""Results of the operator's calls: codes, HTTP statuses, and JSON bodies (docs/ERRORS.md)."""
 
 from __future__ import annotations
 
@@ -8,22 +8,40 @@
 
 
 class ResultCode(Enum):
-    """Results of an order; the numbers stand in docs/ERRORS.md."""
+    """Numbered results of the operator's calls; operators see the number and the `wire_name`."""
 
     ACCEPTED = 1000
-    CURRENT = 1001  # the answer to a read
+    """The change is committed."""
+    CURRENT = 1001
+    """The configuration in force, in answer to a read."""
     INVALID = 1100
+    """The change breaks a rule of the format: the operator's fault, a retry doesn't help."""
     OTHER_VERSION = 1101
+    """The change builds on a version that isn't in force: the operator's fault, a retry doesn't help."""
     NOT_OWNER = 1200
+    """No owner of the configuration was reached; nothing was changed, and a retry helps."""
     FATE_OPEN = 1201
+    """The change may be in force; sending it again, unchanged, gives its result."""
     NO_CONFIGURATION = 1202
+    """Nothing to be read yet: no configuration has been accepted."""
     UNKNOWN_CALL = 1203
+    """No such path or method."""
     UNKNOWN_NODE = 1300
+    """No such storage node."""
     TOO_FEW_NODES = 1301
+    """Too few storage nodes would be left after a retirement."""
     RETIRING = 1302
+    """The retirement was accepted, or is asked about."""
+
+    @property
+    def wire_name(self) -> str:
+        """The `result` of a JSON body: what operators' programs compare, so it outlives renamed members."""
+        return _WIRE_NAMES.get(self, self.name.lower())
 
 
-_STATUS = {
+_WIRE_NAMES = {ResultCode.FATE_OPEN: "fate_open"}
+
+_HTTP_STATUS = {
     ResultCode.ACCEPTED: 200,
     ResultCode.CURRENT: 200,
     ResultCode.INVALID: 400,
@@ -40,15 +58,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorResult:
-    """How an order ended. `body` is JSON."""
+    """The result of a call, as it goes to the operator.
+
+    Attributes:
+        code: what came of the call.
+        body: the response's JSON body.
+    """
 
     code: ResultCode
     body: bytes
 
     @property
     def status(self) -> int:
-        """The HTTP status for the operator."""
-        return _STATUS[self.code]
+        """The HTTP status of the response."""
+        return _HTTP_STATUS[self.code]
 
     @property
     def decided(self) -> bool:
@@ -56,14 +79,14 @@
         return self.code not in (ResultCode.NOT_OWNER, ResultCode.FATE_OPEN)
 
 
-def operator_result(code: ResultCode, text: str = "", **fields: object) -> OperatorResult:
-    """A result with a small JSON body."""
-    content: dict[str, object] = {"code": code.value, "result": code.name.lower(), **fields}
-    if text:
-        content["error"] = text
+def operator_result(code: ResultCode, error: str = "", **fields: object) -> OperatorResult:
+    """A result with a small JSON body: the code, its name, `fields`, and what was wrong if anything was."""
+    content: dict[str, object] = {"code": code.value, "result": code.wire_name, **fields}
+    if error:
+        content["error"] = error
     return OperatorResult(code, json.dumps(content).encode())
 
 
 def not_owner(reason: str = "") -> OperatorResult:
-    """Another node should be asked; nothing was changed."""
+    """The result that sends the operator to another node; nothing was changed."""
     return operator_result(ResultCode.NOT_OWNER, reason or "this node doesn't own the configuration")
--- a/bitternpath/configuration/retirement.py
+++ b/bitternpath/configuration/retirement.py
@@ -1,10 +1,12 @@
-"""Emptying storage nodes on the operator's order (PROTOCOL, "POST /retire/NODE"). Pure.
+"""Retirement of storage nodes: moving all replicas off a node (PROTOCOL, "POST /retire/NODE"). Pure.
 
-The order and its end are part of the replicated configuration state, so that they outlive the owner that
-decided them. An order is judged by the committed roster and placement, not only by who follows this owner
-now. It is done once the owners of all shards have told members, as committed and by the placement in force
-or a later one, without the node; until then its disk is needed. No older placement can bring the node back:
-a shard's group refuses members of an older generation than its last ones.
+A retirement and its end are part of the replicated configuration state, so that they outlive the owner that
+decided them. A request is judged by the committed membership and placement, not only by which nodes are
+subscribed to this owner now.
+
+A retirement is done once the owners of all shards have reported committed members without the node, by the
+placement in force or a later one; until then the node's disk is needed. No older placement can bring the node
+back: a shard's group refuses members of an older generation than its last ones.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 
 class RetireCheck(Enum):
-    """Whether a node may be retired."""
+    """Whether a node may be retired. The values are texts for operators."""
 
     ACCEPTABLE = "acceptable"
     REPEATED = "ordered before"
@@ -33,7 +35,7 @@
 
 
 class RetireState(Enum):
-    """How far it is."""
+    """How far a retirement is. The values are what operators get as `state`."""
 
     UNKNOWN = "unknown"
     RUNNING = "running"
@@ -42,7 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireDecision:
-    """What an order comes to; a command only where it is acceptable."""
+    """What a request to retire a node comes to.
+
+    Attributes:
+        check: whether the node may be retired.
+        command: the command to be proposed; None unless `check` is ACCEPTABLE.
+    """
 
     check: RetireCheck
     command: RetireNode | None = None
@@ -50,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Report:
-    """What an owner has told."""
+    """The members of one shard as its owner has reported them; nodes by name."""
 
     generation: int
     epoch: int
@@ -58,20 +65,21 @@
 
 
 class MembershipReports:
-    """The newest report of each shard, as this owner of the configuration has heard it."""
+    """The newest report of each shard's members, as this owner of the configuration has received them."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, _Report] = {}
+        """Without reports."""
+        self._reports: dict[str, _Report] = {}  # by replica group
 
     def update(self, report: MembershipReport) -> None:
-        """A shard's owner has reported; what is older than what is known is passed over."""
+        """Take a report in; one that is older than the known one is ignored."""
         known = self._reports.get(report.group)
         if known is None or (report.generation, report.epoch) >= (known.generation, known.epoch):
             nodes = frozenset(map(node_of, report.members))
             self._reports[report.group] = _Report(report.generation, report.epoch, nodes)
 
     def holds_no_replica(self, node: str, groups: Iterable[GroupPlacement]) -> bool:
-        """Whether a node is known to be a member of none of these groups, by these placements or later."""
+        """Whether a node is known to be a member of no group, by these placements or later ones."""
         return all(self._is_without(node, group) for group in groups)
 
     def _is_without(self, node: str, group: GroupPlacement) -> bool:
@@ -81,9 +89,9 @@
 
 def known_members(state: ConfigurationState, present: Iterable[NodeDescriptor]) -> dict[str, str]:
     """Member ids, by node, of the storage nodes in the committed state and of those that are present."""
-    found = {member.node: member.member for group in state.groups for member in group.members}
-    found |= {node_of(member): member for member in state.storage.members}
-    return found | {node.name: member_id(node) for node in present}
+    known = {member.node: member.member for group in state.groups for member in group.members}
+    known |= {node_of(member): member for member in state.storage.members}
+    return known | {node.name: member_id(node) for node in present}
 
 
 def decide_retirement(
@@ -93,18 +101,27 @@
     down_for: Callable[[str], float],
     tolerated: int,
 ) -> RetireDecision:
-    """Whether a node may be retired. Nodes that have been away for long don't count as remaining."""
+    """Decide whether a node may be retired.
+
+    Args:
+        state: the committed state.
+        node: the node's name.
+        present: storage nodes that are subscribed to the feed.
+        down_for: seconds for which a node (by name) has been down; one that has been down for long doesn't
+            count as remaining.
+        tolerated: how many faults the system must survive (f): 2f+1 nodes must remain.
+    """
     members = known_members(state, present)
     member = members.get(node)
     if member is None:
-        known = state.storage.retirement(node) is not None
-        return RetireDecision(RetireCheck.REPEATED if known else RetireCheck.UNKNOWN_NODE)
+        was_retired = state.storage.retirement(node) is not None
+        return RetireDecision(RetireCheck.REPEATED if was_retired else RetireCheck.UNKNOWN_NODE)
     if state.storage.is_retired(member):
         return RetireDecision(RetireCheck.REPEATED)
     remaining = [
-        each
-        for name, each in sorted(members.items())
-        if name != node and not state.storage.is_retired(each) and down_for(name) <= AWAY_WITHOUT_SPARE_S
+        other
+        for name, other in sorted(members.items())
+        if name != node and not state.storage.is_retired(other) and down_for(name) <= AWAY_WITHOUT_SPARE_S
     ]
     least = 2 * tolerated + 1
     if len(remaining) < least:
@@ -113,23 +130,24 @@
 
 
 def retirement_state(state: ConfigurationState, node: str) -> RetireState:
-    """How far the emptying of a node is, by the committed state alone."""
-    found = state.storage.retirement(node)
-    if found is None:
+    """How far the retirement of a node (by name) is, by the committed state alone."""
+    retirement = state.storage.retirement(node)
+    if retirement is None:
         return RetireState.UNKNOWN
-    return RetireState.DONE if found.done else RetireState.RUNNING
+    return RetireState.DONE if retirement.done else RetireState.RUNNING
 
 
 def next_finished_retirement(
     state: ConfigurationState, reports: MembershipReports
 ) -> FinishRetirement | None:
-    """The end of a retirement whose node is needed no more, if there is one to be committed."""
+    """The command that ends a retirement whose node is needed no more; None where there is none."""
     if not state.groups:
         return None
     placed = {member.node for group in state.groups for member in group.members}
     for retirement in state.storage.retirements:
         node = node_of(retirement.member)
-        if not retirement.done and node not in placed and reports.holds_no_replica(node, state.groups):
+        is_unplaced = not retirement.done and node not in placed
+        if is_unplaced and reports.holds_no_replica(node, state.groups):
             return FinishRetirement(node, state.placement_generation)
     return None
 
--- a/bitternpath/configuration/routing_table.py
+++ b/bitternpath/configuration/routing_table.py
@@ -6,14 +6,22 @@
 
 
 class RoutingTable:
-    """Looks up routes and services of one configuration."""
+    """Indexes one configuration: routes by host and longest path prefix, routes and services by name.
+
+    Attributes:
+        configuration: the configuration that is indexed.
+        version: its version.
+        services: services by name.
+        routes: routes by name.
+    """
 
     def __init__(self, configuration: Configuration) -> None:
+        """Index a validated configuration."""
         self.configuration = configuration
         self.version = configuration.version
         self.services = {service.name: service for service in configuration.services}
         self.routes = {route.name: route for route in configuration.routes}
-        self._by_host: dict[str, list[Route]] = {}
+        self._by_host: dict[str, list[Route]] = {}  # longest prefix first
         for route in configuration.routes:
             self._by_host.setdefault(route.host.lower(), []).append(route)
         for routes in self._by_host.values():
@@ -28,5 +36,5 @@
         return None
 
     def service_of(self, route: Route) -> Service:
-        """The service that a route names; a checked configuration has it."""
+        """The service that a route names; a validated configuration always has it."""
         return self.services[route.service]
--- a/bitternpath/configuration/state_machine.py
+++ b/bitternpath/configuration/state_machine.py
@@ -1,6 +1,7 @@
-"""The replicated state of the configuration group: the document in force, accepted orders, and placement.
+"""The replicated state of the configuration group: the document in force, accepted changes, and placement.
 
-Commands are applied in log order on every replica and give the same state everywhere.
+Commands are applied in log order on every replica and give the same state everywhere, so nothing here reads a
+clock or draws a random number.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.group_messages import GroupPlacement
 
-REMEMBERED_ORDERS = 4096  # digests of accepted orders, so that one that is sent again is acknowledged again
+REMEMBERED_CHANGES = 4096  # digests of accepted changes, by which retries are acknowledged; ~32 bytes each
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeDigest:
-    """An accepted order, for snapshots."""
+    """An accepted change in a snapshot: the request's digest and the version that it made."""
 
     digest: bytes
     version: int
@@ -37,10 +38,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSnapshot:
-    """The whole state."""
+    """The complete state, as it is stored and sent. The order of the fields is the stored form.
+
+    Attributes:
+        document: the document in force, JSON; empty before the first.
+        accepted_changes: the remembered ones, oldest first.
+        placement_generation: generation of `groups`.
+        groups: desired members of all queue shards.
+        storage: member ids of the storage nodes.
+        retirements: all retirements that were ordered.
+    """
 
     document: bytes
-    orders: tuple[ChangeDigest, ...]
+    accepted_changes: tuple[ChangeDigest, ...]
     placement_generation: int
     groups: tuple[GroupPlacement, ...]
     storage: tuple[str, ...]
@@ -51,106 +61,127 @@
 
 
 class ConfigurationState:
-    """State machine of the configuration group (see `replication.host.StateMachine`)."""
-
-    def __init__(self, remembered: int = REMEMBERED_ORDERS) -> None:
-        self._remembered = remembered
+    """State machine of the configuration group (see `replication.interfaces.StateMachine`).
+
+    Attributes:
+        document: the document in force, JSON; empty before the first.
+        raw: `document` decoded.
+        configuration: `document` parsed; None before the first.
+        placement_generation: rises with each change of `groups`.
+        groups: desired members of all queue shards.
+        storage: the storage nodes and their retirements.
+    """
+
+    def __init__(self, remembered: int = REMEMBERED_CHANGES) -> None:
+        """An empty state. `remembered`: how many accepted changes; the same on all replicas."""
         self.document = b""
         self.raw: dict[str, Any] = {}
         self.configuration: Configuration | None = None
         self.placement_generation = 0
         self.groups: tuple[GroupPlacement, ...] = ()
         self.storage = StorageMembership()
-        self._orders: OrderedDict[bytes, int] = OrderedDict()
+        self._remembered = remembered
+        self._accepted: OrderedDict[bytes, int] = OrderedDict()  # version by digest, oldest first
 
     @property
     def version(self) -> int:
-        """Of the document in force; 0 before the first."""
+        """Version of the document in force; 0 before the first."""
         return self.configuration.version if self.configuration else 0
 
     def accepted_as(self, digest: bytes) -> int | None:
-        """The version that an order made, if it was accepted."""
-        return self._orders.get(digest)
+        """The version that a change made, if it was accepted and is remembered."""
+        return self._accepted.get(digest)
 
     def may_have_evicted(self, base: int) -> bool:
-        """Whether an order on that version may have been accepted whose digest isn't kept any more.
+        """Whether a change of that version may have been accepted whose digest isn't remembered any more.
 
-        Each accepted order builds on the version that the one before it made, so all orders on the oldest
+        Each accepted change builds on the version that the one before it made, so all changes of the oldest
         remembered version or a later one are remembered.
         """
-        oldest = next(iter(self._orders.values()), 0)
-        return len(self._orders) >= self._remembered and base < oldest
+        oldest = next(iter(self._accepted.values()), 0)
+        return len(self._accepted) >= self._remembered and base < oldest
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply a committed command; True where it took effect."""
+        """Apply a committed command of `commands.COMMANDS`; True where it took effect.
+
+        `index` is its place in the log, which this state doesn't need.
+
+        Raises:
+            CodecError: not a command; the log is damaged or of another revision.
+        """
         match COMMANDS.decode(command):
-            case ReplaceDocument() as order:
-                return self._accept(order)
+            case ReplaceDocument() as change:
+                return self._replace_document(change)
             case SetPlacement() as placement:
-                return self._place(placement)
+                return self._set_placement(placement)
             case UpdateStorageMembers(added, removed):
-                return self.storage.note(added, removed)
+                self.storage.update(added, removed)
+                return True
             case RetireNode(member, remaining, least):
                 return self.storage.retire(member, remaining, least)
             case FinishRetirement() as finish:
-                return self._finish(finish)
+                return self._finish_retirement(finish)
         return False
 
     def snapshot(self) -> bytes:
-        """The state as bytes."""
-        orders = tuple(ChangeDigest(digest, version) for digest, version in self._orders.items())
+        """The state as bytes, for `restore`."""
         return _SNAPSHOT.encode(
             ConfigurationSnapshot(
-                self.document,
-                orders,
-                self.placement_generation,
-                self.groups,
-                self.storage.members,
-                self.storage.retirements,
+                document=self.document,
+                accepted_changes=tuple(ChangeDigest(*item) for item in self._accepted.items()),
+                placement_generation=self.placement_generation,
+                groups=self.groups,
+                storage=self.storage.members,
+                retirements=self.storage.retirements,
             )
         )
 
     def restore(self, data: bytes) -> None:
-        """Take on the state that `snapshot` gave."""
+        """Replace the state by that of a snapshot.
+
+        Raises:
+            CodecError: not a snapshot.
+        """
         snapshot: ConfigurationSnapshot = _SNAPSHOT.decode(data)
-        self._orders = OrderedDict((order.digest, order.version) for order in snapshot.orders)
-        self.placement_generation, self.groups = snapshot.placement_generation, snapshot.groups
+        self._accepted = OrderedDict((each.digest, each.version) for each in snapshot.accepted_changes)
+        self.placement_generation = snapshot.placement_generation
+        self.groups = snapshot.groups
         self.storage.restore(snapshot.storage, snapshot.retirements)
         if snapshot.document:
-            self._put(snapshot.document)
+            self._put_in_force(snapshot.document)
 
-    def _accept(self, order: ReplaceDocument) -> bool:
-        if order.base != self.version:
+    def _replace_document(self, change: ReplaceDocument) -> bool:
+        if change.base != self.version:
             return False
-        self._put(order.document)
-        self._orders[order.digest] = self.version
-        while len(self._orders) > self._remembered:
-            self._orders.popitem(last=False)
+        self._put_in_force(change.document)
+        self._accepted[change.digest] = self.version
+        while len(self._accepted) > self._remembered:
+            self._accepted.popitem(last=False)
         return True
 
-    def _put(self, document: bytes) -> None:
+    def _put_in_force(self, document: bytes) -> None:
         self.document = document
         self.raw = json.loads(document)
         self.configuration = parse_configuration(self.raw)
 
-    def _place(self, placement: SetPlacement) -> bool:
-        if placement.base != self.placement_generation or self._fills_a_retired_node(placement):
+    def _set_placement(self, placement: SetPlacement) -> bool:
+        if placement.base != self.placement_generation or self._adds_to_retired_node(placement):
             return False
         self.placement_generation += 1
         self.groups = placement.groups
         return True
 
-    def _fills_a_retired_node(self, placement: SetPlacement) -> bool:
-        """Whether a node that is being emptied, or is empty, is to get a replica that it hasn't."""
-        has = {(group.group, member.member) for group in self.groups for member in group.members}
+    def _adds_to_retired_node(self, placement: SetPlacement) -> bool:
+        """Whether a node that is being emptied, or is empty, would get a replica that it doesn't hold."""
+        placed = {(group.group, member.member) for group in self.groups for member in group.members}
         return any(
-            (group.group, member.member) not in has and self.storage.is_retired(member.member)
+            (group.group, member.member) not in placed and self.storage.is_retired(member.member)
             for group in placement.groups
             for member in group.members
         )
 
-    def _finish(self, finish: FinishRetirement) -> bool:
-        placed = any(member.node == finish.node for group in self.groups for member in group.members)
-        if placed or finish.placement_generation != self.placement_generation:
+    def _finish_retirement(self, finish: FinishRetirement) -> bool:
+        is_placed = any(member.node == finish.node for group in self.groups for member in group.members)
+        if is_placed or finish.placement_generation != self.placement_generation:
             return False
-        return self.storage.finish(finish.node)
+        return self.storage.finish_retirement(finish.node)
--- a/bitternpath/configuration/validation.py
+++ b/bitternpath/configuration/validation.py
@@ -1,97 +1,126 @@
-"""Reading and checking a configuration document (PROTOCOL, "The operator's API")."""
+"""Parsing and validation of a configuration document (PROTOCOL, "The operator's API").
+
+The document has been decoded from JSON (`json_documents`). What passes here fits the records that carry it,
+so that no replica can fail on an accepted document.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import fields
-from typing import Any
+from typing import Any, TypeVar
 
 import dacite
 
 from bitternpath.configuration.documents import Configuration, RequestLimits, Route, Service
-from bitternpath.configuration.errors import InvalidConfiguration
+from bitternpath.configuration.errors import InvalidConfigurationError
+
+MAX_VERSION = 2**63 - 1  # records carry versions in 64 bits
+MAX_NUMBER = 10**15  # of all other fields: no bound or time is near that, and records carry them in 64 bits
 
-LARGEST_VERSION = 2**63 - 1  # records carry it in 64 bits
-LARGEST_NUMBER = 10**15  # of any other: no bound or time is near that, and records carry them in 64 bits
 _DACITE = dacite.Config(cast=[], type_hooks={float: float}, check_types=True)
+_FLOAT_FIELDS = ("retention_s", "rate_per_s")
+_INTEGER_FIELDS = ("timeout_ms", "target_latency_ms", "start_target_ms")
+
+_Item = TypeVar("_Item", Route, Service, RequestLimits)
 
 
 def parse_configuration(document: Mapping[str, Any]) -> Configuration:
-    """Read and check a whole configuration; raises `InvalidConfiguration`."""
+    """Parse and validate a whole configuration.
+
+    Raises:
+        InvalidConfigurationError: with the section, the item's name and what is allowed.
+    """
     version = document.get("version")
     if not isinstance(version, int) or isinstance(version, bool) or version < 1:
-        raise InvalidConfiguration("version: must be a whole number above 0")
-    if version > LARGEST_VERSION:
-        raise InvalidConfiguration(f"version: must be at most {LARGEST_VERSION}")
-    routes = tuple(_item(Route, "routes", raw) for raw in _list(document, "routes"))
-    services = tuple(_item(Service, "services", raw) for raw in _list(document, "services"))
-    limits = _item(RequestLimits, "limits", document.get("limits", {}))
-    configuration = Configuration(version, routes, services, limits)
-    _check(configuration)
+        raise InvalidConfigurationError("version: must be a whole number above 0")
+    if version > MAX_VERSION:
+        raise InvalidConfigurationError(f"version: must be at most {MAX_VERSION}")
+    configuration = Configuration(
+        version,
+        routes=tuple(_parse_item(Route, "routes", raw) for raw in section_items(document, "routes")),
+        services=tuple(_parse_item(Service, "services", raw) for raw in section_items(document, "services")),
+        limits=_parse_item(RequestLimits, "limits", document.get("limits", {})),
+    )
+    _check_unique_names("services", (service.name for service in configuration.services))
+    _check_unique_names("routes", (route.name for route in configuration.routes))
+    _check_routes(configuration)
     return configuration
 
 
-def _list(document: Mapping[str, Any], section: str) -> list[Any]:
+def section_items(document: Mapping[str, Any], section: str) -> list[dict[str, Any]]:
+    """The objects in a list section of a document; empty where the section is missing or null.
+
+    Raises:
+        InvalidConfigurationError: the section isn't a list of objects.
+    """
     items = document.get(section)
     if items is None:
         return []
     if not isinstance(items, list) or not all(isinstance(item, dict) for item in items):
-        raise InvalidConfiguration(f"{section}: must be a list of objects")
+        raise InvalidConfigurationError(f"{section}: must be a list of objects")
     return items
 
 
-def _item(kind: type, section: str, raw: Any) -> Any:
+def _parse_item(kind: type[_Item], section: str, raw: object) -> _Item:
     if not isinstance(raw, dict):
-        raise InvalidConfiguration(f"{section}: must be an object")
+        raise InvalidConfigurationError(f"{section}: must be an object")
     try:
         _check_numbers(kind, raw)
-        return dacite.from_dict(kind, _floats(kind, raw), _DACITE)
+        item: _Item = dacite.from_dict(kind, _convert_numbers(raw), _DACITE)
     except (dacite.DaciteError, TypeError, ValueError) as error:
-        raise InvalidConfiguration(f"{section} {raw.get('name', '')}: {error}") from error
+        raise InvalidConfigurationError(f"{section} {raw.get('name', '')}: {error}") from error
+    return item
 
 
-def _check_numbers(kind: type, raw: Mapping[str, Any]) -> None:
+def _check_numbers(kind: type[_Item], raw: Mapping[str, Any]) -> None:
     for known in fields(kind):
         value = raw.get(known.name)
-        if isinstance(value, int | float) and not abs(value) <= LARGEST_NUMBER:
-            raise ValueError(f"{known.name} must be at most {LARGEST_NUMBER}")
+        if isinstance(value, int | float) and not abs(value) <= MAX_NUMBER:
+            raise ValueError(f"{known.name} must be at most {MAX_NUMBER}")
 
 
-def _floats(kind: type, raw: Mapping[str, Any]) -> dict[str, Any]:
-    """Whole numbers stand for fractions where a field is one."""
-    result = dict(raw)
-    for name in ("retention_s", "rate_per_s"):
-        if isinstance(result.get(name), int) and not isinstance(result[name], bool):
-            result[name] = float(result[name])
-    for name in ("timeout_ms", "target_latency_ms", "start_target_ms"):
-        if isinstance(result.get(name), float):
-            result[name] = int(result[name])
-    return result
+def _convert_numbers(raw: Mapping[str, Any]) -> dict[str, Any]:
+    """A copy with whole numbers for fractions and fractions for whole numbers where a field wants them."""
+    converted = dict(raw)
+    for name in _FLOAT_FIELDS:
+        value = converted.get(name)
+        if isinstance(value, int) and not isinstance(value, bool):
+            converted[name] = float(value)
+    for name in _INTEGER_FIELDS:
+        value = converted.get(name)
+        if isinstance(value, float):
+            converted[name] = int(value)
+    return converted
 
 
-def _check(configuration: Configuration) -> None:
-    _check_unique("services", (service.name for service in configuration.services))
-    _check_unique("routes", (route.name for route in configuration.routes))
-    services = {service.name for service in configuration.services}
-    places: set[tuple[str, str]] = set()
-    for route in configuration.routes:
-        if route.service not in services:
-            raise InvalidConfiguration(f"routes {route.name}: service {route.service} is not known")
-        if route.timeout_ms <= 0:
-            raise InvalidConfiguration(f"routes {route.name}: timeout_ms must be above 0")
-        if route.max_attempts <= 0 or route.retention_s <= 0:
-            raise InvalidConfiguration(f"routes {route.name}: max_attempts and retention_s must be above 0")
-        if not route.path_prefix.startswith("/") or not route.host:
-            raise InvalidConfiguration(f"routes {route.name}: host is empty or path_prefix has no leading /")
-        place = route.host.lower(), route.path_prefix
-        if place in places:
-            raise InvalidConfiguration(f"routes {route.name}: another route has its host and path_prefix")
-        places.add(place)
-
-
-def _check_unique(section: str, names: Iterable[str]) -> None:
+def _check_unique_names(section: str, names: Iterable[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if not name or name in seen:
-            raise InvalidConfiguration(f"{section}: the name {name!r} is empty or stands twice")
+            raise InvalidConfigurationError(f"{section}: the name {name!r} is empty or stands twice")
         seen.add(name)
+
+
+def _check_routes(configuration: Configuration) -> None:
+    services = {service.name for service in configuration.services}
+    locations: set[tuple[str, str]] = set()  # lower-case host, path prefix
+    for route in configuration.routes:
+        _check_route(route, services)
+        location = (route.host.lower(), route.path_prefix)
+        if location in locations:
+            raise InvalidConfigurationError(
+                f"routes {route.name}: another route has its host and path_prefix"
+            )
+        locations.add(location)
+
+
+def _check_route(route: Route, services: set[str]) -> None:
+    if route.service not in services:
+        raise InvalidConfigurationError(f"routes {route.name}: service {route.service} is not known")
+    if route.timeout_ms <= 0:
+        raise InvalidConfigurationError(f"routes {route.name}: timeout_ms must be above 0")
+    if route.max_attempts <= 0 or route.retention_s <= 0:
+        raise InvalidConfigurationError(f"routes {route.name}: max_attempts and retention_s must be above 0")
+    if not route.path_prefix.startswith("/") or not route.host:
+        raise InvalidConfigurationError(f"routes {route.name}: host is empty or path_prefix has no leading /")
--- a/bitternpath/roles/core_members.py
+++ b/bitternpath/roles/core_members.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bitternpath.configuration.placement import desired_members
+from bitternpath.configuration.configuration_members import desired_members
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP, member_id
 from bitternpath.membership.view import MembershipView
 from bitternpath.replication.host import ReplicaHost
--- a/tests/system/test_order_races.py
+++ b/tests/system/configuration/test_change_interleavings.py
@@ -1,14 +1,14 @@
-"""Operators' orders: all sequences of events in small scopes (RULES, "CONFIG"; PROTOCOL, the operator's API).
-
-The world has two nodes that may own the configuration group, one log, and orders that build on version 3 or
-on one another. Events: an order is sent to a node, or to the owner by a node that forwards (any number of
-times, as answers may be lost); a majority answers the owner's rounds; what the owner has proposed is
-committed, with or without the owner hearing of it; the other node takes over, with the open proposals kept or
-lost, while the earlier owner knows of nothing until it learns of it; the other node is brought up by a
-snapshot.
-Every sequence up to a length is played, without events that change nothing; the checker looks at each answer
-when it comes, and at all at the end.
-Broken builds show that the search finds what it is for.
+"""Operators' changes: all interleavings of events in small scopes (RULES, "CONFIG"; PROTOCOL).
+
+The world has two nodes that may own the configuration group, one log, and changes that build on version 3 or
+on one another. Events: a change is sent to a node, or to the owner by a node that forwards it (any number of
+times, as responses may be lost); a majority answers the owner's read index; what the owner has proposed is
+committed, whether or not the owner learns of it; the other node becomes owner, with the open proposals kept
+or lost, while the earlier owner doesn't know of it until it is told; the other node is brought up to date by
+a snapshot.
+
+Every sequence up to a length is played, without events that change nothing; the checker looks at each result
+when it comes, and at all at the end. Broken builds show that the search finds what it is for.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from twisted.internet.defer import Deferred, fail, succeed
 
 from bitternpath.configuration.change_requests import ChangeRequest
-from bitternpath.configuration.changes import ChangeProcessor, _Acceptable, _Submission
+from bitternpath.configuration.changes import ChangeProcessor, PendingChange, ProposedChange
 from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.configuration.state_machine import ConfigurationSnapshot, ConfigurationState
 from bitternpath.replication.interfaces import NotOwnerError, OutcomeUnknownError
@@ -28,28 +28,28 @@
 
 
 @dataclass(frozen=True)
-class Sent:
-    """An order of the scope."""
+class ScopeChange:
+    """A change that is sent in a scope."""
 
     base: int
     version: int
     method: str = "PUT"
 
-    def order(self, name: str) -> ChangeRequest:
-        """As it is on the wire."""
+    def request(self, name: str) -> ChangeRequest:
+        """The request as it is sent."""
         content = {"version": self.version, "by": name}
-        whole = {"routes": [], "services": []} if self.method == "PUT" else {}
-        return ChangeRequest(self.method, str(self.base), json.dumps({**content, **whole}).encode())
+        sections = {"routes": [], "services": []} if self.method == "PUT" else {}
+        return ChangeRequest(self.method, str(self.base), json.dumps({**content, **sections}).encode())
 
 
-ORDERS = {
-    "A": Sent(3, 5),
-    "B": Sent(3, 5),  # the same number, other content
-    "P": Sent(3, 5, "PATCH"),
-    "C": Sent(5, 9),  # on top of whichever of these wins
-    "D": Sent(9, 11),
+CHANGES = {
+    "A": ScopeChange(3, 5),
+    "B": ScopeChange(3, 5),  # the same number, other content
+    "P": ScopeChange(3, 5, "PATCH"),
+    "C": ScopeChange(5, 9),  # on top of whichever of these wins
+    "D": ScopeChange(9, 11),
 }
-WIRE = {name: sent.order(name) for name, sent in ORDERS.items()}
+REQUESTS = {name: change.request(name) for name, change in CHANGES.items()}
 FIRST = ChangeRequest("PUT", "0", json.dumps({"version": 3, "routes": [], "services": []}).encode())
 
 
@@ -63,7 +63,7 @@
 
 
 class Node:
-    """A node with its replica of the state; implements `orders.ReplicaGroup`."""
+    """A node with its replica of the state; implements `ConsensusGroup`."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -95,12 +95,12 @@
             self.applied += 1
             self.state.apply(self.applied, self.world.log[self.applied - 1])
 
-    def learn(self) -> None:
-        """It doesn't own the group any more, if it did."""
+    def step_down(self) -> None:
+        """Stop owning the group, if this node did."""
         self.owner = False
         barriers, self.barriers = self.barriers, []
-        open_, self.open = self.open, []
-        for _, proposed in open_:
+        proposals, self.open = self.open, []
+        for _, proposed in proposals:
             proposed.errback(OutcomeUnknownError())
         for barrier in barriers:
             barrier.errback(NotOwnerError())
@@ -109,11 +109,11 @@
 
 @dataclass
 class World:
-    """Two nodes, the committed log, and what the operators have heard."""
+    """Two nodes, the committed log, and the results that operators got."""
 
     build: Build
     log: list[bytes] = field(default_factory=list)
-    answers: dict[str, list[OperatorResult]] = field(default_factory=dict)
+    results: dict[str, list[OperatorResult]] = field(default_factory=dict)
     contacts: int = 0  # how often a majority has answered the owner
     violation: str = ""
 
@@ -129,7 +129,7 @@
     # ---- events
 
     def confirm(self) -> None:
-        """A majority answers the rounds of the owner."""
+        """A majority answers the owner's read index."""
         barriers, self.owner.barriers = self.owner.barriers, []
         self.contacts += 1
         for barrier in barriers:
@@ -138,9 +138,9 @@
     def commit(self) -> None:
         """What the owner has proposed is committed, and applied there."""
         owner = self.owner
-        open_, owner.open = owner.open, []
+        proposals, owner.open = owner.open, []
         self.contacts += 1
-        for command, proposed in open_:
+        for command, proposed in proposals:
             self._append(command)
             owner.applied += 1
             proposed.callback(owner.state.apply(owner.applied, command))
@@ -149,22 +149,25 @@
         self.log.append(command)
         self.history.apply(len(self.log), command)
 
-    def take_over(self, keeps: bool) -> None:
-        """The other node becomes owner. `keeps`: the open proposals had reached it, and are committed."""
+    def change_owner(self, *, keeps_proposals: bool) -> None:
+        """The other node becomes owner.
+
+        `keeps_proposals`: the open proposals had reached it, and are committed.
+        """
         old, new = self.owner, next(node for node in self.nodes if node is not self.owner)
-        new.learn()
-        if keeps:
+        new.step_down()
+        if keeps_proposals:
             for command, _ in old.open:
                 self._append(command)
         new.catch_up()
         new.owner = True
         self.owner = new
 
-    def learn(self) -> None:
-        """A node that isn't the owner any more hears so."""
+    def inform_earlier_owner(self) -> None:
+        """A node that isn't the owner any more learns so."""
         for node in self.nodes:
             if node is not self.owner:
-                node.learn()
+                node.step_down()
 
     def install(self) -> None:
         """The node that isn't the owner is brought up by a snapshot of the owner's state."""
@@ -174,28 +177,28 @@
                 node.applied = self.owner.applied
 
     def send(self, name: str, node: Node) -> None:
-        """An operator sends an order to a node; where that isn't the owner it gets 503 or is forwarded."""
+        """An operator sends a change to a node; where that isn't the owner it gets 503 or is forwarded."""
         contacts = self.contacts
 
-        def come(answer: OperatorResult) -> None:
-            self.answers.setdefault(name, []).append(answer)
-            self._look_at(name, answer, contacts)
+        def receive(result: OperatorResult) -> None:
+            self.results.setdefault(name, []).append(result)
+            self._check_result(name, result, contacts)
 
-        node.processor.submit(WIRE[name]).addCallback(come)
+        node.processor.submit(REQUESTS[name]).addCallback(receive)
 
     def read(self, node: Node) -> None:
         """An operator reads the configuration."""
         contacts, known = self.contacts, self.history.version
 
-        def come(answer: OperatorResult) -> None:
-            if answer.code is not ResultCode.CURRENT:
+        def receive(result: OperatorResult) -> None:
+            if result.code is not ResultCode.CURRENT:
                 return
             if self.contacts == contacts:
-                self._break("a read was answered without a word of a majority")
-            if json.loads(answer.body)["version"] < known:
+                self._break("a read was answered without contact to a majority")
+            if json.loads(result.body)["version"] < known:
                 self._break("a read is older than what was committed before it")
 
-        node.processor.read().addCallback(come)
+        node.processor.read().addCallback(receive)
 
     def play(self, event: str) -> None:
         """One event."""
@@ -204,12 +207,12 @@
                 self.confirm()
             case "commit":
                 self.commit()
-            case "take over, kept":
-                self.take_over(True)
-            case "take over, lost":
-                self.take_over(False)
-            case "learn":
-                self.learn()
+            case "new owner, kept":
+                self.change_owner(keeps_proposals=True)
+            case "new owner, lost":
+                self.change_owner(keeps_proposals=False)
+            case "earlier owner learns":
+                self.inform_earlier_owner()
             case "install":
                 self.install()
             case _:
@@ -225,9 +228,9 @@
         match event:
             case "confirm":
                 return bool(self.owner.barriers)
-            case "commit" | "take over, kept":
+            case "commit" | "new owner, kept":
                 return bool(self.owner.open)
-            case "learn":
+            case "earlier owner learns":
                 return other.owner
             case "install":
                 return not other.owner and other.applied < self.owner.applied
@@ -239,50 +242,50 @@
         self.violation = self.violation or rule
 
     def _took_effect(self, name: str) -> bool:
-        return self.history.accepted_as(WIRE[name].digest()) is not None
+        return self.history.accepted_as(REQUESTS[name].digest()) is not None
 
-    def _look_at(self, name: str, answer: OperatorResult, contacts: int) -> None:
-        """An answer, when it comes."""
-        if not answer.decided:
+    def _check_result(self, name: str, result: OperatorResult, contacts: int) -> None:
+        """Check a result when it comes."""
+        if not result.decided:
             return
         if self.contacts == contacts:
-            self._break(f"{name} got {answer.status} without a word of a majority")
-        if answer.status == 200 and not self._took_effect(name):
+            self._break(f"{name} got {result.status} without contact to a majority")
+        if result.status == 200 and not self._took_effect(name):
             self._break(f"{name} was acknowledged and isn't committed")
-        if answer.status != 200 and self.history.version < ORDERS[name].base:
-            self.answers[name].pop()  # its operator had no reason to build on that version yet
+        if result.status != 200 and self.history.version < CHANGES[name].base:
+            self.results[name].pop()  # its operator had no reason to build on that version yet
 
     def settle(self) -> None:
-        """All that is under way comes to its end."""
-        self.learn()
+        """Bring everything in flight to its end."""
+        self.inform_earlier_owner()
         while self.owner.barriers or self.owner.open:
             self.confirm()
             self.commit()
 
-    def judge(self) -> str:
-        """The rule that the answers break, or ""."""
+    def verdict(self) -> str:
+        """The rule that the results break, or ""."""
         self.settle()
-        for name, answers in self.answers.items():
-            if self._took_effect(name) and any(400 <= answer.status < 500 for answer in answers):
-                self._break(f"{name} is in force and was refused")
-        for name in list(self.answers):
-            self._send_again(name)
+        for name, results in self.results.items():
+            if self._took_effect(name) and any(400 <= result.status < 500 for result in results):
+                self._break(f"{name} is in force and was rejected")
+        for name in list(self.results):
+            self._retry(name)
         for node in self.nodes:
             node.catch_up()
         if {node.state.version for node in self.nodes} != {self.history.version}:
             self._break("the nodes differ")
         return self.violation
 
-    def _send_again(self, name: str) -> None:
-        if self.history.version <= ORDERS[name].base:
+    def _retry(self, name: str) -> None:
+        if self.history.version <= CHANGES[name].base:
             return
         took_effect = self._took_effect(name)
         self.send(name, self.owner)
         self.settle()
-        last = self.answers[name][-1:]
+        last = self.results[name][-1:]
         forgotten = self.build.remembered < 100 and last and last[0].status == 503
         if took_effect and last[0].status != 200 and not forgotten:
-            self._break(f"{name} is in force and sent again it gets {last[0].status}")
+            self._break(f"{name} is in force and its retry gets {last[0].status}")
         if not took_effect and last and last[0].status != 412 and not forgotten:
             self._break(f"{name} isn't in force and gets {last[0].status}")
 
@@ -297,22 +300,22 @@
     remembered: int = 100
 
 
-CHANGES = ("confirm", "commit", "take over, kept", "take over, lost", "learn")
+GROUP_EVENTS = ("confirm", "commit", "new owner, kept", "new owner, lost", "earlier owner learns")
 SCOPES = {
-    "two operators, one number": Scope(("Ao", "A0", "Bo", *CHANGES), 5),
-    "PUT against PATCH": Scope(("Ao", "Po", "P1", *CHANGES), 5),
-    "three tries, an answer lost, another version between": Scope(
-        ("Ao", "Co", *CHANGES), 6, ("Ao", "confirm", "commit", "Ao")
+    "two operators, one number": Scope(("Ao", "A0", "Bo", *GROUP_EVENTS), 5),
+    "PUT against PATCH": Scope(("Ao", "Po", "P1", *GROUP_EVENTS), 5),
+    "three attempts, a response lost, another version between": Scope(
+        ("Ao", "Co", *GROUP_EVENTS), 6, ("Ao", "confirm", "commit", "Ao")
     ),
-    "owner lost between commit and answer": Scope(
-        ("A0", "A1", "Co", *CHANGES), 5, ("Ao", "confirm", "take over, kept")
+    "owner lost between commit and response": Scope(
+        ("A0", "A1", "Co", *GROUP_EVENTS), 5, ("Ao", "confirm", "new owner, kept")
     ),
-    "on top of one another": Scope(("Ao", "Co", *CHANGES), 6),
-    "reads": Scope(("Ao", "R0", "R1", *CHANGES), 5, ("Ao", "confirm")),
-    "brought up by a snapshot": Scope(("Ao", "Co", "install", *CHANGES), 6),
-    "more orders than digests": Scope(("Ao", "Co", "Do", "install", *CHANGES), 5, remembered=1),
-    "more orders than two digests": Scope(
-        ("Ao", "Bo", "Do", "confirm", "commit", "take over, kept"),
+    "on top of one another": Scope(("Ao", "Co", *GROUP_EVENTS), 6),
+    "reads": Scope(("Ao", "R0", "R1", *GROUP_EVENTS), 5, ("Ao", "confirm")),
+    "brought up to date by a snapshot": Scope(("Ao", "Co", "install", *GROUP_EVENTS), 6),
+    "more changes than digests": Scope(("Ao", "Co", "Do", "install", *GROUP_EVENTS), 5, remembered=1),
+    "more changes than two digests": Scope(
+        ("Ao", "Bo", "Do", "confirm", "commit", "new owner, kept"),
         5,
         ("Ao", "confirm", "commit", "Co", "confirm", "commit"),
         remembered=2,
@@ -322,13 +325,13 @@
 SEQUENCES = {  # of each scope: a search that leaves some out is no search of all
     "two operators, one number": 3_754,
     "PUT against PATCH": 3_546,
-    "three tries, an answer lost, another version between": 6_443,
-    "owner lost between commit and answer": 5_011,
+    "three attempts, a response lost, another version between": 6_443,
+    "owner lost between commit and response": 5_011,
     "on top of one another": 5_285,
     "reads": 6_802,
-    "brought up by a snapshot": 5_377,
-    "more orders than digests": 3_514,
-    "more orders than two digests": 1_075,
+    "brought up to date by a snapshot": 5_377,
+    "more changes than digests": 3_514,
+    "more changes than two digests": 1_075,
 }
 
 
@@ -340,19 +343,19 @@
     scope: Scope
     count: int = 0
 
-    def run(self, done: tuple[str, ...] = ()) -> str:
-        """The first sequence that breaks a rule, of those that begin with `done`; or ""."""
+    def run(self, played: tuple[str, ...] = ()) -> str:
+        """The first sequence that breaks a rule, of those that begin with `played`; or ""."""
         world = World(self.build)
-        for event in self.scope.beginning + done:
+        for event in self.scope.beginning + played:
             world.play(event)
-        going_on = [event for event in self.scope.events if world.changes(event)]
+        next_events = [event for event in self.scope.events if world.changes(event)]
         self.count += 1
-        rule = world.judge()
+        rule = world.verdict()
         if rule:
-            return f"{rule}: {', '.join(self.scope.beginning + done)}"
-        if len(done) < self.scope.length:
-            for event in going_on:
-                found = self.run((*done, event))
+            return f"{rule}: {', '.join(self.scope.beginning + played)}"
+        if len(played) < self.scope.length:
+            for event in next_events:
+                found = self.run((*played, event))
                 if found:
                     return found
         return ""
@@ -360,23 +363,23 @@
 
 def search(build: type[ChangeProcessor], state: type[ConfigurationState], scope: Scope) -> tuple[int, str]:
     """How many sequences were played, and the first that breaks a rule, or ""."""
-    played = Search(Build(build, state, scope.remembered), scope)
-    found = played.run()
-    return played.count, found
+    search_run = Search(Build(build, state, scope.remembered), scope)
+    found = search_run.run()
+    return search_run.count, found
 
 
 # ---- broken builds
 
 
 class WithoutConfirmation(ChangeProcessor):
-    """Answers are given without asking a majority."""
+    """Results are given without contact to a majority."""
 
-    def submit(self, order: ChangeRequest) -> Deferred[OperatorResult]:
+    def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
         if not self.group.is_owner():
-            return super().submit(order)
-        answer: Deferred[OperatorResult] = Deferred()
-        self._confirm(_Submission(order, order.digest(), answer))
-        return answer
+            return super().submit(request)
+        result: Deferred[OperatorResult] = Deferred()
+        self._ownership_confirmed(PendingChange(request, request.digest(), result))
+        return result
 
 
 class ReadWithoutConfirmation(ChangeProcessor):
@@ -386,64 +389,61 @@
         return succeed(self._current()) if self.group.is_owner() else super().read()
 
 
-class ReckonedBefore(ChangeProcessor):
-    """Answers are reckoned when the order comes, and sent once ownership is confirmed."""
-
-    def __init__(self, state: ConfigurationState, group: Node) -> None:
-        super().__init__(state, group)
-        self.reckoned: dict[int, _Acceptable | OperatorResult] = {}
+class EvaluatedBefore(ChangeProcessor):
+    """Changes are evaluated when they come, and the results sent once ownership is confirmed."""
 
-    def submit(self, order: ChangeRequest) -> Deferred[OperatorResult]:
-        early = super()._reckon(_Submission(order, order.digest(), Deferred()))
+    def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
+        early = super()._evaluate(PendingChange(request, request.digest(), Deferred()))
         if isinstance(early, OperatorResult) and early.decided:
             return self.group.barrier().addCallbacks(
                 lambda _: early, lambda _: operator_result(ResultCode.NOT_OWNER)
             )
-        return super().submit(order)
+        return super().submit(request)
 
 
 class AcknowledgedBeforeCommit(ChangeProcessor):
-    """An order is acknowledged once it is proposed."""
+    """A change is acknowledged once it is proposed."""
 
-    def _propose(self, submission: _Submission, acceptable: _Acceptable) -> None:
-        submission.answer.callback(operator_result(ResultCode.ACCEPTED, version=acceptable.version))
-        early = _Submission(submission.order, submission.digest, Deferred())
-        super()._propose(early, acceptable)
+    def _propose(self, change: PendingChange, proposed: ProposedChange) -> None:
+        change.result.callback(operator_result(ResultCode.ACCEPTED, version=proposed.version))
+        silent = PendingChange(change.request, change.digest, Deferred())
+        super()._propose(silent, proposed)
 
 
-class RefusedWhileOpen(ChangeProcessor):
-    """An order whose proposal failed is refused, though it may be committed still."""
+class RejectedWhileUnknown(ChangeProcessor):
+    """A change whose proposal failed is rejected, though it may be committed still."""
 
-    def _decided(self, decided: OperatorResult, submission: _Submission) -> None:
-        open_ = decided.code is ResultCode.FATE_OPEN
-        super()._decided(operator_result(ResultCode.OTHER_VERSION) if open_ else decided, submission)
+    def _proposal_ended(self, result: OperatorResult, change: PendingChange) -> None:
+        if result.code is ResultCode.FATE_OPEN:
+            result = operator_result(ResultCode.OTHER_VERSION)
+        super()._proposal_ended(result, change)
 
 
 class ForgetsAccepted(ConfigurationState):
-    """No order is remembered."""
+    """No accepted change is remembered."""
 
     def accepted_as(self, digest: bytes) -> int | None:
         return None
 
 
 class SnapshotWithoutDigests(ConfigurationState):
-    """Snapshots lack the digests of accepted orders."""
+    """Snapshots lack the digests of accepted changes."""
 
     def restore(self, data: bytes) -> None:
         codec = RecordCodec(ConfigurationSnapshot)
-        whole: ConfigurationSnapshot = codec.decode(data)
-        without = replace(whole, orders=())
+        complete: ConfigurationSnapshot = codec.decode(data)
+        without = replace(complete, accepted_changes=())
         super().restore(codec.encode(without))
 
 
-class RefusesForgotten(ConfigurationState):
-    """What was too long ago to be remembered is refused."""
+class RejectsEvicted(ConfigurationState):
+    """Retries of changes that aren't remembered any more are rejected."""
 
     def may_have_evicted(self, base: int) -> bool:
         return False
 
 
-class RaceTest(unittest.TestCase):
+class InterleavingTest(unittest.TestCase):
     """The search."""
 
     def test_no_sequence_of_events_breaks_a_rule(self) -> None:
@@ -458,28 +458,28 @@
     ) -> None:
         self.assertNotEqual(search(build, state, SCOPES[label])[1], "")
 
-    def test_broken_no_confirmation_before_an_answer(self) -> None:
+    def test_broken_no_confirmation_before_a_result(self) -> None:
         self.assert_found("two operators, one number", WithoutConfirmation)
         self.assert_found("reads", ReadWithoutConfirmation)
 
-    def test_broken_reckoned_before_the_confirmation(self) -> None:
-        self.assert_found("on top of one another", ReckonedBefore)
+    def test_broken_evaluated_before_the_confirmation(self) -> None:
+        self.assert_found("on top of one another", EvaluatedBefore)
 
     def test_broken_acknowledged_before_commit(self) -> None:
         self.assert_found("two operators, one number", AcknowledgedBeforeCommit)
 
-    def test_broken_refused_while_its_fate_is_open(self) -> None:
-        self.assert_found("two operators, one number", RefusedWhileOpen)
+    def test_broken_rejected_while_the_outcome_is_unknown(self) -> None:
+        self.assert_found("two operators, one number", RejectedWhileUnknown)
 
-    def test_broken_accepted_orders_are_forgotten(self) -> None:
-        self.assert_found("three tries, an answer lost, another version between", state=ForgetsAccepted)
+    def test_broken_accepted_changes_are_forgotten(self) -> None:
+        self.assert_found("three attempts, a response lost, another version between", state=ForgetsAccepted)
 
     def test_broken_digests_not_in_the_snapshot(self) -> None:
-        self.assert_found("brought up by a snapshot", state=SnapshotWithoutDigests)
+        self.assert_found("brought up to date by a snapshot", state=SnapshotWithoutDigests)
 
-    def test_broken_forgotten_orders_are_refused(self) -> None:
-        self.assert_found("more orders than digests", state=RefusesForgotten)
-        self.assert_found("more orders than two digests", state=RefusesForgotten)
+    def test_broken_retries_of_evicted_changes_are_rejected(self) -> None:
+        self.assert_found("more changes than digests", state=RejectsEvicted)
+        self.assert_found("more changes than two digests", state=RejectsEvicted)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_orders_under_way.py
+++ b/tests/system/configuration/test_changes_in_flight.py
@@ -1,8 +1,8 @@
-"""Orders under way while something happens to the owner or to a link, in the simulated world.
+"""Changes in flight while a fault hits the owner or a link, in the simulated world.
 
-`Operator` calls as PROTOCOL describes it: it moves on to another node after a failure, a 5xx or a second of
-silence, and sends the same order again, unchanged, until it has a clear answer. The fault's moment is swept
-over the time that an order takes.
+`Operator` calls as PROTOCOL describes it: it moves on to another node after a failure, a 5xx or a second
+without a response, and retries the same request, unchanged, until its result is clear. The moment of the
+fault is swept over the time that a change takes.
 """
 
 from __future__ import annotations
@@ -16,77 +16,77 @@
 
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration import changes as orders
-from bitternpath.configuration.changes import ChangeProcessor, _Acceptable, _Submission
+from bitternpath.configuration import changes
+from bitternpath.configuration.changes import ChangeProcessor, PendingChange, ProposedChange
 from bitternpath.configuration.results import ResultCode, operator_result
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
-SILENCE_S = 1.0  # after that the operator moves on
-PAUSE_S = 0.1
-ACK_S = 5.0  # ack_ms
-MOMENTS_S = [step * 0.001 for step in range(0, 26, 2)]  # after an order was sent; one takes about 15 ms
+NODE_TIMEOUT_S = 1.0  # after that the operator moves on to another node
+RETRY_PAUSE_S = 0.1
+ACKNOWLEDGED_WITHIN_S = 5.0  # ack_ms
+MOMENTS_S = [step * 0.001 for step in range(0, 26, 2)]  # after a request was sent; a change takes about 15 ms
 FINE_MOMENTS_S = [step * 0.0005 for step in range(32)]  # between proposal and commit are a few ms
 
 
 @dataclass
-class Sending:
-    """An order, sent until it has a clear answer."""
+class SentChange:
+    """A change, retried until its result is clear."""
 
     began: float
-    tries: list[Answer] = field(default_factory=list)
+    attempts: list[Answer] = field(default_factory=list)
     status: int = 0
     ended: float = float("inf")
 
 
 class Operator:
-    """Sends orders again until they are decided."""
+    """Retries changes until their result is clear."""
 
     def __init__(self, system: SmallSystem) -> None:
         self.system, self.world = system, system.world
         self._random = system.world.random("operator")
 
-    def send(self, method: str, body: bytes, base: int, first: SimulatedNode | None = None) -> Sending:
+    def send(self, method: str, body: bytes, base: int, first: SimulatedNode | None = None) -> SentChange:
         """Begin; by default anywhere."""
-        sending = Sending(self.world.now)
-        self._try(sending, method, body, base, first)
-        return sending
+        change = SentChange(self.world.now)
+        self._attempt(change, method, body, base, first)
+        return change
 
     def put(
         self, version: int, base: int, first: SimulatedNode | None = None, timeout_ms: int = 1000
-    ) -> Sending:
+    ) -> SentChange:
         """A whole configuration."""
         return self.send("PUT", json.dumps(configuration(version, timeout_ms)).encode(), base, first)
 
-    def _try(
-        self, sending: Sending, method: str, body: bytes, base: int, first: SimulatedNode | None = None
+    def _attempt(
+        self, change: SentChange, method: str, body: bytes, base: int, first: SimulatedNode | None = None
     ) -> None:
         node = first or self._random.choice(self.world.edges())
         answer = self.system.caller.call(method, node.control, "/config", body, If_Match=str(base))
-        sending.tries.append(answer)
+        change.attempts.append(answer)
         began = self.world.now
 
-        def look() -> None:
+        def check() -> None:
             if answer.status in (200, 400, 404, 409, 412):
-                sending.status, sending.ended = answer.status, answer.ended
-            elif answer.ended >= 0 or self.world.now - began >= SILENCE_S:
-                self.world.at(self.world.now + PAUSE_S, self._try, sending, method, body, base)
+                change.status, change.ended = answer.status, answer.ended
+            elif answer.ended >= 0 or self.world.now - began >= NODE_TIMEOUT_S:
+                self.world.at(self.world.now + RETRY_PAUSE_S, self._attempt, change, method, body, base)
             else:
-                self.world.at(self.world.now + 0.01, look)
+                self.world.at(self.world.now + 0.01, check)
 
-        look()
+        check()
 
 
 def is_owner(edge: SimulatedNode) -> bool:
-    """Whether a node takes itself for the configuration's owner."""
+    """Whether a node believes that it owns the configuration."""
     member = edge.process.node.member if edge.process is not None else None
     return member is not None and member.is_owner()
 
 
-class UnderWayTest(unittest.TestCase):
-    """Orders that something happens to."""
+class ChangesInFlightTest(unittest.TestCase):
+    """Changes during which a fault happens."""
 
     def setUp(self) -> None:
         self.begin(7)
@@ -108,8 +108,8 @@
             self.world.run_for(0.1)
         raise AssertionError("no single owner")
 
-    def outer(self) -> SimulatedNode:
-        """A node that forwards."""
+    def forwarding_node(self) -> SimulatedNode:
+        """A node that forwards changes to the owner."""
         return self.world.edges()[-1]
 
     def current(self) -> dict[str, Any]:
@@ -121,24 +121,24 @@
                 return dict(answer.json())
         raise AssertionError("no configuration to be read")
 
-    def check_taken(self, sending: Sending, seconds: float = ACK_S) -> None:
-        """It was acknowledged in time; an order that was taken is never refused."""
-        while not sending.status and self.world.now - sending.began < 3 * ACK_S:
+    def check_accepted(self, change: SentChange, seconds: float = ACKNOWLEDGED_WITHIN_S) -> None:
+        """It was acknowledged in time; an accepted change is never rejected."""
+        while not change.status and self.world.now - change.began < 3 * ACKNOWLEDGED_WITHIN_S:
             self.world.run_for(0.05)
-        self.assertEqual(sending.status, 200, [each.status for each in sending.tries])
-        self.assertLess(sending.ended - sending.began, seconds)
+        self.assertEqual(change.status, 200, [each.status for each in change.attempts])
+        self.assertLess(change.ended - change.began, seconds)
 
     def sweep(
         self, fault: Callable[[SimulatedNode], None], settle_s: float, moments: list[float] = MOMENTS_S
     ) -> None:
-        """An order through another node, and something at each moment after it was sent."""
+        """A change through another node, and a fault at each moment after it was sent."""
         for moment in moments:
             with self.subTest(moment=moment):
                 owner, base = self.owner(), self.version
                 self.version += 2
-                sending = self.operator.put(self.version, base, self.outer())
+                change = self.operator.put(self.version, base, self.forwarding_node())
                 self.world.at(self.world.now + moment, fault, owner)
-                self.check_taken(sending)
+                self.check_accepted(change)
                 self.assertEqual(self.current()["version"], self.version)
                 self.world.run_for(settle_s)
         self.assertEqual((self.world.violations, self.world.failures), ([], []))
@@ -157,17 +157,17 @@
 
         self.sweep(fault, 4.0, FINE_MOMENTS_S)
 
-    def test_the_link_by_which_it_was_forwarded_is_reset(self) -> None:
-        self.sweep(lambda owner: self.world.reset(self.outer().name, owner.name), 0.5)
+    def test_the_forwarding_link_is_reset(self) -> None:
+        self.sweep(lambda owner: self.world.reset(self.forwarding_node().name, owner.name), 0.5)
 
-    def test_the_owner_is_frozen_and_decides_nothing_when_it_wakes(self) -> None:
+    def test_the_owner_is_frozen_and_accepts_nothing_when_it_thaws(self) -> None:
         def fault(owner: SimulatedNode) -> None:
             self.world.freeze(owner.name)
             self.world.at(self.world.now + 4.0, self.world.thaw, owner.name)
 
         self.sweep(fault, 5.0)
 
-    def test_the_owner_hears_nothing_from_the_core(self) -> None:
+    def test_the_owner_receives_nothing_from_the_core(self) -> None:
         def fault(owner: SimulatedNode) -> None:
             for edge in self.world.edges():
                 if edge.counted and edge is not owner:
@@ -176,15 +176,15 @@
 
         self.sweep(fault, 6.0)
 
-    def test_the_same_order_on_all_nodes_at_once(self) -> None:
+    def test_the_same_change_on_all_nodes_at_once(self) -> None:
         for _ in range(5):
             base, self.version = self.version, self.version + 3
             sent = [self.operator.put(self.version, base, edge) for edge in self.world.edges()]
-            for sending in sent:
-                self.check_taken(sending, 1.0)
-                self.assertEqual(len(sending.tries), 1)
+            for change in sent:
+                self.check_accepted(change, 1.0)
+                self.assertEqual(len(change.attempts), 1)
 
-    def test_eight_orders_under_way_on_one_version(self) -> None:
+    def test_eight_changes_in_flight_of_one_version(self) -> None:
         for _ in range(5):
             base, self.version = self.version, self.version + 2
             edges = self.world.edges()
@@ -193,7 +193,7 @@
                 for number in range(8)
             ]
             self.world.run_for(1.0)
-            statuses = [sending.status for sending in sent]
+            statuses = [change.status for change in sent]
             self.assertEqual(sorted(statuses), [200] + [412] * 7)
             self.assertEqual(self.current()["routes"][0]["timeout_ms"], 1000 + statuses.index(200))
 
@@ -206,61 +206,63 @@
                 self.operator.put(self.version, base, timeout_ms=88),
             ]
             self.world.run_for(1.0)
-            statuses = [sending.status for sending in sent]
+            statuses = [change.status for change in sent]
             self.assertEqual(sorted(statuses), [200, 412])
             self.assertEqual(self.current()["routes"][0]["timeout_ms"], (77, 88)[statuses.index(200)])
 
-    def test_an_answer_lost_and_other_versions_accepted_before_it_is_sent_again(self) -> None:
+    def test_a_retry_after_a_lost_response_and_other_accepted_versions(self) -> None:
         first = configuration(3)
         lost = self.operator.send("PUT", json.dumps(first).encode(), 1)
-        self.check_taken(lost)
+        self.check_accepted(lost)
         for version in (5, 7, 9):
-            self.check_taken(self.operator.put(version, version - 2))
+            self.check_accepted(self.operator.put(version, version - 2))
         self.world.kill(self.owner().name)
         for edge in self.world.edges():
             again = self.operator.send("PUT", json.dumps(first).encode(), 1, edge)
-            self.check_taken(again)
+            self.check_accepted(again)
         self.assertEqual(self.current()["version"], 9)
 
-    def test_slow_disks_of_the_others_give_503_in_time_and_the_order_is_taken_afterwards(self) -> None:
+    def test_slow_disks_of_the_others_give_503_in_time_and_the_change_is_accepted_later(self) -> None:
         owner = self.owner()
         for edge in self.world.edges():
             if edge.counted and edge is not owner:
                 self.world.stall_disk(edge.name, 3.0)
-        sending = self.operator.put(3, 1, owner)
-        self.check_taken(sending)
-        for answer in sending.tries[:-1]:
+        change = self.operator.put(3, 1, owner)
+        self.check_accepted(change)
+        for answer in change.attempts[:-1]:
             self.assertEqual(answer.status, 503)
-            self.assertLess(answer.ended - answer.began, SILENCE_S)
+            self.assertLess(answer.ended - answer.began, NODE_TIMEOUT_S)
 
 
 class BrokenBuildsTest(unittest.TestCase):
-    """Each broken build fails a run that is named here."""
+    """Each broken build fails a test that is named here."""
 
     def assert_fails(self, name: str) -> None:
         result = unittest.TestResult()
-        UnderWayTest(name).run(result)
+        ChangesInFlightTest(name).run(result)
         self.assertEqual(result.errors, [])
         self.assertNotEqual(result.failures, [])
 
-    def test_broken_accepted_orders_are_forgotten(self) -> None:
+    def test_broken_accepted_changes_are_forgotten(self) -> None:
         with patch.object(ConfigurationState, "accepted_as", lambda state, digest: None):
-            self.assert_fails("test_the_link_by_which_it_was_forwarded_is_reset")
-            self.assert_fails("test_an_answer_lost_and_other_versions_accepted_before_it_is_sent_again")
+            self.assert_fails("test_the_forwarding_link_is_reset")
+            self.assert_fails("test_a_retry_after_a_lost_response_and_other_accepted_versions")
 
     def test_broken_acknowledged_before_commit(self) -> None:
         proper = ChangeProcessor._propose
 
-        def propose(processor: ChangeProcessor, submission: _Submission, acceptable: _Acceptable) -> None:
-            submission.answer.callback(operator_result(ResultCode.ACCEPTED, version=acceptable.version))
-            proper(processor, _Submission(submission.order, submission.digest, Deferred()), acceptable)
+        def propose(processor: ChangeProcessor, change: PendingChange, proposed: ProposedChange) -> None:
+            change.result.callback(operator_result(ResultCode.ACCEPTED, version=proposed.version))
+            proper(processor, PendingChange(change.request, change.digest, Deferred()), proposed)
 
         with patch.object(ChangeProcessor, "_propose", propose):
             self.assert_fails("test_all_members_lose_power")
 
-    def test_broken_refused_while_its_fate_is_open(self) -> None:
-        with patch.object(orders, "_failed", lambda failure: operator_result(ResultCode.OTHER_VERSION)):
-            self.assert_fails("test_the_owner_hears_nothing_from_the_core")
+    def test_broken_rejected_while_the_outcome_is_unknown(self) -> None:
+        with patch.object(
+            changes, "_failure_result", lambda failure: operator_result(ResultCode.OTHER_VERSION)
+        ):
+            self.assert_fails("test_the_owner_receives_nothing_from_the_core")
 
 
 if __name__ == "__main__":
--- a/tests/system/test_feed.py
+++ b/tests/system/configuration/test_feed.py
@@ -1,4 +1,4 @@
-"""The configuration feed: finding the owner, offsets, epochs, silence. Virtual time."""
+"""The configuration feed: finding the owner, offsets, epochs, time-outs. Virtual time."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from twisted.internet.task import Clock
 
 from bitternpath.configuration.commands import COMMANDS, ReplaceDocument, SetPlacement
-from bitternpath.configuration.feed_client import SILENCE_S, FeedClient
+from bitternpath.configuration.feed_client import OWNER_TIMEOUT_S, FeedClient
 from bitternpath.configuration.feed_documents import pack_document, unpack_document
-from bitternpath.configuration.feed_server import HEARTBEAT_S, FeedServer
+from bitternpath.configuration.feed_server import HEARTBEAT_INTERVAL_S, FeedServer
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.codec import CodecError
@@ -28,20 +28,22 @@
     return json.dumps({"version": version, "routes": [], "services": []}).encode()
 
 
-class Documents(unittest.TestCase):
-    """How the feed carries a configuration."""
+class DocumentPackingTest(unittest.TestCase):
+    """Compression of documents in feed updates."""
 
-    def test_it_comes_back_and_is_small(self) -> None:
-        whole = json.dumps({"routes": [{"name": f"r{i}", "path_prefix": "/"} for i in range(200)]}).encode()
-        packed = pack_document(whole)
-        self.assertEqual(unpack_document(packed), whole)
-        self.assertLess(len(packed), len(whole) / 4)
+    def test_round_trip_is_small(self) -> None:
+        original = json.dumps(
+            {"routes": [{"name": f"r{i}", "path_prefix": "/"} for i in range(200)]}
+        ).encode()
+        packed = pack_document(original)
+        self.assertEqual(unpack_document(packed), original)
+        self.assertLess(len(packed), len(original) / 4)
 
-    def test_what_is_cut_or_changed_is_refused(self) -> None:
+    def test_truncated_or_changed_bytes_are_rejected(self) -> None:
         packed = pack_document(document(9))
-        for bad in (packed[:-1], packed[:3], b"", b"x" + packed):
-            with self.subTest(bad=bad), self.assertRaises(CodecError):
-                unpack_document(bad)
+        for damaged in (packed[:-1], packed[:3], b"", b"x" + packed):
+            with self.subTest(damaged=damaged), self.assertRaises(CodecError):
+                unpack_document(damaged)
 
 
 class FakeLink:
@@ -64,7 +66,7 @@
         self.random = Random(1)
         self.links: dict[str, FakeLink] = {}
         self.dead: set[str] = set()
-        self.follower: FeedClient | None = None
+        self.client: FeedClient | None = None
 
     def dial(self, address: str, user: str) -> None:
         if address not in self.dead:
@@ -72,16 +74,16 @@
 
     def release(self, address: str, user: str) -> None:
         link = self.links.pop(address, None)
-        if link is not None and self.follower is not None:
+        if link is not None and self.client is not None:
             link.open = False
-            self.follower.closed(link)  # type: ignore[arg-type]
+            self.client.closed(link)  # type: ignore[arg-type]
 
     def link_to(self, address: str) -> FakeLink | None:
         return self.links.get(address)
 
 
 class Listener:
-    """What a node hears."""
+    """Records what the feed brings."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -97,22 +99,32 @@
         """Not of interest here."""
 
 
-class FollowerTest(unittest.TestCase):
-    """A node that follows."""
+class FeedClientTest(unittest.TestCase):
+    """A node that is subscribed to the feed."""
 
     def setUp(self) -> None:
         self.clock = Clock()
         self.hub = FakeHub()
         self.listener = Listener()
         self.addresses = ["a:1", "b:1", "c:1"]
-        self.follower = FeedClient(self.clock, self.hub, self.listener, lambda: self.addresses, True)  # type: ignore[arg-type]
-        self.hub.follower = self.follower
-        self.follower.start()
+        self.client = self.new_client()
+        self.client.start()
+
+    def new_client(self) -> FeedClient:
+        client = FeedClient(
+            self.clock,
+            self.hub,  # type: ignore[arg-type]
+            self.listener,
+            lambda: self.addresses,
+            wants_catalogue=True,
+        )
+        self.hub.client = client
+        return client
 
-    def asked(self) -> FakeLink | None:
-        """The link on which the follower has subscribed last."""
+    def subscribed_link(self) -> FakeLink | None:
+        """The link on which the client has subscribed last."""
         self.clock.pump([0.05] * 4)
-        link = self.hub.links.get(self.follower.owner_address)
+        link = self.hub.links.get(self.client.owner_address)
         return link if link is not None and link.sent else None
 
     def update(
@@ -122,109 +134,107 @@
         epoch: int = 1,
         generation: int = 0,
         link: FakeLink | None = None,
-        whole: bool = True,
+        with_document: bool = True,
     ) -> None:
-        found = link or self.asked()
+        found = link or self.subscribed_link()
         placement = GROUPS if generation else None
-        self.follower.updated(
+        packed = pack_document(document(version)) if with_document else None
+        self.client.updated(
             found,  # type: ignore[arg-type]
-            FeedUpdate(
-                epoch, version, pack_document(document(version)) if whole else None, generation, placement, 3
-            ),
+            FeedUpdate(epoch, version, packed, generation, placement, 3),
         )
 
-    def test_it_goes_where_it_is_sent(self) -> None:
+    def test_it_follows_the_hint_of_a_refusal(self) -> None:
         for _ in range(20):
-            link = self.asked()
+            link = self.subscribed_link()
             assert link is not None
             if link.address == "c:1":
                 break
-            self.follower.refused(link, FeedRefused("c:1", ()))  # type: ignore[arg-type]
-        self.assertEqual(self.follower.owner_address, "c:1")
+            self.client.refused(link, FeedRefused("c:1", ()))  # type: ignore[arg-type]
+        self.assertEqual(self.client.owner_address, "c:1")
         self.assertIsInstance(link.sent[-1], FeedSubscribe)
 
-    def test_without_a_hint_it_tries_all_that_it_knows(self) -> None:
+    def test_without_a_hint_it_tries_all_known_nodes(self) -> None:
         tried = set()
         members = (MemberAddress("d/1", "d", "d:1", "z"),)
         for _ in range(60):
-            link = self.asked()
+            link = self.subscribed_link()
             if link is not None:
                 tried.add(link.address)
-                self.follower.refused(link, FeedRefused("", members))  # type: ignore[arg-type]
+                self.client.refused(link, FeedRefused("", members))  # type: ignore[arg-type]
         self.assertEqual(tried, {"a:1", "b:1", "c:1", "d:1"})
 
-    def test_one_refusal_costs_little_time(self) -> None:
-        """While all elect an owner: whoever was asked too early is not waited for."""
-        link = self.asked()
+    def test_a_refusal_costs_little_time(self) -> None:
+        """While an owner is being elected, a candidate that was asked too early is not waited for."""
+        link = self.subscribed_link()
         refusals = 0
         until = self.clock.seconds() + 0.3
         while self.clock.seconds() < until:
             if link is not None and link.open and link.sent:
                 link.sent.clear()
-                self.follower.refused(link, FeedRefused("", ()))  # type: ignore[arg-type]
+                self.client.refused(link, FeedRefused("", ()))  # type: ignore[arg-type]
                 refusals += 1
             self.clock.advance(0.01)
-            link = self.hub.links.get(self.follower.owner_address)
+            link = self.hub.links.get(self.client.owner_address)
         self.assertGreaterEqual(refusals, 6)
         self.assertLessEqual(refusals, 12)
 
-    def test_after_silence_it_looks_on_and_asks_from_its_offsets(self) -> None:
+    def test_after_the_owner_timeout_it_searches_and_subscribes_from_its_offsets(self) -> None:
         self.update(5, generation=2)
-        first = self.follower.owner_address
-        self.assertIsNotNone(self.follower.owner_link())
-        self.clock.pump([0.1] * int(SILENCE_S * 10 + 3))
-        self.assertIsNone(self.follower.owner_link())
-        self.assertNotEqual(self.follower.owner_address, first)
-        link = self.asked()
+        first = self.client.owner_address
+        self.assertIsNotNone(self.client.owner_link())
+        self.clock.pump([0.1] * int(OWNER_TIMEOUT_S * 10 + 3))
+        self.assertIsNone(self.client.owner_link())
+        self.assertNotEqual(self.client.owner_address, first)
+        link = self.subscribed_link()
         subscription = link.sent[0] if link else None
         self.assertEqual((subscription.configuration_version, subscription.placement_generation), (5, 2))
 
-    def test_heartbeats_keep_it(self) -> None:
+    def test_heartbeats_keep_the_owner(self) -> None:
         self.update(5)
-        first = self.follower.owner_address
-        link = self.asked()
+        first = self.client.owner_address
+        link = self.subscribed_link()
         for _ in range(20):
             self.clock.pump([0.1] * 4)
-            self.update(5, whole=False, link=link)
-        self.assertEqual(self.follower.owner_address, first)
+            self.update(5, with_document=False, link=link)
+        self.assertEqual(self.client.owner_address, first)
 
-    def test_a_dead_candidate_is_left(self) -> None:
+    def test_a_dead_candidate_is_abandoned(self) -> None:
         self.hub.dead = {"a:1", "b:1"}
         for _ in range(40):
             self.clock.pump([0.1] * 10)
-            if self.follower.owner_address == "c:1":
+            if self.client.owner_address == "c:1":
                 break
-        self.assertEqual(self.follower.owner_address, "c:1")
+        self.assertEqual(self.client.owner_address, "c:1")
 
-    def test_one_life_never_goes_back(self) -> None:
-        link = self.asked()
+    def test_offsets_never_go_back_in_one_process(self) -> None:
+        link = self.subscribed_link()
         self.update(5, epoch=2, link=link)
         self.update(9, epoch=3, generation=4, link=link)
         self.update(7, epoch=3, generation=3, link=link)
-        self.update(11, epoch=2, link=link)  # of an owner that isn't any more
-        self.update(12, epoch=9, link=FakeLink("elsewhere"))  # of a link that isn't followed any more
+        self.update(11, epoch=2, link=link)  # of an earlier owner
+        self.update(12, epoch=9, link=FakeLink("elsewhere"))  # on a link without a subscription
         self.assertEqual((self.listener.versions, self.listener.generations), ([5, 9], [4]))
 
-    def test_what_a_cache_gave_is_not_taken_back_by_an_older_offset(self) -> None:
-        self.follower.stop()
+    def test_offsets_restored_from_a_cache_never_go_back(self) -> None:
+        self.client.stop()
         self.hub = FakeHub()
-        self.follower = FeedClient(self.clock, self.hub, self.listener, lambda: self.addresses, True)  # type: ignore[arg-type]
-        self.hub.follower = self.follower
-        self.follower.restore(FeedUpdate(0, 9, pack_document(document(9)), 4, GROUPS, 3))
-        self.follower.start()
-        link = self.asked()
+        self.client = self.new_client()
+        self.client.restore(FeedUpdate(0, 9, pack_document(document(9)), 4, GROUPS, 3))
+        self.client.start()
+        link = self.subscribed_link()
         assert link is not None
         self.assertEqual(link.sent[0], FeedSubscribe(9, 4, True))
         self.update(7, epoch=5, generation=3, link=link)
-        self.follower.closed(link)  # type: ignore[arg-type]
+        self.client.closed(link)  # type: ignore[arg-type]
         self.hub.links.clear()
-        self.update(5, epoch=6, generation=2, link=self.asked())
-        self.update(11, epoch=6, generation=5, link=self.asked())
+        self.update(5, epoch=6, generation=2, link=self.subscribed_link())
+        self.update(11, epoch=6, generation=5, link=self.subscribed_link())
         self.assertEqual((self.listener.versions, self.listener.generations), ([9, 11], [4, 5]))
 
 
-class ServerTest(unittest.TestCase):
-    """The owner's side."""
+class FeedServerTest(unittest.TestCase):
+    """The owner's end of the feed."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -233,7 +243,7 @@
         self.server = FeedServer(self.clock, self.state, lambda: self.lease)
         self.server.begin(7)
 
-    def accept(self, version: int) -> None:
+    def commit(self, version: int) -> None:
         self.state.apply(
             1, COMMANDS.encode(ReplaceDocument(self.state.version, bytes([version]), document(version)))
         )
@@ -245,22 +255,23 @@
         return link
 
     def test_a_snapshot_then_changes_then_heartbeats(self) -> None:
-        self.accept(3)
+        self.commit(3)
         link = self.subscribe(0)
-        self.accept(5)
-        self.clock.advance(HEARTBEAT_S)
+        self.commit(5)
+        self.clock.advance(HEARTBEAT_INTERVAL_S)
         sent = [(update.configuration_version, update.configuration is not None) for update in link.sent]
         self.assertEqual(sent, [(3, True), (5, True), (5, False)])
         self.assertEqual({update.epoch for update in link.sent}, {7})
 
-    def test_from_its_offset_a_follower_gets_only_what_it_lacks(self) -> None:
-        self.accept(3)
+    def test_a_subscriber_gets_only_what_is_newer_than_its_offsets(self) -> None:
+        self.commit(3)
         self.state.apply(1, COMMANDS.encode(SetPlacement(0, GROUPS)))
         link = self.subscribe(3, 0)
         self.assertEqual((link.sent[0].configuration, link.sent[0].placement), (None, GROUPS))
 
-    def test_the_catalogue_goes_to_those_that_want_it_and_once(self) -> None:
-        wants, does_not = self.subscribe(0, catalogue=True), self.subscribe(0)
+    def test_the_catalogue_is_sent_once_to_subscribers_that_want_it(self) -> None:
+        with_catalogue = self.subscribe(0, catalogue=True)
+        without_catalogue = self.subscribe(0)
         for serial in (1, 1, 2):
             self.server.publish_catalogue(CatalogueUpdate(7, serial, 10, ()))
         late = self.subscribe(0, catalogue=True)
@@ -269,22 +280,22 @@
             updates = [record for record in link.sent if isinstance(record, CatalogueUpdate)]
             return [(update.serial, update.entries is not None) for update in updates]
 
-        self.assertEqual(catalogues(wants), [(1, True), (1, False), (2, True)])
-        self.assertEqual((catalogues(does_not), catalogues(late)), ([], [(2, True)]))
+        self.assertEqual(catalogues(with_catalogue), [(1, True), (1, False), (2, True)])
+        self.assertEqual((catalogues(without_catalogue), catalogues(late)), ([], [(2, True)]))
 
-    def test_when_ownership_is_lost_followers_are_sent_on(self) -> None:
+    def test_subscribers_are_redirected_when_ownership_is_lost(self) -> None:
         link = self.subscribe(0)
         self.server.end(FeedRefused("b:1", ()))
         self.assertEqual(link.sent[-1], FeedRefused("b:1", ()))
         before = len(link.sent)
-        self.clock.advance(HEARTBEAT_S * 3)
+        self.clock.advance(HEARTBEAT_INTERVAL_S * 3)
         self.assertEqual(len(link.sent), before)
 
-    def test_a_dropped_link_gets_nothing(self) -> None:
+    def test_nothing_is_sent_on_a_closed_link(self) -> None:
         link = self.subscribe(0)
         self.server.dropped(link)  # type: ignore[arg-type]
         before = len(link.sent)
-        self.accept(3)
+        self.commit(3)
         self.assertEqual(len(link.sent), before)
 
 
--- a/tests/system/test_feed_search.py
+++ b/tests/system/configuration/test_feed_owner_search.py
@@ -1,7 +1,8 @@
-"""How followers of the feed leave an owner that is cut off and find its successor. Virtual time.
+"""How clients of the feed leave a partitioned owner and find its successor. Virtual time.
 
 Simulated nodes answer subscriptions as `ConfigurationMember` does: the owner with an update and heartbeats,
-others with a refusal that may name whom they take for the owner. Links to nodes that are cut off never open.
+others with a refusal that may name the node that they believe to be the owner. Links to partitioned nodes
+never open.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from twisted.internet.task import Clock
 
 from bitternpath.configuration.commands import COMMANDS, ReplaceDocument
-from bitternpath.configuration.feed_client import SILENCE_S, FeedClient
+from bitternpath.configuration.feed_client import OWNER_TIMEOUT_S, FeedClient
 from bitternpath.configuration.feed_documents import pack_document
-from bitternpath.configuration.feed_server import HEARTBEAT_S, FeedServer
+from bitternpath.configuration.feed_server import HEARTBEAT_INTERVAL_S, FeedServer
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import MemberAddress
@@ -34,7 +35,7 @@
 
 
 class Link:
-    """A link that the follower dialled."""
+    """A link that the client dialled."""
 
     def __init__(self, network: Network, address: str) -> None:
         self.network, self.address = network, address
@@ -49,24 +50,24 @@
 
 @dataclass
 class Member:
-    """A member of the configuration group, as it appears to followers."""
+    """A member of the configuration group, as it appears to clients."""
 
-    epoch: int = 0  # above 0: it takes itself for the owner
+    epoch: int = 0  # above 0: it believes that it is the owner
     version: int = 0
-    names: str = ""  # whom it takes for the owner, if not itself
-    silent: bool = False  # cut off, or frozen
+    hint: str = ""  # the node that it believes to be the owner, if not itself
+    silent: bool = False  # partitioned, or frozen
 
 
 @dataclass
 class Network:
-    """Implements what the follower wants of its hub."""
+    """Implements what the client needs of its hub."""
 
     clock: Clock
     members: dict[str, Member]
     random: Random = field(default_factory=lambda: Random(5))
     links: dict[str, Link] = field(default_factory=dict)
     subscriptions: list[tuple[float, str]] = field(default_factory=list)
-    follower: Any = None
+    client: Any = None
 
     def later(self, call: Any, *arguments: Any) -> None:
         self.clock.callLater(ROUND_TRIP_S, call, *arguments)
@@ -80,7 +81,7 @@
         link = self.links.pop(address, None)
         if link is not None and link.open:
             link.open = False
-            self.follower.closed(link)
+            self.client.closed(link)
 
     def link_to(self, address: str) -> Link | None:
         link = self.links.get(address)
@@ -95,23 +96,23 @@
             link.open = True
 
     def answer(self, link: Link) -> None:
-        """What a member says to a subscription, and its heartbeats."""
+        """Respond to a subscription as that member would, and go on with heartbeats."""
         member = self.members[link.address]
         if not link.open:
             return
         if member.silent:
-            self.clock.callLater(HEARTBEAT_S, self.answer, link)
+            self.clock.callLater(HEARTBEAT_INTERVAL_S, self.answer, link)
         elif member.epoch:
             content = pack_document(document(member.version))
-            self.follower.updated(link, FeedUpdate(member.epoch, member.version, content, 0, None, 3))
-            self.clock.callLater(HEARTBEAT_S, self.answer, link)
+            self.client.updated(link, FeedUpdate(member.epoch, member.version, content, 0, None, 3))
+            self.clock.callLater(HEARTBEAT_INTERVAL_S, self.answer, link)
         else:
             addresses = tuple(MemberAddress(each, each, each, "z") for each in self.members)
-            self.follower.refused(link, FeedRefused(member.names, addresses))
+            self.client.refused(link, FeedRefused(member.hint, addresses))
 
 
 class Listener:
-    """What the node has in force."""
+    """Records the versions that came into force."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -127,21 +128,21 @@
 
 
 class SearchTest(unittest.TestCase):
-    """A follower among members that are gone, frozen or wrong."""
+    """A client among members that are down, frozen or wrong."""
 
     def begin(self, members: dict[str, Member], seed: int = 5) -> None:
         self.clock = Clock()
         self.listener = Listener()
         self.network = Network(self.clock, members, Random(seed))
-        self.follower = FeedClient(
+        self.client = FeedClient(
             self.clock,
             self.network,  # type: ignore[arg-type]
             self.listener,
             lambda: list(members),
-            False,
+            wants_catalogue=False,
         )
-        self.network.follower = self.follower
-        self.follower.start()
+        self.network.client = self.client
+        self.client.start()
 
     def run_until_version(self, version: int, seconds: float) -> float:
         """Seconds until a version is in force here, or infinity."""
@@ -155,76 +156,76 @@
     def run_for(self, seconds: float) -> None:
         self.clock.pump([STEP_S] * round(seconds / STEP_S))
 
-    def test_a_frozen_owner_is_left_and_its_successor_found_in_time(self) -> None:
+    def test_a_frozen_owner_is_abandoned_and_its_successor_found_in_time(self) -> None:
         for seed in range(20):
             with self.subTest(seed):
-                members = {name: Member(names="a:1") for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
+                members = {name: Member(hint="a:1") for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
                 members["a:1"] = Member(1, 5)
                 self.begin(members, seed)
                 self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
                 members["a:1"].silent = members["b:1"].silent = True
                 self.run_for(1.2)
                 members["c:1"] = Member(2, 7)
-                members["d:1"].names = members["e:1"].names = "c:1"
+                members["d:1"].hint = members["e:1"].hint = "c:1"
                 self.assertLess(self.run_until_version(7, 5.0), BOUND_S - 1.2)
 
-    def test_one_that_was_cut_off_with_a_minority_is_at_the_newest_version_in_time_after_the_join(
+    def test_after_a_partition_with_a_minority_the_newest_version_is_in_force_in_time(
         self,
     ) -> None:
         for seed in range(20):
             with self.subTest(seed):
-                members = {name: Member(names="a:1") for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
+                members = {name: Member(hint="a:1") for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
                 members["a:1"] = Member(1, 5)
                 self.begin(members, seed)
                 self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
-                members["a:1"].epoch, members["a:1"].names = 0, ""  # it has heard no majority
+                members["a:1"].epoch, members["a:1"].hint = 0, ""  # it has heard from no majority
                 for name in ("c:1", "d:1", "e:1"):
-                    members[name] = Member(names="e:1", silent=True)
+                    members[name] = Member(hint="e:1", silent=True)
                 members["e:1"] = Member(2, 9, silent=True)
                 self.run_for(20.0)
-                self.assertIsNone(self.follower.owner_link())
+                self.assertIsNone(self.client.owner_link())
                 for member in members.values():
                     member.silent = False
                 self.assertLess(self.run_until_version(9, 5.0), BOUND_S)
                 self.assertEqual(self.listener.versions, [5, 9])
 
-    def test_members_that_name_one_another_are_not_asked_in_a_loop(self) -> None:
-        members = {"a:1": Member(names="b:1"), "b:1": Member(names="c:1"), "c:1": Member(names="a:1")}
+    def test_members_that_hint_at_one_another_are_not_asked_in_a_loop(self) -> None:
+        members = {"a:1": Member(hint="b:1"), "b:1": Member(hint="c:1"), "c:1": Member(hint="a:1")}
         self.begin(members)
         self.run_for(10.0)
         self.assertLess(len(self.network.subscriptions), 10.0 / 0.1)
         self.assertEqual({address for _, address in self.network.subscriptions}, set(members))
 
-    def test_an_owner_that_was_silent_for_a_moment_is_kept(self) -> None:
-        members = {"a:1": Member(1, 5), "b:1": Member(names="a:1", silent=True)}
+    def test_an_owner_that_was_briefly_silent_is_kept(self) -> None:
+        members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1", silent=True)}
         self.begin(members)
         self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
         members["a:1"].silent = True
-        self.run_for(SILENCE_S + 0.3)
-        self.assertIsNone(self.follower.owner_link())
+        self.run_for(OWNER_TIMEOUT_S + 0.3)
+        self.assertIsNone(self.client.owner_link())
         members["a:1"].silent = False
         members["a:1"].version = 7
         self.assertLess(self.run_until_version(7, 5.0), BOUND_S)
-        self.assertEqual(self.follower.owner_address, "a:1")
+        self.assertEqual(self.client.owner_address, "a:1")
         self.run_for(1.0)
         self.assertEqual(set(self.network.links), {"a:1"})  # nobody else is dialled any more
         self.assertEqual(sum(address == "a:1" for _, address in self.network.subscriptions), 1)
 
     def test_an_owner_of_an_older_epoch_is_never_followed_again(self) -> None:
-        members = {"a:1": Member(1, 5), "b:1": Member(names="a:1")}
+        members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1")}
         self.begin(members)
         self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
         members["a:1"].silent = True
         members["b:1"] = Member(4, 7)
         self.assertLess(self.run_until_version(7, 5.0), BOUND_S)
         members["b:1"].silent = True
-        members["a:1"] = Member(1, 11)  # thawed, and not aware of anything
+        members["a:1"] = Member(1, 11)  # thawed, unaware of its successor
         self.run_for(20.0)
         self.assertEqual(self.listener.versions, [5, 7])
-        self.assertIsNone(self.follower.owner_link())
+        self.assertIsNone(self.client.owner_link())
 
 
-class Untaught(FeedClient):
+class ClientWithoutEpochs(FeedClient):
     """Broken build: epochs aren't compared."""
 
     def updated(self, link: Any, update: FeedUpdate) -> None:
@@ -233,17 +234,17 @@
 
 
 class BrokenFeedTest(unittest.TestCase):
-    """What the checks above are for."""
+    """Shows that the checks above find a broken build."""
 
-    def test_broken_feed_that_takes_an_older_epoch(self) -> None:
-        for build, versions in ((FeedClient, [5, 7]), (Untaught, [5, 7, 11])):
+    def test_broken_client_that_accepts_an_older_epoch(self) -> None:
+        for build, versions in ((FeedClient, [5, 7]), (ClientWithoutEpochs, [5, 7, 11])):
             with self.subTest(build.__name__):
                 clock, listener = Clock(), Listener()
-                members = {"a:1": Member(1, 5), "b:1": Member(names="a:1")}
+                members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1")}
                 network, candidates = Network(clock, members), lambda: ["a:1", "b:1"]
-                follower = build(clock, network, listener, candidates, False)  # type: ignore[arg-type]
-                network.follower = follower
-                follower.start()
+                client = build(clock, network, listener, candidates, wants_catalogue=False)  # type: ignore[arg-type]
+                network.client = client
+                client.start()
                 clock.pump([STEP_S] * 300)
                 members["a:1"].silent = True
                 members["b:1"] = Member(4, 7)
@@ -255,7 +256,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """An owner that hears no majority says nothing."""
+    """An owner without a lease sends nothing."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -277,7 +278,7 @@
 
         self.server.subscribe(Subscriber(), FeedSubscribe(0, 0, True))  # type: ignore[arg-type]
 
-    def test_no_heartbeat_no_catalogue_and_no_answer_without_a_lease(self) -> None:
+    def test_no_heartbeat_no_catalogue_and_no_response_without_a_lease(self) -> None:
         self.subscribe()
         before = len(self.sent)
         self.assertEqual(before, 1)
@@ -292,7 +293,7 @@
         self.assertEqual(sum(update.configuration is not None for update in updates), 1)  # the late one's
         self.assertGreaterEqual(len(updates), 2)
 
-    def test_updates_carry_the_epoch_of_this_ownership(self) -> None:
+    def test_updates_carry_the_epoch_of_the_ownership(self) -> None:
         self.subscribe()
         self.assertEqual({record.epoch for record in self.sent if isinstance(record, FeedUpdate)}, {7})
 
--- a/tests/system/test_order_bodies.py
+++ b/tests/system/configuration/test_invalid_changes.py
@@ -1,7 +1,7 @@
-"""Bodies that must be refused with 4xx, and that never hold up or break what comes after them.
+"""Bodies that must be rejected with 4xx, and that never block or break the requests after them.
 
-The kinds of invalid configurations that operators send, and bodies that once ended in an exception: the
-owner then decided no order any more, or the replica group of all members stopped.
+The kinds of invalid configurations that operators send, and bodies that once raised an exception: the owner
+then processed no change any more, or the replica group of all members stopped.
 """
 
 from __future__ import annotations
@@ -10,15 +10,17 @@
 import unittest
 from collections.abc import Callable
 from typing import Any
+from unittest.mock import patch
 
 from twisted.internet.defer import Deferred, succeed
 
+from bitternpath.configuration import change_evaluation
 from bitternpath.configuration.change_requests import ChangeRequest
 from bitternpath.configuration.changes import ChangeProcessor
-from bitternpath.configuration.json_documents import MOST_NESTED
+from bitternpath.configuration.json_documents import MAX_NESTING_LEVELS, decode_document
 from bitternpath.configuration.results import OperatorResult
 from bitternpath.configuration.state_machine import ConfigurationState
-from bitternpath.configuration.validation import LARGEST_VERSION
+from bitternpath.configuration.validation import MAX_VERSION
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.feed_messages import FeedUpdate
 
@@ -55,12 +57,13 @@
         return succeed(None)
 
 
-WHOLE = encoded(document(5))
+COMPLETE = encoded(document(5))
+NESTED = b"[" * MAX_NESTING_LEVELS + b"]" * MAX_NESTING_LEVELS
 SECOND = route(name="r2", path_prefix="/b/")
 
 INVALID_PUTS: dict[str, tuple[str, bytes]] = {
-    "cut_short": ("3", WHOLE[: len(WHOLE) // 2]),
-    "cut_short by one byte": ("3", WHOLE[:-1]),
+    "cut_short": ("3", COMPLETE[: len(COMPLETE) // 2]),
+    "cut_short by one byte": ("3", COMPLETE[:-1]),
     "empty": ("3", b""),
     "unknown_service": ("3", encoded(document(5, routes=[route(service="none")]))),
     "same_place": ("3", encoded(document(5, routes=[route(), route(name="r2")]))),
@@ -71,21 +74,21 @@
     "no_timeout: below 1 ms": ("3", encoded(document(5, routes=[route(timeout_ms=0.4)]))),
     "old_version": ("3", encoded(document(2))),
     "same_version": ("3", encoded(document(3, limits={"max_body_bytes": 7}))),
-    "stale_match": ("1", WHOLE),
-    "stale_match: ahead": ("4", WHOLE),
-    "match is no number": ("3x", WHOLE),
-    "match is negative": ("-3", WHOLE),
-    "match is very long": ("3" * 5000, WHOLE),
-    "a time-out beyond floats": ("3", WHOLE.replace(b"1000", b"1e999")),
-    "a time-out that is no number": ("3", WHOLE.replace(b"1000", b"NaN")),
-    "a time-out that is endless": ("3", WHOLE.replace(b"1000", b"Infinity")),
-    "a time-out beyond 64 bits": ("3", WHOLE.replace(b"1000", b"9" * 30)),
-    "a number of 5,000 digits": ("3", WHOLE.replace(b"1000", b"9" * 5000)),
-    "a version beyond 64 bits": ("3", encoded(document(LARGEST_VERSION + 1))),
+    "stale_match": ("1", COMPLETE),
+    "stale_match: ahead": ("4", COMPLETE),
+    "match is no number": ("3x", COMPLETE),
+    "match is negative": ("-3", COMPLETE),
+    "match is very long": ("3" * 5000, COMPLETE),
+    "a time-out beyond floats": ("3", COMPLETE.replace(b"1000", b"1e999")),
+    "a time-out that is no number": ("3", COMPLETE.replace(b"1000", b"NaN")),
+    "a time-out that is endless": ("3", COMPLETE.replace(b"1000", b"Infinity")),
+    "a time-out beyond 64 bits": ("3", COMPLETE.replace(b"1000", b"9" * 30)),
+    "a number of 5,000 digits": ("3", COMPLETE.replace(b"1000", b"9" * 5000)),
+    "a version beyond 64 bits": ("3", encoded(document(MAX_VERSION + 1))),
     "lists without end": ("3", b"[" * 100_000),
-    "nested too deep": ("3", b'{"version":5,"x":' + b"[" * MOST_NESTED + b"]" * MOST_NESTED + b"}"),
+    "nested too deep": ("3", b'{"version":5,"x":%b}' % NESTED),
     "objects without end": ("3", b'{"version":5,"x":' + b'{"a":' * 50_000),
-    "no UTF-8": ("3", b"\xff" + WHOLE),
+    "no UTF-8": ("3", b"\xff" + COMPLETE),
 }  # fmt: skip
 
 INVALID_PATCHES: dict[str, tuple[str, bytes]] = {
@@ -105,8 +108,8 @@
 }  # fmt: skip
 
 
-class BodyTest(unittest.TestCase):
-    """Each invalid order gets 4xx, changes nothing, and the next proper one is accepted."""
+class InvalidChangeTest(unittest.TestCase):
+    """Each invalid change gets 4xx, has no effect, and the next valid one is accepted."""
 
     def setUp(self) -> None:
         self.state = ConfigurationState()
@@ -125,17 +128,17 @@
                 before = self.state.snapshot()
                 self.assertIn(self.send(method, base, body), (400, 412))
                 self.assertEqual(self.state.snapshot(), before)
-                self.assertEqual(self.send("PUT", "3", WHOLE), 200)
+                self.assertEqual(self.send("PUT", "3", COMPLETE), 200)
 
-    def test_whole_configurations(self) -> None:
+    def test_invalid_configurations(self) -> None:
         self.check("PUT", INVALID_PUTS)
 
-    def test_patches(self) -> None:
+    def test_invalid_patches(self) -> None:
         self.check("PATCH", INVALID_PATCHES)
 
-    def test_what_is_accepted_fits_records_and_snapshots(self) -> None:
+    def test_accepted_documents_fit_records_and_snapshots(self) -> None:
         cases: tuple[tuple[str, Callable[[], dict[str, Any]]], ...] = (
-            ("the largest version", lambda: document(LARGEST_VERSION)),
+            ("the largest version", lambda: document(MAX_VERSION)),
             ("unknown fields of any size", lambda: document(5, novel=[10**40, 1e300, "x" * 100])),
             ("unknown fields of a route", lambda: document(5, routes=[route(made_at=10**18)])),
         )
@@ -148,15 +151,15 @@
                 self.assertEqual(restored.version, self.state.version)
                 RecordCodec(FeedUpdate).encode(FeedUpdate(1, self.state.version, b"", 0, None, 1))
 
-    def test_a_check_that_fails_inside_holds_up_no_other_order(self) -> None:
-        class Faulty(ChangeProcessor):
-            def _document(self, order: ChangeRequest) -> dict[str, Any]:
-                if order.body == b"faulty":
-                    raise ZeroDivisionError
-                return super()._document(order)
+    def test_a_fault_in_the_evaluation_blocks_no_other_change(self) -> None:
+        def decode(body: bytes) -> dict[str, Any]:
+            if body == b"faulty":
+                raise ZeroDivisionError
+            return decode_document(body)
 
-        self.processor = Faulty(self.state, Group(self.state))
-        self.assertEqual((self.send("PUT", "3", b"faulty"), self.send("PUT", "3", WHOLE)), (400, 200))
+        with patch.object(change_evaluation, "decode_document", decode):
+            statuses = [self.send("PUT", "3", body) for body in (b"faulty", COMPLETE)]
+        self.assertEqual(statuses, [400, 200])
 
 
 if __name__ == "__main__":
--- a/tests/system/test_retirement.py
+++ b/tests/system/configuration/test_retirement.py
@@ -1,4 +1,4 @@
-"""Emptying storage nodes: who may go, when it is done, and what a new owner of the configuration answers."""
+"""Retirement of storage nodes: which may go, when it is done, and the results that a new owner gives."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 def placed_state(names: str) -> ConfigurationState:
-    """A state with a placement on these nodes, which are also in the roster."""
+    """A state with a placement on these nodes, which are also storage members."""
     state = ConfigurationState()
     state.apply(1, COMMANDS.encode(SetPlacement(0, initial_placement(nodes(names), 1))))
     state.apply(2, COMMANDS.encode(UpdateStorageMembers(ids(names), ())))
@@ -95,49 +95,49 @@
     return {member.node for member in group.members}
 
 
-class PresenceTest(unittest.TestCase):
-    """Who has been away."""
+class NodeLivenessTest(unittest.TestCase):
+    """How long nodes have been up or down."""
 
-    def test_it_counts_from_when_a_node_was_last_heard(self) -> None:
-        presence = NodeLiveness(10.0)
-        presence.update(11.0, {"a": 10.9})
-        presence.update(12.0, {"a": 11.0})  # its link is open still
-        presence.update(13.0, {"b": 13.0})
-        presence.update(14.0, {"b": 14.0})
-        self.assertEqual([presence.down_for(14.0, name) for name in "abc"], [3.0, 0.0, 4.0])
+    def test_down_time_counts_from_when_a_node_was_last_heard(self) -> None:
+        liveness = NodeLiveness(10.0)
+        liveness.update(11.0, {"a": 10.9})
+        liveness.update(12.0, {"a": 11.0})  # its link is open still
+        liveness.update(13.0, {"b": 13.0})
+        liveness.update(14.0, {"b": 14.0})
+        self.assertEqual([liveness.down_for(14.0, name) for name in "abc"], [3.0, 0.0, 4.0])
 
-    def test_after_a_pause_of_the_owner_all_count_as_heard(self) -> None:
-        presence = NodeLiveness(10.0)
-        presence.update(10.2, {"a": 10.2})
-        presence.update(13.0, {"a": 10.2})
-        self.assertEqual([presence.down_for(13.5, name) for name in "ab"], [0.0, 0.0])
+    def test_after_a_pause_of_the_owner_all_nodes_count_as_heard(self) -> None:
+        liveness = NodeLiveness(10.0)
+        liveness.update(10.2, {"a": 10.2})
+        liveness.update(13.0, {"a": 10.2})
+        self.assertEqual([liveness.down_for(13.5, name) for name in "ab"], [0.0, 0.0])
 
-    def test_who_has_just_come(self) -> None:
-        presence = NodeLiveness(10.0, known=["a"])
-        presence.update(10.5, {"a": 10.5, "b": 10.5})
-        presence.update(11.0, {"a": 11.0, "b": 11.0})
-        self.assertEqual([presence.up_for(12.0, name) for name in "abc"], [float("inf"), 1.5, 0.0])
+    def test_up_time_of_nodes_that_have_just_joined(self) -> None:
+        liveness = NodeLiveness(10.0, known=["a"])
+        liveness.update(10.5, {"a": 10.5, "b": 10.5})
+        liveness.update(11.0, {"a": 11.0, "b": 11.0})
+        self.assertEqual([liveness.up_for(12.0, name) for name in "abc"], [float("inf"), 1.5, 0.0])
 
 
 class DecisionTest(unittest.TestCase):
-    """Whether an order may be taken."""
+    """Whether a node may be retired."""
 
     CASES = (
-        # node, present, away for, expected
+        # node, present, down for, expected
         ("a node of four", "a", "abcd", {}, RetireCheck.ACCEPTABLE),
-        ("nobody has found the new owner yet", "a", "", {}, RetireCheck.ACCEPTABLE),
-        ("another is away for a moment", "a", "abd", {"c": 5.0}, RetireCheck.ACCEPTABLE),
-        ("another has gone for good", "a", "abd", {"c": 40.0}, RetireCheck.TOO_FEW_LEFT),
-        ("it has itself gone for good", "a", "bcd", {"a": 40.0}, RetireCheck.ACCEPTABLE),
-        ("of no system", "x", "abcd", {}, RetireCheck.UNKNOWN_NODE),
-        ("one that came just now", "e", "abcde", {}, RetireCheck.ACCEPTABLE),
+        ("no node has found the new owner yet", "a", "", {}, RetireCheck.ACCEPTABLE),
+        ("another is down for a moment", "a", "abd", {"c": 5.0}, RetireCheck.ACCEPTABLE),
+        ("another is down for good", "a", "abd", {"c": 40.0}, RetireCheck.TOO_FEW_LEFT),
+        ("it is itself down for good", "a", "bcd", {"a": 40.0}, RetireCheck.ACCEPTABLE),
+        ("unknown node", "x", "abcd", {}, RetireCheck.UNKNOWN_NODE),
+        ("a node that has just joined", "e", "abcde", {}, RetireCheck.ACCEPTABLE),
     )
 
     def test_decisions(self) -> None:
-        for label, node, present, away, expected in self.CASES:
+        for label, node, present, down, expected in self.CASES:
             with self.subTest(label):
                 decision = decide_retirement(
-                    placed_state("abcd"), node, nodes(present), lambda name, away=away: away.get(name, 0.0), 1
+                    placed_state("abcd"), node, nodes(present), lambda name, down=down: down.get(name, 0.0), 1
                 )  # type: ignore[misc]
                 self.assertIs(decision.check, expected)
                 self.assertEqual(decision.command is not None, expected is RetireCheck.ACCEPTABLE)
@@ -146,7 +146,7 @@
         decision = decide_retirement(placed_state("abc"), "a", nodes("abc"), lambda name: 0.0, 1)
         self.assertIs(decision.check, RetireCheck.TOO_FEW_LEFT)
 
-    def test_two_orders_at_once_are_judged_one_after_the_other(self) -> None:
+    def test_two_concurrent_retirements_are_applied_one_after_the_other(self) -> None:
         """Both were found acceptable before either was committed."""
         state = placed_state("abcd")
         self.assertTrue(retire(state, "a", "bcd"))
@@ -155,7 +155,7 @@
             [retirement_state(state, node) for node in "ab"], [RetireState.RUNNING, RetireState.UNKNOWN]
         )
 
-    def test_the_same_order_again(self) -> None:
+    def test_a_repeated_retirement(self) -> None:
         state = placed_state("abcd")
         retire(state, "a", "bcd")
         for present in ("abcd", "bcd", ""):
@@ -164,14 +164,14 @@
         self.assertTrue(retire(state, "a", ""))
 
 
-class EndTest(unittest.TestCase):
-    """When a node is empty."""
+class FinishTest(unittest.TestCase):
+    """When a retirement is done."""
 
     def setUp(self) -> None:
         self.state = placed_state("abcd")
         self.reports = MembershipReports()
 
-    def test_every_owner_must_have_said_so(self) -> None:
+    def test_the_owners_of_all_shards_must_have_reported(self) -> None:
         retire(self.state, "d", "abc")
         moved = move_away(self.state, "d", "abcd")
         for group in moved[:-1]:
@@ -180,22 +180,22 @@
         self.reports.update(replace(report(moved[-1]), members=("a/x", "b/x", "d/x")))
         self.assertIsNone(next_finished_retirement(self.state, self.reports))
         self.reports.update(replace(report(moved[-1], epoch=3), members=("a/x", "b/x", "c/x")))
-        self.reports.update(replace(report(moved[-1]), members=("a/x", "b/x", "d/x")))  # of an owner before
+        self.reports.update(replace(report(moved[-1]), members=("a/x", "b/x", "d/x")))  # of an earlier owner
         self.assertEqual(next_finished_retirement(self.state, self.reports), FinishRetirement("d", 2))
 
-    def test_a_report_by_an_older_placement_says_nothing(self) -> None:
+    def test_a_report_by_an_older_placement_is_ignored(self) -> None:
         """The shard had no replica there, then got one that its owner's last report doesn't show."""
-        place = next(n for n, each in enumerate(self.state.groups) if nodes_of(each) == set("abc"))
-        self.reports.update(report(self.state.groups[place]))
+        slot = next(number for number, each in enumerate(self.state.groups) if nodes_of(each) == set("abc"))
+        self.reports.update(report(self.state.groups[slot]))
         move_away(self.state, "a", "abcd")
-        self.assertIn("d", nodes_of(self.state.groups[place]))
+        self.assertIn("d", nodes_of(self.state.groups[slot]))
         retire(self.state, "d", "abc")
         moved = move_away(self.state, "d", "abc")
         for number, group in enumerate(moved):
-            if number != place:
+            if number != slot:
                 self.reports.update(report(group, epoch=9))
         self.assertIsNone(next_finished_retirement(self.state, self.reports))
-        self.reports.update(report(moved[place]))
+        self.reports.update(report(moved[slot]))
         self.assertIsNotNone(next_finished_retirement(self.state, self.reports))
 
     def finish(self) -> None:
@@ -222,7 +222,7 @@
                 decide_retirement(state, "d", nodes("abc"), lambda name: 0.0, 1).check, RetireCheck.REPEATED
             )
 
-    def test_an_end_that_met_another_placement_has_no_effect(self) -> None:
+    def test_finishing_has_no_effect_after_another_placement(self) -> None:
         retire(self.state, "d", "abc")
         for group in move_away(self.state, "d", "abcd"):
             self.reports.update(report(group))
@@ -232,7 +232,7 @@
         self.assertFalse(self.state.apply(9, COMMANDS.encode(command)))
         self.assertIs(retirement_state(self.state, "d"), RetireState.RUNNING)
 
-    def test_another_machine_may_come_under_its_name(self) -> None:
+    def test_another_machine_may_join_under_the_same_name(self) -> None:
         self.finish()
         newcomer = ids("D")[0]
         self.assertFalse(self.state.storage.is_retired(newcomer))
@@ -242,8 +242,8 @@
         decision = decide_retirement(self.state, "d", nodes("abcD"), lambda name: 0.0, 1)
         self.assertIs(decision.check, RetireCheck.ACCEPTABLE)
 
-    def test_nothing_new_is_placed_on_a_node_that_is_being_emptied(self) -> None:
-        """A placement was reckoned before the order was committed, and came after it."""
+    def test_no_replica_is_added_to_a_retired_node(self) -> None:
+        """A placement was computed before the retirement was committed, and committed after it."""
         state = placed_state("abc")
         state.apply(3, COMMANDS.encode(UpdateStorageMembers(ids("de"), ())))
         moved = repaired_placement(state.groups, nodes("bcd"), frozenset("a"), 1)
@@ -254,7 +254,7 @@
 
 @dataclass(eq=False)
 class Link:
-    """A follower's link."""
+    """A subscriber's link."""
 
     peer: NodeDescriptor
     clock: Clock
@@ -269,7 +269,7 @@
 
 
 class Owner:
-    """What a configuration's owner needs to answer, with the group played."""
+    """The parts of a configuration's owner, with a simulated group."""
 
     def __init__(self, state: ConfigurationState) -> None:
         self.clock, self.state = Clock(), state
@@ -279,14 +279,14 @@
         group = cast(Any, self)
         self.placement = ShardPlacement(self.clock, group, state, self.nodes, 1)
         self.retirements = Retirements(group, state, self.nodes, 1)
-        self.take_over()
+        self.leadership_acquired()
 
-    def take_over(self) -> None:
+    def leadership_acquired(self) -> None:
         self.nodes.begin([node_of(member) for member in self.state.storage.members])
         self.placement.begin()
         self.retirements.begin()
 
-    def follow(self, names: str) -> None:
+    def subscribe(self, names: str) -> None:
         for node in nodes(names):
             self.feed.subscribe(cast(Any, Link(node, self.clock)), FeedSubscribe(0, 0, False))
 
@@ -312,128 +312,130 @@
         self.index += 1
         return succeed(self.state.apply(self.index, command))
 
-    def ask(self, node: str) -> OperatorResult:
-        return self._answer(self.retirements.order(node))
+    def retire(self, node: str) -> OperatorResult:
+        return self._result_of(self.retirements.order(node))
 
     def state_of(self, node: str) -> str:
-        body = json.loads(self._answer(self.retirements.state(node)).body)
+        body = json.loads(self._result_of(self.retirements.state(node)).body)
         return str(body.get("state", body.get("result")))
 
     @staticmethod
-    def _answer(deferred: Deferred[OperatorResult]) -> OperatorResult:
-        answers: list[OperatorResult] = []
-        deferred.addCallback(answers.append)
-        return answers[0]
+    def _result_of(deferred: Deferred[OperatorResult]) -> OperatorResult:
+        results: list[OperatorResult] = []
+        deferred.addCallback(results.append)
+        return results[0]
 
 
-class AnswersTest(unittest.TestCase):
-    """What the operator hears."""
+class ResultsTest(unittest.TestCase):
+    """The results that the operator gets."""
 
-    def test_in_the_first_second_after_a_take_over(self) -> None:
-        """No follower has found the new owner yet; found by reading: it said 404 and 409 to proper orders."""
+    def test_in_the_first_second_of_an_ownership(self) -> None:
+        """No subscriber has found the new owner yet. Found by reading: valid requests got 404 and 409."""
         for node, placed in (("d", "abc"), ("d", "abcd")):
             state = placed_state(placed)
             state.apply(3, COMMANDS.encode(UpdateStorageMembers(ids("abcd"), ())))
             owner = Owner(state)
             owner.reconcile()
-            self.assertIs(owner.ask(node).code, ResultCode.RETIRING)
+            self.assertIs(owner.retire(node).code, ResultCode.RETIRING)
             self.assertEqual(owner.state_of(node), "running")
 
-    def test_of_an_unknown_node_nothing_is_said_until_all_can_have_been_heard(self) -> None:
+    def test_an_unknown_node_is_404_only_once_all_nodes_can_have_subscribed(self) -> None:
         owner = Owner(placed_state("abcd"))
-        self.assertEqual(owner.ask("x").status, 503)
-        owner.follow("abcd")
+        self.assertEqual(owner.retire("x").status, 503)
+        owner.subscribe("abcd")
         owner.run(FOLLOWERS_KNOWN_AFTER_S + 0.25)
-        self.assertEqual(owner.ask("x").status, 404)
+        self.assertEqual(owner.retire("x").status, 404)
 
-    def test_too_few_is_said_at_once(self) -> None:
+    def test_too_few_nodes_is_409_at_once(self) -> None:
         owner = Owner(placed_state("abc"))
-        self.assertEqual(owner.ask("a").status, 409)
+        self.assertEqual(owner.retire("a").status, 409)
 
-    def test_a_node_joins_the_roster_when_it_first_follows(self) -> None:
+    def test_a_node_becomes_a_storage_member_when_it_first_subscribes(self) -> None:
         owner = Owner(placed_state("abcd"))
-        owner.follow("abcde")
+        owner.subscribe("abcde")
         owner.reconcile()
         self.assertIn(ids("e")[0], owner.state.storage.members)
-        self.assertIs(Owner(owner.state).ask("e").code, ResultCode.RETIRING)
+        self.assertIs(Owner(owner.state).retire("e").code, ResultCode.RETIRING)
 
-    def test_a_node_that_keeps_nothing_leaves_the_roster_after_long(self) -> None:
+    def test_a_node_without_replicas_that_is_down_for_long_is_removed(self) -> None:
         owner = Owner(placed_state("abcd"))
         owner.state.apply(3, COMMANDS.encode(UpdateStorageMembers(ids("e"), ())))
-        owner.follow("abcd")
+        owner.subscribe("abcd")
         owner.run(29.0)
         self.assertIn(ids("e")[0], owner.state.storage.members)
         owner.run(2.0)
         self.assertNotIn(ids("e")[0], owner.state.storage.members)
 
-    def test_whoever_is_not_owner_any_more_says_503(self) -> None:
+    def test_an_earlier_owner_gives_503(self) -> None:
         owner = Owner(placed_state("abcd"))
         owner.owns = False
         for name in ("a", "x"):
-            self.assertEqual(owner.ask(name).status, 503)
+            self.assertEqual(owner.retire(name).status, 503)
         self.assertEqual(owner.state_of("a"), "not_owner")
 
-    def test_an_order_without_a_clear_end_is_503_and_taken_when_it_comes_again(self) -> None:
+    def test_an_unknown_outcome_is_503_and_the_retry_is_acknowledged(self) -> None:
         owner = Owner(placed_state("abcd"))
         owner.commits = False
-        self.assertEqual(owner.ask("d").status, 503)
+        self.assertEqual(owner.retire("d").status, 503)
         owner.state.apply(50, COMMANDS.encode(RetireNode(ids("d")[0], ids("abc"), 3)))  # it was committed
         owner.commits = True
-        owner.take_over()
-        self.assertIs(owner.ask("d").code, ResultCode.RETIRING)
+        owner.leadership_acquired()
+        self.assertIs(owner.retire("d").code, ResultCode.RETIRING)
 
-    def test_it_is_done_over_take_overs_and_stays_so(self) -> None:
+    def test_a_retirement_is_finished_across_owners_and_stays_done(self) -> None:
         owner = Owner(placed_state("abcd"))
-        owner.follow("abcd")
+        owner.subscribe("abcd")
         owner.reconcile()
-        self.assertIs(owner.ask("d").code, ResultCode.RETIRING)
+        self.assertIs(owner.retire("d").code, ResultCode.RETIRING)
         owner.reconcile()
         groups = owner.state.groups
         self.assertFalse(any(member.node == "d" for group in groups for member in group.members))
         for group in groups[:2]:
             owner.retirements.reported(report(group))
-        owner.take_over()  # what was reported is forgotten
+        owner.leadership_acquired()  # reports are volatile
         for group in groups[2:]:
             owner.retirements.reported(report(group))
         self.assertEqual(owner.state_of("d"), "running")
         for group in groups:
             owner.retirements.reported(report(group))
         self.assertEqual(owner.state_of("d"), "done")
-        owner.take_over()
+        owner.leadership_acquired()
         self.assertEqual(owner.state_of("d"), "done")
-        self.assertIs(owner.ask("d").code, ResultCode.RETIRING)
-        owner.follow("d")  # its process goes on until the platform removes it
+        self.assertIs(owner.retire("d").code, ResultCode.RETIRING)
+        owner.subscribe("d")  # its process goes on until the platform removes it
         owner.run(1.0)
         self.assertEqual(owner.state_of("d"), "done")
         self.assertNotIn(ids("d")[0], owner.state.storage.members)
 
 
 class BrokenBuildTest(unittest.TestCase):
-    """Builds as they were, or might be, are found by the tests above."""
+    """Shows that the tests above find builds as they were, or might be."""
 
     def found(self, case: type[unittest.TestCase], name: str) -> bool:
         result = unittest.TestResult()
         case(name).run(result)
         return bool(result.failures) and not result.errors
 
-    def test_done_by_a_report_of_an_older_placement(self) -> None:
+    def test_broken_done_by_a_report_of_an_older_placement(self) -> None:
         def any_report(reports: Any, node: str, group: GroupPlacement) -> bool:
-            told = reports._reports.get(group.group)
-            return told is not None and node not in told.nodes
+            known = reports._reports.get(group.group)
+            return known is not None and node not in known.nodes
 
         with mock.patch.object(MembershipReports, "_is_without", any_report):
-            self.assertTrue(self.found(EndTest, "test_a_report_by_an_older_placement_says_nothing"))
+            self.assertTrue(self.found(FinishTest, "test_a_report_by_an_older_placement_is_ignored"))
 
-    def test_orders_judged_by_who_follows_now(self) -> None:
+    def test_broken_decided_by_the_nodes_subscribed_now(self) -> None:
         def present_only(_: object, present: list[NodeDescriptor]) -> dict[str, str]:
             return {node.name: member_id(node) for node in present}
 
         with mock.patch.object(retirement, "known_members", present_only):
-            self.assertTrue(self.found(AnswersTest, "test_in_the_first_second_after_a_take_over"))
+            self.assertTrue(self.found(ResultsTest, "test_in_the_first_second_of_an_ownership"))
 
-    def test_done_kept_by_the_owner_alone(self) -> None:
-        with mock.patch.object(StorageMembership, "finish", lambda *_: True):
-            self.assertTrue(self.found(AnswersTest, "test_it_is_done_over_take_overs_and_stays_so"))
+    def test_broken_done_is_volatile(self) -> None:
+        with mock.patch.object(StorageMembership, "finish_retirement", lambda *_: True):
+            self.assertTrue(
+                self.found(ResultsTest, "test_a_retirement_is_finished_across_owners_and_stays_done")
+            )
 
 
 if __name__ == "__main__":
