--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -13,7 +13,8 @@
 from bitternpath.storage.identity import quarantine_folders, read_identity
 from bitternpath.storage.journal import Journal, open_journal
 from bitternpath.storage.records import CorruptJournalError
-from bitternpath.transport.codec import CodecError, RecordCodec
+from bitternpath.transport.codec import RecordCodec
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.feed_messages import FeedUpdate
 
 CACHE = "feed"
--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -104,7 +104,7 @@
         except InvalidConfigurationError as error:
             return operator_result(ResultCode.INVALID, str(error))
         except Exception as error:  # a fault in the evaluation of one request must not block those after it
-            log.exception("event=change_evaluation_failed")
+            log.exception("event=order_not_checked")
             return operator_result(ResultCode.INVALID, f"can't be read: {type(error).__name__}")
 
     def _propose(self, change: PendingChange, proposed: ProposedChange) -> None:
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -24,7 +24,8 @@
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.hub import NodeHub
-from bitternpath.transport.links import ASK_SOON_AFTER_S, Link
+from bitternpath.transport.link_liveness import PING_SUBSCRIBED_S
+from bitternpath.transport.links import Link
 from bitternpath.transport.reactor import DelayedCall, ReactorTime
 
 log = logbook.Logger("feed")
@@ -180,7 +181,7 @@
             return False
         self._owner_link = link
         self._owner_address = address
-        link.ask_after_s = ASK_SOON_AFTER_S
+        link.ping_after_s = PING_SUBSCRIBED_S
         return True
 
     def _apply(self, update: FeedUpdate) -> None:
--- a/bitternpath/configuration/feed_documents.py
+++ b/bitternpath/configuration/feed_documents.py
@@ -7,7 +7,7 @@
 
 import zlib
 
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
 MAX_DOCUMENT_BYTES = 64 << 20  # of a decompressed document: bounds what a damaged update can allocate
 
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -83,7 +83,7 @@
     present: Sequence[NodeDescriptor],
     retired: Collection[str],
     down_for: Callable[[str], float],
-    up_for: Callable[[str], float] = lambda name: 0.0,
+    up_for: Callable[[str], float] = lambda _name: 0.0,
 ) -> frozenset[str]:
     """Names of nodes whose replicas must move: retired ones, and those that have been down too long.
 
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from bitternpath.membership.view import Datagram, MembershipView
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import ShuffleReply, ShuffleRequest
 
--- a/bitternpath/queue/snapshot.py
+++ b/bitternpath/queue/snapshot.py
@@ -18,7 +18,8 @@
     compact,
     elapsed_beyond,
 )
-from bitternpath.transport.codec import CodecError, RecordCodec
+from bitternpath.transport.codec import RecordCodec
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 
 _LENGTH = struct.Struct(">I")
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -16,7 +16,7 @@
 from bitternpath.replication.interfaces import GroupJournal, GroupListener, NotOwnerError, StateMachine
 from bitternpath.replication.records import Members, PersistentState, RaftTiming, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
 log = logbook.Logger("replication")
 
--- a/bitternpath/roles/founding.py
+++ b/bitternpath/roles/founding.py
@@ -27,7 +27,7 @@
 from bitternpath.roles.settings import Settings
 from bitternpath.storage.documents import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
     BootstrapDecisionStored,
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -21,7 +21,7 @@
 from bitternpath.storage.documents import HEADER_BYTES, CorruptDocumentError
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.hub import NodeHub
 from bitternpath.transport.links import LinkHandler
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -9,7 +9,8 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.transport.links import Link, LinkLost
+from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.links import Link
 from bitternpath.transport.shard_messages import Ownership
 
 
--- a/bitternpath/storage/records.py
+++ b/bitternpath/storage/records.py
@@ -19,7 +19,8 @@
 from enum import IntEnum
 
 from bitternpath.replication.records import Entry, Members
-from bitternpath.transport.codec import CodecError, RecordCodec
+from bitternpath.transport.codec import RecordCodec
+from bitternpath.transport.errors import CodecError
 
 MAGIC = b"\xb1WAL"
 _HEADER = struct.Struct("<4sIIIBB")
--- a/bitternpath/transport/__init__.py
+++ b/bitternpath/transport/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes of the system say to one another: typed records, their Avro encoding, and connections."""
+"""Records that nodes of the system send one another, their Avro encoding, and the links that carry them."""
--- a/bitternpath/transport/codec.py
+++ b/bitternpath/transport/codec.py
@@ -3,7 +3,8 @@
 A record is a dataclass or a `msgspec.Struct` whose fields are annotated with `int`, `float`, `bool`, `str`,
 `bytes`, another record, `T | None`, `tuple[T, ...]`, or an `IntEnum`. `RecordCodec` derives the Avro schema
 from the annotations (fastavro, schemaless binary encoding), so that the class is the one definition of a
-record. A schema is not sent along: all nodes of a system run the same revision.
+record. Schemas are neither sent nor stored: what is encoded depends on the order and the types of the
+fields, not on their names. Nodes of a system that run different revisions have to agree on both.
 """
 
 from __future__ import annotations
@@ -20,26 +21,13 @@
 import msgspec
 from fastavro import parse_schema, schemaless_reader, schemaless_writer
 
-_PRIMITIVES: dict[Any, str] = {int: "long", float: "double", bool: "boolean", str: "string", bytes: "bytes"}
-
-Converter = Callable[[Any], Any]
-
-
-class CodecError(ValueError):
-    """Bytes that are not an encoded record, or a class that cannot be one."""
-
-
-def _identity(value: Any) -> Any:
-    return value
+from bitternpath.transport.errors import CodecError
 
+MAX_RECORDS_IN_SET = 255  # the record's number takes one byte
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class _FieldType:
-    """Avro schema of a field's type, and the conversions between Python's values and Avro's."""
+_PRIMITIVES: dict[Any, str] = {int: "long", float: "double", bool: "boolean", str: "string", bytes: "bytes"}
 
-    schema: Any
-    to_avro: Converter
-    from_avro: Converter
+Converter = Callable[[Any], Any]  # between a field's Python value and its Avro value
 
 
 class RecordCodec:
@@ -50,11 +38,12 @@
     """
 
     def __init__(self, record: type) -> None:
+        """`record`: the class."""
         self.record = record
 
     @cached_property
     def schema(self) -> Any:
-        """The Avro schema, as fastavro wants it."""
+        """The Avro schema, as fastavro wants it; raises `CodecError` where the class can't be a record."""
         return parse_schema(_record_schema(self.record, {}))
 
     @cached_property
@@ -80,11 +69,12 @@
 
 
 class RecordSet:
-    """Several record classes, each told apart by the number of its place: one byte before the Avro bytes."""
+    """Several record classes, told apart by one byte before the Avro bytes: the class's index in the set."""
 
     def __init__(self, *records: type) -> None:
-        if len(records) > 255:
-            raise CodecError("at most 255 records in a set")
+        """`records`: the classes; their order is part of the encoding."""
+        if len(records) > MAX_RECORDS_IN_SET:
+            raise CodecError(f"at most {MAX_RECORDS_IN_SET} records in a set")
         self._codecs = [RecordCodec(record) for record in records]
         self._numbers = {record: number for number, record in enumerate(records)}
 
@@ -101,6 +91,7 @@
 
 
 def _fields_of(record: type) -> tuple[tuple[str, Any], ...]:
+    """Name and annotation of each field, in order."""
     hints = typing.get_type_hints(record)
     if dataclasses.is_dataclass(record):
         names = [field.name for field in dataclasses.fields(record)]
@@ -115,58 +106,86 @@
     return isinstance(kind, type) and (dataclasses.is_dataclass(kind) or issubclass(kind, msgspec.Struct))
 
 
-def _record_schema(record: type, named: dict[str, None]) -> Any:
-    if record.__name__ in named:
+def _is_enum(kind: Any) -> bool:
+    return isinstance(kind, type) and issubclass(kind, IntEnum)
+
+
+def _is_optional(kind: Any) -> bool:
+    is_union = typing.get_origin(kind) in (types.UnionType, typing.Union)
+    return is_union and len(typing.get_args(kind)) == 2
+
+
+def _is_array(kind: Any) -> bool:
+    arguments = typing.get_args(kind)
+    return typing.get_origin(kind) is tuple and len(arguments) == 2 and arguments[1] is Ellipsis
+
+
+def _optional_type(kind: Any) -> Any:
+    """`T` of `T | None`."""
+    return next(argument for argument in typing.get_args(kind) if argument is not type(None))
+
+
+def _record_schema(record: type, defined: dict[str, None]) -> Any:
+    """`defined` names the records that stand earlier in the same schema: Avro refers to them by name."""
+    if record.__name__ in defined:
         return record.__name__
-    named[record.__name__] = None
-    fields = [{"name": name, "type": _schema_of(kind, named)} for name, kind in _fields_of(record)]
+    defined[record.__name__] = None
+    fields = [{"name": name, "type": _schema_of(kind, defined)} for name, kind in _fields_of(record)]
     return {"type": "record", "name": record.__name__, "fields": fields}
 
 
-def _schema_of(kind: Any, named: dict[str, None]) -> Any:
+def _schema_of(kind: Any, defined: dict[str, None]) -> Any:
     if kind in _PRIMITIVES:
         return _PRIMITIVES[kind]
     if _is_record(kind):
-        return _record_schema(kind, named)
-    if isinstance(kind, type) and issubclass(kind, IntEnum):
+        return _record_schema(kind, defined)
+    if _is_enum(kind):
         return "int"
-    arguments = typing.get_args(kind)
-    if typing.get_origin(kind) is tuple and len(arguments) == 2 and arguments[1] is Ellipsis:
-        return {"type": "array", "items": _schema_of(arguments[0], named)}
-    if typing.get_origin(kind) in (types.UnionType, typing.Union) and len(arguments) == 2:
-        inner = next(argument for argument in arguments if argument is not type(None))
-        return ["null", _schema_of(inner, named)]
+    if _is_array(kind):
+        return {"type": "array", "items": _schema_of(typing.get_args(kind)[0], defined)}
+    if _is_optional(kind):
+        return ["null", _schema_of(_optional_type(kind), defined)]
     raise CodecError(f"no Avro type for {kind!r}")
 
 
+def _identity(value: Any) -> Any:
+    return value
+
+
 def _to_avro(kind: Any) -> Converter:
     if _is_record(kind):
         return _record_to_avro(kind)
-    arguments = typing.get_args(kind)
-    if typing.get_origin(kind) is tuple:
-        inner = _to_avro(arguments[0])
-        return list if inner is _identity else lambda values: [inner(value) for value in values]
-    if arguments:
-        inner = _to_avro(next(argument for argument in arguments if argument is not type(None)))
-        return inner if inner is _identity else lambda value: None if value is None else inner(value)
+    if _is_array(kind):
+        convert_item = _to_avro(typing.get_args(kind)[0])
+        if convert_item is _identity:
+            return list
+        return lambda values: [convert_item(value) for value in values]
+    if _is_optional(kind):
+        return _converter_of_optional(_to_avro(_optional_type(kind)))
     return _identity
 
 
 def _from_avro(kind: Any) -> Converter:
     if _is_record(kind):
         return _record_from_avro(kind)
-    if isinstance(kind, type) and issubclass(kind, IntEnum):
-        return kind
-    arguments = typing.get_args(kind)
-    if typing.get_origin(kind) is tuple:
-        inner = _from_avro(arguments[0])
-        return tuple if inner is _identity else lambda values: tuple([inner(value) for value in values])
-    if arguments:
-        inner = _from_avro(next(argument for argument in arguments if argument is not type(None)))
-        return inner if inner is _identity else lambda value: None if value is None else inner(value)
+    if _is_enum(kind):
+        return typing.cast("Converter", kind)
+    if _is_array(kind):
+        convert_item = _from_avro(typing.get_args(kind)[0])
+        if convert_item is _identity:
+            return tuple
+        return lambda values: tuple([convert_item(value) for value in values])
+    if _is_optional(kind):
+        return _converter_of_optional(_from_avro(_optional_type(kind)))
     return _identity
 
 
+def _converter_of_optional(convert: Converter) -> Converter:
+    if convert is _identity:
+        return _identity
+    return lambda value: None if value is None else convert(value)
+
+
 def _record_to_avro(record: type) -> Converter:
     converters = [(name, _to_avro(kind)) for name, kind in _fields_of(record)]
 
--- a/bitternpath/transport/dialler.py
+++ b/bitternpath/transport/dialler.py
@@ -1,4 +1,4 @@
-"""Outgoing connections: dialling an address with back-off for as long as it is wanted."""
+"""Outgoing connections: one address is dialled, with back-off, for as long as it is wanted."""
 
 from __future__ import annotations
 
@@ -9,83 +9,102 @@
 from twisted.python.failure import Failure
 
 from bitternpath.transport.links import Link, LinkOwner
+from bitternpath.transport.reactor import Connector, DelayedCall
 
 CONNECT_TIMEOUT_S = 1.0
-RECONNECT_FIRST_S, RECONNECT_MOST_S = 0.05, 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+MIN_JITTER = 0.7  # a pause is the back-off times a random factor from here
+JITTER_SPAN = 0.6  # to here above it
 
 
 class Dialler:
-    """Keeps a link to one address for as long as it is wanted."""
+    """Keeps a link to one address open for as long as it is wanted.
+
+    Attributes:
+        address: ip:port.
+        link: the connection, also before its peer has greeted; None between connections.
+        users: names of the parts of the program that want the address.
+    """
 
     def __init__(self, hub: LinkOwner, address: str) -> None:
-        self.hub, self.address = hub, address
+        """Not started yet."""
+        self.address = address
         self.link: Link | None = None
         self.users: set[str] = set()
-        self._pause = RECONNECT_FIRST_S
-        self._timer: Any = None
-        self._attempt: Any = None
+        self._hub = hub
+        self._backoff_s = INITIAL_BACKOFF_S
+        self._redial: DelayedCall | None = None
+        self._connector: Connector | None = None
         self._stopped = False
 
+    @property
+    def opened(self) -> Link | None:
+        """The link, once its peer has greeted."""
+        return self.link if self.link is not None and self.link.open else None
+
     def start(self) -> None:
         """Dial now."""
-        self._timer = None
+        self._redial = None
         if self._stopped:
             return
         host, _, port = self.address.rpartition(":")
-        factory = _DialFactory(self)
-        self._attempt = self.hub.reactor.connectTCP(host, int(port), factory, timeout=CONNECT_TIMEOUT_S)
+        factory = _DialFactory(self._hub, self)
+        self._connector = self._hub.reactor.connectTCP(host, int(port), factory, timeout=CONNECT_TIMEOUT_S)
 
     def stop(self) -> None:
         """Close the link and dial no more."""
         self._stopped = True
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        if self._redial is not None and self._redial.active():
+            self._redial.cancel()
         if self.link is not None:
             self.link.close()
-        elif self._attempt is not None:
-            with contextlib.suppress(Exception):
-                self._attempt.stopConnecting()
-
-    @property
-    def opened(self) -> Link | None:
-        """The link, once its peer has said who it is."""
-        return self.link if self.link is not None and self.link.open else None
+        elif self._connector is not None:
+            with contextlib.suppress(Exception):  # Twisted raises where the attempt has just ended
+                self._connector.stopConnecting()
 
     def connected(self, link: Link) -> None:
-        """A connection was made."""
+        """Take a new connection over."""
         self.link = link
         if self._stopped:
             link.close()
 
-    def ended(self, was_open: bool) -> None:
-        """The connection ended, or couldn't be made."""
+    def ended(self, *, was_greeted: bool) -> None:
+        """The connection ended, or couldn't be made: dial again after a pause.
+
+        `was_greeted`: the peer had greeted, so the back-off begins anew.
+        """
         self.link = None
         if self._stopped:
             return
-        if was_open:
-            self._pause = RECONNECT_FIRST_S
-        pause = self._pause * (0.7 + 0.6 * self.hub.random.random())
-        self._pause = min(2 * self._pause, RECONNECT_MOST_S)
-        self._timer = self.hub.reactor.callLater(pause, self.start)
+        if was_greeted:
+            self._backoff_s = INITIAL_BACKOFF_S
+        jitter = MIN_JITTER + JITTER_SPAN * self._hub.random.random()
+        pause_s = self._backoff_s * jitter
+        self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
+        self._redial = self._hub.reactor.callLater(pause_s, self.start)
 
 
 class _DialFactory(Factory):
+    """Makes the link of one attempt (Twisted's client factory interface)."""
+
     noisy = False
 
-    def __init__(self, dialler: Dialler) -> None:
-        self.dialler = dialler
+    def __init__(self, hub: LinkOwner, dialler: Dialler) -> None:
+        self._hub = hub
+        self._dialler = dialler
 
     def buildProtocol(self, addr: Any) -> Link:
-        link = self.dialler.hub.make_link(self.dialler.address)
-        self.dialler.connected(link)
+        link = self._hub.make_link(self._dialler.address)
+        self._dialler.connected(link)
         return link
 
     def startedConnecting(self, connector: Any) -> None:
-        """Part of Twisted's client factory interface."""
+        """Part of the interface; the dialler knows."""
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Nobody answered, or the port is closed."""
-        self.dialler.ended(False)
+        self._dialler.ended(was_greeted=False)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """The link itself has seen to it."""
+        """Part of the interface; the link has told its hub."""
--- a/bitternpath/transport/feed_messages.py
+++ b/bitternpath/transport/feed_messages.py
@@ -8,7 +8,13 @@
 
 
 class FeedSubscribe(Struct, frozen=True):
-    """Wants the feed from these offsets on; -1: from a snapshot."""
+    """Subscribes to the feed from these offsets on.
+
+    Attributes:
+        configuration_version: version that the subscriber has; -1 or 0 for none.
+        placement_generation: generation that it has; -1 or 0 for none.
+        wants_catalogue: whether to send the endpoint catalogue too.
+    """
 
     configuration_version: int
     placement_generation: int
@@ -16,10 +22,16 @@
 
 
 class FeedUpdate(Struct, frozen=True):
-    """What changed since the subscriber's offsets; also sent unchanged as a heartbeat.
-
-    `configuration` is the whole document where it changed, packed (`configuration.feed`). `epoch` is the
-    sender's term.
+    """What changed since the subscriber's offsets; without a change, a heartbeat. Also a node's stored cache.
+
+    Attributes:
+        epoch: term of the sender.
+        configuration_version: version in force.
+        configuration: the whole document, packed by `configuration.feed_documents`; None where the subscriber
+            has it.
+        placement_generation: generation in force.
+        placement: all queue shards; None where the subscriber has them.
+        edge_node_count: how many edge nodes the system has, as far as known; for shares of common limits.
     """
 
     epoch: int
@@ -27,18 +39,33 @@
     configuration: bytes | None
     placement_generation: int
     placement: tuple[GroupPlacement, ...] | None
-    edge_node_count: int  # how many edge nodes there are, as far as known; for shares of common limits
+    edge_node_count: int
 
 
 class FeedRefused(Struct, frozen=True):
-    """The asked node does not lead the configuration group."""
+    """The asked node doesn't own the configuration.
+
+    Attributes:
+        leader_address: address of the node that it believes to be the owner; empty where it knows none.
+        members: voters of the configuration group, as far as known.
+    """
 
-    leader_address: str  # "" where it isn't known
+    leader_address: str
     members: tuple[MemberAddress, ...]
 
 
 class CatalogueEntry(Struct, frozen=True):
-    """A worker of the platform's list."""
+    """A worker of the platform's endpoint list.
+
+    Attributes:
+        instance: the worker's name.
+        service: the service that it serves.
+        address: its ip:port.
+        zone: its failure domain.
+        slots: how many messages it runs at once.
+        draining: it takes no new messages.
+        warming_up: it started a moment ago and is slow still.
+    """
 
     instance: str
     service: str
@@ -46,13 +73,20 @@
     zone: str
     slots: int
     draining: bool
-    warming_up: bool  # started a moment ago, slow still
+    warming_up: bool
 
 
 class CatalogueUpdate(Struct, frozen=True):
-    """The platform's list as last read. `age_ms`: since that reading began. `entries` None: as before."""
+    """The platform's endpoint list as last read by the configuration's owner.
+
+    Attributes:
+        epoch: term of the sender.
+        serial: rises with each change of the entries, within an epoch.
+        age_ms: milliseconds since the reading began.
+        entries: None where they are those of the last update.
+    """
 
     epoch: int
-    serial: int  # rises with each change of the entries, within an epoch
+    serial: int
     age_ms: int
     entries: tuple[CatalogueEntry, ...] | None
--- a/bitternpath/transport/frames.py
+++ b/bitternpath/transport/frames.py
@@ -1,23 +1,28 @@
-"""Frames on a connection between two nodes: a length of four bytes, then one encoded record."""
+"""Framing of records on a connection between two nodes: a length of four bytes, then one encoded record."""
 
 from __future__ import annotations
 
 import struct
 
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
-HEADER = struct.Struct("!I")
-MAX_FRAME_BYTES = 24 << 20  # a configuration of 16 MB with room for its envelope
+HEADER = struct.Struct("!I")  # length of the record, without the header
+MAX_FRAME_BYTES = 24 << 20  # of a record: a configuration of 16 MiB with room for its envelope
 
 
 class FrameBuffer:
-    """Cuts received bytes into frames."""
+    """Cuts a stream of received bytes into frames."""
 
     def __init__(self) -> None:
+        """Nothing received yet."""
         self._received = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are complete now; raises `CodecError` where one is too long."""
+        """Add received bytes; the records that are complete now, still encoded.
+
+        Raises:
+            CodecError: a frame is longer than `MAX_FRAME_BYTES`. The stream can't be read on.
+        """
         self._received += data
         frames: list[bytes] = []
         offset = 0
@@ -37,5 +42,5 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """`payload` with its length in front."""
+    """One frame: `payload`, an encoded record, with its length in front."""
     return HEADER.pack(len(payload)) + payload
--- a/bitternpath/transport/group_messages.py
+++ b/bitternpath/transport/group_messages.py
@@ -6,15 +6,29 @@
 
 
 class GroupMessage(Struct, frozen=True):
-    """A consensus message of one replica group. Its sender and receiver are the members on the disks that the
-    link's two ends have named in their greetings."""
+    """A consensus message of one replica group.
+
+    Its sender and receiver are the members on the disks that the link's two ends have named in their
+    greetings.
+
+    Attributes:
+        group: name of the replica group.
+        body: encoded by `replication.wire`.
+    """
 
     group: str
-    body: bytes  # replication.wire
+    body: bytes
 
 
 class MemberAddress(Struct, frozen=True):
-    """Where a member of a replica group is."""
+    """Where a member of a replica group runs.
+
+    Attributes:
+        member: member id, which is the node's name and the identity of its disk.
+        node: the node's name.
+        address: ip:port of the node's internal listener.
+        zone: the node's failure domain.
+    """
 
     member: str
     node: str
@@ -23,7 +37,13 @@
 
 
 class GroupPlacement(Struct, frozen=True):
-    """A replica group with its desired members; `generation` rises with each change."""
+    """The desired members of a replica group.
+
+    Attributes:
+        group: name of the replica group.
+        generation: rises with each change of the members.
+        members: the first one is the preferred owner.
+    """
 
     group: str
     generation: int
@@ -31,29 +51,42 @@
 
 
 class BootstrapDecision(Struct, frozen=True):
-    """The first members of the configuration's replica group, decided once in the life of a system."""
+    """The first members of the configuration's replica group, decided once in the life of a system.
 
-    system: str  # identity of the system, drawn when it was founded
+    Attributes:
+        system: identity of the system, drawn at the decision.
+        group: the configuration group with its first members.
+    """
+
+    system: str
     group: GroupPlacement
 
 
 class BootstrapDecisionStored(Struct, frozen=True):
-    """A founder has it on its disk."""
+    """A member (by id) has the bootstrap decision on its disk."""
 
     member: str
 
 
 class MembershipReport(Struct, frozen=True):
-    """A shard's owner tells who the shard's members are, as committed: to the configuration's owner, and to a
-    replica that asks."""
+    """A shard's committed members, reported by its owner.
+
+    It goes to the configuration's owner, and to a replica that asks.
+
+    Attributes:
+        group: name of the shard's replica group.
+        epoch: term of the reporting owner.
+        members: ids of voters and learners.
+        generation: of the placement that the members follow.
+    """
 
     group: str
     epoch: int
-    members: tuple[str, ...]  # voters and learners
-    generation: int  # of the placement that the members follow
+    members: tuple[str, ...]
+    generation: int
 
 
 class MembershipRequest(Struct, frozen=True):
-    """A replica that the placement doesn't name asks the group's owner for a `MembershipReport`."""
+    """A replica that the placement doesn't name asks its group's owner for a `MembershipReport`."""
 
     group: str
--- a/bitternpath/transport/hub.py
+++ b/bitternpath/transport/hub.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from random import Random
 from typing import Any
 
 from twisted.internet.protocol import Factory
@@ -10,69 +11,60 @@
 from bitternpath.transport.dialler import Dialler
 from bitternpath.transport.links import Link, LinkHandler
 from bitternpath.transport.node_messages import Hello, NodeDescriptor
+from bitternpath.transport.reactor import DelayedCall, ListeningPort, Reactor
 
-LOOK_S = 0.5  # all links are looked at together
+CHECK_INTERVAL_S = 0.5  # how often all links are checked for silence
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
 
 
 class NodeHub:
-    """All links of a process: those it accepts and those it dials."""
+    """Owns all links of a process; one timer checks them all, and one turn of the reactor writes them all.
+
+    Attributes:
+        reactor: clock, timers and TCP.
+        handler: hears what comes over links.
+        describe: this node, as it greets peers.
+        random: jitter of back-offs, and other choices of the links' users.
+        links: all connections that stand, in the order in which they were made.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         handler: LinkHandler,
         describe: Callable[[], NodeDescriptor],
-        random: Any,
+        random: Random,
     ) -> None:
-        self.reactor, self.handler, self.describe, self.random = reactor, handler, describe, random
-        self.links: dict[Link, None] = {}  # in the order in which they were made
-        self._diallers: dict[str, Dialler] = {}
-        self._port: Any = None
-        self._watch_timer: Any = None
+        """Without links; neither listening nor dialling."""
+        self.reactor = reactor
+        self.handler = handler
+        self.describe = describe
+        self.random = random
+        self.links: dict[Link, None] = {}
+        self._diallers: dict[str, Dialler] = {}  # by address
+        self._port: ListeningPort | None = None
+        self._check: DelayedCall | None = None
         self._unflushed: list[Link] = []
-        self._flush_call: Any = None
-
-    def watch(self) -> None:
-        """Look at all links from now on, together: one timer and one turn for all questions."""
-        if self._watch_timer is None:
-            self._watch_timer = self.reactor.callLater(LOOK_S, self._look)
+        self._flush_call: DelayedCall | None = None
 
-    def _look(self) -> None:
-        self._watch_timer = None
-        now = self.reactor.seconds()
-        for link in list(self.links):
-            link.look(now)
-        if self.links:
-            self.watch()
-
-    def flush_soon(self, link: Link) -> None:
-        """Have a link written at the end of this turn of the reactor, with all others that have anything."""
-        self._unflushed.append(link)
-        if self._flush_call is None:
-            self._flush_call = self.reactor.callLater(0, self._flush_planned)
-
-    def flush(self) -> None:
-        """Write what all links have queued; whoever knows that nothing follows in this turn calls it."""
-        if self._flush_call is not None:
-            self._flush_call.cancel()
-            self._flush_planned()
+    # ---- connections
 
-    def _flush_planned(self) -> None:
-        self._flush_call = None
-        links, self._unflushed = self._unflushed, []
-        for link in links:
-            link.flush()
+    def listen(self, host: str, port: int) -> None:
+        """Accept links.
 
-    def make_link(self, dialled: str) -> Link:
-        """A link for a connection to that address; "" where the peer dialled."""
-        return Link(self, dialled)
+        Raises:
+            CannotListenError: the port is taken, or the address isn't the machine's.
+        """
+        factory = _AcceptFactory(self)
+        self._port = self.reactor.listenTCP(port, factory, backlog=LISTEN_BACKLOG, interface=host)
 
-    def listen(self, host: str, port: int) -> None:
-        """Accept links; raises `CannotListenError`."""
-        self._port = self.reactor.listenTCP(port, _AcceptFactory(self), backlog=1024, interface=host)
+    @property
+    def listening_port(self) -> int:
+        """The TCP port that is listened on; 0 before `listen`."""
+        return int(self._port.getHost().port) if self._port is not None else 0
 
     def dial(self, address: str, user: str) -> Dialler:
-        """The dialler of an address, made and started where there is none. `user` names who wants it."""
+        """The dialler of an address, made and started where there is none; `user` names who wants it."""
         dialler = self._diallers.get(address)
         if dialler is None:
             dialler = self._diallers[address] = Dialler(self, address)
@@ -81,7 +73,7 @@
         return dialler
 
     def release(self, address: str, user: str) -> None:
-        """A user doesn't want an address any more; the link ends when nobody does."""
+        """A user doesn't want an address any more; the link is closed when no user does."""
         dialler = self._diallers.get(address)
         if dialler is None:
             return
@@ -91,44 +83,81 @@
             dialler.stop()
 
     def link_to(self, address: str) -> Link | None:
-        """The opened link that was dialled to an address."""
+        """The open link that was dialled to an address."""
         dialler = self._diallers.get(address)
         return dialler.opened if dialler else None
 
-    def dialled(self) -> tuple[str, ...]:
-        """The addresses that are wanted."""
-        return tuple(self._diallers)
-
     def announce(self) -> None:
-        """Tell all peers anew who this node is."""
+        """Greet all peers anew: this node's description has changed."""
         for link in self.links:
             link.send(Hello(self.describe()))
 
-    def link_ended(self, link: Link) -> None:
-        """Called by a link when its connection has ended."""
-        dialler = self._diallers.get(link.dialled)
-        if dialler is not None and dialler.link is link:
-            dialler.ended(link.peer is not None)
-
     def stop(self) -> None:
-        """Close all."""
+        """Close everything."""
         if self._port is not None:
             self._port.stopListening()
-        if self._watch_timer is not None:
-            self._watch_timer.cancel()
-            self._watch_timer = None
-        diallers, self._diallers = self._diallers, {}
+        if self._check is not None:
+            self._check.cancel()
+            self._check = None
+        diallers = self._diallers
+        self._diallers = {}
         for dialler in diallers.values():
             dialler.stop()
         for link in list(self.links):
             link.close()
 
+    def flush(self) -> None:
+        """Write what all links have queued; for callers that know that nothing follows in this turn."""
+        if self._flush_call is not None:
+            self._flush_call.cancel()
+            self._write_unflushed()
+
+    # ---- what links call (`LinkOwner`)
+
+    def make_link(self, dialled: str) -> Link:
+        """A link for a connection to that address; empty where the peer dialled."""
+        return Link(self, dialled)
+
+    def link_ended(self, link: Link) -> None:
+        """A link's connection has ended; its dialler dials again."""
+        dialler = self._diallers.get(link.dialled)
+        if dialler is not None and dialler.link is link:
+            dialler.ended(was_greeted=link.peer is not None)
+
+    def schedule_check(self) -> None:
+        """Check all links for silence from now on, together: one timer and one turn for all pings."""
+        if self._check is None:
+            self._check = self.reactor.callLater(CHECK_INTERVAL_S, self._check_links)
+
+    def schedule_flush(self, link: Link) -> None:
+        """Have a link written at the end of this turn of the reactor, with all others that have anything."""
+        self._unflushed.append(link)
+        if self._flush_call is None:
+            self._flush_call = self.reactor.callLater(0, self._write_unflushed)
+
+    def _check_links(self) -> None:
+        self._check = None
+        now = self.reactor.seconds()
+        for link in list(self.links):
+            link.check(now)
+        if self.links:
+            self.schedule_check()
+
+    def _write_unflushed(self) -> None:
+        self._flush_call = None
+        links = self._unflushed
+        self._unflushed = []
+        for link in links:
+            link.flush()
+
 
 class _AcceptFactory(Factory):
+    """Makes links of accepted connections."""
+
     noisy = False
 
     def __init__(self, hub: NodeHub) -> None:
-        self.hub = hub
+        self._hub = hub
 
     def buildProtocol(self, addr: Any) -> Link:
-        return self.hub.make_link("")
+        return self._hub.make_link("")
--- a/bitternpath/transport/messages.py
+++ b/bitternpath/transport/messages.py
@@ -98,7 +98,8 @@
     TokenResponse,
 )
 
-ANSWER_RECORDS = (
+# Records that a `Link` matches with the request of the same `number`.
+RESPONSE_RECORDS = (
     OperatorResponse,
     Refused,
     RequestOutcomeUnknown,
--- a/bitternpath/transport/operator_messages.py
+++ b/bitternpath/transport/operator_messages.py
@@ -8,17 +8,32 @@
 
 
 class OperatorRequest(Struct, frozen=True):
-    """A call of the operator, forwarded to the configuration's owner."""
+    """A call of the operator, forwarded to the configuration's owner.
+
+    Attributes:
+        number: of the request on this link.
+        method: HTTP method.
+        path: HTTP path.
+        if_match: the header of that name; empty where there is none.
+        body: as it came.
+    """
 
     number: int
     method: str
     path: str
-    if_match: str  # "" where there is none
+    if_match: str
     body: bytes
 
 
 class OperatorResponse(Struct, frozen=True):
-    """Its answer, as it goes to the operator. `decided`: False where another node should be asked."""
+    """The owner's result, as it goes to the operator.
+
+    Attributes:
+        number: of the request.
+        decided: False where another node should be asked.
+        status: HTTP status.
+        body: JSON.
+    """
 
     number: int
     decided: bool
@@ -27,17 +42,29 @@
 
 
 class GroupStatus(Struct, frozen=True):
-    """A replica group as one of its members sees it."""
+    """A replica group as one of its members sees it.
+
+    Attributes:
+        group: its name.
+        epoch: its term.
+        owns: whether this member is its owner.
+        owner: member id of the owner; empty where it isn't known.
+        voters: member ids.
+        learners: member ids.
+        queued: unfinished messages in the replica's state; 0 for the configuration group.
+        dead_letters: messages that failed for good and can still be asked for.
+        ended: tombstones, dead letters among them.
+    """
 
     group: str
     epoch: int
     owns: bool
-    owner: str  # member id; "" where it isn't known
+    owner: str
     voters: tuple[str, ...]
     learners: tuple[str, ...]
-    queued: int  # messages that haven't ended, by the replica's state; 0 for the configuration group
+    queued: int
     dead_letters: int
-    ended: int  # tombstones, dead letters among them
+    ended: int
 
 
 class StatusRequest(Struct, frozen=True):
@@ -47,7 +74,18 @@
 
 
 class StatusResponse(Struct, frozen=True):
-    """What a node says of itself. Memory is the peak, in MB."""
+    """The status of a node.
+
+    Attributes:
+        number: of the request.
+        node: the node itself.
+        configuration_version: version in force on it.
+        placement_generation: generation in force on it.
+        ready: whether it passes its readiness check.
+        memory_mb: peak of its resident memory.
+        groups: replica groups of which it has a member.
+        known: its view of the system.
+    """
 
     number: int
     node: NodeDescriptor
@@ -56,4 +94,4 @@
     ready: bool
     memory_mb: float
     groups: tuple[GroupStatus, ...]
-    known: tuple[NodeDescriptor, ...]  # its view of the system
+    known: tuple[NodeDescriptor, ...]
--- a/bitternpath/transport/quota_messages.py
+++ b/bitternpath/transport/quota_messages.py
@@ -6,7 +6,14 @@
 
 
 class TokenRequest(Struct, frozen=True):
-    """A shard wants tokens of a service whose home is `group`."""
+    """A shard asks for tokens of a service at the service's home shard.
+
+    Attributes:
+        number: of the request on this link.
+        group: replica group of the home shard.
+        service: name of the service.
+        wanted: how many tokens.
+    """
 
     number: int
     group: str
@@ -15,7 +22,12 @@
 
 
 class TokenResponse(Struct, frozen=True):
-    """How many it gets; they lapse `ceilings.QUOTA_LEASE_S` after the request went out."""
+    """How many tokens the shard gets; they lapse a quota lease's time after the request was sent.
+
+    Attributes:
+        number: of the request.
+        tokens: perhaps fewer than wanted, or none.
+    """
 
     number: int
     tokens: int
--- a/bitternpath/transport/shard_messages.py
+++ b/bitternpath/transport/shard_messages.py
@@ -1,4 +1,8 @@
-"""Records between edge nodes and the owners of queue shards."""
+"""Records between edge nodes and the owners of queue shards.
+
+`group` is the name of a shard's replica group, `number` the request's on its link. A `stamp` is what a
+worker's successful response carries (PROTOCOL); empty where there is none.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +12,28 @@
 
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 
+# ---- ownership
+
 
 class Ownership(Struct, frozen=True):
-    """A storage node owns a shard, or no longer does."""
+    """A storage node tells edge nodes that it owns a shard, or no longer does.
+
+    Attributes:
+        group: the shard.
+        epoch: term of the ownership; of two owners the one with the higher term is the later (fencing token).
+        owns: whether it owns the shard.
+    """
 
     group: str
     epoch: int
     owns: bool
 
 
+# ---- responses to any request
+
+
 class RefusalReason(IntEnum):
-    """Why a request did nothing at all."""
+    """Why a request did nothing at all. The numbers are sent and documented (docs/ERRORS.md)."""
 
     NOT_OWNER = 0
     FULL = 1  # of disk or memory
@@ -26,20 +41,23 @@
 
 
 class Refused(Struct, frozen=True):
-    """The request did nothing, and never will."""
+    """The request did nothing and never will; a retry at the owner is safe."""
 
     number: int
     reason: RefusalReason
 
 
 class RequestOutcomeUnknown(Struct, frozen=True):
-    """The request may or may not have been done: the owner lost its shard meanwhile."""
+    """The owner lost its shard while the request was in flight: it may or may not take effect."""
 
     number: int
 
 
+# ---- messages and attempts
+
+
 class AppendRequest(Struct, frozen=True):
-    """Keep this message; done once where the same request id comes again."""
+    """Store a message; only once where the same request id comes again."""
 
     number: int
     group: str
@@ -47,24 +65,43 @@
 
 
 class AppendResponse(Struct, frozen=True):
-    """f+1 replicas have it on disk."""
+    """The message is on the disks of f+1 replicas."""
 
     number: int
 
 
 class LeaseGrant(Struct, frozen=True):
-    """A lease on a message for the receiving edge node. `message.body` is empty where `body_omitted`."""
+    """A lease on a message for the receiving edge node, which delivers it to a worker.
+
+    Attributes:
+        group: the shard.
+        lease_id: identifies the lease.
+        duration_ms: how long it lasts.
+        attempts: how many failed attempts there were before.
+        body_omitted: the message's body is left out, as the receiver has it.
+        message: what is to be delivered.
+    """
 
     group: str
     lease_id: str
     duration_ms: int
-    attempts: int  # failed ones before
+    attempts: int
     body_omitted: bool
     message: Message
 
 
 class EndAttemptRequest(Struct, frozen=True):
-    """How a delivery under a lease ended."""
+    """How a delivery under a lease ended.
+
+    Attributes:
+        number: of the request.
+        group: the shard.
+        request_id: of the message.
+        lease_id: of the lease.
+        outcome: how it ended.
+        stamp: the worker's.
+        retry_after_ms: pause that the worker asked for before the next attempt; 0 for none.
+    """
 
     number: int
     group: str
@@ -76,14 +113,34 @@
 
 
 class EndAttemptResponse(Struct, frozen=True):
-    """`taken`: the lease was the current one, or this very end was taken before."""
+    """`taken`: the lease was the current one, or the same end was accepted before."""
 
     number: int
     taken: bool
 
 
+class ExtendRequest(Struct, frozen=True):
+    """Extend the lease of a pulled message: its worker is running it still."""
+
+    number: int
+    group: str
+    request_id: str
+    lease_id: str
+
+
+# ---- call-backs and state
+
+
 class CallbackRequest(Struct, frozen=True):
-    """The receiving edge node is to tell the client's URL that the message has ended."""
+    """The receiving edge node is asked to call the client's URL: a message has ended.
+
+    Attributes:
+        group: the shard.
+        request_id: of the message.
+        url: the client's.
+        state: in which the message has ended.
+        stamp: the worker's.
+    """
 
     group: str
     request_id: str
@@ -93,7 +150,7 @@
 
 
 class CallbackReport(Struct, frozen=True):
-    """How that went."""
+    """Result of a `CallbackRequest`; `taken`: the client has acknowledged it."""
 
     group: str
     request_id: str
@@ -101,7 +158,7 @@
 
 
 class StateRequest(Struct, frozen=True):
-    """Asks for a message's state, and its body."""
+    """Asks for a message's state, and for its body where that is wanted."""
 
     number: int
     group: str
@@ -110,7 +167,16 @@
 
 
 class StateResponse(Struct, frozen=True):
-    """`known` False: the shard has never had it, or has forgotten it."""
+    """A message's state.
+
+    Attributes:
+        number: of the request.
+        known: False where the shard has never had the message, or has forgotten it; the rest doesn't count
+            then.
+        state: of the message.
+        stamp: the worker's.
+        body: the message's, where it was wanted and is stored still.
+    """
 
     number: int
     known: bool
@@ -119,8 +185,19 @@
     body: bytes | None
 
 
+# ---- workers that pull
+
+
 class PullRequest(Struct, frozen=True):
-    """A worker waits for a job of `service` at this node, for so long."""
+    """A worker waits at this edge node for a message (long poll).
+
+    Attributes:
+        number: of the request.
+        group: the shard that is asked.
+        service: the worker's service.
+        instance: the worker's name.
+        wait_ms: how long it waits.
+    """
 
     number: int
     group: str
@@ -130,14 +207,14 @@
 
 
 class PullCancel(Struct, frozen=True):
-    """The worker waits no more; a job on its way comes back as not run."""
+    """The worker waits no more; a message on its way to it is handed back as not run."""
 
     number: int
     group: str
 
 
 class PullResponse(Struct, frozen=True):
-    """A job under a lease, or None: nothing came in time."""
+    """A message under a lease; `message` None: none came in time."""
 
     number: int
     lease_id: str
@@ -145,18 +222,16 @@
 
 
 class WorkAvailable(Struct, frozen=True):
-    """So many jobs of a service wait at a shard, and no worker does. `nodes`: edge nodes that are told."""
+    """A shard has messages of a service and no waiting worker.
+
+    Attributes:
+        group: the shard.
+        service: name of the service.
+        waiting: how many messages are ready.
+        nodes: how many edge nodes get this record.
+    """
 
     group: str
     service: str
     waiting: int
     nodes: int
-
-
-class ExtendRequest(Struct, frozen=True):
-    """The worker holds a pulled job still."""
-
-    number: int
-    group: str
-    request_id: str
-    lease_id: str
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -62,7 +62,7 @@
     request = Link.request
 
     def same_number(link: Any, make: Any) -> Any:
-        link._next_number %= 2
+        link._last_number %= 2
         return request(link, make)
 
     yield patch.object(Link, "request", same_number)
--- a/tests/system/configuration/test_feed.py
+++ b/tests/system/configuration/test_feed.py
@@ -15,7 +15,7 @@
 from bitternpath.configuration.feed_server import HEARTBEAT_INTERVAL_S, FeedServer
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.configuration.state_machine import ConfigurationState
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
--- a/tests/system/test_lenders.py
+++ b/tests/system/test_lenders.py
@@ -19,8 +19,8 @@
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.lenders import Lenders
 from bitternpath.roles.shard_runtime import ShardRuntime
+from bitternpath.transport.errors import LinkLost
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
-from bitternpath.transport.links import LinkLost
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 from bitternpath.transport.shard_messages import RefusalReason, Refused
 
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -11,7 +11,7 @@
 from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.transport.links import LinkLost
+from bitternpath.transport.errors import LinkLost
 from bitternpath.transport.node_messages import Pong
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
--- a/tests/system/test_queue_state.py
+++ b/tests/system/test_queue_state.py
@@ -22,7 +22,7 @@
 from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.sharding import lease_id, message_id, shard_for, shard_of_lease, split_message_id
 from bitternpath.queue.state import QueueState
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.records import AttemptOutcome, Header, Message, MessageState
 
 QUEUED, DONE, DEAD = MessageState.QUEUED, MessageState.DONE, MessageState.DEAD_LETTER
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -45,7 +45,7 @@
 )
 from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Plan, Process, World
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
 SEEDS = int(os.environ.get("REPLICATION_SEEDS", "1200"))
 SMALL_PIECE = 150  # bytes: snapshots of a simulated node then are several pieces
--- a/tests/system/test_shards.py
+++ b/tests/system/test_shards.py
@@ -18,7 +18,7 @@
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.shards.pulls import WANTED_S, PullRouter, outcome_of
 from bitternpath.shards.reports import AttemptReport, AttemptReporter
-from bitternpath.transport.links import LinkLost
+from bitternpath.transport.errors import LinkLost
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from bitternpath.transport.shard_messages import (
--- a/tests/system/transport/test_link_liveness.py
+++ b/tests/system/transport/test_link_liveness.py
@@ -1,4 +1,4 @@
-"""Writes of links without a turn of the reactor, and who asks whom for a sign of life."""
+"""Writes of links without a turn of the reactor, and which end of a link pings when."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 from bitternpath.net.writing import write_now
 from bitternpath.transport.frames import FrameBuffer
-from bitternpath.transport.hub import LOOK_S, NodeHub
-from bitternpath.transport.links import (
-    ANSWER_LIMIT_S,
-    ASK_AFTER_S,
-    ASK_AWAITED_AFTER_S,
-    ASK_SOON_AFTER_S,
-    SILENCE_LIMIT_S,
-    Link,
+from bitternpath.transport.hub import CHECK_INTERVAL_S, NodeHub
+from bitternpath.transport.link_liveness import (
+    PEER_TIMEOUT_S,
+    PING_AWAITING_RESPONSE_S,
+    PING_IDLE_S,
+    PING_SUBSCRIBED_S,
+    PONG_TIMEOUT_S,
 )
+from bitternpath.transport.links import Link
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import Hello, NodeDescriptor, NodeKind, Ping, Pong
 from bitternpath.transport.shard_messages import StateRequest
 
-ME = NodeDescriptor("edge-1", "10.0.0.1:1", NodeKind.EDGE, "north", False, "", 1, 0)
+THIS_NODE = NodeDescriptor("edge-1", "10.0.0.1:1", NodeKind.EDGE, "north", False, "", 1, 0)
 
 
 class Socket:
@@ -60,15 +60,15 @@
         return [RECORDS.decode(payload) for payload in FrameBuffer().feed(data)]
 
 
-class Writes(unittest.TestCase):
-    """Bytes go out whole and in order, whatever the socket takes."""
+class WriteTest(unittest.TestCase):
+    """All bytes go out in order, however many the socket accepts."""
 
-    def test_what_the_socket_takes_needs_no_reactor(self) -> None:
+    def test_bytes_that_the_socket_accepts_need_no_reactor(self) -> None:
         socket = Socket()
         write_now(socket, b"abc")
         self.assertEqual((socket.sent, socket.buffered), (b"abc", b""))
 
-    def test_the_rest_goes_the_usual_way_and_what_follows_behind_it(self) -> None:
+    def test_the_rest_is_buffered_and_what_follows_is_behind_it(self) -> None:
         socket = Socket(room=2)
         write_now(socket, b"abcd")
         socket.room = 100
@@ -81,8 +81,8 @@
         self.assertEqual((socket.sent, socket.buffered), (b"", b"abc"))
 
 
-class Nobody:
-    """A handler that hears nothing."""
+class IgnoringHandler:
+    """A handler that ignores everything."""
 
     def link_opened(self, link: Link) -> None:
         """Ignored."""
@@ -94,10 +94,12 @@
         """Ignored."""
 
 
-class SignsOfLife(unittest.TestCase):
+class LinkLivenessTest(unittest.TestCase):
+    """Pings and time-outs."""
+
     def setUp(self) -> None:
         self.clock = Clock()
-        self.hub = NodeHub(self.clock, Nobody(), lambda: ME, Random(1))
+        self.hub = NodeHub(self.clock, IgnoringHandler(), lambda: THIS_NODE, Random(1))
 
     def link(self, dialled: str) -> tuple[Link, Socket]:
         link, socket = Link(self.hub, dialled), Socket()
@@ -109,7 +111,7 @@
     def advance(self, seconds: float) -> None:
         self.clock.pump([0.05] * round(seconds / 0.05))
 
-    def test_records_of_a_turn_go_out_in_one_write_at_its_end(self) -> None:
+    def test_records_of_one_turn_are_written_at_its_end(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         link.send(Ping(1))
         link.send(Ping(2))
@@ -119,65 +121,65 @@
         self.clock.advance(0)
         self.assertEqual(socket.sent, b"")
 
-    def test_the_end_that_dialled_asks_and_the_other_does_not(self) -> None:
+    def test_only_the_end_that_dialled_pings(self) -> None:
         _, dialled = self.link("10.0.0.2:1")
         _, accepted = self.link("")
-        self.advance(ASK_AFTER_S + LOOK_S)
+        self.advance(PING_IDLE_S + CHECK_INTERVAL_S)
         self.assertIn(Ping(0), dialled.records())
         self.assertEqual(accepted.records(), [])
 
-    def test_it_asks_where_it_hears_much_but_says_nothing(self) -> None:
+    def test_it_pings_where_it_receives_much_but_sends_nothing(self) -> None:
         link, socket = self.link("10.0.0.2:1")
-        asked = 0
-        for _ in range(round(SILENCE_LIMIT_S / 0.05)):
+        pings = 0
+        for _ in range(round(PEER_TIMEOUT_S / 0.05)):
             link.dataReceived(_framed(Pong(0)))
             self.advance(0.05)
-            asked += socket.records().count(Ping(0))
-        self.assertGreaterEqual(asked, 2)  # before the other end gives up
+            pings += socket.records().count(Ping(0))
+        self.assertGreaterEqual(pings, 2)  # before the other end gives up
 
-    def test_a_feeds_follower_is_heard_twice_a_second(self) -> None:
+    def test_a_feed_subscriber_is_heard_twice_a_second(self) -> None:
         link, socket = self.link("10.0.0.2:1")
-        link.ask_after_s = ASK_SOON_AFTER_S
-        self.advance(4 * LOOK_S + 0.05)
+        link.ping_after_s = PING_SUBSCRIBED_S
+        self.advance(4 * CHECK_INTERVAL_S + 0.05)
         self.assertGreaterEqual(socket.records().count(Ping(0)), 4)
 
-    def test_it_asks_sooner_while_an_answer_is_awaited(self) -> None:
+    def test_it_pings_sooner_while_a_response_is_awaited(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         link.request(lambda number: StateRequest(number, "g", "r", False)).addErrback(lambda _: None)
-        self.advance(ASK_AWAITED_AFTER_S + LOOK_S)
+        self.advance(PING_AWAITING_RESPONSE_S + CHECK_INTERVAL_S)
         self.assertIn(Ping(0), socket.records())
 
-    def test_a_silent_end_is_given_up_by_the_one_that_asks(self) -> None:
+    def test_a_silent_peer_is_given_up_by_the_end_that_pings(self) -> None:
         _, socket = self.link("10.0.0.2:1")
-        self.advance(ASK_AFTER_S + ANSWER_LIMIT_S - 0.1)
+        self.advance(PING_IDLE_S + PONG_TIMEOUT_S - 0.1)
         self.assertFalse(socket.aborted)
-        self.advance(2 * LOOK_S + 0.2)
+        self.advance(2 * CHECK_INTERVAL_S + 0.2)
         self.assertTrue(socket.aborted)
 
-    def test_sooner_while_an_answer_is_awaited(self) -> None:
+    def test_a_silent_peer_is_given_up_sooner_while_a_response_is_awaited(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         link.request(lambda number: StateRequest(number, "g", "r", False)).addErrback(lambda _: None)
-        self.advance(ASK_AWAITED_AFTER_S + ANSWER_LIMIT_S + 2 * LOOK_S + 0.1)
+        self.advance(PING_AWAITING_RESPONSE_S + PONG_TIMEOUT_S + 2 * CHECK_INTERVAL_S + 0.1)
         self.assertTrue(socket.aborted)
 
-    def test_a_link_that_was_at_rest_is_not_given_up_when_an_answer_is_awaited(self) -> None:
+    def test_an_idle_link_is_not_given_up_when_a_response_is_awaited(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         for _ in range(4):
-            self.advance(ASK_AFTER_S - 0.1)
+            self.advance(PING_IDLE_S - 0.1)
             link.request(lambda number: StateRequest(number, "g", "r", False)).addErrback(lambda _: None)
-            self.advance(LOOK_S + 0.1)
+            self.advance(CHECK_INTERVAL_S + 0.1)
             link.dataReceived(_framed(Pong(0)))
         self.assertFalse(socket.aborted)
 
-    def test_a_silent_end_is_given_up_by_the_one_that_was_dialled(self) -> None:
+    def test_a_silent_peer_is_given_up_by_the_end_that_was_dialled(self) -> None:
         _, socket = self.link("")
-        self.advance(SILENCE_LIMIT_S - 0.1)
+        self.advance(PEER_TIMEOUT_S - 0.1)
         self.assertFalse(socket.aborted)
-        self.advance(LOOK_S + 0.2)
+        self.advance(CHECK_INTERVAL_S + 0.2)
         self.assertTrue(socket.aborted)
 
-    def test_two_questions_fit_into_the_limit_of_the_end_that_was_dialled(self) -> None:
-        self.assertGreater(SILENCE_LIMIT_S, 2 * (ASK_AFTER_S + LOOK_S))
+    def test_two_pings_fit_into_the_time_out_of_the_end_that_was_dialled(self) -> None:
+        self.assertGreater(PEER_TIMEOUT_S, 2 * (PING_IDLE_S + CHECK_INTERVAL_S))
 
 
 def _framed(record: Any) -> bytes:
--- a/tests/system/transport/test_request_numbers.py
+++ b/tests/system/transport/test_request_numbers.py
@@ -1,4 +1,4 @@
-"""Answers on links between nodes find their request by link and number. Real loopback sockets."""
+"""Responses on links find their request by link and number. Real loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.transport import hub
+from bitternpath.transport.errors import LinkLost
 from bitternpath.transport.hub import NodeHub
-from bitternpath.transport.links import Link, LinkLost
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import MessageState
 from bitternpath.transport.shard_messages import StateRequest, StateResponse
@@ -19,14 +20,14 @@
 
 
 class Node:
-    """A node whose answers the test sends; it keeps what it was asked, with the link that it came over."""
+    """A node whose responses the test sends; it records requests with the link that they came over."""
 
     def __init__(self, loopback: Loopback, name: str) -> None:
-        self.asked: list[tuple[Link, StateRequest]] = []
+        self.requests: list[tuple[Link, StateRequest]] = []
         self.opened: list[Link] = []
         self.closed = 0
-        me = NodeDescriptor(name, "127.0.0.1:0", NodeKind.EDGE, "z", False, "", 1, 0)
-        self.hub = NodeHub(loopback.reactor, self, lambda: me, Random(1))
+        descriptor = NodeDescriptor(name, "127.0.0.1:0", NodeKind.EDGE, "z", False, "", 1, 0)
+        self.hub = NodeHub(loopback.reactor, self, lambda: descriptor, Random(1))
 
     def link_opened(self, link: Link) -> None:
         self.opened.append(link)
@@ -36,23 +37,23 @@
 
     def received(self, link: Link, record: Any) -> None:
         if isinstance(record, StateRequest):
-            self.asked.append((link, record))
+            self.requests.append((link, record))
 
 
-def answer(request: StateRequest) -> StateResponse:
-    """The answer that names the message that was asked for."""
+def response_to(request: StateRequest) -> StateResponse:
+    """The response that names the requested message."""
     return StateResponse(request.number, True, MessageState.DONE, request.request_id, None)
 
 
 class LinkCase(unittest.TestCase):
-    """Two nodes: `edge` asks, `owner` answers."""
+    """Two nodes: `edge` sends requests, `owner` responds."""
 
     def setUp(self) -> None:
         self.loopback = Loopback()
         self.addCleanup(self.loopback.close)
         self.edge, self.owner = Node(self.loopback, "edge"), Node(self.loopback, "owner")
         self.owner.hub.listen("127.0.0.1", 0)
-        port = self.owner.hub._port.getHost().port
+        port = self.owner.hub.listening_port
         self.dialler = self.edge.hub.dial(f"127.0.0.1:{port}", "test")
         self.addCleanup(self.edge.hub.stop)
         self.addCleanup(self.owner.hub.stop)
@@ -64,13 +65,13 @@
         assert link is not None
         return link
 
-    def ask(self, name: str) -> list[Any]:
-        """Ask over the present link; the list will hold what the request ended with."""
+    def request(self, name: str) -> list[Any]:
+        """Send a request over the present link; the list will hold what it ends with."""
         results: list[Any] = []
-        asked = len(self.owner.asked)
-        waiting: Deferred[Any] = self.link.request(lambda number: StateRequest(number, "g", name, False))
-        waiting.addBoth(results.append)
-        self.loopback.until(lambda: len(self.owner.asked) > asked)
+        before = len(self.owner.requests)
+        pending: Deferred[Any] = self.link.request(lambda number: StateRequest(number, "g", name, False))
+        pending.addBoth(results.append)
+        self.loopback.until(lambda: len(self.owner.requests) > before)
         return results
 
     def replace_link(self) -> None:
@@ -82,78 +83,78 @@
         )
 
     def stamps(self, *results: list[Any]) -> list[list[str]]:
-        """Which messages the answers name."""
+        """Which messages the responses name."""
         return [[record.stamp for record in each if isinstance(record, StateResponse)] for each in results]
 
     def two_at_once(self) -> list[list[str]]:
-        """Two requests on one link, answered in the other order."""
-        first, second = self.ask("first"), self.ask("second")
-        for link, request in reversed(self.owner.asked):
-            link.send(answer(request))
-        third = self.ask("third")
-        link, request = self.owner.asked[-1]
-        link.send(answer(request))
+        """Two requests on one link, with responses in reverse order."""
+        first, second = self.request("first"), self.request("second")
+        for link, request in reversed(self.owner.requests):
+            link.send(response_to(request))
+        third = self.request("third")
+        link, request = self.owner.requests[-1]
+        link.send(response_to(request))
         self.loopback.until(lambda: bool(third))
         return self.stamps(first, second, third)
 
     def over_a_replaced_link(self, late: Callable[[Link, StateRequest], None]) -> list[list[str]]:
-        """A request whose link is reset before its answer, and another one with the same number."""
-        first = self.ask("first")
-        old, request = self.owner.asked[0]
+        """A request whose link is reset before its response, and another one with the same number."""
+        first = self.request("first")
+        old, request = self.owner.requests[0]
         self.replace_link()
-        second = self.ask("second")
+        second = self.request("second")
         late(old, request)
-        link, later = self.owner.asked[-1]
+        link, later = self.owner.requests[-1]
         self.assertEqual(later.number, request.number)
-        link.send(answer(later))
+        link.send(response_to(later))
         self.loopback.until(lambda: bool(second) and bool(first))
         return self.stamps(first, second)
 
 
-class Numbers(LinkCase):
-    """Each answer ends its own request, once."""
+class RequestNumberTest(LinkCase):
+    """Each response ends its own request, once."""
 
-    def test_answers_in_another_order(self) -> None:
+    def test_responses_in_another_order(self) -> None:
         self.assertEqual(self.two_at_once(), [["first"], ["second"], ["third"]])
 
-    def test_a_replaced_link_takes_its_requests_along(self) -> None:
-        stamps = self.over_a_replaced_link(lambda old, request: old.send(answer(request)))
+    def test_a_response_on_a_replaced_link_is_lost(self) -> None:
+        stamps = self.over_a_replaced_link(lambda old, request: old.send(response_to(request)))
         self.assertEqual(stamps, [[], ["second"]])
 
-    def test_a_request_ends_with_its_link_once(self) -> None:
-        results = self.ask("first")
+    def test_a_request_fails_with_its_link_once(self) -> None:
+        results = self.request("first")
         self.replace_link()
         self.loopback.until(lambda: bool(results))
         self.assertIsInstance(results[0].value, LinkLost)
         self.assertEqual(self.edge.closed, 1)
 
-    def test_a_second_answer_and_one_to_nothing_end_nothing(self) -> None:
-        first = self.ask("first")
-        link, request = self.owner.asked[0]
-        link.send(answer(request))
+    def test_a_second_response_and_one_to_no_request_end_nothing(self) -> None:
+        first = self.request("first")
+        link, request = self.owner.requests[0]
+        link.send(response_to(request))
         link.send(StateResponse(request.number, False, MessageState.QUEUED, "again", None))
         link.send(StateResponse(99, False, MessageState.QUEUED, "nothing", None))
-        second = self.ask("second")
-        link.send(answer(self.owner.asked[1][1]))
+        second = self.request("second")
+        link.send(response_to(self.owner.requests[1][1]))
         self.loopback.until(lambda: bool(second))
         self.assertEqual(self.stamps(first, second), [["first"], ["second"]])
-        self.assertEqual(self.link._requests, {})
+        self.assertEqual(self.link.pending_requests, 0)
 
-    def test_an_answer_after_the_caller_gave_up(self) -> None:
+    def test_a_response_after_the_request_was_cancelled(self) -> None:
         results: list[Any] = []
-        waiting: Deferred[Any] = self.link.request(lambda number: StateRequest(number, "g", "first", False))
-        waiting.addBoth(results.append)
-        self.loopback.until(lambda: bool(self.owner.asked))
-        waiting.cancel()
-        link, request = self.owner.asked[0]
-        link.send(answer(request))
-        second = self.ask("second")
-        link.send(answer(self.owner.asked[1][1]))
+        pending: Deferred[Any] = self.link.request(lambda number: StateRequest(number, "g", "first", False))
+        pending.addBoth(results.append)
+        self.loopback.until(lambda: bool(self.owner.requests))
+        pending.cancel()
+        link, request = self.owner.requests[0]
+        link.send(response_to(request))
+        second = self.request("second")
+        link.send(response_to(self.owner.requests[1][1]))
         self.loopback.until(lambda: bool(second))
         self.assertEqual(self.stamps(results, second), [[], ["second"]])
         self.assertEqual(len(results), 1)
 
-    def test_requests_on_a_link_that_has_ended_fail_at_once(self) -> None:
+    def test_requests_on_a_closed_link_fail_at_once(self) -> None:
         link = self.link
         self.replace_link()
         results: list[Any] = []
@@ -161,31 +162,33 @@
         self.assertIsInstance(results[0].value, LinkLost)
 
 
-class OneNumber(Link):
-    """Broken: the number of a link is used again while a request with it waits."""
+class LinkWithOneNumber(Link):
+    """Broken: a number is used again while a request with it is pending."""
 
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
-        self._next_number = 0
+        self._last_number = 0
         return super().request(make)
 
 
-class BrokenBuilds(LinkCase):
-    """Number of a link used again: both ways of doing it are caught by the runs above."""
+class BrokenBuildTest(LinkCase):
+    """A number of a link that is used again: both ways are caught by the runs above."""
 
     def setUp(self) -> None:
-        self.whole = hub.Link
-        hub.Link = OneNumber  # type: ignore[misc]
-        self.addCleanup(setattr, hub, "Link", self.whole)
+        self.link_class = hub.Link
+        hub.Link = LinkWithOneNumber  # type: ignore[misc]
+        self.addCleanup(setattr, hub, "Link", self.link_class)
         super().setUp()
 
     def test_a_number_that_is_used_again_is_caught(self) -> None:
         stamps = self.two_at_once()
         self.assertNotEqual(stamps, [["first"], ["second"], ["third"]])
-        self.assertEqual(stamps[2], ["second"])  # the wrong caller has it
+        self.assertEqual(stamps[2], ["second"])  # the wrong request has it
 
-    def test_an_answer_over_the_peers_newest_link_is_caught(self) -> None:
-        stamps = self.over_a_replaced_link(lambda old, request: self.owner.opened[-1].send(answer(request)))
-        self.assertEqual(stamps, [[], ["first"]])  # the wrong caller has it
+    def test_a_response_over_the_newest_link_is_caught(self) -> None:
+        stamps = self.over_a_replaced_link(
+            lambda old, request: self.owner.opened[-1].send(response_to(request))
+        )
+        self.assertEqual(stamps, [[], ["first"]])  # the wrong request has it
 
 
 if __name__ == "__main__":
