--- a/bitternpath/configuration/change_requests.py
+++ b/bitternpath/configuration/change_requests.py
@@ -15,7 +15,7 @@
     """A change as the operator sent it, not decoded yet.
 
     Attributes:
-        method: PUT (a whole configuration) or PATCH.
+        method: PUT (a complete configuration) or PATCH.
         if_match: the header of that name as it came, empty where there was none.
         body: JSON.
     """
--- a/bitternpath/configuration/commands.py
+++ b/bitternpath/configuration/commands.py
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceDocument:
-    """Put an operator's change in force: a whole document in place of version `base`.
+    """Put an operator's change in force: a complete document in place of version `base`.
 
     No effect where another version is in force.
 
     Attributes:
         base: version that the change builds on; 0 for the first configuration.
         digest: `ChangeRequest.digest()` of the request, by which a retry is recognised.
-        document: the whole resulting document, JSON.
+        document: the complete resulting document, JSON.
     """
 
     base: int
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -41,7 +41,7 @@
 
 
 class FeedListener(Protocol):
-    """Hears what the feed brings."""
+    """Receives what the feed brings."""
 
     def configuration_changed(self, table: RoutingTable) -> None:
         """Another version is in force."""
@@ -81,7 +81,7 @@
         Args:
             reactor: clock and timers.
             hub: dials candidates.
-            listener: hears changes.
+            listener: is called for each change.
             candidates: addresses of nodes that may be, or know, the owner.
             wants_catalogue: whether to get the endpoint catalogue too.
         """
--- a/bitternpath/configuration/liveness.py
+++ b/bitternpath/configuration/liveness.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Mapping
 
 ALIVE_WITHIN_S = 0.8  # a node heard so lately is up: its link brings something twice a second
-MAX_OWNER_PAUSE_S = 1.0  # the owner updates four times a second; after a longer pause it was held up itself
+MAX_OWNER_PAUSE_S = 1.0  # the owner updates four times a second; after a longer pause it was stalled itself
 
 
 class NodeLiveness:
--- a/bitternpath/configuration/validation.py
+++ b/bitternpath/configuration/validation.py
@@ -26,7 +26,7 @@
 
 
 def parse_configuration(document: Mapping[str, Any]) -> Configuration:
-    """Parse and validate a whole configuration.
+    """Parse and validate a complete configuration.
 
     Raises:
         InvalidConfigurationError: with the section, the item's name and what is allowed.
@@ -81,7 +81,7 @@
 
 
 def _convert_numbers(raw: Mapping[str, Any]) -> dict[str, Any]:
-    """A copy with whole numbers for fractions and fractions for whole numbers where a field wants them."""
+    """A copy with integers as floats and floats as integers, where a field has the other type."""
     converted = dict(raw)
     for name in _FLOAT_FIELDS:
         value = converted.get(name)
--- a/bitternpath/transport/codec.py
+++ b/bitternpath/transport/codec.py
@@ -69,7 +69,7 @@
 
 
 class RecordSet:
-    """Several record classes, told apart by one byte before the Avro bytes: the class's index in the set."""
+    """Several record classes, distinguished by one byte before the Avro bytes: the index in the set."""
 
     def __init__(self, *records: type) -> None:
         """`records`: the classes; their order is part of the encoding."""
--- a/bitternpath/transport/dialler.py
+++ b/bitternpath/transport/dialler.py
@@ -107,4 +107,4 @@
         self._dialler.ended(was_greeted=False)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Part of the interface; the link has told its hub."""
+        """Part of the interface; the link reports it to its hub."""
--- a/bitternpath/transport/feed_messages.py
+++ b/bitternpath/transport/feed_messages.py
@@ -27,8 +27,8 @@
     Attributes:
         epoch: term of the sender.
         configuration_version: version in force.
-        configuration: the whole document, packed by `configuration.feed_documents`; None where the subscriber
-            has it.
+        configuration: the complete document, packed by `configuration.feed_documents`; None where it
+            has not changed.
         placement_generation: generation in force.
         placement: all queue shards; None where the subscriber has them.
         edge_node_count: how many edge nodes the system has, as far as known; for shares of common limits.
--- a/bitternpath/transport/hub.py
+++ b/bitternpath/transport/hub.py
@@ -22,7 +22,7 @@
 
     Attributes:
         reactor: clock, timers and TCP.
-        handler: hears what comes over links.
+        handler: receives what comes over links.
         describe: this node, as it greets peers.
         random: jitter of back-offs, and other choices of the links' users.
         links: all connections that stand, in the order in which they were made.
--- a/bitternpath/transport/link_liveness.py
+++ b/bitternpath/transport/link_liveness.py
@@ -1,6 +1,6 @@
-"""When a link's peer is pinged, and when it is given up. Pure: time is an argument.
+"""When a link's peer is pinged, and when the link is aborted. Pure: time is an argument.
 
-The end that dialled pings; the other end hears the pings. Any received byte counts as a sign of life, so a
+The end that dialled pings; the other end receives the pings. Any received byte counts as a sign of life, so a
 busy link is pinged by neither.
 """
 
@@ -15,8 +15,8 @@
 PING_AWAITING_RESPONSE_S = 0.75
 PING_SUBSCRIBED_S = 0.25
 
-PONG_TIMEOUT_S = 1.65  # the end that has pinged gives the peer up after so long without a byte
-PEER_TIMEOUT_S = 6.0  # either end gives the peer up; for the end that was dialled, two pings haven't come
+PONG_TIMEOUT_S = 1.65  # the end that has pinged aborts the link after so long without a byte
+PEER_TIMEOUT_S = 6.0  # either end aborts the link; at the end that was dialled, two pings haven't come
 
 
 class LivenessAction(Enum):
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -50,7 +50,7 @@
 
 
 class LinkHandler(Protocol):
-    """Hears what comes over links. All methods are called in the reactor's thread."""
+    """Receives what comes over links. All methods are called in the reactor's thread."""
 
     def link_opened(self, link: Link) -> None:
         """The peer has greeted (`link.peer`), for the first time or anew."""
--- a/bitternpath/transport/reactor.py
+++ b/bitternpath/transport/reactor.py
@@ -60,7 +60,7 @@
     """Clock, timers and TCP (`IReactorTime`, `IReactorTCP`)."""
 
     def connectTCP(self, host: str, port: int, factory: Factory, timeout: float) -> Connector:
-        """Connect; the factory hears of failures."""
+        """Connect; the factory is called for failures."""
 
     def listenTCP(self, port: int, factory: Factory, backlog: int, interface: str) -> ListeningPort:
         """Listen.
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""How long a call of the operator may take on any node, and what becomes of it. Virtual time."""
+"""How long a call of the operator may take on any node, and its result. Virtual time."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from bitternpath.transport.node_messages import Pong
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
-SILENCE_S = 1.0  # of a node, after which the operator moves on
+NODE_TIMEOUT_S = 1.0  # without a response, after which the operator moves on to another node
 MIB = 1 << 20
 
 
-class Orders:
-    """A processor that decides when the test says so."""
+class PendingChanges:
+    """A processor whose results the test gives."""
 
     def __init__(self) -> None:
         self.open: list[Deferred[OperatorResult]] = []
@@ -34,7 +34,7 @@
     """A member of the configuration group."""
 
     def __init__(self, owner: bool) -> None:
-        self.owner, self.orders = owner, Orders()
+        self.owner, self.orders = owner, PendingChanges()
 
     def is_owner(self) -> bool:
         return self.owner
@@ -57,7 +57,7 @@
 
 
 class Feed:
-    """A follower of the feed."""
+    """A client of the feed."""
 
     def __init__(self, link: Link | None) -> None:
         self.link = link
@@ -81,7 +81,7 @@
         calls.call("PUT", "/config", "3", body).addCallback(replies.append)
         return replies
 
-    def test_without_a_result_each_node_says_503_before_the_operator_moves_on(self) -> None:
+    def test_without_a_result_each_node_gives_503_before_the_operator_moves_on(self) -> None:
         for label, calls in (
             ("owner", self.calls(self.owner, None)),
             ("forwards", self.calls(None, self.link)),
@@ -91,32 +91,32 @@
                 replies = self.put(calls)
                 self.clock.advance(0.7)
                 self.assertEqual(replies, [])
-                self.clock.advance(SILENCE_S - 0.7)
+                self.clock.advance(NODE_TIMEOUT_S - 0.7)
                 self.assertEqual([reply.status for reply in replies], [503])
         self.owner.orders.open[0].callback(
             operator_result(ResultCode.ACCEPTED, version=5)
         )  # nobody waits for it
         self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
 
-    def test_a_large_body_has_longer(self) -> None:
+    def test_a_large_body_has_a_longer_time_out(self) -> None:
         replies = self.put(self.calls(None, self.link), b"x" * (2 * MIB))
         self.clock.advance(2.5)
         self.assertEqual(replies, [])
         self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
         self.assertEqual([reply.status for reply in replies], [200])
 
-    def test_without_an_owner_it_says_503_at_once(self) -> None:
+    def test_without_an_owner_the_result_is_503_at_once(self) -> None:
         for member in (None, self.follower):
             self.assertEqual([reply.status for reply in self.put(self.calls(member, None))], [503])
 
-    def test_a_lost_link_and_an_answer_of_another_kind_leave_the_fate_open(self) -> None:
+    def test_after_a_lost_link_or_an_unexpected_response_the_outcome_is_unknown(self) -> None:
         calls = self.calls(None, self.link)
         first, second = self.put(calls), self.put(calls)
         self.link.open[-2].errback(LinkLost())
         self.link.open[-1].callback(Pong(1))
         self.assertEqual([reply.status for reply in first + second], [503, 503])
 
-    def test_what_was_forwarded_is_not_forwarded_again(self) -> None:
+    def test_a_forwarded_call_is_not_forwarded_again(self) -> None:
         decided: list[OperatorResult] = []
         for member in (None, self.follower):
             order = OperatorRequest(1, "PUT", "/config", "3", b"{}")
