--- a/bitternpath/delivery/pool.py
+++ b/bitternpath/delivery/pool.py
@@ -10,7 +10,7 @@
 from bitternpath.delivery.connections import WorkerConnection
 from bitternpath.delivery.exchanges import MIN_REMAINING_S, Exchange
 from bitternpath.delivery.results import RefusalKind
-from bitternpath.net.clock import TcpReactor
+from bitternpath.net.reactor import TcpReactor
 from bitternpath.net.sockets import dial, peek
 
 MAX_WAIT_SHARE = 1 / 3  # of a delivery's time, for which it waits for a free connection
--- a/bitternpath/net/clock.py
+++ b/bitternpath/net/clock.py
@@ -1,7 +1,7 @@
-"""Types of the parts of a reactor: time alone, and time with connections.
+"""Time and timers, as the parts of the system that need nothing else of a reactor take them.
 
-`twisted.internet.reactor` and the simulations' reactors have all of them; `twisted.internet.task.Clock` is
-the usual `Clock` of tests.
+`twisted.internet.reactor`, `twisted.internet.task.Clock` (in tests) and the simulation's reactor are clocks.
+Twisted's own interfaces are zope interfaces, which type checkers can't check without a plugin.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Timer(Protocol):
-    """One call that is due later (`twisted.internet.interfaces.IDelayedCall`)."""
+    """A call that is due later (`twisted.internet.interfaces.IDelayedCall`)."""
 
     def active(self) -> bool:
         """Whether the call has neither been made nor cancelled."""
@@ -19,27 +19,24 @@
     def cancel(self) -> None:
         """Never make the call; raises `AlreadyCalled` or `AlreadyCancelled` where it isn't active."""
 
+    def reset(self, delay: float, /) -> None:
+        """Make the call `delay` seconds from now instead; raises as `cancel` does."""
+
+    def getTime(self) -> float:
+        """When the call is due, in seconds of the clock."""
+
 
 class Clock(Protocol):
     """Monotonic time and timers (`twisted.internet.interfaces.IReactorTime`)."""
 
     def seconds(self) -> float:
-        """The time now, in seconds since an arbitrary moment."""
-
-    def callLater(self, delay: float, call: Callable[..., object], *arguments: object) -> Timer:
-        """Call `call(*arguments)` in the reactor's thread after `delay` seconds."""
-
-
-class TcpReactor(Clock, Protocol):
-    """A clock that also dials (`twisted.internet.interfaces.IReactorTCP`); `net.sockets.dial` uses it."""
+        """The time now, in seconds since an arbitrary moment; it never steps back."""
 
-    def connectTCP(
-        self, host: str, port: int, factory: object, timeout: float = 30, bindAddress: object = None
-    ) -> object:
-        """Connect to an address, and make a protocol with `factory` once connected."""
+    def callLater(self, delay: float, call: Callable[..., object], /, *arguments: object) -> Timer:
+        """Call `call(*arguments)` in the reactor's thread, in a turn of its own, after `delay` seconds."""
 
 
-def cancel_if_active(timer: Timer) -> None:
-    """Cancel a timer that may have run already."""
-    if timer.active():
+def cancel_if_active(timer: Timer | None) -> None:
+    """Cancel a timer, if there is one that hasn't run."""
+    if timer is not None and timer.active():
         timer.cancel()
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -15,6 +15,7 @@
 import logbook
 from twisted.internet.defer import Deferred, fail
 
+from bitternpath.net.clock import Clock, Timer
 from bitternpath.replication.bandwidth import TransferBudget
 from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.replication.errors import GroupAlreadyOpenError, NotOwnerError
@@ -26,17 +27,15 @@
     ReplicaGroup,
 )
 from bitternpath.replication.interfaces import (
-    DelayedCall,
     GroupJournal,
     GroupListener,
     MessageTransport,
-    ReactorTime,
     StateMachine,
 )
 from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.records import Members, PersistentState, RaftTiming, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
 log = logbook.Logger("replication")
 
@@ -59,7 +58,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         member_id: str,
         journal: GroupJournal,
         transport: MessageTransport,
@@ -76,8 +75,8 @@
         self._group_options = GroupOptions(RaftOptions(options.timing, budget), options.bounds)
         self._dirty: dict[str, ReplicaGroup] = {}
         self._watchers: dict[str, Callable[[], None]] = {}
-        self._flush_call: DelayedCall | None = None
-        self._timer: DelayedCall | None = None
+        self._flush_call: Timer | None = None
+        self._timer: Timer | None = None
         self._stopped = False
         journal.on_corrupt_snapshot(self._rewrite_snapshot)
 
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -75,26 +75,3 @@
 
     def applied(self, index: int, command: bytes, result: object) -> None:
         """A command was applied; on each replica."""
-
-
-class DelayedCall(Protocol):
-    """A timer of a reactor (`twisted.internet.interfaces.IDelayedCall`)."""
-
-    def getTime(self) -> float:
-        """When it is due."""
-
-    def active(self) -> bool:
-        """Whether it has neither fired nor been cancelled."""
-
-    def cancel(self) -> None:
-        """Keep it from firing."""
-
-
-class ReactorTime(Protocol):
-    """The time of a reactor (`twisted.internet.interfaces.IReactorTime`)."""
-
-    def seconds(self) -> float:
-        """A clock that doesn't go back, in seconds."""
-
-    def callLater(self, delay: float, call: Callable[..., object], /, *arguments: object) -> DelayedCall:
-        """Call after `delay` seconds."""
--- a/bitternpath/roles/bootstrap.py
+++ b/bitternpath/roles/bootstrap.py
@@ -22,10 +22,11 @@
     BootstrapFile,
     decide_bootstrap,
 )
+from bitternpath.net.clock import Timer, cancel_if_active
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.roles.node_base import NodeBase
-from bitternpath.roles.reactor import NodeReactor, ScheduledCall, cancel_call
 from bitternpath.storage.errors import CorruptDocumentError
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
     BootstrapDecisionStored,
@@ -136,7 +137,7 @@
         if base.settings.data_dir is not None:
             self._file = BootstrapFile(base.settings.data_dir, base.disk, DECIDER_DOCUMENT)
         self._decision: BootstrapDecision | None = None
-        self._scheduled: ScheduledCall | None = None
+        self._scheduled: Timer | None = None
 
     def start(self) -> None:
         """Claim the right to decide where this node has it, or resume with an earlier claim or decision.
@@ -158,7 +159,7 @@
 
     def stop(self) -> None:
         """Decide and notify no more."""
-        cancel_call(self._scheduled)
+        cancel_if_active(self._scheduled)
 
     def acknowledged(self, answer: BootstrapDecisionStored) -> None:
         """A founder has the decision on disk."""
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -29,13 +29,13 @@
     PendingPull,
 )
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.roles.bootstrap import BootstrapCoordinator
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.roles.endpoint_list_fallback import EndpointListFallback
 from bitternpath.roles.environment import ProcessEnvironment
 from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.status import group_status, node_status
 from bitternpath.shards.appends import Appender
--- a/bitternpath/roles/endpoint_list_fallback.py
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -11,7 +11,7 @@
 from bitternpath.configuration.feed_client import FeedClient
 from bitternpath.discovery.catalogue import Catalogue
 from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
-from bitternpath.roles.reactor import ReactorTime
+from bitternpath.net.clock import Clock
 
 MAX_FEED_AGE_S = 1.3  # an older catalogue makes this node read the list itself
 MIN_INTERVAL_S = 0.25  # between checks, on average
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         client: EndpointListClient,
         catalogue: Catalogue,
         feed: FeedClient,
--- a/bitternpath/roles/feed_cache.py
+++ b/bitternpath/roles/feed_cache.py
@@ -12,7 +12,7 @@
 
 from bitternpath.configuration.feed_client import FeedClient
 from bitternpath.configuration.feed_documents import pack_document
-from bitternpath.roles.reactor import NodeReactor
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.storage.document_writer import DocumentWriter
 from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -13,6 +13,7 @@
 import logbook
 
 from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.roles.disk_capacity import DiskCapacity
@@ -23,8 +24,8 @@
 from bitternpath.roles.membership_reports import MembershipReporter
 from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.ownership_return import OwnershipReturn
+from bitternpath.roles.periodic_call import PeriodicCall
 from bitternpath.roles.quota_borrowing import QuotaBorrower
-from bitternpath.roles.reactor import NodeReactor, PeriodicCall
 from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.settings_reader import SettingsError
--- a/bitternpath/storage/journal_writer_thread.py
+++ b/bitternpath/storage/journal_writer_thread.py
@@ -7,9 +7,9 @@
 
 import logbook
 
+from bitternpath.net.reactor import ThreadCallReactor
 from bitternpath.storage.commands import JournalCommand, batch_of
 from bitternpath.storage.journal_writer import RETRY_SECONDS, CompletedCallback, CorruptSnapshotCallback
-from bitternpath.storage.reactor import ThreadCallReactor
 from bitternpath.storage.segments import SegmentLog
 
 log = logbook.Logger("disk")
