--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -25,6 +25,7 @@
 from dataclasses import dataclass, field
 from math import inf
 from random import Random
+from typing import NamedTuple
 from urllib.parse import urlsplit
 
 from bitternpath.queue.actions import SendCallback
@@ -55,6 +56,14 @@
     acknowledged: bool = False  # only the confirmation has to be applied
 
 
+class _Timer(NamedTuple):
+    """Ends a call-back's time-out or back-off; ordered by time."""
+
+    when: float
+    request_id: str
+    serial: int
+
+
 @dataclass(slots=True)
 class _Receiver:
     """One address that is called back: a few calls in flight, the others in the order they came due."""
@@ -93,7 +102,7 @@
         self._pending: dict[str, _PendingCallback] = {}  # by request id
         self._receivers: dict[str, _Receiver] = {}  # by address
         self._sendable: dict[str, None] = {}  # receivers to which something may be sent
-        self._timers: list[tuple[float, str, int]] = []  # time, request id, serial
+        self._timers: list[_Timer] = []
         self._probes: list[tuple[float, str]] = []  # receivers by the time of their next probe
         self._unconfirmed: list[str] = []  # acknowledged ones whose confirmation is to be proposed
         self._confirm_by = inf
@@ -162,7 +171,7 @@
 
     def advance(self, now: float) -> list[SendCallback]:
         """Fire the timers whose time has come; returns what may be sent."""
-        while self._timers and self._timers[0][0] <= now:
+        while self._timers and self._timers[0].when <= now:
             self._fire(now, heapq.heappop(self._timers))
         while self._probes and self._probes[0][0] <= now:
             self._mark_sendable(heapq.heappop(self._probes)[1])
@@ -210,10 +219,10 @@
         message = entry.message
         return SendCallback(edge, message.request_id, message.callback_url, entry.state, entry.stamp)
 
-    def _fire(self, now: float, timer: tuple[float, str, int]) -> None:
+    def _fire(self, now: float, timer: _Timer) -> None:
         if self._is_stale(timer):
             return
-        pending = self._pending[timer[1]]
+        pending = self._pending[timer.request_id]
         if pending.in_flight:
             self._back_off(now, pending)
         else:
@@ -242,8 +251,8 @@
 
     def _set_timer(self, when: float, pending: _PendingCallback) -> None:
         pending.serial += 1
-        heapq.heappush(self._timers, (when, pending.entry.message.request_id, pending.serial))
+        heapq.heappush(self._timers, _Timer(when, pending.entry.message.request_id, pending.serial))
 
-    def _is_stale(self, timer: tuple[float, str, int]) -> bool:
-        pending = self._pending.get(timer[1])
-        return pending is None or pending.acknowledged or pending.serial != timer[2]
+    def _is_stale(self, timer: _Timer) -> bool:
+        pending = self._pending.get(timer.request_id)
+        return pending is None or pending.acknowledged or pending.serial != timer.serial
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -84,7 +84,7 @@
         """Return the command that leases a message in advance, to whichever worker polls next."""
         lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", queue.service.name, now)
-        tracked.pregrant = GrantLease(tracked.request_id, lease_id, "", self.pull_duration_ms, True)
+        tracked.pregrant = GrantLease(tracked.request_id, lease_id, "", self.pull_duration_ms, pulled=True)
         queue.pregranted.add(tracked.request_id)
         return tracked.pregrant
 
@@ -178,7 +178,9 @@
         self._polls.reserve(poll)
         lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", service, now, poll.poll_id)
-        return GrantLease(tracked.request_id, lease_id, poll.request.instance, self.pull_duration_ms, True)
+        return GrantLease(
+            tracked.request_id, lease_id, poll.request.instance, self.pull_duration_ms, pulled=True
+        )
 
     def _grant_to_edge(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
         route = tracked.route
@@ -191,7 +193,7 @@
         tracked.lease = InFlightLease(tracked.request_id, lease_id, edge.name, service, now)
         self._take_capacity(tracked.lease)
         duration_ms = route.timeout_ms + PUSH_LEASE_MARGIN_MS
-        return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, False)
+        return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, pulled=False)
 
     def _take_capacity(self, lease: InFlightLease) -> None:
         edge = self._edges.find(lease.edge)
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -143,7 +143,7 @@
         return self._take_actions(now)
 
     def edge_connected(self, now: float, name: str, zone: str) -> list[Action]:
-        """An edge node is connected. Of a new process, call `edge_process_ended` for the old one first."""
+        """Use an edge node that is connected. Call `edge_process_ended` first for an earlier process."""
         edge = self._edges.find(name)
         edge.zone = zone
         edge.connected = True
@@ -151,13 +151,13 @@
         return self._take_actions(now)
 
     def edge_disconnected(self, now: float, name: str) -> list[Action]:
-        """The connection to an edge node has ended. Its leases go on: it may be running the messages."""
+        """Send nothing to an edge node that is away. Its leases go on: it may be running the messages."""
         self._edges.find(name).connected = False
         self._polls.remove_of_edge(name)
         return self._take_actions(now)
 
     def edge_process_ended(self, now: float, name: str) -> list[Action]:
-        """The process of an edge node has ended, and with it its leases on messages without an order key."""
+        """Release the leases of an edge node whose process has ended, of messages without an order key."""
         edge = self._edges.find(name)
         edge.connected = False
         edge.process_ended_at = now
@@ -176,7 +176,7 @@
         return self._pools.lend(now, service, wanted)
 
     def tokens_lent(self, now: float, service: str, tokens: int, requested_at: float) -> list[Action]:
-        """`BorrowTokens`, which was handed over at `requested_at`, is answered."""
+        """Take the answer to `BorrowTokens`, which was handed over at `requested_at`."""
         queue = self._services.find(service)
         if queue is not None and queue.borrower is not None:
             queue.borrower.tokens_lent(now, tokens, requested_at)
@@ -186,14 +186,14 @@
     # ---- events: workers that pull, reports of holders, call-backs
 
     def poll(self, now: float, request: LongPollRequest) -> list[Action]:
-        """A worker waits for a message at an edge node."""
+        """Have a worker wait for a message at an edge node."""
         is_local = self._edges.is_local(request.edge)
         self._polls.add(LongPoll(request, now + request.wait_s, is_local))
         self._services.mark_dirty(request.service)
         return self._take_actions(now)
 
     def cancel_poll(self, now: float, poll_id: int) -> list[Action]:
-        """The worker waits no more; a message that is being leased to it will be returned."""
+        """Let a worker wait no more; a message that is being leased to it will be returned."""
         self._polls.remove(poll_id)
         return self._take_actions(now)
 
@@ -212,17 +212,17 @@
         return self._lifecycle.end_attempt_command(request_id, lease_id, outcome, stamp, retry_after_ms)
 
     def callback_report(self, now: float, request_id: str, *, acknowledged: bool) -> list[Action]:
-        """An edge node has made a call-back, which the receiver acknowledged or not."""
+        """Take an edge node's report on a call-back, which the receiver acknowledged or not."""
         self._ended.callbacks.report(now, request_id, acknowledged=acknowledged)
         return self._take_actions(now)
 
     # ---- events: the log
 
     def append_proposed(self, now: float, message: Message) -> list[Action]:
-        """A message's append has just been proposed.
+        """Lease a message whose append has just been proposed, where that can be at once.
 
-        Where it can be leased at once, its lease goes into the log right behind it: one round of replicas and
-        one sync for both. Empty where it can't; else `append_failed` is to be called should the append surely
+        The lease goes into the log right behind the append: one round of replicas and one sync for both.
+        Returns nothing where the message has to wait; else call `append_failed` should the append surely
         never be in the log.
         """
         request_id = message.request_id
@@ -238,11 +238,11 @@
         return self._take_actions(now)
 
     def append_failed(self, request_id: str) -> None:
-        """An append for which `append_proposed` gave actions is surely not in the log, nor is its lease."""
+        """Drop a message whose append, for which `append_proposed` gave actions, is surely not in the log."""
         self._lifecycle.remove_provisional(request_id)
 
     def applied(self, now: float, result: Result) -> list[Action]:
-        """A command has been applied to the state; to be called after each one, before the next."""
+        """Follow a command that has been applied to the state; call it after each one, before the next."""
         match result:
             case MessageAppended(is_new=True):
                 self._emit_any(self._lifecycle.message_appended(now, result))
@@ -260,7 +260,7 @@
         return self._take_actions(now)
 
     def proposal_failed(self, now: float, command: Command) -> list[Action]:
-        """A proposal of this owner will surely never be in the log, though it still owns the shard."""
+        """Make up for a proposal that is surely not in the log, though this owner still owns the shard."""
         match command:
             case GrantLease():
                 self._emit_any(self._lifecycle.grant_not_proposed(now, command))
--- a/bitternpath/queue/tracked_messages.py
+++ b/bitternpath/queue/tracked_messages.py
@@ -5,24 +5,26 @@
     ========  ==================================================  =====================================
     phase     meaning                                             goes on to
     ========  ==================================================  =====================================
-    UNROUTED  no route, or the table is older than the message    any idle phase; EXPIRING after a grace
-    BLOCKED   an earlier unended message has its order key        any idle phase when that one ends
-    DELAYED   its delay or a back-off is not over                 any idle phase at that time
+    UNROUTED  no route, or the table is older than the message    placed; GRANTING with its append;
+                                                                  LEASED when a new owner adopts it
+    BLOCKED   an earlier unended message has its order key        placed when that one ends
+    DELAYED   its delay or a back-off is not over                 placed at that time
     READY     it may be leased; it is in its service's queue      GRANTING; LEASED where a lease was
-                                                                  granted in advance; LEASED by an
-                                                                  extension of its last lease
-    GRANTING  `GrantLease` is proposed, for a holder or in        LEASED when it is applied; READY when
-              advance                                             it was in advance; any idle phase
-                                                                  when it is void or was not proposed
-    LEASED    its holder has it, until `lease_ends_at`            any idle phase at the end of the
-                                                                  attempt, or of the lease's time
-    EXPIRING  `ExpireMessage` is proposed                         ENDED; any idle phase when it is void
+                                                                  granted in advance
+    GRANTING  `GrantLease` is proposed, for a holder or in        LEASED when it is applied; placed when
+              advance                                             it was in advance, is void, or was not
+                                                                  proposed
+    LEASED    its holder has it, until `lease_ends_at`            placed at the end of the attempt, or of
+                                                                  the lease's time
+    EXPIRING  `ExpireMessage` is proposed                         ENDED; placed when it is void
     ENDED     it is a tombstone, and no longer tracked            -
     ========  ==================================================  =====================================
 
-UNROUTED, BLOCKED, DELAYED and READY are the idle phases: `placement.Placement` chooses among them, and ends
-messages whose retention is over. Any phase goes to ENDED when the state says so. `TRANSITIONS` has the same
-table for tests.
+UNROUTED, BLOCKED, DELAYED and READY are the idle phases. "Placed": `placement.Placement` puts the message
+into the idle phase that the configuration and the time demand, or into EXPIRING when its retention is over.
+It does so too when the configuration changes. A message that has been the first of its order key stays so,
+and is not BLOCKED again. The holder of a released lease may still extend it (LEASED) or report its end
+(ENDED) while the message is idle. `TRANSITIONS` is the same table for tests.
 """
 
 from __future__ import annotations
@@ -53,16 +55,18 @@
 IDLE_PHASES = frozenset(
     {MessagePhase.UNROUTED, MessagePhase.BLOCKED, MessagePhase.DELAYED, MessagePhase.READY}
 )
-_PLACED = IDLE_PHASES | {MessagePhase.EXPIRING, MessagePhase.ENDED}  # wherever `Placement` may put a message
+_PLACED = IDLE_PHASES | {MessagePhase.EXPIRING}
+_FIRST_OF_ITS_KEY = _PLACED - {MessagePhase.BLOCKED}
+_AFTER_RELEASE = frozenset({MessagePhase.LEASED, MessagePhase.ENDED})
 
 TRANSITIONS = {
-    MessagePhase.UNROUTED: _PLACED | {MessagePhase.GRANTING, MessagePhase.LEASED},  # also the first phase
-    MessagePhase.BLOCKED: _PLACED | {MessagePhase.LEASED},
-    MessagePhase.DELAYED: _PLACED | {MessagePhase.LEASED},
-    MessagePhase.READY: _PLACED | {MessagePhase.GRANTING, MessagePhase.LEASED},
-    MessagePhase.GRANTING: _PLACED | {MessagePhase.LEASED},
-    MessagePhase.LEASED: _PLACED,
-    MessagePhase.EXPIRING: _PLACED,
+    MessagePhase.UNROUTED: _PLACED | _AFTER_RELEASE | {MessagePhase.GRANTING},  # the first phase
+    MessagePhase.BLOCKED: _PLACED,
+    MessagePhase.DELAYED: _FIRST_OF_ITS_KEY | _AFTER_RELEASE,
+    MessagePhase.READY: _FIRST_OF_ITS_KEY | _AFTER_RELEASE | {MessagePhase.GRANTING},
+    MessagePhase.GRANTING: _PLACED | {MessagePhase.LEASED, MessagePhase.ENDED},
+    MessagePhase.LEASED: _FIRST_OF_ITS_KEY | {MessagePhase.ENDED},
+    MessagePhase.EXPIRING: _PLACED | {MessagePhase.ENDED},
     MessagePhase.ENDED: frozenset[MessagePhase](),
 }
 
--- a/tests/system/test_queue_campaign.py
+++ b/tests/system/test_queue_campaign.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import unittest
+from collections import Counter
 from dataclasses import dataclass, field, replace
+from unittest.mock import patch
 
 from msgspec import structs
 
@@ -17,7 +19,7 @@
 from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.state import QueueState
 from bitternpath.queue.token_bucket import TokenBucket
-from bitternpath.queue.tracked_messages import TrackedMessage
+from bitternpath.queue.tracked_messages import TRANSITIONS, MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.test_queue_checkers import Rule, check_all
 from tests.system.test_queue_nodes import CALM, RESTLESS, Build, Faults
@@ -247,6 +249,28 @@
             )
 
 
+class Phases(unittest.TestCase):
+    """The phases of messages follow the table of `tracked_messages`."""
+
+    def test_only_transitions_of_the_table_happen(self) -> None:
+        seen: Counter[tuple[MessagePhase, MessagePhase]] = Counter()
+        enter = TrackedMessage.enter
+
+        def count(tracked: TrackedMessage, phase: MessagePhase) -> None:
+            seen[tracked.phase, phase] += 1
+            enter(tracked, phase)
+
+        with patch.object(TrackedMessage, "enter", count):
+            World(1).run()
+            World(2, faults=RESTLESS).run()
+        table = {(before, after) for before, each in TRANSITIONS.items() for after in each}
+        self.assertEqual(set(seen) - table, set())
+        self.assertGreater(len(seen), 20, "the worlds see most of the table")
+
+    def test_each_phase_has_its_row(self) -> None:
+        self.assertEqual(set(TRANSITIONS), set(MessagePhase))
+
+
 def replicated(entry: Entry) -> Entry:
     """An entry without its local times."""
     return replace(entry, accepted_at=0.0, due_at=0.0, ended_at=0.0)
