--- /dev/null
+++ b/tests/system/queue/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `bitternpath.queue`: conformance of its parts, and seeded worlds with broken builds."""
--- a/tests/system/test_queue_rig.py
+++ b/tests/system/queue/owner_rig.py
@@ -66,7 +66,7 @@
 class Rig:
     """An owner over a state. Proposals wait in `proposed` until `commit`.
 
-    Calls for workers that pull go to `asked`, other actions to `sent`.
+    Requests for pulling workers go to `poller_requests`, other actions to `sent`.
     """
 
     def __init__(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
@@ -77,10 +77,10 @@
         self.own(routing, edges)
 
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
-        """A new owner takes over."""
+        """Let a new owner begin."""
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
-        self.asked: list[RequestPollers] = []
+        self.poller_requests: list[RequestPollers] = []
         settings = OwnerSettings(visibility_timeout_ms=3_000, status_retention_s=120.0)
         self.owner = ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
         self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
@@ -95,7 +95,7 @@
             if isinstance(action, ProposeCommand):
                 self.proposed.append(action.command)
             elif isinstance(action, RequestPollers):
-                self.asked.append(action)
+                self.poller_requests.append(action)
             else:
                 self.sent.append(action)
         if self.automatic and self.proposed:
@@ -124,7 +124,7 @@
         return [action for action in sent if kind is None or isinstance(action, kind)]
 
     def append(self, request_id: str, path: str = "/plain/x", **fields: Any) -> None:
-        """A client's message."""
+        """Append a client's message."""
         values: dict[str, Any] = {"order_key": "", "delay_ms": 0, "callback_url": "", "origin": "edge-1"}
         values |= {"accepted_version": 5, "body": b"body"} | fields
         wall_ms = WALL_MS + round((self.now - 100.0) * 1000)
@@ -147,32 +147,32 @@
     def end(
         self, delivery: SendDelivery | AnswerPoll, outcome: AttemptOutcome, retry_after_ms: int = 0
     ) -> bool:
-        """A holder's word; whether it is taken."""
+        """Report the end of an attempt; returns whether it is accepted."""
         request_id, lease_id = delivery.message.request_id, delivery.lease_id
         command = self.owner.end_attempt_command(request_id, lease_id, outcome, "stamp", retry_after_ms)
         return self.apply(command).accepted
 
     def configure(self, routing: RoutingTable) -> None:
-        """Another configuration comes into force."""
+        """Put another configuration into force."""
         self.do(self.owner.configure(self.now, routing))
 
     def poll(self, number: int, edge: str = "edge-1", wait_s: float = 1.0) -> None:
-        """A worker asks for a job."""
+        """Let a worker wait for a message."""
         request = LongPollRequest(number, edge, "puller", f"instance-{number}", wait_s)
         self.do(self.owner.poll(self.now, request))
 
     def delivery(self) -> SendDelivery:
-        """The only delivery since the last time."""
+        """Return the only delivery since the last time."""
         (delivery,) = self.take_sent(SendDelivery)
         return delivery
 
     def answer(self) -> AnswerPoll:
-        """The only job since the last time."""
+        """Return the only answer to a poll since the last time."""
         (answer,) = self.take_sent(AnswerPoll)
         return answer
 
     def state_of(self, request_id: str) -> MessageState:
-        """Where a message is."""
+        """Return the state of a message."""
         entry = self.state.find(request_id)
         assert entry is not None
         return entry.state
--- a/tests/system/test_job_ends.py
+++ b/tests/system/queue/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""Ends of jobs: the same answer when sent again, one lease a message, attempts counted over take-overs."""
+"""Reports of ended attempts: repeated ones get the same response; new owners count on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from bitternpath.queue.state import QueueState
 from bitternpath.shards.pulls import outcome_of
 from bitternpath.transport.records import AttemptOutcome, MessageState
-from tests.system.test_queue_rig import (
+from tests.system.queue.owner_rig import (
     FAILED,
     NOT_RUN,
     PULL_LEASE_S,
@@ -20,7 +20,7 @@
     Rig,
 )
 
-MOST_ATTEMPTS = 3  # of the rig's routes
+MAX_ATTEMPTS = 3  # of the rig's routes
 OUTCOMES = (SUCCEEDED, FAILED, REJECTED, NOT_RUN, UNKNOWN)
 
 
@@ -32,13 +32,13 @@
     rig.own()
 
 
-def leadership_acquired(rig: Rig) -> None:
+def change_owner(rig: Rig) -> None:
     """Another replica is the owner."""
     rig.own()
 
 
 def run_on(rig: Rig) -> None:
-    """The message goes its way: later leases, or its end."""
+    """The message goes on: later leases, or its end."""
     rig.poll(90, wait_s=10.0)
     rig.advance(5.0)
     for job in rig.take_sent(AnswerPoll):
@@ -50,11 +50,11 @@
     """At once."""
 
 
-MEANWHILE: tuple[Callable[[Rig], None], ...] = (nothing, leadership_acquired, restart, run_on)
+MEANWHILE: tuple[Callable[[Rig], None], ...] = (nothing, change_owner, restart, run_on)
 
 
 class Repeated(unittest.TestCase):
-    """MIXED: an end that was taken with 200 is taken again, by any owner, whatever has come since."""
+    """MIXED: an end that was accepted once is accepted again, by any owner, whatever has come since."""
 
     def job(self) -> tuple[Rig, AnswerPoll]:
         rig = Rig()
@@ -89,8 +89,8 @@
                         rig.end(job, first)
                         self.assertFalse(rig.end(job, second))
 
-    def test_two_leases_are_never_both_taken(self) -> None:
-        for meanwhile in (nothing, leadership_acquired, restart):
+    def test_two_leases_are_never_both_accepted(self) -> None:
+        for meanwhile in (nothing, change_owner, restart):
             for order in (0, 1):
                 with self.subTest(meanwhile.__doc__, order=order):
                     rig, first = self.job()
@@ -100,11 +100,11 @@
                     self.assertNotEqual(first.lease_id, second.lease_id)
                     meanwhile(rig)
                     jobs = (first, second) if order else (second, first)
-                    taken = [rig.end(job, SUCCEEDED) for job in jobs]
-                    self.assertEqual(sorted(taken), [False, True])
+                    accepted = [rig.end(job, SUCCEEDED) for job in jobs]
+                    self.assertEqual(sorted(accepted), [False, True])
                     self.assertTrue(rig.end(second, SUCCEEDED))
 
-    def test_the_end_of_a_lease_that_is_over_but_not_given_on_is_taken(self) -> None:
+    def test_the_end_of_a_timed_out_lease_is_accepted_until_another_is_granted(self) -> None:
         rig, job = self.job()
         rig.advance(PULL_LEASE_S + 5.0)
         self.assertTrue(rig.end(job, SUCCEEDED))
@@ -119,7 +119,7 @@
             rig.advance(1.0)
             job = rig.answer()
 
-    def test_what_a_status_means_does_not_depend_on_when_it_comes(self) -> None:
+    def test_the_outcome_of_each_status(self) -> None:
         for status, stamp, outcome in (
             (200, "s", SUCCEEDED),
             (204, "s", SUCCEEDED),
@@ -148,7 +148,7 @@
                 rig.advance(0.1)
                 continue
             runs += 1
-            self.assertLess(runs, 3 * MOST_ATTEMPTS)
+            self.assertLess(runs, 3 * MAX_ATTEMPTS)
             for _ in range(2):
                 self.assertTrue(rig.end(sent[0], outcome))
                 meanwhile(rig)
@@ -162,15 +162,15 @@
         return rig.delivery()
 
     def test_failures_and_rejections(self) -> None:
-        for meanwhile in (nothing, leadership_acquired, restart):
+        for meanwhile in (nothing, change_owner, restart):
             with self.subTest(meanwhile.__doc__):
-                self.assertEqual(self.runs(FAILED, meanwhile), MOST_ATTEMPTS)
+                self.assertEqual(self.runs(FAILED, meanwhile), MAX_ATTEMPTS)
                 self.assertEqual(self.runs(REJECTED, meanwhile), 1)
 
     def test_a_report_that_comes_before_the_configuration_counts(self) -> None:
         rig = Rig()
         rig.append("m")
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             delivery = self.next_delivery(rig)
             rig.own(routing=None)
             rig.end(delivery, FAILED)
--- a/tests/system/test_queue_campaign.py
+++ b/tests/system/queue/test_campaign.py
@@ -21,12 +21,12 @@
 from bitternpath.queue.token_bucket import TokenBucket
 from bitternpath.queue.tracked_messages import TRANSITIONS, MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, MessageState
-from tests.system.test_queue_checkers import Rule, check_all
-from tests.system.test_queue_nodes import CALM, RESTLESS, Build, Faults
-from tests.system.test_queue_world import World
+from tests.system.queue.checkers import Rule, check_all
+from tests.system.queue.world import World
+from tests.system.queue.world_nodes import FREQUENT_FAILOVERS, NO_FAULTS, Build, Faults
 
 SOUND_SEEDS = range(1, 13)
-RESTLESS_SEEDS = range(1, 5)
+FAILOVER_SEEDS = range(1, 5)
 CATCHING_SEEDS = range(1, 13)  # within these each broken build is caught
 
 
@@ -56,8 +56,8 @@
         return self.place(now, tracked)
 
 
-class LeaseOverAtTakeOver(ShardOwner):
-    """Hands out at once what an earlier owner has leased."""
+class IgnoresLeasesOfEarlierOwner(ShardOwner):
+    """Leases at once what an earlier owner has leased."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
@@ -67,8 +67,8 @@
         )
 
 
-class HandsOutBeforeTheGrant(ShardOwner):
-    """Gives a job to a worker when its lease is proposed."""
+class SendsBeforeTheGrant(ShardOwner):
+    """Sends a message to a worker when its lease is proposed."""
 
     def _take_actions(self, now: float) -> list[Action]:
         actions: list[Action] = []
@@ -76,13 +76,13 @@
             actions.append(action)
             if isinstance(action, ProposeCommand) and isinstance(action.command, GrantLease):
                 tracked = self._lifecycle.find(action.command.request_id)
-                handed = self._leases.hand_out(now, tracked, action.command)
-                actions.extend(() if handed is None else (handed,))
+                jobs_received = self._leases.hand_out(now, tracked, action.command)
+                actions.extend(() if jobs_received is None else (jobs_received,))
         return actions
 
 
-class TwoEndsTaken(QueueState):
-    """Takes a success of any lease of a message that is done."""
+class TwoEndsAccepted(QueueState):
+    """Accepts a success of any lease of a message that is done."""
 
     def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         result = super()._end_attempt(command)
@@ -119,7 +119,7 @@
             entry.message = structs.replace(entry.message, body=b"")
 
 
-class SilenceCountsAsAttempt(QueueState):
+class NoResponseCountsAsAttempt(QueueState):
     """Takes a delivery without an answer for a failed one."""
 
     def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
@@ -128,36 +128,36 @@
         return super()._end_attempt(command)
 
 
-class StampOfNobody(QueueState):
+class UnknownStamp(QueueState):
     """Ends a message without the stamp of its run."""
 
     def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         return super()._end_attempt(structs.replace(command, stamp="unknown"))
 
 
-class _AnyTableEnds(Placement):
+class _AnyTableExpires(Placement):
     def _place_unrouted(self, now: float, tracked: TrackedMessage) -> None:
         return self._expire(tracked)
 
 
-class OlderTableEndsMessages(ShardOwner):
+class OlderTableExpiresMessages(ShardOwner):
     """Ends messages whose route is missing in a table that is older than they are."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
-        self._lifecycle._placement = _AnyTableEnds(self._state, self._routes, self._services, self._timers)
+        self._lifecycle._placement = _AnyTableExpires(self._state, self._routes, self._services, self._timers)
 
 
-class BucketFullAtTakeOver(ShardOwner):
-    """Gives a new owner a whole burst, which its predecessor may just have spent."""
+class BucketFullForNewOwner(ShardOwner):
+    """Gives a new owner a full burst, which its predecessor may just have spent."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
         self._services.new_bucket = lambda now, share: TokenBucket(share, now - 1_000.0)
 
 
-class NoCeilingShares(ShardOwner):
-    """Gives each shard the whole rate of a service."""
+class FullRateForEachShard(ShardOwner):
+    """Gives each shard the full rate of a service."""
 
     def __init__(self, state: QueueState, shard: OwnedShard, *rest: object) -> None:
         super().__init__(state, replace(shard, shards=1), *rest)
@@ -175,17 +175,17 @@
 BROKEN_BUILDS = (
     BrokenBuild(Rule.ORDER, Build(state=SuccessorBeforeTheEnd)),
     BrokenBuild(Rule.ORDER, Build(state=OrderByRouteAndKey)),
-    BrokenBuild(Rule.TWICE, Build(owner=LeaseOverAtTakeOver)),
-    BrokenBuild(Rule.TWICE, Build(owner=HandsOutBeforeTheGrant)),
-    BrokenBuild(Rule.TWICE, Build(state=TwoEndsTaken)),
+    BrokenBuild(Rule.TWICE, Build(owner=IgnoresLeasesOfEarlierOwner)),
+    BrokenBuild(Rule.TWICE, Build(owner=SendsBeforeTheGrant)),
+    BrokenBuild(Rule.TWICE, Build(state=TwoEndsAccepted)),
     BrokenBuild(Rule.TWICE, Build(state=EndsForgottenAtRestore)),
     BrokenBuild(Rule.LOST, Build(state=LeasedForgottenAtRestore)),
     BrokenBuild(Rule.MIXED, Build(state=BodiesForgottenAtRestore)),
-    BrokenBuild(Rule.MIXED, Build(state=SilenceCountsAsAttempt)),
-    BrokenBuild(Rule.MIXED, Build(state=StampOfNobody)),
-    BrokenBuild(Rule.MIXED, Build(owner=OlderTableEndsMessages)),
-    BrokenBuild(Rule.CEILING, Build(owner=BucketFullAtTakeOver), RESTLESS),
-    BrokenBuild(Rule.CEILING, Build(owner=NoCeilingShares)),
+    BrokenBuild(Rule.MIXED, Build(state=NoResponseCountsAsAttempt)),
+    BrokenBuild(Rule.MIXED, Build(state=UnknownStamp)),
+    BrokenBuild(Rule.MIXED, Build(owner=OlderTableExpiresMessages)),
+    BrokenBuild(Rule.CEILING, Build(owner=BucketFullForNewOwner), FREQUENT_FAILOVERS),
+    BrokenBuild(Rule.CEILING, Build(owner=FullRateForEachShard)),
 )
 
 
@@ -193,7 +193,7 @@
     """The first seed with which the rule's checker sees the fault; None: it doesn't."""
     for seed in CATCHING_SEEDS:
         world = World(seed, broken.build, broken.faults)
-        if any(violation.rule is broken.rule for violation in check_all(world.run(), world.terms)):
+        if any(violation.rule is broken.rule for violation in check_all(world.run(), world.rule_settings)):
             return seed
     return None
 
@@ -205,25 +205,25 @@
         for seed in SOUND_SEEDS:
             with self.subTest(seed=seed):
                 world = World(seed)
-                self.assertEqual(check_all(world.run(), world.terms), [])
+                self.assertEqual(check_all(world.run(), world.rule_settings), [])
                 self.assertGreater(len(world.history.accepted), 400)
 
-    def test_with_owners_that_hardly_last(self) -> None:
-        for seed in RESTLESS_SEEDS:
+    def test_with_frequent_failovers(self) -> None:
+        for seed in FAILOVER_SEEDS:
             with self.subTest(seed=seed):
-                world = World(seed, faults=RESTLESS)
-                self.assertEqual(check_all(world.run(), world.terms), [])
+                world = World(seed, faults=FREQUENT_FAILOVERS)
+                self.assertEqual(check_all(world.run(), world.rule_settings), [])
 
     def test_with_tokens_that_are_lent(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 world = World(seed, shards=10)
                 self.assertTrue(split_rate(2.0, RateBound(10, 5.0, 1.1)).is_pooled)
-                self.assertEqual(check_all(world.run(), world.terms), [])
+                self.assertEqual(check_all(world.run(), world.rule_settings), [])
 
     def test_without_faults(self) -> None:
-        world = World(1, faults=CALM)
-        self.assertEqual(check_all(world.run(), world.terms), [])
+        world = World(1, faults=NO_FAULTS)
+        self.assertEqual(check_all(world.run(), world.rule_settings), [])
 
     def test_each_call_back_is_made(self) -> None:
         world = World(3)
@@ -249,6 +249,13 @@
             )
 
 
+class WorldIsDeterministic(unittest.TestCase):
+    """One seed replays a failure."""
+
+    def test_the_same_seed_gives_the_same_history(self) -> None:
+        self.assertEqual(World(7).run(), World(7).run())
+
+
 class Phases(unittest.TestCase):
     """The phases of messages follow the table of `tracked_messages`."""
 
@@ -262,7 +269,7 @@
 
         with patch.object(TrackedMessage, "enter", count):
             World(1).run()
-            World(2, faults=RESTLESS).run()
+            World(2, faults=FREQUENT_FAILOVERS).run()
         table = {(before, after) for before, each in TRANSITIONS.items() for after in each}
         self.assertEqual(set(seen) - table, set())
         self.assertGreater(len(seen), 20, "the worlds see most of the table")
--- a/tests/system/test_delays.py
+++ b/tests/system/queue/test_delays.py
@@ -1,4 +1,4 @@
-"""Delays are never cut short (RULES, ORDER: `early_ms`): clocks that differ or step, take-overs, restarts."""
+"""Delays are never cut short (RULES, ORDER: `early_ms`): clocks that differ or step, new owners, restarts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from bitternpath.queue.state import QueueState
 from bitternpath.roles.wall_clock import SteadyWallClock
 from bitternpath.transport.records import Message, MessageState
-from tests.system.test_queue_rig import SUCCEEDED, WALL_MS, Rig
+from tests.system.queue.owner_rig import SUCCEEDED, WALL_MS, Rig
 
 DELAY_S = 5.0
 STEPS_S = (-3_600.0, -30.0, -1.0, 0.0, 1.0, 30.0, 3_600.0)
@@ -35,7 +35,7 @@
     )
 
 
-def begun_after(rig: Rig, since: float) -> float:
+def start_delay(rig: Rig, since: float) -> float:
     """Seconds from `since` to the first delivery."""
     give_up = rig.now + 4 * DELAY_S
     while not rig.take_sent(SendDelivery):
@@ -54,7 +54,7 @@
                 rig = Rig()
                 sent = rig.now
                 rig.apply(AppendMessage(message("m", WALL_MS + round(off_s * 1000))))
-                taken = begun_after(rig, sent)
+                taken = start_delay(rig, sent)
                 self.assertGreaterEqual(taken, DELAY_S)
                 self.assertLess(taken, DELAY_S + 0.1)
 
@@ -65,9 +65,9 @@
                 sent = rig.now
                 rig.apply(AppendMessage(message("m", WALL_MS)))
                 rig.now += stopped_s
-                self.assertGreaterEqual(begun_after(rig, sent), DELAY_S)
+                self.assertGreaterEqual(start_delay(rig, sent), DELAY_S)
 
-    def test_chances_of_clock_and_time(self) -> None:
+    def test_random_clocks_and_times(self) -> None:
         random = Random(1)
         for _ in range(200):
             rig = Rig()
@@ -77,13 +77,13 @@
             for _ in range(random.randrange(3)):
                 rig.advance(random.uniform(0.0, 2.0))
                 rig.own()
-            self.assertGreaterEqual(begun_after(rig, sent), DELAY_S - 0.001)
+            self.assertGreaterEqual(start_delay(rig, sent), DELAY_S - 0.001)
 
 
 class AtASuccessor(unittest.TestCase):
     """A replica that applied the message counts from then; after a restart by the times of day."""
 
-    def test_a_step_of_its_own_clock_within_its_life_changes_nothing(self) -> None:
+    def test_a_step_of_its_own_clock_while_it_runs_changes_nothing(self) -> None:
         for step_s in STEPS_S:
             with self.subTest(step_s):
                 steady, step = 100.0, 0.0
@@ -112,7 +112,7 @@
                     self.assertGreaterEqual(left, DELAY_S - away_s - 0.001)
                     self.assertLessEqual(left, DELAY_S)
 
-    def test_the_log_read_again_after_a_restart(self) -> None:
+    def test_a_replay_of_the_log_after_a_restart(self) -> None:
         for away_s in (0.0, 1.0, DELAY_S, 3 * DELAY_S):
             with self.subTest(away_s):
                 wall_ms = WALL_MS + round((away_s + DELAY_CLOCK_MARGIN_S) * 1000)
@@ -124,15 +124,15 @@
 
 
 class Ages(unittest.TestCase):
-    """Retention and tombstones: no time of day ends a message, or makes its state forgotten, too early."""
+    """Retention and tombstones: no time of day ends a message, or removes its tombstone, too early."""
 
     def test_an_edge_nodes_clock_that_is_off_ends_no_message(self) -> None:
         rig = Rig()
         rig.apply(AppendMessage(message("m", WALL_MS - 3_600_000)))
         self.assertIs(rig.state_of("m"), MessageState.QUEUED)
-        begun_after(rig, rig.now)
+        start_delay(rig, rig.now)
 
-    def test_a_clock_that_stepped_before_a_restart_ends_and_forgets_nothing(self) -> None:
+    def test_a_clock_that_stepped_before_a_restart_ends_and_removes_nothing(self) -> None:
         rig = Rig()
         rig.append("waits", delay_ms=80_000)
         rig.append("done")
--- a/tests/system/test_queue_ends.py
+++ b/tests/system/queue/test_ended_messages.py
@@ -23,7 +23,7 @@
 )
 from bitternpath.queue.tombstones import REMOVAL_MARGIN_S
 from bitternpath.transport.records import MessageState
-from tests.system.test_queue_rig import (
+from tests.system.queue.owner_rig import (
     NOT_RUN,
     PUSH_LEASE_S,
     REJECTED,
@@ -35,7 +35,7 @@
 
 
 class Retention(unittest.TestCase):
-    """Messages that nobody does in time."""
+    """Messages that are not run in time."""
 
     def test_it_ends_a_message_that_is_not_leased(self) -> None:
         rig = Rig(edges=())
@@ -81,7 +81,7 @@
 
 
 class Expiries(unittest.TestCase):
-    """The owner's own ends are proposed once, and again if they were overtaken."""
+    """The owner proposes an expiry once, and again if it was void."""
 
     def test_a_fenced_expiry_that_came_too_late_is_proposed_again(self) -> None:
         rig = Rig()
@@ -105,7 +105,7 @@
 
 
 class Callbacks(unittest.TestCase):
-    """Clients are told of the end until they have taken it."""
+    """Clients are notified of the end until they have acknowledged it."""
 
     URL = "http://10.0.0.9:80/done"
 
@@ -115,7 +115,7 @@
         rig.end(rig.delivery(), SUCCEEDED)
         return rig
 
-    def test_one_node_tells_a_receiver_what_became_of_its_messages(self) -> None:
+    def test_one_edge_makes_all_call_backs_to_a_receiver(self) -> None:
         rig = self.ended()
         (first,) = rig.take_sent()
         self.assertEqual(first, SendCallback(first.edge, "m", self.URL, MessageState.DONE, "stamp"))
@@ -124,7 +124,7 @@
             rig.end(rig.delivery(), SUCCEEDED)
             self.assertEqual(rig.take_sent()[0].edge, first.edge)
 
-    def test_receivers_are_shared_among_the_nodes_of_the_owners_zone(self) -> None:
+    def test_receivers_are_spread_over_the_edges_of_the_owners_zone(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2", "edge-3"))
         rig.do(rig.owner.edge_connected(rig.now, "far", "south"))
         told = set()
@@ -134,7 +134,7 @@
             told.add(rig.take_sent()[0].edge)
         self.assertEqual(told, {"edge-1", "edge-2", "edge-3"})
 
-    def test_another_node_tells_where_that_one_is_gone_or_fails(self) -> None:
+    def test_another_edge_calls_back_where_that_one_is_gone_or_fails(self) -> None:
         rig = self.ended()
         first = rig.take_sent()[0].edge
         rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=False))
@@ -170,7 +170,7 @@
         rig.advance(60.0)
         self.assertEqual(rig.take_sent(), [])
 
-    def test_silence_is_a_failure(self) -> None:
+    def test_no_report_is_a_failure(self) -> None:
         rig = self.ended()
         rig.take_sent()
         rig.advance(CALLBACK_TIMEOUT_S - 0.1)
@@ -178,12 +178,12 @@
         rig.advance(0.6)
         self.assertEqual(len(rig.take_sent()), 1)
 
-    def test_a_new_owner_goes_on(self) -> None:
+    def test_a_new_owner_calls_back(self) -> None:
         rig = self.ended()
         rig.own()
         self.assertEqual(request_id_of(rig.take_sent(SendCallback)), ["m"])
 
-    def test_a_lost_confirmation_is_made_up_for(self) -> None:
+    def test_a_lost_confirmation_is_repeated(self) -> None:
         rig = self.ended()
         rig.take_sent()
         rig.automatic = False
@@ -220,7 +220,7 @@
         (confirmation,) = [each for each in rig.take_proposed() if isinstance(each, ConfirmCallbacks)]
         self.assertEqual(len(confirmation.request_ids), CONFIRMATION_BATCH_SIZE)
 
-    def test_few_go_to_one_receiver_at_once(self) -> None:
+    def test_calls_in_flight_to_one_receiver_are_bounded(self) -> None:
         rig = Rig()
         for number in range(MAX_CALLBACKS_PER_RECEIVER + 2):
             rig.append(f"m{number}", callback_url=self.URL)
@@ -235,7 +235,7 @@
 
 
 class Tombstones(unittest.TestCase):
-    """Ended messages are forgotten when nobody may ask any more."""
+    """Tombstones are removed when clients may not ask for the state any more."""
 
     def test_after_the_status_time(self) -> None:
         rig = Rig()
@@ -246,7 +246,7 @@
         rig.advance(0.2)
         self.assertIsNone(rig.state.find("m"))
 
-    def test_not_while_a_call_back_is_owed_within_its_retention(self) -> None:
+    def test_not_while_a_call_back_is_pending_within_its_retention(self) -> None:
         rig = Rig(changed("plain", retention_s=200.0))
         rig.append("m", callback_url="http://10.0.0.9:80/done")
         rig.end(rig.delivery(), SUCCEEDED)
--- a/tests/system/test_early_leases.py
+++ b/tests/system/queue/test_leases_on_append.py
@@ -9,7 +9,7 @@
 from bitternpath.queue.commands import AppendMessage, GrantLease
 from bitternpath.queue.lease_granting import MAX_PREGRANTED_LEASES
 from bitternpath.transport.records import Message, MessageState
-from tests.system.test_queue_rig import PULL_LEASE_S, SUCCEEDED, WALL_MS, Rig, changed, request_ids
+from tests.system.queue.owner_rig import PULL_LEASE_S, SUCCEEDED, WALL_MS, Rig, changed, request_ids
 
 
 def message(request_id: str, path: str = "/plain/x", **fields: Any) -> Message:
@@ -30,7 +30,7 @@
     )
 
 
-class EarlyLeases(unittest.TestCase):
+class LeasesOnAppend(unittest.TestCase):
     """The owner's side; the log holds what the test puts there."""
 
     def setUp(self) -> None:
@@ -58,12 +58,12 @@
         self.assertTrue(self.rig.end(delivery, SUCCEEDED))
         self.assertEqual(self.rig.take_proposed(), [])
 
-    def test_a_job_goes_to_a_worker_that_waits(self) -> None:
+    def test_a_pulled_message_goes_to_a_worker_that_waits(self) -> None:
         self.rig.poll(1)
         self.commit(self.propose("m", "/jobs/x"))
         self.assertEqual(self.rig.answer().poll_id, 1)
 
-    def test_without_a_worker_a_job_is_leased_ahead_and_given_to_the_first_at_once(self) -> None:
+    def test_without_a_worker_a_message_is_pregranted_and_sent_with_the_next_poll(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.assertEqual(self.rig.take_sent(), [])
         self.rig.poll(1)
@@ -72,14 +72,14 @@
         self.assertEqual(self.rig.take_proposed(), [])
         self.assertTrue(self.rig.end(answer, SUCCEEDED))
 
-    def test_a_worker_that_asks_before_the_commit_gets_it_with_the_commit(self) -> None:
+    def test_a_worker_that_polls_before_the_commit_gets_it_with_the_commit(self) -> None:
         proposed = self.propose("m", "/jobs/x")
         self.rig.poll(1)
         self.assertEqual(self.rig.take_sent(), [])
         self.commit(proposed)
         self.assertEqual(self.rig.answer().poll_id, 1)
 
-    def test_a_job_is_given_once(self) -> None:
+    def test_a_pregranted_message_is_sent_once(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.rig.poll(1)
         self.rig.poll(2, wait_s=60.0)
@@ -88,7 +88,7 @@
         (grant,) = self.rig.take_proposed()
         self.assertIsInstance(grant, GrantLease)
 
-    def test_jobs_leased_ahead_are_bounded(self) -> None:
+    def test_pregranted_leases_are_bounded(self) -> None:
         for number in range(MAX_PREGRANTED_LEASES + 5):
             self.commit(self.propose(f"m{number}", "/jobs/x"))
             self.commit(self.rig.take_proposed())
@@ -98,7 +98,7 @@
         self.assertEqual(self.rig.answer().message.request_id, "m0")
         self.assertEqual(len(self.rig.owner._services.find("puller").pregranted), MAX_PREGRANTED_LEASES - 1)
 
-    def test_after_a_take_over_a_job_leased_ahead_counts_as_handed_out(self) -> None:
+    def test_a_new_owner_takes_a_pregranted_lease_for_out(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.rig.own()
         self.rig.poll(1, wait_s=60.0)
@@ -108,7 +108,7 @@
         self.commit(self.rig.take_proposed())
         self.assertEqual(self.rig.answer().message.request_id, "m")
 
-    def test_a_job_leased_ahead_whose_retention_ends_is_given_to_nobody(self) -> None:
+    def test_a_pregranted_message_whose_retention_ends_is_sent_to_nobody(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.rig.advance(100.0)
         self.commit(self.rig.take_proposed())
@@ -147,7 +147,7 @@
         self.assertEqual(len(self.propose("m")), 1)
         self.assertEqual(request_ids(self.rig.take_sent(SendDelivery)), ["m"])
 
-    def test_an_append_that_failed_gives_its_room_and_its_worker_back(self) -> None:
+    def test_an_append_that_failed_releases_its_capacity_and_its_worker(self) -> None:
         self.rig.poll(1)
         self.propose("m", "/jobs/x")
         self.rig.owner.append_failed("m")
@@ -164,7 +164,7 @@
         self.commit(again)
         self.assertEqual(self.rig.delivery().lease_id, again[1].lease_id)
 
-    def test_an_edge_node_lost_before_the_commit_gets_nothing(self) -> None:
+    def test_an_edge_process_that_ends_before_the_commit_gets_nothing(self) -> None:
         proposed = self.propose("m")
         self.rig.do(self.rig.owner.edge_process_ended(self.rig.now, "edge-1"))
         self.commit(proposed)
--- a/tests/system/test_queue_limits.py
+++ b/tests/system/queue/test_limits.py
@@ -12,13 +12,13 @@
 from bitternpath.queue.rate_limits import ALLOWED_EXCESS, MAX_SEND_DELAY_S, RateBound, equal_share
 from bitternpath.queue.service_queues import MIN_IN_FLIGHT
 from bitternpath.queue.token_bucket import TokenBucket
-from tests.system.test_queue_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
+from tests.system.queue.owner_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 
 class Backoff(unittest.TestCase):
-    """Pauses, and the limit on leases to a failing service."""
+    """Back-off, and the limit on leases to a failing service."""
 
-    def test_pauses(self) -> None:
+    def test_delays_of_each_outcome(self) -> None:
         cases = (
             (FAILED, (0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0)),
             (UNKNOWN, (0.2, 0.4, 0.8, 1.6, 2.0, 2.0)),
@@ -34,7 +34,7 @@
                     self.assertLessEqual(max(drawn), expected * 1.25)
         self.assertEqual(backoff_after(FAILED, 0, 5_000, random), 5.0)
 
-    def test_a_message_waits_for_its_pause(self) -> None:
+    def test_a_message_waits_for_its_back_off(self) -> None:
         rig = Rig()
         rig.append("m")
         rig.end(rig.delivery(), UNKNOWN, retry_after_ms=700)
@@ -43,7 +43,7 @@
         rig.advance(0.02)
         rig.delivery()
 
-    def test_a_failing_service_is_not_stormed_and_recovers_at_once(self) -> None:
+    def test_the_limit_falls_with_failures_and_recovers_with_successes(self) -> None:
         limit = AdaptiveConcurrencyLimit()
         now = 0.0
         for _ in range(40):
@@ -78,10 +78,10 @@
         self.assertGreater(len(rig.take_sent(SendDelivery)), 30, "open again")
 
 
-class Capacities(unittest.TestCase):
-    """The slots of listed workers bound what is out, so that the queue's order decides what goes next."""
+class SlotLimits(unittest.TestCase):
+    """The slots of listed workers bound the leases, so that the queue's order decides what goes next."""
 
-    def test_no_more_is_out_than_the_slots_bear_and_fresh_messages_go_before_late_ones(self) -> None:
+    def test_slots_bound_the_leases_and_fresh_messages_go_before_late_ones(self) -> None:
         rig = Rig()
         rig.do(rig.owner.set_capacities(rig.now, {"worker": 3}))
         for number in range(30):
@@ -95,7 +95,7 @@
         rig.end(out[1], SUCCEEDED)
         self.assertEqual(rig.delivery().message.request_id, "old6")
 
-    def test_more_workers_let_more_out_and_no_list_bounds_nothing(self) -> None:
+    def test_more_slots_allow_more_leases_and_no_list_means_no_bound(self) -> None:
         rig = Rig()
         for number in range(20):
             rig.append(f"m{number}")
@@ -108,7 +108,7 @@
         rig.do(rig.owner.set_capacities(rig.now, {"worker": 5}))
         self.assertEqual(len(rig.take_sent(SendDelivery)), 10 - MIN_IN_FLIGHT)
 
-    def test_endpoints_and_workers_that_pull_are_on_no_list(self) -> None:
+    def test_slots_do_not_bound_workers_that_pull(self) -> None:
         rig = Rig()
         rig.do(rig.owner.set_capacities(rig.now, {}))
         for number in range(5):
@@ -117,8 +117,8 @@
         self.assertEqual(len(rig.take_sent(AnswerPoll)), 5)
 
 
-class Ceilings(unittest.TestCase):
-    """Shares of a service's rate."""
+class RateLimits(unittest.TestCase):
+    """Shares of a service's rate limit."""
 
     def test_shares_keep_the_bound(self) -> None:
         for rate in (0.1, 0.5, 2.0, 19.5, 400.0):
@@ -148,7 +148,7 @@
             spent += 1
         self.assertEqual(spent, int(share.burst))
 
-    def test_leases_follow_the_rate_also_after_a_take_over(self) -> None:
+    def test_leases_follow_the_rate_also_under_a_new_owner(self) -> None:
         rig = Rig()
         for number in range(50):
             rig.append(f"m{number}", "/limited/x")
--- a/tests/system/test_queue_pulls.py
+++ b/tests/system/queue/test_long_polls.py
@@ -14,13 +14,13 @@
     GrantLease,
 )
 from bitternpath.queue.lease_granting import MIN_POLLERS_REQUEST_INTERVAL_S
-from tests.system.test_queue_rig import NOT_RUN, PULL_LEASE_S, SUCCEEDED, Rig
+from tests.system.queue.owner_rig import NOT_RUN, PULL_LEASE_S, SUCCEEDED, Rig
 
 
-class Pulls(unittest.TestCase):
+class LongPolls(unittest.TestCase):
     """Workers that ask."""
 
-    def test_a_job_waits_for_a_worker_and_a_worker_for_a_job(self) -> None:
+    def test_a_message_waits_for_a_worker_and_a_worker_for_a_message(self) -> None:
         rig = Rig()
         rig.append("m", "/jobs/x")
         self.assertEqual(rig.sent, [])
@@ -31,17 +31,17 @@
         rig.append("n", "/jobs/x")
         self.assertEqual(rig.answer().poll_id, 2)
 
-    def test_jobs_without_a_worker_are_told_of_again_and_again(self) -> None:
+    def test_workers_are_requested_repeatedly_while_messages_wait(self) -> None:
         rig = Rig()
         rig.append("m", "/jobs/x")
         rig.append("n", "/jobs/x")
-        self.assertEqual(rig.asked, [RequestPollers("puller", 1)])
+        self.assertEqual(rig.poller_requests, [RequestPollers("puller", 1)])
         rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
-        self.assertEqual(rig.asked[1:], [RequestPollers("puller", 2)])
+        self.assertEqual(rig.poller_requests[1:], [RequestPollers("puller", 2)])
         rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # pauses that double up to POLLS_ASKED_MOST_S
-        self.assertEqual(len(rig.asked), 6)
+        self.assertEqual(len(rig.poller_requests), 6)
 
-    def test_nobody_is_asked_where_no_job_waits_or_workers_do_not_pull(self) -> None:
+    def test_no_workers_are_requested_without_waiting_pulled_messages(self) -> None:
         rig = Rig(edges=())
         rig.append("pushed")
         rig.append("m", "/jobs/x", delay_ms=1_000)
@@ -50,7 +50,7 @@
         rig.advance(0.2)
         self.assertEqual(rig.answer().message.request_id, "m")
         rig.advance(1.0)
-        self.assertEqual(rig.asked, [])
+        self.assertEqual(rig.poller_requests, [])
 
     def test_the_lease_names_the_worker(self) -> None:
         rig = Rig()
@@ -110,7 +110,7 @@
         rig.commit()
         self.assertEqual(rig.answer().poll_id, 1)
 
-    def test_a_worker_waits_on_when_its_job_was_done_meanwhile(self) -> None:
+    def test_a_worker_waits_on_when_its_message_was_done_meanwhile(self) -> None:
         rig = Rig()
         rig.poll(1)
         rig.append("m", "/jobs/x")
@@ -127,7 +127,7 @@
         rig.append("n", "/jobs/x")
         self.assertEqual(rig.answer().poll_id, 2)
 
-    def test_an_extension_counts_from_the_last_word(self) -> None:
+    def test_an_extension_counts_from_the_last_one(self) -> None:
         rig = Rig()
         rig.poll(1)
         rig.append("m", "/jobs/x")
@@ -171,7 +171,7 @@
         rig.poll(2)
         self.assertFalse(rig.owner.extend(rig.now, "m", answer.lease_id))
 
-    def test_a_lost_edge_node_leaves_the_worker_its_lease(self) -> None:
+    def test_an_edge_process_that_ends_leaves_the_worker_its_lease(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2"))
         rig.poll(1)
         rig.append("m", "/jobs/x")
--- a/tests/system/test_queue_owner.py
+++ b/tests/system/queue/test_owner.py
@@ -1,4 +1,4 @@
-"""Conformance of a shard owner: deliveries, order, take-overs, configurations."""
+"""Conformance of a shard owner: deliveries, order, new owners, configurations."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from bitternpath.queue.placement import UNROUTED_GRACE_S
 from bitternpath.queue.ready import STALE_AFTER_S
 from bitternpath.transport.records import MessageState
-from tests.system.test_queue_rig import (
+from tests.system.queue.owner_rig import (
     FAILED,
     NOT_RUN,
     PULL_LEASE_S,
@@ -47,7 +47,7 @@
         delivery = rig.delivery()
         self.assertEqual((delivery.edge, delivery.lease_id, delivery.duration_ms), ("edge-1", "0-1-1", 3_000))
 
-    def test_an_edge_that_has_gone_meanwhile_hands_back(self) -> None:
+    def test_a_grant_for_an_edge_that_has_gone_is_returned_unsent(self) -> None:
         for vanish in ("edge_disconnected", "edge_process_ended"):
             with self.subTest(vanish):
                 rig = Rig()
@@ -82,7 +82,7 @@
         rig.do(rig.owner.edge_connected(rig.now, "edge-2", "north"))
         self.assertEqual(rig.delivery().edge, "edge-2")
 
-    def test_the_body_is_omitted_only_to_the_life_that_took_it_and_once(self) -> None:
+    def test_the_body_is_omitted_only_to_the_process_that_accepted_it_and_once(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2"))
         rig.append("m")
         first = rig.delivery()
@@ -93,7 +93,7 @@
         rig.append("n", origin="edge-3")
         self.assertFalse(rig.delivery().body_omitted)
 
-    def test_the_body_goes_along_after_the_end_of_the_life_that_took_it(self) -> None:
+    def test_the_body_is_sent_after_the_end_of_the_process_that_accepted_it(self) -> None:
         rig = Rig()
         rig.append("m", delay_ms=1_000)
         rig.now += 0.1
@@ -102,7 +102,7 @@
         rig.advance(1.0)
         self.assertFalse(rig.delivery().body_omitted)
 
-    def test_the_body_goes_along_after_a_take_over(self) -> None:
+    def test_the_body_is_sent_by_a_new_owner(self) -> None:
         rig = Rig()
         rig.append("m", delay_ms=1_000)
         rig.own()
@@ -118,7 +118,7 @@
         rig.end(sent[0], SUCCEEDED)
         self.assertEqual(request_ids(rig.take_sent()), [f"m{MAX_LEASES_PER_EDGE}"])
 
-    def test_a_silent_lease_is_followed_by_another_after_its_time(self) -> None:
+    def test_a_lease_that_times_out_is_followed_by_another(self) -> None:
         rig = Rig()
         rig.append("m")
         first = rig.delivery()
@@ -130,7 +130,7 @@
         self.assertFalse(rig.end(first, SUCCEEDED))
         self.assertTrue(rig.end(second, SUCCEEDED))
 
-    def test_a_late_success_is_taken_while_no_newer_lease_is_granted(self) -> None:
+    def test_a_late_success_is_accepted_while_no_newer_lease_is_granted(self) -> None:
         rig = Rig()
         rig.append("m")
         delivery = rig.delivery()
@@ -143,7 +143,7 @@
         rig.advance(30.0)
         self.assertEqual((rig.sent, rig.proposed), ([], []))
 
-    def test_a_delay_is_kept(self) -> None:
+    def test_a_delay_is_respected(self) -> None:
         rig = Rig()
         rig.append("m", delay_ms=1_500)
         rig.advance(1.49)
@@ -151,7 +151,7 @@
         rig.advance(0.02)
         rig.delivery()
 
-    def test_a_failed_proposal_is_made_up_for(self) -> None:
+    def test_a_failed_proposal_is_repeated(self) -> None:
         rig = Rig()
         rig.automatic = False
         rig.append("m")
@@ -160,7 +160,7 @@
         rig.commit()
         self.assertEqual(rig.delivery().message.request_id, "m")
 
-    def test_the_best_goes_first(self) -> None:
+    def test_messages_go_by_priority_and_start_target(self) -> None:
         rig = Rig(edges=())
         rig.append("past the late limit", "/urgent/x")
         rig.advance(STALE_AFTER_S - 2.0)
@@ -205,7 +205,7 @@
         rig.end(rig.delivery(), REJECTED)
         self.assertEqual(request_ids(rig.take_sent()), ["b"])
 
-    def test_an_edge_that_is_lost_keeps_the_lease_of_an_ordered_message(self) -> None:
+    def test_an_edge_whose_process_has_ended_keeps_the_lease_of_an_ordered_message(self) -> None:
         for key, at_once in (("", True), ("k", False)):
             with self.subTest(key=key):
                 rig = Rig(edges=("edge-1", "edge-2"))
@@ -216,7 +216,7 @@
                 rig.advance(PUSH_LEASE_S + 0.1)
                 self.assertEqual(rig.take_sent()[0].edge, "edge-2")
 
-    def test_an_edge_that_has_only_left_keeps_its_leases(self) -> None:
+    def test_a_disconnected_edge_keeps_its_leases(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2"))
         rig.append("m")
         delivery = rig.delivery()
@@ -225,7 +225,7 @@
         self.assertTrue(rig.end(delivery, SUCCEEDED))
 
 
-class TakeOvers(unittest.TestCase):
+class NewOwners(unittest.TestCase):
     """What a new owner does with what it finds."""
 
     def test_a_lease_counts_as_extended(self) -> None:
@@ -243,7 +243,7 @@
                 rig.advance(0.02)
                 self.assertEqual(len(rig.take_sent()), 1)
 
-    def test_the_end_of_an_earlier_owners_lease_is_taken(self) -> None:
+    def test_the_end_of_an_earlier_owners_lease_is_accepted(self) -> None:
         rig = Rig()
         rig.append("m")
         delivery = rig.delivery()
@@ -260,7 +260,7 @@
         rig.advance(1.0)
         self.assertNotEqual(rig.delivery().lease_id, first.lease_id)
 
-    def test_an_edge_that_is_lost_after_it_ends_the_leases_it_had(self) -> None:
+    def test_an_edge_process_that_ends_later_releases_its_leases(self) -> None:
         rig = Rig()
         rig.append("m")
         rig.own(edges=("edge-2",))
@@ -297,7 +297,7 @@
         rig.advance(10.0)
         self.assertEqual(rig.sent, [])
 
-    def test_an_older_table_waits(self) -> None:
+    def test_a_message_waits_while_the_table_is_older(self) -> None:
         for routing in (None, without("plain", version=4)):
             with self.subTest(routing=routing):
                 rig = Rig(routing)
@@ -321,7 +321,7 @@
                 rig.advance(UNROUTED_GRACE_S + 0.1)
                 self.assertIs(rig.state_of("m"), state)
 
-    def test_a_holder_cannot_end_a_message_for_want_of_a_route(self) -> None:
+    def test_a_holder_cannot_end_a_message_that_has_no_route(self) -> None:
         rig = Rig()
         rig.append("m")
         self.assertTrue(rig.end(rig.delivery(), ROUTE_GONE))
@@ -339,7 +339,7 @@
         rig.poll(1)
         self.assertEqual(rig.answer().message.request_id, "n")
 
-    def test_a_longer_prefix_takes_over(self) -> None:
+    def test_a_longer_prefix_gets_the_messages(self) -> None:
         rig = Rig()
         rig.append("m", "/jobs/deep/x?a=/plain/")
         rig.configure(table(6, (*ROUTES, Route("deep", "a.example", "/jobs/deep/", "worker", 1_000))))
@@ -374,7 +374,7 @@
         rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
         self.assertEqual(request_ids(rig.take_sent())[0], "m0")
 
-    def test_waiting_jobs_wake_the_owner_only_to_ask_for_workers(self) -> None:
+    def test_waiting_messages_wake_the_owner_only_to_request_workers(self) -> None:
         rig = Rig()
         for number in range(5_000):
             rig.append(f"m{number}", "/jobs/x")
@@ -382,26 +382,26 @@
         rig.poll(1)
         self.assertEqual(rig.answer().message.request_id, "m0")
 
-    def test_workers_are_asked_for_ever_more_rarely_while_the_same_jobs_wait(self) -> None:
+    def test_requests_for_workers_back_off_while_the_same_messages_wait(self) -> None:
         rig = Rig()
         rig.append("m0", "/jobs/x")
         rig.append("m1", "/jobs/x")
         rig.advance(10.0)
-        self.assertLess(len(rig.asked), 10.0 / MAX_POLLERS_REQUEST_INTERVAL_S + 5)
-        self.assertGreater(len(rig.asked), 10.0 / MAX_POLLERS_REQUEST_INTERVAL_S - 5)
+        self.assertLess(len(rig.poller_requests), 10.0 / MAX_POLLERS_REQUEST_INTERVAL_S + 5)
+        self.assertGreater(len(rig.poller_requests), 10.0 / MAX_POLLERS_REQUEST_INTERVAL_S - 5)
 
-    def test_a_job_after_the_others_have_gone_is_asked_for_soon(self) -> None:
+    def test_requests_for_workers_start_anew_after_the_queue_was_empty(self) -> None:
         rig = Rig()
         rig.append("m0", "/jobs/x")
         rig.advance(10.0)
         rig.poll(1)
         rig.answer()
         rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
-        asked = len(rig.asked)
+        asked = len(rig.poller_requests)
         rig.append("m1", "/jobs/x")
-        self.assertEqual(len(rig.asked), asked + 1)
+        self.assertEqual(len(rig.poller_requests), asked + 1)
 
-    def test_an_unconcerned_change_of_configuration_touches_no_message(self) -> None:
+    def test_a_change_of_another_route_touches_no_message(self) -> None:
         rig = Rig()
         rig.append("m", "/jobs/x")
         tracked = rig.owner._lifecycle.find("m")
--- a/tests/system/test_lending.py
+++ b/tests/system/queue/test_quota_leases.py
@@ -33,7 +33,7 @@
 )
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.token_bucket import BucketShare, TokenBucket
-from tests.system.test_queue_rig import SUCCEEDED, Rig
+from tests.system.queue.owner_rig import SUCCEEDED, Rig
 
 SHARDS = 19
 RATE = 32.0
@@ -76,7 +76,7 @@
 
 
 class QuotaLeases(unittest.TestCase):
-    def test_tokens_lapse_by_when_they_were_asked_for(self) -> None:
+    def test_tokens_lapse_by_the_time_of_their_request(self) -> None:
         borrower = QuotaBorrower()
         borrower.tokens_lent(100.3, 3, requested_at=100.0)
         self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S - 0.01), 3)
@@ -91,7 +91,7 @@
         self.assertEqual(borrower.available(100.2), 5)
         self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S), 0)
 
-    def test_pauses_double_while_nothing_is_lent(self) -> None:
+    def test_request_intervals_double_while_nothing_is_lent(self) -> None:
         borrower = QuotaBorrower()
         now = 100.0
         intervals = []
@@ -133,7 +133,7 @@
         super().__init__(TABLE)
 
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
-        self.proposed, self.sent, self.asked = [], [], []
+        self.proposed, self.sent, self.poller_requests = [], [], []
         self.owner = ShardOwner(
             self.state, OwnedShard(self.shard, SHARDS, "north"), OwnerSettings(), Random(self.shard)
         )
@@ -144,15 +144,15 @@
 
 
 class Shards:
-    """All shards of a service, requests for tokens that take a while, and a home that changes its owner."""
+    """All shards of a service, slow requests for tokens, and a home shard whose owner changes."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.rigs = [ShardRig(shard) for shard in range(SHARDS)]
         self.home = home_shard("limited", SHARDS)
-        self.former: tuple[float, ShardOwner] | None = None  # until when it still lends, and who
+        self.former_lender: tuple[float, ShardOwner] | None = None  # until when it still lends, and who
         self.arrivals: list[float] = []
-        self.begun = [0] * SHARDS
+        self.started = [0] * SHARDS
         self.messages = count()
         self.events: list[tuple[float, int, object]] = []
         self.order = count()
@@ -170,11 +170,11 @@
                 self._act(rig)
                 rig.advance(STEP_S)
 
-    def leadership_acquired(self, shard: int) -> None:
-        """Another owner; a former one of the home lends for a while, as one does that hasn't heard of it."""
+    def change_owner(self, shard: int) -> None:
+        """Elect another owner; a former one of the home shard lends for a while, as it doesn't know yet."""
         rig = self.rigs[shard]
         if shard == self.home:
-            self.former = rig.now + LENDER_OVERLAP_S, rig.owner
+            self.former_lender = rig.now + LENDER_OVERLAP_S, rig.owner
         rig.own()
 
     def _act(self, rig: ShardRig) -> None:
@@ -182,7 +182,7 @@
             if isinstance(action, BorrowTokens):
                 self._borrow(rig, action)
                 continue
-            self.begun[rig.shard] += 1
+            self.started[rig.shard] += 1
             self.arrivals.append(rig.now + self.random.uniform(0.0, MAX_SEND_DELAY_S - 0.25))
             rig.end(action, SUCCEEDED)
 
@@ -191,8 +191,8 @@
 
         def lend() -> None:
             now, lender = rig.now, self.rigs[self.home].owner
-            if self.former is not None and now < self.former[0] and self.random.random() < 0.7:
-                lender = self.former[1]
+            if self.former_lender is not None and now < self.former_lender[0] and self.random.random() < 0.7:
+                lender = self.former_lender[1]
             tokens = lender.lend_tokens(now, asked.service, asked.wanted)
             self._later(self.random.uniform(0.0, 0.2), lambda: answer(tokens))
 
@@ -215,28 +215,26 @@
         return most
 
 
-def restless(seed: int) -> int:
-    """The most arrivals in a window, with messages everywhere and take-overs now and then."""
+def arrivals_with_owner_changes(seed: int) -> int:
+    """The most arrivals in a window, with messages everywhere and owners that change now and then."""
     shards = Shards(seed)
     for shard in range(SHARDS):
         shards.append(shard, 40)
     for _ in range(8):
         shards.run(shards.random.uniform(0.5, 4.0))
-        shards.leadership_acquired(
-            shards.home if shards.random.random() < 0.6 else shards.random.randrange(SHARDS)
-        )
+        shards.change_owner(shards.home if shards.random.random() < 0.6 else shards.random.randrange(SHARDS))
     return shards.most_in_a_window()
 
 
-def restless_home(seed: int) -> int:
-    """Likewise, with take-overs of the home as fast as elections allow; former owners have no lease."""
+def arrivals_with_home_changes(seed: int) -> int:
+    """Likewise, with owners of the home shard that change as fast as elections allow."""
     shards = Shards(seed)
     for shard in range(SHARDS):
         shards.append(shard, 40)
     for _ in range(20):
         shards.run(0.4)
-        shards.leadership_acquired(shards.home)
-        shards.former = None
+        shards.change_owner(shards.home)
+        shards.former_lender = None
     return shards.most_in_a_window()
 
 
@@ -247,7 +245,7 @@
         shards.append(busy, 400)
         shards.run(10.0)
         equal = 10.0 * equal_share(RATE, BOUND).refill_per_s
-        self.assertGreater(shards.begun[busy], 6 * equal)
+        self.assertGreater(shards.started[busy], 6 * equal)
         self.assertLessEqual(shards.most_in_a_window(), ALLOWED)
 
     def test_busy_shards_share_the_pool(self) -> None:
@@ -255,15 +253,15 @@
         for shard in range(6):
             shards.append(shard, 200)
         shards.run(10.0)
-        self.assertGreater(min(shards.begun[:6]), 0.5 * max(shards.begun[:6]))
-        self.assertGreater(sum(shards.begun), 10.0 * 0.6 * RATE)
+        self.assertGreater(min(shards.started[:6]), 0.5 * max(shards.started[:6]))
+        self.assertGreater(sum(shards.started), 10.0 * 0.6 * RATE)
 
-    def test_the_bound_holds_over_take_overs(self) -> None:
+    def test_the_bound_holds_over_owner_changes(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
-                self.assertLessEqual(restless(seed), ALLOWED)
+                self.assertLessEqual(arrivals_with_owner_changes(seed), ALLOWED)
 
-    def test_a_shard_that_is_not_short_asks_for_nothing(self) -> None:
+    def test_a_shard_with_enough_tokens_requests_none(self) -> None:
         rig = ShardRig(0)
         rig.advance(5.0)
         rig.append("m", "/limited/x")
@@ -275,15 +273,15 @@
         def full_at_first(bucket: TokenBucket, share: BucketShare, now: float) -> None:
             begin(bucket, share, now - 1_000.0)
 
-        self.assertLessEqual(restless_home(1), ALLOWED)
+        self.assertLessEqual(arrivals_with_home_changes(1), ALLOWED)
         with patch.object(TokenBucket, "__init__", full_at_first):
-            self.assertGreater(restless_home(1), ALLOWED)
-        self.assertLessEqual(hoarded(), ALLOWED)
+            self.assertGreater(arrivals_with_home_changes(1), ALLOWED)
+        self.assertLessEqual(arrivals_with_unspent_tokens(), ALLOWED)
         with patch.object(quota_leases, "QUOTA_LEASE_S", 1_000.0):
-            self.assertGreater(hoarded(), ALLOWED)
+            self.assertGreater(arrivals_with_unspent_tokens(), ALLOWED)
 
 
-def hoarded() -> int:
+def arrivals_with_unspent_tokens() -> int:
     """The most arrivals in a window where each shard has borrowed and then had nothing to send for long."""
     shards = Shards(3)
     for rig in shards.rigs:
--- a/tests/system/test_queue_state.py
+++ b/tests/system/queue/test_state.py
@@ -47,7 +47,7 @@
 
 
 def end(request_id: str, lease: str, outcome: AttemptOutcome, max_attempts: int = 3) -> EndAttempt:
-    """A holder's word; successes bear the lease in their stamp."""
+    """The report of an attempt's end; successes have the lease in their stamp."""
     stamp = f"stamp-{lease}" if outcome is SUCCEEDED else ""
     return EndAttempt(request_id, lease, outcome, stamp, max_attempts, 0)
 
@@ -144,14 +144,14 @@
                     self.assertEqual(result, AttemptEnded(end("m", "L", outcome), accepted=True))
                 self.assertEqual(replica.entry("m").attempts, attempts)
 
-    def test_another_end_of_an_ended_lease_is_not_taken(self) -> None:
+    def test_another_end_of_an_ended_lease_is_not_accepted(self) -> None:
         replica = self.leased()
         replica.apply(end("m", "L", NOT_RUN))
         result = replica.apply(end("m", "L", SUCCEEDED))
         self.assertEqual(result, AttemptEnded(end("m", "L", SUCCEEDED)))
         self.assertIs(replica.entry("m").state, QUEUED)
 
-    def test_a_lease_that_is_not_current_is_not_taken(self) -> None:
+    def test_the_end_of_a_lease_that_is_not_current_is_not_accepted(self) -> None:
         replica = self.leased()
         replica.apply(grant("m", "L2"))
         for lease in ("L", "never granted"):
@@ -160,7 +160,7 @@
         self.assertIs(replica.entry("m").state, QUEUED)
         self.assertEqual(replica.apply(end("unknown", "L", SUCCEEDED)).accepted, False)
 
-    def test_a_late_success_of_the_latest_lease_is_taken(self) -> None:
+    def test_a_late_success_of_the_latest_lease_is_accepted(self) -> None:
         replica = self.leased()
         replica.now += 1_000.0
         self.assertTrue(replica.apply(end("m", "L", SUCCEEDED)).ended_message)
@@ -179,7 +179,7 @@
 class Accepts(unittest.TestCase):
     """Appends, bodies, counts and tombstones."""
 
-    def test_a_known_request_id_has_no_effect_and_says_so(self) -> None:
+    def test_a_known_request_id_has_no_effect(self) -> None:
         replica = Replica()
         self.assertTrue(replica.apply(AppendMessage(message("m"))).is_new)
         other = structs.replace(message("m"), body=b"other")
@@ -191,7 +191,7 @@
         self.assertEqual((result.is_new, result.state), (False, DONE))
         self.assertEqual(replica.state.queued, 0)
 
-    def test_a_body_goes_when_done_and_stays_with_a_dead_letter(self) -> None:
+    def test_a_body_is_dropped_when_done_and_kept_with_a_dead_letter(self) -> None:
         for outcome, body in ((SUCCEEDED, b""), (REJECTED, b"body")):
             replica = Replica()
             replica.apply(AppendMessage(message("m")), grant("m", "L"), end("m", "L", outcome))
@@ -200,13 +200,13 @@
             replica.apply(RemoveTombstones(("m",)))
             self.assertEqual((replica.state.find("m"), replica.state.body_bytes), (None, 0))
 
-    def test_only_tombstones_are_forgotten(self) -> None:
+    def test_only_tombstones_are_removed(self) -> None:
         replica = Replica()
         replica.apply(AppendMessage(message("m")))
         self.assertEqual(replica.apply(RemoveTombstones(("m", "unknown"))).count, 0)
         self.assertIsNotNone(replica.state.find("m"))
 
-    def test_a_call_back_is_owed_from_the_end_to_its_confirmation(self) -> None:
+    def test_a_call_back_is_pending_from_the_end_to_its_confirmation(self) -> None:
         replica = Replica()
         replica.apply(AppendMessage(message("m", callback_url="http://10.0.0.9:80/")))
         self.assertEqual(replica.apply(ConfirmCallbacks(("m", "unknown"))).count, 0)
@@ -251,14 +251,14 @@
         replica.apply(AppendMessage(structs.replace(message("b", "k"), route="other", target="/y/")))
         self.assertFalse(replica.apply(grant("b", "X")).granted)
 
-    def test_keys_do_not_hold_one_another(self) -> None:
+    def test_keys_do_not_block_one_another(self) -> None:
         replica = Replica()
         replica.apply(
             AppendMessage(message("a", "k")), AppendMessage(message("b", "l")), AppendMessage(message("c"))
         )
         self.assertTrue(all(replica.apply(grant(name, f"L{name}")).granted for name in "abc"))
 
-    def test_one_that_ends_in_the_middle_is_passed_over(self) -> None:
+    def test_a_message_that_ends_in_the_middle_is_skipped(self) -> None:
         replica = Replica()
         replica.apply(*(AppendMessage(message(name, "k")) for name in "abc"))
         replica.apply(ExpireMessage("b"), ExpireMessage("a"))
@@ -372,7 +372,7 @@
 class Sharding(unittest.TestCase):
     """Shards and identifiers."""
 
-    def test_a_key_has_one_shard_whatever_is_preferred(self) -> None:
+    def test_a_key_has_one_shard_whichever_is_preferred(self) -> None:
         self.assertEqual(
             {shard_for("key", preferred, 7) for preferred in range(20)}, {shard_for("key", 0, 7)}
         )
--- a/tests/system/test_queue_world.py
+++ b/tests/system/queue/world.py
@@ -1,13 +1,12 @@
 """A queue of several shards in virtual time, with its edge nodes, workers, clients and receivers.
 
 One seed decides everything: delays, lost calls, owners that change at any moment, restarts from a snapshot
-with a stepped clock, edge nodes that die, configurations that arrive late. The shard's own parts are real;
-`Build` names their classes, so that a broken build can take their place.
+with a stepped clock, edge nodes that restart, configurations that arrive late. The shard's own parts are
+real; `Build` names their classes, so that a broken build can take their place.
 """
 
 from __future__ import annotations
 
-import unittest
 from collections.abc import Callable
 from dataclasses import replace
 from itertools import count
@@ -20,39 +19,39 @@
 from bitternpath.queue.results import AttemptEnded, MessageAppended, Result
 from bitternpath.queue.sharding import shard_for
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
-from tests.system.test_queue_checkers import (
+from tests.system.queue.checkers import (
     Accepted,
-    Answer,
-    AnswerKind,
-    EndAnswer,
+    EndResponse,
     History,
-    Kept,
+    RuleSettings,
     Run,
-    Terms,
+    StoredMessage,
+    WorkerResponse,
+    WorkerResponseKind,
 )
-from tests.system.test_queue_nodes import (
+from tests.system.queue.world_nodes import (
     BOUNDS,
-    CALM,
-    CALM_S,
+    NO_FAULTS,
     ROUTES,
     SERVICES,
+    SETTLING_S,
     SLOW_TRAFFIC_END_S,
     TRAFFIC_S,
     WALL_START_MS,
     ZONES,
     Build,
     EdgeNode,
-    Fate,
     Faults,
-    Puller,
+    PullingWorker,
     Shard,
     Simulation,
     WaitingPoll,
+    WorkerBehaviour,
 )
 
 
 class World:
-    """Everything together. `run` plays it and returns the history."""
+    """Everything together. `run` returns the history."""
 
     def __init__(
         self, seed: int, build: Build | None = None, faults: Faults | None = None, shards: int = 3
@@ -60,47 +59,47 @@
         self.random = Random(seed)
         self.build = build or Build()
         self.faults = faults or Faults()
-        self.trouble = 1.0 if self.faults != CALM else 0.0
+        self.fault_level = 1.0 if self.faults != NO_FAULTS else 0.0
         self.simulation = Simulation()
         self.history = History()
         self.numbers = count(1)
         self.polls: dict[int, WaitingPoll] = {}
         self.called_back: set[str] = set()
-        self.fates: dict[str, int] = {}
+        self.behaviours: dict[str, WorkerBehaviour] = {}
         self.attempts: dict[str, int] = {}
         self.tables = [RoutingTable(Configuration(1, ROUTES, SERVICES))]
         self.shards_count = shards
         self.edges = [EdgeNode(self, f"edge-{number}", ZONES[number % 2]) for number in range(4)]
         self.shards: list[Shard] = []
         self.shards.extend(Shard(self, number) for number in range(shards))
-        self.pullers = [Puller(self, f"puller-{number}") for number in range(8)]
+        self.pulling_workers = [PullingWorker(self, f"puller-{number}") for number in range(8)]
 
     @property
-    def terms(self) -> Terms:
-        """By what its history is judged."""
-        return Terms(
+    def rule_settings(self) -> RuleSettings:
+        """The settings by which its history is judged."""
+        return RuleSettings(
             {route.name: route.max_attempts for route in ROUTES},
             {route.name: route.retention_s for route in ROUTES},
             BOUNDS.visibility_timeout_ms / 1000,
             {service.name: service.rate_per_s for service in SERVICES if service.rate_per_s > 0},
             BOUNDS.rate_window_s,
             BOUNDS.rate_tolerance,
-            calm=self.faults == CALM,
+            without_faults=self.faults == NO_FAULTS,
         )
 
     def run(self) -> History:
-        """Play traffic with faults, then a calm span, and collect what the shards hold."""
+        """Run traffic with faults, then a time without, and collect what the shards have stored."""
         self._start_sources()
         start = self.simulation.now
         self.simulation.run_until(start + TRAFFIC_S)
-        self.trouble = 0.0
-        self.simulation.run_until(start + TRAFFIC_S + CALM_S)
+        self.fault_level = 0.0
+        self.simulation.run_until(start + TRAFFIC_S + SETTLING_S)
         self.history.finished = self.simulation.now
         for shard in self.shards:
             for entry in shard.state:
                 message = entry.message
                 body = None if entry.state is MessageState.DONE else message.body
-                self.history.kept[message.request_id] = Kept(message.request_id, entry.state, body)
+                self.history.stored[message.request_id] = StoredMessage(message.request_id, entry.state, body)
         return self.history
 
     def _start_sources(self) -> None:
@@ -108,10 +107,10 @@
         self._repeat(30.0, self._send_message)
         self._repeat(1.0, lambda: self.random.choice(self.shards).save())
         self._repeat(faults.owner_changes, lambda: self.random.choice(self.shards).lose_owner())
-        self._repeat(faults.herd_changes, self._lose_all_owners)
-        self._repeat(faults.edge_deaths, lambda: self.random.choice(self.edges).die())
+        self._repeat(faults.simultaneous_owner_changes, self._lose_all_owners)
+        self._repeat(faults.edge_restarts, lambda: self.random.choice(self.edges).restart())
         self._repeat(faults.configurations, self._change_configuration)
-        for puller in self.pullers:
+        for puller in self.pulling_workers:
             self.simulation.after(self.random.uniform(0.0, 1.0), puller.ask)
 
     def _repeat(self, rate: float, event: Callable[[], object]) -> None:
@@ -175,7 +174,7 @@
         key = f"key-{self.random.randint(1, 6)}" if route.ordered else ""
         edge = self.random.choice(self.edges)
         message = self._message(request_id, route, key, edge)
-        self.fates[request_id] = self._fate()
+        self.behaviours[request_id] = self._draw_behaviour()
         shard = self.shards[shard_for(key, self.random.randrange(len(self.shards)), len(self.shards))]
         sent = self.simulation.now
         edge.later(self.network_delay(), lambda: self._append(edge, shard, message, sent, 5))
@@ -190,10 +189,12 @@
             callback, edge.name, wall_ms, body,
         )  # fmt: skip
 
-    def _append(self, edge: EdgeNode, shard: Shard, message: Message, sent: float, tries: int) -> None:
-        """Append until it is answered: the same request id may come several times."""
+    def _append(
+        self, edge: EdgeNode, shard: Shard, message: Message, sent: float, attempts_left: int
+    ) -> None:
+        """Append until it is accepted: the same request id may come several times."""
         route = edge.table.match(message.host, message.target)
-        if route is None or message.request_id in self.history.accepted or tries == 0:
+        if route is None or message.request_id in self.history.accepted or attempts_left == 0:
             return
         edge.bodies[message.request_id] = message.body
         accepted = structs.replace(message, accepted_version=edge.table.version)
@@ -204,7 +205,7 @@
                 self._accept(message, sent)
 
         shard.propose(AppendMessage(accepted), applied)
-        edge.later(0.3, lambda: self._append(edge, shard, message, sent, tries - 1))
+        edge.later(0.3, lambda: self._append(edge, shard, message, sent, attempts_left - 1))
 
     def _accept(self, message: Message, sent: float) -> None:
         self.history.accepted.setdefault(
@@ -214,8 +215,13 @@
             ),
         )
 
-    def _fate(self) -> int:
-        choices = (Fate.GOOD, Fate.FLAKY, Fate.POISON, Fate.REJECTED)
+    def _draw_behaviour(self) -> WorkerBehaviour:
+        choices = (
+            WorkerBehaviour.SUCCEEDS,
+            WorkerBehaviour.FAILS_ONCE,
+            WorkerBehaviour.ALWAYS_FAILS,
+            WorkerBehaviour.REJECTED,
+        )
         return self.random.choices(choices, (80, 10, 5, 5))[0]
 
     # ---- workers, ends, calls
@@ -225,39 +231,43 @@
         request_id: str,
         service: str,
         timeout_s: float,
-        answered: Callable[[AnswerKind | None, str], None],
+        responded: Callable[[WorkerResponseKind | None, str], None],
         duration: float | None = None,
     ) -> None:
-        """A worker runs a message; `answered` gets its answer, or None at the time-out."""
+        """Run a message at a worker; `responded` gets its response, or None at the time-out."""
         began = self.simulation.now
         self.history.runs.append(Run(request_id, began, service))
         lasts = min(0.8 * timeout_s, self.random.expovariate(10.0)) if duration is None else duration
-        fails = self.trouble if duration is None else 0.0
-        lost = self.random.random() < self.faults.lost_answers * fails
+        fails = self.fault_level if duration is None else 0.0
+        lost = self.random.random() < self.faults.lost_responses * fails
         crashed = self.random.random() < self.faults.crashes * fails
 
         def finish() -> None:
-            kind = self._kind_of_answer(request_id)
-            stamp = f"stamp-{next(self.numbers)}" if kind is AnswerKind.SUCCESS else ""
-            self.history.answers.append(Answer(request_id, self.simulation.now, kind, stamp, not lost))
+            kind = self._response_kind(request_id)
+            stamp = f"stamp-{next(self.numbers)}" if kind is WorkerResponseKind.SUCCESS else ""
+            self.history.responses.append(
+                WorkerResponse(request_id, self.simulation.now, kind, stamp, not lost)
+            )
             if not lost:
-                answered(kind, stamp)
+                responded(kind, stamp)
 
         if not crashed:
             self.simulation.after(lasts, finish)
         if lost or crashed:
-            self.simulation.after(timeout_s, lambda: answered(None, ""))
+            self.simulation.after(timeout_s, lambda: responded(None, ""))
 
-    def _kind_of_answer(self, request_id: str) -> AnswerKind:
-        fate = self.fates[request_id]
+    def _response_kind(self, request_id: str) -> WorkerResponseKind:
+        behaviour = self.behaviours[request_id]
         self.attempts[request_id] = self.attempts.get(request_id, 0) + 1
-        if fate == Fate.REJECTED:
-            return AnswerKind.REJECTED
-        if fate == Fate.POISON or (fate == Fate.FLAKY and self.attempts[request_id] == 1):
-            return AnswerKind.FAILED
-        return AnswerKind.SUCCESS
-
-    def tell_end(
+        if behaviour is WorkerBehaviour.REJECTED:
+            return WorkerResponseKind.REJECTED
+        if behaviour is WorkerBehaviour.ALWAYS_FAILS or (
+            behaviour is WorkerBehaviour.FAILS_ONCE and self.attempts[request_id] == 1
+        ):
+            return WorkerResponseKind.FAILED
+        return WorkerResponseKind.SUCCESS
+
+    def report_end(
         self,
         edge: EdgeNode,
         shard: Shard,
@@ -267,9 +277,9 @@
         stamp: str,
         *,
         pulled: bool,
-        tries: int = 40,
+        attempts_left: int = 40,
     ) -> None:
-        """Tell a shard how a lease ended, until it answers; now and then once more after that."""
+        """Report to a shard how a lease ended, until it responds; sometimes once more after that."""
         answered = [False]
 
         def applied(result: Result | None) -> None:
@@ -278,7 +288,7 @@
                 return
             answered[0] = True
             success = outcome is AttemptOutcome.SUCCEEDED
-            end = EndAnswer(request_id, lease_id, self.simulation.now, success, pulled, result.accepted)
+            end = EndResponse(request_id, lease_id, self.simulation.now, success, pulled, result.accepted)
             self.history.ends.append(end)
 
         def attempt() -> None:
@@ -287,9 +297,16 @@
                 shard.propose(command, applied)
 
         def again() -> None:
-            if tries > 0 and (not answered[0] or self.random.random() < 0.05 * self.trouble):
-                self.tell_end(
-                    edge, shard, request_id, lease_id, outcome, stamp, pulled=pulled, tries=tries - 1
+            if attempts_left > 0 and (not answered[0] or self.random.random() < 0.05 * self.fault_level):
+                self.report_end(
+                    edge,
+                    shard,
+                    request_id,
+                    lease_id,
+                    outcome,
+                    stamp,
+                    pulled=pulled,
+                    attempts_left=attempts_left - 1,
                 )
 
         edge.later(self.network_delay(), attempt)
@@ -301,7 +318,7 @@
 
     def lost(self) -> bool:
         """Whether a call between nodes, or its answer, is lost."""
-        return self.random.random() < self.faults.lost_calls * self.trouble
+        return self.random.random() < self.faults.lost_calls * self.fault_level
 
     def network_delay(self) -> float:
         """Seconds of one way."""
@@ -309,11 +326,4 @@
 
     def send_lag(self) -> float:
         """Seconds from an edge node's receipt of a lease to its send."""
-        return self.random.choice((0.0, 0.001, 0.01, 0.4 * self.trouble))
-
-
-class WorldIsDeterministic(unittest.TestCase):
-    """One seed replays a failure."""
-
-    def test_the_same_seed_gives_the_same_history(self) -> None:
-        self.assertEqual(World(7).run(), World(7).run())
+        return self.random.choice((0.0, 0.001, 0.01, 0.4 * self.fault_level))
--- a/tests/system/test_queue_nodes.py
+++ b/tests/system/queue/world_nodes.py
@@ -1,4 +1,4 @@
-"""Shards, edge nodes and pulling workers of a queue in virtual time; `test_queue_world` puts them together.
+"""Shards, edge nodes and pulling workers of a queue in virtual time; `world` puts them together.
 
 The shard's own parts are real; `Build` names their classes, so that a broken build can take their place.
 """
@@ -8,6 +8,7 @@
 import heapq
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from enum import Enum, auto
 from itertools import count
 from typing import TYPE_CHECKING
 
@@ -28,19 +29,19 @@
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import AttemptOutcome
-from tests.system.test_queue_checkers import (
-    AnswerKind,
-    Handed,
-    Told,
-    Word,
+from tests.system.queue.checkers import (
+    JobReceived,
+    LeaseExtended,
+    StateReported,
+    WorkerResponseKind,
 )
 
 if TYPE_CHECKING:
-    from tests.system.test_queue_world import World
+    from tests.system.queue.world import World
 
 START_S = 100.0
 TRAFFIC_S = 20.0  # clients send for so long
-CALM_S = 45.0  # after it, without faults: everything that can be done gets done
+SETTLING_S = 45.0  # after it, without faults: everything that can be done gets done
 SLOW_TRAFFIC_END_S = START_S + 10.0  # more than the limited service may get meanwhile
 ZONES = ("north", "south")
 WALL_START_MS = 1_700_000_000_000
@@ -74,25 +75,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What goes wrong: rates a second, and shares of calls."""
+    """Rates of faults a second, and fractions of calls that fail."""
 
     owner_changes: float = 0.25
-    herd_changes: float = 0.08  # all shards at once
-    edge_deaths: float = 0.1
+    simultaneous_owner_changes: float = 0.08  # all shards at once
+    edge_restarts: float = 0.1
     configurations: float = 0.3
     lost_calls: float = 0.05
-    lost_answers: float = 0.05  # of workers: it has run
+    lost_responses: float = 0.05  # of workers: it has run
     crashes: float = 0.08  # of workers while they run: it has not ended
 
 
-CALM = Faults(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-RESTLESS = replace(Faults(), herd_changes=0.8)  # owners hardly last
+NO_FAULTS = Faults(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
+FREQUENT_FAILOVERS = replace(Faults(), simultaneous_owner_changes=0.8)  # owners change about every second
 
 
-class Fate:
-    """How workers answer a message, whenever they are asked."""
+class WorkerBehaviour(Enum):
+    """How workers respond to a message."""
 
-    GOOD, FLAKY, POISON, REJECTED = range(4)
+    SUCCEEDS = auto()
+    FAILS_ONCE = auto()
+    ALWAYS_FAILS = auto()
+    REJECTED = auto()
 
 
 class Simulation:
@@ -129,7 +133,7 @@
         self.epoch = 0
         self._pending: list[tuple[Command, Callable[[Result | None], None] | None]] = []
         self._wakeup = float("inf")
-        self.leadership_acquired()
+        self.elect_owner()
 
     def _new_state(self) -> QueueState:
         simulation, step_ms = self.world.simulation, self.step_ms
@@ -137,22 +141,22 @@
             lambda: simulation.now, lambda: WALL_START_MS + int(simulation.now * 1000) + step_ms
         )
 
-    def leadership_acquired(self) -> None:
-        """A new owner begins; all that is committed has been applied."""
+    def elect_owner(self) -> None:
+        """Let a new owner begin; all that is committed has been applied."""
         self.epoch += 1
         now = self.world.simulation.now
         self.owner = self.world.build.owner(
             self.state, OwnedShard(self.number, self.world.shards_count, ZONES[0]), BOUNDS, self.world.random
         )
         self._wakeup = float("inf")
-        self.perform(self.owner.leadership_acquired(now, self.epoch))
+        self.execute(self.owner.leadership_acquired(now, self.epoch))
         for edge in self.world.edges:
-            self.perform(self.owner.edge_connected(now, edge.name, edge.zone))
-        self.perform(self.owner.configure(now, self.world.random.choice(self.world.tables[-2:])))
+            self.execute(self.owner.edge_connected(now, edge.name, edge.zone))
+        self.execute(self.owner.configure(now, self.world.random.choice(self.world.tables[-2:])))
         self.world.configure_later(self)
 
     def lose_owner(self) -> None:
-        """The owner dies; some of its proposals are committed nevertheless."""
+        """Stop the owner; some of its proposals are committed nevertheless."""
         if self.owner is None:
             return
         random = self.world.random
@@ -163,7 +167,7 @@
             self._restart()
         for command, _ in survivors:
             self._commit(command)
-        self.world.simulation.after(random.uniform(0.02, 1.0), self.leadership_acquired)
+        self.world.simulation.after(random.uniform(0.02, 1.0), self.elect_owner)
 
     def _restart(self) -> None:
         """The next owner starts from a snapshot and the log, by a clock that has stepped."""
@@ -186,7 +190,7 @@
             return
         self._pending.append((command, done))
         random, epoch = self.world.random, self.epoch
-        stalled = random.random() < 0.01 * self.world.trouble
+        stalled = random.random() < 0.01 * self.world.fault_level
         delay = random.uniform(0.2, 0.5) if stalled else random.uniform(0.001, 0.02)
         self.world.simulation.after(delay, lambda: self._commit_next(epoch))
 
@@ -196,7 +200,7 @@
             return
         command, done = self._pending.pop(0)
         result = self._commit(command)
-        self.perform(owner.applied(self.world.simulation.now, result))
+        self.execute(owner.applied(self.world.simulation.now, result))
         if done is not None:
             done(result)
 
@@ -207,36 +211,36 @@
         if isinstance(result, AttemptEnded) and result.effective:
             self.world.history.released[result.command.lease_id] = self.world.simulation.now
         if isinstance(result, AttemptEnded | MessageExpired) and result.ended_message:
-            self._tell(result.command.request_id)
+            self._report_state(result.command.request_id)
         return result
 
-    def _tell(self, request_id: str) -> None:
+    def _report_state(self, request_id: str) -> None:
         entry = self.state.find(request_id)
         assert entry is not None
-        told = Told(request_id, self.world.simulation.now, entry.state, entry.stamp)
-        self.world.history.told.append(told)
+        reported = StateReported(request_id, self.world.simulation.now, entry.state, entry.stamp)
+        self.world.history.reported.append(reported)
 
     def input(self, call: Callable[[ShardOwner, float], list[Action]]) -> None:
-        """Give the owner an input, where there is one."""
+        """Give the owner an event, where there is an owner."""
         if self.owner is not None:
-            self.perform(call(self.owner, self.world.simulation.now))
+            self.execute(call(self.owner, self.world.simulation.now))
 
-    def perform(self, actions: list[Action]) -> None:
-        """Do what the owner wants, and wake it in time."""
+    def execute(self, actions: list[Action]) -> None:
+        """Carry out the owner's actions, and wake it in time."""
         for action in actions:
             match action:
                 case ProposeCommand():
                     self.propose(action.command)
                 case SendDelivery():
-                    self.world.edge(action.edge).expect_delivery(self, action)
+                    self.world.edge(action.edge).receive_delivery(self, action)
                 case AnswerPoll():
-                    self.world.edge(action.edge).expect_answer(self, action)
+                    self.world.edge(action.edge).receive_job(self, action)
                 case ExpirePoll():
                     self.world.polls.pop(action.poll_id, None)
                 case BorrowTokens():
                     self._borrow(action)
                 case SendCallback():
-                    self.world.edge(action.edge).expect_callback(self, action)
+                    self.world.edge(action.edge).receive_callback(self, action)
         self._set_wakeup()
 
     def _borrow(self, action: BorrowTokens) -> None:
@@ -272,19 +276,19 @@
 
 
 class EdgeNode:
-    """An edge node: sends deliveries to workers, and tells the shard how they ended until it is answered."""
+    """An edge node: sends messages to workers, and reports their ends until the shard responds."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world = world
         self.name = name
         self.zone = zone
-        self.life = 0
+        self.incarnation = 0
         self.table = world.tables[-1]
         self.bodies: dict[str, bytes] = {}
 
-    def die(self) -> None:
-        """Its process ends; another begins at once."""
-        self.life += 1
+    def restart(self) -> None:
+        """End its process; another begins at once."""
+        self.incarnation += 1
         self.bodies.clear()
         for poll_id, poll in list(self.world.polls.items()):
             if poll.edge is self:
@@ -295,11 +299,11 @@
             shard.input(lambda owner, now: owner.edge_connected(now, self.name, self.zone))
 
     def later(self, delay: float, event: Callable[[], None]) -> None:
-        """Do something unless this life is over by then."""
-        life = self.life
-        self.world.simulation.after(delay, lambda: event() if life == self.life else None)
+        """Do something unless the process has ended by then."""
+        incarnation = self.incarnation
+        self.world.simulation.after(delay, lambda: event() if incarnation == self.incarnation else None)
 
-    def expect_delivery(self, shard: Shard, delivery: SendDelivery) -> None:
+    def receive_delivery(self, shard: Shard, delivery: SendDelivery) -> None:
         self.later(self.world.network_delay(), lambda: self._deliver(shard, delivery))
 
     def _deliver(self, shard: Shard, delivery: SendDelivery) -> None:
@@ -315,7 +319,7 @@
             self.later(self.world.send_lag(), lambda: self._send(shard, delivery, route))
 
     def _send(self, shard: Shard, delivery: SendDelivery, route: Route) -> None:
-        def answered(kind: AnswerKind | None, stamp: str) -> None:
+        def answered(kind: WorkerResponseKind | None, stamp: str) -> None:
             outcome = AttemptOutcome.UNKNOWN if kind is None else _OUTCOMES[kind]
             self.later(0.0, lambda: self.end(shard, delivery, outcome, stamp))
 
@@ -323,9 +327,9 @@
 
     def end(self, shard: Shard, delivery: SendDelivery, outcome: AttemptOutcome, stamp: str) -> None:
         request_id, lease_id = delivery.message.request_id, delivery.lease_id
-        self.world.tell_end(self, shard, request_id, lease_id, outcome, stamp, pulled=False)
+        self.world.report_end(self, shard, request_id, lease_id, outcome, stamp, pulled=False)
 
-    def expect_answer(self, shard: Shard, answer: AnswerPoll) -> None:
+    def receive_job(self, shard: Shard, answer: AnswerPoll) -> None:
         self.later(self.world.network_delay(), lambda: self._answer(shard, answer))
 
     def _answer(self, shard: Shard, answer: AnswerPoll) -> None:
@@ -335,27 +339,27 @@
             return
         request_id = answer.message.request_id
         outcome = AttemptOutcome.NOT_RUN
-        self.world.tell_end(self, shard, request_id, answer.lease_id, outcome, "", pulled=True)
+        self.world.report_end(self, shard, request_id, answer.lease_id, outcome, "", pulled=True)
 
-    def expect_callback(self, shard: Shard, callback: SendCallback) -> None:
+    def receive_callback(self, shard: Shard, callback: SendCallback) -> None:
         self.later(self.world.network_delay(), lambda: self._call_back(shard, callback))
 
     def _call_back(self, shard: Shard, callback: SendCallback) -> None:
         world = self.world
-        told = Told(callback.request_id, world.simulation.now, callback.state, callback.stamp)
-        world.history.told.append(told)
+        reported = StateReported(callback.request_id, world.simulation.now, callback.state, callback.stamp)
+        world.history.reported.append(reported)
         world.called_back.add(callback.request_id)
-        taken = world.random.random() > 0.2 * world.trouble
+        acknowledged = world.random.random() > 0.2 * world.fault_level
         if not world.lost():
             shard.input(
-                lambda owner, now: owner.callback_report(now, callback.request_id, acknowledged=taken)
+                lambda owner, now: owner.callback_report(now, callback.request_id, acknowledged=acknowledged)
             )
 
 
 _OUTCOMES = {
-    AnswerKind.SUCCESS: AttemptOutcome.SUCCEEDED,
-    AnswerKind.REJECTED: AttemptOutcome.REJECTED,
-    AnswerKind.FAILED: AttemptOutcome.FAILED,
+    WorkerResponseKind.SUCCESS: AttemptOutcome.SUCCEEDED,
+    WorkerResponseKind.REJECTED: AttemptOutcome.REJECTED,
+    WorkerResponseKind.FAILED: AttemptOutcome.FAILED,
 }
 
 
@@ -363,12 +367,12 @@
 class WaitingPoll:
     """A worker that waits at an edge node."""
 
-    worker: Puller
+    worker: PullingWorker
     edge: EdgeNode
 
 
-class Puller:
-    """One slot of a pulling worker: it may go silent for a while, or for good, while it has a job."""
+class PullingWorker:
+    """One slot of a pulling worker: it may stop to extend and report for a while, or for ever."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
@@ -387,7 +391,7 @@
         request = LongPollRequest(poll_id, edge.name, "pulled", self.name, 1.0)
         shard.input(lambda owner, now: owner.poll(now, request))
         edge.later(POLL_LIMIT_S, lambda: world.polls.pop(poll_id, None))
-        if shard.owner is None or world.random.random() < 0.1 * world.trouble:
+        if shard.owner is None or world.random.random() < 0.1 * world.fault_level:
             world.polls.pop(poll_id, None)
             shard.input(lambda owner, now: owner.cancel_poll(now, poll_id))
 
@@ -396,20 +400,20 @@
         world, random = self.world, self.world.random
         self.busy = True
         request_id, lease_id = job.message.request_id, job.lease_id
-        world.history.handed.append(Handed(request_id, lease_id, world.simulation.now))
+        world.history.jobs_received.append(JobReceived(request_id, lease_id, world.simulation.now))
         duration = random.choice((0.1, 0.3, 1.0, 3.5))
-        style = random.random() if world.trouble else 1.0
+        style = random.random() if world.fault_level else 1.0
         if style < 0.1:
             world.simulation.after(3.0, self._free)
             return
         if style > 0.2:
             world.simulation.after(0.5, lambda: self._extend(shard, job, world.simulation.now + duration))
 
-        def answered(kind: AnswerKind | None, stamp: str) -> None:
+        def answered(kind: WorkerResponseKind | None, stamp: str) -> None:
             self._free()
             outcome = AttemptOutcome.UNKNOWN if kind is None else _OUTCOMES[kind]
             edge = world.random.choice(world.edges)
-            world.tell_end(edge, shard, request_id, lease_id, outcome, stamp, pulled=True)
+            world.report_end(edge, shard, request_id, lease_id, outcome, stamp, pulled=True)
 
         world.work(request_id, "pulled", 60.0, answered, duration)
 
@@ -421,7 +425,7 @@
         if shard.owner is None or world.lost():
             return
         if shard.owner.extend(world.simulation.now, request_id, job.lease_id):
-            world.history.words.append(Word(job.lease_id, world.simulation.now))
+            world.history.extensions.append(LeaseExtended(job.lease_id, world.simulation.now))
 
     def _free(self) -> None:
         self.busy = False
--- a/tests/system/test_callback_recovery.py
+++ b/tests/system/test_callback_recovery.py
@@ -7,7 +7,7 @@
 
 from bitternpath.queue.actions import SendCallback, SendDelivery
 from bitternpath.queue.callbacks import CALLBACK_TIMEOUT_S, FAILURES_BEFORE_PROBING, PROBE_INTERVAL_S
-from tests.system.test_queue_rig import SUCCEEDED, Rig
+from tests.system.queue.owner_rig import SUCCEEDED, Rig
 
 URL = "http://10.0.0.9:80/done"
 ANSWER_S = 0.01  # a receiver that is up, or resets, is heard of after that
--- a/tests/system/test_shard_runtime.py
+++ b/tests/system/test_shard_runtime.py
@@ -35,7 +35,7 @@
     StateResponse,
     WorkAvailable,
 )
-from tests.system.test_queue_rig import TABLE
+from tests.system.queue.owner_rig import TABLE
 
 GROUP = shard_group(0)
 HAND_OVER_S = 0.5  # an election's time, for which a leader that hands over proposes nothing
--- a/tests/system/test_unreachable_holders.py
+++ b/tests/system/test_unreachable_holders.py
@@ -6,7 +6,7 @@
 
 from bitternpath.queue.lifecycle import RETURNS_BEFORE_EDGE_CHANGE
 from bitternpath.transport.records import AttemptOutcome, MessageState
-from tests.system.test_queue_rig import NOT_RUN, SUCCEEDED, UNKNOWN, Rig
+from tests.system.queue.owner_rig import NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 EDGES = ("edge-1", "edge-2", "edge-3")
 STEADY_S = 6.0  # RULES, LOST: a message whose time has come is to reach a worker within that time
