--- a/tests/system/queue/owner_rig.py
+++ b/tests/system/queue/owner_rig.py
@@ -76,13 +76,17 @@
         self.automatic = True  # commit each proposal at once
         self.own(routing, edges)
 
+    def new_owner(self) -> ShardOwner:
+        """Return an owner of the only shard."""
+        settings = OwnerSettings(visibility_timeout_ms=3_000, status_retention_s=120.0)
+        return ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
+
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
         """Let a new owner begin."""
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
         self.poller_requests: list[RequestPollers] = []
-        settings = OwnerSettings(visibility_timeout_ms=3_000, status_retention_s=120.0)
-        self.owner = ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
+        self.owner = self.new_owner()
         self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
         for edge in edges:
             self.do(self.owner.edge_connected(self.now, edge, "north"))
--- a/tests/system/queue/test_leases_on_append.py
+++ b/tests/system/queue/test_leases_on_append.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from bitternpath.queue.actions import AnswerPoll, SendDelivery
+from bitternpath.queue.actions import ExpirePoll, SendDelivery
 from bitternpath.queue.commands import AppendMessage, GrantLease
 from bitternpath.queue.lease_granting import MAX_PREGRANTED_LEASES
 from bitternpath.transport.records import Message, MessageState
@@ -47,6 +47,14 @@
         for command in commands:
             self.rig.apply(command)
 
+    def count_further_pregrants(self) -> int:
+        """Append messages until one is not leased in advance; returns how many are."""
+        count = 0
+        while len(commands := self.propose(f"further-{count}", "/jobs/x")) == 2:
+            self.commit(commands)
+            count += 1
+        return count
+
     def test_the_message_goes_out_once_both_are_applied(self) -> None:
         append, grant = self.propose("m")
         self.assertIsInstance(grant, GrantLease)
@@ -96,7 +104,7 @@
         self.assertEqual(len(leased), MAX_PREGRANTED_LEASES)
         self.rig.poll(1)
         self.assertEqual(self.rig.answer().message.request_id, "m0")
-        self.assertEqual(len(self.rig.owner._services.find("puller").pregranted), MAX_PREGRANTED_LEASES - 1)
+        self.assertEqual(self.count_further_pregrants(), 1)
 
     def test_a_new_owner_takes_a_pregranted_lease_for_out(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
@@ -114,8 +122,9 @@
         self.commit(self.rig.take_proposed())
         self.assertIs(self.rig.state_of("m"), MessageState.DEAD_LETTER)
         self.rig.poll(1)
-        self.assertEqual(self.rig.take_sent(AnswerPoll), [])
-        self.assertEqual(self.rig.owner._services.find("puller").pregranted, set())
+        self.rig.advance(2.0)
+        self.assertEqual(self.rig.take_sent(), [ExpirePoll(1, "edge-1")])
+        self.assertEqual(self.count_further_pregrants(), MAX_PREGRANTED_LEASES)
 
     def test_a_delayed_message_waits(self) -> None:
         self.assertEqual(len(self.propose("m", delay_ms=1)), 1)
--- a/tests/system/queue/test_quota_leases.py
+++ b/tests/system/queue/test_quota_leases.py
@@ -132,15 +132,12 @@
         self.shard = shard
         super().__init__(TABLE)
 
+    def new_owner(self) -> ShardOwner:
+        shard = OwnedShard(self.shard, SHARDS, "north")
+        return ShardOwner(self.state, shard, OwnerSettings(), Random(self.shard))
+
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
-        self.proposed, self.sent, self.poller_requests = [], [], []
-        self.owner = ShardOwner(
-            self.state, OwnedShard(self.shard, SHARDS, "north"), OwnerSettings(), Random(self.shard)
-        )
-        self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
-        for edge in edges:
-            self.do(self.owner.edge_connected(self.now, edge, "north"))
-        self.configure(TABLE)
+        super().own(routing, edges)
 
 
 class Shards:
@@ -285,8 +282,7 @@
     """The most arrivals in a window where each shard has borrowed and then had nothing to send for long."""
     shards = Shards(3)
     for rig in shards.rigs:
-        queue = rig.owner._services.find("limited")
-        queue.borrower.tokens_lent(rig.now, MAX_BORROWED_TOKENS, rig.now)
+        rig.do(rig.owner.tokens_lent(rig.now, "limited", MAX_BORROWED_TOKENS, rig.now))
     shards.run(2.0)
     for shard in range(SHARDS):
         shards.append(shard, 40)
