--- a/tests/system/queue/world.py
+++ b/tests/system/queue/world.py
@@ -42,6 +42,7 @@
     Build,
     EdgeNode,
     Faults,
+    HolderReport,
     PullingWorker,
     Shard,
     Simulation,
@@ -267,47 +268,38 @@
             return WorkerResponseKind.FAILED
         return WorkerResponseKind.SUCCESS
 
-    def report_end(
-        self,
-        edge: EdgeNode,
-        shard: Shard,
-        request_id: str,
-        lease_id: str,
-        outcome: AttemptOutcome,
-        stamp: str,
-        *,
-        pulled: bool,
-        attempts_left: int = 40,
-    ) -> None:
+    def report_end(self, edge: EdgeNode, shard: Shard, report: HolderReport, attempts_left: int = 40) -> None:
         """Report to a shard how a lease ended, until it responds; sometimes once more after that."""
-        answered = [False]
+        responded = False
 
         def applied(result: Result | None) -> None:
+            nonlocal responded
             assert isinstance(result, AttemptEnded)
             if self.lost():
                 return
-            answered[0] = True
-            success = outcome is AttemptOutcome.SUCCEEDED
-            end = EndResponse(request_id, lease_id, self.simulation.now, success, pulled, result.accepted)
-            self.history.ends.append(end)
+            responded = True
+            success = report.outcome is AttemptOutcome.SUCCEEDED
+            self.history.ends.append(
+                EndResponse(
+                    report.request_id,
+                    report.lease_id,
+                    self.simulation.now,
+                    success=success,
+                    pulled=report.pulled,
+                    accepted=result.accepted,
+                )
+            )
 
         def attempt() -> None:
             if not self.lost() and shard.owner is not None:
-                command: EndAttempt = shard.owner.end_attempt_command(request_id, lease_id, outcome, stamp, 0)
+                command: EndAttempt = shard.owner.end_attempt_command(
+                    report.request_id, report.lease_id, report.outcome, report.stamp, retry_after_ms=0
+                )
                 shard.propose(command, applied)
 
         def again() -> None:
-            if attempts_left > 0 and (not answered[0] or self.random.random() < 0.05 * self.fault_level):
-                self.report_end(
-                    edge,
-                    shard,
-                    request_id,
-                    lease_id,
-                    outcome,
-                    stamp,
-                    pulled=pulled,
-                    attempts_left=attempts_left - 1,
-                )
+            if attempts_left > 0 and (not responded or self.random.random() < 0.05 * self.fault_level):
+                self.report_end(edge, shard, report, attempts_left - 1)
 
         edge.later(self.network_delay(), attempt)
         edge.later(0.4, again)
--- a/tests/system/queue/world_nodes.py
+++ b/tests/system/queue/world_nodes.py
@@ -99,6 +99,17 @@
     REJECTED = auto()
 
 
+@dataclass(frozen=True, slots=True)
+class HolderReport:
+    """How the attempt under a lease has ended, by its holder."""
+
+    request_id: str
+    lease_id: str
+    outcome: AttemptOutcome
+    stamp: str
+    pulled: bool
+
+
 class Simulation:
     """Events in the order of time."""
 
@@ -319,15 +330,15 @@
             self.later(self.world.send_lag(), lambda: self._send(shard, delivery, route))
 
     def _send(self, shard: Shard, delivery: SendDelivery, route: Route) -> None:
-        def answered(kind: WorkerResponseKind | None, stamp: str) -> None:
+        def responded(kind: WorkerResponseKind | None, stamp: str) -> None:
             outcome = AttemptOutcome.UNKNOWN if kind is None else _OUTCOMES[kind]
             self.later(0.0, lambda: self.end(shard, delivery, outcome, stamp))
 
-        self.world.work(delivery.message.request_id, route.service, route.timeout_ms / 1000, answered)
+        self.world.work(delivery.message.request_id, route.service, route.timeout_ms / 1000, responded)
 
     def end(self, shard: Shard, delivery: SendDelivery, outcome: AttemptOutcome, stamp: str) -> None:
-        request_id, lease_id = delivery.message.request_id, delivery.lease_id
-        self.world.report_end(self, shard, request_id, lease_id, outcome, stamp, pulled=False)
+        report = HolderReport(delivery.message.request_id, delivery.lease_id, outcome, stamp, pulled=False)
+        self.world.report_end(self, shard, report)
 
     def receive_job(self, shard: Shard, answer: AnswerPoll) -> None:
         self.later(self.world.network_delay(), lambda: self._answer(shard, answer))
@@ -337,9 +348,10 @@
         if poll is not None:
             poll.worker.start(shard, answer)
             return
-        request_id = answer.message.request_id
-        outcome = AttemptOutcome.NOT_RUN
-        self.world.report_end(self, shard, request_id, answer.lease_id, outcome, "", pulled=True)
+        report = HolderReport(
+            answer.message.request_id, answer.lease_id, AttemptOutcome.NOT_RUN, stamp="", pulled=True
+        )
+        self.world.report_end(self, shard, report)
 
     def receive_callback(self, shard: Shard, callback: SendCallback) -> None:
         self.later(self.world.network_delay(), lambda: self._call_back(shard, callback))
@@ -409,13 +421,13 @@
         if style > 0.2:
             world.simulation.after(0.5, lambda: self._extend(shard, job, world.simulation.now + duration))
 
-        def answered(kind: WorkerResponseKind | None, stamp: str) -> None:
+        def responded(kind: WorkerResponseKind | None, stamp: str) -> None:
             self._free()
             outcome = AttemptOutcome.UNKNOWN if kind is None else _OUTCOMES[kind]
             edge = world.random.choice(world.edges)
-            world.report_end(edge, shard, request_id, lease_id, outcome, stamp, pulled=True)
+            world.report_end(edge, shard, HolderReport(request_id, lease_id, outcome, stamp, pulled=True))
 
-        world.work(request_id, "pulled", 60.0, answered, duration)
+        world.work(request_id, "pulled", 60.0, responded, duration)
 
     def _extend(self, shard: Shard, job: AnswerPoll, until: float) -> None:
         world, request_id = self.world, job.message.request_id
