--- a/bitternpath/queue/service_queues.py
+++ b/bitternpath/queue/service_queues.py
@@ -9,7 +9,7 @@
 from bitternpath.queue.adaptive_limit import AdaptiveConcurrencyLimit
 from bitternpath.queue.quota_leases import QuotaBorrower
 from bitternpath.queue.rate_limits import RateBound, split_rate
-from bitternpath.queue.ready import ReadyQueue
+from bitternpath.queue.ready_queue import ReadyQueue
 from bitternpath.queue.token_bucket import BucketShare, TokenBucket
 
 LEASES_PER_SLOT = 2.0  # in flight: a lease also covers the way there and back, and the log
--- a/bitternpath/queue/state.py
+++ b/bitternpath/queue/state.py
@@ -39,7 +39,7 @@
     RemoveTombstones,
 )
 from bitternpath.queue.entries import Entry, Lease, new_entry
-from bitternpath.queue.ordering import OrderQueues
+from bitternpath.queue.order_queues import OrderQueues
 from bitternpath.queue.results import (
     AttemptEnded,
     CallbacksConfirmed,
--- a/tests/system/queue/test_owner.py
+++ b/tests/system/queue/test_owner.py
@@ -13,7 +13,7 @@
 from bitternpath.queue.lease_granting import MAX_POLLERS_REQUEST_INTERVAL_S, MIN_POLLERS_REQUEST_INTERVAL_S
 from bitternpath.queue.lease_table import PUSH_LEASE_MARGIN_MS
 from bitternpath.queue.placement import UNROUTED_GRACE_S
-from bitternpath.queue.ready import STALE_AFTER_S
+from bitternpath.queue.ready_queue import STALE_AFTER_S
 from bitternpath.transport.records import MessageState
 from tests.system.queue.owner_rig import (
     FAILED,
