--- a/bitternpath/cli/system.py
+++ b/bitternpath/cli/system.py
@@ -1,4 +1,7 @@
-"""Commands for the system's operators (typer): start a role, check settings, show a running system."""
+"""The commands `bitternpath system ...`, for operators: run a role, check settings or a disk, show a system.
+
+Each command imports what it needs when it is called.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,8 @@
 
 import typer
 
-EXIT_FAILED, EXIT_WRONG = 1, 2
+EXIT_FAILED = 1  # the command ran, and what it looked at is wrong
+EXIT_USAGE = 2  # the arguments or the settings are wrong
 
 app = typer.Typer(
     name="system",
@@ -43,12 +47,12 @@
     from bitternpath.cli.system_settings import print_settings
 
     if not print_settings(config):
-        raise typer.Exit(EXIT_WRONG)
+        raise typer.Exit(EXIT_USAGE)
 
 
 @app.command("check-disk")
 def check_disk(
-    folder: Annotated[Path, typer.Argument(help="A node's data folder; the node must be stopped.")],
+    folder: DataFolder,
 ) -> None:
     """Read a data folder as a start would, and say what it holds or what is damaged. Changes nothing."""
     from bitternpath.cli.system_disk import print_disk
--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -1,4 +1,4 @@
-"""`bitternpath system check-disk`: reads a data folder without changing it."""
+"""`bitternpath system check-disk`: reads a data folder as a start would, without changing it."""
 
 from __future__ import annotations
 
@@ -8,36 +8,39 @@
 
 from twisted.internet import reactor
 
-from bitternpath.membership.bootstrap import BootstrapFile
+from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
+from bitternpath.roles.feed_cache import CACHE_CODEC, CACHE_DOCUMENT
 from bitternpath.storage.documents import CorruptDocumentError, read_document
 from bitternpath.storage.identity import quarantine_folders, read_identity
 from bitternpath.storage.journal import Journal, open_journal
 from bitternpath.storage.records import CorruptJournalError
-from bitternpath.transport.codec import CodecError, RecordCodec
+from bitternpath.transport.codec import CodecError
 from bitternpath.transport.feed_messages import FeedUpdate
 
-CACHE = "feed"
-_CACHE_CODEC = RecordCodec(FeedUpdate)
+DATA_COPY = "data"  # name of the scratch folder's copy; messages of damage don't show it
 
 
 def print_disk(folder: Path) -> bool:
-    """Print what a start would find; False where something is damaged or can't be read. Works on a copy."""
+    """Print what a start would find; False where something is damaged or can't be read.
+
+    A start may truncate the journal and remove drafts, so a copy of the folder is read.
+    """
     if not folder.is_dir():
         print(f"{folder}: no such folder")
         return False
     try:
         with tempfile.TemporaryDirectory() as scratch:
-            copy = Path(scratch) / "data"
-            aside = quarantine_folders(folder)
-            shutil.copytree(folder, copy, ignore=shutil.ignore_patterns(*aside))
-            _print_copy(copy)
-        for name in aside:
+            scratch_copy = Path(scratch) / DATA_COPY
+            quarantined = quarantine_folders(folder)
+            shutil.copytree(folder, scratch_copy, ignore=shutil.ignore_patterns(*quarantined))
+            _print_content(scratch_copy)
+        for name in quarantined:
             print(f"  set aside: {name}")
     except (CorruptJournalError, CorruptDocumentError) as damage:
         print(f"damaged: {damage.file} at offset {damage.offset}: {damage.reason}")
         return False
     except CodecError as error:
-        print(f"damaged: {folder / 'founding'}: {error}")
+        print(f"damaged: {folder / BOOTSTRAP_DOCUMENT}: {error}")
         return False
     except OSError as error:
         print(f"{folder}: can't be read: {error}")
@@ -45,56 +48,58 @@
     return True
 
 
-def _print_copy(copy: Path) -> None:
-    """Raises what a start would."""
-    identity = read_identity(copy)
-    founding = BootstrapFile(copy).load()
-    sizes = _segment_sizes(copy)
-    journal = open_journal(copy, reactor)
+def _print_content(folder: Path) -> None:
+    """Print what the folder holds; raises what a start would. Changes the folder as a start does."""
+    identity = read_identity(folder)
+    decision = BootstrapFile(folder).load()
+    sizes = _segment_sizes(folder)
+    journal = open_journal(folder, reactor)
     try:
         print(f"identity={identity is not None} bytes={journal.bytes_used}")
-        _print_cut(copy, sizes, journal)
+        _print_torn_tail(folder, sizes, journal)
         _print_groups(journal)
     finally:
         journal.close()
-    if founding is not None:
-        print(f"  founding system={founding.system} members={len(founding.group.members)}")
-    _print_cache(copy / CACHE)
+    if decision is not None:
+        print(f"  founding system={decision.system} members={len(decision.group.members)}")
+    _print_cache(folder / CACHE_DOCUMENT)
 
 
-def _segment_sizes(copy: Path) -> dict[str, int]:
-    return {path.name: path.stat().st_size for path in sorted(copy.glob("journal/segment-*.log"))}
+def _segment_sizes(folder: Path) -> dict[str, int]:
+    return {path.name: path.stat().st_size for path in sorted(folder.glob("journal/segment-*.log"))}
 
 
-def _print_cut(copy: Path, sizes: dict[str, int], journal: Journal) -> None:
-    """Only the last segment may end with what isn't a whole batch."""
-    snapshots = sum(path.stat().st_size for path in copy.glob("snapshots/*"))
-    cut = sum(sizes.values()) - (journal.bytes_used - snapshots)
-    if cut:
+def _print_torn_tail(folder: Path, sizes: dict[str, int], journal: Journal) -> None:
+    """Print how much of the last segment a start truncates: a batch whose write was interrupted."""
+    snapshots = sum(path.stat().st_size for path in folder.glob("snapshots/*"))
+    truncated = sum(sizes.values()) - (journal.bytes_used - snapshots)
+    if truncated:
         last = max(sizes)
-        offset = sizes[last] - cut
-        print(f"  torn tail: journal/{last} at offset {offset}: {cut} bytes are no whole batch, and are cut")
+        position = f"journal/{last} at offset {sizes[last] - truncated}"
+        print(f"  torn tail: {position}: {truncated} bytes are no whole batch, and are cut")
 
 
 def _print_groups(journal: Journal) -> None:
     for group in sorted(journal.groups()):
-        kept = journal.take_persistent_state(group)
-        if kept is not None:
-            last = kept.entries[-1].index if kept.entries else kept.compacted_through[0]
+        state = journal.take_persistent_state(group)
+        if state is not None:
+            last = state.entries[-1].index if state.entries else state.compacted_through[0]
             print(
-                f"  {group} term={kept.term} snapshot_index={kept.snapshot.index}"
-                f" entries={len(kept.entries)} last_index={last}"
+                f"  {group} term={state.term} snapshot_index={state.snapshot.index}"
+                f" entries={len(state.entries)} last_index={last}"
             )
 
 
 def _print_cache(path: Path) -> None:
-    """The cache of the feed may be damaged: a start drops it."""
+    """Print the feed's cache; one that is damaged is no fault, as a start drops it."""
     try:
         data = read_document(path)
         if data is None:
             return
-        update: FeedUpdate = _CACHE_CODEC.decode(data)
+        update: FeedUpdate = CACHE_CODEC.decode(data)
     except (CorruptDocumentError, CodecError) as error:
-        print(f"  {CACHE} is damaged, a start drops it: {error}")
+        print(f"  {CACHE_DOCUMENT} is damaged, a start drops it: {error}")
         return
-    print(f"  {CACHE} version={update.configuration_version} generation={update.placement_generation}")
+    print(
+        f"  {CACHE_DOCUMENT} version={update.configuration_version} generation={update.positionment_generation}"
+    )
--- a/bitternpath/cli/system_settings.py
+++ b/bitternpath/cli/system_settings.py
@@ -1,4 +1,4 @@
-"""`bitternpath system check-config`."""
+"""`bitternpath system check-config`: prints the settings of a process with their origins."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from bitternpath.roles.settings import Settings, SettingsError, load_settings, settings_path
 
-# Where fields of `Settings` stand in the file, where that isn't under their own name.
-_PLACES = {
+# Keys in the file of those fields of `Settings` that have another name there.
+_FILE_KEYS = {
     "internal_ports": "internal_port_range",
     "counted": "counts_for_quorum",
     "front": "listen.front",
@@ -25,7 +25,10 @@
 
 
 def print_settings(config: Path | None) -> bool:
-    """Print each value with its origin; False where the file can't be used."""
+    """Print each value with its origin; False where the file can't be used.
+
+    Without `config`, the file is the one that the environment names.
+    """
     try:
         path = config or settings_path()
         settings = load_settings(path)
@@ -33,13 +36,14 @@
     except SettingsError as error:
         print(f"wrong: {error}")
         return False
-    for place, value in _values(settings):
-        origin = str(path) if _stands_in(document, place) else "default"
-        print(f"{place} = {value!r}  ({origin})")
+    for key, value in _values(settings):
+        origin = str(path) if _is_set(document, key) else "default"
+        print(f"{key} = {value!r}  ({origin})")
     return True
 
 
 def _values(settings: Settings) -> list[tuple[str, object]]:
+    """Key in the file and value of each setting."""
     values: list[tuple[str, object]] = []
     for each in dataclasses.fields(settings):
         value = getattr(settings, each.name)
@@ -48,13 +52,14 @@
                 (f"bounds.{bound.name}", getattr(value, bound.name)) for bound in dataclasses.fields(value)
             ]
         else:
-            values.append((_PLACES.get(each.name, each.name), value))
+            values.append((_FILE_KEYS.get(each.name, each.name), value))
     return values
 
 
-def _stands_in(document: object, place: str) -> bool:
-    for key in place.split("."):
-        if not isinstance(document, dict) or key not in document:
+def _is_set(document: object, key: str) -> bool:
+    """Whether a parsed file has a key; one with a dot stands in a table."""
+    for part in key.split("."):
+        if not isinstance(document, dict) or part not in document:
             return False
-        document = document[key]
+        document = document[part]
     return True
--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -1,10 +1,11 @@
-"""`bitternpath system show`: asks one node, then all that it knows, and prints what they answer."""
+"""`bitternpath system show`: queries one node, then all nodes that it knows, and prints what they answer."""
 
 from __future__ import annotations
 
 import random
 import time
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 from twisted.internet import reactor as _reactor
 
@@ -13,95 +14,120 @@
 from bitternpath.transport.operator_messages import GroupStatus, StatusRequest, StatusResponse
 
 reactor: Any = _reactor
-TOOL_USER = "tool"
 
+TOOL_LINK_USER = "tool"  # of the hub's links
+POLL_INTERVAL_S = 0.1  # between checks whether all have answered
+LINKS_CLOSE_S = 0.05  # for the closing of the links
 
-class Survey:
-    """Statuses of all nodes that can be reached."""
 
-    def __init__(self, first: str) -> None:
+class StatusSurvey:
+    """Queries the status of all nodes that can be reached. Implements `transport.connections.LinkHandler`.
+
+    Attributes:
+        known: all nodes that any answer names, by name.
+        answers: the status of each node that has answered, by name.
+    """
+
+    def __init__(self, first_address: str) -> None:
+        """`first_address` is the internal address of any node, `ip:port`."""
         self.answers: dict[str, StatusResponse] = {}
         self.known: dict[str, NodeDescriptor] = {}
         me = NodeDescriptor("tool", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
         self.hub = NodeHub(reactor, self, lambda: me, random.Random())
-        self.hub.dial(first, TOOL_USER)
+        self.hub.dial(first_address, TOOL_LINK_USER)
 
     def link_opened(self, link: Link) -> None:
-        """A node has introduced itself: ask it."""
-        asked = link.request(StatusRequest)
-        asked.addCallbacks(self._answered, lambda _: None)
+        """A node has introduced itself: query it."""
+        link.request(StatusRequest).addCallbacks(self._answered, lambda _: None)
 
-    def link_closed(self, link: Link) -> None:
-        """Nothing more comes from it."""
+    def link_closed(self, _link: Link) -> None:
+        """A link has ended; the hub dials again."""
 
-    def received(self, link: Link, record: Any) -> None:
-        """Nothing but answers is of interest."""
+    def received(self, _link: Link, _record: Any) -> None:
+        """Ignore records that aren't answers."""
 
     def _answered(self, answer: StatusResponse) -> None:
         self.answers[answer.node.name] = answer
         for node in (answer.node, *answer.known):
             if node.name not in self.known:
                 self.known[node.name] = node
-                self.hub.dial(node.address, TOOL_USER)
+                self.hub.dial(node.address, TOOL_LINK_USER)
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all known nodes have answered."""
         return bool(self.answers) and all(name in self.answers for name in self.known)
 
 
-def show_system(node: str, seconds: float) -> bool:
-    """Print the system as its nodes describe it; False where the first node doesn't answer."""
-    survey = Survey(node)
+def show_system(address: str, seconds: float) -> bool:
+    """Print the system as its nodes describe it; False where the first node doesn't answer.
+
+    Runs the reactor until all known nodes have answered, for `seconds` at most.
+    """
+    survey = StatusSurvey(address)
     give_up_at = reactor.seconds() + seconds
 
-    def look() -> None:
-        if survey.complete() or reactor.seconds() >= give_up_at:
+    def poll() -> None:
+        if survey.is_complete() or reactor.seconds() >= give_up_at:
             survey.hub.stop()
-            reactor.callLater(0.05, reactor.stop)
+            reactor.callLater(LINKS_CLOSE_S, reactor.stop)
         else:
-            reactor.callLater(0.1, look)
+            reactor.callLater(POLL_INTERVAL_S, poll)
 
-    reactor.callWhenRunning(look)
+    reactor.callWhenRunning(poll)
     reactor.run()
     if not survey.answers:
-        print(f"no answer from {node}")
+        print(f"no answer from {address}")
         return False
     print("\n".join(report(survey)))
     return True
 
 
-def report(survey: Survey) -> list[str]:
-    """The lines of the report."""
-    lines = ["nodes"]
-    for name, node in sorted(survey.known.items()):
-        lines.append(_node_line(name, node, survey.answers.get(name)))
-    lines.append("replica groups")
-    owners: dict[str, tuple[GroupStatus, str]] = {}
-    for answer in survey.answers.values():
-        for group in answer.groups:
-            known = owners.get(group.group)
-            if known is None or (group.owns, group.epoch) > (known[0].owns, known[0].epoch):
-                owners[group.group] = group, answer.node.name
-    lines += [_group_line(*owners[name]) for name in sorted(owners)]
-    queued = sum(group.queued for group, _ in owners.values())
-    dead = sum(group.dead_letters for group, _ in owners.values())
+def report(survey: StatusSurvey) -> list[str]:
+    """Format the answers: a line for each node, one for each replica group, and totals."""
+    groups = _newest_groups(survey.answers.values())
+    queued = sum(each.status.queued for each in groups.values())
+    dead = sum(each.status.dead_letters for each in groups.values())
     versions = sorted({answer.configuration_version for answer in survey.answers.values()})
-    lines.append(f"total queued={queued} dead_letters={dead} configuration_versions={versions}")
-    return lines
+    return [
+        "nodes",
+        *(_node_line(name, node, survey.answers.get(name)) for name, node in sorted(survey.known.items())),
+        "replica groups",
+        *(_group_line(groups[name]) for name in sorted(groups)),
+        f"total queued={queued} dead_letters={dead} configuration_versions={versions}",
+    ]
+
+
+class _MemberStatus(NamedTuple):
+    """A replica group as one of its members sees it."""
+
+    status: GroupStatus
+    node: str
+
+
+def _newest_groups(answers: Iterable[StatusResponse]) -> dict[str, _MemberStatus]:
+    """Each group as its owner sees it; without an owner, as the member with the highest epoch does."""
+    newest: dict[str, _MemberStatus] = {}
+    for answer in answers:
+        for status in answer.groups:
+            known = newest.get(status.group)
+            if known is None or (status.owns, status.epoch) > (known.status.owns, known.status.epoch):
+                newest[status.group] = _MemberStatus(status, answer.node.name)
+    return newest
 
 
 def _node_line(name: str, node: NodeDescriptor, answer: StatusResponse | None) -> str:
-    place = f"  {name} {node.address} {node.kind.name.lower()} zone={node.zone}"
+    descriptor = f"  {name} {node.address} {node.kind.name.lower()} zone={node.zone}"
     if answer is None:
-        return f"{place} no answer"
+        return f"{descriptor} no answer"
     return (
-        f"{place} configuration={answer.configuration_version} placement={answer.placement_generation}"
+        f"{descriptor} configuration={answer.configuration_version} placement={answer.placement_generation}"
         f" ready={answer.ready} memory_mb={answer.memory_mb:.0f}"
     )
 
 
-def _group_line(group: GroupStatus, node: str) -> str:
-    owner = node if group.owns else "none known"
+def _group_line(member: _MemberStatus) -> str:
+    group = member.status
+    owner = member.node if group.owns else "none known"
     return (
         f"  {group.group} owner={owner} epoch={group.epoch} voters={len(group.voters)}"
         f" learners={len(group.learners)} queued={group.queued} dead_letters={group.dead_letters}"
--- a/bitternpath/cli/system_tree.py
+++ b/bitternpath/cli/system_tree.py
@@ -1,7 +1,7 @@
-"""The system's commands as the tree of commands knows them: for shell completion, and for a call through it.
+"""The commands `bitternpath system ...` as click commands: for shell completion, and for a call through them.
 
-The system's command line is typer's, which has a command-line parser of its own: its commands are no commands
-of click, so that click's completion needs this mirror of names, options and help.
+Typer has a command-line parser of its own, so its commands are no commands of click. Click's completion needs
+this mirror of their names, options and help.
 """
 
 from __future__ import annotations
@@ -15,18 +15,19 @@
 from bitternpath.cli.system import app, main
 
 
-class SystemTree(click.Group):
-    """All sub-commands. Called, it hands its arguments to typer unread."""
+class SystemGroup(click.Group):
+    """All sub-commands. Called, it passes its arguments to typer unparsed."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        """Run the command by typer, and exit with its code; parse only to complete a command line."""
         if not ctx.resilient_parsing:
             ctx.exit(main(args))
         return super().parse_args(ctx, args)
 
 
-def _mirror() -> SystemTree:
+def _mirror() -> SystemGroup:
     source: Any = typer.main.get_command(app)
-    tree = SystemTree("system", help=source.help)
+    tree = SystemGroup("system", help=source.help)
     for name, each in source.commands.items():
         tree.add_command(click.Command(name, params=[_parameter(one) for one in each.params], help=each.help))
     return tree
--- a/bitternpath/roles/bootstrap.py
+++ b/bitternpath/roles/bootstrap.py
@@ -92,6 +92,7 @@
     """
 
     def __init__(self, own_member_id: str, file: BootstrapFile) -> None:
+        """`file` has the decision of this member, if it is a founder."""
         self.decision: BootstrapDecision | None = None
         self._own_member_id = own_member_id
         self._file = file
@@ -124,6 +125,7 @@
     """Decides who founds the system, on the node that may, and notifies the founders."""
 
     def __init__(self, reactor: NodeReactor, base: NodeBase) -> None:
+        """On a node without a disk the decision is kept in memory only."""
         self._reactor = reactor
         self._base = base
         self._settings = base.settings
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -63,6 +63,7 @@
     """
 
     def __init__(self, reactor: NodeReactor, base: NodeBase, host: ReplicaHost) -> None:
+        """`base` needs a data folder; `host` is its replica host."""
         settings = base.settings
         assert settings.data_dir is not None
         self.host = host
@@ -124,7 +125,8 @@
 
     def propose(self, command: bytes) -> Deferred[object]:
         """Commit and apply a command. Errors: `NotOwnerError` (had no effect, another owner may be asked),
-        `OutcomeUnknownError` (it may be committed)."""
+        `OutcomeUnknownError` (it may be committed).
+        """
         return self.host.propose(CONFIGURATION_GROUP, command)
 
     def barrier(self) -> Deferred[None]:
@@ -194,7 +196,7 @@
         self._endpoint_poller.stop()
         self.feed.end(self._refusal())
 
-    def applied(self, index: int, command: bytes, result: object) -> None:
+    def applied(self, _index: int, _command: bytes, result: object) -> None:
         """A committed command has been applied; `result` is true where it changed the state."""
         if result:
             self.feed.publish()
@@ -234,7 +236,8 @@
 
     def _notify_of_bootstrap(self) -> None:
         """The owner notifies all members, as one that isn't notified doesn't take part. Without a leader the
-        founders notify each other: the coordinator may be lost."""
+        founders notify each other: the coordinator may be lost.
+        """
         decision = self.bootstrap_state.decision
         if self.is_owner():
             self._notifier.notify(decision or NO_DECISION, self._addresses(self._members().all))
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -40,6 +40,9 @@
         view: MembershipView,
         tolerated_machines: int,
     ) -> None:
+        """`nodes` are those that follow the feed; the group shall have 2 * `tolerated_machines` + 1
+        voters.
+        """
         self._reactor = reactor
         self._host = host
         self._nodes = nodes
--- a/bitternpath/roles/disk_capacity.py
+++ b/bitternpath/roles/disk_capacity.py
@@ -12,6 +12,7 @@
     """Compares the journal's size with `limits.disk_mb`."""
 
     def __init__(self, base: NodeBase) -> None:
+        """`base` is that of a node with a disk."""
         self._base = base
         self._disk_bytes = base.settings.disk_mb << 20
 
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Any
 
 import logbook
@@ -33,7 +32,7 @@
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.roles.endpoint_list_fallback import EndpointListFallback
 from bitternpath.roles.environment import ProcessEnvironment
-from bitternpath.roles.node_base import NodeBase, ProcessContext
+from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.operator_calls import OperatorCalls
 from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
@@ -71,8 +70,6 @@
 LEAST_CONNECTIONS = 2  # to a worker, however many edge nodes share it
 SHARD_LINK_USER = "shards"  # of the hub's links
 
-RecordHandler = Callable[[Link, Any], None]
-
 
 class EdgeNode:
     """One edge node.
@@ -91,7 +88,8 @@
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
         """Open the disk, where there is one; raises `OSError`, `CorruptJournalError` and
-        `CorruptDocumentError`."""
+        `CorruptDocumentError`.
+        """
         self.settings = settings
         self.stopping = False
         self._reactor = reactor
@@ -197,7 +195,7 @@
     def configuration_changed(self, table: RoutingTable) -> None:
         """Another version is in force; all parts read it from the feed when they need it."""
 
-    def placement_changed(self, generation: int, groups: tuple[GroupPlacement, ...]) -> None:
+    def placement_changed(self, _generation: int, groups: tuple[GroupPlacement, ...]) -> None:
         """Shards have other members: keep a link to each storage node that is one."""
         self.appender.shards = self.lookup.shards = len(groups)
         addresses = {member.address for group in groups for member in group.members}
@@ -235,13 +233,13 @@
         feed = self.base.feed
         handlers: dict[type, RecordHandler] = {
             Ownership: self.owners.ownership_changed,
-            LeaseGrant: lambda link, record: self.deliveries.lease_granted(record),
-            WorkAvailable: lambda link, record: self.pulls.work_available(record),
-            CallbackRequest: lambda link, record: self.callbacks.order_received(record),
+            LeaseGrant: lambda _link, record: self.deliveries.lease_granted(record),
+            WorkAvailable: lambda _link, record: self.pulls.work_available(record),
+            CallbackRequest: lambda _link, record: self.callbacks.order_received(record),
             FeedUpdate: feed.updated,
             FeedRefused: feed.refused,
-            FeedSubscribe: lambda link, record: link.send(FeedRefused("", feed.members)),
-            CatalogueUpdate: lambda link, record: self.catalogue_updated(record),
+            FeedSubscribe: lambda link, _record: link.send(FeedRefused("", feed.members)),
+            CatalogueUpdate: lambda _link, record: self.catalogue_updated(record),
             BootstrapDecisionStored: self._bootstrap_acknowledged,
             StatusRequest: self._send_status,
             OperatorRequest: self._forwarded_call,
--- a/bitternpath/roles/edge_links.py
+++ b/bitternpath/roles/edge_links.py
@@ -10,6 +10,7 @@
     """The newest link of each connected edge node."""
 
     def __init__(self) -> None:
+        """Begin without links."""
         self._links: dict[str, Link] = {}  # by node name
 
     def opened(self, node: NodeDescriptor, link: Link) -> None:
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -80,7 +80,8 @@
 
     def shut_down(self, finished: Callable[[], None]) -> None:
         """Turn unready at once, answer all requests that were read, return leases, send reports; then close
-        links and disk, and call `finished()`."""
+        links and disk, and call `finished()`.
+        """
         log.info("event=shutdown_started")
         grace = self.settings.bounds.grace_s
         self._finished = finished
--- a/bitternpath/roles/endpoint_list_fallback.py
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -30,6 +30,7 @@
         feed: FeedClient,
         random: Random,
     ) -> None:
+        """`client` reads the list into `catalogue`; `feed` says how many edge nodes share the rate."""
         self._reactor = reactor
         self._client = client
         self._catalogue = catalogue
--- a/bitternpath/roles/environment.py
+++ b/bitternpath/roles/environment.py
@@ -39,6 +39,7 @@
     """`ProcessEnvironment` of the operating system."""
 
     def __init__(self) -> None:
+        """Seed the randomness from the operating system."""
         self._random = Random()
 
     @property
--- a/bitternpath/roles/feed_cache.py
+++ b/bitternpath/roles/feed_cache.py
@@ -28,6 +28,7 @@
     """Saves the state of a `FeedClient`, and restores it at the start of the next process."""
 
     def __init__(self, reactor: ReactorTime, data_dir: Path, disk: NodeDisk, feed: FeedClient) -> None:
+        """`feed` is saved to, and restored from, a document on `disk`, whose folder is `data_dir`."""
         self._disk = disk
         self._feed = feed
         self._writer = DocumentWriter(reactor, data_dir / CACHE_DOCUMENT, disk)
--- a/bitternpath/roles/group_transport.py
+++ b/bitternpath/roles/group_transport.py
@@ -20,6 +20,7 @@
     """
 
     def __init__(self, own_member_id: str, hub: NodeHub, view: MembershipView) -> None:
+        """`own_member_id` is `NODE/DISK`."""
         self.member_id = own_member_id
         self._hub = hub
         self._view = view
@@ -58,7 +59,8 @@
 
     def received(self, link: Link, message: GroupMessage) -> None:
         """Pass on a message of the member at the other end of a link, which knows from this node's `Hello`
-        which member it talks to."""
+        which member it talks to.
+        """
         if link.peer is not None and self._receive is not None:
             self._receive(message.group, member_id(link.peer), message.body)
 
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -26,6 +26,7 @@
     """
 
     def __init__(self, host: ReplicaHost, transport: GroupTransport, changes: MemberChanges) -> None:
+        """`changes` brings the members of groups that this node owns to their placement."""
         self.runtimes: dict[str, ShardRuntime] = {}
         self.placements: dict[str, GroupPlacement] = {}
         self._host = host
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -1,5 +1,4 @@
-"""The nodes of the system as the configuration's owner sees them: who follows its feed, who is down, who is
-new."""
+"""The nodes of the system as the configuration's owner sees them: who follows, who is down, who is new."""
 
 from __future__ import annotations
 
@@ -15,6 +14,7 @@
     """Valid while this node owns the configuration group; `begin` starts it anew for each ownership."""
 
     def __init__(self, reactor: ReactorTime, feed: FeedServer) -> None:
+        """`feed` is served by this node while it is the owner."""
         self._reactor = reactor
         self._feed = feed
         self._liveness = NodeLiveness(reactor.seconds())
--- a/bitternpath/roles/membership_reports.py
+++ b/bitternpath/roles/membership_reports.py
@@ -16,6 +16,7 @@
     """Sends `MembershipReport` for groups that this node owns and that have no open change of members."""
 
     def __init__(self, host: ReplicaHost, feed: FeedClient) -> None:
+        """`feed` knows the link to the configuration's owner."""
         self._host = host
         self._feed = feed
 
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import resource
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Any
 
 import logbook
 from msgspec.structs import replace
@@ -23,7 +25,7 @@
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import CodecError
-from bitternpath.transport.connections import LinkHandler, NodeHub
+from bitternpath.transport.connections import Link, LinkHandler, NodeHub
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 log = logbook.Logger("node")
@@ -31,6 +33,8 @@
 LOG_DISK_SHARE = 0.35  # of the disk: at this size the journal is replaced by a checkpoint
 LOG_BYTES = 64 << 20  # the same where the size of the disk isn't known
 
+RecordHandler = Callable[[Link, Any], None]  # what a role does with records of one kind
+
 
 @dataclass(frozen=True, slots=True)
 class ProcessContext:
--- a/bitternpath/roles/ownership_return.py
+++ b/bitternpath/roles/ownership_return.py
@@ -14,6 +14,7 @@
     """For each group: since when its preferred member has been fit, and how long that must last."""
 
     def __init__(self) -> None:
+        """Begin without groups."""
         self._fit_since: dict[str, float] = {}
         self._delays: dict[str, float] = {}
 
--- a/bitternpath/roles/pending_polls.py
+++ b/bitternpath/roles/pending_polls.py
@@ -20,6 +20,7 @@
     """Long polls that haven't been answered. Poll ids are never used again."""
 
     def __init__(self) -> None:
+        """Begin without polls."""
         self._keys: dict[int, PullKey] = {}
         self._poll_ids: dict[PullKey, int] = {}
         self._last_poll_id = 0
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -77,6 +77,7 @@
     """
 
     def __init__(self, reactor: NodeReactor, role: Role) -> None:
+        """`begin` is to be called once `reactor` runs."""
         self.role = role
         self.exit_code = ExitCode.STOPPED
         self.state = LifecycleState.WAITING_FOR_PORTS
@@ -157,8 +158,7 @@
     except SettingsError as error:
         return _refuse(error)
     except (OSError, CorruptJournalError, CorruptDocumentError) as error:
-        log.error("event=disk_unusable error={!r}", str(error))
-        return ExitCode.NO_DISK
+        return _disk_unusable(error)
     _handle_signals(reactor, lifecycle)
     reactor.callWhenRunning(lifecycle.begin)
     gc.collect()
@@ -223,6 +223,12 @@
     return ExitCode.WRONG_SETTINGS
 
 
+def _disk_unusable(error: Exception) -> ExitCode:
+    """For a fault outside of the program, which a traceback wouldn't explain."""
+    log.error("event=disk_unusable error={!r}", str(error))
+    return ExitCode.NO_DISK
+
+
 def _monotonic_reactor() -> Any:
     """Twisted's reactor, with timers on the monotonic clock: the time of day may step by seconds."""
     from twisted.internet import reactor
--- a/bitternpath/roles/quota_borrowing.py
+++ b/bitternpath/roles/quota_borrowing.py
@@ -75,7 +75,8 @@
 
     def _dial(self, group: str, address: str) -> None:
         """Keep a link to the member that is asked. That to the one before is released, as it may be gone for
-        good and would be dialled again and again."""
+        good and would be dialled again and again.
+        """
         before = self._dialled.get(group, address)
         self._dialled[group] = address
         if before not in self._dialled.values():
--- a/bitternpath/roles/reactor.py
+++ b/bitternpath/roles/reactor.py
@@ -73,6 +73,7 @@
     """
 
     def __init__(self, reactor: ReactorTime, interval: float, call: Callable[[], None]) -> None:
+        """`interval` in seconds; `start` makes the first call."""
         self._reactor = reactor
         self._interval = interval
         self._call = call
--- a/bitternpath/roles/replica_garbage_collection.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -35,7 +35,8 @@
         close: Callable[[str, int], None],
     ) -> None:
         """`close(group, generation)` closes a replica and deletes its state. `placements` by group is the
-        table of `HostedShards`; it is only read."""
+        table of `HostedShards`; it is only read.
+        """
         self._reactor = reactor
         self._hub = hub
         self._host = host
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -1,5 +1,6 @@
 """Retirement of storage nodes by the operator: all replicas move away from a node (work of the
-configuration's owner)."""
+configuration's owner).
+"""
 
 from __future__ import annotations
 
@@ -32,6 +33,7 @@
     def __init__(
         self, group: ConsensusGroup, state: ConfigurationState, nodes: LiveNodes, tolerated_machines: int
     ) -> None:
+        """`group` commits what changes `state`; shards have 2 * `tolerated_machines` + 1 replicas."""
         self._group = group
         self._state = state
         self._nodes = nodes
--- a/bitternpath/roles/settings_reader.py
+++ b/bitternpath/roles/settings_reader.py
@@ -92,7 +92,8 @@
 
     def size(self, key: str, most: int) -> int:
         """A number of units, rounded down. 0 stands for an unknown size, so a fraction of one unit is
-        refused."""
+        refused.
+        """
         value = self.number(key, 0, 0, most)
         if 0 < value < 1:
             raise self._error(key, f"must be 0 or a number from 1 to {most}, not {value!r}")
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -144,7 +144,8 @@
 
     def _request_pollers(self, service: str, waiting: int) -> None:
         """Ask some edge nodes for waiting workers: mostly those of this zone, whose workers are mostly near
-        as well; now and then, or where the zone has none, edge nodes of all zones."""
+        as well; now and then, or where the zone has none, edge nodes of all zones.
+        """
         edges = self._context.edges
         random = self._context.random
         nearby = [] if random.random() < REMOTE_REQUEST_SHARE else edges.links_in(self._context.zone)
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -1,5 +1,4 @@
-"""Keeps the placement of the queue shards and the list of storage members: work of the configuration's
-owner."""
+"""Placement of the queue shards, and the list of storage members: work of the configuration's owner."""
 
 from __future__ import annotations
 
@@ -45,6 +44,7 @@
         nodes: LiveNodes,
         tolerated_machines: int,
     ) -> None:
+        """`group` commits what changes `state`; shards have 2 * `tolerated_machines` + 1 replicas."""
         self._reactor = reactor
         self._group = group
         self._state = state
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -47,6 +47,7 @@
     """Answers requests to one shard. Each method takes the link that a request came over."""
 
     def __init__(self, context: ShardContext, shard: ShardRuntime) -> None:
+        """`shard` must have been made with the same `context`."""
         self._shard = shard
         self._group = shard.group
         self._reactor = context.reactor
@@ -113,7 +114,8 @@
 
     def extend(self, link: Link, request: ExtendRequest) -> None:
         """Extend the lease of a pulling worker behind a read barrier: without it, a successor may have given
-        the job to another worker."""
+        the job to another worker.
+        """
         self._host.read_barrier(self._group).addCallbacks(
             lambda _: self._extend(link, request),
             lambda _: _refuse(link, request.number),
@@ -182,7 +184,8 @@
         not_proposed: Callable[[], None] = _do_nothing,
     ) -> None:
         """Commit a command, then answer request `number` with `response(result)`, the result being that of
-        `QueueState.apply`. `not_proposed` is called where the command surely is not in the log."""
+        `QueueState.apply`. `not_proposed` is called where the command surely is not in the log.
+        """
 
         def failed(failure: Failure) -> None:
             if isinstance(failure.value, NotOwnerError):
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -83,7 +83,7 @@
         self.polls.answer_all()
         self._announce_ownership(self._context.edges.links())
 
-    def applied(self, index: int, command: bytes, result: object) -> None:
+    def applied(self, _index: int, _command: bytes, result: object) -> None:
         """A committed command has been applied to `state`."""
         ownership = self.ownership
         if ownership is not None and isinstance(result, Result):
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -21,7 +21,7 @@
 from bitternpath.roles.feed_cache import FeedCache
 from bitternpath.roles.hosted_shards import HostedShards
 from bitternpath.roles.membership_reports import MembershipReporter
-from bitternpath.roles.node_base import NodeBase, ProcessContext
+from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.ownership_return import OwnershipReturn
 from bitternpath.roles.quota_borrowing import QuotaBorrower
 from bitternpath.roles.reactor import NodeReactor, PeriodicCall
@@ -58,8 +58,6 @@
 CHECK_INTERVAL_S = 0.25  # between checks of the owned groups for what no event reports, such as silence
 RESPONSIVE_WITHIN_S = 0.5  # since a member was heard: two heartbeats of a group and a margin
 
-RecordHandler = Callable[[Link, Any], None]
-
 
 class StorageNode:
     """One storage node. Implements `transport.connections.LinkHandler` and `configuration.feed.FeedListener`.
@@ -74,7 +72,8 @@
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
         """Open the disk and read it; raises `SettingsError` where the settings name none, `OSError`,
-        `CorruptJournalError` and `CorruptDocumentError`."""
+        `CorruptJournalError` and `CorruptDocumentError`.
+        """
         if settings.data_dir is None:
             raise SettingsError("data_dir: is missing; a storage node needs a folder")
         self.settings = settings
@@ -194,8 +193,8 @@
             GroupMessage: self.base.transport.received,
             FeedUpdate: feed.updated,
             FeedRefused: feed.refused,
-            CatalogueUpdate: lambda link, record: self.catalogue_updated(record),
-            FeedSubscribe: lambda link, record: link.send(FeedRefused("", feed.members)),
+            CatalogueUpdate: lambda _link, record: self.catalogue_updated(record),
+            FeedSubscribe: lambda link, _record: link.send(FeedRefused("", feed.members)),
             AppendRequest: self._for_shard(ShardRequests.append),
             EndAttemptRequest: self._for_shard(ShardRequests.end_attempt),
             ExtendRequest: self._for_shard(ShardRequests.extend),
@@ -205,7 +204,7 @@
             TokenRequest: self._for_shard(ShardRequests.lend_tokens),
             StatusRequest: self._send_status,
             MembershipRequest: self._membership_requested,
-            MembershipReport: lambda link, record: self._garbage_collector.reported(record),
+            MembershipReport: lambda _link, record: self._garbage_collector.reported(record),
             CallbackReport: self._for_shard(ShardRequests.callback_report),
         }
 
