--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -101,5 +101,5 @@
         print(f"  {CACHE_DOCUMENT} is damaged, a start drops it: {error}")
         return
     print(
-        f"  {CACHE_DOCUMENT} version={update.configuration_version} generation={update.positionment_generation}"
+        f"  {CACHE_DOCUMENT} version={update.configuration_version} generation={update.placement_generation}"
     )
