--- a/tests/system/test_command_line.py
+++ b/tests/system/cli/test_system_commands.py
@@ -1,4 +1,4 @@
-"""The system's command line: help, exit codes, and `check-disk` on whole and damaged folders."""
+"""The system's command line: help, exit codes, and `check-disk` on intact and damaged folders."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 SEGMENT = "journal/segment-00000001.log"
 FIRST_BODY = SEGMENT_HEADER_BYTES + 20  # inside the first record
 
-WRONG_ARGUMENTS: list[tuple[str, str]] = [
+INVALID_ARGUMENTS: list[tuple[str, str]] = [
     ("system", "Usage"),
     ("system nope", "nope"),
     ("system --nope", "--nope"),
@@ -59,19 +59,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """How a command ended."""
+class Result:
+    """Exit code and output of a command."""
 
     code: int
     output: str
     errors: str
 
 
-def run(*arguments: str) -> Ended:
+def run(*arguments: str) -> Result:
     output, errors = io.StringIO(), io.StringIO()
     with redirect_stdout(output), redirect_stderr(errors):
         code = main(arguments)
-    return Ended(code, output.getvalue(), errors.getvalue())
+    return Result(code, output.getvalue(), errors.getvalue())
 
 
 def entries(first: int, number: int) -> tuple[Entry, ...]:
@@ -79,13 +79,13 @@
 
 
 def make_folder(folder: Path) -> None:
-    """Two groups; one has a snapshot and an entry behind it."""
+    """Write a data folder with two groups, one of which has a snapshot and an entry after it."""
     load_identity(folder, draw=lambda: "0123abcd")
     log = SegmentLog(LocalFileSystem(folder), lambda: SALT, 1 << 30)
-    founded = [
+    records = [
         bootstrap_record(group, PersistentState(snapshot=Snapshot(members=MEMBERS))) for group in ("g", "h")
     ]
-    log.write(Batch(founded, []))
+    log.write(Batch(records, []))
     log.write(Batch([write_record("g", StorageWrite(1, 1, "a", None, entries(1, 2), None, (0, 0)))], []))
     named = StorageWrite(2, 1, "a", None, entries(3, 1), SNAPSHOT, (2, 1))
     log.write(Batch([write_record("g", named)], [NewSnapshot("g", SNAPSHOT)]))
@@ -103,35 +103,35 @@
     path.write_bytes(data)
 
 
-class Help(unittest.TestCase):
+class HelpTest(unittest.TestCase):
     def test_all_commands_are_named(self) -> None:
-        ended = run("system", "--help")
-        self.assertEqual((ended.code, ended.errors), (0, ""))
+        result = run("system", "--help")
+        self.assertEqual((result.code, result.errors), (0, ""))
         for command in COMMANDS:
             with self.subTest(command):
-                self.assertRegex(ended.output, rf"(?m)^\W*{command}\s")
+                self.assertRegex(result.output, rf"(?m)^\W*{command}\s")
                 self.assertEqual(run("system", command, "--help").code, 0)
 
-    def test_the_old_tree_names_the_system(self) -> None:
-        ended = run("--help")
-        self.assertEqual(ended.code, 0)
-        self.assertRegex(ended.output, r"(?m)^\s+system\s")
+    def test_the_main_help_names_the_system_commands(self) -> None:
+        result = run("--help")
+        self.assertEqual(result.code, 0)
+        self.assertRegex(result.output, r"(?m)^\s+system\s")
 
 
-class WrongArguments(unittest.TestCase):
+class InvalidArgumentsTest(unittest.TestCase):
     def test_exit_code_and_what_is_wrong(self) -> None:
-        for line, told in WRONG_ARGUMENTS:
+        for line, expected in INVALID_ARGUMENTS:
             with self.subTest(line):
-                ended = run(*line.split())
-                self.assertEqual(ended.code, 2)
-                self.assertIn(told, ended.output + ended.errors)
+                result = run(*line.split())
+                self.assertEqual(result.code, 2)
+                self.assertIn(expected, result.output + result.errors)
 
-    def test_settings_that_are_wrong(self) -> None:
+    def test_invalid_settings(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "boot.toml"
             path.write_text("ip = 5")
-            ended = run("system", "check-config", "--config", str(path))
-            self.assertEqual((ended.code, len(ended.output.splitlines())), (2, 1))
+            result = run("system", "check-config", "--config", str(path))
+            self.assertEqual((result.code, len(result.output.splitlines())), (2, 1))
             path.write_text('node_name = "a"\nip = "10.0.0.1"\ninternal_port_range = [1, 2]\n')
             self.assertEqual(run("system", "check-config", "--config", str(path)).code, 0)
 
@@ -149,10 +149,10 @@
 ]
 
 
-class Completion(unittest.TestCase):
+class CompletionTest(unittest.TestCase):
     def complete(self, line: str) -> set[str]:
         words = ["bitternpath", *line.split(" ")]
-        ended = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "bitternpath"],
             env={
                 **os.environ,
@@ -165,16 +165,16 @@
             check=True,
             timeout=60,
         )
-        self.assertEqual(ended.stderr, "")
-        return {line.partition(",")[2] for line in ended.stdout.splitlines()}
+        self.assertEqual(result.stderr, "")
+        return {line.partition(",")[2] for line in result.stdout.splitlines()}
 
-    def test_words_of_the_system(self) -> None:
+    def test_completion_of_system_commands(self) -> None:
         for line, wanted, unwanted in COMPLETIONS:
             with self.subTest(line):
                 found = self.complete(line)
                 self.assertEqual((wanted - found, unwanted & found), (set(), set()))
 
-    def test_the_tree_has_all_that_typer_has(self) -> None:
+    def test_the_click_mirror_has_all_commands_and_options(self) -> None:
         source: Any = typer.main.get_command(app)
         self.assertEqual(set(system_tree.commands), set(source.commands))
         for name, each in source.commands.items():
@@ -182,13 +182,13 @@
             mirrored = system_tree.commands[name].params
             self.assertEqual({o for one in mirrored for o in [*one.opts, *one.secondary_opts]}, names)
 
-    def test_a_call_through_the_tree_is_handed_on(self) -> None:
+    def test_a_call_through_click_runs_the_command(self) -> None:
         for line, code in (("system --help", 0), ("system show", 2), ("system check-disk /nowhere", 1)):
             with self.subTest(line):
                 self.assertEqual(run("--", *line.split()).code, code)
 
 
-class CheckDisk(unittest.TestCase):
+class CheckDiskTest(unittest.TestCase):
     def setUp(self) -> None:
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
@@ -196,14 +196,14 @@
         make_folder(self.folder)
 
     def check(self, expected: int) -> str:
-        """Its output; the folder must be left as it was."""
+        """Run the command, which must not change the folder; its output."""
         before = contents(self.folder)
-        ended = run("system", "check-disk", str(self.folder))
-        self.assertEqual(ended.code, expected, ended.output + ended.errors)
+        result = run("system", "check-disk", str(self.folder))
+        self.assertEqual(result.code, expected, result.output + result.errors)
         self.assertEqual(contents(self.folder), before)
-        return ended.output
+        return result.output
 
-    def test_intact(self) -> None:
+    def test_intact_folder(self) -> None:
         lines = self.check(0).splitlines()
         self.assertRegex(lines[0], r"^identity=True bytes=[1-9]\d*$")
         self.assertEqual(
@@ -217,12 +217,12 @@
     def test_torn_tail_is_no_damage(self) -> None:
         path = self.folder / SEGMENT
         path.write_bytes(path.read_bytes()[:-5])
-        whole = path.stat().st_size + 5
+        original_size = path.stat().st_size + 5
         printed = self.check(0)
         self.assertNotIn("h term=3", printed)
         found = re.search(rf"torn tail: {SEGMENT} at offset (\d+): (\d+) bytes", printed)
         assert found is not None
-        self.assertEqual(int(found[1]) + int(found[2]), whole - 5)
+        self.assertEqual(int(found[1]) + int(found[2]), original_size - 5)
         self.assertGreater(int(found[2]), 0)
 
     def test_torn_header_is_no_damage(self) -> None:
@@ -237,7 +237,7 @@
         (self.folder / "identity").write_text("0123abcX")
         self.assertEqual(self.check(1), "damaged: identity at offset 0: not 8 hex digits\n")
 
-    def test_founding(self) -> None:
+    def test_bootstrap_decision(self) -> None:
         placement = GroupPlacement("configuration", 1, (MemberAddress("a/1", "a", "10.0.0.1:1", "z"),))
         BootstrapFile(self.folder).store(BootstrapDecision("5ec0", placement))
         self.assertIn("  founding system=5ec0 members=1\n", self.check(0))
@@ -246,7 +246,7 @@
         LocalDisk(self.folder).write_document("founding", b"\xff no record")
         self.assertRegex(self.check(1), r"^damaged: \S+founding: ")
 
-    def test_feed(self) -> None:
+    def test_feed_cache(self) -> None:
         update = FeedUpdate(0, 7, None, 3, None, 1)
         LocalDisk(self.folder).write_document("feed", RecordCodec(FeedUpdate).encode(update))
         self.assertIn("  feed version=7 generation=3\n", self.check(0))
@@ -255,7 +255,7 @@
         LocalDisk(self.folder).write_document("feed", b"\xff no record")
         self.assertIn("  feed is damaged, a start drops it: ", self.check(0))
 
-    def test_what_was_set_aside(self) -> None:
+    def test_quarantined_content(self) -> None:
         quarantine_content(self.folder)
         self.assertEqual(self.check(0), "identity=False bytes=0\n  set aside: damaged-1\n")
 
@@ -296,9 +296,9 @@
         self.assertIn(f"damaged: {name} at offset 0: the snapshot is missing", self.check(1))
 
     def test_no_such_folder(self) -> None:
-        ended = run("system", "check-disk", str(self.folder / "nowhere"))
-        self.assertEqual(ended.code, 1)
-        self.assertTrue(re.search(r"nowhere: no such folder", ended.output))
+        result = run("system", "check-disk", str(self.folder / "nowhere"))
+        self.assertEqual(result.code, 1)
+        self.assertTrue(re.search(r"nowhere: no such folder", result.output))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/system/roles/test_ownership_return.py
@@ -0,0 +1,49 @@
+"""When ownership of a shard returns to the member that its placement prefers."""
+
+from __future__ import annotations
+
+import unittest
+
+from bitternpath.roles.ownership_return import FIRST_DELAY_S, MAX_DELAY_S, OwnershipReturn
+
+CHECK_INTERVAL_S = 0.25
+GROUP = "queue-0"
+
+
+class OwnershipReturnTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.ownership_return = OwnershipReturn()
+        self.now = 100.0
+
+    def seconds_until_due(self, limit_s: float = 2 * MAX_DELAY_S) -> float:
+        """How long the preferred member has to be fit until ownership returns to it."""
+        began_at = self.now
+        while not self.ownership_return.is_due(self.now, GROUP, fit=True):
+            self.now += CHECK_INTERVAL_S
+            self.assertLess(self.now - began_at, limit_s)
+        return self.now - began_at
+
+    def test_the_preferred_member_must_be_fit_for_a_while(self) -> None:
+        self.assertEqual(self.seconds_until_due(), FIRST_DELAY_S)
+
+    def test_a_break_begins_the_delay_anew(self) -> None:
+        self.assertFalse(self.ownership_return.is_due(self.now, GROUP, fit=True))
+        self.now += FIRST_DELAY_S - CHECK_INTERVAL_S
+        self.assertFalse(self.ownership_return.is_due(self.now, GROUP, fit=False))
+        self.assertEqual(self.seconds_until_due(), FIRST_DELAY_S)
+
+    def test_the_delay_doubles_with_each_return_up_to_a_bound(self) -> None:
+        delays = [self.seconds_until_due() for _ in range(8)]
+        doubled = [FIRST_DELAY_S * 2**number for number in range(8)]
+        self.assertEqual(delays, [min(delay, MAX_DELAY_S) for delay in doubled])
+
+    def test_groups_have_delays_of_their_own(self) -> None:
+        self.seconds_until_due()
+        self.assertFalse(self.ownership_return.is_due(self.now, "queue-1", fit=True))
+        self.now += FIRST_DELAY_S
+        self.assertTrue(self.ownership_return.is_due(self.now, "queue-1", fit=True))
+        self.assertFalse(self.ownership_return.is_due(self.now, GROUP, fit=True))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/system/test_quota_borrowing.py
+++ b/tests/system/roles/test_quota_borrowing.py
@@ -1,4 +1,4 @@
-"""Who is asked for tokens, and what the owner of a home shard says."""
+"""Borrowing of tokens: which member is asked, and what the owner of a home shard answers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class FakeLink:
-    """Keeps requests; the test answers."""
+    """Records requests; the test answers them."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[TokenRequest, Deferred[Any]]] = []
@@ -50,7 +50,7 @@
 
 
 class FakeHub:
-    """Links by address; those dialled are remembered."""
+    """Has a link to each member; records which addresses are dialled."""
 
     def __init__(self) -> None:
         self.links = {member.address: FakeLink() for member in MEMBERS}
@@ -68,12 +68,13 @@
 
 
 class FakeHost:
-    """What replicas here know."""
+    """Stands for `ReplicaHost`: the known leader, and whether this node has a leader lease."""
 
     member_id = "node-9/x"
 
     def __init__(self) -> None:
-        self.known_leader, self.lease = "", True
+        self.known_leader = ""
+        self.lease = True
 
     def leader(self, group: str) -> str:
         return self.known_leader
@@ -84,7 +85,9 @@
 
 class QuotaBorrowerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.hub, self.host = Clock(), FakeHub(), FakeHost()
+        self.clock = Clock()
+        self.hub = FakeHub()
+        self.host = FakeHost()
         self.shards: dict[str, ShardRuntime] = {}
         placements = {GROUP: GroupPlacement(GROUP, 1, MEMBERS)}
         self.borrower = QuotaBorrower(self.clock, self.hub, self.host, placements, self.shards)  # type: ignore[arg-type]
@@ -118,7 +121,7 @@
         self.assertEqual(len(self.open_requests(3)), 1)
         self.assertEqual(found, [0])
 
-    def test_another_member_is_asked_where_one_says_nothing(self) -> None:
+    def test_another_member_is_asked_after_a_timeout(self) -> None:
         self.borrow()
         self.clock.advance(QUOTA_LEASE_S / 2)
         self.borrow()
@@ -144,11 +147,13 @@
         self.assertEqual(found, [0])
 
 
-class OwnerCase(unittest.TestCase):
-    """The owner of the home shard."""
+class HomeShardOwnerTest(unittest.TestCase):
+    """Lending by the owner of the home shard."""
 
     def setUp(self) -> None:
-        self.clock, self.host, self.link = Clock(), FakeHost(), FakeLink()
+        self.clock = Clock()
+        self.host = FakeHost()
+        self.link = FakeLink()
         self.clock.advance(100.0)
         context = ShardContext(
             reactor=self.clock,
@@ -164,26 +169,26 @@
         self.requests = ShardRequests(context, self.runtime)
         self.runtime.configure(TABLE)
 
-    def ask(self) -> Any:
+    def request_tokens(self) -> Any:
         self.requests.lend_tokens(self.link, TokenRequest(7, GROUP, "limited", 2))  # type: ignore[arg-type]
         return self.link.sent.pop()
 
-    def test_it_lends_while_it_surely_leads(self) -> None:
+    def test_it_lends_only_under_a_leader_lease(self) -> None:
         self.runtime.became_owner(1)
-        self.assertEqual(self.ask(), TokenResponse(7, 0))  # the pool begins empty
+        self.assertEqual(self.request_tokens(), TokenResponse(7, 0))  # the pool begins empty
         self.clock.advance(1.0)
-        self.assertEqual(self.ask(), TokenResponse(7, 2))
+        self.assertEqual(self.request_tokens(), TokenResponse(7, 2))
         self.host.lease = False
-        self.assertEqual(self.ask(), TokenResponse(7, 0))
+        self.assertEqual(self.request_tokens(), TokenResponse(7, 0))
         self.runtime.lost_ownership()
-        self.assertEqual(self.ask(), Refused(7, RefusalReason.NOT_OWNER))
+        self.assertEqual(self.request_tokens(), Refused(7, RefusalReason.NOT_OWNER))
 
-    def test_a_new_owner_begins_with_an_empty_pool(self) -> None:
+    def test_a_new_owner_begins_without_tokens(self) -> None:
         self.runtime.became_owner(1)
         self.clock.advance(10.0)
         self.runtime.lost_ownership()
         self.runtime.became_owner(2)
-        self.assertEqual(self.ask(), TokenResponse(7, 0))
+        self.assertEqual(self.request_tokens(), TokenResponse(7, 0))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_settings_file.py
+++ b/tests/system/roles/test_settings.py
@@ -1,4 +1,4 @@
-"""Conformance of the settings file: what is taken, what is refused, and what `check-config` prints."""
+"""The settings file: valid and invalid values, and what `check-config` prints."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from bitternpath.cli.system_settings import print_settings
 from bitternpath.roles.settings import VARIABLE, Settings, SettingsError, load_settings, settings_path
 
-LEAST = 'node_name = "a"\nip = "10.1.0.40"\ninternal_port_range = [7780, 7795]\n'
+MINIMAL = 'node_name = "a"\nip = "10.1.0.40"\ninternal_port_range = [7780, 7795]\n'
 
-WHOLE = """
+COMPLETE = """
 node_name = "edge-1"
 role = "edge"
 machine_class = "edge"
@@ -48,7 +48,7 @@
 """
 
 # A line that is added to the least file, and the value that it gives.
-GOOD: list[tuple[str, str, object]] = [
+VALID: list[tuple[str, str, object]] = [
     ("", "zone", ""),
     ("", "seeds", ()),
     ("", "bootstrap", False),
@@ -80,7 +80,7 @@
 ]
 
 # A line that is added to the least file, and the one line of the error.
-WRONG: list[tuple[str, str]] = [
+INVALID: list[tuple[str, str]] = [
     ("zone = 4", "zone: must be a text, not 4"),
     ("region = true", "region: must be a text, not True"),
     ("role = []", "role: must be a text, not []"),
@@ -141,7 +141,7 @@
 PORTS = "internal_port_range: must be two port numbers, the lower one first"
 
 # A whole file that lacks a needed value or has a wrong one, and the line that is told.
-NEEDED: list[tuple[str, str]] = [
+INCOMPLETE: list[tuple[str, str]] = [
     ('ip = "1.2.3.4"\ninternal_port_range = [1, 2]', "node_name: is missing; a text is wanted"),
     ('node_name = "a"\ninternal_port_range = [1, 2]', "ip: is missing; a text is wanted"),
     ('node_name = 7\nip = "1.2.3.4"\ninternal_port_range = [1, 2]', "node_name: must be a text, not 7"),
@@ -165,7 +165,7 @@
 
 
 class SettingsCase(unittest.TestCase):
-    """Has a file."""
+    """Has the path of a settings file."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -179,14 +179,14 @@
     def refusal(self, text: str) -> str:
         with self.assertRaises(SettingsError) as caught:
             self.load(text)
-        told = str(caught.exception)
-        self.assertEqual(len(told.splitlines()), 1)
-        return told
+        error = str(caught.exception)
+        self.assertEqual(len(error.splitlines()), 1)
+        return error
 
 
-class SettingsFile(SettingsCase):
-    def test_whole_file(self) -> None:
-        settings = self.load(WHOLE)
+class SettingsFileTest(SettingsCase):
+    def test_complete_file(self) -> None:
+        settings = self.load(COMPLETE)
         self.assertEqual((settings.node_name, settings.role, settings.ip), ("edge-1", "edge", "10.1.0.40"))
         self.assertEqual((settings.zone, settings.region), ("hall", "levu"))
         self.assertEqual(settings.internal_ports, (7780, 7795))
@@ -203,13 +203,13 @@
         self.assertEqual((settings.bounds.grace_s, settings.bounds.status_s), (7.5, 60.0))
         self.assertEqual(settings.bounds.drain_ms, 3000.0)
 
-    def test_good_values(self) -> None:
-        for line, name, value in GOOD:
+    def test_valid_values(self) -> None:
+        for line, name, value in VALID:
             with self.subTest(line or f"{name} left out"):
-                self.assertEqual(getattr(self.load(LEAST + line), name), value)
+                self.assertEqual(getattr(self.load(MINIMAL + line), name), value)
 
     def test_unknown_fields_are_ignored(self) -> None:
-        least = self.load(LEAST)
+        minimal = self.load(MINIMAL)
         for line in (
             "later = 1",
             "[zones]\nhall = 'levu'",
@@ -217,19 +217,19 @@
             "[bounds.deeper]\na = 1",
         ):
             with self.subTest(line):
-                self.assertEqual(self.load(LEAST + line), least)
+                self.assertEqual(self.load(MINIMAL + line), minimal)
 
-    def test_wrong_values_are_told_in_one_line(self) -> None:
-        for line, told in WRONG:
+    def test_invalid_values_are_reported_in_one_line(self) -> None:
+        for line, error in INVALID:
             with self.subTest(line):
-                self.assertEqual(self.refusal(LEAST + line), told)
+                self.assertEqual(self.refusal(MINIMAL + line), error)
 
-    def test_needed_values(self) -> None:
-        for text, told in NEEDED:
+    def test_required_values(self) -> None:
+        for text, error in INCOMPLETE:
             with self.subTest(text):
-                self.assertEqual(self.refusal(text), told)
+                self.assertEqual(self.refusal(text), error)
 
-    def test_files_that_are_no_settings(self) -> None:
+    def test_files_that_are_not_toml(self) -> None:
         with self.assertRaisesRegex(SettingsError, "boot.toml: No such file or directory"):
             load_settings(self.path)
         self.assertIn("boot.toml: not TOML: ", self.refusal("node_name = "))
@@ -247,7 +247,7 @@
                 settings_path()
 
 
-class CheckConfig(SettingsCase):
+class CheckConfigTest(SettingsCase):
     def check(self, config: Path | None = None) -> tuple[bool, list[str]]:
         printed = io.StringIO()
         with redirect_stdout(printed):
@@ -255,7 +255,7 @@
         return good, printed.getvalue().splitlines()
 
     def test_each_value_with_its_origin(self) -> None:
-        self.load(WHOLE)
+        self.load(COMPLETE)
         good, lines = self.check(self.path)
         self.assertTrue(good)
         origins = {line.partition(" = ")[0]: line.rpartition("  ")[2] for line in lines}
@@ -269,24 +269,24 @@
         self.assertIn("bounds.drain_ms = 3000.0  (default)", lines)
 
     def test_a_value_that_equals_its_default_comes_from_the_file(self) -> None:
-        self.load(LEAST + "fault_tolerance.machines = 1")
+        self.load(MINIMAL + "fault_tolerance.machines = 1")
         self.assertIn(f"fault_tolerance.machines = 1  ({self.path})", self.check(self.path)[1])
 
-    def test_least_file(self) -> None:
-        self.load(LEAST)
+    def test_minimal_file(self) -> None:
+        self.load(MINIMAL)
         lines = self.check(self.path)[1]
         given = {line.partition(" = ")[0] for line in lines if not line.endswith("  (default)")}
         self.assertEqual(given, {"node_name", "ip", "internal_port_range"})
 
     def test_file_of_the_environment(self) -> None:
-        self.load(LEAST)
+        self.load(MINIMAL)
         with patch.dict(os.environ, {VARIABLE: str(self.path)}):
             self.assertEqual(self.check(), self.check(self.path))
 
-    def test_wrong_file_in_one_line(self) -> None:
-        self.path.write_text(LEAST + "limits.disk_mb = -1")
-        told = "wrong: limits.disk_mb: must be a number from 0 to 1073741824, not -1"
-        self.assertEqual(self.check(self.path), (False, [told]))
+    def test_invalid_file_is_reported_in_one_line(self) -> None:
+        self.path.write_text(MINIMAL + "limits.disk_mb = -1")
+        error = "wrong: limits.disk_mb: must be a number from 0 to 1073741824, not -1"
+        self.assertEqual(self.check(self.path), (False, [error]))
 
     def test_no_file(self) -> None:
         with patch.dict(os.environ, {}, clear=True):
