--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -224,7 +224,7 @@
             self.member.feed.dropped(link)
 
     def received(self, link: Link, record: Any) -> None:
-        """Pass a record of another node on; kinds that are none of this role's business are dropped."""
+        """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -44,7 +44,7 @@
 
 
 class ShardRequests:
-    """Answers requests to one shard. Each method takes the link that a request came over."""
+    """Answers requests to one shard over the links that they come on."""
 
     def __init__(self, context: ShardContext, shard: ShardRuntime) -> None:
         """`shard` must have been made with the same `context`."""
@@ -158,8 +158,8 @@
 
     # ---- call-backs and quota
 
-    def callback_report(self, _link: Link, report: CallbackReport) -> None:
-        """Note how a call-back went; without an answer."""
+    def callback_report(self, report: CallbackReport) -> None:
+        """Note how a call-back went. Reports have no number and are not answered."""
         ownership = self._shard.ownership
         if ownership is not None:
             now = self._reactor.seconds()
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -182,7 +182,7 @@
         self.shards.edge_link_closed(name, link)
 
     def received(self, link: Link, record: Any) -> None:
-        """Pass a record of another node on; kinds that are none of this role's business are dropped."""
+        """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
@@ -205,21 +205,28 @@
             StatusRequest: self._send_status,
             MembershipRequest: self._membership_requested,
             MembershipReport: lambda _link, record: self._garbage_collector.reported(record),
-            CallbackReport: self._for_shard(ShardRequests.callback_report),
+            CallbackReport: self._callback_reported,
         }
 
     def _for_shard(self, handle: Callable[[ShardRequests, Link, Any], None]) -> RecordHandler:
-        """A handler that finds the shard that a record names. Requests to others are refused."""
+        """A handler of requests to the shard that they name; refuses those to shards without a replica
+        here.
+        """
 
-        def received(link: Link, record: Any) -> None:
-            requests = self.shards.requests(record.group)
+        def received(link: Link, request: Any) -> None:
+            requests = self.shards.requests(request.group)
             if requests is not None:
-                handle(requests, link, record)
-            elif hasattr(record, "number"):
-                link.send(Refused(record.number, RefusalReason.NOT_OWNER))
+                handle(requests, link, request)
+            else:
+                link.send(Refused(request.number, RefusalReason.NOT_OWNER))
 
         return received
 
+    def _callback_reported(self, _link: Link, report: CallbackReport) -> None:
+        requests = self.shards.requests(report.group)
+        if requests is not None:
+            requests.callback_report(report)
+
     def _membership_requested(self, link: Link, request: MembershipRequest) -> None:
         if request.group in self.shards.runtimes:
             self._reporter.respond(link, request)
--- a/tests/system/roles/test_shard_runtime.py
+++ b/tests/system/roles/test_shard_runtime.py
@@ -183,12 +183,12 @@
         self.end(delivery)
         (order,) = self.link.take(CallbackRequest)
         self.host.transferring = True
-        self.requests.callback_report(self.link, CallbackReport(GROUP, order.request_id, True))
+        self.requests.callback_report(CallbackReport(GROUP, order.request_id, True))
         self.clock.pump([0.05] * 11)  # the confirmation is proposed, and refused
         self.host.transferring = False
         self.clock.pump([0.05] * 20)
         (again,) = self.link.take(CallbackRequest)
-        self.requests.callback_report(self.link, CallbackReport(GROUP, again.request_id, True))
+        self.requests.callback_report(CallbackReport(GROUP, again.request_id, True))
         self.clock.pump([0.05] * 11)
         entry = self.runtime.state.find("m")
         self.assertFalse(entry is None or entry.callback_pending)
