--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -49,8 +49,8 @@
     def build(self) -> int:
         """The exit code of one build."""
         command = str(deploy_file()["build"])
-        words = [str(shutil.which("sh")), "-c", command]
-        return subprocess.run(words, cwd=self.folder, env={"PATH": str(self.tools)}).returncode
+        arguments = [str(shutil.which("sh")), "-c", command]
+        return subprocess.run(arguments, cwd=self.folder, env={"PATH": str(self.tools)}).returncode
 
     def calls(self) -> list[str]:
         """The arguments of each call of Python so far."""
@@ -79,7 +79,7 @@
         self.assertEqual(0, self.build())
         self.assertEqual(1, len(self.calls()))
 
-    def test_other_requirements_are_built_without_what_was_there(self) -> None:
+    def test_changed_requirements_are_built_from_scratch(self) -> None:
         self.build()
         (self.folder / "target/deps/left-over").touch()
         library = self.folder / "target/deps/library"
@@ -91,7 +91,7 @@
         self.assertEqual(2, len(self.calls()))
         self.assertFalse((self.folder / "target/deps/left-over").exists())
 
-    def test_a_build_that_fails_says_so_and_leaves_nothing_that_looks_whole(self) -> None:
+    def test_a_failed_build_reports_it_and_leaves_no_incomplete_libraries(self) -> None:
         (self.folder / "pip-fails").touch()
         self.assertNotEqual(0, self.build())
         self.assertFalse((self.folder / "target/deps").exists())
