--- a/bitternpath/balancer/handover/learned.py
+++ b/bitternpath/balancer/handover/learned.py
@@ -127,4 +127,4 @@
     net.plus, net.minus, net.q = ([row[k] for row in rows] for k in range(3))
     net.plus_all = net.minus_all = 0.0
     net.total, net.threshold = sum(net.plus) + sum(net.minus), told.threshold
-    net.settle_all()
+    net.solve_q()
--- a/bitternpath/dispatch/network.py
+++ b/bitternpath/dispatch/network.py
@@ -7,7 +7,7 @@
 from typing import Generic, Protocol, TypeVar
 
 GAIN = 0.15  # what a payoff equal to the threshold adds, as a share of a neuron's mean excitatory weight
-KEEP = 0.95  # the paper's alpha: how much of the threshold T one payoff leaves
+ALPHA = 0.95  # the paper's: how much of the threshold T one payoff leaves
 PAYOFF_CAP = 4.0  # no payoff counts for more than this multiple of T, nor a failure for more than its mirror
 CONVERGED = 1e-3  # the iteration of q ends when no neuron moves by more
 MAX_ITERATIONS = 30  # of all neurons, where it doesn't converge sooner
@@ -43,7 +43,7 @@
         self.total = 0.0  # of all weights
         self.sum_q = 0.0
         self.threshold = 0.0  # T, the moving mean of the payoffs; 0 before the first
-        self.unsettled = 0  # updates since all neurons were last iterated
+        self.updates_since_solve = 0  # at most half the number of neurons, then all are solved again
 
     def join(self, neuron: NeuronT) -> None:
         """Add a neuron with the mean weights of its kind, or of all."""
@@ -52,7 +52,8 @@
         for row in (self.plus, self.minus, self.q):
             row.append(sum(row[k] for k in alike) / len(alike) if alike else 0.5)
         self.neurons.append(neuron)
-        self.index[neuron.name] = self.unsettled = n
+        self.index[neuron.name] = n
+        self.updates_since_solve = n
         self.total += self.plus[n] + self.plus_all + self.minus[n] + self.minus_all
         self.sum_q += self.q[n]
 
@@ -62,7 +63,7 @@
         self.total -= self.plus[at] + self.plus_all + self.minus[at] + self.minus_all
         del self.neurons[at], self.plus[at], self.minus[at], self.q[at]
         self.index = {other.name: k for k, other in enumerate(self.neurons)}
-        self.settle_all()
+        self.solve_q()
 
     def learn(self, neuron: NeuronT, payoff: float, *, completed: bool = True) -> None:
         """Update T by equation (4) and the weights by the two rules after it; `payoff` is R = 1/G.
@@ -70,8 +71,10 @@
         `completed` is False for a job that has not ended or has failed: it leaves T as it is.
         """
         if completed:
-            self.threshold = KEEP * self.threshold + (1 - KEEP) * payoff if self.threshold else payoff
-        at, n, limit = self.index.get(neuron.name), len(self.neurons), self.threshold
+            self.threshold = ALPHA * self.threshold + (1 - ALPHA) * payoff if self.threshold else payoff
+        at = self.index.get(neuron.name)
+        n = len(self.neurons)
+        limit = self.threshold
         if at is None or n < 2 or payoff == limit or not limit:
             return
         # In units of T. A worse result must punish more: a loss counts for T/R, the mirror of a win's R/T.
@@ -79,37 +82,43 @@
         step = GAIN * size * self.total / (2 * n)
         share = step / max(n - 2, 1)
         if payoff > limit:
-            raised, cut, self.minus_all = self.plus, self.minus, self.minus_all + share
+            raised, lowered = self.plus, self.minus
+            self.minus_all += share
         else:
-            raised, cut, self.plus_all = self.minus, self.plus, self.plus_all + share
+            raised, lowered = self.minus, self.plus
+            self.plus_all += share
         raised[at] += step
-        cut[at] -= share
+        lowered[at] -= share
         self.total += step + share * (n - 1)
-        self.settle(at)
-        self.unsettled += 1
-        if 2 * self.unsettled > n:
-            self.settle_all()
+        self.update_q(at)
+        self.updates_since_solve += 1
+        if 2 * self.updates_since_solve > n:
+            self.solve_q()
 
-    def settle(self, at: int) -> float:
+    def update_q(self, at: int) -> float:
         """Apply equations (2) and (3) once to one neuron; returns how far its q moved."""
         n = len(self.q)
         unit = n / ((n - 1) * self.total)
-        plus, minus, old = self.plus[at] + self.plus_all, self.minus[at] + self.minus_all, self.q[at]
+        plus = self.plus[at] + self.plus_all
+        minus = self.minus[at] + self.minus_all
+        old = self.q[at]
         rest = self.sum_q - old
         new = min((0.25 + unit * plus * rest) / (unit * (self.total - plus - minus + minus * rest)), 1.0)
-        self.q[at], self.sum_q = new, rest + new
+        self.q[at] = new
+        self.sum_q = rest + new
         return abs(new - old)
 
-    def settle_all(self) -> None:
+    def solve_q(self) -> None:
         """Iterate equation (2) until it converges; also keep the weights in a range that floats hold well."""
-        self.unsettled = 0
+        self.updates_since_solve = 0
         n = len(self.q)
         if self.total > MAX_TOTAL_WEIGHT:
             self.plus = [(weight + self.plus_all) / self.total for weight in self.plus]
             self.minus = [(weight + self.minus_all) / self.total for weight in self.minus]
-            self.plus_all = self.minus_all = 0.0
+            self.plus_all = 0.0
+            self.minus_all = 0.0
             self.total = sum(self.plus) + sum(self.minus)
         self.sum_q = sum(self.q)
         for _ in range(MAX_ITERATIONS if n > 1 else 0):
-            if max([self.settle(k) for k in range(n)]) < CONVERGED:
+            if max([self.update_q(k) for k in range(n)]) < CONVERGED:
                 break
--- a/tests/system/delivery/client_case.py
+++ b/tests/system/delivery/client_case.py
@@ -51,10 +51,13 @@
     """A connection in memory, as the client made it and as the worker sees it."""
 
     def __init__(self, network: Network, protocol: Any) -> None:
-        self._network, self._protocol = network, protocol
+        self._network = network
+        self._protocol = protocol
         self.handle = _Handle()
         self.sent = b""
-        self.closed = self.aborted = self.lost = False
+        self.closed = False
+        self.aborted = False
+        self.lost = False
         protocol.makeConnection(self)
 
     def setTcpNoDelay(self, enabled: bool) -> None:
@@ -93,8 +96,10 @@
     """A connection that the client dials."""
 
     def __init__(self, network: Network, host: str, port: int, factory: Any, timeout: float) -> None:
-        self.address, self.timeout = f"{host}:{port}", timeout
-        self._network, self._factory = network, factory
+        self.address = f"{host}:{port}"
+        self.timeout = timeout
+        self._network = network
+        self._factory = factory
 
     def succeed(self) -> Wire:
         return Wire(self._network, self._factory.buildProtocol(None))
--- a/tests/system/dispatch/delivery_case.py
+++ b/tests/system/dispatch/delivery_case.py
@@ -58,7 +58,8 @@
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = table()
-        self.configuration_s = self.catalogue_s = 0.1
+        self.configuration_s = 0.1
+        self.catalogue_s = 0.1
         self.calls: list[tuple[WorkerTarget, Message, Deferred[DeliveryResult]]] = []
         self.reports: list[AttemptReport] = []
 
--- a/tests/system/ingress/server_case.py
+++ b/tests/system/ingress/server_case.py
@@ -139,7 +139,9 @@
     def __init__(self) -> None:
         self.handle = _Handle()
         self.written = bytearray()
-        self.disconnecting = self.half_closed = self.aborted = False
+        self.disconnecting = False
+        self.half_closed = False
+        self.aborted = False
 
     def getHandle(self) -> _Handle:
         return self.handle
--- a/tests/system/shards/test_owner_changes.py
+++ b/tests/system/shards/test_owner_changes.py
@@ -37,7 +37,8 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.silent, self.successor = self.links[0], FakeLink("storage-9", "z0")
+        self.silent = self.links[0]
+        self.successor = FakeLink("storage-9", "z0")
 
     def change(self) -> None:
         self.owned(0, self.successor, 2)
--- a/tests/system/test_sent_once.py
+++ b/tests/system/test_sent_once.py
@@ -105,7 +105,9 @@
             self.addCleanup(patched.stop)
         self.loopback = Loopback()
         self.addCleanup(self.loopback.close)
-        Server.arrived, Server.unanswered, Server.fault = [], [], Fault.NONE
+        Server.arrived = []
+        Server.unanswered = []
+        Server.fault = Fault.NONE
         Server.reactor = self.loopback.reactor  # type: ignore[attr-defined]
         self.address = self.loopback.listen_with(Server)
         Server.address = self.address.encode()
@@ -136,7 +138,9 @@
         """
         if warm:
             self.ended(call("warm"))
-        Server.arrived, Server.unanswered, Server.fault = [], [], fault
+        Server.arrived = []
+        Server.unanswered = []
+        Server.fault = fault
         results = self.begin(call("r1"))
         self.loopback.until(lambda: bool(Server.arrived))
         if fault in UNANSWERED:
@@ -214,7 +218,8 @@
         platform = EndpointListClient(self.loopback.reactor, self.address)
         platform._agent._pool.retryAutomatically = True
         self.ended(self.platform(platform)("warm"))
-        Server.arrived, Server.fault = [], Fault.RESET_BEFORE
+        Server.arrived = []
+        Server.fault = Fault.RESET_BEFORE
         results = self.begin(platform.read())
         self.loopback.until(lambda: bool(results))
         self.assertEqual(len(Server.arrived), 2)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -22,7 +22,7 @@
 
     def learn(self, at: int, reward: float) -> None:
         n = self.n
-        self.t = network.KEEP * self.t + (1 - network.KEEP) * reward if self.t else reward
+        self.t = network.ALPHA * self.t + (1 - network.ALPHA) * reward if self.t else reward
         if reward == self.t:
             return
         size = min(max(reward / self.t, self.t / max(reward, 1e-9)), network.PAYOFF_CAP)
@@ -61,7 +61,7 @@
         reward = rand.expovariate(1.0) * (1 + at / n)
         dense.learn(at, reward)
         net.learn(workers[at], reward)
-    net.settle_all()
+    net.solve_q()
     assert net.threshold == pytest.approx(dense.t)
     wanted = dense.solve()
     assert net.q == pytest.approx(wanted, abs=5 * network.CONVERGED)
@@ -98,7 +98,7 @@
         for _ in range(20):
             for k, worker in enumerate(workers):
                 net.learn(worker, bad if k == 0 else 1.0 + k / 10)
-        net.settle_all()
+        net.solve_q()
         assert net.q[3] > net.q[0]
         nets.append(net.q[0])
     assert nets[1] < nets[0]
