--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -2,7 +2,15 @@
 
 `StrictChannel` narrows `twisted.web.http.HTTPChannel`: whatever two readers could understand differently
 (RFC 9112, sections 6.1, 6.3 and 11.2) is answered with one error, after which nothing more is read.
-A connection's life is the phases of `Phase`; `_enter` sets the time-out of each.
+
+A connection's life (`Phase`), with what ends each phase and its time-out:
+
+    IDLE        the first byte of a head -> HEAD; idle time-out or shutdown -> CLOSING
+    HEAD        a complete head -> BODY; an error, or 408 after the header time-out -> CLOSING
+    BODY        a complete body -> RESPONDING; an error, or 408 after the idle time-out -> CLOSING
+    RESPONDING  a complete response -> IDLE, or CLOSING where the connection doesn't persist; no time-out
+    CLOSING     final: what was written is flushed, then the connection ends, at the latest after
+                `FLUSH_TIMEOUT_S`, or `LINGER_S` after an error
 """
 
 from __future__ import annotations
@@ -33,8 +41,8 @@
     IDLE = "between requests"
     HEAD = "reading a head"
     BODY = "reading a body"
-    RESPONDING = "a request has been read, and its response is awaited or written"
-    CLOSING = "closing"
+    RESPONDING = "a request has been read; its response is awaited or written"
+    CLOSING = "closing; nothing more is read"
 
 
 class ChannelSite(Protocol):
@@ -56,15 +64,15 @@
 
     site: ChannelSite
     transport: Any
-    timeOut: Any = None
+    timeOut: Any = None  # seconds or None; `TimeoutMixin` says int, fractions are fine as well
 
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self.phase = Phase.IDLE
         self.body_left = 0  # bytes that the body may still have
-        self._head_left = 0
-        self._rejected = False
-        self._read_closed = False
+        self._head_left = 0  # bytes that the head may still have
+        self._rejected = False  # an error response was written
+        self._read_closed = False  # the peer has closed its sending side
 
     def connectionMade(self) -> None:
         """Begin, idle."""
@@ -112,7 +120,8 @@
         limits = self.site.limits()
         self._head_left = limits.max_header_bytes
         self.body_left = limits.max_body_bytes
-        self.MAX_LENGTH = self.totalHeadersSize = limits.max_header_bytes
+        self.MAX_LENGTH = limits.max_header_bytes
+        self.totalHeadersSize = limits.max_header_bytes
         self._enter(Phase.HEAD)
 
     def _begin_head_if_data_waits(self) -> None:
@@ -120,6 +129,7 @@
             self._begin_head()
 
     def _maybeChooseTransferDecoder(self, header: bytes, data: bytes) -> bool:
+        """Choose how the body is framed; False rejects the request (a hook of `HTTPChannel`)."""
         length_is_bad = header == b"Content-Length" and len(data) > MAX_LENGTH_DIGITS
         coding_is_bad = header == b"Transfer-Encoding" and (
             data.lower() != b"chunked" or self._version != b"HTTP/1.1"
@@ -188,6 +198,7 @@
             self.transport.loseWriteConnection()
 
     def _respondToBadRequestAndDisconnect(self) -> None:
+        """Reject what Twisted itself finds malformed (a hook of `HTTPChannel`)."""
         self.reject(400)
 
     # ---- time-outs and closing
@@ -239,23 +250,24 @@
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
         self.site.channel_lost()
 
-    def _enter(self, phase: Phase, seconds: float | None = None) -> None:
+    def _enter(self, phase: Phase, timeout_s: float | None = None) -> None:
+        """Go to another phase, with its time-out in seconds; None: without one. `CLOSING` is never left."""
         if self.phase is Phase.CLOSING:
             return
         self.phase = phase
         if phase is Phase.IDLE:
             limits = self.site.limits()
             self.MAX_LENGTH = limits.max_header_bytes
-            seconds = limits.idle_timeout_ms / 1000
+            timeout_s = limits.idle_timeout_ms / 1000
         elif phase is Phase.HEAD:
-            seconds = self.site.limits().header_timeout_ms / 1000
+            timeout_s = self.site.limits().header_timeout_ms / 1000
         elif phase is Phase.BODY:
-            seconds = self._body_timeout()
-        self.setTimeout(seconds)  # type: ignore[no-untyped-call]
+            timeout_s = self._body_timeout()
+        self.setTimeout(timeout_s)  # type: ignore[no-untyped-call]
 
     def _has_unread_input(self) -> bool:
         return bool(peek(self.transport))
 
     def _body_timeout(self) -> float:
-        seconds = self.site.limits().idle_timeout_ms / 1000
-        return min(seconds, DRAINING_READ_TIMEOUT_S) if self.site.closing else seconds
+        timeout_s = self.site.limits().idle_timeout_ms / 1000
+        return min(timeout_s, DRAINING_READ_TIMEOUT_S) if self.site.closing else timeout_s
