--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.transport.connections import Link, LinkLost
+from bitternpath.transport.links import Link, LinkLost
 from bitternpath.transport.shard_messages import Ownership
 
 
--- a/bitternpath/testing/emulator/sockets/world.py
+++ b/bitternpath/testing/emulator/sockets/world.py
@@ -21,7 +21,7 @@
 from bitternpath.testing.emulator.sockets.requests import READ_ON
 from bitternpath.testing.emulator.sockets.run import RunningNode
 from bitternpath.testing.emulator.sockets.workers import WorkerServers
-from bitternpath.testing.emulator.troubles import Active, begin
+from bitternpath.testing.emulator.troubles.register import Active, begin
 from bitternpath.testing.emulator.worker import Worker
 from bitternpath.testing.emulator.world import Result, World
 
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -19,7 +19,7 @@
 from bitternpath.testing.emulator.policies import POLICIES
 from bitternpath.testing.emulator.scenario import MOST_REQUESTS, Kind, Scenario, ScenarioError, drawn
 from bitternpath.testing.emulator.service import Tally
-from bitternpath.testing.emulator.troubles import Active, begin
+from bitternpath.testing.emulator.troubles.register import Active, begin
 from bitternpath.testing.emulator.worker import Worker
 
 CELL = 4  # workers that share a cell
--- a/bitternpath/testing/simulation/actors/nodes.py
+++ b/bitternpath/testing/simulation/actors/nodes.py
@@ -9,7 +9,8 @@
 from bitternpath.testing.fault_injection.plan import Port
 
 if TYPE_CHECKING:
-    from bitternpath.testing.simulation.world import SimulatedNode, World
+    from bitternpath.testing.simulation.processes import SimulatedNode
+    from bitternpath.testing.simulation.world import World
 
 
 @dataclass(frozen=True, slots=True)
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import Any
 
-from bitternpath.replication.group import CompactionBounds
+from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.roles.process import RoleLifecycle, build_role
-from bitternpath.roles.settings import Settings, SettingsError, read_settings
-from bitternpath.storage.documents import CorruptDocumentError
-from bitternpath.storage.records import CorruptJournalError
+from bitternpath.roles.settings import Settings, read_settings
+from bitternpath.roles.settings_reader import SettingsError
+from bitternpath.storage.errors import CorruptDocumentError, CorruptJournalError
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
 from bitternpath.testing.simulation.errors import failure
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
--- a/tests/system/dispatch/delivery_case.py
+++ b/tests/system/dispatch/delivery_case.py
@@ -8,7 +8,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
+from bitternpath.configuration.documents import Configuration, Route, Service
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
 from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.deliveries import (
--- a/tests/system/ingress/server_case.py
+++ b/tests/system/ingress/server_case.py
@@ -12,7 +12,8 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from bitternpath.configuration.documents import RoutingTable, parse_configuration
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.configuration.validation import parse_configuration
 from bitternpath.ingress.interfaces import (
     Acceptance,
     AcceptResult,
--- a/tests/system/ingress/test_messages.py
+++ b/tests/system/ingress/test_messages.py
@@ -7,7 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternpath.configuration.documents import RoutingTable, parse_configuration
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.configuration.validation import parse_configuration
 from bitternpath.ingress.channel import LINGER_S
 from bitternpath.ingress.interfaces import (
     Acceptance,
--- a/tests/system/test_callback_recovery.py
+++ b/tests/system/test_callback_recovery.py
@@ -37,7 +37,9 @@
             due = [report for report in self._reports if report[0] <= self.rig.now]
             self._reports = [report for report in self._reports if report[0] > self.rig.now]
             for _, request_id, acknowledged in due:
-                self.rig.do(self.rig.owner.callback_report(self.rig.now, request_id, acknowledged))
+                self.rig.do(
+                    self.rig.owner.callback_report(self.rig.now, request_id, acknowledged=acknowledged)
+                )
 
     def _requested(self, request: SendCallback) -> None:
         self.calls.append(self.rig.now)
--- a/tests/system/test_member_changes.py
+++ b/tests/system/test_member_changes.py
@@ -9,8 +9,10 @@
 import msgspec
 from twisted.internet.task import Clock
 
-from bitternpath.replication.group import CompactionBounds, ReplicaGroup
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.group import GroupApplication, GroupOptions, MemberIdentity, ReplicaGroup
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
+from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.member_changes import DesiredMembers, MemberChanges
 from bitternpath.replication.messages import AppendEntries, RequestVote, RequestVoteResponse
 from bitternpath.replication.reconfiguration import next_members
@@ -19,7 +21,8 @@
 from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress, MembershipReport
 
 
@@ -136,8 +139,10 @@
             self.clock,
             "c/c",
             self.journal,
-            lambda group, receiver, body: self.sent.append((receiver, decode_message(body))),
-            Random(1),
+            MessageTransport(
+                lambda group, receiver, body: self.sent.append((receiver, decode_message(body)))
+            ),
+            HostOptions(Random(1)),
         )
 
     def open(self, founders: Members | None) -> None:
@@ -237,7 +242,13 @@
     def test_generations_never_fall(self) -> None:
         machine = Machine()
         kept = PersistentState(snapshot=Snapshot(members=members("a", generation=5)))
-        group = ReplicaGroup("a/a", kept, machine, machine, Random(1), 0.0, SYSTEM_TIMING, CompactionBounds())
+        group = ReplicaGroup(
+            MemberIdentity("a/a", kept),
+            GroupApplication(machine, machine),
+            Random(1),
+            0.0,
+            GroupOptions(RaftOptions(SYSTEM_TIMING)),
+        )
         now = 0.0
         for _ in range(100):
             now += 0.05
--- a/tests/system/test_orders_under_way.py
+++ b/tests/system/test_orders_under_way.py
@@ -17,13 +17,8 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.configuration import changes as orders
-from bitternpath.configuration.changes import (
-    ChangeProcessor,
-    ResultCode,
-    _Acceptable,
-    _Submission,
-    operator_result,
-)
+from bitternpath.configuration.changes import ChangeProcessor, _Acceptable, _Submission
+from bitternpath.configuration.results import ResultCode, operator_result
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
 from bitternpath.testing.simulation.world import Plan
@@ -93,6 +88,8 @@
 class UnderWayTest(unittest.TestCase):
     """Orders that something happens to."""
 
+    longest_test_s = 15
+
     def setUp(self) -> None:
         self.begin(7)
 
