--- a/tests/system/delivery/client_case.py
+++ b/tests/system/delivery/client_case.py
@@ -27,7 +27,7 @@
     return structs.replace(MESSAGE, request_id=request_id)
 
 
-def answer(request_id: str = "r1", status: int = 200, headers: bytes = b"X-Server-Stamp: s.1\r\n") -> bytes:
+def response(request_id: str = "r1", status: int = 200, headers: bytes = b"X-Server-Stamp: s.1\r\n") -> bytes:
     head = b"HTTP/1.1 %d X\r\nX-Request-Id: %b\r\n" % (status, request_id.encode())
     return head + headers + b"Content-Length: 3\r\n\r\nabc"
 
@@ -82,7 +82,7 @@
         sent, self.sent = self.sent, b""
         return sent
 
-    def answer(self, data: bytes, step: int = 0) -> None:
+    def respond(self, data: bytes, step: int = 0) -> None:
         for at in range(0, len(data), step or len(data) or 1):
             self._protocol.dataReceived(data[at : at + (step or len(data))])
 
@@ -150,7 +150,7 @@
     def idle(self, keep_alive: bytes = b"") -> Wire:
         """A connection that has carried one delivery."""
         results, wire = self.delivered()
-        wire.answer(answer(headers=b"X-Server-Stamp: s.1\r\n" + keep_alive))
+        wire.respond(response(headers=b"X-Server-Stamp: s.1\r\n" + keep_alive))
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
         wire.take()
         return wire
--- a/tests/system/delivery/test_callback_client.py
+++ b/tests/system/delivery/test_callback_client.py
@@ -69,7 +69,7 @@
         self.loopback.until(lambda: len(Receiver.requests) > index)
         return Receiver.requests[index][1]
 
-    def answer(self, data: bytes, index: int = 0) -> None:
+    def respond(self, data: bytes, index: int = 0) -> None:
         Receiver.requests[index][0].transport.write(data)
 
     def fire_timers(self, seconds: float) -> None:
@@ -80,7 +80,7 @@
                 call.reset(0)
 
 
-class TestRequests(ReceiverCase):
+class RequestTest(ReceiverCase):
     """The request that a receiver gets."""
 
     def test_documents(self) -> None:
@@ -97,11 +97,11 @@
                 self.assertEqual(request.headers[b"content-type"], b"application/json")
                 self.assertEqual(request.headers[b"host"], self.address.encode())
                 self.assertEqual(json.loads(request.body), document)
-                self.answer(OK, index)
+                self.respond(OK, index)
                 self.assertIs(self.loopback.result(notified), CallbackResult.ACKNOWLEDGED)
 
 
-class TestResponses(ReceiverCase):
+class ResponseTest(ReceiverCase):
     """What a response means."""
 
     def test_statuses(self) -> None:
@@ -123,7 +123,7 @@
                 self.request(index)
                 location = b"Location: http://%b/other\r\n" % self.address.encode()
                 body = b"" if status.startswith(b"204") else b"Content-Length: 0\r\n"
-                self.answer(b"HTTP/1.1 " + status + b"\r\n" + location + body + b"\r\n", index)
+                self.respond(b"HTTP/1.1 " + status + b"\r\n" + location + body + b"\r\n", index)
                 self.loopback.until(lambda results=results: bool(results))  # type: ignore[misc]
                 self.assertEqual(results, [expected])
         self.assertEqual(len(Receiver.requests), len(table))  # no redirect was followed, nothing repeated
@@ -132,7 +132,7 @@
         for index in range(3):
             results = self.notify()
             self.request(index)
-            self.answer(OK, index)
+            self.respond(OK, index)
             self.loopback.until(lambda results=results: bool(results))  # type: ignore[misc]
         self.assertEqual(len(Receiver.connections), 1)
 
@@ -142,7 +142,7 @@
             with self.subTest(data):
                 results = self.notify()
                 self.request(index)
-                self.answer(data, index)
+                self.respond(data, index)
                 Receiver.requests[index][0].transport.loseConnection()
                 self.loopback.until(lambda results=results: bool(results))  # type: ignore[misc]
                 self.assertEqual(results, [CallbackResult.FAILED])
@@ -163,7 +163,7 @@
                 self.assertIs(self.loopback.result(notified), CallbackResult.FAILED)
 
 
-class TestTimeouts(ReceiverCase):
+class TimeoutTest(ReceiverCase):
     """Receivers that are slow or full."""
 
     def test_receiver_that_times_out(self) -> None:
@@ -171,7 +171,7 @@
             with self.subTest(begun):
                 results = self.notify()
                 self.request(index)
-                self.answer(begun, index)
+                self.respond(begun, index)
                 for _ in range(5):
                     self.loopback.reactor.iterate(0)
                 self.assertEqual(results, [])
@@ -186,7 +186,7 @@
             self.request(index)
             open_connections = [each for each in Receiver.connections if not each.lost]
             self.assertLessEqual(len(open_connections), MAX_CALLS_PER_RECEIVER)
-            self.answer(OK, index)
+            self.respond(OK, index)
             self.loopback.until(lambda index=index: sum(map(bool, all_results)) > index)  # type: ignore[misc]
         self.assertEqual(all_results, [[CallbackResult.ACKNOWLEDGED]] * (MAX_CALLS_PER_RECEIVER + 2))
 
@@ -206,6 +206,6 @@
         self.address = self.loopback.listen_with(Receiver)
         results = self.notify()
         self.request(MAX_CALLS_PER_RECEIVER)
-        self.answer(OK, MAX_CALLS_PER_RECEIVER)
+        self.respond(OK, MAX_CALLS_PER_RECEIVER)
         self.loopback.until(lambda: bool(results))
         self.assertEqual(results, [CallbackResult.ACKNOWLEDGED])
--- a/tests/system/delivery/test_connections.py
+++ b/tests/system/delivery/test_connections.py
@@ -18,11 +18,11 @@
     OK,
     TARGET,
     ClientCase,
-    answer,
+    response,
 )
 
 
-class TestConnections(ClientCase):
+class ConnectionTest(ClientCase):
     """Making, sharing, reusing and closing connections."""
 
     def test_reuse(self) -> None:
@@ -30,7 +30,7 @@
         for request_id in ("r2", "r3"):
             results = self.deliver(request_id)
             self.assertIn(request_id.encode(), wire.take())
-            wire.answer(answer(request_id))
+            wire.respond(response(request_id))
             self.assert_result(results, AttemptOutcome.SUCCEEDED)
         self.assertEqual(len(self.network.attempts), 1)
 
@@ -85,7 +85,7 @@
         results = self.deliver("r2", target=one)
         self.network.advance(0.1)
         self.assert_result(results, AttemptOutcome.NOT_RUN, RefusalKind.BUSY)
-        wire.answer(OK)
+        wire.respond(OK)
         self.assertNotIn(b"r2", wire.take())
 
     def test_limit_and_order_of_waiting_deliveries(self) -> None:
@@ -93,13 +93,13 @@
         self.assertEqual(len(self.network.attempts), 2)
         one, two = self.connect(0), self.connect(1)
         two.take()
-        two.answer(answer("r2"))
+        two.respond(response("r2"))
         self.assertIn(b"X-Request-Id: r3\r\n", two.take())
         one.take()
-        one.answer(answer("r1"))
+        one.respond(response("r1"))
         self.assertIn(b"X-Request-Id: r4\r\n", one.take())
-        two.answer(answer("r3"))
-        one.answer(answer("r4"))
+        two.respond(response("r3"))
+        one.respond(response("r4"))
         for results in (first, second, third, fourth):
             self.assert_result(results, AttemptOutcome.SUCCEEDED)
         self.assertEqual(len(self.network.attempts), 2)
@@ -120,7 +120,7 @@
         wire = self.connect()
         results = self.deliver("r2", target=one)
         wire.lose()
-        self.connect().answer(answer("r2"))
+        self.connect().respond(response("r2"))
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
         self.assertEqual(len(self.network.attempts), 2)
 
@@ -138,8 +138,8 @@
         self.deliver("r2")
         one, two = self.connect(0), self.connect(1)
         self.deliver("r3", target=replace(TARGET, max_connections=1))
-        one.answer(answer("r1"))
-        two.answer(answer("r2"))
+        one.respond(response("r1"))
+        two.respond(response("r2"))
         self.assertTrue(two.closed)
         self.assertFalse(one.closed)
 
@@ -147,8 +147,8 @@
         self.deliver("r1")
         self.deliver("r2")
         one, two = self.connect(0), self.connect(1)
-        two.answer(answer("r2"))
-        one.answer(answer("r1"))
+        two.respond(response("r2"))
+        one.respond(response("r1"))
         one.take()
         two.take()
         self.deliver("r3")
@@ -202,7 +202,7 @@
         self.assertEqual(len(self.network.attempts), 2)
 
 
-class TestRemoval(ClientCase):
+class RemovalTest(ClientCase):
     """Workers that leave the catalogue, and shutdown of the client."""
 
     def test_close_idle(self) -> None:
@@ -218,7 +218,7 @@
         self.client.forget(ADDRESS)
         self.client.forget(ADDRESS)
         self.assert_result(waiting, AttemptOutcome.NOT_RUN, RefusalKind.NO_CONNECTION)
-        wire.answer(OK)
+        wire.respond(OK)
         self.assert_result(in_flight, AttemptOutcome.SUCCEEDED)
         self.assertTrue(wire.closed)
 
@@ -238,14 +238,14 @@
 
     def test_shutdown(self) -> None:
         idle_results, idle = self.delivered()
-        idle.answer(OK)
+        idle.respond(OK)
         busy_results = self.deliver("r2", target=replace(TARGET, address="10.0.0.8:80"))
         busy = self.connect()
         done = self.client.shutdown()
         self.assertTrue(idle.closed)
         self.assertFalse(done.called)
         self.assert_result(self.deliver("r3"), AttemptOutcome.NOT_RUN, RefusalKind.NO_CONNECTION)
-        busy.answer(answer("r2"))
+        busy.respond(response("r2"))
         self.assert_result(busy_results, AttemptOutcome.SUCCEEDED)
         self.assertEqual(len(idle_results), 1)
         self.assertTrue(done.called)
--- a/tests/system/delivery/test_requests.py
+++ b/tests/system/delivery/test_requests.py
@@ -19,7 +19,7 @@
 )
 
 
-class TestRequests(ClientCase):
+class RequestTest(ClientCase):
     """The bytes that a worker reads."""
 
     def test_all_fields_of_a_message(self) -> None:
--- a/tests/system/delivery/test_responses.py
+++ b/tests/system/delivery/test_responses.py
@@ -16,11 +16,11 @@
     OK,
     TARGET,
     ClientCase,
-    answer,
+    response,
 )
 
 
-class TestResponses(ClientCase):
+class ResponseTest(ClientCase):
     """What a response says about its message."""
 
     def test_outcomes(self) -> None:
@@ -60,7 +60,7 @@
                     self.setUp()
                     results, wire = self.delivered()
                     self.network.advance(0.1)
-                    wire.answer(answer("r1", status, headers), step)
+                    wire.respond(response("r1", status, headers), step)
                     (result,) = results
                     self.assertEqual((result.outcome, result.refusal), (expected, kind))
                     self.assertEqual((result.stamp, result.status), (stamped, status))
@@ -84,7 +84,7 @@
                 with self.subTest(name, step=step):
                     self.setUp()
                     results, wire = self.delivered()
-                    wire.answer(data, step)
+                    wire.respond(data, step)
                     self.assert_result(results, AttemptOutcome.SUCCEEDED)
                     self.assertEqual(wire.closed, closed)
 
@@ -94,7 +94,7 @@
             results.append
         )
         wire = self.connect()
-        wire.answer(OK[:-3])
+        wire.respond(OK[:-3])
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
         self.assertFalse(wire.closed)
 
@@ -104,8 +104,8 @@
             ("longer id", OK.replace(b"r1", b"r11")),
             ("no id", OK.replace(b"X-Request-Id: r1\r\n", b"")),
             ("two ids", OK.replace(b"X-Request-Id: r1\r\n", b"X-Request-Id: r1\r\nX-Request-Id: r2\r\n")),
-            ("refusal of another", answer("r2", 503, b"X-Not-Executed: 1\r\n")),
-            ("421 of another", answer("r2", 421, b"")),
+            ("refusal of another", response("r2", 503, b"X-Not-Executed: 1\r\n")),
+            ("421 of another", response("r2", 421, b"")),
             ("garbage", b"\x16\x03\x01garbage\r\n\r\n"),
             ("other protocol", b"SSH-2.0-x\r\n\r\n"),
             ("bad status", OK.replace(b"200", b"2x0")),
@@ -122,7 +122,7 @@
                 with self.subTest(name, step=step):
                     self.setUp()
                     results, wire = self.delivered()
-                    wire.answer(data, step)
+                    wire.respond(data, step)
                     self.assert_result(results, AttemptOutcome.UNKNOWN)
                     self.assertTrue(wire.aborted)
 
@@ -131,13 +131,13 @@
             b"Content-Length: 3\r\n\r\nabc", b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
         )
         without_length = OK.replace(b"Content-Length: 3\r\n", b"")
-        refusal = answer("r1", 503, b"X-Not-Executed: 1\r\n")
+        refusal = response("r1", 503, b"X-Not-Executed: 1\r\n")
         for data, last in ((OK, 0), (chunked, 0), (refusal, 0), (without_length, 1)):
             for length in range(len(data) + last):
                 for reason in (ConnectionDone(), ConnectionLost()):
                     self.setUp()
                     results, wire = self.delivered()
-                    wire.answer(data[:length])
+                    wire.respond(data[:length])
                     self.assertEqual(results, [])
                     wire.lose(reason)
                     self.assert_result(results, AttemptOutcome.UNKNOWN)
@@ -148,35 +148,35 @@
             with self.subTest(begun):
                 self.setUp()
                 results, wire = self.delivered()
-                wire.answer(begun)
+                wire.respond(begun)
                 self.network.advance(DEADLINE_S + RESPONSE_GRACE_S - 0.001)
                 self.assertEqual(results, [])
                 self.network.advance(0.001)
                 self.assert_result(results, AttemptOutcome.UNKNOWN)
                 self.assertTrue(wire.aborted)
-                wire.answer(OK)
+                wire.respond(OK)
                 self.assertEqual(len(results), 1)
 
     def test_response_between_deadline_and_grace(self) -> None:
         results, wire = self.delivered()
         self.network.advance(DEADLINE_S + RESPONSE_GRACE_S / 2)
-        wire.answer(OK)
+        wire.respond(OK)
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
 
     def test_response_that_came_during_a_stall_of_this_process(self) -> None:
         results, wire = self.delivered()
         self.network.callLater(
-            DEADLINE_S + RESPONSE_GRACE_S, wire.answer, OK
+            DEADLINE_S + RESPONSE_GRACE_S, wire.respond, OK
         )  # read in the turn after the timers
         self.network.advance(10)
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
 
     def test_surplus_bytes_end_the_connection_and_change_no_result(self) -> None:
-        for surplus in (b"x", b"\r\n", OK, answer("r1", 500, b"")):
+        for surplus in (b"x", b"\r\n", OK, response("r1", 500, b"")):
             with self.subTest(surplus):
                 self.setUp()
                 results, wire = self.delivered()
-                wire.answer(OK + surplus)
+                wire.respond(OK + surplus)
                 self.assert_result(results, AttemptOutcome.SUCCEEDED)
                 self.assertTrue(wire.closed)
                 self.deliver("r2")
@@ -184,20 +184,20 @@
 
     def test_second_response_on_an_idle_connection(self) -> None:
         wire = self.idle()
-        wire.answer(OK)
+        wire.respond(OK)
         self.assertTrue(wire.aborted)
         results = self.deliver("r2")
         self.assertEqual(wire.take(), b"")
-        self.connect().answer(answer("r2"))
+        self.connect().respond(response("r2"))
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
 
     def test_second_response_while_the_next_message_is_in_flight(self) -> None:
         wire = self.idle()
         results = self.deliver("r2")
         self.assertNotEqual(wire.take(), b"")
-        wire.answer(OK)
+        wire.respond(OK)
         self.assert_result(results, AttemptOutcome.UNKNOWN)
-        wire.answer(answer("r2"))
+        wire.respond(response("r2"))
         self.assertEqual(len(results), 1)
         self.assertTrue(wire.aborted)
 
--- a/tests/system/delivery/test_socket_options.py
+++ b/tests/system/delivery/test_socket_options.py
@@ -31,7 +31,7 @@
             self.transport.write(OK)  # type: ignore[union-attr, call-arg]
 
 
-class TestSockets(unittest.TestCase):
+class SocketTest(unittest.TestCase):
     """The client on real sockets."""
 
     def setUp(self) -> None:
--- a/tests/system/dispatch/test_stalls.py
+++ b/tests/system/dispatch/test_stalls.py
@@ -11,7 +11,7 @@
 MARGIN_S = 2.0 - 0.2  # for which a send may wait
 
 
-class Stalled(DeliveryCase):
+class StallTest(DeliveryCase):
     """A process that was stopped reads what came meanwhile, its timers first."""
 
     def stall(self, seconds: float) -> None:
--- a/tests/system/ingress/test_client_api.py
+++ b/tests/system/ingress/test_client_api.py
@@ -21,7 +21,7 @@
 )
 
 
-class TestMessageStates(ClientServerCase):
+class MessageStateTest(ClientServerCase):
     """GET /message and /message-body."""
 
     def get(self, path: bytes) -> Client:
@@ -84,7 +84,7 @@
         self.assertEqual(client.statuses(), [503])
 
 
-class TestPulls(ClientServerCase):
+class PullTest(ClientServerCase):
     """Calls of pulling workers."""
 
     def call(self, path: bytes, *headers: bytes) -> Client:
--- a/tests/system/ingress/test_closing.py
+++ b/tests/system/ingress/test_closing.py
@@ -17,7 +17,7 @@
 )
 
 
-class TestSockets(unittest.TestCase):
+class SocketTest(unittest.TestCase):
     """Closing on real sockets, where a close with unread input resets the connection."""
 
     def setUp(self) -> None:
--- a/tests/system/ingress/test_connections.py
+++ b/tests/system/ingress/test_connections.py
@@ -11,7 +11,7 @@
 )
 
 
-class TestPipelining(ClientServerCase):
+class PipeliningTest(ClientServerCase):
     """Several requests on one connection."""
 
     def test_in_turn(self) -> None:
@@ -53,7 +53,7 @@
         self.assertTrue(client.closed)
 
 
-class TestTimeouts(ClientServerCase):
+class TimeoutTest(ClientServerCase):
     """Connections that are slow or idle."""
 
     def test_head_that_trickles(self) -> None:
@@ -120,7 +120,7 @@
         self.assertIsNotNone(self.server.buildProtocol(None))
 
 
-class TestShutdown(ClientServerCase):
+class ShutdownTest(ClientServerCase):
     """Complete requests get their response; then every connection ends."""
 
     def test_idle_and_busy_connections(self) -> None:
--- a/tests/system/ingress/test_messages.py
+++ b/tests/system/ingress/test_messages.py
@@ -23,7 +23,7 @@
 )
 
 
-class TestAcceptance(ClientServerCase):
+class AcceptanceTest(ClientServerCase):
     """A message that is accepted, and what the node gets."""
 
     def test_all_fields_of_a_message(self) -> None:
@@ -192,7 +192,7 @@
         self.assertEqual((self.node.lookups, self.node.pulls), ([], []))
 
 
-class TestRejection(ClientServerCase):
+class RejectionTest(ClientServerCase):
     """Requests that are not accepted: one response, and the node is never called."""
 
     def assert_rejected(self, data: bytes, status: int, closed: bool) -> None:
--- a/tests/system/ingress/test_operator_api.py
+++ b/tests/system/ingress/test_operator_api.py
@@ -17,7 +17,7 @@
 )
 
 
-class TestOperatorApi(unittest.TestCase):
+class OperatorApiTest(unittest.TestCase):
     """The operator's calls."""
 
     def setUp(self) -> None:
@@ -79,7 +79,7 @@
         self.assertEqual(client.statuses(), [500])
 
 
-class TestReadiness(unittest.TestCase):
+class ReadinessTest(unittest.TestCase):
     def test_readiness(self) -> None:
         node = FakeNode()
         server = build_readiness_server(node, Clock())
--- a/tests/system/ingress/test_order_key.py
+++ b/tests/system/ingress/test_order_key.py
@@ -63,7 +63,7 @@
         return [value for name, value in head.headers.items() if name == b"x-order-key"]
 
 
-class ByteForByte(OrderKeyCase):
+class OrderKeyTest(OrderKeyCase):
     """The bytes, their case and the spaces within."""
 
     def test_each_key_to_each_kind_of_worker(self) -> None:
@@ -74,7 +74,7 @@
                     self.assertEqual(self.delivered(message), [key])
                     self.assertEqual(self.pulled(message), [key])
 
-    def test_a_key_that_the_connection_header_names(self) -> None:
+    def test_a_key_named_by_the_connection_header(self) -> None:
         for kind, path in PATHS.items():
             with self.subTest(kind):
                 message = self.accepted(path, b"X-Order-Key: k", b"Connection: x-order-key")
@@ -93,7 +93,7 @@
         self.assertEqual(client.statuses(), [400])
 
 
-class MessageIds(OrderKeyCase):
+class MessageIdTest(OrderKeyCase):
     """A client gets `X-Message-Id` only where the id is valid (PROTOCOL, "Messages")."""
 
     def test_an_invalid_message_id_is_not_sent(self) -> None:
--- a/tests/system/shards/test_owner_changes.py
+++ b/tests/system/shards/test_owner_changes.py
@@ -1,4 +1,4 @@
-"""Requests to a shard's owner that is stopped or cut off go to its successor. Virtual time."""
+"""Requests to a shard's owner that is stopped or partitioned go to its successor. Virtual time."""
 
 from __future__ import annotations
 
@@ -33,48 +33,48 @@
 
 
 class ChangeCase(ShardCase):
-    """Shard 0 has an owner that is silent; then another node is its owner."""
+    """Shard 0 has an owner that doesn't respond; then another node is its owner."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.silent = self.links[0]
+        self.unresponsive = self.links[0]
         self.successor = FakeLink("storage-9", "z0")
 
     def change(self) -> None:
         self.owned(0, self.successor, 2)
         self.clock.advance(0.1)
 
-    def asked(self, link: FakeLink, kind: type) -> int:
+    def request_count(self, link: FakeLink, kind: type) -> int:
         return sum(isinstance(request, kind) for request, _ in link.requests)
 
 
-class Successors(ChangeCase):
-    """What may be repeated is asked there at once; what may not be promised isn't."""
+class SuccessorTest(ChangeCase):
+    """Idempotent requests are retried there at once; nothing is promised that may not hold."""
 
-    def test_an_append_is_repeated_and_a_refusal_there_is_no_promise(self) -> None:
+    def test_an_append_is_retried_and_a_refusal_there_is_no_rejection(self) -> None:
         appender = Appender(self.clock, self.owners, "z0", Random(1))
         appender.shard_count = SHARDS
         waiting = appender.accept(message(), 900)
         self.change()
-        self.assertEqual(self.asked(self.successor, AppendRequest), 1)
+        self.assertEqual(self.request_count(self.successor, AppendRequest), 1)
         self.successor.answer(Refused(1, RefusalReason.FULL))  # the first may be in the log
         self.clock.advance(0.1)
         self.assertIsNone(self.result(waiting))
-        self.silent.answer(Refused(1, RefusalReason.NOT_OWNER))  # thawed; too late to mean anything
+        self.unresponsive.answer(Refused(1, RefusalReason.NOT_OWNER))  # resumed; too late to mean anything
         self.assertIsNone(self.result(waiting))
         self.successor.answer(AppendResponse(2))
         self.assertEqual(self.result(waiting), Acceptance(AcceptResult.ACCEPTED, message_id(0, "r1")))
         self.assertEqual(appender.in_flight, 0)
 
-    def test_a_report_is_repeated_and_ends_once(self) -> None:
+    def test_a_report_is_retried_and_ends_once(self) -> None:
         reports = AttemptReporter(self.clock, self.owners)
         report = AttemptReport(GROUP, "r1", lease_id(0, 1, 1), AttemptOutcome.FAILED)
         waiting = reports.send(report)
         self.change()
         self.clock.advance(0.1)
-        self.assertEqual(self.asked(self.successor, EndAttemptRequest), 1)
+        self.assertEqual(self.request_count(self.successor, EndAttemptRequest), 1)
         self.successor.answer(EndAttemptResponse(1, True))
-        self.silent.answer(EndAttemptResponse(1, False))
+        self.unresponsive.answer(EndAttemptResponse(1, False))
         self.assertIs(self.result(waiting), LeaseAnswer.ACKNOWLEDGED)
         self.assertEqual(reports.in_flight, 0)
 
@@ -85,11 +85,13 @@
         state = lookup.find(message_id(0, "r1"), wants_body=False)
         extension = pulls.extend(lease_id(0, 1, 1), "r1")
         self.change()
-        self.assertEqual([self.asked(self.successor, kind) for kind in (StateRequest, ExtendRequest)], [1, 1])
+        self.assertEqual(
+            [self.request_count(self.successor, kind) for kind in (StateRequest, ExtendRequest)], [1, 1]
+        )
         self.successor.answer(StateResponse(1, True, MessageState.QUEUED, "", None))
         self.successor.answer(EndAttemptResponse(2, True))
-        self.silent.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
-        self.silent.answer(EndAttemptResponse(2, False))
+        self.unresponsive.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
+        self.unresponsive.answer(EndAttemptResponse(2, False))
         self.assertEqual(self.result(state), FoundMessage(MessageState.QUEUED, "", None))
         self.assertEqual(self.result(extension), LeaseAnswer.ACKNOWLEDGED)
 
@@ -99,23 +101,23 @@
         waiting = pulls.pull("puller", "i-1", 1_000).result
         self.owned(0, self.successor, 2)
         pulls.owner_changed(GROUP)
-        self.assertEqual([type(record) for record in self.silent.sent], [PullCancel])
-        self.assertEqual(self.asked(self.successor, PullRequest), 1)
+        self.assertEqual([type(record) for record in self.unresponsive.sent], [PullCancel])
+        self.assertEqual(self.request_count(self.successor, PullRequest), 1)
         self.successor.answer(PullResponse(1, "0-2-1", message("r2")))
         self.assertEqual(self.result(waiting).message.request_id, "r2")
-        self.silent.answer(PullResponse(1, "0-1-1", message("r1")))  # a second job goes back
+        self.unresponsive.answer(PullResponse(1, "0-1-1", message("r1")))  # a second job goes back
         (request, _) = self.successor.requests[-1]
         self.assertEqual((request.request_id, request.outcome), ("r1", AttemptOutcome.NOT_RUN))
 
-    def test_the_same_owner_told_again_is_asked_nothing_twice(self) -> None:
+    def test_a_repeated_announcement_of_an_owner_repeats_no_request(self) -> None:
         reports = AttemptReporter(self.clock, self.owners)
         reports.send(AttemptReport(GROUP, "r1", lease_id(0, 1, 1), AttemptOutcome.FAILED))
-        self.owned(0, self.silent, 2)
+        self.owned(0, self.unresponsive, 2)
         self.clock.advance(0.2)
-        self.assertEqual(len(self.silent.requests), 1)
+        self.assertEqual(len(self.unresponsive.requests), 1)
 
 
-class Unsure(ChangeCase):
+class UnconfirmedLookupTest(ChangeCase):
     """404 only where every shard that may have it has said so under its ownership; else 503 in time."""
 
     def setUp(self) -> None:
@@ -126,7 +128,7 @@
     def unknown(self, link: FakeLink) -> None:
         link.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
 
-    def test_a_request_id_that_looks_like_a_name_is_searched_everywhere(self) -> None:
+    def test_a_request_id_that_looks_like_a_message_id_is_searched_in_all_shards(self) -> None:
         waiting = self.lookup.find("s0.abc", wants_body=False)
         self.unknown(self.links[0])
         self.assertIsNone(self.result(waiting))
@@ -136,14 +138,14 @@
             link.answer(StateResponse(1, shard == 2, MessageState.QUEUED, "", None))
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.QUEUED, "", None))
 
-    def test_unknown_by_all(self) -> None:
+    def test_unknown_to_all_shards(self) -> None:
         waiting = self.lookup.find("s0.abc", wants_body=False)
         self.unknown(self.links[0])
         for link in self.links:
             self.unknown(link)
         self.assertEqual(self.result(waiting), LookupFailure.UNKNOWN_MESSAGE)
 
-    def test_one_shard_without_an_answer_makes_it_unsure_within_the_askers_time(self) -> None:
+    def test_one_shard_without_a_response_makes_it_unavailable_in_time(self) -> None:
         self.owners.link_closed(self.links[2])  # type: ignore[arg-type]
         begun = self.clock.seconds()
         answers = [self.lookup.find(name, wants_body=False) for name in ("s0.abc", "abc", "s2.abc")]
@@ -156,11 +158,11 @@
         self.assertEqual([self.result(each) for each in answers], [LookupFailure.UNAVAILABLE] * 3)
         self.assertLess(self.clock.seconds() - begun, 2.0)
 
-    def test_an_owner_that_could_not_confirm_is_asked_again(self) -> None:
+    def test_an_owner_that_could_not_confirm_is_queried_again(self) -> None:
         waiting = self.lookup.find(message_id(0, "r1"), wants_body=False)
         for record in (Refused(1, RefusalReason.NOT_OWNER), RequestOutcomeUnknown(1)):
-            self.silent.answer(record)
+            self.unresponsive.answer(record)
             self.assertIsNone(self.result(waiting))
             self.clock.advance(0.1)
-        self.silent.answer(StateResponse(1, True, MessageState.DEAD_LETTER, "", None))
+        self.unresponsive.answer(StateResponse(1, True, MessageState.DEAD_LETTER, "", None))
         self.assertEqual(self.result(waiting).state, MessageState.DEAD_LETTER)
