--- a/bitternpath/delivery/callback_client.py
+++ b/bitternpath/delivery/callback_client.py
@@ -17,7 +17,8 @@
 from zope.interface import implementer
 
 from bitternpath.delivery.results import CallbackResult
-from bitternpath.net.clock import TcpReactor, Timer, cancel_if_active
+from bitternpath.net.clock import Timer, cancel_if_active
+from bitternpath.net.reactor import TcpReactor
 from bitternpath.transport.records import MessageState
 
 MAX_CALLS_PER_RECEIVER = 4  # in flight from this node: receivers accept few connections
--- a/bitternpath/delivery/worker_client.py
+++ b/bitternpath/delivery/worker_client.py
@@ -7,7 +7,8 @@
 from bitternpath.delivery.exchanges import Exchange
 from bitternpath.delivery.pool import AddressPool
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
-from bitternpath.net.clock import TcpReactor, Timer
+from bitternpath.net.clock import Timer
+from bitternpath.net.reactor import TcpReactor
 from bitternpath.transport.records import Message
 
 SWEEP_INTERVAL_S = 0.5  # between checks for idle connections that are too old
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -23,6 +23,7 @@
     member_address,
     member_id,
 )
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
@@ -30,7 +31,7 @@
 from bitternpath.roles.configuration_voters import ConfigurationVoters
 from bitternpath.roles.live_nodes import LiveNodes
 from bitternpath.roles.node_base import NodeBase
-from bitternpath.roles.reactor import NodeReactor, PeriodicCall
+from bitternpath.roles.periodic_call import PeriodicCall
 from bitternpath.roles.retirements import Retirements
 from bitternpath.roles.shard_placement import ShardPlacement
 from bitternpath.transport.feed_messages import FeedRefused, FeedSubscribe
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -15,11 +15,11 @@
 from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.replication.host import HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.roles.environment import LocalEnvironment, ProcessEnvironment
 from bitternpath.roles.group_transport import GroupTransport
-from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.settings_reader import SettingsError
 from bitternpath.roles.wall_clock import SteadyWallClock
@@ -27,7 +27,7 @@
 from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.hub import NodeHub
 from bitternpath.transport.links import Link, LinkHandler
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -14,9 +14,10 @@
 import logbook
 from twisted.internet.error import CannotListenError
 
+from bitternpath.net.clock import Timer, cancel_if_active
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.roles.environment import LocalEnvironment, ProcessEnvironment
 from bitternpath.roles.logs import log_level, start_logging
-from bitternpath.roles.reactor import NodeReactor, ScheduledCall, cancel_call
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.settings_reader import SettingsError
 from bitternpath.storage.errors import CorruptDocumentError, CorruptJournalError
@@ -83,7 +84,7 @@
         self.state = LifecycleState.WAITING_FOR_PORTS
         self._reactor = reactor
         self._give_up_at = 0.0
-        self._retry: ScheduledCall | None = None
+        self._retry: Timer | None = None
 
     def begin(self) -> None:
         """Begin to listen; to be called when the reactor runs."""
@@ -139,7 +140,7 @@
     def _end(self, code: ExitCode) -> None:
         self.state = LifecycleState.STOPPING
         self.exit_code = code
-        cancel_call(self._retry)
+        cancel_if_active(self._retry)
         self._reactor.stop()
 
 
--- a/bitternpath/roles/replica_garbage_collection.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -12,9 +12,9 @@
 
 import logbook
 
+from bitternpath.net.clock import Clock
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.group_transport import REPLICATION_LINK_USER
-from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.group_messages import GroupPlacement, MembershipReport, MembershipRequest
 from bitternpath.transport.hub import NodeHub
 
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         hub: NodeHub,
         host: ReplicaHost,
         placements: Mapping[str, GroupPlacement],
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -14,9 +14,9 @@
 )
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.membership.bootstrap import member_id
+from bitternpath.net.clock import Clock
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.roles.live_nodes import LiveNodes
-from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.group_messages import GroupPlacement
 from bitternpath.transport.node_messages import NodeDescriptor
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         group: ConsensusGroup,
         state: ConfigurationState,
         nodes: LiveNodes,
--- a/bitternpath/roles/storage_process.py
+++ b/bitternpath/roles/storage_process.py
@@ -6,8 +6,8 @@
 
 import logbook
 
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.roles.environment import ProcessEnvironment
-from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.storage import StorageNode
 
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -8,7 +8,8 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.transport.links import Link, LinkLost
+from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.links import Link
 from bitternpath.transport.shard_messages import Ownership
 
 
--- a/tests/system/shards/shard_case.py
+++ b/tests/system/shards/shard_case.py
@@ -11,7 +11,7 @@
 
 from bitternpath.configuration.placement import shard_group
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.transport.links import LinkLost
+from bitternpath.transport.errors import LinkLost
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import Message
 from bitternpath.transport.shard_messages import (
--- a/tests/system/test_quota_borrowing.py
+++ b/tests/system/test_quota_borrowing.py
@@ -21,8 +21,8 @@
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_requests import ShardRequests
 from bitternpath.roles.shard_runtime import ShardRuntime
+from bitternpath.transport.errors import LinkLost
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
-from bitternpath.transport.links import LinkLost
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 from bitternpath.transport.shard_messages import RefusalReason, Refused
 
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -267,9 +267,9 @@
         real = ConfigurationState.snapshot
 
         def forgetful(self: ConfigurationState) -> bytes:
-            orders, self._orders = self._orders, type(self._orders)()
+            accepted, self._accepted = self._accepted, type(self._accepted)()
             data = real(self)
-            self._orders = orders
+            self._accepted = accepted
             return data
 
         with patch.object(ConfigurationState, "snapshot", forgetful):
@@ -296,7 +296,7 @@
             for other in (alone, "n3", "n4"):
                 world.blocked |= {(name, other), (other, name)}
 
-        def any_change(self: ReplicaGroup, now: float, members: Members) -> bool:
+        def any_change(self: ReplicaGroup, members: Members) -> bool:
             return True
 
         with patch.object(ReplicaGroup, "_is_safe_change", any_change):
