--- a/bitternpath/membership/__init__.py
+++ b/bitternpath/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the system: peer sampling over shuffled partial views, and the founding of the system."""
+"""Membership of the system: peer sampling over shuffled partial views, and the bootstrap of the system."""
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -14,21 +14,26 @@
 
 log = logbook.Logger("membership")
 
+SHORTEST_PAUSE_S = 0.05  # between rounds, however late the last one was
+
 
 class Gossip(DatagramProtocol):
-    """Carries a view's rounds."""
+    """Carries the rounds of a view."""
 
     noisy = False
     transport: Any
 
     def __init__(self, reactor: Any, view: MembershipView) -> None:
-        self.reactor, self.view = reactor, view
+        self.reactor = reactor
+        self.view = view
         self._timer: Any = None
 
     def startProtocol(self) -> None:
+        """Begin the rounds."""
         self._round()
 
-    def datagramReceived(self, datagram: bytes, addr: Any) -> None:
+    def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
+        """Merge what a peer sent, and respond. Datagrams that can't be read are ignored."""
         try:
             record = RECORDS.decode(datagram)
         except CodecError:
@@ -38,7 +43,7 @@
             self._send(self.view.received(self.reactor.seconds(), sender, record))
 
     def stop(self) -> None:
-        """Say good-bye and send no more."""
+        """Announce that this node leaves, and send no more."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._send(self.view.leave())
@@ -46,7 +51,8 @@
     def _round(self) -> None:
         now = self.reactor.seconds()
         self._send(self.view.tick(now))
-        self._timer = self.reactor.callLater(max(self.view.round_at - now, 0.05), self._round)
+        pause = max(self.view.round_at - now, SHORTEST_PAUSE_S)
+        self._timer = self.reactor.callLater(pause, self._round)
 
     def _send(self, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
@@ -54,4 +60,4 @@
             try:
                 self.transport.write(RECORDS.encode(datagram.record), (host, int(port)))
             except OSError as error:
-                log.debug("event=datagram_not_sent address={} error={}", datagram.address, error)
+                log.debug("event=datagram_send_failed address={} error={}", datagram.address, error)
--- a/bitternpath/replication/wire.py
+++ b/bitternpath/replication/wire.py
@@ -1,6 +1,6 @@
-"""Encoding of consensus messages: one byte for the kind, then Avro (`transport.codec`).
+"""Encoding of consensus messages: one byte for the kind of message, then Avro (`transport.codec`).
 
-The order of the classes in `MESSAGES` is the wire's numbering.
+The order of the classes in `MESSAGES` is the numbering on the wire.
 """
 
 from __future__ import annotations
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -19,7 +19,7 @@
 from bitternpath.replication.group import CompactionBounds
 from bitternpath.replication.host import HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport, NotOwnerError
-from bitternpath.replication.reconfiguration import next_members
+from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Members, RaftTiming
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
@@ -198,7 +198,8 @@
     def _step_members(process: Process, desired: list[str]) -> None:
         host = process.host
         if host.is_owner(GROUP):
-            members = next_members(host.members(GROUP), desired, lambda member: host.caught_up(GROUP, member))
+            status = MemberStatus(caught_up=partial(host.caught_up, GROUP))
+            members = next_members(host.members(GROUP), DesiredMembers(tuple(desired)), status)
             if members is not None:
                 host.change_members(GROUP, members)
 
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -16,6 +16,7 @@
 from bitternpath.replication import member_changes
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.group import ReplicaGroup
+from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus
 from bitternpath.replication.records import EntryKind, Members
 from bitternpath.shards import appends
 from bitternpath.transport.connections import Link
@@ -29,9 +30,9 @@
     def change_members(group: Any, now: float, members: Members) -> bool:
         return group.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
 
-    def at_once(current: Members, desired: Any, *_: Any, generation: int = 0, **__: Any) -> Members | None:
-        changed = Members(tuple(desired), (), generation)
-        return None if set(current.voters) == set(desired) else changed
+    def at_once(current: Members, desired: DesiredMembers, _: MemberStatus) -> Members | None:
+        changed = Members(desired.members, (), desired.generation)
+        return None if set(current.voters) == set(desired.members) else changed
 
     yield patch.object(Raft, "may_change_members", new_callable=PropertyMock, return_value=True)
     yield patch.object(ReplicaGroup, "change_members", change_members)
@@ -42,12 +43,12 @@
     """Removes members that aren't wanted before those that take their place have anything."""
     next_members = member_changes.next_members
 
-    def remove_first(current: Members, desired: Any, *others: Any, **named: Any) -> Members | None:
+    def remove_first(current: Members, desired: DesiredMembers, status: MemberStatus) -> Members | None:
         for voter in current.voters:
-            if voter not in desired and len(current.voters) > 1:
+            if voter not in desired.members and len(current.voters) > 1:
                 voters = tuple(name for name in current.voters if name != voter)
-                return Members(voters, current.learners, named["generation"])
-        return next_members(current, desired, *others, **named)
+                return Members(voters, current.learners, desired.generation)
+        return next_members(current, desired, status)
 
     yield patch.object(member_changes, "next_members", remove_first)
 
--- a/tests/system/test_member_changes.py
+++ b/tests/system/test_member_changes.py
@@ -13,9 +13,9 @@
 from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.member import RaftOptions
-from bitternpath.replication.member_changes import DesiredMembers, MemberChanges
+from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.messages import AppendEntries, RequestVote, RequestVoteResponse
-from bitternpath.replication.reconfiguration import next_members
+from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
 from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
@@ -60,10 +60,8 @@
             with self.subTest(label):
                 found = next_members(
                     members(voters, learners),
-                    ids(desired),
-                    ids(caught_up).__contains__,
-                    silent=ids(silent).__contains__,
-                    owner="a/a",
+                    DesiredMembers(ids(desired)),
+                    MemberStatus(ids(caught_up).__contains__, ids(silent).__contains__, "a/a"),
                 )
                 self.assertEqual(found, None if then is None else members(then, learning))
 
@@ -79,10 +77,12 @@
             for _ in range(100):
                 changed = next_members(
                     current,
-                    desired,
-                    lambda name: random.random() < 0.5,
-                    silent=lambda name: random.random() < 0.5,
-                    owner=current.voters[0],
+                    DesiredMembers(desired),
+                    MemberStatus(
+                        caught_up=lambda name: random.random() < 0.5,
+                        is_silent=lambda name: random.random() < 0.5,
+                        owner=current.voters[0],
+                    ),
                 )
                 if changed is not None:
                     self.assertLessEqual(len(set(changed.voters) ^ set(current.voters)), 1)
@@ -95,11 +95,14 @@
     def test_an_older_placement_changes_nothing(self) -> None:
         current = members("abd", generation=5)
         for generation, expected in ((4, None), (5, members("abd", "c", 5)), (6, members("abd", "c", 6))):
-            found = next_members(current, ids("abc"), lambda name: False, generation=generation)
+            found = next_members(
+                current, DesiredMembers(ids("abc"), generation), MemberStatus(lambda name: False)
+            )
             self.assertEqual(found, expected)
 
     def test_a_newer_placement_is_noted_also_where_nobody_changes(self) -> None:
-        found = next_members(members("abc", generation=1), ids("abc"), lambda name: False, generation=2)
+        desired = DesiredMembers(ids("abc"), 2)
+        found = next_members(members("abc", generation=1), desired, MemberStatus(lambda name: False))
         self.assertEqual(found, members("abc", generation=2))
 
 
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -17,7 +17,7 @@
 )
 from bitternpath.membership.bootstrap import decide_bootstrap, member_id
 from bitternpath.membership.view import STATE_VIEW_SIZE, VIEW_SIZE, MembershipView
-from bitternpath.replication.reconfiguration import next_members
+from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Members
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind, ShuffleRequest
@@ -291,7 +291,12 @@
     def test_steps(self) -> None:
         for label, current, desired, caught_up, expected in self.STEPS:
             with self.subTest(label):
-                self.assertEqual(next_members(current, list(desired), caught_up.__contains__), expected)
+                self.assertEqual(
+                    next_members(
+                        current, DesiredMembers(tuple(desired)), MemberStatus(caught_up.__contains__)
+                    ),
+                    expected,
+                )
 
 
 if __name__ == "__main__":
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -291,7 +291,7 @@
             for other in (alone, "n3", "n4"):
                 world.blocked |= {(name, other), (other, name)}
 
-        def any_change(self: ReplicaGroup, now: float, members: Members) -> bool:
+        def any_change(self: ReplicaGroup, members: Members) -> bool:
             return True
 
         with patch.object(ReplicaGroup, "_is_safe_change", any_change):
