--- a/bitternpath/cli/steward.py
+++ b/bitternpath/cli/steward.py
@@ -47,7 +47,8 @@
         fleet = _fit(settings.fleet)
     except ConfigError as error:
         context.exit(fault(error))
-    from bitternpath.balancer.fleet.steward import StoreError, run
+    from bitternpath.balancer.fleet.steward import run
+    from bitternpath.balancer.fleet.store import StoreError
 
     told = settings.log
     logs.start(told.level, told.format, told.per_second)
--- /dev/null
+++ b/bitternpath/queue/lease_granting.py
@@ -0,0 +1,140 @@
+"""Which ready messages are leased now, in the order of the service queues."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from bitternpath.queue.actions import Action, BorrowTokens, ProposeCommand, RequestPollers
+from bitternpath.queue.commands import GrantLease
+from bitternpath.queue.lease_table import LeaseTable
+from bitternpath.queue.quota_leases import MAX_BORROWED_TOKENS
+from bitternpath.queue.routes import RouteIndex
+from bitternpath.queue.service_queues import ServiceQueue, ServiceQueueTable
+from bitternpath.queue.state import QueueState
+from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
+
+# While messages wait and no pulling worker does, workers are asked for at this interval, doubled each time.
+MIN_POLLERS_REQUEST_INTERVAL_S = 0.05
+MAX_POLLERS_REQUEST_INTERVAL_S = 0.2
+
+# Messages of a service in one shard that are leased before a worker polls, so that it needn't wait for a
+# round of replicas. A later owner takes them for handed out: they wait until their leases end.
+MAX_PREGRANTED_LEASES = 32
+
+
+class LeaseGranter:
+    """Grants leases of ready messages, and of messages that are being appended."""
+
+    def __init__(
+        self,
+        state: QueueState,
+        routes: RouteIndex,
+        services: ServiceQueueTable,
+        leases: LeaseTable,
+        emit: Callable[[Action], None],
+    ) -> None:
+        """Grant from the queues of `services` into `leases`; `emit` takes the actions that follow."""
+        self._state = state
+        self._routes = routes
+        self._services = services
+        self._leases = leases
+        self._emit = emit
+
+    def grant_on_append(self, now: float, tracked: TrackedMessage) -> GrantLease | None:
+        """Return the command that leases a message whose append is proposed; None where it has to wait."""
+        queue = self._queue_on_append(tracked)
+        if queue is None:
+            return None
+        if queue.ready.first(now) is None and queue.next_grant_time(now) == now:
+            command = self._leases.grant(now, queue, tracked)
+            if command is not None:
+                return command
+        if not _may_pregrant(queue):
+            return None
+        command = self._leases.pregrant(now, queue, tracked)
+        self._request_pollers(now, queue)
+        return command
+
+    def grant_ready(self, now: float, queue: ServiceQueue) -> None:
+        """Grant what can be granted of one service."""
+        while (tracked := queue.ready.first(now)) is not None:
+            when = queue.next_grant_time(now)
+            if when != now:
+                self._wait(now, queue, when)
+                return
+            if tracked.pregrant is not None and queue.service.pull_mode:
+                granted = self._hand_out_pregranted(now, queue, tracked, tracked.pregrant)
+            else:
+                granted = self._grant(now, queue, tracked)
+            if not granted:
+                return
+        queue.pollers_request_interval_s = min(
+            queue.pollers_request_interval_s, MIN_POLLERS_REQUEST_INTERVAL_S
+        )
+
+    def _wait(self, now: float, queue: ServiceQueue, when: float | None) -> None:
+        """Have a queue looked at again at `when`; None: after a lease has ended, which marks it dirty."""
+        if when is not None:
+            self._services.wake_at(when, queue)
+        borrower = queue.borrower
+        if borrower is None or not queue.is_short_of_tokens(now):
+            return
+        if now >= borrower.next_request_at:
+            borrower.request_sent(now)
+            self._emit(BorrowTokens(queue.service.name, min(len(queue.ready), MAX_BORROWED_TOKENS)))
+        self._services.wake_at(borrower.next_request_at, queue)
+
+    def _queue_on_append(self, tracked: TrackedMessage) -> ServiceQueue | None:
+        """Return the queue of a message that nothing holds back; None where something does.
+
+        That is as far as is known before its append is applied. An earlier message of its order key that is
+        being appended too makes the lease void when it is applied.
+        """
+        message = tracked.entry.message
+        if message.delay_ms > 0 or (message.order_key and self._state.order_head(message.order_key)):
+            return None
+        self._routes.assign(tracked)
+        return None if tracked.route is None else self._services.find(tracked.route.service)
+
+    def _grant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> bool:
+        """Propose a lease on a ready message; False where it has to wait, and with it those behind it."""
+        self._leases.drop_pregrant(tracked)  # the service's workers don't pull any more
+        command = self._leases.grant(now, queue, tracked)
+        if command is None:
+            self._request_pollers(now, queue)
+            # A worker that had the message may still report its end: a new lease would refuse the report.
+            if tracked.entry.leases_granted or not _may_pregrant(queue):
+                return False
+            command = self._leases.pregrant(now, queue, tracked)
+        tracked.enter(MessagePhase.GRANTING)
+        self._emit(ProposeCommand(command))
+        return True
+
+    def _hand_out_pregranted(
+        self, now: float, queue: ServiceQueue, tracked: TrackedMessage, grant: GrantLease
+    ) -> bool:
+        """Give a message whose lease is committed to a worker; False where none waits."""
+        action = self._leases.hand_out_pregranted(now, queue, tracked, grant)
+        if action is None:
+            self._request_pollers(now, queue)
+            return False
+        self._emit(action)
+        return True
+
+    def _request_pollers(self, now: float, queue: ServiceQueue) -> None:
+        """Ask for pulling workers, of which none waits here: edge nodes may know of some elsewhere."""
+        if not queue.service.pull_mode:
+            return
+        if now >= queue.pollers_requested_at + queue.pollers_request_interval_s:
+            queue.pollers_requested_at = now
+            queue.pollers_request_interval_s = min(
+                2 * queue.pollers_request_interval_s or MIN_POLLERS_REQUEST_INTERVAL_S,
+                MAX_POLLERS_REQUEST_INTERVAL_S,
+            )
+            waiting = max(len(queue.ready), len(queue.pregranted), 1)
+            self._emit(RequestPollers(queue.service.name, waiting))
+        self._services.wake_at(queue.pollers_requested_at + queue.pollers_request_interval_s, queue)
+
+
+def _may_pregrant(queue: ServiceQueue) -> bool:
+    return queue.service.pull_mode and len(queue.pregranted) < MAX_PREGRANTED_LEASES
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -10,9 +10,7 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.replication import peer_status
-from bitternpath.replication.compaction import CompactionBounds as CompactionBounds
-from bitternpath.replication.compaction import CompactionSchedule
-from bitternpath.replication.compaction import bounds_for_disk as bounds_for_disk
+from bitternpath.replication.compaction import CompactionBounds, CompactionSchedule
 from bitternpath.replication.consensus import Raft, RaftEffects
 from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.interfaces import GroupListener, StateMachine
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -16,14 +16,16 @@
 
 from twisted.python.failure import Failure
 
-from bitternpath.replication.group import CompactionBounds
+from bitternpath.replication.compaction import CompactionBounds
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.host import HostOptions, ReplicaHost
-from bitternpath.replication.interfaces import MessageTransport, NotOwnerError
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Members, RaftTiming
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import SimulatedFileSystem, VirtualTimeJournalWriter
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.testing.simulation.replica_checker import (
     Checker,
     CommandLogMachine,
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -19,7 +19,7 @@
 from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus
 from bitternpath.replication.records import EntryKind, Members
 from bitternpath.shards import appends
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 
 Patches = Iterator[Any]
 
@@ -73,9 +73,9 @@
     """A message that was sent to an owner whose link ended is promised not to run."""
 
     def lost(append: Any, failure: Any) -> None:
-        append._without_owner()
+        append._retry_or_reject()
 
-    yield patch.object(appends._Append, "_lost", lost)
+    yield patch.object(appends._PendingAppend, "_response_lost", lost)
 
 
 @contextmanager
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -15,7 +15,8 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from bitternpath.configuration.changes import ChangeProcessor, OperatorResult, not_owner
+from bitternpath.configuration.changes import ChangeProcessor
+from bitternpath.configuration.results import OperatorResult, not_owner
 from bitternpath.membership.view import FORGET_AFTER_S
 from bitternpath.roles import operator_calls
 from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
@@ -171,6 +172,8 @@
 class CutOffTest(unittest.TestCase):
     """Twenty seconds without the owner, in each way."""
 
+    longest_test_s = 45
+
     def begin(self, seed: int) -> tuple[SmallSystem, Watch, int]:
         system = SmallSystem(seed, Plan(core_edges=3, other_edges=2))
         system.found()
@@ -284,7 +287,7 @@
 def systems(system: SmallSystem) -> set[str]:
     """The systems that nodes take themselves for founders of."""
     members = [edge.process.node.member for edge in system.world.edges() if edge.process is not None]
-    foundings = [member.bootstrap_state.founding for member in members if member is not None]
+    foundings = [member.bootstrap_state.decision for member in members if member is not None]
     return {founding.system for founding in foundings if founding is not None}
 
 
--- a/tests/system/test_queue_world.py
+++ b/tests/system/test_queue_world.py
@@ -15,9 +15,10 @@
 
 from msgspec import structs
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable
+from bitternpath.configuration.documents import Configuration, Route
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.commands import AppendMessage, EndAttempt
-from bitternpath.queue.results import Added, AttemptEnded, Result
+from bitternpath.queue.results import AttemptEnded, MessageAppended, Result
 from bitternpath.queue.sharding import shard_for
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
 from tests.system.test_queue_checkers import (
@@ -81,10 +82,10 @@
         return Terms(
             {route.name: route.max_attempts for route in ROUTES},
             {route.name: route.retention_s for route in ROUTES},
-            BOUNDS.visible_ms / 1000,
+            BOUNDS.visibility_timeout_ms / 1000,
             {service.name: service.rate_per_s for service in SERVICES if service.rate_per_s > 0},
-            BOUNDS.ceiling_window_s,
-            BOUNDS.origin_rate_over,
+            BOUNDS.rate_window_s,
+            BOUNDS.rate_tolerance,
             calm=self.faults == CALM,
         )
 
@@ -199,7 +200,7 @@
         accepted = structs.replace(message, accepted_version=edge.table.version)
 
         def applied(result: Result | None) -> None:
-            assert isinstance(result, Added)
+            assert isinstance(result, MessageAppended)
             if not self.lost():
                 self._accept(message, sent)
 
@@ -278,7 +279,7 @@
                 return
             answered[0] = True
             success = outcome is AttemptOutcome.SUCCEEDED
-            end = EndAnswer(request_id, lease_id, self.simulation.now, success, pulled, result.taken)
+            end = EndAnswer(request_id, lease_id, self.simulation.now, success, pulled, result.accepted)
             self.history.ends.append(end)
 
         def attempt() -> None:
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -37,15 +37,13 @@
 from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.replication.response_coalescing import coalesce_append_responses
 from bitternpath.replication.wire import decode_message, encode_message
+from bitternpath.storage.commands import JournalCommand
 from bitternpath.storage.group_state import GroupState
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.records import WriteRecord
 from bitternpath.storage.segments import SegmentLog
-from bitternpath.testing.simulation.file_system import (
-    JournalCommand,
-    SimulatedFileSystem,
-    VirtualTimeJournalWriter,
-)
+from bitternpath.testing.simulation.file_system import SimulatedFileSystem
+from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Plan, Process, World
 from bitternpath.transport.codec import CodecError
@@ -753,6 +751,8 @@
 class Campaign(Quiet):
     """Seeded runs with all faults. A seed that failed once is added to `ONCE_BROKEN`."""
 
+    longest_test_s = 20
+
     SHORT = Plan(seconds=2.0, fault_every=0.3)
     ONCE_BROKEN = (155, 205, 352)  # a snapshot's receiver was started again in between: stuck for ever
 
@@ -890,7 +890,9 @@
         write = StorageWrite(1, 1, "", None, (), Snapshot(4, 1, TRIO, b""), (4, 1))
         journal.write("g", write, lambda: None)
         clock.advance(0)
-        self.assertEqual(SegmentLog(disk, lambda: 1, 1 << 20).kept("g").snapshot, Snapshot(4, 1, TRIO, b""))
+        self.assertEqual(
+            SegmentLog(disk, lambda: 1, 1 << 20).persistent_state("g").snapshot, Snapshot(4, 1, TRIO, b"")
+        )
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -11,8 +11,8 @@
 from itertools import combinations
 from typing import Any
 
-from bitternpath.testing.simulation.settings import LogSizes
-from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.settings import SMALL_LOGS, LogSizes
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 CHANGES = 150
@@ -83,6 +83,8 @@
 
 
 class ManyChanges(unittest.TestCase):
+    longest_test_s = 25
+
     def test_all_members_come_to_the_newest_version(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
@@ -121,6 +123,8 @@
 class Transfers(unittest.TestCase):
     """A state of some size, over narrow links, while it changes faster than it is sent once."""
 
+    longest_test_s = 30
+
     def complete_after(self, logs: LogSizes, seed: int) -> float:
         """Seconds from a wiped member's start until it votes and its former self doesn't."""
         system = SmallSystem(f"transfer-{seed}", Plan(logs=logs))
@@ -168,7 +172,9 @@
         world = system.world
         members = world.nodes[owner].process.node.base.host.members("configuration")
         present = {
-            node.process.node.base.transport.me for node in world.edges() if node.counted and node.process
+            node.process.node.base.transport.member_id
+            for node in world.edges()
+            if node.counted and node.process
         }
         return set(members.voters) == present and not members.learners
 
