--- a/bitternpath/membership/bootstrap.py
+++ b/bitternpath/membership/bootstrap.py
@@ -63,6 +63,7 @@
     """The decision on a disk: a founding member's document, or the decider's."""
 
     def __init__(self, data_dir: Path, disk: NodeDisk | None = None, name: str = BOOTSTRAP_DOCUMENT) -> None:
+        """`disk`: the files below `data_dir`, by default the operating system's; `name`: of the document."""
         self._disk = disk or LocalDisk(data_dir)
         self._name = name
 
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -8,6 +8,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from bitternpath.membership.view import Datagram, MembershipView
+from bitternpath.net.clock import Clock, Timer, cancel_if_active
 from bitternpath.transport.codec import CodecError
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import ShuffleReply, ShuffleRequest
@@ -23,10 +24,11 @@
     noisy = False
     transport: Any
 
-    def __init__(self, reactor: Any, view: MembershipView) -> None:
-        self.reactor = reactor
+    def __init__(self, clock: Clock, view: MembershipView) -> None:
+        """`view`: decides what is sent; the rounds begin with `startProtocol`."""
+        self._clock = clock
         self.view = view
-        self._timer: Any = None
+        self._timer: Timer | None = None
 
     def startProtocol(self) -> None:
         """Begin the rounds."""
@@ -40,19 +42,19 @@
             return
         if isinstance(record, ShuffleRequest | ShuffleReply):
             sender = f"{addr[0]}:{addr[1]}"
-            self._send(self.view.received(self.reactor.seconds(), sender, record))
+            self._send(self.view.received(self._clock.seconds(), sender, record))
 
     def stop(self) -> None:
         """Announce that this node leaves, and send no more."""
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        if self._timer is not None:
+            cancel_if_active(self._timer)
         self._send(self.view.leave())
 
     def _round(self) -> None:
-        now = self.reactor.seconds()
+        now = self._clock.seconds()
         self._send(self.view.tick(now))
         pause = max(self.view.round_at - now, SHORTEST_PAUSE_S)
-        self._timer = self.reactor.callLater(pause, self._round)
+        self._timer = self._clock.callLater(pause, self._round)
 
     def _send(self, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
--- a/bitternpath/replication/bandwidth.py
+++ b/bitternpath/replication/bandwidth.py
@@ -14,6 +14,7 @@
         bytes_per_second: float = TRANSFER_BYTES_PER_SECOND,
         burst_bytes: float = TRANSFER_BURST_BYTES,
     ) -> None:
+        """After a pause `burst_bytes` may be sent at once; the average is `bytes_per_second`."""
         self._rate = bytes_per_second
         self._burst_seconds = burst_bytes / bytes_per_second
         self._next_at = float("-inf")  # theoretical arrival time: when the next chunk is due at an even rate
@@ -29,6 +30,7 @@
     """For groups that share their process with no other traffic."""
 
     def __init__(self) -> None:
+        """Make a budget without a bound; it has no state, and may be shared."""
         super().__init__(float("inf"), 0.0)
 
     def reserve(self, now: float, size: int) -> float:
--- a/bitternpath/replication/consensus.py
+++ b/bitternpath/replication/consensus.py
@@ -118,21 +118,28 @@
                 self._on_vote_request(sender, message)
             case RequestVoteResponse():
                 self._on_vote_response(sender, message)
-            case AppendEntries():
-                if self._accept_leader(sender, message.term, message.heartbeat_round):
-                    self._on_append_entries(sender, message)
-            case InstallSnapshot():
-                if self._accept_leader(sender, message.term, message.heartbeat_round):
-                    self._on_install_snapshot(sender, message)
+            case AppendEntries() | InstallSnapshot():
+                self._on_leader_request(sender, message)
             case AppendEntriesResponse() | InstallSnapshotResponse():
-                if message.term > self.term:
-                    self._become_follower(message.term)
-                elif self.role is MemberRole.LEADER and message.term == self.term and sender in self.peers:
-                    self._on_peer_response(sender, message)
+                self._on_response(sender, message)
             case TimeoutNow():
                 if message.term == self.term and sender == self.leader and self.is_voter:
                     self._stand(leadership_transfer=True)
 
+    def _on_leader_request(self, sender: str, request: AppendEntries | InstallSnapshot) -> None:
+        if not self._accept_leader(sender, request.term, request.heartbeat_round):
+            return
+        if isinstance(request, AppendEntries):
+            self._on_append_entries(sender, request)
+        else:
+            self._on_install_snapshot(sender, request)
+
+    def _on_response(self, sender: str, response: AppendEntriesResponse | InstallSnapshotResponse) -> None:
+        if response.term > self.term:
+            self._become_follower(response.term)
+        elif self.role is MemberRole.LEADER and response.term == self.term and sender in self.peers:
+            self._on_peer_response(sender, response)
+
     # ---- proposals
 
     def propose(self, now: float, kind: int, data: bytes) -> int | None:
--- a/bitternpath/replication/errors.py
+++ b/bitternpath/replication/errors.py
@@ -39,6 +39,7 @@
     """The caller opened a group twice on one host."""
 
     def __init__(self, group: str) -> None:
+        """`group`: the one that is open."""
         super().__init__(f"group {group} is already open")
         self.group = group
 
@@ -51,6 +52,7 @@
     """
 
     def __init__(self, member_id: str, index: int) -> None:
+        """`index`: of the committed entry; `member_id`: the member that holds it."""
         super().__init__(f"{member_id}: entry {index} is committed and would be truncated")
         self.member_id = member_id
         self.index = index
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -94,6 +94,7 @@
         now: float,
         options: GroupOptions,
     ) -> None:
+        """`random`: source of election timeouts and of the spread of compactions; `now`: in seconds."""
         state = identity.state
         self.raft = Raft(identity.member_id, state, random, now, options.raft)
         self.compaction = CompactionSchedule(options.bounds, random, len(state.snapshot.data))
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -64,6 +64,7 @@
         transport: MessageTransport,
         options: HostOptions,
     ) -> None:
+        """`member_id`: the identity of this process's disk in all of its groups; no group is open yet."""
         self.member_id = member_id
         self.groups: dict[str, ReplicaGroup] = {}
         self._clock = clock
--- a/bitternpath/replication/log.py
+++ b/bitternpath/replication/log.py
@@ -40,6 +40,7 @@
     """Entries after `compacted_index`, and the snapshot that covers the ones before."""
 
     def __init__(self, state: PersistentState) -> None:
+        """`state`: what the disk holds; all of it is stable."""
         self.entries = list(state.entries)
         self.compacted_index, self.compacted_term = state.compacted_through
         self.snapshot = state.snapshot
--- a/bitternpath/replication/member.py
+++ b/bitternpath/replication/member.py
@@ -53,6 +53,7 @@
     """The chunks of a snapshot that a follower has received so far, in order."""
 
     def __init__(self, index: int, term: int) -> None:
+        """`index`, `term`: of the last entry that the snapshot includes."""
         self.index = index
         self.term = term
         self.data = bytearray()
@@ -72,6 +73,7 @@
         now: float,
         options: RaftOptions = RaftOptions(),
     ) -> None:
+        """A follower with that persistent state; `random` draws the election timeouts."""
         self.member_id = member_id
         self.random = random
         self.timing = options.timing
--- a/bitternpath/replication/pending_requests.py
+++ b/bitternpath/replication/pending_requests.py
@@ -23,6 +23,7 @@
     """Proposals that wait for the next flush, and those in flight, which have an index in the log."""
 
     def __init__(self) -> None:
+        """No proposal waits."""
         self._queued: list[Proposal] = []
         self._in_flight: deque[tuple[int, Proposal]] = deque()  # by index; of the present ownership
 
@@ -67,6 +68,7 @@
     """Reads that wait for the next flush, and those that wait for a heartbeat round (T 6.4)."""
 
     def __init__(self) -> None:
+        """No read waits."""
         self._queued: list[PendingRead] = []
         self._started: deque[PendingRead] = deque()  # by heartbeat round
 
--- a/bitternpath/replication/progress.py
+++ b/bitternpath/replication/progress.py
@@ -17,6 +17,7 @@
     __slots__ = ("chunk_round", "due", "offset", "snapshot")
 
     def __init__(self, snapshot: Snapshot) -> None:
+        """Nothing of the snapshot was sent yet."""
         self.snapshot = snapshot
         self.offset = 0  # of the chunk that was sent last, or is due
         self.chunk_round = 0  # the heartbeat round in which that chunk was sent
@@ -45,6 +46,7 @@
     )
 
     def __init__(self, next_index: int, now: float) -> None:
+        """A peer that has confirmed nothing; it counts as heard at `now`."""
         self.next_index = next_index
         self.match_index = 0
         self.answered_round = 0  # the last heartbeat round that the peer answered; 0: none
