--- a/tests/system/test_founding_faults.py
+++ b/tests/system/membership/test_bootstrap_faults.py
@@ -1,4 +1,4 @@
-"""The founding under faults, in the simulated world: one system at most, and one that works.
+"""Bootstrap under faults, in the simulated world: at most one system, and one that works.
 
 Whoever is killed or loses power while the system is being founded, also the process that decides, comes back
 with `bootstrap = false`; a part that is cut off founds nothing; a founder that was away when the others were
@@ -16,7 +16,7 @@
 
 GROUP = "configuration"
 MOMENTS_S = (0.32, 0.35, 0.8, 1.4, 1.6, 1.7, 1.8, 1.85, 1.9, 2.0, 2.2)  # of the fault
-FOUNDED_BY_S = 14.0  # patience of the decider, an election and an order, from its second start on
+BOOTSTRAPPED_BY_S = 14.0  # patience of the decider, an election and an order, from its second start on
 SETTLED_S = 12.0
 
 
@@ -31,10 +31,10 @@
     return [member for member in found if member is not None]
 
 
-def founded_systems(system: SmallSystem) -> set[str]:
-    """As the founders have them on disk."""
-    foundings = [member.bootstrap_state.decision for member in members(system)]
-    return {founding.system for founding in foundings if founding is not None}
+def bootstrapped_systems(system: SmallSystem) -> set[str]:
+    """The systems that the members have on disk."""
+    decisions = [member.bootstrap_state.decision for member in members(system)]
+    return {decision.system for decision in decisions if decision is not None}
 
 
 def decider(system: SmallSystem) -> SimulatedNode:
@@ -44,7 +44,7 @@
 
 
 def voters(system: SmallSystem) -> set[str]:
-    """As the owner has them; empty without an owner."""
+    """The voters that the owner knows; empty without an owner."""
     for member in members(system):
         if member.is_owner():
             return set(member.host.members(GROUP).voters)
@@ -56,31 +56,31 @@
     return bool(member.is_open and member.host.members(GROUP).voters)
 
 
-class FoundingTest(unittest.TestCase):
-    """Faults during the founding."""
+class BootstrapFaultsTest(unittest.TestCase):
+    """Faults during the bootstrap."""
 
     longest_test_s = 70
 
-    def take_first(self, system: SmallSystem, since: float) -> None:
-        """The first configuration is accepted."""
+    def accept_first_configuration(self, system: SmallSystem, since: float) -> None:
+        """Have the first configuration accepted in time."""
         world = system.world
-        while world.now - since < FOUNDED_BY_S:
+        while world.now - since < BOOTSTRAPPED_BY_S:
             answer = system.put(1, 0, int(world.now * 3) % len(world.edges()))
             world.run_for(0.5)
             if answer.status == 200:
                 return
-        self.fail(f"no first configuration {FOUNDED_BY_S} s after the fault")
+        self.fail(f"no first configuration {BOOTSTRAPPED_BY_S} s after the fault")
 
     def check(self, system: SmallSystem) -> None:
-        """One system; all its members take part."""
+        """Check that there is one system, and that all its members take part."""
         world = system.world
         world.run_for(SETTLED_S)
-        self.assertEqual(len(founded_systems(system)), 1)
+        self.assertEqual(len(bootstrapped_systems(system)), 1)
         self.assertEqual([has_members(member) for member in members(system)], [True] * len(members(system)))
         self.assertEqual(voters(system), {member.host.member_id for member in members(system)})
         self.assertEqual((world.violations, world.failures), ([], []))
 
-    def test_whoever_is_killed_or_loses_power(self) -> None:
+    def test_any_node_is_killed_or_loses_power(self) -> None:
         for fault in ("kill", "lose_power"):
             for place in range(3):
                 for number, moment in enumerate(MOMENTS_S):
@@ -90,7 +90,7 @@
                         node = [decider(system), *others][place]
                         system.world.at(moment, getattr(system.world, fault), node.name)
                         system.world.run_until(moment + 0.5)
-                        self.take_first(system, system.world.now)
+                        self.accept_first_configuration(system, system.world.now)
                         self.check(system)
 
     def test_the_decider_is_killed_twice(self) -> None:
@@ -101,7 +101,7 @@
                 system.world.at(first, system.world.kill, name)
                 system.world.at(second, system.world.kill, name)
                 system.world.run_until(second + 0.5)
-                self.take_first(system, system.world.now)
+                self.accept_first_configuration(system, system.world.now)
                 self.check(system)
 
     def test_a_decider_that_lost_its_disk_never_decides_again(self) -> None:
@@ -110,10 +110,10 @@
                 system = SmallSystem(5)
                 system.world.at(moment, system.world.wipe, decider(system).name)
                 system.world.run_until(20.0)
-                self.assertLessEqual(len(founded_systems(system)), 1)
+                self.assertLessEqual(len(bootstrapped_systems(system)), 1)
                 self.assertEqual(system.world.violations, [])
 
-    def test_a_part_that_is_cut_off_founds_nothing(self) -> None:
+    def test_a_partitioned_part_decides_nothing(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 system = SmallSystem(seed, Plan(core_edges=5, other_edges=2, tolerated_machines=2))
@@ -135,10 +135,10 @@
                 for name in far:  # they have never heard of the others: only the file can name them
                     world.rejoin(name)
                     world.reload(name, seeds=world.current_seeds())
-                self.take_first(system, world.now)
+                self.accept_first_configuration(system, world.now)
                 self.check(system)
 
-    def test_a_founder_that_was_away_becomes_a_voter_though_the_decider_is_gone(self) -> None:
+    def test_a_founder_that_was_away_becomes_a_voter_without_the_decider(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 system = SmallSystem(seed)
@@ -146,14 +146,14 @@
                 away = next(edge for edge in world.edges() if edge is not decider(system) and edge.counted)
                 world.at(1.5, world.cut_off, away.name)
                 world.run_until(3.5)
-                self.take_first(system, world.now)
+                self.accept_first_configuration(system, world.now)
                 world.kill(away.name)
                 world.kill(decider(system).name, 8.0)
                 world.at(world.now + 1.0, world.rejoin, away.name)
                 world.run_for(8.0)
                 self.check(system)
 
-    def test_one_that_is_no_founder_becomes_a_voter_in_its_first_life(self) -> None:
+    def test_a_member_that_is_no_founder_becomes_a_voter_in_its_first_incarnation(self) -> None:
         system = SmallSystem(2, Plan(core_edges=8, other_edges=0))
         world = system.world
         system.found()
--- a/tests/system/test_membership_reunion.py
+++ b/tests/system/membership/test_partition_recovery.py
@@ -1,4 +1,4 @@
-"""Two parts of the system that were cut off from each other until they had forgotten each other."""
+"""Two parts of the system that were partitioned until they had forgotten each other."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from bitternpath.membership.view import FORGET_AFTER_S, MembershipView
-from tests.system.test_membership import World, node
+from tests.system.membership.view_network import ViewNetwork, node
 
 CUT_S = 2 * FORGET_AFTER_S
 REUNITED_S = 4.0  # DEPLOY, `contact_ms`
@@ -16,7 +16,7 @@
 NEAR, FAR = 5, 7
 
 
-class CutWorld(World):
+class CutWorld(ViewNetwork):
     """Views of two parts; while `cut`, no datagram goes from one part to the other."""
 
     def __init__(self, seed: int) -> None:
@@ -34,7 +34,7 @@
         super()._carry(sender, kept)
 
     def restart_far(self) -> None:
-        """Processes of the far part begin anew, with seeds of their own side only."""
+        """Restart the processes of the far part, with seeds of their own part only."""
         far = [address for address in self.views if address not in self.near]
         for number, address in enumerate(far):
             later = replace(self.views[address].local_node, incarnation=2, heartbeat=0)
@@ -42,7 +42,7 @@
 
 
 class ReunionTest(unittest.TestCase):
-    def test_they_meet_again_though_no_settings_name_the_other_part(self) -> None:
+    def test_parts_meet_again_though_no_settings_name_the_other_part(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
                 world = CutWorld(seed)
@@ -57,7 +57,7 @@
                 counted = {len(view.counted_edges()) for view in world.views.values()}
                 self.assertEqual(counted, {(NEAR + FAR) // 2})
 
-    def test_a_node_that_said_good_bye_is_asked_no_more(self) -> None:
+    def test_a_node_that_announced_its_leave_is_not_contacted_again(self) -> None:
         view = MembershipView(node(0), (), Random(1), 0.0)
         view.observe(1.0, node(1))
         view.observe(1.0, replace(node(2), draining=True))
--- a/tests/system/loaded_group.py
+++ b/tests/system/replication/loaded_group.py
@@ -1,25 +1,12 @@
-"""A replica group in virtual time with changes at an even rate, for tests that make their own faults."""
+"""A replica group in virtual time with commands at an even rate, for tests that inject their own faults."""
 
 from __future__ import annotations
 
-import unittest
-
-import logbook
-
 from bitternpath.testing.simulation.replica_group import GROUP, Node, Plan, Process, World
 
 
-class Quiet(unittest.TestCase):
-    """Expected errors of state machines are not printed."""
-
-    def setUp(self) -> None:
-        handler = logbook.NullHandler()
-        handler.push_application()
-        self.addCleanup(handler.pop_application)
-
-
-class Loaded(World):
-    """Changes at an even rate, without faults but those that a test makes."""
+class LoadedGroup(World):
+    """Commands at an even rate; the only faults are those that a test injects."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed, Plan())
@@ -28,7 +15,7 @@
         self.every = 0.0
 
     def owner(self) -> Process:
-        """The one that leads."""
+        """The process that owns the group; waits for one."""
 
         def found() -> list[Process]:
             processes = [node.process for node in self.nodes.values() if node.process]
@@ -38,12 +25,12 @@
         return found()[0]
 
     def change(self, size: int = 20) -> None:
-        """Propose one change."""
+        """Propose one command."""
         self.serial += 1
         self.propose(self.owner(), b"%08d" % self.serial + bytes(size))
 
     def changes(self, every: float) -> None:
-        """Go on proposing, until `every` is 0."""
+        """Propose a command every so many seconds, until `every` is set to 0."""
         self.every = every
         if every:
             self.change()
@@ -55,6 +42,6 @@
         return next(node for node in self.nodes.values() if node.process is not owner)
 
     def is_current(self, node: Node) -> bool:
-        """Whether a node has all but the last changes, those of some round trips."""
+        """Whether a node has applied all but the commands of the last round trips."""
         process = node.process
         return process is not None and len(process.register.commands) >= len(self.checker.committed) - 12
--- /dev/null
+++ b/tests/system/replication/member_ids.py
@@ -0,0 +1,14 @@
+"""Members by letters: `a` is the member a/a, `A` the same node with another disk."""
+
+from __future__ import annotations
+
+from bitternpath.replication.records import Members
+
+
+def members(voters: str, learners: str = "", generation: int = 0) -> Members:
+    """By letters; a capital letter is the same node with another disk."""
+    return Members(ids(voters), ids(learners), generation)
+
+
+def ids(names: str) -> tuple[str, ...]:
+    return tuple(f"{name.lower()}/{name}" for name in names)
--- a/tests/system/test_first_votes.py
+++ b/tests/system/replication/test_first_elections.py
@@ -18,7 +18,7 @@
 MEDIAN_S = 1.4 * SYSTEM_TIMING.election_timeout
 
 
-class FirstVotes(unittest.TestCase):
+class FirstElectionsTest(unittest.TestCase):
     def owned_after(self, seed: int) -> dict[str, float]:
         """By group, the seconds from the start of the last process until the group has an owner."""
         system = SmallSystem(seed)
@@ -34,7 +34,7 @@
         gained: list[Ownership] = [told for told in world.ownerships[before:] if told.gained]
         return {told.group: told.at - began for told in reversed(gained)}
 
-    def test_the_first_votes_that_are_asked_for_arrive(self) -> None:
+    def test_first_vote_requests_arrive_after_a_power_loss(self) -> None:
         configuration: list[float] = []
         shards: list[float] = []
         for seed in range(SEEDS):
--- a/tests/system/test_lagging_voters.py
+++ b/tests/system/replication/test_lagging_voters.py
@@ -31,14 +31,14 @@
         self.members: dict[str, Raft] = {}
         for name, length in lengths.items():
             entries = [Entry(index, 1, EntryKind.COMMAND, b"x") for index in range(1, length + 1)]
-            kept = PersistentState(1, "a", Snapshot(members=MEMBERS), (0, 0), entries)
-            raft = Raft(name, kept, Random(self.random.random()), 0.0, RaftOptions(SYSTEM_TIMING))
+            state = PersistentState(1, "a", Snapshot(members=MEMBERS), (0, 0), entries)
+            raft = Raft(name, state, Random(self.random.random()), 0.0, RaftOptions(SYSTEM_TIMING))
             self.members[name] = raft
         self.queue: list[tuple[float, int, str, object]] = []
         self.count = 0
 
     def run(self) -> tuple[float, str]:
-        """When a leader has had an entry of its own committed, and who."""
+        """When a leader has committed an entry of its own term, and its name; "" after 60 s without one."""
         while self.now < 60.0:
             for name, raft in self.members.items():
                 self._collect(name, raft)
@@ -48,7 +48,7 @@
         return self.now, ""
 
     def step(self) -> None:
-        """Let the next thing happen, with all that follows at once."""
+        """Play the next event, with all that follows from it."""
         self._next()
         for name, raft in self.members.items():
             self._collect(name, raft)
@@ -79,17 +79,17 @@
             self.members[alarm[1]].tick(self.now)
 
 
-class LaggingVoters(unittest.TestCase):
-    def test_one_that_has_all_entries_leads_soon(self) -> None:
+class LaggingVotersTest(unittest.TestCase):
+    def test_a_member_with_all_entries_is_elected_soon(self) -> None:
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 seconds, leader = Election(seed, {"b": 100, "c": 99, "d": 40, "e": 40}).run()
                 self.assertIn(leader, ("b", "c"))
                 self.assertLess(seconds, LONGEST_S)
 
-    def test_in_a_long_log_a_lost_member_that_comes_first_holds_nobody_up(self) -> None:
+    def test_a_lost_member_that_sorts_first_delays_nobody_in_a_long_log(self) -> None:
         """A new leader knows nothing of what its followers have, nor of their delays: the lost one once
-        stayed among those that get entries at once, and the leader's first entry lacked a majority."""
+        stayed a replication target, and the leader's first entry lacked a majority."""
         lengths = dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100)
         for seed in range(SEEDS):
             for lagging in ({}, {"d": 300, "e": 300}):
@@ -97,7 +97,7 @@
                     seconds, _ = Election(seed, lengths | lagging).run()
                     self.assertLess(seconds, LONGEST_S)
 
-    def test_a_silent_member_is_replaced_among_those_that_get_entries_at_once(self) -> None:
+    def test_a_silent_member_is_no_replication_target(self) -> None:
         election = Election(1, dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100))
         _, leader = election.run()
         self.assertTrue(leader)
@@ -106,7 +106,7 @@
             election.step()
         self.assertNotIn("a", election.members[leader].replication_targets)
 
-    def test_one_that_lacks_entries_hastens_those_that_have_them(self) -> None:
+    def test_a_pre_candidate_that_lacks_entries_makes_others_stand_early(self) -> None:
         times = [Election(seed, {"b": 100, "c": 40, "d": 40, "e": 40}).run()[0] for seed in range(SEEDS)]
         self.assertLess(sum(times) / SEEDS, 1.6 * SYSTEM_TIMING.election_timeout)
 
--- /dev/null
+++ b/tests/system/replication/test_member_changes.py
@@ -0,0 +1,210 @@
+"""Steps from the present to the desired members, and who may propose them."""
+
+from __future__ import annotations
+
+import unittest
+from random import Random
+from typing import Any, cast
+
+from bitternpath.replication.group import GroupApplication, GroupOptions, MemberIdentity, ReplicaGroup
+from bitternpath.replication.host import SYSTEM_TIMING
+from bitternpath.replication.member import RaftOptions
+from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
+from bitternpath.replication.records import Members, PersistentState, Snapshot
+from tests.system.replication.member_ids import ids, members
+from tests.system.replication.stateless_machine import StatelessMachine
+
+
+class ReconfigurationStepsTest(unittest.TestCase):
+    """Who leaves and joins, and in which order."""
+
+    CASES = (
+        # current, desired, caught up, silent, next
+        ("a lost disk leaves as its successor learns", "abc", "", "abC", "", "c", "ab", "C"),
+        ("the successor votes once it has caught up", "ab", "C", "abC", "C", "", "abC", ""),
+        ("of two lost disks one leaves first", "abcde", "", "abcDE", "", "", "abce", "DE"),
+        ("the other when four vote would be too few", "abce", "DE", "abcDE", "", "", None, ""),
+        ("the other once there are five again", "abceD", "E", "abcDE", "", "", "abcD", "E"),
+        ("of two lost disks of three none but one leaves", "ab", "BC", "aBC", "", "", None, ""),
+        ("a silent voter stays until another votes", "abc", "", "abd", "", "c", "abc", "d"),
+        ("a silent voter goes first", "abcxy", "", "abd", "", "y", "abcx", "d"),
+        ("a silent voter doesn't wait for a slow learner", "abcxd", "e", "abde", "", "c", "abxd", "e"),
+        ("a voter that is heard waits for all", "abcxd", "e", "abde", "", "", None, ""),
+        ("then it goes", "abcde", "", "abde", "", "", "abde", ""),
+        ("the owner leaves last", "abcd", "", "cd", "", "", "acd", ""),
+        ("a single voter stays", "a", "", "A", "", "", "a", "A"),
+        ("learners change with voters", "abc", "xy", "abC", "", "", "ab", "C"),
+    )
+
+    def test_steps(self) -> None:
+        for label, voters, learners, desired, caught_up, silent, then, learning in self.CASES:
+            with self.subTest(label):
+                found = next_members(
+                    members(voters, learners),
+                    DesiredMembers(ids(desired)),
+                    MemberStatus(ids(caught_up).__contains__, ids(silent).__contains__, "a/a"),
+                )
+                self.assertEqual(found, None if then is None else members(then, learning))
+
+    def test_a_group_ends_with_its_desired_members_and_never_with_fewer_than_2f_voters(self) -> None:
+        random = Random(37)
+        for _ in range(300):
+            tolerated = random.choice([1, 2])
+            wanted = 2 * tolerated + 1
+            names = "abcdefghij"
+            current = members("".join(random.sample(names, wanted)))
+            chosen = random.sample(names, wanted)
+            desired = ids("".join(name.upper() if random.random() < 0.3 else name for name in chosen))
+            for _ in range(100):
+                changed = next_members(
+                    current,
+                    DesiredMembers(desired),
+                    MemberStatus(
+                        caught_up=lambda name: random.random() < 0.5,
+                        is_silent=lambda name: random.random() < 0.5,
+                        owner=current.voters[0],
+                    ),
+                )
+                if changed is not None:
+                    self.assertLessEqual(len(set(changed.voters) ^ set(current.voters)), 1)
+                    self.assertGreaterEqual(len(changed.voters), 2 * tolerated)
+                    current = changed
+                elif set(current.voters) == set(desired):
+                    break
+            self.assertEqual((set(current.voters), current.learners), (set(desired), ()))
+
+    def test_an_older_placement_changes_nothing(self) -> None:
+        current = members("abd", generation=5)
+        for generation, expected in ((4, None), (5, members("abd", "c", 5)), (6, members("abd", "c", 6))):
+            found = next_members(
+                current, DesiredMembers(ids("abc"), generation), MemberStatus(lambda name: False)
+            )
+            self.assertEqual(found, expected)
+
+    def test_a_newer_generation_is_committed_even_without_a_change_of_members(self) -> None:
+        desired = DesiredMembers(ids("abc"), 2)
+        found = next_members(members("abc", generation=1), desired, MemberStatus(lambda name: False))
+        self.assertEqual(found, members("abc", generation=2))
+
+
+class GenerationFenceTest(unittest.TestCase):
+    """The group itself refuses members of an older placement."""
+
+    def test_generations_never_fall(self) -> None:
+        machine = StatelessMachine()
+        state = PersistentState(snapshot=Snapshot(members=members("a", generation=5)))
+        group = ReplicaGroup(
+            MemberIdentity("a/a", state),
+            GroupApplication(machine, machine),
+            Random(1),
+            0.0,
+            GroupOptions(RaftOptions(SYSTEM_TIMING)),
+        )
+        now = 0.0
+        for _ in range(100):
+            now += 0.05
+            group.raft.tick(now)
+            for write in group.flush(now).writes:
+                group.raft.write_completed(now, write.number)
+        self.assertTrue(group.is_owner)
+        self.assertFalse(group.change_members(now, members("a", "b", 4)))
+        self.assertTrue(group.change_members(now, members("a", "b", 6)))
+
+
+class OwnerHost:
+    """A host that owns a group, as `MemberChanges` sees it."""
+
+    member_id = "a/a"
+
+    def __init__(self, current: Members) -> None:
+        self.current = current
+        self.open_change = False
+        self.caught: set[str] = set()
+        self.transfer_targets: list[str] = []
+
+    def is_owner(self, group: str) -> bool:
+        return True
+
+    def members(self, group: str) -> Members:
+        return self.current
+
+    def committed_members(self, group: str) -> Members | None:
+        return None if self.open_change else self.current
+
+    def caught_up(self, group: str, member: str) -> bool:
+        return member in self.caught
+
+    def unresponsive_for(self, group: str, member: str) -> float:
+        return 0.0
+
+    def transfer_leadership(self, group: str, to: str) -> bool:
+        self.transfer_targets.append(to)
+        return to == "c/c"
+
+    def change_members(self, group: str, named: Members) -> bool:
+        self.current, self.open_change = named, True
+        return True
+
+
+class MemberChangesTest(unittest.TestCase):
+    """Steps follow what has happened."""
+
+    def test_changes_are_made_one_at_a_time_and_as_soon_as_possible(self) -> None:
+        host = OwnerHost(members("abc", generation=1))
+        committed: list[Members] = []
+        changes = MemberChanges(cast(Any, host), lambda group: committed.append(host.current))
+        changes.set_desired("g", ids("abC"), 2)
+        self.assertEqual(host.current, members("ab", "C", 2))
+        host.caught.add("c/C")
+        changes.reconcile("g")
+        self.assertEqual(host.current, members("ab", "C", 2))  # the one before isn't committed
+        host.open_change = False
+        changes.reconcile("g")
+        self.assertEqual(host.current, members("abC", "", 2))
+        host.open_change = False
+        committed.clear()
+        changes.reconcile("g")
+        self.assertEqual(committed, [members("abC", "", 2)])
+
+    def test_an_owner_that_is_to_leave_transfers_ownership_first(self) -> None:
+        host = OwnerHost(members("abcd", generation=1))
+        changes = MemberChanges(cast(Any, host))
+        changes.set_desired("g", ids("bcd"), 2)
+        self.assertEqual(host.transfer_targets, ["b/b", "c/c"])
+        self.assertEqual(host.current, members("abcd", generation=1))
+
+    def test_an_older_generation_changes_nothing(self) -> None:
+        self.assertEqual(DesiredMembers(ids("a"), 3).generation, 3)
+        host = OwnerHost(members("abc", generation=7))
+        changes = MemberChanges(cast(Any, host))
+        changes.set_desired("g", ids("abd"), 6)  # this owner hasn't heard of the newest placement
+        self.assertEqual(host.current, members("abc", generation=7))
+
+
+class LearnersFirstTest(unittest.TestCase):
+    """One member at a time, learners first."""
+
+    STEPS = (
+        ("nothing to do", Members(("a", "b", "c")), "abc", "", None),
+        ("learner first", Members(("a", "b", "c")), "abd", "", Members(("a", "b", "c"), ("d",))),
+        ("not before it has caught up", Members(("a", "b", "c"), ("d",)), "abd", "", None),
+        ("voter once it has", Members(("a", "b", "c"), ("d",)), "abd", "d", Members(("a", "b", "c", "d"))),
+        ("then the old one goes", Members(("a", "b", "c", "d")), "abd", "", Members(("a", "b", "d"))),
+        ("a learner that isn't wanted goes", Members(("a", "b"), ("x",)), "ab", "x", Members(("a", "b"))),
+        ("the last voter stays", Members(("a",)), "", "", None),
+    )
+
+    def test_steps(self) -> None:
+        for label, current, desired, caught_up, expected in self.STEPS:
+            with self.subTest(label):
+                self.assertEqual(
+                    next_members(
+                        current, DesiredMembers(tuple(desired)), MemberStatus(caught_up.__contains__)
+                    ),
+                    expected,
+                )
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -0,0 +1,100 @@
+"""A snapshot in chunks from one host to another: lost chunks, restarts, confirmation."""
+
+from __future__ import annotations
+
+import unittest
+from random import Random
+from unittest.mock import patch
+
+from bitternpath.replication import snapshots
+from bitternpath.replication.compaction import CompactionBounds
+from bitternpath.replication.messages import (
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+)
+from tests.system.replication.quiet_logs import QuietLogsTestCase
+from tests.system.replication.scripted_peers import TRIO, ScriptedHost
+
+
+class SnapshotChunksTest(QuietLogsTestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        small = patch.object(snapshots, "CHUNK_BYTES", 100)
+        small.start()
+        self.addCleanup(small.stop)
+        self.host = ScriptedHost("a", bounds=CompactionBounds(size=1 << 20, entries=20, kept=0))
+        self.host.open(TRIO)
+        self.host.lead()
+        for i in range(100):
+            self.host.host.propose("g", b"command %d" % i)
+            self.host.answer("b", self.host.turn())
+            self.host.run(0.003)
+
+    def play(self, follower: ScriptedHost, seconds: float, lost: frozenset[int] = frozenset()) -> int:
+        """Exchange messages, but for the chunks numbered in `lost`; how many chunks with data were sent."""
+        chunks = 0
+        for _ in range(round(seconds / 0.002)):
+            sent = self.host.run(0.002)
+            self.host.answer("b", sent)
+            for receiver, message in sent:
+                if receiver != "c":
+                    continue
+                if isinstance(message, InstallSnapshot) and message.chunk:
+                    chunks += 1
+                    if chunks in lost:
+                        continue
+                follower.receive("a", message)
+            for _, answer in follower.run(0.002):
+                if isinstance(answer, AppendEntriesResponse | InstallSnapshotResponse):
+                    self.host.receive("c", answer)
+        return chunks
+
+    def follower(self) -> ScriptedHost:
+        follower = ScriptedHost("c")
+        follower.open(TRIO)
+        return follower
+
+    @property
+    def offset(self) -> int:
+        """Offset of the chunk that was sent last."""
+        transfer = self.host.host.groups["g"].raft.peers["c"].transfer
+        return transfer.offset if transfer is not None else 0
+
+    @property
+    def size(self) -> int:
+        return len(self.host.host.groups["g"].raft.snapshot.data)
+
+    def test_each_chunk_is_sent_once_and_the_rest_as_entries(self) -> None:
+        follower = self.follower()
+        chunks = self.play(follower, 2)
+        self.assertEqual(chunks, -(-self.size // 100))
+        self.assertEqual(follower.machine.commands, self.host.machine.commands)
+
+    def test_a_lost_chunk_is_sent_again(self) -> None:
+        follower = self.follower()
+        chunks = self.play(follower, 3, lost=frozenset({1, 4}))
+        self.assertEqual(chunks, -(-self.size // 100) + 2)
+        self.assertEqual(follower.machine.commands, self.host.machine.commands)
+
+    def test_a_follower_restarted_during_the_transfer_gets_the_whole_snapshot(self) -> None:
+        """It responds that it has nothing; once the leader went on at the old offset for ever."""
+        first = self.follower()
+        while self.offset < 300:
+            self.play(first, 0.002)
+        again = self.follower()
+        self.play(again, 3)
+        self.assertEqual(again.machine.commands, self.host.machine.commands)
+
+    def test_the_snapshot_is_on_disk_before_it_is_confirmed(self) -> None:
+        follower = self.follower()
+        self.play(follower, 2)
+        follower.disk.lose_power(Random(1))
+        again = ScriptedHost("c", follower.disk)
+        again.open(None)
+        self.assertGreater(len(again.machine.commands), 50)
+        self.assertEqual(again.host.members("g"), TRIO)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/system/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -1,5 +1,5 @@
-"""Tests of snapshot transfers in virtual time: they end while changes go on, go on where they were, are
-checked, and are bounded in bandwidth."""
+"""Snapshot transfers in virtual time: they end while commands go on, resume, are checked, and are bounded in
+bandwidth."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 from bitternpath.replication.wire import decode_message
 from bitternpath.testing.simulation import replica_group
 from bitternpath.testing.simulation.replica_group import GROUP, Process
-from tests.system.loaded_group import Loaded, Quiet
+from tests.system.replication.loaded_group import LoadedGroup
+from tests.system.replication.quiet_logs import QuietLogsTestCase
 from tests.system.storage.state_machines import LastCommands, SilentListener
 
 TRIO = Members(("a", "b", "c"))
-SMALL_PIECE = 150  # bytes
+SMALL_CHUNK = 150  # bytes
 BEFORE = 300  # changes that the returning node lacks
 EVERY = 0.005  # s between changes while it is brought up: a snapshot every 12 of them
 LINK_BYTES_PER_SECOND = 50 << 20
@@ -36,18 +37,18 @@
 GROUP_BYTES = 3 << 20  # state of each
 
 
-class Superseded(Quiet):
-    """A follower comes back while changes go on, and snapshots are made faster than they can be sent."""
+class SupersededSnapshotTest(QuietLogsTestCase):
+    """A follower returns while commands go on, and snapshots are taken faster than they can be sent."""
 
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE)
+        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_CHUNK)
         small.start()
         self.addCleanup(small.stop)
 
-    def come_back(self, wiped: bool, seconds: float) -> tuple[bool, int]:
+    def return_to_group(self, wiped: bool, seconds: float) -> tuple[bool, int]:
         """Whether it caught up while changes went on, and how many snapshots the leader made meanwhile."""
-        world = Loaded()
+        world = LoadedGroup()
         node = world.follower()
         world._end(node)
         for _ in range(BEFORE):
@@ -71,15 +72,15 @@
             caught_up = world.run_until(lambda: world.is_current(node), seconds)
         return caught_up, len(made)
 
-    def test_a_transfer_ends_though_newer_snapshots_are_made(self) -> None:
+    def test_a_transfer_ends_although_newer_snapshots_are_taken(self) -> None:
         for wiped in (False, True):
             with self.subTest(wiped=wiped):
-                caught_up, made = self.come_back(wiped, 5.0)
+                caught_up, made = self.return_to_group(wiped, 5.0)
                 self.assertTrue(caught_up)
                 self.assertGreater(made, 3, "the transfer was not superseded")
 
-    def test_a_build_that_begins_anew_at_each_snapshot_is_caught(self) -> None:
-        """As it was: the transfer went on with the newest snapshot, whose first piece the follower lacked."""
+    def test_a_build_that_restarts_at_each_snapshot_is_caught(self) -> None:
+        """Once a transfer continued with the newest snapshot, whose first chunk the follower lacked."""
         real = Raft.compact
 
         def compact(self: Raft, index: int, data: bytes, keep: int) -> None:
@@ -89,40 +90,40 @@
                     peer.transfer.snapshot = self.snapshot
 
         with patch.object(Raft, "compact", compact):
-            caught_up, made = self.come_back(False, 20.0)
+            caught_up, made = self.return_to_group(False, 20.0)
         self.assertFalse(caught_up)
         self.assertGreater(made, 50)
 
     def test_a_build_that_keeps_no_entries_behind_the_snapshot_is_caught(self) -> None:
         with patch.object(Raft, "needed_index", property(lambda self: self.last_index + 1)):
-            caught_up, _ = self.come_back(False, 20.0)
+            caught_up, _ = self.return_to_group(False, 20.0)
         self.assertFalse(caught_up)
 
 
-class Follower(Quiet):
-    """One member, fed by hand."""
+class FollowerTest(QuietLogsTestCase):
+    """One consensus member; the test sends it messages."""
 
     def raft(self, entries: list[Entry] | None = None, term: int = 1) -> Raft:
-        kept = PersistentState(term, "", Snapshot(members=TRIO), (0, 0), entries or [])
-        return Raft("b", kept, Random(1), 0.0)
+        state = PersistentState(term, "", Snapshot(members=TRIO), (0, 0), entries or [])
+        return Raft("b", state, Random(1), 0.0)
 
-    def test_a_damaged_piece_is_not_taken(self) -> None:
+    def test_a_corrupt_chunk_is_rejected(self) -> None:
         raft = self.raft()
         raft.receive(1.0, "a", InstallSnapshot(2, 9, 2, TRIO, 6, 0, b"abc", crc32(b"abd"), 1))
         self.assertEqual(raft.take_effects(1.0).messages, [("a", InstallSnapshotResponse(2, 9, 0, False, 1))])
         raft.receive(1.0, "a", InstallSnapshot(2, 9, 2, TRIO, 6, 0, b"abc", crc32(b"abc"), 2))
         self.assertEqual(raft.take_effects(1.0).messages, [("a", InstallSnapshotResponse(2, 9, 3, False, 2))])
 
-    def test_a_snapshot_takes_the_place_of_a_longer_wrong_log(self) -> None:
+    def test_a_snapshot_replaces_a_longer_conflicting_log(self) -> None:
         wrong = [Entry(index, 1, EntryKind.COMMAND, b"wrong") for index in range(1, 40)]
         raft = self.raft(wrong)
         data = b"state"
         raft.receive(1.0, "a", InstallSnapshot(3, 9, 2, TRIO, len(data), 0, data, crc32(data), 1))
-        out = raft.take_effects(1.0)
+        effects = raft.take_effects(1.0)
         self.assertEqual((raft.log.entries, raft.last_index, raft.log.stable_index), ([], 9, 0))
-        self.assertEqual(out.restore, Snapshot(9, 2, TRIO, data))
-        self.assertEqual(out.messages, [], "nothing is confirmed before it is on disk")
-        write = out.writes[-1]
+        self.assertEqual(effects.restore, Snapshot(9, 2, TRIO, data))
+        self.assertEqual(effects.messages, [], "nothing is confirmed before it is on disk")
+        write = effects.writes[-1]
         self.assertEqual((write.truncate_from, write.compacted_through), (1, (9, 2)))
         raft.write_completed(1.1, write.number)
         self.assertEqual(
@@ -138,8 +139,8 @@
             raft.receive(1.0, "a", InstallSnapshot(4, 9, term, TRIO, 1, 0, b"s", crc32(b"s"), 1))
             self.assertEqual(len(raft.log.entries), left)
 
-    def test_a_follower_that_writes_a_snapshot_is_not_silent(self) -> None:
-        """Its answers waited for the disk; the leader took it for gone, and led no more without it."""
+    def test_a_follower_that_writes_a_snapshot_responds_to_heartbeats(self) -> None:
+        """Once its responses waited for the disk, and the leader stepped down without them."""
         raft = self.raft()
         install = InstallSnapshot(2, 9, 2, TRIO, 1, 0, b"s", crc32(b"s"), 1)
         raft.receive(1.0, "a", install)
@@ -152,13 +153,13 @@
         self.assertEqual(raft.take_effects(2.1).messages, [("a", AppendEntriesResponse(2, True, 9, 3))])
 
 
-class Budget(unittest.TestCase):
+class TransferBudgetTest(unittest.TestCase):
     def test_the_rate_holds_after_a_burst(self) -> None:
         budget = TransferBudget(bytes_per_second=1000.0, burst_bytes=200.0)
         due = [budget.reserve(50.0, 100) for _ in range(6)]
         self.assertEqual([round(at - 50.0, 6) for at in due], [0.0, 0.0, 0.0, 0.1, 0.2, 0.3])
 
-    def test_a_pause_gives_a_burst_and_no_more(self) -> None:
+    def test_a_pause_allows_one_burst(self) -> None:
         budget = TransferBudget(bytes_per_second=1000.0, burst_bytes=200.0)
         for _ in range(3):
             budget.reserve(0.0, 100)
@@ -166,7 +167,7 @@
         self.assertEqual(due, [100.0, 100.0, 100.0, 100.1])
 
 
-class Shared(Loaded):
+class SharedLinkGroup(LoadedGroup):
     """Each node sends over one link of a bounded bandwidth. A large state, and how long commits take."""
 
     def __init__(self) -> None:
@@ -186,14 +187,14 @@
         self.clock.callLater(free - now + self.latency, self._deliver, name, sender, receiver, group, body)
 
     def timed_change(self) -> None:
-        """A change, and how long it takes to be committed."""
+        """Propose a command, and record how long its commit takes."""
         self.serial += 1
         began = self.clock.seconds()
         result = self.owner().host.propose(GROUP, b"%08d" % self.serial)
         result.addCallback(lambda _: self.took.append(self.clock.seconds() - began))
 
 
-class Bandwidth(Quiet):
+class TransferBandwidthTest(QuietLogsTestCase):
     """One node returns empty under traffic; its snapshot shares the leader's link with the traffic."""
 
     def bring_up(self, budget: Callable[[], TransferBudget]) -> tuple[float, float, float]:
@@ -203,7 +204,7 @@
             patch("bitternpath.replication.host.TransferBudget", budget),
             patch.object(replica_group, "BOUNDS", bounds),
         ):
-            world = Shared()
+            world = SharedLinkGroup()
             node = world.follower()
             world._end(node)
             for part in range(STATE_BYTES >> 18):
@@ -222,7 +223,7 @@
         most = max(sum(size for at, size in sent if start <= at < start + 0.25) for start, _ in sent)
         return max(at for at, _ in sent) - began, most, max(world.took)
 
-    def test_a_transfer_keeps_to_its_rate_and_commits_stay_as_fast(self) -> None:
+    def test_a_transfer_keeps_to_its_rate_and_commits_stay_fast(self) -> None:
         seconds, most, slowest = self.bring_up(TransferBudget)
         free_seconds, free_most, free_slowest = self.bring_up(UnlimitedTransferBudget)
         print(
@@ -235,18 +236,18 @@
         self.assertLess(slowest, 0.03)
 
 
-class ManyGroups(Quiet):
+class ManyTransfersTest(QuietLogsTestCase):
     """A machine was away while the entries of many groups were replaced by snapshots. All of them are owned
     by one process, over whose link the traffic of another group goes, too."""
 
     def bring_up(self, budget: Callable[[], TransferBudget]) -> tuple[float, float, float]:
-        """As `Bandwidth.bring_up`."""
+        """As `TransferBandwidthTest.bring_up`."""
         bounds = CompactionBounds(size=1 << 20, entries=1 << 20)
         with (
             patch("bitternpath.replication.host.TransferBudget", budget),
             patch.object(replica_group, "BOUNDS", bounds),
         ):
-            world = Shared()
+            world = SharedLinkGroup()
             node, owner = world.follower(), world.owner()
             extra = [f"extra-{number}" for number in range(GROUPS)]
             for process in [each.process for each in world.nodes.values() if each.process]:
@@ -277,11 +278,11 @@
         return max(at for at, _ in sent) - began, most, max(world.took)
 
     @staticmethod
-    def open(world: Loaded, process: Process, groups: list[str]) -> None:
+    def open(world: LoadedGroup, process: Process, groups: list[str]) -> None:
         for group in groups:
             process.host.open_group(group, LastCommands(GROUP_BYTES >> 17), world.founders, SilentListener())
 
-    def test_many_transfers_share_one_bound(self) -> None:
+    def test_many_transfers_share_one_budget(self) -> None:
         seconds, most, slowest = self.bring_up(TransferBudget)
         free_seconds, free_most, free_slowest = self.bring_up(UnlimitedTransferBudget)
         print(
--- a/tests/system/test_old_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -1,4 +1,4 @@
-"""Members that should not count: removed ones that wake later, owners that were frozen, slow ones."""
+"""Stale members: removed ones that return, owners that were frozen, slow followers."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from bitternpath.replication.records import Members, PersistentState, Snapshot
 from bitternpath.replication.wire import decode_message
 from bitternpath.testing.simulation.replica_group import GROUP, Node, Process
-from tests.system.loaded_group import Loaded, Quiet
-from tests.system.test_replication import TRIO, Host, result_of
+from tests.system.replication.loaded_group import LoadedGroup
+from tests.system.replication.quiet_logs import QuietLogsTestCase
+from tests.system.replication.scripted_peers import TRIO, ScriptedHost, result_of
 
 FROZEN_SECONDS = 2.0
 FREEZES = 12
 
 
-class Shrinking(Loaded):
-    """The desired members are given by name."""
+class ShrinkingGroup(LoadedGroup):
+    """A group whose desired members are given by name."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed)
@@ -32,11 +33,11 @@
                 node.process.clock.run(partial(self._step_members, node.process, members))
 
 
-class Removed(Quiet):
-    """A member is removed while it is cut off, and so doesn't hear of it. Then it is back."""
+class RemovedMemberTest(QuietLogsTestCase):
+    """A member is removed while it is partitioned, doesn't hear of it, and returns."""
 
-    def removed(self) -> tuple[Shrinking, Node]:
-        world = Shrinking()
+    def removed(self) -> tuple[ShrinkingGroup, Node]:
+        world = ShrinkingGroup()
         world.owner()
         gone = world.follower()
         world.nodes["n3"] = Node("n3")
@@ -53,7 +54,7 @@
         self.assertIn(gone.member, gone.process.host.members(GROUP).voters, "it doesn't know")
         return world, gone
 
-    def test_it_disturbs_nobody_when_it_is_back(self) -> None:
+    def test_it_disrupts_nobody_when_it_returns(self) -> None:
         world, gone = self.removed()
         owner, epoch, made = world.owner(), world.owner().host.epoch(GROUP), len(world.checker.committed)
         world.blocked.clear()
@@ -79,7 +80,7 @@
             world._start(node, None)
             world.run_until(lambda: False, 1.0)
 
-    def test_a_vote_of_one_that_is_no_member_does_not_count(self) -> None:
+    def test_a_vote_of_a_non_member_does_not_count(self) -> None:
         raft = Raft("a", PersistentState(snapshot=Snapshot(members=Members(("a", "b", "c")))), _Fixed(), 0.0)  # type: ignore[arg-type]
         raft.tick(5.0)
         raft.take_effects(5.0)
@@ -89,7 +90,7 @@
         raft.receive(5.0, "b", RequestVoteResponse(1, True, True))
         self.assertEqual(raft.term, 1)
 
-    def test_asking_for_votes_beforehand_raises_no_term(self) -> None:
+    def test_a_pre_vote_raises_no_term(self) -> None:
         raft = Raft(
             "a", PersistentState(term=3, snapshot=Snapshot(members=Members(("a", "b")))), _Fixed(), 0.0
         )  # type: ignore[arg-type]
@@ -99,71 +100,71 @@
 
 
 class _Fixed:
-    """A source of chance that always says the same."""
+    """A random source with a constant value."""
 
     @staticmethod
     def random() -> float:
         return 0.0
 
 
-class FrozenOwner(Quiet):
-    """An owner is frozen while answers are under way. As it wakes it finds them, and is asked for a read;
-    another member may have led since."""
+class FrozenOwnerTest(QuietLogsTestCase):
+    """An owner is frozen while responses are in flight. It resumes, receives them, and is asked for a read;
+    another member may have led meanwhile."""
 
     def read_on_waking(self) -> object:
-        """What became of the read before any answer that was sent after the thaw."""
-        host = Host("a")
+        """State and result of the read before any response that was sent after the thaw."""
+        host = ScriptedHost("a")
         host.open(TRIO)
         host.lead()
-        beat = host.run(1.5 * SYSTEM_TIMING.heartbeat_interval)  # a heartbeat, whose answers come late
-        self.assertTrue(beat)
+        heartbeat = host.run(1.5 * SYSTEM_TIMING.heartbeat_interval)  # a heartbeat, whose answers come late
+        self.assertTrue(heartbeat)
         host.clock.rightNow += FROZEN_SECONDS  # no timer has run meanwhile
-        host.answer("b", beat)
+        host.answer("b", heartbeat)
         barrier = host.host.read_barrier("g")
         host.turn()
         found = result_of(barrier)  # type: ignore[arg-type]
         barrier.addErrback(lambda _: None)
         return (barrier.called, found)
 
-    def test_a_read_is_not_answered_from_rounds_before_the_freeze(self) -> None:
+    def test_a_read_is_not_confirmed_by_rounds_from_before_the_freeze(self) -> None:
         self.assertEqual(self.read_on_waking(), (False, None))
 
-    def test_a_build_that_counts_rounds_from_before_is_caught(self) -> None:
+    def test_a_build_that_counts_earlier_rounds_is_caught(self) -> None:
         with patch.object(Raft, "request_heartbeat_round", lambda self: self.confirmed_round):
             self.assertEqual(self.read_on_waking(), (True, None))
 
     def test_a_lease_counts_from_when_a_majority_was_asked(self) -> None:
-        host = Host("a")
+        host = ScriptedHost("a")
         host.open(TRIO)
         host.lead()
         host.answer("b", host.run(1.5 * SYSTEM_TIMING.heartbeat_interval))
         self.assertTrue(host.host.has_leader_lease("g"))
-        beat = host.run(1.1 * SYSTEM_TIMING.heartbeat_interval)
-        self.assertTrue(beat)
+        heartbeat = host.run(1.1 * SYSTEM_TIMING.heartbeat_interval)
+        self.assertTrue(heartbeat)
         host.clock.rightNow += FROZEN_SECONDS
-        host.answer("b", beat)
+        host.answer("b", heartbeat)
         host.turn()
         self.assertTrue(host.host.hears_quorum("g"), "by when the answers came")
         self.assertFalse(host.host.has_leader_lease("g"))
 
-    def test_a_lease_ends_without_answers_and_with_a_transfer(self) -> None:
-        host = Host("a")
+    def test_a_lease_ends_without_responses_and_with_a_transfer(self) -> None:
+        host = ScriptedHost("a")
         host.open(TRIO)
         host.lead()
         host.answer("b", host.run(1.5 * SYSTEM_TIMING.heartbeat_interval))
         host.run(0.8 * SYSTEM_TIMING.election_timeout)
         self.assertFalse(host.host.has_leader_lease("g"))
-        other = Host("a")
+        other = ScriptedHost("a")
         other.open(TRIO)
         other.lead()
         other.answer("b", other.run(1.5 * SYSTEM_TIMING.heartbeat_interval))
         self.assertTrue(other.host.transfer_leadership("g", "b"))
         self.assertFalse(other.host.has_leader_lease("g"))
 
-    def test_a_frozen_owner_in_a_group_reads_nothing_old(self) -> None:
-        """The checker holds what a read gives against what was acknowledged before it was asked."""
+    def test_a_frozen_owner_reads_nothing_stale(self) -> None:
+        """The checker compares each read with what was acknowledged before it was requested."""
         for seed in range(FREEZES):
-            world = Loaded(seed)
+            world = LoadedGroup(seed)
             owner = world.owner()
             world.change()
             world.run_until(lambda: False, 0.1)
@@ -181,28 +182,30 @@
             world.run_until(lambda: False, 2.0)
 
     @staticmethod
-    def others(world: Loaded, owner: Process) -> list[Process]:
+    def others(world: LoadedGroup, owner: Process) -> list[Process]:
         """Owners besides the frozen one."""
         processes = [node.process for node in world.nodes.values() if node.process]
         return [each for each in processes if each is not owner and each.host.is_owner(GROUP)]
 
 
-class Counting(Loaded):
-    """Counts the snapshots that are begun."""
+class SnapshotCountingGroup(LoadedGroup):
+    """Counts the snapshot transfers that are started."""
 
-    begun = 0
+    snapshots_started = 0
 
     def _send(self, sender_node: str, sender: str, receiver: str, group: str, body: bytes) -> None:
         message = decode_message(body)
-        self.begun += isinstance(message, InstallSnapshot) and message.offset == 0 and bool(message.chunk)
+        self.snapshots_started += (
+            isinstance(message, InstallSnapshot) and message.offset == 0 and bool(message.chunk)
+        )
         super()._send(sender_node, sender, receiver, group, body)
 
 
-class SlowFollower(Quiet):
+class SlowFollowerTest(QuietLogsTestCase):
     def play(self) -> int:
-        """How many snapshots a follower was sent whose disk takes 50 ms for a sync, under 200 changes a
-        second, of which every 12th makes the owner replace its entries."""
-        world = Counting()
+        """Number of snapshots that are sent to a follower whose disk takes 50 ms a sync, under 200 changes
+        a second, of which every 12th makes the owner compact its log."""
+        world = SnapshotCountingGroup()
         node = world.follower()
         assert node.process is not None
         node.process.journal_writer.sync_seconds = 0.05
@@ -210,7 +213,7 @@
         world.run_until(lambda: False, 5.0)
         world.every = 0.0
         self.assertTrue(world.run_until(world._agrees, 2.0))
-        return world.begun
+        return world.snapshots_started
 
     def test_compaction_does_not_outrun_it(self) -> None:
         self.assertEqual(self.play(), 0)
--- /dev/null
+++ b/tests/system/test_replica_garbage_collection.py
@@ -0,0 +1,60 @@
+"""When a storage node may close a replica that its group has removed."""
+
+from __future__ import annotations
+
+import unittest
+from typing import Any, cast
+
+from twisted.internet.task import Clock
+
+from bitternpath.replication.records import Members
+from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
+from bitternpath.transport.group_messages import GroupPlacement, MemberAddress, MembershipReport
+from tests.system.replication.member_ids import ids, members
+
+
+class ClosingHost:
+    """A host with replicas, as `ReplicaGarbageCollector` sees it."""
+
+    member_id = "c/c"
+
+    def __init__(self, known: Members) -> None:
+        self.known = known
+        self.groups = {"g": None}
+
+    def members(self, group: str) -> Members:
+        return self.known
+
+
+class ReplicaGarbageCollectionTest(unittest.TestCase):
+    """When a replica may be closed."""
+
+    CASES = (
+        # placement (names, generation), own log's members, report (names, generation), closed
+        ("told so by the placement in force", "abd", 2, members("abc", generation=1), "abd", 2, True),
+        ("told so by a later one", "abd", 2, members("abc", generation=1), "abe", 3, True),
+        ("named by the placement", "abc", 2, members("abc", generation=1), "abd", 2, False),
+        ("a report by an older placement", "abd", 2, members("abc", generation=1), "abd", 1, False),
+        ("still a member", "abd", 2, members("abc", generation=1), "abcd", 2, False),
+        ("its own log knows of a later placement", "abd", 2, members("abc", generation=3), "abd", 2, False),
+    )
+
+    def test_cases(self) -> None:
+        for label, placed, generation, known, reported, by, closed in self.CASES:
+            with self.subTest(label):
+                addresses = tuple(MemberAddress(f"{n}/{n}", n, f"{n}:1", "z") for n in placed)
+                placements = {"g": GroupPlacement("g", generation, addresses)}
+                done: list[tuple[str, int]] = []
+                closing = ReplicaGarbageCollector(
+                    Clock(),
+                    cast(Any, None),
+                    cast(Any, ClosingHost(known)),
+                    placements,
+                    lambda group, at: done.append((group, at)),  # noqa: B023
+                )
+                closing.reported(MembershipReport("g", 4, ids(reported), by))
+                self.assertEqual(done, [("g", by)] if closed else [])
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -18,7 +18,8 @@
 from bitternpath.testing.simulation import replica_group
 from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Node
-from tests.system.loaded_group import Loaded, Quiet
+from tests.system.replication.loaded_group import LoadedGroup as Loaded
+from tests.system.replication.quiet_logs import QuietLogsTestCase as Quiet
 
 CHANGES = 1000
 EVERY = 0.004  # s between changes
