--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -9,7 +9,7 @@
 
 from bitternpath.membership.view import Datagram, MembershipView
 from bitternpath.net.clock import Clock, Timer, cancel_if_active
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import ShuffleReply, ShuffleRequest
 
@@ -46,8 +46,7 @@
 
     def stop(self) -> None:
         """Announce that this node leaves, and send no more."""
-        if self._timer is not None:
-            cancel_if_active(self._timer)
+        cancel_if_active(self._timer)
         self._send(self.view.leave())
 
     def _round(self) -> None:
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -15,7 +15,7 @@
 import logbook
 from twisted.internet.defer import Deferred, fail
 
-from bitternpath.net.clock import Clock, Timer
+from bitternpath.net.clock import Clock, Timer, cancel_if_active
 from bitternpath.replication.bandwidth import TransferBudget
 from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.replication.errors import GroupAlreadyOpenError, NotOwnerError
@@ -35,7 +35,7 @@
 from bitternpath.replication.member import RaftOptions
 from bitternpath.replication.records import Members, PersistentState, RaftTiming, Snapshot
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
 log = logbook.Logger("replication")
 
@@ -78,7 +78,6 @@
         self._watchers: dict[str, Callable[[], None]] = {}
         self._flush_call: Timer | None = None
         self._timer: Timer | None = None
-        self._timer_at = 0.0  # when it fires
         self._stopped = False
         journal.on_corrupt_snapshot(self._rewrite_snapshot)
 
@@ -137,9 +136,8 @@
     def stop(self) -> None:
         """Stop taking part in all groups; their state stays."""
         self._stopped = True
-        for call in (self._flush_call, self._timer):
-            if call is not None and call.active():
-                call.cancel()
+        cancel_if_active(self._flush_call)
+        cancel_if_active(self._timer)
         groups = self.groups
         self.groups = {}
         self._dirty.clear()
@@ -346,12 +344,10 @@
         next_timeout_at = min(group.raft.next_timeout_at for group in self.groups.values())
         due = math.ceil(next_timeout_at / TIMER_GRID_SECONDS) * TIMER_GRID_SECONDS
         if self._timer is not None and self._timer.active():
-            if self._timer_at <= due + SHORTEST_TIMER_SECONDS:  # set at another reading of the clock
+            if self._timer.getTime() <= due + SHORTEST_TIMER_SECONDS:  # set at another reading of the clock
                 return
             self._timer.cancel()
-        now = self._clock.seconds()
-        delay = max(due - now, SHORTEST_TIMER_SECONDS)
-        self._timer_at = now + delay
+        delay = max(due - self._clock.seconds(), SHORTEST_TIMER_SECONDS)
         self._timer = self._clock.callLater(delay, self._tick)
 
     def _tick(self) -> None:
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from bitternpath.configuration.placement import desired_members
+from bitternpath.configuration.configuration_members import desired_members
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP, member_id
 from bitternpath.membership.view import MembershipView
+from bitternpath.net.clock import Clock
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
 from bitternpath.roles.live_nodes import LiveNodes
-from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.node_messages import NodeDescriptor
 
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         host: ReplicaHost,
         nodes: LiveNodes,
         view: MembershipView,
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -29,13 +29,13 @@
     PendingPull,
 )
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.roles.bootstrap import BootstrapCoordinator
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.roles.endpoint_list_fallback import EndpointListFallback
 from bitternpath.roles.environment import ProcessEnvironment
 from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.status import group_status, node_status
 from bitternpath.shards.appends import Appender
@@ -196,7 +196,7 @@
         """Another version is in force; all parts read it from the feed when they need it."""
 
     def placement_changed(self, _generation: int, groups: tuple[GroupPlacement, ...]) -> None:
-        """Shards have other members: keep links to all storage nodes that are any."""
+        """Shards have other members: keep a link to each storage node that is one."""
         self.appender.shard_count = len(groups)
         self.lookup.shard_count = len(groups)
         addresses = {member.address for group in groups for member in group.members}
@@ -225,7 +225,7 @@
             self.member.feed.dropped(link)
 
     def received(self, link: Link, record: Any) -> None:
-        """Pass a record of another node on; kinds that are none of this role's business are dropped."""
+        """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -11,9 +11,9 @@
 from bitternpath.ingress.http_server import HttpServer
 from bitternpath.ingress.servers import build_client_server, build_operator_server, build_readiness_server
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
+from bitternpath.net.reactor import ListeningPort, NodeReactor
 from bitternpath.roles.edge import EdgeNode
 from bitternpath.roles.environment import ProcessEnvironment
-from bitternpath.roles.reactor import ListeningPort, NodeReactor
 from bitternpath.roles.settings import Settings
 
 log = logbook.Logger("edge")
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -18,8 +18,8 @@
 from bitternpath.configuration.feed_client import FeedClient
 from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.ingress.interfaces import OperatorReply
+from bitternpath.net.clock import Clock
 from bitternpath.roles.configuration_member import ConfigurationMember
-from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
 ANSWER_TIMEOUT_S = 0.8  # the operator turns to another node after a second without an answer
@@ -31,7 +31,7 @@
 class OperatorCalls:
     """Answers the calls that reach one node."""
 
-    def __init__(self, reactor: ReactorTime, feed: FeedClient, member: ConfigurationMember | None) -> None:
+    def __init__(self, reactor: Clock, feed: FeedClient, member: ConfigurationMember | None) -> None:
         """`feed` knows the link to the owner; `member` is None on nodes that can't be the owner."""
         self._reactor: Any = reactor  # Deferred.addTimeout asks for the zope interface
         self._feed = feed
--- a/tests/system/replication/test_wire.py
+++ b/tests/system/replication/test_wire.py
@@ -15,7 +15,7 @@
 )
 from bitternpath.replication.records import Entry, EntryKind, Members
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 
 
 class WireTest(unittest.TestCase):
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -4,8 +4,8 @@
 
 import unittest
 
+from bitternpath.configuration.configuration_members import desired_members
 from bitternpath.configuration.placement import (
-    desired_members,
     initial_placement,
     nodes_to_replace,
     repaired_placement,
