--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -15,7 +15,7 @@
 import logbook
 from twisted.internet.defer import Deferred, fail
 
-from bitternpath.net.clock import Clock, Timer
+from bitternpath.net.clock import Clock, Timer, cancel_if_active
 from bitternpath.replication.bandwidth import TransferBudget
 from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.replication.errors import GroupAlreadyOpenError, NotOwnerError
@@ -58,15 +58,16 @@
 
     def __init__(
         self,
-        reactor: Clock,
+        clock: Clock,
         member_id: str,
         journal: GroupJournal,
         transport: MessageTransport,
         options: HostOptions,
     ) -> None:
+        """`member_id`: the identity of this process's disk in all of its groups; no group is open yet."""
         self.member_id = member_id
         self.groups: dict[str, ReplicaGroup] = {}
-        self._reactor = reactor
+        self._clock = clock
         self._journal = journal
         self._transport = transport
         self._random = options.random
@@ -104,7 +105,7 @@
             MemberIdentity(self.member_id, kept, tombstone_generation),
             GroupApplication(machine, listener),
             self._random,
-            self._reactor.seconds(),
+            self._clock.seconds(),
             self._group_options,
         )
         self._share_bounds()
@@ -135,9 +136,8 @@
     def stop(self) -> None:
         """Stop taking part in all groups; their state stays."""
         self._stopped = True
-        for call in (self._flush_call, self._timer):
-            if call is not None and call.active():
-                call.cancel()
+        cancel_if_active(self._flush_call)
+        cancel_if_active(self._timer)
         groups = self.groups
         self.groups = {}
         self._dirty.clear()
@@ -156,7 +156,7 @@
         except CodecError:
             return
         try:
-            found.receive(self._reactor.seconds(), sender, message)
+            found.receive(self._clock.seconds(), sender, message)
         except Exception:
             self._stop_group(group, found)
             return
@@ -193,7 +193,7 @@
         if found is None:
             return False
         self._mark(group, found)
-        return found.change_members(self._reactor.seconds(), members)
+        return found.change_members(self._clock.seconds(), members)
 
     def transfer_leadership(self, group: str, to: str = "") -> bool:
         """Begin to transfer ownership to `to`, or to the voter that has most of the log; whether it began."""
@@ -201,7 +201,7 @@
         if found is None:
             return False
         self._mark(group, found)
-        return found.transfer_leadership(self._reactor.seconds(), to)
+        return found.transfer_leadership(self._clock.seconds(), to)
 
     # ---- views
 
@@ -216,7 +216,7 @@
         Responses count from when they came: see `has_leader_lease` for a process that may have stood still.
         """
         found = self.groups.get(group)
-        return found is not None and found.hears_quorum(self._reactor.seconds())
+        return found is not None and found.hears_quorum(self._clock.seconds())
 
     def has_leader_lease(self, group: str) -> bool:
         """Whether this replica owns the group and no other member can have been elected (T 6.4.1).
@@ -225,7 +225,7 @@
         also holds for a process that stood still.
         """
         found = self.groups.get(group)
-        return found is not None and found.is_owner and found.raft.has_leader_lease(self._reactor.seconds())
+        return found is not None and found.is_owner and found.raft.has_leader_lease(self._clock.seconds())
 
     def epoch(self, group: str) -> int:
         """The highest term that this replica knows; 0 for a group not open here."""
@@ -263,18 +263,18 @@
     def unresponsive_for(self, group: str, member: str) -> float:
         """Seconds since this leader heard a member; infinite on other replicas."""
         found = self.groups.get(group)
-        return found.unresponsive_for(self._reactor.seconds(), member) if found is not None else math.inf
+        return found.unresponsive_for(self._clock.seconds(), member) if found is not None else math.inf
 
     # ---- turns
 
     def _mark(self, group: str, found: ReplicaGroup) -> None:
         self._dirty[group] = found
         if self._flush_call is None and not self._stopped:
-            self._flush_call = self._reactor.callLater(0, self._flush)
+            self._flush_call = self._clock.callLater(0, self._flush)
 
     def _flush(self) -> None:
         self._flush_call = None
-        now = self._reactor.seconds()
+        now = self._clock.seconds()
         dirty = self._dirty
         self._dirty = {}
         for name, group in dirty.items():
@@ -294,7 +294,7 @@
         self._execute(name, group, effects)
         self._log_role_transition(name, group)
         if name in self._watchers and group.members_progressed():
-            self._reactor.callLater(0, self._notify_watcher, name, group)
+            self._clock.callLater(0, self._notify_watcher, name, group)
 
     def _execute(self, name: str, group: ReplicaGroup, effects: GroupEffects) -> None:
         for write in effects.writes:
@@ -329,7 +329,7 @@
 
     def _write_completed(self, name: str, group: ReplicaGroup, number: int) -> None:
         if self.groups.get(name) is group:
-            group.raft.write_completed(self._reactor.seconds(), number)
+            group.raft.write_completed(self._clock.seconds(), number)
             self._mark(name, group)
 
     def _rewrite_snapshot(self, name: str) -> None:
@@ -347,11 +347,11 @@
             if self._timer.getTime() <= due + SHORTEST_TIMER_SECONDS:  # set at another reading of the clock
                 return
             self._timer.cancel()
-        delay = max(due - self._reactor.seconds(), SHORTEST_TIMER_SECONDS)
-        self._timer = self._reactor.callLater(delay, self._tick)
+        delay = max(due - self._clock.seconds(), SHORTEST_TIMER_SECONDS)
+        self._timer = self._clock.callLater(delay, self._tick)
 
     def _tick(self) -> None:
-        now = self._reactor.seconds()
+        now = self._clock.seconds()
         for name, group in list(self.groups.items()):
             if group.raft.next_timeout_at <= now:
                 group.raft.tick(now)
