--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -75,7 +75,7 @@
     """Which shard is owned, and where."""
 
     number: int
-    shards: int  # of the system
+    shard_count: int  # of the system
     zone: str  # of the owner's node
 
 
@@ -88,7 +88,7 @@
 
     def __init__(self, state: QueueState, shard: OwnedShard, settings: OwnerSettings, random: Random) -> None:
         """Begin without messages; call `leadership_acquired` before anything else."""
-        bound = RateBound(shard.shards, settings.rate_window_s, settings.rate_tolerance)
+        bound = RateBound(shard.shard_count, settings.rate_window_s, settings.rate_tolerance)
         self._state = state
         self._actions: list[Action] = []
         self._lease_ids = LeaseIdSequence(shard.number)
--- a/bitternpath/queue/quota_leases.py
+++ b/bitternpath/queue/quota_leases.py
@@ -67,7 +67,7 @@
         before = self._pools
         self._pools = {}
         for name, service in services.items():
-            if service.rate_per_s <= 0 or home_shard(name, self._bound.shards) != self._shard:
+            if service.rate_per_s <= 0 or home_shard(name, self._bound.shard_count) != self._shard:
                 continue
             split = split_rate(service.rate_per_s, self._bound)
             if not split.is_pooled:
--- a/bitternpath/queue/rate_limits.py
+++ b/bitternpath/queue/rate_limits.py
@@ -46,7 +46,7 @@
 class RateBound:
     """The bound on the arrivals at each rate-limited service, by settings that all nodes have in common."""
 
-    shards: int
+    shard_count: int
     window_s: float
     tolerance: float  # factor on the rate, 1 or more
 
@@ -75,11 +75,11 @@
     then gets less than its rate. Where even one token a window for each shard would break the bound
     (rate * window_s * tolerance + 5 < shards), the share is nothing at all.
     """
-    allowed = bound.allowed(rate_per_s) / bound.shards
+    allowed = bound.allowed(rate_per_s) / bound.shard_count
     if allowed < _MIN_BURST:
         return NO_SHARE
     span = bound.window_s + MAX_SEND_DELAY_S
-    refill = min(rate_per_s / bound.shards, (allowed - _MIN_BURST) / span)
+    refill = min(rate_per_s / bound.shard_count, (allowed - _MIN_BURST) / span)
     return BucketShare(refill, max(_MIN_BURST, allowed - refill * span))
 
 
@@ -89,7 +89,7 @@
     Where equal shares of a part would take half of what the bound allows, all is in the pool.
     """
     allowed = bound.allowed(rate_per_s)
-    shards = bound.shards
+    shards = bound.shard_count
     if shards < MIN_POOLED_SHARDS or allowed / shards >= MAX_POOLED_TOKENS_PER_SHARD:
         return RateSplit(equal_share(rate_per_s, bound), NO_SHARE)
     base = BucketShare(BASE_FRACTION * rate_per_s / shards, _MIN_BURST)
--- a/bitternpath/queue/service_queues.py
+++ b/bitternpath/queue/service_queues.py
@@ -110,7 +110,7 @@
         """
         for name, queue in self._queues.items():
             listed = not queue.service.pull_mode and queue.service.endpoint is None
-            share = ceil(LEASES_PER_SLOT * slots.get(name, 0) / self._bound.shards)
+            share = ceil(LEASES_PER_SLOT * slots.get(name, 0) / self._bound.shard_count)
             queue.max_in_flight = max(share, MIN_IN_FLIGHT) if listed else None
         self.mark_all_dirty()
 
--- a/bitternpath/queue/sharding.py
+++ b/bitternpath/queue/sharding.py
@@ -12,22 +12,22 @@
 _LEASE_ID = re.compile(r"([0-9]{1,6})-([0-9]+)-([0-9]+)\Z", re.ASCII)
 
 
-def shard_for(order_key: str, preferred: int, shards: int) -> int:
+def shard_for(order_key: str, preferred: int, shard_count: int) -> int:
     """Return the shard of a new message: by its order key alone where it has one, else the preferred one.
 
     The route takes no part, since a route may move to another service while messages of a key wait.
     """
-    return _shard_by_hash(order_key, shards) if order_key else preferred % shards
+    return _shard_by_hash(order_key, shard_count) if order_key else preferred % shard_count
 
 
-def home_shard(service: str, shards: int) -> int:
+def home_shard(service: str, shard_count: int) -> int:
     """Return the shard whose owner holds the pool of a rate-limited service's tokens."""
-    return _shard_by_hash(service, shards)
+    return _shard_by_hash(service, shard_count)
 
 
-def _shard_by_hash(text: str, shards: int) -> int:
+def _shard_by_hash(text: str, shard_count: int) -> int:
     digest = blake2b(text.encode("utf-8", "surrogatepass"), digest_size=8).digest()
-    return int.from_bytes(digest, "big") % shards
+    return int.from_bytes(digest, "big") % shard_count
 
 
 def message_id(shard: int, request_id: str) -> str:
