--- a/bitternpath/queue/backoff.py
+++ b/bitternpath/queue/backoff.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from random import Random
 
+from msgspec import Struct
+
 from bitternpath.transport.records import AttemptOutcome
 
 _MAX_DOUBLINGS = 20  # beyond any schedule's maximum; keeps the power small
 _MIN_JITTER, _MAX_JITTER = 0.75, 1.25  # factors: spread evenly by a quarter to both sides
 
 
-@dataclass(frozen=True, slots=True)
-class BackoffSchedule:
+class BackoffSchedule(Struct, frozen=True):
     """First and longest delay in seconds; each delay is double the one before."""
 
     initial_s: float
--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -25,9 +25,10 @@
 from dataclasses import dataclass, field
 from math import inf
 from random import Random
-from typing import NamedTuple
 from urllib.parse import urlsplit
 
+from msgspec import Struct
+
 from bitternpath.queue.actions import SendCallback
 from bitternpath.queue.backoff import CALLBACK_BACKOFF
 from bitternpath.queue.commands import ConfirmCallbacks
@@ -56,7 +57,7 @@
     acknowledged: bool = False  # only the confirmation has to be applied
 
 
-class _Timer(NamedTuple):
+class _Timer(Struct, frozen=True, order=True):
     """Ends a call-back's time-out or back-off; ordered by time."""
 
     when: float
@@ -184,7 +185,11 @@
         """Return when `advance` or `take_confirmation` is wanted next; None where no time is set."""
         while self._timers and self._is_stale(self._timers[0]):
             heapq.heappop(self._timers)
-        times = [heap[0][0] for heap in (self._timers, self._probes) if heap]
+        times = []
+        if self._timers:
+            times.append(self._timers[0].when)
+        if self._probes:
+            times.append(self._probes[0][0])
         if self._unconfirmed:
             times.append(self._confirm_by)
         return min(times, default=None)
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -25,7 +25,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
 from bitternpath.queue.commands import GrantLease
@@ -43,8 +43,7 @@
 PUSH_LEASE_MARGIN_MS = 2_000
 
 
-@dataclass(frozen=True, slots=True)
-class LeaseHolders:
+class LeaseHolders(Struct, frozen=True):
     """Who may get a lease: edge nodes for messages that are pushed, long polls for those that are pulled."""
 
     edges: EdgeNodeTable
--- a/bitternpath/queue/long_polls.py
+++ b/bitternpath/queue/long_polls.py
@@ -6,9 +6,10 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
+from msgspec import Struct
 
-@dataclass(frozen=True, slots=True)
-class LongPollRequest:
+
+class LongPollRequest(Struct, frozen=True):
     """A worker's request for a message."""
 
     poll_id: int  # unique over all edge nodes
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -14,9 +14,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from random import Random
 
+from msgspec import Struct
+
 from bitternpath.configuration.documents import RoutingTable
 from bitternpath.queue.actions import Action, ExpirePoll, ProposeCommand
 from bitternpath.queue.commands import (
@@ -60,8 +61,7 @@
 DEFAULT_RETENTION_S = 90.0  # for tombstones while there is no configuration
 
 
-@dataclass(frozen=True, slots=True)
-class OwnerSettings:
+class OwnerSettings(Struct, frozen=True):
     """Values of the settings' `bounds` (DEPLOY, "Settings of a process") that shards need."""
 
     visibility_timeout_ms: int = 3_000  # `visible_ms`: a pulled message is given to nobody else for so long
@@ -70,8 +70,7 @@
     rate_tolerance: float = 1.1  # `origin_rate_over`: factor on a rate, within each window
 
 
-@dataclass(frozen=True, slots=True)
-class OwnedShard:
+class OwnedShard(Struct, frozen=True):
     """Which shard is owned, and where."""
 
     number: int
--- a/bitternpath/queue/rate_limits.py
+++ b/bitternpath/queue/rate_limits.py
@@ -22,7 +22,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from bitternpath.queue.token_bucket import NO_SHARE, BucketShare
 
@@ -42,8 +42,7 @@
 _MIN_BURST = 1.0  # a smaller bucket never holds a complete token
 
 
-@dataclass(frozen=True, slots=True)
-class RateBound:
+class RateBound(Struct, frozen=True):
     """The bound on the arrivals at each rate-limited service, by settings that all nodes have in common."""
 
     shard_count: int
@@ -55,8 +54,7 @@
         return rate_per_s * self.window_s * self.tolerance + ALLOWED_EXCESS
 
 
-@dataclass(frozen=True, slots=True)
-class RateSplit:
+class RateSplit(Struct, frozen=True):
     """How a service's rate is divided."""
 
     base: BucketShare  # of each shard
--- a/bitternpath/queue/token_bucket.py
+++ b/bitternpath/queue/token_bucket.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 _ROUNDING = 1e-9  # tokens; keeps sums of small refills from missing an integer
 
 
-@dataclass(frozen=True, slots=True)
-class BucketShare:
+class BucketShare(Struct, frozen=True):
     """What one bucket has of a rate limit."""
 
     refill_per_s: float  # tokens
--- a/tests/system/queue/test_campaign.py
+++ b/tests/system/queue/test_campaign.py
@@ -160,7 +160,7 @@
     """Gives each shard the full rate of a service."""
 
     def __init__(self, state: QueueState, shard: OwnedShard, *rest: object) -> None:
-        super().__init__(state, replace(shard, shard_count=1), *rest)
+        super().__init__(state, structs.replace(shard, shard_count=1), *rest)
 
 
 @dataclass(frozen=True, slots=True)
