--- a/bitternpath/cli/system_settings.py
+++ b/bitternpath/cli/system_settings.py
@@ -6,7 +6,8 @@
 import tomllib
 from pathlib import Path
 
-from bitternpath.roles.settings import Settings, SettingsError, load_settings, settings_path
+from bitternpath.roles.settings import Settings, load_settings, settings_path
+from bitternpath.roles.settings_reader import SettingsError
 
 # Keys in the file of those fields of `Settings` that have another name there.
 _FILE_KEYS = {
--- /dev/null
+++ b/bitternpath/configuration/feed_server.py
@@ -0,0 +1,167 @@
+"""The owner's end of the configuration feed: a snapshot for each subscriber, then what changes.
+
+Offsets are the version of the document and the generation of the placement. A subscriber gets what is newer
+than its offsets. Without a change the same update, empty, is sent as a heartbeat.
+
+Nothing is sent while the owner has no lease, that is, while it hasn't heard a majority lately: its
+subscribers then time out and look for another owner, and so leave one that is partitioned and can't know its
+successor.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from bitternpath.configuration.feed_documents import pack_document
+from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.net.clock import Clock, Timer
+from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
+from bitternpath.transport.links import Link
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
+
+HEARTBEAT_INTERVAL_S = 0.4
+
+_NEVER_SENT = -1  # below every serial of the catalogue
+
+
+@dataclass(slots=True)
+class _Subscriber:
+    """A subscription, and what the subscriber has: updates on a link arrive in order or not at all."""
+
+    version: int
+    generation: int
+    wants_catalogue: bool
+    catalogue_serial: int = _NEVER_SENT
+
+
+@dataclass(frozen=True, slots=True)
+class _PackedDocument:
+    version: int
+    packed: bytes
+
+
+class FeedServer:
+    """Serves the feed while this node owns the configuration group.
+
+    Attributes:
+        epoch: term of this ownership. The group's own term may already be a later owner's.
+        serving: whether this node serves the feed now.
+        catalogue: the endpoint catalogue as last read by this owner; None before that.
+    """
+
+    def __init__(
+        self,
+        reactor: Clock,
+        state: ConfigurationState,
+        has_lease: Callable[[], bool] = lambda: True,
+    ) -> None:
+        """Not serving yet.
+
+        Args:
+            reactor: clock and timers.
+            state: this node's replica of the configuration.
+            has_lease: whether a majority was heard so lately that there can be no later owner yet.
+        """
+        self.epoch = 0
+        self.serving = False
+        self.catalogue: CatalogueUpdate | None = None
+        self._reactor = reactor
+        self._state = state
+        self._has_lease = has_lease
+        self._subscribers: dict[Link, _Subscriber] = {}
+        self._heartbeat: Timer | None = None
+        self._packed = _PackedDocument(0, b"")  # the version that was sent last
+
+    def begin(self, epoch: int) -> None:
+        """Serve the feed: this node owns the group from now on."""
+        self.epoch = epoch
+        self.serving = True
+        self._send_heartbeat()
+
+    def end(self, refusal: FeedRefused) -> None:
+        """Stop serving and redirect all subscribers: this node doesn't own the group any more."""
+        self.serving = False
+        self.catalogue = None
+        if self._heartbeat is not None and self._heartbeat.active():
+            self._heartbeat.cancel()
+        subscribers = self._subscribers
+        self._subscribers = {}
+        for link in subscribers:
+            link.send(refusal)
+
+    def subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
+        """Add a subscriber, or set its offsets anew, and send what it lacks."""
+        subscriber = _Subscriber(
+            wanted.configuration_version, wanted.placement_generation, wanted.wants_catalogue
+        )
+        self._subscribers[link] = subscriber
+        if self._has_lease():
+            self._send(link, subscriber, self._edge_node_count())
+
+    def dropped(self, link: Link) -> None:
+        """A link has closed; its subscription ends."""
+        self._subscribers.pop(link, None)
+
+    def publish(self) -> None:
+        """Send to all subscribers what they lack: the state has changed."""
+        if self.serving and self._has_lease():
+            edge_node_count = self._edge_node_count()
+            for link, subscriber in self._subscribers.items():
+                self._send(link, subscriber, edge_node_count)
+
+    def publish_catalogue(self, update: CatalogueUpdate) -> None:
+        """Send a catalogue that was just read to all subscribers that want it."""
+        self.catalogue = update
+        if not self._has_lease():
+            return
+        for link, subscriber in self._subscribers.items():
+            self._send_catalogue(link, subscriber, update)
+
+    def subscribed_nodes(self) -> list[NodeDescriptor]:
+        """The nodes that are subscribed now. Of two links to one, the last: the other is about to end."""
+        peers = [link.peer for link in self._subscribers if link.peer is not None]
+        return list({peer.name: peer for peer in peers}.values())
+
+    def heard_at(self) -> list[tuple[NodeDescriptor, float]]:
+        """The subscribed nodes by link, and when (by the reactor's clock) each was last heard."""
+        return [(link.peer, link.heard_at) for link in self._subscribers if link.peer is not None]
+
+    def _send_heartbeat(self) -> None:
+        self.publish()
+        self._heartbeat = self._reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
+
+    def _edge_node_count(self) -> int:
+        return max(sum(node.kind is NodeKind.EDGE for node in self.subscribed_nodes()), 1)
+
+    def _send(self, link: Link, subscriber: _Subscriber, edge_node_count: int) -> None:
+        state = self._state
+        has_new_version = state.version > subscriber.version
+        has_new_placement = state.placement_generation > subscriber.generation
+        link.send(
+            FeedUpdate(
+                epoch=self.epoch,
+                configuration_version=state.version,
+                configuration=self._packed_document() if has_new_version else None,
+                placement_generation=state.placement_generation,
+                placement=state.groups if has_new_placement else None,
+                edge_node_count=edge_node_count,
+            )
+        )
+        subscriber.version = state.version
+        subscriber.generation = state.placement_generation
+        if self.catalogue is not None and subscriber.catalogue_serial == _NEVER_SENT:
+            self._send_catalogue(link, subscriber, self.catalogue)
+
+    def _packed_document(self) -> bytes:
+        """The document in force, compressed once for all subscribers."""
+        if self._packed.version != self._state.version:
+            self._packed = _PackedDocument(self._state.version, pack_document(self._state.document))
+        return self._packed.packed
+
+    def _send_catalogue(self, link: Link, subscriber: _Subscriber, update: CatalogueUpdate) -> None:
+        if not subscriber.wants_catalogue:
+            return
+        entries = None if subscriber.catalogue_serial == update.serial else update.entries
+        link.send(CatalogueUpdate(update.epoch, update.serial, update.age_ms, entries))
+        subscriber.catalogue_serial = update.serial
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -10,8 +10,10 @@
 import logbook
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration.changes import ChangeProcessor, ChangeRequest, OperatorResult
-from bitternpath.configuration.feed import FeedServer
+from bitternpath.configuration.change_requests import ChangeRequest
+from bitternpath.configuration.changes import ChangeProcessor
+from bitternpath.configuration.feed_server import FeedServer
+from bitternpath.configuration.results import OperatorResult
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.discovery.endpoint_list_client import EndpointListClient
 from bitternpath.discovery.endpoint_list_poller import EndpointListPoller
@@ -21,6 +23,7 @@
     member_address,
     member_id,
 )
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
@@ -28,10 +31,9 @@
 from bitternpath.roles.configuration_voters import ConfigurationVoters
 from bitternpath.roles.live_nodes import LiveNodes
 from bitternpath.roles.node_base import NodeBase
-from bitternpath.roles.reactor import NodeReactor, PeriodicCall
+from bitternpath.roles.periodic_call import PeriodicCall
 from bitternpath.roles.retirements import Retirements
 from bitternpath.roles.shard_placement import ShardPlacement
-from bitternpath.transport.connections import Link
 from bitternpath.transport.feed_messages import FeedRefused, FeedSubscribe
 from bitternpath.transport.group_messages import (
     BootstrapDecision,
@@ -40,6 +42,7 @@
     MemberAddress,
     MembershipReport,
 )
+from bitternpath.transport.links import Link
 
 log = logbook.Logger("configuration")
 
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -11,13 +11,14 @@
 import logbook
 from twisted.internet.defer import Deferred
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.delivery.callback_client import CallbackClient
 from bitternpath.delivery.worker_client import WorkerClient
 from bitternpath.discovery.catalogue import Catalogue
 from bitternpath.discovery.endpoint_list_client import EndpointListClient
+from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.callbacks import CallbackDispatcher
-from bitternpath.dispatch.deliveries import BodyCache, DeliveryDispatcher
+from bitternpath.dispatch.deliveries import DeliveryDispatcher, DeliveryParts
 from bitternpath.ingress.interfaces import (
     Acceptance,
     AcceptResult,
@@ -28,13 +29,13 @@
     PendingPull,
 )
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.roles.bootstrap import BootstrapCoordinator
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.roles.endpoint_list_fallback import EndpointListFallback
 from bitternpath.roles.environment import ProcessEnvironment
 from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.roles.reactor import NodeReactor
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.status import group_status, node_status
 from bitternpath.shards.appends import Appender
@@ -42,7 +43,6 @@
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.shards.pulls import PullRouter
 from bitternpath.shards.reports import AttemptReporter
-from bitternpath.transport.connections import Link
 from bitternpath.transport.feed_messages import (
     CatalogueEntry,
     CatalogueUpdate,
@@ -57,6 +57,7 @@
     GroupPlacement,
     MembershipReport,
 )
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeKind
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse, StatusRequest
 from bitternpath.transport.records import Message
@@ -103,9 +104,8 @@
         self.lookup = MessageLookup(reactor, self.owners)
         self.bodies = BodyCache(BODY_CACHE_BYTES)
         self.worker_client = WorkerClient(reactor)
-        self.deliveries = DeliveryDispatcher(
-            reactor, self, self.worker_client, self.reports, self.bodies, random
-        )
+        delivery_parts = DeliveryParts(self.worker_client, self.reports, self.bodies)
+        self.deliveries = DeliveryDispatcher(reactor, self, delivery_parts, random)
         self.callbacks = CallbackDispatcher(reactor, CallbackClient(reactor), self.owners)
         self.catalogue = Catalogue(self._workers_changed)
         self._endpoint_list = EndpointListFallback(
@@ -155,9 +155,9 @@
         route = table.routes.get(message.route) if table is not None else None
         return "" if route is None or message.delay_ms else self.pulls.claim_waiting_worker(route.service)
 
-    def find_message(self, message_id: str, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
+    def find_message(self, message_id: str, *, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
         """The state of a message, by the id that its client was given or by its request id."""
-        return self.lookup.find(message_id, wants_body)
+        return self.lookup.find(message_id, wants_body=wants_body)
 
     def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
         """Wait for a job for a pulling worker."""
@@ -197,7 +197,8 @@
 
     def placement_changed(self, _generation: int, groups: tuple[GroupPlacement, ...]) -> None:
         """Shards have other members: keep a link to each storage node that is one."""
-        self.appender.shards = self.lookup.shards = len(groups)
+        self.appender.shard_count = len(groups)
+        self.lookup.shard_count = len(groups)
         addresses = {member.address for group in groups for member in group.members}
         for address in sorted(self._storage_addresses - addresses):
             self.base.hub.release(address, SHARD_LINK_USER)
@@ -219,7 +220,7 @@
     def link_closed(self, link: Link) -> None:
         """A link has ended."""
         self.base.feed.closed(link)
-        self.owners.closed(link)
+        self.owners.link_closed(link)
         if self.member is not None:
             self.member.feed.dropped(link)
 
--- a/bitternpath/roles/feed_cache.py
+++ b/bitternpath/roles/feed_cache.py
@@ -10,10 +10,11 @@
 
 import logbook
 
-from bitternpath.configuration.feed import FeedClient, pack_document
-from bitternpath.roles.reactor import ReactorTime
+from bitternpath.configuration.feed_client import FeedClient
+from bitternpath.configuration.feed_documents import pack_document
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.storage.document_writer import DocumentWriter
-from bitternpath.storage.documents import CorruptDocumentError
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.node_disk import NodeDisk
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.feed_messages import FeedUpdate
@@ -27,7 +28,7 @@
 class FeedCache:
     """Saves the state of a `FeedClient`, and restores it at the start of the next process."""
 
-    def __init__(self, reactor: ReactorTime, data_dir: Path, disk: NodeDisk, feed: FeedClient) -> None:
+    def __init__(self, reactor: NodeReactor, data_dir: Path, disk: NodeDisk, feed: FeedClient) -> None:
         """`feed` is saved to, and restored from, a document on `disk`, whose folder is `data_dir`."""
         self._disk = disk
         self._feed = feed
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.records import Members
@@ -12,8 +12,8 @@
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_requests import ShardRequests
 from bitternpath.roles.shard_runtime import ShardRuntime
-from bitternpath.transport.connections import Link
 from bitternpath.transport.group_messages import GroupPlacement
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor
 
 
--- a/bitternpath/roles/logs.py
+++ b/bitternpath/roles/logs.py
@@ -14,7 +14,7 @@
 import logbook
 from twisted.logger import ILogObserver, LogLevel, globalLogBeginner
 
-from bitternpath.roles.settings import SettingsError
+from bitternpath.roles.settings_reader import SettingsError
 
 LEVEL_VARIABLE = "BITTERNPATH_LOG"
 LEVELS = ("debug", "info", "warning", "error")
--- a/bitternpath/roles/membership_reports.py
+++ b/bitternpath/roles/membership_reports.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from bitternpath.configuration.feed import FeedClient
+from bitternpath.configuration.feed_client import FeedClient
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.transport.connections import Link
 from bitternpath.transport.group_messages import MembershipReport, MembershipRequest
+from bitternpath.transport.links import Link
 
 
 class MembershipReporter:
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -11,21 +11,25 @@
 from msgspec.structs import replace
 from twisted.internet.error import CannotListenError
 
-from bitternpath.configuration.feed import FeedClient, FeedListener
+from bitternpath.configuration.feed_client import FeedClient, FeedListener
 from bitternpath.membership.bootstrap import BOOTSTRAP_DOCUMENT, BootstrapFile
 from bitternpath.membership.gossip import Gossip
 from bitternpath.membership.view import MembershipView
-from bitternpath.replication.host import ReplicaHost
+from bitternpath.net.reactor import NodeReactor
+from bitternpath.replication.host import HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.roles.environment import LocalEnvironment, ProcessEnvironment
 from bitternpath.roles.group_transport import GroupTransport
-from bitternpath.roles.reactor import NodeReactor
-from bitternpath.roles.settings import Settings, SettingsError
+from bitternpath.roles.settings import Settings
+from bitternpath.roles.settings_reader import SettingsError
 from bitternpath.roles.wall_clock import SteadyWallClock
-from bitternpath.storage.documents import HEADER_BYTES, CorruptDocumentError
+from bitternpath.storage.documents import HEADER_BYTES
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.node_disk import NodeDisk
-from bitternpath.transport.codec import CodecError
-from bitternpath.transport.connections import Link, LinkHandler, NodeHub
+from bitternpath.transport.errors import CodecError
+from bitternpath.transport.hub import NodeHub
+from bitternpath.transport.links import Link, LinkHandler
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 log = logbook.Logger("node")
@@ -150,10 +154,8 @@
             self._reactor,
             self.transport.member_id,
             self.journal,
-            self.transport.send,
-            self.random,
-            bounds=self._environment.compaction(disk_bytes),
-            flushed=self.hub.flush,
+            MessageTransport(self.transport.send, self.hub.flush),
+            HostOptions(self.random, bounds=self._environment.compaction(disk_bytes)),
         )
         self.transport.connect(host.receive)
         return host
--- a/bitternpath/roles/pending_polls.py
+++ b/bitternpath/roles/pending_polls.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 from bitternpath.transport.records import Message
 from bitternpath.transport.shard_messages import PullResponse
 
--- a/bitternpath/roles/shard_context.py
+++ b/bitternpath/roles/shard_context.py
@@ -8,10 +8,10 @@
 
 from twisted.internet.defer import Deferred, succeed
 
+from bitternpath.net.clock import Clock
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.roles.edge_links import EdgeLinks
-from bitternpath.roles.reactor import ReactorTime
 
 Borrow = Callable[[str, str, int], "Deferred[int]"]
 
@@ -25,7 +25,7 @@
 class ShardContext:
     """Node-wide collaborators of `ShardRuntime`, `ShardOwnership` and `ShardRequests`."""
 
-    reactor: ReactorTime
+    reactor: Clock
     host: ReplicaHost  # proposals, read barriers, leader leases
     edges: EdgeLinks  # where leases, call-backs and announcements of ownership are sent
     random: Random
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -4,23 +4,19 @@
 
 import logbook
 
-from bitternpath.configuration.changes import ConsensusGroup
+from bitternpath.configuration.commands import COMMANDS, SetPlacement, UpdateStorageMembers
+from bitternpath.configuration.consensus_group import ConsensusGroup
 from bitternpath.configuration.placement import (
     AWAY_WITHOUT_SPARE_S,
     initial_placement,
     nodes_to_replace,
     repaired_placement,
 )
-from bitternpath.configuration.state_machine import (
-    COMMANDS,
-    ConfigurationState,
-    SetPlacement,
-    UpdateStorageMembers,
-)
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.membership.bootstrap import member_id
+from bitternpath.net.clock import Clock
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.roles.live_nodes import LiveNodes
-from bitternpath.roles.reactor import ReactorTime
 from bitternpath.transport.group_messages import GroupPlacement
 from bitternpath.transport.node_messages import NodeDescriptor
 
@@ -38,7 +34,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         group: ConsensusGroup,
         state: ConfigurationState,
         nodes: LiveNodes,
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -14,12 +14,13 @@
 
 from bitternpath.queue.actions import Action
 from bitternpath.queue.commands import COMMANDS, AppendMessage, Command
+from bitternpath.queue.long_polls import LongPollRequest
 from bitternpath.queue.results import AttemptEnded
-from bitternpath.replication.interfaces import NotOwnerError
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_ownership import ShardOwnership
 from bitternpath.roles.shard_runtime import ShardRuntime
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 from bitternpath.transport.records import MessageState
 from bitternpath.transport.shard_messages import (
@@ -108,7 +109,7 @@
         )
 
         def response(result: object) -> EndAttemptResponse:
-            return EndAttemptResponse(request.number, isinstance(result, AttemptEnded) and result.taken)
+            return EndAttemptResponse(request.number, isinstance(result, AttemptEnded) and result.accepted)
 
         self._propose(link, request.number, command, response)
 
@@ -142,7 +143,10 @@
         now = self._reactor.seconds()
         ownership.execute(
             ownership.owner.poll(
-                now, poll_id, link.peer.name, request.service, request.instance, request.wait_ms / 1000
+                now,
+                LongPollRequest(
+                    poll_id, link.peer.name, request.service, request.instance, request.wait_ms / 1000
+                ),
             )
         )
 
@@ -163,7 +167,9 @@
         ownership = self._shard.ownership
         if ownership is not None:
             now = self._reactor.seconds()
-            ownership.execute(ownership.owner.callback_report(now, report.request_id, report.taken))
+            ownership.execute(
+                ownership.owner.callback_report(now, report.request_id, acknowledged=report.taken)
+            )
 
     def lend_tokens(self, link: Link, request: TokenRequest) -> None:
         """Lend tokens of a service's rate limit to the owner of another shard."""
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -10,15 +10,15 @@
 
 import logbook
 
-from bitternpath.configuration.documents import RoutingTable
 from bitternpath.configuration.placement import shard_of
-from bitternpath.queue.owner import ShardOwner
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.queue.owner import OwnedShard, ShardOwner
 from bitternpath.queue.results import Result
 from bitternpath.queue.state import QueueState
 from bitternpath.roles.pending_polls import PendingPolls
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_ownership import ShardOwnership
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor
 from bitternpath.transport.shard_messages import Ownership
 
@@ -57,10 +57,8 @@
         if self.ownership is not None:
             self.ownership.end()
         context = self._context
-        shard = shard_of(self.group)
-        owner = ShardOwner(
-            self.state, shard, self._shard_count, context.zone, context.owner_settings, context.random
-        )
+        shard = OwnedShard(shard_of(self.group), self._shard_count, context.zone)
+        owner = ShardOwner(self.state, shard, context.owner_settings, context.random)
         ownership = ShardOwnership(context, self.group, self._shard_count, owner, self.polls)
         self.ownership = ownership
         self.epoch = epoch
@@ -87,7 +85,7 @@
         """A committed command has been applied to `state`."""
         ownership = self.ownership
         if ownership is not None and isinstance(result, Result):
-            ownership.execute(ownership.owner.applied(self._reactor.seconds(), result.command, result))
+            ownership.execute(ownership.owner.applied(self._reactor.seconds(), result))
 
     # ---- configuration and capacity
 
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -12,7 +12,8 @@
 
 import logbook
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.roles.disk_capacity import DiskCapacity
@@ -23,14 +24,14 @@
 from bitternpath.roles.membership_reports import MembershipReporter
 from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.ownership_return import OwnershipReturn
+from bitternpath.roles.periodic_call import PeriodicCall
 from bitternpath.roles.quota_borrowing import QuotaBorrower
-from bitternpath.roles.reactor import NodeReactor, PeriodicCall
 from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
-from bitternpath.roles.settings import Settings, SettingsError
+from bitternpath.roles.settings import Settings
+from bitternpath.roles.settings_reader import SettingsError
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_requests import ShardRequests
 from bitternpath.roles.status import group_status, node_status
-from bitternpath.transport.connections import Link
 from bitternpath.transport.feed_messages import CatalogueUpdate, FeedRefused, FeedSubscribe, FeedUpdate
 from bitternpath.transport.group_messages import (
     GroupMessage,
@@ -38,6 +39,7 @@
     MembershipReport,
     MembershipRequest,
 )
+from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeKind
 from bitternpath.transport.operator_messages import StatusRequest
 from bitternpath.transport.quota_messages import TokenRequest
@@ -108,10 +110,10 @@
             random=self.base.random,
             zone=self.settings.zone,
             owner_settings=OwnerSettings(
-                visible_ms=int(bounds.visible_ms),
-                status_s=bounds.status_s,
-                ceiling_window_s=bounds.ceiling_window_s,
-                origin_rate_over=bounds.origin_rate_over,
+                visibility_timeout_ms=int(bounds.visible_ms),
+                status_retention_s=bounds.status_s,
+                rate_window_s=bounds.ceiling_window_s,
+                rate_tolerance=bounds.origin_rate_over,
             ),
             wall_ms=self.base.wall_clock.wall_ms,
             has_capacity=DiskCapacity(self.base).has_capacity,
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -29,7 +29,8 @@
 
 if TYPE_CHECKING:
     from bitternpath.testing.fault_injection.entry import Entry
-    from bitternpath.testing.simulation.world import SimulatedNode, World
+    from bitternpath.testing.simulation.processes import SimulatedNode
+    from bitternpath.testing.simulation.world import World
 
 LISTED_WORKERS, LISTED_SLOTS, LISTED_WORK_S = 3, 4, (0.02, 0.12)
 ENDPOINT_SLOTS, ENDPOINT_WORK_S = 8, (0.02, 0.1)
--- a/bitternpath/testing/simulation/settings.py
+++ b/bitternpath/testing/simulation/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from bitternpath.replication.group import CompactionBounds
+from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.storage.segments import SEGMENT_BYTES
 from bitternpath.testing.fault_injection.bounds import BOUNDS
 
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -18,7 +18,7 @@
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.records import EntryKind, Members
 from bitternpath.shards import appends
-from bitternpath.transport.connections import Link
+from bitternpath.transport.links import Link
 
 Patches = Iterator[Any]
 
@@ -62,7 +62,7 @@
     request = Link.request
 
     def same_number(link: Any, make: Any) -> Any:
-        link._next_number %= 2
+        link._last_number %= 2
         return request(link, make)
 
     yield patch.object(Link, "request", same_number)
@@ -72,9 +72,9 @@
     """A message that was sent to an owner whose link ended is promised not to run."""
 
     def lost(append: Any, failure: Any) -> None:
-        append._without_owner()
+        append._retry_or_reject()
 
-    yield patch.object(appends._Append, "_lost", lost)
+    yield patch.object(appends._PendingAppend, "_response_lost", lost)
 
 
 @contextmanager
--- a/tests/system/roles/test_reactor.py
+++ b/tests/system/roles/test_periodic_call.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.roles.reactor import PeriodicCall
+from bitternpath.roles.periodic_call import PeriodicCall
 
 
 class PeriodicCallTest(unittest.TestCase):
--- a/tests/system/roles/test_process.py
+++ b/tests/system/roles/test_process.py
@@ -18,7 +18,7 @@
 from twisted.internet.task import Clock
 
 from bitternpath.cli import main
-from bitternpath.configuration.changes import ResultCode
+from bitternpath.configuration.results import ResultCode
 from bitternpath.membership.bootstrap import BootstrapFile
 from bitternpath.replication.records import Members, PersistentState, Snapshot
 from bitternpath.roles.edge_process import EdgeProcess
@@ -27,12 +27,8 @@
 from bitternpath.roles.process import PORT_RETRY_TIMEOUT_S, ExitCode, RoleLifecycle, build_role
 from bitternpath.roles.storage_process import StorageProcess
 from bitternpath.storage.files import LocalFileSystem
-from bitternpath.storage.identity import (
-    finish_quarantine,
-    quarantine_content,
-    quarantine_folders,
-    read_identity,
-)
+from bitternpath.storage.identity import read_identity
+from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_folders
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.transport.operator_messages import OperatorRequest
 from bitternpath.transport.shard_messages import RefusalReason, Refused
@@ -303,7 +299,8 @@
                 journal = process.node.base.journal
                 assert journal is not None
                 process.shut_down(lambda: calls.append(("end", reactor.seconds())))  # noqa: B023
-                journal.found("g", PersistentState(snapshot=Snapshot(members=Members((ME.member,)))))
+                first = PersistentState(snapshot=Snapshot(members=Members((ME.member,))))
+                journal.bootstrap_group("g", first)
                 reactor.pump([0.05] * 200)
                 self.assertEqual([name for name, _ in calls], ["links", "disk", "end"])
                 self.assertGreater(calls[1][1], calls[0][1])  # links are closed in a turn of the reactor
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -28,8 +28,8 @@
 from bitternpath.testing.emulator.scenario_file import load, made_from
 from bitternpath.testing.emulator.service import Ask, Tally
 from bitternpath.testing.emulator.sockets.processor_waits import ProcessorWaits
-from bitternpath.testing.emulator.troubles import KINDS
 from bitternpath.testing.emulator.troubles.fleet import FLEET
+from bitternpath.testing.emulator.troubles.register import KINDS
 from bitternpath.testing.emulator.worker import Attempt, Worker
 from bitternpath.testing.emulator.world import Result, play
 
