--- a/tests/system/configuration/test_retirement.py
+++ b/tests/system/configuration/test_retirement.py
@@ -313,10 +313,10 @@
         return succeed(self.state.apply(self.index, command))
 
     def retire(self, node: str) -> OperatorResult:
-        return self._result_of(self.retirements.order(node))
+        return self._result_of(self.retirements.retire(node))
 
     def state_of(self, node: str) -> str:
-        body = json.loads(self._result_of(self.retirements.state(node)).body)
+        body = json.loads(self._result_of(self.retirements.progress(node)).body)
         return str(body.get("state", body.get("result")))
 
     @staticmethod
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -34,13 +34,14 @@
     """A member of the configuration group."""
 
     def __init__(self, owner: bool) -> None:
-        self.owner, self.orders = owner, PendingChanges()
+        self.owner = owner
+        self.changes = PendingChanges()
 
     def is_owner(self) -> bool:
         return self.owner
 
-    def order(self, order: Any) -> Deferred[OperatorResult]:
-        return self.orders.read()
+    def submit_change(self, request: Any) -> Deferred[OperatorResult]:
+        return self.changes.read()
 
 
 class Link:
@@ -93,7 +94,7 @@
                 self.assertEqual(replies, [])
                 self.clock.advance(NODE_TIMEOUT_S - 0.7)
                 self.assertEqual([reply.status for reply in replies], [503])
-        self.owner.orders.open[0].callback(
+        self.owner.changes.open[0].callback(
             operator_result(ResultCode.ACCEPTED, version=5)
         )  # nobody waits for it
         self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
