--- a/bitternpath/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -5,9 +5,9 @@
 from math import ceil, inf
 from random import Random
 
-from bitternpath import messages as m
-from bitternpath.dispatch.jobs import QUICK, SLOW, Attempt, ClassState, Job
-from bitternpath.dispatch.workers import Worker
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.dispatch.jobs import QUICK, SLOW, Attempt, ClassState, Job
+from bitternpath.balancer.dispatch.workers import Worker
 
 FULL_REST = 2.0  # mean running times for which a worker that turned a job away is held to be full
 CHANCE = 0.5  # of the usual running time: with less left before the deadline a job is not worth a try
@@ -283,7 +283,7 @@
                 # Until then one job goes there for each own job that ends: more would race for one free slot.
                 rest = FULL_REST * (job.line.run or job.spec.aim)
                 worker.full_until = self.now + rest * (0.5 + self.random.random())
-            job.line.net.learn(worker, 0.0, whole=False)
+            job.line.net.learn(worker, 0.0, completed=False)
         if event.final or not job.open:
             self.close(job)
         elif not any(t.out for t in job.tries) and not self.place(job):
@@ -361,7 +361,7 @@
                 continue
             if not attempt.scored:
                 attempt.scored = True
-                line.net.learn(worker, attempt.job.size / (age + line.run), whole=False)
+                line.net.learn(worker, attempt.job.size / (age + line.run), completed=False)
             if self.set.in_order and not attempt.lost and worker.last_begun > attempt.sent + OVERTAKEN:
                 self.lose(attempt)
                 self.fault(worker, line)
--- a/bitternpath/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.leadership import HolderState, Leadership, PendingRequest, Route
-from bitternpath.fleet.replica import ReplicaState
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.leadership import HolderState, Leadership, PendingRequest, Route
+from bitternpath.balancer.fleet.replica import ReplicaState
 
 
 class LeaseGrants(ReplicaState):
@@ -36,7 +36,9 @@
                 late = f"a straggler for {self.record.terms.catch_up:g} s"
                 self._reply(route, m.Withheld(request.sent, f"{late}: {why}"))
                 return
-        leadership.awaiting_round.append(PendingRequest(self.raft.want_round(), now, route, request))
+        leadership.awaiting_round.append(
+            PendingRequest(self.raft.request_heartbeat_round(), now, route, request)
+        )
 
     def _lags_too_long(self, now: float, leadership: Leadership, state: HolderState) -> bool:
         since = state.behind_since or now
--- a/bitternpath/simulation/__init__.py
+++ b/bitternpath/testing/simulation/__init__.py
@@ -7,7 +7,7 @@
 The seam between the world and its actors (operators, clients, workers, the platform, receivers of
 call-backs):
 
-    from bitternpath.simulation.world import World, Plan
+    from bitternpath.testing.simulation.world import World, Plan
 
     world = World(seed, Plan(core_edges=3, other_edges=1, storages=3, tolerated_machines=1))
     world.now                     seconds of virtual time since the run began
@@ -47,7 +47,7 @@
     world.stall_disk(name, seconds), world.bound_disk(name, free_bytes)
     world.terminate(name)                      SIGTERM; starts again after `down_s` unless it was removed
     world.reload(name, **settings)             other settings in its file, then SIGHUP
-    world.disk(name)                           its `SimulatedDisk`
+    world.disk(name)                           its `SimulatedFileSystem`
     world.add_node(role, ...) -> SimulatedNode an empty one, started at once
     world.replace(name) -> SimulatedNode       gone for good; an empty one at another address takes its place
     world.remove(name)                         gone for good
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -11,12 +11,12 @@
 
 from twisted.internet.defer import Deferred, fail, succeed
 
-from bitternpath.configuration.machine import ConfigurationState
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwner
+from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.configuration_member import ConfigurationMember
-from bitternpath.simulation.disk import SimulatedNodeDisk
-from bitternpath.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.disk import SimulatedNodeDisk
+from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
 from tests.system.small_actors import Answer, SmallSystem
 
 SEEDS = range(12)
@@ -154,7 +154,7 @@
 
 def hasty_barrier(self: ReplicaHost, group: str) -> Deferred[None]:
     """Nobody is asked whether this is the owner still."""
-    return succeed(None) if self.is_owner(group) else fail(NotOwner())
+    return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
 
 def forgetful_snapshot(self: ConfigurationState) -> bytes:
@@ -204,7 +204,7 @@
             self.assert_caught(all_lose_power_right_after_an_acknowledgement)
 
     def test_no_confirmation_before_an_answer(self) -> None:
-        with patch.object(ReplicaHost, "barrier", hasty_barrier):
+        with patch.object(ReplicaHost, "read_barrier", hasty_barrier):
             self.assert_caught(read_at_an_owner_that_does_not_know_it_was_replaced)
 
     def test_digests_not_in_the_snapshot(self) -> None:
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -13,9 +13,9 @@
 from twisted.internet.defer import Deferred, fail, succeed
 
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwner
-from bitternpath.simulation.processes import SimulatedNode
-from bitternpath.simulation.world import Plan
+from bitternpath.replication.interfaces import NotOwnerError
+from bitternpath.testing.simulation.processes import SimulatedNode
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 PATIENCE_S = 1.0  # of an operator, before it moves on to another node
@@ -85,9 +85,9 @@
 
     def test_a_build_that_asks_nobody_is_caught(self) -> None:
         def hasty(self: ReplicaHost, group: str) -> Deferred[None]:
-            return succeed(None) if self.is_owner(group) else fail(NotOwner())
+            return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
-        with patch.object(ReplicaHost, "barrier", hasty):
+        with patch.object(ReplicaHost, "read_barrier", hasty):
             statuses = {answer.status for answer in self.play("owner", "both", 0.0)}
         self.assertTrue(statuses & {200, 400, 404, 409, 412}, statuses)
 
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from random import Random
 
-from bitternpath.simulation.processes import NodeState
-from bitternpath.simulation.recorder import Ownership
-from bitternpath.simulation.world import Plan, World
+from bitternpath.testing.simulation.processes import NodeState
+from bitternpath.testing.simulation.recorder import Ownership
+from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import Answer, SmallSystem
 
 SETTLE_S = 6.0  # after the last fault, until all must be well again
@@ -188,7 +188,7 @@
         disk = self.world.disk(name)
         self.world.kill(name, down_s=None)
         path = next(path for path in disk.paths() if path.endswith(".log"))
-        disk.flip(path, 40)
+        disk.corrupt_byte(path, 40)
         self.world.nodes[name].start()
         self.check_well()
         self.assertTrue(any(path.startswith("damaged-") for path in disk.paths()))
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -5,11 +5,11 @@
 import unittest
 from random import Random
 
-from bitternpath.simulation.world import Plan, World
+from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import SmallSystem
 
 LATEST_S = 12.0  # for the first configuration
-FOUNDED = "event=founded system="
+FOUNDED = "event=system_bootstrapped system="
 
 
 def one_loss(world: World, random: Random, name: str) -> None:
