--- /dev/null
+++ b/bitternpath/queue/service_queues.py
@@ -0,0 +1,167 @@
+"""The queue of each service in one shard: its ready messages, and what limits their leases."""
+
+from __future__ import annotations
+
+import heapq
+from math import ceil
+
+from bitternpath.configuration.documents import Service
+from bitternpath.queue.adaptive_limit import AdaptiveConcurrencyLimit
+from bitternpath.queue.quota_leases import QuotaBorrower
+from bitternpath.queue.rate_limits import RateBound, split_rate
+from bitternpath.queue.ready import ReadyQueue
+from bitternpath.queue.token_bucket import BucketShare, TokenBucket
+
+LEASES_PER_SLOT = 2.0  # in flight: a lease also covers the way there and back, and the log
+MIN_IN_FLIGHT = 2  # leases of a service without listed workers: they probe it
+
+
+class ServiceQueue:
+    """Ready messages of one service, its concurrency limits, and its rate limit where it has one."""
+
+    def __init__(self, service: Service) -> None:
+        """Begin without messages and limits."""
+        self.service = service
+        self.ready = ReadyQueue()
+        self.concurrency = AdaptiveConcurrencyLimit()
+        self.bucket: TokenBucket | None = None
+        self.borrower: QuotaBorrower | None = None  # beside the bucket, where the rate limit is pooled
+        self.max_in_flight: int | None = None  # by the slots of its listed workers; None: not known
+        self.in_flight = 0  # pushed leases; those of pulling workers are bounded by the workers
+        self.wakeup_at: float | None = None  # earliest time for which `ServiceQueueTable.wake_at` was called
+        self.pregranted: set[str] = set()  # request ids of messages with a lease for the next poll
+        self.pollers_requested_at = float("-inf")
+        self.pollers_request_interval_s = 0.0  # until the next request; grows while messages wait
+
+    def next_grant_time(self, now: float) -> float | None:
+        """Return when a lease may be granted (`now`: at once); None: only after a lease has ended."""
+        when = self._next_concurrent_grant_time(now)
+        if when is None or self.bucket is None:
+            return when
+        token_at = self._next_token_time(now, self.bucket)
+        return None if token_at is None else max(when, token_at)
+
+    def is_short_of_tokens(self, now: float) -> bool:
+        """Whether nothing but a token is wanted, and one may be borrowed."""
+        if self.bucket is None or self.borrower is None or self._next_concurrent_grant_time(now) != now:
+            return False
+        return self._next_token_time(now, self.bucket) != now
+
+    def record_grant(self, now: float) -> None:
+        """Count a new lease: spends a token, a borrowed one first."""
+        if self.borrower is not None and self.borrower.available(now):
+            self.borrower.spend()
+        elif self.bucket is not None:
+            self.bucket.spend()
+        if not self.service.pull_mode:
+            self.concurrency.record_grant(now)
+
+    def _next_concurrent_grant_time(self, now: float) -> float | None:
+        """Return when a lease may be granted as far as the concurrency limits go; None as above."""
+        if self.service.pull_mode:
+            return now
+        if self.max_in_flight is not None and self.in_flight >= self.max_in_flight:
+            return None
+        return self.concurrency.next_grant_time(now, self.in_flight)
+
+    def _next_token_time(self, now: float, bucket: TokenBucket) -> float | None:
+        if self.borrower is not None and self.borrower.available(now):
+            return now
+        return bucket.next_token_time(now)
+
+
+class ServiceQueueTable:
+    """The queues of all services, which of them to look at, and when others may go on.
+
+    A queue is dirty when a lease of its service may have become possible; the owner looks at each dirty queue
+    at the end of each event.
+    """
+
+    def __init__(self, bound: RateBound) -> None:
+        """Begin without services."""
+        self._bound = bound
+        self._queues: dict[str, ServiceQueue] = {}
+        self._dirty: dict[str, None] = {}  # in the order in which they became dirty
+        self._wakeups: list[tuple[float, str]] = []
+
+    def find(self, service: str) -> ServiceQueue | None:
+        """Return the queue of a service that is or was configured."""
+        return self._queues.get(service)
+
+    def all(self) -> list[ServiceQueue]:
+        """Return the queues of all services."""
+        return list(self._queues.values())
+
+    def configure(self, now: float, services: dict[str, Service]) -> None:
+        """Take the services of a configuration. New rate limits begin with an empty bucket."""
+        for name, service in services.items():
+            queue = self._queues.get(name)
+            if queue is None:
+                queue = self._queues[name] = ServiceQueue(service)
+            queue.service = service
+            self._configure_rate_limit(now, queue)
+        self.mark_all_dirty()
+
+    def set_capacities(self, slots: dict[str, int]) -> None:
+        """Bound the leases in flight to listed workers by their slots.
+
+        So what waits does so here, in order, and not at the workers. A service without listed workers keeps
+        `MIN_IN_FLIGHT` leases as probes.
+        """
+        for name, queue in self._queues.items():
+            listed = not queue.service.pull_mode and queue.service.endpoint is None
+            share = ceil(LEASES_PER_SLOT * slots.get(name, 0) / self._bound.shards)
+            queue.max_in_flight = max(share, MIN_IN_FLIGHT) if listed else None
+        self.mark_all_dirty()
+
+    def new_bucket(self, now: float, share: BucketShare) -> TokenBucket:
+        """Return the bucket of a service that this owner has not limited before."""
+        return TokenBucket(share, now)
+
+    def mark_dirty(self, service: str) -> None:
+        """Have the queue of a service looked at, where it is configured."""
+        if service in self._queues:
+            self._dirty[service] = None
+
+    def mark_all_dirty(self) -> None:
+        """Have all queues looked at."""
+        self._dirty.update(dict.fromkeys(self._queues))
+
+    def take_dirty(self) -> list[ServiceQueue]:
+        """Return the queues to look at, which are dirty no more."""
+        queues = [self._queues[name] for name in self._dirty]
+        self._dirty.clear()
+        return queues
+
+    def wake_at(self, when: float, queue: ServiceQueue) -> None:
+        """Make a queue dirty at that time, or earlier where that is set already."""
+        if queue.wakeup_at is None or when < queue.wakeup_at:
+            queue.wakeup_at = when
+            heapq.heappush(self._wakeups, (when, queue.service.name))
+
+    def wake_due(self, now: float) -> None:
+        """Make the queues dirty whose time has come."""
+        while self._wakeups and self._wakeups[0][0] <= now:
+            name = heapq.heappop(self._wakeups)[1]
+            self._queues[name].wakeup_at = None
+            self.mark_dirty(name)
+
+    def next_wakeup(self) -> float | None:
+        """Return when `wake_due` is wanted next; None where no time is set."""
+        return self._wakeups[0][0] if self._wakeups else None
+
+    def _configure_rate_limit(self, now: float, queue: ServiceQueue) -> None:
+        rate = queue.service.rate_per_s
+        if rate <= 0:
+            queue.bucket = None
+            queue.borrower = None
+            return
+        split = split_rate(rate, self._bound)
+        if queue.bucket is None:
+            queue.bucket = self.new_bucket(now, split.base)
+        else:
+            queue.bucket.configure(now, split.base)
+        if not split.is_pooled:
+            queue.borrower = None
+        elif queue.borrower is None:
+            queue.borrower = QuotaBorrower()
--- a/tests/system/test_settings_file.py
+++ b/tests/system/test_settings_file.py
@@ -11,7 +11,8 @@
 from unittest.mock import patch
 
 from bitternpath.cli.system_settings import print_settings
-from bitternpath.roles.settings import VARIABLE, Settings, SettingsError, load_settings, settings_path
+from bitternpath.roles.settings import VARIABLE, Settings, load_settings, settings_path
+from bitternpath.roles.settings_reader import SettingsError
 
 LEAST = 'node_name = "a"\nip = "10.1.0.40"\ninternal_port_range = [7780, 7795]\n'
 
