--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -15,7 +15,7 @@
 from bitternpath.storage.identity import read_identity
 from bitternpath.storage.journal import Journal, open_journal
 from bitternpath.storage.quarantine import quarantine_folders
-from bitternpath.transport.codec import CodecError
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.feed_messages import FeedUpdate
 
 DATA_COPY = "data"  # name of the scratch folder's copy; messages of damage don't show it
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -6,14 +6,14 @@
 
 from bitternpath.configuration.feed_server import FeedServer
 from bitternpath.configuration.liveness import NodeLiveness
-from bitternpath.roles.reactor import ReactorTime
+from bitternpath.net.clock import Clock
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 
 class LiveNodes:
     """Valid while this node owns the configuration group; `begin` starts it anew for each ownership."""
 
-    def __init__(self, reactor: ReactorTime, feed: FeedServer) -> None:
+    def __init__(self, reactor: Clock, feed: FeedServer) -> None:
         """`feed` is served by this node while it is the owner."""
         self._reactor = reactor
         self._feed = feed
--- a/bitternpath/roles/quota_borrowing.py
+++ b/bitternpath/roles/quota_borrowing.py
@@ -12,9 +12,9 @@
 
 from twisted.internet.defer import Deferred, succeed
 
+from bitternpath.net.clock import Clock
 from bitternpath.queue.rate_limits import QUOTA_LEASE_S
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.roles.reactor import ReactorTime
 from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.hub import NodeHub
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        reactor: Clock,
         hub: NodeHub,
         host: ReplicaHost,
         placements: Mapping[str, GroupPlacement],
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -13,6 +13,7 @@
 from twisted.python.failure import Failure
 
 from bitternpath.configuration.placement import shard_group
+from bitternpath.net.clock import Timer, cancel_if_active
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
@@ -28,7 +29,6 @@
 from bitternpath.queue.sharding import home_shard
 from bitternpath.replication.errors import NotOwnerError
 from bitternpath.roles.pending_polls import PendingPolls
-from bitternpath.roles.reactor import ScheduledCall, cancel_call
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.transport.records import AttemptOutcome
 from bitternpath.transport.shard_messages import CallbackRequest, LeaseGrant, WorkAvailable
@@ -53,7 +53,7 @@
         self._group = group
         self._shard_count = shard_count
         self._polls = polls
-        self._wakeup: ScheduledCall | None = None
+        self._wakeup: Timer | None = None
 
     def end(self) -> None:
         """The replica has lost the leadership: do nothing more on behalf of this ownership."""
@@ -178,5 +178,5 @@
             self.execute(self.owner.tick(self._reactor.seconds()))
 
     def _cancel_wakeup(self) -> None:
-        cancel_call(self._wakeup)
+        cancel_if_active(self._wakeup)
         self._wakeup = None
--- a/bitternpath/storage/document_writer.py
+++ b/bitternpath/storage/document_writer.py
@@ -10,8 +10,8 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 
+from bitternpath.net.reactor import ThreadPoolReactor
 from bitternpath.storage.node_disk import LocalDisk, NodeDisk
-from bitternpath.storage.reactor import ThreadPoolReactor
 
 log = logbook.Logger("storage")
 
--- a/bitternpath/storage/journal.py
+++ b/bitternpath/storage/journal.py
@@ -11,13 +11,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
+from bitternpath.net.reactor import ThreadCallReactor
 from bitternpath.replication.records import PersistentState, StorageWrite
 from bitternpath.storage.commands import DoneCallback, JournalCommand, NewSnapshot
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.group_state import bootstrap_record, write_record
 from bitternpath.storage.journal_writer import CorruptSnapshotCallback, JournalWriter
 from bitternpath.storage.journal_writer_thread import JournalWriterThread
-from bitternpath.storage.reactor import ThreadCallReactor
 from bitternpath.storage.records import TombstoneRecord
 from bitternpath.storage.segments import SEGMENT_BYTES, SegmentLog
 
