--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -76,11 +76,8 @@
     truncated = sum(sizes.values()) - (journal.bytes_used - snapshots)
     if truncated:
         last = max(sizes)
-        offset = sizes[last] - truncated
-        print(
-            f"  torn tail: journal/{last} at offset {offset}: "
-            f"{truncated} bytes are no whole batch, and are cut"
-        )
+        position = f"journal/{last} at offset {sizes[last] - truncated}"
+        print(f"  torn tail: {position}: {truncated} bytes are no whole batch, and are cut")
 
 
 def _print_groups(journal: Journal) -> None:
