--- a/tests/system/test_pages.py
+++ b/tests/system/test_pages.py
@@ -24,10 +24,12 @@
     EVENTS,
     ROOT / "CONTRIBUTING.md",
 )
+DESIGN_NOTES = (DOCS / "design" / "system.md", DOCS / "design" / "control-safety.md")
 OTHER_PROGRAMS = ("balancer", "testing")  # their log events aren't the service's
 LEVELS = {"exception": "error"}  # methods of a logger whose level has another name
 _QUOTED = re.compile(r"`([^`\n]+)`")
 _PATH = re.compile(r"[A-Za-z0-9_.-]+(?:/[A-Za-z0-9_.*-]+)*/?")
+_MODULE = re.compile(r"[a-z_0-9]+(?:/[a-z_0-9]+)+(?:\.py)?|[a-z_0-9]+(?:/[a-z_0-9]+)*/")
 _EVENT = re.compile(r"event=([a-z0-9_]+)")
 
 
@@ -103,6 +105,22 @@
     return sorted((int(member.value), member.name) for member in kind)
 
 
+def short_names(page: str) -> set[str]:
+    """Names in backticks as design notes write them: modules and packages of the program, tests."""
+    packages = {path.name for path in PROGRAM.iterdir() if path.is_dir()} | {"tests"}
+    words = {word for each in _QUOTED.findall(page) for word in each.split()}
+    modules = {word for word in words if _MODULE.fullmatch(word) and word.split("/")[0] in packages}
+    return modules | {word for word in words if re.fullmatch(r"(?:\w+/)?test_\w+", word)}
+
+
+def is_there(name: str) -> bool:
+    """Whether a module, a package, a file of tests or a test is there by that short name."""
+    folders = (ROOT, PROGRAM, ROOT / "tests", ROOT / "tests" / "system")
+    if any((folder / f"{name.rstrip('/')}{end}").exists() for folder in folders for end in ("", ".py")):
+        return True
+    return "/" not in name and any((ROOT / "tests").rglob(f"{name}.py"))
+
+
 class Paths(unittest.TestCase):
     def test_paths_that_pages_name_are_there(self) -> None:
         for page in PAGES_WITH_PATHS:
@@ -117,6 +135,20 @@
         self.assertEqual(named, {"queue/owner.py", "queue/gone.py", "gone/", "bitternpath/roles/"})
         self.assertEqual({path for path in named if not exists(path)}, {"queue/gone.py", "gone/"})
 
+    def test_modules_and_tests_that_design_notes_name_are_there(self) -> None:
+        for page in (*DESIGN_NOTES, *sorted((DOCS / "design" / "control-safety").glob("*.md"))):
+            named = short_names(page.read_text("utf-8"))
+            with self.subTest(page=page.name):
+                self.assertTrue(named)
+                self.assertEqual([name for name in sorted(named) if not is_there(name)], [])
+
+    def test_a_module_or_a_test_that_is_gone_is_noticed(self) -> None:
+        named = short_names(
+            "`queue/owner`, `queue/gone`, `test_pages`, `queue/test_owner`, `test_gone`, `a/b`"
+        )
+        self.assertEqual(named, {"queue/owner", "queue/gone", "test_pages", "queue/test_owner", "test_gone"})
+        self.assertEqual({name for name in named if not is_there(name)}, {"queue/gone", "test_gone"})
+
     def test_links_of_pages_lead_to_files(self) -> None:
         for page in (*PAGES_WITH_PATHS, ROOT / "README.md"):
             for target in re.findall(r"\]\(([^)#]+)(?:#[^)]*)?\)", page.read_text("utf-8")):
