--- a/tests/system/test_pages.py
+++ b/tests/system/test_pages.py
@@ -166,7 +166,8 @@
                 (name,) = _QUOTED.findall(term)
                 (path,) = _QUOTED.findall(where)
                 text = path + (PROGRAM / path).read_text("utf-8")
-                self.assertRegex(text, rf"(?<![A-Za-z0-9]){re.escape(name)}(?![A-Za-z0-9])")
+                stands = re.search(rf"(?<![A-Za-z0-9]){re.escape(name)}(?![A-Za-z0-9])", text)
+                self.assertIsNotNone(stands, f"{name} isn't in {path}")
                 self.assertTrue(meaning)
 
     def test_no_term_is_told_twice(self) -> None:
@@ -192,6 +193,13 @@
     def test_no_event_is_logged_in_another_way(self) -> None:
         self.assertEqual(events_in_text(), set(logged_events()))
 
+    def test_events_that_other_pages_for_operators_quote_are_logged(self) -> None:
+        pages = "".join((DOCS / "operate" / name).read_text("utf-8") for name in ("system.md", "control.md"))
+        quoted = {each for text in _QUOTED.findall(pages) for each in re.findall(r"^(\w+_\w+) \w+=", text)}
+        quoted |= set(re.findall(r"event=([a-z_]+)", pages))
+        self.assertGreater(len(quoted), 3)
+        self.assertEqual(quoted - set(logged_events()), set())
+
     def test_a_change_of_the_page_is_noticed(self) -> None:
         left_out = re.sub(r"\n\| `link_silent` .*", "", self.page)
         renamed = self.page.replace("| `link_silent` | info", "| `link_lost` | info")
