--- /dev/null
+++ b/bitternpath/testing/fault_injection/fault_schedule.py
@@ -0,0 +1,117 @@
+"""Stops processes during the traffic and starts them again."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, replace
+from enum import Enum
+from math import inf
+from random import Random
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.internet.task import deferLater
+
+from bitternpath.testing.fault_injection.actor_context import ActorContext
+from bitternpath.testing.fault_injection.owner_poller import ConfigurationOwnerPoller
+from bitternpath.testing.fault_injection.plan import Plan, Role
+from bitternpath.testing.fault_injection.processes import Process
+from bitternpath.testing.fault_injection.records import Outage
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
+
+RESTART_AFTER_S = 1.5
+POLL_INTERVAL_S = 0.05
+
+
+class StopTarget(Enum):
+    """Which process is stopped."""
+
+    EDGE = "an edge node"  # one without a disk where there is one: it doesn't count as a loss
+    STORAGE = "a storage node"
+    OWNER = "the configuration's owner"
+
+
+@dataclass(frozen=True, slots=True)
+class ScheduledStop:
+    """A stop at the fraction `share` of the traffic's duration; by SIGKILL if `kill`, else by SIGTERM."""
+
+    share: float
+    target: StopTarget
+    kill: bool
+
+
+# At most one machine with a disk is down at a time (DEPLOY, `fault_tolerance`).
+SCHEDULED_STOPS = (
+    ScheduledStop(0.07, StopTarget.EDGE, True),
+    ScheduledStop(0.10, StopTarget.STORAGE, True),
+    ScheduledStop(0.30, StopTarget.OWNER, True),
+    ScheduledStop(0.50, StopTarget.EDGE, False),
+    ScheduledStop(0.54, StopTarget.STORAGE, False),
+    ScheduledStop(0.76, StopTarget.OWNER, False),
+)
+
+
+class FaultSchedule:
+    """Carries out the scheduled stops."""
+
+    def __init__(
+        self,
+        context: ActorContext,
+        plan: Plan,
+        processes: Mapping[str, Process],
+        owner_poller: ConfigurationOwnerPoller,
+        report: Callable[[str], None],
+    ) -> None:
+        """`report` receives a line of text for each fault."""
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
+        self._plan = plan
+        self._processes = processes
+        self._owner_poller = owner_poller
+        self._report = report
+        self._random = Random(plan.seed + 2)
+        self.open = 0  # faults to come, or whose process has not been started again
+
+    def run(self, failed: Callable[[Any], None]) -> None:
+        """Schedule all stops from now on; `failed` receives an error of the test environment itself."""
+        for stop in SCHEDULED_STOPS:
+            self.open += 1
+            Deferred.fromCoroutine(self._carry_out(stop)).addErrback(failed)
+
+    async def _carry_out(self, stop: ScheduledStop) -> None:
+        await deferLater(self._reactor, stop.share * self._plan.seconds)
+        process = self._processes[self._choose(stop.target)]
+        name = process.machine.name
+        place = len(self._history.outages)
+        self._history.outages.append(Outage(name, self._clock(), inf, not stop.kill))
+        self._report(f"{'SIGKILL' if stop.kill else 'SIGTERM'} to {name} ({stop.target.value})")
+        if stop.kill:
+            process.kill()
+        else:
+            await self._terminate(process)
+        await deferLater(self._reactor, RESTART_AFTER_S)
+        process.start()
+        self._history.outages[place] = replace(self._history.outages[place], until=self._clock())
+        self._report(f"{name} is started again")
+        self.open -= 1
+
+    async def _terminate(self, process: Process) -> None:
+        """SIGTERM, then SIGKILL after the grace period."""
+        began = self._clock()
+        process.terminate()
+        while process.running() and self._clock() - began < BOUNDS["grace_s"]:
+            await deferLater(self._reactor, POLL_INTERVAL_S)
+        in_time = not process.running()
+        process.kill()
+        how = "has ended" if in_time else "was killed at the end of its grace"
+        self._report(f"{process.machine.name} {how} after {self._clock() - began:.2f} s")
+
+    def _choose(self, target: StopTarget) -> str:
+        if target is StopTarget.OWNER:
+            return self._owner_poller.owner() or self._plan.edges[0].name
+        if target is StopTarget.STORAGE:
+            storage = [machine.name for machine in self._plan.machines if machine.role is Role.STORAGE]
+            return self._random.choice(storage)
+        edges = [edge for edge in self._plan.edges if edge.name != self._owner_poller.owner()]
+        return min(edges, key=lambda edge: edge.disk).name
