--- a/tests/system/test_fault_injection_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -1,4 +1,4 @@
-"""The checkers of fault-injection runs: each fires on a history that breaks its rule, not on the nearest sound one."""
+"""The checkers of fault-injection runs: each fires on a history that breaks its rule, and not on a sound one."""
 
 from __future__ import annotations
 
