--- a/bitternpath/membership/bootstrap.py
+++ b/bitternpath/membership/bootstrap.py
@@ -3,7 +3,7 @@
 At the first start all nodes have the same seeds, empty disks and `bootstrap = true`. The process at the first
 seed, the decider, notes on its disk that it is the one to decide, and decides once: the founding members are
 the counted edge nodes of its view, once the view is stable. No other process ever decides, and the decider
-only as long as its disk is the same, so there is at most one decision. `roles.founding` carries it to the
+only as long as its disk is the same, so there is at most one decision. `roles.bootstrap` carries it to the
 founding members.
 """
 
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Protocol, cast
 
 import logbook
 from twisted.internet.protocol import DatagramProtocol
@@ -18,11 +18,17 @@
 SHORTEST_PAUSE_S = 0.05  # between rounds, however late the last one was
 
 
+class DatagramTransport(Protocol):
+    """The part of `twisted.internet.interfaces.IUDPTransport` that `Gossip` uses."""
+
+    def write(self, packet: bytes, addr: tuple[str, int]) -> None:
+        """Send a datagram; raises `OSError`."""
+
+
 class Gossip(DatagramProtocol):
     """Carries the rounds of a view."""
 
     noisy = False
-    transport: Any
 
     def __init__(self, clock: Clock, view: MembershipView) -> None:
         """`view`: decides what is sent; the rounds begin with `startProtocol`."""
@@ -56,9 +62,10 @@
         self._timer = self._clock.callLater(pause, self._round)
 
     def _send(self, datagrams: list[Datagram]) -> None:
+        transport = cast(DatagramTransport, self.transport)  # Twisted sets it before `startProtocol`
         for datagram in datagrams:
             host, _, port = datagram.address.rpartition(":")
             try:
-                self.transport.write(RECORDS.encode(datagram.record), (host, int(port)))
+                transport.write(RECORDS.encode(datagram.record), (host, int(port)))
             except OSError as error:
                 log.debug("event=datagram_send_failed address={} error={}", datagram.address, error)
--- a/bitternpath/testing/simulation/virtual_time.py
+++ b/bitternpath/testing/simulation/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time for simulated processes that can be frozen and ended. For tests."""
+"""Virtual time for simulated processes that can be frozen and ended."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 class Timer:
-    """A call to come, as a reactor's `callLater` gives it."""
+    """A timer, as returned by a reactor's `callLater`."""
 
     __slots__ = ("_arguments", "_call", "_time")
 
     def __init__(self, time: float, call: Callable[..., object], arguments: tuple[Any, ...]) -> None:
-        self._time, self._arguments = time, arguments
+        self._time = time
+        self._arguments = arguments
         self._call: Callable[..., object] | None = call
 
     def getTime(self) -> float:
@@ -22,22 +23,23 @@
         return self._time
 
     def active(self) -> bool:
-        """Whether it is still to come."""
+        """Whether it has neither fired nor been cancelled."""
         return self._call is not None
 
     def cancel(self) -> None:
-        """It doesn't come."""
+        """Keep it from firing."""
         self._call = None
 
     def fire(self) -> None:
         """Call, unless it was cancelled."""
-        call, self._call = self._call, None
+        call = self._call
+        self._call = None
         if call is not None:
             call(*self._arguments)
 
 
 class EventClock:
-    """Virtual time with a heap of timers: in long runs cheaper than `twisted.internet.task.Clock`."""
+    """Virtual time with a heap of timers; in long runs cheaper than `twisted.internet.task.Clock`."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -45,11 +47,11 @@
         self._timers: list[tuple[float, int, Timer]] = []
 
     def seconds(self) -> float:
-        """The virtual time."""
+        """The virtual time in seconds."""
         return self._now
 
     def callLater(self, delay: float, call: Callable[..., object], *arguments: Any) -> Timer:
-        """As a reactor's."""
+        """Call after `delay` seconds, as a reactor does."""
         timer = Timer(self._now + delay, call, arguments)
         heapq.heappush(self._timers, (timer.getTime(), next(self._serial), timer))
         return timer
@@ -69,36 +71,39 @@
 
     def __init__(self, clock: EventClock) -> None:
         self._clock = clock
-        self._ended = self._frozen = False
-        self._held: list[Callable[[], object]] = []
+        self._ended = False
+        self._frozen = False
+        self._deferred: list[Callable[[], object]] = []
 
     def seconds(self) -> float:
-        """The steady clock; goes on while the process is frozen."""
+        """The clock of the machine; it goes on while the process is frozen."""
         return self._clock.seconds()
 
     def callLater(self, delay: float, call: Callable[..., Any], *arguments: Any) -> Any:
-        """As a reactor's."""
+        """Call after `delay` seconds, as a reactor does."""
         return self._clock.callLater(delay, self.run, lambda: call(*arguments))
 
     def run(self, call: Callable[[], object]) -> None:
-        """Now, or when the process goes on."""
+        """Call now, or when the process is thawed; never once it has ended."""
         if self._frozen:
-            self._held.append(call)
+            self._deferred.append(call)
         elif not self._ended:
             call()
 
     def freeze(self) -> None:
-        """Hold all calls."""
+        """Defer all calls until `thaw`."""
         self._frozen = True
 
     def thaw(self) -> None:
-        """Do what was held."""
+        """Make the deferred calls, and go on."""
         self._frozen = False
-        held, self._held = self._held, []
-        for call in held:
+        deferred = self._deferred
+        self._deferred = []
+        for call in deferred:
             self.run(call)
 
     def end(self) -> None:
-        """Do nothing more."""
-        self._ended, self._frozen = True, False
-        self._held.clear()
+        """Make no further call."""
+        self._ended = True
+        self._frozen = False
+        self._deferred.clear()
