--- a/bitternpath/discovery/catalogue.py
+++ b/bitternpath/discovery/catalogue.py
@@ -1,4 +1,4 @@
-"""An edge node's catalogue of workers: what the platform's list showed last, and how long ago."""
+"""An edge node's catalogue of workers: the newest reading of the platform's endpoint list, and its age."""
 
 from __future__ import annotations
 
@@ -6,37 +6,52 @@
 
 from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 
+ChangedCallback = Callable[[list[CatalogueEntry], list[str]], None]
+
 
 class Catalogue:
-    """Workers by service. Written by the feed and, where that is stale, by the node's own reading."""
+    """Workers that aren't draining, by instance. Times are seconds of a steady clock.
+
+    It is written by the feed and, where that is stale, by the node's own reading of the list.
+
+    Attributes:
+        read_at: when the newest reading began; minus infinity before the first.
+    """
+
+    def __init__(self, changed: ChangedCallback) -> None:
+        """Begin empty.
 
-    def __init__(self, changed: Callable[[list[CatalogueEntry], list[str]], None]) -> None:
-        self._changed = changed  # hears workers that are usable, and instances that left
+        Args:
+            changed: called after each reading with the workers that aren't draining, and with the instances
+                that were in the catalogue before and are not any more.
+        """
+        self._changed = changed
         self._entries: dict[str, CatalogueEntry] = {}
-        self._stamp = (0, 0)
-        self.read_at = float("-inf")  # when the newest reading began
+        self._version = (0, 0)  # epoch and serial of the newest update of the feed
+        self.read_at = float("-inf")
 
     def update(self, now: float, update: CatalogueUpdate) -> None:
-        """A reading has come over the feed; one without entries confirms those before."""
-        stamp = update.epoch, update.serial
+        """Take an update of the feed; one without entries confirms those of the same epoch and serial."""
+        version = update.epoch, update.serial
+        read_at = now - update.age_ms / 1000
         if update.entries is None:
-            if stamp == self._stamp:
-                self.read_at = max(self.read_at, now - update.age_ms / 1000)
+            if version == self._version:
+                self.read_at = max(self.read_at, read_at)
             return
-        if stamp < self._stamp:
+        if version < self._version:
             return
-        self._stamp = stamp
-        self.replace(now - update.age_ms / 1000, update.entries)
+        self._version = version
+        self.replace(read_at, update.entries)
 
     def replace(self, read_at: float, entries: tuple[CatalogueEntry, ...]) -> None:
-        """A whole list, unless a newer reading is known."""
+        """Take a complete list whose reading began at `read_at`, unless a newer one is known."""
         if read_at < self.read_at:
             return
         self.read_at = read_at
-        listed = {entry.instance: entry for entry in entries if not entry.draining}
-        left = [instance for instance in self._entries if instance not in listed]
-        self._entries = listed
-        self._changed(list(listed.values()), left)
+        active = {entry.instance: entry for entry in entries if not entry.draining}
+        removed = [instance for instance in self._entries if instance not in active]
+        self._entries = active
+        self._changed(list(active.values()), removed)
 
     def age(self, now: float) -> float:
         """Seconds since the newest reading began."""
--- a/bitternpath/discovery/endpoint_list_client.py
+++ b/bitternpath/discovery/endpoint_list_client.py
@@ -1,8 +1,9 @@
-"""Reads the platform's list of workers (PROTOCOL, "Service discovery")."""
+"""HTTP client for the platform's endpoint list (PROTOCOL, "Service discovery")."""
 
 from __future__ import annotations
 
 import json
+from collections.abc import Generator
 from dataclasses import dataclass
 from typing import Any
 
@@ -12,86 +13,102 @@
 
 from bitternpath.transport.feed_messages import CatalogueEntry
 
-CALL_TIMEOUT_S = 0.8
-MOST_PAGES = 200
+CALL_TIMEOUT_S = 0.8  # for connecting, for the answer's head, and for its body
+IDLE_CONNECTION_S = 20  # after which the connection is closed
+MAX_PAGES = 200  # a platform whose pages lead in a circle must not keep a reading going for ever
+STATE_READY = "ready"  # PROTOCOL: every other state means that an instance takes no new calls
+
+Page = dict[str, Any]  # a JSON object
 
 
 class EndpointListUnavailableError(Exception):
-    """The list can't be read now; the text says why."""
+    """The list couldn't be read; the text says why. A fault of the platform or the network: retriable."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The whole list, with when its reading began (seconds of the steady clock)."""
+    """One reading of the complete list.
+
+    Attributes:
+        requested_at: when the reading began, in seconds of the reactor's clock: what the list shows may be
+            older than its last page, but not older than this.
+        entries: the workers, ordered by instance.
+    """
 
     requested_at: float
     entries: tuple[CatalogueEntry, ...]
 
 
 class EndpointListClient:
-    """Calls of the platform's address, over one connection that is kept."""
+    """Reads the list over one persistent connection to the platform. It doesn't retry."""
 
     def __init__(self, reactor: Any, address: str) -> None:
-        self.reactor, self.address = reactor, address
+        """Make a client that isn't connected yet.
+
+        Args:
+            reactor: Twisted's reactor, as `Agent` needs it.
+            address: `host:port` of the platform's API.
+        """
+        self._reactor = reactor
+        self._url = f"http://{address}/instances"
         pool: Any = HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
         pool.maxPersistentPerHost = 1
-        pool.cachedConnectionTimeout = 20
+        pool.cachedConnectionTimeout = IDLE_CONNECTION_S
         pool.retryAutomatically = False
         make_agent: Any = Agent
         self._agent = make_agent(reactor, connectTimeout=CALL_TIMEOUT_S, pool=pool)
 
     @inlineCallbacks
-    def read(self) -> Any:
-        """A `EndpointList` of all pages; fails with `EndpointListUnavailableError`."""
-        requested_at = self.reactor.seconds()
+    def read(self) -> Generator[Deferred[Any], Any, EndpointList]:
+        """Read all pages; fires with an `EndpointList`, or fails with `EndpointListUnavailableError`."""
+        requested_at = self._reactor.seconds()
         entries: list[CatalogueEntry] = []
         token = ""
-        for _ in range(MOST_PAGES):
-            page = yield self._page(token)
-            entries += [_entry(raw) for raw in page.get("instances", ())]
+        for _ in range(MAX_PAGES):
+            page = yield self._read_page(token)
+            entries += [_parse_entry(instance) for instance in page.get("instances", ())]
             token = page.get("next_page_token") or ""
             if not token:
-                return EndpointList(requested_at, tuple(sorted(entries, key=lambda entry: entry.instance)))
-        raise EndpointListUnavailableError(f"more than {MOST_PAGES} pages")
+                entries.sort(key=lambda entry: entry.instance)
+                return EndpointList(requested_at, tuple(entries))
+        raise EndpointListUnavailableError(f"more than {MAX_PAGES} pages")
 
     @inlineCallbacks
-    def _page(self, token: str) -> Any:
-        query = {"page_token": token} if token else {}
-        url = f"http://{self.address}/instances"
+    def _read_page(self, token: str) -> Generator[Deferred[Any], Any, Page]:
         try:
             response = yield treq.get(
-                url,
-                params=query,
+                self._url,
+                params={"page_token": token} if token else {},
                 agent=self._agent,
                 allow_redirects=False,
                 timeout=CALL_TIMEOUT_S,
-                reactor=self.reactor,
+                reactor=self._reactor,
             )
-            body = yield _within(self.reactor, treq.content(response))
+            body = yield treq.content(response).addTimeout(CALL_TIMEOUT_S, self._reactor)
         except Exception as error:
             raise EndpointListUnavailableError(f"no answer: {type(error).__name__} {error}") from error
         if response.code != 200:
             raise EndpointListUnavailableError(f"status {response.code}")
-        try:
-            page = json.loads(body)
-        except ValueError as error:
-            raise EndpointListUnavailableError(f"not JSON: {error}") from error
-        if not isinstance(page, dict):
-            raise EndpointListUnavailableError("not an object")
-        return page
+        return _parse_page(body)
 
 
-def _within(reactor: Any, waiting: Deferred[bytes]) -> Deferred[bytes]:
-    return waiting.addTimeout(CALL_TIMEOUT_S, reactor)
+def _parse_page(body: bytes) -> Page:
+    try:
+        page = json.loads(body)
+    except ValueError as error:
+        raise EndpointListUnavailableError(f"not JSON: {error}") from error
+    if not isinstance(page, dict):
+        raise EndpointListUnavailableError("not an object")
+    return page
 
 
-def _entry(raw: dict[str, Any]) -> CatalogueEntry:
+def _parse_entry(instance: dict[str, Any]) -> CatalogueEntry:
     return CatalogueEntry(
-        instance=str(raw["id"]),
-        service=str(raw["service"]),
-        address=str(raw["address"]),
-        zone=str(raw.get("zone", "")),
-        slots=int(raw.get("slots") or 1),
-        draining=raw.get("state") != "ready",
-        warming_up=bool(raw.get("cold_remaining_ms")),
+        instance=str(instance["id"]),
+        service=str(instance["service"]),
+        address=str(instance["address"]),
+        zone=str(instance.get("zone", "")),
+        slots=int(instance.get("slots") or 1),
+        draining=instance.get("state") != STATE_READY,
+        warming_up=bool(instance.get("cold_remaining_ms")),
     )
--- a/bitternpath/discovery/endpoint_list_poller.py
+++ b/bitternpath/discovery/endpoint_list_poller.py
@@ -1,76 +1,118 @@
-"""Reads the platform's list again and again, as a role that one node holds, or for a node by itself."""
+"""Polls the platform's endpoint list, as a singleton role that one node holds."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Protocol
 
 import logbook
+from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
-from bitternpath.transport.feed_messages import CatalogueUpdate
+from bitternpath.discovery.endpoint_list_client import EndpointList
+from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 
 log = logbook.Logger("discovery")
 
-READ_EVERY_S = 0.9  # well below `drain_ms`, from which what a reading shows must be heeded
-RETRY_S = 0.25
+POLL_INTERVAL_S = 0.9  # well below `drain_ms`, from which on a drain that a reading shows must be respected
+RETRY_S = 0.25  # after a reading that failed
+RATE_SHARE = 0.5  # of the calls that the platform allows; the rest is for nodes that read the list themselves
+MIN_RATE_PER_S = 0.1  # where the settings allow less
+
+
+class ScheduledCall(Protocol):
+    """A call that `callLater` has scheduled (Twisted's `IDelayedCall`)."""
+
+    def active(self) -> bool:
+        """Whether the call is still to come."""
+
+    def cancel(self) -> None:
+        """Drop the call."""
+
+
+class ReactorTime(Protocol):
+    """Time and timers (Twisted's `IReactorTime`)."""
+
+    def seconds(self) -> float:
+        """Seconds of a steady clock."""
+
+    def callLater(self, delay: float, call: Callable[[], None]) -> ScheduledCall:
+        """Call `call()` in `delay` seconds."""
+
+
+class ListClient(Protocol):
+    """What the poller needs of `EndpointListClient`."""
+
+    def read(self) -> Deferred[EndpointList]:
+        """Read the complete list."""
 
 
 class EndpointListPoller:
-    """While it runs, `publish` hears each reading."""
+    """While it runs, publishes each reading of the list, with the epoch of the role and a serial number."""
 
     def __init__(
         self,
-        reactor: Any,
-        platform: EndpointListClient,
+        reactor: ReactorTime,
+        client: ListClient,
         epoch: Callable[[], int],
         publish: Callable[[CatalogueUpdate], None],
-        rate_per_s: float,
+        max_rate_per_s: float,
     ) -> None:
-        self.reactor, self.platform, self._epoch, self._publish = reactor, platform, epoch, publish
-        self._least_pause = max(2.0 / max(rate_per_s, 0.1), 0.0)  # at most half of the platform's rate
+        """Make a poller that is stopped.
+
+        Args:
+            reactor: clock and timers.
+            client: reads the list.
+            epoch: returns the epoch in which this node holds the role (fencing token).
+            publish: called with each reading. The serial rises with each change of the entries.
+            max_rate_per_s: calls a second that the platform allows.
+        """
+        self._reactor = reactor
+        self._client = client
+        self._epoch = epoch
+        self._publish = publish
+        self._min_interval = 1 / (RATE_SHARE * max(max_rate_per_s, MIN_RATE_PER_S))
         self._running = False
         self._reading = False
-        self._timer: Any = None
+        self._next_read: ScheduledCall | None = None
         self._serial = 0
-        self._last: EndpointList | None = None
+        self._last_entries: tuple[CatalogueEntry, ...] | None = None
 
     def start(self) -> None:
-        """Begin to read."""
+        """Begin to poll, at once."""
         if not self._running:
             self._running = True
             self._read()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Publish nothing more, not even a reading that is under way."""
         self._running = False
-        self._last = None
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        self._last_entries = None
+        if self._next_read is not None and self._next_read.active():
+            self._next_read.cancel()
 
     def _read(self) -> None:
         if not self._running or self._reading:
             return
         self._reading = True
-        self.platform.read().addCallbacks(self._succeeded, self._failed)
+        self._client.read().addCallbacks(self._succeeded, self._failed)
 
-    def _succeeded(self, reading: EndpointList) -> None:
+    def _succeeded(self, endpoints: EndpointList) -> None:
         self._reading = False
         if not self._running:
             return
-        if self._last is None or reading.entries != self._last.entries:
+        if endpoints.entries != self._last_entries:
             self._serial += 1
-        self._last = reading
-        age_ms = int((self.reactor.seconds() - reading.requested_at) * 1000)
-        self._publish(CatalogueUpdate(self._epoch(), self._serial, age_ms, reading.entries))
-        self._again(max(READ_EVERY_S - age_ms / 1000, self._least_pause))
+        self._last_entries = endpoints.entries
+        age_ms = int((self._reactor.seconds() - endpoints.requested_at) * 1000)
+        self._publish(CatalogueUpdate(self._epoch(), self._serial, age_ms, endpoints.entries))
+        self._schedule(POLL_INTERVAL_S - age_ms / 1000)
 
     def _failed(self, failure: Failure) -> None:
         self._reading = False
         log.info("event=endpoint_list_read_failed error={!r}", str(failure.value))
         if self._running:
-            self._again(max(RETRY_S, self._least_pause))
+            self._schedule(RETRY_S)
 
-    def _again(self, pause: float) -> None:
-        self._timer = self.reactor.callLater(pause, self._read)
+    def _schedule(self, interval: float) -> None:
+        self._next_read = self._reactor.callLater(max(interval, self._min_interval), self._read)
--- /dev/null
+++ b/tests/system/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the discovery package."""
--- a/tests/system/storage/test_full_disks.py
+++ b/tests/system/storage/test_full_disks.py
@@ -114,7 +114,7 @@
 class SmallDisk(QuietTestCase):
     """One group alone on a disk of 64 MB, at a thousandth of the size, for ten times what the disk holds."""
 
-    def run_changes(self, number: int, bounds: CompactionBounds) -> tuple[int, int]:
+    def run_changes(self, state_commands: int, bounds: CompactionBounds) -> tuple[int, int]:
         """How many changes were made, and the most bytes that the disk held."""
         clock, disk = Clock(), SimulatedFileSystem()
         disk.capacity = DISK_BYTES
@@ -128,7 +128,7 @@
             SYSTEM_TIMING,
             bounds,
         )
-        machine = LastCommands(number)
+        machine = LastCommands(state_commands)
         host.open_group("g", machine, Members(("a",)), SilentListener())
         while not host.is_owner("g"):
             clock.advance(0.01)
