--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Protocol
 
+from bitternpath.net.reactor import ThreadCallReactor
 from bitternpath.storage.documents import load_document, remove_document, store_document
 from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.identity import load_identity
 from bitternpath.storage.journal import Journal, open_journal
 from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_folders
-from bitternpath.storage.reactor import ThreadCallReactor
 
 
 class NodeDisk(Protocol):
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -21,8 +21,8 @@
     initial_placement,
 )
 from bitternpath.membership.bootstrap import member_id
-from bitternpath.replication.group import CompactionBounds
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.host import HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
@@ -43,7 +43,7 @@
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
 GREETING_S = 0.1  # from the start of a process until the configuration's owner has its subscription
-SILENCE_S = 1.6  # until a link to a machine without power is given up (`transport.connections`)
+POWER_LOSS_DETECTION_S = 1.6  # until a link to a machine without power is given up (`transport.connections`)
 LOOK_S = 0.25  # between looks at what no event tells
 SAMPLE_S = 0.005  # between looks of the measurement
 CHUNK_BYTES = 32 << 10  # of the commands that fill a group before the repair
@@ -150,10 +150,8 @@
         journal_writer = VirtualTimeJournalWriter(clock, machine.disk, SYNC_S)
         member = member_id(descriptor)
         send = partial(self._send, machine, member)
-        host = ReplicaHost(
-            clock, member, Journal(log, journal_writer), send, Random(self.random.random()), SYSTEM_TIMING,
-            CompactionBounds(),
-        )  # fmt: skip
+        options = HostOptions(Random(self.random.random()))
+        host = ReplicaHost(clock, member, Journal(log, journal_writer), MessageTransport(send), options)
         machine.process = Process(descriptor, clock, journal_writer, host, MemberChanges(host))
         self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
         self.clock.callLater(GREETING_S, self._greet, name, machine.process)
@@ -178,7 +176,7 @@
             self.clock.callLater(LATENCY_S, self.controller.gone, process.descriptor)
         else:
             process.journal_writer.crash_during_batch(self.random)
-            self.clock.callLater(SILENCE_S, self.controller.gone, process.descriptor)
+            self.clock.callLater(POWER_LOSS_DETECTION_S, self.controller.gone, process.descriptor)
         process.clock.end()
         self.ended_at[name, process.descriptor.incarnation] = self.clock.seconds()
         if wipe:
--- a/tests/system/test_queue_rig.py
+++ b/tests/system/queue/owner_rig.py
@@ -7,7 +7,8 @@
 from random import Random
 from typing import Any
 
-from bitternpath.configuration.documents import Configuration, Route, RoutingTable, Service
+from bitternpath.configuration.documents import Configuration, Route, Service
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.actions import (
     Action,
     AnswerPoll,
@@ -20,8 +21,9 @@
     AppendMessage,
     Command,
 )
-from bitternpath.queue.leases import PUSH_LEASE_MARGIN_MS
-from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnerSettings, ShardOwner
+from bitternpath.queue.lease_table import PUSH_LEASE_MARGIN_MS
+from bitternpath.queue.long_polls import LongPollRequest
+from bitternpath.queue.owner import PULL_LEASE_MARGIN_MS, OwnedShard, OwnerSettings, ShardOwner
 from bitternpath.queue.results import Result
 from bitternpath.queue.state import QueueState
 from bitternpath.transport.records import AttemptOutcome, Message, MessageState
@@ -65,7 +67,7 @@
 class Rig:
     """An owner over a state. Proposals wait in `proposed` until `commit`.
 
-    Calls for workers that pull go to `asked`, other actions to `sent`.
+    Requests for pulling workers go to `poller_requests`, other actions to `sent`.
     """
 
     def __init__(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
@@ -75,13 +77,17 @@
         self.automatic = True  # commit each proposal at once
         self.own(routing, edges)
 
+    def new_owner(self) -> ShardOwner:
+        """Return an owner of the only shard."""
+        settings = OwnerSettings(visibility_timeout_ms=3_000, status_retention_s=120.0)
+        return ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
+
     def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
-        """A new owner takes over."""
+        """Let a new owner begin."""
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
-        self.asked: list[RequestPollers] = []
-        bounds = OwnerSettings(visible_ms=3_000, status_s=120.0)
-        self.owner = ShardOwner(self.state, 0, 1, "north", bounds, Random(1))
+        self.poller_requests: list[RequestPollers] = []
+        self.owner = self.new_owner()
         self.do(self.owner.leadership_acquired(self.now, 1 + self.index))
         for edge in edges:
             self.do(self.owner.edge_connected(self.now, edge, "north"))
@@ -94,7 +100,7 @@
             if isinstance(action, ProposeCommand):
                 self.proposed.append(action.command)
             elif isinstance(action, RequestPollers):
-                self.asked.append(action)
+                self.poller_requests.append(action)
             else:
                 self.sent.append(action)
         if self.automatic and self.proposed:
@@ -109,7 +115,7 @@
         """Commit and apply one command."""
         self.index += 1
         result = self.state.apply(self.index, COMMANDS.encode(command))
-        self.do(self.owner.applied(self.now, result.command, result))
+        self.do(self.owner.applied(self.now, result))
         return result
 
     def take_proposed(self) -> list[Command]:
@@ -123,7 +129,7 @@
         return [action for action in sent if kind is None or isinstance(action, kind)]
 
     def append(self, request_id: str, path: str = "/plain/x", **fields: Any) -> None:
-        """A client's message."""
+        """Append a client's message."""
         values: dict[str, Any] = {"order_key": "", "delay_ms": 0, "callback_url": "", "origin": "edge-1"}
         values |= {"accepted_version": 5, "body": b"body"} | fields
         wall_ms = WALL_MS + round((self.now - 100.0) * 1000)
@@ -146,31 +152,32 @@
     def end(
         self, delivery: SendDelivery | AnswerPoll, outcome: AttemptOutcome, retry_after_ms: int = 0
     ) -> bool:
-        """A holder's word; whether it is taken."""
+        """Report the end of an attempt; returns whether it is accepted."""
         request_id, lease_id = delivery.message.request_id, delivery.lease_id
         command = self.owner.end_attempt_command(request_id, lease_id, outcome, "stamp", retry_after_ms)
-        return self.apply(command).taken
+        return self.apply(command).accepted
 
     def configure(self, routing: RoutingTable) -> None:
-        """Another configuration comes into force."""
+        """Put another configuration into force."""
         self.do(self.owner.configure(self.now, routing))
 
     def poll(self, number: int, edge: str = "edge-1", wait_s: float = 1.0) -> None:
-        """A worker asks for a job."""
-        self.do(self.owner.poll(self.now, number, edge, "puller", f"instance-{number}", wait_s))
+        """Let a worker wait for a message."""
+        request = LongPollRequest(number, edge, "puller", f"instance-{number}", wait_s)
+        self.do(self.owner.poll(self.now, request))
 
     def delivery(self) -> SendDelivery:
-        """The only delivery since the last time."""
+        """Return the only delivery since the last time."""
         (delivery,) = self.take_sent(SendDelivery)
         return delivery
 
     def answer(self) -> AnswerPoll:
-        """The only job since the last time."""
+        """Return the only answer to a poll since the last time."""
         (answer,) = self.take_sent(AnswerPoll)
         return answer
 
     def state_of(self, request_id: str) -> MessageState:
-        """Where a message is."""
+        """Return the state of a message."""
         entry = self.state.find(request_id)
         assert entry is not None
         return entry.state
--- a/tests/system/test_queue_ends.py
+++ b/tests/system/queue/test_ended_messages.py
@@ -11,19 +11,19 @@
 )
 from bitternpath.queue.callbacks import (
     CALLBACK_TIMEOUT_S,
-    CONFIRM_WITHIN_S,
+    CONFIRMATION_BATCH_SIZE,
     MAX_CALLBACKS_PER_RECEIVER,
-    MOST_CONFIRMED_TOGETHER,
+    MAX_CONFIRMATION_DELAY_S,
 )
 from bitternpath.queue.commands import (
     ConfirmCallbacks,
     ExpireMessage,
-    ForgetMessages,
     GrantLease,
+    RemoveTombstones,
 )
-from bitternpath.queue.tombstones import FORGET_MARGIN_S
+from bitternpath.queue.tombstones import REMOVAL_MARGIN_S
 from bitternpath.transport.records import MessageState
-from tests.system.test_queue_rig import (
+from tests.system.queue.owner_rig import (
     NOT_RUN,
     PUSH_LEASE_S,
     REJECTED,
@@ -35,7 +35,7 @@
 
 
 class Retention(unittest.TestCase):
-    """Messages that nobody does in time."""
+    """Messages that are not run in time."""
 
     def test_it_ends_a_message_that_is_not_leased(self) -> None:
         rig = Rig(edges=())
@@ -81,7 +81,7 @@
 
 
 class Expiries(unittest.TestCase):
-    """The owner's own ends are proposed once, and again if they were overtaken."""
+    """The owner proposes an expiry once, and again if it was void."""
 
     def test_a_fenced_expiry_that_came_too_late_is_proposed_again(self) -> None:
         rig = Rig()
@@ -105,7 +105,7 @@
 
 
 class Callbacks(unittest.TestCase):
-    """Clients are told of the end until they have taken it."""
+    """Clients are notified of the end until they have acknowledged it."""
 
     URL = "http://10.0.0.9:80/done"
 
@@ -115,7 +115,7 @@
         rig.end(rig.delivery(), SUCCEEDED)
         return rig
 
-    def test_one_node_tells_a_receiver_what_became_of_its_messages(self) -> None:
+    def test_one_edge_makes_all_call_backs_to_a_receiver(self) -> None:
         rig = self.ended()
         (first,) = rig.take_sent()
         self.assertEqual(first, SendCallback(first.edge, "m", self.URL, MessageState.DONE, "stamp"))
@@ -124,7 +124,7 @@
             rig.end(rig.delivery(), SUCCEEDED)
             self.assertEqual(rig.take_sent()[0].edge, first.edge)
 
-    def test_receivers_are_shared_among_the_nodes_of_the_owners_zone(self) -> None:
+    def test_receivers_are_spread_over_the_edges_of_the_owners_zone(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2", "edge-3"))
         rig.do(rig.owner.edge_connected(rig.now, "far", "south"))
         told = set()
@@ -134,10 +134,10 @@
             told.add(rig.take_sent()[0].edge)
         self.assertEqual(told, {"edge-1", "edge-2", "edge-3"})
 
-    def test_another_node_tells_where_that_one_is_gone_or_fails(self) -> None:
+    def test_another_edge_calls_back_where_that_one_is_gone_or_fails(self) -> None:
         rig = self.ended()
         first = rig.take_sent()[0].edge
-        rig.do(rig.owner.callback_report(rig.now, "m", False))
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=False))
         rig.advance(1.0)
         self.assertNotEqual(rig.take_sent()[0].edge, first)
         rig.append("n", callback_url=self.URL)
@@ -160,17 +160,17 @@
         rig = self.ended()
         rig.take_sent()
         for longest in (0.375, 0.75, 1.5, 1.875, 1.875, 1.875, 1.875):
-            rig.do(rig.owner.callback_report(rig.now, "m", False))
+            rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=False))
             self.assertEqual(rig.take_sent(), [])
             rig.advance(longest + 0.01)
             self.assertEqual(len(rig.take_sent()), 1)
-        rig.do(rig.owner.callback_report(rig.now, "m", True))
-        rig.advance(CONFIRM_WITHIN_S)
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
+        rig.advance(MAX_CONFIRMATION_DELAY_S)
         self.assertFalse(rig.state.find("m").callback_pending)
         rig.advance(60.0)
         self.assertEqual(rig.take_sent(), [])
 
-    def test_silence_is_a_failure(self) -> None:
+    def test_no_report_is_a_failure(self) -> None:
         rig = self.ended()
         rig.take_sent()
         rig.advance(CALLBACK_TIMEOUT_S - 0.1)
@@ -178,17 +178,17 @@
         rig.advance(0.6)
         self.assertEqual(len(rig.take_sent()), 1)
 
-    def test_a_new_owner_goes_on(self) -> None:
+    def test_a_new_owner_calls_back(self) -> None:
         rig = self.ended()
         rig.own()
         self.assertEqual(request_id_of(rig.take_sent(SendCallback)), ["m"])
 
-    def test_a_lost_confirmation_is_made_up_for(self) -> None:
+    def test_a_lost_confirmation_is_repeated(self) -> None:
         rig = self.ended()
         rig.take_sent()
         rig.automatic = False
-        rig.do(rig.owner.callback_report(rig.now, "m", True))
-        rig.advance(CONFIRM_WITHIN_S)
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
+        rig.advance(MAX_CONFIRMATION_DELAY_S)
         (command,) = rig.take_proposed()
         self.assertEqual(command, ConfirmCallbacks(("m",)))
         rig.do(rig.owner.proposal_failed(rig.now, command))
@@ -199,7 +199,7 @@
         rig.append("other", delay_ms=100)
         rig.take_sent()
         rig.automatic = False
-        rig.do(rig.owner.callback_report(rig.now, "m", True))
+        rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
         self.assertEqual(rig.take_proposed(), [])
         rig.advance(0.1)
         grant, confirmation = rig.take_proposed()
@@ -211,16 +211,16 @@
 
     def test_many_confirmations_do_not_wait(self) -> None:
         rig = Rig()
-        for number in range(MOST_CONFIRMED_TOGETHER):
+        for number in range(CONFIRMATION_BATCH_SIZE):
             rig.append(f"m{number}", callback_url=self.URL)
             rig.end(rig.delivery(), SUCCEEDED)
         rig.automatic = False
-        for number in range(MOST_CONFIRMED_TOGETHER):
-            rig.do(rig.owner.callback_report(rig.now, f"m{number}", True))
+        for number in range(CONFIRMATION_BATCH_SIZE):
+            rig.do(rig.owner.callback_report(rig.now, f"m{number}", acknowledged=True))
         (confirmation,) = [each for each in rig.take_proposed() if isinstance(each, ConfirmCallbacks)]
-        self.assertEqual(len(confirmation.request_ids), MOST_CONFIRMED_TOGETHER)
+        self.assertEqual(len(confirmation.request_ids), CONFIRMATION_BATCH_SIZE)
 
-    def test_few_go_to_one_receiver_at_once(self) -> None:
+    def test_calls_in_flight_to_one_receiver_are_bounded(self) -> None:
         rig = Rig()
         for number in range(MAX_CALLBACKS_PER_RECEIVER + 2):
             rig.append(f"m{number}", callback_url=self.URL)
@@ -230,23 +230,23 @@
         sent = request_id_of(rig.take_sent(SendCallback))
         self.assertEqual(len(sent), MAX_CALLBACKS_PER_RECEIVER + 1)
         self.assertIn("other", sent)
-        rig.do(rig.owner.callback_report(rig.now, "m0", True))
+        rig.do(rig.owner.callback_report(rig.now, "m0", acknowledged=True))
         self.assertEqual(request_id_of(rig.take_sent(SendCallback)), [f"m{MAX_CALLBACKS_PER_RECEIVER}"])
 
 
 class Tombstones(unittest.TestCase):
-    """Ended messages are forgotten when nobody may ask any more."""
+    """Tombstones are removed when clients may not ask for the state any more."""
 
     def test_after_the_status_time(self) -> None:
         rig = Rig()
         rig.append("m")
         rig.end(rig.delivery(), SUCCEEDED)
-        rig.advance(120.0 + FORGET_MARGIN_S - 0.1)
+        rig.advance(120.0 + REMOVAL_MARGIN_S - 0.1)
         self.assertIsNotNone(rig.state.find("m"))
         rig.advance(0.2)
         self.assertIsNone(rig.state.find("m"))
 
-    def test_not_while_a_call_back_is_owed_within_its_retention(self) -> None:
+    def test_not_while_a_call_back_is_pending_within_its_retention(self) -> None:
         rig = Rig(changed("plain", retention_s=200.0))
         rig.append("m", callback_url="http://10.0.0.9:80/done")
         rig.end(rig.delivery(), SUCCEEDED)
@@ -275,4 +275,4 @@
         rig.automatic = False
         rig.advance(131.0)
         self.assertEqual([len(command.request_ids) for command in rig.proposed], [256, 256, 88])
-        self.assertTrue(all(isinstance(command, ForgetMessages) for command in rig.proposed))
+        self.assertTrue(all(isinstance(command, RemoveTombstones) for command in rig.proposed))
--- a/tests/system/test_early_leases.py
+++ b/tests/system/queue/test_leases_on_append.py
@@ -5,11 +5,11 @@
 import unittest
 from typing import Any
 
-from bitternpath.queue.actions import AnswerPoll, SendDelivery
+from bitternpath.queue.actions import ExpirePoll, SendDelivery
 from bitternpath.queue.commands import AppendMessage, GrantLease
-from bitternpath.queue.granting import MOST_AHEAD
+from bitternpath.queue.lease_granting import MAX_PREGRANTED_LEASES
 from bitternpath.transport.records import Message, MessageState
-from tests.system.test_queue_rig import PULL_LEASE_S, SUCCEEDED, WALL_MS, Rig, changed, request_ids
+from tests.system.queue.owner_rig import PULL_LEASE_S, SUCCEEDED, WALL_MS, Rig, changed, request_ids
 
 
 def message(request_id: str, path: str = "/plain/x", **fields: Any) -> Message:
@@ -30,7 +30,7 @@
     )
 
 
-class EarlyLeases(unittest.TestCase):
+class LeasesOnAppend(unittest.TestCase):
     """The owner's side; the log holds what the test puts there."""
 
     def setUp(self) -> None:
@@ -47,6 +47,14 @@
         for command in commands:
             self.rig.apply(command)
 
+    def count_further_pregrants(self) -> int:
+        """Append messages until one is not leased in advance; returns how many are."""
+        count = 0
+        while len(commands := self.propose(f"further-{count}", "/jobs/x")) == 2:
+            self.commit(commands)
+            count += 1
+        return count
+
     def test_the_message_goes_out_once_both_are_applied(self) -> None:
         append, grant = self.propose("m")
         self.assertIsInstance(grant, GrantLease)
@@ -58,12 +66,12 @@
         self.assertTrue(self.rig.end(delivery, SUCCEEDED))
         self.assertEqual(self.rig.take_proposed(), [])
 
-    def test_a_job_goes_to_a_worker_that_waits(self) -> None:
+    def test_a_pulled_message_goes_to_a_worker_that_waits(self) -> None:
         self.rig.poll(1)
         self.commit(self.propose("m", "/jobs/x"))
         self.assertEqual(self.rig.answer().poll_id, 1)
 
-    def test_without_a_worker_a_job_is_leased_ahead_and_given_to_the_first_at_once(self) -> None:
+    def test_without_a_worker_a_message_is_pregranted_and_sent_with_the_next_poll(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.assertEqual(self.rig.take_sent(), [])
         self.rig.poll(1)
@@ -72,14 +80,14 @@
         self.assertEqual(self.rig.take_proposed(), [])
         self.assertTrue(self.rig.end(answer, SUCCEEDED))
 
-    def test_a_worker_that_asks_before_the_commit_gets_it_with_the_commit(self) -> None:
+    def test_a_worker_that_polls_before_the_commit_gets_it_with_the_commit(self) -> None:
         proposed = self.propose("m", "/jobs/x")
         self.rig.poll(1)
         self.assertEqual(self.rig.take_sent(), [])
         self.commit(proposed)
         self.assertEqual(self.rig.answer().poll_id, 1)
 
-    def test_a_job_is_given_once(self) -> None:
+    def test_a_pregranted_message_is_sent_once(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.rig.poll(1)
         self.rig.poll(2, wait_s=60.0)
@@ -88,17 +96,17 @@
         (grant,) = self.rig.take_proposed()
         self.assertIsInstance(grant, GrantLease)
 
-    def test_jobs_leased_ahead_are_bounded(self) -> None:
-        for number in range(MOST_AHEAD + 5):
+    def test_pregranted_leases_are_bounded(self) -> None:
+        for number in range(MAX_PREGRANTED_LEASES + 5):
             self.commit(self.propose(f"m{number}", "/jobs/x"))
             self.commit(self.rig.take_proposed())
         leased = [entry for entry in self.rig.state if entry.lease is not None]
-        self.assertEqual(len(leased), MOST_AHEAD)
+        self.assertEqual(len(leased), MAX_PREGRANTED_LEASES)
         self.rig.poll(1)
         self.assertEqual(self.rig.answer().message.request_id, "m0")
-        self.assertEqual(len(self.rig.owner._lanes.find("puller").ahead), MOST_AHEAD - 1)
+        self.assertEqual(self.count_further_pregrants(), 1)
 
-    def test_after_a_take_over_a_job_leased_ahead_counts_as_handed_out(self) -> None:
+    def test_a_new_owner_takes_a_pregranted_lease_for_out(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.rig.own()
         self.rig.poll(1, wait_s=60.0)
@@ -108,14 +116,15 @@
         self.commit(self.rig.take_proposed())
         self.assertEqual(self.rig.answer().message.request_id, "m")
 
-    def test_a_job_leased_ahead_whose_retention_ends_is_given_to_nobody(self) -> None:
+    def test_a_pregranted_message_whose_retention_ends_is_sent_to_nobody(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
         self.rig.advance(100.0)
         self.commit(self.rig.take_proposed())
         self.assertIs(self.rig.state_of("m"), MessageState.DEAD_LETTER)
         self.rig.poll(1)
-        self.assertEqual(self.rig.take_sent(AnswerPoll), [])
-        self.assertEqual(self.rig.owner._lanes.find("puller").ahead, set())
+        self.rig.advance(2.0)
+        self.assertEqual(self.rig.take_sent(), [ExpirePoll(1, "edge-1")])
+        self.assertEqual(self.count_further_pregrants(), MAX_PREGRANTED_LEASES)
 
     def test_a_delayed_message_waits(self) -> None:
         self.assertEqual(len(self.propose("m", delay_ms=1)), 1)
@@ -147,7 +156,7 @@
         self.assertEqual(len(self.propose("m")), 1)
         self.assertEqual(request_ids(self.rig.take_sent(SendDelivery)), ["m"])
 
-    def test_an_append_that_failed_gives_its_room_and_its_worker_back(self) -> None:
+    def test_an_append_that_failed_releases_its_capacity_and_its_worker(self) -> None:
         self.rig.poll(1)
         self.propose("m", "/jobs/x")
         self.rig.owner.append_failed("m")
@@ -164,7 +173,7 @@
         self.commit(again)
         self.assertEqual(self.rig.delivery().lease_id, again[1].lease_id)
 
-    def test_an_edge_node_lost_before_the_commit_gets_nothing(self) -> None:
+    def test_an_edge_process_that_ends_before_the_commit_gets_nothing(self) -> None:
         proposed = self.propose("m")
         self.rig.do(self.rig.owner.edge_process_ended(self.rig.now, "edge-1"))
         self.commit(proposed)
--- a/tests/system/test_queue_limits.py
+++ b/tests/system/queue/test_limits.py
@@ -1,25 +1,24 @@
-"""Conformance of a shard owner: back-off, retry budgets and rate ceilings."""
+"""Conformance of a shard owner: back-off, concurrency limits and rate limits."""
 
 from __future__ import annotations
 
 import unittest
 from random import Random
 
-from bitternpath.queue.actions import (
-    AnswerPoll,
-    SendDelivery,
-)
-from bitternpath.queue.backoff import LEAST_WINDOW, PACE_S, RetryBudget, pause_after
-from bitternpath.queue.edges import MAX_LEASES_PER_EDGE
-from bitternpath.queue.lanes import LEAST_OUT
-from bitternpath.queue.rate_limits import ALLOWED_EXCESS, SEND_LAG_S, TokenBucket, ceiling_share
-from tests.system.test_queue_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
+from bitternpath.queue.actions import AnswerPoll, SendDelivery
+from bitternpath.queue.adaptive_limit import MIN_LIMIT, PACING_INTERVAL_S, AdaptiveConcurrencyLimit
+from bitternpath.queue.backoff import backoff_after
+from bitternpath.queue.edge_nodes import MAX_LEASES_PER_EDGE
+from bitternpath.queue.rate_limits import ALLOWED_EXCESS, MAX_SEND_DELAY_S, RateBound, equal_share
+from bitternpath.queue.service_queues import MIN_IN_FLIGHT
+from bitternpath.queue.token_bucket import TokenBucket
+from tests.system.queue.owner_rig import FAILED, NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 
 class Backoff(unittest.TestCase):
-    """Pauses, and the limit on leases to a failing service."""
+    """Back-off, and the limit on leases to a failing service."""
 
-    def test_pauses(self) -> None:
+    def test_delays_of_each_outcome(self) -> None:
         cases = (
             (FAILED, (0.1, 0.2, 0.4, 0.8, 1.6, 2.0, 2.0)),
             (UNKNOWN, (0.2, 0.4, 0.8, 1.6, 2.0, 2.0)),
@@ -30,12 +29,12 @@
         for outcome, pauses in cases:
             for repetition, expected in enumerate(pauses):
                 with self.subTest(outcome=outcome, repetition=repetition):
-                    drawn = [pause_after(outcome, repetition, 0, random) for _ in range(50)]
+                    drawn = [backoff_after(outcome, repetition, 0, random) for _ in range(50)]
                     self.assertGreaterEqual(min(drawn), expected * 0.75)
                     self.assertLessEqual(max(drawn), expected * 1.25)
-        self.assertEqual(pause_after(FAILED, 0, 5_000, random), 5.0)
+        self.assertEqual(backoff_after(FAILED, 0, 5_000, random), 5.0)
 
-    def test_a_message_waits_for_its_pause(self) -> None:
+    def test_a_message_waits_for_its_back_off(self) -> None:
         rig = Rig()
         rig.append("m")
         rig.end(rig.delivery(), UNKNOWN, retry_after_ms=700)
@@ -44,23 +43,23 @@
         rig.advance(0.02)
         rig.delivery()
 
-    def test_a_failing_service_is_not_stormed_and_recovers_at_once(self) -> None:
-        budget = RetryBudget()
+    def test_the_limit_falls_with_failures_and_recovers_with_successes(self) -> None:
+        limit = AdaptiveConcurrencyLimit()
         now = 0.0
         for _ in range(40):
             now += 0.2
-            budget.record(now, FAILED, 64)
-        self.assertEqual(budget.window, LEAST_WINDOW)
-        self.assertIsNone(budget.next_grant(now, 4))
+            limit.record_outcome(now, FAILED, 64)
+        self.assertEqual(limit.limit, MIN_LIMIT)
+        self.assertIsNone(limit.next_grant_time(now, 4))
         for _ in range(4):
-            budget.record(now, SUCCEEDED, 4)
-        self.assertEqual(budget.window, LEAST_WINDOW * 16)
+            limit.record_outcome(now, SUCCEEDED, 4)
+        self.assertEqual(limit.limit, MIN_LIMIT * 16)
 
     def test_a_few_failures_among_successes_limit_nothing(self) -> None:
-        budget = RetryBudget()
+        limit = AdaptiveConcurrencyLimit()
         for number in range(200):
-            budget.record(number * 0.2, FAILED if number % 3 == 0 else SUCCEEDED, 10)
-        self.assertEqual(budget.next_grant(100.0, 500), 100.0)
+            limit.record_outcome(number * 0.2, FAILED if number % 3 == 0 else SUCCEEDED, 10)
+        self.assertEqual(limit.next_grant_time(100.0, 500), 100.0)
 
     def test_a_service_that_is_down_costs_few_leases(self) -> None:
         rig = Rig()
@@ -72,17 +71,17 @@
                 grants += 1
                 rig.end(delivery, NOT_RUN)
             rig.advance(0.01)
-        self.assertLess(grants, 10.0 / PACE_S + 2 * MAX_LEASES_PER_EDGE)
+        self.assertLess(grants, 10.0 / PACING_INTERVAL_S + 2 * MAX_LEASES_PER_EDGE)
         for delivery in rig.take_sent(SendDelivery):
             rig.end(delivery, SUCCEEDED)
         rig.advance(0.1)
         self.assertGreater(len(rig.take_sent(SendDelivery)), 30, "open again")
 
 
-class Capacities(unittest.TestCase):
-    """The slots of listed workers bound what is out, so that the queue's order decides what goes next."""
+class SlotLimits(unittest.TestCase):
+    """The slots of listed workers bound the leases, so that the queue's order decides what goes next."""
 
-    def test_no_more_is_out_than_the_slots_bear_and_fresh_messages_go_before_late_ones(self) -> None:
+    def test_slots_bound_the_leases_and_fresh_messages_go_before_late_ones(self) -> None:
         rig = Rig()
         rig.do(rig.owner.set_capacities(rig.now, {"worker": 3}))
         for number in range(30):
@@ -96,7 +95,7 @@
         rig.end(out[1], SUCCEEDED)
         self.assertEqual(rig.delivery().message.request_id, "old6")
 
-    def test_more_workers_let_more_out_and_no_list_bounds_nothing(self) -> None:
+    def test_more_slots_allow_more_leases_and_no_list_means_no_bound(self) -> None:
         rig = Rig()
         for number in range(20):
             rig.append(f"m{number}")
@@ -105,11 +104,11 @@
         rig.do(rig.owner.set_capacities(rig.now, {}))
         for number in range(20):
             rig.append(f"m{number}")
-        self.assertEqual(len(rig.take_sent(SendDelivery)), LEAST_OUT)
+        self.assertEqual(len(rig.take_sent(SendDelivery)), MIN_IN_FLIGHT)
         rig.do(rig.owner.set_capacities(rig.now, {"worker": 5}))
-        self.assertEqual(len(rig.take_sent(SendDelivery)), 10 - LEAST_OUT)
+        self.assertEqual(len(rig.take_sent(SendDelivery)), 10 - MIN_IN_FLIGHT)
 
-    def test_endpoints_and_workers_that_pull_are_on_no_list(self) -> None:
+    def test_slots_do_not_bound_workers_that_pull(self) -> None:
         rig = Rig()
         rig.do(rig.owner.set_capacities(rig.now, {}))
         for number in range(5):
@@ -118,16 +117,16 @@
         self.assertEqual(len(rig.take_sent(AnswerPoll)), 5)
 
 
-class Ceilings(unittest.TestCase):
-    """Shares of a service's rate."""
+class RateLimits(unittest.TestCase):
+    """Shares of a service's rate limit."""
 
     def test_shares_keep_the_bound(self) -> None:
         for rate in (0.1, 0.5, 2.0, 19.5, 400.0):
             for shards in range(1, 13):
                 for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
                     with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        share = ceiling_share(rate, shards, window_s, over)
-                        spent = share.refill_per_s * (window_s + SEND_LAG_S) + share.burst
+                        share = equal_share(rate, RateBound(shards, window_s, over))
+                        spent = share.refill_per_s * (window_s + MAX_SEND_DELAY_S) + share.burst
                         allowed = rate * window_s * over + ALLOWED_EXCESS
                         self.assertLessEqual(shards * spent, allowed + 1e-6)
                         self.assertLessEqual(share.refill_per_s, rate / shards)
@@ -135,21 +134,21 @@
 
     def test_nearly_the_whole_rate_is_used(self) -> None:
         for shards in (1, 2, 3, 4):
-            share = ceiling_share(19.5, shards, 5.0, 1.1)
+            share = equal_share(19.5, RateBound(shards, 5.0, 1.1))
             self.assertGreater(share.refill_per_s * shards, 0.9 * 19.5)
 
     def test_a_bucket_is_empty_at_first_and_never_over_its_burst(self) -> None:
-        share = ceiling_share(2.0, 1, 5.0, 1.1)
+        share = equal_share(2.0, RateBound(1, 5.0, 1.1))
         bucket = TokenBucket(share, 100.0)
-        self.assertFalse(bucket.ready(100.0))
-        self.assertAlmostEqual(bucket.next_ready(100.0), 100.0 + 1.0 / share.refill_per_s)
+        self.assertFalse(bucket.has_token(100.0))
+        self.assertAlmostEqual(bucket.next_token_time(100.0), 100.0 + 1.0 / share.refill_per_s)
         spent = 0
-        while bucket.ready(1_000.0):
+        while bucket.has_token(1_000.0):
             bucket.spend()
             spent += 1
         self.assertEqual(spent, int(share.burst))
 
-    def test_leases_follow_the_rate_also_after_a_take_over(self) -> None:
+    def test_leases_follow_the_rate_also_under_a_new_owner(self) -> None:
         rig = Rig()
         for number in range(50):
             rig.append(f"m{number}", "/limited/x")
--- a/tests/system/storage/test_full_disks.py
+++ b/tests/system/storage/test_full_disks.py
@@ -10,8 +10,9 @@
 
 from twisted.internet.task import Clock
 
-from bitternpath.replication.group import CompactionBounds, bounds_for_disk
-from bitternpath.replication.host import SYSTEM_TIMING, ReplicaHost
+from bitternpath.replication.compaction import CompactionBounds, bounds_for_disk
+from bitternpath.replication.host import SYSTEM_TIMING, HostOptions, ReplicaHost
+from bitternpath.replication.interfaces import MessageTransport
 from bitternpath.replication.records import Entry, EntryKind, Members, Snapshot, StorageWrite
 from bitternpath.storage.commands import Batch, NewSnapshot
 from bitternpath.storage.group_state import write_record
@@ -123,10 +124,8 @@
             clock,
             "a",
             Journal(open_segment_log(disk), journal_writer),
-            lambda *_: None,
-            _seeded(),
-            SYSTEM_TIMING,
-            bounds,
+            MessageTransport(lambda *_: None),
+            HostOptions(_seeded(), SYSTEM_TIMING, bounds),
         )
         machine = LastCommands(state_commands)
         host.open_group("g", machine, Members(("a",)), SilentListener())
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -22,7 +22,7 @@
 
     def learn(self, at: int, reward: float) -> None:
         n = self.n
-        self.t = network.KEEP * self.t + (1 - network.KEEP) * reward if self.t else reward
+        self.t = network.ALPHA * self.t + (1 - network.ALPHA) * reward if self.t else reward
         if reward == self.t:
             return
         size = min(max(reward / self.t, self.t / max(reward, 1e-9)), network.PAYOFF_CAP)
@@ -61,10 +61,10 @@
         reward = rand.expovariate(1.0) * (1 + at / n)
         dense.learn(at, reward)
         net.learn(workers[at], reward)
-    net.settle_all()
+    net.solve_q()
     assert net.threshold == pytest.approx(dense.t)
     wanted = dense.solve()
-    assert net.q == pytest.approx(wanted, abs=5 * network.SETTLED)
+    assert net.q == pytest.approx(wanted, abs=5 * network.CONVERGED)
     assert max(wanted) - min(wanted) > 0.01
 
 
@@ -72,7 +72,7 @@
     net = network.Network[Worker]()
     for k in range(5):
         net.join(Worker(entry(f"w{k}")))
-    assert max(net.q) - min(net.q) < network.SETTLED
+    assert max(net.q) - min(net.q) < network.CONVERGED
 
 
 def test_a_tie_and_a_single_worker_change_nothing() -> None:
@@ -98,7 +98,7 @@
         for _ in range(20):
             for k, worker in enumerate(workers):
                 net.learn(worker, bad if k == 0 else 1.0 + k / 10)
-        net.settle_all()
+        net.solve_q()
         assert net.q[3] > net.q[0]
         nets.append(net.q[0])
     assert nets[1] < nets[0]
@@ -111,11 +111,11 @@
         net.join(worker)
     for turn in range(60):
         net.learn(workers[turn % 6], 2.0 if turn % 6 < 3 else 1.0)
-    kept = {w.name: net.q[net.place[w.name]] for w in workers[1:]}
+    kept = {w.name: net.q[net.index[w.name]] for w in workers[1:]}
     net.leave(workers[0])
-    assert set(net.place) == set(kept)
-    now = {name: net.q[at] for name, at in net.place.items()}
+    assert set(net.index) == set(kept)
+    now = {name: net.q[at] for name, at in net.index.items()}
     assert min(now["w1"], now["w2"]) > max(now["w3"], now["w4"], now["w5"])
     fresh = Worker(entry("new", kind="x"))
     net.join(fresh)
-    assert net.q[net.place["new"]] > net.q[net.place["w4"]]
+    assert net.q[net.index["new"]] > net.q[net.index["w4"]]
