--- a/bitternpath/discovery/endpoint_list_poller.py
+++ b/bitternpath/discovery/endpoint_list_poller.py
@@ -10,6 +10,7 @@
 from twisted.python.failure import Failure
 
 from bitternpath.discovery.endpoint_list_client import EndpointList
+from bitternpath.net.clock import Clock, Timer, cancel_if_active
 from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 
 log = logbook.Logger("discovery")
@@ -20,26 +21,6 @@
 MIN_RATE_PER_S = 0.1  # where the settings allow less
 
 
-class ScheduledCall(Protocol):
-    """A call that `callLater` has scheduled (Twisted's `IDelayedCall`)."""
-
-    def active(self) -> bool:
-        """Whether the call is still to come."""
-
-    def cancel(self) -> None:
-        """Drop the call."""
-
-
-class ReactorTime(Protocol):
-    """Time and timers (Twisted's `IReactorTime`)."""
-
-    def seconds(self) -> float:
-        """Seconds of a steady clock."""
-
-    def callLater(self, delay: float, call: Callable[[], None]) -> ScheduledCall:
-        """Call `call()` in `delay` seconds."""
-
-
 class ListClient(Protocol):
     """What the poller needs of `EndpointListClient`."""
 
@@ -52,7 +33,7 @@
 
     def __init__(
         self,
-        reactor: ReactorTime,
+        clock: Clock,
         client: ListClient,
         epoch: Callable[[], int],
         publish: Callable[[CatalogueUpdate], None],
@@ -61,20 +42,20 @@
         """Make a poller that is stopped.
 
         Args:
-            reactor: clock and timers.
+            clock: time and timers.
             client: reads the list.
             epoch: returns the epoch in which this node holds the role (fencing token).
             publish: called with each reading. The serial rises with each change of the entries.
             max_rate_per_s: calls a second that the platform allows.
         """
-        self._reactor = reactor
+        self._clock = clock
         self._client = client
         self._epoch = epoch
         self._publish = publish
         self._min_interval = 1 / (RATE_SHARE * max(max_rate_per_s, MIN_RATE_PER_S))
         self._running = False
         self._reading = False
-        self._next_read: ScheduledCall | None = None
+        self._next_read: Timer | None = None
         self._serial = 0
         self._last_entries: tuple[CatalogueEntry, ...] | None = None
 
@@ -88,8 +69,7 @@
         """Publish nothing more, not even a reading that is under way."""
         self._running = False
         self._last_entries = None
-        if self._next_read is not None and self._next_read.active():
-            self._next_read.cancel()
+        cancel_if_active(self._next_read)
 
     def _read(self) -> None:
         if not self._running or self._reading:
@@ -104,7 +84,7 @@
         if endpoints.entries != self._last_entries:
             self._serial += 1
         self._last_entries = endpoints.entries
-        age_ms = int((self._reactor.seconds() - endpoints.requested_at) * 1000)
+        age_ms = int((self._clock.seconds() - endpoints.requested_at) * 1000)
         self._publish(CatalogueUpdate(self._epoch(), self._serial, age_ms, endpoints.entries))
         self._schedule(POLL_INTERVAL_S - age_ms / 1000)
 
@@ -115,4 +95,4 @@
             self._schedule(RETRY_S)
 
     def _schedule(self, interval: float) -> None:
-        self._next_read = self._reactor.callLater(max(interval, self._min_interval), self._read)
+        self._next_read = self._clock.callLater(max(interval, self._min_interval), self._read)
--- a/bitternpath/storage/documents.py
+++ b/bitternpath/storage/documents.py
@@ -11,7 +11,7 @@
 import zlib
 from pathlib import Path
 
-from bitternpath.storage.errors import CorruptDocumentError as CorruptDocumentError
+from bitternpath.storage.errors import CorruptDocumentError
 from bitternpath.storage.files import FileSystem
 
 FORMAT_VERSION = 1
--- a/bitternpath/storage/records.py
+++ b/bitternpath/storage/records.py
@@ -10,7 +10,6 @@
 from enum import IntEnum
 
 from bitternpath.replication.records import Entry, Members
-from bitternpath.storage.errors import CorruptJournalError as CorruptJournalError
 
 
 class RecordKind(IntEnum):
--- a/bitternpath/testing/simulation/journal_writer.py
+++ b/bitternpath/testing/simulation/journal_writer.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from contextlib import suppress
 from random import Random
-from typing import Any
 
+from bitternpath.net.clock import Clock
 from bitternpath.storage.commands import JournalCommand, batch_of
 from bitternpath.storage.journal_writer import RETRY_SECONDS, CompletedCallback, CorruptSnapshotCallback
 from bitternpath.storage.segments import SegmentLog
@@ -28,8 +28,8 @@
     _completed: CompletedCallback
     _snapshot_corrupted: CorruptSnapshotCallback
 
-    def __init__(self, clock: Any, disk: SimulatedFileSystem, sync_seconds: float) -> None:
-        """Make a writer; `clock` has `callLater` and `seconds` of Twisted's `IReactorTime`."""
+    def __init__(self, clock: Clock, disk: SimulatedFileSystem, sync_seconds: float) -> None:
+        """Make a writer that takes its time from `clock`; a batch takes `sync_seconds`."""
         self._clock = clock
         self._disk = disk
         self.sync_seconds = sync_seconds
@@ -84,7 +84,7 @@
             self._clock.callLater(self._stall_left() + self.sync_seconds, self._finish_batch, self._writing)
 
     def _stall_left(self) -> float:
-        return max(self._disk.stalled_until - float(self._clock.seconds()), 0.0)
+        return max(self._disk.stalled_until - self._clock.seconds(), 0.0)
 
     def _finish_batch(self, commands: Sequence[JournalCommand]) -> None:
         if self._ended:
