--- a/tests/system/test_catalogue.py
+++ b/tests/system/discovery/test_catalogue.py
@@ -7,9 +7,7 @@
 
 from bitternpath.discovery.catalogue import Catalogue
 from bitternpath.transport.feed_messages import CatalogueUpdate
-from tests.system.dispatch.delivery_case import (
-    entry,
-)
+from tests.system.dispatch.delivery_case import entry
 
 
 class CatalogueTest(unittest.TestCase):
