--- a/bitternpath/storage/checkpoint.py
+++ b/bitternpath/storage/checkpoint.py
@@ -1,4 +1,4 @@
-"""Checkpoints of the write-ahead log: each group's complete state is written anew, then old segments go.
+"""Checkpoints of the write-ahead log: each group's complete state is written again, then old segments removed.
 
 A checkpoint begins a new segment, writes there one `CheckpointRecord` for each group (and a
 `TombstoneRecord` for each removed one), and then removes the segments before it, the oldest first with a
--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -66,7 +66,7 @@
         return open_journal(self._data_dir, reactor, checkpoint_bytes)
 
     def read_document(self, name: str) -> bytes | None:
-        """See `NodeDisk`. The error names the file with its whole path."""
+        """See `NodeDisk`. The error names the path below which the disk was opened."""
         with closing(LocalFileSystem(self._data_dir)) as files:
             try:
                 return load_document(files, name)
--- a/bitternpath/storage/quarantine.py
+++ b/bitternpath/storage/quarantine.py
@@ -1,5 +1,4 @@
-"""Quarantine: the content of a corrupt disk is moved aside, so that nothing of the old identity is read
-again.
+"""Quarantine: the content of a corrupt disk is moved away, so that its old identity is never read again.
 
 A corrupt disk counts as lost. Its content moves into a directory `damaged-N` below the data directory, which
 is named `damaged-N.moving` until all of it is there: a process that is killed on the way goes on at the next
