--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -10,9 +10,7 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.replication import peer_status
-from bitternpath.replication.compaction import CompactionBounds as CompactionBounds
-from bitternpath.replication.compaction import CompactionSchedule
-from bitternpath.replication.compaction import bounds_for_disk as bounds_for_disk
+from bitternpath.replication.compaction import CompactionBounds, CompactionSchedule
 from bitternpath.replication.consensus import Raft, RaftEffects
 from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.interfaces import GroupListener, StateMachine
@@ -96,6 +94,7 @@
         now: float,
         options: GroupOptions,
     ) -> None:
+        """`random`: source of election timeouts and of the spread of compactions; `now`: in seconds."""
         state = identity.state
         self.raft = Raft(identity.member_id, state, random, now, options.raft)
         self.compaction = CompactionSchedule(options.bounds, random, len(state.snapshot.data))
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -1,4 +1,4 @@
-"""What a replica group asks of the program around it: state machine, journal, listener, transport, clock."""
+"""What a replica group asks of the program around it: state machine, journal, listener, transport."""
 
 from __future__ import annotations
 
@@ -6,8 +6,6 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from bitternpath.replication.errors import NotOwnerError as NotOwnerError
-from bitternpath.replication.errors import OutcomeUnknownError as OutcomeUnknownError
 from bitternpath.replication.records import PersistentState, StorageWrite
 
 SendMessage = Callable[[str, str, bytes], None]
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -52,12 +52,12 @@
         if member is None or not member.is_owner():
             return succeed(operator_result(ResultCode.NOT_OWNER, "this node doesn't own the configuration"))
         if request.path == CONFIGURATION_PATH and request.method == "GET":
-            return member.orders.read()
+            return member.changes.read()
         if request.path == CONFIGURATION_PATH and request.method in ("PUT", "PATCH"):
-            return member.order(ChangeRequest(request.method, request.if_match, request.body))
+            return member.submit_change(ChangeRequest(request.method, request.if_match, request.body))
         if request.path.startswith(RETIRE_PREFIX) and request.method in ("POST", "GET"):
             node = unquote(request.path.removeprefix(RETIRE_PREFIX))
-            return member.retire(node) if request.method == "POST" else member.retirement(node)
+            return member.retire(node) if request.method == "POST" else member.retirement_progress(node)
         return succeed(operator_result(ResultCode.UNKNOWN_CALL, f"{request.method} {request.path}"))
 
     def _forward(self, request: OperatorRequest) -> Deferred[OperatorReply]:
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -66,7 +66,7 @@
     def _finished(self, _: object) -> None:
         self._finishing = False
 
-    def order(self, node: str) -> Deferred[OperatorResult]:
+    def retire(self, node: str) -> Deferred[OperatorResult]:
         """Begin the retirement of a node; fires with the result for the operator, and never fails."""
         return self._group.barrier().addCallbacks(lambda _: self._decide(node), _not_owner)
 
@@ -88,11 +88,11 @@
     def _accept(self, command: RetireNode) -> Deferred[OperatorResult]:
         return self._group.propose(COMMANDS.encode(command)).addCallbacks(_accepted, _outcome_unknown)
 
-    def state(self, node: str) -> Deferred[OperatorResult]:
+    def progress(self, node: str) -> Deferred[OperatorResult]:
         """The progress of a node's retirement; fires with the result for the operator, and never fails."""
-        return self._group.barrier().addCallbacks(lambda _: self._state_now(node), _not_owner)
+        return self._group.barrier().addCallbacks(lambda _: self._progress_now(node), _not_owner)
 
-    def _state_now(self, node: str) -> OperatorResult:
+    def _progress_now(self, node: str) -> OperatorResult:
         state = retirement_state(self._state, node)
         if state is RetireState.UNKNOWN:
             return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being emptied")
