--- a/bitternpath/testing/fault_injection/status.py
+++ b/bitternpath/testing/fault_injection/owner_poller.py
@@ -1,4 +1,4 @@
-"""Asks edge nodes over their internal protocol which of them owns the configuration."""
+"""Finds the owner of the configuration by the internal protocol of edge nodes."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.operator_messages import StatusRequest, StatusResponse
 
-ASK_EVERY_S = 0.3
-USER = "rehearsal"
+POLL_INTERVAL_S = 0.3
+LINK_USER = "rehearsal"
 
 
-class StatusReader:
-    """Keeps links to the edge nodes and asks each again and again."""
+class ConfigurationOwnerPoller:
+    """Keeps links to the edge nodes and polls each for the groups that it owns."""
 
     def __init__(self, reactor: Any, edges: Iterable[Machine]) -> None:
         self._reactor = reactor
-        me = NodeDescriptor("rehearsal", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
-        self._hub = NodeHub(reactor, self, lambda: me, Random())
+        descriptor = NodeDescriptor("rehearsal", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
+        self._hub = NodeHub(reactor, self, lambda: descriptor, Random())
         self._addresses = [edge.address(Port.INTERNAL) for edge in edges]
         self._owners: dict[str, int] = {}  # epochs by node, of those that say they own the configuration
         self._timer: Any = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Connect, and begin to poll."""
         for address in self._addresses:
-            self._hub.dial(address, USER)
-        self._ask()
+            self._hub.dial(address, LINK_USER)
+        self._poll()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling, and close the links."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._hub.stop()
 
     def owner(self) -> str:
-        """The node that owns the configuration, as last told; empty while none says so."""
+        """The name of the owner by the latest answers; empty if none claims the ownership."""
         return max(self._owners, key=lambda name: self._owners[name], default="")
 
     def link_opened(self, link: Link) -> None:
-        """A node has introduced itself; it is asked in its turn."""
+        """Nothing to do: the node is polled with the others."""
 
     def link_closed(self, link: Link) -> None:
-        """What the node has told is void."""
+        """Forget the node's answer."""
         self._owners.pop(link.peer_name, None)
 
     def received(self, link: Link, record: Any) -> None:
-        """Nothing but answers is of interest."""
+        """Ignored: only answers matter."""
 
-    def _ask(self) -> None:
-        self._timer = self._reactor.callLater(ASK_EVERY_S, self._ask)
+    def _poll(self) -> None:
+        self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._poll)
         for address in self._addresses:
             link = self._hub.link_to(address)
             if link is not None:
--- a/bitternpath/testing/fault_injection/records.py
+++ b/bitternpath/testing/fault_injection/records.py
@@ -1,4 +1,4 @@
-"""What the world around the system has seen. Times are seconds of one steady clock."""
+"""Observations of the actors around the system. Times are seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class SendOutcome(Enum):
-    """What a client knows of one try."""
+    """Outcome of one attempt, as far as its client knows."""
 
-    OPEN = "open"
+    OPEN = "open"  # not answered yet
     ACCEPTED = "accepted"
-    PROMISED_NOT = "promised not to run"
+    NOT_EXECUTED = "promised not to run"
     REJECTED = "rejected"
     NOT_SENT = "no connection"
     UNCLEAR = "unclear"
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """One try of a client, with its answer once there is one."""
+    """One attempt of a client to send a message, and its answer once there is one."""
 
     request_id: str
     at: float
@@ -44,7 +44,7 @@
     ended_at: float = 0.0
     status: int = 0  # 0: no answer
     message_id: str = ""
-    broken_off: bool = False  # the connection closed before a whole answer
+    connection_closed: bool = False  # the connection closed before a complete answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     body: bytes
     lease_id: str = ""
     instance: str = ""  # the worker's incarnation
-    order_key: str | None = None  # None: the worker didn't look
+    order_key: str | None = None  # None: not recorded by this kind of worker
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,8 +83,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseWord:
-    """A pulling worker extended its lease and was told that it still holds it."""
+class LeaseExtension:
+    """A pulling worker extended its lease, acknowledged by 200."""
 
     request_id: str
     lease_id: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnd:
-    """A pulling worker was told whether the end of its lease was taken."""
+    """The answer to a pulling worker that reported the end of a job; `taken`: 200, else 409."""
 
     request_id: str
     lease_id: str
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallbackGot:
+class CallbackReceived:
     """A call-back reached its receiver. `taken`: it was answered with 200."""
 
     request_id: str
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """What the system said of a message at the end. `state` is empty where it never came."""
+    """The state of a message, read at the end of a run; `state` is empty if no answer came."""
 
     request_id: str
     at: float
@@ -125,7 +125,7 @@
 
 
 class OrderOutcome(Enum):
-    """What the operator knows of a change."""
+    """Outcome of a change, as far as its operator knows."""
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Outage:
     """A process was stopped at `at` and started again at `until` (infinity: not yet)."""
 
     node: str
@@ -159,29 +159,29 @@
 
 @dataclass(slots=True)
 class History:
-    """All that was seen, each list in the order of time."""
+    """All observations of a run, each list ordered by time."""
 
     sends: dict[str, Send] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
-    words: list[LeaseWord] = field(default_factory=list)
+    lease_extensions: list[LeaseExtension] = field(default_factory=list)
     ends: list[LeaseEnd] = field(default_factory=list)
-    callbacks: list[CallbackGot] = field(default_factory=list)
+    callbacks: list[CallbackReceived] = field(default_factory=list)
     found: dict[str, Found] = field(default_factory=dict)
     orders: list[OrderSent] = field(default_factory=list)
     read_back: Any = None
-    troubles: list[Trouble] = field(default_factory=list)
+    outages: list[Outage] = field(default_factory=list)
     finished: float = 0.0
 
     def accepted(self) -> Iterator[Send]:
-        """Tries that were answered with 202."""
+        """Attempts that were answered with 202."""
         return (send for send in self.sends.values() if send.outcome is SendOutcome.ACCEPTED)
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """Figures by which a history is judged (RULES; DEPLOY, `bounds`)."""
+class RuleParameters:
+    """Parameters of the rules by which a history is judged (RULES; DEPLOY, `bounds`)."""
 
     max_attempts: int
     timeout_s: float
