--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -18,7 +18,7 @@
 
 from msgspec import Struct
 
-from bitternpath.configuration.documents import RoutingTable
+from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.actions import Action, ExpirePoll, ProposeCommand
 from bitternpath.queue.commands import (
     AppendMessage,
--- a/bitternpath/replication/bandwidth.py
+++ b/bitternpath/replication/bandwidth.py
@@ -7,21 +7,22 @@
 
 
 class TransferBudget:
-    """The generic cell rate algorithm (ITU-T I.371): each piece is given the time at which it may go out."""
+    """The generic cell rate algorithm (ITU-T I.371): each chunk gets the time at which it may be sent."""
 
     def __init__(
         self,
         bytes_per_second: float = TRANSFER_BYTES_PER_SECOND,
         burst_bytes: float = TRANSFER_BURST_BYTES,
     ) -> None:
+        """After a pause `burst_bytes` may be sent at once; the average is `bytes_per_second`."""
         self._rate = bytes_per_second
         self._burst_seconds = burst_bytes / bytes_per_second
-        self._next = float("-inf")  # when the next piece would be due if all went at an even rate
+        self._next_at = float("-inf")  # theoretical arrival time: when the next chunk is due at an even rate
 
     def reserve(self, now: float, size: int) -> float:
-        """When a piece of that many bytes may go out: `now`, or later."""
-        even = max(self._next, now - self._burst_seconds)
-        self._next = even + size / self._rate
+        """Reserve bandwidth for `size` bytes; the time at which they may be sent, `now` or later."""
+        even = max(self._next_at, now - self._burst_seconds)
+        self._next_at = even + size / self._rate
         return max(even, now)
 
 
@@ -29,7 +30,9 @@
     """For groups that share their process with no other traffic."""
 
     def __init__(self) -> None:
+        """Make a budget without a bound; it has no state, and may be shared."""
         super().__init__(float("inf"), 0.0)
 
     def reserve(self, now: float, size: int) -> float:
+        """Any chunk may be sent now."""
         return now
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -12,11 +12,12 @@
 from twisted.internet.defer import Deferred, fail, succeed
 
 from bitternpath.configuration.state_machine import ConfigurationState
+from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.interfaces import NotOwnerError
 from bitternpath.roles.configuration_member import ConfigurationMember
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
-from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.settings import SMALL_LOGS
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem
 
 SEEDS = range(12)
@@ -178,6 +179,8 @@
 class Sound(unittest.TestCase):
     """The runs find nothing in the system as it is."""
 
+    longest_test_s = 20
+
     def test_all_runs(self) -> None:
         for run in (
             read_at_an_owner_that_does_not_know_it_was_replaced,
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from bitternpath.configuration.state_machine import COMMANDS, ConfigurationState, ReplaceDocument
+from bitternpath.configuration.commands import COMMANDS, ReplaceDocument
+from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.replication import snapshots
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.member import MemberState
@@ -17,7 +18,8 @@
 from bitternpath.testing.simulation import replica_group
 from bitternpath.testing.simulation.replica_checker import Checker, CommandLogMachine, InvariantViolationError
 from bitternpath.testing.simulation.replica_group import GROUP, Node
-from tests.system.loaded_group import Loaded, Quiet
+from tests.system.replication.loaded_group import LoadedGroup as Loaded
+from tests.system.replication.quiet_logs import QuietLogsTestCase as Quiet
 
 CHANGES = 1000
 EVERY = 0.004  # s between changes
@@ -86,6 +88,8 @@
 
 
 class ThousandChanges(Quiet):
+    longest_test_s = 25
+
     def setUp(self) -> None:
         super().setUp()
         small = patch.object(snapshots, "CHUNK_BYTES", SMALL_PIECE)
@@ -169,6 +173,8 @@
 
 
 class FarLearner(Quiet):
+    longest_test_s = 25
+
     def become_voter(self) -> bool:
         """Whether a far node that lost its disk votes again within 5 s of unbroken traffic."""
         world = Distant()
@@ -262,9 +268,9 @@
         real = ConfigurationState.snapshot
 
         def forgetful(self: ConfigurationState) -> bytes:
-            orders, self._orders = self._orders, type(self._orders)()
+            accepted, self._accepted = self._accepted, type(self._accepted)()
             data = real(self)
-            self._orders = orders
+            self._accepted = accepted
             return data
 
         with patch.object(ConfigurationState, "snapshot", forgetful):
@@ -291,7 +297,7 @@
             for other in (alone, "n3", "n4"):
                 world.blocked |= {(name, other), (other, name)}
 
-        def any_change(self: ReplicaGroup, now: float, members: Members) -> bool:
+        def any_change(self: ReplicaGroup, members: Members) -> bool:
             return True
 
         with patch.object(ReplicaGroup, "_is_safe_change", any_change):
