--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -60,7 +60,7 @@
         host: has the replica.
         is_open: whether the replica takes part in its group.
         state: the replicated configuration.
-        orders: decides the operator's changes, while this node owns the group.
+        changes: decides the operator's changes, while this node owns the group.
         feed: serves the feed, likewise.
         bootstrap_state: what is known of the bootstrap decision.
     """
@@ -72,7 +72,7 @@
         self.host = host
         self.is_open = False
         self.state = ConfigurationState()
-        self.orders = ChangeProcessor(self.state, self)
+        self.changes = ChangeProcessor(self.state, self)
         self.feed = FeedServer(reactor, self.state, self.has_lease)
         self.bootstrap_state = BootstrapState(host.member_id, BootstrapFile(settings.data_dir, base.disk))
         self._reactor = reactor
@@ -138,17 +138,17 @@
 
     # ---- operator's calls
 
-    def order(self, order: ChangeRequest) -> Deferred[OperatorResult]:
+    def submit_change(self, request: ChangeRequest) -> Deferred[OperatorResult]:
         """Decide a change of the configuration; never fails."""
-        return self.orders.submit(order)
+        return self.changes.submit(request)
 
     def retire(self, node: str) -> Deferred[OperatorResult]:
         """Begin to move all replicas away from a storage node; never fails."""
-        return self._retirements.order(node)
+        return self._retirements.retire(node)
 
-    def retirement(self, node: str) -> Deferred[OperatorResult]:
+    def retirement_progress(self, node: str) -> Deferred[OperatorResult]:
         """The progress of a node's retirement; never fails."""
-        return self._retirements.state(node)
+        return self._retirements.progress(node)
 
     # ---- records of other nodes
 
