--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -10,6 +10,13 @@
 - a lease of an earlier owner starts anew when a new owner begins: its holder may be running the message;
 - after each event the owner's role calls `next_wakeup`, and `tick` at that time: nothing waits for another
   event whose time has come.
+
+Ways in which messages came to a standstill, and what prevents them:
+
+- a transfer of leadership that came to nothing had refused proposals: `proposal_failed` makes up for each;
+- an edge node that is partitioned from the workers returned a message again and again: after
+  `lifecycle.RETURNS_BEFORE_EDGE_CHANGE` returns it goes to another one;
+- a message ready for a pulling worker waited at one shard while workers waited at others: `RequestPollers`.
 """
 
 from __future__ import annotations
