--- a/tests/system/pinned/program.py
+++ b/tests/system/pinned/program.py
@@ -16,10 +16,11 @@
 from bitternpath.balancer.fleet import store as fleet_store
 from bitternpath.balancer.handover import messages as handover_messages
 from bitternpath.balancer.store import taken_out
+from bitternpath.configuration import change_requests, feed_documents, results
 from bitternpath.configuration import commands as configuration_commands
-from bitternpath.configuration import feed_documents, results
 from bitternpath.configuration import state_machine as configuration_state
 from bitternpath.queue import commands as queue_commands
+from bitternpath.queue import sharding
 from bitternpath.queue import snapshot as queue_snapshot
 from bitternpath.replication import messages as replication_messages
 from bitternpath.replication import records as replication_records
@@ -29,6 +30,9 @@
 from bitternpath.storage import record_format
 from bitternpath.storage import records as storage_records
 from bitternpath.storage import snapshots as storage_snapshots
+from bitternpath.testing.emulator.fleet import campaign as fleet_campaign
+from bitternpath.testing.simulation.runs import draw as simulation_draw
+from bitternpath.testing.simulation.runs import play as simulation_play
 from bitternpath.transport import codec, feed_messages, frames, group_messages
 from bitternpath.transport import messages as link_messages
 
@@ -121,3 +125,14 @@
 node_settings_from: Any = node_settings.settings_from
 load_node_config: Any = node_config.load
 FleetRecord: Any = fleet_plan.Record
+
+# What follows from a seed or a hash.
+SCENARIOS: Any = simulation_draw.SCENARIOS
+draw_plan: Any = simulation_draw.draw
+play_plan: Any = simulation_play.play
+play_fleet: Any = fleet_campaign.play
+shard_for: Any = sharding.shard_for
+home_shard: Any = sharding.home_shard
+message_id: Any = sharding.message_id
+lease_id: Any = sharding.lease_id
+Change: Any = change_requests.ChangeRequest
--- a/tests/system/pinned/write_disks.py
+++ b/tests/system/pinned/write_disks.py
@@ -112,20 +112,25 @@
         self._system.until(FRONT, "POST", target, lambda found: found.status == 200, headers=headers)
 
 
+def patch_body(version: int) -> bytes:
+    """The change that makes that version."""
+    notes = {"text": "n" * NOTE_BYTES, "version": version}
+    return json.dumps({"version": version, "upsert": {"notes": notes}}).encode()
+
+
 def configure(system: SmallSystem) -> dict[str, Any]:
     """Send the first configuration and the changes; the document in force."""
     system.until(
         CONTROL, "PUT", "/config", lambda found: found.status == 200, body=json.dumps(CONFIGURATION).encode()
     )
     for version in range(2, CHANGES + 2):
-        patch = {"version": version, "upsert": {"notes": {"text": "n" * NOTE_BYTES, "version": version}}}
         system.until(
             CONTROL,
             "PATCH",
             "/config",
             lambda found: found.status == 200,
             headers={"If-Match": str(version - 1)},
-            body=json.dumps(patch).encode(),
+            body=patch_body(version),
         )
     found: dict[str, Any] = call(system.address(CONTROL), "GET", "/config").document()
     return found
--- a/tests/system/test_pinned_disks.py
+++ b/tests/system/test_pinned_disks.py
@@ -28,7 +28,7 @@
     Surroundings,
     call,
 )
-from tests.system.pinned.write_disks import ARCHIVE, FACTS, HOST, Client
+from tests.system.pinned.write_disks import ARCHIVE, FACTS, HOST, Client, patch_body
 
 PINNED: dict[str, Any] = json.loads(FACTS.read_text("utf-8"))
 LATE_S = 20.0  # for what takes well under a second on a machine with nothing else to do
@@ -235,6 +235,12 @@
         few = self.control("POST", "/retire/storage-1")
         self.assertEqual((few.status, few.document()["code"]), (409, 1301))
 
+    def test_7_a_change_that_was_accepted_before_is_known_again(self) -> None:
+        answer = self.control("PATCH", "/config", headers={"If-Match": "16"}, body=patch_body(17))
+        self.assertEqual(answer.document(), {"code": 1000, "result": "accepted", "version": 17})
+        other = self.control("PATCH", "/config", headers={"If-Match": "16"}, body=patch_body(17) + b" ")
+        self.assertEqual(other.document()["code"], 1101)
+
     def test_8_a_change_builds_on_the_configuration_from_the_disk(self) -> None:
         patch = {
             "version": 18,
