--- a/bitternpath/testing/fault_injection/operators.py
+++ b/bitternpath/testing/fault_injection/configuration_operator.py
@@ -1,4 +1,4 @@
-"""The operator: sends the first configuration, then changes of it, and reads it back at the end."""
+"""An operator that creates the configuration, changes it all the time and reads it back at the end."""
 
 from __future__ import annotations
 
@@ -10,56 +10,62 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from bitternpath.testing.fault_injection.changes import (
+from bitternpath.testing.fault_injection.actor_context import ActorContext
+from bitternpath.testing.fault_injection.configuration_changes import (
     changed_document,
     invalid_document,
     patch_call,
     put_call,
 )
-from bitternpath.testing.fault_injection.control_calls import FIRST_PAUSE_S, ControlCalls
+from bitternpath.testing.fault_injection.control_calls import MIN_BACKOFF_S, ControlCalls
+from bitternpath.testing.fault_injection.http_client import Call
 from bitternpath.testing.fault_injection.plan import Plan
-from bitternpath.testing.fault_injection.plumbing import Call
-from bitternpath.testing.fault_injection.records import Clock, History, OrderOutcome, OrderSent
+from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
 
-ORDER_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
-FIRST_ORDER_FOR_S = 25.0  # the first configuration is sent again until it is accepted
-CHANGE_EVERY_S = 1.0
-INVALID_EVERY, RACE_EVERY, AGAIN_EVERY = 5, 4, 3  # changes between these
+ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
+FIRST_ORDER_RETRY_FOR_S = 25.0  # the first configuration is sent again until it is accepted
+CHANGE_INTERVAL_S = 1.0
+INVALID_EVERY = 5  # each fifth change is invalid
+RACE_EVERY = 4  # each fourth other one competes with another change of the same version
+MAX_REFRESH_CALLS = 10
+REPEAT_EVERY = 3  # each third is sent again after its acknowledgement
 
 
 class Operator:
     """Changes the configuration. `document` is the newest one that was acknowledged."""
 
-    def __init__(self, reactor: Any, clock: Clock, history: History, plan: Plan) -> None:
-        self._reactor, self._clock, self._history = reactor, clock, history
+    def __init__(self, context: ActorContext, plan: Plan) -> None:
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
         self._random = Random(plan.seed + 1)
-        self._calls = ControlCalls(reactor, clock, lambda: plan.edges, self._random)
+        self._calls = ControlCalls(context.reactor, context.clock, lambda: plan.edges, self._random)
         self.document: dict[str, Any] = {"version": 0}
         self._changes = 0
         self.busy = False
 
-    async def found(self, document: dict[str, Any]) -> bool:
+    async def create_configuration(self, document: dict[str, Any]) -> bool:
         """Send the first configuration; whether it was accepted."""
-        order = await self._order(put_call(0, document), 0, document, FIRST_ORDER_FOR_S)
+        order = await self._order(put_call(0, document), 0, document, FIRST_ORDER_RETRY_FOR_S)
         return order.outcome is OrderOutcome.ACKNOWLEDGED
 
     def run(self, until: float, failed: Callable[[Any], None]) -> None:
-        """Send changes until then; `failed` hears an error in the rehearsal itself."""
+        """Send changes until `until`; `failed` receives an error of the test environment itself."""
         Deferred.fromCoroutine(self._change_all(until)).addErrback(failed)
 
     async def read_back(self, seconds: float) -> None:
-        """Read the configuration again and again for so long; the last answer counts."""
+        """Read the configuration repeatedly for `seconds`; the last answer counts."""
         until = self._clock() + seconds
         while self._clock() < until:
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
             if answer is not None and answer.status == 200:
                 self._history.read_back = json.loads(answer.body)
-            await deferLater(self._reactor, FIRST_PAUSE_S)
+            await deferLater(self._reactor, MIN_BACKOFF_S)
 
     async def _change_all(self, until: float) -> None:
         self.busy = True
         while self._clock() < until:
-            await deferLater(self._reactor, CHANGE_EVERY_S)
+            await deferLater(self._reactor, CHANGE_INTERVAL_S)
             self._changes += 1
             if self._changes % INVALID_EVERY == 0:
                 await self._send_invalid()
@@ -75,19 +81,19 @@
         wanted = self._next(self._changes)
         call = put_call(base, wanted) if self._changes % 2 == 0 else patch_call(self.document, wanted)
         order = await self._order(call, base, wanted)
-        if order.outcome is OrderOutcome.ACKNOWLEDGED and self._changes % AGAIN_EVERY == 0:
+        if order.outcome is OrderOutcome.ACKNOWLEDGED and self._changes % REPEAT_EVERY == 0:
             await self._order(call, base, wanted)
         if order.outcome is not OrderOutcome.ACKNOWLEDGED:
-            await self._look()
+            await self._refresh()
 
     async def _race(self) -> None:
-        """Two changes on top of the same version, at once, under the same number."""
+        """Send two changes of the same version at once, under the same new version."""
         base = self.document["version"]
         first, second = self._next(self._changes), self._next(self._changes + 1)
         second["version"] = first["version"]
         sent = [self._order(put_call(base, wanted), base, wanted) for wanted in (first, second)]
         await gatherResults([Deferred.fromCoroutine(order) for order in sent])
-        await self._look()
+        await self._refresh()
 
     async def _send_invalid(self) -> None:
         """A route that names an unknown service."""
@@ -95,27 +101,34 @@
         base = self.document["version"]
         await self._order(put_call(base, wanted), base, wanted, valid=False)
 
-    async def _look(self) -> None:
-        """After an open fate or a race: what is in force now."""
-        for _ in range(10):
+    async def _refresh(self) -> None:
+        """Read what is in force, after an unclear outcome or competing changes."""
+        for _ in range(MAX_REFRESH_CALLS):
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
             if answer is not None and answer.status == 200:
                 self.document = json.loads(answer.body)
                 return
-            await deferLater(self._reactor, FIRST_PAUSE_S)
+            await deferLater(self._reactor, MIN_BACKOFF_S)
 
     def _next(self, number: int) -> dict[str, Any]:
         version = self.document["version"] + self._random.randint(1, 3)
         return changed_document(self.document, number, version)
 
     async def _order(
-        self, call: Call, base: int, wanted: dict[str, Any], seconds: float = ORDER_FOR_S, valid: bool = True
+        self,
+        call: Call,
+        base: int,
+        wanted: dict[str, Any],
+        seconds: float = ORDER_RETRY_FOR_S,
+        valid: bool = True,
     ) -> OrderSent:
-        """Send a change to one node after the other until there is a clear answer."""
+        """Send a change until its outcome is clear, and record it."""
         sent_at = self._clock()
-        outcome, status = await self._calls.until_clear(call, sent_at + seconds)
-        order = OrderSent(wanted["version"], base, sent_at, self._clock(), outcome, valid, wanted, status)
+        result = await self._calls.send_until_decided(call, sent_at + seconds)
+        order = OrderSent(
+            wanted["version"], base, sent_at, self._clock(), result.outcome, valid, wanted, result.status
+        )
         self._history.orders.append(order)
-        if outcome is OrderOutcome.ACKNOWLEDGED and wanted["version"] > self.document["version"]:
+        if result.outcome is OrderOutcome.ACKNOWLEDGED and wanted["version"] > self.document["version"]:
             self.document = wanted
         return order
--- a/tests/system/test_pages.py
+++ b/tests/system/test_pages.py
@@ -180,7 +180,10 @@
         self.page = EVENTS.read_text("utf-8")
 
     def test_events_and_levels_are_those_of_the_program(self) -> None:
-        self.assertEqual(told_events(self.page), logged_events())
+        told, logged = told_events(self.page), logged_events()
+        self.assertEqual(sorted(told.keys() - logged.keys()), [], "on the page, and not logged any more")
+        self.assertEqual(sorted(logged.keys() - told.keys()), [], "logged, and not on the page")
+        self.assertEqual(told, logged)
 
     def test_each_event_is_told_once_and_with_what_to_do(self) -> None:
         rows = list(table_rows(section(self.page, "Log events")))
