--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -8,45 +8,52 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from bitternpath.membership.view import Datagram, MembershipView
-from bitternpath.transport.codec import CodecError
+from bitternpath.net.clock import Clock, Timer, cancel_if_active
+from bitternpath.transport.errors import CodecError
 from bitternpath.transport.messages import RECORDS
 from bitternpath.transport.node_messages import ShuffleReply, ShuffleRequest
 
 log = logbook.Logger("membership")
 
+SHORTEST_PAUSE_S = 0.05  # between rounds, however late the last one was
+
 
 class Gossip(DatagramProtocol):
-    """Carries a view's rounds."""
+    """Carries the rounds of a view."""
 
     noisy = False
     transport: Any
 
-    def __init__(self, reactor: Any, view: MembershipView) -> None:
-        self.reactor, self.view = reactor, view
-        self._timer: Any = None
+    def __init__(self, clock: Clock, view: MembershipView) -> None:
+        """`view`: decides what is sent; the rounds begin with `startProtocol`."""
+        self._clock = clock
+        self.view = view
+        self._timer: Timer | None = None
 
     def startProtocol(self) -> None:
+        """Begin the rounds."""
         self._round()
 
-    def datagramReceived(self, datagram: bytes, addr: Any) -> None:
+    def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
+        """Merge what a peer sent, and respond. Datagrams that can't be read are ignored."""
         try:
             record = RECORDS.decode(datagram)
         except CodecError:
             return
         if isinstance(record, ShuffleRequest | ShuffleReply):
             sender = f"{addr[0]}:{addr[1]}"
-            self._send(self.view.received(self.reactor.seconds(), sender, record))
+            self._send(self.view.received(self._clock.seconds(), sender, record))
 
     def stop(self) -> None:
-        """Say good-bye and send no more."""
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        """Announce that this node leaves, and send no more."""
+        cancel_if_active(self._timer)
         self._send(self.view.leave())
 
     def _round(self) -> None:
-        now = self.reactor.seconds()
+        now = self._clock.seconds()
         self._send(self.view.tick(now))
-        self._timer = self.reactor.callLater(max(self.view.round_at - now, 0.05), self._round)
+        pause = max(self.view.round_at - now, SHORTEST_PAUSE_S)
+        self._timer = self._clock.callLater(pause, self._round)
 
     def _send(self, datagrams: list[Datagram]) -> None:
         for datagram in datagrams:
@@ -54,4 +61,4 @@
             try:
                 self.transport.write(RECORDS.encode(datagram.record), (host, int(port)))
             except OSError as error:
-                log.debug("event=datagram_not_sent address={} error={}", datagram.address, error)
+                log.debug("event=datagram_send_failed address={} error={}", datagram.address, error)
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -25,7 +25,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from bitternpath.queue.actions import AnswerPoll, SendDelivery
 from bitternpath.queue.commands import GrantLease
@@ -43,8 +43,7 @@
 PUSH_LEASE_MARGIN_MS = 2_000
 
 
-@dataclass(frozen=True, slots=True)
-class LeaseHolders:
+class LeaseHolders(Struct, frozen=True):
     """Who may get a lease: edge nodes for messages that are pushed, long polls for those that are pulled."""
 
     edges: EdgeNodeTable
@@ -84,7 +83,7 @@
         """Return the command that leases a message in advance, to whichever worker polls next."""
         lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", queue.service.name, now)
-        tracked.pregrant = GrantLease(tracked.request_id, lease_id, "", self.pull_duration_ms, True)
+        tracked.pregrant = GrantLease(tracked.request_id, lease_id, "", self.pull_duration_ms, pulled=True)
         queue.pregranted.add(tracked.request_id)
         return tracked.pregrant
 
@@ -178,7 +177,9 @@
         self._polls.reserve(poll)
         lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", service, now, poll.poll_id)
-        return GrantLease(tracked.request_id, lease_id, poll.request.instance, self.pull_duration_ms, True)
+        return GrantLease(
+            tracked.request_id, lease_id, poll.request.instance, self.pull_duration_ms, pulled=True
+        )
 
     def _grant_to_edge(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
         route = tracked.route
@@ -191,7 +192,7 @@
         tracked.lease = InFlightLease(tracked.request_id, lease_id, edge.name, service, now)
         self._take_capacity(tracked.lease)
         duration_ms = route.timeout_ms + PUSH_LEASE_MARGIN_MS
-        return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, False)
+        return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, pulled=False)
 
     def _take_capacity(self, lease: InFlightLease) -> None:
         edge = self._edges.find(lease.edge)
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -1,4 +1,4 @@
-"""What a replica group asks of the program around it: state machine, journal, listener, transport, clock."""
+"""What a replica group asks of the program around it: state machine, journal, listener, transport."""
 
 from __future__ import annotations
 
@@ -6,8 +6,6 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from bitternpath.replication.errors import NotOwnerError as NotOwnerError
-from bitternpath.replication.errors import OutcomeUnknownError as OutcomeUnknownError
 from bitternpath.replication.records import PersistentState, StorageWrite
 
 SendMessage = Callable[[str, str, bytes], None]
@@ -75,26 +73,3 @@
 
     def applied(self, index: int, command: bytes, result: object) -> None:
         """A command was applied; on each replica."""
-
-
-class DelayedCall(Protocol):
-    """A timer of a reactor (`twisted.internet.interfaces.IDelayedCall`)."""
-
-    def getTime(self) -> float:
-        """When it is due."""
-
-    def active(self) -> bool:
-        """Whether it has neither fired nor been cancelled."""
-
-    def cancel(self) -> None:
-        """Keep it from firing."""
-
-
-class ReactorTime(Protocol):
-    """The time of a reactor (`twisted.internet.interfaces.IReactorTime`)."""
-
-    def seconds(self) -> float:
-        """A clock that doesn't go back, in seconds."""
-
-    def callLater(self, delay: float, call: Callable[..., object], /, *arguments: object) -> DelayedCall:
-        """Call after `delay` seconds."""
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -13,6 +13,7 @@
 import logbook
 
 from bitternpath.configuration.routing_table import RoutingTable
+from bitternpath.net.reactor import NodeReactor
 from bitternpath.queue.owner import OwnerSettings
 from bitternpath.replication.member_changes import MemberChanges
 from bitternpath.roles.disk_capacity import DiskCapacity
@@ -23,8 +24,8 @@
 from bitternpath.roles.membership_reports import MembershipReporter
 from bitternpath.roles.node_base import NodeBase, ProcessContext, RecordHandler
 from bitternpath.roles.ownership_return import OwnershipReturn
+from bitternpath.roles.periodic_call import PeriodicCall
 from bitternpath.roles.quota_borrowing import QuotaBorrower
-from bitternpath.roles.reactor import NodeReactor, PeriodicCall
 from bitternpath.roles.replica_garbage_collection import ReplicaGarbageCollector
 from bitternpath.roles.settings import Settings
 from bitternpath.roles.settings_reader import SettingsError
@@ -183,7 +184,7 @@
         self.shards.edge_link_closed(name, link)
 
     def received(self, link: Link, record: Any) -> None:
-        """Pass a record of another node on; kinds that are none of this role's business are dropped."""
+        """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
@@ -206,21 +207,28 @@
             StatusRequest: self._send_status,
             MembershipRequest: self._membership_requested,
             MembershipReport: lambda _link, record: self._garbage_collector.reported(record),
-            CallbackReport: self._for_shard(ShardRequests.callback_report),
+            CallbackReport: self._callback_reported,
         }
 
     def _for_shard(self, handle: Callable[[ShardRequests, Link, Any], None]) -> RecordHandler:
-        """A handler that finds the shard that a record names. Requests to others are refused."""
+        """A handler of requests to the shard that they name; refuses those to shards without a replica
+        here.
+        """
 
-        def received(link: Link, record: Any) -> None:
-            requests = self.shards.requests(record.group)
+        def received(link: Link, request: Any) -> None:
+            requests = self.shards.requests(request.group)
             if requests is not None:
-                handle(requests, link, record)
-            elif hasattr(record, "number"):
-                link.send(Refused(record.number, RefusalReason.NOT_OWNER))
+                handle(requests, link, request)
+            else:
+                link.send(Refused(request.number, RefusalReason.NOT_OWNER))
 
         return received
 
+    def _callback_reported(self, _link: Link, report: CallbackReport) -> None:
+        requests = self.shards.requests(report.group)
+        if requests is not None:
+            requests.callback_report(report)
+
     def _membership_requested(self, link: Link, request: MembershipRequest) -> None:
         if request.group in self.shards.runtimes:
             self._reporter.respond(link, request)
--- a/bitternpath/storage/record_format.py
+++ b/bitternpath/storage/record_format.py
@@ -20,7 +20,8 @@
 
 from bitternpath.storage.errors import CorruptJournalError
 from bitternpath.storage.records import CheckpointRecord, Record, RecordKind, TombstoneRecord, WriteRecord
-from bitternpath.transport.codec import CodecError, RecordCodec
+from bitternpath.transport.codec import RecordCodec
+from bitternpath.transport.errors import CodecError
 
 FORMAT_VERSION = 1  # of a segment
 MAGIC = b"\xb1WAL"
--- a/tests/system/test_fault_injection_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -1,4 +1,4 @@
-"""Checkers of fault-injection runs: each reports a history that breaks its rule, not the nearest valid one."""
+"""Checkers of fault-injection runs: each reports a history that breaks its rule, not the nearest valid."""
 
 from __future__ import annotations
 
