--- a/bitternpath/testing/fault_injection/http_client.py
+++ b/bitternpath/testing/fault_injection/http_client.py
@@ -76,7 +76,8 @@
 
     def __init__(self, address: str, call: Call) -> None:
         self.answer: Deferred[Reply | Unanswered] = Deferred()
-        self._call, self._address = call, address
+        self._call = call
+        self._address = address
         self._reader = ResponseReader(None)
         self._done = False
 
--- a/bitternpath/testing/fault_injection/http_server.py
+++ b/bitternpath/testing/fault_injection/http_server.py
@@ -42,7 +42,8 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.closed = True
         self.setTimeout(None)  # type: ignore[no-untyped-call]
-        running, self._running = self._running, None
+        running = self._running
+        self._running = None
         if running is not None:
             running.cancel()
         if self.on_lost is not None:
@@ -87,7 +88,8 @@
     noisy = False
 
     def __init__(self, handler: Handler, reactor: Any) -> None:
-        self._handler, self._reactor = handler, reactor
+        self._handler = handler
+        self._reactor = reactor
 
     def buildProtocol(self, addr: Any) -> ServerConnection:
         return ServerConnection(self._handler, self._reactor)
--- a/bitternpath/testing/fault_injection/processes.py
+++ b/bitternpath/testing/fault_injection/processes.py
@@ -35,7 +35,10 @@
     """One machine's process, over its lives."""
 
     def __init__(self, plan: Plan, machine: Machine, folder: Path, platform: str) -> None:
-        self.plan, self.machine, self._folder, self._platform = plan, machine, folder, platform
+        self.plan = plan
+        self.machine = machine
+        self._folder = folder
+        self._platform = platform
         self._settings = folder / f"{machine.name}.toml"
         self.log = folder / f"{machine.name}.log"
         self._data = folder / "data" / machine.name
--- a/bitternpath/testing/simulation/actors/clients.py
+++ b/bitternpath/testing/simulation/actors/clients.py
@@ -47,8 +47,12 @@
         callback_url: str,
         failed: Failed,
     ) -> None:
-        self._world, self._plan, self._history, self._directory = world, plan, history, directory
-        self._balancer, self._operators = balancer, operators
+        self._world = world
+        self._plan = plan
+        self._history = history
+        self._directory = directory
+        self._balancer = balancer
+        self._operators = operators
         self._reactor: Any = world.host(CLIENT_IP)
         context = ActorContext(self._reactor, lambda: world.now, history)
         self._clients = Clients(context, balancer, callback_url)
--- a/bitternpath/testing/simulation/actors/machine_faults.py
+++ b/bitternpath/testing/simulation/actors/machine_faults.py
@@ -23,7 +23,9 @@
     """Injects faults of machines; those that last end by themselves."""
 
     def __init__(self, world: World, history: SystemHistory, directory: NodeDirectory) -> None:
-        self._world, self._history, self._directory = world, history, directory
+        self._world = world
+        self._history = history
+        self._directory = directory
         self._plays: dict[FaultKind, Callable[[Fault, str], None]] = {
             FaultKind.KILL: self._kill,
             FaultKind.POWER: self._power,
--- a/bitternpath/testing/simulation/actors/node_directory.py
+++ b/bitternpath/testing/simulation/actors/node_directory.py
@@ -36,7 +36,8 @@
     """
 
     def __init__(self, world: World, lag_s: float) -> None:
-        self._world, self._lag_s = world, lag_s
+        self._world = world
+        self._lag_s = lag_s
         self.edges: list[NodeAddress] = []
         self._before: list[tuple[float, tuple[NodeAddress, ...]]] = []
         self._names = {f"e{place}": node.name for place, node in enumerate(world.edges(), 1)}
--- a/bitternpath/testing/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -53,7 +53,10 @@
     def __init__(
         self, world: World, plan: RunPlan, history: SystemHistory, directory: NodeDirectory, failed: Failed
     ) -> None:
-        self._world, self._plan, self._history, self._directory = world, plan, history, directory
+        self._world = world
+        self._plan = plan
+        self._history = history
+        self._directory = directory
         self._reactor: Any = world.host(OPERATOR_IP)
         self.newest: dict[str, Any] = {"version": 0, "routes": []}
         self.documents: list[dict[str, Any]] = []  # that were sent, in their order
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -111,7 +111,9 @@
     """All workers, and the platform's endpoint list."""
 
     def __init__(self, world: World, plan: RunPlan, history: SystemHistory, balancer: LoadBalancer) -> None:
-        self._world, self._history, self._seed = world, history, plan.seed
+        self._world = world
+        self._history = history
+        self._seed = plan.seed
         self.platform = EndpointListServer(
             world.host(PLATFORM_IP), lambda: world.now, PLATFORM_IP, PLATFORM_PORT
         )
--- a/bitternpath/testing/simulation/checks/connectivity.py
+++ b/bitternpath/testing/simulation/checks/connectivity.py
@@ -20,7 +20,8 @@
     def __init__(self, history: SystemHistory, parameters: SystemRuleParameters) -> None:
         self._disruptions = history.disruptions
         self._contact_s = parameters.contact_s
-        self._core, self._stores = parameters.core, parameters.stores
+        self._core = parameters.core
+        self._stores = parameters.stores
 
     def connected(self, nodes: Iterable[str], begin: float, end: float) -> bool:
         """Whether all of these machines certainly reached the core from `begin` to `end`."""
--- a/bitternpath/testing/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -15,7 +15,10 @@
     """One way of a connection."""
 
     def __init__(self, connection: Connection, sender: Stream, receiver: Stream, path: Path) -> None:
-        self._connection, self.sender, self.receiver, self.path = connection, sender, receiver, path
+        self._connection = connection
+        self.sender = sender
+        self.receiver = receiver
+        self.path = path
         self._network = connection.network
         self._last_arrival = 0.0
         self._generation = 0
@@ -80,7 +83,8 @@
         if generation != self._generation or not self._is_open():
             return
         self.path.holding.pop(self, None)
-        held, self._held = self._held, deque()
+        held = self._held
+        self._held = deque()
         for packet, data in held:
             self._deliver(packet, data)
 
@@ -120,7 +124,8 @@
         self.name = f"{ends[0][0]}:{ends[0][1]}>{ends[1][0]}:{ends[1][1]}"
         self.client = Stream(self, client, ends[0], ends[1])
         self.server = Stream(self, server, ends[1], ends[0])
-        self.client.peer, self.server.peer = self.server, self.client
+        self.client.peer = self.server
+        self.server.peer = self.client
         there, back = network.path(ends[0][0], ends[1][0]), network.path(ends[1][0], ends[0][0])
         self._there = Direction(self, self.client, self.server, there)
         self._back = Direction(self, self.server, self.client, back)
--- a/bitternpath/testing/simulation/connector.py
+++ b/bitternpath/testing/simulation/connector.py
@@ -22,7 +22,10 @@
     """A connection out, from the first packet on (`IConnector`)."""
 
     def __init__(self, reactor: VirtualReactor, target: Address, factory: Any, timeout: float | None) -> None:
-        self.reactor, self.target, self.factory, self.timeout = reactor, target, factory, timeout
+        self.reactor = reactor
+        self.target = target
+        self.factory = factory
+        self.timeout = timeout
         self._network = reactor.network
         self.state = "disconnected"
         self.transport: Stream | None = None
--- a/bitternpath/testing/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -29,7 +29,10 @@
     def __init__(
         self, disk: SimulatedFileSystem, reactor: Any, random: Random, sync_seconds: float, logs: LogSizes
     ) -> None:
-        self._disk, self._reactor, self._random, self._logs = disk, reactor, random, logs
+        self._disk = disk
+        self._reactor = reactor
+        self._random = random
+        self._logs = logs
         self._sync_seconds = sync_seconds
         self._journal_writer: VirtualTimeJournalWriter | None = None
         self._works: dict[int, Callable[[], object]] = {}
--- a/bitternpath/testing/simulation/group_invariants.py
+++ b/bitternpath/testing/simulation/group_invariants.py
@@ -28,7 +28,8 @@
     """Records what all replicas of a run apply and which node owns each epoch, and reports contradictions."""
 
     def __init__(self, recorder: Recorder, seconds: Any) -> None:
-        self.recorder, self._seconds = recorder, seconds
+        self.recorder = recorder
+        self._seconds = seconds
         self.violations: list[Violation] = []
         self._owners: dict[tuple[str, int], str] = {}
         self._applied: dict[str, dict[int, int]] = {}
@@ -69,7 +70,10 @@
     def __init__(
         self, checker: GroupInvariantChecker, node: str, group: str, listener: GroupListener
     ) -> None:
-        self._checker, self._node, self._group, self._listener = checker, node, group, listener
+        self._checker = checker
+        self._node = node
+        self._group = group
+        self._listener = listener
         self._epoch = 0
 
     def became_owner(self, epoch: int) -> None:
--- a/bitternpath/testing/simulation/network.py
+++ b/bitternpath/testing/simulation/network.py
@@ -24,7 +24,9 @@
     """A machine of the simulated network: an address, power, and what its processes have open."""
 
     def __init__(self, network: Network, ip: str, zone: str) -> None:
-        self.network, self.ip, self.zone = network, ip, zone
+        self.network = network
+        self.ip = ip
+        self.zone = zone
         self.powered = True
         self.factor = 1.0  # of its delays
         self.ports: dict[int, TcpPort] = {}
@@ -54,7 +56,9 @@
     """All hosts of a run."""
 
     def __init__(self, scheduler: Scheduler, recorder: Recorder, random: Random) -> None:
-        self.scheduler, self.recorder, self._random = scheduler, recorder, random
+        self.scheduler = scheduler
+        self.recorder = recorder
+        self._random = random
         self.hosts: dict[str, Host] = {}
         self.connections: dict[Connection, None] = {}
         self._paths: dict[tuple[str, str], Path] = {}
@@ -79,7 +83,8 @@
         """Nothing gets through in that direction."""
         path = self.path(source, target)
         if not path.cut:
-            path.cut, path.cut_since = True, self.scheduler.now
+            path.cut = True
+            path.cut_since = self.scheduler.now
 
     def join(self, source: str, target: str) -> None:
         """The direction is open again; what was held is sent again."""
--- a/bitternpath/testing/simulation/paths.py
+++ b/bitternpath/testing/simulation/paths.py
@@ -36,10 +36,12 @@
 
     def __init__(self, random: Random, delay: float, loss: float) -> None:
         self._random = random
-        self.delay, self.factor = delay, 1.0
+        self.delay = delay
+        self.factor = 1.0
         self.loss = loss  # share of datagrams
         self.stream_loss = 0.0  # share of packets of connections, which are sent again after a while
-        self.cut, self.cut_since = False, 0.0
+        self.cut = False
+        self.cut_since = 0.0
         self.bytes_per_s: float | None = None  # None: more than the run needs
         self.holding: dict[Held, None] = {}
         self._free_at = 0.0
--- a/bitternpath/testing/simulation/ports.py
+++ b/bitternpath/testing/simulation/ports.py
@@ -18,7 +18,9 @@
     """A listening port (`IListeningPort`)."""
 
     def __init__(self, reactor: VirtualReactor, port: int, factory: Any) -> None:
-        self.reactor, self.port, self.factory = reactor, port, factory
+        self.reactor = reactor
+        self.port = port
+        self.factory = factory
         self.open = True
 
     def getHost(self) -> IPv4Address:
@@ -72,7 +74,9 @@
     """A port for datagrams (`IUDPTransport`)."""
 
     def __init__(self, reactor: VirtualReactor, port: int, protocol: Any) -> None:
-        self.reactor, self.port, self.protocol = reactor, port, protocol
+        self.reactor = reactor
+        self.port = port
+        self.protocol = protocol
         self._network = reactor.network
         self._open = True
         self._held = 0
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -39,7 +39,9 @@
     """`roles.machine.Machine` for one life of a process."""
 
     def __init__(self, node: SimulatedNode, reactor: VirtualReactor, random: Random) -> None:
-        self._node, self._reactor, self._random = node, reactor, random
+        self._node = node
+        self._reactor = reactor
+        self._random = random
         self.node_disk: SimulatedNodeDisk | None = None
 
     @property
@@ -79,22 +81,30 @@
         skew_ms: int,
         logs: LogSizes,
     ) -> None:
-        self.place, self.document = place, document
-        self.name, self.role, self.ip, self.zone = place.name, place.role, place.ip, place.zone
-        self.counted, self.has_disk = place.counted, place.has_disk
+        self.place = place
+        self.document = document
+        self.name = place.name
+        self.role = place.role
+        self.ip = place.ip
+        self.zone = place.zone
+        self.counted = place.counted
+        self.has_disk = place.has_disk
         listen = document["listen"]
         self.front: str = listen.get("front", "")
         self.readiness: str = listen.get("readiness", "")
         self.control: str = listen.get("control", "")
         self.state = NodeState.DOWN
-        self.skew_ms, self.logs = skew_ms, logs
+        self.skew_ms = skew_ms
+        self.logs = logs
         self.factor = 1.0  # of its links' delays and its disk's times
         self.disk = SimulatedFileSystem(fsync_persists_name=False)
         self.sync_seconds = random.uniform(SYNC_LEAST_S, SYNC_MOST_S)
         self.host: Host = network.add_host(place.ip, place.zone)
         self.lives = 0
         self.exit_codes: list[int] = []
-        self._network, self._invariants, self._random = network, invariants, random
+        self._network = network
+        self._invariants = invariants
+        self._random = random
         self._reactor: VirtualReactor | None = None
         self._machine: SimulatedMachine | None = None
         self._life: RoleLifecycle | None = None
--- a/bitternpath/testing/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -39,9 +39,11 @@
     def __init__(
         self, reactor: VirtualReactor, time: float, call: Call, arguments: tuple[Any, ...], keywords: Any
     ) -> None:
-        self._reactor, self._time = reactor, time
+        self._reactor = reactor
+        self._time = time
         self._call: Call | None = call
-        self._arguments, self._keywords = arguments, keywords
+        self._arguments = arguments
+        self._keywords = keywords
 
     def getTime(self) -> float:
         return self._time
@@ -52,7 +54,8 @@
     def cancel(self) -> None:
         self._check()
         self._call = None
-        self._arguments, self._keywords = (), None  # None: cancelled
+        self._arguments = ()
+        self._keywords = None  # None: cancelled
 
     def reset(self, secondsFromNow: float) -> None:
         """Due so much from now, instead of before."""
@@ -78,7 +81,8 @@
         elif self._reactor.frozen:
             self._reactor.held.append(self.due)
         else:
-            call, self._call = self._call, None
+            call = self._call
+            self._call = None
             self._reactor.run(call, *self._arguments, **self._keywords)
 
     def _check(self) -> None:
@@ -141,7 +145,8 @@
     """What Twisted, treq and the roles ask of a reactor."""
 
     def __init__(self, host: SimulatedHost, name: str) -> None:
-        self.host, self.name = host, name
+        self.host = host
+        self.name = name
         self.network = host.network
         self.scheduler = host.network.scheduler
         self._recorder = host.network.recorder
@@ -203,7 +208,8 @@
 
     def installNameResolver(self, resolver: Any) -> Any:
         """Use another one; the one before."""
-        before, self.nameResolver = self.nameResolver, resolver
+        before = self.nameResolver
+        self.nameResolver = resolver
         return before
 
     def stop(self) -> None:
@@ -236,7 +242,8 @@
         if self.ended:
             return False
         recorder = self._recorder
-        before, recorder.current = recorder.current, self.name
+        before = recorder.current
+        recorder.current = self.name
         try:
             call(*arguments, **keywords)
         except Exception:
@@ -266,16 +273,19 @@
         if not self.frozen:
             return
         self.frozen = False
-        held, self.held = self.held, []
+        held = self.held
+        self.held = []
         for call in held:
             self.scheduler.push(self.scheduler.now, call)
-        readable, self.readable = self.readable, []
+        readable = self.readable
+        self.readable = []
         for call in readable:
             self.scheduler.push(self.scheduler.now, call)
 
     def end(self) -> None:
         """Nothing of it runs any more. Its sockets are the network's matter."""
-        self.ended, self.frozen = True, False
+        self.ended = True
+        self.frozen = False
         self.held.clear()
         self.readable.clear()
 
--- a/bitternpath/testing/simulation/recorder.py
+++ b/bitternpath/testing/simulation/recorder.py
@@ -39,7 +39,8 @@
     """Keeps what happened. `current` is the host whose code runs."""
 
     def __init__(self, scheduler: Scheduler, keep_log: bool) -> None:
-        self._scheduler, self._keep_log = scheduler, keep_log
+        self._scheduler = scheduler
+        self._keep_log = keep_log
         self.current = OUTSIDE
         self.trace: list[str] = []
         self.log: list[str] = []
--- a/bitternpath/testing/simulation/repair_controller.py
+++ b/bitternpath/testing/simulation/repair_controller.py
@@ -33,7 +33,8 @@
     """Plays the configuration's owner: keeps the placement, and tells it to all processes."""
 
     def __init__(self, world: PlacedWorld, tolerated: int) -> None:
-        self.world, self._tolerated = world, tolerated
+        self.world = world
+        self._tolerated = tolerated
         self.present: dict[str, NodeDescriptor] = {}
         self._planned = False
         self.presence = NodeLiveness(0.0)
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -110,7 +110,9 @@
     """One run."""
 
     def __init__(self, seed: int, plan: RepairPlan) -> None:
-        self.plan, self.random, self.clock = plan, Random(seed), EventClock()
+        self.plan = plan
+        self.random = Random(seed)
+        self.clock = EventClock()
         self.checkers: dict[str, Checker] = {}
         self.machines: dict[str, Machine] = {}
         self.registers: dict[tuple[str, str], CommandLogMachine] = {}  # by member and group
@@ -169,7 +171,8 @@
     def stop(self, name: str, *, says_so: bool, wipe: bool = False) -> None:
         """End a process: after a SIGTERM (`says_so`) or by a loss of power."""
         machine = self.machines[name]
-        process, machine.process = machine.process, None
+        process = machine.process
+        machine.process = None
         assert process is not None
         if says_so:
             process.journal_writer.stop()
--- a/bitternpath/testing/simulation/replica_checker.py
+++ b/bitternpath/testing/simulation/replica_checker.py
@@ -67,7 +67,8 @@
     """State machine: the list of all commands."""
 
     def __init__(self, node: str, checker: Checker) -> None:
-        self.node, self.checker = node, checker
+        self.node = node
+        self.checker = checker
         self.commands: list[bytes] = []
 
     def apply(self, index: int, command: bytes) -> object:
@@ -91,7 +92,9 @@
     """Tells the checker who owns."""
 
     def __init__(self, node: str, checker: Checker, register: CommandLogMachine) -> None:
-        self.node, self.checker, self.register = node, checker, register
+        self.node = node
+        self.checker = checker
+        self.register = register
 
     def became_owner(self, epoch: int) -> None:
         """Only one may, in an epoch, and with all that was acknowledged before."""
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -86,12 +86,15 @@
     """One run."""
 
     def __init__(self, seed: int, plan: Plan = Plan()) -> None:
-        self.plan, self.random = plan, Random(seed)
-        self.clock, self.checker = EventClock(), Checker()
+        self.plan = plan
+        self.random = Random(seed)
+        self.clock = EventClock()
+        self.checker = Checker()
         self.nodes = {f"n{i}": Node(f"n{i}") for i in range(plan.nodes)}
         self.founders = Members(tuple(node.member for node in self.nodes.values()))
         self.blocked: set[tuple[str, str]] = set()
-        self.loss, self.latency = self.random.choice([0.0, 0.02, 0.1]), 0.002
+        self.loss = self.random.choice([0.0, 0.02, 0.1])
+        self.latency = 0.002
         self.calm = False
         self._serial = count(1)
         self.faults = 0
@@ -119,7 +122,8 @@
         host.open_group(GROUP, register, founders, Listener(node.name, self.checker, register))
 
     def _end(self, node: Node) -> None:
-        process, node.process = node.process, None
+        process = node.process
+        node.process = None
         assert process is not None
         process.journal_writer.crash_during_batch(self.random)
         process.clock.end()
@@ -335,7 +339,8 @@
         self.clock.callLater(mean * self.random.uniform(0.5, 1.5), again)
 
     def _calm_down(self) -> None:
-        self.calm, self.loss = True, 0.0
+        self.calm = True
+        self.loss = 0.0
         self.blocked.clear()
         for node in self.nodes.values():
             node.disk.capacity = None
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -129,7 +129,8 @@
     """Draws faults of machines one after the other, and keeps who is lost until when."""
 
     def __init__(self, random: Random, scenario: Scenario) -> None:
-        self._random, self._scenario = random, scenario
+        self._random = random
+        self._scenario = scenario
         layout = scenario.layout
         self._core = [f"e{number}" for number in range(1, layout.core_edges + 1)]
         self._others = [f"e{layout.core_edges + number}" for number in range(1, layout.other_edges + 1)]
--- a/bitternpath/testing/simulation/runs/play.py
+++ b/bitternpath/testing/simulation/runs/play.py
@@ -83,7 +83,8 @@
 
     def __init__(self, plan: RunPlan, keep_log: bool = False) -> None:
         layout = plan.layout
-        self.plan, self.report = plan, RunReport(plan)
+        self.plan = plan
+        self.report = RunReport(plan)
         self.world = World(
             plan.seed,
             Plan(
@@ -107,7 +108,8 @@
             self._judge()
         self._add_internal_violations()
         report = self.report
-        report.digest, report.seconds = self.world.digest(), self.world.now
+        report.digest = self.world.digest()
+        report.seconds = self.world.now
         report.events = self.world.scheduler.played
         report.accepted = sum(1 for _ in self.history.accepted())
         report.acknowledged = sum(order.outcome.value == "acknowledged" for order in self.history.orders)
--- a/bitternpath/testing/simulation/runs/shrink.py
+++ b/bitternpath/testing/simulation/runs/shrink.py
@@ -35,7 +35,9 @@
         self, plan: RunPlan, checker: str, most_runs: int, played: Callable[[RunPlan], RunReport]
     ) -> None:
         self._plan = msgspec.structs.replace(plan, checker=checker)
-        self._checker, self._most_runs, self._played = checker, most_runs, played
+        self._checker = checker
+        self._most_runs = most_runs
+        self._played = played
         self._runs = 0
         self._report = RunReport(plan)
 
--- a/bitternpath/testing/simulation/scheduler.py
+++ b/bitternpath/testing/simulation/scheduler.py
@@ -23,7 +23,8 @@
 
     def fire(self, *arguments: Any) -> None:
         """Called by the scheduler."""
-        call, self._call = self._call, None
+        call = self._call
+        self._call = None
         if call is not None:
             call(*arguments)
 
--- a/bitternpath/testing/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -56,8 +56,10 @@
     """The transport of one end."""
 
     def __init__(self, connection: StreamCarrier, reactor: VirtualReactor, local: Any, remote: Any) -> None:
-        self.connection, self.reactor = connection, reactor
-        self.local, self.remote = local, remote
+        self.connection = connection
+        self.reactor = reactor
+        self.local = local
+        self.remote = remote
         self.protocol: Any = None
         self.connector: Any = None  # of the dialling end
         self.peer: Stream = self  # the other end; set by the connection
@@ -146,7 +148,9 @@
         if self.closed:
             producer.stopProducing()
             return
-        self._producer, self._streaming, self._producer_paused = producer, streaming, False
+        self._producer = producer
+        self._streaming = streaming
+        self._producer_paused = False
         if not streaming:
             producer.resumeProducing()
 
@@ -172,7 +176,8 @@
 
     def start(self, protocol: Any) -> None:
         """The connection is up, in a turn of the reactor."""
-        self.protocol, self.connected = protocol, True
+        self.protocol = protocol
+        self.connected = True
         self.reactor.sockets[self] = None
         self.reactor.run(protocol.makeConnection, self)
         self._plan_read()
@@ -303,7 +308,8 @@
             self.connection.send(self, Packet.RESET)
         elif not ended:
             self.connection.send(self, Packet.END)
-        producer, self._producer = self._producer, None
+        producer = self._producer
+        self._producer = None
         if producer is not None:
             self.reactor.run(producer.stopProducing)
         self.reactor.run(self.protocol.connectionLost, failure(reason))
@@ -311,7 +317,8 @@
             self.reactor.run(self.connector.connectionLost, failure(reason))
 
     def _shut(self) -> None:
-        self.connected, self.closed = False, True
+        self.connected = False
+        self.closed = True
         self._backlog.clear()
         self._backlog_bytes = 0
         self.reactor.sockets.pop(self, None)
--- a/bitternpath/testing/simulation/virtual_time.py
+++ b/bitternpath/testing/simulation/virtual_time.py
@@ -14,7 +14,8 @@
     __slots__ = ("_arguments", "_call", "_time")
 
     def __init__(self, time: float, call: Callable[..., object], arguments: tuple[Any, ...]) -> None:
-        self._time, self._arguments = time, arguments
+        self._time = time
+        self._arguments = arguments
         self._call: Callable[..., object] | None = call
 
     def getTime(self) -> float:
@@ -31,7 +32,8 @@
 
     def fire(self) -> None:
         """Call, unless it was cancelled."""
-        call, self._call = self._call, None
+        call = self._call
+        self._call = None
         if call is not None:
             call(*self._arguments)
 
@@ -94,11 +96,13 @@
     def thaw(self) -> None:
         """Do what was held."""
         self._frozen = False
-        held, self._held = self._held, []
+        held = self._held
+        self._held = []
         for call in held:
             self.run(call)
 
     def end(self) -> None:
         """Do nothing more."""
-        self._ended, self._frozen = True, False
+        self._ended = True
+        self._frozen = False
         self._held.clear()
--- a/bitternpath/testing/simulation/world.py
+++ b/bitternpath/testing/simulation/world.py
@@ -33,7 +33,8 @@
     platform_address = f"{PLATFORM_IP}:{PLATFORM_PORT}"
 
     def __init__(self, seed: int | str, plan: Plan | None = None) -> None:
-        self.seed, self.plan = seed, plan or Plan()
+        self.seed = seed
+        self.plan = plan or Plan()
         self.scheduler = Scheduler()
         self.recorder = Recorder(self.scheduler, self.plan.keep_log)
         self._randoms: dict[str, Random] = {}
