--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -16,7 +16,7 @@
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
 from bitternpath.testing.simulation.errors import failure
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
-from bitternpath.testing.simulation.inside import InsideChecker
+from bitternpath.testing.simulation.group_invariants import GroupInvariantChecker
 from bitternpath.testing.simulation.network import Host, Network
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.settings import LogSizes, Place
@@ -39,7 +39,9 @@
     """`roles.machine.Machine` for one life of a process."""
 
     def __init__(self, node: SimulatedNode, reactor: VirtualReactor, random: Random) -> None:
-        self._node, self._reactor, self._random = node, reactor, random
+        self._node = node
+        self._reactor = reactor
+        self._random = random
         self.node_disk: SimulatedNodeDisk | None = None
 
     @property
@@ -72,29 +74,37 @@
     def __init__(
         self,
         network: Network,
-        inside: InsideChecker,
+        invariants: GroupInvariantChecker,
         place: Place,
         document: dict[str, Any],
         random: Random,
         skew_ms: int,
         logs: LogSizes,
     ) -> None:
-        self.place, self.document = place, document
-        self.name, self.role, self.ip, self.zone = place.name, place.role, place.ip, place.zone
-        self.counted, self.has_disk = place.counted, place.has_disk
+        self.place = place
+        self.document = document
+        self.name = place.name
+        self.role = place.role
+        self.ip = place.ip
+        self.zone = place.zone
+        self.counted = place.counted
+        self.has_disk = place.has_disk
         listen = document["listen"]
         self.front: str = listen.get("front", "")
         self.readiness: str = listen.get("readiness", "")
         self.control: str = listen.get("control", "")
         self.state = NodeState.DOWN
-        self.skew_ms, self.logs = skew_ms, logs
+        self.skew_ms = skew_ms
+        self.logs = logs
         self.factor = 1.0  # of its links' delays and its disk's times
         self.disk = SimulatedFileSystem(fsync_persists_name=False)
         self.sync_seconds = random.uniform(SYNC_LEAST_S, SYNC_MOST_S)
         self.host: Host = network.add_host(place.ip, place.zone)
         self.lives = 0
         self.exit_codes: list[int] = []
-        self._network, self._inside, self._random = network, inside, random
+        self._network = network
+        self._invariants = invariants
+        self._random = random
         self._reactor: VirtualReactor | None = None
         self._machine: SimulatedMachine | None = None
         self._life: RoleLifecycle | None = None
@@ -139,7 +149,7 @@
             return
         base = role.node.base  # type: ignore[attr-defined]
         if base.host is not None:
-            self._inside.observe(self.name, base.host)
+            self._invariants.observe(self.name, base.host)
         self._life = RoleLifecycle(reactor, role)
         self._life.begin()
 
