--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -22,7 +22,7 @@
 
 
 class StatusSurvey:
-    """Queries the status of all nodes that can be reached. Implements `transport.connections.LinkHandler`.
+    """Queries the status of all nodes that can be reached. Implements `transport.links.LinkHandler`.
 
     Attributes:
         known: all nodes that any answer names, by name.
--- a/bitternpath/configuration/change_evaluation.py
+++ b/bitternpath/configuration/change_evaluation.py
@@ -60,7 +60,7 @@
 
 def _other_version(state: ConfigurationState, base: int) -> OperatorResult:
     if state.may_have_evicted(base):
-        return operator_result(ResultCode.FATE_OPEN, "too old to tell whether it was accepted")
+        return operator_result(ResultCode.OUTCOME_UNKNOWN, "too old to tell whether it was accepted")
     return operator_result(ResultCode.OTHER_VERSION, "another version is in force", version=state.version)
 
 
--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -104,7 +104,7 @@
         except InvalidConfigurationError as error:
             return operator_result(ResultCode.INVALID, str(error))
         except Exception as error:  # a fault in the evaluation of one request must not block those after it
-            log.exception("event=order_not_checked")
+            log.exception("event=change_evaluation_failed")
             return operator_result(ResultCode.INVALID, f"can't be read: {type(error).__name__}")
 
     def _propose(self, change: PendingChange, proposed: ProposedChange) -> None:
@@ -124,8 +124,8 @@
     if took_effect:
         log.info("event=configuration_accepted version={}", version)
         return operator_result(ResultCode.ACCEPTED, version=version)
-    return operator_result(ResultCode.FATE_OPEN, "the order met another one")
+    return operator_result(ResultCode.OUTCOME_UNKNOWN, "the order met another one")
 
 
 def _failure_result(failure: Failure) -> OperatorResult:
-    return operator_result(ResultCode.FATE_OPEN, f"ownership was lost: {failure.value}")
+    return operator_result(ResultCode.OUTCOME_UNKNOWN, f"ownership was lost: {failure.value}")
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -134,7 +134,7 @@
 
     # ---- what comes over links
 
-    def updated(self, link: Link, update: FeedUpdate) -> None:
+    def update_received(self, link: Link, update: FeedUpdate) -> None:
         """An update, or a heartbeat, has come."""
         if update.epoch < self.epoch or not self._follow(link):
             return
@@ -144,7 +144,7 @@
         self.edge_node_count = update.edge_node_count
         self._apply(update)
 
-    def refused(self, link: Link, refusal: FeedRefused) -> None:
+    def refusal_received(self, link: Link, refusal: FeedRefused) -> None:
         """An asked node doesn't own the group; perhaps it names the owner."""
         address = self._address_of(link)
         if not address:
@@ -159,7 +159,7 @@
             self._asked_at = _NEVER  # the next check asks another candidate
             self._check_within(REFUSED_PAUSE_S)
 
-    def closed(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         """A link has closed. Its address stays asked: the subscription is repeated on the next link."""
         if link is self._owner_link:
             self._owner_link = None
--- a/bitternpath/configuration/feed_server.py
+++ b/bitternpath/configuration/feed_server.py
@@ -99,7 +99,7 @@
         if self._has_lease():
             self._send(link, subscriber, self._edge_node_count())
 
-    def dropped(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         """A link has closed; its subscription ends."""
         self._subscribers.pop(link, None)
 
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -23,7 +23,7 @@
 # all along, no replacement has begun, so there is time to see whether the node comes back.
 DOWN_WITH_NEW_SPARE_S = 1.5
 DOWN_WITH_IDLE_SPARE_S = 5.0
-AWAY_WITHOUT_SPARE_S = 30.0
+DOWN_WITHOUT_SPARE_S = 30.0
 SPARE_IS_IDLE_AFTER_S = 10.0  # since it joined
 
 MIN_SHARDS = 3
@@ -103,7 +103,7 @@
 def _down_limit(spares_up_for: Sequence[float]) -> float:
     """Seconds for which a node may be down before it is replaced, by when each spare joined."""
     if not spares_up_for:
-        return AWAY_WITHOUT_SPARE_S
+        return DOWN_WITHOUT_SPARE_S
     newest_spare = min(spares_up_for)
     return DOWN_WITH_NEW_SPARE_S if newest_spare < SPARE_IS_IDLE_AFTER_S else DOWN_WITH_IDLE_SPARE_S
 
--- a/bitternpath/configuration/results.py
+++ b/bitternpath/configuration/results.py
@@ -20,7 +20,7 @@
     """The change builds on a version that isn't in force: the operator's fault, a retry doesn't help."""
     NOT_OWNER = 1200
     """No owner of the configuration was reached; nothing was changed, and a retry helps."""
-    FATE_OPEN = 1201
+    OUTCOME_UNKNOWN = 1201
     """The change may be in force; sending it again, unchanged, gives its result."""
     NO_CONFIGURATION = 1202
     """Nothing to be read yet: no configuration has been accepted."""
@@ -39,7 +39,7 @@
         return _WIRE_NAMES.get(self, self.name.lower())
 
 
-_WIRE_NAMES = {ResultCode.FATE_OPEN: "fate_open"}
+_WIRE_NAMES = {ResultCode.OUTCOME_UNKNOWN: "fate_open"}
 
 _HTTP_STATUS = {
     ResultCode.ACCEPTED: 200,
@@ -47,7 +47,7 @@
     ResultCode.INVALID: 400,
     ResultCode.OTHER_VERSION: 412,
     ResultCode.NOT_OWNER: 503,
-    ResultCode.FATE_OPEN: 503,
+    ResultCode.OUTCOME_UNKNOWN: 503,
     ResultCode.NO_CONFIGURATION: 404,
     ResultCode.UNKNOWN_CALL: 404,
     ResultCode.UNKNOWN_NODE: 404,
@@ -76,7 +76,7 @@
     @property
     def decided(self) -> bool:
         """False where another node should be asked."""
-        return self.code not in (ResultCode.NOT_OWNER, ResultCode.FATE_OPEN)
+        return self.code not in (ResultCode.NOT_OWNER, ResultCode.OUTCOME_UNKNOWN)
 
 
 def operator_result(code: ResultCode, error: str = "", **fields: object) -> OperatorResult:
--- a/bitternpath/configuration/retirement.py
+++ b/bitternpath/configuration/retirement.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from bitternpath.configuration.commands import FinishRetirement, RetireNode
-from bitternpath.configuration.placement import AWAY_WITHOUT_SPARE_S
+from bitternpath.configuration.placement import DOWN_WITHOUT_SPARE_S
 from bitternpath.configuration.state_machine import ConfigurationState
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.reconfiguration import node_of
@@ -121,7 +121,7 @@
     remaining = [
         other
         for name, other in sorted(members.items())
-        if name != node and not state.storage.is_retired(other) and down_for(name) <= AWAY_WITHOUT_SPARE_S
+        if name != node and not state.storage.is_retired(other) and down_for(name) <= DOWN_WITHOUT_SPARE_S
     ]
     least = 2 * tolerated + 1
     if len(remaining) < least:
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -11,7 +11,7 @@
 from bitternpath.net.clock import Clock, Timer, cancel_if_active
 from bitternpath.transport.errors import CodecError
 from bitternpath.transport.messages import RECORDS
-from bitternpath.transport.node_messages import ShuffleReply, ShuffleRequest
+from bitternpath.transport.node_messages import ShuffleRequest, ShuffleResponse
 
 log = logbook.Logger("membership")
 
@@ -46,7 +46,7 @@
             record = RECORDS.decode(datagram)
         except CodecError:
             return
-        if isinstance(record, ShuffleRequest | ShuffleReply):
+        if isinstance(record, ShuffleRequest | ShuffleResponse):
             sender = f"{addr[0]}:{addr[1]}"
             self._send(self.view.received(self._clock.seconds(), sender, record))
 
--- a/bitternpath/membership/view.py
+++ b/bitternpath/membership/view.py
@@ -20,7 +20,7 @@
 
 from msgspec.structs import replace
 
-from bitternpath.transport.node_messages import NodeDescriptor, NodeKind, ShuffleReply, ShuffleRequest
+from bitternpath.transport.node_messages import NodeDescriptor, NodeKind, ShuffleRequest, ShuffleResponse
 
 SHUFFLE_SIZE = 10  # entries in a datagram, which then stays below 1,400 bytes
 VIEW_SIZE = 64  # entries of nodes without state
@@ -54,7 +54,7 @@
     """A record for the node at an address (ip:port)."""
 
     address: str
-    record: ShuffleRequest | ShuffleReply
+    record: ShuffleRequest | ShuffleResponse
 
 
 def _version(node: NodeDescriptor) -> tuple[int, int]:
@@ -117,13 +117,13 @@
         """When `tick` is to be called next."""
         return self._round_at
 
-    def received(self, now: float, address: str, record: ShuffleRequest | ShuffleReply) -> list[Datagram]:
+    def received(self, now: float, address: str, record: ShuffleRequest | ShuffleResponse) -> list[Datagram]:
         """Merge a datagram that came from `address`; the response, if there is one."""
         self._merge(now, record.sender)
         for node in record.nodes:
             self._merge(now, node)
         if isinstance(record, ShuffleRequest):
-            return [Datagram(address, ShuffleReply(self.local_node, self._sample()))]
+            return [Datagram(address, ShuffleResponse(self.local_node, self._sample()))]
         return []
 
     def observe(self, now: float, node: NodeDescriptor) -> None:
--- a/bitternpath/replication/member_changes.py
+++ b/bitternpath/replication/membership_reconciler.py
@@ -21,7 +21,7 @@
 SILENT_AFTER_S = 0.5  # an election timeout; heartbeats come more than twice as often
 
 
-class MemberChanges:
+class MembershipReconciler:
     """Desired members of the groups of one host, and the changes that lead there."""
 
     def __init__(self, host: ReplicaHost, committed: Callable[[str], None] | None = None) -> None:
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -15,7 +15,7 @@
 from bitternpath.membership.view import MembershipView
 from bitternpath.net.clock import Clock
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.membership_reconciler import MembershipReconciler
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
 from bitternpath.roles.live_nodes import LiveNodes
@@ -30,7 +30,8 @@
 
 
 class ConfigurationVoters:
-    """Computes the desired members from the live nodes; `MemberChanges` takes the steps that lead there."""
+    """Computes the desired members from the live nodes; `MembershipReconciler` takes the steps that lead
+    there."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         self._nodes = nodes
         self._view = view
         self._voter_count = 2 * tolerated_machines + 1
-        self._changes = MemberChanges(host)
+        self._changes = MembershipReconciler(host)
         self._voter_heartbeats: dict[str, _Heartbeat] = {}  # the last one seen of each node that had a voter
 
     def group_opened(self, progressed: Callable[[], None]) -> None:
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -76,7 +76,7 @@
     """One edge node.
 
     Implements `ingress.interfaces.NodeService`, `dispatch.deliveries.NodeView`,
-    `transport.connections.LinkHandler` and `configuration.feed.FeedListener`.
+    `transport.links.LinkHandler` and `configuration.feed_client.FeedListener`.
 
     Attributes:
         base: identity, links, membership, feed and, with a disk, journal and replica host.
@@ -219,10 +219,10 @@
 
     def link_closed(self, link: Link) -> None:
         """A link has ended."""
-        self.base.feed.closed(link)
+        self.base.feed.link_closed(link)
         self.owners.link_closed(link)
         if self.member is not None:
-            self.member.feed.dropped(link)
+            self.member.feed.link_closed(link)
 
     def received(self, link: Link, record: Any) -> None:
         """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
@@ -237,8 +237,8 @@
             LeaseGrant: lambda _link, record: self.deliveries.lease_granted(record),
             WorkAvailable: lambda _link, record: self.pulls.work_available(record),
             CallbackRequest: lambda _link, record: self.callbacks.order_received(record),
-            FeedUpdate: feed.updated,
-            FeedRefused: feed.refused,
+            FeedUpdate: feed.update_received,
+            FeedRefused: feed.refusal_received,
             FeedSubscribe: lambda link, _record: link.send(FeedRefused("", feed.members)),
             CatalogueUpdate: lambda _link, record: self.catalogue_updated(record),
             BootstrapDecisionStored: self._bootstrap_acknowledged,
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -6,7 +6,7 @@
 
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.membership_reconciler import MembershipReconciler
 from bitternpath.replication.records import Members
 from bitternpath.roles.group_transport import GroupTransport
 from bitternpath.roles.shard_context import ShardContext
@@ -25,7 +25,7 @@
         placements: the newest placement of each group of the system, also of those without a replica here.
     """
 
-    def __init__(self, host: ReplicaHost, transport: GroupTransport, changes: MemberChanges) -> None:
+    def __init__(self, host: ReplicaHost, transport: GroupTransport, changes: MembershipReconciler) -> None:
         """`changes` brings the members of groups that this node owns to their placement."""
         self.runtimes: dict[str, ShardRuntime] = {}
         self.placements: dict[str, GroupPlacement] = {}
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -80,10 +80,14 @@
 def _forwarded_reply(answer: Any) -> OperatorReply:
     if isinstance(answer, OperatorResponse):
         return OperatorReply(answer.status, answer.body)
-    return _reply(operator_result(ResultCode.FATE_OPEN, "the configuration's owner gave no clear answer"))
+    return _reply(
+        operator_result(ResultCode.OUTCOME_UNKNOWN, "the configuration's owner gave no clear answer")
+    )
 
 
 def _no_answer(failure: Failure) -> OperatorReply:
     return _reply(
-        operator_result(ResultCode.FATE_OPEN, f"the configuration's owner didn't answer: {failure.value}")
+        operator_result(
+            ResultCode.OUTCOME_UNKNOWN, f"the configuration's owner didn't answer: {failure.value}"
+        )
     )
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -107,7 +107,7 @@
 
 
 def _outcome_unknown(failure: Failure) -> OperatorResult:
-    return operator_result(ResultCode.FATE_OPEN, str(failure.value))
+    return operator_result(ResultCode.OUTCOME_UNKNOWN, str(failure.value))
 
 
 def _not_owner(failure: Failure) -> OperatorResult:
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -7,7 +7,7 @@
 from bitternpath.configuration.commands import COMMANDS, SetPlacement, UpdateStorageMembers
 from bitternpath.configuration.consensus_group import ConsensusGroup
 from bitternpath.configuration.placement import (
-    AWAY_WITHOUT_SPARE_S,
+    DOWN_WITHOUT_SPARE_S,
     initial_placement,
     nodes_to_replace,
     repaired_placement,
@@ -107,7 +107,7 @@
         removed = tuple(
             member
             for member in storage.members
-            if node_of(member) not in placed and self._nodes.down_for(node_of(member)) > AWAY_WITHOUT_SPARE_S
+            if node_of(member) not in placed and self._nodes.down_for(node_of(member)) > DOWN_WITHOUT_SPARE_S
         )
         if added or removed:
             self._proposing_members = True
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -168,7 +168,7 @@
         if ownership is not None:
             now = self._reactor.seconds()
             ownership.execute(
-                ownership.owner.callback_report(now, report.request_id, acknowledged=report.taken)
+                ownership.owner.callback_report(now, report.request_id, acknowledged=report.accepted)
             )
 
     def lend_tokens(self, link: Link, request: TokenRequest) -> None:
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -15,7 +15,7 @@
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.net.reactor import NodeReactor
 from bitternpath.queue.owner import OwnerSettings
-from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.membership_reconciler import MembershipReconciler
 from bitternpath.roles.disk_capacity import DiskCapacity
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.environment import ProcessEnvironment
@@ -62,7 +62,8 @@
 
 
 class StorageNode:
-    """One storage node. Implements `transport.connections.LinkHandler` and `configuration.feed.FeedListener`.
+    """One storage node. Implements `transport.links.LinkHandler` and
+    `configuration.feed_client.FeedListener`.
 
     Attributes:
         base: identity, links, membership, feed, journal and replica host.
@@ -87,7 +88,7 @@
         self._edges = EdgeLinks()
         self._incarnations: dict[str, int] = {}  # of edge nodes, by name
         self._reporter = MembershipReporter(self._host, self.base.feed)
-        self._changes = MemberChanges(self._host, self._reporter.report)
+        self._changes = MembershipReconciler(self._host, self._reporter.report)
         self.shards = HostedShards(self._host, self.base.transport, self._changes)
         self._garbage_collector = ReplicaGarbageCollector(
             reactor, self.base.hub, self._host, self.shards.placements, self.shards.close
@@ -179,7 +180,7 @@
 
     def link_closed(self, link: Link) -> None:
         """A link has ended."""
-        self.base.feed.closed(link)
+        self.base.feed.link_closed(link)
         name = self._edges.closed(link)
         self.shards.edge_link_closed(name, link)
 
@@ -193,8 +194,8 @@
         feed = self.base.feed
         return {
             GroupMessage: self.base.transport.received,
-            FeedUpdate: feed.updated,
-            FeedRefused: feed.refused,
+            FeedUpdate: feed.update_received,
+            FeedRefused: feed.refusal_received,
             CatalogueUpdate: lambda _link, record: self.catalogue_updated(record),
             FeedSubscribe: lambda link, _record: link.send(FeedRefused("", feed.members)),
             AppendRequest: self._for_shard(ShardRequests.append),
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.errors import LinkLostError
 from bitternpath.transport.links import Link
 from bitternpath.transport.shard_messages import Ownership
 
@@ -37,9 +37,10 @@
             self.response.callback(record)
 
     def fail(self, _: Failure | None = None) -> None:
-        """Fail with `LinkLost`: no response will come, or the node that was asked is no longer the owner."""
+        """Fail with `LinkLostError`: no response will come, or the node that was asked is no longer the
+        owner."""
         if self._end():
-            self.response.errback(LinkLost())
+            self.response.errback(LinkLostError())
 
     def _end(self) -> bool:
         """Whether the request was still pending; it no longer is."""
@@ -63,10 +64,10 @@
     def request(self, group: str, make: Callable[[int], object]) -> Deferred[object] | None:
         """Send the record `make(request number)` to the group's owner; None where the group has no owner.
 
-        The result fires with the response record. It fails with `LinkLost` when the link ends, and as soon as
-        another node announces itself as owner: the one that was asked may be stopped or partitioned, which
-        its link shows only much later. Only for idempotent requests: after a failure the outcome is unknown,
-        and a retry is in order.
+        The result fires with the response record. It fails with `LinkLostError` when the link ends, and as
+        soon as another node announces itself as owner: the one that was asked may be stopped or partitioned,
+        which its link shows only much later. Only for idempotent requests: after a failure the outcome is
+        unknown, and a retry is in order.
         """
         owner = self._owners.get(group)
         if owner is None:
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -35,8 +35,8 @@
     REMOVED = "removed"
 
 
-class SimulatedMachine:
-    """`roles.machine.Machine` for one life of a process."""
+class SimulatedEnvironment:
+    """`roles.environment.ProcessEnvironment` for one life of a process."""
 
     def __init__(self, node: SimulatedNode, reactor: VirtualReactor, random: Random) -> None:
         self._node = node
@@ -106,7 +106,7 @@
         self._invariants = invariants
         self._random = random
         self._reactor: VirtualReactor | None = None
-        self._machine: SimulatedMachine | None = None
+        self._machine: SimulatedEnvironment | None = None
         self._life: RoleLifecycle | None = None
         self._again: Any = None  # timer
 
@@ -130,7 +130,7 @@
         if self.lives > 1:
             self.document["bootstrap"] = False  # true only at the first start of the whole system (DEPLOY)
         reactor = self._reactor = VirtualReactor(self.host, self.name)
-        self._machine = SimulatedMachine(self, reactor, Random(self._random.getrandbits(64)))
+        self._machine = SimulatedEnvironment(self, reactor, Random(self._random.getrandbits(64)))
         reactor.stopped = self._stopped
         reactor.run(self._build, reactor, self._machine)
         self.document["bootstrap"] = False  # it is true at the first start only
@@ -140,7 +140,7 @@
         self._cancel_again()
         self._again = self._network.scheduler.at(self._network.scheduler.now + seconds, self.start)
 
-    def _build(self, reactor: VirtualReactor, machine: SimulatedMachine) -> None:
+    def _build(self, reactor: VirtualReactor, machine: SimulatedEnvironment) -> None:
         try:
             role = build_role(self.role, reactor, machine.load_settings(), machine)
         except (SettingsError, OSError, CorruptJournalError, CorruptDocumentError) as error:
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -23,7 +23,7 @@
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.host import HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport
-from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.membership_reconciler import MembershipReconciler
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
 from bitternpath.storage.journal import Journal
@@ -43,7 +43,9 @@
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
 GREETING_S = 0.1  # from the start of a process until the configuration's owner has its subscription
-POWER_LOSS_DETECTION_S = 1.6  # until a link to a machine without power is given up (`transport.connections`)
+POWER_LOSS_DETECTION_S = (
+    1.6  # until a link to a machine without power is given up (`transport.link_liveness`)
+)
 LOOK_S = 0.25  # between looks at what no event tells
 SAMPLE_S = 0.005  # between looks of the measurement
 CHUNK_BYTES = 32 << 10  # of the commands that fill a group before the repair
@@ -58,7 +60,7 @@
     clock: ProcessClock
     journal_writer: VirtualTimeJournalWriter
     host: ReplicaHost
-    changes: MemberChanges
+    changes: MembershipReconciler
     placements: dict[str, GroupPlacement] = field(default_factory=dict)
 
 
@@ -154,7 +156,7 @@
         send = partial(self._send, machine, member)
         options = HostOptions(Random(self.random.random()))
         host = ReplicaHost(clock, member, Journal(log, journal_writer), MessageTransport(send), options)
-        machine.process = Process(descriptor, clock, journal_writer, host, MemberChanges(host))
+        machine.process = Process(descriptor, clock, journal_writer, host, MembershipReconciler(host))
         self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
         self.clock.callLater(GREETING_S, self._greet, name, machine.process)
 
--- a/bitternpath/transport/errors.py
+++ b/bitternpath/transport/errors.py
@@ -15,7 +15,7 @@
     """
 
 
-class LinkLost(TransportError):
+class LinkLostError(TransportError):
     """The link closed before the response came, or was closed when the request was made.
 
     Nobody's fault. The peer may have received the request and acted on it (outcome unknown); a retry needs
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -29,7 +29,7 @@
 
 from bitternpath.net.reactor import TcpReactor
 from bitternpath.net.writing import write_now
-from bitternpath.transport.errors import CodecError, LinkLost
+from bitternpath.transport.errors import CodecError, LinkLostError
 from bitternpath.transport.frames import FrameBuffer, frame
 from bitternpath.transport.link_liveness import LinkLiveness, LivenessAction
 from bitternpath.transport.messages import RECORDS, RESPONSE_RECORDS
@@ -153,11 +153,11 @@
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
         """Send the record `make(number)`; fires with the response that has that number.
 
-        The Deferred fails with `LinkLost` where the link closes before that, or is closed already.
+        The Deferred fails with `LinkLostError` where the link closes before that, or is closed already.
         """
         response: Deferred[Any] = Deferred()
         if self._state is _CLOSED:
-            response.errback(LinkLost())
+            response.errback(LinkLostError())
             return response
         self._last_number += 1
         self._requests[self._last_number] = response
@@ -202,7 +202,7 @@
             for payload in self._frames.feed(data):
                 self._handle(RECORDS.decode(payload))
         except CodecError as error:
-            log.warning("event=bad_frame peer={} error={}", self.peer_name, error)
+            log.warning("event=frame_decode_failed peer={} error={}", self.peer_name, error)
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -215,7 +215,7 @@
         if was_open:
             self._hub.handler.link_closed(self)
         for response in requests.values():
-            response.errback(LinkLost())
+            response.errback(LinkLostError())
         self._hub.link_ended(self)
 
     # ---- receiving
@@ -252,7 +252,7 @@
             self.send(Ping(0))
         elif action is LivenessAction.ABORT:
             silent = self._liveness.silent_for(now)
-            log.info("event=link_silent peer={} seconds={:.2f}", self.peer_name, silent)
+            log.info("event=link_idle_timeout peer={} seconds={:.2f}", self.peer_name, silent)
             self.abort()
 
 
--- a/bitternpath/transport/messages.py
+++ b/bitternpath/transport/messages.py
@@ -25,8 +25,8 @@
     Hello,
     Ping,
     Pong,
-    ShuffleReply,
     ShuffleRequest,
+    ShuffleResponse,
 )
 from bitternpath.transport.operator_messages import (
     OperatorRequest,
@@ -63,7 +63,7 @@
     Ping,
     Pong,
     ShuffleRequest,
-    ShuffleReply,
+    ShuffleResponse,
     GroupMessage,
     BootstrapDecision,
     BootstrapDecisionStored,
--- a/bitternpath/transport/node_messages.py
+++ b/bitternpath/transport/node_messages.py
@@ -68,7 +68,7 @@
     nodes: tuple[NodeDescriptor, ...]
 
 
-class ShuffleReply(Struct, frozen=True):
+class ShuffleResponse(Struct, frozen=True):
     """Response to `ShuffleRequest`: part of the responding node's view."""
 
     sender: NodeDescriptor
--- a/bitternpath/transport/shard_messages.py
+++ b/bitternpath/transport/shard_messages.py
@@ -113,10 +113,10 @@
 
 
 class EndAttemptResponse(Struct, frozen=True):
-    """`taken`: the lease was the current one, or the same end was accepted before."""
+    """`accepted`: the lease was the current one, or the same end was accepted before."""
 
     number: int
-    taken: bool
+    accepted: bool
 
 
 class ExtendRequest(Struct, frozen=True):
@@ -150,11 +150,11 @@
 
 
 class CallbackReport(Struct, frozen=True):
-    """Result of a `CallbackRequest`; `taken`: the client has acknowledged it."""
+    """Result of a `CallbackRequest`; `accepted`: the client has acknowledged it."""
 
     group: str
     request_id: str
-    taken: bool
+    accepted: bool
 
 
 class StateRequest(Struct, frozen=True):
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from bitternpath.configuration.retirement import MembershipReports
-from bitternpath.replication import member_changes
+from bitternpath.replication import membership_reconciler as member_changes
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus
--- a/tests/system/configuration/test_change_interleavings.py
+++ b/tests/system/configuration/test_change_interleavings.py
@@ -415,7 +415,7 @@
     """A change whose proposal failed is rejected, though it may be committed still."""
 
     def _proposal_ended(self, result: OperatorResult, change: PendingChange) -> None:
-        if result.code is ResultCode.FATE_OPEN:
+        if result.code is ResultCode.OUTCOME_UNKNOWN:
             result = operator_result(ResultCode.OTHER_VERSION)
         super()._proposal_ended(result, change)
 
--- a/tests/system/configuration/test_feed.py
+++ b/tests/system/configuration/test_feed.py
@@ -76,7 +76,7 @@
         link = self.links.pop(address, None)
         if link is not None and self.client is not None:
             link.open = False
-            self.client.closed(link)  # type: ignore[arg-type]
+            self.client.link_closed(link)  # type: ignore[arg-type]
 
     def link_to(self, address: str) -> FakeLink | None:
         return self.links.get(address)
@@ -139,7 +139,7 @@
         found = link or self.subscribed_link()
         placement = GROUPS if generation else None
         packed = pack_document(document(version)) if with_document else None
-        self.client.updated(
+        self.client.update_received(
             found,  # type: ignore[arg-type]
             FeedUpdate(epoch, version, packed, generation, placement, 3),
         )
@@ -150,7 +150,7 @@
             assert link is not None
             if link.address == "c:1":
                 break
-            self.client.refused(link, FeedRefused("c:1", ()))  # type: ignore[arg-type]
+            self.client.refusal_received(link, FeedRefused("c:1", ()))  # type: ignore[arg-type]
         self.assertEqual(self.client.owner_address, "c:1")
         self.assertIsInstance(link.sent[-1], FeedSubscribe)
 
@@ -161,7 +161,7 @@
             link = self.subscribed_link()
             if link is not None:
                 tried.add(link.address)
-                self.client.refused(link, FeedRefused("", members))  # type: ignore[arg-type]
+                self.client.refusal_received(link, FeedRefused("", members))  # type: ignore[arg-type]
         self.assertEqual(tried, {"a:1", "b:1", "c:1", "d:1"})
 
     def test_a_refusal_costs_little_time(self) -> None:
@@ -172,7 +172,7 @@
         while self.clock.seconds() < until:
             if link is not None and link.open and link.sent:
                 link.sent.clear()
-                self.client.refused(link, FeedRefused("", ()))  # type: ignore[arg-type]
+                self.client.refusal_received(link, FeedRefused("", ()))  # type: ignore[arg-type]
                 refusals += 1
             self.clock.advance(0.01)
             link = self.hub.links.get(self.client.owner_address)
@@ -226,7 +226,7 @@
         assert link is not None
         self.assertEqual(link.sent[0], FeedSubscribe(9, 4, True))
         self.update(7, epoch=5, generation=3, link=link)
-        self.client.closed(link)  # type: ignore[arg-type]
+        self.client.link_closed(link)  # type: ignore[arg-type]
         self.hub.links.clear()
         self.update(5, epoch=6, generation=2, link=self.subscribed_link())
         self.update(11, epoch=6, generation=5, link=self.subscribed_link())
@@ -293,7 +293,7 @@
 
     def test_nothing_is_sent_on_a_closed_link(self) -> None:
         link = self.subscribe(0)
-        self.server.dropped(link)  # type: ignore[arg-type]
+        self.server.link_closed(link)  # type: ignore[arg-type]
         before = len(link.sent)
         self.commit(3)
         self.assertEqual(len(link.sent), before)
--- a/tests/system/configuration/test_feed_catch_up.py
+++ b/tests/system/configuration/test_feed_catch_up.py
@@ -65,8 +65,8 @@
         link = hub.links["a:1"]
         wanted = next(record for record in link.sent if isinstance(record, FeedSubscribe))
         self.assertEqual((wanted.configuration_version, wanted.placement_generation), (5, 5))
-        client.updated(link, self.first_update(wanted))  # type: ignore[arg-type]
-        client.updated(link, cached)  # type: ignore[arg-type]
+        client.update_received(link, self.first_update(wanted))  # type: ignore[arg-type]
+        client.update_received(link, cached)  # type: ignore[arg-type]
         client.restore(cached)
         self.assertEqual((client.version, client.placement_generation), (VERSIONS, VERSIONS))
         self.assertEqual(listener.versions, [5, VERSIONS])
--- a/tests/system/configuration/test_feed_owner_search.py
+++ b/tests/system/configuration/test_feed_owner_search.py
@@ -81,7 +81,7 @@
         link = self.links.pop(address, None)
         if link is not None and link.open:
             link.open = False
-            self.client.closed(link)
+            self.client.link_closed(link)
 
     def link_to(self, address: str) -> Link | None:
         link = self.links.get(address)
@@ -104,11 +104,11 @@
             self.clock.callLater(HEARTBEAT_INTERVAL_S, self.answer, link)
         elif member.epoch:
             content = pack_document(document(member.version))
-            self.client.updated(link, FeedUpdate(member.epoch, member.version, content, 0, None, 3))
+            self.client.update_received(link, FeedUpdate(member.epoch, member.version, content, 0, None, 3))
             self.clock.callLater(HEARTBEAT_INTERVAL_S, self.answer, link)
         else:
             addresses = tuple(MemberAddress(each, each, each, "z") for each in self.members)
-            self.client.refused(link, FeedRefused(member.hint, addresses))
+            self.client.refusal_received(link, FeedRefused(member.hint, addresses))
 
 
 class Listener:
@@ -228,9 +228,9 @@
 class ClientWithoutEpochs(FeedClient):
     """Broken build: epochs aren't compared."""
 
-    def updated(self, link: Any, update: FeedUpdate) -> None:
+    def update_received(self, link: Any, update: FeedUpdate) -> None:
         self.epoch = 0
-        super().updated(link, update)
+        super().update_received(link, update)
 
 
 class BrokenFeedTest(unittest.TestCase):
--- a/tests/system/replication/test_member_changes.py
+++ b/tests/system/replication/test_member_changes.py
@@ -9,7 +9,7 @@
 from bitternpath.replication.group import GroupApplication, GroupOptions, MemberIdentity, ReplicaGroup
 from bitternpath.replication.host import SYSTEM_TIMING
 from bitternpath.replication.member import RaftOptions
-from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.membership_reconciler import MembershipReconciler
 from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Members, PersistentState, Snapshot
 from tests.system.replication.member_ids import ids, members
@@ -113,7 +113,7 @@
 
 
 class OwnerHost:
-    """A host that owns a group, as `MemberChanges` sees it."""
+    """A host that owns a group, as `MembershipReconciler` sees it."""
 
     member_id = "a/a"
 
@@ -153,7 +153,7 @@
     def test_changes_are_made_one_at_a_time_and_as_soon_as_possible(self) -> None:
         host = OwnerHost(members("abc", generation=1))
         committed: list[Members] = []
-        changes = MemberChanges(cast(Any, host), lambda group: committed.append(host.current))
+        changes = MembershipReconciler(cast(Any, host), lambda group: committed.append(host.current))
         changes.set_desired("g", ids("abC"), 2)
         self.assertEqual(host.current, members("ab", "C", 2))
         host.caught.add("c/C")
@@ -169,7 +169,7 @@
 
     def test_an_owner_that_is_to_leave_transfers_ownership_first(self) -> None:
         host = OwnerHost(members("abcd", generation=1))
-        changes = MemberChanges(cast(Any, host))
+        changes = MembershipReconciler(cast(Any, host))
         changes.set_desired("g", ids("bcd"), 2)
         self.assertEqual(host.transfer_targets, ["b/b", "c/c"])
         self.assertEqual(host.current, members("abcd", generation=1))
@@ -177,7 +177,7 @@
     def test_an_older_generation_changes_nothing(self) -> None:
         self.assertEqual(DesiredMembers(ids("a"), 3).generation, 3)
         host = OwnerHost(members("abc", generation=7))
-        changes = MemberChanges(cast(Any, host))
+        changes = MembershipReconciler(cast(Any, host))
         changes.set_desired("g", ids("abd"), 6)  # this owner hasn't heard of the newest placement
         self.assertEqual(host.current, members("abc", generation=7))
 
--- a/tests/system/roles/test_process.py
+++ b/tests/system/roles/test_process.py
@@ -327,7 +327,7 @@
         calls.call("PUT", "/config", "", b"{}").addCallback(answers.append)
         self.assertEqual(answers[0].status, 503)
         body = json.loads(answers[0].body)
-        self.assertEqual((body["code"], body["result"]), (ResultCode.FATE_OPEN.value, "fate_open"))
+        self.assertEqual((body["code"], body["result"]), (ResultCode.OUTCOME_UNKNOWN.value, "fate_open"))
         self.assertIn("no clear answer", body["error"])
 
 
--- a/tests/system/roles/test_quota_borrowing.py
+++ b/tests/system/roles/test_quota_borrowing.py
@@ -21,7 +21,7 @@
 from bitternpath.roles.shard_context import ShardContext
 from bitternpath.roles.shard_requests import ShardRequests
 from bitternpath.roles.shard_runtime import ShardRuntime
-from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.errors import LinkLostError
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 from bitternpath.transport.shard_messages import RefusalReason, Refused
@@ -117,7 +117,7 @@
         found = self.borrow()
         self.open_requests(1)[0][1].callback(Refused(1, RefusalReason.NOT_OWNER))
         found += self.borrow()
-        self.open_requests(2)[0][1].errback(LinkLost())
+        self.open_requests(2)[0][1].errback(LinkLostError())
         self.borrow()
         self.assertEqual(len(self.open_requests(3)), 1)
         self.assertEqual(found, [0])
--- a/tests/system/shards/shard_case.py
+++ b/tests/system/shards/shard_case.py
@@ -11,7 +11,7 @@
 
 from bitternpath.configuration.placement import shard_group
 from bitternpath.shards.owners import ShardOwners
-from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.errors import LinkLostError
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.records import Message
 from bitternpath.transport.shard_messages import (
@@ -49,7 +49,7 @@
         self.requests.pop(0)[1].callback(record)
 
     def lose(self) -> None:
-        self.requests.pop(0)[1].errback(LinkLost())
+        self.requests.pop(0)[1].errback(LinkLostError())
 
 
 class ShardCase(unittest.TestCase):
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -11,7 +11,7 @@
 from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.errors import LinkLostError
 from bitternpath.transport.node_messages import Pong
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
@@ -113,7 +113,7 @@
     def test_after_a_lost_link_or_an_unexpected_response_the_outcome_is_unknown(self) -> None:
         calls = self.calls(None, self.link)
         first, second = self.put(calls), self.put(calls)
-        self.link.open[-2].errback(LinkLost())
+        self.link.open[-2].errback(LinkLostError())
         self.link.open[-1].callback(Pong(1))
         self.assertEqual([reply.status for reply in first + second], [503, 503])
 
--- a/tests/system/transport/test_request_numbers.py
+++ b/tests/system/transport/test_request_numbers.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 
 from bitternpath.transport import hub
-from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.errors import LinkLostError
 from bitternpath.transport.hub import NodeHub
 from bitternpath.transport.links import Link
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
@@ -125,7 +125,7 @@
         results = self.request("first")
         self.replace_link()
         self.loopback.until(lambda: bool(results))
-        self.assertIsInstance(results[0].value, LinkLost)
+        self.assertIsInstance(results[0].value, LinkLostError)
         self.assertEqual(self.edge.closed, 1)
 
     def test_a_second_response_and_one_to_no_request_end_nothing(self) -> None:
@@ -159,7 +159,7 @@
         self.replace_link()
         results: list[Any] = []
         link.request(lambda number: StateRequest(number, "g", "late", False)).addBoth(results.append)
-        self.assertIsInstance(results[0].value, LinkLost)
+        self.assertIsInstance(results[0].value, LinkLostError)
 
 
 class LinkWithOneNumber(Link):
