--- a/tests/system/replication/test_removed_replicas.py
+++ b/tests/system/replication/test_removed_replicas.py
@@ -121,7 +121,7 @@
         for index in range(1, 40):
             entry = Entry(index, 4, 1, bytes(60))
             host.receive("b/b", AppendEntries(4, index - 1, 4 if index > 1 else 0, (entry,), index, 1))
-        self.assertFalse(any(name.endswith("000000000001.wal") for name in host.disk.paths()))
+        self.assertFalse(any(name.endswith("segment-00000001.log") for name in host.disk.paths()))
         again = host.restarted()
         self.assertEqual(again.journal.tombstone_generation("g"), 2)
         self.assertEqual(again.journal.groups(), ("g",))
