--- a/bitternpath/testing/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -15,7 +15,10 @@
     """One way of a connection."""
 
     def __init__(self, connection: Connection, sender: Stream, receiver: Stream, path: Path) -> None:
-        self._connection, self.sender, self.receiver, self.path = connection, sender, receiver, path
+        self._connection = connection
+        self.sender = sender
+        self.receiver = receiver
+        self.path = path
         self._network = connection.network
         self._last_arrival = 0.0
         self._generation = 0
@@ -43,7 +46,7 @@
         self._held.clear()
         self.path.holding.pop(self, None)
 
-    def lose_what_is_under_way(self) -> None:
+    def lose_packets_in_flight(self) -> None:
         """All packets that haven't arrived."""
         self._generation += 1
         self._held.clear()
@@ -80,7 +83,8 @@
         if generation != self._generation or not self._is_open():
             return
         self.path.holding.pop(self, None)
-        held, self._held = self._held, deque()
+        held = self._held
+        self._held = deque()
         for packet, data in held:
             self._deliver(packet, data)
 
@@ -120,7 +124,8 @@
         self.name = f"{ends[0][0]}:{ends[0][1]}>{ends[1][0]}:{ends[1][1]}"
         self.client = Stream(self, client, ends[0], ends[1])
         self.server = Stream(self, server, ends[1], ends[0])
-        self.client.peer, self.server.peer = self.server, self.client
+        self.client.peer = self.server
+        self.server.peer = self.client
         there, back = network.path(ends[0][0], ends[1][0]), network.path(ends[1][0], ends[0][0])
         self._there = Direction(self, self.client, self.server, there)
         self._back = Direction(self, self.server, self.client, back)
@@ -152,7 +157,7 @@
     def reset(self) -> None:
         """Both ends get a reset; what is under way is lost."""
         for direction, end in ((self._there, self.server), (self._back, self.client)):
-            direction.lose_what_is_under_way()
+            direction.lose_packets_in_flight()
             direction.stop()
             if not end.closed:
                 end.arrived(Packet.RESET, b"")
--- a/bitternpath/testing/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -20,7 +20,7 @@
 SALT_BITS = 32
 SET_ASIDE = "damaged-1"
 DOCUMENT_SYNCS = 2  # of the file and of its folder, each of which takes a sync's time
-MOST_STEPS_OF_DOCUMENT = 5  # operations that change something, while one is written
+MAX_STEPS_OF_DOCUMENT = 5  # operations that change something, while one is written
 
 
 class SimulatedNodeDisk:
@@ -29,7 +29,10 @@
     def __init__(
         self, disk: SimulatedFileSystem, reactor: Any, random: Random, sync_seconds: float, logs: LogSizes
     ) -> None:
-        self._disk, self._reactor, self._random, self._logs = disk, reactor, random, logs
+        self._disk = disk
+        self._reactor = reactor
+        self._random = random
+        self._logs = logs
         self._sync_seconds = sync_seconds
         self._journal_writer: VirtualTimeJournalWriter | None = None
         self._works: dict[int, Callable[[], object]] = {}
@@ -91,7 +94,7 @@
         if self._stall_left() > 0:
             self._works.clear()
         for number in list(self._works):
-            self._disk.crash_at = self._disk.steps + self._random.randint(1, MOST_STEPS_OF_DOCUMENT + 1)
+            self._disk.crash_at = self._disk.steps + self._random.randint(1, MAX_STEPS_OF_DOCUMENT + 1)
             with suppress(SimulatedCrashError):
                 self._works.pop(number)()
         self._disk.restart()
