--- a/tests/system/test_pages.py
+++ b/tests/system/test_pages.py
@@ -12,6 +12,7 @@
 from bitternpath.configuration.results import ResultCode
 from bitternpath.roles.process import ExitCode
 from bitternpath.transport.shard_messages import RefusalReason
+from tests.system.test_import_graph import module_files, module_graph, package_graph
 
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
@@ -156,6 +157,29 @@
                     self.assertTrue("://" in target or (page.parent / target).exists())
 
 
+class Layers(unittest.TestCase):
+    """Tables of packages that say "uppermost first"."""
+
+    def check_order(self, packages: list[str]) -> None:
+        """No package imports one that stands above it; all of the program's own are there."""
+        own = {path.name for path in PROGRAM.iterdir() if (path / "__init__.py").exists()}
+        self.assertEqual(set(packages), own - set(OTHER_PROGRAMS))
+        modules = module_files(PROGRAM, PROGRAM.name)
+        graph = package_graph(module_graph(modules), modules)
+        for place, package in enumerate(packages):
+            imported = {name.partition(".")[2] for name in graph[f"{PROGRAM.name}.{package}"]}
+            self.assertEqual(imported & set(packages[:place]), set(), package)
+
+    def test_readme(self) -> None:
+        table = (ROOT / "README.md").read_text("utf-8").partition("uppermost first")[2].partition("\n\n|")[2]
+        self.check_order(re.findall(r"(?m)^\|? `(\w+)/` \|", "|" + table.partition("\n\n")[0]))
+
+    def test_architecture(self) -> None:
+        layers = section((DOCS / "ARCHITECTURE.md").read_text("utf-8"), "Layers")
+        cells = [row[0] for row in table_rows(layers)]
+        self.check_order([name for cell in cells for name in re.findall(r"`(\w+)/`", cell)])
+
+
 class Glossary(unittest.TestCase):
     def test_every_term_stands_in_the_module_that_is_named(self) -> None:
         rows = list(table_rows(GLOSSARY.read_text("utf-8")))
