--- a/bitternpath/testing/simulation/actors/clients.py
+++ b/bitternpath/testing/simulation/actors/clients.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet.task import deferLater
 
@@ -17,54 +16,42 @@
 from bitternpath.testing.fault_injection.records import Kind, Send, SendOutcome
 from bitternpath.testing.fault_injection.state_readers import STATE_TIMEOUT_S
 from bitternpath.testing.simulation.actors.in_flight import InFlight
-from bitternpath.testing.simulation.actors.node_directory import NodeDirectory
 from bitternpath.testing.simulation.actors.operators import Operators
-from bitternpath.testing.simulation.checks.history import RouteProbe, StateRead, SystemHistory
+from bitternpath.testing.simulation.actors.run_context import RunContext
+from bitternpath.testing.simulation.checks.history import RouteProbe, StateRead
 from bitternpath.testing.simulation.events import Message, Probe, RunPlan
 
-if TYPE_CHECKING:
-    from bitternpath.testing.simulation.world import World
-
 CLIENT_IP = "10.95.0.1"
 PROBE_BODY = b"probe"
-PROBED_DOCUMENTS = 3  # the newest ones that were sent: their routes are probed
+PROBED_DOCUMENTS = 3  # the newest ones that were sent, whose routes are probed
 UNKNOWN_PREFIX = "/never/"
 
-Failed = Callable[[Any], object]
-
 
 class SimulatedClients:
-    """Plays messages and probes."""
+    """Clients that send the messages and probes of a plan and read states."""
 
     def __init__(
-        self,
-        world: World,
-        plan: RunPlan,
-        history: SystemHistory,
-        directory: NodeDirectory,
-        balancer: LoadBalancer,
-        operators: Operators,
-        callback_url: str,
-        failed: Failed,
+        self, run: RunContext, balancer: LoadBalancer, operators: Operators, callback_url: str
     ) -> None:
+        world = run.world
         self._world = world
-        self._plan = plan
-        self._history = history
-        self._directory = directory
+        self._plan = run.plan
+        self._history = run.history
+        self._directory = run.directory
         self._balancer = balancer
         self._operators = operators
         self._reactor: Any = world.host(CLIENT_IP)
-        context = ActorContext(self._reactor, lambda: world.now, history)
+        context = ActorContext(self._reactor, lambda: world.now, run.history)
         self._clients = Clients(context, balancer, callback_url)
-        self._in_flight = InFlight(failed)
+        self._in_flight = InFlight(run.failed)
 
     @property
     def open(self) -> int:
-        """How many messages, questions and probes are under way."""
+        """How many messages, probes and reads are in flight."""
         return self._in_flight.count
 
     def message(self, event: Message) -> None:
-        """Send a message, and ask for its state later."""
+        """Send a message, and read its state later."""
         self._in_flight.begin(self._message(event))
 
     def probe(self, event: Probe) -> None:
@@ -94,7 +81,7 @@
         elif answer.status == 200:
             body = answer.body
         elif resource == "message-body":
-            return  # a message that has ended well has no body any more
+            return  # the body of a message that has succeeded is not kept
         self._history.state_reads.append(
             StateRead(send.request_id, node.name, sent_at, self._world.now, answer.status, state, stamp, body)
         )
@@ -120,7 +107,7 @@
             )
 
     def _prefixes(self) -> list[str]:
-        """Of routes that the newest documents have or had, and of one that never was."""
+        """Prefixes of routes that the newest documents have or had, and one that no document had."""
         prefixes = [UNKNOWN_PREFIX]
         for document in self._operators.documents[-PROBED_DOCUMENTS:]:
             prefixes += [route["path_prefix"] for route in document["routes"][len(Kind) :]]
--- a/bitternpath/testing/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -1,11 +1,12 @@
-"""Operators of a simulated run: changes, races, orders sent again, retirements, reads (PROTOCOL)."""
+"""Operators of a simulated run: concurrent and repeated changes, retirements, reads (PROTOCOL)."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
+from dataclasses import dataclass, replace
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
@@ -27,12 +28,10 @@
 from bitternpath.testing.fault_injection.http_client import Call, Reply
 from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
 from bitternpath.testing.simulation.actors.in_flight import InFlight
-from bitternpath.testing.simulation.actors.node_directory import NodeAddress, NodeDirectory
-from bitternpath.testing.simulation.checks.history import ConfigRead, RetireCall, Retirement, SystemHistory
-from bitternpath.testing.simulation.events import Order, OrderStyle, ReadConfiguration, Retire, RunPlan
-
-if TYPE_CHECKING:
-    from bitternpath.testing.simulation.world import World
+from bitternpath.testing.simulation.actors.node_directory import NodeAddress
+from bitternpath.testing.simulation.actors.run_context import RunContext
+from bitternpath.testing.simulation.checks.history import ConfigRead, RetireCall, Retirement
+from bitternpath.testing.simulation.events import Order, OrderStyle, ReadConfiguration, Retire
 
 OPERATOR_IP = "10.99.0.1"
 ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
@@ -44,36 +43,46 @@
 RIVAL_NUMBERS = 10_000  # between the numbers of rivals' changes
 MAX_READ_ATTEMPTS = 10
 
-Failed = Callable[[Any], object]
+
+@dataclass(frozen=True, slots=True)
+class ConfigurationChange:
+    """A change to be sent: its call, the version on which it is based, and the document that it makes.
+
+    The first `lost_answers` answers don't reach the operator; the call is repeated for `retry_for_s` at most.
+    """
+
+    call: Call
+    base: int
+    document: dict[str, Any]
+    valid: bool = True
+    lost_answers: int = 0
+    retry_for_s: float = ORDER_RETRY_FOR_S
 
 
 class Operators:
     """All operators. `newest`: the newest document that any of them knows to be in force."""
 
-    def __init__(
-        self, world: World, plan: RunPlan, history: SystemHistory, directory: NodeDirectory, failed: Failed
-    ) -> None:
-        self._world = world
-        self._plan = plan
-        self._history = history
-        self._directory = directory
-        self._reactor: Any = world.host(OPERATOR_IP)
+    def __init__(self, run: RunContext) -> None:
+        self._world = run.world
+        self._plan = run.plan
+        self._history = run.history
+        self._directory = run.directory
+        self._reactor: Any = run.world.host(OPERATOR_IP)
         self.newest: dict[str, Any] = {"version": 0, "routes": []}
-        self.documents: list[dict[str, Any]] = []  # that were sent, in their order
-        self._in_flight = InFlight(failed)
+        self.documents: list[dict[str, Any]] = []  # that were sent, in order
+        self._in_flight = InFlight(run.failed)
         self.on_retired: Callable[[str], object] = lambda planned: None
 
     @property
     def open(self) -> int:
-        """How many calls are under way."""
+        """How many calls are in flight."""
         return self._in_flight.count
 
     def create_configuration(self, document: dict[str, Any]) -> None:
         """Send the first configuration until it is accepted."""
         calls = self._calls(Random(f"{self._plan.seed}/founding"))
-        self._in_flight.begin(
-            self._send(calls, put_call(0, document), 0, document, seconds=FIRST_ORDER_RETRY_FOR_S)
-        )
+        change = ConfigurationChange(put_call(0, document), 0, document, retry_for_s=FIRST_ORDER_RETRY_FOR_S)
+        self._in_flight.begin(self._send(calls, change))
 
     def order(self, event: Order) -> None:
         """Send a change."""
@@ -84,11 +93,11 @@
         self._in_flight.begin(self._read_until_answered(self._calls(self._plan.random(event)), attempts=1))
 
     def retire(self, event: Retire) -> None:
-        """Have a machine emptied, and remove it then."""
+        """Retire a machine, and remove it once that is done."""
         self._in_flight.begin(self._retire(event))
 
     def read_back(self, seconds: float) -> None:
-        """Read the configuration again and again for so long; the last answer counts."""
+        """Read the configuration repeatedly for `seconds`; the last answer counts."""
         self._in_flight.begin(self._read_back(seconds))
 
     # ---- changes
@@ -96,48 +105,53 @@
     async def _order(self, event: Order) -> None:
         random = self._plan.random(event)
         before = self.newest
-        base, version = before["version"], before["version"] + event.step
-        wanted = changed_document(before, event.number, version)
-        if event.style is OrderStyle.INVALID:
-            wanted = invalid_document(wanted)
-        call = patch_call(before, wanted) if event.style is OrderStyle.PATCH else put_call(base, wanted)
+        base = before["version"]
+        version = base + event.step
+        document = changed_document(before, event.number, version)
         valid = event.style is not OrderStyle.INVALID
+        if not valid:
+            document = invalid_document(document)
+        is_patch = event.style is OrderStyle.PATCH
+        call = patch_call(before, document) if is_patch else put_call(base, document)
+        change = ConfigurationChange(call, base, document, valid)
         calls = self._calls(random)
-        sent = [self._send(calls, call, base, wanted, valid=valid, lost=event.lost_answers)]
+        sent = [self._send(calls, replace(change, lost_answers=event.lost_answers))]
         if event.twice:
-            sent.append(self._send(self._calls(random), call, base, wanted, valid=valid))
+            sent.append(self._send(self._calls(random), change))
         for rival in range(1, event.rivals + 1):
             number = 2 * (event.number + rival * RIVAL_NUMBERS) + 1  # odd: it adds a route of its own
             other = changed_document(before, number, version)
-            sent.append(self._send(self._calls(random), put_call(base, other), base, other))
+            rival_change = ConfigurationChange(put_call(base, other), base, other)
+            sent.append(self._send(self._calls(random), rival_change))
         outcomes = await gatherResults([Deferred.fromCoroutine(each) for each in sent])
         if event.again and outcomes[0] is OrderOutcome.ACKNOWLEDGED:
-            await self._send(calls, call, base, wanted, valid=valid)
+            await self._send(calls, change)
         if OrderOutcome.ACKNOWLEDGED not in outcomes:
             await self._read_until_answered(calls, MAX_READ_ATTEMPTS)
 
-    async def _send(
-        self,
-        calls: ControlCalls,
-        call: Call,
-        base: int,
-        wanted: dict[str, Any],
-        valid: bool = True,
-        lost: int = 0,
-        seconds: float = ORDER_RETRY_FOR_S,
-    ) -> OrderOutcome:
-        """One change, sent until there is a clear answer."""
+    async def _send(self, calls: ControlCalls, change: ConfigurationChange) -> OrderOutcome:
+        """Send a change until its outcome is clear, and record it."""
         sent_at = self._world.now
-        if valid:
-            self.documents.append(wanted)
-        result = await calls.send_until_decided(call, sent_at + seconds, lost)
-        version = wanted["version"]
-        ended_at = self._world.now
+        if change.valid:
+            self.documents.append(change.document)
+        result = await calls.send_until_decided(
+            change.call, sent_at + change.retry_for_s, change.lost_answers
+        )
         self._history.orders.append(
-            OrderSent(version, base, sent_at, ended_at, result.outcome, valid, wanted, result.status, lost)
+            OrderSent(
+                version=change.document["version"],
+                base=change.base,
+                sent_at=sent_at,
+                ended_at=self._world.now,
+                outcome=result.outcome,
+                valid=change.valid,
+                document=change.document,
+                status=result.status,
+                lost_answers=change.lost_answers,
+            )
         )
         if result.outcome is OrderOutcome.ACKNOWLEDGED:
-            self._note_newest(wanted)
+            self._note_newest(change.document)
         return result.outcome
 
     # ---- reads
@@ -183,7 +197,7 @@
                 await self._call_retire(calls, RetireCall.READ, machine)
 
     async def _order_retirement(self, calls: ControlCalls, machine: str) -> bool:
-        """Whether the machine is being emptied."""
+        """Order the retirement; whether it was accepted."""
         give_up_at = self._world.now + RETIRE_RETRY_FOR_S
         backoff_s, refusals, attempts = MIN_BACKOFF_S, 0, 0
         while self._world.now < give_up_at:
--- a/bitternpath/testing/simulation/checks/control.py
+++ b/bitternpath/testing/simulation/checks/control.py
@@ -29,22 +29,22 @@
 
 
 def check_retirement_done(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """What was said to be done stays done."""
+    """A retirement that was reported as done stays done."""
     done: dict[str, float] = {}
-    for look in sorted(history.retirements, key=lambda look: look.ended_at):
-        if look.call is not RetireCall.READ or look.status != 200:
+    for read in sorted(history.retirements, key=lambda read: read.ended_at):
+        if read.call is not RetireCall.READ or read.status != 200:
             continue
-        if look.state == "done":
-            done.setdefault(look.machine, look.ended_at)
-        elif done.get(look.machine, look.sent_at) < look.sent_at:
-            text = f"{look.machine} was done at {done[look.machine]:.3f}"
-            yield Violation(SystemRule.RETIRE, "", f"{text}, and {look.state!r} at {look.ended_at:.3f}")
+        if read.state == "done":
+            done.setdefault(read.machine, read.ended_at)
+        elif done.get(read.machine, read.sent_at) < read.sent_at:
+            text = f"{read.machine} was done at {done[read.machine]:.3f}"
+            yield Violation(SystemRule.RETIRE, "", f"{text}, and {read.state!r} at {read.ended_at:.3f}")
 
 
 def check_acknowledged_in_time(
     history: SystemHistory, parameters: SystemRuleParameters
 ) -> Iterator[Violation]:
-    """A proper order is answered within `ack_ms` of a stretch without any trouble."""
+    """A valid change is acknowledged within `ack_ms` of an interval without any fault."""
     connectivity = Connectivity(history, parameters)
     for order in history.orders:
         if not order.valid or order.lost_answers or order.outcome is OrderOutcome.REFUSED:
--- a/bitternpath/testing/simulation/checks/messages.py
+++ b/bitternpath/testing/simulation/checks/messages.py
@@ -80,7 +80,7 @@
 
 
 def check_states(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A state comes with the stamp of a run of its message, isn't told early, and doesn't change any more."""
+    """A final state has the stamp of a run, isn't reported before the end, and doesn't change any more."""
     stamps: dict[str, set[str]] = defaultdict(set)
     for answer in history.answers:
         if answer.stamp:
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
 from random import Random
@@ -21,13 +22,14 @@
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.settings import LogSizes, Place
 
-BEGAN_WALL_MS = 1_765_000_000_000  # time of day when a run begins
-RESTART_S = 0.4  # after a process that ended by itself
-SYNC_LEAST_S, SYNC_MOST_S = 0.001, 0.005
+START_WALL_MS = 1_765_000_000_000  # time of day when a run begins
+RESTART_DELAY_S = 0.4  # after a process that ended by itself
+MIN_SYNC_S = 0.001
+MAX_SYNC_S = 0.005
 
 
 class NodeState(Enum):
-    """What a machine does."""
+    """The state of a machine and its process."""
 
     DOWN = "down"
     UP = "up"
@@ -36,7 +38,7 @@
 
 
 class SimulatedMachine:
-    """`roles.machine.Machine` for one life of a process."""
+    """`roles.machine.Machine` for one start of a process."""
 
     def __init__(self, node: SimulatedNode, reactor: VirtualReactor, random: Random) -> None:
         self._node = node
@@ -52,7 +54,7 @@
         return self._node.logs.compaction
 
     def wall_ms(self) -> int:
-        return BEGAN_WALL_MS + int(self._reactor.seconds() * 1000) + self._node.skew_ms
+        return START_WALL_MS + int(self._reactor.seconds() * 1000) + self._node.skew_ms
 
     def disk(self, data_dir: Path) -> SimulatedNodeDisk:
         if self.node_disk is None:
@@ -68,19 +70,24 @@
         return read_settings(self._node.document)
 
 
+@dataclass(frozen=True, slots=True)
+class NodeSetup:
+    """A machine's place, its settings document, the error of its clock, and the sizes of its logs."""
+
+    place: Place
+    document: dict[str, Any]
+    skew_ms: int
+    logs: LogSizes
+
+
 class SimulatedNode:
     """A machine of the system with the process of its role."""
 
     def __init__(
-        self,
-        network: Network,
-        invariants: GroupInvariantChecker,
-        place: Place,
-        document: dict[str, Any],
-        random: Random,
-        skew_ms: int,
-        logs: LogSizes,
+        self, network: Network, invariants: GroupInvariantChecker, setup: NodeSetup, random: Random
     ) -> None:
+        place = setup.place
+        document = setup.document
         self.place = place
         self.document = document
         self.name = place.name
@@ -94,11 +101,11 @@
         self.readiness: str = listen.get("readiness", "")
         self.control: str = listen.get("control", "")
         self.state = NodeState.DOWN
-        self.skew_ms = skew_ms
-        self.logs = logs
+        self.skew_ms = setup.skew_ms
+        self.logs = setup.logs
         self.factor = 1.0  # of its links' delays and its disk's times
         self.disk = SimulatedFileSystem(fsync_persists_name=False)
-        self.sync_seconds = random.uniform(SYNC_LEAST_S, SYNC_MOST_S)
+        self.sync_seconds = random.uniform(MIN_SYNC_S, MAX_SYNC_S)
         self.host: Host = network.add_host(place.ip, place.zone)
         self.lives = 0
         self.exit_codes: list[int] = []
@@ -108,20 +115,20 @@
         self._reactor: VirtualReactor | None = None
         self._machine: SimulatedMachine | None = None
         self._life: RoleLifecycle | None = None
-        self._again: Any = None  # timer
+        self._restart_timer: Any = None  # timer
 
     @property
     def process(self) -> Any:
         """The role that runs (`EdgeProcess` or `StorageProcess`), None where there is none."""
         return self._life.role if self._life is not None else None
 
-    # ---- beginnings
+    # ---- start
 
     def start(self) -> None:
         """Start the process, unless there is one."""
         if self.state is not NodeState.DOWN:
             return
-        self._cancel_again()
+        self._cancel_restart()
         if not self.host.powered:
             self._network.power_on(self.host)
         self.lives += 1
@@ -137,8 +144,8 @@
 
     def start_after(self, seconds: float) -> None:
         """Start the process later."""
-        self._cancel_again()
-        self._again = self._network.scheduler.at(self._network.scheduler.now + seconds, self.start)
+        self._cancel_restart()
+        self._restart_timer = self._network.scheduler.at(self._network.scheduler.now + seconds, self.start)
 
     def _build(self, reactor: VirtualReactor, machine: SimulatedMachine) -> None:
         try:
@@ -153,20 +160,20 @@
         self._life = RoleLifecycle(reactor, role)
         self._life.begin()
 
-    # ---- ends
+    # ---- end
 
     def kill(self) -> None:
-        """The process ends at once; peers hear that their connections are gone."""
+        """End the process at once; peers receive resets of its connections."""
         if self.state in (NodeState.UP, NodeState.FROZEN):
             self._network.recorder.event("kill", self.name)
             self._end(lambda reactor: self.host.close_sockets(reactor, self._random))
 
     def lose_power(self, wiped: bool = False) -> None:
-        """The machine ends at once; peers hear nothing, and the disk keeps what was synced."""
+        """Stop the machine at once; peers receive nothing, and the disk keeps what was synced."""
         if self.state is NodeState.REMOVED:
             return
         self._network.recorder.event("wipe" if wiped else "power_loss", self.name)
-        self._cancel_again()
+        self._cancel_restart()
         self._end(self.host.lose_power)
         self.host.powered = False
         if wiped:
@@ -175,10 +182,10 @@
             self.disk.lose_power(self._random)
 
     def remove(self) -> None:
-        """Gone for good."""
+        """Stop the machine for good."""
         if self.state is not NodeState.REMOVED:
             self._network.recorder.event("remove", self.name)
-            self._cancel_again()
+            self._cancel_restart()
             self._end(self.host.lose_power)
             self.host.powered = False
             self.state = NodeState.REMOVED
@@ -195,7 +202,7 @@
         close(reactor)
 
     def _stopped(self) -> None:
-        """The process has ended by itself."""
+        """The process ends by itself: record its exit code and start it again."""
         code = int(self._life.exit_code) if self._life is not None else -1
         assert self._reactor is not None
         self._reactor.callLater(0, self._ended, code)
@@ -204,24 +211,24 @@
         self.exit_codes.append(code)
         self._network.recorder.event("exit", f"{self.name} code={code}")
         self._end(lambda reactor: self.host.close_sockets(reactor, self._random))
-        self.start_after(RESTART_S)
+        self.start_after(RESTART_DELAY_S)
 
-    def _cancel_again(self) -> None:
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
+    def _cancel_restart(self) -> None:
+        if self._restart_timer is not None:
+            self._restart_timer.cancel()
+            self._restart_timer = None
 
     # ---- while it runs
 
     def freeze(self) -> None:
-        """Nothing of the process runs."""
+        """Stop running the process's code; time goes on."""
         if self.state is NodeState.UP and self._reactor is not None:
             self._network.recorder.event("freeze", self.name)
             self.state = NodeState.FROZEN
             self._reactor.freeze()
 
     def thaw(self) -> None:
-        """It goes on."""
+        """Run a frozen process again."""
         if self.state is NodeState.FROZEN and self._reactor is not None:
             self._network.recorder.event("thaw", self.name)
             self.state = NodeState.UP
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -38,9 +38,9 @@
 FIRST_FAULT_S = 1.0
 ORDER_KEYS = 5
 KIND_WEIGHTS = {Kind.LISTED: 4, Kind.ENDPOINT: 3, Kind.PULLED: 3}
-DELAYED_SHARE, MOST_DELAY_S = 0.2, 2.0
+DELAYED_SHARE, MAX_DELAY_S = 0.2, 2.0
 SIZES = (20, 200, 2_000, 20_000)
-ASKED_SHARE, ASK_WITHIN_S = 0.5, 8.0
+STATE_READ_SHARE, MAX_STATE_READ_DELAY_S = 0.5, 8.0
 STEPS = (1, 1, 2, 3, 7)
 RIVALS = (1, 1, 2, 7)
 LOST_ANSWERS = (1, 1, 2, 3)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What kind of day is drawn. Rates are a second; weights need no sum."""
+    """The mix of a kind of run. Rates are per second; weights needn't add up to one."""
 
     name: str
     faults: dict[FaultKind, float]
@@ -78,7 +78,7 @@
     worker_faults: float = 0.15
     edge_faults: float = 0.1
     retirements: int = 0
-    final: float = 0.2  # share of days that end with the loss of all machines
+    final: float = 0.2  # share of runs that end with the loss of all machines
 
 
 _ALL: dict[FaultKind, float] = {kind: 1.0 for kind in FaultKind if kind not in (FaultKind.ADD, *MASS_KINDS)}
@@ -126,7 +126,7 @@
 
 
 class _FaultDrawer:
-    """Draws faults of machines one after the other, and keeps who is lost until when."""
+    """Draws faults of machines in order of time; keeps until when each machine counts as lost."""
 
     def __init__(self, random: Random, scenario: Scenario) -> None:
         self._random = random
@@ -155,7 +155,7 @@
         return events + self._retirements()
 
     def _next_time(self, at: float) -> float:
-        """When the next fault may come: one more machine may be lost, and nothing affects all."""
+        """The time of the next fault: not before one more machine may be lost and no fault affects all."""
         lost = sorted(until for until in self._lost_until.values() if until > at)
         free = len(lost) < self._scenario.layout.tolerated
         allowed = at if free else lost[len(lost) - self._scenario.layout.tolerated]
@@ -172,13 +172,13 @@
         if kind is FaultKind.ADD:
             self._lost_until[f"new {at}"] = at + CATCH_UP_S
             return Fault(number=0, at=at, kind=kind, nodes=("storage",))
-        free = [name for name in self._victims() if self._lost_until.get(name, 0.0) <= at]
+        free = [name for name in self._candidates() if self._lost_until.get(name, 0.0) <= at]
         name = self._random.choice(free)
         back = GRACE_S + 1.0 if kind is FaultKind.TERM else lasts
         self._lost_until[name] = at + back + CATCH_UP_S
         return Fault(number=0, at=at, kind=kind, nodes=(name,), lasts=lasts)
 
-    def _victims(self) -> list[str]:
+    def _candidates(self) -> list[str]:
         stores = [name for name in self._stores if name not in self._retired]
         return self._core if self._random.random() < self._scenario.core_share else stores
 
@@ -226,17 +226,17 @@
     for at in _times(random, scenario.messages, scenario.seconds):
         kind = random.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
         key = f"key-{random.randrange(ORDER_KEYS)}" if kind is Kind.ENDPOINT else ""
-        delayed, asked = random.random() < DELAYED_SHARE and not key, random.random() < ASKED_SHARE
+        delayed, asked = random.random() < DELAYED_SHARE and not key, random.random() < STATE_READ_SHARE
         messages.append(
             Message(
                 number=0,
                 at=at,
                 kind=kind,
                 key=key,
-                delay_s=round(random.uniform(0.2, MOST_DELAY_S), 3) if delayed else 0.0,
+                delay_s=round(random.uniform(0.2, MAX_DELAY_S), 3) if delayed else 0.0,
                 zone=random.choice(zones),
                 size=random.choice(SIZES),
-                ask_after=round(random.uniform(0.1, ASK_WITHIN_S), 3) if asked else 0.0,
+                ask_after=round(random.uniform(0.1, MAX_STATE_READ_DELAY_S), 3) if asked else 0.0,
             )
         )
     return messages
@@ -267,20 +267,20 @@
 
 
 def _worker_faults(random: Random, scenario: Scenario) -> list[Event]:
-    troubles: list[Event] = []
+    events: list[Event] = []
     for at in _times(random, scenario.worker_faults, scenario.seconds):
         worker = random.randrange(-1, 3)
         if worker >= 0 and random.random() < 0.25:
-            troubles.append(WorkerLeaves(number=0, at=at, worker=worker))
+            events.append(WorkerLeaves(number=0, at=at, worker=worker))
         else:
-            mood = random.choice(list(WorkerFaultKind))
+            fault = random.choice(list(WorkerFaultKind))
             lasts = round(random.uniform(0.5, 3.0), 3)
-            troubles.append(WorkerFault(number=0, at=at, worker=worker, fault=mood, lasts=lasts))
-    return troubles
+            events.append(WorkerFault(number=0, at=at, worker=worker, fault=fault, lasts=lasts))
+    return events
 
 
 def _times(random: Random, rate: float, seconds: float) -> list[float]:
-    """Moments at a mean rate, with exponential gaps."""
+    """Times of a Poisson process, in seconds."""
     times: list[float] = []
     at = random.expovariate(rate) if rate else seconds
     while at < seconds:
--- a/bitternpath/testing/simulation/runs/play.py
+++ b/bitternpath/testing/simulation/runs/play.py
@@ -1,4 +1,4 @@
-"""Plays a plan on a world with all its actors, and judges what they saw."""
+"""Plays a plan in a world with all its actors, and checks what they observed."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 from bitternpath.testing.simulation.actors.machine_faults import MachineFaults
 from bitternpath.testing.simulation.actors.node_directory import NodeDirectory
 from bitternpath.testing.simulation.actors.operators import Operators
+from bitternpath.testing.simulation.actors.run_context import RunContext
 from bitternpath.testing.simulation.actors.workers import Workers
 from bitternpath.testing.simulation.checks.all import Finding, check_run
 from bitternpath.testing.simulation.checks.history import SystemHistory, SystemRule, SystemRuleParameters
@@ -49,14 +50,14 @@
 READY_TIMEOUT_S = 30.0  # after the start
 POLL_INTERVAL_S = 0.25
 FINISH_TIMEOUT_S = 30.0  # after the last event, for all that was accepted
-SETTLE_S = 5.0  # after the last event, before the first look whether all is done: `catch_up_s` and more
+SETTLE_S = 5.0  # after the last event, before the first check whether all is done: `catch_up_s` and more
 READ_BACK_S = 4.0  # `contact_ms`
 STATE_READS_TIMEOUT_S = 60.0  # for the states of all messages at the end
 
 
 @dataclass(slots=True)
 class RunReport:
-    """What came of a run. `errors` are of the actors themselves: the result is void."""
+    """The result of a run. `errors` are of the actors themselves and make it void."""
 
     plan: RunPlan
     found: list[Finding] = field(default_factory=list)
@@ -101,7 +102,7 @@
         self._make_actors()
 
     def play(self) -> RunReport:
-        """Play it to its end, and judge it."""
+        """Play the plan to its end, and check the history."""
         if self._create_system():
             self._play_events()
             self._finish()
@@ -123,22 +124,14 @@
         self.balancer = LoadBalancer(world.host(ENTRY_IP), self.directory.edges, seeded(plan, "entry"))
         self.receiver = CallbackReceiver(self._context(CALLBACK_IP), seeded(plan, "callbacks"), CALLBACK_IP)
         self.workers = Workers(world, plan, history, self.balancer)
-        self.operators = Operators(world, plan, history, self.directory, self._failed)
-        self.clients = SimulatedClients(
-            world,
-            plan,
-            history,
-            self.directory,
-            self.balancer,
-            self.operators,
-            self.receiver.url,
-            self._failed,
-        )
+        run = RunContext(world, plan, history, self.directory, self._failed)
+        self.operators = Operators(run)
+        self.clients = SimulatedClients(run, self.balancer, self.operators, self.receiver.url)
         self.machine_faults = MachineFaults(world, history, self.directory)
         self.operators.on_retired = self.machine_faults.retired
 
     def _create_system(self) -> bool:
-        """Start all nodes and found the system; False where it doesn't come up."""
+        """Start all nodes and create the configuration; False if nodes don't become ready in time."""
         self.world.start()
         self.balancer.start()
         self.operators.create_configuration(first_document(self.workers.endpoint.address))
@@ -154,7 +147,7 @@
         )
 
     def _play_events(self) -> None:
-        """Traffic, orders and faults."""
+        """Schedule and play all events of the plan."""
         for puller in self.workers.pullers:
             puller.start(self._failed)
         began = self.world.now
@@ -183,7 +176,7 @@
                 self.workers.leave(event)
 
     def _finish(self) -> None:
-        """Wait for what was accepted; ask for all states, and for the configuration."""
+        """Wait until accepted messages have ended; read all states and the configuration."""
         self.world.run_until(self.world.now + SETTLE_S)
         self._until(FINISH_TIMEOUT_S, self._all_ended)
         self.history.finished = self.world.now
@@ -211,7 +204,7 @@
         self.report.found += check_run(self.history, self.parameters)
 
     def _add_internal_violations(self) -> None:
-        """What the world itself has found: replica groups, errors in nodes, processes that ended."""
+        """Add what the world itself found: broken invariants, errors in nodes, processes that ended."""
         for violation in self.world.violations:
             self._add(SystemRule.GROUP_INVARIANT, f"{violation.rule} at {violation.at:.3f}: {violation.text}")
         for failure in self.world.failures:
@@ -229,7 +222,7 @@
         return ActorContext(self.world.host(ip), self._now, self.history)
 
     def _until(self, seconds: float, done: Callable[[], bool]) -> bool:
-        """Play until `done()`, for so long at most; whether it is."""
+        """Play until `done()`, for `seconds` at most; whether it became true."""
         give_up_at = self.world.now + seconds
         while not done():
             if self.world.now >= give_up_at:
@@ -265,7 +258,7 @@
 
 
 def system_rule_parameters(world: World) -> SystemRuleParameters:
-    """By which the history of a world is judged."""
+    """The parameters of the rules for a world."""
     return rule_parameters(
         SystemRuleParameters,
         RATE_PER_S,
--- a/bitternpath/testing/simulation/runs/shrink.py
+++ b/bitternpath/testing/simulation/runs/shrink.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shrunk:
-    """The shortest plan that was found, with its report."""
+    """The shortest failing plan, its report, and how many runs it took to find it."""
 
     plan: RunPlan
     report: RunReport
@@ -24,19 +24,19 @@
 
 
 def shrink(
-    plan: RunPlan, checker: str, most_runs: int = MAX_RUNS, played: Callable[[RunPlan], RunReport] = play
+    plan: RunPlan, checker: str, max_runs: int = MAX_RUNS, played: Callable[[RunPlan], RunReport] = play
 ) -> Shrunk:
-    """Leave out events as long as `checker` still finds something."""
-    return _Shrinking(plan, checker, most_runs, played).shrink()
+    """Leave out events as long as `checker` still finds a violation, in `max_runs` runs at most."""
+    return _Shrinking(plan, checker, max_runs, played).shrink()
 
 
 class _Shrinking:
     def __init__(
-        self, plan: RunPlan, checker: str, most_runs: int, played: Callable[[RunPlan], RunReport]
+        self, plan: RunPlan, checker: str, max_runs: int, played: Callable[[RunPlan], RunReport]
     ) -> None:
         self._plan = msgspec.structs.replace(plan, checker=checker)
         self._checker = checker
-        self._most_runs = most_runs
+        self._max_runs = max_runs
         self._played = played
         self._runs = 0
         self._report = RunReport(plan)
@@ -45,8 +45,8 @@
         events, chunks = list(self._plan.events), INITIAL_CHUNKS
         if self._fails([]):
             events = []
-        events = self._without_whole_kinds(events)
-        while len(events) >= 2 and self._runs < self._most_runs:
+        events = self._without_kinds(events)
+        while len(events) >= 2 and self._runs < self._max_runs:
             shorter = self._without_a_chunk(events, chunks)
             if shorter is not None:
                 events, chunks = shorter, max(chunks - 1, INITIAL_CHUNKS)
@@ -56,8 +56,8 @@
                 chunks = min(chunks * 2, len(events))
         return Shrunk(self._with(events), self._report, self._runs)
 
-    def _without_whole_kinds(self, events: list[Event]) -> list[Event]:
-        """First what saves most: all messages, all probes, and so on."""
+    def _without_kinds(self, events: list[Event]) -> list[Event]:
+        """Leave out all events of a kind at once, which saves most."""
         for kind in dict.fromkeys(type(event) for event in events):
             shorter = [event for event in events if type(event) is not kind]
             if len(shorter) < len(events) and self._fails(shorter):
@@ -68,7 +68,7 @@
         size = -(-len(events) // chunks)
         for first in range(0, len(events), size):
             shorter = events[:first] + events[first + size :]
-            if self._runs < self._most_runs and self._fails(shorter):
+            if self._runs < self._max_runs and self._fails(shorter):
                 return shorter
         return None
 
--- a/bitternpath/testing/simulation/world.py
+++ b/bitternpath/testing/simulation/world.py
@@ -8,7 +8,7 @@
 from bitternpath.testing.simulation.faults import Faults
 from bitternpath.testing.simulation.group_invariants import GroupInvariantChecker, Violation
 from bitternpath.testing.simulation.network import Network
-from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
+from bitternpath.testing.simulation.processes import NodeSetup, NodeState, SimulatedNode
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.recorder import HostFailure, Ownership, Recorder
 from bitternpath.testing.simulation.scheduler import Call, Scheduler, Timer
@@ -28,7 +28,7 @@
 
 
 class World(Faults):
-    """Hosts, nodes, links and disks, played by one seed."""
+    """Hosts, nodes, links and disks of one run; its seed decides all that happens."""
 
     platform_address = f"{PLATFORM_IP}:{PLATFORM_PORT}"
 
@@ -46,7 +46,7 @@
         self.seeds: list[str] = []
         self._make_nodes()
 
-    # ---- time and chance
+    # ---- time and randomness
 
     @property
     def now(self) -> float:
@@ -70,7 +70,7 @@
         return self.scheduler.at(seconds, call, *arguments)
 
     def random(self, name: str) -> Random:
-        """The run's chance for one purpose."""
+        """The run's random generator for one purpose."""
         if name not in self._randoms:
             self._randoms[name] = Random(f"{self.seed}/{name}")
         return self._randoms[name]
@@ -78,7 +78,7 @@
     # ---- hosts and nodes
 
     def host(self, ip: str) -> VirtualReactor:
-        """The reactor of an actor's host, made where there is none."""
+        """The reactor of an actor's host, which is created if there is none."""
         found = self._actors.get(ip)
         if found is None:
             found = VirtualReactor(self.network.add_host(ip, ""), ip)
@@ -139,12 +139,12 @@
 
     @property
     def ownerships(self) -> list[Ownership]:
-        """Who owned which group."""
+        """All changes of the ownership of groups."""
         return self.recorder.ownerships
 
     @property
     def violations(self) -> list[Violation]:
-        """Rules of the replica groups that were broken."""
+        """Broken invariants of replica groups."""
         return self.invariants.violations
 
     def digest(self) -> str:
@@ -180,7 +180,8 @@
         random = self.random(place.name)
         document = settings_document(self.plan, place, self.current_seeds(), bootstrap)
         skew_ms = random.randint(-self.plan.skew_ms, self.plan.skew_ms)
-        node = SimulatedNode(self.network, self.invariants, place, document, random, skew_ms, self.plan.logs)
+        setup = NodeSetup(place, document, skew_ms, self.plan.logs)
+        node = SimulatedNode(self.network, self.invariants, setup, random)
         self.nodes[place.name] = node
         return node
 
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -108,7 +108,7 @@
 
     def test_runs_are_bounded(self) -> None:
         self.runs = 0
-        shrink(draw(1, SCENARIOS["mixed"]), "check", most_runs=9, played=self.played)
+        shrink(draw(1, SCENARIOS["mixed"]), "check", max_runs=9, played=self.played)
         self.assertLessEqual(self.runs, 10)
 
 
