--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -100,19 +100,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Catch:
+class DetectingRun:
     """Which runs catch a build, and by which checker."""
 
     family: Callable[[], Iterator[RunPlan]]
     checker: str
 
 
-CATCHES = {
-    "two_member_changes_at_once": Catch(a_disk_is_lost_while_two_machines_retire, "check_lost"),
-    "removal_before_successor": Catch(a_disk_is_lost_while_another_machine_retires, "check_lost"),
-    "retirement_without_reports": Catch(a_disk_is_lost_while_another_machine_retires_slowly, "check_lost"),
-    "link_number_used_again": Catch(days_of_all_kinds, "check_mixed"),
-    "repeat_after_reset": Catch(all_stores_are_killed_under_a_burst, "check_refused"),
+DETECTING_RUNS = {
+    "two_member_changes_at_once": DetectingRun(a_disk_is_lost_while_two_machines_retire, "check_lost"),
+    "removal_before_successor": DetectingRun(a_disk_is_lost_while_another_machine_retires, "check_lost"),
+    "retirement_without_reports": DetectingRun(
+        a_disk_is_lost_while_another_machine_retires_slowly, "check_lost"
+    ),
+    "link_number_used_again": DetectingRun(days_of_all_kinds, "check_mixed"),
+    "repeat_after_reset": DetectingRun(all_stores_are_killed_under_a_burst, "check_refused"),
 }
 
 
@@ -121,13 +123,13 @@
 
     longest_test_s = 90
 
-    def test_each_is_caught(self) -> None:
-        for name, catch in CATCHES.items():
+    def test_each_is_detected(self) -> None:
+        for name, catch in DETECTING_RUNS.items():
             with self.subTest(build=name):
                 self.assertTrue(any(self.is_caught(name, catch, plan) for plan in catch.family()))
 
-    def test_the_program_as_it_is_keeps_the_rules_in_them(self) -> None:
-        for family in dict.fromkeys(catch.family for catch in CATCHES.values()):
+    def test_unmodified_build_passes_the_same_runs(self) -> None:
+        for family in dict.fromkeys(catch.family for catch in DETECTING_RUNS.values()):
             for plan in family():
                 with self.subTest(family=family.__name__, events=plan.events[-2:]):
                     report = play(plan)
@@ -135,10 +137,10 @@
                     self.assertEqual(report.errors, [])
 
     def test_each_build_has_a_family(self) -> None:
-        self.assertEqual(set(BUILDS), set(CATCHES))
+        self.assertEqual(set(BUILDS), set(DETECTING_RUNS))
 
     @staticmethod
-    def is_caught(name: str, catch: Catch, plan: RunPlan) -> bool:
+    def is_caught(name: str, catch: DetectingRun, plan: RunPlan) -> bool:
         with broken(BUILDS[name]):
             return catch.checker in play(plan).checkers
 
--- a/tests/system/test_campaign_command.py
+++ b/tests/system/test_campaign_command.py
@@ -17,7 +17,7 @@
 
 
 class CampaignCommand(unittest.TestCase):
-    def test_runs_are_freed_though_the_program_starts_without_collection(self) -> None:
+    def test_finished_runs_are_freed_without_automatic_collection(self) -> None:
         gc.disable()
         self.addCleanup(gc.enable)
         with patch.dict(campaign.WAYS, {"system": collects}):
--- a/tests/system/test_fault_injection_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -418,15 +418,15 @@
     return {violation.rule for violation in check(seen, TERMS)}
 
 
-class CheckersFire(unittest.TestCase):
+class TestCheckers(unittest.TestCase):
     """The table of cases."""
 
-    def test_each_checker_fires(self) -> None:
+    def test_each_checker_reports_its_violation(self) -> None:
         for rule, name, broken, _ in CASES:
             with self.subTest(rule=rule.value, case=name):
                 self.assertIn(rule, broken_rules(broken))
 
-    def test_none_fires_on_the_nearest_sound_history(self) -> None:
+    def test_no_checker_reports_the_nearest_valid_history(self) -> None:
         for rule, name, _, sound in CASES:
             with self.subTest(rule=rule.value, case=name):
                 self.assertNotIn(rule, broken_rules(sound))
@@ -434,7 +434,7 @@
     def test_every_rule_has_a_case(self) -> None:
         self.assertEqual({rule for rule, *_ in CASES}, set(Rule))
 
-    def test_a_whole_sound_history_breaks_nothing(self) -> None:
+    def test_complete_valid_history_breaks_nothing(self) -> None:
         sound = history(
             send("a", order_key="k", wants_callback=True),
             send("b", 1.5, order_key="k"),
@@ -449,36 +449,36 @@
         self.assertEqual(check(sound, TERMS), [])
 
 
-class EndedTimes(unittest.TestCase):
+class TestEndedTimes(unittest.TestCase):
     """When messages have ended."""
 
-    def test_retention_ends_a_message_only_once_it_is_over(self) -> None:
+    def test_message_ends_when_its_retention_is_over(self) -> None:
         seen = history(A)
         self.assertEqual(ended_times(seen, TERMS), {"a": 90.0})
         self.assertEqual(broken_rules(seen), {Rule.LOST})
         seen.finished = 91.0
         self.assertEqual(broken_rules(seen), set())
 
-    def test_refused_for_good_is_an_end(self) -> None:
+    def test_rejection_ends_a_message(self) -> None:
         seen = history(A, answers=[Answer("a", 1.2, 422, "")])
         self.assertEqual(ended_times(seen, TERMS), {"a": 1.2})
 
 
-class Report(unittest.TestCase):
+class TestReport(unittest.TestCase):
     """What is printed of a broken rule."""
 
-    def test_the_history_of_a_message_is_in_the_order_of_time(self) -> None:
+    def test_message_history_is_ordered_by_time(self) -> None:
         seen = history(A, runs=[A_RUN, run("a", 7.6)], answers=[A_DONE])
         times = [float(line.split()[0]) for line in message_history(seen, "a")]
         self.assertEqual(times, [0.0, 0.1, 1.0, 1.2, 7.6])
 
-    def test_a_broken_rule_comes_with_its_message(self) -> None:
+    def test_violation_is_shown_with_its_message_history(self) -> None:
         seen = history(A, runs=[A_RUN, run("a", 7.6)], answers=[A_DONE])
         lines = violation_lines(seen, check(seen, TERMS))
         self.assertEqual(lines[0], "BROKEN TWICE: 1")
         self.assertIn("a: ran at 7.600 after its success at 1.200", lines[1])
 
-    def test_percentiles_are_values_that_were_seen(self) -> None:
+    def test_percentiles_are_observed_values(self) -> None:
         self.assertEqual(percentile([], 0.5), 0.0)
         self.assertEqual(percentile([3.0, 1.0, 2.0], 0.5), 2.0)
         self.assertEqual(percentile([float(value) for value in range(1, 101)], 0.99), 99.0)
--- a/tests/system/test_own_days.py
+++ b/tests/system/test_own_days.py
@@ -52,7 +52,7 @@
 
 
 class OwnDays(unittest.TestCase):
-    def test_each_day_bears_the_name_of_its_file_and_a_floor(self) -> None:
+    def test_each_scenario_has_its_file_name_and_a_minimum_score(self) -> None:
         for stem, day in days().items():
             with self.subTest(stem):
                 self.assertEqual(day["name"], stem)
--- a/tests/system/test_simulation_answers.py
+++ b/tests/system/test_simulation_answers.py
@@ -67,7 +67,7 @@
     def owned(self) -> str:
         return self.owner(SHARDS[0])
 
-    def test_an_owner_that_is_stopped_and_wakes(self) -> None:
+    def test_frozen_owner_resumes(self) -> None:
         def stop() -> None:
             name = self.owned()
             self.world.freeze(name)
@@ -79,7 +79,7 @@
                 self.play(seed, stop)
                 self.check()
 
-    def test_an_owner_that_is_cut_off_from_the_others(self) -> None:
+    def test_owner_partitioned_from_other_members(self) -> None:
         def cut() -> None:
             name = self.owned()
             others = [other for other in self.world.nodes if other != name and other.startswith("storage")]
@@ -106,13 +106,13 @@
             for other in others:
                 self.world.join(name, other)
 
-    def test_an_owner_that_is_cut_off_with_an_edge_node(self) -> None:
+    def test_owner_partitioned_together_with_an_edge_node(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.play(seed, self.cut_off_with_an_edge)
                 self.check()
 
-    def test_owners_that_are_killed_all_at_once(self) -> None:
+    def test_all_owners_killed_at_once(self) -> None:
         def kill() -> None:
             for name in [name for name in self.world.nodes if name.startswith("storage")]:
                 self.world.kill(name)
@@ -186,7 +186,7 @@
 class Jobs(PullCase):
     """MIXED and TWICE for workers that pull."""
 
-    def test_an_end_is_taken_again_by_each_node_and_each_owner(self) -> None:
+    def test_repeated_end_is_accepted_by_each_node_and_owner(self) -> None:
         for seed in SEEDS:
             for status in (200, 500, 503):
                 with self.subTest(seed=seed, status=status):
@@ -202,7 +202,7 @@
                         self.end(job, status)
                     self.assertEqual([answer.status for answer in job.ends], [200] * 5)
 
-    def test_two_leases_of_one_message_are_never_both_taken(self) -> None:
+    def test_at_most_one_lease_of_a_message_ends_with_success(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.begin(seed)
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -176,12 +176,12 @@
 real_snapshot = ConfigurationState.snapshot
 
 
-class Sound(unittest.TestCase):
+class UnmodifiedBuild(unittest.TestCase):
     """The runs find nothing in the system as it is."""
 
     longest_test_s = 20
 
-    def test_all_runs(self) -> None:
+    def test_no_run_breaks_a_rule(self) -> None:
         for run in (
             read_at_an_owner_that_does_not_know_it_was_replaced,
             resent_after_many_changes_and_restarts,
@@ -193,7 +193,7 @@
                     self.assertEqual(run(seed), [])
 
 
-class Broken(unittest.TestCase):
+class BrokenBuilds(unittest.TestCase):
     """Each build is caught by its run."""
 
     def assert_caught(self, run: Run) -> None:
@@ -214,6 +214,6 @@
         with patch.object(ConfigurationState, "snapshot", forgetful_snapshot):
             self.assert_caught(resent_after_many_changes_and_restarts)
 
-    def test_empty_disk_that_votes(self) -> None:
+    def test_vote_after_losing_the_disk(self) -> None:
         with patch.object(SimulatedNodeDisk, "load_identity", identity_of_the_machine):
             self.assert_caught(all_lose_power_and_one_its_disk)
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -85,7 +85,7 @@
 class ManyChanges(unittest.TestCase):
     longest_test_s = 25
 
-    def test_all_members_come_to_the_newest_version(self) -> None:
+    def test_all_members_reach_the_newest_version(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 system = SmallSystem(f"changes-{seed}", Plan(storages=4, logs=SMALL_LOGS))
@@ -120,7 +120,7 @@
     return document
 
 
-class Transfers(unittest.TestCase):
+class SnapshotTransfers(unittest.TestCase):
     """A state of some size, over narrow links, while it changes faster than it is sent once."""
 
     longest_test_s = 30
@@ -178,7 +178,7 @@
         }
         return set(members.voters) == present and not members.learners
 
-    def test_a_wiped_member_is_complete_in_time(self) -> None:
+    def test_wiped_member_catches_up_in_time(self) -> None:
         for name, logs in (("small logs", SMALL_LOGS), ("usual logs", LogSizes())):
             with self.subTest(name):
                 self.assertLess(self.complete_after(logs, seed=0), CATCH_UP_S)
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -300,7 +300,7 @@
 class TestChecks(unittest.TestCase):
     """Each checker on both of its histories."""
 
-    def test_broken_and_sound(self) -> None:
+    def test_each_checker_reports_broken_histories_only(self) -> None:
         for check, rule, what, broken, sound in CASES:
             with self.subTest(check=check.__name__, what=what):
                 rules = {violation.rule for violation in check(broken, TERMS)}  # type: ignore[attr-defined]
@@ -312,28 +312,28 @@
         new = {check for check in CHECKS if check.__module__.startswith("bitternpath.testing.simulation")}
         self.assertEqual(new, tried)
 
-    def test_found_names_its_checker(self) -> None:
+    def test_finding_names_its_checker(self) -> None:
         broken = history(orders=[FIRST, ADDING], reads=[read(1, 2.2)])
         self.assertIn("check_older_read", {item.checker for item in check_run(broken, TERMS)})
 
 
-class TestContact(unittest.TestCase):
+class TestConnectivity(unittest.TestCase):
     """In touch and stable, as RULES define them."""
 
     def contact(self, *disruptions: Disruption) -> Connectivity:
         return Connectivity(history(disruptions=list(disruptions)), TERMS)
 
-    def test_core_change_unsettles_for_contact_ms(self) -> None:
+    def test_core_is_unstable_for_contact_ms_after_a_change(self) -> None:
         contact = self.contact(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
         self.assertFalse(contact.stable(13.9, 13.95))
         self.assertTrue(contact.stable(14.1, 14.2))
 
-    def test_machine_in_trouble_is_out_of_touch(self) -> None:
+    def test_disrupted_machine_is_not_connected(self) -> None:
         contact = self.contact(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
         self.assertFalse(contact.connected(["edge-1"], 20.0, 20.1))
         self.assertTrue(contact.connected(["edge-2"], 20.0, 20.1))
 
-    def test_most_of_the_core_down(self) -> None:
+    def test_majority_of_the_core_down(self) -> None:
         contact = self.contact(
             disruption(DisruptionKind.DOWN, 1.0, inf, "edge-1"),
             disruption(DisruptionKind.DOWN, 1.0, inf, "edge-2"),
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -47,7 +47,7 @@
     return system.world.nodes[told[-1].node]
 
 
-class CutOff(unittest.TestCase):
+class PartitionedOwner(unittest.TestCase):
     longest_test_s = 30
 
     def play(self, kind: str, way: str, after_s: float) -> list[Answer]:
@@ -76,7 +76,7 @@
         world.run_for(3.0)
         return answers
 
-    def test_only_503_and_soon(self) -> None:
+    def test_prompt_503_only(self) -> None:
         for kind in ("owner", "member", "other"):
             for way in ("both", "out", "in"):
                 for after_s in (0.0, 0.4, 2.0):
@@ -85,7 +85,7 @@
                         self.assertEqual({answer.status for answer in answers}, {503})
                         self.assertLess(max(each.ended - each.began for each in answers), PATIENCE_S)
 
-    def test_a_build_that_asks_nobody_is_caught(self) -> None:
+    def test_build_without_quorum_confirmation_is_detected(self) -> None:
         def hasty(self: ReplicaHost, group: str) -> Deferred[None]:
             return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
@@ -94,8 +94,8 @@
         self.assertTrue(statuses & {200, 400, 404, 409, 412}, statuses)
 
 
-class Frozen(unittest.TestCase):
-    def test_what_waited_is_not_answered_from_before(self) -> None:
+class FrozenOwner(unittest.TestCase):
+    def test_requests_queued_while_frozen_get_no_stale_answer(self) -> None:
         """Calls come while the owner is frozen and others go on; it answers after it has gone on."""
         for seed in range(6):
             with self.subTest(seed=seed):
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -81,7 +81,7 @@
         self.check_well()
         self.assertTrue(all(node.lives == 2 for node in self.world.nodes.values()))
 
-    def test_power_loss_of_all_at_once(self) -> None:
+    def test_simultaneous_power_loss(self) -> None:
         self.send(1)
         self.world.run_for(0.05)
         self.assertEqual(self.accepted[0][1].status, 202)
@@ -121,7 +121,7 @@
         self.world.slow(name, 1.0)
         self.check_well()
 
-    def test_a_node_joins_and_another_is_replaced(self) -> None:
+    def test_add_and_replace(self) -> None:
         added = self.world.add_node("edge", counted=False)
         self.world.run_for(1.0)
         old = self.world.storages()[0].name
@@ -133,7 +133,7 @@
 
 
 class LinkFaults(FaultCase):
-    def test_cut_off_owner_of_the_configuration(self) -> None:
+    def test_partitioned_configuration_owner(self) -> None:
         name = self.owner("configuration")
         self.world.cut_off(name)
         self.world.run_for(3.0)
@@ -141,14 +141,14 @@
         self.world.rejoin(name)
         self.check_well()
 
-    def test_cut_in_one_direction(self) -> None:
+    def test_one_way_partition(self) -> None:
         name = self.owner("queue-2")
         self.world.cut_off(name, both=False)
         self.world.run_for(3.0)
         self.world.rejoin(name)
         self.check_well()
 
-    def test_cut_between_two(self) -> None:
+    def test_partition_between_two_nodes(self) -> None:
         first, second = [node.name for node in self.world.storages()][:2]
         self.world.cut(first, second)
         self.world.run_for(3.0)
@@ -163,7 +163,7 @@
             self.world.run_for(0.1)
         self.check_well()
 
-    def test_squeeze(self) -> None:
+    def test_limited_bandwidth(self) -> None:
         first, second = [node.name for node in self.world.storages()][:2]
         self.world.squeeze(first, second, 30_000.0)
         self.world.run_for(2.0)
@@ -183,7 +183,7 @@
         self.world.bound_disk(name, None)
         self.check_well()
 
-    def test_damaged_disk_is_set_aside(self) -> None:
+    def test_damaged_disk_is_quarantined(self) -> None:
         name = self.owner("queue-1")
         disk = self.world.disk(name)
         self.world.kill(name, down_s=None)
@@ -220,7 +220,7 @@
         self.assertEqual(faulty_run(1).digest(), digests[1])
         self.assertEqual(faulty_run(1).trace, faulty_run(1).trace)
 
-    def test_in_processes_whose_hashes_differ(self) -> None:
+    def test_in_processes_with_different_hash_seeds(self) -> None:
         code = "from tests.system.test_simulation_faults import faulty_run; print(faulty_run(3).digest())"
         seen = set()
         for hash_seed in ("1", "2"):
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -30,7 +30,7 @@
             world.at(back, world.rejoin, name)
 
 
-class Losses(unittest.TestCase):
+class LossesDuringBootstrap(unittest.TestCase):
     longest_test_s = 35
 
     def check_founded(self, system: SmallSystem) -> None:
@@ -50,7 +50,7 @@
         self.assertEqual(versions, {1})
         self.assertEqual((world.failures, world.violations), ([], []))
 
-    def test_the_first_seed_ends_at_any_moment(self) -> None:
+    def test_first_seed_fails_at_any_time(self) -> None:
         """Only it decides; it once did so only in its first life."""
         for moment in (0.4, 0.9, 1.3, 1.6, 1.9, 2.3):
             for fault in ("kill", "lose_power", "terminate"):
@@ -60,7 +60,7 @@
                     system.world.at(moment, getattr(system.world, fault), first)
                     self.check_founded(system)
 
-    def test_any_process_at_any_moment(self) -> None:
+    def test_any_process_fails_at_any_time(self) -> None:
         for seed in range(12):
             with self.subTest(seed=seed):
                 system = SmallSystem(f"founding-{seed}", Plan(keep_log=True))
@@ -74,7 +74,7 @@
 APPLY_S = 3.0  # `config_apply_ms` of the settings
 
 
-class SeedsOfTheSmallerSide(unittest.TestCase):
+class SeedsInTheMinority(unittest.TestCase):
     """A node starts again while it is cut off, with settings whose seeds are all on its side."""
 
     longest_test_s = 20
@@ -107,7 +107,7 @@
         self.assertEqual((versions, len(systems)), ({2}, 1))
         self.assertEqual((world.failures, world.violations), ([], []))
 
-    def test_they_found_no_second_system_and_come_back(self) -> None:
+    def test_no_second_system_and_nodes_rejoin(self) -> None:
         for seed in range(10):
             with self.subTest(seed=seed):
                 self.play(seed)
--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -16,7 +16,7 @@
 PORT = 8000
 
 
-class End(Protocol):
+class RecordingProtocol(Protocol):
     """Keeps what it hears."""
 
     transport: Any
@@ -37,13 +37,13 @@
         self.lost = reason.type.__name__
 
 
-class Dial(Factory):
+class ClientFactory(Factory):
     noisy = False
 
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: RecordingProtocol) -> None:
         self.end, self.failed = end, ""
 
-    def buildProtocol(self, addr: Any) -> End:
+    def buildProtocol(self, addr: Any) -> RecordingProtocol:
         return self.end
 
     def startedConnecting(self, connector: Any) -> None:
@@ -56,14 +56,14 @@
         """The protocol knows."""
 
 
-class Accept(Factory):
+class ServerFactory(Factory):
     noisy = False
 
     def __init__(self) -> None:
-        self.ends: list[End] = []
+        self.ends: list[RecordingProtocol] = []
 
-    def buildProtocol(self, addr: Any) -> End:
-        self.ends.append(End())
+    def buildProtocol(self, addr: Any) -> RecordingProtocol:
+        self.ends.append(RecordingProtocol())
         return self.ends[-1]
 
 
@@ -71,25 +71,27 @@
     def setUp(self) -> None:
         self.world = World(1)
         self.a, self.b = self.world.host(A), self.world.host(B)
-        self.accept = Accept()
+        self.accept = ServerFactory()
         self.port: Any = self.b.listenTCP(PORT, self.accept)
 
-    def dial(self, timeout: float = 1.0, port: int = PORT, run_s: float = 0.1) -> tuple[End, Dial]:
-        end = End()
-        factory = Dial(end)
+    def dial(
+        self, timeout: float = 1.0, port: int = PORT, run_s: float = 0.1
+    ) -> tuple[RecordingProtocol, ClientFactory]:
+        end = RecordingProtocol()
+        factory = ClientFactory(end)
         self.a.connectTCP(B, port, factory, timeout=timeout)
         self.world.run_for(run_s)
         return end, factory
 
-    def pair(self) -> tuple[End, End]:
+    def pair(self) -> tuple[RecordingProtocol, RecordingProtocol]:
         end, _ = self.dial()
         self.assertTrue(end.made)
         return end, self.accept.ends[-1]
 
-    def set_user_timeout(self, end: End, milliseconds: int) -> None:
+    def set_user_timeout(self, end: RecordingProtocol, milliseconds: int) -> None:
         end.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
 
-    def test_bytes_come_in_order_and_the_end_after_them(self) -> None:
+    def test_bytes_arrive_in_order_before_the_end(self) -> None:
         near, far = self.pair()
         for number in range(100):
             near.transport.write(b"%03d" % number)
@@ -103,20 +105,20 @@
         _, factory = self.dial(port=PORT + 1)
         self.assertEqual(factory.failed, "ConnectionRefusedError")
 
-    def test_a_port_is_taken_once(self) -> None:
+    def test_listening_twice_on_a_port_fails(self) -> None:
         with self.assertRaises(CannotListenError):
-            self.b.listenTCP(PORT, Accept())
+            self.b.listenTCP(PORT, ServerFactory())
         self.port.stopListening()
-        self.b.listenTCP(PORT, Accept())
+        self.b.listenTCP(PORT, ServerFactory())
 
-    def test_nobody_answers_at_an_address_without_host_or_behind_a_cut(self) -> None:
+    def test_connecting_to_an_unknown_or_partitioned_host_times_out(self) -> None:
         self.world.cut(A, B, both=False)
         _, factory = self.dial(timeout=0.5, run_s=0.4)
         self.assertEqual(factory.failed, "")
         self.world.run_for(0.2)
         self.assertEqual(factory.failed, "TimeoutError")
 
-    def test_a_lost_opening_packet_is_sent_again_after_a_second(self) -> None:
+    def test_lost_syn_is_retransmitted_after_a_second(self) -> None:
         self.world.cut(B, A, both=False)
         self.world.at(0.5, self.world.join, A, B)
         end, _ = self.dial(timeout=3.0, run_s=0.9)
@@ -124,7 +126,7 @@
         self.world.run_for(0.2)
         self.assertTrue(end.made)
 
-    def test_reset_loses_what_is_under_way(self) -> None:
+    def test_reset_loses_bytes_in_flight(self) -> None:
         near, far = self.pair()
         near.transport.write(b"lost")
         self.world.reset(A, B)
@@ -138,7 +140,7 @@
         self.world.run_for(0.1)
         self.assertEqual((near.lost, far.lost), ("ConnectionAborted", "ConnectionLost"))
 
-    def test_bytes_wait_behind_a_cut_and_come_in_order_after_it(self) -> None:
+    def test_bytes_held_by_a_partition_arrive_in_order_after_it(self) -> None:
         near, far = self.pair()
         self.world.cut(A, B)
         near.transport.write(b"first ")
@@ -149,7 +151,7 @@
         self.world.run_for(1.0)
         self.assertEqual(far.data, b"first second")
 
-    def test_a_cut_in_one_direction_holds_only_that_one(self) -> None:
+    def test_one_way_partition_holds_one_direction(self) -> None:
         near, far = self.pair()
         self.world.cut(A, B, both=False)
         near.transport.write(b"held")
@@ -181,7 +183,7 @@
         self.world.run_for(2.5)
         self.assertEqual((far.data, near.lost, far.lost), (b"heard", "TimeoutError", ""))
 
-    def test_a_short_cut_is_no_matter_for_the_user_timeout(self) -> None:
+    def test_short_partition_does_not_trigger_the_user_timeout(self) -> None:
         near, far = self.pair()
         self.set_user_timeout(near, 2_000)
         self.world.cut(A, B)
@@ -191,7 +193,7 @@
         self.world.run_for(5.0)
         self.assertEqual((far.data, near.lost), (b"held", ""))
 
-    def test_a_reset_behind_a_cut_is_lost_and_so_are_the_bytes_before_it(self) -> None:
+    def test_reset_during_a_partition_is_lost_with_the_bytes_before_it(self) -> None:
         near, far = self.pair()
         self.world.cut(A, B)
         near.transport.write(b"held")
@@ -202,7 +204,7 @@
         self.world.run_for(5.0)
         self.assertEqual((near.lost, far.data, far.lost), ("ConnectionAborted", b"", ""))
 
-    def test_frozen_process_hears_all_at_once_when_it_goes_on(self) -> None:
+    def test_frozen_process_receives_everything_when_thawed(self) -> None:
         near, far = self.pair()
         heard: list[str] = []
         far.dataReceived = lambda data: heard.append(f"data {len(data)}")  # type: ignore[method-assign]
@@ -219,7 +221,7 @@
         self.assertEqual(heard, ["timer", "data 15"])
         self.assertEqual(len(self.accept.ends), accepted + 1)
 
-    def test_a_peer_that_does_not_read_holds_the_writer_up(self) -> None:
+    def test_backpressure_of_a_peer_that_does_not_read(self) -> None:
         near, far = self.pair()
         told: list[str] = []
 
@@ -243,7 +245,7 @@
         self.world.run_for(1.0)
         self.assertEqual((told[-1], len(far.data)), ("resume", 1000 << 10))
 
-    def test_squeezed_link_takes_time(self) -> None:
+    def test_limited_bandwidth_delays_bytes(self) -> None:
         near, far = self.pair()
         self.world.squeeze(A, B, 100_000.0)
         for _ in range(10):
@@ -253,7 +255,7 @@
         self.world.run_for(0.6)
         self.assertEqual(len(far.data), 100_000)
 
-    def test_peek_sees_what_waits_and_the_end(self) -> None:
+    def test_peek_shows_unread_bytes_and_the_end(self) -> None:
         near, far = self.pair()
         handle = near.transport.getHandle()
         with self.assertRaises(BlockingIOError):
@@ -279,7 +281,7 @@
 
 
 class Datagrams(unittest.TestCase):
-    def test_datagrams_come_or_are_lost(self) -> None:
+    def test_datagrams_arrive_or_are_lost(self) -> None:
         world = World(2)
         got: list[bytes] = []
 
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -32,7 +32,7 @@
     return spans
 
 
-class Drawing(unittest.TestCase):
+class RandomPlans(unittest.TestCase):
     """What a seed draws."""
 
     def test_same_seed_same_plan(self) -> None:
@@ -40,7 +40,7 @@
             self.assertEqual(draw(7, scenario), draw(7, scenario))
             self.assertNotEqual(draw(7, scenario).events, draw(8, scenario).events)
 
-    def test_no_more_are_lost_than_is_tolerated(self) -> None:
+    def test_losses_stay_within_the_tolerated_number(self) -> None:
         for scenario in SCENARIOS.values():
             for seed in SEEDS:
                 plan = draw(seed, scenario)
@@ -49,7 +49,7 @@
                     lost = {name for at, until, name in spans if at <= begin < until - 0.001}
                     self.assertLessEqual(len(lost), plan.layout.tolerated, (scenario.name, seed))
 
-    def test_nothing_else_is_lost_while_all_are(self) -> None:
+    def test_no_other_loss_during_a_mass_fault(self) -> None:
         for scenario in SCENARIOS.values():
             for seed in SEEDS:
                 plan = draw(seed, scenario)
@@ -75,10 +75,10 @@
         self.assertEqual(len({event.number for event in events}), len(events))
 
 
-class Files(unittest.TestCase):
+class SavedPlans(unittest.TestCase):
     """Plans as files."""
 
-    def test_written_and_read(self) -> None:
+    def test_round_trip(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for scenario in SCENARIOS.values():
                 plan, path = draw(5, scenario), Path(folder) / "plan.json"
@@ -96,7 +96,7 @@
         broken = Finding("check", Violation(Rule.LOST, "", "both are there"))
         return RunReport(plan, [broken] if {11, 73} <= numbers else [])
 
-    def test_two_events_are_left(self) -> None:
+    def test_only_relevant_events_remain(self) -> None:
         self.runs = 0
         plan = draw(1, SCENARIOS["mixed"])
         self.assertGreater(len(plan.events), 80)
@@ -106,7 +106,7 @@
         self.assertEqual(shrunk.report.checkers, ["check"])
         self.assertLess(self.runs, 100)
 
-    def test_runs_are_bounded(self) -> None:
+    def test_number_of_runs_is_limited(self) -> None:
         self.runs = 0
         shrink(draw(1, SCENARIOS["mixed"]), "check", max_runs=9, played=self.played)
         self.assertLessEqual(self.runs, 10)
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -93,7 +93,7 @@
 class RepairTimeTest(RepairCase):
     """From a machine's return until every group is whole again."""
 
-    def test_disks_lost_one_after_the_other(self) -> None:
+    def test_successive_disk_losses(self) -> None:
         """Core and storage in turn, owners too; each as soon as the one before counts as back."""
         self.make(21)
         for name in ("owner", "e3", "s1", "owner", "s3", "e1", "s2"):
@@ -109,7 +109,7 @@
         nodes = self.world.edges() if short[0] == "e" else self.world.storages()
         return nodes[int(short[1:]) - 1].name
 
-    def test_machines_replaced_one_after_the_other(self) -> None:
+    def test_successive_replacements(self) -> None:
         self.make(22)
         for name in ("e1", "s1", "e1", "s1", "e1", "s1"):
             self.send()
@@ -146,7 +146,7 @@
         self.world.run_for(0.1)
         return answer.status == 200 and answer.json() == {"state": "done"}
 
-    def test_in_the_second_after_a_take_over(self) -> None:
+    def test_retirement_right_after_a_leader_change(self) -> None:
         """The new owner's followers are none at first (found by simactors, seeds 12, 68, 84 and others)."""
         for delay in (0.6, 0.8, 1.0, 1.2, 1.5):
             self.make(23, storages=5)
@@ -157,7 +157,7 @@
             self.assertEqual(self.call(self.retire, name).status, 200)
             self.seconds_until(lambda: self.done(name), 6.0)  # noqa: B023
 
-    def test_it_outlives_its_owner_and_stays_done(self) -> None:
+    def test_retirement_survives_its_owner_and_stays_done(self) -> None:
         """It said `running` again after `done` (found by simactors, seed 228)."""
         self.make(24, storages=5)
         name = self.world.storages()[0].name
@@ -176,7 +176,7 @@
         self.send()
         self.check_well()
 
-    def test_the_emptied_machine_gives_its_room_back(self) -> None:
+    def test_retired_machine_frees_its_disk_space(self) -> None:
         self.make(25, storages=4)
         name = self.world.storages()[1].name
         self.send()
@@ -188,7 +188,7 @@
         self.seconds_until(lambda: not host.groups, 3.0)
         self.check_well()
 
-    def test_a_replaced_machine_that_wakes_later_does_no_harm(self) -> None:
+    def test_replaced_machine_that_returns_is_harmless(self) -> None:
         """It was frozen while another took its place; it gives up what it keeps, and comes in again."""
         self.make(26, storages=4)
         name = self.owner("queue-0")
--- a/tests/system/test_simulation_runs.py
+++ b/tests/system/test_simulation_runs.py
@@ -32,7 +32,7 @@
         """
         replay(self, "members_that_joined_restart")
 
-    def test_every_file_is_played(self) -> None:
+    def test_every_saved_run_has_a_test(self) -> None:
         names = {path.stem for path in RUNS.glob("*.json")}
         tested = {name.removeprefix("test_") for name in dir(self) if name.startswith("test_")}
         self.assertEqual(names - tested, set())
--- a/tests/system/test_simulation_world.py
+++ b/tests/system/test_simulation_world.py
@@ -9,7 +9,7 @@
 
 
 class WholeService(unittest.TestCase):
-    def test_founded_configured_message_delivered(self) -> None:
+    def test_bootstrap_configuration_and_delivery(self) -> None:
         system = SmallSystem(1)
         system.found()
         system.world.run_for(2.0)
@@ -24,7 +24,7 @@
         self.assertEqual(system.world.failures, [])
         self.assertEqual(system.world.violations, [])
 
-    def test_without_actors_nodes_found_the_system_for_many_seeds(self) -> None:
+    def test_bootstrap_without_actors_for_many_seeds(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 system = SmallSystem(seed, Plan(core_edges=3, other_edges=0))
