--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -29,7 +29,7 @@
 
 from bitternpath.net.reactor import TcpReactor
 from bitternpath.net.writing import write_now
-from bitternpath.transport.errors import CodecError, LinkLost
+from bitternpath.transport.errors import CodecError, LinkLostError
 from bitternpath.transport.frames import FrameBuffer, frame
 from bitternpath.transport.link_liveness import LinkLiveness, LivenessAction
 from bitternpath.transport.messages import RECORDS, RESPONSE_RECORDS
@@ -49,6 +49,11 @@
     CLOSED = "closed"
 
 
+# Each record asks for these: a module's name is found faster than an enum's member.
+_OPEN = LinkState.OPEN
+_CLOSED = LinkState.CLOSED
+
+
 class LinkHandler(Protocol):
     """Receives what comes over links. All methods are called in the reactor's thread."""
 
@@ -109,7 +114,7 @@
     @property
     def open(self) -> bool:
         """Whether the peer has greeted and the connection stands."""
-        return self._state is LinkState.OPEN
+        return self._state is _OPEN
 
     @property
     def heard_at(self) -> float:
@@ -139,7 +144,7 @@
 
     def send(self, record: Any) -> None:
         """Queue a record; what one turn of the reactor sends goes out in one write."""
-        if self._state is LinkState.CLOSED:
+        if self._state is _CLOSED:
             return
         if not self._outgoing:
             self._hub.schedule_flush(self)
@@ -148,11 +153,11 @@
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
         """Send the record `make(number)`; fires with the response that has that number.
 
-        The Deferred fails with `LinkLost` where the link closes before that, or is closed already.
+        The Deferred fails with `LinkLostError` where the link closes before that, or is closed already.
         """
         response: Deferred[Any] = Deferred()
-        if self._state is LinkState.CLOSED:
-            response.errback(LinkLost())
+        if self._state is _CLOSED:
+            response.errback(LinkLostError())
             return response
         self._last_number += 1
         self._requests[self._last_number] = response
@@ -172,7 +177,7 @@
 
     def flush(self) -> None:
         """Write what was queued."""
-        if self._outgoing and self.transport is not None and self._state is not LinkState.CLOSED:
+        if self._outgoing and self.transport is not None and self._state is not _CLOSED:
             data = b"".join(self._outgoing)
             self._outgoing = []
             self._liveness.sent_at = self._hub.reactor.seconds()
@@ -197,26 +202,26 @@
             for payload in self._frames.feed(data):
                 self._handle(RECORDS.decode(payload))
         except CodecError as error:
-            log.warning("event=bad_frame peer={} error={}", self.peer_name, error)
+            log.warning("event=frame_decode_failed peer={} error={}", self.peer_name, error)
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Fail all requests without a response."""
-        was_open = self._state is LinkState.OPEN
-        self._state = LinkState.CLOSED
+        was_open = self._state is _OPEN
+        self._state = _CLOSED
         self._hub.links.pop(self, None)
         requests = self._requests
         self._requests = {}
         if was_open:
             self._hub.handler.link_closed(self)
         for response in requests.values():
-            response.errback(LinkLost())
+            response.errback(LinkLostError())
         self._hub.link_ended(self)
 
     # ---- receiving
 
     def _handle(self, record: Any) -> None:
-        if self._state is LinkState.CLOSED:
+        if self._state is _CLOSED:
             return
         match record:
             case Ping(number):
@@ -230,12 +235,12 @@
                 response = self._requests.pop(record.number, None) if is_response else None
                 if response is not None:
                     response.callback(record)
-                elif self._state is LinkState.OPEN:
+                elif self._state is _OPEN:
                     self._hub.handler.received(self, record)
 
     def _greeted(self, node: NodeDescriptor) -> None:
         self.peer = node
-        self._state = LinkState.OPEN
+        self._state = _OPEN
         self._hub.handler.link_opened(self)
 
     def check(self, now: float) -> None:
@@ -247,7 +252,7 @@
             self.send(Ping(0))
         elif action is LivenessAction.ABORT:
             silent = self._liveness.silent_for(now)
-            log.info("event=link_silent peer={} seconds={:.2f}", self.peer_name, silent)
+            log.info("event=link_idle_timeout peer={} seconds={:.2f}", self.peer_name, silent)
             self.abort()
 
 
