--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -31,7 +31,8 @@
 
 class ConfigurationVoters:
     """Computes the desired members from the live nodes; `MembershipReconciler` takes the steps that lead
-    there."""
+    there.
+    """
 
     def __init__(
         self,
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -38,7 +38,8 @@
 
     def fail(self, _: Failure | None = None) -> None:
         """Fail with `LinkLostError`: no response will come, or the node that was asked is no longer the
-        owner."""
+        owner.
+        """
         if self._end():
             self.response.errback(LinkLostError())
 
