--- a/bitternpath/roles/logs.py
+++ b/bitternpath/roles/logs.py
@@ -1,7 +1,7 @@
 """Log lines of the system's processes, on standard error.
 
 One line an event: `t=SECONDS level=LEVEL part=CHANNEL event=NAME key=value ...`. The events are listed in
-docs/operate/system.md.
+docs/operate/events.md.
 """
 
 from __future__ import annotations
--- a/tests/system/test_documents.py
+++ b/tests/system/test_documents.py
@@ -23,7 +23,7 @@
 REFUSALS = "Refusals between nodes"
 EXIT_CODES = "Exit codes"
 SETTINGS = "Settings"
-EVENTS = "Logs"
+EVENTS = "Log events"
 PACKAGE = DOCS.parent / "bitternpath"
 LOGGING_PACKAGES = (
     "configuration",
@@ -135,7 +135,8 @@
         for package in LOGGING_PACKAGES:
             for module in (PACKAGE / package).glob("*.py"):
                 logged |= set(re.findall(r"\"event=([a-z_]+)", module.read_text("utf-8")))
-        told = {name for row in rows(self.page, EVENTS) for name in re.findall(r"`([a-z_]+)`", row[0])}
+        page = (DOCS / "operate" / "events.md").read_text("utf-8")
+        told = {name for row in rows(page, EVENTS) for name in re.findall(r"`([a-z_]+)`", row[0])}
         self.assertEqual(told, logged)
 
     def test_levels_of_the_log(self) -> None:
