--- a/tests/test_providers.py
+++ b/tests/test_http_upstream_client.py
@@ -12,14 +12,14 @@
 from twisted.python.failure import Failure
 
 from bitternpath.balancer import messages as m
-from bitternpath.balancer.core.figures import Figures
-from bitternpath.balancer.core.invocations import Invocation, InvokerCall
-from bitternpath.balancer.core.roster import Listing, Provider, Roster
-from bitternpath.balancer.http.invoker import SECOND_ANSWER, Connection, Pool
+from bitternpath.balancer.core.endpoint_registry import Endpoint, EndpointRegistry, Listing
+from bitternpath.balancer.core.requests import AcceptedRequest, UpstreamCall
+from bitternpath.balancer.core.statistics import Statistics
+from bitternpath.balancer.http.upstream_client import SECOND_ANSWER, Connection, HttpUpstreamClient
 from bitternpath.net.http1 import Request
 from bitternpath.net.sockets import Sockets
 
-ROW = Provider("s0", "127.0.0.1:1", "z", "k", 0, m.State.SERVING, 1.0, 5.0)
+ROW = Endpoint("s0", "127.0.0.1:1", "z", "k", 0, m.State.SERVING, 1.0, 5.0)
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 REJECTED = b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -54,11 +54,11 @@
     def __init__(self) -> None:
         self.ends: list[m.How | str] = []
         self.now = 1e6
-        self.roster = Roster(Listing(1, True, (ROW,)))
-        self.figures = Figures()
+        self.registry = EndpointRegistry(Listing(1, True, (ROW,)))
+        self.statistics = Statistics()
         clock: Any = lambda: self.now  # noqa: E731
         self.reactor = Reactor()
-        self.pool = Pool(self.reactor, clock, self.roster, Sockets(64), 250.0, 10_000.0)
+        self.pool = HttpUpstreamClient(self.reactor, clock, self.registry, Sockets(64), 250.0, 10_000.0)
         self.pool.broker = self  # type: ignore[assignment]
         self.pool._dial = self.dial  # type: ignore[method-assign]
         self.pool.listed(Listing(1, True, (ROW,)))
@@ -67,27 +67,27 @@
         line.dials += 1
         return True
 
-    def ended(self, call: InvokerCall, how: m.How) -> None:
+    def ended(self, call: UpstreamCall, how: m.How) -> None:
         self.ends.append(how)
 
-    def wanted(self, call: InvokerCall) -> bool:
+    def wanted(self, call: UpstreamCall) -> bool:
         return not call.over
 
-    def unusable(self, call: InvokerCall) -> None:
+    def unusable(self, call: UpstreamCall) -> None:
         self.ends.append("unusable")
 
-    def call(self) -> InvokerCall:
+    def call(self) -> UpstreamCall:
         payload = Request({}, b"body", True, b"POST", b"/job")
-        call = InvokerCall(Invocation("a", "job", 2e6, self, payload), 0, "s0", 1e6, 2e6)  # type: ignore[arg-type]
+        call = UpstreamCall(AcceptedRequest("a", "job", 2e6, self, payload), 0, "s0", 1e6, 2e6)  # type: ignore[arg-type]
         self.pool.start(call, ROW)
         return call
 
     def rest(self) -> None:
-        """The time in which a spoilt provider may answer a second time goes by."""
+        """The time in which a spoilt endpoint may answer a second time goes by."""
         self.reactor.advance(SECOND_ANSWER)
 
     def connect(self) -> tuple[Connection, Wire]:
-        connection, wire = Connection(self.pool, self.pool.lines[ROW.host_port]), Wire()
+        connection, wire = Connection(self.pool, self.pool.pools[ROW.host_port]), Wire()
         connection.makeConnection(wire)
         self.pool._dialled(connection)
         return connection, wire
@@ -129,14 +129,14 @@
     connection.dataReceived(answer)
     connection.connectionLost()
     assert bench.ends == want
-    assert not bench.pool.lines[ROW.host_port].busy
+    assert not bench.pool.pools[ROW.host_port].busy
 
 
-def test_a_call_whose_provider_drains_while_it_dials_is_not_sent() -> None:
+def test_a_call_whose_endpoint_drains_while_it_dials_is_not_sent() -> None:
     # Guards: the drain was told between the module's choice and the first byte.
     bench = Bench()
     bench.call()
-    bench.roster.take(Listing(2, False, (replace(ROW, state=m.State.DRAINING),)))
+    bench.registry.apply(Listing(2, False, (replace(ROW, state=m.State.DRAINING),)))
     _, wire = bench.connect()
     assert bench.ends == [m.How.NO_CONNECTION] and wire.value() == b""
 
@@ -158,7 +158,7 @@
     bench.reactor.advance(SECOND_ANSWER / 2)
     wire.clear()
     bench.call()
-    assert wire.value() == b"" and bench.pool.lines[ROW.host_port].dials == 1
+    assert wire.value() == b"" and bench.pool.pools[ROW.host_port].dials == 1
     connection.dataReceived(second)
     assert bench.ends == [] and wire.disconnecting
     _, other = bench.connect()
@@ -174,7 +174,7 @@
     wire.come = come
     wire.clear()
     bench.call()
-    assert wire.value() == b"" and bench.pool.lines[ROW.host_port].dials == 1
+    assert wire.value() == b"" and bench.pool.pools[ROW.host_port].dials == 1
 
 
 @pytest.mark.parametrize("rested", [True, False])
@@ -184,7 +184,7 @@
     connection, wire = bench.carried()
     if rested:
         bench.rest()
-    line = bench.pool.lines[ROW.host_port]
+    line = bench.pool.pools[ROW.host_port]
     assert line.idle == [connection] * rested
     bench.pool.listed(Listing(2, False, (replace(ROW, up_since=9.0),)))
     assert wire.disconnecting and not line.idle
@@ -201,14 +201,14 @@
     wire.clear()
     connection.dataReceived(ACCEPTED)
     bench.rest()
-    assert wire.value().startswith(b"POST /job HTTP/1.1\r\n") and not bench.pool.lines[ROW.host_port].waiting
+    assert wire.value().startswith(b"POST /job HTTP/1.1\r\n") and not bench.pool.pools[ROW.host_port].waiting
 
 
 @pytest.mark.parametrize(("idle", "kept"), [(400.0, True), (600.0, False)])
-def test_providers_that_close_early_have_their_connections_used_again_only_while_fresh(
+def test_endpoints_that_close_early_have_their_connections_used_again_only_while_fresh(
     idle: float, kept: bool
 ) -> None:
-    # Guards: connections idle for longer than providers really allow were used again, and the calls reset.
+    # Guards: connections idle for longer than endpoints really allow were used again, and the calls reset.
     bench = Bench()
     pair = []
     for _ in range(2):
@@ -218,12 +218,12 @@
         wire.written()
         connection.dataReceived(ACCEPTED)
     bench.rest()
-    line = bench.pool.lines[ROW.host_port]
+    line = bench.pool.pools[ROW.host_port]
     assert len(line.idle) == 2
     bench.now += 1000.0
     pair[0][
         0
-    ].connectionLost()  # in good order: the provider holds idle ones for 1 s, not for the 10 s it says
+    ].connectionLost()  # in good order: the endpoint holds idle ones for 1 s, not for the 10 s it says
     bench.now += idle - 1000.0
     wire = pair[1][1]
     wire.clear()
@@ -239,7 +239,7 @@
     def round(reset: bool) -> None:
         nonlocal line
         bench.call()
-        line = pool.lines[ROW.host_port]
+        line = pool.pools[ROW.host_port]
         connection = line.idle[-1] if line.idle else None
         if line.waiting:
             connection, wire = bench.connect()
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to providers that rest: what crosses there costs no call but its own."""
+"""Connections to endpoints that rest: what crosses there costs no call but its own."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @contextmanager
 def scripted(path: Path) -> Iterator[tuple[Rig, Peer]]:
-    """A node whose one provider does, byte by byte, as the test says."""
+    """A node whose one endpoint does, byte by byte, as the test says."""
     with running(path, done, allowed=RESTS_LONG) as rig, Peer() as peer:
-        rig.providers[0].server = peer  # type: ignore[assignment]
-        rig.change(rig.providers[0], "up")
+        rig.endpoints[0].server = peer  # type: ignore[assignment]
+        rig.change(rig.endpoints[0], "up")
         yield rig, peer
 
 
 def asks(rig: Rig, id: str) -> socket.socket:
-    """A consumer whose job must not run twice."""
+    """A client whose job must not run twice."""
     sock = rig.socket()
     text = f"POST /reminder HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Budget-Ms: 60000\r\nContent-Length: 0\r\n\r\n"
     sock.sendall(text.encode())
@@ -35,7 +35,7 @@
     at, got = peer.asked()
     assert b"X-Call-Id: %b\r\n" % id.encode() in got
     answer(at, 202)
-    rig.providers[0].tell(id, "done", result=f"made of {id}")
+    rig.endpoints[0].tell(id, "done", result=f"made of {id}")
     with sock:
         assert message(sock).endswith(b"made of " + id.encode())
     return at
@@ -56,7 +56,7 @@
         sock = asks(rig, "a")
         at, _ = peer.asked()
         at.sendall(b"HTTP/1.1 202 x\r\nContent-Length: 9\r\n\r\nhalf")
-        rig.providers[0].tell("a", "done", result="made")
+        rig.endpoints[0].tell("a", "done", result="made")
         with sock:
             assert message(sock).endswith(b"made")
         assert ended(at)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -15,8 +15,8 @@
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.core.broker import Broker
-from bitternpath.balancer.core.roster import Listing, Roster
-from bitternpath.balancer.http.watch import Watch
+from bitternpath.balancer.core.endpoint_registry import EndpointRegistry, Listing
+from bitternpath.balancer.http.discovery_subscription import Watch
 
 NODES, WORKERS = 40, 60
 
@@ -138,15 +138,15 @@
 def test_a_watch_that_is_refused_is_opened_again_when_the_module_says_so() -> None:
     """The watch opened itself again within a second, whatever the module knew of an overbooked service."""
     reactor: Any = MemoryReactorClock()
-    roster = Roster(Listing(7, True, ()))
+    registry = EndpointRegistry(Listing(7, True, ()))
     handed = list[m.Event]()
 
     def handle(now: float, event: m.Event) -> list[m.Action]:
         handed.append(event)
         return [m.Watch()] if isinstance(event, m.Alarm) else [m.Wake("watch", 5000.0)]
 
-    broker = Broker(reactor, reactor.seconds, roster, {}, handle)
-    watch = Watch(reactor, roster, ("10.0.0.1", 1), Random(1), broker.asked_in_vain)
+    broker = Broker(reactor, reactor.seconds, registry, {}, handle)
+    watch = Watch(reactor, registry, ("10.0.0.1", 1), Random(1), broker.asked_in_vain)
     broker.ask = watch.start
     watch.start()
     for turn in range(1, 4):
--- a/tests/test_out_by_hand.py
+++ b/tests/test_manual_ejections.py
@@ -1,4 +1,4 @@
-"""Workers taken out by hand: on disk, in the roster, and at a real node."""
+"""Workers taken out by hand: on disk, in the registry, and at a real node."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from twisted.internet.task import Clock as Reactor
 
 from bitternpath.balancer import messages as m
-from bitternpath.balancer.core.roster import Listing, Provider, Roster
-from bitternpath.balancer.store.bans import LOOK_EVERY, Bans
-from bitternpath.balancer.store.taken_out import TakenOut
+from bitternpath.balancer.core.endpoint_registry import Endpoint, EndpointRegistry, Listing
+from bitternpath.balancer.store.ejection_files import EjectionFiles
+from bitternpath.balancer.store.manual_ejections import LOOK_EVERY, ManualEjections
 
 DOWN, UP = "/ops/calendar-workers/down", "/ops/calendar-workers/up"
 UNIX = 1_800_000_000_000.0  # ms
 
 
-def row(id: str, state: m.State = m.State.SERVING, up_since: float = 0.0, port: int = 1) -> Provider:
-    return Provider(id, f"h:{port}", "z", "k", 0, state, 1.0, up_since)
+def row(id: str, state: m.State = m.State.SERVING, up_since: float = 0.0, port: int = 1) -> Endpoint:
+    return Endpoint(id, f"h:{port}", "z", "k", 0, state, 1.0, up_since)
 
 
 class Desk:
@@ -29,12 +29,15 @@
 
     def __init__(self, folder: Path) -> None:
         self.reactor = Reactor()
-        self.rosters = [Roster(Listing(1, True, (row("a"), row("b")))) for _ in range(2)]
-        self.bans = [Bans(self.reactor, self.now, roster, TakenOut(folder)) for roster in self.rosters]
+        self.registries = [EndpointRegistry(Listing(1, True, (row("a"), row("b")))) for _ in range(2)]
+        self.ejections = [
+            ManualEjections(self.reactor, self.now, registry, EjectionFiles(folder))
+            for registry in self.registries
+        ]
         self.heard: list[Listing] = []
-        self.rosters[0].tell = self.heard.append
-        for bans in self.bans:
-            bans.run()
+        self.registries[0].on_change = self.heard.append
+        for ejections in self.ejections:
+            ejections.run()
 
     def now(self) -> float:
         return time.time() * 1000.0
@@ -42,7 +45,7 @@
 
 @pytest.mark.parametrize("id", ["a", "../../etc/passwd", ".", "..", "a/b", "a%2Fb", "~%", "x.out", "w" * 251])
 def test_any_id_is_stored_under_a_name_of_its_own(tmp_path: Path, id: str) -> None:
-    store = TakenOut(tmp_path / "out")
+    store = EjectionFiles(tmp_path / "out")
     with pytest.raises(FileNotFoundError):
         store.read()
     for _ in range(2):
@@ -55,7 +58,7 @@
 
 
 def test_an_id_too_long_to_store_and_rubbish_in_the_folder_are_no_bans(tmp_path: Path) -> None:
-    store = TakenOut(tmp_path)
+    store = EjectionFiles(tmp_path)
     with pytest.raises(OSError, match="cannot be stored"):
         store.add("w" * 252)
     for name in ("x", "x.tmp", "%zz.out", "a%2fb.out", ".out.out"):
@@ -77,26 +80,26 @@
 )
 def test_a_ban_holds_whatever_the_list_says(tmp_path: Path, said: list[Listing]) -> None:
     desk = Desk(tmp_path / "out")
-    roster = desk.rosters[0]
-    assert desk.bans[0].down("a") and desk.heard[-1].members[0].state is m.State.DRAINING
+    registry = desk.registries[0]
+    assert desk.ejections[0].eject("a") and desk.heard[-1].members[0].state is m.State.DRAINING
     for listing in said:
-        roster.take(listing)
-        assert roster.serving("a") is None and roster.knows("a")
+        registry.apply(listing)
+        assert registry.serving("a") is None and registry.knows("a")
         assert all(p.state is not m.State.SERVING for p in desk.heard[-1].members if p.id == "a")
-    assert roster.serving("b") and roster.listed().members[0].state is m.State.SERVING
-    assert desk.bans[0].up("a") and roster.serving("a") is not None
+    assert registry.serving("b") and registry.discovered().members[0].state is m.State.SERVING
+    assert desk.ejections[0].reinstate("a") and registry.serving("a") is not None
     assert desk.heard[-1].members[0].id == "a"
 
 
 def test_what_one_process_is_told_the_other_one_keeps(tmp_path: Path) -> None:
     desk = Desk(tmp_path / "out")
-    assert desk.bans[0].down("a") and desk.bans[0].down("a")
+    assert desk.ejections[0].eject("a") and desk.ejections[0].eject("a")
     desk.reactor.advance(LOOK_EVERY)
-    assert desk.rosters[1].serving("a") is None
-    assert desk.bans[1].up("a") and desk.bans[1].up("a")
+    assert desk.registries[1].serving("a") is None
+    assert desk.ejections[1].reinstate("a") and desk.ejections[1].reinstate("a")
     desk.reactor.advance(LOOK_EVERY)
-    assert desk.rosters[0].serving("a") and desk.rosters[1].serving("a")
-    assert not desk.bans[0].down("nobody") and not desk.bans[0].up("nobody")
+    assert desk.registries[0].serving("a") and desk.registries[1].serving("a")
+    assert not desk.ejections[0].eject("nobody") and not desk.ejections[0].reinstate("nobody")
 
 
 def test_a_ban_that_cannot_be_stored_changes_nothing_and_a_lost_folder_calls_nobody_back(
@@ -105,53 +108,55 @@
     (tmp_path / "file").write_text("in the way")
     desk = Desk(tmp_path / "file")
     with pytest.raises(OSError):
-        desk.bans[0].down("a")
-    assert desk.rosters[0].serving("a") and not desk.heard
+        desk.ejections[0].eject("a")
+    assert desk.registries[0].serving("a") and not desk.heard
     desk = Desk(tmp_path / "out")
-    desk.bans[0].down("a")
+    desk.ejections[0].eject("a")
     (tmp_path / "out").rename(tmp_path / "away")
     desk.reactor.advance(4 * LOOK_EVERY)
-    assert desk.rosters[0].serving("a") is None
+    assert desk.registries[0].serving("a") is None
 
 
 def test_one_called_back_is_cold_from_then_on_until_the_list_tells_of_its_start(tmp_path: Path) -> None:
     # Guards: staff start a worker anew while it is out, and the list says so seconds after the call back.
-    roster = Desk(tmp_path / "out").rosters[0]
-    roster.take_out("a", UNIX)
-    roster.call_back("a", UNIX + 5000.0)
-    found: Any = roster.serving("a")
-    assert found.up_since == UNIX + 5000.0 == roster.listed().members[0].up_since  # a newer process knows it
-    roster.take(Listing(2, False, (row("a", up_since=UNIX + 3000.0),)))
-    found = roster.serving("a")
+    registry = Desk(tmp_path / "out").registries[0]
+    registry.eject("a", UNIX)
+    registry.reinstate("a", UNIX + 5000.0)
+    found: Any = registry.serving("a")
+    assert (
+        found.up_since == UNIX + 5000.0 == registry.discovered().members[0].up_since
+    )  # a newer process knows it
+    registry.apply(Listing(2, False, (row("a", up_since=UNIX + 3000.0),)))
+    found = registry.serving("a")
     assert found.up_since == UNIX + 3000.0
 
 
 def test_nothing_new_goes_to_a_worker_that_is_out_also_after_an_upgrade(tmp_path: Path) -> None:
     with running(tmp_path, done, done, console=True) as rig:
-        out, other = rig.providers
+        out, other = rig.endpoints
         assert rig.operate("POST", DOWN, out.id.encode())[0] == 200
         assert rig.operate("POST", DOWN, b"s-9")[0] == 404 == rig.operate("POST", UP, b"w" * 200)[0]
         before = out.posts
         rig.change(out, "up")  # whatever the list says
-        assert rig.figures()["app.hosts_down"] == 1 and rig.figures()["app.hosts_listed"] == 2
+        assert rig.statistics()["app.hosts_down"] == 1 and rig.statistics()["app.hosts_listed"] == 2
         for k in range(10):
-            assert rig.invoke(f"a{k}")[1] == b"made by s-1"
+            assert rig.submit(f"a{k}")[1] == b"made by s-1"
         rig.replace()
-        assert rig.figures()["app.hosts_down"] == 1
+        assert rig.statistics()["app.hosts_down"] == 1
         for k in range(10):
-            assert rig.invoke(f"b{k}")[1] == b"made by s-1"
+            assert rig.submit(f"b{k}")[1] == b"made by s-1"
         assert out.posts == before and other.posts == 20
         assert rig.operate("POST", UP, out.id.encode())[0] == 200
-        until(lambda: rig.figures()["app.hosts_down"] == 0)
+        until(lambda: rig.statistics()["app.hosts_down"] == 0)
 
 
 def test_a_job_that_waits_for_a_place_does_not_go_to_a_worker_taken_out_meanwhile(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(4) as pool:
-        provider = rig.providers[0]
-        first = pool.submit(rig.invoke, "first", "/reminder")
-        until(lambda: provider.posts == 1)
-        assert rig.operate("POST", DOWN, provider.id.encode())[0] == 200
-        held = pool.submit(rig.invoke, "held", "/reminder", 600)
-        assert held.result()[0] == 503 and provider.posts == 1
-        provider.tell("first", "done", result="r")
+        endpoint = rig.endpoints[0]
+        first = pool.submit(rig.submit, "first", "/reminder")
+        until(lambda: endpoint.posts == 1)
+        assert rig.operate("POST", DOWN, endpoint.id.encode())[0] == 200
+        held = pool.submit(rig.submit, "held", "/reminder", 600)
+        assert held.result()[0] == 503 and endpoint.posts == 1
+        endpoint.tell("first", "done", result="r")
         assert first.result()[:2] == (200, b"r")
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -154,26 +154,26 @@
 
 def test_a_node_takes_new_classes_and_attempts_under_open_jobs(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(4) as pool:
-        provider = rig.providers[0]
-        open_ = [pool.submit(rig.invoke, name, f"/{name}") for name in ("lookup", "reminder")]
-        until(lambda: provider.posts == 2)
+        endpoint = rig.endpoints[0]
+        open_ = [pool.submit(rig.submit, name, f"/{name}") for name in ("lookup", "reminder")]
+        until(lambda: endpoint.posts == 2)
         lookup, _ = SETTINGS["classes"]
         classes = [{**lookup, "name": "text", "effect": "side_effect"}, lookup]
         now = SETTINGS | {"classes": classes, "allowed": SETTINGS["allowed"] | {"tryLimit": 1}}
         rig.reload(json.dumps(rig.conf | {"settings": now}))
-        told = rig.figures()
+        told = rig.statistics()
         assert told["app.calls.text.success"] == 0 and told["app.reconfig_ok"] == 1
-        assert rig.invoke("r2", "/reminder")[0] == 404  # dropped
+        assert rig.submit("r2", "/reminder")[0] == 404  # dropped
         for name in ("lookup", "reminder"):
-            provider.tell(name, "done", result=name)
+            endpoint.tell(name, "done", result=name)
         assert [job.result()[:2] for job in open_] == [(200, b"lookup"), (200, b"reminder")]
-        provider.does = done
-        assert rig.invoke("t", "/text")[0] == 200 and rig.invoke("l", "/lookup")[0] == 200
-        provider.does = reject
-        posts = provider.posts
-        assert rig.invoke("t2", "/text")[0] == 503 and provider.posts == posts + 1
+        endpoint.does = done
+        assert rig.submit("t", "/text")[0] == 200 and rig.submit("l", "/lookup")[0] == 200
+        endpoint.does = reject
+        posts = endpoint.posts
+        assert rig.submit("t2", "/text")[0] == 503 and endpoint.posts == posts + 1
         rig.reload(WHOLE[:200], 'event="reload failed"')
-        told = rig.figures()
+        told = rig.statistics()
         assert told["app.calls.text.success"] == 1 == told["app.calls.text.busy"]
         assert told["app.calls.reminder.success"] == 1 == told["app.reconfig_failed"]
-        assert rig.invoke("t3", "/text")[0] == 503  # what was in use goes on
+        assert rig.submit("t3", "/text")[0] == 503  # what was in use goes on
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 
 import pytest
 from peers import Peer
-from rig import Discovery, Provider, Rig, accept, done, reject, reply, reset, running, silent, until
+from rig import Discovery, Endpoint, Rig, accept, done, reject, reply, reset, running, silent, until
 
 from bitternpath.net.http1 import BODY_LIMIT, HEAD_LIMIT
 from bitternpath.net.sockets import Sockets
@@ -21,51 +21,51 @@
 
 def test_rule_1_what_was_taken_is_answered_once_before_its_deadline(tmp_path: Path) -> None:
     with running(tmp_path, silent) as rig:
-        status, body, _ = rig.invoke("a", "/reminder", budget=600)
+        status, body, _ = rig.submit("a", "/reminder", budget=600)
         assert (status, body) == (500, b"")
-        assert rig.providers[0].posts == 1
+        assert rig.endpoints[0].posts == 1
 
 
 def test_rule_2_what_may_have_run_is_not_sent_again(tmp_path: Path) -> None:
     with running(tmp_path, reset, reset, reset) as rig:
-        assert rig.invoke("a", "/reminder")[0] == 500
-        assert sum(p.posts for p in rig.providers) == 1
+        assert rig.submit("a", "/reminder")[0] == 500
+        assert sum(p.posts for p in rig.endpoints) == 1
 
 
-def test_rule_2_what_never_ran_goes_to_another_provider(tmp_path: Path) -> None:
+def test_rule_2_what_never_ran_goes_to_another_endpoint(tmp_path: Path) -> None:
     with running(tmp_path, reject, reject, reject, done) as rig:
         for k in range(6):
-            assert rig.invoke(f"a{k}", "/reminder")[:2] == (200, b"made by s-3")
-        assert sum(p.posts for p in rig.providers) > 6
+            assert rig.submit(f"a{k}", "/reminder")[:2] == (200, b"made by s-3")
+        assert sum(p.posts for p in rig.endpoints) > 6
 
 
-def test_rule_3_nothing_new_goes_to_a_provider_told_to_drain(tmp_path: Path) -> None:
+def test_rule_3_nothing_new_goes_to_an_endpoint_told_to_drain(tmp_path: Path) -> None:
     with running(tmp_path, done, done) as rig:
-        draining = rig.providers[0]
+        draining = rig.endpoints[0]
         rig.change(draining, "draining")
         before = draining.posts
         for k in range(20):
-            assert rig.invoke(f"a{k}")[1] == b"made by s-1"
+            assert rig.submit(f"a{k}")[1] == b"made by s-1"
         assert draining.posts == before
 
 
-def test_rule_4_a_provider_that_just_came_up_is_not_pushed_over(tmp_path: Path) -> None:
+def test_rule_4_an_endpoint_that_just_came_up_is_not_pushed_over(tmp_path: Path) -> None:
     with running(tmp_path, done, done, (done, time.time() * 1000)) as rig, ThreadPoolExecutor(8) as pool:
-        assert {r[0] for r in pool.map(rig.invoke, [f"a{k}" for k in range(40)])} == {200}
-        assert rig.providers[2].posts <= 1  # its first gaps are minutes long with these figures
+        assert {r[0] for r in pool.map(rig.submit, [f"a{k}" for k in range(40)])} == {200}
+        assert rig.endpoints[2].posts <= 1  # its first gaps are minutes long with these figures
 
 
 def test_sigterm_answers_what_was_taken_and_ends_with_0(tmp_path: Path) -> None:
     with running(tmp_path, accept) as rig, ThreadPoolExecutor(4) as pool:
-        provider = rig.providers[0]
-        first = pool.submit(rig.invoke, "first")
-        until(lambda: provider.posts == 1)
+        endpoint = rig.endpoints[0]
+        first = pool.submit(rig.submit, "first")
+        until(lambda: endpoint.posts == 1)
         rig.terminate()
         until(lambda: rig.send("GET", "/ready")[0] == 503)
-        second = pool.submit(rig.invoke, "second")
-        until(lambda: provider.posts == 2)
+        second = pool.submit(rig.submit, "second")
+        until(lambda: endpoint.posts == 2)
         for id in ("first", "second"):
-            assert provider.tell(id, "done", result=id) == 204
+            assert endpoint.tell(id, "done", result=id) == 204
         assert first.result()[:2] == (200, b"first")
         assert second.result()[:2] == (200, b"second")
         assert second.result()[2].getheader("Connection") == "close"
@@ -84,30 +84,30 @@
 
 
 def test_call_backs_may_come_early_again_or_for_nothing(tmp_path: Path) -> None:
-    def early(provider: Provider, handler: object, id: str) -> None:
+    def early(endpoint: Endpoint, handler: object, id: str) -> None:
         for state in ("started", "running", "done", "done", "failed"):
-            provider.tell(id, state, share=0.5, result="first")
+            endpoint.tell(id, state, share=0.5, result="first")
         reply(handler, 202)  # type: ignore[arg-type]
 
     with running(tmp_path, early) as rig:
         for k in range(3):
-            assert rig.invoke(f"a{k}", "/reminder")[:2] == (200, b"first")
-        assert rig.providers[0].tell("never seen", "done") == 204
-        assert rig.providers[0].posts == 3
+            assert rig.submit(f"a{k}", "/reminder")[:2] == (200, b"first")
+        assert rig.endpoints[0].tell("never seen", "done") == 204
+        assert rig.endpoints[0].posts == 3
 
 
-def test_what_a_consumer_sends_reaches_the_provider_unaltered(tmp_path: Path) -> None:
+def test_what_a_client_sends_reaches_the_endpoint_unaltered(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig:
         body = bytes(range(256)) * 256
-        assert rig.invoke("a", "/lookup/x%20y?b=%2F&c", body=body)[0] == 200
-        assert rig.providers[0].got == [("POST", "/lookup/x%20y?b=%2F&c", body)]
+        assert rig.submit("a", "/lookup/x%20y?b=%2F&c", body=body)[0] == 200
+        assert rig.endpoints[0].got == [("POST", "/lookup/x%20y?b=%2F&c", body)]
 
 
-def test_end_to_end_headers_reach_the_provider_and_those_of_a_connection_do_not(tmp_path: Path) -> None:
-    # Guards: a provider that drops repeats by a key of the consumer's (Idempotency-Key) never saw the key.
+def test_end_to_end_headers_reach_the_endpoint_and_those_of_a_connection_do_not(tmp_path: Path) -> None:
+    # Guards: an endpoint that drops repeats by a key of the client's (Idempotency-Key) never saw the key.
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
-        rig.providers[0].server = peer  # type: ignore[assignment]
-        rig.change(rig.providers[0], "up")
+        rig.endpoints[0].server = peer  # type: ignore[assignment]
+        rig.change(rig.endpoints[0], "up")
         sent = ["Host: x", "X-Call-Id: a", "X-Budget-Ms: 60000", "Idempotency-Key: k 1", "X-Caller: east"]
         sent += ["Traceparent: 00-1", "Connection: keep-alive, X-Mine", "X-Mine: 1", "Keep-Alive: 5", "TE: x"]
         sent += ["Accept: a", "Accept: b", "Transfer-Encoding: chunked"]
@@ -121,35 +121,35 @@
         assert len(names) == len({*names}) and got.endswith(b"\r\n\r\nbody")
 
 
-def test_the_id_of_an_open_invocation_is_refused_to_others_and_the_first_is_not_disturbed(
+def test_the_id_of_an_open_request_is_refused_to_others_and_the_first_is_not_disturbed(
     tmp_path: Path,
 ) -> None:
     with running(tmp_path, accept) as rig, ThreadPoolExecutor(1) as pool:
-        first = pool.submit(rig.invoke, "a", "/reminder")
-        until(lambda: rig.providers[0].posts)
-        assert rig.invoke("a", "/reminder")[0] == 409
-        assert rig.providers[0].tell("a", "done", result="r") == 204
-        assert first.result()[:2] == (200, b"r") and len(rig.providers[0].got) == 1
-        assert rig.invoke("a", "/reminder")[0] == 409 and len(rig.providers[0].got) == 1
+        first = pool.submit(rig.submit, "a", "/reminder")
+        until(lambda: rig.endpoints[0].posts)
+        assert rig.submit("a", "/reminder")[0] == 409
+        assert rig.endpoints[0].tell("a", "done", result="r") == 204
+        assert first.result()[:2] == (200, b"r") and len(rig.endpoints[0].got) == 1
+        assert rig.submit("a", "/reminder")[0] == 409 and len(rig.endpoints[0].got) == 1
 
 
-def test_a_job_whose_consumer_has_gone_is_given_up(tmp_path: Path) -> None:
+def test_a_job_whose_client_has_gone_is_given_up(tmp_path: Path) -> None:
     with running(tmp_path, accept) as rig:
         connection = rig.open()
         connection.request("POST", "/lookup", b"", {"X-Call-Id": "a", "X-Budget-Ms": "9000"})
-        until(lambda: rig.providers[0].posts)
-        rig.providers[0].tell("a", "started")
+        until(lambda: rig.endpoints[0].posts)
+        rig.endpoints[0].tell("a", "started")
         connection.close()
-        assert rig.providers[0].deleted.wait(20)
-        assert rig.providers[0].got[-1][:2] == ("DELETE", "/jobs/a")
+        assert rig.endpoints[0].deleted.wait(20)
+        assert rig.endpoints[0].got[-1][:2] == ("DELETE", "/jobs/a")
 
 
-def test_a_provider_that_cannot_be_reached_costs_nothing_but_time(tmp_path: Path) -> None:
+def test_an_endpoint_that_cannot_be_reached_costs_nothing_but_time(tmp_path: Path) -> None:
     with running(tmp_path, done, done) as rig:
-        rig.providers[0].server.http.shutdown()
-        rig.providers[0].server.http.server_close()
+        rig.endpoints[0].server.http.shutdown()
+        rig.endpoints[0].server.http.server_close()
         for k in range(6):
-            assert rig.invoke(f"a{k}", "/reminder")[:2] == (200, b"made by s-1")
+            assert rig.submit(f"a{k}", "/reminder")[:2] == (200, b"made by s-1")
 
 
 def test_a_broken_watch_is_opened_again_from_where_it_was(tmp_path: Path) -> None:
@@ -183,9 +183,9 @@
         assert rig.logged("needs_restart=listen")
         assert new.watched.get(timeout=20).endswith("index=5")
         assert old.left.wait(20)
-        assert rig.invoke("a")[0] == 200
-        rig.change(rig.providers[0], "draining")
-        assert rig.invoke("b")[1] == b"made by s-1"
+        assert rig.submit("a")[0] == 200
+        rig.change(rig.endpoints[0], "draining")
+        assert rig.submit("b")[1] == b"made by s-1"
         rig.terminate()
         rig.process.send_signal(signal.SIGHUP)
         assert rig.process.wait(20) == 0
@@ -200,7 +200,7 @@
         rig.reload(nowhere)
         until(lambda: len(rig.logged('event="watch lost"')) >= 3)
         assert not rig.discovery.left.is_set()  # the old watch is kept until another speaks
-        assert rig.invoke("a")[0] == 200
+        assert rig.submit("a")[0] == 200
         new = Discovery(rig)
         rig.reload(nowhere)
         rig.reload(json.dumps(rig.conf | {"discovery": new.address}))
@@ -247,20 +247,20 @@
             connection = stack.enter_context(contextlib.closing(rig.open()))
             connection.connect()
         for k in range(5):
-            assert rig.invoke(f"a{k}")[0] == 200
+            assert rig.submit(f"a{k}")[0] == 200
         fds = Path(f"/proc/{rig.process.pid}/fd")
         assert len(list(fds.iterdir())) <= 64
 
 
 def test_a_crowd_that_asks_once_and_stays_leaves_room_for_the_next(tmp_path: Path) -> None:
-    # Guards: at most 80 connections a second made room, so that where more came invocations were not taken.
+    # Guards: at most 80 connections a second made room, so that where more came requests were not taken.
     with running(tmp_path, done, sockets=64) as rig, contextlib.ExitStack() as stack:
         for k in range(400):
             connection = stack.enter_context(contextlib.closing(rig.open()))
             connection.request("GET", "/ready")
             assert connection.getresponse().read() == b""
             if k % 50 == 0:
-                assert rig.invoke(f"a{k}")[0] == 200
+                assert rig.submit(f"a{k}")[0] == 200
 
 
 def test_who_says_nothing_of_use_is_answered_or_closed_but_one_answered_may_rest(shared: Rig) -> None:
@@ -288,7 +288,7 @@
     # Guards: closed with unread input the connection was reset, and the answer lost; nothing after an error
     # may be taken for a request, and what is dropped must not be held in memory.
     memory = Path(f"/proc/{shared.process.pid}/status")
-    before = shared.providers[0].posts
+    before = shared.endpoints[0].posts
     with shared.socket() as sock:
         sock.sendall(JOB + b"Content-Length: 60000000\r\n\r\n")
         for _ in range(600):
@@ -297,26 +297,26 @@
         while got := sock.recv(4096):
             data += got
     assert data.startswith(b"HTTP/1.1 413 ") and data.count(b"HTTP/1.1") == 1
-    assert shared.providers[0].posts == before
+    assert shared.endpoints[0].posts == before
     peak = next(line for line in memory.read_text().splitlines() if line.startswith("VmHWM"))
     assert int(peak.split()[1]) < 60_000  # kB, of which the interpreter has some 25,000
 
 
-def test_more_invocations_than_sockets_leave_room_for_the_call_backs(tmp_path: Path) -> None:
-    # Guards: waiting invocations held every socket of the listener, so that no call-back could end one.
+def test_more_requests_than_sockets_leave_room_for_the_call_backs(tmp_path: Path) -> None:
+    # Guards: waiting requests held every socket of the listener, so that no call-back could end one.
     with running(tmp_path, accept, sockets=64) as rig, ThreadPoolExecutor(60) as pool:
-        room = Sockets(64).invocations
-        asked = [pool.submit(rig.invoke, f"a{k}", body=b"a%d" % k) for k in range(60)]
+        room = Sockets(64).requests
+        asked = [pool.submit(rig.submit, f"a{k}", body=b"a%d" % k) for k in range(60)]
         until(lambda: sum(answer.done() for answer in asked) >= 60 - room)
         rejected = [answer.result()[2] for answer in asked if answer.done()]
         assert {(r.status, r.getheader("Connection")) for r in rejected} == {(503, "close")}
         assert all(0 < float(r.getheader("Retry-After") or 0) <= 2 for r in rejected)
         told: set[bytes] = set()
         while not all(answer.done() for answer in asked):
-            for _, _, id in rig.providers[0].got:
+            for _, _, id in rig.endpoints[0].got:
                 if id not in told:
                     told.add(id)
-                    assert rig.providers[0].tell(id.decode(), "done", result="r") == 204
+                    assert rig.endpoints[0].tell(id.decode(), "done", result="r") == 204
         assert sum(answer.result()[:2] == (200, b"r") for answer in asked) == room == len(told)
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from twisted.internet.task import Clock as Reactor
 
 from bitternpath.balancer.core.lifecycle import LifeCycle, held, last_answer
-from bitternpath.balancer.http.front import Listener
+from bitternpath.balancer.http.listener import Listener
 from bitternpath.balancer.settings import settings_from
 
 
@@ -80,11 +80,11 @@
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
         classes = [{**c, "giveUp": 300.0} for c in SETTINGS["classes"]]
         rig.reload(json.dumps(rig.conf | {"settings": {**SETTINGS, "classes": classes}}))
-        rig.providers[0].server = peer  # type: ignore[assignment]
-        rig.change(rig.providers[0], "up")
+        rig.endpoints[0].server = peer  # type: ignore[assignment]
+        rig.change(rig.endpoints[0], "up")
         head = b"POST /lookup HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 60000\r\nContent-Length: 1\r\n\r\n"
         sock.sendall(head)
-        until(lambda: rig.invoke("b", "/nothing")[0] == 404)
+        until(lambda: rig.submit("b", "/nothing")[0] == 404)
         told_at = time.monotonic()
         rig.terminate()
         rig.says("event=stopping")
@@ -100,7 +100,7 @@
         rig.reload(json.dumps(rig.conf | {"discovery": peer.address}))
         peer.accept()  # and says nothing
         rig.discovery.changes.put(None)
-        assert rig.invoke("a")[0] == 200
+        assert rig.submit("a")[0] == 200
         rig.terminate()
         assert rig.process.wait(20) == 0
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Configuration, command line, log lines and the list of providers."""
+"""Configuration, command line, log lines and the list of endpoints."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.config.platform import load, reload
-from bitternpath.balancer.core.roster import Roster
-from bitternpath.balancer.http.listing import listing_from
+from bitternpath.balancer.core.endpoint_registry import EndpointRegistry
+from bitternpath.balancer.http.discovery_messages import listing_from
 
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
 
@@ -91,13 +91,13 @@
         rows = [{"id": id, "host_port": "h:1", "phase": phase} for id, phase in phases.items()]
         return listing_from({"revision": revision, "complete": complete, "members": rows})
 
-    roster = Roster(listing(3, True, a="up", b="up"))
+    registry = EndpointRegistry(listing(3, True, a="up", b="up"))
     heard: list[int] = []
-    roster.tell = lambda listing: heard.append(listing.revision)
-    roster.take(listing(4, False, a="draining", b="removed", c="up"))
-    assert roster.serving("a") is None and roster.serving("b") is None and roster.serving("c")
-    assert roster.providers["a"].state is m.State.DRAINING and "b" not in roster.providers
-    roster.take(listing(4, False, b="up"))  # an old line that came again
-    assert roster.serving("b") is None
-    roster.take(listing(2, True, b="up"))
-    assert list(roster.providers) == ["b"] and heard == [4, 2]
+    registry.on_change = lambda listing: heard.append(listing.revision)
+    registry.apply(listing(4, False, a="draining", b="removed", c="up"))
+    assert registry.serving("a") is None and registry.serving("b") is None and registry.serving("c")
+    assert registry.endpoints["a"].state is m.State.DRAINING and "b" not in registry.endpoints
+    registry.apply(listing(4, False, b="up"))  # an old line that came again
+    assert registry.serving("b") is None
+    registry.apply(listing(2, True, b="up"))
+    assert list(registry.endpoints) == ["b"] and heard == [4, 2]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -45,22 +45,22 @@
 
 def test_call_backs_of_the_older_process_reach_it_and_each_job_is_answered_once(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(8) as pool:
-        provider = rig.providers[0]
-        jobs = [pool.submit(rig.invoke, f"old{k}", "/reminder") for k in range(4)]
-        until(lambda: provider.posts == 4)
+        endpoint = rig.endpoints[0]
+        jobs = [pool.submit(rig.submit, f"old{k}", "/reminder") for k in range(4)]
+        until(lambda: endpoint.posts == 4)
         older = rig.upgrade()
-        jobs += [pool.submit(rig.invoke, f"new{k}", "/reminder") for k in range(4)]
-        until(lambda: provider.posts == 8)
+        jobs += [pool.submit(rig.submit, f"new{k}", "/reminder") for k in range(4)]
+        until(lambda: endpoint.posts == 8)
         older.send_signal(signal.SIGTERM)
         for k in range(4):
             for which in ("old", "new"):
-                assert provider.tell(f"{which}{k}", "started") == 204
-                assert provider.tell(f"{which}{k}", "done", result=f"{which}{k}") == 204
-                assert provider.tell(f"{which}{k}", "done", result="again") == 204
+                assert endpoint.tell(f"{which}{k}", "started") == 204
+                assert endpoint.tell(f"{which}{k}", "done", result=f"{which}{k}") == 204
+                assert endpoint.tell(f"{which}{k}", "done", result="again") == 204
         answers = [job.result()[:2] for job in jobs]
         assert answers == [(200, f"{w}{k}".encode()) for w in ("old", "new") for k in range(4)]
-        assert older.wait(20) == 0 and provider.posts == 8
-        assert rig.operate("GET", "/ops/readiness")[0] == 200 and rig.invoke("after", "/nothing")[0] == 404
+        assert older.wait(20) == 0 and endpoint.posts == 8
+        assert rig.operate("GET", "/ops/readiness")[0] == 200 and rig.submit("after", "/nothing")[0] == 404
 
 
 def test_an_upgrade_under_load_costs_no_client_a_connection(tmp_path: Path) -> None:
@@ -82,25 +82,25 @@
         rig.process.kill()
         rig.says("the newer process is gone")
         for k in range(10):
-            assert rig.invoke(f"a{k}")[0] == 200
+            assert rig.submit(f"a{k}")[0] == 200
         assert older.poll() is None
         rig.upgrade()
         older.send_signal(signal.SIGTERM)
-        assert older.wait(20) == 0 and rig.invoke("b")[0] == 200
+        assert older.wait(20) == 0 and rig.submit("b")[0] == 200
 
 
 def test_an_older_process_that_is_killed_leaves_the_whole_to_the_newer_one(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(2) as pool:
-        provider = rig.providers[0]
-        lost = pool.submit(rig.invoke, "lost", "/reminder")
-        until(lambda: provider.posts == 1)
+        endpoint = rig.endpoints[0]
+        lost = pool.submit(rig.submit, "lost", "/reminder")
+        until(lambda: endpoint.posts == 1)
         older = rig.upgrade()
         older.kill()
         older.wait(20)
         assert isinstance(lost.exception(), ConnectionError | OSError)
-        assert provider.tell("lost", "done", result="r") == 204  # nobody waits for it
-        provider.does = done
-        assert rig.invoke("b")[0] == 200
+        assert endpoint.tell("lost", "done", result="r") == 204  # nobody waits for it
+        endpoint.does = done
+        assert rig.submit("b")[0] == 200
 
 
 def test_a_newer_process_that_cannot_start_or_never_gets_ready_leaves_the_older_one_serving(
@@ -120,11 +120,11 @@
             half.connect(str(rig.tmp / "bitternpath-n0.sock"))
             half.sendall(line(Hello(VERSION, rig.address)))
             assert half.recv(100)
-            assert rig.invoke("a")[0] == 200 and older.poll() is None
+            assert rig.submit("a")[0] == 200 and older.poll() is None
         assert rig.operate("GET", "/ops/readiness")[0] == 200
-        assert rig.invoke("b")[0] == 200
+        assert rig.submit("b")[0] == 200
         rig.replace()
-        assert older.wait(20) == 0 and rig.invoke("c")[0] == 200
+        assert older.wait(20) == 0 and rig.submit("c")[0] == 200
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -147,15 +147,15 @@
         over.set()
         answers = [answer for job in jobs for answer in job.result()]
         assert {status for _, status in answers} <= {200, "broken"} and left.poll() is None
-        ran = [body for p in rig.providers for method, _, body in p.got if method == "POST"]
+        ran = [body for p in rig.endpoints for method, _, body in p.got if method == "POST"]
         assert len(ran) == len(set(ran)) and {id.encode() for id, s in answers if s == 200} <= set(ran)
 
 
 def test_sigterm_before_the_newer_process_listens_and_sighup_to_either(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(2) as pool:
-        provider = rig.providers[0]
-        job = pool.submit(rig.invoke, "a", "/reminder")
-        until(lambda: provider.posts == 1)
+        endpoint = rig.endpoints[0]
+        job = pool.submit(rig.submit, "a", "/reminder")
+        until(lambda: endpoint.posts == 1)
         older = rig.process
         older.send_signal(signal.SIGTERM)
         rig.says("event=stopping")
@@ -164,20 +164,20 @@
             before = len(rig.logged("event=reloaded"))
             process.send_signal(signal.SIGHUP)
             rig.says("event=reloaded", before + 1)
-        assert provider.tell("a", "done", result="r") == 204
+        assert endpoint.tell("a", "done", result="r") == 204
         assert job.result()[:2] == (200, b"r")
         assert older.wait(20) == 0
-        provider.does = done
-        assert rig.invoke("b")[0] == 200
+        endpoint.does = done
+        assert rig.submit("b")[0] == 200
 
 
 def test_an_id_under_way_at_one_process_is_in_use_at_the_other(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(2) as pool:
-        first = pool.submit(rig.invoke, "same", "/reminder")
-        until(lambda: rig.providers[0].posts == 1)
+        first = pool.submit(rig.submit, "same", "/reminder")
+        until(lambda: rig.endpoints[0].posts == 1)
         rig.upgrade()
-        assert rig.invoke("same", "/reminder")[0] == 409 and rig.providers[0].posts == 1
-        rig.providers[0].tell("same", "done", result="r")
+        assert rig.submit("same", "/reminder")[0] == 409 and rig.endpoints[0].posts == 1
+        rig.endpoints[0].tell("same", "done", result="r")
         assert first.result()[:2] == (200, b"r")
 
 
@@ -187,7 +187,7 @@
         door.unlink()
         door.write_text("rubbish")
         rig.replace(joins=False)  # finds nobody, and listens beside the older one
-        assert rig.logged("no older process") and door.is_socket() and rig.invoke("a")[0] == 200
+        assert rig.logged("no older process") and door.is_socket() and rig.submit("a")[0] == 200
         rig.tmp.rename(tmp_path / "away")
         rig.replace(joins=False)
-        assert rig.invoke("b")[0] == 200
+        assert rig.submit("b")[0] == 200
