--- a/bitternpath/testing/fault_injection/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -22,7 +22,7 @@
     SendOutcome,
 )
 
-READ_MARGIN_S = 0.05  # a success counts as told if it was complete so long before the time-out
+READ_MARGIN_S = 0.05  # a success counts as received if it was complete so long before the time-out
 VISIBLE_SLACK_S = 0.1  # between a grant at the owner and its arrival at the worker
 CEILING_ALLOWANCE = 5  # arrivals beyond the rate in any window (RULES, CEILING)
 
@@ -94,7 +94,7 @@
 
 
 def check_lost_answers(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """Around a planned stop, a request that was read gets its whole answer."""
+    """Around a planned stop, a request that was read gets its complete answer."""
     unplanned = [outage for outage in history.outages if not outage.planned]
     for send in history.sends.values():
         late = send.ended_at - send.at > parameters.loss_slack_s
@@ -144,7 +144,7 @@
 
 
 def check_runs_again(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """No run follows a success that its sender has read, while nothing unplanned is in trouble."""
+    """No run follows a success that its sender has read, unless there was an unplanned outage."""
     unplanned = [outage for outage in history.outages if not outage.planned]
     done = _acknowledged_successes(history, parameters)
     for run in history.runs:
--- a/bitternpath/testing/fault_injection/http_client.py
+++ b/bitternpath/testing/fault_injection/http_client.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer. Header names are in lower case in answers that were read."""
+    """A complete answer. Header names are in lower case in answers that were read."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 
 class Unanswered(Enum):
-    """Why there is no whole answer."""
+    """Why there is no complete answer."""
 
     NO_CONNECTION = "no connection"  # nothing was sent
     CLOSED = "closed"
--- a/bitternpath/testing/fault_injection/http_server.py
+++ b/bitternpath/testing/fault_injection/http_server.py
@@ -28,7 +28,7 @@
         self._reactor = reactor
         self._reader = RequestReader()
         self._running: Deferred[Any] | None = None
-        self.on_lost: Callable[[], None] | None = None  # hears the end of the connection
+        self.on_lost: Callable[[], None] | None = None  # called at the end of the connection
         self.closed = False
 
     def connectionMade(self) -> None:
--- a/bitternpath/testing/simulation/__init__.py
+++ b/bitternpath/testing/simulation/__init__.py
@@ -4,7 +4,7 @@
 the same seed gives the same run. Nodes run `roles.edge_process.EdgeProcess` and
 `roles.storage_process.StorageProcess` as they are.
 
-The seam between the world and its actors (operators, clients, workers, the platform, receivers of
+The interface between the world and its actors (operators, clients, workers, the platform, receivers of
 call-backs):
 
     from bitternpath.testing.simulation.world import World, Plan
@@ -36,11 +36,11 @@
     world.kill(name, down_s=0.5)         the process ends, peers are reset, it starts again after `down_s`
     world.lose_power(name, down_s=1.0)   silence for the peers, unsynced writes present, missing or torn
     world.wipe(name, down_s=1.0)         as a loss of power, with an empty disk afterwards
-    world.freeze(name), world.thaw(name)   time goes on, nothing runs; what waited runs at the thaw
+    world.freeze(name), world.thaw(name)   time goes on, nothing runs; due calls run at the thaw
     world.slow(name, factor)             delays of links and disk of that node, 1.0 is usual
     world.cut(a, b, both=True), world.join(a, b)   nodes or hosts (names or ips); bytes wait or are lost
     world.cut_off(name, others=None), world.rejoin(name)
-    world.reset(a, b)                          all connections between two hosts, with the bytes under way
+    world.reset(a, b)                          all connections between two hosts, with the bytes in flight
     world.squeeze(a, b, bytes_per_s)           a link's bandwidth; None for the usual one
     world.lossy(a, b, share)                   datagrams lost, packets of connections late
     world.step_clock(name, milliseconds)       the time of day jumps
@@ -49,11 +49,12 @@
     world.reload(name, **settings)             other settings in its file, then SIGHUP
     world.disk(name)                           its `SimulatedFileSystem`
     world.add_node(role, ...) -> SimulatedNode an empty one, started at once
-    world.replace(name) -> SimulatedNode       gone for good; an empty one at another address takes its place
-    world.remove(name)                         gone for good
+    world.replace(name) -> SimulatedNode       removed for good; an empty one at another address replaces it
+    world.remove(name)                         removed for good
 
 What happened: `world.trace` (one line an event; `world.digest()` covers every byte that arrived),
 `world.failures` (tracebacks that nodes logged), `world.log` (the nodes' log lines, where `Plan.keep_log` is
-set); on the inside `world.ownerships` (time, node, group, epoch, gained or lost) and `world.violations` (one
-owner an epoch, committed never lost). See `tests/system/small_actors.py` for the least of actors.
+set); of replica groups `world.ownerships` (time, node, group, epoch, gained or lost) and `world.violations`
+(one owner for each epoch, committed entries are never lost). See `tests/system/small_actors.py` for minimal
+actors.
 """
--- a/bitternpath/testing/simulation/actors/machine_faults.py
+++ b/bitternpath/testing/simulation/actors/machine_faults.py
@@ -110,7 +110,7 @@
 
     def _slow(self, fault: Fault, name: str) -> None:
         self._world.slow(name, SLOW_FACTOR)
-        self._later(fault.lasts, self._usual_again, name)
+        self._later(fault.lasts, self._restore_speed, name)
         self._note(DisruptionKind.SLOWED, name, fault.lasts)
 
     def _stall(self, fault: Fault, name: str) -> None:
@@ -141,7 +141,7 @@
 
     # ---- parts
 
-    def _usual_again(self, name: str) -> None:
+    def _restore_speed(self, name: str) -> None:
         self._world.slow(name, 1.0)
 
     def _others(self, name: str) -> list[str]:
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -56,7 +56,7 @@
     """A worker that is called and can be faulty for a while."""
 
     fault: WorkerFaultKind | None = None
-    on_answer: Callable[[Answer, str], object]  # hears each answer, and the address to which it goes
+    on_answer: Callable[[Answer, str], object]  # receives each answer and the address to which it goes
 
     def begin_fault(self, world: World, fault: WorkerFaultKind, lasts: float) -> None:
         """Be faulty for `lasts` seconds."""
--- a/bitternpath/testing/simulation/checks/control.py
+++ b/bitternpath/testing/simulation/checks/control.py
@@ -16,7 +16,7 @@
 
 
 def check_retirement_refused(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A proper order to empty a machine isn't refused, except as under way when it is repeated."""
+    """A valid order to retire a machine isn't refused, except as in progress when it is repeated."""
     ordered: dict[str, float] = {}
     for asked in history.retirements:
         if asked.call is not RetireCall.ORDER or not asked.proper:
--- a/bitternpath/testing/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -1,4 +1,4 @@
-"""A simulated TCP connection: two ends, and a direction for each way (see `streams`)."""
+"""A simulated TCP connection: two streams and two directions (see `streams`)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Direction:
-    """One way of a connection."""
+    """One direction of a connection, which holds packets while its path is cut."""
 
     def __init__(self, connection: Connection, sender: Stream, receiver: Stream, path: Path) -> None:
         self._connection = connection
@@ -27,7 +27,7 @@
         self._held_since = 0.0
 
     def send(self, packet: Packet, data: bytes) -> None:
-        """Put a packet on its way."""
+        """Send a packet in this direction."""
         if packet is Packet.RESET:
             self.stop()
         elif self._stopped:
@@ -41,19 +41,19 @@
         scheduler.push(arrival, self._arrive, packet, data, self._generation)
 
     def stop(self) -> None:
-        """What is held is lost, and nothing is sent again."""
+        """Drop held packets, and retransmit nothing."""
         self._stopped = True
         self._held.clear()
         self.path.holding.pop(self, None)
 
     def lose_packets_in_flight(self) -> None:
-        """All packets that haven't arrived."""
+        """Drop all packets that haven't arrived."""
         self._generation += 1
         self._held.clear()
         self.path.holding.pop(self, None)
 
     def send_again(self) -> None:
-        """The way may be open again."""
+        """Retransmit held packets: the path may be open again."""
         delay = self.path.retry_delay()
         self._network.scheduler.push(self._network.scheduler.now + delay, self._retry, self._generation)
 
@@ -133,11 +133,11 @@
         network.connections[self] = None
 
     def send(self, sender: Stream, packet: Packet, data: bytes = b"") -> None:
-        """A packet to the other end."""
+        """Send a packet to the other end."""
         (self._there if sender is self.client else self._back).send(packet, data)
 
     def stop_sending(self, sender: Stream) -> None:
-        """That end sends nothing again, and holds nothing."""
+        """Retransmit nothing from that end, and drop what it holds."""
         (self._there if sender is self.client else self._back).stop()
 
     def way_back(self, direction: Direction) -> Path:
@@ -145,7 +145,7 @@
         return (self._back if direction is self._there else self._there).path
 
     def open(self, port: Acceptor) -> None:
-        """The dialling end knows that the port is there; the other end hears so."""
+        """The connecting end has an answer of the port; the other end is notified."""
         self._port = port
         self.send(self.client, Packet.ESTABLISHED)
 
@@ -155,7 +155,7 @@
         self._port.accept(self.server)
 
     def reset(self) -> None:
-        """Both ends get a reset; what is under way is lost."""
+        """Reset both ends; bytes in flight are lost."""
         for direction, end in ((self._there, self.server), (self._back, self.client)):
             direction.lose_packets_in_flight()
             direction.stop()
--- a/bitternpath/testing/simulation/faults.py
+++ b/bitternpath/testing/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a world, each at once. Nodes are named; links also take addresses of actors' hosts."""
+"""Faults of a world, which take effect at once. Links also take addresses of actors' hosts as names."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Faults:
-    """What may happen to nodes, links and disks."""
+    """Faults of nodes, links and disks."""
 
     network: Network
     recorder: Recorder
@@ -28,34 +28,34 @@
     # ---- processes and machines
 
     def kill(self, name: str, down_s: float | None = RESTART_DELAY_S) -> None:
-        """The process ends; it starts again after `down_s`, with None not by itself."""
+        """Kill the process; it starts again after `down_s` seconds, with None not by itself."""
         self.nodes[name].kill()
         self._start_after(name, down_s)
 
     def lose_power(self, name: str, down_s: float | None = POWER_OFF_S) -> None:
-        """Silence; unsynced writes are present, missing or torn."""
+        """Stop the machine without resets; unsynced writes are kept, lost or torn."""
         self.nodes[name].lose_power()
         self._start_after(name, down_s)
 
     def wipe(self, name: str, down_s: float | None = POWER_OFF_S) -> None:
-        """A loss of power after which the disk is empty; `bootstrap` is false from then on."""
+        """Lose power and the disk's content; `bootstrap` is false from then on."""
         self.nodes[name].lose_power(wiped=True)
         self._start_after(name, down_s)
 
     def freeze(self, name: str) -> None:
-        """Nothing of the process runs; its machine's kernel does."""
+        """Stop running the process; its machine's kernel goes on."""
         self.nodes[name].freeze()
 
     def thaw(self, name: str) -> None:
-        """It goes on; what waited comes at once."""
+        """Run a frozen process again; due timers and unread bytes are handled at once."""
         self.nodes[name].thaw()
 
     def slow(self, name: str, factor: float) -> None:
-        """Make delays of its links and its disk's times longer; 1.0 is usual."""
+        """Multiply the delays of its links and its disk by `factor`; 1.0 is normal."""
         self.nodes[name].set_factor(factor)
 
     def terminate(self, name: str) -> None:
-        """SIGTERM; the process starts again after its end."""
+        """Send SIGTERM; the process starts again after its end."""
         self.nodes[name].terminate()
 
     def reload(self, name: str, **settings: Any) -> None:
@@ -64,7 +64,7 @@
         self.nodes[name].reload()
 
     def step_clock(self, name: str, milliseconds: int) -> None:
-        """The time of day jumps; the steady clock doesn't."""
+        """Step the wall clock; the monotonic clock is not affected."""
         self.recorder.event("step_clock", f"{name} {milliseconds}")
         self.nodes[name].skew_ms += milliseconds
 
@@ -73,12 +73,12 @@
         self.nodes[name].document.update(settings)
 
     def remove(self, name: str) -> None:
-        """The machine is gone for good; settings files name seeds of the list without it."""
+        """Remove the machine for good; settings files name seeds of the remaining machines."""
         self.nodes[name].remove()
         self.write_seeds()
 
     def replace(self, name: str, zone: str = "") -> SimulatedNode:
-        """The machine is gone for good; an empty one at another address takes its place."""
+        """Remove the machine for good; an empty one at another address replaces it."""
         old = self.nodes[name]
         self.remove(name)
         new = self.add_node(old.role, zone or old.zone, old.counted, old.has_disk)
@@ -94,17 +94,17 @@
     # ---- links
 
     def cut(self, a: str, b: str, both: bool = True) -> None:
-        """Nothing gets from a to b, nor back where `both`. Bytes wait at their sender."""
+        """Partition: nothing gets from a to b, nor back if `both`. Bytes wait at their sender."""
         self.recorder.event("cut", f"{a} {b} both={both}")
         self._cut(a, b, both)
 
     def join(self, a: str, b: str) -> None:
-        """Both directions are open again."""
+        """Heal a partition, in both directions."""
         self.recorder.event("join", f"{a} {b}")
         self._join(self.ip(a), self.ip(b))
 
     def cut_off(self, name: str, others: Iterable[str] | None = None, both: bool = True) -> None:
-        """Cut a node from these, or from all other hosts."""
+        """Partition a node from `others`, by default from all hosts."""
         chosen = list(others) if others is not None else list(self.network.hosts)
         self.recorder.event("cut_off", f"{name} from={'all' if others is None else ','.join(chosen)}")
         for other in chosen:
@@ -112,7 +112,7 @@
                 self._cut(name, other, both)
 
     def rejoin(self, name: str) -> None:
-        """End all cuts from and to a host."""
+        """Heal all partitions of a host."""
         self.recorder.event("rejoin", name)
         ip = self.ip(name)
         for source, target in self.network.cut_pairs():
@@ -120,18 +120,18 @@
                 self.network.join(source, target)
 
     def reset(self, a: str, b: str) -> None:
-        """Reset all connections between two hosts; bytes under way are lost."""
+        """Reset all connections between two hosts; bytes in flight are lost."""
         self.recorder.event("reset", f"{a} {b}")
         self.network.reset(self.ip(a), self.ip(b))
 
     def squeeze(self, a: str, b: str, bytes_per_s: float | None) -> None:
-        """Bound the bandwidth between two hosts in each direction; None: no bound."""
+        """Limit the bandwidth between two hosts in each direction; None: no limit."""
         self.recorder.event("squeeze", f"{a} {b} {bytes_per_s}")
         for source, target in ((a, b), (b, a)):
             self.network.path(self.ip(source), self.ip(target)).bytes_per_s = bytes_per_s
 
     def lossy(self, a: str, b: str, share: float) -> None:
-        """Lose a share of the packets between two hosts: datagrams for good, others come late."""
+        """Lose a share of the packets between two hosts; those of streams are retransmitted."""
         self.recorder.event("lossy", f"{a} {b} {share}")
         for source, target in ((a, b), (b, a)):
             path = self.network.path(self.ip(source), self.ip(target))
@@ -144,22 +144,22 @@
         return self.nodes[name].disk
 
     def stall_disk(self, name: str, seconds: float) -> None:
-        """Nothing is written for so long."""
+        """Complete no write for `seconds`."""
         self.recorder.event("stall", f"{name} {seconds}")
         self.nodes[name].disk.stalled_until = self.scheduler.now + seconds
 
     def bound_disk(self, name: str, free_bytes: int | None) -> None:
-        """Leave so much room on a disk; None: no bound."""
+        """Leave `free_bytes` on a disk; None: no limit."""
         self.recorder.event("room", f"{name} {free_bytes}")
         disk = self.nodes[name].disk
         disk.capacity = None if free_bytes is None else disk.used + free_bytes
 
-    # ---- what a world adds
+    # ---- provided by `World`
 
     def add_node(
         self, role: str, zone: str = "", counted: bool | None = None, has_disk: bool | None = None
     ) -> SimulatedNode:
-        """An empty machine joins."""
+        """Add an empty machine."""
         raise NotImplementedError
 
     def current_seeds(self) -> list[str]:
--- a/bitternpath/testing/simulation/network.py
+++ b/bitternpath/testing/simulation/network.py
@@ -39,13 +39,13 @@
         return self._last_port
 
     def close_sockets(self, reactor: VirtualReactor, random: Random) -> None:
-        """A process has ended: peers hear the end of the stream, or a reset."""
+        """A process has ended: peers receive the end of the stream, or a reset."""
         for thing in list(reactor.sockets):
             thing.killed(random.random() < 0.5)
         reactor.sockets.clear()
 
     def lose_power(self, reactor: VirtualReactor) -> None:
-        """Peers hear nothing."""
+        """Close all sockets without notifying peers."""
         self.powered = False
         for thing in list(reactor.sockets):
             thing.lost_power()
--- a/bitternpath/testing/simulation/ports.py
+++ b/bitternpath/testing/simulation/ports.py
@@ -97,7 +97,7 @@
         network.scheduler.push(arrival, network.datagram_arrives, path, datagram, (ip, self.port), addr)
 
     def received(self, datagram: bytes, sender: Address) -> None:
-        """One has come, perhaps while the process is frozen."""
+        """A datagram has arrived, perhaps while the process is frozen."""
         if self.reactor.frozen:
             if self._held >= HELD_DATAGRAMS:
                 return
--- a/bitternpath/testing/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -97,13 +97,13 @@
         self._reactor = reactor
 
     def callInThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """Do it, later."""
+        """Do it, later, in virtual time."""
         self.callInThreadWithCallback(None, call, *arguments, **keywords)
 
     def callInThreadWithCallback(
         self, done: Callable[[bool, Any], object] | None, call: Call, *arguments: Any, **keywords: Any
     ) -> None:
-        """Do it, later, and tell `done` whether it went well, and its result or failure."""
+        """Do it, later; `done` receives whether it succeeded, and its result or failure."""
         self._reactor.thread_work(lambda: self._work(done, call, arguments, keywords))
 
     @staticmethod
@@ -112,11 +112,12 @@
     ) -> None:
         try:
             result: Any = call(*arguments, **keywords)
-            well = True
+            succeeded = True
         except Exception:
-            result, well = failure(), False
+            result = failure()
+            succeeded = False
         if done is not None:
-            done(well, result)
+            done(succeeded, result)
 
 
 @implementer(IHostnameResolver)
@@ -137,12 +138,12 @@
         return resolutionReceiver
 
     def cancel(self) -> None:
-        """Nothing is under way."""
+        """Nothing is in flight."""
 
 
 @implementer(IReactorTime, IReactorTCP, IReactorUDP, IReactorFromThreads, IReactorPluggableNameResolver)
 class VirtualReactor:
-    """What Twisted, treq and the roles ask of a reactor."""
+    """The reactor interfaces that Twisted, treq and the roles use, in virtual time."""
 
     def __init__(self, host: SimulatedHost, name: str) -> None:
         self.host = host
@@ -162,7 +163,7 @@
     # ---- time
 
     def seconds(self) -> float:
-        """The steady clock."""
+        """The monotonic clock, in seconds."""
         return self.scheduler.now
 
     def callLater(self, delay: float, call: Call, *arguments: Any, **keywords: Any) -> VirtualCall:
@@ -181,7 +182,7 @@
     # ---- core and threads
 
     def callWhenRunning(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """It runs always."""
+        """Call in the next turn: the reactor always runs."""
         self.callLater(0, call, *arguments, **keywords)
 
     def callFromThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
@@ -228,7 +229,7 @@
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None
     ) -> Any:
-        """The connector; `factory` hears how it goes."""
+        """A connector; `factory` receives the events of the connection."""
         return self.network.connect(self, host, port, factory, timeout)
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:
@@ -256,20 +257,20 @@
         return True
 
     def read(self, call: Call) -> None:
-        """Something can be read: now, or once the process isn't frozen any more."""
+        """Call because a socket is readable: now, or when a frozen process is thawed."""
         if self.frozen:
             self.readable.append(call)
         else:
             call()
 
-    # ---- the process's life
+    # ---- state of the process
 
     def freeze(self) -> None:
-        """Nothing of it runs until `thaw`."""
+        """Run no code of the process until `thaw`."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """What waited comes now: timers first."""
+        """Run the process again: timers that fell due first, then unread sockets."""
         if not self.frozen:
             return
         self.frozen = False
@@ -283,7 +284,7 @@
             self.scheduler.push(self.scheduler.now, call)
 
     def end(self) -> None:
-        """Nothing of it runs any more. Its sockets are the network's matter."""
+        """Run no code of the process any more. The network closes its sockets."""
         self.ended = True
         self.frozen = False
         self.held.clear()
--- a/bitternpath/testing/simulation/recorder.py
+++ b/bitternpath/testing/simulation/recorder.py
@@ -1,4 +1,4 @@
-"""What happened in a run: the trace, failures inside hosts, log lines, and who owned what."""
+"""Records a run: the trace, failures inside hosts, log lines, and ownerships of groups."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Recorder:
-    """Keeps what happened. `current` is the host whose code runs."""
+    """Records events. `current` is the host whose code runs."""
 
     def __init__(self, scheduler: Scheduler, keep_log: bool) -> None:
         self._scheduler = scheduler
@@ -50,16 +50,16 @@
         self._observer = cast("ILogObserver", self._observe)
         self._handlers = _LogHandler(self), _Silence(logbook.INFO if keep_log else logbook.ERROR)
 
-    # ---- what hosts and links tell
+    # ---- events of hosts and links
 
     def event(self, kind: str, detail: str) -> None:
-        """An event that a reader wants to see."""
+        """Add a line to the trace, which the digest covers."""
         line = f"{self._scheduler.now:.6f} {kind} {detail}"
         self.trace.append(line)
         self._checksum = zlib.crc32(line.encode(), self._checksum)
 
     def arrival(self, source: str, target: str, data: bytes) -> None:
-        """Bytes that arrived: only the digest has them."""
+        """Bytes that arrived, which only the digest covers."""
         head = f"{self._scheduler.now:.6f} {source} {target}"
         self._checksum = zlib.crc32(data, zlib.crc32(head.encode(), self._checksum))
 
@@ -80,13 +80,13 @@
     # ---- logs of the code that runs
 
     def attach(self) -> None:
-        """Hear logbook and Twisted's log from now on."""
+        """Record logbook and Twisted's log from now on."""
         for handler in self._handlers:
             handler.push_application()
         globalLogPublisher.addObserver(self._observer)
 
     def detach(self) -> None:
-        """Hear them no more."""
+        """Record the logs no more."""
         for handler in reversed(self._handlers):
             handler.pop_application()
         globalLogPublisher.removeObserver(self._observer)
--- a/bitternpath/testing/simulation/repair_controller.py
+++ b/bitternpath/testing/simulation/repair_controller.py
@@ -1,4 +1,4 @@
-"""The configuration's owner in runs of `simulation.repairs`: the real placement, told over links."""
+"""The configuration's owner in runs of `simulation.repairs`: the real placement, notified over links."""
 
 from __future__ import annotations
 
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -2,8 +2,8 @@
 
 Machines have a simulated disk, a link of bounded bandwidth and one replica host with all the groups that the
 placement gives them. Consensus, the journal, the placement and the steps of members are the real code; the
-configuration's owner is played by `Controller`, which is told of machines as links would tell it. For tests
-and for `benchmarks/repairs.py`.
+configuration's owner is played by `Controller`, which receives events of machines as links would report them.
+For tests and for `benchmarks/repairs.py`.
 """
 
 from __future__ import annotations
@@ -121,7 +121,7 @@
         self.controller = Controller(self, plan.tolerated)
         self.times: dict[str, GroupTimes] = {}
         self.ended_at: dict[tuple[str, int], float] = {}  # by name and life
-        self.isolated: set[str] = set()  # machines whose members neither hear nor reach others
+        self.isolated: set[str] = set()  # machines whose members neither receive from nor reach others
         self.bytes_sent = 0
         self.error: BaseException | None = None
         self._serial = count(1)
--- a/bitternpath/testing/simulation/replica_checker.py
+++ b/bitternpath/testing/simulation/replica_checker.py
@@ -48,13 +48,13 @@
         self.committed.append(command)
 
     def acknowledge(self, command: bytes) -> None:
-        """A client was told that its command is committed."""
+        """A client received that its command is committed."""
         if command not in self._positions:
             self.fail(f"{command!r} was acknowledged and not applied")
         self.acknowledged = max(self.acknowledged, self._positions[command] + 1)
 
     def refuse(self, command: bytes) -> None:
-        """A client was told that its command was not proposed."""
+        """A client received that its command was not proposed."""
         if command in self._positions:
             self.fail(f"{command!r} was applied, and refused as not proposed")
         self.refused.add(command)
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -296,7 +296,7 @@
                 process.clock.run(partial(process.host.transfer_leadership, GROUP))
 
     def _isolate_in_hand_over(self, node: Node) -> None:
-        """The heir is elected at once, and the owner before it doesn't hear of that."""
+        """The heir is elected at once, and the former owner doesn't learn of it."""
         for each in self.nodes.values():
             if each.process is not None and each.process.host.transfer_leadership(GROUP):
                 self.blocked.update((other, each.name) for other in self.nodes)
--- a/bitternpath/testing/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -22,7 +22,7 @@
 from bitternpath.testing.simulation.interfaces import Packet, StreamCarrier
 from bitternpath.testing.simulation.reactor import VirtualReactor
 
-WINDOW_BYTES = 256 << 10  # under way or unread, before a writer has to wait
+WINDOW_BYTES = 256 << 10  # in flight or unread, before a writer has to wait
 BUFFER_BYTES = 64 << 10  # that wait at the writer, before its producer is paused
 
 
