--- a/bitternpath/cli/system.py
+++ b/bitternpath/cli/system.py
@@ -81,7 +81,7 @@
     faults: Annotated[bool, typer.Option(help="Kill and restart processes on the way.")] = True,
     keep: Annotated[Path | None, typer.Option(help="Folder for settings, logs and data, kept.")] = None,
 ) -> None:
-    """Rehearse the whole system on loopback with faults, and judge it (exit 1: a rule is broken)."""
+    """Run the whole system on loopback with faults, and check the rules (exit 1: one is broken)."""
     from bitternpath.testing.fault_injection.demo import run_demo
 
     raise typer.Exit(run_demo(seconds, rate, seed, faults, keep))
@@ -97,9 +97,9 @@
     file: Annotated[Path | None, typer.Option("--json", help="Write all figures there.")] = None,
 ) -> None:
     """Measure the whole system on loopback under a load, without faults."""
-    from bitternpath.testing.fault_injection.load import run_load
+    from bitternpath.testing.fault_injection.load import LoadParameters, run_load
 
-    raise typer.Exit(run_load(rate, seconds, edges, storage, seed, file))
+    raise typer.Exit(run_load(LoadParameters(rate, seconds, edges, storage, seed), file))
 
 
 def _run(role: str) -> None:
--- a/bitternpath/testing/fault_injection/demo.py
+++ b/bitternpath/testing/fault_injection/demo.py
@@ -15,7 +15,7 @@
 from bitternpath.testing.fault_injection.owner_poller import ConfigurationOwnerPoller
 from bitternpath.testing.fault_injection.plan import Plan, make_plan
 from bitternpath.testing.fault_injection.statistics import slow_start_lines, summary_lines, violation_lines
-from bitternpath.testing.fault_injection.world import SystemNotReady, World, monotonic_reactor
+from bitternpath.testing.fault_injection.world import SystemNotReadyError, World, monotonic_reactor
 
 EDGES, STORAGE = 4, 3
 POLL_INTERVAL_S = 0.25
@@ -103,7 +103,7 @@
         print_line(f"        {self._world.now():6.2f} s  {line}")
 
     def _failed(self, failure: Failure) -> None:
-        if isinstance(failure.value, SystemNotReady):
+        if isinstance(failure.value, SystemNotReadyError):
             print_line(f"the system did not come up: {failure.value}")
             for process in self._world.processes.values():
                 print_line("\n".join(process.log.read_text(errors="replace").splitlines()[-3:]))
--- a/bitternpath/testing/fault_injection/http_server.py
+++ b/bitternpath/testing/fault_injection/http_server.py
@@ -32,14 +32,17 @@
         self.closed = False
 
     def connectionMade(self) -> None:
+        """Begin to count the idle time."""
         self.transport.setTcpNoDelay(True)
         self.setTimeout(KEEP_ALIVE_S)  # type: ignore[no-untyped-call]
 
     def dataReceived(self, data: bytes) -> None:
+        """Handle a request as soon as it is complete."""
         self._reader.feed(data)
         self._next()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Cancel the request that is being handled."""
         self.closed = True
         self.setTimeout(None)  # type: ignore[no-untyped-call]
         running = self._running
@@ -54,6 +57,7 @@
         return self._reactor.callLater(period, func)
 
     def timeoutConnection(self) -> None:
+        """Close an idle connection."""
         self.transport.loseConnection()
 
     def _next(self) -> None:
@@ -92,6 +96,7 @@
         self._reactor = reactor
 
     def buildProtocol(self, addr: Any) -> ServerConnection:
+        """A connection that passes requests to the handler."""
         return ServerConnection(self._handler, self._reactor)
 
 
--- a/bitternpath/testing/fault_injection/load.py
+++ b/bitternpath/testing/fault_injection/load.py
@@ -16,7 +16,7 @@
 from bitternpath.testing.fault_injection.plan import Plan, Role, make_plan
 from bitternpath.testing.fault_injection.processes import Usage
 from bitternpath.testing.fault_injection.statistics import latency, summary_lines, violation_lines
-from bitternpath.testing.fault_injection.world import SystemNotReady, World, monotonic_reactor
+from bitternpath.testing.fault_injection.world import SystemNotReadyError, World, monotonic_reactor
 
 MILLISECONDS = 1_000
 
@@ -56,9 +56,20 @@
     roles: tuple[RoleStatistics, ...]
 
 
-def run_load(rate: float, seconds: float, edges: int, storage: int, seed: int, file: Path | None) -> int:
+@dataclass(frozen=True, slots=True)
+class LoadParameters:
+    """What is measured: messages a second, for how many seconds, on how many nodes of each role."""
+
+    rate: float
+    seconds: float
+    edges: int
+    storage: int
+    seed: int
+
+
+def run_load(load: LoadParameters, file: Path | None) -> int:
     """Measure; 0 where all went well, 1 where a rule was broken or the system did not come up."""
-    plan = make_plan(rate, seconds, edges, storage, seed)
+    plan = make_plan(load.rate, load.seconds, load.edges, load.storage, load.seed)
     with tempfile.TemporaryDirectory(prefix="bitternpath-load-") as folder:
         return _Load(plan, Path(folder), file).run()
 
@@ -152,7 +163,7 @@
         )
 
     def _failed(self, failure: Failure) -> None:
-        if isinstance(failure.value, SystemNotReady):
+        if isinstance(failure.value, SystemNotReadyError):
             print(f"the system did not come up: {failure.value}", file=sys.stderr)
         else:
             print(failure.getTraceback(), file=sys.stderr)
--- a/bitternpath/testing/fault_injection/world.py
+++ b/bitternpath/testing/fault_injection/world.py
@@ -45,7 +45,7 @@
 MAX_CPU_WAIT_SHARE = 0.15  # of each second: beyond it heartbeats come late
 
 
-class SystemNotReady(Exception):
+class SystemNotReadyError(Exception):
     """The system did not become ready in time; the text says which stage it reached. A retry may help."""
 
 
@@ -106,7 +106,7 @@
     async def start(self) -> None:
         """Start all processes, create the configuration, and wait until all edge nodes are ready.
 
-        Raises `SystemNotReady`.
+        Raises `SystemNotReadyError`.
         """
         self.platform.publish([worker.listed() for worker in self.listed])
         for process in self.processes.values():
@@ -114,13 +114,13 @@
         self.balancer.start()
         document = first_configuration(self.plan, self.endpoint.address)
         if not await self.operator.create_configuration(document):
-            raise SystemNotReady("no edge node acknowledged the first configuration")
+            raise SystemNotReadyError("no edge node acknowledged the first configuration")
         self._report(f"{self.now():6.2f} s  first configuration acknowledged")
         give_up_at = self.now() + READY_WITHIN_S
         while len(self.balancer.ready()) < len(self.plan.edges):
             if self.now() > give_up_at:
                 ready = [edge.name for edge in self.balancer.ready()]
-                raise SystemNotReady(f"ready are {ready} of {len(self.plan.edges)} edge nodes")
+                raise SystemNotReadyError(f"ready are {ready} of {len(self.plan.edges)} edge nodes")
             await deferLater(self.reactor, POLL_INTERVAL_S)
         self._report(f"{self.now():6.2f} s  all edge nodes are ready")
         for puller in self.pullers:
--- a/bitternpath/testing/simulation/checks/connectivity.py
+++ b/bitternpath/testing/simulation/checks/connectivity.py
@@ -1,5 +1,6 @@
 """When machines are in touch and the core is stable (RULES, "In touch"). Stricter counts are left out: a
-moment that isn't surely in touch is taken as out of touch."""
+moment that isn't surely in touch is taken as out of touch.
+"""
 
 from __future__ import annotations
 
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -211,7 +211,8 @@
 
     def _may_wipe(self) -> bool:
         """One disk at a time may be lost: an owner's members must be the nodes' present ones, that must be
-        committed, and all must have caught up."""
+        committed, and all must have caught up.
+        """
         desired = {node.member for node in self.nodes.values()}
         for node in self.nodes.values():
             process = node.process
