--- a/bitternpath/__main__.py
+++ b/bitternpath/__main__.py
@@ -4,7 +4,7 @@
 import signal
 import sys
 
-gc.disable()  # until the node is up: what is imported stays, and each look through it takes time
+gc.disable()  # until the node is up: what is imported stays, and each collection scans it
 if sys.argv[1:2] in ([], ["serve"], ["edge"], ["storage"]):
     # They wait until the node listens for them: a SIGHUP would end a process that is starting.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM))
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -16,7 +16,7 @@
 
 from bitternpath.cli.lab import needs_lab
 
-EACH = ("days", "search")  # ways of which each outcome is told
+REPORT_EACH = ("days", "search")  # ways of which each outcome is reported
 DEFAULT_FAULTS = 20
 FAULTS_OF_A_DAY = 5  # with real processes
 CORES_OF_A_DAY = 2  # that a run with real processes keeps busy
@@ -48,9 +48,10 @@
     from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, begun
 
     found = search(begun(SCOPES[number]), most, deque.pop)
-    says = f"{found.broken}, after {'; '.join(found.trail)}" if found.broken else "rules kept"
-    whole = "all" if found.whole else "the first"
-    return not found.broken, f"{SCOPES[number]}: {says} in {whole} {found.states} states, {found.moves} moves"
+    summary = f"{found.broken}, after {'; '.join(found.trail)}" if found.broken else "rules kept"
+    coverage = "all" if found.whole else "the first"
+    searched = f"{coverage} {found.states} states, {found.moves} moves"
+    return not found.broken, f"{SCOPES[number]}: {summary} in {searched}"
 
 
 def _system(seed: int, _: int) -> tuple[bool, str]:
@@ -58,8 +59,8 @@
     from bitternpath.testing.simulation.runs.single_run import describe, run_seed, shrink_and_save
 
     report = run_seed(seed)
-    says = describe(report)
-    return report.kept, says if report.kept else f"{says}\n  shrunk: {shrink_and_save(report)}"
+    summary = describe(report)
+    return report.kept, summary if report.kept else f"{summary}\n  shrunk: {shrink_and_save(report)}"
 
 
 def one_day(seed: int, faults: int) -> int:
@@ -77,8 +78,8 @@
     except VoidError as error:
         print(f"{error} ({kinds})")
         return 0
-    says = "; ".join(result.violations[:3]) or f"rules kept, {result.requests} requests"
-    print(f"{says} ({kinds})")
+    summary = "; ".join(result.violations[:3]) or f"rules kept, {result.requests} requests"
+    print(f"{summary} ({kinds})")
     return 0 if result.kept else 1
 
 
@@ -122,14 +123,14 @@
     with pool:
         outcomes: Iterable[tuple[bool, str]] = pool.map(
             WAYS[way], range(first, first + many), [faults] * many,
-            **({} if way in EACH else {"chunksize": max(min(many // cores // 4, 50), 1)}),
+            **({} if way in REPORT_EACH else {"chunksize": max(min(many // cores // 4, 50), 1)}),
         )  # fmt: skip
-        for kept, says in outcomes:
+        for kept, summary in outcomes:
             done += 1
             bad += not kept
-            void += "void" in says
-            if not kept or way in EACH:
-                click.echo(says)
+            void += "void" in summary
+            if not kept or way in REPORT_EACH:
+                click.echo(summary)
             elif done % max(many // 20, 1) == 0:
                 click.echo(f"{done} of {many}, {time.monotonic() - begun:.0f} s")
     voids = f", {void} of them void" if void else ""
--- a/bitternpath/cli/emulate.py
+++ b/bitternpath/cli/emulate.py
@@ -55,17 +55,17 @@
         if policy != "module" or seeds != 1:
             raise click.UsageError("--sockets plays the node's own module, one seed at a time")
         try:
-            told = load(scenario)
+            scenario_data = load(scenario)
         except ScenarioError as error:
             raise click.UsageError(str(error)) from error
-        click.get_current_context().exit(run(told, seed, file))
+        click.get_current_context().exit(run(scenario_data, seed, file))
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     console = Console(highlight=False)
     results = []
     try:
-        told = load(scenario)
+        scenario_data = load(scenario)
         for k in range(max(seeds, 1)):
-            results.append(play(told, seed + k, policy))
+            results.append(play(scenario_data, seed + k, policy))
             show(results[-1], console)
     except ScenarioError as error:
         raise click.UsageError(str(error)) from error
--- a/bitternpath/cli/run.py
+++ b/bitternpath/cli/run.py
@@ -25,8 +25,8 @@
     from bitternpath.balancer import node  # the reactor is not needed to find a fault in a configuration
     from bitternpath.balancer.config import logs
 
-    told = loaded.operator.settings.log
-    logs.start(told.level, told.format, told.per_second)
+    log_settings = loaded.operator.settings.log
+    logs.start(log_settings.level, log_settings.format, log_settings.per_second)
 
     def read_again(running: Loaded) -> Loaded:
         return reload_all(running, os.environ, config, operator_file, flags)
--- a/bitternpath/cli/system.py
+++ b/bitternpath/cli/system.py
@@ -11,7 +11,7 @@
 
 import typer
 
-EXIT_FAILED = 1  # the command ran, and what it looked at is wrong
+EXIT_FAILED = 1  # the command ran, and what it checked is wrong
 EXIT_USAGE = 2  # the arguments or the settings are wrong
 
 app = typer.Typer(
--- a/bitternpath/delivery/exchanges.py
+++ b/bitternpath/delivery/exchanges.py
@@ -44,7 +44,7 @@
         return max(0.0, self._send_by - self._clock.seconds())
 
     def sendable(self) -> bool:
-        """Whether it may be sent now; to be asked at the moment of the send."""
+        """Whether it may be sent now; call right before sending."""
         return self._clock.seconds() <= self._send_by
 
     def set_timeout(self, timeout_s: float, expired: Callable[[], None]) -> None:
--- a/bitternpath/delivery/pool.py
+++ b/bitternpath/delivery/pool.py
@@ -89,7 +89,7 @@
             connection.close()
 
     def retire(self) -> None:
-        """The worker has gone: nothing new is sent, and what is in flight ends by itself."""
+        """The worker was removed: nothing new is sent, and what is in flight ends by itself."""
         self._retired = True
         self.close_idle()
         while self._waiting:
--- a/bitternpath/ingress/interfaces.py
+++ b/bitternpath/ingress/interfaces.py
@@ -57,7 +57,7 @@
     """The result of a call about a lease: its end or its extension. The values are the HTTP statuses."""
 
     ACKNOWLEDGED = 200
-    GONE = 409  # the lease isn't the current one; a retry is useless
+    NOT_CURRENT = 409  # the lease isn't the current one; a retry is useless
     UNAVAILABLE = 503  # no owner could be reached; a retry may help
 
 
@@ -75,7 +75,7 @@
     result: Deferred[PulledJob | None]  # None: no job came in time
 
     def cancel(self) -> None:
-        """The worker has gone; a job that still comes is handed back."""
+        """The worker has disconnected; a job that still comes is handed back."""
 
 
 class NodeService(Protocol):
--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -1,8 +1,8 @@
 """Call-backs that a shard owes: which receiver is notified next, and when a call is repeated.
 
 A receiver that fails call after call gets one call at a time, a probe, until it acknowledges one: then all
-that waits for it goes out again. So a receiver that is down costs little, and one that has come back hears
-of the first message within a probe's interval and time-out, and of the others right after it.
+that waits for it goes out again. So a receiver that is down costs little, and a recovered receiver is
+notified of the first message within a probe's interval and time-out, and of the others right after it.
 
 The states of a call-back, from the message's end to the commit of `ConfirmCallbacks`:
 
@@ -35,7 +35,7 @@
 from bitternpath.queue.edge_nodes import EdgeNodeTable
 from bitternpath.queue.entries import Entry
 
-CALLBACK_TIMEOUT_S = 2.6  # without a report, which an edge node gives after 2 s: it may have gone
+CALLBACK_TIMEOUT_S = 2.6  # without a report, which an edge node gives after 2 s: the edge node may be down
 MAX_CALLBACKS_PER_RECEIVER = 8  # in flight from one shard: receivers take few connections
 FAILURES_BEFORE_PROBING = 4  # in a row, of whichever messages: the receiver is only probed from then on
 PROBE_INTERVAL_S = 0.5  # from a failure to the next probe
--- a/bitternpath/queue/commands.py
+++ b/bitternpath/queue/commands.py
@@ -40,7 +40,7 @@
 
 
 class ExpireMessage(Struct, frozen=True):
-    """End a message as a dead letter: its retention is over, or its route is gone.
+    """End a message as a dead letter: its retention is over, or its route no longer exists.
 
     No effect unless `lease_id` is the message's current lease ("": none): the lease is the fencing token, so
     that a decision which was made before a later grant does not end a message that is out again.
--- a/bitternpath/queue/edge_nodes.py
+++ b/bitternpath/queue/edge_nodes.py
@@ -29,7 +29,7 @@
 
 
 class EdgeNodeTable:
-    """All edge nodes that this owner has heard of."""
+    """All edge nodes that this owner knows."""
 
     def __init__(self, zone: str, random: Random) -> None:
         """Prefer edge nodes in `zone`, the owner's; choose among equals with `random`."""
@@ -37,7 +37,7 @@
         self._random = random
         self._edges: dict[str, EdgeNode] = {}
 
-    def find(self, name: str) -> EdgeNode:
+    def get_or_add(self, name: str) -> EdgeNode:
         """Return an edge node, connected or not; an unknown one is added."""
         edge = self._edges.get(name)
         if edge is None:
@@ -46,7 +46,7 @@
 
     def is_local(self, name: str) -> bool:
         """Whether an edge node is in the owner's zone."""
-        return self.find(name).zone == self._zone
+        return self.get_or_add(name).zone == self._zone
 
     def choose(self, origin: str, service: str, avoided: str = "") -> EdgeNode | None:
         """Choose the edge node for a delivery; None where none has capacity.
--- a/bitternpath/queue/lease_granting.py
+++ b/bitternpath/queue/lease_granting.py
@@ -73,7 +73,7 @@
         )
 
     def _wait(self, now: float, queue: ServiceQueue, when: float | None) -> None:
-        """Have a queue looked at again at `when`; None: after a lease has ended, which marks it dirty."""
+        """Have a queue processed again at `when`; None: after a lease has ended, which marks it dirty."""
         if when is not None:
             self._services.wake_at(when, queue)
         borrower = queue.borrower
@@ -122,7 +122,7 @@
         return True
 
     def _request_pollers(self, now: float, queue: ServiceQueue) -> None:
-        """Ask for pulling workers, of which none waits here: edge nodes may know of some elsewhere."""
+        """Request pulling workers, of which none waits here: edge nodes may know of some elsewhere."""
         if not queue.service.pull_mode:
             return
         if now >= queue.pollers_requested_at + queue.pollers_request_interval_s:
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -117,7 +117,7 @@
         self.set_timer(tracked)
 
     def set_timer(self, tracked: TrackedMessage) -> None:
-        """Have the owner look at a leased message at `lease_ends_at`."""
+        """Have the owner re-check a leased message at `lease_ends_at`."""
         self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
 
     def adopt(self, now: float, tracked: TrackedMessage, lease: Lease, duration_ms: int) -> None:
@@ -134,8 +134,8 @@
     ) -> SendDelivery | AnswerPoll | None:
         """Return what is sent now that the grant is committed.
 
-        None: the receiver has gone, or the grant took so long that the token of a limited service has lapsed;
-        the lease is then to be ended as not run.
+        None: the receiver has disconnected, or the grant took so long that the token of a limited service has
+        lapsed; the lease is then to be ended as not run.
         """
         lease = tracked.lease
         assert lease is not None, "the caller has found the lease that the command grants"
@@ -155,7 +155,7 @@
         tracked.lease = None
         self._release_poll(lease)
         self._services.mark_dirty(lease.service)
-        edge = self._edges.find(lease.edge)
+        edge = self._edges.get_or_add(lease.edge)
         if edge.leases.pop(lease.lease_id, None) is None:
             return
         edge.leases_by_service[lease.service] -= 1
@@ -195,7 +195,7 @@
         return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, pulled=False)
 
     def _take_capacity(self, lease: InFlightLease) -> None:
-        edge = self._edges.find(lease.edge)
+        edge = self._edges.get_or_add(lease.edge)
         edge.leases[lease.lease_id] = lease
         edge.leases_by_service[lease.service] += 1
         queue = self._services.find(lease.service)
@@ -213,7 +213,7 @@
         return AnswerPoll(poll.poll_id, poll.request.edge, command.lease_id, tracked.entry.message)
 
     def _send(self, name: str, tracked: TrackedMessage, command: GrantLease) -> SendDelivery | None:
-        edge = self._edges.find(name)
+        edge = self._edges.get_or_add(name)
         entry = tracked.entry
         if not edge.connected:
             return None
--- a/bitternpath/queue/lifecycle.py
+++ b/bitternpath/queue/lifecycle.py
@@ -62,7 +62,7 @@
         return tracked
 
     def adopt(self, now: float, entry: Entry) -> Action | None:
-        """Track a message of an earlier owner. Its holder may be running it: its lease begins anew."""
+        """Track a message of an earlier owner. Its holder may be running it: its lease restarts."""
         tracked = TrackedMessage(entry, accepted_by_this_owner=False)
         self._tracked[entry.message.request_id] = tracked
         if entry.lease is None:
--- a/bitternpath/queue/long_polls.py
+++ b/bitternpath/queue/long_polls.py
@@ -81,7 +81,7 @@
         return poll
 
     def remove_of_edge(self, edge: str) -> None:
-        """Remove the polls of an edge node that has gone."""
+        """Remove the polls of an edge node that has disconnected."""
         for poll in [poll for poll in self._polls.values() if poll.request.edge == edge]:
             self.remove(poll.poll_id)
 
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -7,13 +7,13 @@
 Invariants:
 
 - a message is sent only after its `GrantLease` has been applied, so that each later owner knows of the lease;
-- a lease of an earlier owner starts anew when a new owner begins: its holder may be running the message;
+- a lease of an earlier owner restarts when a new owner begins: its holder may be running the message;
 - after each event the owner's role calls `next_wakeup`, and `tick` at that time: nothing waits for another
   event whose time has come.
 
 Ways in which messages came to a standstill, and what prevents them:
 
-- a transfer of leadership that came to nothing had refused proposals: `proposal_failed` makes up for each;
+- a failed leadership transfer had rejected proposals; `proposal_failed` retries each;
 - an edge node that is partitioned from the workers returned a message again and again: after
   `lifecycle.RETURNS_BEFORE_EDGE_CHANGE` returns it goes to another one;
 - a message ready for a pulling worker waited at one shard while workers waited at others: `RequestPollers`.
@@ -130,8 +130,8 @@
             if entry.ended:
                 self._ended.add(entry)
             else:
-                self._emit_any(self._lifecycle.adopt(now, entry))
-        return self._take_actions(now)
+                self._emit_optional(self._lifecycle.adopt(now, entry))
+        return self._grant_and_collect_actions(now)
 
     def configure(self, now: float, table: RoutingTable) -> list[Action]:
         """Follow another configuration from now on; an older one than the present one is ignored."""
@@ -140,37 +140,37 @@
         self._services.configure(now, table.services)
         self._pools.configure(now, table.services)
         for tracked in self._routes.configure(table):
-            self._emit_any(self._lifecycle.place_idle(now, tracked))
-        return self._take_actions(now)
+            self._emit_optional(self._lifecycle.place_idle(now, tracked))
+        return self._grant_and_collect_actions(now)
 
     def set_capacities(self, now: float, slots: dict[str, int]) -> list[Action]:
         """Take the number of slots that the listed workers of each service have."""
         self._services.set_capacities(slots)
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def edge_connected(self, now: float, name: str, zone: str) -> list[Action]:
         """Use an edge node that is connected. Call `edge_process_ended` first for an earlier process."""
-        edge = self._edges.find(name)
+        edge = self._edges.get_or_add(name)
         edge.zone = zone
         edge.connected = True
         self._services.mark_all_dirty()
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def edge_disconnected(self, now: float, name: str) -> list[Action]:
         """Send nothing to an edge node that is away. Its leases go on: it may be running the messages."""
-        self._edges.find(name).connected = False
+        self._edges.get_or_add(name).connected = False
         self._polls.remove_of_edge(name)
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def edge_process_ended(self, now: float, name: str) -> list[Action]:
         """Release the leases of an edge node whose process has ended, of messages without an order key."""
-        edge = self._edges.find(name)
+        edge = self._edges.get_or_add(name)
         edge.connected = False
         edge.process_ended_at = now
         self._polls.remove_of_edge(name)
         for lease in list(edge.leases.values()):
-            self._emit_any(self._lifecycle.edge_process_ended(now, lease.request_id))
-        return self._take_actions(now)
+            self._emit_optional(self._lifecycle.edge_process_ended(now, lease.request_id))
+        return self._grant_and_collect_actions(now)
 
     # ---- events: rate limits that shards share
 
@@ -187,7 +187,7 @@
         if queue is not None and queue.borrower is not None:
             queue.borrower.tokens_lent(now, tokens, requested_at)
             self._services.mark_dirty(service)
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     # ---- events: workers that pull, reports of holders, call-backs
 
@@ -196,12 +196,12 @@
         is_local = self._edges.is_local(request.edge)
         self._polls.add(LongPoll(request, now + request.wait_s, is_local))
         self._services.mark_dirty(request.service)
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def cancel_poll(self, now: float, poll_id: int) -> list[Action]:
         """Let a worker wait no more; a message that is being leased to it will be returned."""
         self._polls.remove(poll_id)
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def extend(self, now: float, request_id: str, lease_id: str) -> bool:
         """Extend the lease of a pulled message, which is not in the log; False where it is not current."""
@@ -212,15 +212,15 @@
     ) -> EndAttempt:
         """Return the command for a holder's report, with the `max_attempts` in force. The caller proposes it.
 
-        A report that the route is gone returns the message: the holder's configuration may be older than the
-        message. Whether the message ends is decided here, by the table in force.
+        A report that the route no longer exists returns the message: the holder's configuration may be older
+        than the message. Whether the message ends is decided here, by the table in force.
         """
         return self._lifecycle.end_attempt_command(request_id, lease_id, outcome, stamp, retry_after_ms)
 
     def callback_report(self, now: float, request_id: str, *, acknowledged: bool) -> list[Action]:
         """Take an edge node's report on a call-back, which the receiver acknowledged or not."""
         self._ended.callbacks.report(now, request_id, acknowledged=acknowledged)
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     # ---- events: the log
 
@@ -241,7 +241,7 @@
             return []
         self._lifecycle.add_provisional(tracked)
         self._emit(ProposeCommand(command))
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def append_failed(self, request_id: str) -> None:
         """Drop a message whose append, for which `append_proposed` gave actions, is surely not in the log."""
@@ -251,29 +251,29 @@
         """Follow a command that has been applied to the state; call it after each one, before the next."""
         match result:
             case MessageAppended(is_new=True):
-                self._emit_any(self._lifecycle.message_appended(now, result))
+                self._emit_optional(self._lifecycle.message_appended(now, result))
             case LeaseGranted():
-                self._emit_any(self._lifecycle.lease_granted(now, result))
+                self._emit_optional(self._lifecycle.lease_granted(now, result))
             case AttemptEnded(effective=True):
-                self._emit_any(self._lifecycle.attempt_ended(now, result))
+                self._emit_optional(self._lifecycle.attempt_ended(now, result))
             case MessageExpired():
-                self._emit_any(self._lifecycle.expiry_applied(now, result))
+                self._emit_optional(self._lifecycle.expiry_applied(now, result))
             case CallbacksConfirmed() | TombstonesRemoved():
                 for request_id in result.command.request_ids:
                     self._ended.callbacks.remove(request_id)
             case _:
                 pass
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def proposal_failed(self, now: float, command: Command) -> list[Action]:
         """Make up for a proposal that is surely not in the log, though this owner still owns the shard."""
         match command:
             case GrantLease():
-                self._emit_any(self._lifecycle.grant_not_proposed(now, command))
+                self._emit_optional(self._lifecycle.grant_not_proposed(now, command))
             case ExpireMessage():
-                self._emit_any(self._lifecycle.expiry_not_proposed(now, command))
+                self._emit_optional(self._lifecycle.expiry_not_proposed(now, command))
             case EndAttempt():
-                self._emit_any(self._lifecycle.end_not_proposed(command))
+                self._emit_optional(self._lifecycle.end_not_proposed(command))
             case ConfirmCallbacks():
                 for request_id in command.request_ids:
                     self._ended.callbacks.confirmation_failed(request_id)
@@ -281,20 +281,20 @@
                 self._retry_removal(now, command)
             case AppendMessage():
                 pass  # the client's request is refused, and repeated there
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     # ---- time
 
     def tick(self, now: float) -> list[Action]:
-        """Let everything happen whose time has come."""
+        """Fire all due timers."""
         while (timer := self._timers.pop_due(now)) is not None:
-            self._emit_any(self._lifecycle.timer_fired(now, timer))
+            self._emit_optional(self._lifecycle.timer_fired(now, timer))
         self._services.wake_due(now)
         while (poll := self._polls.pop_expired(now)) is not None:
             self._emit(ExpirePoll(poll.poll_id, poll.request.edge))
         for command in self._ended.tombstones.collect(now, self._longest_retention()):
             self._emit(ProposeCommand(command))
-        return self._take_actions(now)
+        return self._grant_and_collect_actions(now)
 
     def next_wakeup(self, now: float) -> float | None:
         """Return when `tick` is wanted next; None: not before another event."""
@@ -324,12 +324,12 @@
     def _emit(self, action: Action) -> None:
         self._actions.append(action)
 
-    def _emit_any(self, action: Action | None) -> None:
+    def _emit_optional(self, action: Action | None) -> None:
         if action is not None:
             self._actions.append(action)
 
-    def _take_actions(self, now: float) -> list[Action]:
-        """Grant what can be granted, send call-backs, and hand over the actions."""
+    def _grant_and_collect_actions(self, now: float) -> list[Action]:
+        """Grant ready leases, advance call-backs, and return the collected actions."""
         for queue in self._services.take_dirty():
             self._granter.grant_ready(now, queue)
         self._actions.extend(self._ended.callbacks.advance(now))
--- a/bitternpath/queue/placement.py
+++ b/bitternpath/queue/placement.py
@@ -59,7 +59,7 @@
         return None
 
     def _place_unrouted(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
-        """End a message whose route is gone; wait where the table is older than the message."""
+        """End a message whose route no longer exists; wait where the table is older than the message."""
         tracked.enter(MessagePhase.UNROUTED)
         table = self._routes.table
         if table is None or table.version < tracked.entry.message.accepted_version:
--- a/bitternpath/queue/quota_leases.py
+++ b/bitternpath/queue/quota_leases.py
@@ -14,7 +14,7 @@
 from bitternpath.queue.sharding import home_shard
 from bitternpath.queue.token_bucket import TokenBucket
 
-MAX_BORROWED_TOKENS = 16  # at once
+MAX_BORROWED_TOKENS = 16  # per loan
 MIN_BORROW_INTERVAL_S = 0.15  # between requests; doubled while nothing is lent
 MAX_BORROW_INTERVAL_S = 0.4
 
@@ -76,7 +76,7 @@
             pool.configure(now, split.pool)
 
     def lend(self, now: float, service: str, wanted: int) -> int:
-        """Take tokens for a shard: up to half of those there, as others may be about to ask."""
+        """Take tokens for a shard: up to half of those there, as others may request soon."""
         pool = self._pools.get(service)
         if pool is None:
             return 0
--- a/bitternpath/queue/service_queues.py
+++ b/bitternpath/queue/service_queues.py
@@ -71,10 +71,10 @@
 
 
 class ServiceQueueTable:
-    """The queues of all services, which of them to look at, and when others may go on.
+    """The queues of all services, which of them to process, and when others may go on.
 
-    A queue is dirty when a lease of its service may have become possible; the owner looks at each dirty queue
-    at the end of each event.
+    A queue is dirty when a lease of its service may have become possible; the owner processes each dirty
+    queue at the end of each event.
     """
 
     def __init__(self, bound: RateBound) -> None:
@@ -119,16 +119,16 @@
         return TokenBucket(share, now)
 
     def mark_dirty(self, service: str) -> None:
-        """Have the queue of a service looked at, where it is configured."""
+        """Have the queue of a service processed, where it is configured."""
         if service in self._queues:
             self._dirty[service] = None
 
     def mark_all_dirty(self) -> None:
-        """Have all queues looked at."""
+        """Have all queues processed."""
         self._dirty.update(dict.fromkeys(self._queues))
 
     def take_dirty(self) -> list[ServiceQueue]:
-        """Return the queues to look at, which are dirty no more."""
+        """Return the queues to process, which are dirty no more."""
         queues = [self._queues[name] for name in self._dirty]
         self._dirty.clear()
         return queues
--- a/bitternpath/queue/sharding.py
+++ b/bitternpath/queue/sharding.py
@@ -49,8 +49,8 @@
 def split_message_id(text: str) -> tuple[int | None, str]:
     """Return shard and request id of a message's name; the shard is None where the text is a bare request id.
 
-    A bare request id that happens to look like a name yields a shard that doesn't know the rest: callers then
-    look for the complete text in all shards.
+    A bare request id that happens to have the form of a name yields a shard that doesn't know the rest:
+    callers then search for the complete text in all shards.
     """
     found = _MESSAGE_ID.match(text)
     if found is None:
--- a/bitternpath/queue/tracked_messages.py
+++ b/bitternpath/queue/tracked_messages.py
@@ -88,11 +88,11 @@
     """An unended message at its owner. Times are on the local steady clock, in seconds."""
 
     entry: Entry
-    accepted_by_this_owner: bool  # it has seen each end of an edge node's process since the accept
+    accepted_by_this_owner: bool  # it has observed each end of an edge node's process since the accept
     phase: MessagePhase = MessagePhase.UNROUTED
     serial: int = 0  # rises with each change of phase; timers and queue items of older ones are stale
     route: Route | None = None
-    unrouted_since: float = inf  # when its route was found to be gone
+    unrouted_since: float = inf  # when its route was found to be removed
     retry_at: float = 0.0  # end of its back-off
     lease_ends_at: float = 0.0
     retention_timer: float = inf  # when its retention timer fires
--- a/bitternpath/roles/bootstrap.py
+++ b/bitternpath/roles/bootstrap.py
@@ -68,8 +68,8 @@
             if link is not None:
                 link.send(decision)
         names = {member.member for member in pending}
-        for gone in [member for member in self._dialled if member not in names]:
-            self._release(gone)
+        for departed in [member for member in self._dialled if member not in names]:
+            self._release(departed)
         return bool(pending)
 
     def _is_pending(self, member: str) -> bool:
@@ -142,7 +142,8 @@
     def start(self) -> None:
         """Claim the right to decide where this node has it, or resume with an earlier claim or decision.
 
-        A document that can't be read may have held a decision that others know, so then nothing is decided.
+        A document that can't be read may have contained a decision that others know, so then nothing is
+        decided.
         """
         try:
             stored = self._file.load() if self._file is not None else None
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -91,12 +91,14 @@
         self._voters = ConfigurationVoters(reactor, host, self._nodes, base.view, tolerated)
         self._placement = ShardPlacement(reactor, self, self.state, self._nodes, tolerated)
         self._retirements = Retirements(self, self.state, self._nodes, tolerated)
-        self._check_scheduled = False
-        self._checks = PeriodicCall(reactor, CHECK_INTERVAL_S, self._check)
+        self._reconcile_scheduled = False
+        self._checks = PeriodicCall(reactor, CHECK_INTERVAL_S, self._reconcile)
 
     def start(self) -> None:
-        """Take part: with the state on disk, as a founder once there is a decision, or when a leader adds
-        this member.
+        """Start to take part in the group.
+
+        A member takes part with the state on disk, as a founder once there is a decision, or when a leader
+        adds it.
 
         A member that joined later has no bootstrap decision on disk, only the group's state. It must not wait
         to be notified: perhaps all members that are left have joined later.
@@ -127,8 +129,10 @@
         return self.is_open and self.host.hears_quorum(CONFIGURATION_GROUP)
 
     def propose(self, command: bytes) -> Deferred[object]:
-        """Commit and apply a command. Errors: `NotOwnerError` (had no effect, another owner may be asked),
-        `OutcomeUnknownError` (it may be committed).
+        """Commit and apply a command.
+
+        Errors: `NotOwnerError` (had no effect, another owner may be asked), `OutcomeUnknownError` (it may be
+        committed).
         """
         return self.host.propose(CONFIGURATION_GROUP, command)
 
@@ -175,7 +179,7 @@
             return
         self.feed.subscribe(link, request)
         if link.peer is not None and link.peer.disk:  # nodes without a disk hold no replica; there are many
-            self._check_soon()
+            self._schedule_reconcile()
 
     def membership_reported(self, _link: Link, report: MembershipReport) -> None:
         """A shard's owner has reported its committed members."""
@@ -203,7 +207,7 @@
         """A committed command has been applied; `result` is true where it changed the state."""
         if result:
             self.feed.publish()
-            self._check_soon()
+            self._schedule_reconcile()
 
     # ---- the group
 
@@ -217,17 +221,17 @@
             founders = Members(tuple(member.member for member in members))
         self.is_open = True
         self.host.open_group(CONFIGURATION_GROUP, self.state, founders, self)
-        self._voters.group_opened(self._check_soon)
+        self._voters.group_opened(self._schedule_reconcile)
 
-    def _check_soon(self) -> None:
-        """Have all that happens within `COALESCE_S` checked together."""
-        if not self._check_scheduled:
-            self._check_scheduled = True
-            self._reactor.callLater(COALESCE_S, self._check)
+    def _schedule_reconcile(self) -> None:
+        """Reconcile once for all events within `COALESCE_S`."""
+        if not self._reconcile_scheduled:
+            self._reconcile_scheduled = True
+            self._reactor.callLater(COALESCE_S, self._reconcile)
 
-    def _check(self) -> None:
+    def _reconcile(self) -> None:
         """Bring the system closer to its desired state: links, members, placement, retirements."""
-        self._check_scheduled = False
+        self._reconcile_scheduled = False
         if self.is_open:
             self._transport.connect_members(self._addresses(self._members().all))
         if self.is_owner():
@@ -238,8 +242,10 @@
         self._notify_of_bootstrap()
 
     def _notify_of_bootstrap(self) -> None:
-        """The owner notifies all members, as one that isn't notified doesn't take part. Without a leader the
-        founders notify each other: the coordinator may be lost.
+        """Notify members of the decision, as one that isn't notified doesn't take part.
+
+        The owner notifies all members. Without a leader the founders notify each other: the coordinator may
+        be lost.
         """
         decision = self.bootstrap_state.decision
         if self.is_owner():
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -30,8 +30,9 @@
 
 
 class ConfigurationVoters:
-    """Computes the desired members from the live nodes; `MembershipReconciler` takes the steps that lead
-    there.
+    """Computes the desired members from the live nodes.
+
+    `MembershipReconciler` takes the steps that lead there.
     """
 
     def __init__(
@@ -42,15 +43,16 @@
         view: MembershipView,
         tolerated_machines: int,
     ) -> None:
-        """`nodes` are those that follow the feed; the group shall have 2 * `tolerated_machines` + 1
-        voters.
+        """Prepare for the group on `host`.
+
+        `nodes` are those that follow the feed; the group shall have 2 * `tolerated_machines` + 1 voters.
         """
         self._reactor = reactor
         self._host = host
         self._nodes = nodes
         self._view = view
         self._voter_count = 2 * tolerated_machines + 1
-        self._changes = MembershipReconciler(host)
+        self._membership_reconciler = MembershipReconciler(host)
         self._voter_heartbeats: dict[str, _Heartbeat] = {}  # the last one seen of each node that had a voter
 
     def group_opened(self, progressed: Callable[[], None]) -> None:
@@ -62,7 +64,7 @@
         current = self._host.members(CONFIGURATION_GROUP)
         candidates = self._candidates(current)
         desired = desired_members(current, candidates, self._unresponsive_for, self._voter_count)
-        self._changes.set_desired(CONFIGURATION_GROUP, desired, current.generation)
+        self._membership_reconciler.set_desired(CONFIGURATION_GROUP, desired, current.generation)
 
     def _candidates(self, current: Members) -> list[NodeDescriptor]:
         """Live nodes that may have a member.
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -88,8 +88,9 @@
     def __init__(
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
-        """Open the disk, where there is one; raises `OSError`, `CorruptJournalError` and
-        `CorruptDocumentError`.
+        """Open the disk, where there is one.
+
+        Raises `OSError`, `CorruptJournalError` and `CorruptDocumentError`.
         """
         self.settings = settings
         self.stopping = False
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -52,7 +52,7 @@
         self._give_up_at = 0.0
         self._finished: Callable[[], None] | None = None
         self._served = False
-        self._final_answers_given = False
+        self._pending_requests_answered = False
 
     # ---- start
 
@@ -79,8 +79,10 @@
     # ---- graceful shutdown
 
     def shut_down(self, finished: Callable[[], None]) -> None:
-        """Turn unready at once, answer all requests that were read, return leases, send reports; then close
-        links and disk, and call `finished()`.
+        """Shut down gracefully, then call `finished()`.
+
+        Turn unready at once, answer all requests that were read, return leases and send reports; then close
+        links and disk.
         """
         log.info("event=shutdown_started")
         grace = self.settings.bounds.grace_s
@@ -108,7 +110,7 @@
         now = self._reactor.seconds()
         finished = self._is_finished()
         if not self._served and now >= self._give_up_at - FINAL_ANSWERS_LEAD_S:
-            self._give_final_answers()
+            self._answer_pending_requests()
         if not finished and now < self._give_up_at:
             self._reactor.callLater(CHECK_INTERVAL_S, self._check_finished)
             return
@@ -128,10 +130,10 @@
         pending = node.deliveries.in_flight or node.reports.in_flight or node.callbacks.in_flight
         return self._served and not pending
 
-    def _give_final_answers(self) -> None:
+    def _answer_pending_requests(self) -> None:
         """Answer each request that was read and is still pending, however long its deadline is."""
-        if not self._final_answers_given:
-            self._final_answers_given = True
+        if not self._pending_requests_answered:
+            self._pending_requests_answered = True
             for site in self._sites:
                 site.answer_pending()
 
--- a/bitternpath/roles/group_transport.py
+++ b/bitternpath/roles/group_transport.py
@@ -59,8 +59,9 @@
             link.send(GroupMessage(group, body))
 
     def received(self, link: Link, message: GroupMessage) -> None:
-        """Pass on a message of the member at the other end of a link, which knows from this node's `Hello`
-        which member it talks to.
+        """Pass on a message of the member at the other end of a link.
+
+        That member knows from this node's `Hello` which member it talks to.
         """
         if link.peer is not None and self._receive is not None:
             self._receive(message.group, member_id(link.peer), message.body)
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -25,13 +25,15 @@
         placements: the newest placement of each group of the system, also of those without a replica here.
     """
 
-    def __init__(self, host: ReplicaHost, transport: GroupTransport, changes: MembershipReconciler) -> None:
-        """`changes` brings the members of groups that this node owns to their placement."""
+    def __init__(
+        self, host: ReplicaHost, transport: GroupTransport, membership_reconciler: MembershipReconciler
+    ) -> None:
+        """`membership_reconciler` brings the members of groups that this node owns to their placement."""
         self.runtimes: dict[str, ShardRuntime] = {}
         self.placements: dict[str, GroupPlacement] = {}
         self._host = host
         self._transport = transport
-        self._changes = changes
+        self._membership_reconciler = membership_reconciler
         self._requests: dict[str, ShardRequests] = {}
         self._table: RoutingTable | None = None
         self._slots: dict[str, int] | None = None
@@ -64,7 +66,7 @@
             if wanted:
                 self._transport.connect_members(placement.members)
             members = [member.member for member in placement.members]
-            self._changes.set_desired(placement.group, members, placement.generation)
+            self._membership_reconciler.set_desired(placement.group, members, placement.generation)
 
     def _open(self, context: ShardContext, placement: GroupPlacement, shard_count: int) -> None:
         """Take part in a shard's group.
@@ -84,7 +86,7 @@
         if self._slots is not None:
             runtime.set_capacities(self._slots)
         self._host.open_group(group, runtime.state, founders, runtime)
-        self._changes.group_opened(group)
+        self._membership_reconciler.group_opened(group)
 
     def close(self, group: str, generation: int) -> None:
         """Close a replica and delete its state. Members of this generation without it must be committed."""
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -11,7 +11,7 @@
 
 
 class LiveNodes:
-    """Valid while this node owns the configuration group; `begin` starts it anew for each ownership."""
+    """Valid while this node owns the configuration group; `begin` restarts it for each ownership."""
 
     def __init__(self, reactor: Clock, feed: FeedServer) -> None:
         """`feed` is served by this node while it is the owner."""
@@ -26,19 +26,22 @@
         self._liveness = NodeLiveness(self._owned_since, known)
 
     def update(self) -> None:
-        """Note when each node with a disk was last heard. To be called four times a second or more often."""
-        heard: dict[str, float] = {}
+        """Record when each node with a disk was last contacted.
+
+        To be called four times a second or more often.
+        """
+        last_seen: dict[str, float] = {}
         for node, at in self._feed.heard_at():
             if node.disk and not node.draining:
-                heard[node.name] = max(at, heard.get(node.name, at))
-        self._liveness.update(self._reactor.seconds(), heard)
+                last_seen[node.name] = max(at, last_seen.get(node.name, at))
+        self._liveness.update(self._reactor.seconds(), last_seen)
 
     def owned_for(self) -> float:
         """Seconds since this node became the owner."""
         return self._reactor.seconds() - self._owned_since
 
     def down_for(self, name: str) -> float:
-        """Seconds since a node was last heard; 0 where that was just now."""
+        """Seconds since a node was last contacted; 0 where that was just now."""
         return self._liveness.down_for(self._reactor.seconds(), name)
 
     def up_for(self, name: str) -> float:
--- a/bitternpath/roles/quota_borrowing.py
+++ b/bitternpath/roles/quota_borrowing.py
@@ -75,8 +75,10 @@
         return self._hub.link_to(member.address)
 
     def _dial(self, group: str, address: str) -> None:
-        """Keep a link to the member that is asked. That to the one before is released, as it may be gone for
-        good and would be dialled again and again.
+        """Keep a link to the member that is asked.
+
+        The link to the previous one is released, as that may be down permanently and would be dialled again
+        and again.
         """
         before = self._dialled.get(group, address)
         self._dialled[group] = address
--- a/bitternpath/roles/replica_garbage_collection.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -34,8 +34,10 @@
         placements: Mapping[str, GroupPlacement],
         close: Callable[[str, int], None],
     ) -> None:
-        """`close(group, generation)` closes a replica and deletes its state. `placements` by group is the
-        table of `HostedShards`; it is only read.
+        """Collect replicas of `host`.
+
+        `close(group, generation)` closes a replica and deletes its state. `placements` by group is the table
+        of `HostedShards`; it is only read.
         """
         self._reactor = reactor
         self._hub = hub
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -1,5 +1,6 @@
-"""Retirement of storage nodes by the operator: all replicas move away from a node (work of the
-configuration's owner).
+"""Retirement of storage nodes by the operator: all replicas move away from a node.
+
+The owner of the configuration does this work.
 """
 
 from __future__ import annotations
@@ -79,7 +80,7 @@
             case RetireCheck.REPEATED:
                 return OperatorResult(ResultCode.RETIRING, state_body(retirement_state(self._state, node)))
             case RetireCheck.UNKNOWN_NODE if self._nodes.owned_for() < FOLLOWERS_KNOWN_AFTER_S:
-                return operator_result(ResultCode.NOT_OWNER, "this owner hasn't heard of all nodes yet")
+                return operator_result(ResultCode.NOT_OWNER, "this owner doesn't know all nodes yet")
             case RetireCheck.UNKNOWN_NODE:
                 return operator_result(ResultCode.UNKNOWN_NODE, decision.check.value)
             case _:
--- a/bitternpath/roles/settings_reader.py
+++ b/bitternpath/roles/settings_reader.py
@@ -91,8 +91,9 @@
         return int(value)
 
     def size(self, key: str, most: int) -> int:
-        """A number of units, rounded down. 0 stands for an unknown size, so a fraction of one unit is
-        refused.
+        """Return a number of units, rounded down.
+
+        0 stands for an unknown size, so a fraction of one unit is refused.
         """
         value = self.number(key, 0, 0, most)
         if 0 < value < 1:
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -33,8 +33,8 @@
 from bitternpath.transport.records import AttemptOutcome
 from bitternpath.transport.shard_messages import CallbackRequest, LeaseGrant, WorkAvailable
 
-MIN_EDGES_ASKED = 4  # edge nodes that are asked for pollers at once, if there are so many
-MAX_EDGES_ASKED = 16  # the next request goes to others, so all are reached after a few
+MIN_EDGES_QUERIED = 4  # edge nodes that are queried for pollers at once, if there are so many
+MAX_EDGES_QUERIED = 16  # the next request goes to others, so all are reached after a few
 REMOTE_REQUEST_SHARE = 0.25  # of the requests for pollers: those that go to edge nodes of all zones
 PROPOSAL_RETRY_S = 0.1  # a leader that transfers its leadership refuses proposals for an election time-out
 
@@ -143,14 +143,16 @@
             link.send(CallbackRequest(self._group, action.request_id, action.url, action.state, action.stamp))
 
     def _request_pollers(self, service: str, waiting: int) -> None:
-        """Ask some edge nodes for waiting workers: mostly those of this zone, whose workers are mostly near
-        as well; now and then, or where the zone has none, edge nodes of all zones.
+        """Ask some edge nodes for waiting workers.
+
+        Mostly those of this zone, whose workers are mostly near as well; now and then, or where the zone has
+        none, edge nodes of all zones.
         """
         edges = self._context.edges
         random = self._context.random
         nearby = [] if random.random() < REMOTE_REQUEST_SHARE else edges.links_in(self._context.zone)
         links = nearby or edges.links()
-        count = min(max(2 * waiting, MIN_EDGES_ASKED), MAX_EDGES_ASKED, len(links))
+        count = min(max(2 * waiting, MIN_EDGES_QUERIED), MAX_EDGES_QUERIED, len(links))
         for link in random.sample(links, count):
             link.send(WorkAvailable(self._group, service, waiting, count))
 
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -26,10 +26,10 @@
 
 
 class ShardPlacement:
-    """Proposes changes of both, one of each kind at a time.
+    """Proposes placement changes and storage-membership changes, at most one of each at a time.
 
-    What is right follows anew from the committed state and the live nodes in each `reconcile`; so a proposal
-    that failed needs no handling of its own.
+    Each `reconcile` recomputes the desired state from the committed state and the live nodes, so a failed
+    proposal needs no handling.
     """
 
     def __init__(
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -114,8 +114,9 @@
         self._propose(link, request.number, command, response)
 
     def extend(self, link: Link, request: ExtendRequest) -> None:
-        """Extend the lease of a pulling worker behind a read barrier: without it, a successor may have given
-        the job to another worker.
+        """Extend the lease of a pulling worker behind a read barrier.
+
+        Without the barrier, a successor may have given the job to another worker.
         """
         self._host.read_barrier(self._group).addCallbacks(
             lambda _: self._extend(link, request),
@@ -189,8 +190,10 @@
         response: Callable[[object], Any],
         not_proposed: Callable[[], None] = _do_nothing,
     ) -> None:
-        """Commit a command, then answer request `number` with `response(result)`, the result being that of
-        `QueueState.apply`. `not_proposed` is called where the command surely is not in the log.
+        """Commit a command, then answer request `number` with `response(result)`.
+
+        The result is that of `QueueState.apply`. `not_proposed` is called where the command surely is not in
+        the log.
         """
 
         def failed(failure: Failure) -> None:
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -62,8 +62,9 @@
 
 
 class StorageNode:
-    """One storage node. Implements `transport.links.LinkHandler` and
-    `configuration.feed_client.FeedListener`.
+    """One storage node.
+
+    Implements `transport.links.LinkHandler` and `configuration.feed_client.FeedListener`.
 
     Attributes:
         base: identity, links, membership, feed, journal and replica host.
@@ -74,8 +75,10 @@
     def __init__(
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
-        """Open the disk and read it; raises `SettingsError` where the settings name none, `OSError`,
-        `CorruptJournalError` and `CorruptDocumentError`.
+        """Open the disk and read it.
+
+        Raises `SettingsError` where the settings name none, `OSError`, `CorruptJournalError` and
+        `CorruptDocumentError`.
         """
         if settings.data_dir is None:
             raise SettingsError("data_dir: is missing; a storage node needs a folder")
@@ -88,8 +91,8 @@
         self._edges = EdgeLinks()
         self._incarnations: dict[str, int] = {}  # of edge nodes, by name
         self._reporter = MembershipReporter(self._host, self.base.feed)
-        self._changes = MembershipReconciler(self._host, self._reporter.report)
-        self.shards = HostedShards(self._host, self.base.transport, self._changes)
+        self._membership_reconciler = MembershipReconciler(self._host, self._reporter.report)
+        self.shards = HostedShards(self._host, self.base.transport, self._membership_reconciler)
         self._garbage_collector = ReplicaGarbageCollector(
             reactor, self.base.hub, self._host, self.shards.placements, self.shards.close
         )
@@ -99,7 +102,7 @@
         self._shard_context = self._build_shard_context()
         self._cache = FeedCache(reactor, settings.data_dir, self.base.disk, self.base.feed)
         self._ownership_return = OwnershipReturn()
-        self._checks = PeriodicCall(reactor, CHECK_INTERVAL_S, self._check_groups)
+        self._checks = PeriodicCall(reactor, CHECK_INTERVAL_S, self._reconcile_owned_groups)
         self._handlers = self._record_handlers()
 
     def _build_shard_context(self) -> ShardContext:
@@ -212,8 +215,9 @@
         }
 
     def _for_shard(self, handle: Callable[[ShardRequests, Link, Any], None]) -> RecordHandler:
-        """A handler of requests to the shard that they name; refuses those to shards without a replica
-        here.
+        """Return a handler that passes requests to the shard that they name.
+
+        It refuses requests to shards without a replica here.
         """
 
         def received(link: Link, request: Any) -> None:
@@ -241,22 +245,22 @@
 
     # ---- periodic checks
 
-    def _check_groups(self) -> None:
+    def _reconcile_owned_groups(self) -> None:
         for group, placement in self.shards.owned():
-            self._changes.reconcile(group)
+            self._membership_reconciler.reconcile(group)
             self._return_ownership(group, placement)
         self._garbage_collector.query_owners()
 
     def _return_ownership(self, group: str, placement: GroupPlacement) -> None:
-        """Transfer a shard to the member that its placement names first, once that has been fit for long."""
+        """Transfer a shard to its preferred member once that has been eligible for long."""
         preferred = placement.members[0].member
-        fit = (
+        eligible = (
             preferred != self.base.transport.member_id
             and preferred in self._host.members(group).voters
             and self._host.unresponsive_for(group, preferred) < RESPONSIVE_WITHIN_S
             and self._host.caught_up(group, preferred)
         )
-        due = self._ownership_return.is_due(self._reactor.seconds(), group, fit=fit)
+        due = self._ownership_return.record_and_check_due(self._reactor.seconds(), group, eligible=eligible)
         if due and not self.stopping:
             log.info("event=ownership_transfer_started group={} to={}", group, preferred)
             self._host.transfer_leadership(group, preferred)
--- a/bitternpath/shards/lease_requests.py
+++ b/bitternpath/shards/lease_requests.py
@@ -48,7 +48,7 @@
 
     def _responded(self, record: object) -> None:
         if isinstance(record, EndAttemptResponse):
-            self.result.callback(LeaseAnswer.ACKNOWLEDGED if record.accepted else LeaseAnswer.GONE)
+            self.result.callback(LeaseAnswer.ACKNOWLEDGED if record.accepted else LeaseAnswer.NOT_CURRENT)
         else:  # refused by a node that isn't the owner, or its outcome is unknown
             self._retry()
 
--- a/bitternpath/shards/lookups.py
+++ b/bitternpath/shards/lookups.py
@@ -48,8 +48,8 @@
         shard, request_id = split_message_id(message_id)
         if shard is None or shard >= max(self.shard_count, 1):
             return self._search_all(everywhere)
-        named = _ShardSearch(self, shard, _Query(request_id, wants_body, give_up_at)).result
-        return named.addCallback(self._search_all_if_unknown, everywhere)
+        from_named_shard = _ShardSearch(self, shard, _Query(request_id, wants_body, give_up_at)).result
+        return from_named_shard.addCallback(self._search_all_if_unknown, everywhere)
 
     def _search_all_if_unknown(
         self, found: LookupResult, query: _Query
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -37,8 +37,9 @@
             self.response.callback(record)
 
     def fail(self, _: Failure | None = None) -> None:
-        """Fail with `LinkLostError`: no response will come, or the node that was asked is no longer the
-        owner.
+        """Fail with `LinkLostError`.
+
+        No response will come, or the node that was asked is no longer the owner.
         """
         if self._end():
             self.response.errback(LinkLostError())
--- a/bitternpath/shards/pulls.py
+++ b/bitternpath/shards/pulls.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Demand:
-    """Workers that a shard has asked this node for and that it did not have."""
+    """Workers that a shard requested from this node and that it did not have."""
 
     workers: int
     expires_at: float
@@ -108,7 +108,7 @@
         """Report the end of a job as its worker states it; never fails."""
         shard = shard_of_lease(lease_id)
         if shard is None:
-            return succeed(LeaseAnswer.GONE)
+            return succeed(LeaseAnswer.NOT_CURRENT)
         report = AttemptReport(shard_group(shard), request_id, lease_id, outcome_of(status, stamp), stamp)
         return self._reports.send(report, LEASE_CALL_TIMEOUT_S)
 
@@ -116,7 +116,7 @@
         """Extend the lease of a worker that still holds its job; never fails."""
         shard = shard_of_lease(lease_id)
         if shard is None:
-            return succeed(LeaseAnswer.GONE)
+            return succeed(LeaseAnswer.NOT_CURRENT)
         group = shard_group(shard)
 
         def make(number: int) -> ExtendRequest:
@@ -130,7 +130,7 @@
         return self._random.choice(groups) if groups else ""
 
     def _take_demand(self, service: str) -> str:
-        """A group that has lately asked for a worker of a service, which it gets; "" where none has."""
+        """A group that has recently requested a worker of a service, which it gets; "" where none has."""
         demands = self._demands.get(service, {})
         now = self._clock.seconds()
         for group in list(demands):
--- a/bitternpath/shards/waiting_pulls.py
+++ b/bitternpath/shards/waiting_pulls.py
@@ -80,7 +80,7 @@
         )
 
     def cancel(self) -> None:
-        """The worker has gone; a job that still comes is handed back."""
+        """The worker has disconnected; a job that still comes is handed back."""
         if not self._done:
             self._cancel_request()
             self._finish(None)
@@ -127,7 +127,7 @@
         self._timer = clock.callLater(wait_s, self.result.callback, None)
 
     def cancel(self) -> None:
-        """The worker has gone."""
+        """The worker has disconnected."""
         if self._timer.active():
             self._timer.cancel()
             self.result.callback(None)
--- a/tests/system/ingress/test_client_api.py
+++ b/tests/system/ingress/test_client_api.py
@@ -149,7 +149,7 @@
         lease, ok, stamp = b"X-Lease-Id: L", b"X-Job-Status: 200", b"X-Server-Stamp: s.1"
         table = [
             ((lease, ok, stamp), LeaseAnswer.ACKNOWLEDGED, 200, ("L", "r1", 200, "s.1")),
-            ((lease, ok, stamp), LeaseAnswer.GONE, 409, ("L", "r1", 200, "s.1")),
+            ((lease, ok, stamp), LeaseAnswer.NOT_CURRENT, 409, ("L", "r1", 200, "s.1")),
             ((lease, ok, stamp), LeaseAnswer.UNAVAILABLE, 503, ("L", "r1", 200, "s.1")),
             ((lease, b"X-Job-Status: 500"), LeaseAnswer.ACKNOWLEDGED, 200, ("L", "r1", 500, "")),
             ((lease, b"X-Job-Status: 503"), LeaseAnswer.ACKNOWLEDGED, 200, ("L", "r1", 503, "")),
--- a/tests/system/queue/test_campaign.py
+++ b/tests/system/queue/test_campaign.py
@@ -70,9 +70,9 @@
 class SendsBeforeTheGrant(ShardOwner):
     """Sends a message to a worker when its lease is proposed."""
 
-    def _take_actions(self, now: float) -> list[Action]:
+    def _grant_and_collect_actions(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        for action in super()._take_actions(now):
+        for action in super()._grant_and_collect_actions(now):
             actions.append(action)
             if isinstance(action, ProposeCommand) and isinstance(action.command, GrantLease):
                 tracked = self._lifecycle.find(action.command.request_id)
--- a/tests/system/roles/test_ownership_return.py
+++ b/tests/system/roles/test_ownership_return.py
@@ -18,7 +18,7 @@
     def seconds_until_due(self, limit_s: float = 2 * MAX_DELAY_S) -> float:
         """How long the preferred member has to be fit until ownership returns to it."""
         began_at = self.now
-        while not self.ownership_return.is_due(self.now, GROUP, fit=True):
+        while not self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True):
             self.now += CHECK_INTERVAL_S
             self.assertLess(self.now - began_at, limit_s)
         return self.now - began_at
@@ -27,9 +27,9 @@
         self.assertEqual(self.seconds_until_due(), FIRST_DELAY_S)
 
     def test_a_break_begins_the_delay_anew(self) -> None:
-        self.assertFalse(self.ownership_return.is_due(self.now, GROUP, fit=True))
+        self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True))
         self.now += FIRST_DELAY_S - CHECK_INTERVAL_S
-        self.assertFalse(self.ownership_return.is_due(self.now, GROUP, fit=False))
+        self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=False))
         self.assertEqual(self.seconds_until_due(), FIRST_DELAY_S)
 
     def test_the_delay_doubles_with_each_return_up_to_a_bound(self) -> None:
@@ -39,10 +39,10 @@
 
     def test_groups_have_delays_of_their_own(self) -> None:
         self.seconds_until_due()
-        self.assertFalse(self.ownership_return.is_due(self.now, "queue-1", fit=True))
+        self.assertFalse(self.ownership_return.record_and_check_due(self.now, "queue-1", eligible=True))
         self.now += FIRST_DELAY_S
-        self.assertTrue(self.ownership_return.is_due(self.now, "queue-1", fit=True))
-        self.assertFalse(self.ownership_return.is_due(self.now, GROUP, fit=True))
+        self.assertTrue(self.ownership_return.record_and_check_due(self.now, "queue-1", eligible=True))
+        self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True))
 
 
 if __name__ == "__main__":
--- a/tests/system/roles/test_shard_runtime.py
+++ b/tests/system/roles/test_shard_runtime.py
@@ -17,7 +17,7 @@
 from bitternpath.replication.errors import NotOwnerError, OutcomeUnknownError
 from bitternpath.roles.edge_links import EdgeLinks
 from bitternpath.roles.shard_context import ShardContext
-from bitternpath.roles.shard_ownership import MAX_EDGES_ASKED, MIN_EDGES_ASKED
+from bitternpath.roles.shard_ownership import MAX_EDGES_QUERIED, MIN_EDGES_QUERIED
 from bitternpath.roles.shard_requests import ShardRequests
 from bitternpath.roles.shard_runtime import ShardRuntime
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
@@ -243,8 +243,8 @@
             self.join(link)
         self.append("m", "/jobs/x")
         first = {link.peer.name for link in links if link.take(WorkAvailable)}
-        self.assertLessEqual(len(first), MAX_EDGES_ASKED)
-        self.assertGreaterEqual(len(first), MIN_EDGES_ASKED - 1)  # edge-1 may be one of them
+        self.assertLessEqual(len(first), MAX_EDGES_QUERIED)
+        self.assertGreaterEqual(len(first), MIN_EDGES_QUERIED - 1)  # edge-1 may be one of them
         self.clock.advance(1.0)
         later = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertTrue(later - first)
--- a/tests/system/shards/test_pulls.py
+++ b/tests/system/shards/test_pulls.py
@@ -154,7 +154,7 @@
         lease = lease_id(1, 3, 9)
         cases = (
             (EndAttemptResponse(1, True), LeaseAnswer.ACKNOWLEDGED),
-            (EndAttemptResponse(1, False), LeaseAnswer.GONE),
+            (EndAttemptResponse(1, False), LeaseAnswer.NOT_CURRENT),
         )
         for record, expected in cases:
             end = self.pulls.end(lease, "r1", 200, "stamp")
@@ -171,8 +171,8 @@
         self.assertEqual([self.result(each) for each in waiting], [LeaseAnswer.UNAVAILABLE] * 2)
 
     def test_a_malformed_lease_id_is_gone(self) -> None:
-        self.assertEqual(self.result(self.pulls.end("nonsense", "r1", 200, "s")), LeaseAnswer.GONE)
-        self.assertEqual(self.result(self.pulls.extend("nonsense", "r1")), LeaseAnswer.GONE)
+        self.assertEqual(self.result(self.pulls.end("nonsense", "r1", 200, "s")), LeaseAnswer.NOT_CURRENT)
+        self.assertEqual(self.result(self.pulls.extend("nonsense", "r1")), LeaseAnswer.NOT_CURRENT)
 
 
 if __name__ == "__main__":
--- a/tests/system/shards/test_reports.py
+++ b/tests/system/shards/test_reports.py
@@ -46,7 +46,7 @@
         ):
             self.links[0].answer(answer)
             self.clock.advance(0.2)
-        self.assertIs(self.result(waiting), LeaseAnswer.GONE)
+        self.assertIs(self.result(waiting), LeaseAnswer.NOT_CURRENT)
 
     def test_it_is_in_flight_until_an_owner_has_answered(self) -> None:
         in_flight_at_result: list[int] = []
