--- a/tests/system/test_pages.py
+++ b/tests/system/test_pages.py
@@ -73,6 +73,28 @@
     return found
 
 
+def logging_functions() -> dict[str, set[str]]:
+    """The functions that log each event, as `package/module.py:Class.function`."""
+    found: dict[str, set[str]] = {}
+    for path in sorted(PROGRAM.rglob("*.py")):
+        module = path.relative_to(PROGRAM)
+        if module.parts[0] not in OTHER_PROGRAMS:
+            for place, call in calls_by_function(ast.parse(path.read_text("utf-8")), ()):
+                for name in event_names(call):
+                    found.setdefault(name, set()).add(f"{module}:{place}")
+    return found
+
+
+def calls_by_function(node: ast.AST, inside: tuple[str, ...]) -> Iterator[tuple[str, ast.Call]]:
+    """Each call below a node, with the dotted name of the class and function that it stands in."""
+    if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
+        inside = (*inside, node.name)
+    if isinstance(node, ast.Call):
+        yield ".".join(inside), node
+    for child in ast.iter_child_nodes(node):
+        yield from calls_by_function(child, inside)
+
+
 def event_names(call: ast.Call) -> list[str]:
     """Names of the events in the first argument of a call of a logger."""
     first = call.args[0] if call.args else None
@@ -122,6 +144,13 @@
     return "/" not in name and any((ROOT / "tests").rglob(f"{name}.py"))
 
 
+class EventFunctions(unittest.TestCase):
+    def test_the_functions_that_log_an_event_are_named(self) -> None:
+        rows = table_rows(section((ROOT / "docs" / "operate" / "events.md").read_text("utf-8"), "Log events"))
+        named = {_QUOTED.findall(row[0])[0]: set(_QUOTED.findall(row[5])) for row in rows}
+        self.assertEqual(named, logging_functions())
+
+
 class Paths(unittest.TestCase):
     def test_paths_that_pages_name_are_there(self) -> None:
         for page in PAGES_WITH_PATHS:
@@ -214,7 +243,7 @@
         self.assertEqual(len(rows), len(told_events(self.page)))
         for row in rows:
             with self.subTest(event=row[0]):
-                self.assertEqual(len(row), 5)
+                self.assertEqual(len(row), 6)
                 self.assertTrue(all(row))
 
     def test_no_event_is_logged_in_another_way(self) -> None:
@@ -248,7 +277,7 @@
             with self.subTest(heading=heading):
                 self.assertEqual(numbered(page, heading), members(kind))
                 for row in table_rows(section(page, heading)):
-                    self.assertEqual(len(row), 5)
+                    self.assertEqual(len(row), 6)
                     self.assertTrue(all(row))
 
 
