--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -173,7 +173,7 @@
     @property
     def amqp_port(self) -> int:
         for _ in range(200):
-            found = re.findall(r'"amqp listening" address=127\.0\.0\.1:(\d+)', self.log.read_text())
+            found = re.findall(r"event=amqp_listening address=127\.0\.0\.1:(\d+)", self.log.read_text())
             if found:
                 return int(found[0])
             time.sleep(0.02)
--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -1,8 +1,8 @@
-"""Publishers as consumers of the core: a message on a class queue is a request, owed one answer. No I/O.
+"""Publishers as clients of the core: a message on a class queue is a request, owed one answer. No I/O.
 
-The answer goes out in two forms that say the same: a message to `reply-to`, and in confirm mode an ack
-(served) or nack (refused, failed). A publisher that has gone away has handed its work over: the answer is
-dropped."""
+The answer is sent in two forms: a message to `reply-to`, and in confirm mode an ack (served) or a nack
+(rejected, failed). Requests of a publisher that has disconnected still run; their answers are dropped.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from bitternpath.balancer.amqp.queues import Channel, Message, Queues
 from bitternpath.balancer.amqp.subscribers import RESULT_PREFIX, Subscribers
 from bitternpath.balancer.amqp.translation import Untranslatable, budget_from, id_from, key_from, work_from
-from bitternpath.balancer.core.broker import REMEMBERED, Broker
+from bitternpath.balancer.core.broker import RECENT_ID_MS, Broker
 from bitternpath.balancer.core.requests import AcceptedRequest, parse_call_info
 
 JOBS = "jobs"  # the direct exchange to which every class queue is bound by its name
@@ -31,28 +31,30 @@
 
 
 class Answer:
-    """The consumer of one published message."""
+    """The client (`core.requests.Client`) of one published message."""
 
-    __slots__ = ("channel", "correlation", "front", "id", "number", "reply_to")
+    __slots__ = ("channel", "correlation", "id", "number", "publishers", "reply_to")
 
-    def __init__(self, front: Front, channel: Channel, number: int, properties: Any, id: str) -> None:
-        self.front, self.channel, self.number, self.id = front, channel, number, id
+    def __init__(
+        self, publishers: Publishers, channel: Channel, number: int, properties: Any, id: str
+    ) -> None:
+        self.publishers, self.channel, self.number, self.id = publishers, channel, number, id
         self.reply_to, self.correlation = properties.reply_to, properties.correlation_id
 
     def served(self, result: bytes) -> None:
-        self.front.answer(self, "served", result)
+        self.publishers.answer(self, "served", result)
 
     def rejected(self, retry_after: float) -> None:
-        self.front.answer(self, "refused", b"", {RETRY_AFTER: math.ceil(max(retry_after, 0.0))})
+        self.publishers.answer(self, "refused", b"", {RETRY_AFTER: math.ceil(max(retry_after, 0.0))})
 
     def failed(self) -> None:
-        self.front.answer(self, "failed", b"")
+        self.publishers.answer(self, "failed", b"")
 
     def gone(self) -> bool:
         return False  # a publisher is told through a queue, which may outlive its connection
 
 
-class Front:
+class Publishers:
     """Takes what is published, on all connections."""
 
     def __init__(
@@ -96,7 +98,7 @@
             number = channel.published
         key = str(method.routing_key)
         if key in self.classes:
-            self._invoke(channel, number, key, properties, told.body)
+            self._submit(channel, number, key, properties, told.body)
         elif method.exchange == "" and key.startswith(RESULT_PREFIX):
             self.subscribers.result(key[len(RESULT_PREFIX) :], properties.correlation_id, told.body)
             self._confirm(channel, number, True)
@@ -116,7 +118,7 @@
             channel.session.give_back(channel, e.NO_ROUTE, e.NAMES[e.NO_ROUTE], message)
         return True
 
-    def _invoke(self, channel: Channel, number: int, name: str, properties: Any, body: bytes) -> None:
+    def _submit(self, channel: Channel, number: int, name: str, properties: Any, body: bytes) -> None:
         spec, now = self.classes[name], self.clock()
         try:
             id = id_from(properties)
@@ -131,9 +133,9 @@
             answer = Answer(self, channel, number, properties, properties.message_id or "")
             self._say(answer, "failed", b"", {REASON: str(error)})
             return
-        if self.broker.knows(id):
+        if self.broker.has_seen(id):
             # Nothing of this message ran, but the first of that id may: not before that is forgotten.
-            self._refuse(answer, REMEMBERED, "message-id in use")
+            self._refuse(answer, RECENT_ID_MS, "message-id in use")
         elif self.stopping or self.full:
             self._refuse(answer, self.retry_after(name), "draining" if self.stopping else "full")
         else:
--- a/bitternpath/balancer/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -25,7 +25,7 @@
 from bitternpath.balancer.amqp import machine as mc
 from bitternpath.balancer.amqp.frames import HEARTBEAT_FRAME, scan_table
 from bitternpath.balancer.amqp.outbox import Outbox
-from bitternpath.balancer.amqp.publishers import Front
+from bitternpath.balancer.amqp.publishers import Publishers
 from bitternpath.balancer.amqp.session import Bounds, Session
 from bitternpath.balancer.amqp.subscribers import Delivery, Subscribers
 from bitternpath.balancer.config.operator import Amqp, User
@@ -79,7 +79,7 @@
         self.outbox = Outbox()
         self.machine = mc.Machine(server.limits(), self.outbox)
         self.session = Session(
-            number, self.machine, self.outbox, server.front, server.subscribers, server.queues,
+            number, self.machine, self.outbox, server.publishers, server.subscribers, server.queues,
             server.bounds, self._changed,
         )  # fmt: skip
         self.begun_at = self.heard_at = self.said_at = 0.0
@@ -133,10 +133,10 @@
 
     def _held_back(self) -> bool:
         """Whether nothing more of this publisher is looked at for now."""
-        session, front = self.session, self.server.front
+        session, publishers = self.session, self.server.publishers
         if not session.published or session.subscribes:
             return False
-        return session.waiting >= self.server.settings.publisher_waiting or front.full
+        return session.waiting >= self.server.settings.publisher_waiting or publishers.full
 
     def _settle(self) -> None:
         """After a turn: end, hold back, or read on."""
@@ -149,7 +149,7 @@
         held = self._held_back()
         ahead = READ_AHEAD if self.machine.authenticated else FIRST_READ_AHEAD
         self._read(not held and len(self.machine.buffer) <= ahead)
-        if held and self.server.front.full:
+        if held and self.server.publishers.full:
             self._tell_blocked(True)
         self.flush()
 
@@ -157,7 +157,7 @@
         failed = self.machine.failed
         if failed is not None:
             self.server.counts["errors"] += 1
-            log.warning("amqp error", peer=self.host, code=failed.code, why=str(failed))
+            log.warning("amqp_error", peer=self.host, code=failed.code, why=str(failed))
 
     def _read(self, on: bool) -> None:
         if on != self.reading and self.up:
@@ -178,8 +178,8 @@
 
     def ease(self) -> None:
         """Answers were given: go on where this connection was held back, if there is room now."""
-        settings, front = self.server.settings, self.server.front
-        if self.reading or front.waiting > EASED * front.max_waiting:
+        settings, publishers = self.server.settings, self.server.publishers
+        if self.reading or publishers.waiting > EASED * publishers.max_waiting:
             return
         if self.session.waiting <= EASED * settings.publisher_waiting:
             self._tell_blocked(False)
@@ -261,7 +261,7 @@
     def abort(self, why: str) -> None:
         if self.up and not self.dropped:
             self.dropped = True
-            log.info("amqp connection dropped", peer=self.host, why=why)
+            log.info("amqp_connection_dropped", peer=self.host, why=why)
             self._end_session()
             self.transport.abortConnection()
 
@@ -287,15 +287,15 @@
         reactor: Any,
         clock: Callable[[], float],
         settings: Amqp,
-        front: Front,
+        publishers: Publishers,
         subscribers: Subscribers,
         broker: Broker,
         room: Callable[[], int],
     ) -> None:
         self.reactor, self.clock, self.broker, self.room = reactor, clock, broker, room
-        self.front, self.subscribers, self.queues = front, subscribers, front.queues
+        self.publishers, self.subscribers, self.queues = publishers, subscribers, publishers.queues
         self.connections: dict[AmqpConnection, None] = {}
-        self.counts = front.counts
+        self.counts = publishers.counts
         self.stopping = False
         self.port: Any = None
         self._numbers = 0
@@ -312,7 +312,7 @@
         self.subscribers.prefetch_cap = settings.prefetch_cap
         self.subscribers.requeue_unstarted = frozenset(settings.requeue_unstarted)
         # Other fronts turn away what comes while the core holds `room`: half of it stays theirs.
-        self.front.max_waiting = max(min(settings.max_waiting, self.room() // 2), 1)
+        self.publishers.max_waiting = max(min(settings.max_waiting, self.room() // 2), 1)
 
     def limits(self) -> mc.Limits:
         told = self.settings
@@ -322,7 +322,7 @@
         factory: Any = self
         self.port = BurstPort(port, factory, BACKLOG, host, self.reactor)
         self.port.startListening()
-        log.info("amqp listening", address=self.port.address)
+        log.info("amqp_listening", address=self.port.address)
         self.reactor.callLater(LOOK, self._look)
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol | None:
@@ -335,7 +335,10 @@
     def report(self) -> dict[str, object]:
         """For the line of counts."""
         told: dict[str, object] = {"amqp_connections": len(self.connections)}
-        told |= {"amqp_waiting": self.front.waiting, "amqp_subscribers": len(self.subscribers.by_endpoint)}
+        told |= {
+            "amqp_waiting": self.publishers.waiting,
+            "amqp_subscribers": len(self.subscribers.by_endpoint),
+        }
         return told | {f"amqp_{key}": n for key, n in sorted((self.counts + self.subscribers.counts).items())}
 
     def left(self, connection: AmqpConnection) -> None:
@@ -406,7 +409,7 @@
         def over(result: Any) -> None:
             self._logging_in -= 1
             if isinstance(result, Failure):
-                log.error("login failed", why=result.getErrorMessage())
+                log.error("amqp_login_check_failed", why=result.getErrorMessage())
                 self._refuse(connection)
             self._next_login()
 
@@ -429,12 +432,12 @@
     def stop(self) -> None:
         """The node is ending: nothing new is taken, and subscribers are cancelled once nothing waits for
         them."""
-        self.stopping = self.front.stopping = True
+        self.stopping = self.publishers.stopping = True
         self.port.stopListening()
         self._cancel_when_sent(self.clock() + HELD_FOR * 1000.0)
 
     def _cancel_when_sent(self, latest: float) -> None:
-        unsent = any(not i.answered and not i.calls for i in self.broker.live.values())
+        unsent = any(not i.answered and not i.calls for i in self.broker.in_progress.values())
         if unsent and self.clock() < latest:
             self.reactor.callLater(LOOK_AGAIN, self._cancel_when_sent, latest)
             return
--- a/bitternpath/balancer/amqp/session.py
+++ b/bitternpath/balancer/amqp/session.py
@@ -16,7 +16,7 @@
 from bitternpath.balancer.amqp import machine as mc
 from bitternpath.balancer.amqp.frames import content_frames, ids
 from bitternpath.balancer.amqp.outbox import Entry, Outbox
-from bitternpath.balancer.amqp.publishers import EXCHANGES, JOBS, REPLY_TO, Front
+from bitternpath.balancer.amqp.publishers import EXCHANGES, JOBS, REPLY_TO, Publishers
 from bitternpath.balancer.amqp.queues import (
     UNACKED_LIMIT,
     Channel,
@@ -49,14 +49,14 @@
         number: int,
         machine: mc.Machine,
         outbox: Outbox,
-        front: Front,
+        publishers: Publishers,
         subscribers: Subscribers,
         queues: Queues,
         bounds: Bounds,
         changed: Callable[[], None],
     ) -> None:
         self.number, self.machine, self.outbox = number, machine, outbox
-        self.front, self.subscribers, self.queues, self.bounds = front, subscribers, queues, bounds
+        self.publishers, self.subscribers, self.queues, self.bounds = publishers, subscribers, queues, bounds
         self.changed = changed  # called when something waits to be written, or an answer has been given
         self.vhost = ""
         self.waiting = 0  # requests of this connection that wait for their answers
@@ -125,7 +125,7 @@
 
     def _publish(self, channel: Channel, event: mc.Published) -> None:
         self.published = True
-        self.front.publish(channel, event)
+        self.publishers.publish(channel, event)
 
     def _command(self, channel: Channel, event: mc.Command) -> None:
         HANDLERS[type(event.method)](self, channel, event.method)
@@ -222,7 +222,7 @@
 
     def _queue_declare(self, channel: Channel, method: c.Queue.Declare) -> None:
         name = str(method.queue or "")
-        if name in self.front.classes:
+        if name in self.publishers.classes:
             count, consumers = 0, self.subscribers.of_class(name)
         else:
             queue = self._find(name, any_owner=method.passive) if name else None
@@ -237,7 +237,7 @@
 
     def _make_queue(self, name: str, exclusive: bool) -> PrivateQueue:
         if not exclusive:
-            classes = ", ".join(self.front.classes)
+            classes = ", ".join(self.publishers.classes)
             raise e.SoftError(e.ACCESS_REFUSED, f"queues are {classes:.120} and exclusive ones")
         if name and (name.startswith("amq.") or not _NAME.fullmatch(name)):
             raise e.SoftError(
@@ -272,14 +272,14 @@
 
     def _queue_unbind(self, channel: Channel, method: c.Queue.Unbind) -> None:
         name = self._named(channel, method.queue)
-        if name in self.front.classes:
+        if name in self.publishers.classes:
             raise e.SoftError(e.ACCESS_REFUSED, f"queue {name!r} stays bound to {JOBS!r}")
         self._bound(name, method.exchange, method.routing_key)
         self.say(channel.number, c.Queue.UnbindOk())
 
     def _bound(self, name: str, exchange: str | None, key: str | None) -> None:
         """Check that such a binding is there: of a class to `jobs` by its name, and no other."""
-        known = name in self.front.classes
+        known = name in self.publishers.classes
         if not known and self._find(name) is None:
             raise e.SoftError(e.NOT_FOUND, f"no queue {name!r:.80}")
         if exchange not in EXCHANGES:
@@ -297,7 +297,7 @@
 
     def _queue_delete(self, channel: Channel, method: c.Queue.Delete) -> None:
         name, many = self._named(channel, method.queue), 0
-        if name in self.front.classes:
+        if name in self.publishers.classes:
             raise e.SoftError(e.ACCESS_REFUSED, f"queue {name!r} is a class's")
         queue = self._find(name)
         if queue is not None:
@@ -320,7 +320,7 @@
     def _private(self, channel: Channel, name: str | None) -> PrivateQueue:
         """A private queue by name; 403 for a class, 404 for none."""
         found = self._named(channel, name)
-        if found in self.front.classes:
+        if found in self.publishers.classes:
             raise e.SoftError(
                 e.ACCESS_REFUSED, f"queue {found!r} is a class's: work is handed out by consume"
             )
@@ -348,7 +348,7 @@
             if channel.reply_tag is not None:
                 raise e.SoftError(e.PRECONDITION_FAILED, f"{REPLY_TO} has a consumer on this channel")
             channel.reply_tag = tag
-        elif name in self.front.classes:
+        elif name in self.publishers.classes:
             self._subscribe(channel, method, name, tag)
         else:
             queue = self._private(channel, name)
@@ -368,7 +368,7 @@
             )
         if method.exclusive:
             raise e.SoftError(e.ACCESS_REFUSED, f"queue {name!r} is shared")
-        if self.front.stopping:
+        if self.publishers.stopping:
             raise e.SoftError(e.ACCESS_REFUSED, "the node is ending")
         arguments: dict[str, Any] = dict(method.arguments or {})
         channel.consumers[tag] = self.subscribers.add(channel, tag, name, arguments)
--- a/bitternpath/balancer/amqp/subscribers.py
+++ b/bitternpath/balancer/amqp/subscribers.py
@@ -90,7 +90,7 @@
         self.entry: Entry | None = None
 
     def ack(self) -> None:
-        self.subscriber.owner.over(self, m.How.OK, self.result or b"")
+        self.subscriber.owner.finished(self, m.How.OK, self.result or b"")
 
     def reject(self, requeue: bool) -> None:
         self.subscriber.owner.rejected(self, requeue)
@@ -172,7 +172,7 @@
         unacked = list(subscriber.channel.unacked.values())
         for delivery in [d for d in unacked if isinstance(d, Delivery) and d.subscriber is subscriber]:
             if self._take_back(delivery):
-                self.broker.ended(delivery.call, m.How.NO_CONNECTION)
+                self.broker.call_ended(delivery.call, m.How.NO_CONNECTION)
 
     def remove(self, subscriber: Subscriber) -> None:
         """Its channel is gone, and with it what was out there (see `lost`)."""
@@ -191,11 +191,11 @@
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         subscriber = self.by_endpoint.get(endpoint.id)
         if subscriber is None:
-            self.broker.ended(call, m.How.NO_CONNECTION)
+            self.broker.call_ended(call, m.How.NO_CONNECTION)
             return
         if not subscriber.has_room():  # the module's word was older than the last change there
             self.counts["no_room_at_subscriber"] += 1
-            self.broker.ended(call, m.How.FULL)
+            self.broker.call_ended(call, m.How.FULL)
             return
         channel, number = subscriber.channel, subscriber.channel.next_tag()
         token = os.urandom(12).hex()  # not to be guessed by others that may publish here
@@ -206,7 +206,7 @@
         properties = delivery_properties(
             request.payload, call.id, subscriber.job_class, left, RESULT_PREFIX + token
         )
-        again = any(earlier.ran for earlier in request.calls[: call.number])
+        again = any(earlier.may_have_run for earlier in request.calls[: call.number])
         message = Message("", subscriber.job_class, properties, request.payload.body, again)
         delivery.entry = channel.session.deliver(channel, subscriber.tag, number, message, delivery)
         channel.unacked[number] = delivery
@@ -242,12 +242,12 @@
     def left(self, delivery: Delivery) -> None:
         """Its last byte has gone to the system: within the prefetch, it counts as begun."""
         self.broker.statistics.count(BACKEND_CALLS)
-        self.broker.started(delivery.call)
+        self.broker.call_started(delivery.call)
 
     def result(self, token: str, correlation: str | None, body: bytes) -> bool:
         """A result has been published; False where nobody waits for it."""
         delivery = self._by_token.get(token)
-        wrong = delivery is None or delivery.call.over or delivery.result is not None
+        wrong = delivery is None or delivery.call.finished or delivery.result is not None
         if wrong or (correlation and correlation != delivery.call.id):  # type: ignore[union-attr]
             self.counts["results_dropped"] += 1
             return False
@@ -259,26 +259,26 @@
         delivery.result = body
         return True
 
-    def over(self, delivery: Delivery, how: m.How, result: bytes = b"") -> None:
+    def finished(self, delivery: Delivery, how: m.How, result: bytes = b"") -> None:
         self._free(delivery)
-        if delivery.call.over:
+        if delivery.call.finished:
             self.counts["late_acks"] += 1
-        self.broker.ended(delivery.call, how, result)
+        self.broker.call_ended(delivery.call, how, result)
         self._leave_if_done(delivery.subscriber)
 
     def rejected(self, delivery: Delivery, requeue: bool) -> None:
         unstarted = delivery.subscriber.job_class in self.requeue_unstarted and delivery.result is None
         if not requeue:
-            self.over(delivery, m.How.ERROR)
+            self.finished(delivery, m.How.ERROR)
         else:
-            self.over(delivery, m.How.FULL if unstarted else m.How.RESET)
+            self.finished(delivery, m.How.FULL if unstarted else m.How.RESET)
 
     def lost(self, delivery: Delivery) -> None:
         """The channel or the connection is gone."""
         entry = delivery.entry
         if entry is not None and delivery.subscriber.channel.session.outbox.withdraw(entry):
-            self.over(delivery, m.How.NO_CONNECTION)  # no byte of it was handed to the system
+            self.finished(delivery, m.How.NO_CONNECTION)  # no byte of it was handed to the system
         elif delivery.result is not None:
-            self.over(delivery, m.How.OK, delivery.result)
+            self.finished(delivery, m.How.OK, delivery.result)
         else:
-            self.over(delivery, m.How.RESET)
+            self.finished(delivery, m.How.RESET)
--- a/bitternpath/balancer/core/endpoint_registry.py
+++ b/bitternpath/balancer/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Which endpoints there are, from all sources together."""
+"""The endpoint list in force: which endpoints there are, from all sources, and which are ejected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from bitternpath.balancer import messages as m
 
-log = structlog.get_logger(part="roster")
+log = structlog.get_logger(part="registry")
 
 DISCOVERY = "discovery"  # the source of the platform's own list
 LEAVING_LIMIT = 4096  # of those that drain or are gone, so many are remembered
@@ -82,7 +82,7 @@
             self.on_ejection_change(id, by, True)
         if id not in self.ejected_since:
             self.ejected_since[id] = since
-            log.info("taken out", id=id)
+            log.info("endpoint_ejected", id=id)
             self._notify(id)
 
     def reinstate(self, id: str, now: float, by: str = BY_OPERATOR) -> None:
@@ -95,7 +95,7 @@
         if not sources:
             del self._ejected_by[id]
             self._reinstated[id] = self.ejected_since.pop(id), now
-            log.info("called back", id=id)
+            log.info("endpoint_reinstated", id=id)
             self._notify(id)
 
     def _notify(self, id: str) -> None:
@@ -150,12 +150,12 @@
         listing = replace(listing, members=members)
         kv: dict[str, object] = {
             "revision": listing.revision,
-            "whole": listing.complete,
-            "lines": len(listing.members),
+            "complete": listing.complete,
+            "endpoints": len(listing.members),
         }
         if listing.source != DISCOVERY:
             kv["source"] = listing.source
-        log.info("roster", **kv)
+        log.info("endpoint_list_applied", **kv)
         self.on_change(listing)
         return True
 
--- a/bitternpath/balancer/core/lifecycle.py
+++ b/bitternpath/balancer/core/lifecycle.py
@@ -1,11 +1,11 @@
-"""The life of one process of a node: which states there are, what each does, and what leads to another.
+"""The life cycle of one process of a node: its phases, the behaviour in each, and the transitions.
 
-Theory of operation. A process starts, serves, and leaves when it is told to. Where a newer process of the
-same node takes over (its *successor*, see handover/), the older one passes its work on: it accepts no new
-connections, for its successor does, but serves on those that clients hold. Whoever serves asks this object
-what holds now; nobody else may change the state, and a word that means nothing in a state changes nothing.
+A process starts, serves, and drains when it is told to stop. Where a newer process of the same node takes
+over (its *successor*, see handover/), the older one hands over: it accepts no new connections, since its
+successor does, but keeps serving those that clients hold. Servers read the behaviour of the current phase
+from this object. An event that has no transition in a phase changes nothing.
 
-Times are counted from the word to stop. The platform kills a process no sooner than the longest deadline,
+Times are counted from the stop signal. The platform kills a process no sooner than the longest deadline,
 counted as 3 s where it is longer, and 0.7 s after it (PROTOCOL, 'Figures'): with short deadlines far earlier.
 """
 
@@ -15,34 +15,38 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# ms in which connections may still be new at a plain restart: the front hears of it 0.2 to 0.4 s late.
-NEW_ONES_ARRIVE = 500.0
-LONGEST, KILLED_AFTER = 3000.0, 700.0  # ms; the platform's own figures
+# ms in which new connections may still come at a plain restart: the load balancer notices 0.2 to 0.4 s late.
+NEW_CONNECTIONS_ARRIVE = 500.0
+DEADLINE_CAP, KILL_GRACE = 3000.0, 700.0  # ms; the platform's own figures
 
 
-def last_answer(longest: float) -> float:
+def answer_time_after_stop(longest: float) -> float:
     """ms by which all that arrives later is answered, whatever its deadline: 0.2 s before a kill may come.
 
     `longest` is the longest deadline in ms."""
-    return min(longest, LONGEST) + KILLED_AFTER - 200.0
+    return min(longest, DEADLINE_CAP) + KILL_GRACE - 200.0
 
 
-def held(longest: float) -> float:
+def hold_time_after_stop(longest: float) -> float:
     """ms for which a process with a successor keeps connections open that clients hold but do not use: a
     close that crosses a request is a loss, and each answer moves one over. The rest is for the end."""
-    return last_answer(longest) - 200.0
+    return answer_time_after_stop(longest) - 200.0
 
 
 class Phase(Enum):
+    """The phases of a process; the values stand in the log (`stopping phase=`)."""
+
     STARTING = "starting"  # not listening yet
     READY = "ready"
-    SUCCEEDED = "succeeded"  # the successor serves; not told to stop yet
-    LEAVING = "leaving"  # told to stop, and nobody takes over
-    PASSING = "passing on"  # told to stop, and the successor serves
+    SUPERSEDED = "succeeded"  # the successor serves; not told to stop yet
+    DRAINING = "leaving"  # told to stop, and nobody takes over
+    HANDING_OVER = "passing on"  # told to stop, and the successor serves
     GONE = "gone"
 
 
-class Word(Enum):
+class LifecycleEvent(Enum):
+    """What may change the phase."""
+
     LISTENS = "listens"
     SUCCESSOR_READY = "successor ready"
     SUCCESSOR_LOST = "successor lost"
@@ -51,61 +55,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Does:
-    """What holds in a state."""
-
-    accepts: bool  # new connections
-    welcome: bool  # `/ready` says yes: the front may send clients to this address
-    serves: bool  # the console's readiness says yes: this process can serve
-    keeps: bool  # answers leave the connection open
-    drops_idle: bool  # closes connections that wait for nothing, once no new ones come
-
-
-DOES = {
-    Phase.STARTING: Does(accepts=False, welcome=False, serves=False, keeps=False, drops_idle=False),
-    Phase.READY: Does(accepts=True, welcome=True, serves=True, keeps=True, drops_idle=False),
-    Phase.SUCCEEDED: Does(accepts=False, welcome=True, serves=True, keeps=False, drops_idle=False),
-    Phase.LEAVING: Does(accepts=True, welcome=False, serves=False, keeps=False, drops_idle=True),
-    Phase.PASSING: Does(accepts=False, welcome=True, serves=False, keeps=False, drops_idle=False),
-    Phase.GONE: Does(accepts=False, welcome=False, serves=False, keeps=False, drops_idle=True),
+class PhaseBehavior:
+    """What a process does in a phase."""
+
+    accepts: bool = False  # accepts new connections
+    ready_for_clients: bool = False  # `/ready` answers 200: the load balancer may send clients here
+    ready_for_operators: bool = False  # the console's readiness answers 200: this process can serve
+    keep_alive: bool = False  # answers leave the connection open
+    closes_idle: bool = False  # closes idle connections, once no new ones come
+
+
+BEHAVIOR = {
+    Phase.STARTING: PhaseBehavior(),
+    Phase.READY: PhaseBehavior(
+        accepts=True, ready_for_clients=True, ready_for_operators=True, keep_alive=True
+    ),
+    Phase.SUPERSEDED: PhaseBehavior(ready_for_clients=True, ready_for_operators=True),
+    Phase.DRAINING: PhaseBehavior(accepts=True, closes_idle=True),
+    Phase.HANDING_OVER: PhaseBehavior(ready_for_clients=True),
+    Phase.GONE: PhaseBehavior(closes_idle=True),
 }
 
-MOVES = {
-    (Phase.STARTING, Word.LISTENS): Phase.READY,
-    (Phase.STARTING, Word.STOP): Phase.GONE,
-    (Phase.READY, Word.SUCCESSOR_READY): Phase.SUCCEEDED,
-    (Phase.READY, Word.STOP): Phase.LEAVING,
-    (Phase.SUCCEEDED, Word.SUCCESSOR_LOST): Phase.READY,
-    (Phase.SUCCEEDED, Word.STOP): Phase.PASSING,
-    (Phase.LEAVING, Word.SUCCESSOR_READY): Phase.PASSING,
-    (Phase.PASSING, Word.SUCCESSOR_LOST): Phase.LEAVING,
-    (Phase.LEAVING, Word.ENDED): Phase.GONE,
-    (Phase.PASSING, Word.ENDED): Phase.GONE,
+TRANSITIONS = {
+    (Phase.STARTING, LifecycleEvent.LISTENS): Phase.READY,
+    (Phase.STARTING, LifecycleEvent.STOP): Phase.GONE,
+    (Phase.READY, LifecycleEvent.SUCCESSOR_READY): Phase.SUPERSEDED,
+    (Phase.READY, LifecycleEvent.STOP): Phase.DRAINING,
+    (Phase.SUPERSEDED, LifecycleEvent.SUCCESSOR_LOST): Phase.READY,
+    (Phase.SUPERSEDED, LifecycleEvent.STOP): Phase.HANDING_OVER,
+    (Phase.DRAINING, LifecycleEvent.SUCCESSOR_READY): Phase.HANDING_OVER,
+    (Phase.HANDING_OVER, LifecycleEvent.SUCCESSOR_LOST): Phase.DRAINING,
+    (Phase.DRAINING, LifecycleEvent.ENDED): Phase.GONE,
+    (Phase.HANDING_OVER, LifecycleEvent.ENDED): Phase.GONE,
 }
 
 
-class LifeCycle:
-    """The state in hand. `changed` hears of every change after it."""
+class Lifecycle:
+    """The current phase. The callbacks in `changed` are called after every change."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
         self.changed: list[Callable[[], None]] = []
 
     @property
-    def does(self) -> Does:
-        return DOES[self.phase]
+    def behavior(self) -> PhaseBehavior:
+        return BEHAVIOR[self.phase]
 
     @property
     def stopping(self) -> bool:
         """Whether the process was told to stop."""
-        return self.phase in (Phase.LEAVING, Phase.PASSING, Phase.GONE)
+        return self.phase in (Phase.DRAINING, Phase.HANDING_OVER, Phase.GONE)
 
-    def hear(self, word: Word) -> bool:
-        """Take a word in; whether it changed anything."""
-        after = MOVES.get((self.phase, word))
+    def apply(self, event: LifecycleEvent) -> bool:
+        """Apply an event; returns whether it changed the phase."""
+        after = TRANSITIONS.get((self.phase, event))
         if after is None:
             return False
         self.phase = after
-        for tell in self.changed:
-            tell()
+        for notify in self.changed:
+            notify()
         return True
--- a/bitternpath/balancer/core/requests.py
+++ b/bitternpath/balancer/core/requests.py
@@ -21,21 +21,24 @@
 
 
 class Client(Protocol):
-    """The side that waits for the answer of one request; exactly one of its answers is called, once."""
+    """Takes the answer of one request: exactly one of `served`, `rejected` and `failed` is called, once."""
 
-    def served(self, result: bytes) -> None: ...
+    def served(self, result: bytes) -> None:
+        """The request succeeded with this result."""
 
-    def rejected(self, retry_after: float) -> None: ...
+    def rejected(self, retry_after: float) -> None:
+        """Nothing ran, or a repeat is harmless: the client may retry after so many ms."""
 
-    def failed(self) -> None: ...
+    def failed(self) -> None:
+        """The request failed; it may have run."""
 
     def gone(self) -> bool:
-        """Whether it has left, though nobody may have heard of that yet."""
+        """Whether it has disconnected, though the event may not have been processed yet."""
         ...
 
 
 class Payload(Protocol):
-    """What an upstream client sends on: a request in the platform's own words (PROTOCOL, 'Clients to nodes').
+    """What an upstream client sends on: a request in the platform's form (PROTOCOL, 'Clients to nodes').
 
     `target` is the path with its query, `/CLASS` and what follows; `headers` has lower-case names:
     `x-call-class`, `x-route-hash`, `x-again`, `x-call-info`, `content-type`, where the client gave them."""
@@ -47,7 +50,7 @@
 
 
 class Work(Struct):
-    """A payload of a front that does not speak HTTP."""
+    """The payload of a server that does not speak HTTP."""
 
     method: bytes
     target: bytes
@@ -56,11 +59,13 @@
 
 
 class UpstreamClient(Protocol):
-    """The side that carries calls to endpoints. What becomes of them it tells by `Broker.ended`."""
+    """Carries calls to the endpoints of one protocol, and reports their outcomes by `Broker.call_ended`."""
 
-    def start(self, call: UpstreamCall, endpoint: Endpoint) -> None: ...
+    def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
+        """Send a call to an endpoint."""
 
-    def give_up(self, call: UpstreamCall) -> None: ...
+    def give_up(self, call: UpstreamCall) -> None:
+        """Cancel a call, as far as the protocol can."""
 
 
 UpstreamClients = Mapping[str, UpstreamClient]  # by the protocol of the endpoint
@@ -68,7 +73,7 @@
 
 
 class CallState(Enum):
-    """What an endpoint reports of a call."""
+    """The state of a call, as an endpoint reports it."""
 
     STARTED = "started"
     RUNNING = "running"
@@ -79,7 +84,7 @@
 
 
 class CallReport(Struct):
-    """An endpoint's report of a call: what it says, and of which job."""
+    """An endpoint's report of a call. The field names of its stored form (the handover link) are kept."""
 
     id: str
     endpoint: str = field(name="provider")
@@ -96,14 +101,14 @@
     endpoint: str
     sent: float
     expires: float
-    begin_by: float = inf  # later it may not go out: what has run is no longer known to be the same job
-    protocol: str = CALLS_BACK  # of the endpoint, and so whose upstream client carries it
-    over: bool = False  # its outcome is known; what comes later is passed over
-    ran: bool = True  # it may have run, as far as is known
-    accepted: bool = False  # the endpoint has taken the job: its connection no longer matters
-    returned: bool = False  # ended by a call-back that handed it back
+    start_deadline: float = inf  # ms; not sent later: an endpoint would no longer recognise a repeat
+    protocol: str = CALLS_BACK  # of the endpoint, which selects the upstream client
+    finished: bool = False  # its outcome is known; later reports are ignored
+    may_have_run: bool = True  # it may have run, as far as is known
+    accepted: bool = False  # the endpoint has accepted it (202): its connection no longer matters
+    handed_back: bool = False  # ended by a call-back that handed it back
     timer: Any = None
-    transport_state: Any = None  # the upstream client's own
+    transport_state: Any = None  # owned by the upstream client
 
     @property
     def id(self) -> str:
@@ -129,7 +134,7 @@
 
 
 def parse_call_info(info: bytes) -> dict[str, float]:
-    """The further figures of a request: `name=value,name=value`, those whose values are numbers."""
+    """Parse `name=value,name=value` (the header `X-Call-Info`); values that are not numbers are left out."""
     found: dict[str, float] = {}
     for pair in info.split(b","):
         name, _, value = pair.strip().partition(b"=")
--- a/bitternpath/balancer/core/statistics.py
+++ b/bitternpath/balancer/core/statistics.py
@@ -11,7 +11,7 @@
 
 PREFIX = "app."
 BACKEND_CALLS = "backend_calls"  # attempts whose last byte was written to an endpoint
-OUTCOMES = {"served": "success", "rejected": "busy", "failed": "failure"}  # ours and the operators'
+OUTCOMES = {"served": "success", "rejected": "busy", "failed": "failure"}  # our outcome: the operators' name
 
 
 class Statistics:
@@ -22,22 +22,25 @@
         self._counts: Counter[str] = Counter()
         self._gauges: dict[str, Callable[[], int]] = {}
 
-    def know(self, classes: Iterable[str]) -> None:
-        """Classes of the settings: at 0 from their first moment. One that is dropped keeps its counts."""
+    def add_classes(self, classes: Iterable[str]) -> None:
+        """Classes of the settings: at 0 from the start. A class that is dropped keeps its counts."""
         for name in classes:
             self._calls.setdefault(name, dict.fromkeys(OUTCOMES.values(), 0))
 
-    def ended(self, job_class: str, outcome: str) -> None:
+    def count_outcome(self, job_class: str, outcome: str) -> None:
         """A job of the class was served, rejected or failed."""
         if job_class not in self._calls:
-            self.know((job_class,))
+            self.add_classes((job_class,))
         self._calls[job_class][OUTCOMES[outcome]] += 1
 
     def count(self, name: str) -> None:
+        """Add one to a count of the node."""
         self._counts[name] += 1
 
-    def has(self, counts: Iterable[str] = (), gauges: Mapping[str, Callable[[], int]] | None = None) -> None:
-        """Further figures of the node: counts that are there at 0, gauges and who knows them."""
+    def register(
+        self, counts: Iterable[str] = (), gauges: Mapping[str, Callable[[], int]] | None = None
+    ) -> None:
+        """Add counts of the node, at 0, and gauges with the functions that read them."""
         for name in counts:
             self._counts.setdefault(name, 0)
         self._gauges |= gauges or {}
@@ -47,5 +50,5 @@
         counts = [(f"calls.{c}.{o}", n) for c, by in self._calls.items() for o, n in by.items()]
         counts += self._counts.items()
         gauges = [(name, read()) for name, read in self._gauges.items()]
-        told = [f"{PREFIX}{name}:{value}|c\n" for name, value in counts]
-        return "".join(told + [f"{PREFIX}{name}:{value}|g\n" for name, value in gauges])
+        rendered = [f"{PREFIX}{name}:{value}|c\n" for name, value in counts]
+        return "".join(rendered + [f"{PREFIX}{name}:{value}|g\n" for name, value in gauges])
--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -27,24 +27,31 @@
 
 
 class Dispatcher:
-    """One dispatcher; instances share nothing."""
+    """One dispatcher; instances share nothing.
+
+    Deterministic: the same settings, seed, times and events give the same actions.
+    """
 
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
-        self.random, self.now, self.part = Random(seed), now, 1.0  # this process's part of the dispatcher
-        self.lines: dict[str, ClassState] = {}
+        self.random = Random(seed)
+        self.now = now
+        self.capacity_share = 1.0  # this process's part of what the dispatcher may send, during an upgrade
+        self.class_states: dict[str, ClassState] = {}
         self.workers: dict[str, Worker] = {}
-        self.homes: list[str] = []  # workers that in a large fleet get this dispatcher's jobs first
+        self.home_workers: list[str] = []  # workers that in a large fleet get this dispatcher's jobs first
         self.jobs: dict[str, Job] = {}
-        self.out: dict[tuple[str, int], Attempt] = {}  # in flight by job and number, oldest first
-        self.held: list[Job] = []
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # in flight by job and number, oldest first
+        self.pending: list[Job] = []
         self.on_settings(m.NewSettings(settings))
-        self.mean_wait = self.mean_run = 0.0  # of late, over all workers and classes
-        self.behind = settings.start_heard_after
-        self.ask_wait, self.begun_at = ASK_AGAIN / 8, now
-        self.acts: list[m.Action] = [m.Wake("sweep", self.pause)]
+        self.mean_wait = 0.0  # moving averages over all workers and classes
+        self.mean_run = 0.0
+        self.behind = settings.start_heard_after  # ms from a job's start to the first report of it
+        self.ask_wait = ASK_AGAIN / 8  # ms until a refused subscription is tried again
+        self.begun_at = now  # when a job was last known to have begun
+        self.actions: list[m.Action] = [m.Wake("sweep", self.pause)]
         if settings.ask_for_list:  # spread out: a fleet that starts at once would swamp the list service
             first = self.random.random() * min(settings.must_ask_within / 2, 1.5 * ASK_AGAIN)
-            self.acts.append(m.Wake("watch", first))
+            self.actions.append(m.Wake("watch", first))
         self.answer: dict[type, Callable[..., None]] = {
             m.Request: self.on_request, m.JobNote: self.on_note, m.StreamBegun: self.on_note,
             m.Outcome: self.on_outcome, m.Withdrawn: self.on_withdrawn, m.WorkerList: self.on_list,
@@ -52,28 +59,35 @@
         }  # fmt: skip
 
     def handle(self, now: float, event: m.Event) -> list[m.Action]:
+        """Take an event at time `now` (ms); returns the actions to execute, in their order."""
         self.now = now
         self.answer[type(event)](event)
-        acts, self.acts = self.acts, []
-        return acts
+        actions, self.actions = self.actions, []
+        return actions
 
     def on_settings(self, event: m.NewSettings) -> None:
         """What was learned of a class that stays, stays; open jobs keep the rules under which they came."""
-        self.set, before, self.lines = event.settings, self.lines, {}
-        for spec in self.set.classes:
+        before = self.class_states
+        self.settings = event.settings
+        self.class_states = {}
+        for spec in self.settings.classes:
             old = before.get(spec.name)
-            line = copy(old) if old and spec.same(old.spec) else ClassState(spec, self.set)
-            line.spec, line.set, self.lines[spec.name] = spec, self.set, line
+            class_state = copy(old) if old and spec.same(old.spec) else ClassState(spec, self.settings)
+            class_state.spec = spec
+            class_state.settings = self.settings
+            self.class_states[spec.name] = class_state
             for worker in self.workers.values():
-                line.join(worker)
-        self.aim = min(spec.aim for spec in self.set.classes)
-        self.pause = max(self.set.tick, self.aim / 8)
-        self.margin = 2 * self.pause + self.set.tick  # held jobs are settled so long before it is too late
+                class_state.join(worker)
+        self.aim = min(spec.aim for spec in self.settings.classes)
+        self.pause = max(self.settings.tick, self.aim / 8)
+        self.margin = (
+            2 * self.pause + self.settings.tick
+        )  # held jobs are settled so long before it is too late
 
     def on_list(self, event: m.WorkerList) -> None:
         if event.kind is m.ListKind.FAILED:  # ask again, later each time: the service may be swamped or down
             wait, self.ask_wait = self.ask_wait, min(2 * self.ask_wait, ASK_AGAIN)
-            return self.acts.append(m.Wake("watch", wait * (0.5 + self.random.random())))
+            return self.actions.append(m.Wake("watch", wait * (0.5 + self.random.random())))
         self.ask_wait = ASK_AGAIN / 8
         if event.kind is not m.ListKind.CHANGES:
             named = {entry.worker for entry in event.entries}
@@ -82,8 +96,8 @@
         for entry in event.entries:
             self.on_entry(entry)
         # All dispatchers cut the same ring of names into as many pieces as they are: theirs overlap little.
-        names, piece = sorted(self.workers), len(self.workers) / self.set.dispatchers
-        self.homes = names[int(self.set.me * piece) : ceil((self.set.me + 1) * piece)]
+        names, piece = sorted(self.workers), len(self.workers) / self.settings.dispatchers
+        self.home_workers = names[int(self.settings.me * piece) : ceil((self.settings.me + 1) * piece)]
 
     def on_entry(self, entry: m.Entry) -> None:
         worker = self.workers.get(entry.worker)
@@ -91,132 +105,158 @@
         if worker and (entry.state is not m.State.SERVING or (entry.up_since or 0.0) > worker.up + 1):
             self.retire(worker)
         if entry.state is m.State.SERVING and entry.worker not in self.workers:
-            worker = self.workers[entry.worker] = Worker(entry, self.set.warm_within)
+            worker = self.workers[entry.worker] = Worker(entry, self.settings.warm_within)
             if worker.warm_at > self.now:
                 # At a random point of the first gap: all dispatchers hear of it at about the same time.
-                work = max(line.work for line in self.lines.values()) or self.set.fall_span
+                work = (
+                    max(class_state.work for class_state in self.class_states.values())
+                    or self.settings.fall_span
+                )
                 worker.cold_at, worker.cold_work = self.now, work * self.random.random()
-            for line in self.lines.values():
-                line.join(worker)
+            for class_state in self.class_states.values():
+                class_state.join(worker)
         if entry.state is m.State.SERVING:
             self.workers[entry.worker].slots = entry.slots
 
     def retire(self, worker: Worker) -> None:
         """Draining or gone: it gets nothing more (well before the grace ends); what is out there runs on."""
         del self.workers[worker.name]
-        worker.out_until = worker.shy_until = float("inf")  # for jobs of a class that is no more
-        for line in self.lines.values():
-            if worker.name in line.net.index:
-                line.net.leave(worker)
+        worker.out_until = worker.unsafe_out_until = float("inf")  # for jobs of a class that is no more
+        for class_state in self.class_states.values():
+            if worker.name in class_state.net.index:
+                class_state.net.leave(worker)
 
     def share(self, worker: Worker) -> float:
         """What part of its full capacity a worker has at least."""
-        age = (self.now - worker.up) / self.set.warm_within if worker.warm_at > self.now else 1.0
-        return self.set.cold_share + (1 - self.set.cold_share) * min(max(age, 0.0), 1.0)
+        age = (self.now - worker.up) / self.settings.warm_within if worker.warm_at > self.now else 1.0
+        return self.settings.cold_share + (1 - self.settings.cold_share) * min(max(age, 0.0), 1.0)
 
     def next_cold(self, worker: Worker) -> float:
         """When a cold worker may get the next job, for all dispatchers together must not push it over."""
         if worker.warm_at <= self.now:
             return 0.0
-        home, many, n = worker.name in self.homes, self.set.dispatchers, len(self.workers)
+        home, many, n = worker.name in self.home_workers, self.settings.dispatchers, len(self.workers)
         slots = COLD_HOME * n / (n + many) if home else COLD_REST / many
-        slots *= self.set.fall_multiple * self.share(worker) * self.part
-        gap = worker.cold_work * (COLD_IDLE / self.part if home and not worker.load(self.now) else 1 / slots)
+        slots *= self.settings.fall_multiple * self.share(worker) * self.capacity_share
+        gap = worker.cold_work * (
+            COLD_IDLE / self.capacity_share if home and not worker.load(self.now) else 1 / slots
+        )
         return min(worker.cold_at + gap, worker.warm_at)
 
     def on_request(self, event: m.Request) -> None:
-        job = self.jobs[event.id] = Job(event, self.lines[event.job_class], self.now, self.set.marks_retry)
-        if not self.place(job):
-            self.held.append(job)
+        job = self.jobs[event.id] = Job(
+            event, self.class_states[event.job_class], self.now, self.settings.marks_retry
+        )
+        if not self.send_or_hold(job):
+            self.pending.append(job)
 
-    def place(self, job: Job) -> bool:
+    def send_or_hold(self, job: Job) -> bool:
         """Send the job, or hold it while that can help, or give its final answer; False if it is held."""
-        can = len(job.tries) < job.set.try_limit and job.deadline > self.now and self.within(job) > 0
-        worker = self.pick(job) if can else None
+        can = (
+            len(job.attempts) < job.settings.try_limit
+            and job.deadline > self.now
+            and self.send_window(job) > 0
+        )
+        worker = self.choose_worker(job) if can else None
         if worker is not None:
             self.send(job, worker)
         elif not can or self.now + self.margin > job.settle_by:
-            ran = any(t.ran for t in job.tries) and not job.spec.harmless
-            self.acts.append(m.Fail(job.id) if ran else m.Refuse(job.id, self.advice(job.line)))
+            ran = any(t.ran for t in job.attempts) and not job.spec.harmless
+            self.actions.append(m.Fail(job.id) if ran else m.Refuse(job.id, self.advice(job.class_state)))
             self.close(job)
         return worker is not None or not job.open
 
-    def advice(self, line: ClassState) -> float:
+    def advice(self, class_state: ClassState) -> float:
         """When the client may come again: a place where its job ends in time should be free by then."""
-        now, longest = self.now, self.set.max_retry_after
+        now, longest = self.now, self.settings.max_retry_after
         waits = [
             max(max(w.wait + w.wait_at, w.out_until, w.full_until, self.next_cold(w)) - now, 0.0)
             + w.own_queue(self.mean_run)
-            for w in line.net.neurons
+            for w in class_state.net.neurons
         ]
-        held_first = len(self.held) * self.mean_run / max(sum(w.n - w.waiting for w in line.net.neurons), 1)
-        wait = min(waits, default=longest) - max(line.bears(), 0.0) + held_first
+        queued_ahead = (
+            len(self.pending) * self.mean_run / max(sum(w.n - w.waiting for w in class_state.net.neurons), 1)
+        )
+        wait = min(waits, default=longest) - max(class_state.longest_wait(), 0.0) + queued_ahead
         return min(max(wait, self.pause), longest)
 
     def send(self, job: Job, worker: Worker) -> None:
-        self.acts.append(m.Send(job.id, worker.name, within=self.within(job)))
-        attempt = Attempt(job, len(job.tries), worker, self.now)
-        job.tries.append(attempt)
-        self.out[job.id, attempt.n] = attempt
+        self.actions.append(m.Send(job.id, worker.name, within=self.send_window(job)))
+        attempt = Attempt(job, len(job.attempts), worker, self.now)
+        job.attempts.append(attempt)
+        self.in_flight[job.id, attempt.n] = attempt
         worker.n += 1
-        worker.waiting += self.set.tells_start
+        worker.waiting += self.settings.tells_start
         worker.room -= worker.room > 0
         if worker.warm_at > self.now:
-            work = (job.line.work or self.set.fall_span) * job.size * job.request.slots
+            work = (job.class_state.work or self.settings.fall_span) * job.size * job.request.slots
             worker.cold_at, worker.cold_work = self.now, work * (0.5 + self.random.random())
 
-    def within(self, job: Job) -> float:
+    def send_window(self, job: Job) -> float:
         """For how long (ms) the class still lets the job be sent, to some worker at least."""
-        sent = [t.sent for t in job.tries if t.ran]
+        sent = [t.sent for t in job.attempts if t.ran]
         if not sent or job.spec.effect is not m.Effect.KEYED:
             return inf if not sent or job.spec.effect is m.Effect.SAFE else 0.0
         return sent[0] + 0.9 * job.spec.window - self.now  # the attempt must arrive inside the window too
 
     def allowed(self, job: Job, worker: Worker) -> bool:
         """Where earlier attempts may have run: another worker, of the group that drops the repeat."""
-        group, ran = job.spec.repeat_group, [t.worker for t in job.tries if t.ran]
+        group, ran = job.spec.repeat_group, [t.worker for t in job.attempts if t.ran]
         return all(w is not worker and w.entry.within(group) == worker.entry.within(group) for w in ran)
 
-    def pick(self, job: Job) -> Worker | None:
+    def choose_worker(self, job: Job) -> Worker | None:
         """The usable worker with the highest q / (1 + own jobs in flight), of a sample in large fleets."""
-        net, rand, now = job.line.net, self.random.random, self.now
+        net, rand, now = job.class_state.net, self.random.random, self.now
         workers, q, n = net.neurons, net.q, len(net.neurons)
-        many = 1 if rand() < EXPLORE else SAMPLE + 4 * n // self.set.dispatchers
+        many = 1 if rand() < EXPLORE else SAMPLE + 4 * n // self.settings.dispatchers
         # By kind: time until the job can no longer end there in time, or hardly before the client gives up.
         kinds = {
             kind: min(job.end_by - pace * job.size, job.deadline - CHANCE * pace * job.size) - now
-            for kind, pace in job.line.pace.items()
+            for kind, pace in job.class_state.pace.items()
         }
         # The usual wait, where the last sends to a worker were likely others'; it drains when no job begins.
-        usual = (1 - 1 / self.set.dispatchers) ** UNSEEN * max(self.mean_wait - (now - self.begun_at), 0.0)
+        usual = (1 - 1 / self.settings.dispatchers) ** UNSEEN * max(
+            self.mean_wait - (now - self.begun_at), 0.0
+        )
         late = job.spec.late_worth > 0 and max(kinds.values(), default=0.0) < 0
-        left, paces, harmless = job.deadline - now, job.line.pace, job.spec.harmless
+        left, paces, harmless = job.deadline - now, job.class_state.pace, job.spec.harmless
         # No queue grows longer than the hastiest class bears, by what earns less even less: it is held here.
-        most = max(1e-9, *(line.earns() for line in self.lines.values()))
-        part = job.line.earns() / most if job.line.run else 1.0
-        longest = part * min(line.bears() for line in self.lines.values())
-        broken = [w for w in workers if w.faults and w.broken(job.line.spec, now)]
+        most = max(1e-9, *(class_state.value_rate() for class_state in self.class_states.values()))
+        part = job.class_state.value_rate() / most if job.class_state.run else 1.0
+        longest = part * min(class_state.longest_wait() for class_state in self.class_states.values())
+        broken = [w for w in workers if w.faults and w.broken(job.class_state.spec, now)]
         broken = broken if 2 * len(broken) <= n else []  # else it is hardly the workers' fault
         best, best_score = None, 0.0
-        homes = [net.index[name] for name in self.homes if name in net.index] if 1 < many < n else []
-        for places in (homes, [int(rand() * n) for _ in range(many if many < n else 0)], range(n)):
+        home_indexes = (
+            [net.index[name] for name in self.home_workers if name in net.index] if 1 < many < n else []
+        )
+        for places in (home_indexes, [int(rand() * n) for _ in range(many if many < n else 0)], range(n)):
             for k in places:
                 w = workers[k]
-                if places is homes and (w.waiting or w.load(now) >= PLACES):
+                if places is home_indexes and (w.waiting or w.load(now) >= PLACES):
                     continue  # what others send elsewhere is not known, what is sent here nearly is
-                out = max(self.next_cold(w), w.out_until if harmless else w.shy_until)
-                if out > now or (w.full_until > now and not w.room) or w in broken or 0 < w.slots <= w.n:
+                blocked_until = max(self.next_cold(w), w.out_until if harmless else w.unsafe_out_until)
+                if (
+                    blocked_until > now
+                    or (w.full_until > now and not w.room)
+                    or w in broken
+                    or 0 < w.slots <= w.n
+                ):
                     continue
                 age, own, unused = now - w.wait_at, w.own_queue(self.mean_run), now - w.cold_at > COLD_UNUSED
                 # A queue drains since it was seen. What is late goes only where it makes no other job late.
                 pace, share = paces.get(w.kind, 0.0) * job.size, self.share(w)
                 limit = min(kinds.get(w.kind, 0.0), longest) - pace * (1 / share - 1)
-                seen, unseen, load = max(w.wait - age, 0.0), 0.0 if places is homes else usual, w.load(now)
-                bears = -load if late else max(limit, 0.0) - own
-                if max(seen, unseen if late or limit > 0 else 0.0) > bears or (late and pace > left):
+                seen, unseen, load = (
+                    max(w.wait - age, 0.0),
+                    0.0 if places is home_indexes else usual,
+                    w.load(now),
+                )
+                longest_wait = -load if late else max(limit, 0.0) - own
+                if max(seen, unseen if late or limit > 0 else 0.0) > longest_wait or (late and pace > left):
                     continue
                 score = q[k] / (1 + load) * share * (1 + 0.01 * rand()) + (unused and share < 1)
-                if score > best_score and (not job.tries or self.allowed(job, w)):
+                if score > best_score and (not job.attempts or self.allowed(job, w)):
                     best, best_score = w, score
             if best is not None:
                 return best
@@ -226,39 +266,43 @@
         return next((w for w in free if self.allowed(job, w)), None)
 
     def on_note(self, event: m.JobNote | m.StreamBegun) -> None:
-        attempt = self.out.get((event.id, event.attempt))
+        attempt = self.in_flight.get((event.id, event.attempt))
         if attempt is not None:
-            self.begin(attempt, self.behind)
+            self.record_start(attempt, self.behind)
 
-    def begin(self, attempt: Attempt, since: float) -> None:
+    def record_start(self, attempt: Attempt, since: float) -> None:
         """The worker was heard from: a job there has begun, at the latest so long (ms) ago."""
         worker = attempt.worker
-        worker.heard, worker.strikes, worker.out_until, worker.shy_until = self.now, 0, 0.0, 0.0
+        worker.last_heard, worker.strikes, worker.out_until, worker.unsafe_out_until = self.now, 0, 0.0, 0.0
         if attempt.begun is not None:
             return
-        self.lose(attempt, False)
+        self.mark_lost(attempt, False)
         attempt.begun = max(self.now - since, attempt.sent)
-        worker.waiting -= self.set.tells_start
-        weight = min((self.now - self.begun_at) / (4 * self.set.fall_span), 0.5)  # by time, not by jobs
+        worker.waiting -= self.settings.tells_start
+        weight = min((self.now - self.begun_at) / (4 * self.settings.fall_span), 0.5)  # by time, not by jobs
         worker.wait, worker.wait_at, self.begun_at = attempt.begun - attempt.sent, self.now, self.now
         worker.last_begun = max(worker.last_begun, attempt.sent)
         self.mean_wait += weight * (worker.wait - self.mean_wait)
 
-    def copy(self, job: Job) -> None:
+    def send_second_copy(self, job: Job) -> None:
         """Send a job again whose attempts are lost, where it may run twice."""
-        can = job.open and job.spec.harmless and job.set.second_copies and self.within(job) > 0
-        if can and len(job.tries) < job.set.try_limit and not any(t.out and not t.lost for t in job.tries):
-            worker = self.pick(job) if job.deadline > self.now else None
+        can = job.open and job.spec.harmless and job.settings.second_copies and self.send_window(job) > 0
+        if (
+            can
+            and len(job.attempts) < job.settings.try_limit
+            and not any(t.in_flight and not t.lost for t in job.attempts)
+        ):
+            worker = self.choose_worker(job) if job.deadline > self.now else None
             if worker is not None:
                 self.send(job, worker)
 
     def on_outcome(self, event: m.Outcome) -> None:
-        attempt = self.out.pop((event.id, event.attempt), None)
+        attempt = self.in_flight.pop((event.id, event.attempt), None)
         if attempt is None:
             return
         job, worker, lost, how = attempt.job, attempt.worker, attempt.lost, event.how
-        self.lose(attempt, False)
-        attempt.out = False
+        self.mark_lost(attempt, False)
+        attempt.in_flight = False
         worker.n -= 1
         attempt.ran = how not in m.NEVER_RAN
         worker.room = int(attempt.ran)
@@ -266,62 +310,77 @@
             faults = worker.faults.pop(job.spec.name, (0, 0.0, 0.0))[0]
             if faults > 1:
                 worker.faults[job.spec.name] = faults - 1, 0.0, 0.0
-            self.begin(attempt, self.behind or event.elapsed)
+            self.record_start(attempt, self.behind or event.elapsed)
             if not attempt.scored:
-                self.score(attempt, event.elapsed)
+                self.record_payoff(attempt, event.elapsed)
         else:
-            worker.waiting -= self.set.tells_start and attempt.begun is None
+            worker.waiting -= self.settings.tells_start and attempt.begun is None
         if how in m.RUNS_ON and not lost:
             begins = attempt.begun or self.now + max(worker.wait - (self.now - worker.wait_at), 0.0)
-            worker.called_off.append(begins + (job.line.run or self.set.fall_span) * job.size)
+            worker.cancelled_until.append(
+                begins + (job.class_state.run or self.settings.fall_span) * job.size
+            )
         if how not in (m.How.OK, m.How.CANCELLED):
-            if how is m.How.ERROR and sum(t.ran for t in job.tries) == 1:
-                self.fault(worker, job.line)  # if it failed elsewhere too, the job may itself be the cause
-            elif how is m.How.NO_CONNECTION and self.now - worker.heard > HEARD * self.set.progress_every:
+            if how is m.How.ERROR and sum(t.ran for t in job.attempts) == 1:
+                self.record_fault(
+                    worker, job.class_state
+                )  # if it failed elsewhere too, the job may itself be the cause
+            elif (
+                how is m.How.NO_CONNECTION
+                and self.now - worker.last_heard > HEARD * self.settings.progress_every
+            ):
                 self.suspect(worker)
             elif not attempt.ran:
                 # Until then one job goes there for each own job that ends: more would race for one free slot.
-                rest = FULL_REST * (job.line.run or job.spec.aim)
+                rest = FULL_REST * (job.class_state.run or job.spec.aim)
                 worker.full_until = self.now + rest * (0.5 + self.random.random())
-            job.line.net.learn(worker, 0.0, completed=False)
+            job.class_state.net.learn(worker, 0.0, completed=False)
         if event.final or not job.open:
             self.close(job)
-        elif not any(t.out for t in job.tries) and not self.place(job):
-            self.held.append(job)
-        if attempt.ran and self.held:
-            self.retry_held(1)
+        elif not any(t.in_flight for t in job.attempts) and not self.send_or_hold(job):
+            self.pending.append(job)
+        if attempt.ran and self.pending:
+            self.retry_pending(1)
 
-    def score(self, attempt: Attempt, elapsed: float) -> None:
+    def record_payoff(self, attempt: Attempt, elapsed: float) -> None:
         """Payoff 1/G of a job that ended: G is its time over its size."""
-        line, size, kind = attempt.job.line, attempt.job.size, attempt.worker.kind
+        class_state, size, kind = attempt.job.class_state, attempt.job.size, attempt.worker.kind
         run = elapsed - (attempt.begun or attempt.sent) + attempt.sent
-        line.ended += 1
-        line.run += max(SLOW, 1 / line.ended) * (run / size - line.run)
+        class_state.ended += 1
+        class_state.run += max(SLOW, 1 / class_state.ended) * (run / size - class_state.run)
         # Falls at once and rises slowly: strain must not pass for heavier work that has more time to end.
-        line.work = min(line.run, line.work * (1 + SLOW / 100)) if line.ended > 1 / SLOW else line.run
+        class_state.work = (
+            min(class_state.run, class_state.work * (1 + SLOW / 100))
+            if class_state.ended > 1 / SLOW
+            else class_state.run
+        )
         self.mean_run += SLOW * (run - self.mean_run) if self.mean_run else run
-        line.pace[kind] = line.pace.get(kind, run / size) * (1 - QUICK) + run / size * QUICK
+        class_state.pace[kind] = class_state.pace.get(kind, run / size) * (1 - QUICK) + run / size * QUICK
         # A heavy job is not its worker's fault: running time counts up to three times the usual.
-        goal = elapsed - run + min(run, 3 * line.run * size)
-        line.net.learn(attempt.worker, size / max(goal, 1e-3))
+        goal = elapsed - run + min(run, 3 * class_state.run * size)
+        class_state.net.learn(attempt.worker, size / max(goal, 1e-3))
 
     def suspect(self, worker: Worker) -> None:
         """Leave it out for a while, longer each time, until it is heard from; unsafe jobs twice as long."""
         worker.strikes += 1
         rest = 4 * self.aim * min(2**worker.strikes, 16) * (0.5 + self.random.random())
-        worker.out_until, worker.shy_until = self.now + rest, self.now + 2 * rest
+        worker.out_until, worker.unsafe_out_until = self.now + rest, self.now + 2 * rest
 
-    def fault(self, worker: Worker, line: ClassState) -> None:
+    def record_fault(self, worker: Worker, class_state: ClassState) -> None:
         """Keep a class away for a while: a worker that fails at once is idle and would draw job after job."""
-        before = worker.faults.get(line.spec.name, (0, 0.0, 0.0))[0]
+        before = worker.faults.get(class_state.spec.name, (0, 0.0, 0.0))[0]
         rest = FAULTY * 2**before * (0.5 + self.random.random())
-        worker.faults[line.spec.name] = min(before + 1, MOST_FAULTS), self.now + rest, self.now + 2 * rest
+        worker.faults[class_state.spec.name] = (
+            min(before + 1, MOST_FAULTS),
+            self.now + rest,
+            self.now + 2 * rest,
+        )
 
-    def lose(self, attempt: Attempt, lost: bool = True) -> None:
+    def mark_lost(self, attempt: Attempt, lost: bool = True) -> None:
         """Lost jobs will likely never begin: they hold no place, nor do they tell of a queue."""
         change, attempt.lost = attempt.lost - lost, lost
         attempt.worker.n += change
-        attempt.worker.waiting += change * self.set.tells_start
+        attempt.worker.waiting += change * self.settings.tells_start
 
     def on_withdrawn(self, event: m.Withdrawn) -> None:
         if event.id in self.jobs:
@@ -329,51 +388,53 @@
 
     def close(self, job: Job) -> None:
         """The client has its answer or has left: what is still out serves nobody."""
-        out = [attempt for attempt in job.tries if attempt.out]
-        if job.open and self.set.may_cancel:
-            self.acts += [m.Cancel(job.id, attempt.n) for attempt in out]
+        in_flight = [attempt for attempt in job.attempts if attempt.in_flight]
+        if job.open and self.settings.may_cancel:
+            self.actions += [m.Cancel(job.id, attempt.n) for attempt in in_flight]
         job.open = False
-        if not out:
+        if not in_flight:
             self.jobs.pop(job.id, None)
 
-    def retry_held(self, many: int) -> None:
+    def retry_pending(self, many: int) -> None:
         """Try to place held jobs, of those that earn most the newest first: oldest first makes all late."""
-        self.held.sort(key=lambda job: job.line.earns())
-        while self.held and many > 0:
-            job = self.held.pop()
+        self.pending.sort(key=lambda job: job.class_state.value_rate())
+        while self.pending and many > 0:
+            job = self.pending.pop()
             many -= job.open
-            if job.open and not self.place(job):
-                return self.held.append(job)  # more scans of a full fleet are dear
+            if job.open and not self.send_or_hold(job):
+                return self.pending.append(job)  # more scans of a full fleet are dear
 
     def on_alarm(self, event: m.Alarm) -> None:
         if event.label == "watch":
-            self.acts.append(m.Watch())
+            self.actions.append(m.Watch())
         elif event.label == "sweep":
             self.sweep()
 
     def sweep(self) -> None:
-        self.acts.append(m.Wake("sweep", self.pause))
+        self.actions.append(m.Wake("sweep", self.pause))
         now = self.now
-        for attempt in list(self.out.values()):
-            line, spec, worker = attempt.job.line, attempt.job.spec, attempt.worker
+        for attempt in list(self.in_flight.values()):
+            class_state, spec, worker = attempt.job.class_state, attempt.job.spec, attempt.worker
             age = now - attempt.sent - self.behind  # it would have been heard of had it begun before that
             if attempt.begun is not None or age < OVERDUE * spec.aim:
                 continue
             if not attempt.scored:
                 attempt.scored = True
-                line.net.learn(worker, attempt.job.size / (age + line.run), completed=False)
-            if self.set.in_order and not attempt.lost and worker.last_begun > attempt.sent + OVERTAKEN:
-                self.lose(attempt)
-                self.fault(worker, line)
+                class_state.net.learn(worker, attempt.job.size / (age + class_state.run), completed=False)
+            if self.settings.in_order and not attempt.lost and worker.last_begun > attempt.sent + OVERTAKEN:
+                self.mark_lost(attempt)
+                self.record_fault(worker, class_state)
             if attempt.lost:
-                self.copy(attempt.job)
+                self.send_second_copy(attempt.job)
                 continue
             if age > worker.wait - (now - worker.wait_at):
                 worker.wait, worker.wait_at = age, now
-            if age > SILENT * spec.aim and worker.heard < attempt.sent and worker.out_until <= now:
+            if age > SILENT * spec.aim and worker.last_heard < attempt.sent and worker.out_until <= now:
                 self.suspect(worker)
             if age > LOST * self.mean_run > 0:
-                self.lose(attempt)
-        self.retry_held(len(self.held))
+                self.mark_lost(attempt)
+        self.retry_pending(len(self.pending))
         due = now + self.margin
-        self.held = [job for job in self.held if job.open and (due <= job.settle_by or not self.place(job))]
+        self.pending = [
+            job for job in self.pending if job.open and (due <= job.settle_by or not self.send_or_hold(job))
+        ]
--- a/bitternpath/balancer/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -1,4 +1,4 @@
-"""An upgrade, from either side: joining the process that serves, and passing on to the one that comes."""
+"""An upgrade, from either side: taking over from the predecessor, and handing over to the successor."""
 
 from __future__ import annotations
 
@@ -15,19 +15,23 @@
 
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.endpoint_registry import EndpointRegistry
-from bitternpath.balancer.core.lifecycle import LifeCycle, Word
+from bitternpath.balancer.core.lifecycle import Lifecycle, LifecycleEvent
 from bitternpath.balancer.core.requests import CallReport
 from bitternpath.balancer.dispatch.dispatcher import Dispatcher
-from bitternpath.balancer.handover.learned import Learned, learned_by, teach
-from bitternpath.balancer.handover.link import Door, Link
+from bitternpath.balancer.handover.learned_weights import (
+    LearnedWeights,
+    learned_weights_of,
+    restore_learned_weights,
+)
+from bitternpath.balancer.handover.link import Link, UpgradeSocket
 from bitternpath.balancer.handover.messages import (
     VERSION,
+    Acknowledged,
     Declined,
-    Heard,
     Hello,
+    Message,
     Passed,
     Ready,
-    Said,
     Taken,
     Welcome,
 )
@@ -37,9 +41,9 @@
 connect: Any = connectProtocol
 log = structlog.get_logger(part="handover")
 
-WELCOME_WITHIN = 1.5  # s: one under load answers within milliseconds; without an answer the node is alone
-HEARD_WITHIN = 1.0  # s for the other process to take a call-back in; then the endpoint is asked to come again
-DESCRIPTORS = 4  # the door, a link each way, the folder
+WELCOME_TIMEOUT = 1.5  # s: one under load answers within milliseconds; without an answer the node is alone
+ACKNOWLEDGE_TIMEOUT = 1.0  # s for the other process to acknowledge a call-back, else the endpoint retries
+DESCRIPTORS = 4  # the upgrade socket, a link each way, the folder
 
 
 class Handover:
@@ -54,18 +58,18 @@
         registry: EndpointRegistry,
         module: Dispatcher,
         sockets: Sockets,
-        life: LifeCycle,
+        lifecycle: Lifecycle,
     ) -> None:
         self.reactor, self.broker, self.registry, self.module = reactor, broker, registry, module
-        self.sockets, self.life = sockets, life
-        self.door = Door(reactor, folder, f"bitternpath-{name}.sock")
+        self.sockets, self.lifecycle = sockets, lifecycle
+        self.upgrade_socket = UpgradeSocket(reactor, folder, f"bitternpath-{name}.sock")
         self.links: dict[Link, None] = {}  # that were greeted
         self.listen = ""  # the address that both share
         self.listener: Callable[[], Any] = lambda: None  # the listening socket
         self._older: Link | None = None
         self._newer: Link | None = None
         self._joining: Deferred[int | None] | None = None
-        self._learned: Learned | None = None
+        self._learned: LearnedWeights | None = None
         self._timer: Any = None
         self._passed: dict[int, tuple[set[Link], Callable[[bool], None], Any]] = {}
         self._number = 0
@@ -77,14 +81,16 @@
         this process is alone."""
         self.listen = listen
         self._joining = Deferred()
-        self._timer = self.reactor.callLater(WELCOME_WITHIN, self._alone, "no answer")
+        self._timer = self.reactor.callLater(WELCOME_TIMEOUT, self._alone, "no answer")
         try:
-            endpoint = unix_client(self.reactor, self.door.address(self.door.path.name), WELCOME_WITHIN)
+            endpoint = unix_client(
+                self.reactor, self.upgrade_socket.address(self.upgrade_socket.path.name), WELCOME_TIMEOUT
+            )
         except OSError as error:
             joining = self._joining
             self._alone(str(error))
             return joining
-        dialled = connect(endpoint, Link(self._hear, self._lost))
+        dialled = connect(endpoint, Link(self._received, self._lost))
         dialled.addCallbacks(self._greet, lambda failure: self._alone(failure.getErrorMessage()))
         return self._joining
 
@@ -93,12 +99,12 @@
             link.close()
             return
         self._older = link
-        link.say(Hello(VERSION, self.listen))
+        link.send(Hello(VERSION, self.listen))
 
     def _alone(self, why: str) -> None:
         if self._joining is None:
             return
-        log.info("no older process", why=why)
+        log.info("predecessor_not_found", why=why)
         link, self._older = self._older, None
         if link is not None:
             link.close()
@@ -111,62 +117,64 @@
         if joining is not None:
             joining.callback(descriptor)
 
-    def _welcomed(self, link: Link, said: Welcome) -> None:
+    def _welcomed(self, link: Link, message: Welcome) -> None:
         descriptor = link.take_descriptor()
         if self._joining is None or link is not self._older or descriptor is None:
             link.close()
             return
         os.set_inheritable(descriptor, False)
-        if said.listing.revision >= self.registry.revision:
-            self.registry.replace_initial(said.listing)
-        for id in said.taken:
+        if message.listing.revision >= self.registry.revision:
+            self.registry.replace_initial(message.listing)
+        for id in message.taken:
             self.broker.remember(id)
-        self._learned = said.learned
+        self._learned = message.learned
         self._add(link)
-        log.info("joined", revision=said.listing.revision, taken=len(said.taken))
+        log.info("predecessor_joined", revision=message.listing.revision, taken=len(message.taken))
         self._joined(descriptor)
 
-    def teach(self) -> None:
+    def restore_learned_weights(self) -> None:
         """Give the module what the older process has learned; the module must have its list by now."""
         if self._learned is not None:
-            left_out = teach(self.module, self._learned)
-            log.info("learned", workers=len(self._learned.workers), left_out=",".join(left_out))
+            left_out = restore_learned_weights(self.module, self._learned)
+            log.info(
+                "learned_weights_restored", workers=len(self._learned.workers), left_out=",".join(left_out)
+            )
             self._learned = None
 
     def ready(self) -> None:
         """This process serves: the older one may leave the accepting to it, and the next one finds it."""
         if self._older is not None:
-            self._older.say(Ready())
-        self._open_door()
+            self._older.send(Ready())
+        self._open_upgrade_socket()
 
-    def _open_door(self) -> None:
+    def _open_upgrade_socket(self) -> None:
         try:
-            self.door.open(lambda: Link(self._hear, self._lost))
+            self.upgrade_socket.open(lambda: Link(self._received, self._lost))
         except (OSError, CannotListenError) as error:
-            log.warning("no door for the next process", path=str(self.door.path), why=error)
+            log.warning("upgrade_socket_not_opened", path=str(self.upgrade_socket.path), why=error)
 
     # ---- the older process
 
-    def _asked(self, link: Link, said: Hello) -> None:
+    def _greeted(self, link: Link, message: Hello) -> None:
         listening: socket.socket | None = self.listener()
         why = ""
-        if said.version != VERSION:
-            why = f"version {said.version}, ours is {VERSION}"
-        elif said.listen != self.listen:
+        if message.version != VERSION:
+            why = f"version {message.version}, ours is {VERSION}"
+        elif message.listen != self.listen:
             why = f"another address, ours is {self.listen}"
         elif listening is None or self._newer is not None:
             why = "not listening" if listening is None else "another process has joined"
         if why or listening is None:
-            log.warning("declined a newer process", why=why)
-            link.say(Declined(why))
+            log.warning("successor_declined", why=why)
+            link.send(Declined(why))
             link.close()
             return
         self._newer = link
-        taken = self.broker.taken()
-        welcome = Welcome(self.registry.discovered(), taken, learned_by(self.module))
-        link.say(welcome, listening.fileno())
+        taken = self.broker.recent_request_ids()
+        welcome = Welcome(self.registry.discovered(), taken, learned_weights_of(self.module))
+        link.send(welcome, listening.fileno())
         self._add(link)
-        log.info("joined by a newer process", taken=len(taken))
+        log.info("successor_joined", taken=len(taken))
 
     # ---- both
 
@@ -178,46 +186,46 @@
         """While others live each has a part of what the node may hold and send, the one left the whole."""
         part = 1.0 / (1 + len(self.links))
         self.sockets.share(part)
-        self.module.part = part
-        self.broker.took = self._took if self.links else None
+        self.module.capacity_share = part
+        self.broker.on_accepted = self._request_accepted if self.links else None
 
-    def _took(self, id: str) -> None:
+    def _request_accepted(self, id: str) -> None:
         for link in self.links:
-            link.say(Taken(id))
+            link.send(Taken(id))
 
-    def _hear(self, link: Link, said: Said) -> None:
-        match said:
+    def _received(self, link: Link, message: Message) -> None:
+        match message:
             case Hello():
-                self._asked(link, said)
+                self._greeted(link, message)
             case Welcome():
-                self._welcomed(link, said)
+                self._welcomed(link, message)
             case Declined(why):
                 self._alone(f"declined: {why}")
             case Ready():
-                if link is self._newer and self.life.hear(Word.SUCCESSOR_READY):
-                    log.info("the newer process serves")
+                if link is self._newer and self.lifecycle.apply(LifecycleEvent.SUCCESSOR_READY):
+                    log.info("successor_ready")
             case Taken(id):
                 self.broker.remember(id)
-            case Heard(number):
-                self._heard(number, link)
+            case Acknowledged(number):
+                self._acknowledged(number, link)
             case Passed(number, report):
                 if self.broker.call_reported(report) or not self._pass(
-                    report, lambda ok: link.say(Heard(number)) if ok else None, link
+                    report, lambda ok: link.send(Acknowledged(number)) if ok else None, link
                 ):
-                    link.say(Heard(number))
+                    link.send(Acknowledged(number))
 
     def _lost(self, link: Link) -> None:
         self.links.pop(link, None)
         for number in list(self._passed):
-            self._heard(number, link)  # its jobs have died with it
+            self._acknowledged(number, link)  # its jobs have died with it
         if link is self._older:
             self._older = None
             self._alone("the link broke")
         if link is self._newer:
             self._newer = None
-            if self.life.hear(Word.SUCCESSOR_LOST):
-                log.warning("the newer process is gone")
-                self._open_door()  # it had put its own in place
+            if self.lifecycle.apply(LifecycleEvent.SUCCESSOR_LOST):
+                log.warning("successor_lost")
+                self._open_upgrade_socket()  # it had put its own in place
         self._share()
 
     # ---- call-backs
@@ -232,13 +240,13 @@
         if not links:
             return False
         self._number += 1
-        timer = self.reactor.callLater(HEARD_WITHIN, self._unheard, self._number)
+        timer = self.reactor.callLater(ACKNOWLEDGE_TIMEOUT, self._acknowledgement_timed_out, self._number)
         self._passed[self._number] = links, then, timer
         for link in links:
-            link.say(Passed(self._number, report))
+            link.send(Passed(self._number, report))
         return True
 
-    def _heard(self, number: int, link: Link) -> None:
+    def _acknowledged(self, number: int, link: Link) -> None:
         if number not in self._passed:
             return  # too late
         waits, then, timer = self._passed[number]
@@ -248,6 +256,6 @@
             timer.cancel()
             then(True)
 
-    def _unheard(self, number: int) -> None:
+    def _acknowledgement_timed_out(self, number: int) -> None:
         _, then, _ = self._passed.pop(number)
         then(False)
--- a/bitternpath/balancer/handover/link.py
+++ b/bitternpath/balancer/handover/link.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from bitternpath.balancer.handover.messages import Lines, LinkError, Said, line
+from bitternpath.balancer.handover.messages import Lines, LinkError, Message, line
 
 log = structlog.get_logger(part="handover")
 
@@ -24,12 +24,13 @@
 
 @implementer(IFileDescriptorReceiver)
 class Link(Protocol):
-    """One end. `hear` is called with each message, `lost` once at the end."""
+    """One end of the link. `receive` is called with each message, `lost` once at the end."""
 
     transport: Any
 
-    def __init__(self, hear: Callable[[Link, Said], None], lost: Callable[[Link], None]) -> None:
-        self.hear, self.lost = hear, lost
+    def __init__(self, receive: Callable[[Link, Message], None], lost: Callable[[Link], None]) -> None:
+        self.receive = receive
+        self.lost = lost
         self.lines = Lines()
         self.descriptor: int | None = None  # that came and is not taken yet
         self.open = False
@@ -43,19 +44,19 @@
 
     def dataReceived(self, data: bytes) -> None:
         try:
-            for said in self.lines.feed(data):
+            for message in self.lines.feed(data):
                 if self.open:
-                    self.hear(self, said)
+                    self.receive(self, message)
         except LinkError as error:
-            log.warning("link broken", why=error)
+            log.warning("handover_link_failed", why=error)
             self.open = False  # whatever else has come by now
             self.close()
 
-    def say(self, said: Said, descriptor: int | None = None) -> None:
+    def send(self, message: Message, descriptor: int | None = None) -> None:
         if self.open:
             if descriptor is not None:
                 self.transport.sendFileDescriptor(descriptor)
-            self.transport.write(line(said))
+            self.transport.write(line(message))
 
     def take_descriptor(self) -> int | None:
         descriptor, self.descriptor = self.descriptor, None
@@ -85,16 +86,18 @@
         return self.make()
 
 
-class DoorPort(Port):
+class UpgradePort(Port):
     """Its file is another process's by the time it closes: Twisted would remove it."""
 
     def connectionLost(self, reason: Failure) -> None:
         TcpPort.connectionLost(self, reason)  # type: ignore[no-untyped-call]
 
 
-class Door:
-    """Where the next process of this node finds this one: a socket file that is put in place in one step,
-    over one that an earlier process has left. Nobody removes it: behind a stale one nobody answers."""
+class UpgradeSocket:
+    """The socket file at which the next process of this node finds this one.
+
+    It is put in place in one step, over that of an earlier process. It is never removed: connecting to a
+    stale one fails."""
 
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
         self.reactor, self.path = reactor, folder / name
@@ -110,12 +113,12 @@
         return f"/proc/self/fd/{self._folder}/{name}"
 
     def open(self, make: Callable[[], Link]) -> None:
-        """Listen, and be the one that is found; OSError or CannotListenError where that cannot be."""
+        """Listen, in place of the process before. Raises OSError or CannotListenError."""
         if self._port is not None:
             self._port.stopListening()
         draft = f"{self.path.name}.{os.getpid()}"
         self.path.with_name(draft).unlink(missing_ok=True)
         factory: Any = LinkFactory(make)
-        self._port = DoorPort(os.fsencode(self.address(draft)), factory, mode=0o600, reactor=self.reactor)
+        self._port = UpgradePort(os.fsencode(self.address(draft)), factory, mode=0o600, reactor=self.reactor)
         self._port.startListening()
         os.replace(self.path.with_name(draft), self.path)
--- a/bitternpath/balancer/handover/messages.py
+++ b/bitternpath/balancer/handover/messages.py
@@ -12,7 +12,7 @@
 
 from bitternpath.balancer.core.endpoint_registry import Listing
 from bitternpath.balancer.core.requests import CallReport
-from bitternpath.balancer.handover.learned import Learned
+from bitternpath.balancer.handover.learned_weights import LearnedWeights
 
 VERSION = 1  # of these messages; two processes that differ in it serve side by side without a link
 LINE_LIMIT = (
@@ -32,7 +32,7 @@
 class Welcome(Struct, tag="welcome"):
     listing: Listing
     taken: list[str]  # ids of requests that are under way or were of late
-    learned: Learned
+    learned: LearnedWeights
 
 
 class Declined(Struct, tag="declined"):
@@ -54,20 +54,20 @@
     report: CallReport = field(name="news")
 
 
-class Heard(Struct, tag="heard"):
+class Acknowledged(Struct, tag="heard"):
     """The call-back of that number has been taken in."""
 
     number: int
 
 
-Said = Hello | Welcome | Declined | Ready | Taken | Passed | Heard
+Message = Hello | Welcome | Declined | Ready | Taken | Passed | Acknowledged
 
 _encoder = msgspec.json.Encoder()
-_decoder = msgspec.json.Decoder(Said)
+_decoder = msgspec.json.Decoder(Message)
 
 
-def line(said: Said) -> bytes:
-    return _encoder.encode(said) + b"\n"
+def line(message: Message) -> bytes:
+    return _encoder.encode(message) + b"\n"
 
 
 class Lines:
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self._data = bytearray()
 
-    def feed(self, data: bytes) -> list[Said]:
+    def feed(self, data: bytes) -> list[Message]:
         """The messages that are whole now; LinkError where one cannot be read."""
         self._data += data
         *whole, rest = self._data.split(b"\n")
--- a/bitternpath/balancer/http/__init__.py
+++ b/bitternpath/balancer/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the front (listener), the upstream client (pool), the watch on discovery and the console."""
+"""HTTP/1.1: the listener, the upstream client, the subscription to discovery, and the console."""
--- /dev/null
+++ b/bitternpath/balancer/http/client_connection.py
@@ -0,0 +1,235 @@
+"""One connection of a client to the listener: its requests in turn, their answers, and its time limits."""
+
+from __future__ import annotations
+
+import typing
+from collections.abc import Callable
+from typing import Any
+
+import structlog
+from twisted.internet.protocol import Protocol, connectionDone
+from twisted.python.failure import Failure
+
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.lifecycle import Lifecycle
+from bitternpath.balancer.core.requests import AcceptedRequest
+from bitternpath.net import http1
+from bitternpath.net.sockets import peek
+
+log = structlog.get_logger(part="listener")
+
+# ms from connecting to the end of the first message, and from the first byte of a later one to its last: a
+# client that sends nothing useful is owed an error or a close within 3 s, and is checked every 0.25 s.
+MESSAGE_TIMEOUT = 2250.0
+# After an error the rest of the input is read and discarded, since a close with unread input would reset the
+# connection and destroy the answer: all of a body of 60 MB, and for as long as that may take.
+LINGER_BYTES = 64 << 20
+# Bytes kept ahead of the answer that is due. More is read and discarded, since the close of a connection that
+# is not read goes unnoticed; the request that is cut off by it is answered as too large, and is the last one.
+PENDING_LIMIT = 2 * http1.BODY_LIMIT
+
+
+class MessageHandler(typing.Protocol):
+    """What answers the messages of a connection (`http.request_handler.RequestHandler`)."""
+
+    def serve(self, connection: ClientConnection, message: http1.Request) -> None:
+        """Answer a message on its connection, at once or later."""
+
+
+class ConnectionOwner(typing.Protocol):
+    """What a connection needs of its owner (`http.listener.Listener`), which tracks its state."""
+
+    reactor: Any
+    accepting: bool
+    broker: Broker
+    lifecycle: Lifecycle
+
+    @property
+    def clock(self) -> Callable[[], float]:
+        """The node's clock, in ms."""
+
+    @property
+    def handler(self) -> MessageHandler:
+        """What answers messages."""
+
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """A client has connected."""
+
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """A connection is gone."""
+
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """No answer is due on it."""
+
+    def mark_busy(self, connection: ClientConnection) -> None:
+        """An answer is due on it."""
+
+    def mark_lingering(self, connection: ClientConnection) -> None:
+        """Its last answer was written; the rest of its input is discarded."""
+
+    def mark_closing(self, connection: ClientConnection) -> None:
+        """It is being closed without an answer."""
+
+
+class ClientConnection(Protocol):
+    """One connection to the listener; it carries one request at a time.
+
+    Implements `core.requests.Client` for the request that it carries.
+    """
+
+    transport: Any
+
+    def __init__(self, listener: ConnectionOwner) -> None:
+        self.listener = listener
+        self.reader = http1.RequestReader()
+        self.begun_at = 0.0  # ms: when the message that is being read began
+        self.idle_since = 0.0  # ms: connected, or last answered
+        self.request: AcceptedRequest | None = None
+        self.keep_alive = True  # of the request that is being answered
+        self.open = False
+        self.input_truncated = False  # more came ahead of an answer than is kept
+        self.answered = False  # at least once
+        self.relayed = False  # its call-back has been passed on to another process of this node
+        self.only_callbacks = True  # has carried no request
+        self.discarded_bytes = 0  # beyond what is kept, and after the last answer
+
+    def connectionMade(self) -> None:
+        self.open = True
+        self.transport.setTcpNoDelay(True)
+        self.idle_since = self.listener.clock()
+        self.listener.connection_opened(self)
+
+    def dataReceived(self, data: bytes) -> None:
+        if not self.open or self.input_truncated:
+            self._discard(data)
+            return
+        if not self.reader.begun:
+            self.begun_at = self.listener.clock()
+            if self.answered and not self.busy:
+                self.listener.mark_idle(self)
+        room = max(PENDING_LIMIT - len(self.reader.buffer), 0)
+        if self.busy and len(data) > room:
+            self.input_truncated = True
+            self._discard(data[room:])
+            data = data[:room]
+        self.reader.feed(data)
+        if not self.busy:
+            self.advance()
+
+    def _discard(self, data: bytes) -> None:
+        self.discarded_bytes += len(data)
+        if self.discarded_bytes > LINGER_BYTES:
+            self.transport.abortConnection()
+
+    def advance(self) -> None:
+        """Handle the complete requests in the buffer, up to one that has to wait for its answer."""
+        while self.open and not self.busy:
+            try:
+                message = self.reader.next()
+                self._continue()
+            except http1.HttpError as error:
+                self.keep_alive = False
+                self.answer(error.status, str(error).encode())
+                return
+            if not isinstance(message, http1.Request):
+                if self.input_truncated:
+                    self.keep_alive = False
+                    self.answer(413, b"too much ahead of an answer")
+                break
+            self.keep_alive = message.keep_alive
+            try:
+                self.listener.handler.serve(self, message)
+            except Exception:
+                log.exception("request_handling_failed", target=message.target.decode("latin-1"))
+                self.keep_alive = False
+                self.answer(500)
+                return
+            self.begun_at = self.listener.clock()
+
+    def _continue(self) -> None:
+        head = self.reader.awaited()
+        if head is not None and head.headers.pop(b"expect", b"").lower() == b"100-continue":
+            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    @property
+    def since(self) -> float:
+        """Time (ms) of the last activity: connecting, the last answer, or the begin of a message after it."""
+        return max(self.idle_since, self.begun_at) if self.answered else self.idle_since
+
+    def check_time(self, now: float) -> None:
+        """Close it if a message is overdue; trickling bytes renew nothing. Once answered it may idle."""
+        if not self.open or self.busy or self.since + MESSAGE_TIMEOUT > now:
+            return
+        if self.reader.begun:
+            self.keep_alive = False
+            self.answer(408)
+        elif not self.answered:
+            self.drop()
+
+    @property
+    def busy(self) -> bool:
+        """Whether an answer is due that another part has to give."""
+        return self.request is not None or self.relayed
+
+    @property
+    def idle(self) -> bool:
+        """Whether it is open, owes nothing and has read no part of a message."""
+        return self.open and not self.busy and not self.reader.begun
+
+    def answer(self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
+        """Write the answer that is due on this connection."""
+        self.request = None
+        self.relayed = False
+        if not self.open:
+            return
+        keep = self.keep_alive and self.listener.lifecycle.behavior.keep_alive and self.listener.accepting
+        self.transport.write(http1.response(status, body, headers, keep))
+        self.answered = True
+        self.idle_since = self.listener.clock()
+        if keep:
+            self.listener.mark_idle(self)
+        else:
+            self.close()
+
+    def close(self) -> None:
+        """Close after an answer: what the client still sends is read and discarded for a while."""
+        if self.open:
+            self.open = False
+            self.reader = http1.RequestReader()  # frees the buffer
+            self.transport.loseWriteConnection()
+            self.listener.mark_lingering(self)
+
+    def drop(self) -> None:
+        """Close without an answer; the socket is freed at once."""
+        self.open = False
+        self.listener.mark_closing(self)
+        self.transport.loseConnection()
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        self.open = False
+        request, self.request = self.request, None
+        if request is not None:
+            self.listener.broker.withdraw(request)
+        self.listener.connection_closed(self)
+
+    def gone(self) -> bool:
+        """Whether the client has closed, by the state of the socket, read or not."""
+        return not self.open or peek(self.transport) == b""
+
+    # ---- core.requests.Client
+
+    def served(self, result: bytes) -> None:
+        self.reply(200, result)
+
+    def rejected(self, retry_after: float) -> None:
+        self.reply(503, b"", ((b"Retry-After", b"%.3f" % (max(retry_after, 0.0) / 1000.0)),))
+
+    def failed(self) -> None:
+        self.reply(500)
+
+    def reply(self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
+        """Write an answer that was not given in the turn in which the request was read."""
+        self.answer(status, body, headers)
+        if self.reader.begun or self.input_truncated:
+            # Handle what came meanwhile; in a later turn, since the broker is in the middle of a batch.
+            self.listener.reactor.callLater(0, self.advance)
--- a/bitternpath/balancer/http/console.py
+++ b/bitternpath/balancer/http/console.py
@@ -1,9 +1,9 @@
-"""Where operators call: one HTTP/1.1 call a connection (DAYS, 'Where operators call').
+"""The operators' console: one HTTP/1.1 call a connection (DAYS, 'Where operators call').
 
-Every answer is due within 1 s under any load, so that nothing here waits for anything: a call is answered
-in the turn in which its last byte is read. Callers that send nothing or half a call are bounded in number,
-and the one that has been silent for longest goes first; a whole call is never kept out by them. Imported
-only where the node has a console address.
+Every answer is due within 1 s under any load, so nothing here blocks: a call is answered in the reactor turn
+in which its last byte is read. Connections without a complete call are bounded in number, and the one that
+has been silent for longest is closed first; they never keep a complete call out. Imported only where the node
+has a console address.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 log = structlog.get_logger(part="console")
 
 CALLERS = 24  # connections at once; as many descriptors are kept for them
-# s for a call to arrive whole. Twice the second in which answers are due: after a stall of the process its
-# timers ring before its sockets are read, and what waits there unread must not pass for half a call.
-CALL_WITHIN = 2.0
-FRESH = 0.1  # s: who connected so lately is not silent yet, the call may be on the way
+# s for a call to arrive completely. Twice the second in which answers are due: after a stall of the process
+# timers expire before sockets are read, and unread input must not pass for half a call.
+CALL_TIMEOUT = 2.0
+FRESH = 0.1  # s: a connection younger than that is not silent yet, its call may be on the way
 LINGER = 0.5  # s in which the rest of a bad call is read and dropped, so that the answer to it arrives
 BODY_LIMIT = 1024  # bytes: a body is one id
 BACKLOG = 256
@@ -39,6 +39,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
+    """The answer to a call."""
+
     status: int
     body: bytes = b""
     headers: tuple[tuple[bytes, bytes], ...] = TEXT
@@ -49,7 +51,7 @@
 
 
 def one_id(body: bytes) -> str:
-    """The id that a body holds, white space around it apart; ValueError where it is not one id."""
+    """The id in a body, without surrounding white space; ValueError where the body is not one id."""
     found = body.strip()
     if not _ID.fullmatch(found):
         raise ValueError("the body must be one id: 1 to 200 visible ASCII characters")
@@ -57,7 +59,7 @@
 
 
 def answer(routes: Routes, call: http1.Request) -> Answer:
-    """What is owed to a whole call."""
+    """Answer a complete call."""
     method, serve = routes.get(call.path, (b"", None))
     if serve is None:
         return Answer(404, b"no such path; allowed are " + b", ".join(routes) + b"\n")
@@ -70,7 +72,7 @@
 
 
 class Caller(Protocol):
-    """One connection, one call. What comes after it is not a second one."""
+    """One connection with one call; input after the call is ignored."""
 
     transport: Any
 
@@ -83,7 +85,7 @@
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.timer = self.console.reactor.callLater(CALL_WITHIN, self.too_slow)
+        self.timer = self.console.reactor.callLater(CALL_TIMEOUT, self.too_slow)
         self.console.joined(self)
 
     def dataReceived(self, data: bytes) -> None:
@@ -96,34 +98,37 @@
             if head is not None and head.headers.pop(b"expect", b"").lower() == b"100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         except http1.HttpError as error:
-            self.tell(Answer(error.status, f"{error}\n".encode()))
+            self.respond(Answer(error.status, f"{error}\n".encode()))
             return
         if isinstance(call, http1.Request):
             try:
-                self.tell(answer(self.console.routes, call))
+                self.respond(answer(self.console.routes, call))
             except Exception:
-                log.exception("call failed", path=call.path.decode("latin-1"))
-                self.tell(Answer(500))
+                log.exception("console_call_failed", path=call.path.decode("latin-1"))
+                self.respond(Answer(500))
 
     def too_slow(self) -> None:
+        """The call is overdue, or the time to linger after the answer is over."""
         self.timer = None
         if self.over:
             self.transport.abortConnection()
         elif self.reader.begun:
-            self.tell(Answer(408, b"a call must arrive whole within %g s\n" % CALL_WITHIN))
+            self.respond(Answer(408, b"a call must arrive whole within %g s\n" % CALL_TIMEOUT))
         else:
             self.drop()
 
-    def tell(self, told: Answer) -> None:
+    def respond(self, answer: Answer) -> None:
+        """Write the answer; the rest of the input is read and dropped for a while."""
         self.over = True
-        self.transport.write(http1.response(told.status, told.body, told.headers, keep_alive=False))
+        self.transport.write(http1.response(answer.status, answer.body, answer.headers, keep_alive=False))
         self.transport.loseWriteConnection()
-        self.console.told(self)
+        self.console.answer_written(self)
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.console.reactor.callLater(LINGER, self.too_slow)
 
     def drop(self) -> None:
+        """Close without an answer."""
         self.over = True
         self.transport.abortConnection()
 
@@ -136,18 +141,24 @@
 
 
 class Console(Factory):
-    """All connections to the console's address."""
+    """All connections to the console's address.
+
+    `where` is host and port; `routes` maps a path to its method and the function that answers it.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Any, where: tuple[str, int], routes: Routes) -> None:
-        self.reactor, self.where, self.routes = reactor, where, routes
+        self.reactor = reactor
+        self.where = where
+        self.routes = routes
         # Those that were answered and those that were not, each the oldest first.
         self.answered: OrderedDict[Caller, None] = OrderedDict()
         self.silent: OrderedDict[Caller, None] = OrderedDict()
         self.port: Any = None
 
     def listen(self) -> None:
+        """Listen on the console's address."""
         factory: Any = self
         host, port = self.where
         self.port = BurstPort(port, factory, BACKLOG, host, self.reactor)
@@ -157,6 +168,7 @@
         return Caller(self)
 
     def joined(self, caller: Caller) -> None:
+        """A caller has connected; above the limit another one is closed."""
         self.silent[caller] = None
         if len(self.silent) + len(self.answered) > CALLERS:
             oldest = next(iter(self.silent))
@@ -165,10 +177,12 @@
             self.left(oldest)
             oldest.drop()
 
-    def told(self, caller: Caller) -> None:
+    def answer_written(self, caller: Caller) -> None:
+        """A caller has been answered."""
         self.silent.pop(caller, None)
         self.answered[caller] = None
 
     def left(self, caller: Caller) -> None:
+        """A caller's connection is gone."""
         self.silent.pop(caller, None)
         self.answered.pop(caller, None)
--- a/bitternpath/balancer/http/discovery_messages.py
+++ b/bitternpath/balancer/http/discovery_messages.py
@@ -10,11 +10,15 @@
 PHASES = {"up": m.State.SERVING, "draining": m.State.DRAINING, "removed": m.State.GONE}
 
 
-def listing_from(told: dict[str, Any]) -> Listing:
-    """The list or the changes of one message; KeyError, ValueError, TypeError where it is none."""
+def listing_from(message: dict[str, Any]) -> Listing:
+    """The list, or the changes to it, of one message.
+
+    Raises:
+        KeyError, ValueError, TypeError: the message is none.
+    """
     return Listing(
-        int(told["revision"]),
-        bool(told.get("complete")),
+        int(message["revision"]),
+        bool(message.get("complete")),
         tuple(
             Endpoint(
                 str(row["id"]),
@@ -26,6 +30,6 @@
                 float(row.get("size") or 1.0),
                 float(row.get("up_since_ms") or 0.0),
             )
-            for row in told.get("members") or ()
+            for row in message.get("members") or ()
         ),
     )
--- a/bitternpath/balancer/http/operations.py
+++ b/bitternpath/balancer/http/operations.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a running node and have it do: the calls of the console."""
+"""The operators' calls of the console: readiness, statistics, manual ejections."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def avoided(module: Dispatcher, now: float) -> set[str]:
-    """Names of the workers that the dispatcher leaves out at `now` (ms), for silence or for faults."""
-    workers, lines = module.workers.values(), module.lines.values()
+    """Names of the workers that the dispatcher avoids at `now` (ms), for silence or for faults."""
+    workers, lines = module.workers.values(), module.class_states.values()
     return {w.name for w in workers if w.out_until > now or all(w.broken(line.spec, now) for line in lines)}
 
 
 class Operations:
-    """The calls of the console."""
+    """Implements the calls of the console."""
 
     def __init__(
         self,
@@ -43,9 +43,10 @@
             serves,
         )
         gauges = {"hosts_listed": lambda: len(registry.endpoints), "hosts_down": self.avoided_count}
-        broker.statistics.has(gauges=gauges)
+        broker.statistics.register(gauges=gauges)
 
     def routes(self) -> Routes:
+        """Path: method, what answers it."""
         return {
             READINESS: (b"GET", self.readiness),
             STATS: (b"GET", self.stats),
@@ -54,9 +55,11 @@
         }
 
     def readiness(self, body: bytes) -> Answer:
+        """200 where this process serves, else 503."""
         return Answer(200, b"ready\n") if self.serves() else Answer(503, b"not ready\n")
 
     def stats(self, body: bytes) -> Answer:
+        """All statistics, one a line."""
         return Answer(200, self.broker.statistics.lines().encode())
 
     @staticmethod
@@ -71,7 +74,7 @@
         return Answer(200, b"done\n") if known else Answer(404, b"no calendar worker has that id\n")
 
     def avoided_count(self) -> int:
-        """Listed endpoints that the node avoids now: out by hand, draining, or left out by the module."""
+        """How many listed endpoints the node avoids now: ejected, draining, or left out by the module."""
         left_out = avoided(self.module, self.clock())
         return sum(
             p.id in left_out or p.state is not m.State.SERVING for p in self.registry.endpoints.values()
--- a/bitternpath/balancer/http/upstream_client.py
+++ b/bitternpath/balancer/http/upstream_client.py
@@ -1,171 +1,42 @@
-"""Invoker calls: connections to endpoints, kept and reused, and the requests on them."""
+"""Upstream calls over HTTP/1.1: which connection carries a call, when one opens, what a response means."""
 
 from __future__ import annotations
 
-from collections import Counter, deque
+from collections import Counter
 from typing import Any
 from urllib.parse import quote
 
 import structlog
-from twisted.internet.error import ConnectionDone
-from twisted.internet.interfaces import IPullProducer
-from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
-from zope.interface import implementer
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.clock import Clock
 from bitternpath.balancer.core.endpoint_registry import Endpoint, EndpointRegistry, Listing
 from bitternpath.balancer.core.requests import Payload, UpstreamCall
-from bitternpath.balancer.core.statistics import BACKEND_CALLS
+from bitternpath.balancer.http.connection_reuse import ReusePolicy
+from bitternpath.balancer.http.upstream_connection import AddressPool, Connection, Exchange
 from bitternpath.net import http1
 from bitternpath.net.sockets import Sockets, dial, peek
 
-log = structlog.get_logger(part="invoker")
+log = structlog.get_logger(part="upstream")
 
-IDLE_SHARE = 0.6  # of the time after which an endpoint closes idle connections: ours go earlier
-# Endpoints may close idle connections far earlier than the settings say; what crosses such a close is lost.
-# Ours are used again within half the shortest time seen; every look for idle ones lengthens that a little.
-EARLY_SHARE, LONGER = 0.5, 1.035  # the latter doubles it in 10 s
-# None are used again while calls on kept connections are reset more often, by RISK, than those on new ones.
-# Each call counts for RECENT of its share; every look for idle ones forgives a little (half of it in 17 s).
-RISK, RECENT, FORGIVEN = 0.1, 0.1, 0.98
-# s for which a connection rests after an answer. A spoilt endpoint may answer twice, the second time some ms
-# later; on a connection that is in use again that would pass for the answer to another call.
-SECOND_ANSWER = 0.05
-SWEEP = 0.5  # s between looks for connections that have been idle too long
-WORD_WITHIN = 1.0  # s for the answer to a DELETE, and for one that a call no longer waits for
-DELETES, DELETES_EACH = 32, 2  # at once in all and at one endpoint; more are not sent
+# s for which a connection rests after a response. A faulty endpoint may respond twice, some ms apart;
+# on a connection that is in use again the second would pass for the response to another call.
+DUPLICATE_RESPONSE_WAIT = 0.05
+SWEEP = 0.5  # s between checks for connections that have been idle for too long
+ANSWER_TIMEOUT = 1.0  # s for the response to a DELETE, and for one that a call no longer waits for
+DELETES = 32  # in flight at once; more are not sent
+DELETES_PER_ENDPOINT = 2
 
-OWN = frozenset((b"x-call-id", b"x-budget-ms"))  # headers that each call has anew
-
-
-class Exchange:
-    """One request on a connection and what waits for its answer."""
-
-    __slots__ = ("call", "data", "written")
-
-    def __init__(self, data: bytes, call: UpstreamCall | None = None) -> None:
-        self.data, self.call = data, call
-        self.written = False  # the last byte has gone to the system
-
-
-@implementer(IPullProducer)
-class Connection(Protocol):
-    """A connection to an endpoint. It carries one request at a time."""
-
-    transport: Any
-
-    def __init__(self, client: HttpUpstreamClient, pool: AddressPool) -> None:
-        self.client, self.pool = client, pool
-        self.reader = http1.ResponseReader()
-        self.exchange: Exchange | None = None
-        self.idle_since = 0.0
-        self.kept = False  # has carried something before
-        self.timer: Any = None
-        self.open = False
-
-    def connectionMade(self) -> None:
-        self.open = True
-        self.transport.setTcpNoDelay(True)
-
-    def carry(self, exchange: Exchange) -> None:
-        self.exchange = exchange
-        # As a producer it hears when all has been written: only then may the request have been received.
-        self.transport.registerProducer(self, False)
-
-    def resumeProducing(self) -> None:
-        exchange = self.exchange
-        if exchange is not None and exchange.data:
-            data, exchange.data = exchange.data, b""
-            self.transport.write(data)
-            return
-        if exchange is not None:
-            exchange.written = True
-            if exchange.call is not None:
-                self.client.broker.statistics.count(BACKEND_CALLS)
-        self.transport.unregisterProducer()
-
-    def stopProducing(self) -> None:
-        """The connection is going down; connectionLost tells the rest."""
-
-    def answer_within(self, seconds: float) -> None:
-        if self.open and self.timer is None:
-            self.timer = self.client.reactor.callLater(seconds, self.abort)
-
-    def dataReceived(self, data: bytes) -> None:
-        exchange = self.exchange
-        if exchange is None or not exchange.written:
-            # Said to nothing, be it half a line: what comes next would pass for the answer to another call.
-            self.client.counts["unasked"] += 1
-            self.abort()
-            return
-        self.reader.feed(data)
-        try:
-            message = self.reader.next()
-            while isinstance(message, http1.Response) and message.status < 200:
-                message = self.reader.next()
-        except http1.HttpError as error:
-            log.warning("bad answer", **{"from": self.pool.address, "why": error})
-            self.abort()
-            return
-        if message is None:
-            return
-        self._answered(exchange, message)
-
-    def _answered(self, exchange: Exchange, message: http1.Message) -> None:
-        self.exchange = None
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        if not message.keep_alive or self.reader.begun:
-            self.abort()
-        self.client.answered(self, exchange, message)
-
-    def abort(self) -> None:
-        """Close now, whatever is under way."""
-        if self.open:
-            self.open = False
-            if self.exchange is None:
-                self.transport.loseConnection()
-            else:
-                self.transport.abortConnection()
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        if (
-            self.open
-            and self.exchange is None
-            and self.idle_since
-            and isinstance(reason.value, ConnectionDone)
-        ):
-            self.client.closed_by_endpoint(self.client.clock() - self.idle_since)
-        self.open = False
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        exchange, self.exchange = self.exchange, None
-        message = self.reader.end() if exchange is not None and exchange.written else None
-        if exchange is not None and message is not None:
-            self.client.answered(self, exchange, message)
-            exchange = None
-        self.client.lost(self, exchange)
-
-
-class AddressPool:
-    """The connections to one address and the exchanges that wait for one."""
-
-    __slots__ = ("address", "busy", "deletes", "dials", "idle", "waiting")
-
-    def __init__(self, address: str) -> None:
-        self.address = address
-        self.idle: list[Connection] = []  # the last used at the end
-        self.waiting: deque[Exchange] = deque()
-        self.dials = self.deletes = 0
-        self.busy: dict[Connection, None] = {}  # connections that carry something or rest after it
+PER_CALL_HEADERS = frozenset((b"x-call-id", b"x-budget-ms"))  # headers that each call sets anew
 
 
 class HttpUpstreamClient:
-    """The upstream client: calls go out on the connection used last, or on a new one."""
+    """Carries calls to endpoints over HTTP/1.1, each on the connection used last, or on a new one.
+
+    Implements `core.requests.UpstreamClient`; `broker` is set once the broker is made. Timeouts are in ms.
+    """
 
     broker: Broker
 
@@ -178,34 +49,41 @@
         dial_timeout: float,
         idle_timeout: float,
     ) -> None:
-        self.reactor, self.clock, self.registry, self.sockets = reactor, clock, registry, sockets
-        self.set_times(dial_timeout, idle_timeout)
+        self.reactor = reactor
+        self.clock = clock
+        self.registry = registry
+        self.sockets = sockets
+        self.dial_timeout = dial_timeout / 1000.0
+        self.reuse = ReusePolicy(idle_timeout)
         self.pools: dict[str, AddressPool] = {}
         self.deletes = 0
         self.counts: Counter[str] = Counter()
-        self.resets = {True: 0.0, False: 0.0}  # share of late of the calls on kept and on new connections
         self._started: dict[str, float] = {}  # endpoint: when its process last started
 
     def set_times(self, dial_timeout: float, idle_timeout: float) -> None:
+        """Timeouts (ms) of the settings: to connect, and after which endpoints close idle connections."""
         self.dial_timeout = dial_timeout / 1000.0
-        self.idle_for = self.reuse_for = idle_timeout * IDLE_SHARE
+        self.reuse.set_idle_timeout(idle_timeout)
 
     def closed_by_endpoint(self, idle: float) -> None:
+        """An endpoint closed a connection that had been idle for that time (ms)."""
         self.counts["closed_by_provider"] += 1
-        self.reuse_for = min(self.reuse_for, EARLY_SHARE * idle)
+        self.reuse.closed_by_endpoint(idle)
 
     def run(self) -> None:
+        """Close connections that idle for too long, from now on."""
         self.reactor.callLater(SWEEP, self._sweep)
 
-    # ---- what the broker asks
+    # ---- core.requests.UpstreamClient
 
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
+        """Send a call."""
         exchange = Exchange(b"", call)
         call.transport_state = exchange
         self._queue(endpoint.host_port, exchange)
 
     def give_up(self, call: UpstreamCall) -> None:
-        """Before the 202 by closing the connection, after it by a DELETE."""
+        """Cancel a call: before the 202 by closing its connection, after it by a DELETE."""
         exchange = call.transport_state
         if call.accepted:
             self._delete(call)
@@ -213,7 +91,7 @@
             if not call.accepted:
                 exchange.abort()
             else:
-                exchange.answer_within(WORD_WITHIN)
+                exchange.answer_within(ANSWER_TIMEOUT)
             return
         for pool in self.pools.values():
             if exchange in pool.waiting:
@@ -224,18 +102,18 @@
         if endpoint is None:
             return
         pool = self.pools.get(endpoint.host_port)
-        if pool is None or pool.deletes >= DELETES_EACH or self.deletes >= DELETES:
+        if pool is None or pool.deletes >= DELETES_PER_ENDPOINT or self.deletes >= DELETES:
             self.counts["deletes_left_out"] += 1
             return
         headers = [(b"Host", endpoint.host_port.encode()), (b"X-Call-Id", call.id.encode())]
         exchange = Exchange(http1.request(b"DELETE", b"/jobs/" + quote(call.id, safe="").encode(), headers))
         pool.deletes += 1
         self.deletes += 1
-        self.reactor.callLater(WORD_WITHIN, self._delete_over, pool, exchange)
+        self.reactor.callLater(ANSWER_TIMEOUT, self._delete_over, pool, exchange)
         self._queue(endpoint.host_port, exchange)
 
     def _delete_over(self, pool: AddressPool, exchange: Exchange) -> None:
-        """The place of a DELETE is free again after a fixed time, answered or not."""
+        """The slot of a DELETE is free again after a fixed time, answered or not."""
         pool.deletes -= 1
         self.deletes -= 1
         if exchange in pool.waiting:
@@ -247,25 +125,25 @@
         pool = self.pools.get(address)
         if pool is None:
             pool = self.pools[address] = AddressPool(address)
-        since = self.clock() - self.reuse_for if self._keeps() else self.clock()
+        since = self.clock() - self.reuse.reuse_limit if self.reuse.allows_reuse() else self.clock()
         while pool.idle:
             connection = pool.idle.pop()
             if connection.idle_since < since:
                 connection.abort()
-            elif connection.open and peek(connection.transport) is None:  # else it is told soon that it ends
-                self._carry(connection, exchange)
+            elif connection.open and peek(connection.transport) is None:  # else its loss is reported soon
+                self._send(connection, exchange)
                 return
         pool.waiting.append(exchange)
         if pool.dials >= len(pool.waiting) or self._dial(pool):
             return
-        # No socket is left. One of this line's may become free in the time that a dial might have taken.
+        # No socket is left. A connection of this pool may become free within the connect timeout.
         wait = self.dial_timeout if pool.busy else 0.0
-        self.reactor.callLater(wait, self._waited, pool, exchange)
+        self.reactor.callLater(wait, self._queue_timed_out, pool, exchange)
 
-    def _waited(self, pool: AddressPool, exchange: Exchange) -> None:
+    def _queue_timed_out(self, pool: AddressPool, exchange: Exchange) -> None:
         if exchange in pool.waiting:
             pool.waiting.remove(exchange)
-            self._unsent(exchange)
+            self._not_sent(exchange)
 
     def _dial(self, pool: AddressPool) -> bool:
         if self.sockets.endpoints_full() and not self._close_oldest_idle():
@@ -278,38 +156,39 @@
         self.counts["dials"] += 1
         pool.dials += 1
         dialled = dial(self.reactor, host, int(port), self.dial_timeout, Connection(self, pool))
-        dialled.addCallbacks(self._dialled, self._not_dialled, errbackArgs=(pool,))
-        dialled.addErrback(lambda failure: log.error("dial", why=failure.getTraceback()))
+        dialled.addCallbacks(self.connection_opened, self._connect_failed, errbackArgs=(pool,))
+        dialled.addErrback(lambda failure: log.error("connect_handling_failed", why=failure.getTraceback()))
         return True
 
-    def _dialled(self, connection: Connection) -> None:
+    def connection_opened(self, connection: Connection) -> None:
+        """A connection that was being opened is up."""
         connection.pool.dials -= 1
         connection.idle_since = self.clock()
-        self._free(connection, connection.pool)
+        self._connection_free(connection, connection.pool)
 
-    def _not_dialled(self, failure: Failure, pool: AddressPool) -> None:
+    def _connect_failed(self, failure: Failure, pool: AddressPool) -> None:
         pool.dials -= 1
         self.sockets.endpoints -= 1
-        log.debug("dial failed", to=pool.address, why=failure.getErrorMessage())
+        log.debug("connect_failed", address=pool.address, why=failure.getErrorMessage())
         self.counts["dials_failed"] += 1
         # The exchange that has waited longest is the one that this dial was for.
         while len(pool.waiting) > pool.dials:
-            self._unsent(pool.waiting.popleft())
+            self._not_sent(pool.waiting.popleft())
 
-    def _unsent(self, exchange: Exchange) -> None:
-        """No byte of it was written: it never ran."""
+    def _not_sent(self, exchange: Exchange) -> None:
+        """No byte of the request was written: it never ran."""
         if exchange.call is not None:
-            self.broker.ended(exchange.call, m.How.NO_CONNECTION)
+            self.broker.call_ended(exchange.call, m.How.NO_CONNECTION)
 
-    def _carry(self, connection: Connection, exchange: Exchange) -> None:
+    def _send(self, connection: Connection, exchange: Exchange) -> None:
         connection.pool.busy[connection] = None
         call = exchange.call
         if call is None:
-            connection.answer_within(WORD_WITHIN)
+            connection.answer_within(ANSWER_TIMEOUT)
         else:
             call.transport_state = connection
             exchange.data = self._request(call, connection.pool.address)
-        connection.carry(exchange)
+        connection.send(exchange)
 
     def _request(self, call: UpstreamCall, address: str) -> bytes:
         message: Payload = call.request.payload
@@ -318,65 +197,60 @@
             (b"Host", address.encode()),
             (b"X-Call-Id", call.id.encode()),
             (b"X-Budget-Ms", b"%d" % left),
-            *(header for header in http1.end_to_end(message.headers) if header[0] not in OWN),
+            *(header for header in http1.end_to_end(message.headers) if header[0] not in PER_CALL_HEADERS),
         ]
         return http1.request(message.method, message.target, headers, message.body)
 
-    def _free(self, connection: Connection, pool: AddressPool) -> None:
-        """A connection can carry something: what waits, or nothing for a while."""
+    def _connection_free(self, connection: Connection, pool: AddressPool) -> None:
+        """A connection is free: send what waits for one, or keep it idle."""
         while pool.waiting and connection.open:
             exchange = pool.waiting.popleft()
             call = exchange.call
-            if call is not None and not self.broker.wanted(call):
-                self.broker.ended(call, m.How.CANCELLED)
+            if call is not None and not self.broker.may_begin(call):
+                self.broker.call_ended(call, m.How.CANCELLED)
                 continue
-            # Its drain was told, or its time to begin went by, while the call waited for a connection.
+            # It began to drain, or the start deadline passed, while the call waited for a connection.
             if call is not None and (
-                self.registry.serving(call.endpoint) is None or self.clock() > call.begin_by
+                self.registry.serving(call.endpoint) is None or self.clock() > call.start_deadline
             ):
-                self._unsent(exchange)
+                self._not_sent(exchange)
                 continue
-            self._carry(connection, exchange)
+            self._send(connection, exchange)
             return
-        if connection.open and self._keeps():
+        if connection.open and self.reuse.allows_reuse():
             pool.idle.append(connection)
         elif connection.open:
             connection.abort()
 
-    def _keeps(self) -> bool:
-        """Whether connections are worth keeping."""
-        return self.resets[True] <= self.resets[False] + RISK
-
-    def _learn(self, connection: Connection, reset: bool) -> None:
-        self.resets[connection.kept] += RECENT * (reset - self.resets[connection.kept])
-
     def answered(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
+        """The response of an exchange is complete."""
         call = exchange.call
         if call is not None and isinstance(message, http1.Response):
             call.transport_state = None
-            self._learn(connection, False)
+            self.reuse.record_call(reused=connection.reused, reset=False)
             if not call.accepted:
-                self._outcome(call, message)
-        connection.kept, connection.idle_since = True, self.clock()
-        self.reactor.callLater(SECOND_ANSWER, self._rested, connection)
+                self._report_outcome(call, message)
+        connection.reused, connection.idle_since = True, self.clock()
+        self.reactor.callLater(DUPLICATE_RESPONSE_WAIT, self._rest_over, connection)
 
-    def _rested(self, connection: Connection) -> None:
+    def _rest_over(self, connection: Connection) -> None:
         if connection.open:
             del connection.pool.busy[connection]
-            self._free(connection, connection.pool)
+            self._connection_free(connection, connection.pool)
 
-    def _outcome(self, call: UpstreamCall, message: http1.Response) -> None:
+    def _report_outcome(self, call: UpstreamCall, message: http1.Response) -> None:
         if message.status == 202:
             call.accepted = True
         elif message.status in (503, 504) and message.headers.get(b"x-rejected") == b"1":
-            self.broker.ended(call, m.How.FULL)
+            self.broker.call_ended(call, m.How.FULL)
         elif 400 <= message.status < 500:
             self.counts["unusable"] += 1
-            self.broker.unusable(call)
+            self.broker.call_unusable(call)
         else:
-            self.broker.ended(call, m.How.ERROR)
+            self.broker.call_ended(call, m.How.ERROR)
 
     def lost(self, connection: Connection, exchange: Exchange | None) -> None:
+        """A connection is gone, with the exchange that it carried."""
         self.sockets.endpoints -= 1
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
@@ -385,9 +259,9 @@
         if exchange is not None and call is not None:
             call.transport_state = None
             if not call.accepted:
-                if exchange.written and not call.over:
-                    self._learn(connection, True)
-                self.broker.ended(call, m.How.RESET if exchange.written else m.How.NO_CONNECTION)
+                if exchange.written and not call.finished:
+                    self.reuse.record_call(reused=connection.reused, reset=True)
+                self.broker.call_ended(call, m.How.RESET if exchange.written else m.How.NO_CONNECTION)
 
     def _close_oldest_idle(self) -> bool:
         idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
@@ -400,22 +274,21 @@
 
     def _sweep(self) -> None:
         self.reactor.callLater(SWEEP, self._sweep)
-        self.reuse_for = min(self.reuse_for * LONGER, self.idle_for)
-        self.resets[True] *= FORGIVEN
-        due = self.clock() - self.reuse_for
+        self.reuse.sweep()
+        due = self.clock() - self.reuse.reuse_limit
         for pool in self.pools.values():
             while pool.idle and pool.idle[0].idle_since <= due:
                 pool.idle.pop(0).abort()
             for connection in pool.busy:  # an answer may never end, though a call-back came
-                if connection.exchange and connection.exchange.call and connection.exchange.call.over:
-                    connection.answer_within(WORD_WITHIN)
+                if connection.exchange and connection.exchange.call and connection.exchange.call.finished:
+                    connection.answer_within(ANSWER_TIMEOUT)
         known = {endpoint.host_port for endpoint in self.registry.endpoints.values()}
         for pool in [pool for pool in self.pools.values() if pool.address not in known]:
             if not (pool.idle or pool.waiting or pool.dials or pool.deletes):
                 del self.pools[pool.address]
 
     def listed(self, listing: Listing) -> None:
-        """Connections to a process that is gone or has started anew are of no more use."""
+        """Close the connections to processes that are gone or have restarted."""
         for endpoint in listing.members:
             before = self._started.get(endpoint.id, endpoint.up_since)
             self._started[endpoint.id] = endpoint.up_since
@@ -423,7 +296,7 @@
                 self.close_idle(endpoint.host_port)
 
     def close_idle(self, address: str) -> None:
-        """Those too that rest after an answer."""
+        """Close the connections to an address that carry nothing, resting ones included."""
         pool = self.pools.get(address)
         if pool is not None:
             for connection in (*pool.idle, *(c for c in pool.busy if c.exchange is None)):
--- a/bitternpath/balancer/messages.py
+++ b/bitternpath/balancer/messages.py
@@ -1,6 +1,7 @@
-"""What the decision module is told (settings, events) and what it answers (actions).
+"""The interface of the decision module: its settings, the events it takes and the actions it returns.
 
-Times are milliseconds on the caller's clock. Nothing here decides anything.
+Times are milliseconds on the caller's clock; durations and deadlines too. Type names are also those that
+`benchmarks/earlier.py` gives to the module of earlier revisions.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Effect(Enum):
-    """What running a job twice would do."""
+    """The effect of running a job twice."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +21,7 @@
 
 
 class Group(Enum):
-    """Which workers drop a repeat of a keyed job."""
+    """Which workers detect and drop a repeat of a keyed job."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +29,7 @@
 
 
 class How(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -42,12 +43,12 @@
 
 # These outcomes prove that the job never ran on that worker.
 NEVER_RAN = frozenset({How.FULL, How.NO_CONNECTION, How.NOT_SENT})
-# After these it likely runs on, though nobody hears of it any more.
+# After these it likely runs on, though its result is lost.
 RUNS_ON = frozenset({How.RESET, How.CANCELLED})
 
 
 class State(Enum):
-    """What the worker list says of a worker."""
+    """The state of a worker in the worker list."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -55,7 +56,7 @@
 
 
 class ListKind(Enum):
-    """What a list event carries."""
+    """What a `WorkerList` carries."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -67,7 +68,11 @@
 
 
 class JobClass(Struct):
-    """One class of requests."""
+    """One class of requests: its deadlines (ms), its value, and the effect of running a job twice.
+
+    `aim` is the latency target, `give_up` the longest deadline, `value` what a job in time is worth,
+    `late_worth` the share of it that a late one is worth, `window` the time in which repeats are dropped.
+    """
 
     name: str
     effect: Effect
@@ -80,7 +85,7 @@
     stream: bool = False
     kind: str | None = None  # the only machine kind that runs it
     priority: int = 0
-    stretch: float = 0.0  # the aim grows by this multiple of the job's own work
+    stretch: float = 0.0  # the latency target grows by this multiple of the job's own work
 
     @property
     def repeat_group(self) -> Group:
@@ -93,7 +98,7 @@
         return self.effect is not Effect.UNSAFE and self.repeat_group is Group.ALL
 
     def same(self, other: JobClass) -> bool:
-        """Whether what was learned of the other holds for this one: rules, but not effects, may differ."""
+        """Whether what was learned of the other holds for this one: effects must be the same."""
         return (self.effect, self.group, self.kind) == (other.effect, other.group, other.kind)
 
     def __post_init__(self) -> None:
@@ -114,7 +119,7 @@
 
 
 class Settings(Struct):
-    """All that a dispatcher is told at its start."""
+    """The settings of a dispatcher. Names follow the platform's file (`balancer.settings`)."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -150,9 +155,9 @@
 
     @property
     def start_heard_after(self) -> float:
-        """Time (ms) from a job's start to the first word of it; infinite if none comes.
+        """Time (ms) from a job's start to the first report of it; infinite if none comes.
 
-        Where starts are not told, the first note of progress comes one interval after the start."""
+        Where starts are not reported, the first report of progress comes one interval after the start."""
         return 0.0 if self.tells_start else self.progress_every or inf
 
     def __post_init__(self) -> None:
@@ -186,7 +191,7 @@
 
 
 class Request(Struct):
-    """A client's job, to be answered once before `remaining` has passed."""
+    """A client's request, to be answered once before `remaining` (ms) has passed."""
 
     id: str
     job_class: str
@@ -258,7 +263,7 @@
 
 
 class WorkerList(Struct):
-    """News of the worker list."""
+    """The worker list, or changes to it."""
 
     kind: ListKind
     entries: list[Entry] = []
@@ -292,14 +297,14 @@
 
 
 class Refuse(Struct):
-    """Final answer: nothing ran or a repeat is harmless, the client may come again."""
+    """Final answer: nothing ran or a repeat is harmless; the client may retry after `retry_after` (ms)."""
 
     id: str
     retry_after: float = 0.0
 
 
 class Fail(Struct):
-    """Final answer that promises nothing."""
+    """Final answer: the request failed, and may have run."""
 
     id: str
 
@@ -312,7 +317,7 @@
 
 
 class Watch(Struct):
-    """Ask to be told of changes to the worker list."""
+    """Subscribe to changes of the worker list."""
 
     on: bool = True
 
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -1,4 +1,4 @@
-"""One node: its parts put together, its start and its end."""
+"""One node in service: its parts put together, its start, reloads of its configuration, and its end."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.clock import Clock
 from bitternpath.balancer.core.endpoint_registry import EndpointRegistry, Listing
-from bitternpath.balancer.core.lifecycle import NEW_ONES_ARRIVE, LifeCycle, Phase, Word
+from bitternpath.balancer.core.lifecycle import Lifecycle, LifecycleEvent, Phase
 from bitternpath.balancer.core.requests import UpstreamClient
 from bitternpath.balancer.core.statistics import BACKEND_CALLS
 from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 from bitternpath.balancer.http.discovery_subscription import DiscoverySubscription
 from bitternpath.balancer.http.listener import Listener
+from bitternpath.balancer.http.request_handler import NodeChecks, RequestHandler
 from bitternpath.balancer.http.upstream_client import HttpUpstreamClient
+from bitternpath.balancer.node_shutdown import Shutdown
 from bitternpath.net.sockets import Sockets
 
 if TYPE_CHECKING:
@@ -43,24 +45,26 @@
 
 log = structlog.get_logger(part="node")
 
-REPORT_EVERY = 10.0  # s between lines with the counts so far
-HALF_SENT = 2000.0  # ms: a request that has begun to arrive so long ago does not hold up the end
+REPORT_EVERY = 10.0  # s between log lines `counts`
 AT_START_ONLY = ("listen", "console", "name")  # the listeners are made from these
-GOODBYE = 0.2  # s for the answers to connection.close
-RELOADS = {True: "reconfig_ok", False: "reconfig_failed"}  # files taken and turned down
-# s for which the start waits for discovery's first word, which an agent gives at once: what it holds counts
-# as told from the start on, and the list of the process before lags.
-FIRST_WORD = 0.5
-LAST_WORDS = 0.1  # s for the last answers and DELETEs to leave
+AMQP_CLOSE_DELAY = 0.2  # s for the answers to connection.close
+RELOAD_COUNTERS = {True: "reconfig_ok", False: "reconfig_failed"}  # by whether the files were valid
+# s for which the start waits for the first message of discovery, which an agent sends at once: its list
+# counts as known from the start on, and the list handed over by the process before lags.
+FIRST_MESSAGE_WAIT = 0.5
 
 
 class Node:
+    """One process of a node: owns its parts and connects them to one another."""
+
     def __init__(self, loaded: Loaded, reactor: Any) -> None:
         config = loaded.platform
-        self.loaded, self.reactor = loaded, reactor
-        self.filed = loaded  # as the files have it, without what the fleet has agreed
-        self.at_start = loaded.operator.settings
-        self.clock, self.life = Clock(), LifeCycle()
+        self.loaded = loaded
+        self.reactor = reactor
+        self.file_configuration = loaded  # as read from the files, without the fleet's plan
+        self.startup_settings = loaded.operator.settings
+        self.clock = Clock()
+        self.lifecycle = Lifecycle()
         self.registry = EndpointRegistry(config.known)
         self.sockets = Sockets(config.sockets)
         self.upstream_client = HttpUpstreamClient(
@@ -70,63 +74,67 @@
         self.upstream_clients: dict[str, UpstreamClient] = {"http": self.upstream_client}
         self.broker = Broker(reactor, self.clock, self.registry, self.upstream_clients, self.module.handle)
         self.upstream_client.broker = self.broker
-        self.broker.statistics.know(c.name for c in config.settings.classes)
-        self.broker.statistics.has(
-            (BACKEND_CALLS, *RELOADS.values()), {"inflight": lambda: self.broker.waiting}
+        self.broker.statistics.add_classes(c.name for c in config.settings.classes)
+        self.broker.statistics.register(
+            (BACKEND_CALLS, *RELOAD_COUNTERS.values()), {"inflight": lambda: self.broker.unanswered}
         )
         # Where the list has to be asked for, the module decides when; else the node's own agent tells it.
         asks = config.settings.ask_for_list
-        failed = self.broker.asked_in_vain if asks else None
+        failed = self.broker.subscription_failed if asks else None
         self.subscription = DiscoverySubscription(
             reactor, self.registry, config.discovery, Random(config.seed ^ 0x5EED), failed
         )
         if asks:
-            self.broker.ask = self.subscription.start
-        self.listener = Listener(
-            reactor,
-            self.clock,
+            self.broker.subscribe = self.subscription.start
+        self.handler = RequestHandler(
             self.broker,
             self.sockets,
             config.settings.classes,
-            self._ready,
-            self._retry_after,
-            self.life,
+            NodeChecks(self._has_endpoints, self._retry_after),
+            self.lifecycle,
         )
-        self.registry.on_change = self._listed
+        self.listener = Listener(reactor, self.clock, self.sockets, self.lifecycle, self.handler)
+        self.registry.on_change = self._endpoints_changed
         self.console: Console | None = None
         self.handover: Handover | None = None
         self.manual_ejections: ManualEjections | None = None
         if config.console is not None:
-            self._operated(config.name, config.console)
-        self.amqp = self._amqp() if self.at_start.amqp.listen else None
-        self.agent = self._agent() if self.at_start.fleet.stewards else None
-        self._ending, self.exit_code = False, 0
-        self._look: Any = None
-
-    def _amqp(self) -> AmqpServer:
-        """The AMQP front, upstream client and source. Imported here, for what is off costs nothing."""
-        from bitternpath.balancer.amqp.publishers import Front
+            self._set_up_console(config.name, config.console)
+        self.amqp = self._make_amqp_server() if self.startup_settings.amqp.listen else None
+        self.agent = self._make_fleet_agent() if self.startup_settings.fleet.stewards else None
+        self.shutdown = Shutdown(reactor, self.clock, self.lifecycle, self.broker, self.listener, self._close)
+        self.exit_code = 0
+
+    def _make_amqp_server(self) -> AmqpServer:
+        """The AMQP server with its publishers and subscribers. Imported here: what is off costs nothing."""
+        from bitternpath.balancer.amqp.publishers import Publishers
         from bitternpath.balancer.amqp.queues import Queues
         from bitternpath.balancer.amqp.server import AmqpServer
         from bitternpath.balancer.amqp.subscribers import PROTOCOL, Subscribers
 
-        told = self.at_start.amqp
+        settings = self.startup_settings.amqp
         subscribers = Subscribers(
-            self.clock, self.registry.apply, told.prefetch_cap, frozenset(told.requeue_unstarted)
+            self.clock, self.registry.apply, settings.prefetch_cap, frozenset(settings.requeue_unstarted)
         )
         subscribers.broker = self.broker
         self.upstream_clients[PROTOCOL] = subscribers
-        self.sockets.reserve(told.max_connections)
+        self.sockets.reserve(settings.max_connections)
         classes = self.loaded.platform.settings.classes
-        front = Front(
-            self.clock, self.broker, Queues(), subscribers, classes, self._retry_after, told.max_waiting
+        publishers = Publishers(
+            self.clock, self.broker, Queues(), subscribers, classes, self._retry_after, settings.max_waiting
         )
         return AmqpServer(
-            self.reactor, self.clock, told, front, subscribers, self.broker, lambda: self.sockets.requests
+            self.reactor,
+            self.clock,
+            settings,
+            publishers,
+            subscribers,
+            self.broker,
+            lambda: self.sockets.requests,
         )
 
-    def _operated(self, name: str, where: Address) -> None:
-        """What a node has that operators call. Imported here, for what is off costs nothing."""
+    def _set_up_console(self, name: str, where: Address) -> None:
+        """The console, the hand-over and manual ejections. Imported here: what is off costs nothing."""
         from bitternpath.balancer.handover.handover import DESCRIPTORS, Handover
         from bitternpath.balancer.http.console import CALLERS, Console
         from bitternpath.balancer.http.operations import Operations
@@ -139,31 +147,31 @@
             self.reactor, self.clock, self.registry, EjectionFiles(folder / f"bitternpath-{name}-out")
         )
         operations = Operations(
-            self.broker, self.registry, self.clock, self.module, self._serves, manual_ejections
+            self.broker, self.registry, self.clock, self.module, self._is_serving, manual_ejections
         )
         self.console = Console(self.reactor, where, operations.routes())
         handover = self.handover = Handover(
-            self.reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.life
+            self.reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
         )
         handover.listener = lambda: self.listener.port and self.listener.port.socket
-        self.listener.relay = handover.relay
+        self.handler.relay = handover.relay
 
-    def _agent(self) -> Agent:
-        """This node's part of the fleet. Imported here, for what is off costs nothing."""
+    def _make_fleet_agent(self) -> Agent:
+        """This node's fleet agent. Imported here: what is off costs nothing."""
         from bitternpath.balancer.fleet.agent import Agent
 
         config = self.loaded.platform
         agent = Agent(
-            self.reactor, self.at_start.fleet, config.name, config.settings.zone, self.registry,
-            self._plan_fault, self._act, self._retry_after,
+            self.reactor, self.startup_settings.fleet, config.name, config.settings.zone, self.registry,
+            self._plan_fault, self._plan_changed, self._retry_after,
         )  # fmt: skip
-        self.broker.gate = agent.gate
-        self.listener.welcome = agent.welcome
+        self.broker.admission = agent.gate
+        self.handler.fleet_admits = agent.welcome
         return agent
 
-    def _act(self, plan: Plan) -> None:
-        """The fleet's word has changed."""
-        self._take(self.filed)
+    def _plan_changed(self, plan: Plan) -> None:
+        """The fleet's plan has changed."""
+        self._apply_configuration(self.file_configuration)
 
     def _plan_fault(self, plan: Plan) -> str:
         """Why this node cannot act on that plan; empty: it can."""
@@ -171,13 +179,13 @@
         from bitternpath.balancer.fleet.plan_settings import with_plan
 
         try:
-            with_plan(self.filed.platform, plan)
+            with_plan(self.file_configuration.platform, plan)
         except (PlanError, ValueError) as error:
             return str(error)
         return ""
 
     def _overlaid(self, loaded: Loaded) -> Loaded:
-        """With what the fleet has agreed on top; ConfigError where the two are at odds, now or soon."""
+        """The configuration with the fleet's plan on top; ConfigError where the two conflict, now or soon."""
         if self.agent is None:
             return loaded
         from bitternpath.balancer.fleet.plan import PlanError
@@ -189,20 +197,20 @@
             raise ConfigError(f"at odds with what the fleet has agreed: {error}") from error
         return Loaded(now, loaded.operator)
 
-    def _serves(self) -> bool:
-        """Whether this process listens, knows endpoints and goes on."""
-        return self.life.does.serves and self._ready()
+    def _is_serving(self) -> bool:
+        """Whether this process listens, has an endpoint list, and is not told to stop."""
+        return self.lifecycle.behavior.ready_for_operators and self._has_endpoints()
 
     def _retry_after(self, job_class: str) -> float:
-        """The module's advice (ms) for a job that the node itself has no room for."""
-        return self.module.advice(self.module.lines[job_class])
+        """The module's advice (ms) for a request that the node itself has no capacity for."""
+        return self.module.advice(self.module.class_states[job_class])
 
-    def _ready(self) -> bool:
-        return self.subscription.spoke or bool(self.registry.endpoints)
+    def _has_endpoints(self) -> bool:
+        return self.subscription.granted_once or bool(self.registry.endpoints)
 
-    def _listed(self, listing: Listing) -> None:
+    def _endpoints_changed(self, listing: Listing) -> None:
         self.upstream_client.listed(listing)
-        self.broker.listed(listing)
+        self.broker.endpoints_changed(listing)
 
     def begin(self) -> None:
         """Start, as soon as an older process of this node has handed its work over or there is none."""
@@ -217,34 +225,34 @@
         return self.handover.join(f"{host}:{port}")
 
     def _failed(self, failure: Failure) -> None:
-        """A node that cannot start says why in one line, and is not there."""
+        """The node cannot start: log why, and end the process with 1."""
         known = isinstance(failure.value, CannotListenError)
-        log.error("cannot start", why=failure.getErrorMessage() if known else failure.getTraceback())
+        log.error("start_failed", why=failure.getErrorMessage() if known else failure.getTraceback())
         self.exit_code = 1
         self.reactor.callWhenRunning(self._stopped)
 
     def start(self, descriptor: int | None = None) -> None:
-        """Serve; on the listening socket of that descriptor, where an older process has handed it over."""
-        if self.life.phase is not Phase.STARTING:
+        """Serve; on the listening socket `descriptor`, where an older process has handed it over."""
+        if self.lifecycle.phase is not Phase.STARTING:
             return
         if self.manual_ejections is not None:
             self.manual_ejections.run()
         known = Listing(self.registry.revision, True, tuple(self.registry.endpoints.values()))
         self.upstream_client.listed(known)
-        self.broker.listed(known, at_start=True)
+        self.broker.endpoints_changed(known, at_start=True)
         if self.handover is not None:
-            self.broker.drain()  # so that the module knows the workers of which it is told what was learned
-            self.handover.teach()
+            self.broker.drain()  # so that the module knows the workers whose learned weights follow
+            self.handover.restore_learned_weights()
         if self.loaded.platform.settings.ask_for_list:
             self._serve(descriptor)
             return
-        listen = self.reactor.callLater(FIRST_WORD, self._serve, descriptor)
-        self.subscription.first_word = lambda: listen.active() and listen.reset(0)
+        listen = self.reactor.callLater(FIRST_MESSAGE_WAIT, self._serve, descriptor)
+        self.subscription.on_first_message = lambda: listen.active() and listen.reset(0)
         self.subscription.start()
 
     def _serve(self, descriptor: int | None) -> None:
-        """Take work: once discovery has spoken or kept silent, where it tells by itself."""
-        if self.life.phase is not Phase.STARTING:
+        """Listen: discovery has sent its first message, or has been silent for `FIRST_MESSAGE_WAIT`."""
+        if self.lifecycle.phase is not Phase.STARTING:
             return  # told to stop meanwhile
         try:
             self._listen(descriptor)
@@ -254,12 +262,12 @@
     def _listen(self, descriptor: int | None) -> None:
         shared = self.handover is not None
         self.listener.listen(*self.loaded.platform.listen, shared, descriptor)
-        self.life.hear(Word.LISTENS)
+        self.lifecycle.apply(LifecycleEvent.LISTENS)
         if self.handover is not None:
             self.handover.listen = self.listener.port.address
             self.handover.ready()
         if self.amqp is not None:
-            self.amqp.listen(*address(self.at_start.amqp.listen))
+            self.amqp.listen(*address(self.startup_settings.amqp.listen))
         self.upstream_client.run()
         if self.agent is not None:
             self.agent.begin()
@@ -275,7 +283,7 @@
 
     def _report(self) -> None:
         self.reactor.callLater(REPORT_EVERY, self._report)
-        kv: dict[str, object] = {"waiting": self.broker.waiting, "calls_out": len(self.broker.live)}
+        kv: dict[str, object] = {"waiting": self.broker.unanswered, "calls_out": len(self.broker.in_progress)}
         kv |= {"consumers": self.sockets.clients, "providers": self.sockets.endpoints}
         kv |= {
             key.replace(" ", "_"): n
@@ -286,32 +294,34 @@
         log.info("counts", **kv)
 
     def reload(self, read: Callable[[Loaded], Loaded]) -> None:
-        """Take in the configuration as it is now, all of it or nothing."""
+        """Apply the configuration as it is in the files now, all of it or nothing."""
         statistics = self.broker.statistics
         try:
-            filed = read(self.filed)
-            self._overlaid(filed)
+            file_configuration = read(self.file_configuration)
+            self._overlaid(file_configuration)
         except ConfigError as error:
-            statistics.count(RELOADS[False])
-            log.error("reload failed", why=error, kept="the configuration in use")
+            statistics.count(RELOAD_COUNTERS[False])
+            log.error("reload_failed", why=error, kept="the configuration in use")
             return
-        statistics.count(RELOADS[True])
-        log.info("reloaded", **self._take(filed))
-
-    def _take(self, filed: Loaded) -> dict[str, object]:
-        """Run with these files, and with what the fleet has agreed on top; what to say of it."""
-        before, loaded = self.loaded.platform, self._overlaid(filed)
-        self.filed, now = filed, loaded.platform
+        statistics.count(RELOAD_COUNTERS[True])
+        log.info("reloaded", **self._apply_configuration(file_configuration))
+
+    def _apply_configuration(self, file_configuration: Loaded) -> dict[str, object]:
+        """Run with these files and the fleet's plan on top; returns fields for the log."""
+        before = self.loaded.platform
+        loaded = self._overlaid(file_configuration)
+        self.file_configuration = file_configuration
+        now = loaded.platform
         self.sockets.resize(now.sockets)
         self.upstream_client.set_times(now.dial_timeout, now.idle_timeout)
         self.subscription.move(now.discovery)
         if now.settings != before.settings:
-            self._settings(now.settings)
+            self._apply_settings(now.settings)
         kv: dict[str, object] = {"discovery": f"{now.discovery[0]}:{now.discovery[1]}"}
         changed = [key for key in AT_START_ONLY if getattr(before, key) != getattr(now, key)]
         # What was asked for stays different from what runs: say so again after the next reload.
         config: Config = replace(now, **{key: getattr(before, key) for key in changed})
-        changed += changed_at_start_only(self.at_start, loaded.operator.settings)
+        changed += changed_at_start_only(self.startup_settings, loaded.operator.settings)
         if self.amqp is not None:
             self.amqp.apply(loaded.operator.settings.amqp)
         if changed:
@@ -319,23 +329,25 @@
         self.loaded = Loaded(config, loaded.operator)
         return kv
 
-    def _settings(self, settings: m.Settings) -> None:
-        """Fronts, figures and module change in one step: what comes from now on is under the new rules."""
-        self.broker.statistics.know(c.name for c in settings.classes)
-        self.broker.settings(settings)
-        self.broker.drain()  # the module knows each class before a front takes a job of it
-        self.listener.set_classes(settings.classes)
+    def _apply_settings(self, settings: m.Settings) -> None:
+        """Change servers, statistics and module in one step, for all requests from now on."""
+        self.broker.statistics.add_classes(c.name for c in settings.classes)
+        self.broker.settings_changed(settings)
+        self.broker.drain()  # the module has to know each class before a server accepts a request of it
+        self.handler.set_classes(settings.classes)
         if self.amqp is not None:
-            self.amqp.front.classes = {c.name: c for c in settings.classes}
-        log.info("settings", classes=",".join(c.name for c in settings.classes), tries=settings.try_limit)
+            self.amqp.publishers.classes = {c.name: c for c in settings.classes}
+        log.info(
+            "settings_applied", classes=",".join(c.name for c in settings.classes), tries=settings.try_limit
+        )
 
     def stop(self) -> None:
-        """Answer all that was taken, then end."""
-        if self.life.stopping:
+        """Answer all accepted requests, then end."""
+        if self.lifecycle.stopping:
             return
-        self.life.hear(Word.STOP)
-        log.info("stopping", waiting=self.broker.waiting, phase=self.life.phase.value)
-        if self.life.phase is Phase.GONE:  # it has not served yet
+        self.lifecycle.apply(LifecycleEvent.STOP)
+        log.info("stopping", waiting=self.broker.unanswered, phase=self.lifecycle.phase.value)
+        if self.lifecycle.phase is Phase.GONE:  # it has not served yet
             self._stopped()
             return
         self.listener.stop()
@@ -343,52 +355,26 @@
             self.agent.stop()
         if self.amqp is not None:
             self.amqp.stop()
-        self.reactor.callLater(NEW_ONES_ARRIVE / 1000.0 + 2 * LAST_WORDS, self._close_when_idle)
-
-    def _close_when_idle(self) -> None:
-        self.broker.idle = self._end_if_idle
-        self._end_if_idle()
+        self.shutdown.begin()
 
-    def _end_if_idle(self) -> None:
-        # Connections that hold part of a request are waited for: it may be whole, and so taken, any moment.
-        if self._ending:
-            return
-        if self.life.phase is Phase.PASSING and self.listener.held:
-            self._look_again()
-        elif not self._owes():
-            self._ending = True
-            self.reactor.callLater(LAST_WORDS, self._end)
-
-    def _look_again(self) -> None:
-        """Nothing tells of the last connection that clients held."""
-        if self._look is None or not self._look.active():
-            self._look = self.reactor.callLater(LAST_WORDS, self._end_if_idle)
-
-    def _owes(self) -> bool:
-        since = self.clock() - HALF_SENT
-        begun = any(c.reader.begun and c.begun_at > since for c in self.listener.connections)
-        return begun or bool(self.broker.waiting or self.broker.live)
-
-    def _end(self) -> None:
-        self._ending = False
-        if self._owes():
-            self.reactor.callLater(LAST_WORDS, self._end_if_idle)
-            return
+    def _close(self) -> None:
+        """Nothing is owed any more: close what is open, and end the process."""
         self._report()
         self.subscription.stop()
         if self.amqp is not None:
             self.amqp.close()
-            self.reactor.callLater(GOODBYE, self._stopped)
+            self.reactor.callLater(AMQP_CLOSE_DELAY, self._stopped)
         else:
             self._stopped()
 
     def _stopped(self) -> None:
-        self.life.hear(Word.ENDED)
+        self.lifecycle.apply(LifecycleEvent.ENDED)
         log.info("stopped")
         self.reactor.stop()
 
 
 def serve(loaded: Loaded, read_again: Callable[[Loaded], Loaded]) -> int:
+    """Run a node until it ends; returns the exit code. `read_again` reads the files anew at SIGHUP."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
--- a/bitternpath/balancer/store/__init__.py
+++ b/bitternpath/balancer/store/__init__.py
@@ -1,1 +1,1 @@
-"""What lasts longer than one process of a node."""
+"""State of a node that outlasts one process of it."""
--- a/bitternpath/balancer/store/ejection_files.py
+++ b/bitternpath/balancer/store/ejection_files.py
@@ -1,7 +1,7 @@
-"""Workers taken out by hand, on disk: one empty file an id in a folder that all processes of a node share.
+"""Manual ejections on disk: one empty file for each id, in a folder that all processes of a node share.
 
-Making a file is the ban, removing it the call back, and each is one system call: two processes need no lock,
-and whoever is killed in between leaves all of it or nothing. What is no file of this store is passed over.
+Creating a file ejects, removing it reinstates, and each is one system call: two processes need no lock, and a
+kill in between leaves all of it or nothing. Other files in the folder are ignored.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 def name_of(id: str) -> str:
-    """The file's name: letters, digits, `-_~` as they are, all else escaped: no id leads elsewhere."""
+    """The file name of an id: all but letters, digits and `-_~` is escaped, so no id leaves the folder."""
     return quote(id, safe="").replace(".", "%2E") + SUFFIX
 
 
 class EjectionFiles:
-    """The bans as they stand on disk. Every method may raise OSError, and then has changed nothing."""
+    """The ejections on disk. Every method may raise OSError, and then has changed nothing."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     def add(self, id: str) -> None:
-        """Take it out; no difference where it is out already."""
+        """Eject; no effect where it is ejected already."""
         name = name_of(id)
         if len(name) > NAME_LIMIT:
             raise OSError(f"an id of that length cannot be stored: {len(name)} of {NAME_LIMIT} bytes")
@@ -34,11 +34,11 @@
         os.close(os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600))
 
     def remove(self, id: str) -> None:
-        """Call it back; no difference where it is not out."""
+        """Reinstate; no effect where it is not ejected."""
         (self.folder / name_of(id)).unlink(missing_ok=True)
 
     def read(self) -> dict[str, float]:
-        """Who is out, and since when (Unix ms); FileNotFoundError where the folder is not there."""
+        """Id: ejected since (Unix ms). Raises FileNotFoundError where the folder does not exist."""
         found: dict[str, float] = {}
         with os.scandir(self.folder) as entries:
             for entry in entries:
@@ -47,6 +47,6 @@
                     continue
                 try:
                     found[id] = entry.stat(follow_symlinks=False).st_mtime * 1000.0
-                except FileNotFoundError:  # called back in this moment
+                except FileNotFoundError:  # reinstated in this moment
                     continue
         return found
--- a/bitternpath/balancer/store/manual_ejections.py
+++ b/bitternpath/balancer/store/manual_ejections.py
@@ -1,4 +1,4 @@
-"""Workers taken out by hand: what staff say, what is on disk and what the registry makes of it, in step."""
+"""Manual ejections: keeps the operators' commands, the files on disk and the registry in step."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from bitternpath.balancer.core.endpoint_registry import BY_OPERATOR, EndpointRegistry
 from bitternpath.balancer.store.ejection_files import EjectionFiles
 
-log = structlog.get_logger(part="bans")
+log = structlog.get_logger(part="manual_ejections")
 
-# s between looks at the folder, in which another process of the node may have made or removed a ban: what it
-# has said yes to has to be kept here within the drain's grace, 2 s on the platform.
-LOOK_EVERY = 0.25
+# s between polls of the folder: another process of the node may have added or removed ejections, and what
+# it has confirmed must be in effect here within the grace time of a drain, 2 s on the platform.
+POLL_INTERVAL = 0.25
 
 
 class ManualEjections:
-    """The registry's bans are those on disk."""
+    """Makes the operators' ejections in the registry those on disk."""
 
     def __init__(
         self, reactor: Any, clock: Callable[[], float], registry: EndpointRegistry, store: EjectionFiles
@@ -26,27 +26,28 @@
         self.reactor, self.clock, self.registry, self.store = reactor, clock, registry, store
 
     def run(self) -> None:
-        """Keep in step from now on."""
-        self.look()
-        self.reactor.callLater(LOOK_EVERY, self.run)
+        """Poll the folder from now on."""
+        self.poll()
+        self.reactor.callLater(POLL_INTERVAL, self.run)
 
-    def look(self) -> None:
+    def poll(self) -> None:
+        """Apply what is on disk now."""
         try:
             found = self.store.read()
         except FileNotFoundError:
-            return  # nobody was ever taken out, or the folder is gone: that calls nobody back
+            return  # nothing was ever ejected, or the folder is gone: that reinstates nothing
         except OSError as error:
-            log.warning("cannot read who is out", folder=str(self.store.folder), why=error)
+            log.warning("manual_ejections_read_failed", folder=str(self.store.folder), why=error)
             return
-        held = self.registry.ejected_by(BY_OPERATOR)
-        for id in found.keys() - held:
+        ejected = self.registry.ejected_by(BY_OPERATOR)
+        for id in found.keys() - ejected:
             self.registry.eject(id, found[id])
-        for id in held:
+        for id in ejected:
             if id not in found:
                 self.registry.reinstate(id, self.clock())
 
     def eject(self, id: str) -> bool:
-        """Take a worker out; False where nobody has that id, OSError where it cannot be stored."""
+        """Eject an endpoint; False where the id is unknown. Raises OSError where it cannot be stored."""
         if not self.registry.knows(id):
             return False
         self.store.add(id)
@@ -54,7 +55,7 @@
         return True
 
     def reinstate(self, id: str) -> bool:
-        """Call a worker back; False where nobody has that id, OSError where it stays out."""
+        """Reinstate an endpoint; False where the id is unknown. Raises OSError where it stays ejected."""
         if not self.registry.knows(id):
             return False
         self.store.remove(id)
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -94,13 +94,13 @@
         )
         for worker, since in self.out.items():
             self.registry.eject(worker, since)
-        self.registry.on_change = self.broker.listed
-        self.broker.listed(
+        self.registry.on_change = self.broker.endpoints_changed
+        self.broker.endpoints_changed(
             Listing(listing.revision, True, tuple(self.registry.endpoints.values())), at_start=True
         )
         # What the module asked for at its start comes with its first event's actions, as on sockets.
         if asks:
-            self.broker.ask = partial(self._ask, self.timer)
+            self.broker.subscribe = partial(self._ask, self.timer)
         else:
             world.directory.nodes[self.name] = self.hear
         self.conns.clear()
@@ -119,7 +119,7 @@
 
         def failed() -> None:
             if self.timer is life and self.up:
-                self.broker.asked_in_vain()
+                self.broker.subscription_failed()
 
         self.world.directory.ask(self.name, granted, failed)
 
@@ -297,7 +297,7 @@
     def _not_connected(self, call: UpstreamCall, worker: Worker, wait: float) -> None:
         if self.world.policy == "oracle":
             self.world.reserved[worker.id] -= 1
-        self.timer.callLater(wait, self.broker.ended, call, m.How.NO_CONNECTION)
+        self.timer.callLater(wait, self.broker.call_ended, call, m.How.NO_CONNECTION)
 
     def _arrive(self, call: UpstreamCall, worker: Worker, attempt: Attempt, timer: Any) -> None:
         world = self.world
@@ -308,7 +308,7 @@
         back = world.net.delay(worker.site, self.site)
         if not worker.up:
             if timer is self.timer:
-                timer.callLater(back, self.broker.ended, call, m.How.RESET)
+                timer.callLater(back, self.broker.call_ended, call, m.How.RESET)
             return
         now = world.later.now
         world.checker.arrived(now, call.id, worker.id, call.number)
@@ -323,7 +323,7 @@
 
     def _turned_away(self, call: UpstreamCall, worker: str) -> None:
         self._kept(worker)
-        self.broker.ended(call, m.How.FULL)
+        self.broker.call_ended(call, m.How.FULL)
 
     def _kept(self, worker: str) -> None:
         world = self.world
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -193,10 +193,10 @@
 
     @staticmethod
     def _wake(node: VirtualNode, label: str, timer: Any) -> None:
-        from bitternpath.balancer.core.broker import Due
+        from bitternpath.balancer.core.events import TimerExpired
 
         if node.timer is timer:
-            node.broker._append(Due(label))
+            node.broker._append(TimerExpired(label))
 
     def _look(self, name: str, request: str, zone: str) -> tuple[float, bool]:
         """For the oracle: s until a job would end there, from the true state, and whether it would begin
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from bitternpath.balancer import messages as m
-from bitternpath.balancer.amqp.publishers import Front
+from bitternpath.balancer.amqp.publishers import Publishers
 from bitternpath.balancer.amqp.queues import Queues
 from bitternpath.balancer.amqp.server import AmqpConnection, AmqpServer
 from bitternpath.balancer.amqp.subscribers import Subscribers
@@ -340,23 +340,23 @@
         upstream_clients: dict[str, Any] = {"http": self.http}
         later: Any = self.reactor
         self.broker = Broker(later, self.now, self.registry, upstream_clients, self.module.handle)
-        self.registry.on_change = self.broker.listed
+        self.registry.on_change = self.broker.endpoints_changed
         amqp = Amqp(listen="h:0", **settings)
         self.subscribers = Subscribers(
             self.now, self.registry.apply, amqp.prefetch_cap, frozenset(amqp.requeue_unstarted)
         )
         self.subscribers.broker = self.broker
         upstream_clients["amqp"] = self.subscribers
-        self.front = Front(
+        self.publishers = Publishers(
             self.now, self.broker, Queues(), self.subscribers, self.classes,
-            lambda name: self.module.advice(self.module.lines[name]), amqp.max_waiting,
+            lambda name: self.module.advice(self.module.class_states[name]), amqp.max_waiting,
         )  # fmt: skip
         self.server = AmqpServer(
-            self.reactor, self.now, amqp, self.front, self.subscribers, self.broker, lambda: 100_000
+            self.reactor, self.now, amqp, self.publishers, self.subscribers, self.broker, lambda: 100_000
         )
         self.server.port = SimpleNamespace(stopListening=lambda: None)
         self.server._look()
-        self.broker.listed(listing, at_start=True)
+        self.broker.endpoints_changed(listing, at_start=True)
         self.settle()
 
     def now(self) -> float:
@@ -416,4 +416,4 @@
 
     def at_rest(self) -> bool:
         """Nobody waits for anything any more."""
-        return not self.broker.live and not self.broker.waiting and not self.front.waiting
+        return not self.broker.in_progress and not self.broker.unanswered and not self.publishers.waiting
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -197,7 +197,7 @@
 
     def upgrade(self, joins: bool = True) -> subprocess.Popen[str]:
         """Start a newer process at the same address and wait until it can serve; the older one."""
-        older, served = self.process, "the newer process serves"
+        older, served = self.process, "event=successor_ready"
         before = len(self.logged(served))
         self.older.append(older)
         self.file.write_text(json.dumps({**self.conf, "listen": self.address}))
@@ -222,7 +222,7 @@
         self.discovery.changes.put(
             {"revision": self.revision, "complete": False, "members": [endpoint.row()]}
         )
-        until(lambda: self.logged(f"event=roster revision={self.revision} "))
+        until(lambda: self.logged(f"event=endpoint_list_applied revision={self.revision} "))
 
     def open(self, **headers: str) -> HTTPConnection:
         return HTTPConnection(self.address, timeout=20)
--- a/tests/test_amqp_clients.py
+++ b/tests/test_amqp_clients.py
@@ -36,7 +36,7 @@
 def parameters(
     rig: Rig, user: str = "guest", password: str = "guest", vhost: str = "/"
 ) -> pika.ConnectionParameters:
-    (line,) = rig.logged('event="amqp listening"')
+    (line,) = rig.logged("event=amqp_listening")
     port = int(line.split("address=127.0.0.1:")[1].split()[0])
     login = pika.PlainCredentials(user, password)
     return pika.ConnectionParameters("127.0.0.1", port, vhost, login, socket_timeout=10)
@@ -229,7 +229,7 @@
             pika.BlockingConnection(parameters(rig, "a", "secret", "/"))
         # A bad file changes nothing; a good one holds for those who come.
         file.write_text(base + "heartbeat = -1\n")
-        rig.reload(json.dumps(rig.conf), 'event="reload failed"')
+        rig.reload(json.dumps(rig.conf), "event=reload_failed")
         file.write_text(base.replace(":0", ":1") + f'[amqp.users.b]\npassword = "{hashed(b"secret")}"\n')
         rig.reload(json.dumps(rig.conf))
         assert "needs_restart=amqp.listen" in rig.logged("event=reloaded")[-1]
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -345,7 +345,9 @@
     works(worker, ledger)
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
     rig.settle()
-    assert rig.broker.counts["served"] == 1 and rig.front.counts["answers_dropped"] == 1 and rig.at_rest()
+    assert (
+        rig.broker.counts["served"] == 1 and rig.publishers.counts["answers_dropped"] == 1 and rig.at_rest()
+    )
 
 
 def test_the_same_message_id_from_two_publishers_is_refused_to_the_second() -> None:
@@ -413,7 +415,7 @@
     rig.ask(other, "one")
     rig.settle()
     assert flood.wire.protocol.session.waiting == 50 and flood.wire.paused  # read no further
-    assert rig.broker.knows("one") and not other.wire.paused
+    assert rig.broker.has_seen("one") and not other.wire.paused
     works(worker, ledger)
     for got in worker.deliveries():
         worker.send(c.Basic.Ack(got.method.delivery_tag))
@@ -432,7 +434,7 @@
     for k in range(40):
         rig.ask(flood, f"f{k}")
     rig.settle()
-    assert rig.front.waiting == 10 and len(flood.methods(c.Connection.Blocked)) == 1
+    assert rig.publishers.waiting == 10 and len(flood.methods(c.Connection.Blocked)) == 1
     works(worker, ledger)
     for got in worker.deliveries():
         worker.send(c.Basic.Ack(got.method.delivery_tag))
@@ -509,7 +511,7 @@
     }  # fmt: skip
     assert (request.key, request.hint, request.slots, request.repeat) == (0x7F, 3.5, 2.0, True)
     assert 600 < request.deadline - rig.now() <= 700
-    rig.broker.ended(call, m.How.OK, b"by http")
+    rig.broker.call_ended(call, m.How.OK, b"by http")
     rig.settle()
     assert publisher.answers() == [("served", "c-a", b"by http")] and publisher.confirms() == [("ack", 1)]
 
@@ -623,7 +625,7 @@
     assert again.method.redelivered and again.outcome == ("served", "c-a", b"ran")
     rig.ask(peer, "b", reply_to="amq.gen-unknown")
     rig.settle()
-    assert rig.front.counts["answers_dropped"] == 1
+    assert rig.publishers.counts["answers_dropped"] == 1
 
 
 def test_a_full_private_queue_drops_what_comes_and_counts_it() -> None:
@@ -635,7 +637,7 @@
         peer.publish("mine", b"x" * 20_000)
     rig.settle()
     assert [word for word, _ in peer.confirms()] == ["ack", "ack", "ack", "nack", "nack"]
-    assert rig.front.counts["queues_full"] == 2
+    assert rig.publishers.counts["queues_full"] == 2
 
 
 def test_a_peer_that_does_not_read_is_closed_before_it_costs_much() -> None:
@@ -647,7 +649,7 @@
         if k % 200 == 0:
             rig.settle()
     rig.settle()
-    assert not publisher.wire.up and rig.front.counts["slow_readers"] == 1
+    assert not publisher.wire.up and rig.publishers.counts["slow_readers"] == 1
 
 
 def test_held_results_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -358,7 +358,7 @@
     rig = AmqpRig()
     peer = Peer(rig, None if hears else {}).open(1, mechanism=mechanism, response=response)
     assert [x.reply_code for x in peer.methods(c.Connection.Close)] == ([403] if hears else [])
-    assert not peer.wire.up and rig.front.counts["logins_refused"] == 1
+    assert not peer.wire.up and rig.publishers.counts["logins_refused"] == 1
 
 
 def test_amqplain_and_guest_from_loopback_only() -> None:
@@ -378,7 +378,7 @@
     rig.pass_time(2900)
     assert peer.wire.up
     rig.pass_time(400)
-    assert not peer.wire.up and rig.front.counts["logins_late"] == 1
+    assert not peer.wire.up and rig.publishers.counts["logins_late"] == 1
 
 
 def test_before_the_login_little_is_kept() -> None:
@@ -411,7 +411,7 @@
         lively.raw(f.HEARTBEAT_FRAME)
         rig.pass_time(1000)
     assert not quiet.wire.up and lively.wire.up and without.wire.up
-    assert lively.beats >= 5 and without.beats == 0 and rig.front.counts["heartbeats_missed"] == 1
+    assert lively.beats >= 5 and without.beats == 0 and rig.publishers.counts["heartbeats_missed"] == 1
 
 
 # ---- methods
@@ -550,7 +550,7 @@
 def test_more_connections_than_allowed_are_not_taken() -> None:
     rig = AmqpRig(max_connections=2)
     peers = [rig.peer(), rig.peer()]
-    assert rig.server.buildProtocol(None) is None and rig.front.counts["connections_refused"] == 1
+    assert rig.server.buildProtocol(None) is None and rig.publishers.counts["connections_refused"] == 1
     peers[0].wire.cut(ConnectionError())
     assert rig.server.buildProtocol(None) is not None
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -37,7 +37,7 @@
         self.broker = Broker(
             self.reactor, self.now, EndpointRegistry(listing), {"http": self}, handle or module.handle
         )  # type: ignore[arg-type]
-        self.broker.listed(listing, at_start=True)
+        self.broker.endpoints_changed(listing, at_start=True)
         self.pass_time(1.0)
 
     def now(self) -> float:
@@ -84,7 +84,7 @@
     assert desk.answers == [] and len(desk.calls) == 1
     desk.pass_time(19.0)
     assert len(desk.answers) == 1 and desk.given_up == desk.calls
-    assert not desk.broker.live and not desk.broker.waiting
+    assert not desk.broker.in_progress and not desk.broker.unanswered
 
 
 def test_an_request_with_next_to_no_time_left_is_still_the_modules_to_answer() -> None:
@@ -102,7 +102,7 @@
     desk.call_reported(state, endpoint, result=b"r")
     for again in CallState:
         desk.call_reported(again, endpoint, result=b"other")
-    desk.broker.ended(desk.calls[0], m.How.RESET)
+    desk.broker.call_ended(desk.calls[0], m.How.RESET)
     desk.pass_time(2000.0)
     assert desk.answers == [("served", b"r") if state is CallState.DONE else ("failed",)]
     assert len(desk.calls) == 1
@@ -114,7 +114,7 @@
     other = {"s0": "s1", "s1": "s0"}[desk.calls[0].endpoint]
     desk.call_reported(CallState.DONE, other, result=b"r")
     desk.call_reported(CallState.DONE, "s9", id="b")
-    assert desk.answers == [] and not desk.calls[0].over
+    assert desk.answers == [] and not desk.calls[0].finished
 
 
 def test_a_job_handed_back_goes_on_but_a_repeat_of_that_news_proves_nothing() -> None:
@@ -134,10 +134,10 @@
     desk.submit(budget=4000.0)
     first = desk.calls[0]
     desk.pass_time(200.0)
-    desk.broker.ended(first, m.How.RESET)
+    desk.broker.call_ended(first, m.How.RESET)
     desk.pass_time(1.0)
-    assert len(desk.calls) == 2 and first.sent < desk.calls[1].sent < desk.calls[1].begin_by
-    assert desk.calls[1].begin_by < first.sent + 1000.0
+    assert len(desk.calls) == 2 and first.sent < desk.calls[1].sent < desk.calls[1].start_deadline
+    assert desk.calls[1].start_deadline < first.sent + 1000.0
 
 
 def test_a_call_not_sent_because_its_endpoint_drains_goes_elsewhere() -> None:
@@ -154,7 +154,7 @@
     desk.broker.withdraw(desk.submit())
     desk.pass_time(2.0)
     assert desk.given_up == desk.calls and desk.answers == []
-    assert not desk.broker.live and not desk.broker.waiting
+    assert not desk.broker.in_progress and not desk.broker.unanswered
 
 
 def test_a_call_for_a_client_that_is_gone_before_anybody_heard_of_it_does_not_begin() -> None:
@@ -163,7 +163,9 @@
     desk.left = True
     desk.submit()
     desk.pass_time(2.0)
-    assert desk.calls == [] and desk.answers == [] and not desk.broker.live and not desk.broker.waiting
+    assert (
+        desk.calls == [] and desk.answers == [] and not desk.broker.in_progress and not desk.broker.unanswered
+    )
 
 
 def test_an_exception_in_the_module_costs_one_failed_answer_and_no_more() -> None:
@@ -194,20 +196,20 @@
     desk.start = lambda call, endpoint: 1 / 0  # type: ignore[method-assign, assignment, return-value]
     desk.submit(budget=4000.0)
     desk.pass_time(2.0)
-    assert desk.answers == [("failed",)] and not desk.broker.live
+    assert desk.answers == [("failed",)] and not desk.broker.in_progress
 
 
 def test_an_request_that_the_module_forgets_is_answered_all_the_same() -> None:
     desk = Desk(handle=lambda now, event: [])
     desk.submit(budget=100.0)
     desk.pass_time(99.0)
-    assert desk.answers == [("failed",)] and not desk.broker.waiting
+    assert desk.answers == [("failed",)] and not desk.broker.unanswered
 
 
 def test_what_arrives_after_the_signal_to_stop_is_answered_before_the_process_may_be_killed() -> None:
     # Guards: what was taken late in a planned restart had no answer when the process was killed.
     desk = Desk()
-    desk.broker.answer_by = desk.now() + 300.0
+    desk.broker.answer_deadline = desk.now() + 300.0
     desk.submit(budget=5000.0)
     desk.pass_time(290.0)
     assert desk.answers == []
@@ -219,13 +221,13 @@
 def test_what_an_endpoint_cannot_use_fails_without_another_try_or_a_lesson(effect: m.Effect) -> None:
     # Guards: each answer of that kind was an error, tried on every endpoint and held against each of them.
     desk = Desk(effect, endpoints=4)
-    nets = [line.net for line in desk.module.lines.values()]
+    nets = [line.net for line in desk.module.class_states.values()]
     desk.submit()
     before = [(net.plus[:], net.minus[:], net.plus_all, net.minus_all) for net in nets]
-    desk.broker.unusable(desk.calls[0])
-    desk.broker.ended(desk.calls[0], m.How.RESET)
+    desk.broker.call_unusable(desk.calls[0])
+    desk.broker.call_ended(desk.calls[0], m.How.RESET)
     desk.pass_time(50.0)
-    assert desk.answers == [("failed",)] and len(desk.calls) == 1 and not desk.broker.live
+    assert desk.answers == [("failed",)] and len(desk.calls) == 1 and not desk.broker.in_progress
     assert before == [(net.plus[:], net.minus[:], net.plus_all, net.minus_all) for net in nets]
     assert all(worker.n == 0 and worker.waiting == 0 for worker in desk.module.workers.values())
 
@@ -235,7 +237,7 @@
     desk = Desk()
     desk.submit("a")
     desk.call_reported(CallState.DONE, desk.calls[0].endpoint)
-    assert desk.broker.knows("a") and not desk.broker.live and not desk.broker.knows("b")
+    assert desk.broker.has_seen("a") and not desk.broker.in_progress and not desk.broker.has_seen("b")
     desk.pass_time(11_000.0)
     desk.submit("b")
-    assert not desk.broker.knows("a") and desk.broker.knows("b")
+    assert not desk.broker.has_seen("a") and desk.broker.has_seen("b")
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -13,7 +13,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from bitternpath.balancer.core.statistics import Statistics
-from bitternpath.balancer.http.console import CALL_WITHIN, CALLERS, FRESH, Answer, Caller, Console, one_id
+from bitternpath.balancer.http.console import CALL_TIMEOUT, CALLERS, FRESH, Answer, Caller, Console, one_id
 
 READY = b"GET /ops/readiness HTTP/1.1\r\n\r\n"
 
@@ -97,7 +97,7 @@
 def test_silent_callers_go_when_their_time_is_over_half_a_call_with_an_answer() -> None:
     desk = Desk()
     (_, silent), (_, half) = desk.call(), desk.call(READY[:9])
-    desk.reactor.advance(CALL_WITHIN - 0.01)
+    desk.reactor.advance(CALL_TIMEOUT - 0.01)
     assert not silent.aborted and not half.value()
     desk.reactor.advance(0.02)
     assert silent.aborted and b" 408 " in half.value()
@@ -131,12 +131,12 @@
 
 def test_figures_are_there_at_0_and_a_dropped_class_keeps_its_own() -> None:
     statistics = Statistics()
-    statistics.know(["a"])
-    statistics.has(["backend_calls"], {"inflight": lambda: 3})
-    statistics.ended("a", "served")
-    statistics.ended("a", "rejected")
-    statistics.know(["b"])
-    statistics.know(["a"])
+    statistics.add_classes(["a"])
+    statistics.register(["backend_calls"], {"inflight": lambda: 3})
+    statistics.count_outcome("a", "served")
+    statistics.count_outcome("a", "rejected")
+    statistics.add_classes(["b"])
+    statistics.add_classes(["a"])
     assert statistics.lines().splitlines() == [
         "app.calls.a.success:1|c", "app.calls.a.busy:1|c", "app.calls.a.failure:0|c",
         "app.calls.b.success:0|c", "app.calls.b.busy:0|c", "app.calls.b.failure:0|c",
@@ -162,7 +162,7 @@
         assert told["app.inflight"] == 1 and told["app.hosts_listed"] == 1
         rig.endpoints[0].tell("open", "done", result="r")
         assert open_.result()[0] == 200
-        rig.reload("", 'event="reload failed"')
+        rig.reload("", "event=reload_failed")
         assert rig.statistics()["app.reconfig_failed"] == 1 and rig.statistics()["app.inflight"] == 0
 
 
--- a/tests/test_discovery_subscription.py
+++ b/tests/test_discovery_subscription.py
@@ -270,7 +270,7 @@
     tmp_path: Path,
 ) -> None:
     with running(tmp_path, done, done) as rig, Peer() as peer:
-        until(lambda: rig.logged("event=roster "))
+        until(lambda: rig.logged("event=endpoint_list_applied "))
         rig.reload(json.dumps(rig.conf | {"discovery": peer.address}))
         sock, asked = granted(peer)
         assert b"index=1 " in asked
@@ -280,7 +280,7 @@
         third.sendall(HEAD + told(2, rig.endpoints[0].row())[:-40])  # and the one after that half a line
         fourth, _ = granted(peer)
         fourth.sendall(HEAD + told(2, {**rig.endpoints[0].row(), "phase": "draining"}))
-        until(lambda: rig.logged("event=roster revision=2 "))
+        until(lambda: rig.logged("event=endpoint_list_applied revision=2 "))
         assert all(rig.submit(f"a{k}")[1] == b"made by s-1" for k in range(5))
 
 
@@ -299,7 +299,7 @@
         sock.sendall(HEAD + told(2, {**rig.endpoints[0].row(), "phase": "draining"}))
         assert rig.process.stderr is not None
         lines = iter(rig.process.stderr)
-        assert any("event=roster revision=2 " in line for line in lines)
+        assert any("event=endpoint_list_applied revision=2 " in line for line in lines)
         assert any("event=listening" in line for line in lines)
         assert rig.submit("a")[1] == b"made by s-1"
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -338,7 +338,7 @@
 
 
 def test_a_node_that_answers_nothing_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Broker, "_last_moment", lambda self, request: None)
+    monkeypatch.setattr(Broker, "_answer_without_module", lambda self, request: None)
     found = broken_run(monkeypatch, Mute)
     assert rules_of(found) == {"lost"} and "never answered" in found.violations[0]
     assert "taken by n" in found.violations[0]  # the events that led there
--- a/tests/test_fleet_nodes.py
+++ b/tests/test_fleet_nodes.py
@@ -68,7 +68,7 @@
             changed = command(made, "change", "lookup.aim=4000", "--reason", "slower", "--required")
             assert changed.returncode == 0, changed.stderr
             assert "version 1 is in effect at 1 processes" in changed.stdout
-            rig.says("event=settings")
+            rig.says("event=settings_applied")
             assert command(made, "ban", "s-0", "--reason", "it errs", "--required").returncode == 0
             assert all(rig.submit(f"a{k}")[0] == 200 for k in range(10))
             assert rig.endpoints[0].posts == 0 and rig.endpoints[1].posts == 10
@@ -218,8 +218,8 @@
             soon(lambda: in_effect(made, 3))
             conf = json.loads(rig.file.read_text())
             conf["settings"]["classes"] = conf["settings"]["classes"][:1]
-            rig.reload(json.dumps(conf), "reload failed")
-            assert "no class reminder" in rig.logged("reload failed")[0]
+            rig.reload(json.dumps(conf), "event=reload_failed")
+            assert "no class reminder" in rig.logged("event=reload_failed")[0]
 
 
 def test_an_older_release_gets_no_lease(tmp_path: Path) -> None:
