--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,13 +15,17 @@
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.endpoint_registry import Endpoint, EndpointRegistry, Listing
-from bitternpath.balancer.core.lifecycle import DOES, MOVES, LifeCycle, Phase, Word
+from bitternpath.balancer.core.lifecycle import BEHAVIOR, TRANSITIONS, Lifecycle, LifecycleEvent, Phase
 from bitternpath.balancer.core.requests import CallReport, CallState
-from bitternpath.balancer.handover.handover import HEARD_WITHIN, Handover
-from bitternpath.balancer.handover.learned import Learned, learned_by, teach
-from bitternpath.balancer.handover.link import PATH_LIMIT, Door, Link
+from bitternpath.balancer.handover.handover import ACKNOWLEDGE_TIMEOUT, Handover
+from bitternpath.balancer.handover.learned_weights import (
+    LearnedWeights,
+    learned_weights_of,
+    restore_learned_weights,
+)
+from bitternpath.balancer.handover.link import PATH_LIMIT, Link, UpgradeSocket
 from bitternpath.balancer.handover.messages import (
-    Heard,
+    Acknowledged,
     Hello,
     Lines,
     LinkError,
@@ -43,36 +47,39 @@
     ("words", "phase"),
     [
         ("listens", P.READY),
-        ("listens stop", P.LEAVING),
+        ("listens stop", P.DRAINING),
         ("listens stop ended", P.GONE),
-        ("listens successor_ready", P.SUCCEEDED),
+        ("listens successor_ready", P.SUPERSEDED),
         ("listens successor_ready successor_lost", P.READY),
-        ("listens successor_ready stop", P.PASSING),
-        ("listens successor_ready stop successor_lost", P.LEAVING),
-        ("listens successor_ready stop successor_lost successor_ready", P.PASSING),
-        ("listens stop successor_ready", P.PASSING),
+        ("listens successor_ready stop", P.HANDING_OVER),
+        ("listens successor_ready stop successor_lost", P.DRAINING),
+        ("listens successor_ready stop successor_lost successor_ready", P.HANDING_OVER),
+        ("listens stop successor_ready", P.HANDING_OVER),
         ("listens successor_ready stop ended", P.GONE),
         ("stop", P.GONE),
         ("stop listens", P.GONE),
         ("successor_ready successor_lost ended listens listens", P.READY),
-        ("listens stop stop stop", P.LEAVING),
+        ("listens stop stop stop", P.DRAINING),
     ],
 )
 def test_what_leads_from_one_state_to_another(words: str, phase: Phase) -> None:
-    life = LifeCycle()
+    lifecycle = Lifecycle()
     for word in words.split():
-        life.hear(Word[word.upper()])
-    assert life.phase is phase
+        lifecycle.apply(LifecycleEvent[word.upper()])
+    assert lifecycle.phase is phase
 
 
 def test_no_state_is_left_out_and_from_each_the_end_can_be_reached() -> None:
-    assert set(DOES) == set(Phase)
+    assert set(BEHAVIOR) == set(Phase)
     reached = {P.STARTING}
     for _ in Phase:
-        reached |= {after for (before, _), after in MOVES.items() if before in reached}
+        reached |= {after for (before, _), after in TRANSITIONS.items() if before in reached}
     assert reached == set(Phase)
-    assert not any(before is P.GONE for before, _ in MOVES)
-    assert all(does.accepts or does.welcome or phase in (P.STARTING, P.GONE) for phase, does in DOES.items())
+    assert not any(before is P.GONE for before, _ in TRANSITIONS)
+    assert all(
+        behavior.accepts or behavior.ready_for_clients or phase in (P.STARTING, P.GONE)
+        for phase, behavior in BEHAVIOR.items()
+    )
 
 
 # ---- messages
@@ -82,8 +89,9 @@
     endpoint = Endpoint("s", "h:1", "z", "k", 2, m.State.DRAINING, 1.5, 7.0, serves=frozenset({"a"}))
     talk = Talk(workers=2)
     said = [
-        Hello(1, "h:1"), Welcome(Listing(3, True, (endpoint,)), ["x"], learned_by(talk.d)), Ready(),
-        Taken("é\n"), Passed(1, CallReport("x", "s", CallState.DONE, None, bytes(range(256)))), Heard(1),
+        Hello(1, "h:1"), Welcome(Listing(3, True, (endpoint,)), ["x"], learned_weights_of(talk.d)), Ready(),
+        Taken("é\n"), Passed(1, CallReport("x", "s", CallState.DONE, None, bytes(range(256)))),
+        Acknowledged(1),
     ]  # fmt: skip
     data = b"".join(line(one) for one in said)
     for seed in range(20):
@@ -126,9 +134,9 @@
     old = trained(1)
     new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, tells_start=True)
     new.now = old.now
-    assert teach(new.d, learned_by(old.d)) == []
+    assert restore_learned_weights(new.d, learned_weights_of(old.d)) == []
     for name in "ab":
-        mine, theirs = new.d.lines[name], old.d.lines[name]
+        mine, theirs = new.d.class_states[name], old.d.class_states[name]
         assert (mine.run, mine.pace, mine.ended) == (theirs.run, theirs.pace, theirs.ended)
         want = dict(zip((w.name for w in theirs.net.neurons), theirs.net.q, strict=True))
         got = dict(zip((w.name for w in mine.net.neurons), mine.net.q, strict=True))
@@ -138,13 +146,13 @@
 
 
 def test_what_does_not_fit_is_left_out_and_the_rest_is_taken() -> None:
-    told = learned_by(trained(1).d)
+    told = learned_weights_of(trained(1).d)
     told.classes[0].effect = "unsafe"
     told.workers[0].up = 5.0
     told.workers[1].times = (float("nan"), 0.0, 0.0, 0.0, 0.0)
     fewer = Talk(job_class("a"), job_class("b"), workers=3, seed=2)
-    assert teach(fewer.d, told) == ["w0", "w1", "w3", "a"]
-    assert fewer.d.lines["a"].ended == 0 < fewer.d.lines["b"].ended
+    assert restore_learned_weights(fewer.d, told) == ["w0", "w1", "w3", "a"]
+    assert fewer.d.class_states["a"].ended == 0 < fewer.d.class_states["b"].ended
     assert len(sends(fewer.ask("x", "b"))) == 1
 
 
@@ -153,14 +161,14 @@
     (send,) = sends(old.ask("open", "a"))
     new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, tells_start=True)
     new.now = old.now
-    teach(new.d, learned_by(old.d))
+    restore_learned_weights(new.d, learned_weights_of(old.d))
     worker = new.d.workers[send.worker]
     assert worker.load(new.now) == 1 and worker.load(new.now + 60_000.0) == 0
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_any_figures_at_all_leave_a_module_that_works(seed: int) -> None:
-    random, told = Random(seed), learned_by(trained(1).d)
+    random, told = Random(seed), learned_weights_of(trained(1).d)
     odd = (-1.0, 0.0, 1e300, float("inf"), float("nan"), 0.5)
     for known in told.classes:
         known.threshold = random.choice(odd)
@@ -168,11 +176,11 @@
             w: (random.choice(odd), random.choice(odd), random.choice(odd)) for w in known.neurons
         }
     fresh = Talk(job_class("a"), job_class("b"), workers=4, seed=2)
-    teach(fresh.d, told)
+    restore_learned_weights(fresh.d, told)
     for k in range(30):
         for send in sends(fresh.ask(f"x{k}", "a")):
             fresh.end(f"x{k}", send.worker, m.How.OK)
-    assert all(0.0 <= q <= 1.0 for q in fresh.d.lines["a"].net.q)
+    assert all(0.0 <= q <= 1.0 for q in fresh.d.class_states["a"].net.q)
 
 
 # ---- the link, between two sides on a clock
@@ -183,15 +191,15 @@
 
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
         listing = Listing(1, True, (Endpoint("s", "h:1", "z", "k", 0, m.State.SERVING, 1.0, 0.0),))
-        self.life, self.sockets, self.registry = LifeCycle(), Sockets(256), EndpointRegistry(listing)
+        self.lifecycle, self.sockets, self.registry = Lifecycle(), Sockets(256), EndpointRegistry(listing)
         self.module = Talk(workers=1).d
         self.broker = Broker(reactor, reactor.seconds, self.registry, {}, self.module.handle)
         self.handover = Handover(
-            reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.life
+            reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
         )
 
     def end(self) -> Link:
-        link = Link(self.handover._hear, self.handover._lost)
+        link = Link(self.handover._received, self.handover._lost)
         link.makeConnection(StringTransport())
         self.handover._add(link)
         return link
@@ -201,9 +209,11 @@
     side = Side(Reactor(), tmp_path, "n")
     whole = side.sockets.total
     link = side.end()
-    assert side.sockets.total < whole / 2 + 1 and side.module.part == 0.5
+    assert side.sockets.total < whole / 2 + 1 and side.module.capacity_share == 0.5
     link.connectionLost()
-    assert side.sockets.total == whole and side.module.part == 1.0 and side.broker.took is None
+    assert (
+        side.sockets.total == whole and side.module.capacity_share == 1.0 and side.broker.on_accepted is None
+    )
 
 
 @pytest.mark.parametrize("how", ["heard", "lost", "silence"])
@@ -220,11 +230,11 @@
     (said,) = Lines().feed(transport.value())
     assert isinstance(said, Passed) and said.report.result == b"r"
     if how == "heard":
-        link.dataReceived(line(Heard(said.number)))
+        link.dataReceived(line(Acknowledged(said.number)))
     elif how == "lost":
         link.connectionLost()
-    reactor.advance(HEARD_WITHIN)
-    link.dataReceived(line(Heard(said.number)))  # too late, and so nothing
+    reactor.advance(ACKNOWLEDGE_TIMEOUT)
+    link.dataReceived(line(Acknowledged(said.number)))  # too late, and so nothing
     assert told == [how != "silence"]
 
 
@@ -237,8 +247,8 @@
         transport: Any = link.transport
         (said,) = Lines().feed(transport.value())
         assert isinstance(said, Passed) and not told
-        link.dataReceived(line(Heard(said.number)))
-    assert told == [True] and side.module.part == pytest.approx(1 / 3)
+        link.dataReceived(line(Acknowledged(said.number)))
+    assert told == [True] and side.module.capacity_share == pytest.approx(1 / 3)
 
 
 def test_news_goes_on_to_a_third_process_but_never_back(tmp_path: Path) -> None:
@@ -247,32 +257,34 @@
     only = side.end()
     only.dataReceived(line(passed))
     transport: Any = only.transport
-    assert Lines().feed(transport.value()) == [Heard(5)]
+    assert Lines().feed(transport.value()) == [Acknowledged(5)]
     further = side.end()
     transport.clear()
     only.dataReceived(line(passed))
     there: Any = further.transport
     (on,) = Lines().feed(there.value())
     assert isinstance(on, Passed) and not transport.value()
-    further.dataReceived(line(Heard(on.number)))
-    assert Lines().feed(transport.value()) == [Heard(5)]
+    further.dataReceived(line(Acknowledged(on.number)))
+    assert Lines().feed(transport.value()) == [Acknowledged(5)]
 
 
 def test_ids_taken_elsewhere_are_known_here(tmp_path: Path) -> None:
     side = Side(Reactor(), tmp_path, "n")
     side.end().dataReceived(line(Taken("x")))
-    assert side.broker.knows("x") and side.broker.taken() == ["x"] and not side.broker.waiting
+    assert (
+        side.broker.has_seen("x") and side.broker.recent_request_ids() == ["x"] and not side.broker.unanswered
+    )
 
 
 def test_a_path_too_long_for_the_system_is_reached_by_its_folder(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 120)
     folder.mkdir()
-    door = Door(Reactor(), folder, "name.sock")
-    address = door.address("name.sock")
+    upgrade_socket = UpgradeSocket(Reactor(), folder, "name.sock")
+    address = upgrade_socket.address("name.sock")
     assert len(os.fsencode(address)) <= PATH_LIMIT
     (folder / "name.sock").write_text("here")
     assert Path(address).read_text() == "here"
 
 
 def test_learned_of_nothing_is_nothing(tmp_path: Path) -> None:
-    assert teach(Talk(workers=2).d, Learned((0.0, 0.0, 0.0), [], [])) == []
+    assert restore_learned_weights(Talk(workers=2).d, LearnedWeights((0.0, 0.0, 0.0), [], [])) == []
--- a/tests/test_http_upstream_client.py
+++ b/tests/test_http_upstream_client.py
@@ -15,7 +15,8 @@
 from bitternpath.balancer.core.endpoint_registry import Endpoint, EndpointRegistry, Listing
 from bitternpath.balancer.core.requests import AcceptedRequest, UpstreamCall
 from bitternpath.balancer.core.statistics import Statistics
-from bitternpath.balancer.http.upstream_client import SECOND_ANSWER, Connection, HttpUpstreamClient
+from bitternpath.balancer.http.upstream_client import DUPLICATE_RESPONSE_WAIT, HttpUpstreamClient
+from bitternpath.balancer.http.upstream_connection import Connection
 from bitternpath.net.http1 import Request
 from bitternpath.net.sockets import Sockets
 
@@ -67,13 +68,13 @@
         line.dials += 1
         return True
 
-    def ended(self, call: UpstreamCall, how: m.How) -> None:
+    def call_ended(self, call: UpstreamCall, how: m.How) -> None:
         self.ends.append(how)
 
-    def wanted(self, call: UpstreamCall) -> bool:
-        return not call.over
+    def may_begin(self, call: UpstreamCall) -> bool:
+        return not call.finished
 
-    def unusable(self, call: UpstreamCall) -> None:
+    def call_unusable(self, call: UpstreamCall) -> None:
         self.ends.append("unusable")
 
     def call(self) -> UpstreamCall:
@@ -84,12 +85,12 @@
 
     def rest(self) -> None:
         """The time in which a spoilt endpoint may answer a second time goes by."""
-        self.reactor.advance(SECOND_ANSWER)
+        self.reactor.advance(DUPLICATE_RESPONSE_WAIT)
 
     def connect(self) -> tuple[Connection, Wire]:
         connection, wire = Connection(self.pool, self.pool.pools[ROW.host_port]), Wire()
         connection.makeConnection(wire)
-        self.pool._dialled(connection)
+        self.pool.connection_opened(connection)
         return connection, wire
 
     def carried(self) -> tuple[Connection, Wire]:
@@ -144,7 +145,7 @@
 def test_a_call_that_waits_for_a_connection_past_its_time_to_begin_is_not_sent() -> None:
     # Guards: a repeat was chosen inside the window in which it is dropped, and went out after it.
     bench = Bench()
-    bench.call().begin_by = bench.now + 100.0
+    bench.call().start_deadline = bench.now + 100.0
     bench.now += 101.0
     _, wire = bench.connect()
     assert bench.ends == [m.How.NO_CONNECTION] and wire.value() == b""
@@ -155,7 +156,7 @@
     # Guards: "never ran" passed for proven of a call that was just being carried out, and it was sent again.
     bench = Bench()
     connection, wire = bench.carried()
-    bench.reactor.advance(SECOND_ANSWER / 2)
+    bench.reactor.advance(DUPLICATE_RESPONSE_WAIT / 2)
     wire.clear()
     bench.call()
     assert wire.value() == b"" and bench.pool.pools[ROW.host_port].dials == 1
@@ -204,9 +205,9 @@
     assert wire.value().startswith(b"POST /job HTTP/1.1\r\n") and not bench.pool.pools[ROW.host_port].waiting
 
 
-@pytest.mark.parametrize(("idle", "kept"), [(400.0, True), (600.0, False)])
+@pytest.mark.parametrize(("idle", "reused"), [(400.0, True), (600.0, False)])
 def test_endpoints_that_close_early_have_their_connections_used_again_only_while_fresh(
-    idle: float, kept: bool
+    idle: float, reused: bool
 ) -> None:
     # Guards: connections idle for longer than endpoints really allow were used again, and the calls reset.
     bench = Bench()
@@ -228,7 +229,7 @@
     wire = pair[1][1]
     wire.clear()
     bench.call()
-    assert wire.value().startswith(b"POST") == kept and line.dials == (0 if kept else 1)
+    assert wire.value().startswith(b"POST") == reused and line.dials == (0 if reused else 1)
 
 
 def test_kept_connections_are_not_used_while_calls_on_them_are_reset_more_than_on_new_ones() -> None:
@@ -259,7 +260,7 @@
         round(reset)
     assert bench.ends == [m.How.RESET, m.How.RESET]
     round(False)
-    assert line is not None and not line.idle and pool.resets[True] > pool.resets[False]
+    assert line is not None and not line.idle and pool.reuse.resets[True] > pool.reuse.resets[False]
     for _ in range(100):
         pool._sweep()
     round(False)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -16,7 +16,7 @@
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.endpoint_registry import EndpointRegistry, Listing
-from bitternpath.balancer.http.discovery_subscription import Watch
+from bitternpath.balancer.http.discovery_subscription import DiscoverySubscription
 
 NODES, WORKERS = 40, 60
 
@@ -84,7 +84,7 @@
         (send,) = sends(talk.ask(f"t{n}"))
         talk.say(m.JobNote(f"t{n}", 0, send.worker), 1.0)
         talk.end(f"t{n}", send.worker, m.How.OK, after=100.0)
-    home = talk.d.homes[0]
+    home = talk.d.home_workers[0]
     talk.say(listing(*[entry(f"w{k}") for k in range(WORKERS) if f"w{k}" != home], kind=m.ListKind.WHOLE))
     talk.say(listing(entry(home, up_since=talk.now), kind=m.ListKind.CHANGES))
     talk.sweep(500.0)
@@ -92,7 +92,7 @@
         worker.full_until, worker.room = (0.0 if worker.name == home else talk.now + 60_000.0), 0
     for turn in range(5):
         talk.ask(f"r{turn}")
-        out = [t for t in talk.d.out.values() if t.worker.name == home]
+        out = [t for t in talk.d.in_flight.values() if t.worker.name == home]
         assert len(out) == 1, turn
         talk.say(m.JobNote(out[0].job.id, out[0].n, home))
         talk.end(out[0].job.id, home, m.How.OK, after=300.0)  # three times as long as on a warm one
@@ -146,9 +146,11 @@
         return [m.Watch()] if isinstance(event, m.Alarm) else [m.Wake("watch", 5000.0)]
 
     broker = Broker(reactor, reactor.seconds, registry, {}, handle)
-    watch = Watch(reactor, registry, ("10.0.0.1", 1), Random(1), broker.asked_in_vain)
-    broker.ask = watch.start
-    watch.start()
+    subscription = DiscoverySubscription(
+        reactor, registry, ("10.0.0.1", 1), Random(1), broker.subscription_failed
+    )
+    broker.subscribe = subscription.start
+    subscription.start()
     for turn in range(1, 4):
         assert len(reactor.tcpClients) == turn
         wire = StringTransport()
@@ -169,7 +171,7 @@
 def test_a_refused_connect_proves_no_more_than_that_there_was_no_room(heard: bool) -> None:
     """A worker that was short of connections was left out like a dead one, longer each time."""
     talk = fleet(progress_every=1000.0)[0]
-    home = talk.d.homes[0]
+    home = talk.d.home_workers[0]
     worker = talk.d.workers[home]
     for other in talk.d.workers.values():
         other.full_until = 0.0 if other is worker else talk.now + 60_000.0
@@ -189,7 +191,7 @@
     """A turn took 3.2 s: 6,000 held jobs looked twice each at all of 200 workers that did not answer."""
     talk = Talk(workers=200, dispatchers=200)
     for worker in talk.d.workers.values():
-        worker.out_until = worker.shy_until = 1e9
+        worker.out_until = worker.unsafe_out_until = 1e9
     looks = Counter[str]()
     next_cold = talk.d.next_cold
 
--- a/tests/test_manual_ejections.py
+++ b/tests/test_manual_ejections.py
@@ -14,7 +14,7 @@
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.core.endpoint_registry import Endpoint, EndpointRegistry, Listing
 from bitternpath.balancer.store.ejection_files import EjectionFiles
-from bitternpath.balancer.store.manual_ejections import LOOK_EVERY, ManualEjections
+from bitternpath.balancer.store.manual_ejections import POLL_INTERVAL, ManualEjections
 
 DOWN, UP = "/ops/calendar-workers/down", "/ops/calendar-workers/up"
 UNIX = 1_800_000_000_000.0  # ms
@@ -94,10 +94,10 @@
 def test_what_one_process_is_told_the_other_one_keeps(tmp_path: Path) -> None:
     desk = Desk(tmp_path / "out")
     assert desk.ejections[0].eject("a") and desk.ejections[0].eject("a")
-    desk.reactor.advance(LOOK_EVERY)
+    desk.reactor.advance(POLL_INTERVAL)
     assert desk.registries[1].serving("a") is None
     assert desk.ejections[1].reinstate("a") and desk.ejections[1].reinstate("a")
-    desk.reactor.advance(LOOK_EVERY)
+    desk.reactor.advance(POLL_INTERVAL)
     assert desk.registries[0].serving("a") and desk.registries[1].serving("a")
     assert not desk.ejections[0].eject("nobody") and not desk.ejections[0].reinstate("nobody")
 
@@ -113,7 +113,7 @@
     desk = Desk(tmp_path / "out")
     desk.ejections[0].eject("a")
     (tmp_path / "out").rename(tmp_path / "away")
-    desk.reactor.advance(4 * LOOK_EVERY)
+    desk.reactor.advance(4 * POLL_INTERVAL)
     assert desk.registries[0].serving("a") is None
 
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -96,7 +96,7 @@
     node = Node(load_all({}, str(file), None, {}), MemoryReactorClock())
     file.write_text(but("new", *FIRST, "name"))
     node.reload(lambda running: reload_all(running, {}, str(file), None, {}))
-    assert set(node.listener.classes) == {b"new", b"reminder"} and node._retry_after("new") >= 0.0
+    assert set(node.handler.classes) == {b"new", b"reminder"} and node._retry_after("new") >= 0.0
 
 
 def changed(talk: Talk, *classes: m.JobClass, **more: Any) -> None:
@@ -121,9 +121,9 @@
         for name in "ab":
             (send,) = sends(talk.ask(f"{name}{k}", name))
             talk.end(f"{name}{k}", send.worker, m.How.OK, after=50.0)
-    before = {name: talk.d.lines[name] for name in "ab"}
+    before = {name: talk.d.class_states[name] for name in "ab"}
     changed(talk, job_class("b", aim=300.0), job_class("c"), job_class("a", m.Effect.UNSAFE))
-    lines = talk.d.lines
+    lines = talk.d.class_states
     assert list(lines) == ["b", "c", "a"]
     assert (
         lines["b"].net is before["b"].net
@@ -146,7 +146,7 @@
     acts = talk.sweep(60_000.0)
     assert all(send.worker == "w1" for send in sends(acts))
     for job in list(talk.d.jobs.values()):
-        for attempt in [t for t in job.tries if t.out]:
+        for attempt in [t for t in job.attempts if t.in_flight]:
             acts += talk.end(job.id, attempt.worker.name, m.How.RESET, attempt.n)
     acts += talk.sweep(1000.0)
     assert {a.id for a in finals(acts)} == {"f0", "f1"} and not talk.d.jobs
@@ -172,7 +172,7 @@
         endpoint.does = reject
         posts = endpoint.posts
         assert rig.submit("t2", "/text")[0] == 503 and endpoint.posts == posts + 1
-        rig.reload(WHOLE[:200], 'event="reload failed"')
+        rig.reload(WHOLE[:200], "event=reload_failed")
         told = rig.statistics()
         assert told["app.calls.text.success"] == 1 == told["app.calls.text.busy"]
         assert told["app.calls.reminder.success"] == 1 == told["app.reconfig_failed"]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -167,15 +167,15 @@
         old = rig.discovery
         rig.revision = 5
         old.changes.put(rig.listing())
-        until(lambda: rig.logged("event=roster revision=5 "))
+        until(lambda: rig.logged("event=endpoint_list_applied revision=5 "))
         good = json.dumps(rig.conf)
         for bad in (
             "{",
             json.dumps(rig.conf | {"discovery": "nowhere"}),
             json.dumps(rig.conf | {"settings": {}}),
         ):
-            rig.reload(bad, "reload failed")
-        assert len(rig.logged("reload failed")) == 3 and not old.left.is_set()
+            rig.reload(bad, "event=reload_failed")
+        assert len(rig.logged("event=reload_failed")) == 3 and not old.left.is_set()
         rig.reload(good)
         assert not old.left.is_set() and old.watched.qsize() == 1  # nothing has moved
         new = rig.discovery = Discovery(rig)
@@ -195,10 +195,10 @@
     # Guards: the wait before the next attempt at the address before must not hold up the move, and the
     # list in hand serves meanwhile.
     with running(tmp_path, done) as rig:
-        until(lambda: rig.logged("event=roster "))  # the first watch has spoken
+        until(lambda: rig.logged("event=endpoint_list_applied "))  # the first watch has spoken
         nowhere = json.dumps(rig.conf | {"discovery": "127.0.0.1:9"})
         rig.reload(nowhere)
-        until(lambda: len(rig.logged('event="watch lost"')) >= 3)
+        until(lambda: len(rig.logged("event=subscription_lost")) >= 3)
         assert not rig.discovery.left.is_set()  # the old watch is kept until another speaks
         assert rig.submit("a")[0] == 200
         new = Discovery(rig)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -152,7 +152,7 @@
                 live = [t for t in tries if t["how"] not in NEVER]
                 assert act.id not in self.final and now < self.deadline[act.id]
                 assert act.worker not in self.down
-                assert len(tries) < self.talk.d.set.try_limit
+                assert len(tries) < self.talk.d.settings.try_limit
                 if not self.copies:
                     assert all(t["how"] for t in tries)
                 if live and self.spec.effect is not m.Effect.SAFE:
@@ -229,7 +229,7 @@
         bench.take(talk.say(m.Alarm("sweep"), talk.d.pause))
         bench.expire()
     assert bench.final == set(bench.deadline)
-    assert not talk.d.jobs and not talk.d.out
+    assert not talk.d.jobs and not talk.d.in_flight
 
 
 def test_unknown_and_finished_things_do_no_harm() -> None:
@@ -261,7 +261,7 @@
     """A job many times the usual size has slack beyond its deadline; the deadline must still be kept."""
     talk = Talk(job_class(effect=m.Effect.UNSAFE, give_up=1000.0), workers=[], tells_start=True)
     talk.ask("usual", remaining=1000.0, hint=10.0)
-    talk.d.lines["job"].pace["k"] = 1.0
+    talk.d.class_states["job"].pace["k"] = 1.0
     start, answers = talk.now, finals(talk.ask("heavy", remaining=1000.0, hint=400.0))
     assert talk.d.jobs["heavy"].end_by > talk.d.jobs["heavy"].deadline
     while not answers and talk.now < start + 2000.0:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,8 +15,9 @@
 from rig import SETTINGS, Rig, done, running, until
 from twisted.internet.task import Clock as Reactor
 
-from bitternpath.balancer.core.lifecycle import LifeCycle, held, last_answer
+from bitternpath.balancer.core.lifecycle import Lifecycle, answer_time_after_stop, hold_time_after_stop
 from bitternpath.balancer.http.listener import Listener
+from bitternpath.balancer.http.request_handler import NodeChecks, RequestHandler
 from bitternpath.balancer.settings import settings_from
 
 
@@ -66,13 +67,14 @@
     ]
     settings, broker, nothing = settings_from({**SETTINGS, "classes": classes}), Any, Any
     reactor = Reactor()
-    listener = Listener(
-        reactor, lambda: 5e6, broker, nothing, settings.classes, lambda: True, lambda name: 0.0, LifeCycle()  # type: ignore[arg-type]
-    )  # fmt: skip
+    checks = NodeChecks(lambda: True, lambda name: 0.0)
+    lifecycle = Lifecycle()
+    handler = RequestHandler(broker, nothing, settings.classes, checks, lifecycle)
+    listener = Listener(reactor, lambda: 5e6, nothing, lifecycle, handler)  # type: ignore[arg-type]
     listener.stop()
     killed = min(longest, 3000.0) + 700.0  # PROTOCOL, 'Figures'
-    assert broker.answer_by == 5e6 + last_answer(longest) == 5e6 + killed - 200.0
-    assert held(longest) < last_answer(longest)
+    assert broker.answer_deadline == 5e6 + answer_time_after_stop(longest) == 5e6 + killed - 200.0
+    assert hold_time_after_stop(longest) < answer_time_after_stop(longest)
 
 
 def test_a_request_that_becomes_whole_late_in_the_end_is_answered_by_its_last_moment(tmp_path: Path) -> None:
--- a/tests/test_strain.py
+++ b/tests/test_strain.py
@@ -109,18 +109,18 @@
     """A slow spell raised the lifelong mean, and every later job was given too much slack."""
     talk = Talk(workers=3, tells_start=True)
     teach(talk, 100.0, rounds=60)
-    calm = talk.d.lines["job"].work
+    calm = talk.d.class_states["job"].work
     teach(talk, 300.0, rounds=200)
-    assert talk.d.lines["job"].work < 1.3 * calm
+    assert talk.d.class_states["job"].work < 1.3 * calm
     teach(talk, 60.0, rounds=200)
-    assert talk.d.lines["job"].work < 0.8 * calm
+    assert talk.d.class_states["job"].work < 0.8 * calm
 
 
 def test_slack_is_that_of_the_machine_kind() -> None:
     """A slow machine with a short queue was usable although no job could end there in time."""
     rows = [entry("fast", kind="f"), entry("slow", kind="s")]
     talk = Talk(job_class(aim=100.0, stretch=2.0), workers=rows, tells_start=True)
-    line, slow, fast = talk.d.lines["job"], talk.d.workers["slow"], talk.d.workers["fast"]
+    line, slow, fast = talk.d.class_states["job"], talk.d.workers["slow"], talk.d.workers["fast"]
     line.work, line.run, line.pace = 100.0, 100.0, {"f": 60.0, "s": 290.0}
     slow.wait, fast.wait = 50.0, 50.0
     for k in range(20):
@@ -167,9 +167,9 @@
     talk = Talk(workers=3, tells_start=True, dispatchers=50)
     teach(talk, 100.0)
     talk.d.mean_wait, talk.d.begun_at = 300.0, talk.now
-    talk.d.lines["job"].pace = {}
+    talk.d.class_states["job"].pace = {}
     assert sends(talk.ask("unknown kind"))
-    talk.d.lines["job"].pace = {"k": 5000.0}
+    talk.d.class_states["job"].pace = {"k": 5000.0}
     for worker in talk.d.workers.values():
         worker.wait = 0.0
     assert sends(talk.ask("slow kind"))
@@ -269,7 +269,9 @@
 
 def out_at(talk: Talk, worker: str, job: str) -> str:
     """A job of the class that is out at the worker."""
-    return next(a.job.id for a in talk.d.out.values() if a.worker.name == worker and a.job.spec.name == job)
+    return next(
+        a.job.id for a in talk.d.in_flight.values() if a.worker.name == worker and a.job.spec.name == job
+    )
 
 
 def test_errors_keep_a_class_away_and_those_of_two_classes_any_job() -> None:
@@ -325,7 +327,7 @@
         for worker in sorted(everywhere):
             talk.say(m.JobNote(out_at(talk, worker, "other"), 0, worker))
         talk.sweep(20.0)
-        assert talk.d.out[name, 0].lost == in_order
+        assert talk.d.in_flight[name, 0].lost == in_order
         assert ("w0" in sent_to(talk, "other", 6)) == in_order
         talk.now += 500.0
         assert ("w0" in sent_to(talk, "once")) != in_order
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -70,7 +70,7 @@
             before = rig.posts
             until(lambda before=before: rig.posts > before + 20)  # type: ignore[misc]
             rig.replace()
-            rig.says("event=joined ", turn + 1)
+            rig.says("event=predecessor_joined ", turn + 1)
         over.set()
         got = [status for job in jobs for _, status in job.result()]
         assert set(got) == {200} and rig.posts == len(got)
@@ -80,7 +80,7 @@
     with running(tmp_path, done, console=True) as rig:
         older = rig.upgrade()
         rig.process.kill()
-        rig.says("the newer process is gone")
+        rig.says("event=successor_lost")
         for k in range(10):
             assert rig.submit(f"a{k}")[0] == 200
         assert older.poll() is None
@@ -114,7 +114,7 @@
         rig.file.write_text(json.dumps({**rig.conf, "listen": rig.address, "console": rig.console}))
         failed = rig.spawn()
         assert failed.wait(20) == 1 and failed.stderr is not None
-        assert [line for line in failed.stderr.read().splitlines() if "cannot start" in line]
+        assert [line for line in failed.stderr.read().splitlines() if "event=start_failed" in line]
         # It joins, is stopped from outside before it is ready, and is killed.
         with socket.socket(socket.AF_UNIX) as half:
             half.connect(str(rig.tmp / "bitternpath-n0.sock"))
@@ -138,7 +138,7 @@
         rig.older += [older, newer]
         victim, left = (older, newer) if seed % 2 else (newer, older)
         if random.random() < 0.5:
-            until(lambda: "joined by a newer process" in "".join(rig.log))
+            until(lambda: "event=successor_joined" in "".join(rig.log))
         time.sleep(random.random() * 0.1)
         victim.kill()
         victim.wait(20)
@@ -183,11 +183,15 @@
 
 def test_rubbish_in_the_folder_is_replaced_and_a_node_without_a_folder_serves_alone(tmp_path: Path) -> None:
     with running(tmp_path, done, console=True) as rig:
-        door = rig.tmp / "bitternpath-n0.sock"
-        door.unlink()
-        door.write_text("rubbish")
+        upgrade_socket = rig.tmp / "bitternpath-n0.sock"
+        upgrade_socket.unlink()
+        upgrade_socket.write_text("rubbish")
         rig.replace(joins=False)  # finds nobody, and listens beside the older one
-        assert rig.logged("no older process") and door.is_socket() and rig.submit("a")[0] == 200
+        assert (
+            rig.logged("event=predecessor_not_found")
+            and upgrade_socket.is_socket()
+            and rig.submit("a")[0] == 200
+        )
         rig.tmp.rename(tmp_path / "away")
         rig.replace(joins=False)
         assert rig.submit("b")[0] == 200
