--- a/bitternpath/balancer/fleet/client.py
+++ b/bitternpath/balancer/fleet/client.py
@@ -21,7 +21,7 @@
     """Nobody who could answer did in time; the text says what each said."""
 
 
-def _ask_one(at: Address, ask: m.Ask, name: str, within: float) -> m.Answer:
+def _ask_one(at: Address, ask: m.CommandRequest, name: str, within: float) -> m.CommandReply:
     until = time.monotonic() + within
     with socket.create_connection(at, within) as link:
         link.sendall(m.frame(m.Hello(m.VERSION, "", "command", name)) + m.frame(ask))
@@ -32,48 +32,48 @@
             if not data:
                 break
             for said in frames.feed(data):
-                if isinstance(said, m.Answer) and said.number == ask.number:
+                if isinstance(said, m.CommandReply) and said.number == ask.number:
                     return said
                 if isinstance(said, m.Refused):
-                    return m.Answer(ask.number, False, said.why)
+                    return m.CommandReply(ask.number, False, said.why)
     raise TimeoutError("no answer")
 
 
-def passing(answer: m.Answer) -> bool:
+def is_transient(answer: m.CommandReply) -> bool:
     """Whether the same question may be answered soon."""
     return not answer.ok and ("leader" in answer.text or "again" in answer.text)
 
 
-def ask(stewards: Mapping[str, Address], command: m.Command, name: str, within: float) -> m.Answer:
+def ask(servers: Mapping[str, Address], command: m.Command, name: str, within: float) -> m.CommandReply:
     """Ask any steward, again until one answers or the time is up; NoAnswerError then."""
-    until, said = time.monotonic() + within, dict.fromkeys(stewards, "not asked")
+    until, said = time.monotonic() + within, dict.fromkeys(servers, "not asked")
     while True:
-        for steward, at in stewards.items():
+        for server, at in servers.items():
             try:
-                answer = _ask_one(at, m.Ask(1, command), name, min(ANSWER_WITHIN, within))
+                answer = _ask_one(at, m.CommandRequest(1, command), name, min(ANSWER_WITHIN, within))
             except (OSError, m.WireError) as error:
-                said[steward] = str(error) or type(error).__name__
+                said[server] = str(error) or type(error).__name__
                 continue
-            if not passing(answer):
+            if not is_transient(answer):
                 return answer
-            said[steward] = answer.text
+            said[server] = answer.text
         if time.monotonic() >= until:
-            raise NoAnswerError("; ".join(f"{steward}: {why}" for steward, why in said.items()))
+            raise NoAnswerError("; ".join(f"{server}: {why}" for server, why in said.items()))
         time.sleep(AGAIN_AFTER)
 
 
-def look(
-    stewards: Mapping[str, Address], command: m.Look, name: str, within: float
+def query(
+    servers: Mapping[str, Address], command: m.Query, name: str, within: float
 ) -> tuple[dict[str, Any], str]:
     """What is known, and why it may be old: empty where a majority stands behind it."""
     try:
-        answer, why = ask(stewards, command, name, within), ""
+        answer, why = ask(servers, command, name, within), ""
     except NoAnswerError as error:
         why, found = str(error), []
         stale = msgspec.structs.replace(command, stale=True)
-        for at in stewards.values():
+        for at in servers.values():
             try:
-                found.append(_ask_one(at, m.Ask(1, stale), name, ANSWER_WITHIN))
+                found.append(_ask_one(at, m.CommandRequest(1, stale), name, ANSWER_WITHIN))
             except (OSError, m.WireError):
                 continue
         if not found:
--- a/bitternpath/balancer/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -19,34 +19,39 @@
 class Commands(ReplicaState):
     """Commands of operators, while this member leads; the status also where it doesn't."""
 
-    def _command(self, now: float, leadership: Leadership, route: Route, ask: m.Ask) -> None:
+    def _command(self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest) -> None:
         match ask.command:
-            case m.Look():
+            case m.Query():
                 waits = PendingRequest(self.raft.request_heartbeat_round(), now, route, ask)
                 leadership.awaiting_round.append(waits)
             case m.Propose():
                 self._propose_change(now, leadership, route, ask, ask.command)
             case m.Withdraw(version, author, reason):
-                index = self._propose(now, p.Void(version, author, reason))
+                index = self._propose(now, p.WithdrawVersion(version, author, reason))
                 self._answer_when_committed(now, leadership, route, ask, index)
             case m.ChangeMembers():
                 self._change_members(now, leadership, route, ask, ask.command)
-            case m.PassOn(to):
+            case m.TransferLeadership(to):
                 to = self._voter_id(to)
                 done = self.raft.transfer_leadership(now, to)
                 self._answer(route, ask.number, "" if done else f"{to} is no other voter")
 
     def _propose_change(
-        self, now: float, leadership: Leadership, route: Route, ask: m.Ask, command: m.Propose
+        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, command: m.Propose
     ) -> None:
         if command.id in self.record.ids:  # asked again
             self._answer(route, ask.number, "", {"version": self.record.ids[command.id]})
             return
-        adopt = p.Adopt(command.id, command.author, command.reason, self.wall(), command.change)
+        adopt = p.AgreeChange(command.id, command.author, command.reason, self.wall(), command.change)
         self._answer_when_committed(now, leadership, route, ask, self._propose(now, adopt))
 
     def _change_members(
-        self, now: float, leadership: Leadership, route: Route, ask: m.Ask, command: m.ChangeMembers
+        self,
+        now: float,
+        leadership: Leadership,
+        route: Route,
+        ask: m.CommandRequest,
+        command: m.ChangeMembers,
     ) -> None:
         if command.add and command.add not in self.member_ids:
             self._answer(route, ask.number, f"{command.add} has not been heard of; does it run?")
@@ -64,7 +69,7 @@
         self._answer_when_committed(now, leadership, route, ask, index)
 
     def _answer_when_committed(
-        self, now: float, leadership: Leadership, route: Route, ask: m.Ask, index: int | None
+        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, index: int | None
     ) -> None:
         if index is None:
             self._answer(route, ask.number, CHANGING)
@@ -103,9 +108,9 @@
 
     # ---- status
 
-    def _answer_status(self, now: float, route: Route, ask: m.Ask) -> None:
+    def _answer_status(self, now: float, route: Route, ask: m.CommandRequest) -> None:
         found = self._status(now)
-        if isinstance(ask.command, m.Look) and ask.command.what == "audit":
+        if isinstance(ask.command, m.Query) and ask.command.what == "audit":
             found |= self._audit()
         self._answer(route, ask.number, "", found)
 
--- a/bitternpath/balancer/fleet/wire.py
+++ b/bitternpath/balancer/fleet/connection.py
@@ -20,15 +20,22 @@
 
 
 @implementer(IPushProducer)
-class Wire(Protocol):
-    """One connection. `hear` gets the peer's `Hello` and then every message; `lost` is called at the end."""
+class FleetConnection(Protocol):
+    """One connection of the fleet's protocol.
+
+    `receive` gets the peer's `Hello` and then every message; `lost` is called once, when it is closed.
+    """
 
     transport: Any
 
     def __init__(
-        self, reactor: Any, hello: m.Hello, hear: Callable[[Wire, m.Said], None], lost: Callable[[Wire], None]
-    ) -> None:  # fmt: skip
-        self.reactor, self.hello, self._hear, self._lost = reactor, hello, hear, lost
+        self,
+        reactor: Any,
+        hello: m.Hello,
+        receive: Callable[[FleetConnection, m.FleetMessage], None],
+        lost: Callable[[FleetConnection], None],
+    ) -> None:
+        self.reactor, self.hello, self._receive, self._lost = reactor, hello, receive, lost
         self.name = ""  # of whom was dialled, for those who dial
         self.frames = m.Frames()
         self.peer: m.Hello | None = None  # who it says to be
@@ -41,7 +48,7 @@
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self._alarm = self.reactor.callLater(HELLO_WITHIN, self.drop, "said nothing")
-        self.say(self.hello)
+        self.send(self.hello)
 
     # What we write is made elsewhere; as a producer we only hear whether the other side reads.
 
@@ -54,10 +61,10 @@
     def stopProducing(self) -> None:
         self.full = True
 
-    def say(self, said: m.Said) -> None:
+    def send(self, message: m.FleetMessage) -> None:
         if not self.open:
             return
-        data = m.frame(said)
+        data = m.frame(message)
         if self.full:
             self.unread += len(data)
             if self.unread > UNREAD:
@@ -67,32 +74,32 @@
 
     def dataReceived(self, data: bytes) -> None:
         try:
-            for said in self.frames.feed(data):
+            for message in self.frames.feed(data):
                 if not self.open:
                     return
-                if self.peer is None and not self._greeted(said):
+                if self.peer is None and not self._accept_hello(message):
                     return
-                self._hear(self, said)
+                self._receive(self, message)
         except m.WireError as error:
             self.drop(str(error))
 
-    def _greeted(self, said: m.Said) -> bool:
+    def _accept_hello(self, message: m.FleetMessage) -> bool:
         refused = ""
-        if isinstance(said, m.Refused):
-            self.drop(f"refused us: {said.why}")
+        if isinstance(message, m.Refused):
+            self.drop(f"refused us: {message.why}")
             return False
-        if not isinstance(said, m.Hello):
+        if not isinstance(message, m.Hello):
             refused = "the first message must be hello"
-        elif said.version != m.VERSION:
-            refused = f"version {said.version} of the fleet's messages; {m.VERSION} is spoken here"
-        elif said.fleet and self.hello.fleet and said.fleet != self.hello.fleet:
+        elif message.version != m.VERSION:
+            refused = f"version {message.version} of the fleet's messages; {m.VERSION} is spoken here"
+        elif message.fleet and self.hello.fleet and message.fleet != self.hello.fleet:
             refused = "another fleet"
         else:
-            self.peer = said
+            self.peer = message
             self._alarm.cancel()
             return True
-        log.warning("connection refused", peer=str(self.transport.getPeer()), why=refused)
-        self.say(m.Refused(refused))
+        log.warning("connection_refused", peer=str(self.transport.getPeer()), why=refused)
+        self.send(m.Refused(refused))
         self.close()
         return False
 
@@ -100,7 +107,7 @@
         """Close now, and say why in one line."""
         if self.open:
             peer = self.peer.name if self.peer is not None else str(self.transport.getPeer())
-            log.warning("connection given up", peer=peer, why=why)
+            log.warning("connection_aborted", peer=peer, why=why)
             self.open = False
             self.transport.abortConnection()
 
--- a/bitternpath/balancer/fleet/leadership.py
+++ b/bitternpath/balancer/fleet/leadership.py
@@ -27,7 +27,7 @@
         self.behind_since: float | None = None
         self.ending = False  # its end is in the log
 
-    def update(self, now: float, route: Route, renew: m.Renew) -> None:
+    def update(self, now: float, route: Route, renew: m.RenewLease) -> None:
         """A request of the holder has come."""
         self.heard, self.route, self.sent = now, route, renew.sent
         self.acting, self.have = renew.acting, renew.have
@@ -40,7 +40,7 @@
     awaited: int  # the round, or the entry's index
     received: float  # by the leader's clock, s
     route: Route
-    request: m.Renew | m.Acts | m.Ask
+    request: m.RenewLease | m.AuditLines | m.CommandRequest
 
 
 class Leadership:
--- a/bitternpath/balancer/fleet/lease_holder.py
+++ b/bitternpath/balancer/fleet/lease_holder.py
@@ -21,14 +21,17 @@
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
 
-SHARE = 1 / 3  # of a lease, after which it is renewed
-FIRST = 1.0  # s between requests while nobody has told how long a lease is
+RENEWAL_SHARE = 1 / 3  # of a lease, after which it is renewed
+FIRST_RENEWAL_INTERVAL = 1.0  # s between requests while nobody has told how long a lease is
 ANSWER_WITHIN = 1.0  # s after which another steward is tried
 OLDER_AT_ONCE = 4  # processes of which lines are sent at a time
-FIRST_PAUSE, LONGEST_PAUSE = 0.2, 3.0  # s before another is tried, doubled each time and drawn from half on
+FIRST_BACKOFF, LONGEST_BACKOFF = (
+    0.2,
+    3.0,
+)  # s before another is tried, doubled each time and drawn from half on
 
 
-class Who(Struct, frozen=True):
+class ProcessIdentity(Struct, frozen=True):
     """A process of a node."""
 
     node: str
@@ -38,44 +41,49 @@
     alone: str = "serve"
 
 
-class Act(Struct, frozen=True):
+class ProcessEvent(Struct, frozen=True):
     """Something that the process did; `at` in s on its own clock."""
 
     at: float
     what: str  # joined, acts, lost, left
     version: int
-    fence: int
+    fencing_token: int
 
 
 class LeaseHolder:
     """One process's side. What it wants done is in `sends`, `acts` and `dial` until it is taken."""
 
     def __init__(
-        self, who: Who, stewards: list[str], random: Random, now: float, wall: Callable[[], float],
+        self,
+        who: ProcessIdentity,
+        servers: list[str],
+        random: Random,
+        now: float,
+        wall: Callable[[], float],
         check: Callable[[p.Plan], str],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.who, self.random, self.wall, self.check = who, random, wall, check
-        self.ledger = audit.Ledger(who.boot)
-        self.older: list[audit.Ledger] = []  # of processes of this node before, not acknowledged yet
+        self.audit_log = audit.AuditLog(who.boot)
+        self.older: list[audit.AuditLog] = []  # of processes of this node before, not acknowledged yet
         self.plan = p.Plan()  # acted on
         self.taken = p.Plan()  # the last one that was checked whole
         self._next: list[p.Plan] = []  # taken and not acted on
         self.refuses = ""
         self.withheld = "no steward has answered yet"  # why there is no lease, as last told
-        self.fence, self.until, self.length = 0, now, 0.0
+        self.fencing_token, self.until, self.length = 0, now, 0.0
         self._lost = 0  # the last fence of which the lease was over
         self.latest = 0  # the last version heard of
-        self.sends: list[m.FromAgent] = []
-        self.acts: list[Act] = []
-        self.stewards = stewards[:]
-        self.random.shuffle(self.stewards)
+        self.sends: list[m.ClientMessage] = []
+        self.acts: list[ProcessEvent] = []
+        self.servers = servers[:]
+        self.random.shuffle(self.servers)
         self.connected = ""  # the steward spoken to
         self.ended = False
-        self._parting: m.Parting | None = None  # the last word
+        self._parting: m.LeaseReleased | None = None  # the last word
         self.hang_up = False  # the connection, or the dialling, is given up
-        self.dial: str | None = self.stewards[0]  # to be connected to now
+        self.dial: str | None = self.servers[0]  # to be connected to now
         self._tried = 0
-        self._pause = FIRST_PAUSE
+        self._backoff = FIRST_BACKOFF
         self._dial_at = float("inf")
         self._renew_at = float("inf")
         self._answer_by = float("inf")
@@ -84,40 +92,42 @@
 
     def holds(self, now: float) -> bool:
         """Whether this process may act under the fleet's word in this very moment."""
-        if self.fence and now >= self.until:
+        if self.fencing_token and now >= self.until:
             self._act(self.until, audit.LOST)
-            self._lost, self.fence = self.fence, 0
-        return bool(self.fence)
+            self._lost, self.fencing_token = self.fencing_token, 0
+        return bool(self.fencing_token)
 
     def _act(self, now: float, what: str, detail: str = "") -> None:
-        self.acts.append(Act(now, what, self.plan.version, self.fence))
-        self.ledger.add(self.wall(), what, self.plan.version, self.fence, detail)
+        self.acts.append(ProcessEvent(now, what, self.plan.version, self.fencing_token))
+        self.audit_log.add(self.wall(), what, self.plan.version, self.fencing_token, detail)
 
     def note(self, what: str, detail: str) -> None:
         """Something that the node did by itself."""
-        self.ledger.add(self.wall(), what, self.plan.version, self.fence, detail)
+        self.audit_log.add(self.wall(), what, self.plan.version, self.fencing_token, detail)
 
     # ---- inputs
 
     @property
     def alarm(self) -> float:
         """When `tick` is wanted next."""
-        return min(self._dial_at, self._renew_at, self._answer_by, self.until if self.fence else float("inf"))
+        return min(
+            self._dial_at, self._renew_at, self._answer_by, self.until if self.fencing_token else float("inf")
+        )
 
     def tick(self, now: float) -> None:
         self.holds(now)
         if now >= self._dial_at:
             self._dial_at = float("inf")
             self._tried += 1
-            self.dial = self.stewards[self._tried % len(self.stewards)]
+            self.dial = self.servers[self._tried % len(self.servers)]
         if now >= self._answer_by:
             self.lost(now)
         elif self.connected and now >= self._renew_at:
             self._renew(now)
 
-    def up(self, now: float, steward: str) -> None:
+    def up(self, now: float, server: str) -> None:
         """The connection that was dialled is there."""
-        self.connected = steward
+        self.connected = server
         self._renew(now)
 
     def lost(self, now: float) -> None:
@@ -126,34 +136,34 @@
         self._renew_at = self._answer_by = float("inf")
         if self.ended:
             return
-        self._dial_at = now + self._pause * (0.5 + self.random.random())
-        self._pause = min(2 * self._pause, LONGEST_PAUSE)
+        self._dial_at = now + self._backoff * (0.5 + self.random.random())
+        self._backoff = min(2 * self._backoff, LONGEST_BACKOFF)
 
-    def hear(self, now: float, said: m.ToOutside) -> None:
+    def receive(self, now: float, message: m.ForwardableReply) -> None:
         if self.ended:
             return
-        match said:
+        match message:
             case m.Lease():
                 self._answered(now)
-                self._lease(now, said)
-            case m.Withheld(_, why, elsewhere):
+                self._lease(now, message)
+            case m.LeaseRefused(_, why, elsewhere):
                 self.withheld = why
                 if elsewhere:
                     self.lost(now)
                 else:
                     self._answered(now)
-            case m.Changes(changes):
-                self._take(now, changes)
-            case m.Whole(plan, changes):
-                self._whole(now, plan, changes)
-            case m.Heard(boot, upto):
-                self._heard(boot, upto)
-            case m.News(_, latest):
+            case m.VersionChanges(changes):
+                self._take_changes(now, changes)
+            case m.PlanSnapshot(plan, changes):
+                self._take_snapshot(now, plan, changes)
+            case m.AuditAcknowledged(boot, upto):
+                self._audit_acknowledged(boot, upto)
+            case m.VersionUpdate(_, latest):
                 self.latest = max(self.latest, latest)
                 self._renew(now)
 
     @property
-    def in_hand(self) -> list[p.Plan]:
+    def current_plans(self) -> list[p.Plan]:
         """The plan that is acted on, and those that were taken and may be acted on any moment."""
         return [self.plan, *self._next]
 
@@ -161,15 +171,15 @@
         """It acts no more; the stewards hear so once it is written down."""
         if self.holds(now):
             self._act(now, audit.LEFT)
-            self._parting = m.Parting(self.who.node, self.who.boot, self.fence)
-            self.fence = 0
+            self._parting = m.LeaseReleased(self.who.node, self.who.boot, self.fencing_token)
+            self.fencing_token = 0
         self.ended = True
         self._renew_at = self._dial_at = self._answer_by = float("inf")
         self._leave()
 
     def wrote(self, now: float, upto: int | None) -> None:
         """Lines up to that one are on file; None: no file is waited for any more."""
-        self.ledger.written = upto
+        self.audit_log.written = upto
         if self.ended:
             self._leave()
         elif self.connected:
@@ -177,7 +187,7 @@
 
     def _leave(self) -> None:
         """The last words, where all is on file."""
-        if self.ledger.written not in (None, self.ledger.number):
+        if self.audit_log.written not in (None, self.audit_log.number):
             return
         if self.connected:
             self._report()
@@ -189,46 +199,50 @@
 
     def _renew(self, now: float) -> None:
         who = self.who
-        fence = self.fence if self.holds(now) else 0
+        fencing_token = self.fencing_token if self.holds(now) else 0
         self.sends.append(
-            m.Renew(
-                who.node, who.boot, who.site, who.release, who.alone, now, fence, self.plan.version,
+            m.RenewLease(
+                who.node, who.boot, who.site, who.release, who.alone, now, fencing_token, self.plan.version,
                 self.taken.version, self.taken.digest, self.refuses,
             )
         )  # fmt: skip
         self._report()
-        self._renew_at = now + (self.length * SHARE if self.length else FIRST)
+        self._renew_at = now + (self.length * RENEWAL_SHARE if self.length else FIRST_RENEWAL_INTERVAL)
         self._answer_by = min(self._answer_by, now + ANSWER_WITHIN)
 
     def _report(self) -> None:
         """What was done and is not acknowledged, the oldest process first."""
-        for ledger in [*self.older, self.ledger][:OLDER_AT_ONCE]:
-            lines = ledger.next
-            if lines or ledger is not self.ledger:
-                final = ledger.number if ledger.ended else 0
-                self.sends.append(m.Acts(self.who.node, ledger.boot, lines, final))
-
-    def _heard(self, boot: str, upto: int) -> None:
-        for ledger in [*self.older, self.ledger]:
-            if ledger.boot != boot:
+        for audit_log in [*self.older, self.audit_log][:OLDER_AT_ONCE]:
+            lines = audit_log.next
+            if lines or audit_log is not self.audit_log:
+                final = audit_log.number if audit_log.ended else 0
+                self.sends.append(m.AuditLines(self.who.node, audit_log.boot, lines, final))
+
+    def _audit_acknowledged(self, boot: str, upto: int) -> None:
+        for audit_log in [*self.older, self.audit_log]:
+            if audit_log.boot != boot:
                 continue
-            before = len(ledger.unheard)
-            ledger.heard(upto)
-            if not ledger.unheard and ledger in self.older:
-                self.older.remove(ledger)
-            if len(ledger.unheard) < before and (ledger.unheard or self.older):
+            before = len(audit_log.unheard)
+            audit_log.heard(upto)
+            if not audit_log.unheard and audit_log in self.older:
+                self.older.remove(audit_log)
+            if len(audit_log.unheard) < before and (audit_log.unheard or self.older):
                 self._report()  # there is more
 
     def _answered(self, now: float) -> None:
         self._answer_by = float("inf")
-        self._pause = FIRST_PAUSE
+        self._backoff = FIRST_BACKOFF
 
     def _lease(self, now: float, lease: m.Lease) -> None:
         self.holds(now)
-        old = lease.fence < self.fence or lease.fence <= self._lost  # that one is over, renewed or not
+        old = (
+            lease.fencing_token < self.fencing_token or lease.fencing_token <= self._lost
+        )  # that one is over, renewed or not
         if old or lease.sent > now or lease.sent + lease.length <= now:
             return
-        joins = lease.fence != self.fence  # while one is in hand, too: two requests to join were on the way
+        joins = (
+            lease.fencing_token != self.fencing_token
+        )  # while one is in hand, too: two requests to join were on the way
         before = self.plan.version
         current = self._advance(lease)
         if joins and not current:
@@ -236,7 +250,7 @@
         self.length, self.withheld = lease.length, ""
         self.until = max(self.until, lease.sent + lease.length)
         if joins:
-            self.fence = lease.fence
+            self.fencing_token = lease.fencing_token
             self._act(now, audit.JOINED)
         elif self.plan.version != before:
             self._act(now, audit.ACTS)
@@ -253,7 +267,7 @@
 
     # ---- taking
 
-    def _take(self, now: float, changes: tuple[p.Agreed, ...]) -> None:
+    def _take_changes(self, now: float, changes: tuple[p.AgreedVersion, ...]) -> None:
         had, refused = self.taken, self.refuses
         for agreed in changes:
             self.latest = max(self.latest, agreed.version)
@@ -272,9 +286,9 @@
         if self.refuses and self.refuses != refused:
             self.note(audit.REFUSES, self.refuses)
         if (had, refused) != (self.taken, self.refuses):
-            self._soon(now)
+            self._renew_if_connected(now)
 
-    def _whole(self, now: float, plan: p.Plan, changes: tuple[p.Agreed, ...]) -> None:
+    def _take_snapshot(self, now: float, plan: p.Plan, changes: tuple[p.AgreedVersion, ...]) -> None:
         """What is in hand is not what the stewards have: begin anew from what is released."""
         self.latest = max(self.latest, plan.version)
         if plan.version < self.plan.version:
@@ -282,13 +296,13 @@
         if why := self.check(plan):
             again, self.refuses = self.refuses, f"version {plan.version}: {why}"
             if again != self.refuses:
-                self._soon(now)
+                self._renew_if_connected(now)
             return
         self._next = [plan] if plan.version > self.plan.version else []
         self.taken, self.refuses = plan, ""
-        self._take(now, changes)
-        self._soon(now)
+        self._take_changes(now, changes)
+        self._renew_if_connected(now)
 
-    def _soon(self, now: float) -> None:
+    def _renew_if_connected(self, now: float) -> None:
         if self.connected:
             self._renew(now)
--- a/bitternpath/balancer/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from bitternpath.balancer.fleet.audit import Line
-from bitternpath.balancer.fleet.plan import Agreed, Change, Plan
+from bitternpath.balancer.fleet.plan import AgreedVersion, Change, Plan
 from bitternpath.replication import messages as consensus
 
 VERSION = 1  # of these messages
@@ -44,24 +44,32 @@
     message: consensus.Message
 
 
-class Passed(Struct, frozen=True, tag="passed"):
+class ForwardedRequest(Struct, frozen=True, tag="passed"):
     """What somebody connected to the sender said, for the leader."""
 
     token: int  # the connection there
-    said: Renew | Parting | Acts | Ask
+    said: RenewLease | LeaseReleased | AuditLines | CommandRequest
 
 
-class Back(Struct, frozen=True, tag="back"):
+class ForwardedReply(Struct, frozen=True, tag="back"):
     """The leader's answer to it."""
 
     token: int
-    said: Lease | Withheld | Changes | Whole | News | Heard | Answer
+    said: (
+        Lease
+        | LeaseRefused
+        | VersionChanges
+        | PlanSnapshot
+        | VersionUpdate
+        | AuditAcknowledged
+        | CommandReply
+    )
 
 
 # ---- an agent to its steward
 
 
-class Renew(Struct, frozen=True, tag="renew"):
+class RenewLease(Struct, frozen=True, tag="renew"):
     """A process of a node asks for its lease: the first one, or on. Also its report."""
 
     node: str
@@ -70,22 +78,22 @@
     release: tuple[int, ...]
     alone: str  # what it does without a lease: serve or leave
     sent: float  # s on its own clock
-    fence: int  # of the lease in hand; 0: none
+    fencing_token: int = msgspec.field(name="fence")  # of the lease in hand; 0: none
     acting: int  # the version it acts on; 0: none
     have: int  # the last version that it has taken
     digest: bytes  # of that one
     refuses: str = ""  # why it cannot take the next one
 
 
-class Parting(Struct, frozen=True, tag="parting"):
+class LeaseReleased(Struct, frozen=True, tag="parting"):
     """It ends, and acts no more under that fence."""
 
     node: str
     boot: str
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
 
 
-class Acts(Struct, frozen=True, tag="acts"):
+class AuditLines(Struct, frozen=True, tag="acts"):
     """Lines of a process's audit that are not acknowledged yet."""
 
     node: str
@@ -102,12 +110,12 @@
 
     sent: float
     length: float  # s
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
     released: int  # to be acted on now
     digest: bytes
 
 
-class Withheld(Struct, frozen=True, tag="withheld"):
+class LeaseRefused(Struct, frozen=True, tag="withheld"):
     """No lease, or none for longer; what it lacks comes beside."""
 
     sent: float
@@ -115,27 +123,27 @@
     elsewhere: bool = False  # another steward may know more
 
 
-class Changes(Struct, frozen=True, tag="changes"):
+class VersionChanges(Struct, frozen=True, tag="changes"):
     """What follows the version it has."""
 
-    changes: tuple[Agreed, ...]
+    changes: tuple[AgreedVersion, ...]
 
 
-class Whole(Struct, frozen=True, tag="whole"):
+class PlanSnapshot(Struct, frozen=True, tag="whole"):
     """Where the changes since are not kept any more: the plan as released, and what follows."""
 
     plan: Plan
-    changes: tuple[Agreed, ...]
+    changes: tuple[AgreedVersion, ...]
 
 
-class News(Struct, frozen=True, tag="news"):
+class VersionUpdate(Struct, frozen=True, tag="news"):
     """There is something to take or to act on: renew at once."""
 
     released: int
     latest: int
 
 
-class Heard(Struct, frozen=True, tag="heard"):
+class AuditAcknowledged(Struct, frozen=True, tag="heard"):
     """The record has the lines of that process up to this one."""
 
     boot: str
@@ -160,7 +168,7 @@
     reason: str
 
 
-class Look(Struct, frozen=True, tag="look"):
+class Query(Struct, frozen=True, tag="look"):
     """What is known: `status`, `versions`, `explain`, `audit` or `members`."""
 
     what: str
@@ -175,55 +183,57 @@
     remove: str = ""
 
 
-class PassOn(Struct, frozen=True, tag="pass on"):
+class TransferLeadership(Struct, frozen=True, tag="pass on"):
     """Another steward shall lead."""
 
     to: str
 
 
-Command = Propose | Withdraw | Look | ChangeMembers | PassOn
+Command = Propose | Withdraw | Query | ChangeMembers | TransferLeadership
 
 
-class Ask(Struct, frozen=True, tag="ask"):
+class CommandRequest(Struct, frozen=True, tag="ask"):
     number: int
     command: Command
 
 
-class Answer(Struct, frozen=True, tag="answer"):
+class CommandReply(Struct, frozen=True, tag="answer"):
     number: int
     ok: bool
     text: str  # what went wrong, in one line
     data: msgspec.Raw = msgspec.Raw(b"\xc0")
 
 
-Said = (
+FleetMessage = (
     Hello
     | Refused
     | Consensus
-    | Passed
-    | Back
-    | Renew
-    | Parting
-    | Acts
+    | ForwardedRequest
+    | ForwardedReply
+    | RenewLease
+    | LeaseReleased
+    | AuditLines
     | Lease
-    | Withheld
-    | Changes
-    | Whole
-    | News
-    | Heard
-    | Ask
-    | Answer
+    | LeaseRefused
+    | VersionChanges
+    | PlanSnapshot
+    | VersionUpdate
+    | AuditAcknowledged
+    | CommandRequest
+    | CommandReply
 )
 
-FromAgent = Renew | Parting | Acts
-FromOutside = Renew | Parting | Acts | Ask  # what a steward passes on
-ToOutside = Lease | Withheld | Changes | Whole | News | Heard | Answer
+ClientMessage = RenewLease | LeaseReleased | AuditLines
+ForwardableRequest = RenewLease | LeaseReleased | AuditLines | CommandRequest  # what a steward passes on
+ForwardableReply = (
+    Lease | LeaseRefused | VersionChanges | PlanSnapshot | VersionUpdate | AuditAcknowledged | CommandReply
+)
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Said)
+_decoder = msgspec.msgpack.Decoder(FleetMessage)
 
 
-def frame(said: Said) -> bytes:
+def frame(said: FleetMessage) -> bytes:
     data = _encoder.encode(said)
     if len(data) > FRAME_LIMIT:
         raise WireError(f"a message of {len(data)} bytes; at most {FRAME_LIMIT} are allowed")
@@ -236,10 +246,10 @@
     def __init__(self) -> None:
         self._data = bytearray()
 
-    def feed(self, data: bytes) -> list[Said]:
+    def feed(self, data: bytes) -> list[FleetMessage]:
         """The messages that are whole now; WireError where one cannot be read."""
         self._data += data
-        found: list[Said] = []
+        found: list[FleetMessage] = []
         at = 0
         while len(self._data) - at >= _HEAD.size:
             (size,) = _HEAD.unpack_from(self._data, at)
--- a/bitternpath/balancer/fleet/files.py
+++ b/bitternpath/balancer/fleet/node_folder.py
@@ -22,7 +22,7 @@
 from bitternpath.balancer.fleet import audit
 from bitternpath.balancer.fleet import plan as p
 
-log = structlog.get_logger(part="agent")
+log = structlog.get_logger(part="record_client")
 
 PLAN, ACTS = "plan", "acts-"
 put = os.write  # the seam for tests: a disk that is held up, or refuses
@@ -47,7 +47,7 @@
 
     # ---- what earlier processes left
 
-    def older(self) -> list[audit.Ledger]:
+    def older(self) -> list[audit.AuditLog]:
         """Of earlier processes, the oldest first; what is wrong with one is logged."""
         found = []
         for file in sorted(self.path.glob(f"{ACTS}*"), key=lambda file: file.stat().st_mtime):
@@ -60,11 +60,11 @@
                     lines.append(msgspec.json.decode(text, type=audit.Line))
             except (OSError, msgspec.DecodeError) as error:
                 why = f"line {len(lines) + 1}: {error}"  # the last one is torn, or somebody has been at it
-            ledger, fault = audit.read_back(boot, lines)
+            audit_log, fault = audit.read_back(boot, lines)
             if why or fault:
-                log.error("the audit of an earlier process is not whole", file=str(file), why=fault or why)
+                log.error("earlier_audit_log_corrupt", file=str(file), why=fault or why)
             if lines:
-                found.append(ledger)
+                found.append(audit_log)
             else:
                 file.unlink(missing_ok=True)
         return found
@@ -76,7 +76,7 @@
         except FileNotFoundError:
             return None
         except (OSError, msgspec.DecodeError) as error:
-            log.warning("the plan last acted on cannot be read", why=error)
+            log.warning("last_plan_read_failed", why=error)
             return None
 
     # ---- what is written
@@ -87,7 +87,7 @@
             return
         self._lines += lines
         self._plan = plan or self._plan
-        if len(self._lines) > audit.LEDGER_LINES:
+        if len(self._lines) > audit.AUDIT_LOG_LINES:
             self._fail(f"a write has not come back, and {len(self._lines)} lines wait for it")
         elif not self._writing:
             self._next()
@@ -126,5 +126,5 @@
     def _fail(self, why: str) -> None:
         if not self._failed:
             self._failed, self._lines, self._plan = True, [], None
-            log.error("the audit cannot be written: kept in memory", folder=str(self.path), why=why)
+            log.error("audit_log_write_failed", folder=str(self.path), why=why)
             self.written(None)
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -16,7 +16,7 @@
 from blake3 import blake3
 from msgspec import Struct
 
-from bitternpath.balancer.fleet.audit import Account, Line
+from bitternpath.balancer.fleet.audit import Line, ProcessAudit
 
 KEPT_CHANGES = 256  # released ones that are kept for those who lag; who lags more gets the whole plan
 KEPT_FOR = 7 * 86400.0  # s for which lines of the audit are kept
@@ -48,13 +48,13 @@
     value: float | bool
 
 
-class Ban(Struct, frozen=True, tag="ban"):
+class EjectWorker(Struct, frozen=True, tag="ban"):
     """Nothing new to that calendar worker, from any node."""
 
     worker: str
 
 
-class Unban(Struct, frozen=True, tag="back"):
+class ReinstateWorker(Struct, frozen=True, tag="back"):
     worker: str
 
 
@@ -64,10 +64,10 @@
     release: tuple[int, ...]
 
 
-Change = SetClass | SetRule | Ban | Unban | LeastRelease
+Change = SetClass | SetRule | EjectWorker | ReinstateWorker | LeastRelease
 
 
-class Agreed(Struct, frozen=True):
+class AgreedVersion(Struct, frozen=True):
     """A version."""
 
     version: int
@@ -87,10 +87,12 @@
     digest: bytes = b""
     classes: dict[str, dict[str, float]] = {}
     rules: dict[str, dict[str, float | bool]] = {}
-    bans: dict[str, int] = {}  # worker: the version that banned it
+    ejections: dict[str, int] = msgspec.field(
+        default_factory=dict, name="bans"
+    )  # worker: since which version
     least_release: tuple[int, ...] = ()
 
-    def after(self, agreed: Agreed) -> Plan:
+    def after(self, agreed: AgreedVersion) -> Plan:
         """With the next version; PlanError where the change cannot be."""
         if agreed.version != self.version + 1:
             raise PlanError(f"version {agreed.version} does not follow {self.version}")
@@ -121,17 +123,17 @@
                     raise PlanError(f"{section}.{key} = {value}: must be a number above 0")
                 changed = self.rules.get(section, {}) | {key: value}
                 return msgspec.structs.replace(self, rules=self.rules | {section: changed})
-            case Ban(worker):
-                if not worker or worker in self.bans:
+            case EjectWorker(worker):
+                if not worker or worker in self.ejections:
                     raise PlanError(
                         f"{worker or 'no worker'}: is banned already" if worker else "no worker is named"
                     )
-                return msgspec.structs.replace(self, bans=self.bans | {worker: version})
-            case Unban(worker):
-                if worker not in self.bans:
+                return msgspec.structs.replace(self, ejections=self.ejections | {worker: version})
+            case ReinstateWorker(worker):
+                if worker not in self.ejections:
                     raise PlanError(f"{worker}: is not banned by the fleet")
-                left = {id: since for id, since in self.bans.items() if id != worker}
-                return msgspec.structs.replace(self, bans=left)
+                left = {id: since for id, since in self.ejections.items() if id != worker}
+                return msgspec.structs.replace(self, ejections=left)
             case LeastRelease(release):
                 if not release or any(part < 0 for part in release):
                     raise PlanError(f"release {release}: must be numbers, as 1.4.0")
@@ -146,7 +148,7 @@
 # ---- entries of the log
 
 
-class Terms(Struct, frozen=True):
+class LeaseTerms(Struct, frozen=True):
     """Times in s; `drift` is by how much of its time any clock may run fast or slow. The fleet has one set of
     them, or stewards would not agree when a lease is over."""
 
@@ -160,14 +162,14 @@
         return self.lease * (1.0 + self.drift) / (1.0 - self.drift)
 
 
-class Found(Struct, frozen=True, tag="found"):
+class Bootstrap(Struct, frozen=True, tag="found"):
     """The first entry of a fleet; `id` is its own, so that no two fleets are taken for one."""
 
-    terms: Terms
+    terms: LeaseTerms
     id: str
 
 
-class Adopt(Struct, frozen=True, tag="adopt"):
+class AgreeChange(Struct, frozen=True, tag="adopt"):
     """A change is agreed, where it can be; asked for again by its id it is no second one."""
 
     id: str
@@ -177,7 +179,7 @@
     change: Change
 
 
-class Void(Struct, frozen=True, tag="void"):
+class WithdrawVersion(Struct, frozen=True, tag="void"):
     """A version is withdrawn, where it is not released."""
 
     version: int
@@ -192,7 +194,7 @@
     time: float
 
 
-class Joined(Struct, frozen=True, tag="joined"):
+class LeaseStarted(Struct, frozen=True, tag="joined"):
     """A process of a node gets a lease; its fence is the index of this entry."""
 
     node: str
@@ -205,17 +207,17 @@
     time: float
 
 
-class Parted(Struct, frozen=True, tag="parted"):
+class LeaseEnded(Struct, frozen=True, tag="parted"):
     """Its lease is over, or it ended."""
 
     node: str
     boot: str
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
     why: str
     time: float
 
 
-class Noted(Struct, frozen=True, tag="noted"):
+class AuditRecorded(Struct, frozen=True, tag="noted"):
     """Lines of a process's audit have come."""
 
     node: str
@@ -225,7 +227,7 @@
     time: float
 
 
-Item = Found | Adopt | Void | Release | Joined | Parted | Noted
+Item = Bootstrap | AgreeChange | WithdrawVersion | Release | LeaseStarted | LeaseEnded | AuditRecorded
 
 
 class Holder(Struct):
@@ -236,7 +238,7 @@
     site: str
     release: tuple[int, ...]
     alone: str
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
     joined: float  # Unix s
 
     @property
@@ -248,21 +250,21 @@
     """All that is agreed; only `apply` changes it, and the same entries make the same record."""
 
     fleet: str = ""
-    terms: Terms = Terms()
+    terms: LeaseTerms = LeaseTerms()
     released: Plan = Plan()
     latest: Plan = Plan()  # with all that is agreed
-    changes: list[Agreed] = []  # the released ones that are kept, then those that are not released
+    changes: list[AgreedVersion] = []  # the released ones that are kept, then those that are not released
     release_times: dict[int, float] = {}
     holders: dict[str, Holder] = {}
     ids: dict[str, int] = {}  # of changes: their version
-    accounts: dict[str, Account] = {}  # process: what it did, as far as was heard
+    accounts: dict[str, ProcessAudit] = {}  # process: what it did, as far as was heard
 
     @property
-    def waiting(self) -> list[Agreed]:
+    def waiting(self) -> list[AgreedVersion]:
         """Agreed and not released."""
         return [agreed for agreed in self.changes if agreed.version > self.released.version]
 
-    def find(self, version: int) -> Agreed | None:
+    def find(self, version: int) -> AgreedVersion | None:
         first = self.changes[0].version if self.changes else 0
         at = version - first
         return self.changes[at] if self.changes and 0 <= at < len(self.changes) else None
@@ -277,12 +279,12 @@
     def apply(self, index: int, item: Item) -> str:
         """Take an entry in; empty, or why it changes nothing."""
         match item:
-            case Found(terms, id):
+            case Bootstrap(terms, id):
                 self.terms, self.fleet = terms, id
                 return ""
-            case Adopt():
+            case AgreeChange():
                 return self._adopt(item)
-            case Void():
+            case WithdrawVersion():
                 return self._void(item)
             case Release(version, time):
                 if version != self.released.version + 1 or self.find(version) is None:
@@ -294,7 +296,7 @@
                 while len(self.changes) - len(self.waiting) > KEPT_CHANGES:
                     self.release_times.pop(self.changes.pop(0).version, None)
                 return ""
-            case Joined():
+            case LeaseStarted():
                 digest = self.digest_of(item.have)
                 if item.have < self.released.version - 1 or digest != item.digest:
                     return f"{item.node} is at version {item.have}, {self.released.version} is released"
@@ -302,18 +304,18 @@
                     item.node, item.boot, item.site, item.release, item.alone, index, item.time
                 )  # fmt: skip
                 self.holders[holder.key] = holder
-                self.accounts.setdefault(holder.key, Account(item.node, item.boot)).granted = index
+                self.accounts.setdefault(holder.key, ProcessAudit(item.node, item.boot)).granted = index
                 return ""
-            case Parted(node, boot, fence, why, time):
+            case LeaseEnded(node, boot, fencing_token, why, time):
                 holder_ = self.holders.get(f"{node}#{boot}")
-                if holder_ is None or holder_.fence != fence:
-                    return f"{node} does not hold fence {fence}"
+                if holder_ is None or holder_.fencing_token != fencing_token:
+                    return f"{node} does not hold fence {fencing_token}"
                 del self.holders[holder_.key]
-                self.accounts.setdefault(holder_.key, Account(node, boot)).part(fence, time, why)
+                self.accounts.setdefault(holder_.key, ProcessAudit(node, boot)).part(fencing_token, time, why)
                 return ""
-            case Noted(node, boot, lines, final, time):
+            case AuditRecorded(node, boot, lines, final, time):
                 key = f"{node}#{boot}"
-                account = self.accounts.setdefault(key, Account(node, boot))
+                account = self.accounts.setdefault(key, ProcessAudit(node, boot))
                 account.take(lines, final)
                 self._forget(time - KEPT_FOR)
                 return ""
@@ -327,11 +329,11 @@
             if not account.lines and key not in self.holders and ended < before:
                 del self.accounts[key]
 
-    def _adopt(self, item: Adopt) -> str:
+    def _adopt(self, item: AgreeChange) -> str:
         if item.id in self.ids:
             return ""
         version, before = self.latest.version + 1, self.latest.digest
-        agreed = Agreed(
+        agreed = AgreedVersion(
             version, item.id, item.author, item.reason, item.time, item.change,
             chained(before, version, item.change),
         )  # fmt: skip
@@ -345,7 +347,7 @@
             del self.ids[next(iter(self.ids))]
         return ""
 
-    def _void(self, item: Void) -> str:
+    def _void(self, item: WithdrawVersion) -> str:
         if item.version <= self.released.version:
             return f"version {item.version} is released; make another change that takes it back"
         if self.find(item.version) is None:
@@ -365,7 +367,7 @@
         self.latest, self.changes = plan, changes
         return ""
 
-    def since(self, version: int, digest: bytes) -> Iterable[Agreed] | None:
+    def since(self, version: int, digest: bytes) -> Iterable[AgreedVersion] | None:
         """What follows that version; None where that is not kept, or where it is not ours."""
         if self.digest_of(version) != digest and not (version == 0 and not digest):
             return None
--- a/bitternpath/balancer/fleet/agent.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -27,23 +27,23 @@
 from bitternpath.balancer.fleet import audit, clock
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.balancer.fleet.files import Folder
-from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
-from bitternpath.balancer.fleet.steward import DIAL_WITHIN, where
-from bitternpath.balancer.fleet.wire import Wire
+from bitternpath.balancer.fleet.connection import FleetConnection
+from bitternpath.balancer.fleet.consensus_server import DIAL_WITHIN, server_addresses
+from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
+from bitternpath.balancer.fleet.node_folder import Folder
 from bitternpath.net.sockets import dial
 
-log = structlog.get_logger(part="agent")
+log = structlog.get_logger(part="record_client")
 
 BY_FLEET = "fleet"  # who takes providers out
-ALONE = 0  # the fence of what is done without a lease
+NO_LEASE = 0  # the fence of what is done without a lease
 
 
-class Span(Struct):
+class ServiceSpan(Struct):
     """What was taken under one version and one fence, or without a lease."""
 
     version: int
-    fence: int
+    fencing_token: int
     first: float = 0.0  # Unix s
     last: float = 0.0
     taken: Counter[str] = msgspec.field(default_factory=Counter)  # by class
@@ -64,7 +64,7 @@
     return tuple(numbers)
 
 
-class Agent:
+class RecordClient:
     """One process of a node."""
 
     def __init__(
@@ -79,13 +79,15 @@
         advice: Callable[[str], float],
     ) -> None:
         self.reactor, self.fleet, self.roster, self.act, self.advice = reactor, fleet, roster, act, advice
-        self.stewards: dict[str, Address] = where(fleet)
-        who = Who(node, secrets.token_hex(4), fleet.site or site, release_of(__version__), fleet.alone)
-        self.holder = LeaseHolder(who, list(self.stewards), Random(), clock.elapsed(), time.time, check)
-        self.wire: Wire | None = None
+        self.servers: dict[str, Address] = server_addresses(fleet)
+        who = ProcessIdentity(
+            node, secrets.token_hex(4), fleet.site or site, release_of(__version__), fleet.alone
+        )
+        self.holder = LeaseHolder(who, list(self.servers), Random(), clock.elapsed(), time.time, check)
+        self.connection: FleetConnection | None = None
         self.fleet_id = ""  # of the first fleet that granted a lease
         self._alarm: Any = None
-        self.span = Span(0, ALONE)
+        self.service_span = ServiceSpan(0, NO_LEASE)
         roster.noted = self._noted
         self.folder = self._open(Path(fleet.folder)) if fleet.folder else None
 
@@ -94,14 +96,16 @@
     def gate(self, job_class: str) -> float | None:
         """An invocation has come; None, or the ms after which it may come again where this node leaves."""
         holder = self.holder
-        if holder.fence != self.span.fence or (holder.fence and clock.elapsed() >= holder.until):
+        if holder.fencing_token != self.service_span.fencing_token or (
+            holder.fencing_token and clock.elapsed() >= holder.until
+        ):
             self.settle()
-        span = self.span
-        if span.fence == ALONE and self.fleet.alone == "leave":
+        service_span = self.service_span
+        if service_span.fencing_token == NO_LEASE and self.fleet.alone == "leave":
             return self.advice(job_class)
-        span.last = time.time()
-        span.first = span.first or span.last
-        span.taken[job_class] += 1
+        service_span.last = time.time()
+        service_span.first = service_span.first or service_span.last
+        service_span.taken[job_class] += 1
         return None
 
     def welcome(self) -> bool:
@@ -117,15 +121,15 @@
             folder = Folder(self.reactor, path, holder.who.boot, self._written)
             holder.older += folder.older()
         except OSError as error:
-            log.error("no file for the audit: kept in memory", folder=str(path), why=error)
+            log.error("audit_log_open_failed", folder=str(path), why=error)
             return None
-        holder.ledger.written = 0
+        holder.audit_log.written = 0
         plan = folder.plan()
         if plan is not None and (why := holder.check(plan)):
-            log.warning("the plan last acted on cannot be taken", version=plan.version, why=why)
+            log.warning("last_plan_rejected", version=plan.version, why=why)
         elif plan is not None:
             holder.plan = holder.taken = plan
-            self.span.version = plan.version
+            self.service_span.version = plan.version
         return folder
 
     def _written(self, upto: int | None) -> None:
@@ -134,8 +138,8 @@
 
     def _write_down(self, plan: p.Plan | None = None) -> None:
         """In the order in which it is done; a steward hears of it once it is on file."""
-        ledger = self.holder.ledger
-        fresh, ledger.fresh = ledger.fresh, []
+        audit_log = self.holder.audit_log
+        fresh, audit_log.fresh = audit_log.fresh, []
         if self.folder is not None and (fresh or plan is not None):
             self.folder.write(fresh, plan)
 
@@ -144,26 +148,29 @@
     def begin(self) -> None:
         """Serve as last agreed, and ask for a lease."""
         if self.holder.plan.version:
-            self._do(self.holder.plan)
+            self._apply_plan(self.holder.plan)
         self.settle()
 
     def settle(self) -> None:
         """Carry out what follows, in its order: written down, then done, then said."""
         holder, now = self.holder, clock.elapsed()
-        under = holder.fence if holder.holds(now) else ALONE
-        if (holder.plan.version, under) != (self.span.version, self.span.fence):
-            self._turn(under)
+        fencing_token = holder.fencing_token if holder.holds(now) else NO_LEASE
+        if (holder.plan.version, fencing_token) != (
+            self.service_span.version,
+            self.service_span.fencing_token,
+        ):
+            self._change_version(fencing_token)
         self._write_down()
         holder.acts.clear()
         sends, holder.sends = holder.sends, []
-        for said in sends:
-            if self.wire is not None:
-                self.wire.say(said)
+        for message in sends:
+            if self.connection is not None:
+                self.connection.send(message)
         if holder.hang_up:
             holder.hang_up = False
-            wire, self.wire = self.wire, None
-            if wire is not None:
-                wire.close()
+            connection, self.connection = self.connection, None
+            if connection is not None:
+                connection.close()
         if holder.dial is not None:
             name, holder.dial = holder.dial, None
             self._dial(name)
@@ -173,28 +180,38 @@
         if holder.alarm != float("inf"):
             self._alarm = self.reactor.callLater(max(holder.alarm - now, 0.0), self._tick)
 
-    def _turn(self, under: int) -> None:
+    def _change_version(self, fencing_token: int) -> None:
         """Another version, or a lease got or lost: what comes from now on is under that."""
-        plan, before = self.holder.plan, self.span.version
-        self._close_span()
-        self.span = Span(plan.version, under)
+        plan, before = self.holder.plan, self.service_span.version
+        self._close_service_span()
+        self.service_span = ServiceSpan(plan.version, fencing_token)
         changed = plan.version != before
         self._write_down(plan if changed else None)
         if changed:
-            self._do(plan)
-        log.info("alone" if under == ALONE else "under the fleet's word", version=plan.version, fence=under)
-
-    def _close_span(self) -> None:
-        span = self.span
-        if span.taken:
-            self.holder.ledger.add(time.time(), audit.SERVED, span.version, span.fence, span.detail())
-            span.taken = Counter()
-
-    def _do(self, plan: p.Plan) -> None:
-        for id in plan.bans:
+            self._apply_plan(plan)
+        log.info(
+            "serving_without_lease" if fencing_token == NO_LEASE else "serving_under_lease",
+            version=plan.version,
+            fencing_token=fencing_token,
+        )
+
+    def _close_service_span(self) -> None:
+        service_span = self.service_span
+        if service_span.taken:
+            self.holder.audit_log.add(
+                time.time(),
+                audit.SERVED,
+                service_span.version,
+                service_span.fencing_token,
+                service_span.detail(),
+            )
+            service_span.taken = Counter()
+
+    def _apply_plan(self, plan: p.Plan) -> None:
+        for id in plan.ejections:
             self.roster.take_out(id, time.time() * 1000.0, BY_FLEET)
         for id in self.roster.kept_out(BY_FLEET):
-            if id not in plan.bans:
+            if id not in plan.ejections:
                 self.roster.call_back(id, time.time() * 1000.0, BY_FLEET)
         self.act(plan)
 
@@ -206,7 +223,7 @@
 
     def stop(self) -> None:
         """The node ends: it acts no more."""
-        self._close_span()
+        self._close_service_span()
         self.holder.end(clock.elapsed())
         self.settle()
 
@@ -219,31 +236,39 @@
     def _dial(self, name: str) -> None:
         who = self.holder.who
         hello = m.Hello(m.VERSION, self.fleet_id, "agent", f"{who.node}#{who.boot}")
-        wire = Wire(self.reactor, hello, self._hear, self._lost)
-        wire.name = name
-        self.wire = wire
-        made = dial(self.reactor, *self.stewards[name], DIAL_WITHIN, wire)
-        made.addErrback(lambda failure: self._lost(wire))
-
-    def _hear(self, wire: Wire, said: m.Said) -> None:
-        if wire is not self.wire:
+        connection = FleetConnection(self.reactor, hello, self._receive, self._lost)
+        connection.name = name
+        self.connection = connection
+        made = dial(self.reactor, *self.servers[name], DIAL_WITHIN, connection)
+        made.addErrback(lambda failure: self._lost(connection))
+
+    def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
+        if connection is not self.connection:
             return
         now = clock.elapsed()
-        if isinstance(said, m.Hello):
-            self.holder.up(now, wire.name)
-        elif isinstance(said, m.Lease | m.Withheld | m.Changes | m.Whole | m.News | m.Heard):
-            if isinstance(said, m.Lease) and not self.fleet_id and wire.peer is not None:
-                self.fleet_id = wire.peer.fleet
+        if isinstance(message, m.Hello):
+            self.holder.up(now, connection.name)
+        elif isinstance(
+            message,
+            m.Lease
+            | m.LeaseRefused
+            | m.VersionChanges
+            | m.PlanSnapshot
+            | m.VersionUpdate
+            | m.AuditAcknowledged,
+        ):
+            if isinstance(message, m.Lease) and not self.fleet_id and connection.peer is not None:
+                self.fleet_id = connection.peer.fleet
             before = self.holder.withheld
-            self.holder.hear(now, said)
-            if isinstance(said, m.Withheld) and said.why != before:
-                log.warning("withheld", steward=wire.name, why=said.why)
+            self.holder.receive(now, message)
+            if isinstance(message, m.LeaseRefused) and message.why != before:
+                log.warning("lease_refused", server=connection.name, why=message.why)
         else:
-            wire.drop(f"a steward does not say {type(said).__name__} to an agent")
+            connection.drop(f"a steward does not say {type(message).__name__} to an agent")
         self.settle()
 
-    def _lost(self, wire: Wire) -> None:
-        if wire is self.wire:
-            self.wire = None
+    def _lost(self, connection: FleetConnection) -> None:
+        if connection is self.connection:
+            self.connection = None
             self.holder.lost(clock.elapsed())
             self.settle()
--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -10,7 +10,8 @@
 - A lease is granted only once a round has been answered by a majority that began after the request came. Who
   answered had voted for nobody else by then, so the request is older than any later leader's election.
 - A node's lease runs from the moment of its asking, by its own clock. For the leader it runs from the moment
-  in which the request came, and `Terms.longest` on: longer, whatever both clocks do within the drift stated.
+  in which the request came, and `LeaseTerms.longest` on: longer, whatever both clocks do within the
+  drift stated.
 - A new leader takes every holder's lease as granted in the moment of its election.
 - A holder leaves the record only after that time, or by its own word; and a version is released only when
   every holder in the record has said, under its fence, that it acts on the one before and has taken this one.
@@ -34,9 +35,9 @@
 class Effects(Struct):
     """What follows; `agreed` tells of entries that changed the record."""
 
-    send: list[tuple[str, m.Consensus | m.Passed | m.Back]]  # to other members
+    send: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]]  # to other members
     writes: list[StorageWrite]
-    replies: list[tuple[int, m.ToOutside]]  # on this member's own connections
+    replies: list[tuple[int, m.ForwardableReply]]  # on this member's own connections
     agreed: list[tuple[int, p.Item]]
     applied: list[tuple[int, int, bytes]]  # index, term and content of all that was taken for agreed
 
@@ -59,17 +60,19 @@
         """That write and those before it are on disk."""
         self.raft.write_completed(now, number)
 
-    def hear(self, now: float, sender: str, message: m.Consensus | m.Passed | m.Back) -> None:
+    def receive(
+        self, now: float, sender: str, message: m.Consensus | m.ForwardedRequest | m.ForwardedReply
+    ) -> None:
         """Another member speaks."""
         match message:
             case m.Consensus(inner):
                 self.raft.receive(now, sender, inner)
-            case m.Passed(token, request):
+            case m.ForwardedRequest(token, request):
                 self._take_request(now, (sender, token), request, passed=True)
-            case m.Back(token, answer):
+            case m.ForwardedReply(token, answer):
                 self._replies.append((token, answer))
 
-    def say(self, now: float, token: int, request: m.FromOutside) -> None:
+    def receive_request(self, now: float, token: int, request: m.ForwardableRequest) -> None:
         """An agent or a command speaks on a connection of this member's."""
         self._take_request(now, (self.me, token), request, passed=False)
 
@@ -101,47 +104,55 @@
 
     # ---- requests
 
-    def _take_request(self, now: float, route: Route, request: m.FromOutside, passed: bool) -> None:
+    def _take_request(self, now: float, route: Route, request: m.ForwardableRequest, passed: bool) -> None:
         raft = self.raft
-        if isinstance(request, m.Ask) and isinstance(request.command, m.Look) and request.command.stale:
+        if (
+            isinstance(request, m.CommandRequest)
+            and isinstance(request.command, m.Query)
+            and request.command.stale
+        ):
             self._answer_status(now, route, request)
         elif raft.role is MemberRole.LEADER:
             if self.leadership is not None and self.leadership.ready:
                 self._lead_request(now, self.leadership, route, request)
             else:
-                self._turn_away(route, request, "the leader is new and does not know the record yet")
+                self._reject(route, request, "the leader is new and does not know the record yet")
         elif raft.leader and not passed:
-            self._send.append((raft.leader, m.Passed(route[1], request)))
+            self._send.append((raft.leader, m.ForwardedRequest(route[1], request)))
         else:
-            self._turn_away(route, request, "no leader is known here")
+            self._reject(route, request, "no leader is known here")
 
-    def _turn_away(self, route: Route, request: m.FromOutside, why: str) -> None:
-        if isinstance(request, m.Renew):
-            self._reply(route, m.Withheld(request.sent, why, elsewhere=True))
-        elif isinstance(request, m.Ask):
-            self._reply(route, m.Answer(request.number, False, why))
+    def _reject(self, route: Route, request: m.ForwardableRequest, why: str) -> None:
+        if isinstance(request, m.RenewLease):
+            self._reply(route, m.LeaseRefused(request.sent, why, elsewhere=True))
+        elif isinstance(request, m.CommandRequest):
+            self._reply(route, m.CommandReply(request.number, False, why))
 
-    def _lead_request(self, now: float, leadership: Leadership, route: Route, request: m.FromOutside) -> None:
+    def _lead_request(
+        self, now: float, leadership: Leadership, route: Route, request: m.ForwardableRequest
+    ) -> None:
         match request:
-            case m.Renew():
+            case m.RenewLease():
                 self._lease_requested(now, leadership, route, request)
-            case m.Parting():
+            case m.LeaseReleased():
                 self._parting(leadership, request)
-            case m.Acts():
+            case m.AuditLines():
                 self._take_audit_lines(now, leadership, route, request)
-            case m.Ask():
+            case m.CommandRequest():
                 self._command(now, leadership, route, request)
 
-    def _take_audit_lines(self, now: float, leadership: Leadership, route: Route, request: m.Acts) -> None:
+    def _take_audit_lines(
+        self, now: float, leadership: Leadership, route: Route, request: m.AuditLines
+    ) -> None:
         """Lines are acknowledged once the record has them."""
         account = self.record.accounts.get(f"{request.node}#{request.boot}")
         upto = account.upto if account is not None else 0
         fresh = any(line.number > upto for line in request.lines)
         ends_here = 0 < request.final < upto
         if not fresh and not ends_here and account is not None and account.agrees(request.lines):
-            self._reply(route, m.Heard(request.boot, upto))
+            self._reply(route, m.AuditAcknowledged(request.boot, upto))
             return
-        item = p.Noted(request.node, request.boot, request.lines, request.final, self.wall())
+        item = p.AuditRecorded(request.node, request.boot, request.lines, request.final, self.wall())
         index = self._propose(now, item)
         if index is not None:
             leadership.awaiting_entry[index] = PendingRequest(index, now, route, request)
@@ -169,7 +180,7 @@
         later = [pending for pending in leadership.awaiting_round if pending.awaited > confirmed]
         leadership.awaiting_round = later
         for pending in due:
-            if isinstance(pending.request, m.Ask):
+            if isinstance(pending.request, m.CommandRequest):
                 self._answer_status(now, pending.route, pending.request)
             else:
                 self._grant(now, leadership, pending)
@@ -185,7 +196,7 @@
     def _step_down(self, leadership: Leadership) -> None:
         self.leadership = None
         for pending in [*leadership.awaiting_round, *leadership.awaiting_entry.values()]:
-            self._turn_away(pending.route, pending.request, "the leader has changed; ask again")
+            self._reject(pending.route, pending.request, "the leader has changed; ask again")
 
     # ---- the record
 
@@ -196,8 +207,8 @@
         if leadership is not None and leadership.term == entry.term:
             pending = leadership.awaiting_entry.pop(entry.index, None)
         if entry.kind != EntryKind.COMMAND:
-            if pending is not None and isinstance(pending.request, m.Ask):
-                self._reply(pending.route, m.Answer(pending.request.number, True, ""))
+            if pending is not None and isinstance(pending.request, m.CommandRequest):
+                self._reply(pending.route, m.CommandReply(pending.request.number, True, ""))
             return
         item = p.item_from(entry.data)
         why_not = self.record.apply(entry.index, item)
@@ -214,20 +225,20 @@
         self, now: float, leadership: Leadership, item: p.Item, pending: PendingRequest | None
     ) -> None:
         match item:
-            case p.Joined(node, boot):
+            case p.LeaseStarted(node, boot):
                 self._joined(now, leadership, f"{node}#{boot}", pending)
-            case p.Parted(node, boot):
+            case p.LeaseEnded(node, boot):
                 leadership.holders.pop(f"{node}#{boot}", None)
-            case p.Adopt() | p.Void() | p.Release():
-                self._tell_versions(leadership)
+            case p.AgreeChange() | p.WithdrawVersion() | p.Release():
+                self._send_version_update(leadership)
 
     def _answer_entry(self, item: p.Item, why_not: str, pending: PendingRequest) -> None:
         """An entry that somebody waited for is applied."""
-        if isinstance(item, p.Noted):
+        if isinstance(item, p.AuditRecorded):
             account = self.record.accounts[f"{item.node}#{item.boot}"]
-            self._reply(pending.route, m.Heard(item.boot, account.upto))
-        if isinstance(pending.request, m.Ask):
-            data = {"version": self.record.ids.get(item.id, 0)} if isinstance(item, p.Adopt) else None
+            self._reply(pending.route, m.AuditAcknowledged(item.boot, account.upto))
+        if isinstance(pending.request, m.CommandRequest):
+            data = {"version": self.record.ids.get(item.id, 0)} if isinstance(item, p.AgreeChange) else None
             self._answer(pending.route, pending.request.number, why_not, data)
 
     def _compact(self) -> None:
--- a/bitternpath/balancer/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -34,19 +34,19 @@
         self.raft = Raft(me, kept, random, now, RaftOptions(times))
         self.leadership: Leadership | None = None
         self.member_ids: dict[str, str] = {}  # a member's name: the incarnation that it is, as it last said
-        self._send: list[tuple[str, m.Consensus | m.Passed | m.Back]] = []
-        self._replies: list[tuple[int, m.ToOutside]] = []
+        self._send: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]] = []
+        self._replies: list[tuple[int, m.ForwardableReply]] = []
 
-    def _reply(self, route: Route, reply: m.ToOutside) -> None:
+    def _reply(self, route: Route, reply: m.ForwardableReply) -> None:
         if route[0] == self.me:
             self._replies.append((route[1], reply))
         else:
-            self._send.append((route[0], m.Back(route[1], reply)))
+            self._send.append((route[0], m.ForwardedReply(route[1], reply)))
 
     def _answer(self, route: Route, number: int, why_not: str, data: Any = None) -> None:
         """Answer a command; `why_not` is empty where it was done."""
         content = msgspec.Raw(msgspec.msgpack.encode(data))
-        self._reply(route, m.Answer(number, not why_not, why_not, content))
+        self._reply(route, m.CommandReply(number, not why_not, why_not, content))
 
     def _propose(self, now: float, item: p.Item) -> int | None:
         """The index of the item's entry; None where it can't be proposed now."""
--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -56,7 +56,7 @@
     return blake3(data).digest(SUM) + data
 
 
-def _opened(sealed: bytes | None, kind: Any, what: str) -> Any:
+def _unsealed(sealed: bytes | None, kind: Any, what: str) -> Any:
     if sealed is None:
         raise DamagedError(f"{what} is missing")
     data = bytes(sealed[SUM:])
@@ -126,7 +126,7 @@
     def _get(self, key: bytes, kind: Any) -> Any:
         try:
             with self._env.begin(db=self._meta) as reading:
-                return _opened(reading.get(key), kind, f"{self.folder}: {key.decode()}")
+                return _unsealed(reading.get(key), kind, f"{self.folder}: {key.decode()}")
         except lmdb.Error as error:
             raise DamagedError(f"{self.folder}: {error}") from error
 
@@ -144,7 +144,7 @@
             with self._env.begin(db=self._log) as reading:
                 for key, value in reading.cursor():
                     index = int.from_bytes(key, "big")
-                    entry = _opened(value, Entry, f"{self.folder}: entry {index}")
+                    entry = _unsealed(value, Entry, f"{self.folder}: entry {index}")
                     if entry.index != state.before[0] + len(entries) + 1 or entry.index != index:
                         raise DamagedError(
                             f"{self.folder}: entry {state.before[0] + len(entries) + 1} is missing"
@@ -161,11 +161,11 @@
         state = self.state
         with self._env.begin(write=True) as writing:
             for write in writes:
-                state = self._do(writing, state, write, voters)
+                state = self._apply_write(writing, state, write, voters)
             writing.put(STATE, _sealed(state), db=self._meta)
         self.state = state
 
-    def _do(self, writing: Any, state: State, write: StorageWrite, voters: int) -> State:
+    def _apply_write(self, writing: Any, state: State, write: StorageWrite, voters: int) -> State:
         log = self._log
         if write.truncate_from is not None:
             self._delete(writing, write.truncate_from, None)
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -35,8 +35,8 @@
 
 if TYPE_CHECKING:
     from bitternpath.balancer.amqp.server import AmqpServer
-    from bitternpath.balancer.fleet.agent import Agent
     from bitternpath.balancer.fleet.plan import Plan
+    from bitternpath.balancer.fleet.record_client import RecordClient
     from bitternpath.balancer.handover.handover import Handover
     from bitternpath.balancer.http.console import Console
     from bitternpath.balancer.store.bans import Bans
@@ -95,7 +95,7 @@
         if config.console is not None:
             self._operated(config.name, config.console)
         self.amqp = self._amqp() if self.at_start.amqp.listen else None
-        self.agent = self._agent() if self.at_start.fleet.stewards else None
+        self.record_client = self._record_client() if self.at_start.fleet.stewards else None
         self._ending, self.exit_code = False, 0
         self._look: Any = None
 
@@ -142,18 +142,18 @@
         handover.listener = lambda: self.listener.port and self.listener.port.socket
         self.listener.relay = handover.relay
 
-    def _agent(self) -> Agent:
+    def _record_client(self) -> RecordClient:
         """This node's part of the fleet. Imported here, for what is off costs nothing."""
-        from bitternpath.balancer.fleet.agent import Agent
+        from bitternpath.balancer.fleet.record_client import RecordClient
 
         config = self.loaded.platform
-        agent = Agent(
+        record_client = RecordClient(
             self.reactor, self.at_start.fleet, config.name, config.settings.zone, self.roster,
             self._plan_fault, self._act, self._retry_after,
         )  # fmt: skip
-        self.broker.gate = agent.gate
-        self.listener.welcome = agent.welcome
-        return agent
+        self.broker.gate = record_client.gate
+        self.listener.welcome = record_client.welcome
+        return record_client
 
     def _act(self, plan: Plan) -> None:
         """The fleet's word has changed."""
@@ -172,13 +172,13 @@
 
     def _overlaid(self, loaded: Loaded) -> Loaded:
         """With what the fleet has agreed on top; ConfigError where the two are at odds, now or soon."""
-        if self.agent is None:
+        if self.record_client is None:
             return loaded
         from bitternpath.balancer.fleet.plan import PlanError
         from bitternpath.balancer.fleet.plan_settings import with_plan
 
         try:
-            now, *_ = [with_plan(loaded.platform, plan) for plan in self.agent.holder.in_hand]
+            now, *_ = [with_plan(loaded.platform, plan) for plan in self.record_client.holder.current_plans]
         except (PlanError, ValueError) as error:
             raise ConfigError(f"at odds with what the fleet has agreed: {error}") from error
         return Loaded(now, loaded.operator)
@@ -255,8 +255,8 @@
         if self.amqp is not None:
             self.amqp.listen(*address(self.at_start.amqp.listen))
         self.pool.run()
-        if self.agent is not None:
-            self.agent.begin()
+        if self.record_client is not None:
+            self.record_client.begin()
         self.reactor.callLater(REPORT_EVERY, self._report)
         kv: dict[str, object] = {
             "name": self.loaded.platform.name,
@@ -330,8 +330,8 @@
             self._stopped()
             return
         self.listener.stop()
-        if self.agent is not None:
-            self.agent.stop()
+        if self.record_client is not None:
+            self.record_client.stop()
         if self.amqp is not None:
             self.amqp.stop()
         self.reactor.callLater(NEW_ONES_ARRIVE / 1000.0 + 2 * LAST_WORDS, self._close_when_idle)
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -30,7 +30,7 @@
 
 
 def _walk(seed: int, _: int) -> tuple[bool, str]:
-    from bitternpath.testing.emulator.fleet.walk import walk
+    from bitternpath.testing.emulator.fleet.random_schedule import walk
 
     broken = walk(seed).broken
     return not broken, f"seed {seed}: {broken[0] if broken else 'rules kept'}"
--- a/bitternpath/cli/steward.py
+++ b/bitternpath/cli/consensus_server.py
@@ -1,4 +1,4 @@
-"""`bitternpath steward`: run one of the processes that keep the fleet's record."""
+"""`bitternpath consensus-server`: run one of the processes that keep the fleet's replicated record."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 
 
 def _fit(fleet: Fleet) -> Fleet:
-    """What a steward cannot do without."""
+    """The fleet settings, if a consensus server can run with them; ConfigError if not."""
     names = [each.partition("=")[0] for each in fleet.stewards]
     if fleet.name not in names:
         raise ConfigError(
             f"fleet.name = {fleet.name!r}: allowed are those of fleet.stewards: {', '.join(names)}"
         )
     if not fleet.folder:
-        raise ConfigError("fleet.folder: a steward needs a folder that lasts")
+        raise ConfigError("fleet.folder: a consensus server needs a folder that lasts")
     return fleet
 
 
 @click.command(
     epilog="""\b
 Examples:
-  bitternpath steward --operator-file s1.toml --found     # the first one, once
-  bitternpath steward --operator-file s2.toml             # then: bitternpath fleet members add S2
-  bitternpath steward --fleet-name S1 --fleet-folder /var/lib/bitternpath --fleet-stewards S1=10.0.0.1:7000
+  bitternpath consensus-server --operator-file s1.toml --found     # the first one, once
+  bitternpath consensus-server --operator-file s2.toml             # then: bitternpath fleet members add S2
+  bitternpath consensus-server --fleet-name S1 --fleet-folder /var/lib/bitternpath \\
+    --fleet-stewards S1=10.0.0.1:7000
 """
 )
 @operator_options
 @click.option("--found", is_flag=True, help="begin a new fleet, where the folder is empty")
 def command(operator_file: str | None, found: bool, **flags: Any) -> None:
-    """Run a steward: it keeps the fleet's record together with the others.
+    """Run a consensus server, a replica of the fleet's record.
 
     Ends with 0 after SIGTERM, with 1 where its disk fails, with 2 where configuration or folder are wrong.
     """
@@ -47,7 +48,7 @@
         fleet = _fit(settings.fleet)
     except ConfigError as error:
         context.exit(fault(error))
-    from bitternpath.balancer.fleet.steward import run
+    from bitternpath.balancer.fleet.consensus_server import run
     from bitternpath.balancer.fleet.store import StoreError
 
     told = settings.log
--- a/bitternpath/cli/fleet_changes.py
+++ b/bitternpath/cli/fleet_changes.py
@@ -9,13 +9,13 @@
 
 import click
 
-from bitternpath.cli.fleet_asking import Fleet, asks
-from bitternpath.cli.fleet_words import lag
+from bitternpath.cli.fleet_client import FleetClient, with_fleet_client
+from bitternpath.cli.fleet_format import lag
 
-LOOK_EVERY = 0.2  # s between looks whether a change is in effect
+POLL_INTERVAL = 0.2  # s between looks whether a change is in effect
 
 
-def parsed(words: tuple[str, ...]) -> Any:
+def parsed_change(words: tuple[str, ...]) -> Any:
     """The change that `KEY=VALUE` words mean; click.UsageError where they mean none."""
     from bitternpath.balancer.fleet import plan as p
 
@@ -46,7 +46,7 @@
         raise click.UsageError(f"{key}={text}: {error}") from error
 
 
-def propose(fleet: Fleet, change: Any, reason: str, id: str | None, required: bool) -> None:
+def propose(fleet: FleetClient, change: Any, reason: str, id: str | None, required: bool) -> None:
     from bitternpath.balancer.fleet.messages import Propose
 
     id = id or secrets.token_hex(8)
@@ -57,12 +57,12 @@
         _await_effect(fleet, version)
 
 
-def _await_effect(fleet: Fleet, version: int) -> None:
+def _await_effect(fleet: FleetClient, version: int) -> None:
     """Until all who hold a lease act on it. Who does not answer or lags loses its lease, so that this ends;
     where half of the fleet refuses the change it ends by saying so."""
     said = ""
     while True:
-        found, why = fleet.look()
+        found, why = fleet.query()
         held = [h for h in found["holders"] if h.get("acting", -1) < version]
         if not why and found["released"] >= version and not held:
             click.echo(f"version {version} is in effect at {len(found['holders'])} processes")
@@ -78,7 +78,7 @@
         if line != said:
             click.echo(line)
             said = line
-        time.sleep(LOOK_EVERY)
+        time.sleep(POLL_INTERVAL)
 
 
 def _changing(function: Callable[..., Any]) -> Callable[..., Any]:
@@ -86,42 +86,44 @@
         function
     )
     function = click.option("--id", help="asked again with the same one, it is the same change")(function)
-    return asks(click.option("--reason", required=True, help="why; it stands in the record")(function))
+    return with_fleet_client(
+        click.option("--reason", required=True, help="why; it stands in the record")(function)
+    )
 
 
 @click.command()
 @_changing
 @click.argument("words", nargs=-1, metavar="KEY=VALUE...")
-def change(fleet: Fleet, words: tuple[str, ...], reason: str, id: str | None, required: bool) -> None:
+def change(fleet: FleetClient, words: tuple[str, ...], reason: str, id: str | None, required: bool) -> None:
     """Change a class, a rule, or the least release that may hold a lease, for all nodes."""
-    propose(fleet, parsed(words), reason, id, required)
+    propose(fleet, parsed_change(words), reason, id, required)
 
 
 @click.command()
 @_changing
 @click.argument("worker")
-def ban(fleet: Fleet, worker: str, reason: str, id: str | None, required: bool) -> None:
+def ban(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
     """Nothing new to that calendar worker, from any node."""
-    from bitternpath.balancer.fleet.plan import Ban
+    from bitternpath.balancer.fleet.plan import EjectWorker
 
-    propose(fleet, Ban(worker), reason, id, required)
+    propose(fleet, EjectWorker(worker), reason, id, required)
 
 
 @click.command()
 @_changing
 @click.argument("worker")
-def back(fleet: Fleet, worker: str, reason: str, id: str | None, required: bool) -> None:
+def back(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
     """The fleet's ban of that calendar worker ends; one at a node's own console stays."""
-    from bitternpath.balancer.fleet.plan import Unban
+    from bitternpath.balancer.fleet.plan import ReinstateWorker
 
-    propose(fleet, Unban(worker), reason, id, required)
+    propose(fleet, ReinstateWorker(worker), reason, id, required)
 
 
 @click.command()
-@asks
+@with_fleet_client
 @click.option("--reason", required=True, help="why; it stands in the record")
 @click.argument("version", type=int)
-def withdraw(fleet: Fleet, version: int, reason: str) -> None:
+def withdraw(fleet: FleetClient, version: int, reason: str) -> None:
     """A version that is agreed and not released shall change nothing."""
     from bitternpath.balancer.fleet.messages import Withdraw
 
--- a/bitternpath/cli/fleet_asking.py
+++ b/bitternpath/cli/fleet_client.py
@@ -17,36 +17,36 @@
 from bitternpath.cli.run import fault
 
 
-class Fleet:
+class FleetClient:
     """The stewards that a command may ask, and who asks."""
 
-    def __init__(self, stewards: dict[str, Address], author: str, within: float) -> None:
-        self.stewards, self.author, self.within = stewards, author, within
+    def __init__(self, servers: dict[str, Address], author: str, within: float) -> None:
+        self.servers, self.author, self.within = servers, author, within
 
     def ask(self, command: Any) -> Any:
         """The answer's data; ends with 1 and one line where it is no, or nobody answers."""
         from bitternpath.balancer.fleet.client import NoAnswerError, ask
 
         try:
-            answer = ask(self.stewards, command, self.author, self.within)
+            answer = ask(self.servers, command, self.author, self.within)
         except NoAnswerError as error:
             raise click.ClickException(f"no steward that can decide answers: {error}") from error
         if not answer.ok:
             raise click.ClickException(answer.text)
         return msgspec.msgpack.decode(answer.data)
 
-    def look(self, what: str = "status") -> tuple[dict[str, Any], str]:
-        from bitternpath.balancer.fleet.client import NoAnswerError, look
-        from bitternpath.balancer.fleet.messages import Look
+    def query(self, what: str = "status") -> tuple[dict[str, Any], str]:
+        from bitternpath.balancer.fleet.client import NoAnswerError, query
+        from bitternpath.balancer.fleet.messages import Query
 
         try:
-            return look(self.stewards, Look(what), self.author, self.within)
+            return query(self.servers, Query(what), self.author, self.within)
         except NoAnswerError as error:
             raise click.ClickException(f"no steward answers: {error}") from error
 
 
-def asks(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Hands over a `Fleet` made from the operator file and the flags."""
+def with_fleet_client(function: Callable[..., Any]) -> Callable[..., Any]:
+    """Hands over a `FleetClient` made from the operator file and the flags."""
 
     @wraps(function)
     def made(operator_file: str | None, within: float, author: str | None, **more: Any) -> Any:
@@ -59,10 +59,10 @@
                     "fleet.stewards: no steward is named; give --fleet-stewards or --operator-file"
                 )
             pairs = [each.partition("=") for each in told.stewards]
-            stewards = {name: address(at) for name, _, at in pairs}
+            servers = {name: address(at) for name, _, at in pairs}
         except (ConfigError, ValueError) as error:
             context.exit(fault(error))
-        return function(Fleet(stewards, author or getpass.getuser(), within), **more)
+        return function(FleetClient(servers, author or getpass.getuser(), within), **more)
 
     made = click.option("--author", metavar="NAME", help="who asks; else your user name")(made)
     made = click.option(
--- a/bitternpath/cli/fleet_words.py
+++ b/bitternpath/cli/fleet_format.py
@@ -11,7 +11,7 @@
 WHEN = "%Y-%m-%d %H:%M:%S"  # how moments are printed, and read
 
 
-def say_no_majority(found: dict[str, Any], why: str) -> None:
+def print_no_majority(found: dict[str, Any], why: str) -> None:
     """One line where what follows may be old."""
     if why:
         click.echo(f"NO MAJORITY: what follows is what {found['steward']} knows, {age(found)} old ({why})")
@@ -81,21 +81,21 @@
         ) from error
 
 
-def acted(account: dict[str, Any], at: float) -> str:
+def acted_version(account: dict[str, Any], at: float) -> str:
     """On what a process acted at a moment, in words."""
     told = [
         line for line in account["lines"] if line[1] <= at and line[2] in ("joined", "acts", "lost", "left")
     ]
     if not told:
         return "no lease yet" if account["lines"] else "not known: its lines are not kept any more"
-    _, since, what, version, fence, *_ = told[-1]
+    _, since, what, version, fencing_token, *_ = told[-1]
     if what in ("lost", "left"):
         how = "alone, as in" if what == "lost" else "ended, after"
         return f"{how} version {version}, since {local_time(since)}"
-    return f"version {version} under fence {fence}, since {local_time(since)}"
+    return f"version {version} under fence {fencing_token}, since {local_time(since)}"
 
 
-def explained(found: dict[str, Any], holder: dict[str, Any]) -> str:
+def explanation(found: dict[str, Any], holder: dict[str, Any]) -> str:
     """How a holder stands, and what to do, in words."""
     state = lag(found, holder)
     heard = f"heard {holder['heard']:.1f} s ago" if holder.get("heard") is not None else "not heard yet"
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -4,8 +4,8 @@
 
 import click
 
-from bitternpath.cli.fleet_asking import Fleet, asks
-from bitternpath.cli.fleet_words import say_no_majority
+from bitternpath.cli.fleet_client import FleetClient, with_fleet_client
+from bitternpath.cli.fleet_format import print_no_majority
 
 
 @click.group()
@@ -14,11 +14,11 @@
 
 
 @members.command("list")
-@asks
-def list_(fleet: Fleet) -> None:
+@with_fleet_client
+def list_(fleet: FleetClient) -> None:
     """The members, by name and incarnation."""
-    found, why = fleet.look()
-    say_no_majority(found, why)
+    found, why = fleet.query()
+    print_no_majority(found, why)
     for id in found["voters"]:
         click.echo(f"{id} votes" + (", leads" if id == found["leader"] else ""))
     for id in found["learners"]:
@@ -26,9 +26,9 @@
 
 
 @members.command()
-@asks
+@with_fleet_client
 @click.argument("name")
-def add(fleet: Fleet, name: str) -> None:
+def add(fleet: FleetClient, name: str) -> None:
     """The steward NAME, which runs and has an empty folder, takes part; it votes once it has caught up."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
@@ -37,9 +37,9 @@
 
 
 @members.command()
-@asks
+@with_fleet_client
 @click.argument("name")
-def remove(fleet: Fleet, name: str) -> None:
+def remove(fleet: FleetClient, name: str) -> None:
     """The steward NAME takes part no longer."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
@@ -48,11 +48,11 @@
 
 
 @members.command()
-@asks
+@with_fleet_client
 @click.argument("name")
-def lead(fleet: Fleet, name: str) -> None:
+def lead(fleet: FleetClient, name: str) -> None:
     """The steward NAME shall lead."""
-    from bitternpath.balancer.fleet.messages import PassOn
+    from bitternpath.balancer.fleet.messages import TransferLeadership
 
-    fleet.ask(PassOn(name))
+    fleet.ask(TransferLeadership(name))
     click.echo(f"leadership passes to {name}")
--- a/bitternpath/cli/fleet_reports.py
+++ b/bitternpath/cli/fleet_reports.py
@@ -6,30 +6,30 @@
 
 import click
 
-from bitternpath.cli.fleet_asking import Fleet, as_json, asks
-from bitternpath.cli.fleet_words import (
-    acted,
+from bitternpath.cli.fleet_client import FleetClient, as_json, with_fleet_client
+from bitternpath.cli.fleet_format import (
+    acted_version,
     describe,
-    explained,
+    explanation,
     lag,
     local_time,
     moment,
     print_json,
+    print_no_majority,
     print_table,
-    say_no_majority,
 )
 
 
 @click.command()
-@asks
+@with_fleet_client
 @as_json
-def status(fleet: Fleet, json: bool) -> None:
+def status(fleet: FleetClient, json: bool) -> None:
     """Who leads, which version is in effect, and who holds a lease on which."""
-    found, why = fleet.look()
+    found, why = fleet.query()
     if json:
         print_json(found | {"no_majority": why})
     else:
-        say_no_majority(found, why)
+        print_no_majority(found, why)
         click.echo(
             f"leader {found['leader'] or '-'}, term {found['term']}; version {found['released']} released, "
             f"{found['latest']} agreed, {found['in_effect']} acted on by all"
@@ -54,17 +54,17 @@
 
 
 @click.command()
-@asks
+@with_fleet_client
 @as_json
-def versions(fleet: Fleet, json: bool) -> None:
+def versions(fleet: FleetClient, json: bool) -> None:
     """What was agreed, by whom, why, and since when it is acted on."""
-    found, why = fleet.look()
+    found, why = fleet.query()
     if json:
         print_json(
             {"versions": found["changes"], "release_times": found["release_times"], "no_majority": why}
         )
     else:
-        say_no_majority(found, why)
+        print_no_majority(found, why)
         rows = []
         for agreed in found["changes"]:
             since = found["release_times"].get(agreed["version"])
@@ -85,35 +85,35 @@
 
 
 @click.command()
-@asks
+@with_fleet_client
 @as_json
 @click.option("--node", help="of this node alone")
 @click.option("--version", type=int, help="what was done under this version alone")
 @click.option("--at", metavar="TIME", help="on what each acted at that time")
-def audit(fleet: Fleet, node: str | None, version: int | None, at: str | None, json: bool) -> None:
+def audit(fleet: FleetClient, node: str | None, version: int | None, at: str | None, json: bool) -> None:
     """Who acted on which version, from when to when, and what is missing."""
     when = moment(at) if at is not None else None
-    found, why = fleet.look("audit")
+    found, why = fleet.query("audit")
     accounts = [a for a in found["accounts"] if node in (None, a["node"])]
     accounts.sort(key=lambda a: (a["node"], a["lines"][0][1] if a["lines"] else 0.0))
     if json:
         print_json({"accounts": accounts, "no_majority": why})
         click.get_current_context().exit(1 if why else 0)
-    say_no_majority(found, why)
+    print_no_majority(found, why)
     if when is not None:
         print_table(
             ("node", "process", f"at {local_time(when)}"),
             [
-                (a["node"], a["boot"], acted(a, when))
+                (a["node"], a["boot"], acted_version(a, when))
                 for a in accounts
                 if a["lines"] and a["lines"][0][1] <= when
             ],
         )
     else:
         rows = [
-            (a["node"], a["boot"], number, local_time(since), what, of, fence, detail)
+            (a["node"], a["boot"], number, local_time(since), what, of, fencing_token, detail)
             for a in accounts
-            for number, since, what, of, fence, detail, _ in a["lines"]
+            for number, since, what, of, fencing_token, detail, _ in a["lines"]
             if version in (None, of)
         ]
         print_table(("node", "process", "act", "time", "what", "version", "fence", ""), rows)
@@ -124,24 +124,25 @@
 
 
 @click.command()
-@asks
+@with_fleet_client
 @click.argument("node")
-def explain(fleet: Fleet, node: str) -> None:
+def explain(fleet: FleetClient, node: str) -> None:
     """Why a node is where it is: what was last heard, what it acts on, what stops it, what to do."""
-    found, why = fleet.look("audit")
-    say_no_majority(found, why)
+    found, why = fleet.query("audit")
+    print_no_majority(found, why)
     holders = [h for h in found["holders"] if h["node"] == node]
     accounts = [a for a in found["accounts"] if a["node"] == node]
     if not holders and not accounts:
         raise click.ClickException(f"nobody has heard of {node}")
     for holder in holders:
-        click.echo(f"{node}#{holder['boot']}: {explained(found, holder)}")
+        click.echo(f"{node}#{holder['boot']}: {explanation(found, holder)}")
     held = {h["boot"] for h in holders}
     gone = [a for a in accounts if a["boot"] not in held]
     if gone:
         last = max(gone, key=lambda a: a["lines"][-1][1] if a["lines"] else 0.0)
-        click.echo(f"{node}#{last['boot']}: no lease; {acted(last, time.time())}")
+        click.echo(f"{node}#{last['boot']}: no lease; {acted_version(last, time.time())}")
         if not holders:
             click.echo("It gets a lease by itself once it reaches a steward and can take what is released:")
-            click.echo("look whether it runs, whether its log says `alone` or `withheld`, and at its links.")
+            click.echo("look whether it runs, at its links, and whether its log has")
+            click.echo("`serving_without_lease` or `lease_refused`.")
     click.get_current_context().exit(1 if why else 0)
--- a/bitternpath/cli/top.py
+++ b/bitternpath/cli/top.py
@@ -10,7 +10,7 @@
     "serve": "Run a node (the default).",
     "check-config": "Read the configuration, print every setting and where it came from, and end.",
     "system": "The whole ingest and dispatch service: roles, checks, a view of a running system.",
-    "steward": "Run one of the processes that keep the fleet's record.",
+    "consensus-server": "Run one of the processes that keep the fleet's record.",
     "fleet": "Ask the fleet, and change what all nodes act on.",
     "user": "Make password hashes for the operator file.",
     "demo": "Real nodes, workers and clients on loopback for 20 s, one site lost on the way.",
@@ -21,6 +21,7 @@
 }
 
 MODULES = {"system": "system_tree"}  # where it isn't the command's own name
+ALIASES = {"steward": "consensus-server"}  # earlier names, hidden from --help
 
 EPILOG = """\b
 Examples:
@@ -50,6 +51,16 @@
         made: click.Command = import_module(f"bitternpath.cli.{module}").command
         return made
 
+    def resolve_command(
+        self, ctx: click.Context, args: list[str]
+    ) -> tuple[str | None, click.Command | None, list[str]]:
+        current = ALIASES.get(args[0])
+        if current is not None:
+            if not ctx.resilient_parsing:  # not while a shell completes
+                click.echo(f"bitternpath {args[0]}: the command is now called {current}", err=True)
+            args = [current, *args[1:]]
+        return super().resolve_command(ctx, args)
+
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         with formatter.section("Commands"):
             formatter.write_dl(list(COMMANDS.items()))
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -78,17 +78,17 @@
 
 def drift_forgotten(stack: ExitStack) -> None:
     """The leader takes a lease for over when its own clock says so."""
-    _put(stack, p.Terms, "longest", property(lambda self: self.lease))
+    _put(stack, p.LeaseTerms, "longest", property(lambda self: self.lease))
 
 
 def no_round(stack: ExitStack) -> None:
     """A leader renews leases without asking whether it leads."""
     renew = record_replica.RecordReplica._renew
 
-    def at_once(self: Any, now: float, leadership: Any, state: Any, route: Any, said: m.Renew) -> None:
+    def at_once(self: Any, now: float, leadership: Any, state: Any, route: Any, said: m.RenewLease) -> None:
         renew(self, now, leadership, state, route, said)
         for pending in leadership.awaiting_round:
-            if isinstance(pending.request, m.Renew):
+            if isinstance(pending.request, m.RenewLease):
                 self._grant(now, leadership, pending)
 
     _put(stack, record_replica.RecordReplica, "_renew", at_once)
@@ -111,7 +111,7 @@
     lease = lease_holder.LeaseHolder._lease
 
     def late(self: Any, now: float, told: m.Lease) -> None:
-        lease(self, now, m.Lease(now, told.length, told.fence, told.released, told.digest))
+        lease(self, now, m.Lease(now, told.length, told.fencing_token, told.released, told.digest))
 
     _put(stack, lease_holder.LeaseHolder, "_lease", late)
 
@@ -131,7 +131,7 @@
     _put(stack, lease_holder.LeaseHolder, "tick", ring)
 
     def while_ringing(self: Any, now: float) -> bool:
-        return bool(holds(self, now) if ringing else self.fence)
+        return bool(holds(self, now) if ringing else self.fencing_token)
 
     _put(stack, lease_holder.LeaseHolder, "holds", while_ringing)
 
@@ -141,7 +141,7 @@
 
     def for_good(self: Any, now: float) -> bool:
         self.until = max(self.until, now + 1.0)
-        return bool(self.fence)
+        return bool(self.fencing_token)
 
     _put(stack, lease_holder.LeaseHolder, "holds", for_good)
 
@@ -151,8 +151,8 @@
     lease = lease_holder.LeaseHolder._lease
 
     def any_fence(self: Any, now: float, told: m.Lease) -> None:
-        if self.fence and told.fence < self.fence:
-            self.fence = told.fence
+        if self.fencing_token and told.fencing_token < self.fencing_token:
+            self.fencing_token = told.fencing_token
         lease(self, now, told)
 
     _put(stack, lease_holder.LeaseHolder, "_lease", any_fence)
@@ -173,10 +173,10 @@
 def told_before_written(stack: ExitStack) -> None:
     """A node tells the stewards of lines that its own file may come to lack."""
 
-    def all_of_them(self: audit.Ledger) -> tuple[audit.Line, ...]:
+    def all_of_them(self: audit.AuditLog) -> tuple[audit.Line, ...]:
         return tuple(islice(self.unheard, audit.AT_ONCE))
 
-    _put(stack, audit.Ledger, "next", property(all_of_them))
+    _put(stack, audit.AuditLog, "next", property(all_of_them))
 
 
 BUILDS: dict[str, Build] = {
--- a/bitternpath/testing/emulator/fleet/campaign.py
+++ b/bitternpath/testing/emulator/fleet/campaign.py
@@ -16,7 +16,7 @@
 FAULT = 0.3, 9.0  # s that one lasts
 CHANGE_EVERY = 2.5
 RIGHT_WITHIN = 90.0  # s after the last fault
-TERMS = p.Terms(lease=3.0, drift=0.02, catch_up=4.0)
+TERMS = p.LeaseTerms(lease=3.0, drift=0.02, catch_up=4.0)
 
 
 class Outcome(Struct, frozen=True):
--- a/bitternpath/testing/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -30,7 +30,7 @@
 class Acting(Struct):
     """What is known of a process by its acts."""
 
-    fence: int
+    fencing_token: int
     version: int
     at: float
 
@@ -71,11 +71,11 @@
                 digest = record.digest_of(version) or b""
                 if self.digests.setdefault(version, digest) != digest:
                     self._break("changed", at, f"version {version} is another one than was released before")
-            case p.Joined(node, boot):
+            case p.LeaseStarted(node, boot):
                 self.holders.setdefault(f"{node}#{boot}", index)
                 self.holders[f"{node}#{boot}"] = max(self.holders[f"{node}#{boot}"], index)
-            case p.Parted(node, boot, fence):
-                self.over.setdefault((f"{node}#{boot}", fence), at)
+            case p.LeaseEnded(node, boot, fencing_token):
+                self.over.setdefault((f"{node}#{boot}", fencing_token), at)
 
     def answered(self, at: float, id: str, version: int) -> None:
         """A command was told that its change is that version."""
@@ -84,23 +84,25 @@
 
     # ---- nodes
 
-    def act(self, at: float, process: str, plan: p.Plan, fence: int) -> None:
+    def act(self, at: float, process: str, plan: p.Plan, fencing_token: int) -> None:
         """A process acts on a version under its lease."""
         self.acts += 1
         before = self.acting.get(process)
-        if before is not None and fence < before.fence:
-            self._break("fence", at, f"{process} acts with fence {fence} after {before.fence}")
-        since = self.over.get((process, fence))
+        if before is not None and fencing_token < before.fencing_token:
+            self._break(
+                "fence", at, f"{process} acts with fence {fencing_token} after {before.fencing_token}"
+            )
+        since = self.over.get((process, fencing_token))
         if since is not None:
-            self._break("over", at, f"{process} acts under fence {fence}, let go of at {since:.3f} s")
+            self._break("over", at, f"{process} acts under fence {fencing_token}, let go of at {since:.3f} s")
         digest = self.digests.get(plan.version, b"")
         if plan.digest != digest:
             self._break("changed", at, f"{process} acts on another version {plan.version} than was released")
-        self.acting[process] = Acting(fence, plan.version, at)
+        self.acting[process] = Acting(fencing_token, plan.version, at)
 
-    def did(self, process: str, what: str, version: int, fence: int) -> None:
+    def did(self, process: str, what: str, version: int, fencing_token: int) -> None:
         """Something that the audit must have a line of."""
-        self.happened.setdefault(process, []).append((what, version, fence))
+        self.happened.setdefault(process, []).append((what, version, fencing_token))
 
     def hold(self, at: float, holding: dict[str, int]) -> None:
         """Who could act under a lease in this moment, and on which version."""
@@ -126,7 +128,7 @@
         for process, account in record.accounts.items():
             did = self.happened.get(process, [])
             lines = [line for line in account.lines if line.what in told]
-            heard = [(line.what, line.version, line.fence) for line in lines]
+            heard = [(line.what, line.version, line.fencing_token) for line in lines]
             if account.faults:
                 self._break("audit", at, f"{process}: {account.faults[0]}, though nobody changed it")
             if heard != did[: len(heard)] and not account.missing and not account.dropped:
--- a/bitternpath/testing/emulator/fleet/faults.py
+++ b/bitternpath/testing/emulator/fleet/faults.py
@@ -183,7 +183,7 @@
 
 
 def pass_on(world: FleetWorld, random: Random) -> Undo:
-    world.operator.type(m.PassOn(random.choice(list(world.stewards))))
+    world.operator.type(m.TransferLeadership(random.choice(list(world.stewards))))
     return lambda: None
 
 
@@ -226,7 +226,7 @@
     some: list[p.Change] = [
         p.SetClass("lookup", {"aim": float(50 + number)}),
         p.SetRule("allowed", "tryLimit", float(1 + number % 4)),
-        p.Ban(f"w{number}"),
+        p.EjectWorker(f"w{number}"),
         p.LeastRelease((0, number % 9)),
     ]
     return random.choice(some)
--- a/bitternpath/testing/emulator/fleet/reckoning.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -21,7 +21,7 @@
 
     process: str
     version: int
-    fence: int
+    fencing_token: int
     first: float
     last: float
 
@@ -29,9 +29,9 @@
 def served(process: str, lines: list[audit.Line]) -> list[Served]:
     found = []
     for line in lines:
-        if line.what == audit.SERVED and line.fence:
+        if line.what == audit.SERVED and line.fencing_token:
             told = msgspec.json.decode(line.detail)
-            found.append(Served(process, line.version, line.fence, told["first"], told["last"]))
+            found.append(Served(process, line.version, line.fencing_token, told["first"], told["last"]))
     return found
 
 
@@ -53,18 +53,18 @@
     """Rule 3: no act under a lease that the stewards had let go of."""
     broken = []
     for span in spans:
-        for fence, at, why in accounts.get(span.process, {}).get("let_go", ()):
-            if fence == span.fence and why != "it ended" and span.last > at + SAME:
+        for fencing_token, at, why in accounts.get(span.process, {}).get("let_go", ()):
+            if fencing_token == span.fencing_token and why != "it ended" and span.last > at + SAME:
                 broken.append(
-                    f"over: {span.process} took a job at {span.last:.3f} under fence {fence}, which was let "
-                    f"go of at {at:.3f}"
+                    f"over: {span.process} took a job at {span.last:.3f} under fence "
+                    f"{fencing_token}, which was let go of at {at:.3f}"
                 )
     return broken
 
 
 def fences(process: str, lines: list[audit.Line]) -> list[str]:
     """Rule 3: nor with a lower fence after a higher one."""
-    under = [line.fence for line in lines if line.what in (audit.JOINED, audit.ACTS)]
+    under = [line.fencing_token for line in lines if line.what in (audit.JOINED, audit.ACTS)]
     if under != sorted(under):
         return [f"fence: {process} acted under fences {under}"]
     return []
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -1,7 +1,7 @@
 """Stewards as real processes beside a world on sockets, with a relay from each process to each steward.
 
 The world's operator types commands, its troubles take stewards and links, and at the end the processes' own
-records are reckoned with (`reckoning.py`). What the checker asks of a steward goes past the relays.
+records are reckoned with (`final_checks.py`). What the checker asks of a steward goes past the relays.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 from bitternpath.balancer.fleet import audit
 from bitternpath.balancer.fleet import messages as m
-from bitternpath.balancer.fleet.wire import Wire
+from bitternpath.balancer.fleet.connection import FleetConnection
 from bitternpath.net.sockets import dial
-from bitternpath.testing.emulator.fleet import reckoning
-from bitternpath.testing.emulator.fleet.question import OPERATOR, Question
+from bitternpath.testing.emulator.fleet import final_checks
+from bitternpath.testing.emulator.fleet.operator_request import OPERATOR, OperatorRequest
 from bitternpath.testing.emulator.fleet.relay import Relay
 from bitternpath.testing.emulator.fleet.surroundings import FleetWorld
 from bitternpath.testing.emulator.ports import HeldPort
@@ -75,7 +75,7 @@
         }
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [*program(), "steward", *["--found"] * found],
+                [*program(), "consensus-server", *["--found"] * found],
                 env=env,
                 cwd=Path(__file__).parents[4],
                 stderr=log,
@@ -151,17 +151,17 @@
 
     # ---- the operator
 
-    def ask(self, command: m.Command, then: Callable[[m.Answer], None] = lambda answer: None) -> None:
+    def ask(self, command: m.Command, then: Callable[[m.CommandReply], None] = lambda answer: None) -> None:
         ports = [self.relay(OPERATOR, name).number for name in self.stewards]
         self.random.shuffle(ports)
-        Question(self.world.reactor, command, then, ports)
+        OperatorRequest(self.world.reactor, command, then, ports)
 
     def change(self, change: Any, then: Callable[[int], None] = lambda version: None) -> None:
         """Propose it, and remember what was answered."""
         self.changes += 1
         id = f"c{self.changes}"
 
-        def heard(answer: m.Answer) -> None:
+        def heard(answer: m.CommandReply) -> None:
             if answer.ok:
                 version = int(msgspec.msgpack.decode(answer.data)["version"])
                 self.promised[id] = version
@@ -183,7 +183,7 @@
         if not names:
             return
 
-        def heard(answer: m.Answer) -> None:
+        def heard(answer: m.CommandReply) -> None:
             if answer.ok:
                 self.members += 1
                 self._add(names[1:])
@@ -209,14 +209,16 @@
     def _ask_alone(self, steward: StewardOnSockets) -> None:
         reactor = self.world.reactor
 
-        def hear(wire: Wire, said: m.Said) -> None:
+        def receive(wire: FleetConnection, said: m.FleetMessage) -> None:
             if isinstance(said, m.Hello):
-                wire.say(m.Ask(1, m.Look("status", stale=True)))
-            elif isinstance(said, m.Answer):
+                wire.send(m.CommandRequest(1, m.Query("status", stale=True)))
+            elif isinstance(said, m.CommandReply):
                 steward.known = dict(msgspec.msgpack.decode(said.data)) | {"at": reactor.seconds()}
                 wire.close()
 
-        wire = Wire(reactor, m.Hello(m.VERSION, "", "command", "checker"), hear, lambda wire: None)
+        wire = FleetConnection(
+            reactor, m.Hello(m.VERSION, "", "command", "checker"), receive, lambda wire: None
+        )
         dial(reactor, "127.0.0.1", steward.held.number, 1.0, wire).addErrback(lambda failure: None)
 
     def leads(self) -> dict[str, Any] | None:
@@ -302,7 +304,7 @@
         found: dict[str, dict[str, Any]] = {}
         names = [name for name, steward in self.stewards.items() if steward.up]
 
-        def heard(name: str, answer: m.Answer) -> None:
+        def heard(name: str, answer: m.CommandReply) -> None:
             found[name] = dict(msgspec.msgpack.decode(answer.data))
             if len(found) == len(names):
                 self._hold_against(found)
@@ -310,24 +312,24 @@
 
         for name in names:
             port = self.stewards[name].held.number
-            Question(self.world.reactor, m.Look("audit", stale=True), partial(heard, name), [port])
+            OperatorRequest(self.world.reactor, m.Query("audit", stale=True), partial(heard, name), [port])
 
     def _hold_against(self, records: dict[str, dict[str, Any]]) -> None:
         newest = max(records.values(), key=lambda record: int(record["applied"]))
         accounts = {f"{a['node']}#{a['boot']}": a for a in newest["accounts"]}
-        spans: list[reckoning.Served] = []
+        spans: list[final_checks.Served] = []
         for node in self.world.nodes.values():
             for file in sorted((self.world.folder / f"{node.name}.acts").glob("acts-*")):
                 process = f"{node.name}#{file.name.removeprefix('acts-')}"
                 lines = [
                     msgspec.json.decode(text, type=audit.Line) for text in file.read_bytes().splitlines()
                 ]
-                spans += reckoning.served(process, lines)
-                self.faults += reckoning.fences(process, lines)
-                self.faults += reckoning.heard(process, lines, accounts.get(process))
-        self.faults += reckoning.apart(spans)
-        self.faults += reckoning.over(spans, accounts)
-        self.faults += reckoning.kept(records, self.promised)
+                spans += final_checks.served(process, lines)
+                self.faults += final_checks.fences(process, lines)
+                self.faults += final_checks.heard(process, lines, accounts.get(process))
+        self.faults += final_checks.apart(spans)
+        self.faults += final_checks.over(spans, accounts)
+        self.faults += final_checks.kept(records, self.promised)
         self.figures = {
             "versions": newest["released"], "promised": len(self.promised), "spans": len(spans),
             "effect": sorted(self.effect), "leaderless": self.leaderless,
--- a/bitternpath/testing/emulator/fleet/walk.py
+++ b/bitternpath/testing/emulator/fleet/random_schedule.py
@@ -39,7 +39,7 @@
 class Flying(Struct):
     sender: str
     to: str
-    said: m.Consensus | m.Passed | m.Back
+    said: m.Consensus | m.ForwardedRequest | m.ForwardedReply
 
 
 class One:
@@ -65,7 +65,7 @@
         self.sequence = 0
         names = [f"S{k}" for k in range(stewards)]
         members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
-        found = Entry(2, 1, EntryKind.COMMAND, p.item_bytes(p.Found(p.Terms(), "f")))
+        found = Entry(2, 1, EntryKind.COMMAND, p.item_bytes(p.Bootstrap(p.LeaseTerms(), "f")))
         self.all = {name: One(name, PersistentState(term=1, entries=[members, found])) for name in names}
         for one in self.all.values():
             self._start(one)
@@ -99,7 +99,7 @@
         flying = self._take()
         if flying is not None:
             one = self.all[flying.to]
-            one.replica.hear(one.now, flying.sender, flying.said)
+            one.replica.receive(one.now, flying.sender, flying.said)
             self._settle(one)
 
     def _lose(self) -> None:
@@ -133,8 +133,8 @@
         one = self._any()
         self.sequence += 1
         change = p.SetClass("lookup", {"aim": 1.0 + self.sequence})
-        said = m.Ask(self.sequence, m.Propose(f"c{self.sequence}", "a", "b", change))
-        one.replica.say(one.now, 1, said)
+        said = m.CommandRequest(self.sequence, m.Propose(f"c{self.sequence}", "a", "b", change))
+        one.replica.receive_request(one.now, 1, said)
         self._settle(one)
 
     def _renew(self) -> None:
@@ -144,11 +144,11 @@
         record = one.replica.record
         holder = record.holders.get(f"{node}#b")
         self.asked[float(self.sequence)] = self.step
-        said = m.Renew(
-            node, "b", "site", (1,), "serve", float(self.sequence), holder.fence if holder else 0,
+        said = m.RenewLease(
+            node, "b", "site", (1,), "serve", float(self.sequence), holder.fencing_token if holder else 0,
             record.released.version, record.latest.version, record.latest.digest,
         )  # fmt: skip
-        one.replica.say(one.now, 2, said)
+        one.replica.receive_request(one.now, 2, said)
         self._settle(one)
 
     # ---- what follows
@@ -165,7 +165,7 @@
             self.elected.setdefault(replica.raft.term, self.step)
         one.writing += effects.writes
         for to, said in effects.send:
-            if isinstance(said, m.Back) and isinstance(said.said, m.Lease):
+            if isinstance(said, m.ForwardedReply) and isinstance(said.said, m.Lease):
                 self._granted(one, said.said)
             self.flying.append(Flying(one.name, to, said))
         for _, answer in effects.replies:
--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -12,9 +12,9 @@
 from bitternpath.balancer.fleet import audit
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.balancer.fleet.founding import founded
+from bitternpath.balancer.fleet.bootstrap import bootstrapped
 from bitternpath.balancer.fleet.leadership import PendingRequest
-from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
+from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
 from bitternpath.balancer.fleet.record_replica import RecordReplica
 from bitternpath.replication.records import RaftTiming
 from bitternpath.testing.emulator.fleet import world
@@ -31,7 +31,7 @@
     shuffled: bool = False
 
 
-TERMS = p.Terms(lease=1.0, drift=0.1, catch_up=1.0)
+TERMS = p.LeaseTerms(lease=1.0, drift=0.1, catch_up=1.0)
 STEP = 0.6  # s: a lease is over after two, whoever's clock is asked
 RATES = (0.9, 1.1)  # the clocks of the nodes
 
@@ -44,7 +44,7 @@
         self.left = {"time": scope.steps, "change": scope.changes, "crash": scope.crashes}
         self.left["cut"] = scope.cuts
         self.now = 0
-        self.disk = founded("S", TERMS, "f")
+        self.disk = bootstrapped("S", TERMS, "f")
         self.channels = Channels()
         self.versions = 0
         self.broken = ""
@@ -57,7 +57,7 @@
         self.begun = self.replica.raft.now
         fixed: Any = FixedRandom()
         for k in range(scope.nodes):
-            who = Who(f"n{k}", "b", "site", (1,))
+            who = ProcessIdentity(f"n{k}", "b", "site", (1,))
             holder = LeaseHolder(who, ["S"], fixed, self.clock(k), lambda: 0.0, lambda plan: "")
             self.nodes[who.node] = holder
             holder.dial = None
@@ -95,7 +95,7 @@
     def own_node(self, name: str) -> LeaseHolder:
         holder: LeaseHolder = copied(self.nodes[name])
         self.nodes[name] = holder
-        holder.ledger = audit.Ledger("b")  # what it writes down decides nothing
+        holder.audit_log = audit.AuditLog("b")  # what it writes down decides nothing
         return holder
 
     def key(self) -> Hashable:
@@ -112,8 +112,8 @@
             own = (leadership.ready, leadership.release_index, tuple(leadership.joining.items()))
         waiting = tuple((each.awaited, each.received, encoded(each.request)) for each in pending)
         nodes = tuple(
-            (a.fence, a._lost, a.until, a.plan.version, a.plan.digest, a.taken.version, a.taken.digest,
-             a.connected, a.latest, a._renew_at, a._answer_by, a._dial_at,
+            (a.fencing_token, a._lost, a.until, a.plan.version, a.plan.digest, a.taken.version,
+             a.taken.digest, a.connected, a.latest, a._renew_at, a._answer_by, a._dial_at,
              tuple((n.version, n.digest) for n in a._next))
             for a in self.nodes.values()
         )  # fmt: skip
@@ -162,21 +162,21 @@
         holder = self.nodes[name]
         sends, holder.sends = holder.sends, []
         holder.acts.clear()
-        holder.ledger = audit.Ledger("b")
+        holder.audit_log = audit.AuditLog("b")
         for said in sends:
-            if not isinstance(said, m.Acts):
+            if not isinstance(said, m.AuditLines):
                 self.channels = self.channels.with_message(name, "S", said)
         self.check()
 
     def check(self) -> None:
         """By true time: who could act now, on which version, and does the record still count it in?"""
-        holders = {h.node: h.fence for h in self.replica.record.holders.values()}
+        holders = {h.node: h.fencing_token for h in self.replica.record.holders.values()}
         acting = {}
         for k, (name, holder) in enumerate(self.nodes.items()):
-            if holder.fence and self.clock(k) < holder.until:
+            if holder.fencing_token and self.clock(k) < holder.until:
                 acting[name] = holder.plan.version
-                if holders.get(name, 0) < holder.fence and not self.catching_up:
-                    self.broken = f"{name} may act under fence {holder.fence}, which is let go of"
+                if holders.get(name, 0) < holder.fencing_token and not self.catching_up:
+                    self.broken = f"{name} may act under fence {holder.fencing_token}, which is let go of"
         if acting and max(acting.values()) - min(acting.values()) > 1:
             self.broken = f"two versions apart: {acting}"
 
@@ -189,12 +189,12 @@
 def _pass(state: Leases, sender: str, to: str, said: Any, rest: Channels) -> None:
     state.channels = rest
     if to == "S":
-        state.own().say(state.steward_clock(), int(sender[1:]), said)
+        state.own().receive_request(state.steward_clock(), int(sender[1:]), said)
         state.settle()
         return
     holder, k = state.own_node(to), int(to[1:])
     if holder.connected:
-        holder.hear(state.clock(k), said)
+        holder.receive(state.clock(k), said)
         state.said(to)
 
 
@@ -209,8 +209,10 @@
     state.left["change"] -= 1
     state.versions += 1
     change = p.SetClass("lookup", {"aim": float(state.versions)})
-    state.own().say(
-        state.steward_clock(), -1, m.Ask(state.versions, m.Propose(f"c{state.versions}", "a", "b", change))
+    state.own().receive_request(
+        state.steward_clock(),
+        -1,
+        m.CommandRequest(state.versions, m.Propose(f"c{state.versions}", "a", "b", change)),
     )
     state.settle()
 
--- a/bitternpath/testing/emulator/troubles/fleet.py
+++ b/bitternpath/testing/emulator/troubles/fleet.py
@@ -48,9 +48,9 @@
         for node in world.nodes:
             world.checker.called_back(node, worker)
         if banned:
-            world.fleet.change(p.Unban(worker))
+            world.fleet.change(p.ReinstateWorker(worker))
 
-    world.fleet.change(p.Ban(worker), known)
+    world.fleet.change(p.EjectWorker(worker), known)
     active.undo = undo
 
 
