--- a/bitternpath/balancer/fleet/client.py
+++ b/bitternpath/balancer/fleet/client.py
@@ -1,4 +1,4 @@
-"""Asking the stewards from a command: blocking sockets, one steward after the other."""
+"""Requests of a command to the consensus servers: blocking sockets, one server after the other."""
 
 from __future__ import annotations
 
--- a/bitternpath/balancer/fleet/connection.py
+++ b/bitternpath/balancer/fleet/connection.py
@@ -1,4 +1,4 @@
-"""Connections that carry the fleet's messages (Twisted)."""
+"""Connections that carry the fleet's messages, framed as in messages.py (Twisted)."""
 
 from __future__ import annotations
 
--- a/bitternpath/balancer/fleet/consensus_server.py
+++ b/bitternpath/balancer/fleet/consensus_server.py
@@ -1,8 +1,8 @@
-"""A steward's process: a replica of the record with its disk, links to the others, a listener (Twisted).
+"""A consensus server's process: a replica of the record with its disk, peer links and a listener (Twisted).
 
-What comes goes into the replica; what follows is carried out at once, but for writes: a thread of its own
-does them one batch after the other, and the replica hears when they are on disk. A disk that fails ends the
-process: a steward that can't keep its word must not give it.
+Input goes into the replica, and its effects are carried out in the same turn, except for writes: a thread of
+its own does them one batch after the other, and the replica is notified when they are on disk. A disk error
+ends the process: a server that can't store its vote must not answer.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def server_addresses(fleet: Fleet) -> dict[str, Address]:
-    """The stewards' addresses by name."""
+    """Return the consensus servers' addresses by name."""
     return {name: address(at) for name, _, at in (each.partition("=") for each in fleet.stewards)}
 
 
--- a/bitternpath/balancer/fleet/lease_holder.py
+++ b/bitternpath/balancer/fleet/lease_holder.py
@@ -1,13 +1,13 @@
-"""A process of a node as the fleet sees it: its lease, the versions that it has taken and acts on. Pure.
+"""A node process's side of the lease protocol: its lease and the versions it has. Pure.
 
-    ALONE --a lease came, and the plan it names is in hand--> UNDER --its time is over, or it ends--> ALONE
+    no lease --lease granted, and the released plan is validated--> holds --expiry or end--> no lease
 
-- A lease ends `length` seconds after this process *sent* the request that renewed it, by its own clock.
-  Nobody has to tell it, and no timer has to ring: whoever acts asks `holds` first, in the same turn.
-- A change is *taken* when it has been checked whole (`check`, the node's); one that cannot be taken is
-  answered with the reason, and so is every later one until it is withdrawn.
-- A version is *acted on* when a lease says that it is released and its digest is that of the plan in hand.
-- A lease that is lost is not found again: the next one has a new fence.
+- A lease expires `length` seconds after this process *sent* the request that renewed it, by its own clock. No
+  message or timer is needed for that: the caller checks `holds` first, in the same turn.
+- A change is *taken* once the plan with it has passed `check`, the node's validation. A change that fails is
+  reported with the reason, and so is every later one until it is withdrawn.
+- A version is *applied* when a lease says that it is released and its digest equals that of the plan taken.
+- A lease that has expired is never resumed: the next one has a new fencing token.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class ProcessEvent(Struct, frozen=True):
-    """Something that the process did; `at` in s on its own clock."""
+    """A change of the process's lease or version; `at` in s on its own clock."""
 
     at: float
     what: str  # joined, acts, lost, left
@@ -91,7 +91,7 @@
     # ---- the lease
 
     def holds(self, now: float) -> bool:
-        """Whether this process may act under the fleet's word in this very moment."""
+        """Whether this process holds a lease at `now`."""
         if self.fencing_token and now >= self.until:
             self._act(self.until, audit.LOST)
             self._lost, self.fencing_token = self.fencing_token, 0
@@ -168,7 +168,7 @@
         return [self.plan, *self._next]
 
     def end(self, now: float) -> None:
-        """It acts no more; the stewards hear so once it is written down."""
+        """Release the lease; the servers are notified once the audit log is on file."""
         if self.holds(now):
             self._act(now, audit.LEFT)
             self._parting = m.LeaseReleased(self.who.node, self.who.boot, self.fencing_token)
@@ -289,7 +289,7 @@
             self._renew_if_connected(now)
 
     def _take_snapshot(self, now: float, plan: p.Plan, changes: tuple[p.AgreedVersion, ...]) -> None:
-        """What is in hand is not what the stewards have: begin anew from what is released."""
+        """Replace the plan by the released one: the servers no longer keep the changes between."""
         self.latest = max(self.latest, plan.version)
         if plan.version < self.plan.version:
             return  # an old one
--- a/bitternpath/balancer/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -120,7 +120,7 @@
         self._reply(pending.route, lease)
 
     def _parting(self, leadership: Leadership, parting: m.LeaseReleased) -> None:
-        """A process says that it ends."""
+        """A process has released its lease."""
         holder = self.record.holders.get(f"{parting.node}#{parting.boot}")
         if holder is not None and holder.fencing_token == parting.fencing_token:
             self._end_lease(leadership, holder, "it ended")
--- a/bitternpath/balancer/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -1,7 +1,9 @@
-"""What stewards, agents and commands say to one another. Pure.
+"""Messages between consensus servers, record clients (nodes) and commands. Pure.
 
-On the wire: four bytes of length, then one message in msgpack. Each side's first message is `Hello`; another
-version of these messages, another fleet or rubbish ends the connection with one line that says so.
+On the wire: four bytes of length (big-endian), then one message in msgpack. Each side's first message is
+`Hello`. A different protocol version, a different fleet id or bytes that are no message close the connection,
+with one log line. Tags and field names on the wire are fixed; where a class or field has another name here,
+its tag or `name=` keeps the one on the wire.
 """
 
 from __future__ import annotations
@@ -21,10 +23,12 @@
 
 
 class WireError(Exception):
-    """What came cannot be used; the text says why."""
+    """The peer sent bytes that are no valid message; the text says why. A retry does not help."""
 
 
 class Hello(Struct, frozen=True, tag="hello"):
+    """The first message of each side."""
+
     version: int
     fleet: str
     role: str  # steward, agent or command
@@ -32,7 +36,7 @@
 
 
 class Refused(Struct, frozen=True, tag="refused"):
-    """The other side cannot be spoken to."""
+    """The peer is rejected (`why`: protocol version, fleet); the connection closes after it."""
 
     why: str
 
@@ -41,18 +45,20 @@
 
 
 class Consensus(Struct, frozen=True, tag="raft"):
+    """A message of the consensus protocol."""
+
     message: consensus.Message
 
 
 class ForwardedRequest(Struct, frozen=True, tag="passed"):
-    """What somebody connected to the sender said, for the leader."""
+    """A request received by a follower, forwarded to the leader."""
 
     token: int  # the connection there
     said: RenewLease | LeaseReleased | AuditLines | CommandRequest
 
 
 class ForwardedReply(Struct, frozen=True, tag="back"):
-    """The leader's answer to it."""
+    """The leader's reply, to be returned on the follower's connection `token`."""
 
     token: int
     said: (
@@ -70,7 +76,7 @@
 
 
 class RenewLease(Struct, frozen=True, tag="renew"):
-    """A process of a node asks for its lease: the first one, or on. Also its report."""
+    """A node process requests a lease or renews it, and reports which versions it has and applies."""
 
     node: str
     boot: str  # of this process
@@ -86,7 +92,7 @@
 
 
 class LeaseReleased(Struct, frozen=True, tag="parting"):
-    """It ends, and acts no more under that fence."""
+    """The process ends, and applies nothing more under that fencing token."""
 
     node: str
     boot: str
@@ -94,7 +100,7 @@
 
 
 class AuditLines(Struct, frozen=True, tag="acts"):
-    """Lines of a process's audit that are not acknowledged yet."""
+    """Lines of a process's audit log that are not acknowledged yet."""
 
     node: str
     boot: str
@@ -106,7 +112,7 @@
 
 
 class Lease(Struct, frozen=True, tag="lease"):
-    """The lease runs from `sent`, by the clock of the one who sent it."""
+    """A lease granted: it runs `length` s from `sent`, by the clock of the process that sent the request."""
 
     sent: float
     length: float  # s
@@ -116,7 +122,7 @@
 
 
 class LeaseRefused(Struct, frozen=True, tag="withheld"):
-    """No lease, or none for longer; what it lacks comes beside."""
+    """No lease is granted or renewed, with the reason; missing versions are sent separately."""
 
     sent: float
     why: str
@@ -124,27 +130,27 @@
 
 
 class VersionChanges(Struct, frozen=True, tag="changes"):
-    """What follows the version it has."""
+    """The versions that follow the one the process has."""
 
     changes: tuple[AgreedVersion, ...]
 
 
 class PlanSnapshot(Struct, frozen=True, tag="whole"):
-    """Where the changes since are not kept any more: the plan as released, and what follows."""
+    """The released plan and what follows, for a process whose next changes are no longer kept."""
 
     plan: Plan
     changes: tuple[AgreedVersion, ...]
 
 
 class VersionUpdate(Struct, frozen=True, tag="news"):
-    """There is something to take or to act on: renew at once."""
+    """A version was committed or released: renew at once."""
 
     released: int
     latest: int
 
 
 class AuditAcknowledged(Struct, frozen=True, tag="heard"):
-    """The record has the lines of that process up to this one."""
+    """The record holds the audit lines of that process up to line `upto`."""
 
     boot: str
     upto: int
@@ -154,6 +160,8 @@
 
 
 class Propose(Struct, frozen=True, tag="propose"):
+    """Propose a change of the plan; idempotent by `id`."""
+
     id: str  # the same one again is the same change
     author: str
     reason: str
@@ -161,7 +169,7 @@
 
 
 class Withdraw(Struct, frozen=True, tag="withdraw"):
-    """A version that is not released yet shall change nothing."""
+    """Make a version that is not released yet a no-op."""
 
     version: int
     author: str
@@ -169,7 +177,7 @@
 
 
 class Query(Struct, frozen=True, tag="look"):
-    """What is known: `status`, `versions`, `explain`, `audit` or `members`."""
+    """Read the record: `status` or `audit`."""
 
     what: str
     node: str = ""
@@ -179,12 +187,14 @@
 
 
 class ChangeMembers(Struct, frozen=True, tag="members"):
+    """Add a server as a learner, or remove a member; exactly one of the two."""
+
     add: str = ""
     remove: str = ""
 
 
 class TransferLeadership(Struct, frozen=True, tag="pass on"):
-    """Another steward shall lead."""
+    """Transfer leadership to the voter named."""
 
     to: str
 
@@ -193,11 +203,15 @@
 
 
 class CommandRequest(Struct, frozen=True, tag="ask"):
+    """A command, numbered by its sender."""
+
     number: int
     command: Command
 
 
 class CommandReply(Struct, frozen=True, tag="answer"):
+    """The reply to the command of that number; `data` is msgpack."""
+
     number: int
     ok: bool
     text: str  # what went wrong, in one line
@@ -247,7 +261,7 @@
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[FleetMessage]:
-        """The messages that are whole now; WireError where one cannot be read."""
+        """Return the messages completed by `data`; raise WireError if one can't be decoded."""
         self._data += data
         found: list[FleetMessage] = []
         at = 0
--- a/bitternpath/balancer/fleet/node_folder.py
+++ b/bitternpath/balancer/fleet/node_folder.py
@@ -1,9 +1,9 @@
-"""A node's folder: what its processes did, and the plan last acted on, written by a thread of its own.
+"""A node's folder: the audit logs of its processes and the plan last applied, written by a thread of its own.
 
-A disk may hold a write up for a long time (a neighbour's sync, a journal that is full), and no invocation
-may wait for that. So lines are handed over here, and the `LeaseHolder` hears when they are on file: only then
-are they told to a steward, because the audit must hold nothing that the process's own file may come to lack.
-Files: `acts-BOOT` with a process's audit, a line of JSON each, and `plan`.
+A disk may delay a write for a long time, and no invocation may wait for it. So lines are queued here, and the
+`LeaseHolder` is notified when they are on file. Only then are they sent to a consensus server, because the
+record must hold no line that the process's own file may lack.
+Files: `acts-BOOT`, a process's audit log with one JSON array a line, and `plan` (msgpack).
 """
 
 from __future__ import annotations
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -1,11 +1,11 @@
-"""What is agreed: the plan with its versions, who holds a lease, and the changes on the way. Pure.
+"""The replicated state: the plan with its versions, lease holders, audit logs, and pending changes. Pure.
 
-Every steward applies the same entries in the same order to a `Record`, and so has the same one. A change gets
-the next version when it is agreed, and is *released* by an entry of its own: from then on nodes act on it.
-A version that is not released yet can be withdrawn: it stays in the record and changes nothing.
+Every consensus server applies the same entries in the same order to a `Record`, and so has the same state. A
+change gets the next version when it is committed, and is *released* by an entry of its own: from then on
+nodes apply it. A version that is not released yet can be withdrawn: it stays in the record as a no-op.
 
 The digest of a version is that of its change chained to the digest before, so that two nodes that name the
-same digest hold the same plan.
+same digest hold the same plan. Records are stored: tags and stored field names are fixed (see `name=`).
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PlanError(Exception):
-    """A change that cannot be; the text says why, in one line."""
+    """An invalid change: the caller's fault; the text says why, in one line."""
 
 
 # ---- changes
@@ -49,12 +49,14 @@
 
 
 class EjectWorker(Struct, frozen=True, tag="ban"):
-    """Nothing new to that calendar worker, from any node."""
+    """Eject a calendar worker by hand: no node sends it new jobs."""
 
     worker: str
 
 
 class ReinstateWorker(Struct, frozen=True, tag="back"):
+    """End the ejection of a calendar worker."""
+
     worker: str
 
 
@@ -81,7 +83,7 @@
 
 
 class Plan(Struct, frozen=True):
-    """What nodes act on."""
+    """The configuration that nodes apply on top of their own files."""
 
     version: int = 0
     digest: bytes = b""
@@ -163,14 +165,14 @@
 
 
 class Bootstrap(Struct, frozen=True, tag="found"):
-    """The first entry of a fleet; `id` is its own, so that no two fleets are taken for one."""
+    """The first entry of a fleet; `id` is random, so that two fleets are told apart."""
 
     terms: LeaseTerms
     id: str
 
 
 class AgreeChange(Struct, frozen=True, tag="adopt"):
-    """A change is agreed, where it can be; asked for again by its id it is no second one."""
+    """Commit a change as the next version, if it is valid; idempotent by `id`."""
 
     id: str
     author: str
@@ -180,7 +182,7 @@
 
 
 class WithdrawVersion(Struct, frozen=True, tag="void"):
-    """A version is withdrawn, where it is not released."""
+    """Withdraw a version, if it is not released."""
 
     version: int
     author: str
@@ -188,14 +190,14 @@
 
 
 class Release(Struct, frozen=True, tag="release"):
-    """A version is to be acted on."""
+    """Release a version: nodes apply it."""
 
     version: int
     time: float
 
 
 class LeaseStarted(Struct, frozen=True, tag="joined"):
-    """A process of a node gets a lease; its fence is the index of this entry."""
+    """A node process gets a lease; its fencing token is the index of this entry."""
 
     node: str
     boot: str
@@ -208,7 +210,7 @@
 
 
 class LeaseEnded(Struct, frozen=True, tag="parted"):
-    """Its lease is over, or it ended."""
+    """A lease has expired or was released."""
 
     node: str
     boot: str
@@ -218,7 +220,7 @@
 
 
 class AuditRecorded(Struct, frozen=True, tag="noted"):
-    """Lines of a process's audit have come."""
+    """Lines of a process's audit log were received."""
 
     node: str
     boot: str
@@ -231,7 +233,7 @@
 
 
 class Holder(Struct):
-    """A process of a node that holds a lease, as far as is agreed."""
+    """A node process that holds a lease, by the record."""
 
     node: str
     boot: str
@@ -247,7 +249,7 @@
 
 
 class Record(Struct):
-    """All that is agreed; only `apply` changes it, and the same entries make the same record."""
+    """The replicated state machine: only `apply` changes it, and it is deterministic."""
 
     fleet: str = ""
     terms: LeaseTerms = LeaseTerms()
@@ -277,7 +279,7 @@
         return found.digest if found is not None else None
 
     def apply(self, index: int, item: Item) -> str:
-        """Take an entry in; empty, or why it changes nothing."""
+        """Apply a committed entry; return an empty text, or why the entry changes nothing."""
         match item:
             case Bootstrap(terms, id):
                 self.terms, self.fleet = terms, id
--- a/bitternpath/balancer/fleet/record_client.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -1,9 +1,10 @@
-"""A node's side of the fleet on sockets: the `LeaseHolder` with its connection, its files and what it does.
+"""A node's client of the fleet's record, on sockets: a `LeaseHolder` with its connection and its files.
 
-The node gives three things: a check of a plan, a way to act on one, and its roster. In return it asks `gate`
-before it takes an invocation: there the lease is looked at, in the very turn in which the act happens.
-What lasts of it stands in `fleet.folder`, where one is given (files.py): a process's audit, and the plan last
-acted on, so that a node which starts without a steward serves as last agreed.
+The node supplies a check of a plan, a function that applies one, and its roster of providers. It calls `gate`
+before it accepts an invocation; the lease is checked there, in the same turn of the event loop in which the
+invocation is accepted. What must survive a restart is in `fleet.folder`, if set (node_folder.py): the audit
+log of each process, and the plan last applied, with which a node serves that starts while no server can be
+reached.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class ServiceSpan(Struct):
-    """What was taken under one version and one fence, or without a lease."""
+    """Invocations accepted under one version and fencing token, or without a lease."""
 
     version: int
     fencing_token: int
@@ -94,7 +95,7 @@
     # ---- what the node asks
 
     def gate(self, job_class: str) -> float | None:
-        """An invocation has come; None, or the ms after which it may come again where this node leaves."""
+        """Return None to accept an invocation, or the ms after which to retry it (`alone = "leave"`)."""
         holder = self.holder
         if holder.fencing_token != self.service_span.fencing_token or (
             holder.fencing_token and clock.elapsed() >= holder.until
@@ -152,7 +153,7 @@
         self.settle()
 
     def settle(self) -> None:
-        """Carry out what follows, in its order: written down, then done, then said."""
+        """Carry out the holder's effects in order: audit lines to file, then actions, then messages."""
         holder, now = self.holder, clock.elapsed()
         fencing_token = holder.fencing_token if holder.holds(now) else NO_LEASE
         if (holder.plan.version, fencing_token) != (
--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -1,20 +1,21 @@
 """A replica of the fleet's record, and what its leader decides: leases, releases, answers. Pure.
 
-A `RecordReplica` is a member of the consensus with the record that follows from it. What agents and commands
-say goes to the leader, whichever member hears it. The leader alone grants leases (`leases.py`), releases
-versions and does what operators ask (`commands.py`); what it needs for that beyond the record it keeps in a
-`Leadership`, which ends with its term.
+A `RecordReplica` is a member of the consensus with the record that follows from it. Requests of record
+clients and commands go to the leader, whichever member receives them. The leader alone grants leases
+(`leases.py`), releases versions and does what operators ask (`commands.py`); what it needs for that beyond
+the record it keeps in a `Leadership`, which ends with its term.
 
 Why two members never grant at odds:
 
 - A lease is granted only once a round has been answered by a majority that began after the request came. Who
   answered had voted for nobody else by then, so the request is older than any later leader's election.
 - A node's lease runs from the moment of its asking, by its own clock. For the leader it runs from the moment
-  in which the request came, and `LeaseTerms.longest` on: longer, whatever both clocks do within the
-  drift stated.
+  in which the request came, and `LeaseTerms.longest` on: longer, whatever both clocks do within the drift
+  stated.
 - A new leader takes every holder's lease as granted in the moment of its election.
 - A holder leaves the record only after that time, or by its own word; and a version is released only when
-  every holder in the record has said, under its fence, that it acts on the one before and has taken this one.
+  every holder in the record has reported, under its fencing token, that it acts on the one before and has
+  taken this one.
 """
 
 from __future__ import annotations
@@ -63,7 +64,7 @@
     def receive(
         self, now: float, sender: str, message: m.Consensus | m.ForwardedRequest | m.ForwardedReply
     ) -> None:
-        """Another member speaks."""
+        """Receive a message of another member."""
         match message:
             case m.Consensus(inner):
                 self.raft.receive(now, sender, inner)
@@ -73,7 +74,7 @@
                 self._replies.append((token, answer))
 
     def receive_request(self, now: float, token: int, request: m.ForwardableRequest) -> None:
-        """An agent or a command speaks on a connection of this member's."""
+        """Receive a request on one of this member's own connections."""
         self._take_request(now, (self.me, token), request, passed=False)
 
     def met(self, id: str) -> None:
@@ -81,7 +82,7 @@
         self.member_ids[id.partition(".")[0]] = id
 
     def take(self, now: float) -> Effects:
-        """All that follows from what was put in."""
+        """Return the effects of all input so far."""
         effects = Effects([], [], [], [], [])
         self._keep_leadership()
         while True:
--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -1,8 +1,8 @@
-"""A steward's disk: term, vote, entries and snapshot in LMDB, one synced transaction a batch.
+"""A consensus server's disk: term, vote, entries and snapshot in LMDB, one synced transaction a batch.
 
-A folder belongs to one steward on one disk. It has a lock that one process holds, and remembers the file
-that it was made as: a copy of it would vote a second time under the same name, and is refused. Each value is
-kept with a checksum; what is damaged is never read as if it were whole.
+A folder belongs to one server on one disk. It has a lock that one process holds, and stores the inode of its
+data file: a copy would vote a second time under the same name, and is refused. Each value is stored with a
+checksum, and a damaged value is never used.
 """
 
 from __future__ import annotations
@@ -30,14 +30,16 @@
 
 
 class StoreError(Exception):
-    """The folder cannot be used; the text says why, in one line."""
+    """The folder can't be used (an operator's task); the text says why, in one line."""
 
 
 class DamagedError(StoreError):
-    """What the folder holds is not whole."""
+    """The folder's content is incomplete or fails its checksum."""
 
 
 class State(Struct, frozen=True):
+    """What is stored beside entries and snapshot; field names are stored keys."""
+
     form: int
     name: str
     incarnation: str  # drawn when the folder was made: a steward that lost its disk is another one
@@ -135,7 +137,7 @@
             writing.put(STATE, _sealed(self.state), db=self._meta)
 
     def read(self) -> PersistentState:
-        """What is kept; DamagedError where any of it is not whole."""
+        """Return the persistent state; raise DamagedError if any of it is incomplete or damaged."""
         state, entries = self.state, list[Entry]()
         with self._env.begin() as reading:
             has = reading.get(SNAPSHOT, db=self._meta) is not None
