--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -64,7 +64,7 @@
             for k in range(CHANGES):
                 begun = world.later.now
                 world.operator.type(m.Propose(f"c{k}", "a", "b", p.SetClass("lookup", {"aim": 1.0 + k})))
-                while any(n.agency.plan.version < k + 1 for n in world.nodes.values()):
+                while any(n.holder.plan.version < k + 1 for n in world.nodes.values()):
                     world.later.run(world.later.now + 0.001)
                 took.append(world.later.now - begun)
                 world.later.run(world.later.now + 0.5)
@@ -85,10 +85,10 @@
         world.later.run(world.later.now + 5.0)
         begun = world.later.now
         node.resume()
-        while not (node.agency.fencing_token and node.agency.plan.version == 1):
+        while not (node.holder.fencing_token and node.holder.plan.version == 1):
             world.later.run(world.later.now + 0.01)
         back.append(world.later.now - begun)
-        node.agency.check = lambda plan: "it cannot"
+        node.holder.check = lambda plan: "it cannot"
         begun = world.later.now
         world.operator.type(m.Propose("d", "a", "b", p.EjectWorker("w2")))
         while world.leader().desk.record.released.version < 2:  # type: ignore[union-attr]
@@ -126,25 +126,26 @@
 import sys, structlog
 from twisted.internet import reactor
 from bitternpath.balancer.config.operator import Fleet
-from bitternpath.balancer.core.roster import Listing, Roster
-from bitternpath.balancer.fleet.record_client import Agent
-from bitternpath.balancer.fleet.connection import Wire
+from bitternpath.balancer.core.endpoint_registry import EndpointRegistry, Listing
+from bitternpath.balancer.fleet.record_client import RecordClient
+from bitternpath.balancer.fleet.connection import FleetConnection
 structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 count = [0, 0]
-read, say = Wire.dataReceived, Wire.say
+read = FleetConnection.dataReceived
 def counted(self, data):
     count[0] += len(data)
     read(self, data)
-Wire.dataReceived = counted
+FleetConnection.dataReceived = counted
 fleet = Fleet(stewards=[sys.argv[2]])
 agents = [
-    Agent(reactor, fleet, f"n{k}", "site", Roster(Listing(0, True, ())), lambda plan: "", lambda plan: None,
+    RecordClient(reactor, fleet, f"n{k}", "site", EndpointRegistry(Listing(0, True, ())),
+          lambda plan: "", lambda plan: None,
           lambda name: 0.0) for k in range(int(sys.argv[1]))
 ]
 for k, agent in enumerate(agents):
     reactor.callLater(k * 0.005, agent.begin)
 def report():
-    held = sum(agent.span.fence != 0 for agent in agents)
+    held = sum(agent.service_span.fencing_token != 0 for agent in agents)
     print(held, count[0], flush=True)
     reactor.callLater(0.5, report)
 report()
--- a/bitternpath/balancer/fleet/record_client.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -24,7 +24,7 @@
 from bitternpath import __version__
 from bitternpath.balancer.config.operator import Fleet
 from bitternpath.balancer.config.platform import Address
-from bitternpath.balancer.core.roster import BY_HAND, Roster
+from bitternpath.balancer.core.endpoint_registry import BY_OPERATOR, EndpointRegistry
 from bitternpath.balancer.fleet import audit, clock
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
@@ -74,12 +74,12 @@
         fleet: Fleet,
         node: str,
         site: str,
-        roster: Roster,
+        registry: EndpointRegistry,
         check: Callable[[p.Plan], str],
         act: Callable[[p.Plan], None],
         advice: Callable[[str], float],
     ) -> None:
-        self.reactor, self.fleet, self.roster, self.act, self.advice = reactor, fleet, roster, act, advice
+        self.reactor, self.fleet, self.registry, self.act, self.advice = reactor, fleet, registry, act, advice
         self.servers: dict[str, Address] = server_addresses(fleet)
         who = ProcessIdentity(
             node, secrets.token_hex(4), fleet.site or site, release_of(__version__), fleet.alone
@@ -89,7 +89,7 @@
         self.fleet_id = ""  # of the first fleet that granted a lease
         self._alarm: Any = None
         self.service_span = ServiceSpan(0, NO_LEASE)
-        roster.noted = self._noted
+        registry.on_ejection_change = self._noted
         self.folder = self._open(Path(fleet.folder)) if fleet.folder else None
 
     # ---- what the node asks
@@ -210,15 +210,15 @@
 
     def _apply_plan(self, plan: p.Plan) -> None:
         for id in plan.ejections:
-            self.roster.take_out(id, time.time() * 1000.0, BY_FLEET)
-        for id in self.roster.kept_out(BY_FLEET):
+            self.registry.eject(id, time.time() * 1000.0, BY_FLEET)
+        for id in self.registry.ejected_by(BY_FLEET):
             if id not in plan.ejections:
-                self.roster.call_back(id, time.time() * 1000.0, BY_FLEET)
+                self.registry.reinstate(id, time.time() * 1000.0, BY_FLEET)
         self.act(plan)
 
     def _noted(self, id: str, by: str, out: bool) -> None:
         """Staff have taken a provider out, or back, at this node's own console."""
-        if by == BY_HAND:
+        if by == BY_OPERATOR:
             self.holder.note(audit.OUT if out else audit.BACK, id)
             self._write_down()
 
