--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -10,13 +10,21 @@
 - a lease of an earlier owner starts anew when a new owner begins: its holder may be running the message;
 - after each event the owner's role calls `next_wakeup`, and `tick` at that time: nothing waits for another
   event whose time has come.
+
+Ways in which messages came to a standstill, and what prevents them:
+
+- a transfer of leadership that came to nothing had refused proposals: `proposal_failed` makes up for each;
+- an edge node that is partitioned from the workers returned a message again and again: after
+  `lifecycle.RETURNS_BEFORE_EDGE_CHANGE` returns it goes to another one;
+- a message ready for a pulling worker waited at one shard while workers waited at others: `RequestPollers`.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from random import Random
 
+from msgspec import Struct
+
 from bitternpath.configuration.routing_table import RoutingTable
 from bitternpath.queue.actions import Action, ExpirePoll, ProposeCommand
 from bitternpath.queue.commands import (
@@ -60,8 +68,7 @@
 DEFAULT_RETENTION_S = 90.0  # for tombstones while there is no configuration
 
 
-@dataclass(frozen=True, slots=True)
-class OwnerSettings:
+class OwnerSettings(Struct, frozen=True):
     """Values of the settings' `bounds` (DEPLOY, "Settings of a process") that shards need."""
 
     visibility_timeout_ms: int = 3_000  # `visible_ms`: a pulled message is given to nobody else for so long
@@ -70,12 +77,11 @@
     rate_tolerance: float = 1.1  # `origin_rate_over`: factor on a rate, within each window
 
 
-@dataclass(frozen=True, slots=True)
-class OwnedShard:
+class OwnedShard(Struct, frozen=True):
     """Which shard is owned, and where."""
 
     number: int
-    shards: int  # of the system
+    shard_count: int  # of the system
     zone: str  # of the owner's node
 
 
@@ -88,7 +94,7 @@
 
     def __init__(self, state: QueueState, shard: OwnedShard, settings: OwnerSettings, random: Random) -> None:
         """Begin without messages; call `leadership_acquired` before anything else."""
-        bound = RateBound(shard.shards, settings.rate_window_s, settings.rate_tolerance)
+        bound = RateBound(shard.shard_count, settings.rate_window_s, settings.rate_tolerance)
         self._state = state
         self._actions: list[Action] = []
         self._lease_ids = LeaseIdSequence(shard.number)
--- /dev/null
+++ b/bitternpath/testing/fault_injection/http_client.py
@@ -0,0 +1,124 @@
+"""An HTTP/1.1 client for the test environment: one call on one connection, without retries."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.internet.error import ConnectError
+from twisted.internet.protocol import Protocol, connectionDone
+from twisted.python.failure import Failure
+
+from bitternpath.net.http1 import HttpError, Response, ResponseReader, request
+
+CONNECT_TIMEOUT_S = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class Call:
+    """A request to send. Header names are as written."""
+
+    method: str
+    target: str
+    headers: dict[str, str] = field(default_factory=dict)
+    body: bytes = b""
+
+
+@dataclass(frozen=True, slots=True)
+class Reply:
+    """A complete answer. Header names are in lower case in answers that were read."""
+
+    status: int
+    headers: dict[str, str] = field(default_factory=dict)
+    body: bytes = b""
+
+
+class Unanswered(Enum):
+    """Why there is no complete answer."""
+
+    NO_CONNECTION = "no connection"  # nothing was sent
+    CLOSED = "closed"
+    SILENT = "silent"
+    MALFORMED = "malformed"
+
+
+def split_address(address: str) -> tuple[str, int]:
+    """Host and port of `host:port`."""
+    host, _, port = address.rpartition(":")
+    return host, int(port)
+
+
+def send_call(reactor: Any, address: str, call: Call, timeout_s: float) -> Deferred[Reply | Unanswered]:
+    """Send one request on a new connection; never fails."""
+    from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
+
+    protocol = _CallProtocol(address, call)
+    timer = reactor.callLater(timeout_s, protocol.finish, Unanswered.SILENT)
+    host, port = split_address(address)
+    endpoint: Any = TCP4ClientEndpoint(reactor, host, port, timeout=CONNECT_TIMEOUT_S)
+    connecting: Any = connectProtocol(endpoint, protocol)  # type: ignore[no-untyped-call]
+    connecting.addErrback(protocol.not_connected)
+
+    def ended(answer: Reply | Unanswered) -> Reply | Unanswered:
+        if timer.active():
+            timer.cancel()
+        return answer
+
+    return protocol.answer.addCallback(ended)
+
+
+class _CallProtocol(Protocol):
+    """One request and its answer."""
+
+    transport: Any = None
+
+    def __init__(self, address: str, call: Call) -> None:
+        self.answer: Deferred[Reply | Unanswered] = Deferred()
+        self._call = call
+        self._address = address
+        self._reader = ResponseReader(None)
+        self._done = False
+
+    def connectionMade(self) -> None:
+        if self._done:
+            self.transport.abortConnection()
+            return
+        headers = {"Host": self._address, **self._call.headers}
+        lines = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers.items()]
+        call = self._call
+        self.transport.setTcpNoDelay(True)
+        self.transport.write(request(call.method.encode(), call.target.encode("latin-1"), lines, call.body))
+
+    def dataReceived(self, data: bytes) -> None:
+        if self._done:
+            return
+        try:
+            self._reader.feed(data)
+            answer = self._reader.next()
+        except HttpError:
+            self.finish(Unanswered.MALFORMED)
+            return
+        if isinstance(answer, Response):
+            headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in answer.headers.items()}
+            self.finish(Reply(answer.status, headers, answer.body))
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        self.finish(Unanswered.CLOSED)
+
+    def not_connected(self, failure: Failure) -> None:
+        """There is no connection."""
+        failure.trap(ConnectError)  # type: ignore[no-untyped-call]
+        self.finish(Unanswered.NO_CONNECTION)
+
+    def finish(self, answer: Reply | Unanswered) -> None:
+        """Give the result, once, and close."""
+        if self._done:
+            return
+        self._done = True
+        if self.transport is not None:
+            self.transport.abortConnection()
+        elif answer is Unanswered.SILENT:
+            answer = Unanswered.NO_CONNECTION
+        self.answer.callback(answer)
--- a/bitternpath/testing/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -1,148 +1,166 @@
-"""Operators of a simulated run: changes, races, orders sent again, retirements, reads (PROTOCOL)."""
+"""Operators of a simulated run: concurrent and repeated changes, retirements, reads (PROTOCOL)."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
+from dataclasses import dataclass, replace
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from bitternpath.testing.fault_injection.changes import (
+from bitternpath.testing.fault_injection.configuration_changes import (
     changed_document,
     invalid_document,
     patch_call,
     put_call,
 )
 from bitternpath.testing.fault_injection.control_calls import (
-    ENDING,
-    FIRST_PAUSE_S,
-    MOST_PAUSE_S,
-    PAUSE_GROWTH,
-    TRIES_OF_REFUSED,
+    BACKOFF_FACTOR,
+    FINAL_STATUSES,
+    MAX_BACKOFF_S,
+    MAX_REFUSALS,
+    MIN_BACKOFF_S,
     ControlCalls,
 )
-from bitternpath.testing.fault_injection.plumbing import Call, Reply
+from bitternpath.testing.fault_injection.http_client import Call, Reply
 from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
-from bitternpath.testing.simulation.actors.nodes import Directory, NodeAddress
-from bitternpath.testing.simulation.actors.under_way import UnderWay
-from bitternpath.testing.simulation.checks.history import ConfigRead, RetireCall, Retirement, SystemHistory
-from bitternpath.testing.simulation.events import Look, Order, OrderStyle, Retire, RunPlan
-
-if TYPE_CHECKING:
-    from bitternpath.testing.simulation.world import World
+from bitternpath.testing.simulation.actors.in_flight import InFlight
+from bitternpath.testing.simulation.actors.node_directory import NodeAddress
+from bitternpath.testing.simulation.actors.run_context import RunContext
+from bitternpath.testing.simulation.checks.history import ConfigRead, RetireCall, Retirement
+from bitternpath.testing.simulation.events import Order, OrderStyle, ReadConfiguration, Retire
 
 OPERATOR_IP = "10.99.0.1"
-ORDER_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
-FIRST_ORDER_FOR_S = 25.0
-RETIRE_FOR_S = 5.0  # `ack_ms`: for so long an order to retire is sent again
-RETIRE_LOOK_S = 0.3
-RETIRE_DONE_FOR_S = 25.0  # then it is given up
-LOOKS_AFTER_DONE = 6
+ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
+FIRST_ORDER_RETRY_FOR_S = 25.0
+RETIRE_RETRY_FOR_S = 5.0  # `ack_ms`: for so long an order to retire is sent again
+RETIRE_POLL_INTERVAL_S = 0.3
+RETIRE_TIMEOUT_S = 25.0  # then it is given up
+POLLS_AFTER_DONE = 6
 RIVAL_NUMBERS = 10_000  # between the numbers of rivals' changes
-LOOK_TRIES = 10
+MAX_READ_ATTEMPTS = 10
+
+
+@dataclass(frozen=True, slots=True)
+class ConfigurationChange:
+    """A change to be sent: its call, the version on which it is based, and the document that it makes.
+
+    The first `lost_answers` answers don't reach the operator; the call is repeated for `retry_for_s` at most.
+    """
 
-Failed = Callable[[Any], object]
+    call: Call
+    base: int
+    document: dict[str, Any]
+    valid: bool = True
+    lost_answers: int = 0
+    retry_for_s: float = ORDER_RETRY_FOR_S
 
 
 class Operators:
-    """All operators. `known`: the newest document that any of them knows to be in force."""
-
-    def __init__(
-        self, world: World, plan: RunPlan, history: SystemHistory, directory: Directory, failed: Failed
-    ) -> None:
-        self._world, self._plan, self._history, self._directory = world, plan, history, directory
-        self._reactor: Any = world.host(OPERATOR_IP)
-        self.known: dict[str, Any] = {"version": 0, "routes": []}
-        self.documents: list[dict[str, Any]] = []  # that were sent, in their order
-        self._under_way = UnderWay(failed)
+    """All operators. `newest`: the newest document that any of them knows to be in force."""
+
+    def __init__(self, run: RunContext) -> None:
+        self._world = run.world
+        self._plan = run.plan
+        self._history = run.history
+        self._directory = run.directory
+        self._reactor: Any = run.world.host(OPERATOR_IP)
+        self.newest: dict[str, Any] = {"version": 0, "routes": []}
+        self.documents: list[dict[str, Any]] = []  # that were sent, in order
+        self._in_flight = InFlight(run.failed)
         self.on_retired: Callable[[str], object] = lambda planned: None
 
     @property
     def open(self) -> int:
-        """How many calls are under way."""
-        return self._under_way.count
+        """How many calls are in flight."""
+        return self._in_flight.count
 
-    def found(self, document: dict[str, Any]) -> None:
+    def create_configuration(self, document: dict[str, Any]) -> None:
         """Send the first configuration until it is accepted."""
         calls = self._calls(Random(f"{self._plan.seed}/founding"))
-        self._under_way.begin(
-            self._send(calls, put_call(0, document), 0, document, seconds=FIRST_ORDER_FOR_S)
-        )
+        change = ConfigurationChange(put_call(0, document), 0, document, retry_for_s=FIRST_ORDER_RETRY_FOR_S)
+        self._in_flight.begin(self._send(calls, change))
 
     def order(self, event: Order) -> None:
         """Send a change."""
-        self._under_way.begin(self._order(event))
+        self._in_flight.begin(self._order(event))
 
-    def look(self, event: Look) -> None:
+    def read_configuration(self, event: ReadConfiguration) -> None:
         """Read the configuration once."""
-        self._under_way.begin(self._look(self._calls(self._plan.random(event)), tries=1))
+        self._in_flight.begin(self._read_until_answered(self._calls(self._plan.random(event)), attempts=1))
 
     def retire(self, event: Retire) -> None:
-        """Have a machine emptied, and remove it then."""
-        self._under_way.begin(self._retire(event))
+        """Retire a machine, and remove it once that is done."""
+        self._in_flight.begin(self._retire(event))
 
     def read_back(self, seconds: float) -> None:
-        """Read the configuration again and again for so long; the last answer counts."""
-        self._under_way.begin(self._read_back(seconds))
+        """Read the configuration repeatedly for `seconds`; the last answer counts."""
+        self._in_flight.begin(self._read_back(seconds))
 
     # ---- changes
 
     async def _order(self, event: Order) -> None:
         random = self._plan.random(event)
-        before = self.known
-        base, version = before["version"], before["version"] + event.step
-        wanted = changed_document(before, event.number, version)
-        if event.style is OrderStyle.INVALID:
-            wanted = invalid_document(wanted)
-        call = patch_call(before, wanted) if event.style is OrderStyle.PATCH else put_call(base, wanted)
+        before = self.newest
+        base = before["version"]
+        version = base + event.step
+        document = changed_document(before, event.number, version)
         valid = event.style is not OrderStyle.INVALID
+        if not valid:
+            document = invalid_document(document)
+        is_patch = event.style is OrderStyle.PATCH
+        call = patch_call(before, document) if is_patch else put_call(base, document)
+        change = ConfigurationChange(call, base, document, valid)
         calls = self._calls(random)
-        sent = [self._send(calls, call, base, wanted, valid=valid, lost=event.lost_answers)]
+        sent = [self._send(calls, replace(change, lost_answers=event.lost_answers))]
         if event.twice:
-            sent.append(self._send(self._calls(random), call, base, wanted, valid=valid))
+            sent.append(self._send(self._calls(random), change))
         for rival in range(1, event.rivals + 1):
             number = 2 * (event.number + rival * RIVAL_NUMBERS) + 1  # odd: it adds a route of its own
             other = changed_document(before, number, version)
-            sent.append(self._send(self._calls(random), put_call(base, other), base, other))
+            rival_change = ConfigurationChange(put_call(base, other), base, other)
+            sent.append(self._send(self._calls(random), rival_change))
         outcomes = await gatherResults([Deferred.fromCoroutine(each) for each in sent])
         if event.again and outcomes[0] is OrderOutcome.ACKNOWLEDGED:
-            await self._send(calls, call, base, wanted, valid=valid)
+            await self._send(calls, change)
         if OrderOutcome.ACKNOWLEDGED not in outcomes:
-            await self._look(calls, LOOK_TRIES)
-
-    async def _send(
-        self,
-        calls: ControlCalls,
-        call: Call,
-        base: int,
-        wanted: dict[str, Any],
-        valid: bool = True,
-        lost: int = 0,
-        seconds: float = ORDER_FOR_S,
-    ) -> OrderOutcome:
-        """One change, sent until there is a clear answer."""
+            await self._read_until_answered(calls, MAX_READ_ATTEMPTS)
+
+    async def _send(self, calls: ControlCalls, change: ConfigurationChange) -> OrderOutcome:
+        """Send a change until its outcome is clear, and record it."""
         sent_at = self._world.now
-        if valid:
-            self.documents.append(wanted)
-        outcome, status = await calls.until_clear(call, sent_at + seconds, lost)
-        version = wanted["version"]
+        if change.valid:
+            self.documents.append(change.document)
+        result = await calls.send_until_decided(
+            change.call, sent_at + change.retry_for_s, change.lost_answers
+        )
         self._history.orders.append(
-            OrderSent(version, base, sent_at, self._world.now, outcome, valid, wanted, status, lost)
+            OrderSent(
+                version=change.document["version"],
+                base=change.base,
+                sent_at=sent_at,
+                ended_at=self._world.now,
+                outcome=result.outcome,
+                valid=change.valid,
+                document=change.document,
+                status=result.status,
+                lost_answers=change.lost_answers,
+            )
         )
-        if outcome is OrderOutcome.ACKNOWLEDGED:
-            self._learn(wanted)
-        return outcome
+        if result.outcome is OrderOutcome.ACKNOWLEDGED:
+            self._note_newest(change.document)
+        return result.outcome
 
     # ---- reads
 
-    async def _look(self, calls: ControlCalls, tries: int) -> None:
-        for _ in range(tries):
+    async def _read_until_answered(self, calls: ControlCalls, attempts: int) -> None:
+        for _ in range(attempts):
             if await self._read(calls) is not None:
                 return
-            await deferLater(self._reactor, FIRST_PAUSE_S)
+            await deferLater(self._reactor, MIN_BACKOFF_S)
 
     async def _read_back(self, seconds: float) -> None:
         calls = self._calls(Random(f"{self._plan.seed}/read back"))
@@ -151,7 +169,7 @@
             document = await self._read(calls)
             if document is not None:
                 self._history.read_back = document
-            await deferLater(self._reactor, FIRST_PAUSE_S)
+            await deferLater(self._reactor, MIN_BACKOFF_S)
 
     async def _read(self, calls: ControlCalls) -> dict[str, Any] | None:
         node, sent_at = calls.choose(), self._world.now
@@ -160,12 +178,12 @@
             return None
         document: dict[str, Any] = json.loads(answer.body)
         self._history.reads.append(ConfigRead(node.name, sent_at, self._world.now, document))
-        self._learn(document)
+        self._note_newest(document)
         return document
 
-    def _learn(self, document: dict[str, Any]) -> None:
-        if document.get("version", 0) > self.known["version"]:
-            self.known = document
+    def _note_newest(self, document: dict[str, Any]) -> None:
+        if document.get("version", 0) > self.newest["version"]:
+            self.newest = document
 
     # ---- retirement
 
@@ -174,34 +192,34 @@
         machine = self._directory.name(event.node)
         if await self._order_retirement(calls, machine) and await self._until_done(calls, machine):
             self.on_retired(event.node)
-            for _ in range(LOOKS_AFTER_DONE):
-                await deferLater(self._reactor, RETIRE_LOOK_S)
-                await self._call_retire(calls, RetireCall.LOOK, machine)
+            for _ in range(POLLS_AFTER_DONE):
+                await deferLater(self._reactor, RETIRE_POLL_INTERVAL_S)
+                await self._call_retire(calls, RetireCall.READ, machine)
 
     async def _order_retirement(self, calls: ControlCalls, machine: str) -> bool:
-        """Whether the machine is being emptied."""
-        give_up_at = self._world.now + RETIRE_FOR_S
-        pause, refused, tries = FIRST_PAUSE_S, 0, 0
+        """Order the retirement; whether it was accepted."""
+        give_up_at = self._world.now + RETIRE_RETRY_FOR_S
+        backoff_s, refusals, attempts = MIN_BACKOFF_S, 0, 0
         while self._world.now < give_up_at:
             answer = await self._call_retire(calls, RetireCall.ORDER, machine)
-            tries += 1
+            attempts += 1
             status = answer.status if answer is not None else 0
-            if status == 200 or (status == 409 and tries > 1):
+            if status == 200 or (status == 409 and attempts > 1):
                 return True
-            refused += 400 <= status < 500
-            if status in ENDING or refused >= TRIES_OF_REFUSED:
+            refusals += 400 <= status < 500
+            if status in FINAL_STATUSES or refusals >= MAX_REFUSALS:
                 return False
-            await deferLater(self._reactor, pause)
-            pause = min(pause * PAUSE_GROWTH, MOST_PAUSE_S)
+            await deferLater(self._reactor, backoff_s)
+            backoff_s = min(backoff_s * BACKOFF_FACTOR, MAX_BACKOFF_S)
         return False
 
     async def _until_done(self, calls: ControlCalls, machine: str) -> bool:
-        give_up_at = self._world.now + RETIRE_DONE_FOR_S
+        give_up_at = self._world.now + RETIRE_TIMEOUT_S
         while self._world.now < give_up_at:
-            answer = await self._call_retire(calls, RetireCall.LOOK, machine)
+            answer = await self._call_retire(calls, RetireCall.READ, machine)
             if answer is not None and answer.status == 200 and json.loads(answer.body)["state"] == "done":
                 return True
-            await deferLater(self._reactor, RETIRE_LOOK_S)
+            await deferLater(self._reactor, RETIRE_POLL_INTERVAL_S)
         return False
 
     async def _call_retire(self, calls: ControlCalls, kind: RetireCall, machine: str) -> Reply | None:
--- a/bitternpath/testing/simulation/checks/control.py
+++ b/bitternpath/testing/simulation/checks/control.py
@@ -6,12 +6,17 @@
 
 from bitternpath.testing.fault_injection.checker import Violation
 from bitternpath.testing.fault_injection.records import OrderOutcome
-from bitternpath.testing.simulation.checks.contact import Contact
-from bitternpath.testing.simulation.checks.history import RetireCall, SystemHistory, SystemRule, SystemTerms
+from bitternpath.testing.simulation.checks.connectivity import Connectivity
+from bitternpath.testing.simulation.checks.history import (
+    RetireCall,
+    SystemHistory,
+    SystemRule,
+    SystemRuleParameters,
+)
 
 
-def check_retirement_refused(history: SystemHistory, terms: SystemTerms) -> Iterator[Violation]:
-    """A proper order to empty a machine isn't refused, except as under way when it is repeated."""
+def check_retirement_refused(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
+    """A valid order to retire a machine isn't refused, except as in progress when it is repeated."""
     ordered: dict[str, float] = {}
     for asked in history.retirements:
         if asked.call is not RetireCall.ORDER or not asked.proper:
@@ -23,27 +28,29 @@
             yield Violation(SystemRule.RETIRE, "", f"{text} at {asked.ended_at:.3f}")
 
 
-def check_retirement_done(history: SystemHistory, terms: SystemTerms) -> Iterator[Violation]:
-    """What was said to be done stays done."""
+def check_retirement_done(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
+    """A retirement that was reported as done stays done."""
     done: dict[str, float] = {}
-    for look in sorted(history.retirements, key=lambda look: look.ended_at):
-        if look.call is not RetireCall.LOOK or look.status != 200:
+    for read in sorted(history.retirements, key=lambda read: read.ended_at):
+        if read.call is not RetireCall.READ or read.status != 200:
             continue
-        if look.state == "done":
-            done.setdefault(look.machine, look.ended_at)
-        elif done.get(look.machine, look.sent_at) < look.sent_at:
-            text = f"{look.machine} was done at {done[look.machine]:.3f}"
-            yield Violation(SystemRule.RETIRE, "", f"{text}, and {look.state!r} at {look.ended_at:.3f}")
-
-
-def check_acknowledged_in_time(history: SystemHistory, terms: SystemTerms) -> Iterator[Violation]:
-    """A proper order is answered within `ack_ms` of a stretch without any trouble."""
-    contact = Contact(history, terms)
+        if read.state == "done":
+            done.setdefault(read.machine, read.ended_at)
+        elif done.get(read.machine, read.sent_at) < read.sent_at:
+            text = f"{read.machine} was done at {done[read.machine]:.3f}"
+            yield Violation(SystemRule.RETIRE, "", f"{text}, and {read.state!r} at {read.ended_at:.3f}")
+
+
+def check_acknowledged_in_time(
+    history: SystemHistory, parameters: SystemRuleParameters
+) -> Iterator[Violation]:
+    """A valid change is acknowledged within `ack_ms` of an interval without any fault."""
+    connectivity = Connectivity(history, parameters)
     for order in history.orders:
         if not order.valid or order.lost_answers or order.outcome is OrderOutcome.REFUSED:
             continue
-        began = max(order.sent_at, terms.contact_s)  # all machines were started at 0: not stable before
-        calm = contact.longest_calm(began, order.ended_at)
-        if calm > terms.ack_s:
+        began = max(order.sent_at, parameters.contact_s)  # all machines were started at 0: not stable before
+        fault_free = connectivity.longest_fault_free_s(began, order.ended_at)
+        if fault_free > parameters.ack_s:
             text = f"version {order.version}, sent at {order.sent_at:.3f}, is {order.outcome.value}"
-            yield Violation(SystemRule.ACKS, "", f"{text} after {calm:.1f} s without trouble")
+            yield Violation(SystemRule.ACKS, "", f"{text} after {fault_free:.1f} s without trouble")
--- a/bitternpath/testing/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -39,9 +39,11 @@
     def __init__(
         self, reactor: VirtualReactor, time: float, call: Call, arguments: tuple[Any, ...], keywords: Any
     ) -> None:
-        self._reactor, self._time = reactor, time
+        self._reactor = reactor
+        self._time = time
         self._call: Call | None = call
-        self._arguments, self._keywords = arguments, keywords
+        self._arguments = arguments
+        self._keywords = keywords
 
     def getTime(self) -> float:
         return self._time
@@ -52,7 +54,8 @@
     def cancel(self) -> None:
         self._check()
         self._call = None
-        self._arguments, self._keywords = (), None  # None: cancelled
+        self._arguments = ()
+        self._keywords = None  # None: cancelled
 
     def reset(self, secondsFromNow: float) -> None:
         """Due so much from now, instead of before."""
@@ -78,7 +81,8 @@
         elif self._reactor.frozen:
             self._reactor.held.append(self.due)
         else:
-            call, self._call = self._call, None
+            call = self._call
+            self._call = None
             self._reactor.run(call, *self._arguments, **self._keywords)
 
     def _check(self) -> None:
@@ -93,13 +97,13 @@
         self._reactor = reactor
 
     def callInThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """Do it, later."""
+        """Do it, later, in virtual time."""
         self.callInThreadWithCallback(None, call, *arguments, **keywords)
 
     def callInThreadWithCallback(
         self, done: Callable[[bool, Any], object] | None, call: Call, *arguments: Any, **keywords: Any
     ) -> None:
-        """Do it, later, and tell `done` whether it went well, and its result or failure."""
+        """Do it, later; `done` receives whether it succeeded, and its result or failure."""
         self._reactor.thread_work(lambda: self._work(done, call, arguments, keywords))
 
     @staticmethod
@@ -108,11 +112,12 @@
     ) -> None:
         try:
             result: Any = call(*arguments, **keywords)
-            well = True
+            succeeded = True
         except Exception:
-            result, well = failure(), False
+            result = failure()
+            succeeded = False
         if done is not None:
-            done(well, result)
+            done(succeeded, result)
 
 
 @implementer(IHostnameResolver)
@@ -133,15 +138,16 @@
         return resolutionReceiver
 
     def cancel(self) -> None:
-        """Nothing is under way."""
+        """Nothing is in flight."""
 
 
 @implementer(IReactorTime, IReactorTCP, IReactorUDP, IReactorFromThreads, IReactorPluggableNameResolver)
 class VirtualReactor:
-    """What Twisted, treq and the roles ask of a reactor."""
+    """The reactor interfaces that Twisted, treq and the roles use, in virtual time."""
 
     def __init__(self, host: SimulatedHost, name: str) -> None:
-        self.host, self.name = host, name
+        self.host = host
+        self.name = name
         self.network = host.network
         self.scheduler = host.network.scheduler
         self._recorder = host.network.recorder
@@ -157,7 +163,7 @@
     # ---- time
 
     def seconds(self) -> float:
-        """The steady clock."""
+        """The monotonic clock, in seconds."""
         return self.scheduler.now
 
     def callLater(self, delay: float, call: Call, *arguments: Any, **keywords: Any) -> VirtualCall:
@@ -176,7 +182,7 @@
     # ---- core and threads
 
     def callWhenRunning(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """It runs always."""
+        """Call in the next turn: the reactor always runs."""
         self.callLater(0, call, *arguments, **keywords)
 
     def callFromThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
@@ -203,7 +209,8 @@
 
     def installNameResolver(self, resolver: Any) -> Any:
         """Use another one; the one before."""
-        before, self.nameResolver = self.nameResolver, resolver
+        before = self.nameResolver
+        self.nameResolver = resolver
         return before
 
     def stop(self) -> None:
@@ -222,7 +229,7 @@
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None
     ) -> Any:
-        """The connector; `factory` hears how it goes."""
+        """A connector; `factory` receives the events of the connection."""
         return self.network.connect(self, host, port, factory, timeout)
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:
@@ -236,7 +243,8 @@
         if self.ended:
             return False
         recorder = self._recorder
-        before, recorder.current = recorder.current, self.name
+        before = recorder.current
+        recorder.current = self.name
         try:
             call(*arguments, **keywords)
         except Exception:
@@ -249,33 +257,36 @@
         return True
 
     def read(self, call: Call) -> None:
-        """Something can be read: now, or once the process isn't frozen any more."""
+        """Call because a socket is readable: now, or when a frozen process is thawed."""
         if self.frozen:
             self.readable.append(call)
         else:
             call()
 
-    # ---- the process's life
+    # ---- state of the process
 
     def freeze(self) -> None:
-        """Nothing of it runs until `thaw`."""
+        """Run no code of the process until `thaw`."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """What waited comes now: timers first."""
+        """Run the process again: timers that fell due first, then unread sockets."""
         if not self.frozen:
             return
         self.frozen = False
-        held, self.held = self.held, []
+        held = self.held
+        self.held = []
         for call in held:
             self.scheduler.push(self.scheduler.now, call)
-        readable, self.readable = self.readable, []
+        readable = self.readable
+        self.readable = []
         for call in readable:
             self.scheduler.push(self.scheduler.now, call)
 
     def end(self) -> None:
-        """Nothing of it runs any more. Its sockets are the network's matter."""
-        self.ended, self.frozen = True, False
+        """Run no code of the process any more. The network closes its sockets."""
+        self.ended = True
+        self.frozen = False
         self.held.clear()
         self.readable.clear()
 
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -2,8 +2,8 @@
 
 Machines have a simulated disk, a link of bounded bandwidth and one replica host with all the groups that the
 placement gives them. Consensus, the journal, the placement and the steps of members are the real code; the
-configuration's owner is played by `Controller`, which is told of machines as links would tell it. For tests
-and for `benchmarks/repairs.py`.
+configuration's owner is played by `Controller`, which receives events of machines as links would report them.
+For tests and for `benchmarks/repairs.py`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.host import HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport
-from bitternpath.replication.member_changes import MemberChanges
+from bitternpath.replication.membership_reconciler import MembershipReconciler
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
 from bitternpath.storage.journal import Journal
@@ -43,7 +43,9 @@
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
 GREETING_S = 0.1  # from the start of a process until the configuration's owner has its subscription
-SILENCE_S = 1.6  # until a link to a machine without power is given up (`transport.connections`)
+POWER_LOSS_DETECTION_S = (
+    1.6  # until a link to a machine without power is given up (`transport.link_liveness`)
+)
 LOOK_S = 0.25  # between looks at what no event tells
 SAMPLE_S = 0.005  # between looks of the measurement
 CHUNK_BYTES = 32 << 10  # of the commands that fill a group before the repair
@@ -58,7 +60,7 @@
     clock: ProcessClock
     journal_writer: VirtualTimeJournalWriter
     host: ReplicaHost
-    changes: MemberChanges
+    changes: MembershipReconciler
     placements: dict[str, GroupPlacement] = field(default_factory=dict)
 
 
@@ -110,14 +112,16 @@
     """One run."""
 
     def __init__(self, seed: int, plan: RepairPlan) -> None:
-        self.plan, self.random, self.clock = plan, Random(seed), EventClock()
+        self.plan = plan
+        self.random = Random(seed)
+        self.clock = EventClock()
         self.checkers: dict[str, Checker] = {}
         self.machines: dict[str, Machine] = {}
         self.registers: dict[tuple[str, str], CommandLogMachine] = {}  # by member and group
         self.controller = Controller(self, plan.tolerated)
         self.times: dict[str, GroupTimes] = {}
         self.ended_at: dict[tuple[str, int], float] = {}  # by name and life
-        self.isolated: set[str] = set()  # machines whose members neither hear nor reach others
+        self.isolated: set[str] = set()  # machines whose members neither receive from nor reach others
         self.bytes_sent = 0
         self.error: BaseException | None = None
         self._serial = count(1)
@@ -152,7 +156,7 @@
         send = partial(self._send, machine, member)
         options = HostOptions(Random(self.random.random()))
         host = ReplicaHost(clock, member, Journal(log, journal_writer), MessageTransport(send), options)
-        machine.process = Process(descriptor, clock, journal_writer, host, MemberChanges(host))
+        machine.process = Process(descriptor, clock, journal_writer, host, MembershipReconciler(host))
         self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
         self.clock.callLater(GREETING_S, self._greet, name, machine.process)
 
@@ -169,14 +173,15 @@
     def stop(self, name: str, *, says_so: bool, wipe: bool = False) -> None:
         """End a process: after a SIGTERM (`says_so`) or by a loss of power."""
         machine = self.machines[name]
-        process, machine.process = machine.process, None
+        process = machine.process
+        machine.process = None
         assert process is not None
         if says_so:
             process.journal_writer.stop()
             self.clock.callLater(LATENCY_S, self.controller.gone, process.descriptor)
         else:
             process.journal_writer.crash_during_batch(self.random)
-            self.clock.callLater(SILENCE_S, self.controller.gone, process.descriptor)
+            self.clock.callLater(POWER_LOSS_DETECTION_S, self.controller.gone, process.descriptor)
         process.clock.end()
         self.ended_at[name, process.descriptor.incarnation] = self.clock.seconds()
         if wipe:
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -20,7 +20,7 @@
 from bitternpath.replication.errors import NotOwnerError
 from bitternpath.replication.host import HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport
-from bitternpath.replication.reconfiguration import next_members
+from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Members, RaftTiming
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
@@ -86,12 +86,15 @@
     """One run."""
 
     def __init__(self, seed: int, plan: Plan = Plan()) -> None:
-        self.plan, self.random = plan, Random(seed)
-        self.clock, self.checker = EventClock(), Checker()
+        self.plan = plan
+        self.random = Random(seed)
+        self.clock = EventClock()
+        self.checker = Checker()
         self.nodes = {f"n{i}": Node(f"n{i}") for i in range(plan.nodes)}
         self.founders = Members(tuple(node.member for node in self.nodes.values()))
         self.blocked: set[tuple[str, str]] = set()
-        self.loss, self.latency = self.random.choice([0.0, 0.02, 0.1]), 0.002
+        self.loss = self.random.choice([0.0, 0.02, 0.1])
+        self.latency = 0.002
         self.calm = False
         self._serial = count(1)
         self.faults = 0
@@ -119,7 +122,8 @@
         host.open_group(GROUP, register, founders, Listener(node.name, self.checker, register))
 
     def _end(self, node: Node) -> None:
-        process, node.process = node.process, None
+        process = node.process
+        node.process = None
         assert process is not None
         process.journal_writer.crash_during_batch(self.random)
         process.clock.end()
@@ -200,13 +204,15 @@
     def _step_members(process: Process, desired: list[str]) -> None:
         host = process.host
         if host.is_owner(GROUP):
-            members = next_members(host.members(GROUP), desired, lambda member: host.caught_up(GROUP, member))
+            status = MemberStatus(caught_up=partial(host.caught_up, GROUP))
+            members = next_members(host.members(GROUP), DesiredMembers(tuple(desired)), status)
             if members is not None:
                 host.change_members(GROUP, members)
 
     def _may_wipe(self) -> bool:
         """One disk at a time may be lost: an owner's members must be the nodes' present ones, that must be
-        committed, and all must have caught up."""
+        committed, and all must have caught up.
+        """
         desired = {node.member for node in self.nodes.values()}
         for node in self.nodes.values():
             process = node.process
@@ -291,7 +297,7 @@
                 process.clock.run(partial(process.host.transfer_leadership, GROUP))
 
     def _isolate_in_hand_over(self, node: Node) -> None:
-        """The heir is elected at once, and the owner before it doesn't hear of that."""
+        """The heir is elected at once, and the former owner doesn't learn of it."""
         for each in self.nodes.values():
             if each.process is not None and each.process.host.transfer_leadership(GROUP):
                 self.blocked.update((other, each.name) for other in self.nodes)
@@ -334,7 +340,8 @@
         self.clock.callLater(mean * self.random.uniform(0.5, 1.5), again)
 
     def _calm_down(self) -> None:
-        self.calm, self.loss = True, 0.0
+        self.calm = True
+        self.loss = 0.0
         self.blocked.clear()
         for node in self.nodes.values():
             node.disk.capacity = None
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -10,23 +10,23 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from bitternpath.testing.fault_injection.bounds import BOUNDS
 from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 from bitternpath.testing.simulation.events import (
     Event,
     Fault,
     FaultKind,
     Layout,
-    Look,
     Message,
-    Mood,
     Order,
     OrderStyle,
     Probe,
+    ReadConfiguration,
     Retire,
     RunPlan,
+    WorkerFault,
+    WorkerFaultKind,
     WorkerLeaves,
-    WorkerTrouble,
 )
 from bitternpath.testing.simulation.settings import Plan
 
@@ -38,9 +38,9 @@
 FIRST_FAULT_S = 1.0
 ORDER_KEYS = 5
 KIND_WEIGHTS = {Kind.LISTED: 4, Kind.ENDPOINT: 3, Kind.PULLED: 3}
-DELAYED_SHARE, MOST_DELAY_S = 0.2, 2.0
+DELAYED_SHARE, MAX_DELAY_S = 0.2, 2.0
 SIZES = (20, 200, 2_000, 20_000)
-ASKED_SHARE, ASK_WITHIN_S = 0.5, 8.0
+STATE_READ_SHARE, MAX_STATE_READ_DELAY_S = 0.5, 8.0
 STEPS = (1, 1, 2, 3, 7)
 RIVALS = (1, 1, 2, 7)
 LOST_ANSWERS = (1, 1, 2, 3)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What kind of day is drawn. Rates are a second; weights need no sum."""
+    """The mix of a kind of run. Rates are per second; weights needn't add up to one."""
 
     name: str
     faults: dict[FaultKind, float]
@@ -74,11 +74,11 @@
     messages: float = 5.0
     orders: float = 1.0
     probes: float = 2.5
-    looks: float = 1.5
-    worker_troubles: float = 0.15
+    configuration_reads: float = 1.5
+    worker_faults: float = 0.15
     edge_faults: float = 0.1
     retirements: int = 0
-    final: float = 0.2  # share of days that end with the loss of all machines
+    final: float = 0.2  # share of runs that end with the loss of all machines
 
 
 _ALL: dict[FaultKind, float] = {kind: 1.0 for kind in FaultKind if kind not in (FaultKind.ADD, *MASS_KINDS)}
@@ -96,8 +96,8 @@
         Scenario("losses", dict.fromkeys(_LOSSES, 1.0), seconds=20.0, messages=4.0),
         Scenario("crashes", dict.fromkeys((FaultKind.KILL, *MASS_KINDS, FaultKind.POWER), 1.0), final=0.6),
         Scenario("retire", _ALL, core_share=0.3, layout=Layout(storages=5), retirements=2, seconds=16.0),
-        Scenario("orders", _ALL, core_share=1.0, messages=1.0, orders=4.0, looks=3.0),
-        Scenario("workers", {FaultKind.RESET: 1.0, FaultKind.TERM: 1.0}, worker_troubles=1.2, messages=8.0),
+        Scenario("orders", _ALL, core_share=1.0, messages=1.0, orders=4.0, configuration_reads=3.0),
+        Scenario("workers", {FaultKind.RESET: 1.0, FaultKind.TERM: 1.0}, worker_faults=1.2, messages=8.0),
         Scenario("wide", _ALL, layout=_WIDE, messages=3.0, seconds=12.0),
         Scenario("snapshots", _SNAPSHOTS, layout=Layout(small_logs=True), orders=3.0, messages=6.0),
     )
@@ -111,8 +111,11 @@
         *_messages(random, scenario),
         *_orders(random, scenario),
         *(Probe(number=0, at=at) for at in _times(random, scenario.probes, scenario.seconds)),
-        *(Look(number=0, at=at) for at in _times(random, scenario.looks, scenario.seconds)),
-        *_worker_troubles(random, scenario),
+        *(
+            ReadConfiguration(number=0, at=at)
+            for at in _times(random, scenario.configuration_reads, scenario.seconds)
+        ),
+        *_worker_faults(random, scenario),
         *_FaultDrawer(random, scenario).draw(),
     ]
     events.sort(key=lambda event: event.at)
@@ -123,10 +126,11 @@
 
 
 class _FaultDrawer:
-    """Draws faults of machines one after the other, and keeps who is lost until when."""
+    """Draws faults of machines in order of time; keeps until when each machine counts as lost."""
 
     def __init__(self, random: Random, scenario: Scenario) -> None:
-        self._random, self._scenario = random, scenario
+        self._random = random
+        self._scenario = scenario
         layout = scenario.layout
         self._core = [f"e{number}" for number in range(1, layout.core_edges + 1)]
         self._others = [f"e{layout.core_edges + number}" for number in range(1, layout.other_edges + 1)]
@@ -151,7 +155,7 @@
         return events + self._retirements()
 
     def _next_time(self, at: float) -> float:
-        """When the next fault may come: one more machine may be lost, and nothing affects all."""
+        """The time of the next fault: not before one more machine may be lost and no fault affects all."""
         lost = sorted(until for until in self._lost_until.values() if until > at)
         free = len(lost) < self._scenario.layout.tolerated
         allowed = at if free else lost[len(lost) - self._scenario.layout.tolerated]
@@ -168,13 +172,13 @@
         if kind is FaultKind.ADD:
             self._lost_until[f"new {at}"] = at + CATCH_UP_S
             return Fault(number=0, at=at, kind=kind, nodes=("storage",))
-        free = [name for name in self._victims() if self._lost_until.get(name, 0.0) <= at]
+        free = [name for name in self._candidates() if self._lost_until.get(name, 0.0) <= at]
         name = self._random.choice(free)
         back = GRACE_S + 1.0 if kind is FaultKind.TERM else lasts
         self._lost_until[name] = at + back + CATCH_UP_S
         return Fault(number=0, at=at, kind=kind, nodes=(name,), lasts=lasts)
 
-    def _victims(self) -> list[str]:
+    def _candidates(self) -> list[str]:
         stores = [name for name in self._stores if name not in self._retired]
         return self._core if self._random.random() < self._scenario.core_share else stores
 
@@ -222,17 +226,17 @@
     for at in _times(random, scenario.messages, scenario.seconds):
         kind = random.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
         key = f"key-{random.randrange(ORDER_KEYS)}" if kind is Kind.ENDPOINT else ""
-        delayed, asked = random.random() < DELAYED_SHARE and not key, random.random() < ASKED_SHARE
+        delayed, asked = random.random() < DELAYED_SHARE and not key, random.random() < STATE_READ_SHARE
         messages.append(
             Message(
                 number=0,
                 at=at,
                 kind=kind,
                 key=key,
-                delay_s=round(random.uniform(0.2, MOST_DELAY_S), 3) if delayed else 0.0,
+                delay_s=round(random.uniform(0.2, MAX_DELAY_S), 3) if delayed else 0.0,
                 zone=random.choice(zones),
                 size=random.choice(SIZES),
-                ask_after=round(random.uniform(0.1, ASK_WITHIN_S), 3) if asked else 0.0,
+                ask_after=round(random.uniform(0.1, MAX_STATE_READ_DELAY_S), 3) if asked else 0.0,
             )
         )
     return messages
@@ -257,21 +261,26 @@
     return orders
 
 
-def _worker_troubles(random: Random, scenario: Scenario) -> list[Event]:
-    troubles: list[Event] = []
-    for at in _times(random, scenario.worker_troubles, scenario.seconds):
+def _configuration_reads(random: Random, scenario: Scenario) -> list[Event]:
+    times = _times(random, scenario.configuration_reads, scenario.seconds)
+    return [ReadConfiguration(number=0, at=at) for at in times]
+
+
+def _worker_faults(random: Random, scenario: Scenario) -> list[Event]:
+    events: list[Event] = []
+    for at in _times(random, scenario.worker_faults, scenario.seconds):
         worker = random.randrange(-1, 3)
         if worker >= 0 and random.random() < 0.25:
-            troubles.append(WorkerLeaves(number=0, at=at, worker=worker))
+            events.append(WorkerLeaves(number=0, at=at, worker=worker))
         else:
-            mood = random.choice(list(Mood))
+            fault = random.choice(list(WorkerFaultKind))
             lasts = round(random.uniform(0.5, 3.0), 3)
-            troubles.append(WorkerTrouble(number=0, at=at, worker=worker, mood=mood, lasts=lasts))
-    return troubles
+            events.append(WorkerFault(number=0, at=at, worker=worker, fault=fault, lasts=lasts))
+    return events
 
 
 def _times(random: Random, rate: float, seconds: float) -> list[float]:
-    """Moments at a mean rate, with exponential gaps."""
+    """Times of a Poisson process, in seconds."""
     times: list[float] = []
     at = random.expovariate(rate) if rate else seconds
     while at < seconds:
--- a/bitternpath/testing/simulation/world.py
+++ b/bitternpath/testing/simulation/world.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from bitternpath.testing.simulation.faults import Faults
-from bitternpath.testing.simulation.inside import InsideChecker, Violation
+from bitternpath.testing.simulation.group_invariants import GroupInvariantChecker, Violation
 from bitternpath.testing.simulation.network import Network
-from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
+from bitternpath.testing.simulation.processes import NodeSetup, NodeState, SimulatedNode
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.recorder import HostFailure, Ownership, Recorder
 from bitternpath.testing.simulation.scheduler import Call, Scheduler, Timer
@@ -22,30 +22,31 @@
 )
 
 START_SPREAD_S = 0.3  # all machines start within this
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 
 __all__ = ["PLATFORM_IP", "PLATFORM_PORT", "SMALL_LOGS", "NodeState", "Plan", "SimulatedNode", "World"]
 
 
 class World(Faults):
-    """Hosts, nodes, links and disks, played by one seed."""
+    """Hosts, nodes, links and disks of one run; its seed decides all that happens."""
 
     platform_address = f"{PLATFORM_IP}:{PLATFORM_PORT}"
 
     def __init__(self, seed: int | str, plan: Plan | None = None) -> None:
-        self.seed, self.plan = seed, plan or Plan()
+        self.seed = seed
+        self.plan = plan or Plan()
         self.scheduler = Scheduler()
         self.recorder = Recorder(self.scheduler, self.plan.keep_log)
         self._randoms: dict[str, Random] = {}
         self.network = Network(self.scheduler, self.recorder, self.random("network"))
-        self.inside = InsideChecker(self.recorder, lambda: self.scheduler.now)
+        self.invariants = GroupInvariantChecker(self.recorder, lambda: self.scheduler.now)
         self.nodes: dict[str, SimulatedNode] = {}
         self._actors: dict[str, VirtualReactor] = {}
         self._places_made: dict[tuple[str, str], int] = {}
         self.seeds: list[str] = []
         self._make_nodes()
 
-    # ---- time and chance
+    # ---- time and randomness
 
     @property
     def now(self) -> float:
@@ -69,7 +70,7 @@
         return self.scheduler.at(seconds, call, *arguments)
 
     def random(self, name: str) -> Random:
-        """The run's chance for one purpose."""
+        """The run's random generator for one purpose."""
         if name not in self._randoms:
             self._randoms[name] = Random(f"{self.seed}/{name}")
         return self._randoms[name]
@@ -77,7 +78,7 @@
     # ---- hosts and nodes
 
     def host(self, ip: str) -> VirtualReactor:
-        """The reactor of an actor's host, made where there is none."""
+        """The reactor of an actor's host, which is created if there is none."""
         found = self._actors.get(ip)
         if found is None:
             found = VirtualReactor(self.network.add_host(ip, ""), ip)
@@ -117,7 +118,7 @@
 
     def current_seeds(self) -> list[str]:
         """Control addresses of three machines of the operator's list as it stands."""
-        return [node.control for node in self.edges()][:MOST_SEEDS]
+        return [node.control for node in self.edges()][:MAX_SEEDS]
 
     # ---- what happened
 
@@ -138,13 +139,13 @@
 
     @property
     def ownerships(self) -> list[Ownership]:
-        """Who owned which group."""
+        """All changes of the ownership of groups."""
         return self.recorder.ownerships
 
     @property
     def violations(self) -> list[Violation]:
-        """Rules of the replica groups that were broken."""
-        return self.inside.violations
+        """Broken invariants of replica groups."""
+        return self.invariants.violations
 
     def digest(self) -> str:
         """Equal for equal runs: of the trace and every byte that arrived."""
@@ -179,7 +180,8 @@
         random = self.random(place.name)
         document = settings_document(self.plan, place, self.current_seeds(), bootstrap)
         skew_ms = random.randint(-self.plan.skew_ms, self.plan.skew_ms)
-        node = SimulatedNode(self.network, self.inside, place, document, random, skew_ms, self.plan.logs)
+        setup = NodeSetup(place, document, skew_ms, self.plan.logs)
+        node = SimulatedNode(self.network, self.invariants, setup, random)
         self.nodes[place.name] = node
         return node
 
--- a/tests/system/test_rehearsal_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -1,4 +1,4 @@
-"""The rehearsal's checkers: each fires on a history that breaks its rule, not on the nearest sound one."""
+"""Checkers of fault-injection runs: each reports a history that breaks its rule, not the nearest valid."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from dataclasses import replace
 
 from bitternpath.testing.fault_injection.checker import Rule, check, ended_times
-from bitternpath.testing.fault_injection.figures import message_history, percentile, violation_lines
 from bitternpath.testing.fault_injection.records import (
     Answer,
     Arrival,
-    CallbackGot,
-    Found,
+    CallbackReceived,
+    FinalState,
     History,
     Kind,
     LeaseEnd,
-    LeaseWord,
+    LeaseExtension,
     OrderOutcome,
     OrderSent,
+    Outage,
+    RuleParameters,
     Run,
     Send,
     SendOutcome,
-    Terms,
-    Trouble,
 )
+from bitternpath.testing.fault_injection.statistics import message_history, percentile, violation_lines
 
-TERMS = Terms(
+TERMS = RuleParameters(
     max_attempts=2,
     timeout_s=1.5,
     retention_s=90.0,
@@ -73,6 +73,10 @@
     return OrderSent(version, base, float(version), version + 0.1, outcome, valid, document, 412)
 
 
+def final_a(at: float, state: str, stamp: str = "", body: bytes | None = None) -> dict[str, FinalState]:
+    return {"a": FinalState("a", at, state, stamp, body)}
+
+
 def history(*sends: Send, **lists: object) -> History:
     """A history of a few events."""
     return History(sends={item.request_id: item for item in sends}, finished=FINISHED, **lists)  # type: ignore[arg-type]
@@ -84,9 +88,9 @@
 B_DONE = success("b", 3.0)
 ACKNOWLEDGED, REFUSED = OrderOutcome.ACKNOWLEDGED, OrderOutcome.REFUSED
 ONE = order(1, ACKNOWLEDGED)
-KILL = Trouble("edge-1", 2.0, 3.5, planned=False)
-TERM = Trouble("edge-1", 0.0, 3.5, planned=True)
-BROKEN_OFF = send("a", outcome=SendOutcome.UNCLEAR, broken_off=True, ended_at=1.0)
+KILL = Outage("edge-1", 2.0, 3.5, planned=False)
+TERM = Outage("edge-1", 0.0, 3.5, planned=True)
+BROKEN_OFF = send("a", outcome=SendOutcome.UNCLEAR, connection_closed=True, ended_at=1.0)
 PULLED_TWICE = [run("a", 1.0, "1"), run("a", 3.2, "2")]
 
 # rule, what is wrong, a history that breaks it, and one near it that doesn't
@@ -94,28 +98,34 @@
     (
         Rule.LOST,
         "not ended, and no body comes",
-        history(A, runs=[A_RUN], found={"a": Found("a", 51.0, "queued")}),
+        history(A, runs=[A_RUN], final_states=final_a(51.0, "queued")),
         history(A, runs=[A_RUN], answers=[A_DONE]),
     ),
     (
         Rule.LOST,
         "not ended, and said to be done",
         history(
-            A, runs=[A_RUN], answers=[failure("a", 1.2)], found={"a": Found("a", 51.0, "done", "s", BODY)}
+            A,
+            runs=[A_RUN],
+            answers=[failure("a", 1.2)],
+            final_states=final_a(51.0, "done", "s", BODY),
         ),
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "done", "s")}),
+        history(A, runs=[A_RUN], answers=[A_DONE], final_states=final_a(51.0, "done", "s")),
     ),
     (
         Rule.LOST,
         "never runs",
-        history(A, found={"a": Found("a", 51.0, "queued", "", BODY)}),
+        history(A, final_states=final_a(51.0, "queued", "", BODY)),
         history(send("a", outcome=SendOutcome.UNCLEAR)),
     ),
     (
         Rule.LOST,
         "one failure of two is no end",
         history(
-            A, runs=[A_RUN], answers=[failure("a", 1.2)], found={"a": Found("a", 51.0, "queued", "", BODY)}
+            A,
+            runs=[A_RUN],
+            answers=[failure("a", 1.2)],
+            final_states=final_a(51.0, "queued", "", BODY),
         ),
         history(A, runs=[A_RUN], answers=[failure("a", 1.2), failure("a", 2.2)]),
     ),
@@ -135,20 +145,20 @@
     (
         Rule.LOST,
         "ended, and its state never comes",
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "")}),
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "done", "s")}),
+        history(A, runs=[A_RUN], answers=[A_DONE], final_states=final_a(51.0, "")),
+        history(A, runs=[A_RUN], answers=[A_DONE], final_states=final_a(51.0, "done", "s")),
     ),
     (
         Rule.LOST,
         "no answer around a planned stop",
-        history(BROKEN_OFF, troubles=[TERM]),
-        history(BROKEN_OFF, troubles=[TERM, replace(KILL, at=-3.0, until=-1.0)]),
+        history(BROKEN_OFF, outages=[TERM]),
+        history(BROKEN_OFF, outages=[TERM, replace(KILL, at=-3.0, until=-1.0)]),
     ),
     (
         Rule.LOST,
         "broken off at once, before it was read",
-        history(BROKEN_OFF, troubles=[TERM]),
-        history(replace(BROKEN_OFF, ended_at=0.1), troubles=[TERM]),
+        history(BROKEN_OFF, outages=[TERM]),
+        history(replace(BROKEN_OFF, ended_at=0.1), outages=[TERM]),
     ),
     (
         Rule.ORDER,
@@ -174,21 +184,24 @@
     ),
     (
         Rule.ORDER,
-        "what goes on after the end of the rehearsal counts as well",
+        "what goes on after the end of the run counts as well",
         history(KEYED_A, KEYED_B, runs=[run("a", 51.0), run("b", 51.1)], answers=[success("a", 51.2)]),
         history(KEYED_A, KEYED_B, runs=[run("a", 51.0), run("b", 51.3)], answers=[success("a", 51.2)]),
     ),
     (
         Rule.LOST,
-        "a run after the end of the rehearsal came too late",
+        "a run after the end of the run came too late",
         history(
             A,
             runs=[run("a", 51.0)],
             answers=[success("a", 51.1)],
-            found={"a": Found("a", 50.5, "queued", "", BODY)},
+            final_states=final_a(50.5, "queued", "", BODY),
         ),
         history(
-            A, runs=[run("a", 49.0)], answers=[success("a", 49.1)], found={"a": Found("a", 50.5, "done", "s")}
+            A,
+            runs=[run("a", 49.0)],
+            answers=[success("a", 49.1)],
+            final_states=final_a(50.5, "done", "s"),
         ),
     ),
     (
@@ -231,16 +244,14 @@
     (
         Rule.TWICE,
         "a run after a success that was read, in calm",
-        history(
-            A, runs=[A_RUN, run("a", 7.6)], answers=[A_DONE], troubles=[replace(KILL, at=0.5, until=1.1)]
-        ),
-        history(A, runs=[A_RUN, run("a", 7.4)], answers=[A_DONE], troubles=[KILL]),
+        history(A, runs=[A_RUN, run("a", 7.6)], answers=[A_DONE], outages=[replace(KILL, at=0.5, until=1.1)]),
+        history(A, runs=[A_RUN, run("a", 7.4)], answers=[A_DONE], outages=[KILL]),
     ),
     (
         Rule.TWICE,
         "a planned stop is no excuse",
-        history(A, runs=[A_RUN, run("a", 4.0)], answers=[A_DONE], troubles=[TERM]),
-        history(A, runs=[A_RUN, run("a", 4.0)], answers=[replace(A_DONE, read=False)], troubles=[TERM]),
+        history(A, runs=[A_RUN, run("a", 4.0)], answers=[A_DONE], outages=[TERM]),
+        history(A, runs=[A_RUN, run("a", 4.0)], answers=[replace(A_DONE, read=False)], outages=[TERM]),
     ),
     (
         Rule.TWICE,
@@ -251,8 +262,12 @@
     (
         Rule.VISIBLE,
         "handed out while it is held",
-        history(A, runs=[run("a", 1.0, "1"), run("a", 4.5, "2")], words=[LeaseWord("a", "1", 2.0)]),
-        history(A, runs=[run("a", 1.0, "1"), run("a", 5.1, "2")], words=[LeaseWord("a", "1", 2.0)]),
+        history(
+            A, runs=[run("a", 1.0, "1"), run("a", 4.5, "2")], lease_extensions=[LeaseExtension("a", "1", 2.0)]
+        ),
+        history(
+            A, runs=[run("a", 1.0, "1"), run("a", 5.1, "2")], lease_extensions=[LeaseExtension("a", "1", 2.0)]
+        ),
     ),
     (
         Rule.VISIBLE,
@@ -274,14 +289,14 @@
     (
         Rule.MIXED,
         "a state with the stamp of no run",
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "done", "t")}),
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "done", "s")}),
+        history(A, runs=[A_RUN], answers=[A_DONE], final_states=final_a(51.0, "done", "t")),
+        history(A, runs=[A_RUN], answers=[A_DONE], final_states=final_a(51.0, "done", "s")),
     ),
     (
         Rule.MIXED,
         "a call-back with the stamp of no run",
-        history(A, runs=[A_RUN], answers=[A_DONE], callbacks=[CallbackGot("a", 2.0, "done", "", True)]),
-        history(A, runs=[A_RUN], answers=[A_DONE], callbacks=[CallbackGot("a", 2.0, "done", "s", True)]),
+        history(A, runs=[A_RUN], answers=[A_DONE], callbacks=[CallbackReceived("a", 2.0, "done", "", True)]),
+        history(A, runs=[A_RUN], answers=[A_DONE], callbacks=[CallbackReceived("a", 2.0, "done", "s", True)]),
     ),
     (
         Rule.MIXED,
@@ -290,25 +305,30 @@
             A,
             runs=[A_RUN, run("a", 3.0)],
             answers=[failure("a", 1.2), failure("a", 3.2)],
-            callbacks=[CallbackGot("a", 2.0, "dead_letter", "", True)],
+            callbacks=[CallbackReceived("a", 2.0, "dead_letter", "", True)],
         ),
         history(
             A,
             runs=[A_RUN, run("a", 3.0)],
             answers=[failure("a", 1.2), failure("a", 3.2)],
-            callbacks=[CallbackGot("a", 3.3, "dead_letter", "", True)],
+            callbacks=[CallbackReceived("a", 3.3, "dead_letter", "", True)],
         ),
     ),
     (
         Rule.MIXED,
         "other bytes come back",
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "queued", "", b"else")}),
-        history(A, runs=[A_RUN], answers=[A_DONE], found={"a": Found("a", 51.0, "queued", "", BODY)}),
+        history(
+            A,
+            runs=[A_RUN],
+            answers=[A_DONE],
+            final_states=final_a(51.0, "queued", "", b"else"),
+        ),
+        history(A, runs=[A_RUN], answers=[A_DONE], final_states=final_a(51.0, "queued", "", BODY)),
     ),
     (
         Rule.REFUSED,
         "runs after a promise",
-        history(send("a", outcome=SendOutcome.PROMISED_NOT), runs=[A_RUN], answers=[A_DONE]),
+        history(send("a", outcome=SendOutcome.NOT_EXECUTED), runs=[A_RUN], answers=[A_DONE]),
         history(send("a", outcome=SendOutcome.UNCLEAR), runs=[A_RUN], answers=[A_DONE]),
     ),
     (
@@ -381,13 +401,13 @@
             send("a", wants_callback=True),
             runs=[A_RUN],
             answers=[A_DONE],
-            callbacks=[CallbackGot("a", 2.0, "done", "s", False)],
+            callbacks=[CallbackReceived("a", 2.0, "done", "s", False)],
         ),
         history(
             send("a", wants_callback=True),
             runs=[A_RUN],
             answers=[A_DONE],
-            callbacks=[CallbackGot("a", 2.0, "done", "s", True)],
+            callbacks=[CallbackReceived("a", 2.0, "done", "s", True)],
         ),
     ),
 )
@@ -398,15 +418,15 @@
     return {violation.rule for violation in check(seen, TERMS)}
 
 
-class CheckersFire(unittest.TestCase):
+class TestCheckers(unittest.TestCase):
     """The table of cases."""
 
-    def test_each_checker_fires(self) -> None:
+    def test_each_checker_reports_its_violation(self) -> None:
         for rule, name, broken, _ in CASES:
             with self.subTest(rule=rule.value, case=name):
                 self.assertIn(rule, broken_rules(broken))
 
-    def test_none_fires_on_the_nearest_sound_history(self) -> None:
+    def test_no_checker_reports_the_nearest_valid_history(self) -> None:
         for rule, name, _, sound in CASES:
             with self.subTest(rule=rule.value, case=name):
                 self.assertNotIn(rule, broken_rules(sound))
@@ -414,51 +434,51 @@
     def test_every_rule_has_a_case(self) -> None:
         self.assertEqual({rule for rule, *_ in CASES}, set(Rule))
 
-    def test_a_whole_sound_history_breaks_nothing(self) -> None:
+    def test_complete_valid_history_breaks_nothing(self) -> None:
         sound = history(
             send("a", order_key="k", wants_callback=True),
             send("b", 1.5, order_key="k"),
-            send("c", 2.0, SendOutcome.PROMISED_NOT),
+            send("c", 2.0, SendOutcome.NOT_EXECUTED),
             runs=[A_RUN, run("b", 2.0), run("b", 2.6)],
             answers=[A_DONE, failure("b", 2.1), success("b", 2.8, "t")],
-            callbacks=[CallbackGot("a", 1.3, "done", "s", True)],
-            found={"a": Found("a", 51.0, "done", "s"), "b": Found("b", 51.0, "done", "t")},
+            callbacks=[CallbackReceived("a", 1.3, "done", "s", True)],
+            final_states={"a": FinalState("a", 51.0, "done", "s"), "b": FinalState("b", 51.0, "done", "t")},
             orders=[ONE],
             read_back=ONE.document,
         )
         self.assertEqual(check(sound, TERMS), [])
 
 
-class EndedTimes(unittest.TestCase):
+class TestEndedTimes(unittest.TestCase):
     """When messages have ended."""
 
-    def test_retention_ends_a_message_only_once_it_is_over(self) -> None:
+    def test_message_ends_when_its_retention_is_over(self) -> None:
         seen = history(A)
         self.assertEqual(ended_times(seen, TERMS), {"a": 90.0})
         self.assertEqual(broken_rules(seen), {Rule.LOST})
         seen.finished = 91.0
         self.assertEqual(broken_rules(seen), set())
 
-    def test_refused_for_good_is_an_end(self) -> None:
+    def test_rejection_ends_a_message(self) -> None:
         seen = history(A, answers=[Answer("a", 1.2, 422, "")])
         self.assertEqual(ended_times(seen, TERMS), {"a": 1.2})
 
 
-class Report(unittest.TestCase):
+class TestReport(unittest.TestCase):
     """What is printed of a broken rule."""
 
-    def test_the_history_of_a_message_is_in_the_order_of_time(self) -> None:
+    def test_message_history_is_ordered_by_time(self) -> None:
         seen = history(A, runs=[A_RUN, run("a", 7.6)], answers=[A_DONE])
         times = [float(line.split()[0]) for line in message_history(seen, "a")]
         self.assertEqual(times, [0.0, 0.1, 1.0, 1.2, 7.6])
 
-    def test_a_broken_rule_comes_with_its_message(self) -> None:
+    def test_violation_is_shown_with_its_message_history(self) -> None:
         seen = history(A, runs=[A_RUN, run("a", 7.6)], answers=[A_DONE])
         lines = violation_lines(seen, check(seen, TERMS))
         self.assertEqual(lines[0], "BROKEN TWICE: 1")
         self.assertIn("a: ran at 7.600 after its success at 1.200", lines[1])
 
-    def test_percentiles_are_values_that_were_seen(self) -> None:
+    def test_percentiles_are_observed_values(self) -> None:
         self.assertEqual(percentile([], 0.5), 0.0)
         self.assertEqual(percentile([3.0, 1.0, 2.0], 0.5), 2.0)
         self.assertEqual(percentile([float(value) for value in range(1, 101)], 0.99), 99.0)
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -11,7 +11,7 @@
 from bitternpath.configuration.results import OperatorResult, ResultCode, operator_result
 from bitternpath.ingress.interfaces import OperatorReply
 from bitternpath.roles.operator_calls import OperatorCalls
-from bitternpath.transport.errors import LinkLost
+from bitternpath.transport.errors import LinkLostError
 from bitternpath.transport.node_messages import Pong
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
@@ -34,13 +34,14 @@
     """A member of the configuration group."""
 
     def __init__(self, owner: bool) -> None:
-        self.owner, self.orders = owner, PendingChanges()
+        self.owner = owner
+        self.changes = PendingChanges()
 
     def is_owner(self) -> bool:
         return self.owner
 
-    def order(self, order: Any) -> Deferred[OperatorResult]:
-        return self.orders.read()
+    def submit_change(self, request: Any) -> Deferred[OperatorResult]:
+        return self.changes.read()
 
 
 class Link:
@@ -93,7 +94,7 @@
                 self.assertEqual(replies, [])
                 self.clock.advance(NODE_TIMEOUT_S - 0.7)
                 self.assertEqual([reply.status for reply in replies], [503])
-        self.owner.orders.open[0].callback(
+        self.owner.changes.open[0].callback(
             operator_result(ResultCode.ACCEPTED, version=5)
         )  # nobody waits for it
         self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
@@ -112,7 +113,7 @@
     def test_after_a_lost_link_or_an_unexpected_response_the_outcome_is_unknown(self) -> None:
         calls = self.calls(None, self.link)
         first, second = self.put(calls), self.put(calls)
-        self.link.open[-2].errback(LinkLost())
+        self.link.open[-2].errback(LinkLostError())
         self.link.open[-1].callback(Pong(1))
         self.assertEqual([reply.status for reply in first + second], [503, 503])
 
