--- a/tests/system/pinned/program.py
+++ b/tests/system/pinned/program.py
@@ -15,7 +15,7 @@
 from bitternpath.balancer.fleet import plan as fleet_plan
 from bitternpath.balancer.fleet import store as fleet_store
 from bitternpath.balancer.handover import messages as handover_messages
-from bitternpath.balancer.store import taken_out
+from bitternpath.balancer.store import ejection_files
 from bitternpath.configuration import change_requests, feed_documents, results
 from bitternpath.configuration import commands as configuration_commands
 from bitternpath.configuration import state_machine as configuration_state
@@ -69,7 +69,7 @@
 FLEET_COMMANDS: Any = fleet_messages.Command
 CONSENSUS_MESSAGES: Any = replication_messages.Message
 FLEET_ITEMS: Any = fleet_plan.Item
-HANDOVER_MESSAGES: Any = handover_messages.Said
+HANDOVER_MESSAGES: Any = handover_messages.Message
 fleet_frame = fleet_messages.frame
 FleetFrames = fleet_messages.Frames
 fleet_item_bytes = fleet_plan.item_bytes
@@ -121,7 +121,7 @@
 AuditLine: Any = fleet_audit.Line
 AuditLedger: Any = fleet_audit.Ledger
 NodeFolder: Any = fleet_files.Folder
-ManualEjections: Any = taken_out.TakenOut
+ManualEjections: Any = ejection_files.EjectionFiles
 node_settings_from: Any = node_settings.settings_from
 load_node_config: Any = node_config.load
 FleetRecord: Any = fleet_plan.Record
