--- a/bitternpath/delivery/worker_client.py
+++ b/bitternpath/delivery/worker_client.py
@@ -24,7 +24,7 @@
     def __init__(self, reactor: TcpReactor) -> None:
         self._reactor = reactor
         self._pools: dict[str, AddressPool] = {}
-        self._retired: list[AddressPool] = []  # of workers that have gone, until their deliveries have ended
+        self._retired: list[AddressPool] = []  # of removed workers, until their deliveries have ended
         self._sweep: Timer | None = None
         self._stopped: Deferred[None] | None = None  # set once no more deliveries are accepted
 
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -57,7 +57,7 @@
         """The configuration in force here; None before the first."""
 
     def configuration_age(self) -> float:
-        """Seconds since the configuration's owner was last heard of."""
+        """Seconds since the configuration's owner was last contacted."""
 
     def catalogue_age(self) -> float:
         """Seconds since the newest reading of the platform's list began."""
--- a/bitternpath/ingress/http_requests.py
+++ b/bitternpath/ingress/http_requests.py
@@ -30,7 +30,7 @@
         self.responseHeaders.setRawHeaders(name, [value])
 
     def reply(self, status: int, body: bytes = b"", retry_after_s: int | None = None) -> None:
-        """Send a complete response, unless the client has gone or has its response already."""
+        """Send a complete response, unless the client has disconnected or has its response already."""
         if not self.answerable:
             return
         self.setResponseCode(status)
@@ -47,7 +47,7 @@
             self.reply(self.fallback_status, retry_after_s=RETRY_SOON_S)
 
     def ended(self) -> Deferred[None]:
-        """Fires once the request has its response, or its client has gone: what klein waits for."""
+        """Fires once the request has its response, or its client has disconnected: what klein waits for."""
         if not self.answerable:
             return succeed(None)
         ended: Deferred[None] = self.notifyFinish()
--- a/bitternpath/ingress/messages.py
+++ b/bitternpath/ingress/messages.py
@@ -48,7 +48,7 @@
 
 
 class _PendingAcceptance:
-    """Waits for the node's result for one message. The message is kept even if the client has gone."""
+    """Waits for the node's result for one message. It is kept even if the client has disconnected."""
 
     def __init__(self, request: HttpRequest, clock: Clock, parsed: ParsedMessage) -> None:
         self._request = request
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -179,7 +179,7 @@
     # ---- NodeView
 
     def configuration_age(self) -> float:
-        """Seconds since the configuration's owner was last heard."""
+        """Seconds since the configuration's owner was last contacted."""
         return float(self._reactor.seconds() - self.base.feed.heard_at)
 
     def catalogue_age(self) -> float:
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -1,7 +1,7 @@
 """One term of ownership of a queue shard: executes what the pure `ShardOwner` decides, and wakes it up.
 
 An ownership lasts from the replica's election until it loses the leadership. What it started and has not
-finished by then (a loan, a repeated proposal, a timer) has no effect any more: the next owner decides anew
+finished by then (a loan, a repeated proposal, a timer) has no effect any more: the next owner decides again
 from the replicated state.
 """
 
@@ -85,7 +85,7 @@
     def _propose(self, command: Command) -> None:
         """Propose a command of the owner itself.
 
-        Where ownership is lost meanwhile, the next owner decides anew. A command that was surely not proposed
+        If ownership is lost meanwhile, the next owner decides again. A command that was surely not proposed
         though this ownership goes on (a leadership transfer that failed) is given back to the owner after a
         pause; else its message would wait for it forever.
         """
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -58,7 +58,7 @@
 log = logbook.Logger("storage")
 
 CHECK_INTERVAL_S = 0.25  # between checks of the owned groups for what no event reports, such as silence
-RESPONSIVE_WITHIN_S = 0.5  # since a member was heard: two heartbeats of a group and a margin
+RESPONSIVE_WITHIN_S = 0.5  # since a member responded: two heartbeats of a group and a margin
 
 
 class StorageNode:
--- a/bitternpath/shards/waiting_pulls.py
+++ b/bitternpath/shards/waiting_pulls.py
@@ -37,7 +37,7 @@
         """The pull has its result and waits nowhere any more."""
 
     def hand_back(self, group: str, request_id: str, lease_id: str) -> None:
-        """A job has come whose worker is gone, or has another one: report it as not run."""
+        """A job has come whose worker has disconnected, or has another one: report it as not run."""
 
 
 class WaitingPull:
