--- a/tests/system/test_pages.py
+++ b/tests/system/test_pages.py
@@ -277,7 +277,7 @@
             with self.subTest(heading=heading):
                 self.assertEqual(numbered(page, heading), members(kind))
                 for row in table_rows(section(page, heading)):
-                    self.assertEqual(len(row), 6)
+                    self.assertEqual(len(row), 5)
                     self.assertTrue(all(row))
 
 
