--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -1,8 +1,8 @@
-"""A steward's disk: term, vote, entries and snapshot in LMDB, one synced transaction a batch.
+"""A consensus server's disk: term, vote, entries and snapshot in LMDB, one synced transaction a batch.
 
-A folder belongs to one steward on one disk. It has a lock that one process holds, and remembers the file
-that it was made as: a copy of it would vote a second time under the same name, and is refused. Each value is
-kept with a checksum; what is damaged is never read as if it were whole.
+A folder belongs to one server on one disk. It has a lock that one process holds, and stores the inode of its
+data file: a copy would vote a second time under the same name, and is refused. Each value is stored with a
+checksum, and a damaged value is never used.
 """
 
 from __future__ import annotations
@@ -30,14 +30,16 @@
 
 
 class StoreError(Exception):
-    """The folder cannot be used; the text says why, in one line."""
+    """The folder can't be used (an operator's task); the text says why, in one line."""
 
 
 class DamagedError(StoreError):
-    """What the folder holds is not whole."""
+    """The folder's content is incomplete or fails its checksum."""
 
 
 class State(Struct, frozen=True):
+    """What is stored beside entries and snapshot; field names are stored keys."""
+
     form: int
     name: str
     incarnation: str  # drawn when the folder was made: a steward that lost its disk is another one
@@ -56,7 +58,7 @@
     return blake3(data).digest(SUM) + data
 
 
-def _opened(sealed: bytes | None, kind: Any, what: str) -> Any:
+def _unsealed(sealed: bytes | None, kind: Any, what: str) -> Any:
     if sealed is None:
         raise DamagedError(f"{what} is missing")
     data = bytes(sealed[SUM:])
@@ -126,7 +128,7 @@
     def _get(self, key: bytes, kind: Any) -> Any:
         try:
             with self._env.begin(db=self._meta) as reading:
-                return _opened(reading.get(key), kind, f"{self.folder}: {key.decode()}")
+                return _unsealed(reading.get(key), kind, f"{self.folder}: {key.decode()}")
         except lmdb.Error as error:
             raise DamagedError(f"{self.folder}: {error}") from error
 
@@ -135,7 +137,7 @@
             writing.put(STATE, _sealed(self.state), db=self._meta)
 
     def read(self) -> PersistentState:
-        """What is kept; DamagedError where any of it is not whole."""
+        """Return the persistent state; raise DamagedError if any of it is incomplete or damaged."""
         state, entries = self.state, list[Entry]()
         with self._env.begin() as reading:
             has = reading.get(SNAPSHOT, db=self._meta) is not None
@@ -144,7 +146,7 @@
             with self._env.begin(db=self._log) as reading:
                 for key, value in reading.cursor():
                     index = int.from_bytes(key, "big")
-                    entry = _opened(value, Entry, f"{self.folder}: entry {index}")
+                    entry = _unsealed(value, Entry, f"{self.folder}: entry {index}")
                     if entry.index != state.before[0] + len(entries) + 1 or entry.index != index:
                         raise DamagedError(
                             f"{self.folder}: entry {state.before[0] + len(entries) + 1} is missing"
@@ -161,11 +163,11 @@
         state = self.state
         with self._env.begin(write=True) as writing:
             for write in writes:
-                state = self._do(writing, state, write, voters)
+                state = self._apply_write(writing, state, write, voters)
             writing.put(STATE, _sealed(state), db=self._meta)
         self.state = state
 
-    def _do(self, writing: Any, state: State, write: StorageWrite, voters: int) -> State:
+    def _apply_write(self, writing: Any, state: State, write: StorageWrite, voters: int) -> State:
         log = self._log
         if write.truncate_from is not None:
             self._delete(writing, write.truncate_from, None)
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -37,8 +37,8 @@
 
 if TYPE_CHECKING:
     from bitternpath.balancer.amqp.server import AmqpServer
-    from bitternpath.balancer.fleet.agent import Agent
     from bitternpath.balancer.fleet.plan import Plan
+    from bitternpath.balancer.fleet.record_client import RecordClient
     from bitternpath.balancer.handover.handover import Handover
     from bitternpath.balancer.http.console import Console
     from bitternpath.balancer.store.manual_ejections import ManualEjections
@@ -101,7 +101,7 @@
         if config.console is not None:
             self._set_up_console(config.name, config.console)
         self.amqp = self._make_amqp_server() if self.startup_settings.amqp.listen else None
-        self.agent = self._make_fleet_agent() if self.startup_settings.fleet.stewards else None
+        self.record_client = self._make_record_client() if self.startup_settings.fleet.stewards else None
         self.shutdown = Shutdown(reactor, self.clock, self.lifecycle, self.broker, self.listener, self._close)
         self.exit_code = 0
 
@@ -156,18 +156,18 @@
         handover.listener = lambda: self.listener.port and self.listener.port.socket
         self.handler.relay = handover.relay
 
-    def _make_fleet_agent(self) -> Agent:
-        """This node's fleet agent. Imported here: what is off costs nothing."""
-        from bitternpath.balancer.fleet.agent import Agent
+    def _make_record_client(self) -> RecordClient:
+        """This node's client of the fleet's record. Imported here: what is off costs nothing."""
+        from bitternpath.balancer.fleet.record_client import RecordClient
 
         config = self.loaded.platform
-        agent = Agent(
+        record_client = RecordClient(
             self.reactor, self.startup_settings.fleet, config.name, config.settings.zone, self.registry,
             self._plan_fault, self._plan_changed, self._retry_after,
         )  # fmt: skip
-        self.broker.admission = agent.gate
-        self.handler.fleet_admits = agent.welcome
-        return agent
+        self.broker.admission = record_client.gate
+        self.handler.fleet_admits = record_client.welcome
+        return record_client
 
     def _plan_changed(self, plan: Plan) -> None:
         """The fleet's plan has changed."""
@@ -186,13 +186,13 @@
 
     def _overlaid(self, loaded: Loaded) -> Loaded:
         """The configuration with the fleet's plan on top; ConfigError where the two conflict, now or soon."""
-        if self.agent is None:
+        if self.record_client is None:
             return loaded
         from bitternpath.balancer.fleet.plan import PlanError
         from bitternpath.balancer.fleet.plan_settings import with_plan
 
         try:
-            now, *_ = [with_plan(loaded.platform, plan) for plan in self.agent.holder.in_hand]
+            now, *_ = [with_plan(loaded.platform, plan) for plan in self.record_client.holder.current_plans]
         except (PlanError, ValueError) as error:
             raise ConfigError(f"at odds with what the fleet has agreed: {error}") from error
         return Loaded(now, loaded.operator)
@@ -269,8 +269,8 @@
         if self.amqp is not None:
             self.amqp.listen(*address(self.startup_settings.amqp.listen))
         self.upstream_client.run()
-        if self.agent is not None:
-            self.agent.begin()
+        if self.record_client is not None:
+            self.record_client.begin()
         self.reactor.callLater(REPORT_EVERY, self._report)
         kv: dict[str, object] = {
             "name": self.loaded.platform.name,
@@ -351,8 +351,8 @@
             self._stopped()
             return
         self.listener.stop()
-        if self.agent is not None:
-            self.agent.stop()
+        if self.record_client is not None:
+            self.record_client.stop()
         if self.amqp is not None:
             self.amqp.stop()
         self.shutdown.begin()
