--- a/tests/system/pinned/program.py
+++ b/tests/system/pinned/program.py
@@ -11,7 +11,7 @@
 from bitternpath.balancer.config import platform as node_config
 from bitternpath.balancer.fleet import audit as fleet_audit
 from bitternpath.balancer.fleet import messages as fleet_messages
-from bitternpath.balancer.fleet import node_folder as fleet_node_folder
+from bitternpath.balancer.fleet import node_folder as fleet_files
 from bitternpath.balancer.fleet import plan as fleet_plan
 from bitternpath.balancer.fleet import store as fleet_store
 from bitternpath.balancer.handover import messages as handover_messages
@@ -120,7 +120,7 @@
 FleetPlan: Any = fleet_plan.Plan
 AuditLine: Any = fleet_audit.Line
 AuditLedger: Any = fleet_audit.AuditLog
-NodeFolder: Any = fleet_node_folder.Folder
+NodeFolder: Any = fleet_files.Folder
 ManualEjections: Any = ejection_files.EjectionFiles
 node_settings_from: Any = node_settings.settings_from
 load_node_config: Any = node_config.load
--- a/tests/system/pinned/write_older_node.py
+++ b/tests/system/pinned/write_older_node.py
@@ -31,22 +31,22 @@
 def changes() -> list[Any]:
     """Entries of the record: each kind of item, and each kind of change."""
     plan = program.fleet_plan
-    made: list[Any] = [plan.Found(plan.Terms(), "fleet-1")]
+    made: list[Any] = [plan.Bootstrap(plan.LeaseTerms(), "fleet-1")]
     each = [
         plan.SetClass("short", {"aim": 250.0, "value": 2.0}),
         plan.SetRule("rules", "drainGrace", 2000.0),
         plan.SetRule("allowed", "cancel", True),
-        plan.Ban("worker-1"),
-        plan.Ban("worker-2"),
-        plan.Unban("worker-2"),
+        plan.EjectWorker("worker-1"),
+        plan.EjectWorker("worker-2"),
+        plan.ReinstateWorker("worker-2"),
         plan.LeastRelease((1, 4, 0)),
     ]
     for version, change in enumerate(each, 1):
-        made.append(plan.Adopt(f"id-{version}", "ann", "why", 1000.0 + version, change))
+        made.append(plan.AgreeChange(f"id-{version}", "ann", "why", 1000.0 + version, change))
         made.append(plan.Release(version, 2000.0 + version))
-    made.append(plan.Adopt("id-8", "bob", "not released", 3000.0, plan.Ban("worker-3")))
-    made.append(plan.Adopt("id-9", "bob", "withdrawn", 3001.0, plan.Ban("worker-4")))
-    made.append(plan.Void(9, "cid", "a slip"))
+    made.append(plan.AgreeChange("id-8", "bob", "not released", 3000.0, plan.EjectWorker("worker-3")))
+    made.append(plan.AgreeChange("id-9", "bob", "withdrawn", 3001.0, plan.EjectWorker("worker-4")))
+    made.append(plan.WithdrawVersion(9, "cid", "a slip"))
     return made
 
 
@@ -55,10 +55,10 @@
     plan = program.fleet_plan
     lines = tuple(ledger().fresh)
     return [
-        plan.Joined("node-1", "boot-1", "site-1", (1, 4, 0), "serve", 7, digest, 4000.0),
-        plan.Joined("node-2", "boot-2", "site-1", (1, 4, 0), "leave", 7, digest, 4001.0),
-        plan.Noted("node-1", "boot-1", lines, 0, 4002.0),
-        plan.Parted("node-2", "boot-2", 22, "it ended", 4003.0),
+        plan.LeaseStarted("node-1", "boot-1", "site-1", (1, 4, 0), "serve", 7, digest, 4000.0),
+        plan.LeaseStarted("node-2", "boot-2", "site-1", (1, 4, 0), "leave", 7, digest, 4001.0),
+        plan.AuditRecorded("node-1", "boot-1", lines, 0, 4002.0),
+        plan.LeaseEnded("node-2", "boot-2", 22, "it ended", 4003.0),
     ]
 
 
