--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -151,7 +151,7 @@
     def _lead(self, now: float) -> None:
         self._keep_leadership()
         raft, leadership = self.raft, self.leadership
-        if leadership is None or not raft.ready or self.applied < raft.term_start_index:
+        if leadership is None or not raft.has_committed_in_term or self.applied < raft.term_start_index:
             return
         if not leadership.ready:
             leadership.ready = True
--- a/bitternpath/configuration/change_evaluation.py
+++ b/bitternpath/configuration/change_evaluation.py
@@ -1,4 +1,4 @@
-"""What a change request comes to in a given state: a command to be proposed, or its result at once. Pure."""
+"""What a change request results in, in a given state: a command to propose, or its result at once. Pure."""
 
 from __future__ import annotations
 
--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -96,7 +96,7 @@
                 change.result.callback(evaluated)
 
     def _evaluate(self, change: PendingChange) -> ProposedChange | OperatorResult:
-        """What the request comes to in the state as it is now; never raises."""
+        """What the request results in, in the state as it is now; never raises."""
         if not self.group.is_owner():
             return not_owner()
         try:
@@ -124,7 +124,7 @@
     if took_effect:
         log.info("event=configuration_accepted version={}", version)
         return operator_result(ResultCode.ACCEPTED, version=version)
-    return operator_result(ResultCode.OUTCOME_UNKNOWN, "the order met another one")
+    return operator_result(ResultCode.OUTCOME_UNKNOWN, "a concurrent change was committed first")
 
 
 def _failure_result(failure: Failure) -> OperatorResult:
--- a/bitternpath/configuration/commands.py
+++ b/bitternpath/configuration/commands.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateStorageMembers:
-    """Record storage nodes that have joined, or are gone for good.
+    """Record storage nodes that have joined, or are permanently removed.
 
     Attributes:
         added: member ids.
--- a/bitternpath/configuration/configuration_members.py
+++ b/bitternpath/configuration/configuration_members.py
@@ -33,13 +33,13 @@
         wanted: how many voters the fault tolerance asks for (2f+1).
     """
     present_members = {node.name: member_id(node) for node in present}
-    kept = list(dict.fromkeys(present_members.get(node_of(voter), voter) for voter in current.voters))
-    joining = [member for member in sorted(present_members.values()) if member not in kept]
+    retained = list(dict.fromkeys(present_members.get(node_of(voter), voter) for voter in current.voters))
+    joining = [member for member in sorted(present_members.values()) if member not in retained]
     lost = [
         member
-        for member in kept
+        for member in retained
         if member not in present_members.values() and unresponsive_for(node_of(member)) > UNRESPONSIVE_AFTER_S
     ]
-    desired = [member for member in kept if member not in lost]
+    desired = [member for member in retained if member not in lost]
     desired += joining[: max(max(MAX_FOUNDING_MEMBERS, wanted) - len(desired), 0)]
     return desired if len(desired) >= wanted else desired + lost
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -6,7 +6,7 @@
 
 A search asks one candidate after the other; those that don't respond stay subscribed beside the next ones,
 up to `MAX_CANDIDATES`. Whichever sends an update first is followed. The owner followed before stays one of
-those asked, as it may have been silent for a moment only.
+the candidates, as it may have been silent for a moment only.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 OWNER_TIMEOUT_S = 1.3  # without an update: three heartbeats
 CHECK_INTERVAL_S = 0.15  # how often the feed is checked for silence, and new links for subscriptions
-REFUSED_PAUSE_S = 0.03  # after a refusal, before the next candidate is asked: soon, but not in a loop
-ATTEMPT_S = 0.45  # how long one candidate is asked alone: a connection and a response, far away
-MAX_CANDIDATES = 3  # asked at once, so that those that don't respond hold nobody up
+REFUSED_PAUSE_S = 0.03  # after a refusal, before the next candidate is tried: soon, but not in a loop
+ATTEMPT_S = 0.45  # how long one candidate is tried alone: a connection and a response, far away
+MAX_CANDIDATES = 3  # tried at once, so that those that don't respond hold nobody up
 FEED_USER = "feed"  # name under which the hub keeps the feed's links
 
 _NEVER = float("-inf")
@@ -99,10 +99,10 @@
         self._candidates = candidates
         self._wants_catalogue = wants_catalogue
         self._search = OwnerSearch()
-        self._owner_address = ""  # of the owner, or of the candidate that was asked last
+        self._owner_address = ""  # of the owner, or of the candidate that was tried last
         self._owner_link: Link | None = None  # the link that is followed, while it is open
-        self._asked: dict[str, Link | None] = {}  # by address: the link that was subscribed on, if any
-        self._asked_at = _NEVER  # when the last candidate was asked
+        self._subscribed: dict[str, Link | None] = {}  # by address: the link that was subscribed on, if any
+        self._last_subscribed_at = _NEVER  # when the last candidate was tried
         self._check: Timer | None = None
 
     @property
@@ -145,37 +145,37 @@
         self._apply(update)
 
     def refusal_received(self, link: Link, refusal: FeedRefused) -> None:
-        """An asked node doesn't own the group; perhaps it names the owner."""
+        """A candidate doesn't own the group; perhaps it names the owner."""
         address = self._address_of(link)
         if not address:
             return
         now = self._reactor.seconds()
         self.members = refusal.members or self.members
-        self._stop_asking(address)
+        self._unsubscribe(address)
         self._search.tried(address, now)
         if refusal.leader_address and self._search.may_follow_hint(refusal.leader_address, now):
             self._ask(refusal.leader_address)
         else:
-            self._asked_at = _NEVER  # the next check asks another candidate
+            self._last_subscribed_at = _NEVER  # the next check tries another candidate
             self._check_within(REFUSED_PAUSE_S)
 
     def link_closed(self, link: Link) -> None:
-        """A link has closed. Its address stays asked: the subscription is repeated on the next link."""
+        """A link has closed. Its address stays a candidate: the subscription is repeated on the next link."""
         if link is self._owner_link:
             self._owner_link = None
-            self._asked_at = _NEVER
-        for address, asked in self._asked.items():
-            if asked is link:
-                self._asked[address] = None
+            self._last_subscribed_at = _NEVER
+        for address, subscribed in self._subscribed.items():
+            if subscribed is link:
+                self._subscribed[address] = None
 
     # ---- following
 
     def _is_alive(self) -> bool:
-        heard_lately = self._reactor.seconds() - self.heard_at < OWNER_TIMEOUT_S
-        return heard_lately and self._owner_link is not None and self._owner_link.open
+        updated_recently = self._reactor.seconds() - self.heard_at < OWNER_TIMEOUT_S
+        return updated_recently and self._owner_link is not None and self._owner_link.open
 
     def _follow(self, link: Link) -> bool:
-        """Follow a link from now on; False where it wasn't asked for the feed."""
+        """Follow a link from now on; False where it isn't subscribed on."""
         address = self._address_of(link)
         if not address:
             return False
@@ -199,7 +199,7 @@
 
     def _run_check(self) -> None:
         self._check = self._reactor.callLater(CHECK_INTERVAL_S, self._run_check)
-        if not self._is_alive() and self._reactor.seconds() - self._asked_at >= ATTEMPT_S:
+        if not self._is_alive() and self._reactor.seconds() - self._last_subscribed_at >= ATTEMPT_S:
             self._ask(self._next_candidate())
         self._subscribe()
 
@@ -212,7 +212,7 @@
 
     def _next_candidate(self) -> str:
         addresses = [*(member.address for member in self.members), *self._candidates()]
-        return self._search.next_candidate(addresses, self._asked, self._hub.random)
+        return self._search.next_candidate(addresses, self._subscribed, self._hub.random)
 
     def _ask(self, address: str) -> None:
         if not address:
@@ -220,33 +220,33 @@
         now = self._reactor.seconds()
         self._search.tried(address, now)
         self._owner_address = address
-        self._asked_at = now
-        self._asked.setdefault(address, None)
-        for oldest in list(self._asked)[:-MAX_CANDIDATES]:
-            self._stop_asking(oldest)
+        self._last_subscribed_at = now
+        self._subscribed.setdefault(address, None)
+        for oldest in list(self._subscribed)[:-MAX_CANDIDATES]:
+            self._unsubscribe(oldest)
         self._hub.dial(address, FEED_USER)
         self._subscribe()
 
     def _subscribe(self) -> None:
-        """Subscribe on all links to asked addresses that have opened since."""
-        for address, asked in self._asked.items():
+        """Subscribe on all links to candidates that have opened since."""
+        for address, subscribed in self._subscribed.items():
             link = self._hub.link_to(address)
-            if link is not None and link is not asked:
-                self._asked[address] = link
+            if link is not None and link is not subscribed:
+                self._subscribed[address] = link
                 link.send(FeedSubscribe(self.version, self.placement_generation, self._wants_catalogue))
 
-    def _stop_asking(self, address: str) -> None:
-        link = self._asked.pop(address, None)
+    def _unsubscribe(self, address: str) -> None:
+        link = self._subscribed.pop(address, None)
         if link is self._owner_link:
             self._owner_link = None
         self._hub.release(address, FEED_USER)
 
     def _end_search(self) -> None:
-        """The owner is known: stop asking all others."""
+        """The owner is known: unsubscribe from all others."""
         self._search.found(self._owner_address, self._reactor.seconds())
-        for address in [address for address in self._asked if address != self._owner_address]:
-            self._stop_asking(address)
+        for address in [address for address in self._subscribed if address != self._owner_address]:
+            self._unsubscribe(address)
 
     def _address_of(self, link: Link) -> str:
-        """The address at which a link was asked for the feed; "" where it wasn't."""
-        return next((address for address, asked in self._asked.items() if asked is link), "")
+        """The address of a link that is subscribed on; "" where it isn't."""
+        return next((address for address, subscribed in self._subscribed.items() if subscribed is link), "")
--- a/bitternpath/configuration/feed_server.py
+++ b/bitternpath/configuration/feed_server.py
@@ -91,7 +91,7 @@
             link.send(refusal)
 
     def subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
-        """Add a subscriber, or set its offsets anew, and send what it lacks."""
+        """Add a subscriber, or reset its offsets, and send what it lacks."""
         subscriber = _Subscriber(
             wanted.configuration_version, wanted.placement_generation, wanted.wants_catalogue
         )
--- a/bitternpath/configuration/liveness.py
+++ b/bitternpath/configuration/liveness.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Collection, Mapping
 
-ALIVE_WITHIN_S = 0.8  # a node heard so lately is up: its link brings something twice a second
+ALIVE_WITHIN_S = 0.8  # a node contacted this recently is up: its link brings something twice a second
 MAX_OWNER_PAUSE_S = 1.0  # the owner updates four times a second; after a longer pause it was stalled itself
 
 
 class NodeLiveness:
-    """How long nodes have been up or down, from when each was last heard.
+    """How long nodes have been up or down, from when each was last contacted.
 
-    Times are seconds of a monotonic clock. A node that was never heard counts as down since `began_at`. A
+    Times are seconds of a monotonic clock. A node that was never contacted counts as down since `began_at`. A
     node's link may stay open for a while after the node has gone, so that the time counts from when it was
-    last heard, not from the end of its link. After a pause of the owner itself, all nodes count as heard in
-    that moment: it can't tell their silence from its own.
+    last contacted, not from the end of its link. After a pause of the owner itself, all nodes count as
+    contacted in that moment: it can't tell their silence from its own.
     """
 
     def __init__(self, began_at: float, known: Collection[str] = ()) -> None:
@@ -26,7 +26,7 @@
         self._joined_at: dict[str, float] = {}
 
     def update(self, now: float, heard_at: Mapping[str, float]) -> None:
-        """Record when the nodes that are subscribed now, and aren't draining, were last heard."""
+        """Record when the nodes that are subscribed now, and aren't draining, were last contacted."""
         if now - self._updated_at > MAX_OWNER_PAUSE_S:
             self._trusted_from = now
         self._updated_at = now
@@ -35,7 +35,7 @@
             self._joined_at.setdefault(name, now)
 
     def down_for(self, now: float, name: str) -> float:
-        """Seconds since a node was last heard; 0 while it is up."""
+        """Seconds since a node was last contacted; 0 while it is up."""
         silence = now - max(self._heard_at.get(name, self._trusted_from), self._trusted_from)
         return silence if silence > ALIVE_WITHIN_S else 0.0
 
--- a/bitternpath/configuration/owner_search.py
+++ b/bitternpath/configuration/owner_search.py
@@ -1,11 +1,11 @@
-"""The order in which a node asks others for the owner of the configuration. Pure."""
+"""The order in which a node queries others for the owner of the configuration. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable
 from random import Random
 
-HINT_RETRY_S = 0.3  # a node that was asked so lately isn't asked again when another one names it
+HINT_RETRY_S = 0.3  # a node that was queried this recently isn't queried again when another one names it
 
 
 class OwnerSearch:
@@ -16,7 +16,7 @@
         self._tried_at: dict[str, float] = {}  # by address, in this search
 
     def tried(self, address: str, now: float) -> None:
-        """Record that a candidate was asked, or has refused, at `now` (seconds of a monotonic clock)."""
+        """Record that a candidate was queried, or has refused, at `now` (seconds of a monotonic clock)."""
         self._tried_at[address] = now
 
     def found(self, address: str, now: float) -> None:
@@ -24,13 +24,14 @@
         self._tried_at = {address: now}
 
     def may_follow_hint(self, address: str, now: float) -> bool:
-        """Whether to ask a node that another one has named as the owner: two could name one another."""
+        """Whether to query a node that another one has named as the owner: two could name one another."""
         return now - self._tried_at.get(address, float("-inf")) >= HINT_RETRY_S
 
     def next_candidate(self, addresses: Iterable[str], pending: Collection[str], random: Random) -> str:
         """An address that wasn't tried in this search; "" where there are no addresses.
 
-        When all were tried another search begins, first with those that aren't `pending` (asked, and silent).
+        When all were tried another search begins, first with those that aren't `pending` (queried and
+        silent).
         """
         known = list(dict.fromkeys(addresses))
         untried = [address for address in known if address not in self._tried_at]
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -91,7 +91,7 @@
         groups: the placement in force.
         present: storage nodes that are subscribed to the feed.
         retired: names of nodes that may hold no replica.
-        down_for: seconds since a node (by name) was last heard; 0 while it is up.
+        down_for: seconds since a node (by name) was last contacted; 0 while it is up.
         up_for: seconds since a node (by name) joined.
     """
     placed = {member.node for group in groups for member in group.members}
@@ -125,23 +125,23 @@
 
     def repaired(self, group: GroupPlacement) -> GroupPlacement:
         """The group with its lost members replaced; the same where none is lost or none can be replaced."""
-        kept = {
+        retained = {
             slot: self._as_it_is_now(member)
             for slot, member in enumerate(group.members)
             if member.node not in self._to_replace
         }
         # A new member takes the lost one's slot, so that it is the preferred owner of as many shards.
         for slot in range(max(self._wanted, len(group.members))):
-            if slot in kept or len(kept) >= self._wanted:
+            if slot in retained or len(retained) >= self._wanted:
                 continue
-            replacement = self._replacement(list(kept.values()))
+            replacement = self._replacement(list(retained.values()))
             if replacement is not None:
-                kept[slot] = member_address(replacement)
+                retained[slot] = member_address(replacement)
                 self._replica_counts[replacement.name] += 1
         for slot, member in enumerate(group.members):
-            if slot not in kept and len(kept) < self._wanted:
-                kept[slot] = member  # no node can take its place: it stays named
-        members = tuple(kept[slot] for slot in sorted(kept))
+            if slot not in retained and len(retained) < self._wanted:
+                retained[slot] = member  # no node can take its place: it stays named
+        members = tuple(retained[slot] for slot in sorted(retained))
         if members == group.members:
             return group
         return GroupPlacement(group.group, group.generation + 1, members)
@@ -155,10 +155,10 @@
             return member_address(node)
         return replace(member, address=node.address)
 
-    def _replacement(self, kept: Sequence[MemberAddress]) -> NodeDescriptor | None:
+    def _replacement(self, retained: Sequence[MemberAddress]) -> NodeDescriptor | None:
         """The node with the fewest replicas, in a zone of its own where there is one."""
-        names = {member.node for member in kept}
-        zones = {member.zone for member in kept}
+        names = {member.node for member in retained}
+        zones = {member.zone for member in retained}
         free = [
             node
             for node in self._nodes.values()
--- a/bitternpath/configuration/retirement.py
+++ b/bitternpath/configuration/retirement.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireDecision:
-    """What a request to retire a node comes to.
+    """What a request to retire a node results in.
 
     Attributes:
         check: whether the node may be retired.
--- a/bitternpath/configuration/storage_membership.py
+++ b/bitternpath/configuration/storage_membership.py
@@ -62,7 +62,7 @@
         return retirement is not None and (not retirement.done or retirement.member == member)
 
     def update(self, added: Iterable[str], removed: Iterable[str]) -> None:
-        """Record members that have joined, and members that are gone for good."""
+        """Record members that have joined, and members that are permanently removed."""
         for member in removed:
             if self._members.get(node_of(member)) == member:
                 del self._members[node_of(member)]
--- a/bitternpath/membership/view.py
+++ b/bitternpath/membership/view.py
@@ -158,7 +158,7 @@
         Two parts of the system that were partitioned forget each other, and the settings may name nobody of
         the other part: without these addresses they would not meet again after the partition.
         """
-        forgotten = {gone.address for gone in self._forgotten.values()}
+        forgotten = {forgotten_node.address for forgotten_node in self._forgotten.values()}
         return sorted((forgotten | set(self.seeds)) - known - {"", self.local_node.address})
 
     def _sample(self) -> tuple[NodeDescriptor, ...]:
@@ -208,7 +208,9 @@
             self._remember_forgotten(now, self._known.pop(name).node)
         expired = now - REMEMBER_FORGOTTEN_S
         self._forgotten = {
-            name: gone for name, gone in self._forgotten.items() if gone.forgotten_at > expired
+            name: forgotten_node
+            for name, forgotten_node in self._forgotten.items()
+            if forgotten_node.forgotten_at > expired
         }
 
     def _remember_forgotten(self, now: float, node: NodeDescriptor) -> None:
--- a/bitternpath/net/http1.py
+++ b/bitternpath/net/http1.py
@@ -103,7 +103,7 @@
         return b"".join(pieces)
 
     def _line(self, buffer: Buffer) -> bool:
-        """Read one line of the chunk framing; False while it is not whole."""
+        """Read one line of the chunk framing; False while it is not complete."""
         at = buffer.find(b"\n")
         if at < 0 or at > LINE_LIMIT:
             if max(at, len(buffer)) > LINE_LIMIT:
@@ -152,7 +152,7 @@
         self.buffer.append(data)
 
     def head(self) -> Message | None:
-        """The message whose body comes next, as soon as its head is whole."""
+        """The message whose body comes next, as soon as its head is complete."""
         if self._message is None:
             lines = self._head_lines()
             if lines is not None:
@@ -173,7 +173,7 @@
         return self._body is not None and self._body.mode == "done"
 
     def next(self) -> Message | None:
-        """The next whole message, or None until more is fed."""
+        """The next complete message, or None until more is fed."""
         message, body = self.head(), self._body
         if message is None or body is None:
             return None
@@ -194,7 +194,7 @@
         return message
 
     def _head_lines(self) -> list[bytes] | None:
-        """The lines of the head once it is whole. A line may end in LF alone; empty ones may lead."""
+        """The lines of the head once it is complete. A line may end in LF alone; empty ones may lead."""
         buffer = self.buffer
         while (at := buffer.find(b"\n", self._seen)) >= 0:
             line, self._seen = _line_of(buffer.take(at + 1)[:-1]), 0
--- a/bitternpath/replication/compaction.py
+++ b/bitternpath/replication/compaction.py
@@ -24,7 +24,7 @@
     size: int = COMPACTION_BYTES
     host_size: int = HOST_COMPACTION_BYTES  # shared by all groups of a process
     entries: int = COMPACTION_ENTRIES
-    kept: int = KEPT_ENTRIES
+    entries_to_keep: int = KEPT_ENTRIES
 
 
 def bounds_for_disk(size: int) -> CompactionBounds:
@@ -87,7 +87,7 @@
         peers need entries: then as many as that, within the bound or the size of the state, since a snapshot
         transfer ends if entries are written no faster than the snapshot is sent.
         """
-        few = _last_entries_within(log, applied, self._bounds.kept, self.size_bound // 4)
+        few = _last_entries_within(log, applied, self._bounds.entries_to_keep, self.size_bound // 4)
         if needed_index is None:
             return few
         needed = applied + 1 - needed_index
@@ -98,11 +98,11 @@
 def _last_entries_within(log: ReplicatedLog, applied: int, limit: int, limit_bytes: int) -> int:
     """How many entries, from `applied` back, stay within both limits."""
     in_memory = applied - log.compacted_index
-    kept = 0
+    entries_to_keep = 0
     size = 0
-    while kept < min(limit, in_memory):
-        size += len(log.entries[in_memory - kept - 1].data)
+    while entries_to_keep < min(limit, in_memory):
+        size += len(log.entries[in_memory - entries_to_keep - 1].data)
         if size > limit_bytes:
             break
-        kept += 1
-    return kept
+        entries_to_keep += 1
+    return entries_to_keep
--- a/bitternpath/replication/consensus.py
+++ b/bitternpath/replication/consensus.py
@@ -16,7 +16,7 @@
     FOLLOWER        election timeout, may stand                                   PRE_CANDIDATE
     FOLLOWER        TimeoutNow of its leader, is a voter                          CANDIDATE
     PRE_CANDIDATE   a majority would grant its vote                               CANDIDATE (term + 1)
-    PRE_CANDIDATE   election timeout, may stand                                   PRE_CANDIDATE (anew)
+    PRE_CANDIDATE   election timeout, may stand                                   PRE_CANDIDATE (again)
     CANDIDATE       a majority granted its vote                                   LEADER
     CANDIDATE       election timeout, may stand                                   PRE_CANDIDATE
     LEADER          heartbeat due and no majority heard for `election_timeout`    FOLLOWER
@@ -104,7 +104,7 @@
         """The writes up to that number are on disk."""
         self.now = now
         self.log.write_completed(number)
-        self._release_held_messages(number)
+        self._release_messages_awaiting_write(number)
         if self.role is MemberRole.LEADER:
             self._update_commitment()
 
@@ -145,7 +145,7 @@
     def propose(self, now: float, kind: int, data: bytes) -> int | None:
         """Append an entry of that `EntryKind` as leader; its index, or None where this member can't now."""
         self.now = now
-        if self.role is not MemberRole.LEADER or self.transfer_target:
+        if self.role is not MemberRole.LEADER or self.leadership_transfer_target:
             return None
         if kind == EntryKind.MEMBERS and not self.may_change_members:
             return None
@@ -162,7 +162,7 @@
         Unlike with `propose`, a peer gets them together, and only replication targets get them at once.
         """
         self.now = now
-        if self.role is not MemberRole.LEADER or self.transfer_target:
+        if self.role is not MemberRole.LEADER or self.leadership_transfer_target:
             return None
         first = self.last_index + 1
         for index, command in enumerate(commands, first):
@@ -178,12 +178,12 @@
         One change at a time, and only after the leader has committed an entry of its own term (Ongaro's
         correction of T 4 on the raft-dev list, 2015).
         """
-        return self.ready and self.log.members_index <= self.commit_index
+        return self.has_committed_in_term and self.log.members_index <= self.commit_index
 
     # ---- reads
 
     @property
-    def ready(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Whether this is a leader that has committed all that was committed before it (T 6.4)."""
         return self.role is MemberRole.LEADER and self.commit_index >= self.term_start_index
 
@@ -213,7 +213,7 @@
                 self._start_round(sorted(self.replication_targets))
             self._update_commitment()
         writes = self._take_writes()
-        effects = RaftEffects(self._messages, writes, self._restore, self._take_committed())
+        effects = RaftEffects(self._messages, writes, self._snapshot_to_restore, self._take_committed())
         self._messages = []
-        self._restore = None
+        self._snapshot_to_restore = None
         return effects
--- a/bitternpath/replication/elections.py
+++ b/bitternpath/replication/elections.py
@@ -63,8 +63,10 @@
         term = self.term + 1 if pre_vote else self.term
         request = RequestVote(term, self.log.last_index, self.log.last_term, pre_vote, leadership_transfer)
         # This member's own vote counts like any other: once it is on disk.
-        self._after_writes.append((self.member_id, RequestVoteResponse(term, pre_vote, True)))
-        self._after_writes += [(name, request) for name in self.members.voters if name != self.member_id]
+        self._messages_awaiting_next_write.append((self.member_id, RequestVoteResponse(term, pre_vote, True)))
+        self._messages_awaiting_next_write += [
+            (name, request) for name in self.members.voters if name != self.member_id
+        ]
 
     def _on_vote_response(self, sender: str, response: RequestVoteResponse) -> None:
         if response.term > self.term and not (response.pre_vote and response.granted):
@@ -105,12 +107,12 @@
             if not self.vote:
                 self._set_term(self.term, sender)
             self._set_election_timer()
-        self._after_writes.append((sender, RequestVoteResponse(self.term, False, granted)))
+        self._messages_awaiting_next_write.append((sender, RequestVoteResponse(self.term, False, granted)))
 
     def _on_pre_vote_request(self, sender: str, request: RequestVote) -> None:
         granted = request.term > self.term and self._is_up_to_date(request)
         response = RequestVoteResponse(request.term if granted else self.term, True, granted)
-        self._after_writes.append((sender, response))
+        self._messages_awaiting_next_write.append((sender, response))
         if request.term > self.term and not granted and self.role is MemberRole.FOLLOWER:
             self._stand_early()
 
--- a/bitternpath/replication/follower.py
+++ b/bitternpath/replication/follower.py
@@ -15,7 +15,7 @@
         """Whether the sender leads this member; where it doesn't, it is sent the higher term."""
         if term < self.term:
             response = AppendEntriesResponse(self.term, False, self.last_index, heartbeat_round)
-            self._after_writes.append((sender, response))
+            self._messages_awaiting_next_write.append((sender, response))
             return False
         if term > self.term or self.role is not MemberRole.FOLLOWER:
             self._become_follower(term, sender)
@@ -34,7 +34,7 @@
         elif previous > self.last_index or self.log.term_at(previous) != request.previous_term:
             may_agree = self._last_index_that_may_agree(previous)
             response = AppendEntriesResponse(self.term, False, may_agree, request.heartbeat_round)
-            self._after_writes.append((sender, response))
+            self._messages_awaiting_next_write.append((sender, response))
             return
         for entry in entries:
             self._append_entry(entry)
@@ -77,4 +77,4 @@
             self._messages.append((sender, response))
         if agrees > stable:
             response = AppendEntriesResponse(self.term, True, agrees, heartbeat_round)
-            self._after_writes.append((sender, response))
+            self._messages_awaiting_next_write.append((sender, response))
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -104,7 +104,8 @@
         self._tombstone_generation = identity.tombstone_generation
         self._proposals = PendingProposals()
         self._reads = PendingReads()
-        self._applied = state.snapshot.index
+        # Index applied to the state machine; `raft.last_applied` is the index handed out.
+        self._machine_applied_index = state.snapshot.index
         self._role_seen = self.raft.role
         self._progress_seen = MembershipProgress()
         if state.snapshot.index:
@@ -153,9 +154,10 @@
         return all(self.caught_up(name) for name in voters - old_voters)
 
     def transfer_leadership(self, now: float, to: str = "") -> bool:
-        """Begin to transfer leadership to a voter that was heard lately; whether that was begun.
+        """Begin to transfer leadership to a voter that responded recently.
 
-        The target is `to`, or where this is empty the voter that has most of the log.
+        The target is `to`, or where this is empty the voter that has most of the log. Returns whether the
+        transfer started.
         """
         target = peer_status.transfer_candidate(self.raft, now, to)
         return target is not None and self.raft.transfer_leadership(now, target)
@@ -165,18 +167,18 @@
     @property
     def is_owner(self) -> bool:
         """Whether this replica leads and has applied all that was committed before."""
-        return self.raft.ready and self.raft.term == self.owned_epoch
+        return self.raft.has_committed_in_term and self.raft.term == self.owned_epoch
 
     def caught_up(self, member: str) -> bool:
         """Whether a member lacks little of what is committed; False where this replica doesn't lead."""
         return peer_status.is_caught_up(self.raft, member)
 
     def unresponsive_for(self, now: float, member: str) -> float:
-        """Seconds since a member was heard; infinite where this replica doesn't lead or doesn't know it."""
+        """Seconds since a member last responded; infinite where this replica doesn't lead or know it."""
         return peer_status.unresponsive_for(self.raft, now, member)
 
     def hears_quorum(self, now: float) -> bool:
-        """Whether this owner has heard a majority so lately that, as far as it knows, nobody else leads."""
+        """Whether a majority responded to this owner so recently that it knows of no other leader."""
         return self.is_owner and peer_status.hears_quorum(self.raft, now)
 
     def members_progressed(self) -> bool:
@@ -248,11 +250,11 @@
         if effects.restore is not None:
             data = effects.restore.data
             self._machine.restore(data)
-            self._applied = effects.restore.index
+            self._machine_applied_index = effects.restore.index
             self.compaction.restored(len(data))
         applied_bytes = 0
         for entry in effects.committed:
-            self._applied = entry.index
+            self._machine_applied_index = entry.index
             applied_bytes += len(entry.data)
             if entry.kind == _COMMAND_KIND:
                 self._apply_command(entry)
@@ -265,7 +267,7 @@
         self._listener.applied(entry.index, entry.data, result)
 
     def _update_ownership(self) -> None:
-        owned = self.raft.term if self.raft.ready else 0
+        owned = self.raft.term if self.raft.has_committed_in_term else 0
         if owned == self.owned_epoch:
             return
         if self.owned_epoch:
@@ -281,18 +283,18 @@
         self._listener.lost_ownership()
 
     def _compact(self) -> bool:
-        """Replace applied entries by a snapshot where that is due; whether it was."""
-        if not self.compaction.is_due(self._applied - self.raft.snapshot.index):
+        """Replace applied entries by a snapshot if due. Returns whether it was."""
+        if not self.compaction.is_due(self._machine_applied_index - self.raft.snapshot.index):
             return False
         data = self._machine.snapshot()
         needed_index = self.raft.needed_index if self.raft.role is MemberRole.LEADER else None
-        keep = self.compaction.entries_to_keep(self.raft.log, self._applied, needed_index)
-        self.raft.compact(self._applied, data, keep)
+        keep = self.compaction.entries_to_keep(self.raft.log, self._machine_applied_index, needed_index)
+        self.raft.compact(self._machine_applied_index, data, keep)
         self.compaction.compacted(len(data))
         return True
 
     def close(self) -> None:
-        """Fail all requests that wait; nothing comes of later inputs."""
+        """Fail all requests that wait; later inputs have no effect."""
         for proposal in self._proposals.take_queued():
             proposal.result.errback(NotOwnerError())
         self._reads.fail_queued()
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -93,16 +93,16 @@
         """
         if group in self.groups:
             raise GroupAlreadyOpenError(group)
-        kept = self._journal.take_persistent_state(group)
+        state = self._journal.take_persistent_state(group)
         tombstone_generation = self._journal.tombstone_generation(group)
-        if kept is None:
-            kept = PersistentState()
+        if state is None:
+            state = PersistentState()
             is_founder = founders is not None and self.member_id in founders.voters
             if founders is not None and is_founder and tombstone_generation is None:
-                kept = PersistentState(snapshot=Snapshot(members=founders))
-                self._journal.bootstrap_group(group, kept)
+                state = PersistentState(snapshot=Snapshot(members=founders))
+                self._journal.bootstrap_group(group, state)
         self.groups[group] = ReplicaGroup(
-            MemberIdentity(self.member_id, kept, tombstone_generation),
+            MemberIdentity(self.member_id, state, tombstone_generation),
             GroupApplication(machine, listener),
             self._random,
             self._clock.seconds(),
@@ -196,7 +196,10 @@
         return found.change_members(self._clock.seconds(), members)
 
     def transfer_leadership(self, group: str, to: str = "") -> bool:
-        """Begin to transfer ownership to `to`, or to the voter that has most of the log; whether it began."""
+        """Begin to transfer ownership to `to`, or to the voter that has most of the log.
+
+        Returns whether the transfer started.
+        """
         found = self.groups.get(group)
         if found is None:
             return False
@@ -211,9 +214,10 @@
         return found is not None and found.is_owner
 
     def hears_quorum(self, group: str) -> bool:
-        """Whether this replica owns the group and has heard a majority within an election timeout.
+        """Whether this replica owns the group and a majority responded within an election timeout.
 
-        Responses count from when they came: see `has_leader_lease` for a process that may have stood still.
+        Responses count from when they came: see `has_leader_lease` for a process that may have been
+        suspended.
         """
         found = self.groups.get(group)
         return found is not None and found.hears_quorum(self._clock.seconds())
@@ -222,13 +226,13 @@
         """Whether this replica owns the group and no other member can have been elected (T 6.4.1).
 
         Unlike `hears_quorum` it counts from when a majority was asked, not from when it responded, so that it
-        also holds for a process that stood still.
+        also holds for a process that was suspended.
         """
         found = self.groups.get(group)
         return found is not None and found.is_owner and found.raft.has_leader_lease(self._clock.seconds())
 
-    def epoch(self, group: str) -> int:
-        """The highest term that this replica knows; 0 for a group not open here."""
+    def current_term(self, group: str) -> int:
+        """The highest term that this replica knows, as owner or not; 0 for a group not open here."""
         found = self.groups.get(group)
         return found.raft.term if found is not None else 0
 
@@ -261,7 +265,7 @@
         return found is not None and found.caught_up(member)
 
     def unresponsive_for(self, group: str, member: str) -> float:
-        """Seconds since this leader heard a member; infinite on other replicas."""
+        """Seconds since this leader last had a response of a member; infinite on other replicas."""
         found = self.groups.get(group)
         return found.unresponsive_for(self._clock.seconds(), member) if found is not None else math.inf
 
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -1,4 +1,4 @@
-"""What a replica group asks of the program around it: state machine, journal, listener, transport."""
+"""Interfaces a replica group requires of its host program: state machine, journal, listener, transport."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
     def groups(self) -> tuple[str, ...]:
         """The groups that the disk held at the start and that nobody has taken yet."""
 
-    def on_corrupt_snapshot(self, damaged: Callable[[str], None]) -> None:
-        """Have `damaged` called with a group whose snapshot was found corrupt on disk."""
+    def on_corrupt_snapshot(self, corrupted: Callable[[str], None]) -> None:
+        """Have `corrupted` called with a group whose snapshot was found corrupt on disk."""
 
     def take_persistent_state(self, group: str) -> PersistentState | None:
-        """What the disk held of a group at the start; None where that was nothing. Given once."""
+        """What the disk held of a group at the start; None if it held none. Given once."""
 
     def tombstone_generation(self, group: str) -> int | None:
         """Generation of the membership at which this disk gave the group up; None where it never did."""
 
-    def bootstrap_group(self, group: str, kept: PersistentState) -> None:
+    def bootstrap_group(self, group: str, state: PersistentState) -> None:
         """Write the state with which a group begins here."""
 
     def write(self, group: str, write: StorageWrite, done: Callable[[], None]) -> None:
@@ -69,7 +69,7 @@
         """This replica leads and has applied all that was committed before; `epoch` is its term."""
 
     def lost_ownership(self) -> None:
-        """It no longer does."""
+        """This replica no longer owns the group (also called on close)."""
 
     def applied(self, index: int, command: bytes, result: object) -> None:
         """A command was applied; on each replica."""
--- a/bitternpath/replication/leadership.py
+++ b/bitternpath/replication/leadership.py
@@ -45,7 +45,7 @@
         self.votes.clear()
         self._chunk_at = NEVER
         self.commit_index_at_heartbeat = self.commit_index
-        self.commit_index_at_heartbeat_before = self.commit_index
+        self.commit_index_at_previous_heartbeat = self.commit_index
         self.peers = {}
         self.replication_targets = frozenset()
         self._update_peers()
@@ -73,28 +73,35 @@
     # ---- heartbeat rounds
 
     def _heartbeat(self) -> None:
-        """Step down where no majority was heard (T 6.2), else start a round with all peers."""
+        """Start a round with all peers, unless the quorum is lost."""
         self._heartbeat_at = self.now + self.timing.heartbeat_interval
-        if self.transfer_target and self.now >= self._transfer_until:
-            self.transfer_target = ""
-        if not self._hears_majority:
-            self._become_follower(self.term)
+        if self.leadership_transfer_target and self.now >= self._leadership_transfer_deadline:
+            self.leadership_transfer_target = ""
+        if self._step_down_if_quorum_lost():
             return
         self.last_contact = self.now
-        self.commit_index_at_heartbeat_before = self.commit_index_at_heartbeat
+        self.commit_index_at_previous_heartbeat = self.commit_index_at_heartbeat
         self.commit_index_at_heartbeat = self.commit_index
         self._choose_replication_targets()
         self._start_round(self.peers)
 
+    def _step_down_if_quorum_lost(self) -> bool:
+        """Become a follower if no majority responded within an election timeout (T 6.2); whether it did."""
+        if self._hears_quorum:
+            return False
+        self._become_follower(self.term)
+        return True
+
     @property
-    def _hears_majority(self) -> bool:
+    def _hears_quorum(self) -> bool:
+        """Whether a majority of the voters, this member among them, responded within an election timeout."""
         voters = self.members.voters
-        heard = int(self.is_voter)
+        responsive = int(self.is_voter)
         for name, peer in self.peers.items():
-            heard += name in voters and self.now < peer.last_contact + self.timing.election_timeout
-        return 2 * heard > len(voters)
+            responsive += name in voters and self.now < peer.last_contact + self.timing.election_timeout
+        return 2 * responsive > len(voters)
 
-    def _start_round(self, asked: Iterable[str]) -> None:
+    def _start_round(self, recipients: Iterable[str]) -> None:
         """Ask a majority or more whether this member still leads.
 
         A round that stays unanswered is made up for by the next heartbeat, which asks all peers.
@@ -102,12 +109,12 @@
         self.heartbeat_round += 1
         self._unconfirmed_rounds.append(StartedRound(self.heartbeat_round, self.now))
         self.heartbeat_round_requested = False
-        for name in asked:
+        for name in recipients:
             peer = self.peers[name]
             # A silent peer is only asked where its log stands; it rejects if what was sent is lost.
             silent = peer.last_contact < self.now - SILENT_HEARTBEATS * self.timing.heartbeat_interval
             lacks_all = self._needs_snapshot(peer)
-            if peer.transfer is None and (silent or (lacks_all and not peer.answered_round)):
+            if peer.snapshot_send is None and (silent or (lacks_all and not peer.answered_round)):
                 if lacks_all:  # which snapshot it needs is known once it responds
                     peer.next_index = self.last_index + 1
                 self._send_append(name, peer, ())
@@ -170,8 +177,8 @@
         for peer in self.peers.values():
             if not peer.answered_round or self.now >= peer.last_contact + self.timing.election_timeout:
                 continue
-            if peer.transfer is not None:
-                needed = min(needed, peer.transfer.snapshot.index + 1)
+            if peer.snapshot_send is not None:
+                needed = min(needed, peer.snapshot_send.snapshot.index + 1)
             elif self.log.has_entry_after(peer.match_index):
                 needed = min(needed, peer.match_index + 1)
         return needed
@@ -201,21 +208,21 @@
         peer.match_index = max(peer.match_index, index)
         peer.entries_confirmed(self.now, index)
         peer.next_index = max(peer.next_index, peer.match_index + 1)
-        transfer = peer.transfer
-        if transfer is not None and (
-            transfer.snapshot.index <= peer.match_index or self.log.has_entry_after(peer.match_index)
+        snapshot_send = peer.snapshot_send
+        if snapshot_send is not None and (
+            snapshot_send.snapshot.index <= peer.match_index or self.log.has_entry_after(peer.match_index)
         ):
-            peer.transfer = None  # it has that snapshot, or entries suffice
+            peer.snapshot_send = None  # it has that snapshot, or entries suffice
         if self._gets_entries_now(name, peer):
             self._send_entries(name)
-        if name == self.transfer_target:
-            self._finish_transfer()
+        if name == self.leadership_transfer_target:
+            self._send_timeout_now_if_caught_up()
 
     def _gets_entries_now(self, name: str, peer: Progress) -> bool:
         """Whether a peer gets entries before the next heartbeat: also one that lacks many."""
         lacks = self.last_index + 1 - peer.next_index
-        at_once = name in self.replication_targets or name == self.transfer_target
-        return lacks >= BATCH_ENTRIES or (at_once and lacks > 0)
+        eager = name in self.replication_targets or name == self.leadership_transfer_target
+        return lacks >= BATCH_ENTRIES or (eager and lacks > 0)
 
     # ---- commitment
 
@@ -243,7 +250,7 @@
         A majority has heard this leader since a round began less than an election timeout ago, and gives no
         vote for so long. A leader that is transferring its leadership has no lease.
         """
-        if self.role is not MemberRole.LEADER or self.transfer_target:
+        if self.role is not MemberRole.LEADER or self.leadership_transfer_target:
             return False
         return now < self.confirmed_at + LEASE_SHARE * self.timing.election_timeout
 
@@ -273,17 +280,17 @@
         self.now = now
         if self.role is not MemberRole.LEADER or to not in self.members.voters or to == self.member_id:
             return False
-        self.transfer_target = to
-        self._transfer_until = now + self.timing.election_timeout
+        self.leadership_transfer_target = to
+        self._leadership_transfer_deadline = now + self.timing.election_timeout
         self._send_entries(to)
-        self._finish_transfer()
+        self._send_timeout_now_if_caught_up()
         return True
 
-    def _finish_transfer(self) -> None:
+    def _send_timeout_now_if_caught_up(self) -> None:
         """Have the target stand for election once it has the whole log."""
-        peer = self.peers.get(self.transfer_target)
+        peer = self.peers.get(self.leadership_transfer_target)
         if peer is not None and peer.match_index == self.last_index:
-            self._messages.append((self.transfer_target, TimeoutNow(self.term)))
+            self._messages.append((self.leadership_transfer_target, TimeoutNow(self.term)))
 
 
 def _reached_by_majority(values: list[int]) -> int:
--- a/bitternpath/replication/log.py
+++ b/bitternpath/replication/log.py
@@ -45,8 +45,8 @@
         self.compacted_index, self.compacted_term = state.compacted_through
         self.snapshot = state.snapshot
         self.stable_index = self.last_index
-        self.written = 0  # number of the last write given out
-        self.done = 0  # number of the last write done
+        self.last_write_issued = 0  # number of the last write given out
+        self.last_write_completed = 0  # number of the last write done
         self.changed = False  # something waits for `flush`
         self.unfinished_writes: list[UnfinishedWrite] = []
         self.truncate_from: int | None = None  # for the next write, as are the two below
@@ -164,10 +164,10 @@
 
     def flush(self, term: int, vote: str) -> StorageWrite:
         """Give out all changes since the last call as one write."""
-        self.written += 1
-        self.unfinished_writes.append(UnfinishedWrite(self.written, self.last_index))
+        self.last_write_issued += 1
+        self.unfinished_writes.append(UnfinishedWrite(self.last_write_issued, self.last_index))
         write = StorageWrite(
-            self.written,
+            self.last_write_issued,
             term,
             vote,
             self.truncate_from,
@@ -183,11 +183,11 @@
 
     def write_completed(self, number: int) -> None:
         """The writes up to that number are on disk."""
-        self.done = max(self.done, number)
+        self.last_write_completed = max(self.last_write_completed, number)
         while self.unfinished_writes and self.unfinished_writes[0].number <= number:
             self.stable_index = max(self.stable_index, self.unfinished_writes.pop(0).last_index)
 
     @property
-    def all_stored(self) -> bool:
+    def all_writes_completed(self) -> bool:
         """Whether all writes given out are done."""
-        return self.written <= self.done
+        return self.last_write_issued <= self.last_write_completed
--- a/bitternpath/replication/member.py
+++ b/bitternpath/replication/member.py
@@ -34,7 +34,7 @@
     transfer_budget: TransferBudget = field(default_factory=UnlimitedTransferBudget)
 
 
-class HeldMessage(NamedTuple):
+class AwaitingWrite(NamedTuple):
     """A message that promises something which is not on disk before the write of that number is done."""
 
     write_number: int
@@ -94,36 +94,45 @@
         # Of a candidate or pre-candidate.
         self.votes: set[str] = set()
 
-        # Of a leader: replication.
+        self._init_leader_state()
+        self._init_heartbeat_rounds()
+        self._init_snapshot_transfer(options.transfer_budget)
+        self._init_outputs()
+        self._election_at = NEVER
+        self._set_election_timer()
+
+    def _init_leader_state(self) -> None:
+        """Of a leader: replication, and a transfer of its leadership."""
         self.peers: dict[str, Progress] = {}
         self.replication_targets: frozenset[str] = frozenset()  # peers that get new entries at once
         self.term_start_index = 0  # index of the no-op that it appended when it was elected
         self.elected_at = 0.0
         self.commit_index_at_heartbeat = 0  # at the last heartbeat
-        self.commit_index_at_heartbeat_before = 0  # at the one before that
-        self.transfer_target = ""  # the voter to which leadership is being transferred
+        self.commit_index_at_previous_heartbeat = 0  # at the one before that
+        self.leadership_transfer_target = ""  # the voter to which leadership is being transferred
+        self._leadership_transfer_deadline = 0.0  # when the leader abandons the transfer of leadership
 
-        # Of a leader: heartbeat rounds.
+    def _init_heartbeat_rounds(self) -> None:
+        """Of a leader: heartbeat rounds."""
         self.heartbeat_round = 0  # the last one started
         self.confirmed_round = 0  # the last one that a majority answered
         self.confirmed_at = -NEVER  # when that one was started
         self.heartbeat_round_requested = False  # one is wanted and hasn't started
         self._unconfirmed_rounds: deque[StartedRound] = deque()
+        self._heartbeat_at = 0.0  # when the next one is due
 
-        # Timers.
-        self._election_at = NEVER
-        self._heartbeat_at = 0.0
-        self._transfer_until = 0.0  # when the leader gives a transfer of leadership up
+    def _init_snapshot_transfer(self, bandwidth: TransferBudget) -> None:
+        """Of a leader: the bandwidth for snapshots that it sends; of a follower: the one that it receives."""
+        self._snapshot_bandwidth = bandwidth
         self._chunk_at = NEVER  # when a snapshot chunk is due that waits for bandwidth
-
-        # Outputs until they are taken.
-        self._transfer_budget = options.transfer_budget
         self._partial_snapshot: PartialSnapshot | None = None
-        self._restore: Snapshot | None = None  # next state of the state machine
+
+    def _init_outputs(self) -> None:
+        """Outputs until they are taken."""
+        self._snapshot_to_restore: Snapshot | None = None  # next state of the state machine
         self._messages: list[tuple[str, Message]] = []
-        self._after_writes: list[tuple[str, Message]] = []  # wait for all changes made so far
-        self.held_messages: list[HeldMessage] = []
-        self._set_election_timer()
+        self._messages_awaiting_next_write: list[tuple[str, Message]] = []  # wait for all changes so far
+        self.messages_awaiting_write: list[AwaitingWrite] = []
 
     @abstractmethod
     def receive(self, now: float, sender: str, message: Message) -> None:
@@ -172,7 +181,7 @@
             self._set_election_timer()
         self.role = MemberRole.FOLLOWER
         self.leader = leader
-        self.transfer_target = ""
+        self.leadership_transfer_target = ""
         self.peers.clear()
         self.votes.clear()
         self.heartbeat_round_requested = False
@@ -180,18 +189,23 @@
     # ---- outputs
 
     def _take_writes(self) -> list[StorageWrite]:
-        """Give out all changes as writes, and hold the messages that wait for them until they are done."""
+        """Give out all changes as writes, and hold the messages that wait for them until they are done.
+
+        Delivering this member's own vote may elect it, which changes the log again; hence the loop.
+        """
         writes = []
-        while self.log.changed or self._after_writes:
+        while self.log.changed or self._messages_awaiting_next_write:
             if self.log.changed:
                 writes.append(self.log.flush(self.term, self.vote))
-            waiting = self._after_writes
-            self._after_writes = []
+            waiting = self._messages_awaiting_next_write
+            self._messages_awaiting_next_write = []
             for receiver, message in waiting:
-                if self.log.all_stored:
+                if self.log.all_writes_completed:
                     self._deliver(receiver, message)
                 else:
-                    self.held_messages.append(HeldMessage(self.log.written, receiver, message))
+                    self.messages_awaiting_write.append(
+                        AwaitingWrite(self.log.last_write_issued, receiver, message)
+                    )
         return writes
 
     def _take_committed(self) -> list[Entry]:
@@ -202,12 +216,14 @@
         self.last_applied = self.commit_index
         return self.log.entries_from(first, self.commit_index - first + 1)
 
-    def _release_held_messages(self, number: int) -> None:
+    def _release_messages_awaiting_write(self, number: int) -> None:
         """The writes up to that number are done: send what waited for them."""
-        due = [held for held in self.held_messages if held.write_number <= number]
-        self.held_messages = [held for held in self.held_messages if held.write_number > number]
-        for held in due:
-            self._deliver(held.receiver, held.message)
+        due = [waiting for waiting in self.messages_awaiting_write if waiting.write_number <= number]
+        self.messages_awaiting_write = [
+            waiting for waiting in self.messages_awaiting_write if waiting.write_number > number
+        ]
+        for waiting in due:
+            self._deliver(waiting.receiver, waiting.message)
 
     def _deliver(self, receiver: str, message: Message) -> None:
         """Send a message; one for this member itself, its own vote, is received at once."""
--- a/bitternpath/replication/membership_reconciler.py
+++ b/bitternpath/replication/membership_reconciler.py
@@ -1,8 +1,9 @@
 """Reconciles the membership of replica groups with the desired members, one change at a time.
 
-`reconfiguration.next_members` decides what comes next; this module asks it whenever something has happened:
+`reconfiguration.next_members` decides what comes next; this module calls it whenever something has happened:
 other members are desired, ownership was gained, a change was committed, a learner has caught up. The program
-also calls `reconcile` from time to time, for what no event tells: that a member has been silent for a while.
+also calls `reconcile` from time to time, for conditions that raise no event: that a member has been silent
+for a while.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from bitternpath.replication.reconfiguration import DesiredMembers, MemberStatus, next_members
 from bitternpath.replication.records import Members
 
-log = logbook.Logger("members")
+log = logbook.Logger("replication")
 
 SILENT_AFTER_S = 0.5  # an election timeout; heartbeats come more than twice as often
 
--- a/bitternpath/replication/peer_status.py
+++ b/bitternpath/replication/peer_status.py
@@ -10,32 +10,32 @@
 def is_caught_up(raft: Raft, member: str) -> bool:
     """Whether a member lacks little of what is committed; False where this member doesn't lead.
 
-    Little is a few entries, or what was committed in the last heartbeats: under load some entries are always
-    under way (T 4.2.1).
+    Caught up means within `CAUGHT_UP_ENTRIES` entries of the commit index, or up to the commit index at the
+    last-but-one heartbeat: under load some entries are always under way (T 4.2.1).
     """
-    peer = raft.peers.get(member) if raft.ready else None
-    if peer is None or not peer.match_index or peer.transfer is not None:
+    peer = raft.peers.get(member) if raft.has_committed_in_term else None
+    if peer is None or not peer.match_index or peer.snapshot_send is not None:
         return False
-    least = min(raft.commit_index - CAUGHT_UP_ENTRIES, raft.commit_index_at_heartbeat_before)
+    least = min(raft.commit_index - CAUGHT_UP_ENTRIES, raft.commit_index_at_previous_heartbeat)
     return peer.match_index >= max(least, raft.term_start_index)
 
 
 def unresponsive_for(raft: Raft, now: float, member: str) -> float:
-    """Seconds since a member was heard; infinite where this member doesn't lead or doesn't know it."""
+    """Seconds since a member last responded; infinite where this member doesn't lead or doesn't know it."""
     peer = raft.peers.get(member)
     return now - peer.last_contact if peer is not None else float("inf")
 
 
 def hears_quorum(raft: Raft, now: float) -> bool:
-    """Whether a majority of the voters, this member among them, was heard within an election timeout."""
+    """Whether a majority of the voters, this member among them, responded within an election timeout."""
     voters = raft.members.voters
     timeout = raft.timing.election_timeout
-    heard = sum(name == raft.member_id or unresponsive_for(raft, now, name) < timeout for name in voters)
-    return 2 * heard > len(voters)
+    responsive = sum(name == raft.member_id or unresponsive_for(raft, now, name) < timeout for name in voters)
+    return 2 * responsive > len(voters)
 
 
 def transfer_candidate(raft: Raft, now: float, preferred: str) -> str | None:
-    """The voter to which leadership is to be transferred; None where none was heard lately.
+    """The voter to which leadership is to be transferred; None where none responded recently.
 
     That is `preferred`, or where this is empty the one with the highest match index.
     """
--- a/bitternpath/replication/progress.py
+++ b/bitternpath/replication/progress.py
@@ -7,17 +7,17 @@
 DELAY_WEIGHT = 0.2  # of a new measurement in the smoothed delay
 
 
-class Transfer:
+class SnapshotSend:
     """A snapshot that is being sent to one peer.
 
     It stays the same until the peer has it, whatever newer snapshots the leader has taken meanwhile: a
-    transfer that began anew with each of them would never end at a high rate of commands.
+    transfer that began again with each of them would never end at a high rate of commands.
     """
 
     __slots__ = ("chunk_round", "due", "offset", "snapshot")
 
     def __init__(self, snapshot: Snapshot) -> None:
-        """Nothing of the snapshot was sent yet."""
+        """Start with no chunk sent."""
         self.snapshot = snapshot
         self.offset = 0  # of the chunk that was sent last, or is due
         self.chunk_round = 0  # the heartbeat round in which that chunk was sent
@@ -42,18 +42,18 @@
         "next_index",
         "rejected_index",
         "rejected_round",
-        "transfer",
+        "snapshot_send",
     )
 
     def __init__(self, next_index: int, now: float) -> None:
-        """A peer that has confirmed nothing; it counts as heard at `now`."""
+        """A peer that has confirmed nothing; `now` counts as its last contact."""
         self.next_index = next_index
         self.match_index = 0
         self.answered_round = 0  # the last heartbeat round that the peer answered; 0: none
         self.last_contact = now
         self.rejected_index = 0  # of the last rejection that set `next_index` back
         self.rejected_round = 0  # the round in which that was
-        self.transfer: Transfer | None = None
+        self.snapshot_send: SnapshotSend | None = None
         self._delay = 0.0
         self._timed_index = 0  # 0: no entry is being timed
         self._timed_at = now
--- a/bitternpath/replication/reconfiguration.py
+++ b/bitternpath/replication/reconfiguration.py
@@ -40,7 +40,7 @@
     """What the owner of a group knows of its members."""
 
     caught_up: Callable[[str], bool]  # lacks little of the log
-    is_silent: Callable[[str], bool] = _nobody  # hasn't been heard for a while
+    is_silent: Callable[[str], bool] = _nobody  # hasn't responded for a while
     owner: str = ""  # the owner's own member id
 
 
@@ -72,7 +72,7 @@
 
 
 def disk_is_lost(member: str, desired: Sequence[str]) -> bool:
-    """Whether a member's node is to take part with another disk: the one before is gone for good."""
+    """Whether a member's node is to take part with another disk: the one before is permanently lost."""
     return member not in desired and node_of(member) in map(node_of, desired)
 
 
@@ -90,12 +90,12 @@
     if not leaving or len(voters) < 2:
         return None
     if len(voters) > len(desired):
-        gone = next((name for name in leaving if _is_gone(name, desired, status)), None)
-        if gone is not None:
-            return gone
+        unavailable = next((name for name in leaving if _is_unavailable(name, desired, status)), None)
+        if unavailable is not None:
+            return unavailable
     return leaving[0] if all(name in voters for name in desired) else None
 
 
-def _is_gone(member: str, desired: Sequence[str], status: MemberStatus) -> bool:
+def _is_unavailable(member: str, desired: Sequence[str], status: MemberStatus) -> bool:
     """Whether a voter that is to leave contributes to no majority now."""
     return disk_is_lost(member, desired) or (member != status.owner and status.is_silent(member))
--- a/bitternpath/replication/snapshots.py
+++ b/bitternpath/replication/snapshots.py
@@ -12,7 +12,7 @@
 
 from bitternpath.replication.member import NEVER, MemberState, PartialSnapshot
 from bitternpath.replication.messages import AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
-from bitternpath.replication.progress import Progress, Transfer
+from bitternpath.replication.progress import Progress, SnapshotSend
 from bitternpath.replication.records import Snapshot
 
 CHUNK_BYTES = 128 << 10  # of a snapshot in one message
@@ -29,53 +29,53 @@
 
     def _needs_snapshot(self, peer: Progress) -> bool:
         """Whether the entries that a peer lacks are compacted away, or a snapshot is being sent to it."""
-        return peer.transfer is not None or not self.log.has_entry_after(peer.next_index - 1)
+        return peer.snapshot_send is not None or not self.log.has_entry_after(peer.next_index - 1)
 
     def _continue_transfer(self, name: str, peer: Progress, *, heartbeat: bool) -> None:
-        if peer.transfer is None:
-            peer.transfer = Transfer(self.snapshot)
-            self._schedule_chunk(name, peer.transfer, 0)
+        if peer.snapshot_send is None:
+            peer.snapshot_send = SnapshotSend(self.snapshot)
+            self._schedule_chunk(name, peer.snapshot_send, 0)
         elif heartbeat:
-            self._send_install(name, peer.transfer, b"")
+            self._send_install(name, peer.snapshot_send, b"")
 
-    def _schedule_chunk(self, name: str, transfer: Transfer, offset: int) -> None:
+    def _schedule_chunk(self, name: str, snapshot_send: SnapshotSend, offset: int) -> None:
         """Send the chunk at that offset as soon as there is bandwidth."""
-        transfer.offset = offset
-        size = min(CHUNK_BYTES, len(transfer.snapshot.data) - offset)
-        due = self._transfer_budget.reserve(self.now, size)
+        snapshot_send.offset = offset
+        size = min(CHUNK_BYTES, len(snapshot_send.snapshot.data) - offset)
+        due = self._snapshot_bandwidth.reserve(self.now, size)
         if due > self.now:
-            transfer.due = due
+            snapshot_send.due = due
             self._chunk_at = min(self._chunk_at, due)
         else:
-            self._send_chunk(name, transfer)
+            self._send_chunk(name, snapshot_send)
 
     def _send_due_chunks(self) -> None:
         self._chunk_at = NEVER
         for name, peer in self.peers.items():
-            transfer = peer.transfer
-            if transfer is None or transfer.due is None:
+            snapshot_send = peer.snapshot_send
+            if snapshot_send is None or snapshot_send.due is None:
                 continue
-            if transfer.due <= self.now:
-                self._send_chunk(name, transfer)
+            if snapshot_send.due <= self.now:
+                self._send_chunk(name, snapshot_send)
             else:
-                self._chunk_at = min(self._chunk_at, transfer.due)
+                self._chunk_at = min(self._chunk_at, snapshot_send.due)
 
-    def _send_chunk(self, name: str, transfer: Transfer) -> None:
-        transfer.due = None
-        transfer.chunk_round = self.heartbeat_round
-        chunk = transfer.snapshot.data[transfer.offset : transfer.offset + CHUNK_BYTES]
-        self._send_install(name, transfer, chunk)
+    def _send_chunk(self, name: str, snapshot_send: SnapshotSend) -> None:
+        snapshot_send.due = None
+        snapshot_send.chunk_round = self.heartbeat_round
+        chunk = snapshot_send.snapshot.data[snapshot_send.offset : snapshot_send.offset + CHUNK_BYTES]
+        self._send_install(name, snapshot_send, chunk)
 
-    def _send_install(self, name: str, transfer: Transfer, chunk: bytes) -> None:
+    def _send_install(self, name: str, snapshot_send: SnapshotSend, chunk: bytes) -> None:
         """Send a chunk; an empty one is a heartbeat to a peer that is being sent a snapshot."""
-        snapshot = transfer.snapshot
+        snapshot = snapshot_send.snapshot
         request = InstallSnapshot(
             term=self.term,
             index=snapshot.index,
             last_term=snapshot.term,
             members=snapshot.members,
             size=len(snapshot.data),
-            offset=transfer.offset,
+            offset=snapshot_send.offset,
             chunk=chunk,
             checksum=zlib.crc32(chunk),
             heartbeat_round=self.heartbeat_round,
@@ -88,21 +88,21 @@
         If it was asked after the last chunk was sent and doesn't have it, that chunk is lost; or all of them,
         where the peer's process was restarted.
         """
-        transfer = peer.transfer
-        if transfer is None or response.index != transfer.snapshot.index:  # about an older transfer
+        snapshot_send = peer.snapshot_send
+        if snapshot_send is None or response.index != snapshot_send.snapshot.index:  # about an older transfer
             return
         if response.stored:
-            peer.transfer = None
+            peer.snapshot_send = None
             peer.match_index = max(peer.match_index, response.index)
             peer.next_index = response.index + 1
             self._send_entries(name)
             return
-        if response.offset >= len(transfer.snapshot.data) > 0:  # it has all and is writing it
+        if response.offset >= len(snapshot_send.snapshot.data) > 0:  # it has all and is writing it
             return
-        chunk_is_through = response.offset > transfer.offset
-        chunk_is_lost = response.heartbeat_round > transfer.chunk_round
-        if transfer.due is None and (chunk_is_through or chunk_is_lost):
-            self._schedule_chunk(name, transfer, response.offset)
+        chunk_is_through = response.offset > snapshot_send.offset
+        chunk_is_lost = response.heartbeat_round > snapshot_send.chunk_round
+        if snapshot_send.due is None and (chunk_is_through or chunk_is_lost):
+            self._schedule_chunk(name, snapshot_send, response.offset)
 
     # ---- follower
 
@@ -129,13 +129,13 @@
         response = InstallSnapshotResponse(
             self.term, request.index, request.size, True, request.heartbeat_round
         )
-        self._after_writes.append((sender, response))
+        self._messages_awaiting_next_write.append((sender, response))
 
     def _acknowledge_known_snapshot(self, sender: str, request: InstallSnapshot) -> None:
         """All that the snapshot holds is here already, on disk or on its way to it."""
         if self.log.stable_index >= self.commit_index:
             response = AppendEntriesResponse(self.term, True, self.commit_index, request.heartbeat_round)
-            self._after_writes.append((sender, response))
+            self._messages_awaiting_next_write.append((sender, response))
         else:
             self._acknowledge_chunk(sender, request, request.size)
 
@@ -145,6 +145,6 @@
 
     def _install(self, snapshot: Snapshot) -> None:
         self.log.install(snapshot)
-        self._restore = snapshot
+        self._snapshot_to_restore = snapshot
         self.commit_index = snapshot.index
         self.last_applied = snapshot.index
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -120,7 +120,7 @@
 
     def epoch(self) -> int:
         """The highest term that this member knows; 0 before it takes part."""
-        return self.host.epoch(CONFIGURATION_GROUP) if self.is_open else 0
+        return self.host.current_term(CONFIGURATION_GROUP) if self.is_open else 0
 
     def has_lease(self) -> bool:
         """Whether this node owns the group and has heard a quorum within an election time-out."""
--- a/bitternpath/roles/membership_reports.py
+++ b/bitternpath/roles/membership_reports.py
@@ -39,4 +39,6 @@
     def _send(self, link: Link, group: str) -> None:
         members = self._host.committed_members(group)
         if members is not None:
-            link.send(MembershipReport(group, self._host.epoch(group), members.all, members.generation))
+            link.send(
+                MembershipReport(group, self._host.current_term(group), members.all, members.generation)
+            )
--- a/bitternpath/roles/status.py
+++ b/bitternpath/roles/status.py
@@ -23,7 +23,7 @@
         ended = len(state) - state.queued
     return GroupStatus(
         group,
-        host.epoch(group),
+        host.current_term(group),
         host.is_owner(group),
         host.leader(group),
         members.voters,
--- a/bitternpath/storage/checkpoint.py
+++ b/bitternpath/storage/checkpoint.py
@@ -39,23 +39,24 @@
         self._append = append
         self._min_bytes = min_bytes
         self._due_above = min_bytes  # bytes of all segments
+        self._requested = False  # a checkpoint is due whatever the size
         self._pending: list[str] | None = None  # groups still to be written; None: no checkpoint is under way
         self._first_needed = 0  # segments before it are removed once nothing is pending
-        self._bytes_left = 0  # of all segments after the last checkpoint
+        self._bytes_after_last_checkpoint = 0  # of all segments after the last checkpoint
 
     @property
     def is_due(self) -> bool:
         """Whether `step` has something to do."""
-        return self._pending is not None or self._segments.bytes_used > self._due_above
+        return self._pending is not None or self._requested or self._segments.bytes_used > self._due_above
 
     @property
     def would_free_space(self) -> bool:
         """Whether a complete checkpoint now could leave less on the disk."""
-        return self._pending is not None or self._segments.bytes_used != self._bytes_left
+        return self._pending is not None or self._segments.bytes_used != self._bytes_after_last_checkpoint
 
     def request(self) -> None:
         """Make a checkpoint due whatever the size, so that current segments are superseded."""
-        self._due_above = -1
+        self._requested = True
 
     def step(self) -> bool:
         """Begin a checkpoint, write one group's state, or remove one segment.
@@ -95,5 +96,6 @@
 
     def _end(self) -> None:
         self._pending = None
-        self._bytes_left = self._segments.bytes_used
+        self._requested = False
+        self._bytes_after_last_checkpoint = self._segments.bytes_used
         self._due_above = max(self._min_bytes, GROWTH_FACTOR * self._segments.bytes_used)
--- a/bitternpath/storage/journal.py
+++ b/bitternpath/storage/journal.py
@@ -66,7 +66,7 @@
         return tuple(self._loaded)
 
     def take_persistent_state(self, group: str) -> PersistentState | None:
-        """Return what the disk held of a group at the start, once; None where that was nothing."""
+        """Return what the disk held of a group at the start, once; None if it held none."""
         return self._loaded.pop(group, None)
 
     def tombstone_generation(self, group: str) -> int | None:
--- a/bitternpath/storage/quarantine.py
+++ b/bitternpath/storage/quarantine.py
@@ -2,8 +2,8 @@
 
 A corrupt disk counts as lost. Its content moves into a directory `damaged-N` below the data directory, which
 is named `damaged-N.moving` until all of it is there: a process that is killed on the way goes on at the next
-start, before a new identity is drawn. The directory stays, also when it is emptied, and shows that the disk
-isn't in its first life.
+start, before a new identity is drawn. The directory stays, also when it is emptied, and marks the disk as
+previously used.
 """
 
 from __future__ import annotations
--- a/bitternpath/storage/scrub.py
+++ b/bitternpath/storage/scrub.py
@@ -1,6 +1,6 @@
 """Checksum scrub: reads synced files again, chunk by chunk, and verifies them.
 
-Corruption is found this way while memory and the other replicas still hold what the file held. Blocks; for
+Corruption is found this way while memory and the other replicas still have the file's content. Blocks; for
 the thread that owns the files.
 """
 
--- a/bitternpath/storage/segment_files.py
+++ b/bitternpath/storage/segment_files.py
@@ -34,8 +34,8 @@
         self._current = loaded.current
         self._closed = loaded.closed
         self._last_batch = loaded.last_batch
-        self._is_torn = False  # there may be bytes behind the current segment's `end`
-        self._refused_path = ""  # of a next segment that the disk refused; it may be there in part
+        self._tail_may_be_torn = False  # there may be bytes behind the current segment's `end`
+        self._unfinished_segment_path = ""  # of a next segment that the disk refused; it may be there in part
         self.bytes_used = 0
         self._update_total()
 
@@ -65,15 +65,15 @@
         """
         if not self._current.end or self._current.end > self._segment_bytes:
             self.roll()
-        self._remove_refused()
+        self._remove_unfinished_segment()
         segment = self._current
-        if self._is_torn:
+        if self._tail_may_be_torn:
             self._files.truncate(segment.path, segment.end)
-        self._is_torn = True
+        self._tail_may_be_torn = True
         data = encode_batch(segment.salt, self._last_batch + 1, records)
         self._files.write_at(segment.path, segment.end, data)
         self._files.sync(segment.path)
-        self._is_torn = False
+        self._tail_may_be_torn = False
         self._last_batch += 1
         segment.end += len(data)
         self._update_total()
@@ -87,13 +87,13 @@
         if not before.end:
             self._current = self._begin(before.number)
             return
-        if self._is_torn:
+        if self._tail_may_be_torn:
             self._files.truncate(before.path, before.end)
             self._files.sync(before.path)
-            self._is_torn = False
-        self._refused_path = segment_path(before.number + 1)
+            self._tail_may_be_torn = False
+        self._unfinished_segment_path = segment_path(before.number + 1)
         self._current = self._begin(before.number + 1)
-        self._refused_path = ""
+        self._unfinished_segment_path = ""
         self._closed[before.number] = before.end
         self._update_total()
 
@@ -116,16 +116,16 @@
         self._files.sync_directory(DIRECTORY)
         return Segment(number, salt, SEGMENT_HEADER_BYTES)
 
-    def _remove_refused(self) -> None:
+    def _remove_unfinished_segment(self) -> None:
         """Remove a next segment that the disk refused, before the current one is appended to.
 
         While it is there, the current one would be taken at loading for one that was synced completely, and a
         torn batch at its end for corruption.
         """
-        if self._refused_path:
-            self._files.remove(self._refused_path)
+        if self._unfinished_segment_path:
+            self._files.remove(self._unfinished_segment_path)
             self._files.sync_directory(DIRECTORY)
-            self._refused_path = ""
+            self._unfinished_segment_path = ""
 
     def _update_total(self) -> None:
         self.bytes_used = sum(self._closed.values()) + self._current.end
--- a/bitternpath/storage/segments.py
+++ b/bitternpath/storage/segments.py
@@ -92,7 +92,7 @@
 
     @property
     def bytes_used(self) -> int:
-        """Bytes of all files; another thread may ask."""
+        """Bytes of all files; safe to read from another thread."""
         return self._segments.bytes_used + self._snapshots.bytes_used
 
     @property
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -40,10 +40,10 @@
     add = consensus.Raft._on_append_entries
 
     def hasty(self: Any, sender: str, told: AppendEntries) -> None:
-        before, self._after_writes = self._after_writes, []
+        before, self._messages_awaiting_next_write = self._messages_awaiting_next_write, []
         add(self, sender, told)
-        self._messages += self._after_writes
-        self._after_writes = before
+        self._messages += self._messages_awaiting_next_write
+        self._messages_awaiting_next_write = before
 
     _put(stack, consensus.Raft, "_on_append_entries", hasty)
 
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -45,7 +45,7 @@
         return Member(copied(self.raft), world.kept_copy(self.disk), self.writing[:])
 
     def key(self) -> Hashable:
-        raft, disk, done = self.raft, self.disk, self.raft.log.done
+        raft, disk, done = self.raft, self.disk, self.raft.log.last_write_completed
         age = raft.now - raft.last_contact < raft.timing.election_timeout
         peers = tuple(
             (
@@ -53,7 +53,7 @@
                 peer.next_index,
                 peer.match_index,
                 peer.answered_round,
-                peer.transfer.offset if peer.transfer is not None else None,
+                peer.snapshot_send.offset if peer.snapshot_send is not None else None,
                 raft.now - peer.last_contact < raft.timing.election_timeout,
             )
             for name, peer in raft.peers.items()
@@ -64,7 +64,7 @@
             raft.confirmed_round, raft.term_start_index, age, peers,
             raft.heartbeat_round_requested, raft.log.truncate_from,
             tuple((n - done, upto) for n, upto in raft.log.unfinished_writes),
-            tuple((n - done, to, said) for n, to, said in raft.held_messages),
+            tuple((n - done, to, said) for n, to, said in raft.messages_awaiting_write),
             disk.term, disk.vote, tuple(disk.entries),
             tuple((w.term, w.vote, w.truncate_from, w.entries) for w in self.writing),
         )  # fmt: skip
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -436,7 +436,7 @@
     def settled(self) -> str:
         """Empty where all that lives is in order; else what is not."""
         leader = self.leader()
-        if leader is None or not leader.replica.raft.ready:
+        if leader is None or not leader.replica.raft.has_committed_in_term:
             return "no leader"
         record = leader.replica.record
         if record.latest.version != record.released.version:
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -268,7 +268,7 @@
             for machine in self.machines.values()
             if machine.process is not None and machine.process.host.is_owner(group)
         ]
-        return max(owners, key=lambda process: process.host.epoch(group), default=None)
+        return max(owners, key=lambda process: process.host.current_term(group), default=None)
 
     # ---- clients
 
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -36,7 +36,7 @@
 
 GROUP = "shard-1"
 TIMES = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)  # long heartbeats: fewer messages to play
-BOUNDS = CompactionBounds(size=600, entries=12, kept=3)  # small, so that snapshots are sent often
+BOUNDS = CompactionBounds(size=600, entries=12, entries_to_keep=3)  # small, so that snapshots are sent often
 CHECKPOINT_BYTES, SEGMENT_BYTES = 3_000, 1_000
 CLIENT_SECONDS = 0.06  # between requests
 MEMBERSHIP_SECONDS = 0.15  # between looks of an owner at its members
@@ -376,7 +376,7 @@
             else:
                 host = node.process.host
                 parts.append(
-                    f"{node.member} epoch {host.epoch(GROUP)} leader {host.leader(GROUP)!r} "
+                    f"{node.member} epoch {host.current_term(GROUP)} leader {host.leader(GROUP)!r} "
                     f"members {host.members(GROUP)} applied {len(node.process.register.commands)}"
                 )
         return f"committed {len(self.checker.committed)}; " + "; ".join(parts)
--- a/bitternpath/testing/simulation/settings.py
+++ b/bitternpath/testing/simulation/settings.py
@@ -24,7 +24,7 @@
 
 
 SMALL_LOGS = LogSizes(
-    CompactionBounds(size=20_000, host_size=60_000, entries=24, kept=6),
+    CompactionBounds(size=20_000, host_size=60_000, entries=24, entries_to_keep=6),
     segment_bytes=8_000,
     checkpoint_bytes=40_000,
 )
--- a/bitternpath/transport/hub.py
+++ b/bitternpath/transport/hub.py
@@ -89,7 +89,7 @@
         return dialler.opened if dialler else None
 
     def announce(self) -> None:
-        """Greet all peers anew: this node's description has changed."""
+        """Send `Hello` to all peers again: this node's description has changed."""
         for link in self.links:
             link.send(Hello(self.describe()))
 
@@ -140,7 +140,7 @@
         self._check = None
         now = self.reactor.seconds()
         for link in list(self.links):
-            link.check(now)
+            link.abort_or_ping_if_silent(now)
         if self.links:
             self.schedule_check()
 
--- a/bitternpath/transport/link_liveness.py
+++ b/bitternpath/transport/link_liveness.py
@@ -55,7 +55,7 @@
         """Seconds since a byte came."""
         return now - self.received_at
 
-    def check(self, now: float, *, is_dialler: bool, awaits_response: bool) -> LivenessAction:
+    def next_action(self, now: float, *, is_dialler: bool, awaits_response: bool) -> LivenessAction:
         """What is to be done now; PING is recorded as done.
 
         Args:
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -58,7 +58,7 @@
     """Receives what comes over links. All methods are called in the reactor's thread."""
 
     def link_opened(self, link: Link) -> None:
-        """The peer has greeted (`link.peer`), for the first time or anew."""
+        """The peer has greeted (`link.peer`), for the first time or again."""
 
     def link_closed(self, link: Link) -> None:
         """A link that was open has closed."""
@@ -243,9 +243,9 @@
         self._state = _OPEN
         self._hub.handler.link_opened(self)
 
-    def check(self, now: float) -> None:
-        """Ping the peer, or give it up, where it has been silent (`now`: the reactor's clock)."""
-        action = self._liveness.check(
+    def abort_or_ping_if_silent(self, now: float) -> None:
+        """Ping the peer, or abort the link, where the peer is silent (`now`: the reactor's clock)."""
+        action = self._liveness.next_action(
             now, is_dialler=bool(self.dialled), awaits_response=bool(self._requests)
         )
         if action is LivenessAction.PING:
--- a/bitternpath/transport/node_messages.py
+++ b/bitternpath/transport/node_messages.py
@@ -50,7 +50,7 @@
 
 
 class Ping(Struct, frozen=True):
-    """Asks for a sign of life. `number` comes back in the `Pong`; 0 where it doesn't matter."""
+    """Asks for a `Pong` response. `number` comes back in the `Pong`; 0 where it doesn't matter."""
 
     number: int
 
--- a/bitternpath/transport/operator_messages.py
+++ b/bitternpath/transport/operator_messages.py
@@ -30,7 +30,7 @@
 
     Attributes:
         number: of the request.
-        decided: False where another node should be asked.
+        decided: False where another node should be tried.
         status: HTTP status.
         body: JSON.
     """
@@ -52,7 +52,7 @@
         voters: member ids.
         learners: member ids.
         queued: unfinished messages in the replica's state; 0 for the configuration group.
-        dead_letters: messages that failed for good and can still be asked for.
+        dead_letters: messages that failed permanently and can still be asked for.
         ended: tombstones, dead letters among them.
     """
 
--- a/tests/system/replication/test_cluster.py
+++ b/tests/system/replication/test_cluster.py
@@ -39,14 +39,14 @@
 
     def test_leadership_transfer_takes_much_less_than_an_election(self) -> None:
         owner = self.owner()
-        epoch = owner.host.epoch(GROUP)
+        epoch = owner.host.current_term(GROUP)
         self.assertTrue(owner.host.transfer_leadership(GROUP))
         refused = owner.host.propose(GROUP, b"x")
         self.world.run_until(lambda: False, 0.1)
         self.assertIs(result_of(refused), NotOwnerError)
         after = self.owner()
         self.assertNotEqual(after.member, owner.member)
-        self.assertEqual(after.host.epoch(GROUP), epoch + 1)
+        self.assertEqual(after.host.current_term(GROUP), epoch + 1)
 
     def test_a_wiped_node_counts_only_after_it_caught_up(self) -> None:
         owner = self.owner()
--- a/tests/system/replication/test_host.py
+++ b/tests/system/replication/test_host.py
@@ -234,7 +234,7 @@
         host.run(0.01)
         again = ScriptedHost("b", host.disk)
         again.open(Members(("b",)))
-        self.assertEqual((again.host.members("g"), again.host.epoch("g")), (TRIO, 4))
+        self.assertEqual((again.host.members("g"), again.host.current_term("g")), (TRIO, 4))
         again.run(2)
         self.assertFalse(again.host.is_owner("g"))
 
@@ -318,7 +318,7 @@
         host.turn()
         self.assertIs(result_of(result), NotOwnerError)
         host.lead()
-        self.assertEqual(host.events.seen, [("owner", host.host.epoch("g"))])
+        self.assertEqual(host.events.seen, [("owner", host.host.current_term("g"))])
 
     def test_a_leader_without_a_quorum_steps_down_with_outcomes_unknown(self) -> None:
         host = self.leader()
@@ -410,7 +410,7 @@
         self.assertEqual(host.host.unresponsive_for("g", "x"), float("inf"))
 
     def test_entries_are_compacted_and_some_are_kept(self) -> None:
-        host = self.leader(CompactionBounds(size=1 << 20, entries=50, kept=10))
+        host = self.leader(CompactionBounds(size=1 << 20, entries=50, entries_to_keep=10))
         for i in range(400):
             host.host.propose("g", b"%d" % i)
             host.answer("b", host.turn())
@@ -434,7 +434,7 @@
         self.assertEqual([group.compaction.size_bound for group in host.host.groups.values()], [100] * 2)
 
     def test_large_entries_that_are_kept_are_bounded_by_their_bytes(self) -> None:
-        host = self.leader(CompactionBounds(size=10_000, entries=1000, kept=256))
+        host = self.leader(CompactionBounds(size=10_000, entries=1000, entries_to_keep=256))
         for _ in range(100):
             host.host.propose("g", bytes(500))
             host.answer("b", host.turn())
--- a/tests/system/replication/test_lagging_voters.py
+++ b/tests/system/replication/test_lagging_voters.py
@@ -42,7 +42,7 @@
         while self.now < 60.0:
             for name, raft in self.members.items():
                 self._collect(name, raft)
-                if raft.ready:
+                if raft.has_committed_in_term:
                     return self.now, name
             self._next()
         return self.now, ""
--- a/tests/system/replication/test_snapshot_chunks.py
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -23,7 +23,7 @@
         small = patch.object(snapshots, "CHUNK_BYTES", 100)
         small.start()
         self.addCleanup(small.stop)
-        self.host = ScriptedHost("a", bounds=CompactionBounds(size=1 << 20, entries=20, kept=0))
+        self.host = ScriptedHost("a", bounds=CompactionBounds(size=1 << 20, entries=20, entries_to_keep=0))
         self.host.open(TRIO)
         self.host.lead()
         for i in range(100):
@@ -58,8 +58,8 @@
     @property
     def offset(self) -> int:
         """Offset of the chunk that was sent last."""
-        transfer = self.host.host.groups["g"].raft.peers["c"].transfer
-        return transfer.offset if transfer is not None else 0
+        snapshot_send = self.host.host.groups["g"].raft.peers["c"].snapshot_send
+        return snapshot_send.offset if snapshot_send is not None else 0
 
     @property
     def size(self) -> int:
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -86,8 +86,8 @@
         def compact(self: Raft, index: int, data: bytes, keep: int) -> None:
             real(self, index, data, keep)
             for peer in self.peers.values():
-                if peer.transfer is not None:
-                    peer.transfer.snapshot = self.snapshot
+                if peer.snapshot_send is not None:
+                    peer.snapshot_send.snapshot = self.snapshot
 
         with patch.object(Raft, "compact", compact):
             caught_up, made = self.return_to_group(False, 20.0)
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -56,27 +56,33 @@
 
     def test_it_disrupts_nobody_when_it_returns(self) -> None:
         world, gone = self.removed()
-        owner, epoch, made = world.owner(), world.owner().host.epoch(GROUP), len(world.checker.committed)
+        owner, epoch, made = (
+            world.owner(),
+            world.owner().host.current_term(GROUP),
+            len(world.checker.committed),
+        )
         world.blocked.clear()
         world.run_until(lambda: False, 10.0)
         self.assertIs(world.owner(), owner)
-        self.assertEqual(owner.host.epoch(GROUP), epoch)
+        self.assertEqual(owner.host.current_term(GROUP), epoch)
         self.assertGreater(len(world.checker.committed), made + 500)
         assert gone.process is not None
-        self.assertEqual(gone.process.host.epoch(GROUP), epoch if gone.process.host.leader(GROUP) else 1)
+        self.assertEqual(
+            gone.process.host.current_term(GROUP), epoch if gone.process.host.leader(GROUP) else 1
+        )
 
     def test_it_is_not_elected_when_the_owner_ends(self) -> None:
         world, gone = self.removed()
         world.blocked.clear()
         for _ in range(3):
             owner = world.owner()
-            epoch = owner.host.epoch(GROUP)
+            epoch = owner.host.current_term(GROUP)
             node = next(node for node in world.nodes.values() if node.process is owner)
             world._end(node)
             node.disk.restart()
             self.assertTrue(world.run_until(lambda owner=owner: world.owner() is not owner, 10))  # type: ignore[misc]
             self.assertIsNot(world.owner(), gone.process)
-            self.assertLess(world.owner().host.epoch(GROUP), epoch + 4)
+            self.assertLess(world.owner().host.current_term(GROUP), epoch + 4)
             world._start(node, None)
             world.run_until(lambda: False, 1.0)
 
--- a/tests/system/storage/test_scrub.py
+++ b/tests/system/storage/test_scrub.py
@@ -40,7 +40,7 @@
         super().setUp()
         self.clock, self.disk = Clock(), SimulatedFileSystem()
         self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, 0.001)
-        bounds = CompactionBounds(size=2_000, host_size=2_000, kept=0)
+        bounds = CompactionBounds(size=2_000, host_size=2_000, entries_to_keep=0)
         journal = Journal(open_segment_log(self.disk), self.journal_writer)
         options = HostOptions(Random(1), SYSTEM_TIMING, bounds)
         self.host = ReplicaHost(self.clock, "a", journal, MessageTransport(lambda *_: None), options)
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -44,7 +44,7 @@
         """As committed, by the owner of the highest epoch: a frozen one takes itself for owner still."""
         hosts = [host for host in map(self.host, self.world.nodes) if host is not None]
         owners = [host for host in hosts if host.is_owner(group)]
-        owner = max(owners, key=lambda host: host.epoch(group), default=None)
+        owner = max(owners, key=lambda host: host.current_term(group), default=None)
         return owner.committed_members(group) if owner is not None else None
 
     def whole(self, group: str, here: list[str], copies: int) -> bool:
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -201,8 +201,8 @@
 
     def test_a_build_that_counts_entries_only_is_caught(self) -> None:
         def counted(self: ReplicaGroup, member: str) -> bool:
-            peer = self.raft.peers.get(member) if self.raft.ready else None
-            if peer is None or not peer.match_index or peer.transfer is not None:
+            peer = self.raft.peers.get(member) if self.raft.has_committed_in_term else None
+            if peer is None or not peer.match_index or peer.snapshot_send is not None:
                 return False
             return peer.match_index >= self.raft.commit_index - 64
 
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -241,7 +241,7 @@
         for write in out.writes:
             member.write_completed(9.0, write.number)
         out = member.take_effects(9.0)
-    assert member.role is MemberRole.LEADER and member.commit_index == 3 and member.ready
+    assert member.role is MemberRole.LEADER and member.commit_index == 3 and member.has_committed_in_term
 
 
 # ---- the plan
