--- a/bitternpath/balancer/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -1,7 +1,9 @@
-"""What stewards, agents and commands say to one another. Pure.
+"""Messages between consensus servers, record clients (nodes) and commands. Pure.
 
-On the wire: four bytes of length, then one message in msgpack. Each side's first message is `Hello`; another
-version of these messages, another fleet or rubbish ends the connection with one line that says so.
+On the wire: four bytes of length (big-endian), then one message in msgpack. Each side's first message is
+`Hello`. A different protocol version, a different fleet id or bytes that are no message close the connection,
+with one log line. Tags and field names on the wire are fixed; where a class or field has another name here,
+its tag or `name=` keeps the one on the wire.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 from msgspec import Struct
 
 from bitternpath.balancer.fleet.audit import Line
-from bitternpath.balancer.fleet.plan import Agreed, Change, Plan
+from bitternpath.balancer.fleet.plan import AgreedVersion, Change, Plan
 from bitternpath.replication import messages as consensus
 
 VERSION = 1  # of these messages
@@ -21,10 +23,12 @@
 
 
 class WireError(Exception):
-    """What came cannot be used; the text says why."""
+    """The peer sent bytes that are no valid message; the text says why. A retry does not help."""
 
 
 class Hello(Struct, frozen=True, tag="hello"):
+    """The first message of each side."""
+
     version: int
     fleet: str
     role: str  # steward, agent or command
@@ -32,7 +36,7 @@
 
 
 class Refused(Struct, frozen=True, tag="refused"):
-    """The other side cannot be spoken to."""
+    """The peer is rejected (`why`: protocol version, fleet); the connection closes after it."""
 
     why: str
 
@@ -41,28 +45,38 @@
 
 
 class Consensus(Struct, frozen=True, tag="raft"):
+    """A message of the consensus protocol."""
+
     message: consensus.Message
 
 
-class Passed(Struct, frozen=True, tag="passed"):
-    """What somebody connected to the sender said, for the leader."""
+class ForwardedRequest(Struct, frozen=True, tag="passed"):
+    """A request received by a follower, forwarded to the leader."""
 
     token: int  # the connection there
-    said: Renew | Parting | Acts | Ask
+    said: RenewLease | LeaseReleased | AuditLines | CommandRequest
 
 
-class Back(Struct, frozen=True, tag="back"):
-    """The leader's answer to it."""
+class ForwardedReply(Struct, frozen=True, tag="back"):
+    """The leader's reply, to be returned on the follower's connection `token`."""
 
     token: int
-    said: Lease | Withheld | Changes | Whole | News | Heard | Answer
+    said: (
+        Lease
+        | LeaseRefused
+        | VersionChanges
+        | PlanSnapshot
+        | VersionUpdate
+        | AuditAcknowledged
+        | CommandReply
+    )
 
 
 # ---- an agent to its steward
 
 
-class Renew(Struct, frozen=True, tag="renew"):
-    """A process of a node asks for its lease: the first one, or on. Also its report."""
+class RenewLease(Struct, frozen=True, tag="renew"):
+    """A node process requests a lease or renews it, and reports which versions it has and applies."""
 
     node: str
     boot: str  # of this process
@@ -70,23 +84,23 @@
     release: tuple[int, ...]
     alone: str  # what it does without a lease: serve or leave
     sent: float  # s on its own clock
-    fence: int  # of the lease in hand; 0: none
+    fencing_token: int = msgspec.field(name="fence")  # of the lease in hand; 0: none
     acting: int  # the version it acts on; 0: none
     have: int  # the last version that it has taken
     digest: bytes  # of that one
     refuses: str = ""  # why it cannot take the next one
 
 
-class Parting(Struct, frozen=True, tag="parting"):
-    """It ends, and acts no more under that fence."""
+class LeaseReleased(Struct, frozen=True, tag="parting"):
+    """The process ends, and applies nothing more under that fencing token."""
 
     node: str
     boot: str
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
 
 
-class Acts(Struct, frozen=True, tag="acts"):
-    """Lines of a process's audit that are not acknowledged yet."""
+class AuditLines(Struct, frozen=True, tag="acts"):
+    """Lines of a process's audit log that are not acknowledged yet."""
 
     node: str
     boot: str
@@ -98,45 +112,45 @@
 
 
 class Lease(Struct, frozen=True, tag="lease"):
-    """The lease runs from `sent`, by the clock of the one who sent it."""
+    """A lease granted: it runs `length` s from `sent`, by the clock of the process that sent the request."""
 
     sent: float
     length: float  # s
-    fence: int
+    fencing_token: int = msgspec.field(name="fence")
     released: int  # to be acted on now
     digest: bytes
 
 
-class Withheld(Struct, frozen=True, tag="withheld"):
-    """No lease, or none for longer; what it lacks comes beside."""
+class LeaseRefused(Struct, frozen=True, tag="withheld"):
+    """No lease is granted or renewed, with the reason; missing versions are sent separately."""
 
     sent: float
     why: str
     elsewhere: bool = False  # another steward may know more
 
 
-class Changes(Struct, frozen=True, tag="changes"):
-    """What follows the version it has."""
+class VersionChanges(Struct, frozen=True, tag="changes"):
+    """The versions that follow the one the process has."""
 
-    changes: tuple[Agreed, ...]
+    changes: tuple[AgreedVersion, ...]
 
 
-class Whole(Struct, frozen=True, tag="whole"):
-    """Where the changes since are not kept any more: the plan as released, and what follows."""
+class PlanSnapshot(Struct, frozen=True, tag="whole"):
+    """The released plan and what follows, for a process whose next changes are no longer kept."""
 
     plan: Plan
-    changes: tuple[Agreed, ...]
+    changes: tuple[AgreedVersion, ...]
 
 
-class News(Struct, frozen=True, tag="news"):
-    """There is something to take or to act on: renew at once."""
+class VersionUpdate(Struct, frozen=True, tag="news"):
+    """A version was committed or released: renew at once."""
 
     released: int
     latest: int
 
 
-class Heard(Struct, frozen=True, tag="heard"):
-    """The record has the lines of that process up to this one."""
+class AuditAcknowledged(Struct, frozen=True, tag="heard"):
+    """The record holds the audit lines of that process up to line `upto`."""
 
     boot: str
     upto: int
@@ -146,6 +160,8 @@
 
 
 class Propose(Struct, frozen=True, tag="propose"):
+    """Propose a change of the plan; idempotent by `id`."""
+
     id: str  # the same one again is the same change
     author: str
     reason: str
@@ -153,15 +169,15 @@
 
 
 class Withdraw(Struct, frozen=True, tag="withdraw"):
-    """A version that is not released yet shall change nothing."""
+    """Make a version that is not released yet a no-op."""
 
     version: int
     author: str
     reason: str
 
 
-class Look(Struct, frozen=True, tag="look"):
-    """What is known: `status`, `versions`, `explain`, `audit` or `members`."""
+class Query(Struct, frozen=True, tag="look"):
+    """Read the record: `status` or `audit`."""
 
     what: str
     node: str = ""
@@ -171,59 +187,67 @@
 
 
 class ChangeMembers(Struct, frozen=True, tag="members"):
+    """Add a server as a learner, or remove a member; exactly one of the two."""
+
     add: str = ""
     remove: str = ""
 
 
-class PassOn(Struct, frozen=True, tag="pass on"):
-    """Another steward shall lead."""
+class TransferLeadership(Struct, frozen=True, tag="pass on"):
+    """Transfer leadership to the voter named."""
 
     to: str
 
 
-Command = Propose | Withdraw | Look | ChangeMembers | PassOn
+Command = Propose | Withdraw | Query | ChangeMembers | TransferLeadership
 
 
-class Ask(Struct, frozen=True, tag="ask"):
+class CommandRequest(Struct, frozen=True, tag="ask"):
+    """A command, numbered by its sender."""
+
     number: int
     command: Command
 
 
-class Answer(Struct, frozen=True, tag="answer"):
+class CommandReply(Struct, frozen=True, tag="answer"):
+    """The reply to the command of that number; `data` is msgpack."""
+
     number: int
     ok: bool
     text: str  # what went wrong, in one line
     data: msgspec.Raw = msgspec.Raw(b"\xc0")
 
 
-Said = (
+FleetMessage = (
     Hello
     | Refused
     | Consensus
-    | Passed
-    | Back
-    | Renew
-    | Parting
-    | Acts
+    | ForwardedRequest
+    | ForwardedReply
+    | RenewLease
+    | LeaseReleased
+    | AuditLines
     | Lease
-    | Withheld
-    | Changes
-    | Whole
-    | News
-    | Heard
-    | Ask
-    | Answer
+    | LeaseRefused
+    | VersionChanges
+    | PlanSnapshot
+    | VersionUpdate
+    | AuditAcknowledged
+    | CommandRequest
+    | CommandReply
 )
 
-FromAgent = Renew | Parting | Acts
-FromOutside = Renew | Parting | Acts | Ask  # what a steward passes on
-ToOutside = Lease | Withheld | Changes | Whole | News | Heard | Answer
+ClientMessage = RenewLease | LeaseReleased | AuditLines
+ForwardableRequest = RenewLease | LeaseReleased | AuditLines | CommandRequest  # what a steward passes on
+ForwardableReply = (
+    Lease | LeaseRefused | VersionChanges | PlanSnapshot | VersionUpdate | AuditAcknowledged | CommandReply
+)
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Said)
+_decoder = msgspec.msgpack.Decoder(FleetMessage)
 
 
-def frame(said: Said) -> bytes:
+def frame(said: FleetMessage) -> bytes:
     data = _encoder.encode(said)
     if len(data) > FRAME_LIMIT:
         raise WireError(f"a message of {len(data)} bytes; at most {FRAME_LIMIT} are allowed")
@@ -236,10 +260,10 @@
     def __init__(self) -> None:
         self._data = bytearray()
 
-    def feed(self, data: bytes) -> list[Said]:
-        """The messages that are whole now; WireError where one cannot be read."""
+    def feed(self, data: bytes) -> list[FleetMessage]:
+        """Return the messages completed by `data`; raise WireError if one can't be decoded."""
         self._data += data
-        found: list[Said] = []
+        found: list[FleetMessage] = []
         at = 0
         while len(self._data) - at >= _HEAD.size:
             (size,) = _HEAD.unpack_from(self._data, at)
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -88,8 +88,9 @@
     def __init__(
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
-        """Open the disk, where there is one; raises `OSError`, `CorruptJournalError` and
-        `CorruptDocumentError`.
+        """Open the disk, where there is one.
+
+        Raises `OSError`, `CorruptJournalError` and `CorruptDocumentError`.
         """
         self.settings = settings
         self.stopping = False
@@ -178,7 +179,7 @@
     # ---- NodeView
 
     def configuration_age(self) -> float:
-        """Seconds since the configuration's owner was last heard."""
+        """Seconds since the configuration's owner was last contacted."""
         return float(self._reactor.seconds() - self.base.feed.heard_at)
 
     def catalogue_age(self) -> float:
