--- a/benchmarks/earlier.py
+++ b/benchmarks/earlier.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from bitternpath import messages
+import bitternpath
+from bitternpath.balancer import messages
 
 ROOT = Path(__file__).parent.parent
 NAME = "brain_before"
@@ -25,6 +26,8 @@
         path.write_bytes(source)
         spec = importlib.util.spec_from_file_location(NAME, path)
         assert spec is not None and spec.loader is not None
+        sys.modules.setdefault("bitternpath.messages", messages)  # where it was then
+        vars(bitternpath).setdefault("messages", messages)
         vars(messages).setdefault("ProbeResult", type("ProbeResult", (), {}))  # earlier revisions name it
         module = importlib.util.module_from_spec(spec)
         sys.modules[NAME] = module
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,10 +29,10 @@
 from fleet_rig import fleet, until
 from start import HERTZ, ROOT, Node, lookups
 
-from bitternpath.emulator.fleet.world import FleetWorld
-from bitternpath.fleet import client
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import client
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.testing.emulator.fleet.world import FleetWorld
 
 CHANGES = 60
 ROUNDS = 10
@@ -125,10 +125,10 @@
 AGENTS = """
 import sys, structlog
 from twisted.internet import reactor
-from bitternpath.config.operator import Fleet
-from bitternpath.core.roster import Listing, Roster
-from bitternpath.fleet.agent import Agent
-from bitternpath.fleet.wire import Wire
+from bitternpath.balancer.config.operator import Fleet
+from bitternpath.balancer.core.roster import Listing, Roster
+from bitternpath.balancer.fleet.agent import Agent
+from bitternpath.balancer.fleet.wire import Wire
 structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 count = [0, 0]
 read, say = Wire.dataReceived, Wire.say
--- a/benchmarks/policy_host.py
+++ b/benchmarks/policy_host.py
@@ -7,8 +7,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from bitternpath import simhost
-from bitternpath.emulator.policies import POLICIES
+from bitternpath.balancer import simhost
+from bitternpath.testing.emulator.policies import POLICIES
 
 if __name__ == "__main__":
     simhost.Dispatcher = POLICIES[sys.argv[1]]  # type: ignore[misc]
--- a/benchmarks/repairs.py
+++ b/benchmarks/repairs.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from bitternpath.simulation.repairs import RepairPlan, RepairWorld
+from bitternpath.testing.simulation.repairs import RepairPlan, RepairWorld
 
 AWAY_S = 1.0  # between a machine's end and the start of what comes after it
 LONGEST_S = 60.0
--- a/bitternpath/__init__.py
+++ b/bitternpath/__init__.py
@@ -10,6 +10,6 @@
     """`Dispatcher`, loaded when it is asked for: most processes of the system do without it."""
     if name != "Dispatcher":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    from bitternpath.dispatch.dispatcher import Dispatcher
+    from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 
     return Dispatcher
--- /dev/null
+++ b/bitternpath/balancer/__init__.py
@@ -0,0 +1,1 @@
+"""The balancer: the older node in service (`deploy/balancer.toml`), which passes jobs to workers."""
--- a/bitternpath/amqp/frames.py
+++ b/bitternpath/balancer/amqp/frames.py
@@ -15,7 +15,7 @@
 from pamqp import commands, decode, encode, heartbeat
 from pamqp.base import Frame as Method
 
-from bitternpath.amqp.errors import FRAME_ERROR, NOT_IMPLEMENTED, SYNTAX_ERROR, HardError
+from bitternpath.balancer.amqp.errors import FRAME_ERROR, NOT_IMPLEMENTED, SYNTAX_ERROR, HardError
 from bitternpath.net.buffer import Buffer
 
 METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8
--- a/bitternpath/amqp/front.py
+++ b/bitternpath/balancer/amqp/front.py
@@ -14,15 +14,15 @@
 
 from pamqp import commands as c
 
-from bitternpath import messages as m
-from bitternpath.amqp import errors as e
-from bitternpath.amqp.frames import Properties, ids
-from bitternpath.amqp.invoker import RESULT_PREFIX, Subscribers
-from bitternpath.amqp.machine import Published
-from bitternpath.amqp.queues import Channel, Message, Queues
-from bitternpath.amqp.translation import Untranslatable, budget_from, id_from, key_from, work_from
-from bitternpath.core.broker import REMEMBERED, Broker
-from bitternpath.core.invocations import Invocation, figures
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.amqp import errors as e
+from bitternpath.balancer.amqp.frames import Properties, ids
+from bitternpath.balancer.amqp.invoker import RESULT_PREFIX, Subscribers
+from bitternpath.balancer.amqp.machine import Published
+from bitternpath.balancer.amqp.queues import Channel, Message, Queues
+from bitternpath.balancer.amqp.translation import Untranslatable, budget_from, id_from, key_from, work_from
+from bitternpath.balancer.core.broker import REMEMBERED, Broker
+from bitternpath.balancer.core.invocations import Invocation, figures
 
 JOBS = "jobs"  # the direct exchange to which every class queue is bound by its name
 EXCHANGES = ("", JOBS)
--- a/bitternpath/amqp/invoker.py
+++ b/bitternpath/balancer/amqp/invoker.py
@@ -12,15 +12,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from bitternpath import messages as m
-from bitternpath.amqp.errors import PRECONDITION_FAILED, RESOURCE_ERROR, HardError, SoftError
-from bitternpath.amqp.outbox import Entry
-from bitternpath.amqp.queues import Channel, Message
-from bitternpath.amqp.translation import delivery_properties, text_of
-from bitternpath.core.broker import Broker
-from bitternpath.core.figures import BACKEND_CALLS
-from bitternpath.core.invocations import InvokerCall
-from bitternpath.core.roster import Listing, Provider
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.amqp.errors import PRECONDITION_FAILED, RESOURCE_ERROR, HardError, SoftError
+from bitternpath.balancer.amqp.outbox import Entry
+from bitternpath.balancer.amqp.queues import Channel, Message
+from bitternpath.balancer.amqp.translation import delivery_properties, text_of
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.figures import BACKEND_CALLS
+from bitternpath.balancer.core.invocations import InvokerCall
+from bitternpath.balancer.core.roster import Listing, Provider
 
 SOURCE = PROTOCOL = "amqp"
 RESULT_PREFIX = "amq.result."  # what subscribers publish there, to the default exchange, is a result
--- a/bitternpath/amqp/machine.py
+++ b/bitternpath/balancer/amqp/machine.py
@@ -22,9 +22,9 @@
 from pamqp import commands as c
 from pamqp.base import Frame as Method
 
-from bitternpath.amqp import errors as e
-from bitternpath.amqp import frames as f
-from bitternpath.amqp.outbox import Outbox
+from bitternpath.balancer.amqp import errors as e
+from bitternpath.balancer.amqp import frames as f
+from bitternpath.balancer.amqp.outbox import Outbox
 from bitternpath.net.buffer import Buffer
 
 BODY_LIMIT = 64 * 1024  # bytes of a message, as on HTTP
--- a/bitternpath/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -21,16 +21,16 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from bitternpath.amqp import errors as e
-from bitternpath.amqp import machine as mc
-from bitternpath.amqp.frames import HEARTBEAT_FRAME, scan_table
-from bitternpath.amqp.front import Front
-from bitternpath.amqp.invoker import Delivery, Subscribers
-from bitternpath.amqp.outbox import Outbox
-from bitternpath.amqp.session import Bounds, Session
-from bitternpath.config.operator import Amqp, User
-from bitternpath.config.passwords import NOBODY, matches
-from bitternpath.core.broker import Broker
+from bitternpath.balancer.amqp import errors as e
+from bitternpath.balancer.amqp import machine as mc
+from bitternpath.balancer.amqp.frames import HEARTBEAT_FRAME, scan_table
+from bitternpath.balancer.amqp.front import Front
+from bitternpath.balancer.amqp.invoker import Delivery, Subscribers
+from bitternpath.balancer.amqp.outbox import Outbox
+from bitternpath.balancer.amqp.session import Bounds, Session
+from bitternpath.balancer.config.operator import Amqp, User
+from bitternpath.balancer.config.passwords import NOBODY, matches
+from bitternpath.balancer.core.broker import Broker
 from bitternpath.net.sockets import BurstPort
 
 log = structlog.get_logger(part="amqp")
--- a/bitternpath/amqp/session.py
+++ b/bitternpath/balancer/amqp/session.py
@@ -12,13 +12,21 @@
 from pamqp import commands as c
 from pamqp.base import Frame as Method
 
-from bitternpath.amqp import errors as e
-from bitternpath.amqp import machine as mc
-from bitternpath.amqp.frames import content_frames, ids
-from bitternpath.amqp.front import EXCHANGES, JOBS, REPLY_TO, Front
-from bitternpath.amqp.invoker import Subscriber, Subscribers
-from bitternpath.amqp.outbox import Entry, Outbox
-from bitternpath.amqp.queues import UNACKED_LIMIT, Channel, Kept, Message, PrivateQueue, Queues, Taker
+from bitternpath.balancer.amqp import errors as e
+from bitternpath.balancer.amqp import machine as mc
+from bitternpath.balancer.amqp.frames import content_frames, ids
+from bitternpath.balancer.amqp.front import EXCHANGES, JOBS, REPLY_TO, Front
+from bitternpath.balancer.amqp.invoker import Subscriber, Subscribers
+from bitternpath.balancer.amqp.outbox import Entry, Outbox
+from bitternpath.balancer.amqp.queues import (
+    UNACKED_LIMIT,
+    Channel,
+    Kept,
+    Message,
+    PrivateQueue,
+    Queues,
+    Taker,
+)
 
 _NAME = re.compile(r"[a-zA-Z0-9\-_.:]{1,127}")  # of a queue (specification 1.2 'queue-name')
 
--- a/bitternpath/amqp/translation.py
+++ b/bitternpath/balancer/amqp/translation.py
@@ -18,8 +18,8 @@
 import re
 from typing import Any
 
-from bitternpath.amqp.frames import Properties
-from bitternpath.core.invocations import ID_LIMIT, Payload, Work
+from bitternpath.balancer.amqp.frames import Properties
+from bitternpath.balancer.core.invocations import ID_LIMIT, Payload, Work
 
 CARRIED = ("x-route-hash", "x-again", "x-call-info")
 _ID = re.compile(rf"[\x21-\x7e]{{1,{ID_LIMIT}}}")
--- a/bitternpath/config/load.py
+++ b/bitternpath/balancer/config/load.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from bitternpath.config import platform
-from bitternpath.config.operator import Effective, read
-from bitternpath.config.platform import Config, ConfigError
+from bitternpath.balancer.config import platform
+from bitternpath.balancer.config.operator import Effective, read
+from bitternpath.balancer.config.platform import Config, ConfigError
 
 LEAST_SOCKETS = 64  # that the limit must leave besides AMQP's
 
--- a/bitternpath/config/operator.py
+++ b/bitternpath/balancer/config/operator.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from bitternpath.config.platform import ConfigError
+from bitternpath.balancer.config.platform import ConfigError
 
 PREFIX = "BITTERNPATH_"
 FILE_VARIABLE = "BITTERNPATH_OPERATOR_FILE"
--- a/bitternpath/config/platform.py
+++ b/bitternpath/balancer/config/platform.py
@@ -10,10 +10,10 @@
 
 import ujson
 
-from bitternpath import messages as m
-from bitternpath.core.roster import Listing
-from bitternpath.http.listing import listing_from
-from bitternpath.settings import settings_from
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.roster import Listing
+from bitternpath.balancer.http.listing import listing_from
+from bitternpath.balancer.settings import settings_from
 
 Address = tuple[str, int]
 
--- a/bitternpath/core/broker.py
+++ b/bitternpath/balancer/core/broker.py
@@ -14,11 +14,11 @@
 import structlog
 from msgspec import Struct
 
-from bitternpath import messages as m
-from bitternpath.core.clock import Later
-from bitternpath.core.figures import Figures
-from bitternpath.core.invocations import CALLS_BACK, Invocation, InvokerCall, Invokers, News, State
-from bitternpath.core.roster import Listing, Provider, Roster
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.clock import Later
+from bitternpath.balancer.core.figures import Figures
+from bitternpath.balancer.core.invocations import CALLS_BACK, Invocation, InvokerCall, Invokers, News, State
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
 
 log = structlog.get_logger(part="broker")
 
--- a/bitternpath/core/invocations.py
+++ b/bitternpath/balancer/core/invocations.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 if TYPE_CHECKING:
-    from bitternpath.core.roster import Provider
+    from bitternpath.balancer.core.roster import Provider
 
 ID_LIMIT = 200  # characters of an invocation's id, all of them visible ASCII: it must pass in any protocol
 
--- a/bitternpath/core/roster.py
+++ b/bitternpath/balancer/core/roster.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
 
 log = structlog.get_logger(part="roster")
 
--- a/bitternpath/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -5,9 +5,9 @@
 from math import ceil, inf
 from random import Random
 
-from bitternpath import messages as m
-from bitternpath.dispatch.jobs import QUICK, SLOW, Attempt, ClassState, Job
-from bitternpath.dispatch.workers import Worker
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.dispatch.jobs import QUICK, SLOW, Attempt, ClassState, Job
+from bitternpath.balancer.dispatch.workers import Worker
 
 FULL_REST = 2.0  # mean running times for which a worker that turned a job away is held to be full
 CHANCE = 0.5  # of the usual running time: with less left before the deadline a job is not worth a try
--- a/bitternpath/dispatch/jobs.py
+++ b/bitternpath/balancer/dispatch/jobs.py
@@ -1,8 +1,8 @@
 """Job classes with what is learned of them, jobs, and their attempts. Times are in ms."""
 
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.dispatch.workers import Worker
 from bitternpath.dispatch.network import Network
-from bitternpath.dispatch.workers import Worker
 
 SLOW, QUICK = 0.02, 0.1  # weight of one job in means that last and in means that follow the day
 
--- a/bitternpath/dispatch/workers.py
+++ b/bitternpath/balancer/dispatch/workers.py
@@ -1,6 +1,6 @@
 """What a dispatcher knows of each worker. Times are in ms."""
 
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
 
 
 class Worker:
--- a/bitternpath/fleet/agent.py
+++ b/bitternpath/balancer/fleet/agent.py
@@ -21,16 +21,16 @@
 from msgspec import Struct
 
 from bitternpath import __version__
-from bitternpath.config.operator import Fleet
-from bitternpath.config.platform import Address
-from bitternpath.core.roster import BY_HAND, Roster
-from bitternpath.fleet import audit, clock
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.files import Folder
-from bitternpath.fleet.lease_holder import LeaseHolder, Who
-from bitternpath.fleet.steward import DIAL_WITHIN, where
-from bitternpath.fleet.wire import Wire
+from bitternpath.balancer.config.operator import Fleet
+from bitternpath.balancer.config.platform import Address
+from bitternpath.balancer.core.roster import BY_HAND, Roster
+from bitternpath.balancer.fleet import audit, clock
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.files import Folder
+from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
+from bitternpath.balancer.fleet.steward import DIAL_WITHIN, where
+from bitternpath.balancer.fleet.wire import Wire
 from bitternpath.net.sockets import dial
 
 log = structlog.get_logger(part="agent")
--- a/bitternpath/fleet/client.py
+++ b/bitternpath/balancer/fleet/client.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from bitternpath.config.platform import Address
-from bitternpath.fleet import messages as m
+from bitternpath.balancer.config.platform import Address
+from bitternpath.balancer.fleet import messages as m
 
 ANSWER_WITHIN = 2.0  # s that one steward is waited for
 AGAIN_AFTER = 0.3  # s before all of them are asked again
--- a/bitternpath/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.leadership import HolderState, Leadership, PendingRequest, Route
-from bitternpath.fleet.replica import ReplicaState
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.leadership import HolderState, Leadership, PendingRequest, Route
+from bitternpath.balancer.fleet.replica import ReplicaState
 from bitternpath.replication.records import Members, Role
 
 CLOSE_ENTRIES = 64  # by which a learner may lag to become a voter
--- a/bitternpath/fleet/files.py
+++ b/bitternpath/balancer/fleet/files.py
@@ -19,8 +19,8 @@
 from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
-from bitternpath.fleet import audit
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import audit
+from bitternpath.balancer.fleet import plan as p
 
 log = structlog.get_logger(part="agent")
 
--- a/bitternpath/fleet/founding.py
+++ b/bitternpath/balancer/fleet/founding.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import plan as p
 from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members
 
 
--- a/bitternpath/fleet/leadership.py
+++ b/bitternpath/balancer/fleet/leadership.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from bitternpath.fleet import messages as m
+from bitternpath.balancer.fleet import messages as m
 
 Route = tuple[str, int]  # the member whose connection it is, and its number there
 
--- a/bitternpath/fleet/lease_holder.py
+++ b/bitternpath/balancer/fleet/lease_holder.py
@@ -17,9 +17,9 @@
 
 from msgspec import Struct
 
-from bitternpath.fleet import audit
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import audit
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
 
 SHARE = 1 / 3  # of a lease, after which it is renewed
 FIRST = 1.0  # s between requests while nobody has told how long a lease is
--- a/bitternpath/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.leadership import HolderState, Leadership, PendingRequest, Route
-from bitternpath.fleet.replica import ReplicaState
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.leadership import HolderState, Leadership, PendingRequest, Route
+from bitternpath.balancer.fleet.replica import ReplicaState
 
 
 class LeaseGrants(ReplicaState):
--- a/bitternpath/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -11,8 +11,8 @@
 import msgspec
 from msgspec import Struct
 
-from bitternpath.fleet.audit import Line
-from bitternpath.fleet.plan import Agreed, Change, Plan
+from bitternpath.balancer.fleet.audit import Line
+from bitternpath.balancer.fleet.plan import Agreed, Change, Plan
 from bitternpath.replication import messages as consensus
 
 VERSION = 1  # of these messages
--- a/bitternpath/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -16,7 +16,7 @@
 from blake3 import blake3
 from msgspec import Struct
 
-from bitternpath.fleet.audit import Account, Line
+from bitternpath.balancer.fleet.audit import Account, Line
 
 KEPT_CHANGES = 256  # released ones that are kept for those who lag; who lags more gets the whole plan
 KEPT_FOR = 7 * 86400.0  # s for which lines of the audit are kept
--- a/bitternpath/fleet/plan_settings.py
+++ b/bitternpath/balancer/fleet/plan_settings.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from bitternpath import messages as m
-from bitternpath.config.platform import Config
-from bitternpath.fleet.plan import Plan, PlanError
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.config.platform import Config
+from bitternpath.balancer.fleet.plan import Plan, PlanError
 
 # The platform's words, and the settings' own.
 CLASS_FIELDS = {"aim": "aim", "giveUp": "give_up", "value": "value", "lateWorth": "late_worth"}
--- a/bitternpath/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -20,11 +20,11 @@
 
 from msgspec import Struct
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.commands import Commands
-from bitternpath.fleet.leadership import HolderState, Leadership, PendingRequest, Route
-from bitternpath.fleet.leases import LeaseGrants
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.commands import Commands
+from bitternpath.balancer.fleet.leadership import HolderState, Leadership, PendingRequest, Route
+from bitternpath.balancer.fleet.leases import LeaseGrants
 from bitternpath.replication.records import CHANGE, Entry, Role, Write
 
 COMPACT_ENTRIES = 1024  # after which the record is written down whole
--- a/bitternpath/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.leadership import Leadership, Route
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.leadership import Leadership, Route
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.records import CHANGE, MEMBERS, Kept, Members, Times
 
--- a/bitternpath/fleet/steward.py
+++ b/bitternpath/balancer/fleet/steward.py
@@ -22,15 +22,15 @@
 from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
-from bitternpath.config.operator import Fleet
-from bitternpath.config.platform import Address, address
-from bitternpath.fleet import clock
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.founding import founded
-from bitternpath.fleet.record_replica import Effects, RecordReplica
-from bitternpath.fleet.store import DamagedError, Store, StoreError, set_aside
-from bitternpath.fleet.wire import Wire
+from bitternpath.balancer.config.operator import Fleet
+from bitternpath.balancer.config.platform import Address, address
+from bitternpath.balancer.fleet import clock
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.founding import founded
+from bitternpath.balancer.fleet.record_replica import Effects, RecordReplica
+from bitternpath.balancer.fleet.store import DamagedError, Store, StoreError, set_aside
+from bitternpath.balancer.fleet.wire import Wire
 from bitternpath.net.sockets import dial
 from bitternpath.replication.records import Kept, Role, Times, Write
 
--- a/bitternpath/fleet/wire.py
+++ b/bitternpath/balancer/fleet/wire.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from bitternpath.fleet import messages as m
+from bitternpath.balancer.fleet import messages as m
 
 log = structlog.get_logger(part="fleet")
 
--- a/bitternpath/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -13,14 +13,24 @@
 from twisted.internet.endpoints import UNIXClientEndpoint, connectProtocol
 from twisted.internet.error import CannotListenError
 
-from bitternpath.core.broker import Broker
-from bitternpath.core.invocations import News
-from bitternpath.core.lifecycle import LifeCycle, Word
-from bitternpath.core.roster import Roster
-from bitternpath.dispatch.dispatcher import Dispatcher
-from bitternpath.handover.learned import Learned, learned_by, teach
-from bitternpath.handover.link import Door, Link
-from bitternpath.handover.messages import VERSION, Declined, Heard, Hello, Passed, Ready, Said, Taken, Welcome
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.invocations import News
+from bitternpath.balancer.core.lifecycle import LifeCycle, Word
+from bitternpath.balancer.core.roster import Roster
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer.handover.learned import Learned, learned_by, teach
+from bitternpath.balancer.handover.link import Door, Link
+from bitternpath.balancer.handover.messages import (
+    VERSION,
+    Declined,
+    Heard,
+    Hello,
+    Passed,
+    Ready,
+    Said,
+    Taken,
+    Welcome,
+)
 from bitternpath.net.sockets import Sockets
 
 unix_client: Any = UNIXClientEndpoint
--- a/bitternpath/handover/learned.py
+++ b/bitternpath/balancer/handover/learned.py
@@ -12,9 +12,9 @@
 
 from msgspec import Struct
 
-from bitternpath.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer.dispatch.workers import Worker
 from bitternpath.dispatch.network import Network
-from bitternpath.dispatch.workers import Worker
 
 
 class LearnedWorker(Struct):
--- a/bitternpath/handover/link.py
+++ b/bitternpath/balancer/handover/link.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from bitternpath.handover.messages import Lines, LinkError, Said, line
+from bitternpath.balancer.handover.messages import Lines, LinkError, Said, line
 
 log = structlog.get_logger(part="handover")
 
--- a/bitternpath/handover/messages.py
+++ b/bitternpath/balancer/handover/messages.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Struct
 
-from bitternpath.core.invocations import News
-from bitternpath.core.roster import Listing
-from bitternpath.handover.learned import Learned
+from bitternpath.balancer.core.invocations import News
+from bitternpath.balancer.core.roster import Listing
+from bitternpath.balancer.handover.learned import Learned
 
 VERSION = 1  # of these messages; two processes that differ in it serve side by side without a link
 LINE_LIMIT = (
--- a/bitternpath/http/front.py
+++ b/bitternpath/balancer/http/front.py
@@ -16,11 +16,11 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.clock import Clock
-from bitternpath.core.invocations import ID_LIMIT, Invocation, News, State, figures
-from bitternpath.core.lifecycle import NEW_ONES_ARRIVE, LifeCycle, held, last_answer
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.clock import Clock
+from bitternpath.balancer.core.invocations import ID_LIMIT, Invocation, News, State, figures
+from bitternpath.balancer.core.lifecycle import NEW_ONES_ARRIVE, LifeCycle, held, last_answer
 from bitternpath.net import http1
 from bitternpath.net.sockets import BURST, BurstPort, Sockets, peek
 
--- a/bitternpath/http/invoker.py
+++ b/bitternpath/balancer/http/invoker.py
@@ -13,12 +13,12 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.clock import Clock
-from bitternpath.core.figures import BACKEND_CALLS
-from bitternpath.core.invocations import InvokerCall, Payload
-from bitternpath.core.roster import Listing, Provider, Roster
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.clock import Clock
+from bitternpath.balancer.core.figures import BACKEND_CALLS
+from bitternpath.balancer.core.invocations import InvokerCall, Payload
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
 from bitternpath.net import http1
 from bitternpath.net.sockets import Sockets, dial, peek
 
--- a/bitternpath/http/listing.py
+++ b/bitternpath/balancer/http/listing.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from bitternpath import messages as m
-from bitternpath.core.roster import Listing, Provider
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.roster import Listing, Provider
 
 PHASES = {"up": m.State.SERVING, "draining": m.State.DRAINING, "removed": m.State.GONE}
 
--- a/bitternpath/http/operations.py
+++ b/bitternpath/balancer/http/operations.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from functools import partial
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.roster import Roster
-from bitternpath.dispatch.dispatcher import Dispatcher
-from bitternpath.http.console import Answer, Routes, one_id
-from bitternpath.store.bans import Bans
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.roster import Roster
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer.http.console import Answer, Routes, one_id
+from bitternpath.balancer.store.bans import Bans
 
 READINESS, STATS = b"/ops/readiness", b"/ops/stats"
 DOWN, UP = b"/ops/calendar-workers/down", b"/ops/calendar-workers/up"
--- a/bitternpath/http/watch.py
+++ b/bitternpath/balancer/http/watch.py
@@ -13,8 +13,8 @@
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from bitternpath.core.roster import Roster
-from bitternpath.http.listing import listing_from
+from bitternpath.balancer.core.roster import Roster
+from bitternpath.balancer.http.listing import listing_from
 from bitternpath.net.http1 import HttpError, ResponseReader, request
 from bitternpath.net.sockets import dial
 
--- a/bitternpath/node.py
+++ b/bitternpath/balancer/node.py
@@ -17,29 +17,29 @@
 from twisted.internet.error import CannotListenError
 from twisted.python.failure import Failure
 
-from bitternpath import messages as m
-from bitternpath.config.load import Loaded
-from bitternpath.config.operator import changed_at_start_only
-from bitternpath.config.platform import Address, Config, ConfigError, address
-from bitternpath.core.broker import Broker
-from bitternpath.core.clock import Clock
-from bitternpath.core.figures import BACKEND_CALLS
-from bitternpath.core.invocations import Invoker
-from bitternpath.core.lifecycle import NEW_ONES_ARRIVE, LifeCycle, Phase, Word
-from bitternpath.core.roster import Listing, Roster
-from bitternpath.dispatch.dispatcher import Dispatcher
-from bitternpath.http.front import Listener
-from bitternpath.http.invoker import Pool
-from bitternpath.http.watch import Watch
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.config.load import Loaded
+from bitternpath.balancer.config.operator import changed_at_start_only
+from bitternpath.balancer.config.platform import Address, Config, ConfigError, address
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.clock import Clock
+from bitternpath.balancer.core.figures import BACKEND_CALLS
+from bitternpath.balancer.core.invocations import Invoker
+from bitternpath.balancer.core.lifecycle import NEW_ONES_ARRIVE, LifeCycle, Phase, Word
+from bitternpath.balancer.core.roster import Listing, Roster
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer.http.front import Listener
+from bitternpath.balancer.http.invoker import Pool
+from bitternpath.balancer.http.watch import Watch
 from bitternpath.net.sockets import Sockets
 
 if TYPE_CHECKING:
-    from bitternpath.amqp.server import AmqpServer
-    from bitternpath.fleet.agent import Agent
-    from bitternpath.fleet.plan import Plan
-    from bitternpath.handover.handover import Handover
-    from bitternpath.http.console import Console
-    from bitternpath.store.bans import Bans
+    from bitternpath.balancer.amqp.server import AmqpServer
+    from bitternpath.balancer.fleet.agent import Agent
+    from bitternpath.balancer.fleet.plan import Plan
+    from bitternpath.balancer.handover.handover import Handover
+    from bitternpath.balancer.http.console import Console
+    from bitternpath.balancer.store.bans import Bans
 
 log = structlog.get_logger(part="node")
 
@@ -101,10 +101,10 @@
 
     def _amqp(self) -> AmqpServer:
         """The AMQP front, invoker and source. Imported here, for what is off costs nothing."""
-        from bitternpath.amqp.front import Front
-        from bitternpath.amqp.invoker import PROTOCOL, Subscribers
-        from bitternpath.amqp.queues import Queues
-        from bitternpath.amqp.server import AmqpServer
+        from bitternpath.balancer.amqp.front import Front
+        from bitternpath.balancer.amqp.invoker import PROTOCOL, Subscribers
+        from bitternpath.balancer.amqp.queues import Queues
+        from bitternpath.balancer.amqp.server import AmqpServer
 
         told = self.at_start.amqp
         subscribers = Subscribers(
@@ -123,11 +123,11 @@
 
     def _operated(self, name: str, where: Address) -> None:
         """What a node has that operators call. Imported here, for what is off costs nothing."""
-        from bitternpath.handover.handover import DESCRIPTORS, Handover
-        from bitternpath.http.console import CALLERS, Console
-        from bitternpath.http.operations import Operations
-        from bitternpath.store.bans import Bans
-        from bitternpath.store.taken_out import TakenOut
+        from bitternpath.balancer.handover.handover import DESCRIPTORS, Handover
+        from bitternpath.balancer.http.console import CALLERS, Console
+        from bitternpath.balancer.http.operations import Operations
+        from bitternpath.balancer.store.bans import Bans
+        from bitternpath.balancer.store.taken_out import TakenOut
 
         self.sockets.reserve(CALLERS + DESCRIPTORS)
         folder, name = Path(tempfile.gettempdir()), quote(name, safe="")
@@ -144,7 +144,7 @@
 
     def _agent(self) -> Agent:
         """This node's part of the fleet. Imported here, for what is off costs nothing."""
-        from bitternpath.fleet.agent import Agent
+        from bitternpath.balancer.fleet.agent import Agent
 
         config = self.loaded.platform
         agent = Agent(
@@ -161,8 +161,8 @@
 
     def _plan_fault(self, plan: Plan) -> str:
         """Why this node cannot act on that plan; empty: it can."""
-        from bitternpath.fleet.plan import PlanError
-        from bitternpath.fleet.plan_settings import with_plan
+        from bitternpath.balancer.fleet.plan import PlanError
+        from bitternpath.balancer.fleet.plan_settings import with_plan
 
         try:
             with_plan(self.filed.platform, plan)
@@ -174,8 +174,8 @@
         """With what the fleet has agreed on top; ConfigError where the two are at odds, now or soon."""
         if self.agent is None:
             return loaded
-        from bitternpath.fleet.plan import PlanError
-        from bitternpath.fleet.plan_settings import with_plan
+        from bitternpath.balancer.fleet.plan import PlanError
+        from bitternpath.balancer.fleet.plan_settings import with_plan
 
         try:
             now, *_ = [with_plan(loaded.platform, plan) for plan in self.agent.holder.in_hand]
--- a/bitternpath/settings.py
+++ b/bitternpath/balancer/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
 
 EFFECTS = {"pure": m.Effect.SAFE, "token": m.Effect.KEYED, "side_effect": m.Effect.UNSAFE}
 
--- a/bitternpath/simhost.py
+++ b/bitternpath/balancer/simhost.py
@@ -12,9 +12,9 @@
 
 import orjson
 
-from bitternpath import messages as m
-from bitternpath.dispatch.dispatcher import Dispatcher
-from bitternpath.settings import settings_from
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer.settings import settings_from
 
 ENDS = {
     "GOOD": m.How.OK,
--- a/bitternpath/store/bans.py
+++ b/bitternpath/balancer/store/bans.py
@@ -7,8 +7,8 @@
 
 import structlog
 
-from bitternpath.core.roster import BY_HAND, Roster
-from bitternpath.store.taken_out import TakenOut
+from bitternpath.balancer.core.roster import BY_HAND, Roster
+from bitternpath.balancer.store.taken_out import TakenOut
 
 log = structlog.get_logger(part="bans")
 
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -23,14 +23,14 @@
 
 
 def _run(seed: int, faults: int) -> tuple[bool, str]:
-    from bitternpath.emulator.fleet.campaign import play
+    from bitternpath.testing.emulator.fleet.campaign import play
 
     outcome = play(seed, faults)
     return outcome.kept, str(outcome)
 
 
 def _walk(seed: int, _: int) -> tuple[bool, str]:
-    from bitternpath.emulator.fleet.walk import walk
+    from bitternpath.testing.emulator.fleet.walk import walk
 
     broken = walk(seed).broken
     return not broken, f"seed {seed}: {broken[0] if broken else 'rules kept'}"
@@ -44,8 +44,8 @@
 
 
 def _search(number: int, most: int) -> tuple[bool, str]:
-    from bitternpath.emulator.fleet.search.explore import search
-    from bitternpath.emulator.fleet.search.scopes import SCOPES, begun
+    from bitternpath.testing.emulator.fleet.search.explore import search
+    from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, begun
 
     found = search(begun(SCOPES[number]), most, deque.pop)
     says = f"{found.broken}, after {'; '.join(found.trail)}" if found.broken else "rules kept"
@@ -55,7 +55,7 @@
 
 def _system(seed: int, _: int) -> tuple[bool, str]:
     """One run of the whole service; a failing one is shrunk and written down."""
-    from bitternpath.simulation.runs.once import describe, run_once, shrink_and_save
+    from bitternpath.testing.simulation.runs.once import describe, run_once, shrink_and_save
 
     report = run_once(seed)
     says = describe(report)
@@ -66,8 +66,8 @@
     """Play one day with real processes and say in one line what came of it."""
     import structlog
 
-    from bitternpath.emulator.fleet.days import day
-    from bitternpath.emulator.sockets.play import VoidError, play_on_sockets
+    from bitternpath.testing.emulator.fleet.days import day
+    from bitternpath.testing.emulator.sockets.play import VoidError, play_on_sockets
 
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     scenario = day(seed, faults)
@@ -110,7 +110,7 @@
     """
     gc.enable()  # the program starts without, and each run leaves a whole world behind
     if way == "search":
-        from bitternpath.emulator.fleet.search.scopes import SCOPES
+        from bitternpath.testing.emulator.fleet.search.scopes import SCOPES
 
         faults, many = many, len(SCOPES)
     faults = faults if faults is not None else (FAULTS_OF_A_DAY if way == "days" else DEFAULT_FAULTS)
--- a/bitternpath/cli/check_config.py
+++ b/bitternpath/cli/check_config.py
@@ -7,10 +7,10 @@
 
 import click
 
+from bitternpath.balancer.config.load import load_all
+from bitternpath.balancer.config.platform import ConfigError
 from bitternpath.cli.options import given, settings_options
 from bitternpath.cli.run import fault
-from bitternpath.config.load import load_all
-from bitternpath.config.platform import ConfigError
 
 
 @click.command(
--- a/bitternpath/cli/emulate.py
+++ b/bitternpath/cli/emulate.py
@@ -40,12 +40,12 @@
     import structlog
     from rich.console import Console
 
-    from bitternpath.emulator.clock import StuckError
-    from bitternpath.emulator.policies import POLICIES
-    from bitternpath.emulator.report import show, summary, to_json
-    from bitternpath.emulator.scenario import ScenarioError
-    from bitternpath.emulator.scenario_file import load
-    from bitternpath.emulator.world import play
+    from bitternpath.testing.emulator.clock import StuckError
+    from bitternpath.testing.emulator.policies import POLICIES
+    from bitternpath.testing.emulator.report import show, summary, to_json
+    from bitternpath.testing.emulator.scenario import ScenarioError
+    from bitternpath.testing.emulator.scenario_file import load
+    from bitternpath.testing.emulator.world import play
 
     if policy not in POLICIES:
         raise click.UsageError(f"--policy {policy!r}: allowed are {', '.join(POLICIES)}")
--- a/bitternpath/cli/fleet_asking.py
+++ b/bitternpath/cli/fleet_asking.py
@@ -11,10 +11,10 @@
 import click
 import msgspec
 
+from bitternpath.balancer.config.operator import read
+from bitternpath.balancer.config.platform import Address, ConfigError, address
 from bitternpath.cli.options import given, operator_options
 from bitternpath.cli.run import fault
-from bitternpath.config.operator import read
-from bitternpath.config.platform import Address, ConfigError, address
 
 
 class Fleet:
@@ -25,7 +25,7 @@
 
     def ask(self, command: Any) -> Any:
         """The answer's data; ends with 1 and one line where it is no, or nobody answers."""
-        from bitternpath.fleet.client import NoAnswerError, ask
+        from bitternpath.balancer.fleet.client import NoAnswerError, ask
 
         try:
             answer = ask(self.stewards, command, self.author, self.within)
@@ -36,8 +36,8 @@
         return msgspec.msgpack.decode(answer.data)
 
     def look(self, what: str = "status") -> tuple[dict[str, Any], str]:
-        from bitternpath.fleet.client import NoAnswerError, look
-        from bitternpath.fleet.messages import Look
+        from bitternpath.balancer.fleet.client import NoAnswerError, look
+        from bitternpath.balancer.fleet.messages import Look
 
         try:
             return look(self.stewards, Look(what), self.author, self.within)
--- a/bitternpath/cli/fleet_changes.py
+++ b/bitternpath/cli/fleet_changes.py
@@ -17,7 +17,7 @@
 
 def parsed(words: tuple[str, ...]) -> Any:
     """The change that `KEY=VALUE` words mean; click.UsageError where they mean none."""
-    from bitternpath.fleet import plan as p
+    from bitternpath.balancer.fleet import plan as p
 
     pairs = [word.partition("=") for word in words]
     if not pairs or any(not equals for _, equals, _ in pairs):
@@ -47,7 +47,7 @@
 
 
 def propose(fleet: Fleet, change: Any, reason: str, id: str | None, required: bool) -> None:
-    from bitternpath.fleet.messages import Propose
+    from bitternpath.balancer.fleet.messages import Propose
 
     id = id or secrets.token_hex(8)
     told = fleet.ask(Propose(id, fleet.author, reason, change))
@@ -102,7 +102,7 @@
 @click.argument("worker")
 def ban(fleet: Fleet, worker: str, reason: str, id: str | None, required: bool) -> None:
     """Nothing new to that calendar worker, from any node."""
-    from bitternpath.fleet.plan import Ban
+    from bitternpath.balancer.fleet.plan import Ban
 
     propose(fleet, Ban(worker), reason, id, required)
 
@@ -112,7 +112,7 @@
 @click.argument("worker")
 def back(fleet: Fleet, worker: str, reason: str, id: str | None, required: bool) -> None:
     """The fleet's ban of that calendar worker ends; one at a node's own console stays."""
-    from bitternpath.fleet.plan import Unban
+    from bitternpath.balancer.fleet.plan import Unban
 
     propose(fleet, Unban(worker), reason, id, required)
 
@@ -123,7 +123,7 @@
 @click.argument("version", type=int)
 def withdraw(fleet: Fleet, version: int, reason: str) -> None:
     """A version that is agreed and not released shall change nothing."""
-    from bitternpath.fleet.messages import Withdraw
+    from bitternpath.balancer.fleet.messages import Withdraw
 
     fleet.ask(Withdraw(version, fleet.author, reason))
     click.echo(f"version {version} is withdrawn")
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -30,7 +30,7 @@
 @click.argument("name")
 def add(fleet: Fleet, name: str) -> None:
     """The steward NAME, which runs and has an empty folder, takes part; it votes once it has caught up."""
-    from bitternpath.fleet.messages import ChangeMembers
+    from bitternpath.balancer.fleet.messages import ChangeMembers
 
     fleet.ask(ChangeMembers(add=name))
     click.echo(f"{name} is added")
@@ -41,7 +41,7 @@
 @click.argument("name")
 def remove(fleet: Fleet, name: str) -> None:
     """The steward NAME takes part no longer."""
-    from bitternpath.fleet.messages import ChangeMembers
+    from bitternpath.balancer.fleet.messages import ChangeMembers
 
     fleet.ask(ChangeMembers(remove=name))
     click.echo(f"{name} is removed")
@@ -52,7 +52,7 @@
 @click.argument("name")
 def lead(fleet: Fleet, name: str) -> None:
     """The steward NAME shall lead."""
-    from bitternpath.fleet.messages import PassOn
+    from bitternpath.balancer.fleet.messages import PassOn
 
     fleet.ask(PassOn(name))
     click.echo(f"leadership passes to {name}")
--- a/bitternpath/cli/on_sockets.py
+++ b/bitternpath/cli/on_sockets.py
@@ -11,10 +11,10 @@
 from rich.live import Live
 from rich.table import Table
 
-from bitternpath.emulator.report import show, to_json
-from bitternpath.emulator.scenario import Scenario
-from bitternpath.emulator.sockets.play import VoidError, play_on_sockets
-from bitternpath.emulator.sockets.world import SocketWorld
+from bitternpath.testing.emulator.report import show, to_json
+from bitternpath.testing.emulator.scenario import Scenario
+from bitternpath.testing.emulator.sockets.play import VoidError, play_on_sockets
+from bitternpath.testing.emulator.sockets.world import SocketWorld
 
 
 def _row(world: SocketWorld) -> dict[str, str]:
--- a/bitternpath/cli/options.py
+++ b/bitternpath/cli/options.py
@@ -7,7 +7,7 @@
 
 import click
 
-from bitternpath.config.operator import flag, keys, meant, variable
+from bitternpath.balancer.config.operator import flag, keys, meant, variable
 
 
 def operator_options(function: Callable[..., Any]) -> Callable[..., Any]:
--- a/bitternpath/cli/run.py
+++ b/bitternpath/cli/run.py
@@ -6,8 +6,8 @@
 import sys
 from collections.abc import Mapping
 
-from bitternpath.config.load import Loaded, load_all, reload_all
-from bitternpath.config.platform import ConfigError
+from bitternpath.balancer.config.load import Loaded, load_all, reload_all
+from bitternpath.balancer.config.platform import ConfigError
 
 
 def fault(error: Exception) -> int:
@@ -22,8 +22,8 @@
         loaded = load_all(os.environ, config, operator_file, flags)
     except ConfigError as error:
         return fault(error)
-    from bitternpath import node  # the reactor is not needed to find a fault in a configuration
-    from bitternpath.config import logs
+    from bitternpath.balancer import node  # the reactor is not needed to find a fault in a configuration
+    from bitternpath.balancer.config import logs
 
     told = loaded.operator.settings.log
     logs.start(told.level, told.format, told.per_second)
--- a/bitternpath/cli/steward.py
+++ b/bitternpath/cli/steward.py
@@ -7,11 +7,11 @@
 
 import click
 
+from bitternpath.balancer.config import logs
+from bitternpath.balancer.config.operator import Fleet, read
+from bitternpath.balancer.config.platform import ConfigError
 from bitternpath.cli.options import given, operator_options
 from bitternpath.cli.run import fault
-from bitternpath.config import logs
-from bitternpath.config.operator import Fleet, read
-from bitternpath.config.platform import ConfigError
 
 
 def _fit(fleet: Fleet) -> Fleet:
@@ -47,7 +47,7 @@
         fleet = _fit(settings.fleet)
     except ConfigError as error:
         context.exit(fault(error))
-    from bitternpath.fleet.steward import StoreError, run
+    from bitternpath.balancer.fleet.steward import StoreError, run
 
     told = settings.log
     logs.start(told.level, told.format, told.per_second)
--- a/bitternpath/cli/system.py
+++ b/bitternpath/cli/system.py
@@ -78,7 +78,7 @@
     keep: Annotated[Path | None, typer.Option(help="Folder for settings, logs and data, kept.")] = None,
 ) -> None:
     """Rehearse the whole system on loopback with faults, and judge it (exit 1: a rule is broken)."""
-    from bitternpath.rehearsal.demo import run_demo
+    from bitternpath.testing.fault_injection.demo import run_demo
 
     raise typer.Exit(run_demo(seconds, rate, seed, faults, keep))
 
@@ -93,7 +93,7 @@
     file: Annotated[Path | None, typer.Option("--json", help="Write all figures there.")] = None,
 ) -> None:
     """Measure the whole system on loopback under a load, without faults."""
-    from bitternpath.rehearsal.load import run_load
+    from bitternpath.testing.fault_injection.load import run_load
 
     raise typer.Exit(run_load(rate, seconds, edges, storage, seed, file))
 
--- a/bitternpath/cli/user.py
+++ b/bitternpath/cli/user.py
@@ -23,7 +23,7 @@
 @click.argument("name")
 def hash_(name: str) -> None:
     """Print the operator file's lines for NAME; asks for the password, or reads it from standard input."""
-    from bitternpath.config.passwords import hashed
+    from bitternpath.balancer.config.passwords import hashed
 
     if sys.stdin.isatty():
         password = click.prompt("Password", hide_input=True, confirmation_prompt=True)
--- a/bitternpath/dispatch/__init__.py
+++ b/bitternpath/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Learning and decisions of a dispatcher: the network that both dispatchers share, and the node's part."""
+"""Dispatch of leased messages on an edge node, and the network by which every dispatcher picks a worker."""
--- a/bitternpath/emulator/clients.py
+++ b/bitternpath/testing/emulator/clients.py
@@ -9,9 +9,9 @@
 from random import Random
 from typing import Any, Protocol
 
-from bitternpath.emulator.checker import Checker
-from bitternpath.emulator.scenario import JobClass, Scenario, drawn
-from bitternpath.emulator.service import Ask, Tally
+from bitternpath.testing.emulator.checker import Checker
+from bitternpath.testing.emulator.scenario import JobClass, Scenario, drawn
+from bitternpath.testing.emulator.service import Ask, Tally
 
 WAVE = 20.0  # s of a swing
 
--- a/bitternpath/emulator/discovery.py
+++ b/bitternpath/testing/emulator/discovery.py
@@ -8,10 +8,10 @@
 from random import Random
 from typing import Any
 
-from bitternpath import messages as m
-from bitternpath.core.roster import Listing, Provider
-from bitternpath.emulator.scenario import Discovery, drawn
-from bitternpath.emulator.worker import Worker
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.roster import Listing, Provider
+from bitternpath.testing.emulator.scenario import Discovery, drawn
+from bitternpath.testing.emulator.worker import Worker
 
 EPOCH = 1_700_000_000_000.0  # Unix ms at the start of a run, so that a start is never 0, which means long ago
 
--- a/bitternpath/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -8,14 +8,14 @@
 from typing import Any
 from unittest.mock import patch
 
-from bitternpath.emulator.fleet import world
-from bitternpath.fleet import audit, lease_holder, record_replica
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.leadership import Leadership
+from bitternpath.balancer.fleet import audit, lease_holder, record_replica
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.leadership import Leadership
 from bitternpath.replication import consensus, leadership
 from bitternpath.replication.messages import Append
 from bitternpath.replication.records import CHANGE, Kept, Role, Write
+from bitternpath.testing.emulator.fleet import world
 
 Build = Callable[[ExitStack], None]
 
--- a/bitternpath/emulator/fleet/campaign.py
+++ b/bitternpath/testing/emulator/fleet/campaign.py
@@ -6,10 +6,10 @@
 
 from msgspec import Struct
 
-from bitternpath.emulator.fleet.faults import FAULTS, change
-from bitternpath.emulator.fleet.world import FleetWorld
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.testing.emulator.fleet.faults import FAULTS, change
+from bitternpath.testing.emulator.fleet.world import FleetWorld
 
 BEGINS = 4.0  # s: by then the fleet is founded
 LASTS = 40.0  # s in which faults begin
--- a/bitternpath/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -12,8 +12,8 @@
 
 from msgspec import Struct
 
-from bitternpath.fleet import audit
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import audit
+from bitternpath.balancer.fleet import plan as p
 
 APART = 1  # versions that two processes may be apart
 
--- a/bitternpath/emulator/fleet/days.py
+++ b/bitternpath/testing/emulator/fleet/days.py
@@ -5,8 +5,8 @@
 from random import Random
 from typing import Any
 
-from bitternpath.emulator.scenario import Scenario
-from bitternpath.emulator.scenario_file import made_from
+from bitternpath.testing.emulator.scenario import Scenario
+from bitternpath.testing.emulator.scenario_file import made_from
 
 FAULTS = (
     "kill-stewards", "kill-leader", "stall-stewards", "stall-leader", "cut-fleet-links", "slow-fleet-links",
--- a/bitternpath/emulator/fleet/faults.py
+++ b/bitternpath/testing/emulator/fleet/faults.py
@@ -6,9 +6,9 @@
 from functools import partial
 from random import Random
 
-from bitternpath.emulator.fleet.world import FleetWorld, Host, Link
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.testing.emulator.fleet.world import FleetWorld, Host, Link
 
 Undo = Callable[[], None]
 Fault = Callable[[FleetWorld, Random], Undo]
--- a/bitternpath/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -19,15 +19,15 @@
 
 import msgspec
 
-from bitternpath.emulator.fleet import reckoning
-from bitternpath.emulator.fleet.question import OPERATOR, Question
-from bitternpath.emulator.fleet.relay import Relay
-from bitternpath.emulator.fleet.surroundings import FleetWorld
-from bitternpath.emulator.ports import HeldPort
-from bitternpath.fleet import audit
-from bitternpath.fleet import messages as m
-from bitternpath.fleet.wire import Wire
+from bitternpath.balancer.fleet import audit
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet.wire import Wire
 from bitternpath.net.sockets import dial
+from bitternpath.testing.emulator.fleet import reckoning
+from bitternpath.testing.emulator.fleet.question import OPERATOR, Question
+from bitternpath.testing.emulator.fleet.relay import Relay
+from bitternpath.testing.emulator.fleet.surroundings import FleetWorld
+from bitternpath.testing.emulator.ports import HeldPort
 
 LOOK_EVERY = 0.25  # s between looks at what all stewards know
 RIGHT_WITHIN = 40.0  # s after the last fault by which all must be in order
@@ -35,7 +35,7 @@
 BUILD = ""  # of `broken.py`, in place of the sound one: for tests of the checkers
 AS_BUILT = """
 import sys
-from bitternpath.emulator.fleet.broken import broken
+from bitternpath.testing.emulator.fleet.broken import broken
 from bitternpath.cli import main
 with broken(sys.argv[1]):
     sys.exit(main(sys.argv[2:]))
@@ -77,7 +77,7 @@
             self.process = subprocess.Popen(
                 [*program(), "steward", *["--found"] * found],
                 env=env,
-                cwd=Path(__file__).parent.parent.parent.parent,
+                cwd=Path(__file__).parents[4],
                 stderr=log,
                 stdin=subprocess.DEVNULL,
             )
--- a/bitternpath/emulator/fleet/question.py
+++ b/bitternpath/testing/emulator/fleet/question.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet.wire import Wire
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet.wire import Wire
 from bitternpath.net.sockets import dial
 
 ANSWER_WITHIN = 1.0  # s that a process is waited for before another is asked
--- a/bitternpath/emulator/fleet/reckoning.py
+++ b/bitternpath/testing/emulator/fleet/reckoning.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from bitternpath.fleet import audit
+from bitternpath.balancer.fleet import audit
 
 SAME = 0.005  # s within which two clock readings of one machine may be out of order
 
--- a/bitternpath/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -10,11 +10,11 @@
 import msgspec
 from msgspec import Struct
 
-from bitternpath.emulator.fleet import world
-from bitternpath.emulator.fleet.search.explore import Move
-from bitternpath.emulator.fleet.search.states import Channels, FixedRandom, copied, cut
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members, Role, Write
+from bitternpath.testing.emulator.fleet import world
+from bitternpath.testing.emulator.fleet.search.explore import Move
+from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copied, cut
 
 
 class Scope(Struct, frozen=True):
--- a/bitternpath/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -9,17 +9,17 @@
 
 from msgspec import Struct
 
-from bitternpath.emulator.fleet import world
-from bitternpath.emulator.fleet.search.explore import Move
-from bitternpath.emulator.fleet.search.states import Channels, FixedRandom, copied, cut, encoded
-from bitternpath.fleet import audit
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.founding import founded
-from bitternpath.fleet.leadership import PendingRequest
-from bitternpath.fleet.lease_holder import LeaseHolder, Who
-from bitternpath.fleet.record_replica import RecordReplica
+from bitternpath.balancer.fleet import audit
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.founding import founded
+from bitternpath.balancer.fleet.leadership import PendingRequest
+from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
+from bitternpath.balancer.fleet.record_replica import RecordReplica
 from bitternpath.replication.records import Times
+from bitternpath.testing.emulator.fleet import world
+from bitternpath.testing.emulator.fleet.search.explore import Move
+from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copied, cut, encoded
 
 
 class LeaseScope(Struct, frozen=True):
--- a/bitternpath/emulator/fleet/search/scopes.py
+++ b/bitternpath/testing/emulator/fleet/search/scopes.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from bitternpath.emulator.fleet.search.consensus import Consensus, Scope
-from bitternpath.emulator.fleet.search.explore import State
-from bitternpath.emulator.fleet.search.leases import Leases, LeaseScope
+from bitternpath.testing.emulator.fleet.search.consensus import Consensus, Scope
+from bitternpath.testing.emulator.fleet.search.explore import State
+from bitternpath.testing.emulator.fleet.search.leases import Leases, LeaseScope
 
 # From the smallest on. What each of the last ones costs stands in docs/results/fleet.md.
 SCOPES: tuple[Scope | LeaseScope, ...] = (
--- a/bitternpath/emulator/fleet/surroundings.py
+++ b/bitternpath/testing/emulator/fleet/surroundings.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from bitternpath.emulator.checker import Checker
-from bitternpath.emulator.scenario import Scenario
+from bitternpath.testing.emulator.checker import Checker
+from bitternpath.testing.emulator.scenario import Scenario
 
 
 class FleetNode(Protocol):
--- a/bitternpath/emulator/fleet/walk.py
+++ b/bitternpath/testing/emulator/fleet/walk.py
@@ -13,12 +13,12 @@
 import msgspec
 from msgspec import Struct
 
-from bitternpath.emulator.fleet import world
-from bitternpath.emulator.fleet.checker import Broken, FleetChecker
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.record_replica import RecordReplica
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.record_replica import RecordReplica
 from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Kept, Members, Role, Times, Write
+from bitternpath.testing.emulator.fleet import world
+from bitternpath.testing.emulator.fleet.checker import Broken, FleetChecker
 
 JUMP = 10.0  # s that pass for a steward whose timer rings
 IN_FLIGHT = 40  # messages at once; the oldest are lost
--- a/bitternpath/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -16,15 +16,15 @@
 import xxhash
 from msgspec import Struct
 
-from bitternpath.emulator.clock import Scheduler
-from bitternpath.emulator.fleet.checker import FleetChecker
-from bitternpath.fleet import audit
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.founding import founded
-from bitternpath.fleet.lease_holder import LeaseHolder, Who
-from bitternpath.fleet.record_replica import RecordReplica
+from bitternpath.balancer.fleet import audit
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.founding import founded
+from bitternpath.balancer.fleet.lease_holder import LeaseHolder, Who
+from bitternpath.balancer.fleet.record_replica import RecordReplica
 from bitternpath.replication.records import Kept, Role, Times, Write
+from bitternpath.testing.emulator.clock import Scheduler
+from bitternpath.testing.emulator.fleet.checker import FleetChecker
 
 QUICK = 0.0002, 0.003  # s on the way, usually
 SYNC = 0.001, 0.01  # s that a disk takes
--- a/bitternpath/emulator/network.py
+++ b/bitternpath/testing/emulator/network.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from bitternpath.emulator.scenario import Net, drawn
+from bitternpath.testing.emulator.scenario import Net, drawn
 
 
 class Network:
--- a/bitternpath/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -9,13 +9,13 @@
 from random import Random
 from typing import Any
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.invocations import Invocation, InvokerCall, News, State
-from bitternpath.core.roster import Listing, Provider, Roster
-from bitternpath.emulator.clients import Try
-from bitternpath.emulator.discovery import EPOCH
-from bitternpath.emulator.worker import Attempt, Worker
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.invocations import Invocation, InvokerCall, News, State
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
+from bitternpath.testing.emulator.clients import Try
+from bitternpath.testing.emulator.discovery import EPOCH
+from bitternpath.testing.emulator.worker import Attempt, Worker
 
 CALL_BACKS, CALL_BACK_EVERY = 10, 1.0  # tries of a call-back, and s between them
 KEPT_SHARE = 0.6  # of the time after which workers close idle connections: ours are used no longer
--- a/bitternpath/emulator/policies.py
+++ b/bitternpath/testing/emulator/policies.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from bitternpath import messages as m
-from bitternpath.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 
 WEIGHT = 0.2  # of the last job in an EWMA
 PENALTY = 3.0  # by which a failure counts as longer
--- a/bitternpath/emulator/report.py
+++ b/bitternpath/testing/emulator/report.py
@@ -8,7 +8,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from bitternpath.emulator.world import Result
+from bitternpath.testing.emulator.world import Result
 
 BARS = " ▁▂▃▄▅▆▇█"
 
--- a/bitternpath/emulator/scenario_file.py
+++ b/bitternpath/testing/emulator/scenario_file.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from bitternpath.emulator.scenario import MOST_REQUESTS, Scenario, ScenarioError
-from bitternpath.emulator.troubles import KINDS
-from bitternpath.emulator.troubles.fleet import FLEET
+from bitternpath.testing.emulator.scenario import MOST_REQUESTS, Scenario, ScenarioError
+from bitternpath.testing.emulator.troubles import KINDS
+from bitternpath.testing.emulator.troubles.fleet import FLEET
 
 
 def load(path: str | Path) -> Scenario:
--- a/bitternpath/emulator/service.py
+++ b/bitternpath/testing/emulator/service.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 from typing import Any
 
-from bitternpath.emulator.scenario import JobClass, Prices
+from bitternpath.testing.emulator.scenario import JobClass, Prices
 
 WHOLE, WORST_WINDOW, WORST_CLASS = 0.55, 0.15, 0.30
 WINDOW = 10  # s
--- a/bitternpath/emulator/sockets/feed.py
+++ b/bitternpath/testing/emulator/sockets/feed.py
@@ -6,11 +6,11 @@
 
 import ujson
 
-from bitternpath import messages as m
-from bitternpath.core.roster import Listing
-from bitternpath.emulator.sockets.run import Run
-from bitternpath.emulator.sockets.servers import Server, ServerConnection
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.roster import Listing
 from bitternpath.net import http1
+from bitternpath.testing.emulator.sockets.run import Run
+from bitternpath.testing.emulator.sockets.servers import Server, ServerConnection
 
 PHASES = {m.State.SERVING: "up", m.State.DRAINING: "draining", m.State.GONE: "removed"}
 HEARTBEAT = 2.0  # s between empty lines on a watch
--- a/bitternpath/emulator/sockets/node.py
+++ b/bitternpath/testing/emulator/sockets/node.py
@@ -12,18 +12,18 @@
 from pathlib import Path
 from typing import Any
 
-from bitternpath.core.roster import Listing
-from bitternpath.emulator.clients import Try
-from bitternpath.emulator.ports import HeldPort
-from bitternpath.emulator.sockets.feed import DiscoveryFeed
-from bitternpath.emulator.sockets.platform_settings import settings_json
-from bitternpath.emulator.sockets.pool import ConnectionPool
-from bitternpath.emulator.sockets.processor_waits import waited_for_processor
-from bitternpath.emulator.sockets.requests import ClientRequests
-from bitternpath.emulator.sockets.run import Run
+from bitternpath.balancer.core.roster import Listing
 from bitternpath.net import http1
-
-ROOT = Path(__file__).parents[3]
+from bitternpath.testing.emulator.clients import Try
+from bitternpath.testing.emulator.ports import HeldPort
+from bitternpath.testing.emulator.sockets.feed import DiscoveryFeed
+from bitternpath.testing.emulator.sockets.platform_settings import settings_json
+from bitternpath.testing.emulator.sockets.pool import ConnectionPool
+from bitternpath.testing.emulator.sockets.processor_waits import waited_for_processor
+from bitternpath.testing.emulator.sockets.requests import ClientRequests
+from bitternpath.testing.emulator.sockets.run import Run
+
+ROOT = Path(__file__).parents[4]
 READY_WITHIN = 30.0  # s for a node to come up
 OLDER_ENDS_WITHIN = 3.7  # s after SIGTERM at which a process may be killed
 SOCKETS = 1024
--- a/bitternpath/emulator/sockets/platform_settings.py
+++ b/bitternpath/testing/emulator/sockets/platform_settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from bitternpath.emulator.scenario import Scenario
+from bitternpath.testing.emulator.scenario import Scenario
 
 TICK = 2.0  # ms
 
--- a/bitternpath/emulator/sockets/play.py
+++ b/bitternpath/testing/emulator/sockets/play.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from bitternpath.emulator.scenario import Scenario, ScenarioError
-from bitternpath.emulator.sockets.world import SocketWorld
-from bitternpath.emulator.world import Result
+from bitternpath.testing.emulator.scenario import Scenario, ScenarioError
+from bitternpath.testing.emulator.sockets.world import SocketWorld
+from bitternpath.testing.emulator.world import Result
 
 VOID_BEYOND = 0.050  # s of the world's own lateness at p99 above which a run is void
 
--- a/bitternpath/emulator/sockets/requests.py
+++ b/bitternpath/testing/emulator/sockets/requests.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from bitternpath.emulator.clients import Try
-from bitternpath.emulator.sockets.pool import ClientConnection, ConnectionPool
-from bitternpath.emulator.sockets.run import Run, RunningNode
 from bitternpath.net import http1
+from bitternpath.testing.emulator.clients import Try
+from bitternpath.testing.emulator.sockets.pool import ClientConnection, ConnectionPool
+from bitternpath.testing.emulator.sockets.run import Run, RunningNode
 
 # s for which a client's connection is read on once its time is up: an answer that is late, but within the
 # rules' grace, would else go unread, and one that is later still would not show how late.
--- a/bitternpath/emulator/sockets/run.py
+++ b/bitternpath/testing/emulator/sockets/run.py
@@ -11,14 +11,14 @@
 from random import Random
 from typing import Any, Protocol
 
-from bitternpath.emulator.checker import Checker
-from bitternpath.emulator.clients import Clients, Front, Try
-from bitternpath.emulator.discovery import Directory
-from bitternpath.emulator.network import Network
-from bitternpath.emulator.scenario import Scenario
-from bitternpath.emulator.service import Tally
-from bitternpath.emulator.sockets.pool import ClientConnection, ConnectionPool
-from bitternpath.emulator.worker import Worker
+from bitternpath.testing.emulator.checker import Checker
+from bitternpath.testing.emulator.clients import Clients, Front, Try
+from bitternpath.testing.emulator.discovery import Directory
+from bitternpath.testing.emulator.network import Network
+from bitternpath.testing.emulator.scenario import Scenario
+from bitternpath.testing.emulator.service import Tally
+from bitternpath.testing.emulator.sockets.pool import ClientConnection, ConnectionPool
+from bitternpath.testing.emulator.worker import Worker
 
 
 class RunningNode(Protocol):
--- a/bitternpath/emulator/sockets/workers.py
+++ b/bitternpath/testing/emulator/sockets/workers.py
@@ -8,10 +8,10 @@
 
 import ujson
 
-from bitternpath.emulator.sockets.run import Run, RunningNode
-from bitternpath.emulator.sockets.servers import Server, ServerConnection
-from bitternpath.emulator.worker import Attempt, Worker
 from bitternpath.net import http1
+from bitternpath.testing.emulator.sockets.run import Run, RunningNode
+from bitternpath.testing.emulator.sockets.servers import Server, ServerConnection
+from bitternpath.testing.emulator.worker import Attempt, Worker
 
 CALL_BACK_TRIES = 10
 CALL_BACK_AGAIN = 1.0  # s
--- a/bitternpath/emulator/sockets/world.py
+++ b/bitternpath/testing/emulator/sockets/world.py
@@ -9,24 +9,24 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from bitternpath.emulator.checker import SLACK, Checker
-from bitternpath.emulator.clients import Clients, Front, Try
-from bitternpath.emulator.discovery import Directory
-from bitternpath.emulator.network import Network
-from bitternpath.emulator.scenario import Scenario, drawn
-from bitternpath.emulator.service import Tally
-from bitternpath.emulator.sockets.node import READY_WITHIN, SocketNode
-from bitternpath.emulator.sockets.pool import ClientConnection
-from bitternpath.emulator.sockets.processor_waits import ProcessorWaits
-from bitternpath.emulator.sockets.requests import READ_ON
-from bitternpath.emulator.sockets.run import RunningNode
-from bitternpath.emulator.sockets.workers import WorkerServers
-from bitternpath.emulator.troubles import Active, begin
-from bitternpath.emulator.worker import Worker
-from bitternpath.emulator.world import Result, World
+from bitternpath.testing.emulator.checker import SLACK, Checker
+from bitternpath.testing.emulator.clients import Clients, Front, Try
+from bitternpath.testing.emulator.discovery import Directory
+from bitternpath.testing.emulator.network import Network
+from bitternpath.testing.emulator.scenario import Scenario, drawn
+from bitternpath.testing.emulator.service import Tally
+from bitternpath.testing.emulator.sockets.node import READY_WITHIN, SocketNode
+from bitternpath.testing.emulator.sockets.pool import ClientConnection
+from bitternpath.testing.emulator.sockets.processor_waits import ProcessorWaits
+from bitternpath.testing.emulator.sockets.requests import READ_ON
+from bitternpath.testing.emulator.sockets.run import RunningNode
+from bitternpath.testing.emulator.sockets.workers import WorkerServers
+from bitternpath.testing.emulator.troubles import Active, begin
+from bitternpath.testing.emulator.worker import Worker
+from bitternpath.testing.emulator.world import Result, World
 
 if TYPE_CHECKING:
-    from bitternpath.emulator.fleet.processes import FleetOnSockets
+    from bitternpath.testing.emulator.fleet.processes import FleetOnSockets
 
 LOOK = 0.01  # s between looks at the world's own lateness
 LOOKS_FOR_CORES = 5  # of these looks, one asks how long each node has waited for a core
@@ -91,7 +91,7 @@
         self.worker_servers = WorkerServers(self)
 
     def _fleet(self) -> FleetOnSockets:
-        from bitternpath.emulator.fleet.processes import FleetOnSockets
+        from bitternpath.testing.emulator.fleet.processes import FleetOnSockets
 
         return FleetOnSockets(self)
 
--- a/bitternpath/emulator/troubles/fleet.py
+++ b/bitternpath/testing/emulator/troubles/fleet.py
@@ -5,8 +5,8 @@
 from random import Random
 from typing import Any
 
-from bitternpath.emulator.troubles.register import Active, trouble
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.testing.emulator.troubles.register import Active, trouble
 
 
 @trouble("fleet-changes")
--- a/bitternpath/emulator/troubles/operators.py
+++ b/bitternpath/testing/emulator/troubles/operators.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from bitternpath.emulator.troubles.register import Active, each_node, some_workers, trouble
+from bitternpath.testing.emulator.troubles.register import Active, each_node, some_workers, trouble
 
 RESTARTED_AFTER = 0.3  # of the time for which a worker is out: by then it has done what it had
 BACK_AFTER = 0.6  # of that time: its process runs again, cold
--- a/bitternpath/emulator/troubles/register.py
+++ b/bitternpath/testing/emulator/troubles/register.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from bitternpath.emulator.scenario import Trouble, drawn
+from bitternpath.testing.emulator.scenario import Trouble, drawn
 
 
 class Active:
--- a/bitternpath/emulator/troubles/sites.py
+++ b/bitternpath/testing/emulator/troubles/sites.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from bitternpath.emulator.troubles.register import Active, trouble
+from bitternpath.testing.emulator.troubles.register import Active, trouble
 
 
 @trouble("site-loss")
--- a/bitternpath/emulator/worker.py
+++ b/bitternpath/testing/emulator/worker.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from bitternpath.emulator.scenario import Kind, drawn
+from bitternpath.testing.emulator.scenario import Kind, drawn
 
 WARMING = 0.25  # s between looks at a cold worker's capacity
 
--- a/bitternpath/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -9,18 +9,18 @@
 import xxhash
 from msgspec import Struct
 
-from bitternpath import messages as m
-from bitternpath.emulator.checker import Checker
-from bitternpath.emulator.clients import Clients, Front
-from bitternpath.emulator.clock import Scheduler
-from bitternpath.emulator.discovery import EPOCH, Directory
-from bitternpath.emulator.network import Network
-from bitternpath.emulator.nodes import VirtualNode
-from bitternpath.emulator.policies import POLICIES
-from bitternpath.emulator.scenario import MOST_REQUESTS, Kind, Scenario, ScenarioError, drawn
-from bitternpath.emulator.service import Tally
-from bitternpath.emulator.troubles import Active, begin
-from bitternpath.emulator.worker import Worker
+from bitternpath.balancer import messages as m
+from bitternpath.testing.emulator.checker import Checker
+from bitternpath.testing.emulator.clients import Clients, Front
+from bitternpath.testing.emulator.clock import Scheduler
+from bitternpath.testing.emulator.discovery import EPOCH, Directory
+from bitternpath.testing.emulator.network import Network
+from bitternpath.testing.emulator.nodes import VirtualNode
+from bitternpath.testing.emulator.policies import POLICIES
+from bitternpath.testing.emulator.scenario import MOST_REQUESTS, Kind, Scenario, ScenarioError, drawn
+from bitternpath.testing.emulator.service import Tally
+from bitternpath.testing.emulator.troubles import Active, begin
+from bitternpath.testing.emulator.worker import Worker
 
 CELL = 4  # workers that share a cell
 TAIL = 2.0  # s after the last deadline
@@ -193,7 +193,7 @@
 
     @staticmethod
     def _wake(node: VirtualNode, label: str, timer: Any) -> None:
-        from bitternpath.core.broker import Due
+        from bitternpath.balancer.core.broker import Due
 
         if node.timer is timer:
             node.broker._append(Due(label))
--- a/bitternpath/rehearsal/changes.py
+++ b/bitternpath/testing/fault_injection/changes.py
@@ -6,9 +6,9 @@
 import json
 from typing import Any
 
-from bitternpath.rehearsal.plan import TIMEOUT_MS, route_document
-from bitternpath.rehearsal.plumbing import Call
-from bitternpath.rehearsal.records import Kind
+from bitternpath.testing.fault_injection.plan import TIMEOUT_MS, route_document
+from bitternpath.testing.fault_injection.plumbing import Call
+from bitternpath.testing.fault_injection.records import Kind
 
 TIMEOUTS_MS = (TIMEOUT_MS, TIMEOUT_MS + 200, TIMEOUT_MS + 400)
 START_TARGET_MS, START_TARGETS = 1_200, 300
--- a/bitternpath/rehearsal/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from math import inf
 
-from bitternpath.rehearsal.records import (
+from bitternpath.testing.fault_injection.records import (
     Answer,
     History,
     LeaseEnd,
--- a/bitternpath/rehearsal/clients.py
+++ b/bitternpath/testing/fault_injection/clients.py
@@ -11,10 +11,10 @@
 from twisted.internet.defer import Deferred, DeferredSemaphore, gatherResults
 from twisted.internet.task import deferLater
 
-from bitternpath.rehearsal.entry import Entry
-from bitternpath.rehearsal.plan import HOSTS, PREFIXES, SHARES, Port, Reachable
-from bitternpath.rehearsal.plumbing import Call, Reply, Unanswered, send_call
-from bitternpath.rehearsal.records import Clock, Found, History, Kind, Send, SendOutcome
+from bitternpath.testing.fault_injection.entry import Entry
+from bitternpath.testing.fault_injection.plan import HOSTS, PREFIXES, SHARES, Port, Reachable
+from bitternpath.testing.fault_injection.plumbing import Call, Reply, Unanswered, send_call
+from bitternpath.testing.fault_injection.records import Clock, Found, History, Kind, Send, SendOutcome
 
 DEADLINE_MS = 1_500
 MOST_TRIES = 3
--- a/bitternpath/rehearsal/control_calls.py
+++ b/bitternpath/testing/fault_injection/control_calls.py
@@ -8,9 +8,9 @@
 
 from twisted.internet.task import deferLater
 
-from bitternpath.rehearsal.plan import Port, Reachable
-from bitternpath.rehearsal.plumbing import Call, Reply, send_call
-from bitternpath.rehearsal.records import Clock, OrderOutcome
+from bitternpath.testing.fault_injection.plan import Port, Reachable
+from bitternpath.testing.fault_injection.plumbing import Call, Reply, send_call
+from bitternpath.testing.fault_injection.records import Clock, OrderOutcome
 
 SILENCE_S = 1.0  # then the operator moves on to another node
 MOST_REDIRECTS = 2
--- a/bitternpath/rehearsal/demo.py
+++ b/bitternpath/testing/fault_injection/demo.py
@@ -10,12 +10,12 @@
 from twisted.internet.task import deferLater
 from twisted.python.failure import Failure
 
-from bitternpath.rehearsal.checker import check
-from bitternpath.rehearsal.figures import slow_start_lines, summary_lines, violation_lines
-from bitternpath.rehearsal.plan import Plan, make_plan
-from bitternpath.rehearsal.status import StatusReader
-from bitternpath.rehearsal.troubles import Troubles
-from bitternpath.rehearsal.world import NotReady, World, steady_reactor
+from bitternpath.testing.fault_injection.checker import check
+from bitternpath.testing.fault_injection.figures import slow_start_lines, summary_lines, violation_lines
+from bitternpath.testing.fault_injection.plan import Plan, make_plan
+from bitternpath.testing.fault_injection.status import StatusReader
+from bitternpath.testing.fault_injection.troubles import Troubles
+from bitternpath.testing.fault_injection.world import NotReady, World, steady_reactor
 
 EDGES, STORAGE = 4, 3
 LOOK_S = 0.25
--- a/bitternpath/rehearsal/entry.py
+++ b/bitternpath/testing/fault_injection/entry.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any
 
-from bitternpath.rehearsal.plan import Port, Reachable
-from bitternpath.rehearsal.plumbing import Call, Reply, Unanswered, send_call
+from bitternpath.testing.fault_injection.plan import Port, Reachable
+from bitternpath.testing.fault_injection.plumbing import Call, Reply, Unanswered, send_call
 
 ASK_EVERY_S = 1.0
 ANSWER_WITHIN_S = 0.9
--- a/bitternpath/rehearsal/figures.py
+++ b/bitternpath/testing/fault_injection/figures.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from math import ceil
 
-from bitternpath.rehearsal.checker import Violation, ended_times
-from bitternpath.rehearsal.records import History, Kind, Send, SendOutcome, Terms
+from bitternpath.testing.fault_injection.checker import Violation, ended_times
+from bitternpath.testing.fault_injection.records import History, Kind, Send, SendOutcome, Terms
 
 SLOW_START_S = 2.0  # a start that is later is shown with its history
 HISTORIES_SHOWN = 5  # of each broken rule; the others are counted
--- a/bitternpath/rehearsal/load.py
+++ b/bitternpath/testing/fault_injection/load.py
@@ -12,11 +12,11 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from bitternpath.rehearsal.checker import check
-from bitternpath.rehearsal.figures import latency, summary_lines, violation_lines
-from bitternpath.rehearsal.plan import Plan, Role, make_plan
-from bitternpath.rehearsal.processes import Usage
-from bitternpath.rehearsal.world import NotReady, World, steady_reactor
+from bitternpath.testing.fault_injection.checker import check
+from bitternpath.testing.fault_injection.figures import latency, summary_lines, violation_lines
+from bitternpath.testing.fault_injection.plan import Plan, Role, make_plan
+from bitternpath.testing.fault_injection.processes import Usage
+from bitternpath.testing.fault_injection.world import NotReady, World, steady_reactor
 
 MILLISECONDS = 1_000
 
--- a/bitternpath/rehearsal/operators.py
+++ b/bitternpath/testing/fault_injection/operators.py
@@ -10,11 +10,16 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from bitternpath.rehearsal.changes import changed_document, invalid_document, patch_call, put_call
-from bitternpath.rehearsal.control_calls import FIRST_PAUSE_S, ControlCalls
-from bitternpath.rehearsal.plan import Plan
-from bitternpath.rehearsal.plumbing import Call
-from bitternpath.rehearsal.records import Clock, History, OrderOutcome, OrderSent
+from bitternpath.testing.fault_injection.changes import (
+    changed_document,
+    invalid_document,
+    patch_call,
+    put_call,
+)
+from bitternpath.testing.fault_injection.control_calls import FIRST_PAUSE_S, ControlCalls
+from bitternpath.testing.fault_injection.plan import Plan
+from bitternpath.testing.fault_injection.plumbing import Call
+from bitternpath.testing.fault_injection.records import Clock, History, OrderOutcome, OrderSent
 
 ORDER_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
 FIRST_ORDER_FOR_S = 25.0  # the first configuration is sent again until it is accepted
--- a/bitternpath/rehearsal/plan.py
+++ b/bitternpath/testing/fault_injection/plan.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any, Protocol, TypeVar
 
-from bitternpath.rehearsal.bounds import BOUNDS
-from bitternpath.rehearsal.records import Kind, Terms
+from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.records import Kind, Terms
 
 TermsKind = TypeVar("TermsKind", bound=Terms)
 
--- a/bitternpath/rehearsal/platform.py
+++ b/bitternpath/testing/fault_injection/platform.py
@@ -10,9 +10,9 @@
 from twisted.internet.defer import Deferred, succeed
 
 from bitternpath.net.http1 import Request
-from bitternpath.rehearsal.plan import LOOPBACK
-from bitternpath.rehearsal.plumbing import Reply, ServerConnection, serve
-from bitternpath.rehearsal.records import CallbackGot, Clock, History
+from bitternpath.testing.fault_injection.plan import LOOPBACK
+from bitternpath.testing.fault_injection.plumbing import Reply, ServerConnection, serve
+from bitternpath.testing.fault_injection.records import CallbackGot, Clock, History
 
 PAGE = 3  # instances on a page: readers have to follow the pages
 RATE_PER_S = 44.0
--- a/bitternpath/rehearsal/processes.py
+++ b/bitternpath/testing/fault_injection/processes.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import IO
 
-from bitternpath.rehearsal.bounds import BOUNDS
-from bitternpath.rehearsal.plan import INTERNAL_PORTS, REGION, Machine, Plan, Port, Role
+from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.plan import INTERNAL_PORTS, REGION, Machine, Plan, Port, Role
 
-ROOT = Path(__file__).resolve().parents[2]  # the processes begin at the repository's root (DEPLOY)
+ROOT = Path(__file__).resolve().parents[3]  # the processes begin at the repository's root (DEPLOY)
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 MEMORY_MB = 300
 MEGABYTE = 1 << 20
--- a/bitternpath/rehearsal/status.py
+++ b/bitternpath/testing/fault_injection/status.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from bitternpath.membership.founding import CONFIGURATION_GROUP
-from bitternpath.rehearsal.plan import Machine, Port
+from bitternpath.testing.fault_injection.plan import Machine, Port
 from bitternpath.transport.connections import Link, NodeHub
 from bitternpath.transport.messages import NodeDescriptor, NodeKind, StatusAnswer, StatusRequest
 
--- a/bitternpath/rehearsal/troubles.py
+++ b/bitternpath/testing/fault_injection/troubles.py
@@ -12,11 +12,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
-from bitternpath.rehearsal.bounds import BOUNDS
-from bitternpath.rehearsal.plan import Plan, Role
-from bitternpath.rehearsal.processes import Process
-from bitternpath.rehearsal.records import Clock, History, Trouble
-from bitternpath.rehearsal.status import StatusReader
+from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.plan import Plan, Role
+from bitternpath.testing.fault_injection.processes import Process
+from bitternpath.testing.fault_injection.records import Clock, History, Trouble
+from bitternpath.testing.fault_injection.status import StatusReader
 
 RESTART_AFTER_S = 1.5
 LOOK_S = 0.05
--- a/bitternpath/rehearsal/workers.py
+++ b/bitternpath/testing/fault_injection/workers.py
@@ -11,11 +11,19 @@
 from twisted.internet.task import deferLater
 
 from bitternpath.net.http1 import Request
-from bitternpath.rehearsal.bounds import BOUNDS
-from bitternpath.rehearsal.entry import Entry
-from bitternpath.rehearsal.plan import LOOPBACK, Port
-from bitternpath.rehearsal.plumbing import Call, Reply, ServerConnection, send_call, serve
-from bitternpath.rehearsal.records import Answer, Arrival, Clock, History, LeaseEnd, LeaseWord, Run
+from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.entry import Entry
+from bitternpath.testing.fault_injection.plan import LOOPBACK, Port
+from bitternpath.testing.fault_injection.plumbing import Call, Reply, ServerConnection, send_call, serve
+from bitternpath.testing.fault_injection.records import (
+    Answer,
+    Arrival,
+    Clock,
+    History,
+    LeaseEnd,
+    LeaseWord,
+    Run,
+)
 
 QUEUE_PLACES = 4  # beyond the slots
 FAILED_SHARE = 0.05  # of attempts that are answered with 500
--- a/bitternpath/rehearsal/world.py
+++ b/bitternpath/testing/fault_injection/world.py
@@ -10,16 +10,16 @@
 
 from twisted.internet.task import LoopingCall, deferLater
 
-from bitternpath.rehearsal.checker import ended_times
-from bitternpath.rehearsal.clients import Askers, Clients
-from bitternpath.rehearsal.entry import Entry
-from bitternpath.rehearsal.figures import second_line
-from bitternpath.rehearsal.operators import Operator
-from bitternpath.rehearsal.plan import SERVICES, SHARES, Plan, first_configuration
-from bitternpath.rehearsal.platform import CallbackReceiver, PlatformList
-from bitternpath.rehearsal.processes import Process
-from bitternpath.rehearsal.records import History, Kind, Send
-from bitternpath.rehearsal.workers import Endpoint, HttpWorker, PullingWorker, Work
+from bitternpath.testing.fault_injection.checker import ended_times
+from bitternpath.testing.fault_injection.clients import Askers, Clients
+from bitternpath.testing.fault_injection.entry import Entry
+from bitternpath.testing.fault_injection.figures import second_line
+from bitternpath.testing.fault_injection.operators import Operator
+from bitternpath.testing.fault_injection.plan import SERVICES, SHARES, Plan, first_configuration
+from bitternpath.testing.fault_injection.platform import CallbackReceiver, PlatformList
+from bitternpath.testing.fault_injection.processes import Process
+from bitternpath.testing.fault_injection.records import History, Kind, Send
+from bitternpath.testing.fault_injection.workers import Endpoint, HttpWorker, PullingWorker, Work
 
 READY_WITHIN_S = 15.0  # after the first configuration
 FINISH_S = 20.0  # after the traffic, for what was accepted
--- a/bitternpath/simulation/__init__.py
+++ b/bitternpath/testing/simulation/__init__.py
@@ -7,7 +7,7 @@
 The seam between the world and its actors (operators, clients, workers, the platform, receivers of
 call-backs):
 
-    from bitternpath.simulation.world import World, Plan
+    from bitternpath.testing.simulation.world import World, Plan
 
     world = World(seed, Plan(core_edges=3, other_edges=1, storages=3, tolerated_machines=1))
     world.now                     seconds of virtual time since the run began
--- a/bitternpath/simulation/actors/machines.py
+++ b/bitternpath/testing/simulation/actors/machines.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from bitternpath.rehearsal.records import Trouble
-from bitternpath.simulation.actors.nodes import Directory
-from bitternpath.simulation.checks.history import Disruption, Harm, SystemHistory
-from bitternpath.simulation.events import Fault, FaultKind
+from bitternpath.testing.fault_injection.records import Trouble
+from bitternpath.testing.simulation.actors.nodes import Directory
+from bitternpath.testing.simulation.checks.history import Disruption, Harm, SystemHistory
+from bitternpath.testing.simulation.events import Fault, FaultKind
 
 if TYPE_CHECKING:
-    from bitternpath.simulation.world import World
+    from bitternpath.testing.simulation.world import World
 
 GRACE_S = 6.0  # `grace_s`: after a SIGTERM
 RESTART_WITHIN_S = 1.0  # after a process has ended
--- a/bitternpath/simulation/actors/nodes.py
+++ b/bitternpath/testing/simulation/actors/nodes.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from bitternpath.rehearsal.plan import Port
+from bitternpath.testing.fault_injection.plan import Port
 
 if TYPE_CHECKING:
-    from bitternpath.simulation.world import SimulatedNode, World
+    from bitternpath.testing.simulation.world import SimulatedNode, World
 
 
 @dataclass(frozen=True, slots=True)
--- a/bitternpath/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -10,8 +10,13 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from bitternpath.rehearsal.changes import changed_document, invalid_document, patch_call, put_call
-from bitternpath.rehearsal.control_calls import (
+from bitternpath.testing.fault_injection.changes import (
+    changed_document,
+    invalid_document,
+    patch_call,
+    put_call,
+)
+from bitternpath.testing.fault_injection.control_calls import (
     ENDING,
     FIRST_PAUSE_S,
     MOST_PAUSE_S,
@@ -19,15 +24,15 @@
     TRIES_OF_REFUSED,
     ControlCalls,
 )
-from bitternpath.rehearsal.plumbing import Call, Reply
-from bitternpath.rehearsal.records import OrderOutcome, OrderSent
-from bitternpath.simulation.actors.nodes import Directory, NodeAddress
-from bitternpath.simulation.actors.under_way import UnderWay
-from bitternpath.simulation.checks.history import ConfigRead, RetireCall, Retirement, SystemHistory
-from bitternpath.simulation.events import Look, Order, OrderStyle, Retire, RunPlan
+from bitternpath.testing.fault_injection.plumbing import Call, Reply
+from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
+from bitternpath.testing.simulation.actors.nodes import Directory, NodeAddress
+from bitternpath.testing.simulation.actors.under_way import UnderWay
+from bitternpath.testing.simulation.checks.history import ConfigRead, RetireCall, Retirement, SystemHistory
+from bitternpath.testing.simulation.events import Look, Order, OrderStyle, Retire, RunPlan
 
 if TYPE_CHECKING:
-    from bitternpath.simulation.world import World
+    from bitternpath.testing.simulation.world import World
 
 OPERATOR_IP = "10.99.0.1"
 ORDER_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
--- a/bitternpath/simulation/actors/senders.py
+++ b/bitternpath/testing/simulation/actors/senders.py
@@ -9,19 +9,19 @@
 
 from twisted.internet.task import deferLater
 
-from bitternpath.rehearsal.clients import ASK_WITHIN_S, DEADLINE_MS, Clients, Wanted
-from bitternpath.rehearsal.entry import Entry
-from bitternpath.rehearsal.plan import HOSTS, Port
-from bitternpath.rehearsal.plumbing import Call, Reply, send_call
-from bitternpath.rehearsal.records import Kind, Send, SendOutcome
-from bitternpath.simulation.actors.nodes import Directory
-from bitternpath.simulation.actors.operators import Operators
-from bitternpath.simulation.actors.under_way import UnderWay
-from bitternpath.simulation.checks.history import RouteProbe, StateRead, SystemHistory
-from bitternpath.simulation.events import Message, Probe, RunPlan
+from bitternpath.testing.fault_injection.clients import ASK_WITHIN_S, DEADLINE_MS, Clients, Wanted
+from bitternpath.testing.fault_injection.entry import Entry
+from bitternpath.testing.fault_injection.plan import HOSTS, Port
+from bitternpath.testing.fault_injection.plumbing import Call, Reply, send_call
+from bitternpath.testing.fault_injection.records import Kind, Send, SendOutcome
+from bitternpath.testing.simulation.actors.nodes import Directory
+from bitternpath.testing.simulation.actors.operators import Operators
+from bitternpath.testing.simulation.actors.under_way import UnderWay
+from bitternpath.testing.simulation.checks.history import RouteProbe, StateRead, SystemHistory
+from bitternpath.testing.simulation.events import Message, Probe, RunPlan
 
 if TYPE_CHECKING:
-    from bitternpath.simulation.world import World
+    from bitternpath.testing.simulation.world import World
 
 CLIENT_IP = "10.95.0.1"
 PROBE_BODY = b"probe"
--- a/bitternpath/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -11,18 +11,25 @@
 from typing import TYPE_CHECKING, Any
 
 from bitternpath.net.http1 import Request
-from bitternpath.rehearsal.plan import RATE_PER_S, SERVICES
-from bitternpath.rehearsal.platform import PlatformList
-from bitternpath.rehearsal.plumbing import Reply, ServerConnection
-from bitternpath.rehearsal.records import Answer, Kind
-from bitternpath.rehearsal.workers import READ_WITHIN_S, Endpoint, HttpWorker, Job, PullingWorker, Work
-from bitternpath.simulation.checks.history import Drain, SystemHistory
-from bitternpath.simulation.events import Mood, RunPlan, WorkerLeaves, WorkerTrouble
-from bitternpath.simulation.settings import PLATFORM_IP, PLATFORM_PORT
+from bitternpath.testing.fault_injection.plan import RATE_PER_S, SERVICES
+from bitternpath.testing.fault_injection.platform import PlatformList
+from bitternpath.testing.fault_injection.plumbing import Reply, ServerConnection
+from bitternpath.testing.fault_injection.records import Answer, Kind
+from bitternpath.testing.fault_injection.workers import (
+    READ_WITHIN_S,
+    Endpoint,
+    HttpWorker,
+    Job,
+    PullingWorker,
+    Work,
+)
+from bitternpath.testing.simulation.checks.history import Drain, SystemHistory
+from bitternpath.testing.simulation.events import Mood, RunPlan, WorkerLeaves, WorkerTrouble
+from bitternpath.testing.simulation.settings import PLATFORM_IP, PLATFORM_PORT
 
 if TYPE_CHECKING:
-    from bitternpath.rehearsal.entry import Entry
-    from bitternpath.simulation.world import SimulatedNode, World
+    from bitternpath.testing.fault_injection.entry import Entry
+    from bitternpath.testing.simulation.world import SimulatedNode, World
 
 LISTED_WORKERS, LISTED_SLOTS, LISTED_WORK_S = 3, 4, (0.02, 0.12)
 ENDPOINT_SLOTS, ENDPOINT_WORK_S = 8, (0.02, 0.1)
--- a/bitternpath/simulation/checks/all.py
+++ b/bitternpath/testing/simulation/checks/all.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from bitternpath.rehearsal import checker as rehearsed
-from bitternpath.rehearsal.checker import Violation
-from bitternpath.simulation.checks import configuration, control, messages
-from bitternpath.simulation.checks.history import SystemHistory, SystemTerms
+from bitternpath.testing.fault_injection import checker as rehearsed
+from bitternpath.testing.fault_injection.checker import Violation
+from bitternpath.testing.simulation.checks import configuration, control, messages
+from bitternpath.testing.simulation.checks.history import SystemHistory, SystemTerms
 
 Check = Callable[[SystemHistory, SystemTerms], Iterator[Violation]]
 
--- a/bitternpath/simulation/checks/configuration.py
+++ b/bitternpath/testing/simulation/checks/configuration.py
@@ -6,10 +6,10 @@
 from itertools import pairwise
 from typing import Any
 
-from bitternpath.rehearsal.checker import Rule, Violation
-from bitternpath.rehearsal.records import OrderOutcome, OrderSent
-from bitternpath.simulation.checks.contact import Contact
-from bitternpath.simulation.checks.history import RouteProbe, SystemHistory, SystemTerms
+from bitternpath.testing.fault_injection.checker import Rule, Violation
+from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
+from bitternpath.testing.simulation.checks.contact import Contact
+from bitternpath.testing.simulation.checks.history import RouteProbe, SystemHistory, SystemTerms
 
 NO_ROUTE = 404
 NOT_FOUNDED = 0  # the version before the first configuration
--- a/bitternpath/simulation/checks/contact.py
+++ b/bitternpath/testing/simulation/checks/contact.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from math import inf
 
-from bitternpath.simulation.checks.history import Disruption, Harm, SystemHistory, SystemTerms
+from bitternpath.testing.simulation.checks.history import Disruption, Harm, SystemHistory, SystemTerms
 
 
 class Contact:
--- a/bitternpath/simulation/checks/control.py
+++ b/bitternpath/testing/simulation/checks/control.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterator
 
-from bitternpath.rehearsal.checker import Violation
-from bitternpath.rehearsal.records import OrderOutcome
-from bitternpath.simulation.checks.contact import Contact
-from bitternpath.simulation.checks.history import RetireCall, SystemHistory, SystemRule, SystemTerms
+from bitternpath.testing.fault_injection.checker import Violation
+from bitternpath.testing.fault_injection.records import OrderOutcome
+from bitternpath.testing.simulation.checks.contact import Contact
+from bitternpath.testing.simulation.checks.history import RetireCall, SystemHistory, SystemRule, SystemTerms
 
 
 def check_retirement_refused(history: SystemHistory, terms: SystemTerms) -> Iterator[Violation]:
--- a/bitternpath/simulation/checks/history.py
+++ b/bitternpath/testing/simulation/checks/history.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any
 
-from bitternpath.rehearsal.records import History, OrderSent, Terms
+from bitternpath.testing.fault_injection.records import History, OrderSent, Terms
 
 
 class SystemRule(Enum):
--- a/bitternpath/simulation/checks/messages.py
+++ b/bitternpath/testing/simulation/checks/messages.py
@@ -7,10 +7,10 @@
 from math import inf
 from typing import Any
 
-from bitternpath.rehearsal.checker import Rule, Violation, ended_times
-from bitternpath.rehearsal.plan import HOSTS
-from bitternpath.simulation.checks.contact import Contact
-from bitternpath.simulation.checks.history import SystemHistory, SystemRule, SystemTerms
+from bitternpath.testing.fault_injection.checker import Rule, Violation, ended_times
+from bitternpath.testing.fault_injection.plan import HOSTS
+from bitternpath.testing.simulation.checks.contact import Contact
+from bitternpath.testing.simulation.checks.history import SystemHistory, SystemRule, SystemTerms
 
 GONE = (404, 410)
 ENDED = ("done", "dead_letter")
--- a/bitternpath/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -4,11 +4,11 @@
 
 from collections import deque
 
-from bitternpath.simulation.errors import timed_out
-from bitternpath.simulation.interfaces import Acceptor, Address, Packet, SimulatedNetwork
-from bitternpath.simulation.paths import Path
-from bitternpath.simulation.reactor import VirtualReactor
-from bitternpath.simulation.streams import Stream
+from bitternpath.testing.simulation.errors import timed_out
+from bitternpath.testing.simulation.interfaces import Acceptor, Address, Packet, SimulatedNetwork
+from bitternpath.testing.simulation.paths import Path
+from bitternpath.testing.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.streams import Stream
 
 
 class Direction:
--- a/bitternpath/simulation/connector.py
+++ b/bitternpath/testing/simulation/connector.py
@@ -7,13 +7,13 @@
 from twisted.internet.address import IPv4Address
 from twisted.python.failure import Failure
 
-from bitternpath.simulation.connections import Connection
-from bitternpath.simulation.errors import failure, given_up, refused, timed_out
-from bitternpath.simulation.interfaces import Address
-from bitternpath.simulation.paths import Path
-from bitternpath.simulation.ports import TcpPort
-from bitternpath.simulation.reactor import VirtualReactor
-from bitternpath.simulation.streams import Stream
+from bitternpath.testing.simulation.connections import Connection
+from bitternpath.testing.simulation.errors import failure, given_up, refused, timed_out
+from bitternpath.testing.simulation.interfaces import Address
+from bitternpath.testing.simulation.paths import Path
+from bitternpath.testing.simulation.ports import TcpPort
+from bitternpath.testing.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.streams import Stream
 
 OPENING_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # after a lost opening packet
 
--- a/bitternpath/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -8,12 +8,12 @@
 from random import Random
 from typing import Any
 
-from bitternpath.simulation.settings import LogSizes
 from bitternpath.storage.documents import drop_document, load_document, store_document
 from bitternpath.storage.identity import load_identity
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.storage.simulated import PowerCut, SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.settings import LogSizes
 
 IDENTITY_BITS = 32
 SALT_BITS = 32
--- a/bitternpath/simulation/events.py
+++ b/bitternpath/testing/simulation/events.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from bitternpath.rehearsal.records import Kind
+from bitternpath.testing.fault_injection.records import Kind
 
 
 class FaultKind(Enum):
--- a/bitternpath/simulation/faults.py
+++ b/bitternpath/testing/simulation/faults.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
 
-from bitternpath.simulation.network import Network
-from bitternpath.simulation.processes import SimulatedNode
-from bitternpath.simulation.recorder import Recorder
 from bitternpath.storage.simulated import SimulatedDisk
+from bitternpath.testing.simulation.network import Network
+from bitternpath.testing.simulation.processes import SimulatedNode
+from bitternpath.testing.simulation.recorder import Recorder
 
 if TYPE_CHECKING:
-    from bitternpath.simulation.scheduler import Scheduler
+    from bitternpath.testing.simulation.scheduler import Scheduler
 
 KILLED_S = 0.5  # until a killed process runs again
 DARK_S = 1.0  # until a machine that lost power runs again
--- a/bitternpath/simulation/inside.py
+++ b/bitternpath/testing/simulation/inside.py
@@ -12,7 +12,7 @@
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.interfaces import GroupListener, StateMachine
 from bitternpath.replication.records import Members
-from bitternpath.simulation.recorder import Recorder
+from bitternpath.testing.simulation.recorder import Recorder
 
 
 @dataclass(frozen=True, slots=True)
--- a/bitternpath/simulation/interfaces.py
+++ b/bitternpath/testing/simulation/interfaces.py
@@ -11,9 +11,9 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from bitternpath.simulation.paths import Path
-from bitternpath.simulation.recorder import Recorder
-from bitternpath.simulation.scheduler import Scheduler
+from bitternpath.testing.simulation.paths import Path
+from bitternpath.testing.simulation.recorder import Recorder
+from bitternpath.testing.simulation.scheduler import Scheduler
 
 Address = tuple[str, int]
 
--- a/bitternpath/simulation/network.py
+++ b/bitternpath/testing/simulation/network.py
@@ -5,15 +5,15 @@
 from random import Random
 from typing import Any
 
-from bitternpath.simulation.connections import Connection
-from bitternpath.simulation.connector import Connector
-from bitternpath.simulation.errors import port_taken
-from bitternpath.simulation.interfaces import Address
-from bitternpath.simulation.paths import Path
-from bitternpath.simulation.ports import DatagramPort, TcpPort
-from bitternpath.simulation.reactor import VirtualReactor
-from bitternpath.simulation.recorder import Recorder
-from bitternpath.simulation.scheduler import Scheduler
+from bitternpath.testing.simulation.connections import Connection
+from bitternpath.testing.simulation.connector import Connector
+from bitternpath.testing.simulation.errors import port_taken
+from bitternpath.testing.simulation.interfaces import Address
+from bitternpath.testing.simulation.paths import Path
+from bitternpath.testing.simulation.ports import DatagramPort, TcpPort
+from bitternpath.testing.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.recorder import Recorder
+from bitternpath.testing.simulation.scheduler import Scheduler
 
 FIRST_OWN_PORT = 32_768  # of connections out
 DELAY_SAME_HOST_S, DELAY_SAME_ZONE_S, DELAY_ZONES_S = 0.00005, 0.0003, 0.0012
--- a/bitternpath/simulation/ports.py
+++ b/bitternpath/testing/simulation/ports.py
@@ -7,9 +7,9 @@
 from twisted.internet.address import IPv4Address
 from twisted.internet.defer import Deferred, succeed
 
-from bitternpath.simulation.interfaces import Address
-from bitternpath.simulation.reactor import VirtualReactor
-from bitternpath.simulation.streams import Stream
+from bitternpath.testing.simulation.interfaces import Address
+from bitternpath.testing.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.streams import Stream
 
 HELD_DATAGRAMS = 64  # that wait for a frozen process
 
--- a/bitternpath/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -11,15 +11,15 @@
 from bitternpath.replication.group import CompactionBounds
 from bitternpath.roles.process import RoleLife, build_role
 from bitternpath.roles.settings import Settings, SettingsError, read_settings
-from bitternpath.simulation.disk import SimulatedNodeDisk
-from bitternpath.simulation.errors import failure
-from bitternpath.simulation.inside import InsideChecker
-from bitternpath.simulation.network import Host, Network
-from bitternpath.simulation.reactor import VirtualReactor
-from bitternpath.simulation.settings import LogSizes, Place
 from bitternpath.storage.documents import DamagedDocument
 from bitternpath.storage.records import JournalDamaged
 from bitternpath.storage.simulated import SimulatedDisk
+from bitternpath.testing.simulation.disk import SimulatedNodeDisk
+from bitternpath.testing.simulation.errors import failure
+from bitternpath.testing.simulation.inside import InsideChecker
+from bitternpath.testing.simulation.network import Host, Network
+from bitternpath.testing.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.settings import LogSizes, Place
 
 BEGAN_WALL_MS = 1_765_000_000_000  # time of day when a run begins
 RESTART_S = 0.4  # after a process that ended by itself
--- a/bitternpath/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -23,9 +23,9 @@
 )
 from zope.interface import implementer
 
-from bitternpath.simulation.errors import failure
-from bitternpath.simulation.interfaces import SimulatedHost
-from bitternpath.simulation.scheduler import Call
+from bitternpath.testing.simulation.errors import failure
+from bitternpath.testing.simulation.interfaces import SimulatedHost
+from bitternpath.testing.simulation.scheduler import Call
 
 THREAD_SECONDS = 0.002  # that work in another thread takes, where its caller doesn't say
 
--- a/bitternpath/simulation/recorder.py
+++ b/bitternpath/testing/simulation/recorder.py
@@ -10,7 +10,7 @@
 from twisted.logger import ILogObserver, LogLevel, globalLogPublisher
 from twisted.python.failure import Failure
 
-from bitternpath.simulation.scheduler import Scheduler
+from bitternpath.testing.simulation.scheduler import Scheduler
 
 OUTSIDE = "-"  # where no host's code runs
 
--- a/bitternpath/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -28,10 +28,10 @@
 from bitternpath.replication.reconfiguration import node_of
 from bitternpath.replication.records import Members
 from bitternpath.replication.virtual_time import EventClock, ProcessClock
-from bitternpath.simulation.repair_controller import LATENCY_S, SYNC_S, Controller
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.storage.simulated import SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.repair_controller import LATENCY_S, SYNC_S, Controller
 from bitternpath.transport.messages import GroupPlacement, NodeDescriptor, NodeKind
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
--- a/bitternpath/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from bitternpath.rehearsal.bounds import BOUNDS
-from bitternpath.rehearsal.records import Kind
-from bitternpath.simulation.events import (
+from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.simulation.events import (
     Event,
     Fault,
     FaultKind,
@@ -28,7 +28,7 @@
     WorkerLeaves,
     WorkerTrouble,
 )
-from bitternpath.simulation.settings import Plan
+from bitternpath.testing.simulation.settings import Plan
 
 CATCH_UP_S = BOUNDS["catch_up_s"]
 GRACE_S = BOUNDS["grace_s"]
--- a/bitternpath/simulation/runs/once.py
+++ b/bitternpath/testing/simulation/runs/once.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from bitternpath.simulation.events import RunPlan, save_plan
-from bitternpath.simulation.runs.draw import SCENARIOS, draw
-from bitternpath.simulation.runs.play import RunReport, play
-from bitternpath.simulation.runs.shrink import shrink
+from bitternpath.testing.simulation.events import RunPlan, save_plan
+from bitternpath.testing.simulation.runs.draw import SCENARIOS, draw
+from bitternpath.testing.simulation.runs.play import RunReport, play
+from bitternpath.testing.simulation.runs.shrink import shrink
 
 FOUND_FOLDER = Path("found")  # not in the repository
 SHOWN = 3  # violations of a run that are told
--- a/bitternpath/simulation/runs/play.py
+++ b/bitternpath/testing/simulation/runs/play.py
@@ -8,11 +8,11 @@
 
 from twisted.python.failure import Failure
 
-from bitternpath.rehearsal.bounds import BOUNDS
-from bitternpath.rehearsal.checker import Violation, ended_times
-from bitternpath.rehearsal.clients import Askers
-from bitternpath.rehearsal.entry import Entry
-from bitternpath.rehearsal.plan import (
+from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.checker import Violation, ended_times
+from bitternpath.testing.fault_injection.clients import Askers
+from bitternpath.testing.fault_injection.entry import Entry
+from bitternpath.testing.fault_injection.plan import (
     RATE_PER_S,
     TIMEOUT_MS,
     limits_document,
@@ -20,16 +20,16 @@
     service_document,
     terms_of,
 )
-from bitternpath.rehearsal.platform import CallbackReceiver
-from bitternpath.rehearsal.records import Kind
-from bitternpath.simulation.actors.machines import Machines
-from bitternpath.simulation.actors.nodes import Directory
-from bitternpath.simulation.actors.operators import Operators
-from bitternpath.simulation.actors.senders import CLIENT_IP, Senders, seeded
-from bitternpath.simulation.actors.workers import Workers
-from bitternpath.simulation.checks.all import Found, check_run
-from bitternpath.simulation.checks.history import SystemHistory, SystemRule, SystemTerms
-from bitternpath.simulation.events import (
+from bitternpath.testing.fault_injection.platform import CallbackReceiver
+from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.simulation.actors.machines import Machines
+from bitternpath.testing.simulation.actors.nodes import Directory
+from bitternpath.testing.simulation.actors.operators import Operators
+from bitternpath.testing.simulation.actors.senders import CLIENT_IP, Senders, seeded
+from bitternpath.testing.simulation.actors.workers import Workers
+from bitternpath.testing.simulation.checks.all import Found, check_run
+from bitternpath.testing.simulation.checks.history import SystemHistory, SystemRule, SystemTerms
+from bitternpath.testing.simulation.events import (
     Event,
     Fault,
     Look,
@@ -41,8 +41,8 @@
     WorkerLeaves,
     WorkerTrouble,
 )
-from bitternpath.simulation.settings import SMALL_LOGS, LogSizes, Plan
-from bitternpath.simulation.world import World
+from bitternpath.testing.simulation.settings import SMALL_LOGS, LogSizes, Plan
+from bitternpath.testing.simulation.world import World
 
 ENTRY_IP, CALLBACK_IP = "10.94.0.1", "10.93.0.1"
 READY_WITHIN_S = 30.0  # after the start
--- a/bitternpath/simulation/runs/shrink.py
+++ b/bitternpath/testing/simulation/runs/shrink.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from bitternpath.simulation.events import Event, RunPlan
-from bitternpath.simulation.runs.play import RunReport, play
+from bitternpath.testing.simulation.events import Event, RunPlan
+from bitternpath.testing.simulation.runs.play import RunReport, play
 
 FIRST_PIECES = 2
 MOST_RUNS = 150
--- a/bitternpath/simulation/settings.py
+++ b/bitternpath/testing/simulation/settings.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from bitternpath.rehearsal.bounds import BOUNDS
 from bitternpath.replication.group import CompactionBounds
 from bitternpath.storage.segments import SEGMENT_BYTES
+from bitternpath.testing.fault_injection.bounds import BOUNDS
 
 FRONT_PORT, READINESS_PORT, CONTROL_PORT = 8069, 8063, 8064
 INTERNAL_PORTS = [7780, 7795]
--- a/bitternpath/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -18,9 +18,9 @@
 from twisted.internet.interfaces import IConsumer, IHalfCloseableProtocol, IPushProducer, ITCPTransport
 from zope.interface import implementer
 
-from bitternpath.simulation.errors import failure
-from bitternpath.simulation.interfaces import Packet, StreamCarrier
-from bitternpath.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.errors import failure
+from bitternpath.testing.simulation.interfaces import Packet, StreamCarrier
+from bitternpath.testing.simulation.reactor import VirtualReactor
 
 WINDOW_BYTES = 256 << 10  # under way or unread, before a writer has to wait
 BUFFER_BYTES = 64 << 10  # that wait at the writer, before its producer is paused
--- a/bitternpath/simulation/world.py
+++ b/bitternpath/testing/simulation/world.py
@@ -5,14 +5,14 @@
 from random import Random
 from typing import Any
 
-from bitternpath.simulation.faults import Faults
-from bitternpath.simulation.inside import InsideChecker, Violation
-from bitternpath.simulation.network import Network
-from bitternpath.simulation.processes import NodeState, SimulatedNode
-from bitternpath.simulation.reactor import VirtualReactor
-from bitternpath.simulation.recorder import HostFailure, Ownership, Recorder
-from bitternpath.simulation.scheduler import Call, Scheduler, Timer
-from bitternpath.simulation.settings import (
+from bitternpath.testing.simulation.faults import Faults
+from bitternpath.testing.simulation.inside import InsideChecker, Violation
+from bitternpath.testing.simulation.network import Network
+from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
+from bitternpath.testing.simulation.reactor import VirtualReactor
+from bitternpath.testing.simulation.recorder import HostFailure, Ownership, Recorder
+from bitternpath.testing.simulation.scheduler import Call, Scheduler, Timer
+from bitternpath.testing.simulation.settings import (
     PLATFORM_IP,
     PLATFORM_PORT,
     SMALL_LOGS,
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -16,16 +16,16 @@
 from twisted.internet.task import Clock as Reactor
 from twisted.python.failure import Failure
 
-from bitternpath import messages as m
-from bitternpath.amqp.front import Front
-from bitternpath.amqp.invoker import Subscribers
-from bitternpath.amqp.queues import Queues
-from bitternpath.amqp.server import AmqpConnection, AmqpServer
-from bitternpath.config.operator import Amqp
-from bitternpath.core.broker import Broker
-from bitternpath.core.invocations import Invocation, InvokerCall
-from bitternpath.core.roster import Listing, Provider, Roster
-from bitternpath.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.amqp.front import Front
+from bitternpath.balancer.amqp.invoker import Subscribers
+from bitternpath.balancer.amqp.queues import Queues
+from bitternpath.balancer.amqp.server import AmqpConnection, AmqpServer
+from bitternpath.balancer.config.operator import Amqp
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.invocations import Invocation, InvokerCall
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 
 c = commands
 GUEST = "\x00guest\x00guest"
@@ -402,7 +402,7 @@
 
     def invoke(self, id: str, job_class: str = "reminder", budget: float = 9000.0) -> Caller:
         """An invocation of another front."""
-        from bitternpath.core.invocations import Work
+        from bitternpath.balancer.core.invocations import Work
 
         caller = Caller()
         headers = {
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from bitternpath.emulator.ports import HeldPort
-from bitternpath.fleet import client
-from bitternpath.fleet import messages as m
+from bitternpath.balancer.fleet import client
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.testing.emulator.ports import HeldPort
 
 ROOT = Path(__file__).parent.parent
 LONG = 30.0  # s: beyond that it will not happen any more
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bitternpath import Dispatcher
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
 
 
 def job_class(name: str = "job", effect: m.Effect = m.Effect.SAFE, **more: Any) -> m.JobClass:
--- a/tests/system/loaded_group.py
+++ b/tests/system/loaded_group.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from bitternpath.simulation.replica_group import GROUP, Node, Plan, Process, World
+from bitternpath.testing.simulation.replica_group import GROUP, Node, Plan, Process, World
 
 
 class Quiet(unittest.TestCase):
--- a/tests/system/small_actors.py
+++ b/tests/system/small_actors.py
@@ -12,8 +12,8 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Request, Site
 
-from bitternpath.simulation.settings import PLATFORM_IP, PLATFORM_PORT
-from bitternpath.simulation.world import Plan, World
+from bitternpath.testing.simulation.settings import PLATFORM_IP, PLATFORM_PORT
+from bitternpath.testing.simulation.world import Plan, World
 
 CALLER_IP, WORKER_IP, WORKER_PORT = "10.99.0.1", "10.98.0.1", 8080
 HOST = "huno84.example"
--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from bitternpath.rehearsal.records import Kind
-from bitternpath.simulation.events import Event, Fault, FaultKind, Layout, Message, Retire, RunPlan
-from bitternpath.simulation.runs.draw import SCENARIOS, draw
-from bitternpath.simulation.runs.play import play
+from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.simulation.events import Event, Fault, FaultKind, Layout, Message, Retire, RunPlan
+from bitternpath.testing.simulation.runs.draw import SCENARIOS, draw
+from bitternpath.testing.simulation.runs.play import play
 from tests.system.broken_builds import BUILDS, broken
 
 MESSAGES, MESSAGE_EVERY_S, MESSAGE_BYTES = 16, 0.05, 20_000
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -18,8 +18,8 @@
 from bitternpath.configuration.orders import OrderProcessor, OrderResult, not_owner
 from bitternpath.membership.view import FORGET_AFTER_S
 from bitternpath.roles import operator_calls
-from bitternpath.simulation.processes import NodeState, SimulatedNode
-from bitternpath.simulation.world import Plan
+from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import CALLER_IP, Answer, SmallSystem
 
 GROUP = "configuration"
--- a/tests/system/test_first_votes.py
+++ b/tests/system/test_first_votes.py
@@ -7,7 +7,7 @@
 
 from bitternpath.membership.founding import CONFIGURATION_GROUP
 from bitternpath.replication.host import SYSTEM_TIMES
-from bitternpath.simulation.recorder import Ownership
+from bitternpath.testing.simulation.recorder import Ownership
 from tests.system.small_actors import SmallSystem
 
 SEEDS = 6
--- a/tests/system/test_founding_faults.py
+++ b/tests/system/test_founding_faults.py
@@ -10,8 +10,8 @@
 import unittest
 from typing import Any
 
-from bitternpath.simulation.processes import SimulatedNode
-from bitternpath.simulation.world import Plan
+from bitternpath.testing.simulation.processes import SimulatedNode
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import SmallSystem
 
 GROUP = "configuration"
--- a/tests/system/test_old_members.py
+++ b/tests/system/test_old_members.py
@@ -10,7 +10,7 @@
 from bitternpath.replication.messages import AskVote, Install, Vote
 from bitternpath.replication.records import Kept, Members, Snapshot
 from bitternpath.replication.wire import decode_message
-from bitternpath.simulation.replica_group import GROUP, Node, Process
+from bitternpath.testing.simulation.replica_group import GROUP, Node, Process
 from tests.system.loaded_group import Loaded, Quiet
 from tests.system.test_replication import TRIO, Host, result_of
 
--- a/tests/system/test_orders_under_way.py
+++ b/tests/system/test_orders_under_way.py
@@ -19,8 +19,8 @@
 from bitternpath.configuration import orders
 from bitternpath.configuration.machine import ConfigurationState
 from bitternpath.configuration.orders import OrderCode, OrderProcessor, _Acceptable, _Submission, result
-from bitternpath.simulation.processes import NodeState, SimulatedNode
-from bitternpath.simulation.world import Plan
+from bitternpath.testing.simulation.processes import NodeState, SimulatedNode
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 SILENCE_S = 1.0  # after that the operator moves on
--- a/tests/system/test_rehearsal_checker.py
+++ b/tests/system/test_rehearsal_checker.py
@@ -5,9 +5,9 @@
 import unittest
 from dataclasses import replace
 
-from bitternpath.rehearsal.checker import Rule, check, ended_times
-from bitternpath.rehearsal.figures import message_history, percentile, violation_lines
-from bitternpath.rehearsal.records import (
+from bitternpath.testing.fault_injection.checker import Rule, check, ended_times
+from bitternpath.testing.fault_injection.figures import message_history, percentile, violation_lines
+from bitternpath.testing.fault_injection.records import (
     Answer,
     Arrival,
     CallbackGot,
--- a/tests/system/test_repairs.py
+++ b/tests/system/test_repairs.py
@@ -10,7 +10,7 @@
 from bitternpath.replication.checking import Broken
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.simulation.repairs import RepairPlan, RepairWorld
+from bitternpath.testing.simulation.repairs import RepairPlan, RepairWorld
 
 CATCH_UP_S = 4.2
 AWAY_S = 0.6  # between the loss of a machine and its return
--- a/tests/system/test_replication.py
+++ b/tests/system/test_replication.py
@@ -35,12 +35,12 @@
 )
 from bitternpath.replication.records import CHANGE, MEMBERS, Entry, Members, Snapshot, Write
 from bitternpath.replication.wire import decode_message, encode_message
-from bitternpath.simulation.replica_group import GROUP, Plan, Process, World
 from bitternpath.storage.groups import GroupState
 from bitternpath.storage.journal import Journal
 from bitternpath.storage.records import WriteRecord
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.storage.simulated import JournalCommand, SimulatedDisk, VirtualRunner
+from bitternpath.testing.simulation.replica_group import GROUP, Plan, Process, World
 from bitternpath.transport.codec import CodecError
 
 SEEDS = int(os.environ.get("REPLICATION_SEEDS", "1200"))
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -15,8 +15,8 @@
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.interfaces import NotOwner
 from bitternpath.roles.configuration_member import ConfigurationMember
-from bitternpath.simulation.disk import SimulatedNodeDisk
-from bitternpath.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.disk import SimulatedNodeDisk
+from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
 from tests.system.small_actors import Answer, SmallSystem
 
 SEEDS = range(12)
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -11,8 +11,8 @@
 from itertools import combinations
 from typing import Any
 
-from bitternpath.simulation.settings import LogSizes
-from bitternpath.simulation.world import SMALL_LOGS, Plan
+from bitternpath.testing.simulation.settings import LogSizes
+from bitternpath.testing.simulation.world import SMALL_LOGS, Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 CHANGES = 150
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -14,8 +14,8 @@
 
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.interfaces import NotOwner
-from bitternpath.simulation.processes import SimulatedNode
-from bitternpath.simulation.world import Plan
+from bitternpath.testing.simulation.processes import SimulatedNode
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 PATIENCE_S = 1.0  # of an operator, before it moves on to another node
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from random import Random
 
-from bitternpath.simulation.processes import NodeState
-from bitternpath.simulation.recorder import Ownership
-from bitternpath.simulation.world import Plan, World
+from bitternpath.testing.simulation.processes import NodeState
+from bitternpath.testing.simulation.recorder import Ownership
+from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import Answer, SmallSystem
 
 SETTLE_S = 6.0  # after the last fault, until all must be well again
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -5,7 +5,7 @@
 import unittest
 from random import Random
 
-from bitternpath.simulation.world import Plan, World
+from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import SmallSystem
 
 LATEST_S = 12.0  # for the first configuration
--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 from twisted.python.failure import Failure
 
-from bitternpath.simulation.world import World
+from bitternpath.testing.simulation.world import World
 
 A, B = "10.1.0.1", "10.2.0.1"
 PORT = 8000
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -6,13 +6,13 @@
 import unittest
 from pathlib import Path
 
-from bitternpath.rehearsal.checker import Rule, Violation
-from bitternpath.simulation.checks.all import Found
-from bitternpath.simulation.events import Fault, FaultKind, RunPlan, load_plan, save_plan
-from bitternpath.simulation.runs.draw import CATCH_UP_S, MASS_KINDS, SCENARIOS, draw
-from bitternpath.simulation.runs.once import run_once, scenario_of
-from bitternpath.simulation.runs.play import RunReport
-from bitternpath.simulation.runs.shrink import shrink
+from bitternpath.testing.fault_injection.checker import Rule, Violation
+from bitternpath.testing.simulation.checks.all import Found
+from bitternpath.testing.simulation.events import Fault, FaultKind, RunPlan, load_plan, save_plan
+from bitternpath.testing.simulation.runs.draw import CATCH_UP_S, MASS_KINDS, SCENARIOS, draw
+from bitternpath.testing.simulation.runs.once import run_once, scenario_of
+from bitternpath.testing.simulation.runs.play import RunReport
+from bitternpath.testing.simulation.runs.shrink import shrink
 
 SEEDS = range(40)
 TERM_S = 7.0  # a process that was asked to end is back after this, at the latest
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -8,8 +8,8 @@
 from bitternpath.membership.founding import CONFIGURATION_GROUP
 from bitternpath.replication.host import ReplicaHost
 from bitternpath.replication.records import Members
-from bitternpath.simulation.recorder import Ownership
-from bitternpath.simulation.world import Plan
+from bitternpath.testing.simulation.recorder import Ownership
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, Caller, SmallSystem
 
 CATCH_UP_S = 4.2
--- a/tests/system/test_simulation_runs.py
+++ b/tests/system/test_simulation_runs.py
@@ -9,8 +9,8 @@
 import unittest
 from pathlib import Path
 
-from bitternpath.simulation.events import load_plan
-from bitternpath.simulation.runs.play import play
+from bitternpath.testing.simulation.events import load_plan
+from bitternpath.testing.simulation.runs.play import play
 
 RUNS = Path(__file__).parent / "runs"
 
--- a/tests/system/test_simulation_world.py
+++ b/tests/system/test_simulation_world.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bitternpath.simulation.world import Plan
+from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import SmallSystem
 
 
--- a/tests/system/test_snapshot_transfer.py
+++ b/tests/system/test_snapshot_transfer.py
@@ -16,8 +16,8 @@
 from bitternpath.replication.messages import Append, Appended, Install, Installed
 from bitternpath.replication.records import CHANGE, Entry, Kept, Members, Snapshot
 from bitternpath.replication.wire import decode_message
-from bitternpath.simulation import replica_group
-from bitternpath.simulation.replica_group import GROUP, Process
+from bitternpath.testing.simulation import replica_group
+from bitternpath.testing.simulation.replica_group import GROUP, Process
 from tests.system.loaded_group import Loaded, Quiet
 from tests.system.test_full_disks import Last, Nobody
 
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -15,8 +15,8 @@
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.member import MemberState
 from bitternpath.replication.records import Members
-from bitternpath.simulation import replica_group
-from bitternpath.simulation.replica_group import GROUP, Node
+from bitternpath.testing.simulation import replica_group
+from bitternpath.testing.simulation.replica_group import GROUP, Node
 from tests.system.loaded_group import Loaded, Quiet
 
 CHANGES = 1000
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -9,7 +9,7 @@
 from amqp_rig import AmqpRig, Got, Peer, c, works
 from pamqp import frame
 
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
 
 
 def rig_with(
@@ -324,7 +324,7 @@
 
 def test_what_one_peer_sends_at_once_is_looked_at_in_turns() -> None:
     # Guards: a peer's thousand messages that came in one piece would hold up all other sockets.
-    from bitternpath.amqp.server import TURN
+    from bitternpath.balancer.amqp.server import TURN
 
     rig = AmqpRig()
     busy = rig.publisher()
@@ -532,7 +532,7 @@
 def test_a_whole_list_of_discovery_leaves_subscribers_alone() -> None:
     # Guards: discovery's whole list names its own providers only, and the module takes it for all there are.
     rig, publisher, _, _ = rig_with()
-    from bitternpath.core.roster import Listing, Provider
+    from bitternpath.balancer.core.roster import Listing, Provider
 
     row = Provider("s9", "h:9", "z", "k", 0, m.State.SERVING, 1.0, 0.0)
     rig.roster.take(Listing(7, True, (row,)))
@@ -550,7 +550,7 @@
 
 def test_call_backs_over_http_say_nothing_of_calls_at_subscribers() -> None:
     # Guards: anybody who reaches the HTTP listener could end a subscriber's job as 'returned'.
-    from bitternpath.core.invocations import News, State
+    from bitternpath.balancer.core.invocations import News, State
 
     rig, publisher, _, _ = rig_with("hold")
     rig.ask(publisher, "a")
@@ -651,7 +651,7 @@
 
 
 def test_held_results_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    from bitternpath.amqp import invoker
+    from bitternpath.balancer.amqp import invoker
 
     monkeypatch.setattr(invoker, "RESULTS_LIMIT", 100)
     rig, publisher, (worker,), _ = rig_with("hold")
--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 from pamqp import body, frame, header
 
-from bitternpath.amqp import errors as e
-from bitternpath.amqp import frames as f
-from bitternpath.amqp import machine as mc
-from bitternpath.amqp.outbox import PIECE, Outbox
-from bitternpath.amqp.server import credentials
+from bitternpath.balancer.amqp import errors as e
+from bitternpath.balancer.amqp import frames as f
+from bitternpath.balancer.amqp import machine as mc
+from bitternpath.balancer.amqp.outbox import PIECE, Outbox
+from bitternpath.balancer.amqp.server import credentials
 from bitternpath.net.buffer import Buffer
 
 START = header.ProtocolHeader().marshal()
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -7,11 +7,11 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.invocations import Invocation, InvokerCall, News, State
-from bitternpath.core.roster import Listing, Provider, Roster
-from bitternpath.dispatch.dispatcher import Dispatcher
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.invocations import Invocation, InvokerCall, News, State
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
+from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 
 
 class Desk:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -12,8 +12,8 @@
 from rig import accept, done, reset, running, until
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from bitternpath.core.figures import Figures
-from bitternpath.http.console import CALL_WITHIN, CALLERS, FRESH, Answer, Caller, Console, one_id
+from bitternpath.balancer.core.figures import Figures
+from bitternpath.balancer.http.console import CALL_WITHIN, CALLERS, FRESH, Answer, Caller, Console, one_id
 
 READY = b"GET /ops/readiness HTTP/1.1\r\n\r\n"
 
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -12,8 +12,8 @@
 import msgspec
 import pytest
 
-from bitternpath.fleet import audit, files
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import audit, files
+from bitternpath.balancer.fleet import plan as p
 
 
 class Turns:
--- a/tests/test_fleet_nodes.py
+++ b/tests/test_fleet_nodes.py
@@ -17,8 +17,8 @@
 from fleet_rig import until as soon
 from rig import Rig, done, running
 
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
 
 ROOT = Path(__file__).parent.parent
 SHORT = {"BITTERNPATH_FLEET_LEASE": "1.0", "BITTERNPATH_FLEET_CATCH_UP": "1.0"}
--- a/tests/test_fleet_stewards.py
+++ b/tests/test_fleet_stewards.py
@@ -15,10 +15,10 @@
 import pytest
 from fleet_rig import ROOT, fleet, until
 
-from bitternpath.fleet import client
-from bitternpath.fleet import messages as m
-from bitternpath.fleet import plan as p
-from bitternpath.fleet.store import DamagedError, Store, StoreError
+from bitternpath.balancer.fleet import client
+from bitternpath.balancer.fleet import messages as m
+from bitternpath.balancer.fleet import plan as p
+from bitternpath.balancer.fleet.store import DamagedError, Store, StoreError
 from bitternpath.replication.records import Entry, Kept, Members, Snapshot, Write
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,15 +12,25 @@
 from twisted.internet.task import Clock as Reactor
 from twisted.internet.testing import StringTransport
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.invocations import News, State
-from bitternpath.core.lifecycle import DOES, MOVES, LifeCycle, Phase, Word
-from bitternpath.core.roster import Listing, Provider, Roster
-from bitternpath.handover.handover import HEARD_WITHIN, Handover
-from bitternpath.handover.learned import Learned, learned_by, teach
-from bitternpath.handover.link import PATH_LIMIT, Door, Link
-from bitternpath.handover.messages import Heard, Hello, Lines, LinkError, Passed, Ready, Taken, Welcome, line
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.invocations import News, State
+from bitternpath.balancer.core.lifecycle import DOES, MOVES, LifeCycle, Phase, Word
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
+from bitternpath.balancer.handover.handover import HEARD_WITHIN, Handover
+from bitternpath.balancer.handover.learned import Learned, learned_by, teach
+from bitternpath.balancer.handover.link import PATH_LIMIT, Door, Link
+from bitternpath.balancer.handover.messages import (
+    Heard,
+    Hello,
+    Lines,
+    LinkError,
+    Passed,
+    Ready,
+    Taken,
+    Welcome,
+    line,
+)
 from bitternpath.net.sockets import Sockets
 
 P = Phase
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -13,10 +13,10 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from bitternpath import messages as m
-from bitternpath.core.broker import Broker
-from bitternpath.core.roster import Listing, Roster
-from bitternpath.http.watch import Watch
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.broker import Broker
+from bitternpath.balancer.core.roster import Listing, Roster
+from bitternpath.balancer.http.watch import Watch
 
 NODES, WORKERS = 40, 60
 
--- a/tests/test_large_fleet_days.py
+++ b/tests/test_large_fleet_days.py
@@ -9,12 +9,12 @@
 import structlog
 from msgspec import structs
 
-from bitternpath.emulator.clock import Scheduler
-from bitternpath.emulator.discovery import Directory
-from bitternpath.emulator.scenario import Discovery, Scenario, ScenarioError
-from bitternpath.emulator.scenario_file import load
-from bitternpath.emulator.sockets.play import play_on_sockets
-from bitternpath.emulator.world import World
+from bitternpath.testing.emulator.clock import Scheduler
+from bitternpath.testing.emulator.discovery import Directory
+from bitternpath.testing.emulator.scenario import Discovery, Scenario, ScenarioError
+from bitternpath.testing.emulator.scenario_file import load
+from bitternpath.testing.emulator.sockets.play import play_on_sockets
+from bitternpath.testing.emulator.world import World
 
 SCENARIO = Path(__file__).parent.parent / "scenarios" / "large-fleet.toml"
 SHORT = {"replace": (2.0, 2.0), "kill-nodes": (7.0, 1.5), "site-loss": (10.0, 3.0)}  # kind: at, lasts
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import entry
 
+from bitternpath.balancer.dispatch.workers import Worker
 from bitternpath.dispatch import network
-from bitternpath.dispatch.workers import Worker
 
 
 class Dense:
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -13,11 +13,11 @@
 from rig import SETTINGS, accept, done, reject, running, until
 from twisted.internet.testing import MemoryReactorClock
 
-from bitternpath import messages as m
-from bitternpath.config.load import load_all, reload_all
-from bitternpath.config.platform import ConfigError, load, reload
-from bitternpath.node import Node
-from bitternpath.settings import settings_from
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.config.load import load_all, reload_all
+from bitternpath.balancer.config.platform import ConfigError, load, reload
+from bitternpath.balancer.node import Node
+from bitternpath.balancer.settings import settings_from
 
 FILE: dict[str, Any] = {
     "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "a",
--- a/tests/test_out_by_hand.py
+++ b/tests/test_out_by_hand.py
@@ -11,10 +11,10 @@
 from rig import accept, done, running, until
 from twisted.internet.task import Clock as Reactor
 
-from bitternpath import messages as m
-from bitternpath.core.roster import Listing, Provider, Roster
-from bitternpath.store.bans import LOOK_EVERY, Bans
-from bitternpath.store.taken_out import TakenOut
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
+from bitternpath.balancer.store.bans import LOOK_EVERY, Bans
+from bitternpath.balancer.store.taken_out import TakenOut
 
 DOWN, UP = "/ops/calendar-workers/down", "/ops/calendar-workers/up"
 UNIX = 1_800_000_000_000.0  # ms
--- a/tests/test_providers.py
+++ b/tests/test_providers.py
@@ -11,11 +11,11 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from bitternpath import messages as m
-from bitternpath.core.figures import Figures
-from bitternpath.core.invocations import Invocation, InvokerCall
-from bitternpath.core.roster import Listing, Provider, Roster
-from bitternpath.http.invoker import SECOND_ANSWER, Connection, Pool
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.figures import Figures
+from bitternpath.balancer.core.invocations import Invocation, InvokerCall
+from bitternpath.balancer.core.roster import Listing, Provider, Roster
+from bitternpath.balancer.http.invoker import SECOND_ANSWER, Connection, Pool
 from bitternpath.net.http1 import Request
 from bitternpath.net.sockets import Sockets
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bitternpath import messages as m
+from bitternpath.balancer import messages as m
 
 NEVER = [m.How.FULL, m.How.NO_CONNECTION, m.How.NOT_SENT]
 MAYBE = [m.How.ERROR, m.How.TIMEOUT, m.How.RESET, m.How.CANCELLED]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,11 +16,11 @@
 import structlog
 from rig import SETTINGS
 
-from bitternpath.config import logs
-from bitternpath.config.load import load_all
-from bitternpath.config.operator import Operator, changed_at_start_only, flag, keys, read, variable
-from bitternpath.config.passwords import NOBODY, hashed, matches
-from bitternpath.config.platform import ConfigError
+from bitternpath.balancer.config import logs
+from bitternpath.balancer.config.load import load_all
+from bitternpath.balancer.config.operator import Operator, changed_at_start_only, flag, keys, read, variable
+from bitternpath.balancer.config.passwords import NOBODY, hashed, matches
+from bitternpath.balancer.config.platform import ConfigError
 
 ROOT = Path(__file__).parent.parent
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,9 +15,9 @@
 from rig import SETTINGS, Rig, done, running, until
 from twisted.internet.task import Clock as Reactor
 
-from bitternpath.core.lifecycle import LifeCycle, held, last_answer
-from bitternpath.http.front import Listener
-from bitternpath.settings import settings_from
+from bitternpath.balancer.core.lifecycle import LifeCycle, held, last_answer
+from bitternpath.balancer.http.front import Listener
+from bitternpath.balancer.settings import settings_from
 
 
 @pytest.fixture
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -12,10 +12,10 @@
 import pytest
 from rig import SETTINGS
 
-from bitternpath import messages as m
-from bitternpath.config.platform import load, reload
-from bitternpath.core.roster import Roster
-from bitternpath.http.listing import listing_from
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.config.platform import load, reload
+from bitternpath.balancer.core.roster import Roster
+from bitternpath.balancer.http.listing import listing_from
 
 GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
 
--- a/tests/test_strain.py
+++ b/tests/test_strain.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import Talk, entry, finals, job_class, sends
 
-from bitternpath import messages as m
-from bitternpath.dispatch import dispatcher
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.dispatch import dispatcher
 
 
 def teach(talk: Talk, run: float, rounds: int = 30, wait: float = 0.0, job: str = "job") -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 import pytest
 from rig import Rig, accept, done, running, until
 
-from bitternpath.handover.messages import VERSION, Hello, line
+from bitternpath.balancer.handover.messages import VERSION, Hello, line
 
 
 def clients(rig: Rig, pool: ThreadPoolExecutor) -> tuple[threading.Event, list[Future[list[Any]]]]:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -19,9 +19,9 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from bitternpath import messages as m
-from bitternpath.core.roster import Listing, Roster
-from bitternpath.http import watch as watching
+from bitternpath.balancer import messages as m
+from bitternpath.balancer.core.roster import Listing, Roster
+from bitternpath.balancer.http import watch as watching
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOLD = 6.0  # s after which a change counts as told, whatever hung or failed
