--- a/bitternpath/testing/fault_injection/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -15,11 +15,11 @@
     LeaseEnd,
     OrderOutcome,
     OrderSent,
+    Outage,
+    RuleParameters,
     Run,
     Send,
     SendOutcome,
-    Terms,
-    Trouble,
 )
 
 READ_MARGIN_S = 0.05  # a success counts as told if it was complete so long before the time-out
@@ -52,30 +52,30 @@
     text: str
 
 
-def check(history: History, terms: Terms) -> list[Violation]:
+def check(history: History, parameters: RuleParameters) -> list[Violation]:
     """All violations of a history."""
-    return [violation for rule in CHECKS for violation in rule(history, terms)]
+    return [violation for rule in CHECKS for violation in rule(history, parameters)]
 
 
-def ended_times(history: History, terms: Terms) -> dict[str, float]:
+def ended_times(history: History, parameters: RuleParameters) -> dict[str, float]:
     """When each message that was sent had ended or will, by retention (RULES, "Ended")."""
     taken = {(end.lease_id, end.status) for end in history.ends if end.taken}
     failures: Counter[str] = Counter()
-    ended = {request_id: send.at + terms.retention_s for request_id, send in history.sends.items()}
+    ended = {request_id: send.at + parameters.retention_s for request_id, send in history.sends.items()}
     for answer in history.answers:
         if answer.lease_id and (answer.lease_id, answer.status) not in taken:
             continue
         if answer.status == 500:
             failures[answer.request_id] += 1
-            if failures[answer.request_id] < terms.max_attempts:
+            if failures[answer.request_id] < parameters.max_attempts:
                 continue
         ended[answer.request_id] = min(answer.at, ended.get(answer.request_id, inf))
     return ended
 
 
-def check_lost(history: History, terms: Terms) -> Iterator[Violation]:
+def check_lost(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """Accepted messages run, and until they have ended they are kept with their bytes."""
-    ended = ended_times(history, terms)
+    ended = ended_times(history, parameters)
     ran = {run.request_id for run in history.runs if run.at <= history.finished}
     for send in history.accepted():
         found = history.found.get(send.request_id)
@@ -93,36 +93,40 @@
             yield Violation(Rule.LOST, send.request_id, "ran and never ended")
 
 
-def check_lost_answers(history: History, terms: Terms) -> Iterator[Violation]:
+def check_lost_answers(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """Around a planned stop, a request that was read gets its whole answer."""
-    unplanned = [trouble for trouble in history.troubles if not trouble.planned]
+    unplanned = [outage for outage in history.outages if not outage.planned]
     for send in history.sends.values():
-        late = send.ended_at - send.at > terms.loss_slack_s
-        if not send.broken_off or not late or _troubled(unplanned, send.at - terms.contact_s, send.ended_at):
+        late = send.ended_at - send.at > parameters.loss_slack_s
+        if (
+            not send.connection_closed
+            or not late
+            or _overlaps_outage(unplanned, send.at - parameters.contact_s, send.ended_at)
+        ):
             continue
         if any(
             stop.node == send.node and stop.planned and stop.at <= send.ended_at <= stop.until
-            for stop in history.troubles
+            for stop in history.outages
         ):
             yield Violation(Rule.LOST, send.request_id, f"{send.node} was stopped and left it without answer")
 
 
-def check_order(history: History, terms: Terms) -> Iterator[Violation]:
+def check_order(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """A message begins after all of its key have ended that were accepted before it was sent."""
-    ended = ended_times(history, terms)
+    ended = ended_times(history, parameters)
     by_key: dict[str, list[Send]] = defaultdict(list)
     for send in history.accepted():
         if send.order_key:
             by_key[send.order_key].append(send)
     for run in history.runs:
-        mine = history.sends.get(run.request_id)
-        for other in by_key[mine.order_key] if mine is not None and mine.order_key else ():
-            if other.ended_at < mine.at and ended[other.request_id] > run.at:  # type: ignore[union-attr]
+        own_send = history.sends.get(run.request_id)
+        for other in by_key[own_send.order_key] if own_send is not None and own_send.order_key else ():
+            if other.ended_at < own_send.at and ended[other.request_id] > run.at:  # type: ignore[union-attr]
                 text = f"began at {run.at:.3f}, before {other.request_id} of the same key had ended"
                 yield Violation(Rule.ORDER, run.request_id, text)
 
 
-def check_two_ends(history: History, terms: Terms) -> Iterator[Violation]:
+def check_two_ends(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """At most one lease of a message has its success taken, and a taken end stays taken."""
     winners: dict[str, set[str]] = defaultdict(set)
     taken: set[tuple[str, int]] = set()
@@ -139,23 +143,23 @@
             yield Violation(Rule.TWICE, request_id, f"ends of the leases {sorted(leases)} were all taken")
 
 
-def check_runs_again(history: History, terms: Terms) -> Iterator[Violation]:
+def check_runs_again(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """No run follows a success that its sender has read, while nothing unplanned is in trouble."""
-    unplanned = [trouble for trouble in history.troubles if not trouble.planned]
-    done = _told_successes(history, terms)
+    unplanned = [outage for outage in history.outages if not outage.planned]
+    done = _acknowledged_successes(history, parameters)
     for run in history.runs:
         if run.at <= done.get(run.request_id, inf):
             continue
-        if not _troubled(unplanned, run.at - terms.contact_s, run.at):
+        if not _overlaps_outage(unplanned, run.at - parameters.contact_s, run.at):
             text = f"ran at {run.at:.3f} after its success at {done[run.request_id]:.3f}"
             yield Violation(Rule.TWICE, run.request_id, text)
 
 
-def check_visible(history: History, terms: Terms) -> Iterator[Violation]:
+def check_visible(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """A pulled job is not handed out again before `visible_ms` have passed since its worker's last word."""
-    words: dict[str, list[float]] = defaultdict(list)
-    for word in history.words:
-        words[word.lease_id].append(word.at)
+    lease_extensions: dict[str, list[float]] = defaultdict(list)
+    for word in history.lease_extensions:
+        lease_extensions[word.lease_id].append(word.at)
     # An end may be taken as soon as it was sent, however late its answer comes.
     released = {answer.lease_id: answer.at for answer in history.answers if answer.lease_id}
     last: dict[str, Run] = {}
@@ -166,35 +170,35 @@
         last[run.request_id] = run
         if before is None or released.get(before.lease_id, inf) <= run.at:
             continue
-        heard = [at for at in words[before.lease_id] if at < run.at]
-        if run.at < max([before.at, *heard]) + terms.visible_s - VISIBLE_SLACK_S:
+        heard = [at for at in lease_extensions[before.lease_id] if at < run.at]
+        if run.at < max([before.at, *heard]) + parameters.visible_s - VISIBLE_SLACK_S:
             text = f"handed out at {run.at:.3f} while lease {before.lease_id} was held"
             yield Violation(Rule.VISIBLE, run.request_id, text)
 
 
-def check_ceiling(history: History, terms: Terms) -> Iterator[Violation]:
+def check_ceiling(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """Arrivals at a limited service in each sliding window."""
-    for service, rate in terms.rates.items():
+    for service, rate in parameters.rates.items():
         times = sorted(arrival.at for arrival in history.arrivals if arrival.service == service)
-        allowed = rate * terms.ceiling_window_s * terms.origin_rate_over + CEILING_ALLOWANCE
+        allowed = rate * parameters.ceiling_window_s * parameters.origin_rate_over + CEILING_ALLOWANCE
         for position, began in enumerate(times):
-            count = bisect_left(times, began + terms.ceiling_window_s) - position
+            count = bisect_left(times, began + parameters.ceiling_window_s) - position
             if count > allowed:
                 text = f"{count} arrivals at {service} from {began:.3f} on, {allowed:.1f} are allowed"
                 yield Violation(Rule.CEILING, "", text)
                 break
 
 
-def check_mixed(history: History, terms: Terms) -> Iterator[Violation]:
+def check_mixed(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """`done` comes with the stamp of a run, `dead_letter` after the end, a body with its own bytes."""
     stamps: dict[str, set[str]] = defaultdict(set)
     for answer in history.answers:
         if answer.stamp:
             stamps[answer.request_id].add(answer.stamp)
-    ended = ended_times(history, terms)
-    told = [(found.request_id, found.at, found.state, found.stamp) for found in history.found.values()]
-    told += [(got.request_id, got.at, got.state, got.stamp) for got in history.callbacks]
-    for request_id, at, state, stamp in told:
+    ended = ended_times(history, parameters)
+    reported = [(found.request_id, found.at, found.state, found.stamp) for found in history.found.values()]
+    reported += [(got.request_id, got.at, got.state, got.stamp) for got in history.callbacks]
+    for request_id, at, state, stamp in reported:
         if state == "done" and stamp not in stamps[request_id]:
             yield Violation(Rule.MIXED, request_id, f"said to be done with the stamp {stamp!r} of no run")
         if state == "dead_letter" and ended.get(request_id, inf) > at:
@@ -205,16 +209,16 @@
             yield Violation(Rule.MIXED, found.request_id, "its body comes back with other bytes")
 
 
-def check_refused(history: History, terms: Terms) -> Iterator[Violation]:
+def check_refused(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """What was promised not to run does not."""
     for run in history.runs:
         send = history.sends.get(run.request_id)
-        if send is not None and send.outcome is SendOutcome.PROMISED_NOT:
+        if send is not None and send.outcome is SendOutcome.NOT_EXECUTED:
             text = f"was refused with {send.status} at {send.ended_at:.3f} and runs at {run.at:.3f}"
             yield Violation(Rule.REFUSED, run.request_id, text)
 
 
-def check_unasked(history: History, terms: Terms) -> Iterator[Violation]:
+def check_unasked(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """Workers run what clients sent, unchanged."""
     for run in history.runs:
         send = history.sends.get(run.request_id)
@@ -224,16 +228,16 @@
             yield Violation(Rule.UNASKED, run.request_id, f"runs changed, as {run.method} {run.target}")
 
 
-def check_early(history: History, terms: Terms) -> Iterator[Violation]:
+def check_early(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """A delayed message doesn't run before its delay is over."""
     for run in history.runs:
         send = history.sends.get(run.request_id)
-        if send is not None and run.at < send.at + send.delay_s - terms.early_s:
+        if send is not None and run.at < send.at + send.delay_s - parameters.early_s:
             text = f"ran {send.at + send.delay_s - run.at:.3f} s before its delay was over"
             yield Violation(Rule.EARLY, run.request_id, text)
 
 
-def check_configuration(history: History, terms: Terms) -> Iterator[Violation]:
+def check_configuration(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """One valid change wins on each version, and what was acknowledged last is read back."""
     acknowledged = [order for order in history.orders if order.outcome is OrderOutcome.ACKNOWLEDGED]
     winners: dict[int, set[str]] = defaultdict(set)
@@ -244,14 +248,14 @@
     for base, documents in winners.items():
         if len(documents) > 1:
             yield Violation(Rule.CONFIG, "", f"{len(documents)} changes of version {base} acknowledged")
-    yield from _refused_again(history.orders)
+    yield from _refused_when_repeated(history.orders)
     if acknowledged:
         yield from _check_read_back(history, max(acknowledged, key=lambda order: order.version))
 
 
-def check_callbacks(history: History, terms: Terms) -> Iterator[Violation]:
+def check_callbacks(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """Each message that has ended and asked for it has had its call-back taken."""
-    ended = ended_times(history, terms)
+    ended = ended_times(history, parameters)
     taken = {got.request_id for got in history.callbacks if got.taken}
     for send in history.accepted():
         has_ended = ended[send.request_id] <= history.finished
@@ -263,7 +267,7 @@
     return 200 <= end.status < 300
 
 
-def _told_successes(history: History, terms: Terms) -> dict[str, float]:
+def _acknowledged_successes(history: History, parameters: RuleParameters) -> dict[str, float]:
     """When the sender of each message had read a success, well before its time-out."""
     began: dict[str, float] = {}
     events: list[Run | Answer] = sorted([*history.runs, *history.answers], key=lambda event: event.at)
@@ -272,7 +276,7 @@
         if isinstance(event, Run):
             began[event.request_id] = event.at
             continue
-        in_time = event.at <= began.get(event.request_id, -inf) + terms.timeout_s - READ_MARGIN_S
+        in_time = event.at <= began.get(event.request_id, -inf) + parameters.timeout_s - READ_MARGIN_S
         if event.status == 200 and event.read and in_time and not event.lease_id:
             done.setdefault(event.request_id, event.at)
     for end in history.ends:
@@ -281,11 +285,11 @@
     return done
 
 
-def _troubled(troubles: list[Trouble], begin: float, end: float) -> bool:
-    return any(trouble.at <= end and trouble.until >= begin for trouble in troubles)
+def _overlaps_outage(outages: list[Outage], begin: float, end: float) -> bool:
+    return any(outage.at <= end and outage.until >= begin for outage in outages)
 
 
-def _refused_again(orders: list[OrderSent]) -> Iterator[Violation]:
+def _refused_when_repeated(orders: list[OrderSent]) -> Iterator[Violation]:
     taken: set[str] = set()
     for order in orders:
         change = repr((order.base, order.document))
@@ -311,7 +315,7 @@
         yield Violation(Rule.CONFIG, "", f"version {version} is read back and isn't what was sent")
 
 
-CHECKS: tuple[Callable[[History, Terms], Iterator[Violation]], ...] = (
+CHECKS: tuple[Callable[[History, RuleParameters], Iterator[Violation]], ...] = (
     check_lost,
     check_lost_answers,
     check_order,
--- a/bitternpath/testing/fault_injection/operators.py
+++ b/bitternpath/testing/fault_injection/configuration_operator.py
@@ -10,21 +10,21 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
-from bitternpath.testing.fault_injection.changes import (
+from bitternpath.testing.fault_injection.configuration_changes import (
     changed_document,
     invalid_document,
     patch_call,
     put_call,
 )
-from bitternpath.testing.fault_injection.control_calls import FIRST_PAUSE_S, ControlCalls
+from bitternpath.testing.fault_injection.control_calls import MIN_BACKOFF_S, ControlCalls
 from bitternpath.testing.fault_injection.plan import Plan
 from bitternpath.testing.fault_injection.plumbing import Call
 from bitternpath.testing.fault_injection.records import Clock, History, OrderOutcome, OrderSent
 
-ORDER_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
-FIRST_ORDER_FOR_S = 25.0  # the first configuration is sent again until it is accepted
-CHANGE_EVERY_S = 1.0
-INVALID_EVERY, RACE_EVERY, AGAIN_EVERY = 5, 4, 3  # changes between these
+ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
+FIRST_ORDER_RETRY_FOR_S = 25.0  # the first configuration is sent again until it is accepted
+CHANGE_INTERVAL_S = 1.0
+INVALID_EVERY, RACE_EVERY, REPEAT_EVERY = 5, 4, 3  # changes between these
 
 
 class Operator:
@@ -38,9 +38,9 @@
         self._changes = 0
         self.busy = False
 
-    async def found(self, document: dict[str, Any]) -> bool:
+    async def create_configuration(self, document: dict[str, Any]) -> bool:
         """Send the first configuration; whether it was accepted."""
-        order = await self._order(put_call(0, document), 0, document, FIRST_ORDER_FOR_S)
+        order = await self._order(put_call(0, document), 0, document, FIRST_ORDER_RETRY_FOR_S)
         return order.outcome is OrderOutcome.ACKNOWLEDGED
 
     def run(self, until: float, failed: Callable[[Any], None]) -> None:
@@ -54,12 +54,12 @@
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
             if answer is not None and answer.status == 200:
                 self._history.read_back = json.loads(answer.body)
-            await deferLater(self._reactor, FIRST_PAUSE_S)
+            await deferLater(self._reactor, MIN_BACKOFF_S)
 
     async def _change_all(self, until: float) -> None:
         self.busy = True
         while self._clock() < until:
-            await deferLater(self._reactor, CHANGE_EVERY_S)
+            await deferLater(self._reactor, CHANGE_INTERVAL_S)
             self._changes += 1
             if self._changes % INVALID_EVERY == 0:
                 await self._send_invalid()
@@ -75,10 +75,10 @@
         wanted = self._next(self._changes)
         call = put_call(base, wanted) if self._changes % 2 == 0 else patch_call(self.document, wanted)
         order = await self._order(call, base, wanted)
-        if order.outcome is OrderOutcome.ACKNOWLEDGED and self._changes % AGAIN_EVERY == 0:
+        if order.outcome is OrderOutcome.ACKNOWLEDGED and self._changes % REPEAT_EVERY == 0:
             await self._order(call, base, wanted)
         if order.outcome is not OrderOutcome.ACKNOWLEDGED:
-            await self._look()
+            await self._refresh()
 
     async def _race(self) -> None:
         """Two changes on top of the same version, at once, under the same number."""
@@ -87,7 +87,7 @@
         second["version"] = first["version"]
         sent = [self._order(put_call(base, wanted), base, wanted) for wanted in (first, second)]
         await gatherResults([Deferred.fromCoroutine(order) for order in sent])
-        await self._look()
+        await self._refresh()
 
     async def _send_invalid(self) -> None:
         """A route that names an unknown service."""
@@ -95,25 +95,30 @@
         base = self.document["version"]
         await self._order(put_call(base, wanted), base, wanted, valid=False)
 
-    async def _look(self) -> None:
+    async def _refresh(self) -> None:
         """After an open fate or a race: what is in force now."""
         for _ in range(10):
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
             if answer is not None and answer.status == 200:
                 self.document = json.loads(answer.body)
                 return
-            await deferLater(self._reactor, FIRST_PAUSE_S)
+            await deferLater(self._reactor, MIN_BACKOFF_S)
 
     def _next(self, number: int) -> dict[str, Any]:
         version = self.document["version"] + self._random.randint(1, 3)
         return changed_document(self.document, number, version)
 
     async def _order(
-        self, call: Call, base: int, wanted: dict[str, Any], seconds: float = ORDER_FOR_S, valid: bool = True
+        self,
+        call: Call,
+        base: int,
+        wanted: dict[str, Any],
+        seconds: float = ORDER_RETRY_FOR_S,
+        valid: bool = True,
     ) -> OrderSent:
         """Send a change to one node after the other until there is a clear answer."""
         sent_at = self._clock()
-        outcome, status = await self._calls.until_clear(call, sent_at + seconds)
+        outcome, status = await self._calls.send_until_decided(call, sent_at + seconds)
         order = OrderSent(wanted["version"], base, sent_at, self._clock(), outcome, valid, wanted, status)
         self._history.orders.append(order)
         if outcome is OrderOutcome.ACKNOWLEDGED and wanted["version"] > self.document["version"]:
--- a/bitternpath/testing/fault_injection/demo.py
+++ b/bitternpath/testing/fault_injection/demo.py
@@ -11,17 +11,17 @@
 from twisted.python.failure import Failure
 
 from bitternpath.testing.fault_injection.checker import check
-from bitternpath.testing.fault_injection.figures import slow_start_lines, summary_lines, violation_lines
+from bitternpath.testing.fault_injection.fault_schedule import FaultSchedule
+from bitternpath.testing.fault_injection.owner_poller import ConfigurationOwnerPoller
 from bitternpath.testing.fault_injection.plan import Plan, make_plan
-from bitternpath.testing.fault_injection.status import StatusReader
-from bitternpath.testing.fault_injection.troubles import Troubles
-from bitternpath.testing.fault_injection.world import NotReady, World, steady_reactor
+from bitternpath.testing.fault_injection.statistics import slow_start_lines, summary_lines, violation_lines
+from bitternpath.testing.fault_injection.world import SystemNotReady, World, monotonic_reactor
 
 EDGES, STORAGE = 4, 3
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 
 
-def say(line: str) -> None:
+def print_line(line: str) -> None:
     """Print a line at once."""
     print(line, flush=True)
 
@@ -40,18 +40,18 @@
     """One rehearsal with its verdict."""
 
     def __init__(self, plan: Plan, folder: Path, faults: bool) -> None:
-        self._reactor = steady_reactor()
+        self._reactor = monotonic_reactor()
         self._faults = faults
-        self._world = World(self._reactor, plan, folder, say)
-        self._status = StatusReader(self._reactor, plan.edges)
-        self._troubles = Troubles(
+        self._world = World(self._reactor, plan, folder, print_line)
+        self._status = ConfigurationOwnerPoller(self._reactor, plan.edges)
+        self._fault_schedule = FaultSchedule(
             self._reactor,
             self._world.now,
             self._world.history,
             plan,
             self._world.processes,
             self._status,
-            self._say_at,
+            self._report_at,
         )
         self._code = 1
 
@@ -73,42 +73,44 @@
         self._status.start()
         world.operator.run(world.now() + world.plan.seconds, world.failed)
         if self._faults:
-            self._troubles.run(world.failed)
+            self._fault_schedule.run(world.failed)
         await world.traffic()
-        while self._troubles.open or world.operator.busy:
-            await deferLater(self._reactor, LOOK_S)
+        while self._fault_schedule.open or world.operator.busy:
+            await deferLater(self._reactor, POLL_INTERVAL_S)
         await world.finish()
         self._judge()
 
     def _judge(self) -> None:
         world = self._world
-        violations = check(world.history, world.terms)
-        lines = [world.held_up_line(), *summary_lines(world.history, world.terms)]
+        violations = check(world.history, world.parameters)
+        lines = [world.cpu_wait_line(), *summary_lines(world.history, world.parameters)]
         lines += slow_start_lines(world.history)
         for line in lines + violation_lines(world.history, violations):
-            say(line)
-        ended = {name: p.ended_by_itself for name, p in world.processes.items() if p.ended_by_itself}
+            print_line(line)
+        ended = {
+            name: p.unexpected_exit_codes for name, p in world.processes.items() if p.unexpected_exit_codes
+        }
         for name, codes in ended.items():
-            say(f"FAULT {name} ended by itself, exit codes {codes}; the end of its log:")
-            say("\n".join(world.processes[name].log.read_text(errors="replace").splitlines()[-20:]))
+            print_line(f"FAULT {name} ended by itself, exit codes {codes}; the end of its log:")
+            print_line("\n".join(world.processes[name].log.read_text(errors="replace").splitlines()[-20:]))
         for error in world.errors:
-            say(f"error in the rehearsal itself, the result is void:\n{error}")
+            print_line(f"error in the rehearsal itself, the result is void:\n{error}")
         if not violations and not ended and not world.errors:
-            say("rules kept")
+            print_line("rules kept")
             self._code = 0
 
-    def _say_at(self, line: str) -> None:
-        say(f"        {self._world.now():6.2f} s  {line}")
+    def _report_at(self, line: str) -> None:
+        print_line(f"        {self._world.now():6.2f} s  {line}")
 
     def _failed(self, failure: Failure) -> None:
-        if isinstance(failure.value, NotReady):
-            say(f"the system did not come up: {failure.value}")
+        if isinstance(failure.value, SystemNotReady):
+            print_line(f"the system did not come up: {failure.value}")
             for process in self._world.processes.values():
-                say("\n".join(process.log.read_text(errors="replace").splitlines()[-3:]))
+                print_line("\n".join(process.log.read_text(errors="replace").splitlines()[-3:]))
         else:
             print(failure.getTraceback(), file=sys.stderr)
 
     def _end(self, _: object) -> None:
         self._status.stop()
         self._world.stop()
-        self._reactor.callLater(LOOK_S, self._reactor.stop)
+        self._reactor.callLater(POLL_INTERVAL_S, self._reactor.stop)
--- a/bitternpath/testing/fault_injection/load.py
+++ b/bitternpath/testing/fault_injection/load.py
@@ -13,16 +13,16 @@
 from twisted.python.failure import Failure
 
 from bitternpath.testing.fault_injection.checker import check
-from bitternpath.testing.fault_injection.figures import latency, summary_lines, violation_lines
 from bitternpath.testing.fault_injection.plan import Plan, Role, make_plan
 from bitternpath.testing.fault_injection.processes import Usage
-from bitternpath.testing.fault_injection.world import NotReady, World, steady_reactor
+from bitternpath.testing.fault_injection.statistics import latency, summary_lines, violation_lines
+from bitternpath.testing.fault_injection.world import SystemNotReady, World, monotonic_reactor
 
 MILLISECONDS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
-class RoleFigures:
+class RoleStatistics:
     """Of all processes of a role, while the traffic lasted. What follows it isn't counted."""
 
     role: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadFigures:
+class LoadStatistics:
     """Of one measurement."""
 
     rate_wanted: float
@@ -53,7 +53,7 @@
     latency_most_ms: float
     rehearsal_cores: float  # of this tool itself: near 1 it is the bottleneck
     violations: int
-    roles: tuple[RoleFigures, ...]
+    roles: tuple[RoleStatistics, ...]
 
 
 def run_load(rate: float, seconds: float, edges: int, storage: int, seed: int, file: Path | None) -> int:
@@ -67,7 +67,7 @@
     """One measurement."""
 
     def __init__(self, plan: Plan, folder: Path, file: Path | None) -> None:
-        self._reactor = steady_reactor()
+        self._reactor = monotonic_reactor()
         self._file = file
         self._world = World(
             self._reactor, plan, folder, lambda line: print(line, file=sys.stderr, flush=True)
@@ -95,13 +95,13 @@
         after, lasted = self._usages(), world.now() - began
         successes = sum(answer.status == 200 for answer in world.history.answers)
         await world.finish()
-        violations = check(world.history, world.terms)
-        roles = tuple(self._role_figures(role, before, after, lasted) for role in Role)
-        figures = self._figures(lasted, successes, own, len(violations), roles)
-        lines = summary_lines(world.history, world.terms) + violation_lines(world.history, violations)
-        print("\n".join([world.held_up_line(), *lines, *figure_lines(figures)]), flush=True)
+        violations = check(world.history, world.parameters)
+        roles = tuple(self._role_statistics(role, before, after, lasted) for role in Role)
+        statistics = self._statistics(lasted, successes, own, len(violations), roles)
+        lines = summary_lines(world.history, world.parameters) + violation_lines(world.history, violations)
+        print("\n".join([world.cpu_wait_line(), *lines, *report_lines(statistics)]), flush=True)
         if self._file is not None:
-            self._file.write_text(json.dumps(asdict(figures), indent=1) + "\n")
+            self._file.write_text(json.dumps(asdict(statistics), indent=1) + "\n")
         self._code = 1 if violations or world.errors else 0
         for error in world.errors:
             print(f"error in the measurement itself, the result is void:\n{error}")
@@ -109,13 +109,13 @@
     def _usages(self) -> dict[str, Usage]:
         return {name: process.usage() for name, process in self._world.processes.items()}
 
-    def _figures(
-        self, lasted: float, successes: int, own: float, broken: int, roles: tuple[RoleFigures, ...]
-    ) -> LoadFigures:
+    def _statistics(
+        self, lasted: float, successes: int, own: float, broken: int, roles: tuple[RoleStatistics, ...]
+    ) -> LoadStatistics:
         history, plan = self._world.history, self._world.plan
         times = latency(history.sends.values())
         accepted = sum(1 for _ in history.accepted())
-        return LoadFigures(
+        return LoadStatistics(
             plan.rate,
             lasted,
             len(plan.edges),
@@ -126,20 +126,20 @@
             successes / lasted,
             times.p50,
             times.p99,
-            times.most,
+            times.maximum,
             own,
             broken,
             roles,
         )
 
-    def _role_figures(
+    def _role_statistics(
         self, role: Role, before: dict[str, Usage], after: dict[str, Usage], lasted: float
-    ) -> RoleFigures:
+    ) -> RoleStatistics:
         names = [machine.name for machine in self._world.plan.machines if machine.role is role]
         accepted = max(sum(1 for _ in self._world.history.accepted()), 1)
         processor_s = sum(after[name].processor_s - before[name].processor_s for name in names)
         written = sum(after[name].written_bytes - before[name].written_bytes for name in names)
-        return RoleFigures(
+        return RoleStatistics(
             role.value,
             len(names),
             processor_s * MILLISECONDS / accepted,
@@ -152,7 +152,7 @@
         )
 
     def _failed(self, failure: Failure) -> None:
-        if isinstance(failure.value, NotReady):
+        if isinstance(failure.value, SystemNotReady):
             print(f"the system did not come up: {failure.value}", file=sys.stderr)
         else:
             print(failure.getTraceback(), file=sys.stderr)
@@ -162,16 +162,17 @@
         self._reactor.callLater(0.1, self._reactor.stop)
 
 
-def figure_lines(figures: LoadFigures) -> list[str]:
+def report_lines(statistics: LoadStatistics) -> list[str]:
     """The figures as text."""
     lines = [
-        f"rate {figures.rate_wanted:g}/s wanted, {figures.accepted_a_second:.1f}/s accepted"
-        f" ({figures.accepted}; {figures.refused_or_unclear} tries not), {figures.runs_a_second:.1f} runs/s,"
-        f" 202 p50 {figures.latency_p50_ms:.1f} p99 {figures.latency_p99_ms:.1f}"
-        f" most {figures.latency_most_ms:.1f} ms, this tool {figures.rehearsal_cores:.2f} cores,"
-        f" {figures.violations} rules broken"
+        f"rate {statistics.rate_wanted:g}/s wanted, {statistics.accepted_a_second:.1f}/s accepted"
+        f" ({statistics.accepted}; {statistics.refused_or_unclear} tries not),"
+        f" {statistics.runs_a_second:.1f} runs/s,"
+        f" 202 p50 {statistics.latency_p50_ms:.1f} p99 {statistics.latency_p99_ms:.1f}"
+        f" most {statistics.latency_most_ms:.1f} ms, this tool {statistics.rehearsal_cores:.2f} cores,"
+        f" {statistics.violations} rules broken"
     ]
-    for role in figures.roles:
+    for role in statistics.roles:
         lines.append(
             f"{role.role:8s} {role.processes} processes: {role.processor_ms_a_message:.2f} ms of processor"
             f" time a message, {role.cores_a_process:.2f} cores each, files {role.data_bytes_start} ->"
--- a/bitternpath/testing/fault_injection/entry.py
+++ b/bitternpath/testing/fault_injection/load_balancer.py
@@ -10,28 +10,28 @@
 from bitternpath.testing.fault_injection.plan import Port, Reachable
 from bitternpath.testing.fault_injection.plumbing import Call, Reply, Unanswered, send_call
 
-ASK_EVERY_S = 1.0
-ANSWER_WITHIN_S = 0.9
-MOST_MISSES = 2  # a node that misses as often gets no new connections until it answers 200 again
+PROBE_INTERVAL_S = 1.0
+PROBE_TIMEOUT_S = 0.9
+MAX_FAILED_PROBES = 2  # a node that misses as often gets no new connections until it answers 200 again
 
 
-class Entry:
+class LoadBalancer:
     """Asks each edge node whether it is ready, and passes connections on to those that are."""
 
     def __init__(self, reactor: Any, edges: Sequence[Reachable], random: Random) -> None:
         """`edges` may change while it asks."""
         self._reactor, self._edges, self._random = reactor, edges, random
-        self._misses: dict[str, int] = defaultdict(lambda: MOST_MISSES)
+        self._failed_probes: dict[str, int] = defaultdict(lambda: MAX_FAILED_PROBES)
         self._timer: Any = None
 
     def start(self) -> None:
         """Begin to ask."""
-        self._timer = self._reactor.callLater(ASK_EVERY_S, self.start)
+        self._timer = self._reactor.callLater(PROBE_INTERVAL_S, self.start)
         for edge in self._edges:
-            asked = send_call(
-                self._reactor, edge.address(Port.READINESS), Call("GET", "/readyz"), ANSWER_WITHIN_S
+            probe = send_call(
+                self._reactor, edge.address(Port.READINESS), Call("GET", "/readyz"), PROBE_TIMEOUT_S
             )
-            asked.addCallback(self._answered, edge.name)
+            probe.addCallback(self._answered, edge.name)
 
     def stop(self) -> None:
         """Ask no more."""
@@ -40,7 +40,7 @@
 
     def ready(self) -> list[Reachable]:
         """The nodes that get new connections."""
-        return [edge for edge in self._edges if self._misses[edge.name] < MOST_MISSES]
+        return [edge for edge in self._edges if self._failed_probes[edge.name] < MAX_FAILED_PROBES]
 
     def choose(self, zone: str = "") -> Reachable:
         """The node of a new connection: a ready one, in that zone if there is one, or any where none is."""
@@ -50,4 +50,4 @@
 
     def _answered(self, answer: Reply | Unanswered, name: str) -> None:
         is_ready = isinstance(answer, Reply) and answer.status == 200
-        self._misses[name] = 0 if is_ready else self._misses[name] + 1
+        self._failed_probes[name] = 0 if is_ready else self._failed_probes[name] + 1
--- a/bitternpath/testing/fault_injection/status.py
+++ b/bitternpath/testing/fault_injection/owner_poller.py
@@ -14,17 +14,17 @@
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 from bitternpath.transport.operator_messages import StatusRequest, StatusResponse
 
-ASK_EVERY_S = 0.3
-USER = "rehearsal"
+POLL_INTERVAL_S = 0.3
+LINK_USER = "rehearsal"
 
 
-class StatusReader:
+class ConfigurationOwnerPoller:
     """Keeps links to the edge nodes and asks each again and again."""
 
     def __init__(self, reactor: Any, edges: Iterable[Machine]) -> None:
         self._reactor = reactor
-        me = NodeDescriptor("rehearsal", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
-        self._hub = NodeHub(reactor, self, lambda: me, Random())
+        descriptor = NodeDescriptor("rehearsal", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
+        self._hub = NodeHub(reactor, self, lambda: descriptor, Random())
         self._addresses = [edge.address(Port.INTERNAL) for edge in edges]
         self._owners: dict[str, int] = {}  # epochs by node, of those that say they own the configuration
         self._timer: Any = None
@@ -32,7 +32,7 @@
     def start(self) -> None:
         """Begin to ask."""
         for address in self._addresses:
-            self._hub.dial(address, USER)
+            self._hub.dial(address, LINK_USER)
         self._ask()
 
     def stop(self) -> None:
@@ -56,7 +56,7 @@
         """Nothing but answers is of interest."""
 
     def _ask(self) -> None:
-        self._timer = self._reactor.callLater(ASK_EVERY_S, self._ask)
+        self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._ask)
         for address in self._addresses:
             link = self._hub.link_to(address)
             if link is not None:
--- a/bitternpath/testing/fault_injection/plan.py
+++ b/bitternpath/testing/fault_injection/plan.py
@@ -8,15 +8,15 @@
 from random import Random
 from typing import Any, Protocol, TypeVar
 
-from bitternpath.testing.fault_injection.bounds import BOUNDS
-from bitternpath.testing.fault_injection.records import Kind, Terms
+from bitternpath.testing.fault_injection.records import Kind, RuleParameters
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
-TermsKind = TypeVar("TermsKind", bound=Terms)
+ParametersType = TypeVar("ParametersType", bound=RuleParameters)
 
 REGION = "loopback"
 LOOPBACK = "127.0.0.1"  # of what isn't a machine of the system
 FIRST_PORT, LAST_PORT = 20_000, 32_000  # below the ports that the kernel gives to clients
-MOST_DISK_EDGES = 3
+MAX_DISK_EDGES = 3
 TIMEOUT_MS = 1_500
 MAX_ATTEMPTS = 4
 RETENTION_S = 90.0
@@ -102,12 +102,12 @@
         """`rate_per_s` of the endpoint."""
         return max(RATE_PER_S, self.rate * SHARES[Kind.ENDPOINT] * RATE_OVER_LOAD)
 
-    def terms(self) -> Terms:
+    def parameters(self) -> RuleParameters:
         """By which the history is judged."""
-        return terms_of(Terms, self.endpoint_rate)
+        return rule_parameters(RuleParameters, self.endpoint_rate)
 
 
-def terms_of(kind: type[TermsKind], endpoint_rate: float, **more: Any) -> TermsKind:
+def rule_parameters(kind: type[ParametersType], endpoint_rate: float, **more: Any) -> ParametersType:
     """Terms by the bounds and the routes; `more` are fields that only this kind of terms has."""
     return kind(
         max_attempts=MAX_ATTEMPTS,
@@ -134,7 +134,7 @@
     for role, ip in zip(roles, ips, strict=True):
         counted[role] += 1
         number = counted[role]
-        disk = role is Role.STORAGE or number <= MOST_DISK_EDGES
+        disk = role is Role.STORAGE or number <= MAX_DISK_EDGES
         zone = f"zone-{(number - 1) % 3 + 1}"
         machines.append(Machine(f"{role.value}-{number}", role, ip, zone, disk, first_port))
     return Plan(rate, seconds, tuple(machines), seed)
--- a/bitternpath/testing/fault_injection/platform.py
+++ b/bitternpath/testing/fault_injection/platform.py
@@ -12,15 +12,15 @@
 from bitternpath.net.http1 import Request
 from bitternpath.testing.fault_injection.plan import LOOPBACK
 from bitternpath.testing.fault_injection.plumbing import Reply, ServerConnection, serve
-from bitternpath.testing.fault_injection.records import CallbackGot, Clock, History
+from bitternpath.testing.fault_injection.records import CallbackReceived, Clock, History
 
-PAGE = 3  # instances on a page: readers have to follow the pages
+PAGE_SIZE = 3  # instances on a page: readers have to follow the pages
 RATE_PER_S = 44.0
-FAILING_SHARE = 0.1  # of call-backs that the receiver answers with 503
+FAILED_CALLBACK_SHARE = 0.1  # of call-backs that the receiver answers with 503
 JSON = {"Content-Type": "application/json"}
 
 
-class PlatformList:
+class EndpointListServer:
     """Answers `GET /instances`, at most `RATE_PER_S` times a second."""
 
     def __init__(self, reactor: Any, clock: Clock, host: str = LOOPBACK, port: int = 0) -> None:
@@ -47,7 +47,7 @@
             return succeed(Reply(404))
         token = request.target.partition(b"page_token=p-")[2].partition(b"&")[0]
         first = int(token) if token.isdigit() else 0
-        after = first + PAGE
+        after = first + PAGE_SIZE
         next_token = f"p-{after}" if after < len(self._entries) else None
         page = {"instances": self._entries[first:after], "next_page_token": next_token}
         return succeed(Reply(200, JSON, json.dumps(page).encode()))
@@ -70,11 +70,11 @@
         except (ValueError, KeyError, TypeError):
             return succeed(Reply(400))
         status = self._status(request_id, state)
-        got = CallbackGot(request_id, self._clock(), state, stamp, status == 200)
+        got = CallbackReceived(request_id, self._clock(), state, stamp, status == 200)
         self._history.callbacks.append(got)
         return succeed(Reply(status))
 
     def _status(self, request_id: str, state: str) -> int:
         if request_id not in self._history.sends or state not in ("done", "dead_letter"):
             return 400
-        return 503 if self._random.random() < FAILING_SHARE else 200
+        return 503 if self._random.random() < FAILED_CALLBACK_SHARE else 200
--- a/bitternpath/testing/fault_injection/processes.py
+++ b/bitternpath/testing/fault_injection/processes.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import IO
 
-from bitternpath.testing.fault_injection.bounds import BOUNDS
 from bitternpath.testing.fault_injection.plan import INTERNAL_PORTS, REGION, Machine, Plan, Port, Role
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
 ROOT = Path(__file__).resolve().parents[3]  # the processes begin at the repository's root (DEPLOY)
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -28,7 +28,7 @@
     peak_memory_mb: float
     data_bytes: int  # in files of its data folder
     written_bytes: int  # that it has sent to disk
-    waited_s: float  # that it was ready to run while the machine did something else
+    cpu_wait_s: float  # that it was ready to run while the machine did something else
 
 
 class Process:
@@ -41,16 +41,16 @@
         self._data = folder / "data" / machine.name
         self._child: subprocess.Popen[bytes] | None = None
         self._log_file: IO[bytes] | None = None
-        self._lives = 0
-        self.ended_by_itself: list[int] = []  # exit codes
+        self._starts = 0
+        self.unexpected_exit_codes: list[int] = []  # exit codes
         self._stopping = False
 
     def start(self) -> None:
         """Start a life; the first one on an empty disk founds the system."""
         self._settings.write_text(
-            settings_text(self.plan, self.machine, self._data, self._platform, not self._lives)
+            settings_text(self.plan, self.machine, self._data, self._platform, not self._starts)
         )
-        self._lives += 1
+        self._starts += 1
         self._stopping = False
         environment = {
             name: os.environ[name]
@@ -83,14 +83,14 @@
             self._child.send_signal(signal.SIGTERM)
 
     def running(self) -> bool:
-        """Whether it lives. An end that nobody asked for is kept in `ended_by_itself`."""
+        """Whether it lives. An end that nobody asked for is kept in `unexpected_exit_codes`."""
         if self._child is None:
             return False
         code = self._child.poll()
         if code is None:
             return True
         if not self._stopping:
-            self.ended_by_itself.append(code)
+            self.unexpected_exit_codes.append(code)
         self._close()
         return False
 
@@ -107,9 +107,9 @@
         except OSError:
             return Usage(0.0, 0.0, size, 0, 0.0)
         ticks = int(fields[11]) + int(fields[12])  # user and system time (proc(5), fields 14 and 15)
-        return Usage(ticks / TICKS_PER_S, peak, size, int(written), self.waited_s())
+        return Usage(ticks / TICKS_PER_S, peak, size, int(written), self.cpu_wait_s())
 
-    def waited_s(self) -> float:
+    def cpu_wait_s(self) -> float:
         """How long this life was ready to run and had no processor (kernel: sched-stats, second field)."""
         if self._child is None:
             return 0.0
--- a/bitternpath/testing/fault_injection/records.py
+++ b/bitternpath/testing/fault_injection/records.py
@@ -21,7 +21,7 @@
 
     OPEN = "open"
     ACCEPTED = "accepted"
-    PROMISED_NOT = "promised not to run"
+    NOT_EXECUTED = "promised not to run"
     REJECTED = "rejected"
     NOT_SENT = "no connection"
     UNCLEAR = "unclear"
@@ -44,7 +44,7 @@
     ended_at: float = 0.0
     status: int = 0  # 0: no answer
     message_id: str = ""
-    broken_off: bool = False  # the connection closed before a whole answer
+    connection_closed: bool = False  # the connection closed before a whole answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseWord:
+class LeaseExtension:
     """A pulling worker extended its lease and was told that it still holds it."""
 
     request_id: str
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallbackGot:
+class CallbackReceived:
     """A call-back reached its receiver. `taken`: it was answered with 200."""
 
     request_id: str
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Outage:
     """A process was stopped at `at` and started again at `until` (infinity: not yet)."""
 
     node: str
@@ -165,13 +165,13 @@
     runs: list[Run] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
-    words: list[LeaseWord] = field(default_factory=list)
+    lease_extensions: list[LeaseExtension] = field(default_factory=list)
     ends: list[LeaseEnd] = field(default_factory=list)
-    callbacks: list[CallbackGot] = field(default_factory=list)
+    callbacks: list[CallbackReceived] = field(default_factory=list)
     found: dict[str, Found] = field(default_factory=dict)
     orders: list[OrderSent] = field(default_factory=list)
     read_back: Any = None
-    troubles: list[Trouble] = field(default_factory=list)
+    outages: list[Outage] = field(default_factory=list)
     finished: float = 0.0
 
     def accepted(self) -> Iterator[Send]:
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RuleParameters:
     """Figures by which a history is judged (RULES; DEPLOY, `bounds`)."""
 
     max_attempts: int
--- a/bitternpath/testing/fault_injection/figures.py
+++ b/bitternpath/testing/fault_injection/statistics.py
@@ -8,9 +8,9 @@
 from math import ceil
 
 from bitternpath.testing.fault_injection.checker import Violation, ended_times
-from bitternpath.testing.fault_injection.records import History, Kind, Send, SendOutcome, Terms
+from bitternpath.testing.fault_injection.records import History, Kind, RuleParameters, Send, SendOutcome
 
-SLOW_START_S = 2.0  # a start that is later is shown with its history
+SLOW_START_AFTER_S = 2.0  # a start that is later is shown with its history
 HISTORIES_SHOWN = 5  # of each broken rule; the others are counted
 
 
@@ -20,17 +20,17 @@
 
     p50: float
     p99: float
-    most: float
+    maximum: float
 
 
 @dataclass(frozen=True, slots=True)
-class KindFigures:
+class KindStatistics:
     """What became of the messages of one kind."""
 
     kind: Kind
     tries: int
     accepted: int
-    promised_not: int
+    not_executed: int
     unclear: int
     not_sent: int
     rejected: int
@@ -53,23 +53,23 @@
     return Latency(percentile(times, 0.5), percentile(times, 0.99), max(times, default=0.0))
 
 
-def kind_figures(history: History, terms: Terms, kind: Kind) -> KindFigures:
+def kind_statistics(history: History, parameters: RuleParameters, kind: Kind) -> KindStatistics:
     """Of one kind of message."""
     sends = {request_id: send for request_id, send in history.sends.items() if send.kind is kind}
     successes = [a for a in history.answers if a.status == 200 and a.at <= history.finished]
     done = {a.request_id: a.at for a in reversed(successes) if a.request_id in sends}
-    ended = ended_times(history, terms)
+    ended = ended_times(history, parameters)
     accepted = [send for send in sends.values() if send.outcome is SendOutcome.ACCEPTED]
     runs = [run for run in history.runs if run.request_id in sends]
     first = {run.request_id: run.at for run in reversed(runs)}
     starts = [(first[s.request_id] - s.at - s.delay_s) * 1000 for s in accepted if s.request_id in first]
     outcomes = [send.outcome for send in sends.values()]
     done_accepted = sum(send.request_id in done for send in accepted)
-    return KindFigures(
+    return KindStatistics(
         kind,
         len(sends),
         len(accepted),
-        outcomes.count(SendOutcome.PROMISED_NOT),
+        outcomes.count(SendOutcome.NOT_EXECUTED),
         outcomes.count(SendOutcome.UNCLEAR),
         outcomes.count(SendOutcome.NOT_SENT),
         outcomes.count(SendOutcome.REJECTED),
@@ -82,30 +82,30 @@
     )
 
 
-def second_line(second: int, sends: list[Send], done: int, waiting: int, held_up: float) -> str:
+def second_line(second: int, sends: list[Send], done: int, waiting: int, cpu_wait_share: float) -> str:
     """The line of a second; `sends` are the tries that ended in it."""
     accepted = sum(send.outcome is SendOutcome.ACCEPTED for send in sends)
-    refused = sum(send.outcome is SendOutcome.PROMISED_NOT for send in sends)
+    refused = sum(send.outcome is SendOutcome.NOT_EXECUTED for send in sends)
     unclear = sum(send.outcome in (SendOutcome.UNCLEAR, SendOutcome.NOT_SENT) for send in sends)
     times = latency(sends)
     return (
         f"{second:4d} s  accepted {accepted:4d}  done {done:4d}  refused {refused:3d}  unclear {unclear:3d}"
         f"  waiting {waiting:4d}  202 p50 {times.p50:6.1f} ms  p99 {times.p99:7.1f} ms"
-        f"  held up {held_up:4.0%}"
+        f"  held up {cpu_wait_share:4.0%}"
     )
 
 
-def summary_lines(history: History, terms: Terms) -> list[str]:
+def summary_lines(history: History, parameters: RuleParameters) -> list[str]:
     """A table by kind, and the operator's orders."""
     lines = [
         "kind      tries accepted refused unclear unsent done dead  runs again  start p50     p99 ms",
     ]
     for kind in Kind:
-        f = kind_figures(history, terms, kind)
+        row = kind_statistics(history, parameters, kind)
         lines.append(
-            f"{kind.value:9s} {f.tries:5d} {f.accepted:8d} {f.promised_not:7d} {f.unclear:7d} {f.not_sent:6d}"
-            f" {f.done:4d} {f.dead:4d} {f.runs:5d} {f.runs_again:5d} {f.start_p50_ms:10.0f}"
-            f" {f.start_p99_ms:7.0f}"
+            f"{kind.value:9s} {row.tries:5d} {row.accepted:8d} {row.not_executed:7d} {row.unclear:7d}"
+            f" {row.not_sent:6d} {row.done:4d} {row.dead:4d} {row.runs:5d} {row.runs_again:5d}"
+            f" {row.start_p50_ms:10.0f} {row.start_p99_ms:7.0f}"
         )
     orders = [order.outcome.value for order in history.orders]
     times = [(order.ended_at - order.sent_at) * 1000 for order in history.orders if order.valid]
@@ -131,7 +131,7 @@
         if slowest is None:
             continue
         late = first[slowest.request_id] - slowest.at - slowest.delay_s
-        if late > SLOW_START_S:
+        if late > SLOW_START_AFTER_S:
             lines.append(f"slowest start, {kind.value}: {slowest.request_id} after {late:.2f} s")
             lines += [f"    {line}" for line in message_history(history, slowest.request_id)]
     return lines
@@ -165,7 +165,9 @@
         for a in history.answers
         if a.request_id == request_id
     ]
-    events += [(w.at, f"extended {w.lease_id}") for w in history.words if w.request_id == request_id]
+    events += [
+        (w.at, f"extended {w.lease_id}") for w in history.lease_extensions if w.request_id == request_id
+    ]
     events += [
         (e.at, f"end {e.status} of {e.lease_id} taken={e.taken}")
         for e in history.ends
--- a/bitternpath/testing/fault_injection/workers.py
+++ b/bitternpath/testing/fault_injection/workers.py
@@ -11,8 +11,7 @@
 from twisted.internet.task import deferLater
 
 from bitternpath.net.http1 import Request
-from bitternpath.testing.fault_injection.bounds import BOUNDS
-from bitternpath.testing.fault_injection.entry import Entry
+from bitternpath.testing.fault_injection.load_balancer import LoadBalancer
 from bitternpath.testing.fault_injection.plan import LOOPBACK, Port
 from bitternpath.testing.fault_injection.plumbing import Call, Reply, ServerConnection, send_call, serve
 from bitternpath.testing.fault_injection.records import (
@@ -21,14 +20,17 @@
     Clock,
     History,
     LeaseEnd,
-    LeaseWord,
+    LeaseExtension,
     Run,
 )
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
-QUEUE_PLACES = 4  # beyond the slots
-FAILED_SHARE = 0.05  # of attempts that are answered with 500
-REJECTED_SHARE, ALWAYS_FAILING_SHARE = 0.02, 0.02  # of messages
-READ_WITHIN_S = 0.1  # a connection that ends so soon after an answer may have ended before it was read
+QUEUE_CAPACITY = 4  # beyond the slots
+FAILED_ATTEMPT_SHARE = 0.05  # of attempts that are answered with 500
+REJECTED_MESSAGE_SHARE, POISON_MESSAGE_SHARE = 0.02, 0.02  # of messages
+READ_MARGIN_AFTER_ANSWER_S = (
+    0.1  # a connection that ends so soon after an answer may have ended before it was read
+)
 NOT_EXECUTED = {"X-Not-Executed": "1"}
 DEFAULT_DEADLINE_MS = 60_000
 
@@ -46,10 +48,13 @@
 
     def status(self, request_id: str) -> int:
         """Of a run of this message: some always fail or are never possible, some fail once."""
-        fate = Random(request_id).random()
-        if fate < REJECTED_SHARE:
+        draw = Random(request_id).random()
+        if draw < REJECTED_MESSAGE_SHARE:
             return 422
-        if fate < REJECTED_SHARE + ALWAYS_FAILING_SHARE or self._random.random() < FAILED_SHARE:
+        if (
+            draw < REJECTED_MESSAGE_SHARE + POISON_MESSAGE_SHARE
+            or self._random.random() < FAILED_ATTEMPT_SHARE
+        ):
             return 500
         return 200
 
@@ -133,7 +138,7 @@
             return 400
         if request_id in self._running:
             return 409
-        full = len(self._running) >= self._slots and len(self._waiting) >= QUEUE_PLACES
+        full = len(self._running) >= self._slots and len(self._waiting) >= QUEUE_CAPACITY
         return 503 if full else 0
 
     def _take(self, request: Request, request_id: str, connection: ServerConnection) -> Deferred[Reply]:
@@ -191,7 +196,7 @@
 
     def _note(self, answer: Answer, connection: ServerConnection) -> None:
         def lost() -> None:
-            if self._clock() - answer.at < READ_WITHIN_S:
+            if self._clock() - answer.at < READ_MARGIN_AFTER_ANSWER_S:
                 answer.read = False
 
         connection.on_lost = lost
@@ -238,11 +243,11 @@
 
 
 PULL_WAIT_MS = 1_000
-PULL_ANSWER_S = 2.5
-WORD_ANSWER_S = 1.5
-END_FOR_S = 20.0  # an end without a clear answer is sent again for so long
-END_AGAIN_SHARE = 0.1  # of ends that are sent once more after their answer: it must stay the same
-AFTER_FAILURE_S = 0.2
+PULL_TIMEOUT_S = 2.5
+LEASE_CALL_TIMEOUT_S = 1.5
+END_RETRY_FOR_S = 20.0  # an end without a clear answer is sent again for so long
+REPEATED_END_SHARE = 0.1  # of ends that are sent once more after their answer: it must stay the same
+RETRY_DELAY_S = 0.2
 
 
 class PullingWorker:
@@ -253,7 +258,7 @@
         reactor: Any,
         clock: Clock,
         history: History,
-        entry: Entry,
+        entry: LoadBalancer,
         work: Work,
         service: str,
         instance: str,
@@ -265,40 +270,40 @@
 
     def start(self, failed: Callable[[Any], None]) -> None:
         """Ask for jobs until it is stopped; `failed` hears an error in the rehearsal itself."""
-        Deferred.fromCoroutine(self._work_on()).addErrback(failed)
+        Deferred.fromCoroutine(self._poll()).addErrback(failed)
 
     def stop(self) -> None:
         """Ask for no more."""
         self._stopping = True
 
-    async def _work_on(self) -> None:
+    async def _poll(self) -> None:
         headers = {"X-Instance-Id": self._instance, "X-Wait-Ms": str(PULL_WAIT_MS)}
         while not self._stopping:
-            answer = await self._call(Call("POST", f"/pull/{self._service}", headers), PULL_ANSWER_S)
+            answer = await self._call(Call("POST", f"/pull/{self._service}", headers), PULL_TIMEOUT_S)
             if answer is not None and answer.status == 200:
-                await self._do(answer)
+                await self._process(answer)
             elif answer is None or answer.status != 204:
-                await deferLater(self._reactor, AFTER_FAILURE_S)
+                await deferLater(self._reactor, RETRY_DELAY_S)
 
     async def _call(self, call: Call, timeout_s: float) -> Reply | None:
         address = self._entry.choose().address(Port.FRONT)
         answer = await send_call(self._reactor, address, call, timeout_s)
         return answer if isinstance(answer, Reply) else None
 
-    async def _do(self, job: Reply) -> None:
+    async def _process(self, job: Reply) -> None:
         request_id, lease_id = job.headers.get("x-request-id", ""), job.headers.get("x-lease-id", "")
         method, target = job.headers.get("x-job-method", ""), job.headers.get("x-job-target", "")
         run = Run(
             request_id, self._clock(), self._service, method, target, job.body, lease_id, self._instance
         )
         self._history.runs.append(run)
-        if await self._hold(request_id, lease_id):
+        if await self._work_and_extend(request_id, lease_id):
             status = self._work.status(request_id)
             stamp = self._work.stamp(self._instance) if status == 200 else ""
             self._history.answers.append(Answer(request_id, self._clock(), status, stamp, lease_id=lease_id))
-            await self._end(request_id, lease_id, status, stamp)
+            await self._report_end(request_id, lease_id, status, stamp)
 
-    async def _hold(self, request_id: str, lease_id: str) -> bool:
+    async def _work_and_extend(self, request_id: str, lease_id: str) -> bool:
         """Work, and extend the lease three times in each `visible_ms`; False where the lease is gone."""
         ends_at = self._clock() + self._work.seconds()
         pause = BOUNDS["visible_ms"] / 1000 / 3
@@ -308,24 +313,24 @@
                 return True
             sent_at = self._clock()
             call = Call("POST", f"/job-extend/{request_id}", {"X-Lease-Id": lease_id})
-            answer = await self._call(call, WORD_ANSWER_S)
+            answer = await self._call(call, LEASE_CALL_TIMEOUT_S)
             if answer is not None and answer.status == 200:
-                self._history.words.append(LeaseWord(request_id, lease_id, sent_at))
+                self._history.lease_extensions.append(LeaseExtension(request_id, lease_id, sent_at))
             elif answer is not None and answer.status == 409:
                 return False
         return True
 
-    async def _end(self, request_id: str, lease_id: str, status: int, stamp: str) -> None:
+    async def _report_end(self, request_id: str, lease_id: str, status: int, stamp: str) -> None:
         headers = {"X-Lease-Id": lease_id, "X-Job-Status": str(status)}
         if stamp:
             headers["X-Server-Stamp"] = stamp
         call = Call("POST", f"/job-end/{request_id}", headers)
-        give_up_at = self._clock() + END_FOR_S
-        again = self._random.random() < END_AGAIN_SHARE
+        give_up_at = self._clock() + END_RETRY_FOR_S
+        again = self._random.random() < REPEATED_END_SHARE
         while self._clock() < give_up_at:
-            answer = await self._call(call, WORD_ANSWER_S)
+            answer = await self._call(call, LEASE_CALL_TIMEOUT_S)
             if answer is None or answer.status not in (200, 409):
-                await deferLater(self._reactor, AFTER_FAILURE_S)
+                await deferLater(self._reactor, RETRY_DELAY_S)
                 continue
             taken = answer.status == 200
             self._history.ends.append(LeaseEnd(request_id, lease_id, self._clock(), status, taken))
--- a/bitternpath/testing/simulation/actors/machines.py
+++ b/bitternpath/testing/simulation/actors/machines.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from bitternpath.testing.fault_injection.records import Trouble
+from bitternpath.testing.fault_injection.records import Outage
 from bitternpath.testing.simulation.actors.nodes import Directory
 from bitternpath.testing.simulation.checks.history import Disruption, Harm, SystemHistory
 from bitternpath.testing.simulation.events import Fault, FaultKind
@@ -134,7 +134,7 @@
     def _terminate(self, fault: Fault, name: str) -> None:
         self._world.terminate(name)
         until = GRACE_S + RESTART_WITHIN_S
-        self._history.troubles.append(Trouble(name, self._world.now, self._world.now + until, planned=True))
+        self._history.outages.append(Outage(name, self._world.now, self._world.now + until, planned=True))
         self._disrupt(Harm.LEAVING, name, until)
 
     # ---- parts
@@ -155,7 +155,7 @@
 
     def _note(self, harm: Harm, name: str, lasts: float) -> None:
         now = self._world.now
-        self._history.troubles.append(Trouble(name, now, now + lasts, planned=False))
+        self._history.outages.append(Outage(name, now, now + lasts, planned=False))
         self._disrupt(harm, name, lasts)
 
     def _disrupt(self, harm: Harm, name: str, lasts: float) -> None:
--- a/bitternpath/testing/simulation/checks/contact.py
+++ b/bitternpath/testing/simulation/checks/contact.py
@@ -6,16 +6,21 @@
 from collections.abc import Iterable
 from math import inf
 
-from bitternpath.testing.simulation.checks.history import Disruption, Harm, SystemHistory, SystemTerms
+from bitternpath.testing.simulation.checks.history import (
+    Disruption,
+    Harm,
+    SystemHistory,
+    SystemRuleParameters,
+)
 
 
 class Contact:
     """Answers questions about one history's disruptions."""
 
-    def __init__(self, history: SystemHistory, terms: SystemTerms) -> None:
+    def __init__(self, history: SystemHistory, parameters: SystemRuleParameters) -> None:
         self._disruptions = history.disruptions
-        self._contact_s = terms.contact_s
-        self._core, self._stores = terms.core, terms.stores
+        self._contact_s = parameters.contact_s
+        self._core, self._stores = parameters.core, parameters.stores
 
     def in_touch(self, nodes: Iterable[str], begin: float, end: float) -> bool:
         """Whether all of these machines surely were in touch from `begin` to `end`."""
--- a/bitternpath/testing/simulation/checks/history.py
+++ b/bitternpath/testing/simulation/checks/history.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any
 
-from bitternpath.testing.fault_injection.records import History, OrderSent, Terms
+from bitternpath.testing.fault_injection.records import History, OrderSent, RuleParameters
 
 
 class SystemRule(Enum):
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SystemTerms(Terms):
+class SystemRuleParameters(RuleParameters):
     """Figures by which a simulated run is judged (RULES; DEPLOY, `bounds`)."""
 
     core: frozenset[str] = frozenset()  # machines with a disk that serve `control_plane`
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -43,7 +43,7 @@
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
 GREETING_S = 0.1  # from the start of a process until the configuration's owner has its subscription
-SILENCE_S = 1.6  # until a link to a machine without power is given up (`transport.connections`)
+POWER_LOSS_DETECTION_S = 1.6  # until a link to a machine without power is given up (`transport.connections`)
 LOOK_S = 0.25  # between looks at what no event tells
 SAMPLE_S = 0.005  # between looks of the measurement
 CHUNK_BYTES = 32 << 10  # of the commands that fill a group before the repair
@@ -176,7 +176,7 @@
             self.clock.callLater(LATENCY_S, self.controller.gone, process.descriptor)
         else:
             process.journal_writer.crash_during_batch(self.random)
-            self.clock.callLater(SILENCE_S, self.controller.gone, process.descriptor)
+            self.clock.callLater(POWER_LOSS_DETECTION_S, self.controller.gone, process.descriptor)
         process.clock.end()
         self.ended_at[name, process.descriptor.incarnation] = self.clock.seconds()
         if wipe:
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from bitternpath.testing.fault_injection.bounds import BOUNDS
 from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 from bitternpath.testing.simulation.events import (
     Event,
     Fault,
--- a/bitternpath/testing/simulation/settings.py
+++ b/bitternpath/testing/simulation/settings.py
@@ -7,7 +7,7 @@
 
 from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.storage.segments import SEGMENT_BYTES
-from bitternpath.testing.fault_injection.bounds import BOUNDS
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
 FRONT_PORT, READINESS_PORT, CONTROL_PORT = 8069, 8063, 8064
 INTERNAL_PORTS = [7780, 7795]
