--- a/bitternpath/testing/fault_injection/__init__.py
+++ b/bitternpath/testing/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""A rehearsal of the whole system: real processes on loopback, in a world of clients, workers and faults."""
+"""Fault-injection tests of the whole system: real processes on loopback, with clients, workers and faults."""
--- a/bitternpath/testing/fault_injection/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -1,4 +1,4 @@
-"""Finds broken rules in what the world has seen (RULES, "Messages", "Requests and answers"). Pure."""
+"""Checks a history against the rules (RULES, "Messages", "Requests and answers"). Pure."""
 
 from __future__ import annotations
 
--- a/bitternpath/testing/fault_injection/clients.py
+++ b/bitternpath/testing/fault_injection/clients.py
@@ -1,37 +1,36 @@
-"""Clients: they send messages of all kinds, retry after a promise, and ask for states at the end."""
+"""Clients that send messages of all kinds and retry those that were rejected without having run."""
 
 from __future__ import annotations
 
-import json
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-from twisted.internet.defer import Deferred, DeferredSemaphore, gatherResults
+from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
+from bitternpath.testing.fault_injection.actor_context import ActorContext
+from bitternpath.testing.fault_injection.http_client import Call, Unanswered, send_call
 from bitternpath.testing.fault_injection.load_balancer import LoadBalancer
 from bitternpath.testing.fault_injection.plan import HOSTS, PREFIXES, SHARES, Port, Reachable
-from bitternpath.testing.fault_injection.plumbing import Call, Reply, Unanswered, send_call
-from bitternpath.testing.fault_injection.records import Clock, Found, History, Kind, Send, SendOutcome
+from bitternpath.testing.fault_injection.records import Kind, Send, SendOutcome
 
-DEADLINE_MS = 1_500
+DEADLINE_MS = 1_500  # of a message, over all attempts
+MIN_TIMEOUT_S = 0.05  # of an attempt close to the deadline
+CONNECT_RETRY_DELAY_S = 0.05
 MAX_SEND_ATTEMPTS = 3
 MAX_RETRY_AFTER_S = 1.0  # of `Retry-After`, as the deadline is near
 ORDER_KEYS = 12
-DELAYED_SHARE, MAX_DELAY_S = 0.2, 2.0  # of pulled messages
+DELAYED_SHARE = 0.2  # of pulled messages
+MAX_DELAY_S = 2.0
 BODY_BYTES = {Kind.LISTED: 600, Kind.ENDPOINT: 1_200, Kind.PULLED: 2_500}
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
-STATE_TIMEOUT_S = 2.0
-STATE_RETRY_DELAY_S = 0.3
-MAX_STATE_READS = 15
-CONCURRENT_STATE_READS = 16  # questions under way at once
 
 
 @dataclass(frozen=True, slots=True)
 class MessageSpec:
-    """A message that a client wants done; each try gets an id of its own."""
+    """A message to be sent; each attempt gets a request id of its own."""
 
     kind: Kind
     body: bytes
@@ -41,7 +40,7 @@
 
 
 def draw_message(random: Random) -> MessageSpec:
-    """A message of any kind."""
+    """A random message; kinds occur by their `SHARES`."""
     kind = random.choices(list(SHARES), list(SHARES.values()))[0]
     body = random.randbytes(BODY_BYTES[kind])
     key = f"key-{random.randrange(ORDER_KEYS)}" if kind is Kind.ENDPOINT else ""
@@ -51,17 +50,18 @@
 
 
 class Clients:
-    """Sends messages: given ones, or drawn ones at a mean rate with exponential gaps."""
+    """Sends messages: given ones, or random ones as a Poisson process."""
 
-    def __init__(
-        self, reactor: Any, clock: Clock, history: History, entry: LoadBalancer, callback_url: str
-    ) -> None:
-        self._reactor, self._clock, self._history = reactor, clock, history
-        self._entry, self._callback_url = entry, callback_url
-        self.open = 0  # messages whose client still waits or will try again
+    def __init__(self, context: ActorContext, balancer: LoadBalancer, callback_url: str) -> None:
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
+        self._balancer = balancer
+        self._callback_url = callback_url
+        self.open = 0  # messages in flight, or waiting for their next attempt
 
     def run(self, until: float, rate: float, random: Random, failed: Callable[[Any], None]) -> None:
-        """Send drawn ones until then; `failed` hears an error in the rehearsal itself."""
+        """Send random messages until `until`; `failed` receives an error of the test environment itself."""
         Deferred.fromCoroutine(self._send_all(until, rate, random, failed)).addErrback(failed)
 
     async def _send_all(
@@ -72,16 +72,19 @@
             Deferred.fromCoroutine(self.send(draw_message(random), random)).addErrback(failed)
 
     async def send(self, spec: MessageSpec, random: Random) -> Send:
-        """One message: tries until it is taken, its fate is open, or its time is up; the last try."""
+        """Send one message; retries until an attempt is accepted or unclear, or the deadline is near.
+
+        Returns the last attempt.
+        """
         self.open += 1
         give_up_at = self._clock() + DEADLINE_MS / 1000
         for _ in range(MAX_SEND_ATTEMPTS):
-            node = self._entry.choose(spec.zone)
+            node = self._balancer.choose(spec.zone)
             send = self._prepare(spec, node, random)
-            pause = await self._try(send, node, give_up_at)
-            if pause is None or self._clock() + pause >= give_up_at:
+            retry_delay_s = await self._attempt(send, node, give_up_at)
+            if retry_delay_s is None or self._clock() + retry_delay_s >= give_up_at:
                 break
-            await deferLater(self._reactor, pause)
+            await deferLater(self._reactor, retry_delay_s)
         self.open -= 1
         return send
 
@@ -102,17 +105,19 @@
         self._history.sends[request_id] = send
         return send
 
-    async def _try(self, send: Send, node: Reachable, give_up_at: float) -> float | None:
-        """Send it; the pause before the next try, None where there is none."""
-        left = max(give_up_at - self._clock(), 0.05)
-        answer = await send_call(self._reactor, node.address(Port.FRONT), self._call(send, left), left)
+    async def _attempt(self, send: Send, node: Reachable, give_up_at: float) -> float | None:
+        """Send it; seconds until the next attempt, None if there is none."""
+        timeout_s = max(give_up_at - self._clock(), MIN_TIMEOUT_S)
+        answer = await send_call(
+            self._reactor, node.address(Port.FRONT), self._call(send, timeout_s), timeout_s
+        )
         send.ended_at = self._clock()
         if isinstance(answer, Unanswered):
             send.outcome = SendOutcome.UNCLEAR
             send.connection_closed = answer is Unanswered.CLOSED
             if answer is Unanswered.NO_CONNECTION:
                 send.outcome = SendOutcome.NOT_SENT
-                return 0.05
+                return CONNECT_RETRY_DELAY_S
             return None
         send.status = answer.status
         send.outcome = _outcome(answer.status)
@@ -121,11 +126,11 @@
             return min(float(answer.headers.get("retry-after", "0")), MAX_RETRY_AFTER_S)
         return None
 
-    def _call(self, send: Send, left: float) -> Call:
+    def _call(self, send: Send, timeout_s: float) -> Call:
         headers = {
             "Host": HOSTS[send.kind],
             "X-Request-Id": send.request_id,
-            "X-Deadline-Ms": str(int(left * 1000)),
+            "X-Deadline-Ms": str(int(timeout_s * 1000)),
         }
         if send.order_key:
             headers["X-Order-Key"] = send.order_key
@@ -142,37 +147,3 @@
     if status in NOT_EXECUTED_STATUSES:
         return SendOutcome.NOT_EXECUTED
     return SendOutcome.UNCLEAR if status >= 500 else SendOutcome.REJECTED
-
-
-class StateReaders:
-    """Ask for the state of messages, and for the bytes of those that aren't done."""
-
-    def __init__(self, reactor: Any, clock: Clock, history: History, entry: LoadBalancer) -> None:
-        self._reactor, self._clock, self._history, self._entry = reactor, clock, history, entry
-        self._read_slots = DeferredSemaphore(CONCURRENT_STATE_READS)
-
-    async def read_all(self, sends: list[Send]) -> None:
-        """Ask for each of them."""
-        await gatherResults([self._read_slots.run(self._ask, send) for send in sends])
-
-    async def _ask(self, send: Send) -> None:
-        found = Found(send.request_id, self._clock(), "")
-        told = await self._get(send, "message")
-        if told is not None:
-            document = json.loads(told.body)
-            state, stamp = str(document.get("state", "")), str(document.get("stamp", ""))
-            asked_at = self._clock()
-            kept = await self._get(send, "message-body") if state != "done" else None
-            found = Found(send.request_id, asked_at, state, stamp, kept.body if kept is not None else None)
-        self._history.found[send.request_id] = found
-
-    async def _get(self, send: Send, what: str) -> Reply | None:
-        """The answer with 200; None where none comes though any node is asked again and again."""
-        call = Call("GET", f"/{what}/{send.message_id}", {"Host": HOSTS[send.kind]})
-        for _ in range(MAX_STATE_READS):
-            address = self._entry.choose().address(Port.FRONT)
-            answer = await send_call(self._reactor, address, call, STATE_TIMEOUT_S)
-            if isinstance(answer, Reply) and answer.status == 200:
-                return answer
-            await deferLater(self._reactor, STATE_RETRY_DELAY_S)
-        return None
--- a/bitternpath/testing/fault_injection/configuration_changes.py
+++ b/bitternpath/testing/fault_injection/configuration_changes.py
@@ -6,18 +6,19 @@
 import json
 from typing import Any
 
+from bitternpath.testing.fault_injection.http_client import Call
 from bitternpath.testing.fault_injection.plan import TIMEOUT_MS, route_document
-from bitternpath.testing.fault_injection.plumbing import Call
 from bitternpath.testing.fault_injection.records import Kind
 
 TIMEOUTS_MS = (TIMEOUT_MS, TIMEOUT_MS + 200, TIMEOUT_MS + 400)
-START_TARGET_MS, START_TARGETS = 1_200, 300
+START_TARGET_MS = 1_200
+START_TARGETS = 300  # different values that changes go through
 EXTRA_ROUTE = "route-extra"
 JSON = "application/json"
 
 
 def changed_document(document: dict[str, Any], number: int, version: int) -> dict[str, Any]:
-    """Another time-out and aim for a route, and a route that comes or goes."""
+    """The document with another time-out and start target of a route, and an extra route added or removed."""
     wanted = copy.deepcopy(document)
     wanted["version"] = version
     routes = [route for route in wanted["routes"] if not route["name"].startswith(EXTRA_ROUTE)]
@@ -38,18 +39,18 @@
 
 
 def invalid_document(wanted: dict[str, Any]) -> dict[str, Any]:
-    """The same with a route that names an unknown service."""
+    """The document with a route that names an unknown service."""
     first, *others = wanted["routes"]
     return {**wanted, "routes": [{**first, "service": "nowhere"}, *others]}
 
 
 def put_call(base: int, wanted: dict[str, Any]) -> Call:
-    """The whole configuration, on top of version `base`."""
+    """A call that replaces the configuration of version `base`."""
     return Call("PUT", "/config", _headers(base), json.dumps(wanted).encode())
 
 
 def patch_call(document: dict[str, Any], wanted: dict[str, Any]) -> Call:
-    """The same by named items, as they differ from the document in force."""
+    """A call that sends only the routes in which `wanted` differs from `document`."""
     before = {route["name"]: route for route in document["routes"]}
     after = {route["name"]: route for route in wanted["routes"]}
     patch = {
--- a/bitternpath/testing/fault_injection/configuration_operator.py
+++ b/bitternpath/testing/fault_injection/configuration_operator.py
@@ -1,4 +1,4 @@
-"""The operator: sends the first configuration, then changes of it, and reads it back at the end."""
+"""An operator that creates the configuration, changes it all the time and reads it back at the end."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import deferLater
 
+from bitternpath.testing.fault_injection.actor_context import ActorContext
 from bitternpath.testing.fault_injection.configuration_changes import (
     changed_document,
     invalid_document,
@@ -17,23 +18,28 @@
     put_call,
 )
 from bitternpath.testing.fault_injection.control_calls import MIN_BACKOFF_S, ControlCalls
+from bitternpath.testing.fault_injection.http_client import Call
 from bitternpath.testing.fault_injection.plan import Plan
-from bitternpath.testing.fault_injection.plumbing import Call
-from bitternpath.testing.fault_injection.records import Clock, History, OrderOutcome, OrderSent
+from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
 
 ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
 FIRST_ORDER_RETRY_FOR_S = 25.0  # the first configuration is sent again until it is accepted
 CHANGE_INTERVAL_S = 1.0
-INVALID_EVERY, RACE_EVERY, REPEAT_EVERY = 5, 4, 3  # changes between these
+INVALID_EVERY = 5  # each fifth change is invalid
+RACE_EVERY = 4  # each fourth other one competes with another change of the same version
+MAX_REFRESH_CALLS = 10
+REPEAT_EVERY = 3  # each third is sent again after its acknowledgement
 
 
 class Operator:
     """Changes the configuration. `document` is the newest one that was acknowledged."""
 
-    def __init__(self, reactor: Any, clock: Clock, history: History, plan: Plan) -> None:
-        self._reactor, self._clock, self._history = reactor, clock, history
+    def __init__(self, context: ActorContext, plan: Plan) -> None:
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
         self._random = Random(plan.seed + 1)
-        self._calls = ControlCalls(reactor, clock, lambda: plan.edges, self._random)
+        self._calls = ControlCalls(context.reactor, context.clock, lambda: plan.edges, self._random)
         self.document: dict[str, Any] = {"version": 0}
         self._changes = 0
         self.busy = False
@@ -44,11 +50,11 @@
         return order.outcome is OrderOutcome.ACKNOWLEDGED
 
     def run(self, until: float, failed: Callable[[Any], None]) -> None:
-        """Send changes until then; `failed` hears an error in the rehearsal itself."""
+        """Send changes until `until`; `failed` receives an error of the test environment itself."""
         Deferred.fromCoroutine(self._change_all(until)).addErrback(failed)
 
     async def read_back(self, seconds: float) -> None:
-        """Read the configuration again and again for so long; the last answer counts."""
+        """Read the configuration repeatedly for `seconds`; the last answer counts."""
         until = self._clock() + seconds
         while self._clock() < until:
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
@@ -81,7 +87,7 @@
             await self._refresh()
 
     async def _race(self) -> None:
-        """Two changes on top of the same version, at once, under the same number."""
+        """Send two changes of the same version at once, under the same new version."""
         base = self.document["version"]
         first, second = self._next(self._changes), self._next(self._changes + 1)
         second["version"] = first["version"]
@@ -96,8 +102,8 @@
         await self._order(put_call(base, wanted), base, wanted, valid=False)
 
     async def _refresh(self) -> None:
-        """After an open fate or a race: what is in force now."""
-        for _ in range(10):
+        """Read what is in force, after an unclear outcome or competing changes."""
+        for _ in range(MAX_REFRESH_CALLS):
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
             if answer is not None and answer.status == 200:
                 self.document = json.loads(answer.body)
@@ -116,11 +122,13 @@
         seconds: float = ORDER_RETRY_FOR_S,
         valid: bool = True,
     ) -> OrderSent:
-        """Send a change to one node after the other until there is a clear answer."""
+        """Send a change until its outcome is clear, and record it."""
         sent_at = self._clock()
-        outcome, status = await self._calls.send_until_decided(call, sent_at + seconds)
-        order = OrderSent(wanted["version"], base, sent_at, self._clock(), outcome, valid, wanted, status)
+        result = await self._calls.send_until_decided(call, sent_at + seconds)
+        order = OrderSent(
+            wanted["version"], base, sent_at, self._clock(), result.outcome, valid, wanted, result.status
+        )
         self._history.orders.append(order)
-        if outcome is OrderOutcome.ACKNOWLEDGED and wanted["version"] > self.document["version"]:
+        if result.outcome is OrderOutcome.ACKNOWLEDGED and wanted["version"] > self.document["version"]:
             self.document = wanted
         return order
--- a/bitternpath/testing/fault_injection/demo.py
+++ b/bitternpath/testing/fault_injection/demo.py
@@ -27,7 +27,7 @@
 
 
 def run_demo(seconds: float, rate: float, seed: int, faults: bool, keep: Path | None) -> int:
-    """Rehearse and judge; 0 where the rules were kept, 1 where one was broken or the rehearsal failed."""
+    """Run and judge; 0 if all rules were kept, 1 if one was broken or the run failed."""
     plan = make_plan(rate, seconds, EDGES, STORAGE, seed)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
@@ -37,20 +37,18 @@
 
 
 class _Demo:
-    """One rehearsal with its verdict."""
+    """One run with its verdict."""
 
     def __init__(self, plan: Plan, folder: Path, faults: bool) -> None:
         self._reactor = monotonic_reactor()
         self._faults = faults
         self._world = World(self._reactor, plan, folder, print_line)
-        self._status = ConfigurationOwnerPoller(self._reactor, plan.edges)
+        self._owner_poller = ConfigurationOwnerPoller(self._reactor, plan.edges)
         self._fault_schedule = FaultSchedule(
-            self._reactor,
-            self._world.now,
-            self._world.history,
+            self._world.context,
             plan,
             self._world.processes,
-            self._status,
+            self._owner_poller,
             self._report_at,
         )
         self._code = 1
@@ -65,12 +63,12 @@
         return self._code
 
     def _begin(self) -> None:
-        Deferred.fromCoroutine(self._rehearse()).addErrback(self._failed).addBoth(self._end)
+        Deferred.fromCoroutine(self._run_stages()).addErrback(self._failed).addBoth(self._end)
 
-    async def _rehearse(self) -> None:
+    async def _run_stages(self) -> None:
         world = self._world
         await world.start()
-        self._status.start()
+        self._owner_poller.start()
         world.operator.run(world.now() + world.plan.seconds, world.failed)
         if self._faults:
             self._fault_schedule.run(world.failed)
@@ -88,13 +86,15 @@
         for line in lines + violation_lines(world.history, violations):
             print_line(line)
         ended = {
-            name: p.unexpected_exit_codes for name, p in world.processes.items() if p.unexpected_exit_codes
+            name: process.unexpected_exit_codes
+            for name, process in world.processes.items()
+            if process.unexpected_exit_codes
         }
         for name, codes in ended.items():
             print_line(f"FAULT {name} ended by itself, exit codes {codes}; the end of its log:")
             print_line("\n".join(world.processes[name].log.read_text(errors="replace").splitlines()[-20:]))
         for error in world.errors:
-            print_line(f"error in the rehearsal itself, the result is void:\n{error}")
+            print_line(f"error in the test environment itself, the result is void:\n{error}")
         if not violations and not ended and not world.errors:
             print_line("rules kept")
             self._code = 0
@@ -111,6 +111,6 @@
             print(failure.getTraceback(), file=sys.stderr)
 
     def _end(self, _: object) -> None:
-        self._status.stop()
+        self._owner_poller.stop()
         self._world.stop()
         self._reactor.callLater(POLL_INTERVAL_S, self._reactor.stop)
--- a/bitternpath/testing/fault_injection/fault_schedule.py
+++ b/bitternpath/testing/fault_injection/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Stops processes on the way and starts them again."""
+"""Stops processes during the traffic and starts them again."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import deferLater
 
+from bitternpath.testing.fault_injection.actor_context import ActorContext
 from bitternpath.testing.fault_injection.owner_poller import ConfigurationOwnerPoller
 from bitternpath.testing.fault_injection.plan import Plan, Role
 from bitternpath.testing.fault_injection.processes import Process
-from bitternpath.testing.fault_injection.records import Clock, History, Outage
+from bitternpath.testing.fault_injection.records import Outage
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
 RESTART_AFTER_S = 1.5
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledStop:
-    """A fault to come. `share`: of the time of traffic that is over by then."""
+    """A stop at the fraction `share` of the traffic's duration; by SIGKILL if `kill`, else by SIGTERM."""
 
     share: float
     target: StopTarget
@@ -51,25 +52,29 @@
 
 
 class FaultSchedule:
-    """Carries out the stops."""
+    """Carries out the scheduled stops."""
 
     def __init__(
         self,
-        reactor: Any,
-        clock: Clock,
-        history: History,
+        context: ActorContext,
         plan: Plan,
         processes: Mapping[str, Process],
-        status: ConfigurationOwnerPoller,
+        owner_poller: ConfigurationOwnerPoller,
         report: Callable[[str], None],
     ) -> None:
-        self._reactor, self._clock, self._history, self._plan = reactor, clock, history, plan
-        self._processes, self._status, self._report = processes, status, report
+        """`report` receives a line of text for each fault."""
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
+        self._plan = plan
+        self._processes = processes
+        self._owner_poller = owner_poller
+        self._report = report
         self._random = Random(plan.seed + 2)
-        self.open = 0
+        self.open = 0  # faults to come, or whose process has not been started again
 
     def run(self, failed: Callable[[Any], None]) -> None:
-        """Plan all stops from now on; `failed` hears an error in the rehearsal itself."""
+        """Schedule all stops from now on; `failed` receives an error of the test environment itself."""
         for stop in SCHEDULED_STOPS:
             self.open += 1
             Deferred.fromCoroutine(self._carry_out(stop)).addErrback(failed)
@@ -92,7 +97,7 @@
         self.open -= 1
 
     async def _terminate(self, process: Process) -> None:
-        """SIGTERM, then SIGKILL after the time of grace."""
+        """SIGTERM, then SIGKILL after the grace period."""
         began = self._clock()
         process.terminate()
         while process.running() and self._clock() - began < BOUNDS["grace_s"]:
@@ -104,9 +109,9 @@
 
     def _choose(self, target: StopTarget) -> str:
         if target is StopTarget.OWNER:
-            return self._status.owner() or self._plan.edges[0].name
+            return self._owner_poller.owner() or self._plan.edges[0].name
         if target is StopTarget.STORAGE:
             storage = [machine.name for machine in self._plan.machines if machine.role is Role.STORAGE]
             return self._random.choice(storage)
-        edges = [edge for edge in self._plan.edges if edge.name != self._status.owner()]
+        edges = [edge for edge in self._plan.edges if edge.name != self._owner_poller.owner()]
         return min(edges, key=lambda edge: edge.disk).name
--- a/bitternpath/testing/fault_injection/plumbing.py
+++ b/bitternpath/testing/fault_injection/http_client.py
@@ -1,32 +1,19 @@
-"""HTTP/1.1 for the world around the system: one call on a connection of its own, and small servers."""
+"""An HTTP/1.1 client for the test environment: one call on one connection, without retries."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Any
 
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectError
-from twisted.internet.protocol import Factory, Protocol, connectionDone
-from twisted.protocols.policies import TimeoutMixin
+from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from bitternpath.net.http1 import (
-    HttpError,
-    Request,
-    RequestReader,
-    Response,
-    ResponseReader,
-    request,
-    response,
-)
+from bitternpath.net.http1 import HttpError, Response, ResponseReader, request
 
 CONNECT_TIMEOUT_S = 1.0
-KEEP_ALIVE_S = 4  # for which servers keep an idle connection, as they say in `Keep-Alive`
-
-Handler = Callable[[Request, "ServerConnection"], "Deferred[Reply]"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,84 +121,3 @@
         elif answer is Unanswered.SILENT:
             answer = Unanswered.NO_CONNECTION
         self.answer.callback(answer)
-
-
-class ServerConnection(Protocol, TimeoutMixin):
-    """A connection of a small server: one request at a time, kept while it is used."""
-
-    transport: Any
-
-    def __init__(self, handler: Handler, reactor: Any) -> None:
-        self._handler = handler
-        self._reactor = reactor
-        self._reader = RequestReader()
-        self._running: Deferred[Any] | None = None
-        self.on_lost: Callable[[], None] | None = None  # hears the end of the connection
-        self.closed = False
-
-    def connectionMade(self) -> None:
-        self.transport.setTcpNoDelay(True)
-        self.setTimeout(KEEP_ALIVE_S)  # type: ignore[no-untyped-call]
-
-    def dataReceived(self, data: bytes) -> None:
-        self._reader.feed(data)
-        self._next()
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.closed = True
-        self.setTimeout(None)  # type: ignore[no-untyped-call]
-        running, self._running = self._running, None
-        if running is not None:
-            running.cancel()
-        if self.on_lost is not None:
-            self.on_lost()
-
-    def callLater(self, period: float, func: Callable[[], object]) -> Any:
-        """The time-out's clock (see `TimeoutMixin`)."""
-        return self._reactor.callLater(period, func)
-
-    def timeoutConnection(self) -> None:
-        self.transport.loseConnection()
-
-    def _next(self) -> None:
-        if self._running is not None:
-            return
-        try:
-            message = self._reader.next()
-        except HttpError:
-            self.transport.abortConnection()
-            return
-        if isinstance(message, Request):
-            self.setTimeout(None)  # type: ignore[no-untyped-call]
-            self._running = self._handler(message, self)
-            self._running.addCallbacks(self._answered, self._failed)
-
-    def _answered(self, reply: Reply) -> None:
-        self._running = None
-        headers = {"Keep-Alive": f"timeout={KEEP_ALIVE_S}", **reply.headers}
-        lines = tuple((name.encode("latin-1"), value.encode("latin-1")) for name, value in headers.items())
-        self.transport.write(response(reply.status, reply.body, lines))
-        self.setTimeout(KEEP_ALIVE_S)  # type: ignore[no-untyped-call]
-        self._next()
-
-    def _failed(self, failure: Failure) -> None:
-        self._running = None
-        self.transport.abortConnection()
-
-
-class ServerFactory(Factory):
-    """Makes the connections of a small server."""
-
-    noisy = False
-
-    def __init__(self, handler: Handler, reactor: Any) -> None:
-        self._handler, self._reactor = handler, reactor
-
-    def buildProtocol(self, addr: Any) -> ServerConnection:
-        return ServerConnection(self._handler, self._reactor)
-
-
-def serve(reactor: Any, host: str, handler: Handler, port_number: int = 0) -> tuple[Any, str]:
-    """Listen on a port of `host`, a free one if none is given; the port object and its address."""
-    port = reactor.listenTCP(port_number, ServerFactory(handler, reactor), interface=host)
-    return port, f"{host}:{port.getHost().port}"
--- /dev/null
+++ b/bitternpath/testing/fault_injection/http_workers.py
@@ -0,0 +1,213 @@
+"""Workers that receive jobs over HTTP: those of the platform's list, and an endpoint with a rate limit."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+from twisted.internet.defer import Deferred, succeed
+
+from bitternpath.net.http1 import Request
+from bitternpath.testing.fault_injection.actor_context import ActorContext
+from bitternpath.testing.fault_injection.checker import CEILING_ALLOWANCE
+from bitternpath.testing.fault_injection.http_client import Reply
+from bitternpath.testing.fault_injection.http_server import ServerConnection, serve
+from bitternpath.testing.fault_injection.job_behavior import JobBehavior
+from bitternpath.testing.fault_injection.plan import LOOPBACK
+from bitternpath.testing.fault_injection.records import Answer, Arrival, Run
+from bitternpath.testing.fault_injection.time_bounds import BOUNDS
+
+QUEUE_CAPACITY = 4  # jobs that wait beyond the slots
+READ_MARGIN_AFTER_ANSWER_S = 0.1  # a connection that ends sooner may have ended before the answer was read
+NOT_EXECUTED = {"X-Not-Executed": "1"}
+DEFAULT_DEADLINE_MS = 60_000
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerDescription:
+    """What a worker serves, the id of its incarnation, and how many jobs it runs at once."""
+
+    service: str
+    instance: str
+    slots: int = 1
+
+
+@dataclass(slots=True)
+class Job:
+    """A request that is queued or being processed; `ends_at` is its deadline on the actor's clock."""
+
+    request_id: str
+    request: Request
+    connection: ServerConnection
+    ends_at: float
+    answer: Deferred[Reply] = field(default_factory=Deferred)
+    timer: Any = None
+
+
+class HttpWorker:
+    """A worker that receives jobs over HTTP, on an address of its own."""
+
+    def __init__(
+        self,
+        context: ActorContext,
+        behavior: JobBehavior,
+        description: WorkerDescription,
+        host: str = LOOPBACK,
+        port: int = 0,
+    ) -> None:
+        """Listens at once; port 0 takes a free one."""
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
+        self._behavior = behavior
+        self.service = description.service
+        self.instance = description.instance
+        self._slots = description.slots
+        self._running: set[str] = set()
+        self._waiting: list[Job] = []
+        self._connections: list[ServerConnection] = []
+        self.port, self.address = serve(context.reactor, host, self.handle, port)
+
+    def listed(self) -> dict[str, Any]:
+        """Its entry in the platform's endpoint list, as JSON values."""
+        return {
+            "service": self.service,
+            "address": self.address,
+            "zone": "zone-1",
+            "version": "v1",
+            "slots": self._slots,
+            "state": "ready",
+            "cold_remaining_ms": 0,
+            "id": self.instance,
+        }
+
+    def handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
+        """Answers a delivery or a health check."""
+        if connection not in self._connections:
+            self._connections = [known for known in self._connections if not known.closed] + [connection]
+        if request.method == b"GET" and request.path == b"/healthz":
+            return succeed(Reply(200 if len(self._running) < self._slots else 503, self._named("")))
+        request_id = _header(request, b"x-request-id")
+        refusal = self._refusal(request, request_id)
+        if refusal:
+            return succeed(Reply(refusal, {**self._named(request_id), **NOT_EXECUTED}))
+        return self._take(request, request_id, connection)
+
+    def close(self) -> None:
+        """Stop listening, and reset open connections."""
+        self.port.stopListening()
+        for connection in self._connections:
+            if not connection.closed:
+                connection.transport.abortConnection()
+
+    def _refusal(self, request: Request, request_id: str) -> int:
+        expected = _header(request, b"x-expect-instance")
+        if expected and expected != self.instance:
+            return 421
+        if not request_id:
+            return 400
+        if request_id in self._running:
+            return 409
+        full = len(self._running) >= self._slots and len(self._waiting) >= QUEUE_CAPACITY
+        return 503 if full else 0
+
+    def _take(self, request: Request, request_id: str, connection: ServerConnection) -> Deferred[Reply]:
+        deadline = _header(request, b"x-deadline-ms")
+        deadline_ms = int(deadline) if deadline.isdigit() else DEFAULT_DEADLINE_MS
+        job = Job(request_id, request, connection, self._clock() + deadline_ms / 1000)
+        job.answer = Deferred(lambda _: self._dropped(job))
+        self._waiting.append(job)
+        self._next()
+        return job.answer
+
+    def _dropped(self, job: Job) -> None:
+        """Its connection has closed: drop it from the queue, or abort its run."""
+        if job in self._waiting:
+            self._waiting.remove(job)
+        if job.timer is not None and job.timer.active():
+            job.timer.cancel()
+            self._running.discard(job.request_id)
+            self._next()
+
+    def _next(self) -> None:
+        while self._waiting and len(self._running) < self._slots:
+            job = self._waiting.pop(0)
+            self._running.add(job.request_id)
+            request = job.request
+            run = Run(
+                job.request_id,
+                self._clock(),
+                self.service,
+                request.method.decode("latin-1"),
+                request.target.decode("latin-1"),
+                request.body,
+                instance=self.instance,
+                order_key=_header(request, b"x-order-key"),
+            )
+            self._history.runs.append(run)
+            seconds = min(self._behavior.seconds(), max(job.ends_at - self._clock(), 0.0))
+            job.timer = self._reactor.callLater(seconds, self._finish, job)
+
+    def _finish(self, job: Job) -> None:
+        self._running.discard(job.request_id)
+        status = self._behavior.status(job.request_id) if self._clock() < job.ends_at else 504
+        self._answer(job, status)
+        self._next()
+
+    def _answer(self, job: Job, status: int) -> None:
+        """Answer a run that has ended."""
+        stamp = self._behavior.stamp(self.instance) if status == 200 else ""
+        headers = self._named(job.request_id)
+        if stamp:
+            headers["X-Server-Stamp"] = stamp
+        if status != 504:
+            self._note(Answer(job.request_id, self._clock(), status, stamp), job.connection)
+        job.answer.callback(Reply(status, headers, b"ok" if stamp else b""))
+
+    def _note(self, answer: Answer, connection: ServerConnection) -> None:
+        def lost() -> None:
+            if self._clock() - answer.at < READ_MARGIN_AFTER_ANSWER_S:
+                answer.read = False
+
+        connection.on_lost = lost
+        self._history.answers.append(answer)
+
+    def _named(self, request_id: str) -> dict[str, str]:
+        named = {"X-Instance-Id": self.instance}
+        if request_id:
+            named["X-Request-Id"] = request_id
+        return named
+
+
+class Endpoint(HttpWorker):
+    """An endpoint that no list names; records arrivals, and rejects those over its rate limit with 429."""
+
+    def __init__(
+        self,
+        context: ActorContext,
+        behavior: JobBehavior,
+        description: WorkerDescription,
+        rate_per_s: float,
+        host: str = LOOPBACK,
+    ) -> None:
+        super().__init__(context, behavior, description, host)
+        self._rate_per_s = rate_per_s
+        self._recent: list[float] = []
+        self.over_rate = 0
+
+    def handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
+        """As `HttpWorker.handle`, within the rate."""
+        if request.method == b"GET":
+            return super().handle(request, connection)
+        now = self._clock()
+        self._history.arrivals.append(Arrival(now, self.service))
+        window = BOUNDS["ceiling_window_s"]
+        self._recent = [at for at in self._recent if at > now - window] + [now]
+        if len(self._recent) > self._rate_per_s * window * BOUNDS["origin_rate_over"] + CEILING_ALLOWANCE:
+            self.over_rate += 1
+            return succeed(Reply(429, {**self._named(_header(request, b"x-request-id")), **NOT_EXECUTED}))
+        return super().handle(request, connection)
+
+
+def _header(request: Request, name: bytes) -> str:
+    return request.headers.get(name, b"").decode("latin-1")
--- a/bitternpath/testing/fault_injection/load_balancer.py
+++ b/bitternpath/testing/fault_injection/load_balancer.py
@@ -1,4 +1,4 @@
-"""The platform's entry: which edge nodes get new connections (PROTOCOL, "Ingress")."""
+"""The load balancer of the platform, which picks edge nodes for new connections (PROTOCOL, "Ingress")."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 from random import Random
 from typing import Any
 
+from bitternpath.testing.fault_injection.http_client import Call, Reply, Unanswered, send_call
 from bitternpath.testing.fault_injection.plan import Port, Reachable
-from bitternpath.testing.fault_injection.plumbing import Call, Reply, Unanswered, send_call
 
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.9
-MAX_FAILED_PROBES = 2  # a node that misses as often gets no new connections until it answers 200 again
+MAX_FAILED_PROBES = 2  # in a row; then a node gets no new connections until it answers 200 again
 
 
 class LoadBalancer:
-    """Asks each edge node whether it is ready, and passes connections on to those that are."""
+    """Probes the readiness of edge nodes and picks among those that are ready."""
 
     def __init__(self, reactor: Any, edges: Sequence[Reachable], random: Random) -> None:
-        """`edges` may change while it asks."""
-        self._reactor, self._edges, self._random = reactor, edges, random
+        """`edges` may change later."""
+        self._reactor = reactor
+        self._edges = edges
+        self._random = random
         self._failed_probes: dict[str, int] = defaultdict(lambda: MAX_FAILED_PROBES)
         self._timer: Any = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Begin to probe."""
         self._timer = self._reactor.callLater(PROBE_INTERVAL_S, self.start)
         for edge in self._edges:
             probe = send_call(
@@ -34,7 +36,7 @@
             probe.addCallback(self._answered, edge.name)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Probe no more."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
@@ -43,10 +45,10 @@
         return [edge for edge in self._edges if self._failed_probes[edge.name] < MAX_FAILED_PROBES]
 
     def choose(self, zone: str = "") -> Reachable:
-        """The node of a new connection: a ready one, in that zone if there is one, or any where none is."""
+        """The node of a new connection: a ready one, preferably of that zone; any node if none is ready."""
         ready = self.ready()
-        near = [edge for edge in ready if edge.zone == zone]
-        return self._random.choice(near or ready or list(self._edges))
+        in_zone = [edge for edge in ready if edge.zone == zone]
+        return self._random.choice(in_zone or ready or list(self._edges))
 
     def _answered(self, answer: Reply | Unanswered, name: str) -> None:
         is_ready = isinstance(answer, Reply) and answer.status == 200
--- a/bitternpath/testing/fault_injection/owner_poller.py
+++ b/bitternpath/testing/fault_injection/owner_poller.py
@@ -1,4 +1,4 @@
-"""Asks edge nodes over their internal protocol which of them owns the configuration."""
+"""Finds the owner of the configuration by the internal protocol of edge nodes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ConfigurationOwnerPoller:
-    """Keeps links to the edge nodes and asks each again and again."""
+    """Keeps links to the edge nodes and polls each for the groups that it owns."""
 
     def __init__(self, reactor: Any, edges: Iterable[Machine]) -> None:
         self._reactor = reactor
@@ -30,33 +30,33 @@
         self._timer: Any = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Connect, and begin to poll."""
         for address in self._addresses:
             self._hub.dial(address, LINK_USER)
-        self._ask()
+        self._poll()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling, and close the links."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._hub.stop()
 
     def owner(self) -> str:
-        """The node that owns the configuration, as last told; empty while none says so."""
+        """The name of the owner by the latest answers; empty if none claims the ownership."""
         return max(self._owners, key=lambda name: self._owners[name], default="")
 
     def link_opened(self, link: Link) -> None:
-        """A node has introduced itself; it is asked in its turn."""
+        """Nothing to do: the node is polled with the others."""
 
     def link_closed(self, link: Link) -> None:
-        """What the node has told is void."""
+        """Forget the node's answer."""
         self._owners.pop(link.peer_name, None)
 
     def received(self, link: Link, record: Any) -> None:
-        """Nothing but answers is of interest."""
+        """Ignored: only answers matter."""
 
-    def _ask(self) -> None:
-        self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._ask)
+    def _poll(self) -> None:
+        self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._poll)
         for address in self._addresses:
             link = self._hub.link_to(address)
             if link is not None:
--- a/bitternpath/testing/fault_injection/plan.py
+++ b/bitternpath/testing/fault_injection/plan.py
@@ -1,4 +1,4 @@
-"""What is rehearsed: machines with their addresses, the first configuration, and the shape of the traffic."""
+"""The plan of a run: machines with their addresses, the first configuration, and the mix of the traffic."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
 
     @property
     def name(self) -> str:
-        """Of its machine."""
+        """Name of its machine."""
 
     @property
     def zone(self) -> str:
-        """Where it is."""
+        """Its zone."""
 
     def address(self, port: Port) -> str:
         """Where it listens, `ip:port`."""
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One rehearsal."""
+    """One run of the test environment."""
 
     rate: float  # messages a second
     seconds: float
@@ -94,7 +94,7 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """Control addresses that all processes are told."""
+        """Control addresses in the settings of all processes."""
         return tuple(machine.address(Port.CONTROL) for machine in self.edges if machine.disk)[:3]
 
     @property
@@ -103,7 +103,7 @@
         return max(RATE_PER_S, self.rate * SHARES[Kind.ENDPOINT] * RATE_OVER_LOAD)
 
     def parameters(self) -> RuleParameters:
-        """By which the history is judged."""
+        """Parameters of the rules by which the history is judged."""
         return rule_parameters(RuleParameters, self.endpoint_rate)
 
 
--- a/bitternpath/testing/fault_injection/records.py
+++ b/bitternpath/testing/fault_injection/records.py
@@ -1,4 +1,4 @@
-"""What the world around the system has seen. Times are seconds of one steady clock."""
+"""Observations of the actors around the system. Times are seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class SendOutcome(Enum):
-    """What a client knows of one try."""
+    """Outcome of one attempt, as far as its client knows."""
 
-    OPEN = "open"
+    OPEN = "open"  # not answered yet
     ACCEPTED = "accepted"
     NOT_EXECUTED = "promised not to run"
     REJECTED = "rejected"
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """One try of a client, with its answer once there is one."""
+    """One attempt of a client to send a message, and its answer once there is one."""
 
     request_id: str
     at: float
@@ -44,7 +44,7 @@
     ended_at: float = 0.0
     status: int = 0  # 0: no answer
     message_id: str = ""
-    connection_closed: bool = False  # the connection closed before a whole answer
+    connection_closed: bool = False  # the connection closed before a complete answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     body: bytes
     lease_id: str = ""
     instance: str = ""  # the worker's incarnation
-    order_key: str | None = None  # None: the worker didn't look
+    order_key: str | None = None  # None: not recorded by this kind of worker
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtension:
-    """A pulling worker extended its lease and was told that it still holds it."""
+    """A pulling worker extended its lease, acknowledged by 200."""
 
     request_id: str
     lease_id: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnd:
-    """A pulling worker was told whether the end of its lease was taken."""
+    """The answer to a pulling worker that reported the end of a job; `taken`: 200, else 409."""
 
     request_id: str
     lease_id: str
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """What the system said of a message at the end. `state` is empty where it never came."""
+    """The state of a message, read at the end of a run; `state` is empty if no answer came."""
 
     request_id: str
     at: float
@@ -125,7 +125,7 @@
 
 
 class OrderOutcome(Enum):
-    """What the operator knows of a change."""
+    """Outcome of a change, as far as its operator knows."""
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
@@ -159,7 +159,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All that was seen, each list in the order of time."""
+    """All observations of a run, each list ordered by time."""
 
     sends: dict[str, Send] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
@@ -175,13 +175,13 @@
     finished: float = 0.0
 
     def accepted(self) -> Iterator[Send]:
-        """Tries that were answered with 202."""
+        """Attempts that were answered with 202."""
         return (send for send in self.sends.values() if send.outcome is SendOutcome.ACCEPTED)
 
 
 @dataclass(frozen=True, slots=True)
 class RuleParameters:
-    """Figures by which a history is judged (RULES; DEPLOY, `bounds`)."""
+    """Parameters of the rules by which a history is judged (RULES; DEPLOY, `bounds`)."""
 
     max_attempts: int
     timeout_s: float
--- /dev/null
+++ b/bitternpath/testing/fault_injection/state_readers.py
@@ -0,0 +1,58 @@
+"""Clients that read the state of messages at the end of a run."""
+
+from __future__ import annotations
+
+import json
+
+from twisted.internet.defer import DeferredSemaphore, gatherResults
+from twisted.internet.task import deferLater
+
+from bitternpath.testing.fault_injection.actor_context import ActorContext
+from bitternpath.testing.fault_injection.http_client import Call, Reply, send_call
+from bitternpath.testing.fault_injection.load_balancer import LoadBalancer
+from bitternpath.testing.fault_injection.plan import HOSTS, Port
+from bitternpath.testing.fault_injection.records import Found, Send
+
+STATE_TIMEOUT_S = 2.0  # of one call
+STATE_RETRY_DELAY_S = 0.3
+MAX_STATE_READS = 15  # calls for one answer, each of any node
+CONCURRENT_STATE_READS = 16
+
+
+class StateReaders:
+    """Read the state of messages, and the bodies of those that aren't done."""
+
+    def __init__(self, context: ActorContext, balancer: LoadBalancer) -> None:
+        self._reactor = context.reactor
+        self._clock = context.clock
+        self._history = context.history
+        self._balancer = balancer
+        self._slots = DeferredSemaphore(CONCURRENT_STATE_READS)
+
+    async def read_all(self, sends: list[Send]) -> None:
+        """Read the state of each, a limited number at once."""
+        await gatherResults([self._slots.run(self._read, send) for send in sends])
+
+    async def _read(self, send: Send) -> None:
+        found = Found(send.request_id, self._clock(), "")
+        answer = await self._get(send, "message")
+        if answer is not None:
+            document = json.loads(answer.body)
+            state, stamp = str(document.get("state", "")), str(document.get("stamp", ""))
+            read_at = self._clock()
+            body_answer = await self._get(send, "message-body") if state != "done" else None
+            found = Found(
+                send.request_id, read_at, state, stamp, body_answer.body if body_answer is not None else None
+            )
+        self._history.found[send.request_id] = found
+
+    async def _get(self, send: Send, resource: str) -> Reply | None:
+        """The answer with 200; None if no node gave one in `MAX_STATE_READS` calls."""
+        call = Call("GET", f"/{resource}/{send.message_id}", {"Host": HOSTS[send.kind]})
+        for _ in range(MAX_STATE_READS):
+            address = self._balancer.choose().address(Port.FRONT)
+            answer = await send_call(self._reactor, address, call, STATE_TIMEOUT_S)
+            if isinstance(answer, Reply) and answer.status == 200:
+                return answer
+            await deferLater(self._reactor, STATE_RETRY_DELAY_S)
+        return None
--- a/bitternpath/testing/fault_injection/statistics.py
+++ b/bitternpath/testing/fault_injection/statistics.py
@@ -1,4 +1,4 @@
-"""Figures of a rehearsal, from its history. Pure."""
+"""Statistics of a run, computed from its history. Pure."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 
 
 def latency(sends: Iterable[Send]) -> Latency:
-    """Of the accepted ones among these tries."""
+    """Of the accepted ones among these attempts."""
     times = [(s.ended_at - s.at) * 1000 for s in sends if s.outcome is SendOutcome.ACCEPTED]
     return Latency(percentile(times, 0.5), percentile(times, 0.99), max(times, default=0.0))
 
 
 def kind_statistics(history: History, parameters: RuleParameters, kind: Kind) -> KindStatistics:
-    """Of one kind of message."""
+    """Statistics of one kind of message."""
     sends = {request_id: send for request_id, send in history.sends.items() if send.kind is kind}
     successes = [a for a in history.answers if a.status == 200 and a.at <= history.finished]
     done = {a.request_id: a.at for a in reversed(successes) if a.request_id in sends}
@@ -150,7 +150,7 @@
 
 
 def message_history(history: History, request_id: str) -> list[str]:
-    """All that was seen of a message, in the order of time."""
+    """All observations of a message, ordered by time."""
     send = history.sends.get(request_id)
     events: list[tuple[float, str]] = []
     if send is not None:
