--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -55,9 +55,9 @@
 
 def _system(seed: int, _: int) -> tuple[bool, str]:
     """One run of the whole service; a failing one is shrunk and written down."""
-    from bitternpath.testing.simulation.runs.once import describe, run_once, shrink_and_save
+    from bitternpath.testing.simulation.runs.single_run import describe, run_seed, shrink_and_save
 
-    report = run_once(seed)
+    report = run_seed(seed)
     says = describe(report)
     return report.kept, says if report.kept else f"{says}\n  shrunk: {shrink_and_save(report)}"
 
--- a/bitternpath/testing/fault_injection/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -78,7 +78,7 @@
     ended = ended_times(history, parameters)
     ran = {run.request_id for run in history.runs if run.at <= history.finished}
     for send in history.accepted():
-        found = history.found.get(send.request_id)
+        found = history.final_states.get(send.request_id)
         if ended[send.request_id] <= history.finished:
             if found is not None and not found.state:
                 yield Violation(Rule.LOST, send.request_id, "has ended, and its state does not come back")
@@ -196,14 +196,16 @@
         if answer.stamp:
             stamps[answer.request_id].add(answer.stamp)
     ended = ended_times(history, parameters)
-    reported = [(found.request_id, found.at, found.state, found.stamp) for found in history.found.values()]
-    reported += [(got.request_id, got.at, got.state, got.stamp) for got in history.callbacks]
+    reported = [
+        *((found.request_id, found.at, found.state, found.stamp) for found in history.final_states.values()),
+        *((call.request_id, call.at, call.state, call.stamp) for call in history.callbacks),
+    ]
     for request_id, at, state, stamp in reported:
         if state == "done" and stamp not in stamps[request_id]:
             yield Violation(Rule.MIXED, request_id, f"said to be done with the stamp {stamp!r} of no run")
         if state == "dead_letter" and ended.get(request_id, inf) > at:
             yield Violation(Rule.MIXED, request_id, f"said to be dead at {at:.3f}, before its end")
-    for found in history.found.values():
+    for found in history.final_states.values():
         send = history.sends.get(found.request_id)
         if send is not None and found.body is not None and found.body != send.body:
             yield Violation(Rule.MIXED, found.request_id, "its body comes back with other bytes")
--- a/bitternpath/testing/fault_injection/records.py
+++ b/bitternpath/testing/fault_injection/records.py
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class FinalState:
     """The state of a message, read at the end of a run; `state` is empty if no answer came."""
 
     request_id: str
@@ -168,7 +168,7 @@
     lease_extensions: list[LeaseExtension] = field(default_factory=list)
     ends: list[LeaseEnd] = field(default_factory=list)
     callbacks: list[CallbackReceived] = field(default_factory=list)
-    found: dict[str, Found] = field(default_factory=dict)
+    final_states: dict[str, FinalState] = field(default_factory=dict)
     orders: list[OrderSent] = field(default_factory=list)
     read_back: Any = None
     outages: list[Outage] = field(default_factory=list)
--- a/bitternpath/testing/fault_injection/state_readers.py
+++ b/bitternpath/testing/fault_injection/state_readers.py
@@ -11,7 +11,7 @@
 from bitternpath.testing.fault_injection.http_client import Call, Reply, send_call
 from bitternpath.testing.fault_injection.load_balancer import LoadBalancer
 from bitternpath.testing.fault_injection.plan import HOSTS, Port
-from bitternpath.testing.fault_injection.records import Found, Send
+from bitternpath.testing.fault_injection.records import FinalState, Send
 
 STATE_TIMEOUT_S = 2.0  # of one call
 STATE_RETRY_DELAY_S = 0.3
@@ -34,17 +34,17 @@
         await gatherResults([self._slots.run(self._read, send) for send in sends])
 
     async def _read(self, send: Send) -> None:
-        found = Found(send.request_id, self._clock(), "")
+        final_state = FinalState(send.request_id, self._clock(), "")
         answer = await self._get(send, "message")
         if answer is not None:
             document = json.loads(answer.body)
             state, stamp = str(document.get("state", "")), str(document.get("stamp", ""))
             read_at = self._clock()
             body_answer = await self._get(send, "message-body") if state != "done" else None
-            found = Found(
+            final_state = FinalState(
                 send.request_id, read_at, state, stamp, body_answer.body if body_answer is not None else None
             )
-        self._history.found[send.request_id] = found
+        self._history.final_states[send.request_id] = final_state
 
     async def _get(self, send: Send, resource: str) -> Reply | None:
         """The answer with 200; None if no node gave one in `MAX_STATE_READS` calls."""
--- a/bitternpath/testing/fault_injection/statistics.py
+++ b/bitternpath/testing/fault_injection/statistics.py
@@ -178,7 +178,7 @@
         for c in history.callbacks
         if c.request_id == request_id
     ]
-    found = history.found.get(request_id)
+    found = history.final_states.get(request_id)
     if found is not None:
         size = "none" if found.body is None else f"{len(found.body)} bytes"
         events.append((found.at, f"found {found.state or 'no answer'} {found.stamp} body {size}"))
--- a/bitternpath/testing/simulation/actors/under_way.py
+++ b/bitternpath/testing/simulation/actors/in_flight.py
@@ -1,4 +1,4 @@
-"""What an actor has begun and not ended."""
+"""Coroutines in flight of an actor."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from twisted.internet.defer import Deferred
 
 
-class UnderWay:
-    """Counts coroutines that run; one that raises is told to `failed`."""
+class InFlight:
+    """Counts coroutines in flight; `failed` receives the failure of one that raises."""
 
     def __init__(self, failed: Callable[[Any], object]) -> None:
         self._failed = failed
         self.count = 0
 
     def begin(self, work: Any) -> None:
-        """Run a coroutine to its end."""
+        """Run a coroutine."""
         self.count += 1
         Deferred.fromCoroutine(work).addBoth(self._ended).addErrback(self._failed)
 
--- a/bitternpath/testing/simulation/actors/machines.py
+++ b/bitternpath/testing/simulation/actors/machine_faults.py
@@ -1,4 +1,4 @@
-"""Plays a plan's faults on a world, and records who was in trouble when."""
+"""Injects a plan's faults of machines into a world, and records which machines were disrupted when."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from bitternpath.testing.fault_injection.records import Outage
-from bitternpath.testing.simulation.actors.nodes import Directory
-from bitternpath.testing.simulation.checks.history import Disruption, Harm, SystemHistory
+from bitternpath.testing.simulation.actors.node_directory import NodeDirectory
+from bitternpath.testing.simulation.checks.history import Disruption, DisruptionKind, SystemHistory
 from bitternpath.testing.simulation.events import Fault, FaultKind
 
 if TYPE_CHECKING:
@@ -19,10 +19,10 @@
 SHORTEST_DOWN_S = 0.3
 
 
-class Machines:
-    """Does to machines what a plan says. `thaw` and `rejoin` come by themselves."""
+class MachineFaults:
+    """Injects faults of machines; those that last end by themselves."""
 
-    def __init__(self, world: World, history: SystemHistory, directory: Directory) -> None:
+    def __init__(self, world: World, history: SystemHistory, directory: NodeDirectory) -> None:
         self._world, self._history, self._directory = world, history, directory
         self._plays: dict[FaultKind, Callable[[Fault, str], None]] = {
             FaultKind.KILL: self._kill,
@@ -44,7 +44,7 @@
         }
 
     def play(self, fault: Fault) -> None:
-        """Do it now."""
+        """Inject a fault now."""
         for planned in fault.nodes or ("",):
             name = self._directory.name(planned) if planned and fault.kind is not FaultKind.ADD else planned
             if planned in fault.wiped:
@@ -53,13 +53,13 @@
                 self._plays[fault.kind](fault, name)
 
     def retired(self, planned: str) -> None:
-        """A machine was said to be done: it goes at once, with its disk."""
+        """Remove a machine whose retirement is reported as done, with its disk."""
         name = self._directory.name(planned)
         self._world.remove(name)
         self._directory.changed()
 
     def heal(self) -> None:
-        """End what still lasts."""
+        """End all faults that still last."""
         for node in list(self._world.nodes.values()):
             self._world.thaw(node.name)
             self._world.rejoin(node.name)
@@ -70,25 +70,25 @@
 
     def _kill(self, fault: Fault, name: str) -> None:
         self._world.kill(name, self._down(fault))
-        self._note(Harm.DOWN, name, self._down(fault))
+        self._note(DisruptionKind.DOWN, name, self._down(fault))
 
     def _power(self, fault: Fault, name: str) -> None:
         self._world.lose_power(name, self._down(fault))
-        self._note(Harm.DOWN, name, self._down(fault))
+        self._note(DisruptionKind.DOWN, name, self._down(fault))
 
     def _wipe(self, fault: Fault, name: str) -> None:
         self._world.wipe(name, self._down(fault))
-        self._note(Harm.DOWN, name, self._down(fault))
+        self._note(DisruptionKind.DOWN, name, self._down(fault))
 
     def _freeze(self, fault: Fault, name: str) -> None:
         self._world.freeze(name)
         self._later(fault.lasts, self._world.thaw, name)
-        self._note(Harm.FROZEN, name, fault.lasts)
+        self._note(DisruptionKind.FROZEN, name, fault.lasts)
 
     def _cut(self, fault: Fault, name: str) -> None:
         self._world.cut_off(name, self._others(name))
         self._later(fault.lasts, self._world.rejoin, name)
-        self._note(Harm.CUT, name, fault.lasts)
+        self._note(DisruptionKind.CUT, name, fault.lasts)
 
     def _cut_one_way(self, fault: Fault, name: str) -> None:
         for other in self._others(name):
@@ -97,7 +97,7 @@
             else:
                 self._world.cut(other, name, both=False)
         self._later(fault.lasts, self._world.rejoin, name)
-        self._note(Harm.CUT, name, fault.lasts)
+        self._note(DisruptionKind.CUT, name, fault.lasts)
 
     def _cut_with_seeds(self, fault: Fault, name: str) -> None:
         node = self._world.nodes[name]
@@ -109,33 +109,33 @@
     def _slow(self, fault: Fault, name: str) -> None:
         self._world.slow(name, SLOW_FACTOR)
         self._later(fault.lasts, self._usual_again, name)
-        self._note(Harm.SLOWED, name, fault.lasts)
+        self._note(DisruptionKind.SLOWED, name, fault.lasts)
 
     def _stall(self, fault: Fault, name: str) -> None:
         self._world.stall_disk(name, fault.lasts)
-        self._note(Harm.SLOWED, name, fault.lasts)
+        self._note(DisruptionKind.SLOWED, name, fault.lasts)
 
     def _reset(self, fault: Fault, name: str) -> None:
         for other in self._others(name):
             self._world.reset(name, other)
-        self._note(Harm.CUT, name, 0.0)
+        self._note(DisruptionKind.CUT, name, 0.0)
 
     def _replace(self, fault: Fault, name: str) -> None:
         successor = self._world.replace(name)
         self._directory.replaced(fault.nodes[0], successor.name)
-        self._note(Harm.DOWN, name, 0.0)
-        self._note(Harm.NEW, successor.name, 0.0)
+        self._note(DisruptionKind.DOWN, name, 0.0)
+        self._note(DisruptionKind.NEW, successor.name, 0.0)
 
     def _add(self, fault: Fault, role: str) -> None:
         added = self._world.add_node(role)
         self._directory.changed()
-        self._note(Harm.NEW, added.name, 0.0)
+        self._note(DisruptionKind.NEW, added.name, 0.0)
 
     def _terminate(self, fault: Fault, name: str) -> None:
         self._world.terminate(name)
         until = GRACE_S + RESTART_WITHIN_S
         self._history.outages.append(Outage(name, self._world.now, self._world.now + until, planned=True))
-        self._disrupt(Harm.LEAVING, name, until)
+        self._disrupt(DisruptionKind.LEAVING, name, until)
 
     # ---- parts
 
@@ -153,11 +153,11 @@
     def _later(self, seconds: float, call: Callable[..., object], *arguments: str) -> None:
         self._world.at(self._world.now + seconds, call, *arguments)
 
-    def _note(self, harm: Harm, name: str, lasts: float) -> None:
+    def _note(self, kind: DisruptionKind, name: str, lasts: float) -> None:
         now = self._world.now
         self._history.outages.append(Outage(name, now, now + lasts, planned=False))
-        self._disrupt(harm, name, lasts)
+        self._disrupt(kind, name, lasts)
 
-    def _disrupt(self, harm: Harm, name: str, lasts: float) -> None:
+    def _disrupt(self, kind: DisruptionKind, name: str, lasts: float) -> None:
         now = self._world.now
-        self._history.disruptions.append(Disruption(harm, frozenset({name}), now, now + lasts))
+        self._history.disruptions.append(Disruption(kind, frozenset({name}), now, now + lasts))
--- a/bitternpath/testing/simulation/checks/configuration.py
+++ b/bitternpath/testing/simulation/checks/configuration.py
@@ -8,7 +8,7 @@
 
 from bitternpath.testing.fault_injection.checker import Rule, Violation
 from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
-from bitternpath.testing.simulation.checks.contact import Contact
+from bitternpath.testing.simulation.checks.connectivity import Connectivity
 from bitternpath.testing.simulation.checks.history import RouteProbe, SystemHistory, SystemRuleParameters
 
 NO_ROUTE = 404
@@ -64,9 +64,9 @@
 
 def check_applied(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
     """Machines in touch handle requests by an acknowledged version from `config_apply_ms` on."""
-    contact = Contact(history, parameters)
+    connectivity = Connectivity(history, parameters)
     for probe in history.probes:
-        if not _answered(probe) or not contact.in_touch([probe.node], probe.sent_at, probe.ended_at):
+        if not _answered(probe) or not connectivity.connected([probe.node], probe.sent_at, probe.ended_at):
             continue
         due = _acknowledged(history, probe.sent_at - parameters.config_apply_s)
         least = max((order.version for order in due), default=NOT_FOUNDED)
--- a/bitternpath/testing/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -43,7 +43,7 @@
         self._held.clear()
         self.path.holding.pop(self, None)
 
-    def lose_what_is_under_way(self) -> None:
+    def lose_packets_in_flight(self) -> None:
         """All packets that haven't arrived."""
         self._generation += 1
         self._held.clear()
@@ -152,7 +152,7 @@
     def reset(self) -> None:
         """Both ends get a reset; what is under way is lost."""
         for direction, end in ((self._there, self.server), (self._back, self.client)):
-            direction.lose_what_is_under_way()
+            direction.lose_packets_in_flight()
             direction.stop()
             if not end.closed:
                 end.arrived(Packet.RESET, b"")
--- a/bitternpath/testing/simulation/faults.py
+++ b/bitternpath/testing/simulation/faults.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from bitternpath.testing.simulation.scheduler import Scheduler
 
-KILLED_S = 0.5  # until a killed process runs again
-DARK_S = 1.0  # until a machine that lost power runs again
+RESTART_DELAY_S = 0.5  # until a killed process runs again
+POWER_OFF_S = 1.0  # until a machine that lost power runs again
 
 
 class Faults:
@@ -27,17 +27,17 @@
 
     # ---- processes and machines
 
-    def kill(self, name: str, down_s: float | None = KILLED_S) -> None:
+    def kill(self, name: str, down_s: float | None = RESTART_DELAY_S) -> None:
         """The process ends; it starts again after `down_s`, with None not by itself."""
         self.nodes[name].kill()
         self._start_after(name, down_s)
 
-    def lose_power(self, name: str, down_s: float | None = DARK_S) -> None:
+    def lose_power(self, name: str, down_s: float | None = POWER_OFF_S) -> None:
         """Silence; unsynced writes are present, missing or torn."""
         self.nodes[name].lose_power()
         self._start_after(name, down_s)
 
-    def wipe(self, name: str, down_s: float | None = DARK_S) -> None:
+    def wipe(self, name: str, down_s: float | None = POWER_OFF_S) -> None:
         """A loss of power after which the disk is empty; `bootstrap` is false from then on."""
         self.nodes[name].lose_power(wiped=True)
         self._start_after(name, down_s)
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -16,7 +16,7 @@
 from bitternpath.testing.simulation.disk import SimulatedNodeDisk
 from bitternpath.testing.simulation.errors import failure
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
-from bitternpath.testing.simulation.inside import InsideChecker
+from bitternpath.testing.simulation.group_invariants import GroupInvariantChecker
 from bitternpath.testing.simulation.network import Host, Network
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.settings import LogSizes, Place
@@ -72,7 +72,7 @@
     def __init__(
         self,
         network: Network,
-        inside: InsideChecker,
+        invariants: GroupInvariantChecker,
         place: Place,
         document: dict[str, Any],
         random: Random,
@@ -94,7 +94,7 @@
         self.host: Host = network.add_host(place.ip, place.zone)
         self.lives = 0
         self.exit_codes: list[int] = []
-        self._network, self._inside, self._random = network, inside, random
+        self._network, self._invariants, self._random = network, invariants, random
         self._reactor: VirtualReactor | None = None
         self._machine: SimulatedMachine | None = None
         self._life: RoleLifecycle | None = None
@@ -139,7 +139,7 @@
             return
         base = role.node.base  # type: ignore[attr-defined]
         if base.host is not None:
-            self._inside.observe(self.name, base.host)
+            self._invariants.observe(self.name, base.host)
         self._life = RoleLifecycle(reactor, role)
         self._life.begin()
 
