--- a/bitternpath/configuration/feed_server.py
+++ b/bitternpath/configuration/feed_server.py
@@ -125,7 +125,7 @@
 
     def heard_at(self) -> list[tuple[NodeDescriptor, float]]:
         """The subscribed nodes by link, and when (by the reactor's clock) each was last heard."""
-        return [(link.peer, link.heard_at) for link in self._subscribers if link.peer is not None]
+        return [(link.peer, link.received_at) for link in self._subscribers if link.peer is not None]
 
     def _send_heartbeat(self) -> None:
         self.publish()
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -259,7 +259,7 @@
             self.member.decision_stored(answer)
 
     def _forwarded_call(self, link: Link, request: OperatorRequest) -> None:
-        self._operator.forwarded(request).addCallback(
+        self._operator.handle_request(request).addCallback(
             lambda result: link.send(
                 OperatorResponse(request.number, result.decided, result.status, result.body)
             )
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -42,12 +42,12 @@
         """Answer a call of the operator within the timeout; never fails."""
         request = OperatorRequest(0, method, path, if_match, body)
         if self._member is not None and self._member.is_owner():
-            answer = self.forwarded(request).addCallback(_reply)
+            answer = self.handle_request(request).addCallback(_reply)
         else:
             answer = self._forward(request)
         return answer.addTimeout(_timeout_s(body), self._reactor).addErrback(_no_answer)
 
-    def forwarded(self, request: OperatorRequest) -> Deferred[OperatorResult]:
+    def handle_request(self, request: OperatorRequest) -> Deferred[OperatorResult]:
         """Decide a call on the owner; other nodes answer `NOT_OWNER`. Never fails."""
         member = self._member
         if member is None or not member.is_owner():
--- a/bitternpath/roles/ownership_return.py
+++ b/bitternpath/roles/ownership_return.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-FIRST_DELAY_S = 6.0  # the preferred member must have been eligible for so long without a break
+INITIAL_DELAY_S = 6.0  # the preferred member must have been eligible for so long without a break
 MAX_DELAY_S = 300.0  # the delay doubles with each transfer: a member that came and went was no gain
 
 
@@ -29,7 +29,7 @@
             self._eligible_since.pop(group, None)
             return False
         since = self._eligible_since.setdefault(group, now)
-        delay = self._delays.get(group, FIRST_DELAY_S)
+        delay = self._delays.get(group, INITIAL_DELAY_S)
         if now - since < delay:
             return False
         self._eligible_since.pop(group, None)
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -117,7 +117,7 @@
         return self._state is _OPEN
 
     @property
-    def heard_at(self) -> float:
+    def received_at(self) -> float:
         """When the peer last sent anything, by the reactor's clock."""
         return self._liveness.received_at
 
--- a/tests/system/configuration/test_retirement.py
+++ b/tests/system/configuration/test_retirement.py
@@ -261,7 +261,7 @@
     sent: list[Any] = field(default_factory=list)
 
     @property
-    def heard_at(self) -> float:
+    def received_at(self) -> float:
         return float(self.clock.seconds())
 
     def send(self, record: Any) -> None:
--- a/tests/system/ingress/server_case.py
+++ b/tests/system/ingress/server_case.py
@@ -223,7 +223,7 @@
     def client(self) -> Client:
         return Client(self.server)
 
-    def ask(self, data: bytes, step: int = 0) -> Client:
+    def send(self, data: bytes, step: int = 0) -> Client:
         return self.client().send(data, step)
 
     def accept(self, index: int = -1, message_id: str = "m-1") -> None:
--- a/tests/system/ingress/test_client_api.py
+++ b/tests/system/ingress/test_client_api.py
@@ -21,7 +21,7 @@
     """GET /message and /message-body."""
 
     def get(self, path: bytes) -> Client:
-        return self.ask(b"GET " + path + b" HTTP/1.1\r\nHost: any thing\r\n\r\n")
+        return self.send(b"GET " + path + b" HTTP/1.1\r\nHost: any thing\r\n\r\n")
 
     def test_states(self) -> None:
         found = FoundMessage
@@ -85,7 +85,7 @@
 
     def call(self, path: bytes, *headers: bytes) -> Client:
         lines = (b"POST " + path + b" HTTP/1.1", b"Host: a", *headers)
-        return self.ask(b"\r\n".join(lines) + b"\r\n\r\n")
+        return self.send(b"\r\n".join(lines) + b"\r\n\r\n")
 
     def pull(self) -> Client:
         return self.call(b"/pull/huvo11a", b"X-Instance-Id: i-7", b"X-Wait-Ms: 1000")
--- a/tests/system/ingress/test_connections.py
+++ b/tests/system/ingress/test_connections.py
@@ -19,7 +19,7 @@
         for step in (0, 1, 9):
             with self.subTest(step=step):
                 self.node.accepted.clear()
-                client = self.ask(first + second, step)
+                client = self.send(first + second, step)
                 self.assertEqual([m.request_id for m, _ in self.node.accepted], ["r1"])
                 self.accept(message_id="one")
                 self.assertEqual([m.request_id for m, _ in self.node.accepted], ["r1", "r2"])
@@ -30,17 +30,17 @@
 
     def test_many_requests_in_one_segment(self) -> None:
         unknown = HEAD.replace(b"/p/x", b"/q") + b"\r\n"
-        client = self.ask(unknown * 500)
+        client = self.send(unknown * 500)
         self.assertEqual(client.statuses(), [404] * 500)
 
     def test_error_after_a_good_one(self) -> None:
-        client = self.ask(HEAD + b"\r\n" + b"garbage\r\n\r\n")
+        client = self.send(HEAD + b"\r\n" + b"garbage\r\n\r\n")
         self.accept()
         self.assertEqual(client.statuses(), [202, 400])
         self.assertTrue(client.closed)
 
     def test_nothing_is_read_after_close(self) -> None:
-        client = self.ask(HEAD + b"Connection: foo, Close\r\n\r\n" + HEAD + b"\r\n")
+        client = self.send(HEAD + b"Connection: foo, Close\r\n\r\n" + HEAD + b"\r\n")
         self.accept()
         self.assertEqual(client.statuses(), [202])
         self.assertEqual(client.responses()[0].headers[b"connection"], b"close")
@@ -48,7 +48,7 @@
         self.assertEqual(len(self.node.accepted), 1)
 
     def test_old_version_closes(self) -> None:
-        client = self.ask(HEAD.replace(b"1.1", b"1.0") + b"\r\n")
+        client = self.send(HEAD.replace(b"1.1", b"1.0") + b"\r\n")
         self.accept()
         self.assertTrue(client.closed)
 
@@ -69,7 +69,7 @@
         self.assertEqual(self.node.accepted, [])
 
     def test_slow_body(self) -> None:
-        client = self.ask(HEAD + b"Content-Length: 10\r\n\r\n")
+        client = self.send(HEAD + b"Content-Length: 10\r\n\r\n")
         for _ in range(3):
             self.clock.advance(14.9)
             client.send(b"x")
@@ -95,12 +95,14 @@
         self.assertFalse(client.closed)
 
     def test_no_idle_time_out_while_a_response_is_awaited(self) -> None:
-        client = self.ask(b"POST /pull/s HTTP/1.1\r\nHost: a\r\nX-Instance-Id: i\r\nX-Wait-Ms: 29000\r\n\r\n")
+        client = self.send(
+            b"POST /pull/s HTTP/1.1\r\nHost: a\r\nX-Instance-Id: i\r\nX-Wait-Ms: 29000\r\n\r\n"
+        )
         self.clock.advance(28)
         self.assertFalse(client.closed)
 
     def test_peer_that_reads_nothing_is_aborted(self) -> None:
-        client = self.ask(HEAD + b"Connection: close\r\n\r\n")
+        client = self.send(HEAD + b"Connection: close\r\n\r\n")
         self.accept()
         self.assertFalse(client.wire.aborted)
         self.clock.advance(FLUSH_TIMEOUT_S)
@@ -108,7 +110,7 @@
 
     def test_a_lost_connection_leaves_no_timer(self) -> None:
         for data in (b"", HEAD, HEAD + b"Content-Length: 4\r\n\r\n", b"garbage\r\n\r\n"):
-            (self.ask(data) if data else self.client()).lose()
+            (self.send(data) if data else self.client()).lose()
         self.assertEqual((self.clock.getDelayedCalls(), self.server.channels), ([], {}))
 
     def test_too_many_connections(self) -> None:
@@ -124,7 +126,7 @@
     """Complete requests get their response; then every connection ends."""
 
     def test_idle_and_busy_connections(self) -> None:
-        idle, busy = self.client(), self.ask(HEAD + b"\r\n")
+        idle, busy = self.client(), self.send(HEAD + b"\r\n")
         done = self.server.begin_shutdown()
         self.assertTrue(idle.closed)
         self.assertFalse(busy.closed)
@@ -138,7 +140,7 @@
         self.assertTrue(done.called)
 
     def test_partly_read_request(self) -> None:
-        quick, slow = self.ask(HEAD), self.ask(HEAD + b"Content-Length: 4\r\n\r\nab")
+        quick, slow = self.send(HEAD), self.send(HEAD + b"Content-Length: 4\r\n\r\nab")
         self.server.begin_shutdown()
         quick.send(b"\r\n")
         self.accept()
@@ -147,7 +149,7 @@
         self.assertEqual(slow.statuses(), [408])
 
     def test_pipelined_requests_all_get_a_response(self) -> None:
-        client = self.ask((HEAD + b"\r\n") * 3)
+        client = self.send((HEAD + b"\r\n") * 3)
         self.server.begin_shutdown()
         for _ in range(3):
             self.accept()
@@ -167,19 +169,19 @@
 
     def test_new_connection_is_still_served(self) -> None:
         self.server.begin_shutdown()
-        client = self.ask(HEAD + b"\r\n")
+        client = self.send(HEAD + b"\r\n")
         self.accept()
         self.assertEqual(client.statuses(), [202])
         self.assertTrue(client.closed)
 
     def test_waiting_pulls_get_204(self) -> None:
         pull = b"POST /pull/s HTTP/1.1\r\nHost: a\r\nX-Instance-Id: i\r\nX-Wait-Ms: 9000\r\n\r\n"
-        client = self.ask(pull)
+        client = self.send(pull)
         self.server.begin_shutdown()
         self.assertEqual(client.statuses(), [204])
         self.assertTrue(self.node.waiting_pulls[0].cancelled)
         self.assertTrue(client.closed)
-        self.assertEqual(self.ask(pull).statuses(), [204])
+        self.assertEqual(self.send(pull).statuses(), [204])
         self.assertEqual(len(self.node.waiting_pulls), 1)
 
     def test_no_connection_at_all(self) -> None:
--- a/tests/system/ingress/test_messages.py
+++ b/tests/system/ingress/test_messages.py
@@ -32,7 +32,7 @@
             b"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nKeep-Alive: 5\r\nUpgrade: h2c\r\n"
             b"Expect: 100-continue\r\nContent-Length: 5\r\n\r\n"
         )
-        self.ask(head + b"\x00\r\n\xff.")
+        self.send(head + b"\x00\r\n\xff.")
         (message, wait_ms), *more = self.node.accepted
         forwarded = (Header("Content-Type", "a/b"), Header("Accept", "x"), Header("Accept", "y"))
         expected = Message(
@@ -54,7 +54,7 @@
         self.assertTrue(1500 <= wait_ms < 2000)
 
     def test_order_key_and_callback_only_where_the_route_has_them(self) -> None:
-        self.ask(HEAD + b"X-Order-Key: k\r\nX-Callback-Url: http://h/\r\n\r\n")
+        self.send(HEAD + b"X-Order-Key: k\r\nX-Callback-Url: http://h/\r\n\r\n")
         message = self.node.accepted[0][0]
         self.assertEqual((message.order_key, message.callback_url), ("", ""))
         self.assertEqual(message.headers, (Header("X-Order-Key", "k"),))
@@ -81,7 +81,7 @@
             for step in (0, 1, 7):
                 with self.subTest(name, step=step):
                     self.node.accepted.clear()
-                    client = self.ask(HEAD + rest, step)
+                    client = self.send(HEAD + rest, step)
                     self.assertEqual([m.body for m, _ in self.node.accepted], [body])
                     self.accept()
                     self.assertEqual(client.statuses(), [202])
@@ -95,7 +95,7 @@
     def test_method_and_target_are_kept_byte_for_byte(self, target: bytes, method: bytes) -> None:
         self.setUp()
         target = b"/p/" + bytes(byte for byte in target if 0x20 < byte < 0x7F)
-        self.ask(HEAD.replace(b"POST /p/x", method + b" " + target) + b"\r\n")
+        self.send(HEAD.replace(b"POST /p/x", method + b" " + target) + b"\r\n")
         (message, _), *more = self.node.accepted
         self.assertEqual((message.target.encode("latin-1"), message.method.encode()), (target, method))
         self.assertEqual(more, [])
@@ -104,11 +104,11 @@
         for kind in (b"application/x-www-form-urlencoded", b"multipart/form-data; boundary=x"):
             with self.subTest(kind):
                 self.node.accepted.clear()
-                self.ask(HEAD + b"Content-Type: " + kind + b"\r\nContent-Length: 5\r\n\r\na=%zz")
+                self.send(HEAD + b"Content-Type: " + kind + b"\r\nContent-Length: 5\r\n\r\na=%zz")
                 self.assertEqual([m.body for m, _ in self.node.accepted], [b"a=%zz"])
 
     def test_continue_is_sent_before_the_body(self) -> None:
-        client = self.ask(HEAD + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+        client = self.send(HEAD + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         self.assertEqual(client.statuses(), [100])
         client.send(b"ab")
         self.accept()
@@ -124,7 +124,7 @@
         ]
         for acceptance, status, headers in table:
             with self.subTest(acceptance):
-                client = self.ask(HEAD + b"\r\n")
+                client = self.send(HEAD + b"\r\n")
                 self.assertEqual(client.responses(), [])
                 self.node.acceptances[-1].callback(acceptance)
                 (response,) = client.responses()
@@ -132,7 +132,7 @@
                 self.assertLessEqual(headers.items(), response.headers.items())
 
     def test_node_that_fails_or_times_out_gives_504(self) -> None:
-        client = self.ask(HEAD + b"\r\n")
+        client = self.send(HEAD + b"\r\n")
         self.node.acceptances[-1].errback(RuntimeError("planned"))
         self.assertEqual(client.statuses(), [504])
         for header, deadline_s in (
@@ -141,7 +141,7 @@
             (b"X-Deadline-Ms: 20\r\n", 0.1),
         ):
             with self.subTest(header):
-                client = self.ask(HEAD + header + b"\r\n")
+                client = self.send(HEAD + header + b"\r\n")
                 self.clock.advance(deadline_s)
                 self.assertEqual(client.statuses(), [504])
                 self.accept()  # too late: no second response
@@ -150,7 +150,7 @@
     def test_client_that_disconnects_while_its_message_is_appended(self) -> None:
         for acceptance in AcceptResult:
             with self.subTest(acceptance):
-                client = self.ask(HEAD + b"\r\n")
+                client = self.send(HEAD + b"\r\n")
                 client.lose()
                 self.node.acceptances[-1].callback(Acceptance(acceptance, "m"))
                 self.clock.advance(5)
@@ -164,11 +164,11 @@
             HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
         ):
             with self.subTest(data):
-                self.ask(data).lose(clean=True)
+                self.send(data).lose(clean=True)
                 self.assertEqual(self.node.accepted, [])
 
     def test_client_that_half_closes_gets_its_response(self) -> None:
-        client = self.ask(HEAD + b"\r\n")
+        client = self.send(HEAD + b"\r\n")
         client.channel.readConnectionLost()
         self.assertFalse(client.closed)
         self.accept()
@@ -184,7 +184,7 @@
             b"GET /message",
         ):
             with self.subTest(line):
-                client = self.ask(HEAD.replace(b"POST /p/x", line) + b"\r\n")
+                client = self.send(HEAD.replace(b"POST /p/x", line) + b"\r\n")
                 self.assertEqual(client.statuses(), [404])
         self.assertEqual((self.node.lookups, self.node.pulls), ([], []))
 
@@ -195,7 +195,7 @@
     def assert_rejected(self, data: bytes, status: int, closed: bool) -> None:
         for step in (0, 1, 5):
             with self.subTest(data[:80], step=step):
-                client = self.ask(data, step)
+                client = self.send(data, step)
                 self.assertEqual(client.statuses(), [status])
                 self.assertEqual(client.closed, closed)
                 self.assertEqual(self.node.accepted, [])
@@ -227,7 +227,7 @@
 
     def test_without_a_configuration(self) -> None:
         self.node.table = None
-        client = self.ask(HEAD + b"\r\n")
+        client = self.send(HEAD + b"\r\n")
         (response,) = client.responses()
         self.assertEqual((response.status, response.headers[b"retry-after"]), (503, b"1"))
 
@@ -297,7 +297,7 @@
             self.assert_rejected(data, status, closed=True)
 
     def test_limits_are_those_in_force_at_the_request(self) -> None:
-        client = self.ask(HEAD + b"Content-Length: 1500\r\n\r\n" + b"x" * 1500)
+        client = self.send(HEAD + b"Content-Length: 1500\r\n\r\n" + b"x" * 1500)
         self.accept()
         tighter = {**LIMITS, "max_body_bytes": 1000}
         document = {"version": 6, "routes": ROUTES, "services": [{"name": "s"}], "limits": tighter}
@@ -306,7 +306,7 @@
         self.assertEqual(client.statuses(), [202, 413])
 
     def test_after_an_error_input_is_discarded_for_the_linger_time(self) -> None:
-        client = self.ask(HEAD + b"Content-Length: 5000\r\n\r\n")
+        client = self.send(HEAD + b"Content-Length: 5000\r\n\r\n")
         self.assertTrue(client.wire.half_closed)
         self.assertFalse(client.wire.disconnecting)
         client.send(b"x" * 5000)
--- a/tests/system/roles/test_ownership_return.py
+++ b/tests/system/roles/test_ownership_return.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bitternpath.roles.ownership_return import FIRST_DELAY_S, MAX_DELAY_S, OwnershipReturn
+from bitternpath.roles.ownership_return import INITIAL_DELAY_S, MAX_DELAY_S, OwnershipReturn
 
 CHECK_INTERVAL_S = 0.25
 GROUP = "queue-0"
@@ -24,23 +24,23 @@
         return self.now - began_at
 
     def test_the_preferred_member_must_be_fit_for_a_while(self) -> None:
-        self.assertEqual(self.seconds_until_due(), FIRST_DELAY_S)
+        self.assertEqual(self.seconds_until_due(), INITIAL_DELAY_S)
 
     def test_a_break_begins_the_delay_anew(self) -> None:
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True))
-        self.now += FIRST_DELAY_S - CHECK_INTERVAL_S
+        self.now += INITIAL_DELAY_S - CHECK_INTERVAL_S
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=False))
-        self.assertEqual(self.seconds_until_due(), FIRST_DELAY_S)
+        self.assertEqual(self.seconds_until_due(), INITIAL_DELAY_S)
 
     def test_the_delay_doubles_with_each_return_up_to_a_bound(self) -> None:
         delays = [self.seconds_until_due() for _ in range(8)]
-        doubled = [FIRST_DELAY_S * 2**number for number in range(8)]
+        doubled = [INITIAL_DELAY_S * 2**number for number in range(8)]
         self.assertEqual(delays, [min(delay, MAX_DELAY_S) for delay in doubled])
 
     def test_groups_have_delays_of_their_own(self) -> None:
         self.seconds_until_due()
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, "queue-1", eligible=True))
-        self.now += FIRST_DELAY_S
+        self.now += INITIAL_DELAY_S
         self.assertTrue(self.ownership_return.record_and_check_due(self.now, "queue-1", eligible=True))
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True))
 
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -23,7 +23,7 @@
     """What a server responds when its process is about to end."""
 
     def test_a_message_whose_outcome_is_unknown_gets_504(self) -> None:
-        client = self.ask(HEAD + b"\r\n")
+        client = self.send(HEAD + b"\r\n")
         self.server.begin_shutdown()
         self.server.answer_pending()
         self.assertEqual(client.statuses(), [504])
@@ -32,7 +32,7 @@
         self.assertEqual(client.statuses(), [504])
 
     def test_complete_requests_get_one_response_each(self) -> None:
-        client = self.ask((HEAD + b"\r\n") * 3)
+        client = self.send((HEAD + b"\r\n") * 3)
         self.server.begin_shutdown()
         self.accept()
         self.server.answer_pending()
@@ -42,13 +42,13 @@
     def test_the_services_own_calls_get_503(self) -> None:
         self.node.lease = None
         end = b"POST /job-end/r1 HTTP/1.1\r\nHost: n\r\nX-Lease-Id: 0-1-1\r\nX-Job-Status: 500\r\n\r\n"
-        clients = [self.ask(call) for call in (b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n", end)]
+        clients = [self.send(call) for call in (b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n", end)]
         self.server.begin_shutdown()
         self.server.answer_pending()
         self.assertEqual([client.statuses() for client in clients], [[503], [503]])
 
     def test_an_incomplete_request_gets_nothing(self) -> None:
-        clients = [self.ask(HEAD), self.ask(HEAD + b"Content-Length: 4\r\n\r\nab"), self.client()]
+        clients = [self.send(HEAD), self.send(HEAD + b"Content-Length: 4\r\n\r\nab"), self.client()]
         self.server.begin_shutdown()
         self.server.answer_pending()
         self.assertEqual([client.statuses() for client in clients], [[], [], []])
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -121,7 +121,7 @@
         decided: list[OperatorResult] = []
         for member in (None, self.follower):
             order = OperatorRequest(1, "PUT", "/config", "3", b"{}")
-            self.calls(member, self.link).forwarded(order).addCallback(decided.append)
+            self.calls(member, self.link).handle_request(order).addCallback(decided.append)
         self.assertEqual([each.code for each in decided], [ResultCode.NOT_OWNER] * 2)
         self.assertEqual(self.link.sent, [])
 
--- a/tests/system/test_simulation_mass_faults.py
+++ b/tests/system/test_simulation_mass_faults.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bitternpath.replication.records import Members
-from bitternpath.roles.ownership_return import FIRST_DELAY_S
+from bitternpath.roles.ownership_return import INITIAL_DELAY_S
 from bitternpath.testing.simulation.events import Fault, FaultKind, Layout, RunPlan
 from bitternpath.testing.simulation.processes import QUOTA_PERIOD_S, NodeState
 from bitternpath.testing.simulation.runs.coverage import Coverage, coverage_of
@@ -42,7 +42,7 @@
 
     def test_owners_keep_their_groups_while_nothing_else_happens(self) -> None:
         """A process that stands still for 90 ms isn't taken for dead; planned transfers come first."""
-        self.world.run_for(FIRST_DELAY_S + CALM_S)
+        self.world.run_for(INITIAL_DELAY_S + CALM_S)
         before = len(self.world.ownerships)
         self.world.run_for(CALM_S)
         self.assertEqual(self.world.ownerships[before:], [])
