--- a/bitternpath/delivery/worker_client.py
+++ b/bitternpath/delivery/worker_client.py
@@ -48,7 +48,7 @@
         if pool is not None:
             pool.close_idle()
 
-    def forget(self, address: str) -> None:
+    def remove_address(self, address: str) -> None:
         """A worker has left the catalogue: what is in flight ends by itself, nothing new is sent there."""
         pool = self._pools.pop(address, None)
         if pool is not None:
@@ -61,7 +61,7 @@
         if self._stopped is None:
             self._stopped = Deferred()
             for address in tuple(self._pools):
-                self.forget(address)
+                self.remove_address(address)
             self._connections_changed()
         return self._stopped if not self._stopped.called else succeed(None)
 
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -278,7 +278,7 @@
         for instance in removed:
             worker = self.deliveries.selection.worker(instance)
             if worker is not None:
-                self.worker_client.forget(worker.address)
+                self.worker_client.remove_address(worker.address)
         self.deliveries.workers_changed(entries, removed)
 
     def _owner_changed(self, group: str) -> None:
--- a/tests/system/delivery/test_connections.py
+++ b/tests/system/delivery/test_connections.py
@@ -211,20 +211,20 @@
         self.client.close_idle("10.0.0.1:1")
         self.assertTrue(wire.closed)
 
-    def test_forget(self) -> None:
+    def test_remove_address(self) -> None:
         one = replace(TARGET, max_connections=1)
         in_flight, wire = self.deliver(target=one), self.connect()
         waiting = self.deliver("r2", target=one)
-        self.client.forget(ADDRESS)
-        self.client.forget(ADDRESS)
+        self.client.remove_address(ADDRESS)
+        self.client.remove_address(ADDRESS)
         self.assert_result(waiting, AttemptOutcome.NOT_RUN, RefusalKind.NO_CONNECTION)
         wire.respond(OK)
         self.assert_result(in_flight, AttemptOutcome.SUCCEEDED)
         self.assertTrue(wire.closed)
 
-    def test_forget_while_connecting(self) -> None:
+    def test_remove_address_while_connecting(self) -> None:
         results = self.deliver()
-        self.client.forget(ADDRESS)
+        self.client.remove_address(ADDRESS)
         wire = self.connect()
         self.assert_result(results, AttemptOutcome.NOT_RUN, RefusalKind.NO_CONNECTION)
         self.assertEqual(wire.take(), b"")
@@ -232,7 +232,7 @@
 
     def test_address_that_comes_back(self) -> None:
         wire = self.idle()
-        self.client.forget(ADDRESS)
+        self.client.remove_address(ADDRESS)
         self.deliver("r2")
         self.assertEqual((wire.closed, len(self.network.attempts)), (True, 2))
 
