--- a/bitternpath/configuration/change_evaluation.py
+++ b/bitternpath/configuration/change_evaluation.py
@@ -40,12 +40,12 @@
     Raises:
         InvalidConfigurationError: the request or the resulting document is invalid.
     """
-    accepted_version = state.accepted_as(digest)
+    accepted_version = state.accepted_version_of(digest)
     if accepted_version is not None:
         return operator_result(ResultCode.ACCEPTED, version=accepted_version)
     base = _base_version(request)
     if base != state.version:
-        return _other_version(state, base)
+        return _version_conflict(state, base)
     document = _resulting_document(state, request)
     command = ReplaceDocument(base, digest, encode_document(document))
     return ProposedChange(int(document["version"]), COMMANDS.encode(command))
@@ -58,7 +58,7 @@
         raise InvalidConfigurationError("If-Match: must be the version that the change builds on") from None
 
 
-def _other_version(state: ConfigurationState, base: int) -> OperatorResult:
+def _version_conflict(state: ConfigurationState, base: int) -> OperatorResult:
     if state.may_have_evicted(base):
         return operator_result(ResultCode.OUTCOME_UNKNOWN, "too old to tell whether it was accepted")
     return operator_result(ResultCode.OTHER_VERSION, "another version is in force", version=state.version)
--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -22,7 +22,7 @@
 
 from bitternpath.configuration.change_evaluation import ProposedChange, evaluate_change
 from bitternpath.configuration.change_requests import ChangeRequest
-from bitternpath.configuration.consensus_group import ConsensusGroup, confirmed
+from bitternpath.configuration.consensus_group import ConsensusGroup, result_after_confirmation
 from bitternpath.configuration.errors import InvalidConfigurationError
 from bitternpath.configuration.results import OperatorResult, ResultCode, not_owner, operator_result
 from bitternpath.configuration.state_machine import ConfigurationState
@@ -74,7 +74,7 @@
 
     def read(self) -> Deferred[OperatorResult]:
         """The document in force, confirmed by a majority; the Deferred never fails."""
-        return confirmed(self.group, self._current)
+        return result_after_confirmation(self.group, self._current)
 
     def _current(self) -> OperatorResult:
         if not self.state.document:
--- a/bitternpath/configuration/consensus_group.py
+++ b/bitternpath/configuration/consensus_group.py
@@ -31,7 +31,9 @@
         """
 
 
-def confirmed(group: ConsensusGroup, make_result: Callable[[], OperatorResult]) -> Deferred[OperatorResult]:
+def result_after_confirmation(
+    group: ConsensusGroup, make_result: Callable[[], OperatorResult]
+) -> Deferred[OperatorResult]:
     """The result of `make_result()` as of the moment at which ownership is confirmed; never fails.
 
     It is called after the confirmation, so that its result can't be older than what was acknowledged to
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -4,9 +4,9 @@
 - Offsets (version of the document, generation of the placement) never go back in a process's life.
 - An update of an epoch older than the newest one seen is ignored: its sender owns the group no longer.
 
-A search asks one candidate after the other; those that don't respond stay subscribed beside the next ones,
-up to `MAX_CANDIDATES`. Whichever sends an update first is followed. The owner followed before stays one of
-the candidates, as it may have been silent for a moment only.
+A search tries one candidate after another. Subscriptions to candidates that don't respond stay open, up to
+`MAX_CONCURRENT_CANDIDATES` at a time, and the first candidate to send an update is followed. The previous
+owner stays a candidate, since it may only have been unresponsive for a moment.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 OWNER_TIMEOUT_S = 1.3  # without an update: three heartbeats
 CHECK_INTERVAL_S = 0.15  # how often the feed is checked for silence, and new links for subscriptions
-REFUSED_PAUSE_S = 0.03  # after a refusal, before the next candidate is tried: soon, but not in a loop
-ATTEMPT_S = 0.45  # how long one candidate is tried alone: a connection and a response, far away
-MAX_CANDIDATES = 3  # tried at once, so that those that don't respond hold nobody up
+REFUSAL_RETRY_DELAY_S = 0.03  # after a refusal, before the next candidate is tried: soon, but not in a loop
+ATTEMPT_TIMEOUT_S = 0.45  # how long one candidate is tried alone: a connection and a response, far away
+MAX_CONCURRENT_CANDIDATES = 3  # tried at once, so that those that don't respond hold nobody up
 FEED_USER = "feed"  # name under which the hub keeps the feed's links
 
 _NEVER = float("-inf")
@@ -63,7 +63,7 @@
         groups: the placement in force here.
         members: the configuration group's members, as a node that refused has named them.
         edge_node_count: how many edge nodes the system has, as far as the owner knows.
-        heard_at: when, by the reactor's clock, the last update came; minus infinity before the first.
+        last_update_at: when, by the reactor's clock, the last update came; minus infinity before the first.
         epoch: the newest epoch of which an update came.
     """
 
@@ -91,7 +91,7 @@
         self.groups: tuple[GroupPlacement, ...] = ()
         self.members: tuple[MemberAddress, ...] = ()
         self.edge_node_count = 1
-        self.heard_at = _NEVER
+        self.last_update_at = _NEVER
         self.epoch = 0
         self._reactor = reactor
         self._hub = hub
@@ -139,7 +139,7 @@
         if update.epoch < self.epoch or not self._follow(link):
             return
         self.epoch = update.epoch
-        self.heard_at = self._reactor.seconds()
+        self.last_update_at = self._reactor.seconds()
         self._end_search()
         self.edge_node_count = update.edge_node_count
         self._apply(update)
@@ -152,12 +152,12 @@
         now = self._reactor.seconds()
         self.members = refusal.members or self.members
         self._unsubscribe(address)
-        self._search.tried(address, now)
+        self._search.record_attempt(address, now)
         if refusal.leader_address and self._search.may_follow_hint(refusal.leader_address, now):
-            self._ask(refusal.leader_address)
+            self._try_candidate(refusal.leader_address)
         else:
             self._last_subscribed_at = _NEVER  # the next check tries another candidate
-            self._check_within(REFUSED_PAUSE_S)
+            self._advance_check(REFUSAL_RETRY_DELAY_S)
 
     def link_closed(self, link: Link) -> None:
         """A link has closed. Its address stays a candidate: the subscription is repeated on the next link."""
@@ -171,7 +171,7 @@
     # ---- following
 
     def _is_alive(self) -> bool:
-        updated_recently = self._reactor.seconds() - self.heard_at < OWNER_TIMEOUT_S
+        updated_recently = self._reactor.seconds() - self.last_update_at < OWNER_TIMEOUT_S
         return updated_recently and self._owner_link is not None and self._owner_link.open
 
     def _follow(self, link: Link) -> bool:
@@ -199,11 +199,11 @@
 
     def _run_check(self) -> None:
         self._check = self._reactor.callLater(CHECK_INTERVAL_S, self._run_check)
-        if not self._is_alive() and self._reactor.seconds() - self._last_subscribed_at >= ATTEMPT_S:
-            self._ask(self._next_candidate())
+        if not self._is_alive() and self._reactor.seconds() - self._last_subscribed_at >= ATTEMPT_TIMEOUT_S:
+            self._try_candidate(self._next_candidate())
         self._subscribe()
 
-    def _check_within(self, seconds: float) -> None:
+    def _advance_check(self, seconds: float) -> None:
         """Bring the next check forward, where it is due later than that."""
         if self._check is not None and self._check.active():
             due = self._reactor.seconds() + seconds
@@ -214,15 +214,15 @@
         addresses = [*(member.address for member in self.members), *self._candidates()]
         return self._search.next_candidate(addresses, self._subscribed, self._hub.random)
 
-    def _ask(self, address: str) -> None:
+    def _try_candidate(self, address: str) -> None:
         if not address:
             return
         now = self._reactor.seconds()
-        self._search.tried(address, now)
+        self._search.record_attempt(address, now)
         self._owner_address = address
         self._last_subscribed_at = now
         self._subscribed.setdefault(address, None)
-        for oldest in list(self._subscribed)[:-MAX_CANDIDATES]:
+        for oldest in list(self._subscribed)[:-MAX_CONCURRENT_CANDIDATES]:
             self._unsubscribe(oldest)
         self._hub.dial(address, FEED_USER)
         self._subscribe()
@@ -243,7 +243,7 @@
 
     def _end_search(self) -> None:
         """The owner is known: unsubscribe from all others."""
-        self._search.found(self._owner_address, self._reactor.seconds())
+        self._search.record_owner(self._owner_address, self._reactor.seconds())
         for address in [address for address in self._subscribed if address != self._owner_address]:
             self._unsubscribe(address)
 
--- a/bitternpath/configuration/feed_server.py
+++ b/bitternpath/configuration/feed_server.py
@@ -90,10 +90,10 @@
         for link in subscribers:
             link.send(refusal)
 
-    def subscribe(self, link: Link, wanted: FeedSubscribe) -> None:
+    def subscribe(self, link: Link, request: FeedSubscribe) -> None:
         """Add a subscriber, or reset its offsets, and send what it lacks."""
         subscriber = _Subscriber(
-            wanted.configuration_version, wanted.placement_generation, wanted.wants_catalogue
+            request.configuration_version, request.placement_generation, request.wants_catalogue
         )
         self._subscribers[link] = subscriber
         if self._has_lease():
@@ -123,7 +123,7 @@
         peers = [link.peer for link in self._subscribers if link.peer is not None]
         return list({peer.name: peer for peer in peers}.values())
 
-    def heard_at(self) -> list[tuple[NodeDescriptor, float]]:
+    def last_contacts(self) -> list[tuple[NodeDescriptor, float]]:
         """The subscribed nodes by link, and when (by the reactor's clock) each was last heard."""
         return [(link.peer, link.received_at) for link in self._subscribers if link.peer is not None]
 
--- a/bitternpath/configuration/owner_search.py
+++ b/bitternpath/configuration/owner_search.py
@@ -15,11 +15,11 @@
         """Nothing was tried."""
         self._tried_at: dict[str, float] = {}  # by address, in this search
 
-    def tried(self, address: str, now: float) -> None:
+    def record_attempt(self, address: str, now: float) -> None:
         """Record that a candidate was queried, or has refused, at `now` (seconds of a monotonic clock)."""
         self._tried_at[address] = now
 
-    def found(self, address: str, now: float) -> None:
+    def record_owner(self, address: str, now: float) -> None:
         """End the search: that candidate is the owner. In the next search it is the last one to be tried."""
         self._tried_at = {address: now}
 
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -115,38 +115,38 @@
         self,
         nodes: Mapping[str, NodeDescriptor],
         to_replace: frozenset[str],
-        wanted: int,
+        desired_replicas: int,
         replica_counts: dict[str, int],
     ) -> None:
         self._nodes = nodes
         self._to_replace = to_replace
-        self._wanted = wanted
+        self._desired_replicas = desired_replicas
         self._replica_counts = replica_counts
 
     def repaired(self, group: GroupPlacement) -> GroupPlacement:
         """The group with its lost members replaced; the same where none is lost or none can be replaced."""
         retained = {
-            slot: self._as_it_is_now(member)
+            slot: self._current_member(member)
             for slot, member in enumerate(group.members)
             if member.node not in self._to_replace
         }
         # A new member takes the lost one's slot, so that it is the preferred owner of as many shards.
-        for slot in range(max(self._wanted, len(group.members))):
-            if slot in retained or len(retained) >= self._wanted:
+        for slot in range(max(self._desired_replicas, len(group.members))):
+            if slot in retained or len(retained) >= self._desired_replicas:
                 continue
             replacement = self._replacement(list(retained.values()))
             if replacement is not None:
                 retained[slot] = member_address(replacement)
                 self._replica_counts[replacement.name] += 1
         for slot, member in enumerate(group.members):
-            if slot not in retained and len(retained) < self._wanted:
+            if slot not in retained and len(retained) < self._desired_replicas:
                 retained[slot] = member  # no node can take its place: it stays named
         members = tuple(retained[slot] for slot in sorted(retained))
         if members == group.members:
             return group
         return GroupPlacement(group.group, group.generation + 1, members)
 
-    def _as_it_is_now(self, member: MemberAddress) -> MemberAddress:
+    def _current_member(self, member: MemberAddress) -> MemberAddress:
         """The member that its node is now: another one with a new disk, or the same at another address."""
         node = self._nodes.get(member.node)
         if node is None:
@@ -159,13 +159,13 @@
         """The node with the fewest replicas, in a zone of its own where there is one."""
         names = {member.node for member in retained}
         zones = {member.zone for member in retained}
-        free = [
+        candidates = [
             node
             for node in self._nodes.values()
             if node.name not in names and node.name not in self._to_replace
         ]
         return min(
-            free,
+            candidates,
             key=lambda node: (node.zone in zones, self._replica_counts[node.name], node.name),
             default=None,
         )
--- a/bitternpath/configuration/state_machine.py
+++ b/bitternpath/configuration/state_machine.py
@@ -25,7 +25,9 @@
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.group_messages import GroupPlacement
 
-REMEMBERED_CHANGES = 4096  # digests of accepted changes, by which retries are acknowledged; ~32 bytes each
+MAX_REMEMBERED_CHANGES = (
+    4096  # digests of accepted changes, by which retries are acknowledged; ~32 bytes each
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +74,7 @@
         storage: the storage nodes and their retirements.
     """
 
-    def __init__(self, remembered: int = REMEMBERED_CHANGES) -> None:
+    def __init__(self, remembered: int = MAX_REMEMBERED_CHANGES) -> None:
         """An empty state. `remembered`: how many accepted changes; the same on all replicas."""
         self.document = b""
         self.raw: dict[str, Any] = {}
@@ -88,7 +90,7 @@
         """Version of the document in force; 0 before the first."""
         return self.configuration.version if self.configuration else 0
 
-    def accepted_as(self, digest: bytes) -> int | None:
+    def accepted_version_of(self, digest: bytes) -> int | None:
         """The version that a change made, if it was accepted and is remembered."""
         return self._accepted.get(digest)
 
@@ -148,18 +150,18 @@
         self.groups = snapshot.groups
         self.storage.restore(snapshot.storage, snapshot.retirements)
         if snapshot.document:
-            self._put_in_force(snapshot.document)
+            self._activate_document(snapshot.document)
 
     def _replace_document(self, change: ReplaceDocument) -> bool:
         if change.base != self.version:
             return False
-        self._put_in_force(change.document)
+        self._activate_document(change.document)
         self._accepted[change.digest] = self.version
         while len(self._accepted) > self._remembered:
             self._accepted.popitem(last=False)
         return True
 
-    def _put_in_force(self, document: bytes) -> None:
+    def _activate_document(self, document: bytes) -> None:
         self.document = document
         self.raw = json.loads(document)
         self.configuration = parse_configuration(self.raw)
--- a/bitternpath/replication/compaction.py
+++ b/bitternpath/replication/compaction.py
@@ -9,12 +9,16 @@
 
 COMPACTION_BYTES = 8 << 20  # of entries applied since the last snapshot
 HOST_COMPACTION_BYTES = 32 << 20  # likewise, of all groups together: entries are also kept in memory
-DISK_PARTS = 8  # entries of all groups between snapshots take one part of a disk, or twice that (`GROWTH`)
+DISK_SHARE_DIVISOR = (
+    8  # entries of all groups between snapshots take one part of a disk, or twice that (`MAX_BOUND_GROWTH`)
+)
 COMPACTION_ENTRIES = 20_000  # entries applied since the last snapshot
-KEPT_ENTRIES = 256  # left behind a snapshot, for followers that lag a little
-COMPACTION_SPREAD = 0.25  # the bounds grow by up to this share, so that replicas don't compact together
+RETAINED_ENTRIES = 256  # left behind a snapshot, for followers that lag a little
+COMPACTION_JITTER = 0.25  # the bounds grow by up to this share, so that replicas don't compact together
 ENTRY_OVERHEAD_BYTES = 64  # of an entry besides its data, roughly
-GROWTH = 2  # entries between snapshots may exceed their bound by this factor where the state is large
+MAX_BOUND_GROWTH = (
+    2  # entries between snapshots may exceed their bound by this factor where the state is large
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +28,7 @@
     size: int = COMPACTION_BYTES
     host_size: int = HOST_COMPACTION_BYTES  # shared by all groups of a process
     entries: int = COMPACTION_ENTRIES
-    entries_to_keep: int = KEPT_ENTRIES
+    entries_to_keep: int = RETAINED_ENTRIES
 
 
 def bounds_for_disk(size: int) -> CompactionBounds:
@@ -32,7 +36,7 @@
 
     The disk holds the entries twice during a checkpoint, and beside each group's old and new snapshot.
     """
-    host_size = min(HOST_COMPACTION_BYTES, size // DISK_PARTS) if size else HOST_COMPACTION_BYTES
+    host_size = min(HOST_COMPACTION_BYTES, size // DISK_SHARE_DIVISOR) if size else HOST_COMPACTION_BYTES
     return CompactionBounds(size=min(COMPACTION_BYTES, host_size), host_size=host_size)
 
 
@@ -45,11 +49,11 @@
         self._random = random
         self._snapshot_size = snapshot_size
         self._applied_bytes = 0  # of entries applied since the last snapshot
-        self._stretch = self._draw_stretch()
+        self._jitter_factor = self._draw_jitter_factor()
         self.size_bound = bounds.size  # bytes; the host lowers it where it has many groups
 
-    def _draw_stretch(self) -> float:
-        return 1.0 + self._random.random() * COMPACTION_SPREAD
+    def _draw_jitter_factor(self) -> float:
+        return 1.0 + self._random.random() * COMPACTION_JITTER
 
     def entries_applied(self, entries: int, data_bytes: int) -> None:
         """So many entries were applied, with so many bytes of data together."""
@@ -63,13 +67,13 @@
     def compacted(self, snapshot_size: int) -> None:
         """Entries were replaced by a snapshot of that many bytes."""
         self.restored(snapshot_size)
-        self._stretch = self._draw_stretch()
+        self._jitter_factor = self._draw_jitter_factor()
 
     def is_due(self, entries: int) -> bool:
         """Whether the log is to be compacted, with that many entries applied since the last snapshot."""
-        if entries > self._bounds.entries * self._stretch:
+        if entries > self._bounds.entries * self._jitter_factor:
             return True
-        return self._applied_bytes > self._entries_bound * self._stretch
+        return self._applied_bytes > self._entries_bound * self._jitter_factor
 
     @property
     def _entries_bound(self) -> int:
@@ -78,7 +82,7 @@
         It grows with the state, so that writing snapshots costs little more than writing entries, up to a
         bound: the disk holds the entries until there is a checkpoint.
         """
-        return max(self.size_bound, min(self._snapshot_size, GROWTH * self.size_bound))
+        return max(self.size_bound, min(self._snapshot_size, MAX_BOUND_GROWTH * self.size_bound))
 
     def entries_to_keep(self, log: ReplicatedLog, applied: int, needed_index: int | None) -> int:
         """How many of the entries up to `applied` stay behind a snapshot.
@@ -87,12 +91,12 @@
         peers need entries: then as many as that, within the bound or the size of the state, since a snapshot
         transfer ends if entries are written no faster than the snapshot is sent.
         """
-        few = _last_entries_within(log, applied, self._bounds.entries_to_keep, self.size_bound // 4)
+        default_count = _last_entries_within(log, applied, self._bounds.entries_to_keep, self.size_bound // 4)
         if needed_index is None:
-            return few
-        needed = applied + 1 - needed_index
+            return default_count
+        needed_count = applied + 1 - needed_index
         bound = max(self.size_bound, self._snapshot_size)
-        return max(few, _last_entries_within(log, applied, needed, bound))
+        return max(default_count, _last_entries_within(log, applied, needed_count, bound))
 
 
 def _last_entries_within(log: ReplicatedLog, applied: int, limit: int, limit_bytes: int) -> int:
--- a/bitternpath/replication/consensus.py
+++ b/bitternpath/replication/consensus.py
@@ -132,7 +132,7 @@
                 self._on_response(sender, message)
             case TimeoutNow():
                 if message.term == self.term and sender == self.leader and self.is_voter:
-                    self._stand(leadership_transfer=True)
+                    self._start_election(leadership_transfer=True)
 
     def _on_leader_request(self, sender: str, request: AppendEntries | InstallSnapshot) -> None:
         if not self._accept_leader(sender, request.term, request.heartbeat_round):
--- a/bitternpath/replication/elections.py
+++ b/bitternpath/replication/elections.py
@@ -8,7 +8,7 @@
 
 # Share of the election timeout within which a member stands that has more of the log than a pre-candidate.
 # The time is many times that of a message and a sync.
-EARLY_STAND_SHARE = 0.3
+EARLY_ELECTION_SHARE = 0.3
 
 
 class Elections(MemberState):
@@ -17,7 +17,7 @@
     # ---- candidate
 
     @property
-    def _may_stand(self) -> bool:
+    def _may_start_election(self) -> bool:
         """Whether this member may be a candidate.
 
         A member that was removed may stand as long as the removal is not committed: nobody else may have the
@@ -38,19 +38,19 @@
 
     def _election_timeout(self) -> None:
         self._set_election_timer()
-        if self._may_stand:
+        if self._may_start_election:
             self._request_votes(pre_vote=True)
 
-    def _stand_early(self) -> None:
+    def _schedule_early_election(self) -> None:
         """Stand before the timeout: the leader is silent, and the pre-candidate lacks entries.
 
         Not at once: all members that have more of the log than the pre-candidate are asked at the same time,
         and would split the votes again and again.
         """
-        early = self.now + self.timing.election_timeout * EARLY_STAND_SHARE * self.random.random()
+        early = self.now + self.timing.election_timeout * EARLY_ELECTION_SHARE * self.random.random()
         self._election_at = min(self._election_at, early)
 
-    def _stand(self, *, leadership_transfer: bool = False) -> None:
+    def _start_election(self, *, leadership_transfer: bool = False) -> None:
         """Become a candidate in the next term."""
         self._set_term(self.term + 1, self.member_id)
         self._set_election_timer()
@@ -85,7 +85,7 @@
         if 2 * len(self.votes) <= len(self.members.voters):
             return
         if response.pre_vote:
-            self._stand()
+            self._start_election()
         else:
             self._become_leader()
 
@@ -93,7 +93,7 @@
 
     def _on_vote_request(self, sender: str, request: RequestVote) -> None:
         """RequestVote of fig. 2, and a pre-vote (T 9.6)."""
-        if not request.leadership_transfer and self._knows_leader:
+        if not request.leadership_transfer and self._has_live_leader:
             self._messages.append((sender, RequestVoteResponse(self.term, request.pre_vote, False)))
             return
         if request.pre_vote:
@@ -118,10 +118,10 @@
         response = RequestVoteResponse(request.term if granted else self.term, True, granted)
         self._messages_awaiting_next_write.append((sender, response))
         if request.term > self.term and not granted and self.role is MemberRole.FOLLOWER:
-            self._stand_early()
+            self._schedule_early_election()
 
     @property
-    def _knows_leader(self) -> bool:
+    def _has_live_leader(self) -> bool:
         """Whether a leader was heard lately, or this member leads: then nobody gets a vote (T 4.2.3)."""
         if self.role is MemberRole.LEADER:
             return True
--- a/bitternpath/replication/follower.py
+++ b/bitternpath/replication/follower.py
@@ -5,10 +5,10 @@
 from bitternpath.replication.errors import CommittedEntryConflictError
 from bitternpath.replication.messages import AppendEntries, AppendEntriesResponse
 from bitternpath.replication.records import Entry, MemberRole, RoleChangeCause
-from bitternpath.replication.snapshots import SnapshotTransfer
+from bitternpath.replication.snapshots import SnapshotInstallation
 
 
-class Follower(SnapshotTransfer):
+class Follower(SnapshotInstallation):
     """A member as follower."""
 
     def _accept_leader(self, sender: str, term: int, heartbeat_round: int) -> bool:
@@ -34,17 +34,17 @@
             previous = self.log.compacted_index
             entries = tuple(entry for entry in entries if entry.index > previous)
         elif previous > self.last_index or self.log.term_at(previous) != request.previous_term:
-            may_agree = self._last_index_that_may_agree(previous)
-            response = AppendEntriesResponse(self.term, False, may_agree, request.heartbeat_round)
+            last_possible_match = self._last_possible_match(previous)
+            response = AppendEntriesResponse(self.term, False, last_possible_match, request.heartbeat_round)
             self._messages_awaiting_next_write.append((sender, response))
             return
         for entry in entries:
             self._append_entry(entry)
-        agrees = min(max(previous + len(entries), request.previous_index), self.last_index)
-        self.commit_index = max(self.commit_index, min(request.leader_commit, agrees))
-        self._confirm_entries(sender, request, agrees)
+        match_index = min(max(previous + len(entries), request.previous_index), self.last_index)
+        self.commit_index = max(self.commit_index, min(request.leader_commit, match_index))
+        self._confirm_entries(sender, request, match_index)
 
-    def _last_index_that_may_agree(self, previous: int) -> int:
+    def _last_possible_match(self, previous: int) -> int:
         """The next index to try: all entries of the term that conflicts are skipped (section 5.3)."""
         index = min(previous - 1, self.last_index)
         if previous <= self.last_index:
@@ -66,7 +66,7 @@
             self.log.truncate(entry.index)
         self.log.append(entry)
 
-    def _confirm_entries(self, sender: str, request: AppendEntries, agrees: int) -> None:
+    def _confirm_entries(self, sender: str, request: AppendEntries, match_index: int) -> None:
         """Confirm the log up to `agrees`: what is on disk at once, the rest after the writes.
 
         A heartbeat gets an answer at once, so that a slow disk isn't taken for silence. The term itself need
@@ -74,9 +74,9 @@
         """
         stable = self.log.stable_index
         heartbeat_round = request.heartbeat_round
-        if agrees <= stable or not request.entries:
-            response = AppendEntriesResponse(self.term, True, min(agrees, stable), heartbeat_round)
+        if match_index <= stable or not request.entries:
+            response = AppendEntriesResponse(self.term, True, min(match_index, stable), heartbeat_round)
             self._messages.append((sender, response))
-        if agrees > stable:
-            response = AppendEntriesResponse(self.term, True, agrees, heartbeat_round)
+        if match_index > stable:
+            response = AppendEntriesResponse(self.term, True, match_index, heartbeat_round)
             self._messages_awaiting_next_write.append((sender, response))
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -108,8 +108,8 @@
         self._reads = PendingReads()
         # Index applied to the state machine; `raft.last_applied` is the index handed out.
         self._machine_applied_index = state.snapshot.index
-        self._role_seen = self.raft.role
-        self._progress_seen = MembershipProgress()
+        self._last_role = self.raft.role
+        self._last_membership_progress = MembershipProgress()
         if state.snapshot.index:
             self._machine.restore(state.snapshot.data)
 
@@ -179,35 +179,35 @@
         """Seconds since a member last responded; infinite where this replica doesn't lead or know it."""
         return peer_status.unresponsive_for(self.raft, now, member)
 
-    def hears_quorum(self, now: float) -> bool:
+    def has_active_quorum(self, now: float) -> bool:
         """Whether a majority responded to this owner so recently that it knows of no other leader."""
-        return self.is_owner and peer_status.hears_quorum(self.raft, now)
+        return self.is_owner and peer_status.has_active_quorum(self.raft, now)
 
-    def members_progressed(self) -> bool:
+    def membership_progressed(self) -> bool:
         """Whether the membership may be reconciled again.
 
         That is: since the last call this replica became owner, or as owner saw a membership committed or a
         learner catch up.
         """
-        seen = MembershipProgress()
+        progress = MembershipProgress()
         if self.is_owner:
-            seen = MembershipProgress(
+            progress = MembershipProgress(
                 self.owned_epoch,
                 self.raft.log.members_index,
                 self.raft.may_change_members,
                 tuple(filter(self.caught_up, self.raft.members.learners)),
             )
-        before = self._progress_seen
-        self._progress_seen = seen
-        return seen != before and self.is_owner
+        previous = self._last_membership_progress
+        self._last_membership_progress = progress
+        return progress != previous and self.is_owner
 
     def role_transition(self) -> RoleTransition | None:
         """How the role of this member changed since the last call; None where it didn't."""
-        old = self._role_seen
+        old = self._last_role
         new = self.raft.role
         if old is new:
             return None
-        self._role_seen = new
+        self._last_role = new
         return RoleTransition(old, new, self.raft.role_cause)
 
     # ---- effects
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -16,7 +16,7 @@
 from twisted.internet.defer import Deferred, fail
 
 from bitternpath.net.clock import Clock, Timer, cancel_if_active
-from bitternpath.replication.bandwidth import TransferBudget
+from bitternpath.replication.bandwidth import SnapshotRateLimiter
 from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.replication.errors import GroupAlreadyOpenError, NotOwnerError
 from bitternpath.replication.group import (
@@ -41,7 +41,7 @@
 
 SYSTEM_TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)
 TIMER_GRID_SECONDS = 0.02  # timers of groups fall on multiples of this, so that they fire together
-SHORTEST_TIMER_SECONDS = 0.001  # rounding may put a timer just before its due time: it must not spin
+MIN_TIMER_SECONDS = 0.001  # rounding may put a timer just before its due time: it must not spin
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,10 +72,10 @@
         self._transport = transport
         self._random = options.random
         self._bounds = options.bounds
-        budget = TransferBudget()  # of snapshot transfers of all groups
-        self._group_options = GroupOptions(RaftOptions(options.timing, budget), options.bounds)
+        rate_limiter = SnapshotRateLimiter()  # of snapshot transfers of all groups
+        self._group_options = GroupOptions(RaftOptions(options.timing, rate_limiter), options.bounds)
         self._dirty: dict[str, ReplicaGroup] = {}
-        self._watchers: dict[str, Callable[[], None]] = {}
+        self._membership_callbacks: dict[str, Callable[[], None]] = {}
         self._flush_call: Timer | None = None
         self._timer: Timer | None = None
         self._stopped = False
@@ -121,7 +121,7 @@
         Only to be called once a membership of this generation that doesn't name this replica is committed.
         """
         closed = self.groups.pop(group, None)
-        self._watchers.pop(group, None)
+        self._membership_callbacks.pop(group, None)
         self._dirty.pop(group, None)
         if closed is not None:
             closed.close()
@@ -148,131 +148,143 @@
 
     def receive(self, group: str, sender: str, body: bytes) -> None:
         """Take an encoded message of another member; dropped if the group isn't open or it can't be read."""
-        found = self.groups.get(group)
-        if found is None or sender == self.member_id:
+        replica_group = self.groups.get(group)
+        if replica_group is None or sender == self.member_id:
             return
         try:
             message = decode_message(body)
         except CodecError:
             return
         try:
-            found.receive(self._clock.seconds(), sender, message)
+            replica_group.receive(self._clock.seconds(), sender, message)
         except Exception:
-            self._stop_group(group, found)
+            self._stop_group(group, replica_group)
             return
-        self._mark(group, found)
+        self._mark_dirty(group, replica_group)
 
     def propose(self, group: str, command: bytes) -> Deferred[object]:
         """Propose a command; fires with what `StateMachine.apply` returned here once it is committed.
 
         Errors: `NotOwnerError` (it was not proposed), `OutcomeUnknownError` (it may or may not be committed).
         """
-        found = self.groups.get(group)
-        if found is None:
+        replica_group = self.groups.get(group)
+        if replica_group is None:
             return fail(NotOwnerError())
-        self._mark(group, found)
-        return found.propose(command)
+        self._mark_dirty(group, replica_group)
+        return replica_group.propose(command)
 
     def read_barrier(self, group: str) -> Deferred[None]:
         """Fires once a majority has confirmed, after this call, that this replica leads (read index, T 6.4).
 
         A read of the state machine then is linearizable. Error: `NotOwnerError`.
         """
-        found = self.groups.get(group)
-        if found is None:
+        replica_group = self.groups.get(group)
+        if replica_group is None:
             return fail(NotOwnerError())
-        self._mark(group, found)
-        return found.read_barrier()
+        self._mark_dirty(group, replica_group)
+        return replica_group.read_barrier()
 
     def change_members(self, group: str, members: Members) -> bool:
         """Propose a membership; False where that can't be now.
 
         Voters change one at a time, and a new voter must have caught up as a learner.
         """
-        found = self.groups.get(group)
-        if found is None:
+        replica_group = self.groups.get(group)
+        if replica_group is None:
             return False
-        self._mark(group, found)
-        return found.change_members(self._clock.seconds(), members)
+        self._mark_dirty(group, replica_group)
+        return replica_group.change_members(self._clock.seconds(), members)
 
     def transfer_leadership(self, group: str, to: str = "") -> bool:
         """Begin to transfer ownership to `to`, or to the voter that has most of the log.
 
         Returns whether the transfer started.
         """
-        found = self.groups.get(group)
-        if found is None:
+        replica_group = self.groups.get(group)
+        if replica_group is None:
             return False
-        self._mark(group, found)
-        return found.transfer_leadership(self._clock.seconds(), to)
+        self._mark_dirty(group, replica_group)
+        return replica_group.transfer_leadership(self._clock.seconds(), to)
 
     # ---- views
 
     def is_owner(self, group: str) -> bool:
         """Whether this replica leads and has applied all that was committed before."""
-        found = self.groups.get(group)
-        return found is not None and found.is_owner
+        replica_group = self.groups.get(group)
+        return replica_group is not None and replica_group.is_owner
 
-    def hears_quorum(self, group: str) -> bool:
+    def has_active_quorum(self, group: str) -> bool:
         """Whether this replica owns the group and a majority responded within an election timeout.
 
         Responses count from when they came: see `has_leader_lease` for a process that may have been
         suspended.
         """
-        found = self.groups.get(group)
-        return found is not None and found.hears_quorum(self._clock.seconds())
+        replica_group = self.groups.get(group)
+        return replica_group is not None and replica_group.has_active_quorum(self._clock.seconds())
 
     def has_leader_lease(self, group: str) -> bool:
         """Whether this replica owns the group and no other member can have been elected (T 6.4.1).
 
-        Unlike `hears_quorum` it counts from when a majority was asked, not from when it responded, so that it
-        also holds for a process that was suspended.
+        Unlike `has_active_quorum`, it measures from when a heartbeat round was sent, not from when its
+        responses arrived, so it is also valid for a process that was suspended.
         """
-        found = self.groups.get(group)
-        return found is not None and found.is_owner and found.raft.has_leader_lease(self._clock.seconds())
+        replica_group = self.groups.get(group)
+        return (
+            replica_group is not None
+            and replica_group.is_owner
+            and replica_group.raft.has_leader_lease(self._clock.seconds())
+        )
 
     def current_term(self, group: str) -> int:
         """The highest term that this replica knows, as owner or not; 0 for a group not open here."""
-        found = self.groups.get(group)
-        return found.raft.term if found is not None else 0
+        replica_group = self.groups.get(group)
+        return replica_group.raft.term if replica_group is not None else 0
 
     def leader(self, group: str) -> str:
         """The member that leads, as far as is known; else empty."""
-        found = self.groups.get(group)
-        return found.raft.leader if found is not None else ""
+        replica_group = self.groups.get(group)
+        return replica_group.raft.leader if replica_group is not None else ""
 
-    def watch_members(self, group: str, progressed: Callable[[], None]) -> None:
+    def on_membership_progress(self, group: str, callback: Callable[[], None]) -> None:
         """Have `progressed` called whenever the membership of a group may be reconciled again.
 
         That is, in a turn of its own, when this replica became the group's owner, or owns it and a membership
         was committed or a learner has caught up.
         """
-        self._watchers[group] = progressed
+        self._membership_callbacks[group] = callback
 
     def members(self, group: str) -> Members:
         """The last members in the log, committed or not."""
-        found = self.groups.get(group)
-        return found.raft.members if found is not None else Members()
+        replica_group = self.groups.get(group)
+        return replica_group.raft.members if replica_group is not None else Members()
 
     def committed_members(self, group: str) -> Members | None:
         """The members, where this replica owns the group and no change of them is open; else None."""
-        found = self.groups.get(group)
-        return found.raft.members if found is not None and found.raft.may_change_members else None
+        replica_group = self.groups.get(group)
+        return (
+            replica_group.raft.members
+            if replica_group is not None and replica_group.raft.may_change_members
+            else None
+        )
 
     def caught_up(self, group: str, member: str) -> bool:
         """Whether a member lacks little of the log, as this leader sees it; False on other replicas."""
-        found = self.groups.get(group)
-        return found is not None and found.caught_up(member)
+        replica_group = self.groups.get(group)
+        return replica_group is not None and replica_group.caught_up(member)
 
     def unresponsive_for(self, group: str, member: str) -> float:
         """Seconds since this leader last had a response of a member; infinite on other replicas."""
-        found = self.groups.get(group)
-        return found.unresponsive_for(self._clock.seconds(), member) if found is not None else math.inf
+        replica_group = self.groups.get(group)
+        return (
+            replica_group.unresponsive_for(self._clock.seconds(), member)
+            if replica_group is not None
+            else math.inf
+        )
 
     # ---- turns
 
-    def _mark(self, group: str, found: ReplicaGroup) -> None:
-        self._dirty[group] = found
+    def _mark_dirty(self, group: str, replica_group: ReplicaGroup) -> None:
+        self._dirty[group] = replica_group
         if self._flush_call is None and not self._stopped:
             self._flush_call = self._clock.callLater(0, self._flush)
 
@@ -297,8 +309,8 @@
             return
         self._execute(name, group, effects)
         self._log_role_transition(name, group)
-        if name in self._watchers and group.members_progressed():
-            self._clock.callLater(0, self._notify_watcher, name, group)
+        if name in self._membership_callbacks and group.membership_progressed():
+            self._clock.callLater(0, self._notify_membership_progress, name, group)
 
     def _execute(self, name: str, group: ReplicaGroup, effects: GroupEffects) -> None:
         for write in effects.writes:
@@ -321,9 +333,9 @@
             transition.cause.value,
         )
 
-    def _notify_watcher(self, name: str, group: ReplicaGroup) -> None:
-        if self.groups.get(name) is group and name in self._watchers:
-            self._watchers[name]()
+    def _notify_membership_progress(self, name: str, group: ReplicaGroup) -> None:
+        if self.groups.get(name) is group and name in self._membership_callbacks:
+            self._membership_callbacks[name]()
 
     def _stop_group(self, name: str, group: ReplicaGroup) -> None:
         """Called in an `except`: consensus or the state machine may be half changed."""
@@ -335,13 +347,13 @@
     def _write_completed(self, name: str, group: ReplicaGroup, number: int) -> None:
         if self.groups.get(name) is group:
             group.raft.write_completed(self._clock.seconds(), number)
-            self._mark(name, group)
+            self._mark_dirty(name, group)
 
     def _rewrite_snapshot(self, name: str) -> None:
         group = self.groups.get(name)
         if group is not None:
             group.raft.log.rewrite_snapshot()
-            self._mark(name, group)
+            self._mark_dirty(name, group)
 
     def _set_timer(self) -> None:
         if self._stopped or not self.groups:
@@ -349,10 +361,10 @@
         next_timeout_at = min(group.raft.next_timeout_at for group in self.groups.values())
         due = math.ceil(next_timeout_at / TIMER_GRID_SECONDS) * TIMER_GRID_SECONDS
         if self._timer is not None and self._timer.active():
-            if self._timer.getTime() <= due + SHORTEST_TIMER_SECONDS:  # set at another reading of the clock
+            if self._timer.getTime() <= due + MIN_TIMER_SECONDS:  # set at another reading of the clock
                 return
             self._timer.cancel()
-        delay = max(due - self._clock.seconds(), SHORTEST_TIMER_SECONDS)
+        delay = max(due - self._clock.seconds(), MIN_TIMER_SECONDS)
         self._timer = self._clock.callLater(delay, self._tick)
 
     def _tick(self) -> None:
@@ -360,5 +372,5 @@
         for name, group in list(self.groups.items()):
             if group.raft.next_timeout_at <= now:
                 group.raft.tick(now)
-                self._mark(name, group)
+                self._mark_dirty(name, group)
         self._set_timer()
--- a/bitternpath/replication/leadership.py
+++ b/bitternpath/replication/leadership.py
@@ -19,17 +19,17 @@
 from bitternpath.replication.progress import Progress
 from bitternpath.replication.records import Entry, EntryKind, MemberRole, RoleChangeCause
 from bitternpath.replication.replication_targets import choose_replication_targets
-from bitternpath.replication.snapshots import SnapshotTransfer
+from bitternpath.replication.snapshots import SnapshotInstallation
 
 # Of one message: a larger one would take a peer's disk so long that the peer seems silent.
 BATCH_ENTRIES = 64
 BATCH_BYTES = 256 << 10
 ENTRIES_IN_FLIGHT = 256  # sent to a peer beyond its match index
 LEASE_SHARE = 0.95  # of the election timeout, for clocks that run at different rates
-SILENT_HEARTBEATS = 1.5  # heartbeat intervals without a response: noticed at the second heartbeat
+UNRESPONSIVE_HEARTBEATS = 1.5  # heartbeat intervals without a response: noticed at the second heartbeat
 
 
-class Leadership(SnapshotTransfer):
+class Leadership(SnapshotInstallation):
     """A member as leader."""
 
     # ---- beginning of a term
@@ -72,9 +72,9 @@
         """
         targets = frozenset(self.members.voters)
         if self.now >= self.elected_at + self.timing.heartbeat_interval:
-            silence = SILENT_HEARTBEATS * self.timing.heartbeat_interval
+            response_timeout = UNRESPONSIVE_HEARTBEATS * self.timing.heartbeat_interval
             targets = choose_replication_targets(
-                self.members.voters, self.peers, self.replication_targets, self.now, silence
+                self.members.voters, self.peers, self.replication_targets, self.now, response_timeout
             )
         self.replication_targets = targets.union(self.members.learners).intersection(self.peers)
 
@@ -95,13 +95,13 @@
 
     def _step_down_if_quorum_lost(self) -> bool:
         """Become a follower if no majority responded within an election timeout (T 6.2); whether it did."""
-        if self._hears_quorum:
+        if self._has_active_quorum:
             return False
         self._become_follower(self.term, RoleChangeCause.QUORUM_LOST)
         return True
 
     @property
-    def _hears_quorum(self) -> bool:
+    def _has_active_quorum(self) -> bool:
         """Whether a majority of the voters, this member among them, responded within an election timeout."""
         voters = self.members.voters
         responsive = int(self.is_voter)
@@ -120,10 +120,14 @@
         for name in recipients:
             peer = self.peers[name]
             # A silent peer is only asked where its log stands; it rejects if what was sent is lost.
-            silent = peer.last_contact < self.now - SILENT_HEARTBEATS * self.timing.heartbeat_interval
-            lacks_all = self._needs_snapshot(peer)
-            if peer.snapshot_send is None and (silent or (lacks_all and not peer.answered_round)):
-                if lacks_all:  # which snapshot it needs is known once it responds
+            unresponsive = (
+                peer.last_contact < self.now - UNRESPONSIVE_HEARTBEATS * self.timing.heartbeat_interval
+            )
+            needs_snapshot = self._needs_snapshot(peer)
+            if peer.outgoing_snapshot is None and (
+                unresponsive or (needs_snapshot and not peer.answered_round)
+            ):
+                if needs_snapshot:  # which snapshot it needs is known once it responds
                     peer.next_index = self.last_index + 1
                 self._send_append(name, peer, ())
             else:
@@ -134,7 +138,7 @@
     def _send_entries(self, name: str, *, heartbeat: bool = False) -> None:
         peer = self.peers[name]
         if self._needs_snapshot(peer):
-            self._continue_transfer(name, peer, heartbeat=heartbeat)
+            self._continue_snapshot(name, peer, heartbeat=heartbeat)
             return
         entries = self._next_batch(peer)
         if entries or heartbeat:
@@ -185,8 +189,8 @@
         for peer in self.peers.values():
             if not peer.answered_round or self.now >= peer.last_contact + self.timing.election_timeout:
                 continue
-            if peer.snapshot_send is not None:
-                needed = min(needed, peer.snapshot_send.snapshot.index + 1)
+            if peer.outgoing_snapshot is not None:
+                needed = min(needed, peer.outgoing_snapshot.snapshot.index + 1)
             elif self.log.has_entry_after(peer.match_index):
                 needed = min(needed, peer.match_index + 1)
         return needed
@@ -201,7 +205,7 @@
             self._on_install_response(name, peer, response)
         elif response.ok:
             self._on_match(name, peer, response.index)
-        elif not peer.is_known_rejection(response.index, response.heartbeat_round):
+        elif not peer.is_stale_rejection(response.index, response.heartbeat_round):
             self._on_rejection(name, peer, response.index)
         self._update_commitment()
 
@@ -216,21 +220,21 @@
         peer.match_index = max(peer.match_index, index)
         peer.entries_confirmed(self.now, index)
         peer.next_index = max(peer.next_index, peer.match_index + 1)
-        snapshot_send = peer.snapshot_send
-        if snapshot_send is not None and (
-            snapshot_send.snapshot.index <= peer.match_index or self.log.has_entry_after(peer.match_index)
+        outgoing_snapshot = peer.outgoing_snapshot
+        if outgoing_snapshot is not None and (
+            outgoing_snapshot.snapshot.index <= peer.match_index or self.log.has_entry_after(peer.match_index)
         ):
-            peer.snapshot_send = None  # it has that snapshot, or entries suffice
-        if self._gets_entries_now(name, peer):
+            peer.outgoing_snapshot = None  # it has that snapshot, or entries suffice
+        if self._should_send_now(name, peer):
             self._send_entries(name)
         if name == self.leadership_transfer_target:
             self._send_timeout_now_if_caught_up()
 
-    def _gets_entries_now(self, name: str, peer: Progress) -> bool:
+    def _should_send_now(self, name: str, peer: Progress) -> bool:
         """Whether a peer gets entries before the next heartbeat: also one that lacks many."""
-        lacks = self.last_index + 1 - peer.next_index
-        eager = name in self.replication_targets or name == self.leadership_transfer_target
-        return lacks >= BATCH_ENTRIES or (eager and lacks > 0)
+        missing = self.last_index + 1 - peer.next_index
+        is_immediate = name in self.replication_targets or name == self.leadership_transfer_target
+        return missing >= BATCH_ENTRIES or (is_immediate and missing > 0)
 
     # ---- commitment
 
--- a/bitternpath/replication/log.py
+++ b/bitternpath/replication/log.py
@@ -112,7 +112,7 @@
         self._limit_stable_index(index - 1)
         self.changed = True
         if self.members_index >= index:
-            self._find_members()
+            self._update_members()
 
     def compact(self, index: int, data: bytes, keep: int) -> None:
         """Take `data` as the state after `index`; of the entries up to it the last `keep` stay."""
@@ -144,14 +144,14 @@
         self.snapshot = snapshot
         self._new_snapshot = snapshot
         self.changed = True
-        self._find_members()
+        self._update_members()
 
     def rewrite_snapshot(self) -> None:
         """Have the next write store the snapshot again: its file was found corrupt."""
         self._new_snapshot = self.snapshot
         self.changed = True
 
-    def _find_members(self) -> None:
+    def _update_members(self) -> None:
         self.members, self.members_index = self.members_upto(self.last_index)
 
     def _limit_stable_index(self, index: int) -> None:
--- a/bitternpath/replication/member.py
+++ b/bitternpath/replication/member.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple
 
-from bitternpath.replication.bandwidth import TransferBudget, UnlimitedTransferBudget
+from bitternpath.replication.bandwidth import SnapshotRateLimiter, UnlimitedSnapshotRateLimiter
 from bitternpath.replication.log import ReplicatedLog
 from bitternpath.replication.messages import LeaderRequest, Message
 from bitternpath.replication.progress import Progress
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftOptions:
-    """What a member is run with. `transfer_budget` may be shared by the members of many groups."""
+    """What a member is run with. `snapshot_rate_limiter` may be shared by the members of many groups."""
 
     timing: RaftTiming = DEFAULT_TIMING
-    transfer_budget: TransferBudget = field(default_factory=UnlimitedTransferBudget)
+    snapshot_rate_limiter: SnapshotRateLimiter = field(default_factory=UnlimitedSnapshotRateLimiter)
 
 
 class AwaitingWrite(NamedTuple):
@@ -98,7 +98,7 @@
 
         self._init_leader_state()
         self._init_heartbeat_rounds()
-        self._init_snapshot_transfer(options.transfer_budget)
+        self._init_snapshot_installation(options.snapshot_rate_limiter)
         self._init_outputs()
         self._election_at = NEVER
         self._set_election_timer()
@@ -123,9 +123,9 @@
         self._unconfirmed_rounds: deque[StartedRound] = deque()
         self._heartbeat_at = 0.0  # when the next one is due
 
-    def _init_snapshot_transfer(self, bandwidth: TransferBudget) -> None:
+    def _init_snapshot_installation(self, rate_limiter: SnapshotRateLimiter) -> None:
         """Of a leader: the bandwidth for snapshots that it sends; of a follower: the one that it receives."""
-        self._snapshot_bandwidth = bandwidth
+        self._snapshot_rate_limiter = rate_limiter
         self._chunk_at = NEVER  # when a snapshot chunk is due that waits for bandwidth
         self._partial_snapshot: PartialSnapshot | None = None
 
--- a/bitternpath/replication/membership_reconciler.py
+++ b/bitternpath/replication/membership_reconciler.py
@@ -19,7 +19,7 @@
 
 log = logbook.Logger("replication")
 
-SILENT_AFTER_S = 0.5  # an election timeout; heartbeats come more than twice as often
+UNRESPONSIVE_AFTER_S = 0.5  # an election timeout; heartbeats come more than twice as often
 
 
 class MembershipReconciler:
@@ -33,7 +33,7 @@
 
     def group_opened(self, group: str) -> None:
         """The host has opened a group."""
-        self._host.watch_members(group, partial(self.reconcile, group))
+        self._host.on_membership_progress(group, partial(self.reconcile, group))
 
     def set_desired(self, group: str, members: Sequence[str], generation: int) -> None:
         """A placement of that generation names a group's members."""
@@ -56,30 +56,32 @@
             return
         if self._host.committed_members(group) is None:
             return
-        changed = next_members(self._host.members(group), desired, self._status(group))
-        if changed is not None:
-            self._change(group, desired, changed)
+        new_members = next_members(self._host.members(group), desired, self._status(group))
+        if new_members is not None:
+            self._propose_change(group, desired, new_members)
         if self._committed is not None:
             self._committed(group)
 
     def _status(self, group: str) -> MemberStatus:
         return MemberStatus(
             caught_up=partial(self._host.caught_up, group),
-            is_silent=lambda member: self._host.unresponsive_for(group, member) > SILENT_AFTER_S,
+            is_unresponsive=lambda member: self._host.unresponsive_for(group, member) > UNRESPONSIVE_AFTER_S,
             owner=self._host.member_id,
         )
 
-    def _change(self, group: str, desired: DesiredMembers, changed: Members) -> None:
+    def _propose_change(self, group: str, desired: DesiredMembers, new_members: Members) -> None:
         """An owner that is to leave transfers ownership first, so that the group isn't without an owner."""
-        leaves = self._host.member_id not in changed.voters
-        if leaves and any(self._host.transfer_leadership(group, heir) for heir in desired.members):
+        removes_owner = self._host.member_id not in new_members.voters
+        if removes_owner and any(
+            self._host.transfer_leadership(group, successor) for successor in desired.members
+        ):
             log.info("event=ownership_transfer_started group={} reason=leaving", group)
             return
-        if self._host.change_members(group, changed):
+        if self._host.change_members(group, new_members):
             log.info(
                 "event=membership_change_proposed group={} generation={} voters={} learners={}",
                 group,
-                changed.generation,
-                changed.voters,
-                changed.learners,
+                new_members.generation,
+                new_members.voters,
+                new_members.learners,
             )
--- a/bitternpath/replication/peer_status.py
+++ b/bitternpath/replication/peer_status.py
@@ -14,10 +14,10 @@
     last-but-one heartbeat: under load some entries are always under way (T 4.2.1).
     """
     peer = raft.peers.get(member) if raft.has_committed_in_term else None
-    if peer is None or not peer.match_index or peer.snapshot_send is not None:
+    if peer is None or not peer.match_index or peer.outgoing_snapshot is not None:
         return False
-    least = min(raft.commit_index - CAUGHT_UP_ENTRIES, raft.commit_index_at_previous_heartbeat)
-    return peer.match_index >= max(least, raft.term_start_index)
+    min_match_index = min(raft.commit_index - CAUGHT_UP_ENTRIES, raft.commit_index_at_previous_heartbeat)
+    return peer.match_index >= max(min_match_index, raft.term_start_index)
 
 
 def unresponsive_for(raft: Raft, now: float, member: str) -> float:
@@ -26,7 +26,7 @@
     return now - peer.last_contact if peer is not None else float("inf")
 
 
-def hears_quorum(raft: Raft, now: float) -> bool:
+def has_active_quorum(raft: Raft, now: float) -> bool:
     """Whether a majority of the voters, this member among them, responded within an election timeout."""
     voters = raft.members.voters
     timeout = raft.timing.election_timeout
--- a/bitternpath/replication/progress.py
+++ b/bitternpath/replication/progress.py
@@ -7,7 +7,7 @@
 DELAY_WEIGHT = 0.2  # of a new measurement in the smoothed delay
 
 
-class SnapshotSend:
+class OutgoingSnapshot:
     """A snapshot that is being sent to one peer.
 
     It stays the same until the peer has it, whatever newer snapshots the leader has taken meanwhile: a
@@ -40,9 +40,9 @@
         "last_contact",
         "match_index",
         "next_index",
+        "outgoing_snapshot",
         "rejected_index",
         "rejected_round",
-        "snapshot_send",
     )
 
     def __init__(self, next_index: int, now: float) -> None:
@@ -53,7 +53,7 @@
         self.last_contact = now
         self.rejected_index = 0  # of the last rejection that set `next_index` back
         self.rejected_round = 0  # the round in which that was
-        self.snapshot_send: SnapshotSend | None = None
+        self.outgoing_snapshot: OutgoingSnapshot | None = None
         self._delay = 0.0
         self._timed_index = 0  # 0: no entry is being timed
         self._timed_at = now
@@ -74,7 +74,7 @@
         """Seconds until entries that are sent now are likely to be confirmed."""
         return max(self._delay, now - self._timed_at) if self._timed_index else self._delay
 
-    def is_known_rejection(self, index: int, heartbeat_round: int) -> bool:
+    def is_stale_rejection(self, index: int, heartbeat_round: int) -> bool:
         """Whether a rejection concerns messages from before `next_index` was last set back for that reason.
 
         What was sent since then need not be sent again.
--- a/bitternpath/replication/reconfiguration.py
+++ b/bitternpath/replication/reconfiguration.py
@@ -31,7 +31,7 @@
     generation: int = 0
 
 
-def _nobody(_member: str) -> bool:
+def _never_unresponsive(_member: str) -> bool:
     return False
 
 
@@ -40,7 +40,7 @@
     """What the owner of a group knows of its members."""
 
     caught_up: Callable[[str], bool]  # lacks little of the log
-    is_silent: Callable[[str], bool] = _nobody  # hasn't responded for a while
+    is_unresponsive: Callable[[str], bool] = _never_unresponsive  # hasn't responded for a while
     owner: str = ""  # the owner's own member id
 
 
@@ -51,19 +51,19 @@
     learners = [name for name in current.learners if name in desired.members]
     learners += [name for name in desired.members if name not in current.voters and name not in learners]
     voters = list(current.voters)
-    leaving = _lost_voter(current.voters, desired.members)
-    ready = next((name for name in learners if name in current.learners and status.caught_up(name)), None)
-    if leaving is not None:
-        voters.remove(leaving)
-    elif ready is not None:
-        voters.append(ready)
-        learners.remove(ready)
+    to_remove = _voter_on_lost_disk(current.voters, desired.members)
+    promoted = next((name for name in learners if name in current.learners and status.caught_up(name)), None)
+    if to_remove is not None:
+        voters.remove(to_remove)
+    elif promoted is not None:
+        voters.append(promoted)
+        learners.remove(promoted)
     else:
-        leaving = _leaving_voter(current.voters, desired.members, status)
-        if leaving is not None:
-            voters.remove(leaving)
-    changed = Members(tuple(voters), tuple(learners), desired.generation)
-    return None if changed == current else changed
+        to_remove = _voter_to_remove(current.voters, desired.members, status)
+        if to_remove is not None:
+            voters.remove(to_remove)
+    new_members = Members(tuple(voters), tuple(learners), desired.generation)
+    return None if new_members == current else new_members
 
 
 def node_of(member: str) -> str:
@@ -76,26 +76,26 @@
     return member not in desired and node_of(member) in map(node_of, desired)
 
 
-def _lost_voter(voters: Sequence[str], desired: Sequence[str]) -> str | None:
+def _voter_on_lost_disk(voters: Sequence[str], desired: Sequence[str]) -> str | None:
     """A voter that can leave before its successor votes; None where there is none."""
     if len(voters) < max(len(desired), 2):
         return None
     return next((name for name in voters if disk_is_lost(name, desired)), None)
 
 
-def _leaving_voter(voters: Sequence[str], desired: Sequence[str], status: MemberStatus) -> str | None:
+def _voter_to_remove(voters: Sequence[str], desired: Sequence[str], status: MemberStatus) -> str | None:
     """The voter that is to leave next; None where none may leave now."""
-    leaving = [name for name in voters if name not in desired and name != status.owner]
-    leaving += [name for name in voters if name not in desired and name == status.owner]
-    if not leaving or len(voters) < 2:
+    to_remove = [name for name in voters if name not in desired and name != status.owner]
+    to_remove += [name for name in voters if name not in desired and name == status.owner]
+    if not to_remove or len(voters) < 2:
         return None
     if len(voters) > len(desired):
-        unavailable = next((name for name in leaving if _is_unavailable(name, desired, status)), None)
+        unavailable = next((name for name in to_remove if _is_unavailable(name, desired, status)), None)
         if unavailable is not None:
             return unavailable
-    return leaving[0] if all(name in voters for name in desired) else None
+    return to_remove[0] if all(name in voters for name in desired) else None
 
 
 def _is_unavailable(member: str, desired: Sequence[str], status: MemberStatus) -> bool:
     """Whether a voter that is to leave contributes to no majority now."""
-    return disk_is_lost(member, desired) or (member != status.owner and status.is_silent(member))
+    return disk_is_lost(member, desired) or (member != status.owner and status.is_unresponsive(member))
--- a/bitternpath/replication/replication_targets.py
+++ b/bitternpath/replication/replication_targets.py
@@ -14,8 +14,8 @@
 from bitternpath.replication.progress import Progress
 
 # Another follower becomes a target only if it is faster by this much: each change costs it its backlog.
-FASTER_BY = 1.5
-FASTER_BY_SECONDS = 0.005
+HYSTERESIS_FACTOR = 1.5
+HYSTERESIS_SECONDS = 0.005
 
 
 def choose_replication_targets(
@@ -23,7 +23,7 @@
     peers: Mapping[str, Progress],
     current: Collection[str],
     now: float,
-    silence: float,
+    response_timeout: float,
 ) -> frozenset[str]:
     """The voters to which a leader sends new entries at once.
 
@@ -31,15 +31,15 @@
     for `silence` seconds comes last: the delay of one that never responded isn't known.
     """
     candidates = [name for name in voters if name in peers]
-    wanted = len(voters) // 2  # a majority, together with the leader itself
+    target_count = len(voters) // 2  # a majority, together with the leader itself
     if len(candidates) == len(voters):
-        wanted += 1  # the leader is not a voter (any more)
+        target_count += 1  # the leader is not a voter (any more)
 
-    def handicap(name: str) -> tuple[bool, float, float]:
+    def sort_key(name: str) -> tuple[bool, float, float]:
         peer = peers[name]
         delay = peer.expected_delay(now)
         if name not in current:
-            delay = delay * FASTER_BY + FASTER_BY_SECONDS
-        return now - peer.last_contact > silence, delay, -peer.last_contact
+            delay = delay * HYSTERESIS_FACTOR + HYSTERESIS_SECONDS
+        return now - peer.last_contact > response_timeout, delay, -peer.last_contact
 
-    return frozenset(sorted(candidates, key=handicap)[:wanted])
+    return frozenset(sorted(candidates, key=sort_key)[:target_count])
--- a/bitternpath/replication/snapshots.py
+++ b/bitternpath/replication/snapshots.py
@@ -12,13 +12,13 @@
 
 from bitternpath.replication.member import NEVER, MemberState, PartialSnapshot
 from bitternpath.replication.messages import AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
-from bitternpath.replication.progress import Progress, SnapshotSend
+from bitternpath.replication.progress import OutgoingSnapshot, Progress
 from bitternpath.replication.records import Snapshot
 
 CHUNK_BYTES = 128 << 10  # of a snapshot in one message
 
 
-class SnapshotTransfer(MemberState):
+class SnapshotInstallation(MemberState):
     """A member as sender and as receiver of snapshots."""
 
     @abstractmethod
@@ -29,53 +29,55 @@
 
     def _needs_snapshot(self, peer: Progress) -> bool:
         """Whether the entries that a peer lacks are compacted away, or a snapshot is being sent to it."""
-        return peer.snapshot_send is not None or not self.log.has_entry_after(peer.next_index - 1)
+        return peer.outgoing_snapshot is not None or not self.log.has_entry_after(peer.next_index - 1)
 
-    def _continue_transfer(self, name: str, peer: Progress, *, heartbeat: bool) -> None:
-        if peer.snapshot_send is None:
-            peer.snapshot_send = SnapshotSend(self.snapshot)
-            self._schedule_chunk(name, peer.snapshot_send, 0)
+    def _continue_snapshot(self, name: str, peer: Progress, *, heartbeat: bool) -> None:
+        if peer.outgoing_snapshot is None:
+            peer.outgoing_snapshot = OutgoingSnapshot(self.snapshot)
+            self._schedule_chunk(name, peer.outgoing_snapshot, 0)
         elif heartbeat:
-            self._send_install(name, peer.snapshot_send, b"")
+            self._send_install_snapshot(name, peer.outgoing_snapshot, b"")
 
-    def _schedule_chunk(self, name: str, snapshot_send: SnapshotSend, offset: int) -> None:
+    def _schedule_chunk(self, name: str, outgoing_snapshot: OutgoingSnapshot, offset: int) -> None:
         """Send the chunk at that offset as soon as there is bandwidth."""
-        snapshot_send.offset = offset
-        size = min(CHUNK_BYTES, len(snapshot_send.snapshot.data) - offset)
-        due = self._snapshot_bandwidth.reserve(self.now, size)
+        outgoing_snapshot.offset = offset
+        size = min(CHUNK_BYTES, len(outgoing_snapshot.snapshot.data) - offset)
+        due = self._snapshot_rate_limiter.reserve(self.now, size)
         if due > self.now:
-            snapshot_send.due = due
+            outgoing_snapshot.due = due
             self._chunk_at = min(self._chunk_at, due)
         else:
-            self._send_chunk(name, snapshot_send)
+            self._send_chunk(name, outgoing_snapshot)
 
     def _send_due_chunks(self) -> None:
         self._chunk_at = NEVER
         for name, peer in self.peers.items():
-            snapshot_send = peer.snapshot_send
-            if snapshot_send is None or snapshot_send.due is None:
+            outgoing_snapshot = peer.outgoing_snapshot
+            if outgoing_snapshot is None or outgoing_snapshot.due is None:
                 continue
-            if snapshot_send.due <= self.now:
-                self._send_chunk(name, snapshot_send)
+            if outgoing_snapshot.due <= self.now:
+                self._send_chunk(name, outgoing_snapshot)
             else:
-                self._chunk_at = min(self._chunk_at, snapshot_send.due)
+                self._chunk_at = min(self._chunk_at, outgoing_snapshot.due)
 
-    def _send_chunk(self, name: str, snapshot_send: SnapshotSend) -> None:
-        snapshot_send.due = None
-        snapshot_send.chunk_round = self.heartbeat_round
-        chunk = snapshot_send.snapshot.data[snapshot_send.offset : snapshot_send.offset + CHUNK_BYTES]
-        self._send_install(name, snapshot_send, chunk)
+    def _send_chunk(self, name: str, outgoing_snapshot: OutgoingSnapshot) -> None:
+        outgoing_snapshot.due = None
+        outgoing_snapshot.chunk_round = self.heartbeat_round
+        chunk = outgoing_snapshot.snapshot.data[
+            outgoing_snapshot.offset : outgoing_snapshot.offset + CHUNK_BYTES
+        ]
+        self._send_install_snapshot(name, outgoing_snapshot, chunk)
 
-    def _send_install(self, name: str, snapshot_send: SnapshotSend, chunk: bytes) -> None:
+    def _send_install_snapshot(self, name: str, outgoing_snapshot: OutgoingSnapshot, chunk: bytes) -> None:
         """Send a chunk; an empty one is a heartbeat to a peer that is being sent a snapshot."""
-        snapshot = snapshot_send.snapshot
+        snapshot = outgoing_snapshot.snapshot
         request = InstallSnapshot(
             term=self.term,
             index=snapshot.index,
             last_term=snapshot.term,
             members=snapshot.members,
             size=len(snapshot.data),
-            offset=snapshot_send.offset,
+            offset=outgoing_snapshot.offset,
             chunk=chunk,
             checksum=zlib.crc32(chunk),
             heartbeat_round=self.heartbeat_round,
@@ -88,21 +90,23 @@
         If it was asked after the last chunk was sent and doesn't have it, that chunk is lost; or all of them,
         where the peer's process was restarted.
         """
-        snapshot_send = peer.snapshot_send
-        if snapshot_send is None or response.index != snapshot_send.snapshot.index:  # about an older transfer
+        outgoing_snapshot = peer.outgoing_snapshot
+        if (
+            outgoing_snapshot is None or response.index != outgoing_snapshot.snapshot.index
+        ):  # about an older transfer
             return
         if response.stored:
-            peer.snapshot_send = None
+            peer.outgoing_snapshot = None
             peer.match_index = max(peer.match_index, response.index)
             peer.next_index = response.index + 1
             self._send_entries(name)
             return
-        if response.offset >= len(snapshot_send.snapshot.data) > 0:  # it has all and is writing it
+        if response.offset >= len(outgoing_snapshot.snapshot.data) > 0:  # it has all and is writing it
             return
-        chunk_is_through = response.offset > snapshot_send.offset
-        chunk_is_lost = response.heartbeat_round > snapshot_send.chunk_round
-        if snapshot_send.due is None and (chunk_is_through or chunk_is_lost):
-            self._schedule_chunk(name, snapshot_send, response.offset)
+        chunk_received = response.offset > outgoing_snapshot.offset
+        chunk_lost = response.heartbeat_round > outgoing_snapshot.chunk_round
+        if outgoing_snapshot.due is None and (chunk_received or chunk_lost):
+            self._schedule_chunk(name, outgoing_snapshot, response.offset)
 
     # ---- follower
 
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -126,7 +126,7 @@
 
     def has_lease(self) -> bool:
         """Whether this node owns the group and has heard a quorum within an election time-out."""
-        return self.is_open and self.host.hears_quorum(CONFIGURATION_GROUP)
+        return self.is_open and self.host.has_active_quorum(CONFIGURATION_GROUP)
 
     def propose(self, command: bytes) -> Deferred[object]:
         """Commit and apply a command.
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -57,7 +57,7 @@
 
     def group_opened(self, progressed: Callable[[], None]) -> None:
         """The group is open here; `progressed` is called when its owner may take the next step."""
-        self._host.watch_members(CONFIGURATION_GROUP, progressed)
+        self._host.on_membership_progress(CONFIGURATION_GROUP, progressed)
 
     def reconcile(self) -> None:
         """Take the next step towards the desired members, if there is one."""
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -177,7 +177,7 @@
 
     def configuration_age(self) -> float:
         """Seconds since the configuration's owner was last contacted."""
-        return float(self._reactor.seconds() - self.base.feed.heard_at)
+        return float(self._reactor.seconds() - self.base.feed.last_update_at)
 
     def catalogue_age(self) -> float:
         """Seconds since the newest endpoint list was requested of the platform."""
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -31,7 +31,7 @@
         To be called four times a second or more often.
         """
         last_seen: dict[str, float] = {}
-        for node, at in self._feed.heard_at():
+        for node, at in self._feed.last_contacts():
             if node.disk and not node.draining:
                 last_seen[node.name] = max(at, last_seen.get(node.name, at))
         self._liveness.update(self._reactor.seconds(), last_seen)
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -53,7 +53,7 @@
                 peer.next_index,
                 peer.match_index,
                 peer.answered_round,
-                peer.snapshot_send.offset if peer.snapshot_send is not None else None,
+                peer.outgoing_snapshot.offset if peer.outgoing_snapshot is not None else None,
                 raft.now - peer.last_contact < raft.timing.election_timeout,
             )
             for name, peer in raft.peers.items()
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -111,7 +111,7 @@
     def nothing(log: Any) -> None:
         """The members stay."""
 
-    yield patch.object(ReplicatedLog, "_find_members", nothing)
+    yield patch.object(ReplicatedLog, "_update_members", nothing)
 
 
 def candidate_with_an_older_log() -> Patches:
--- a/tests/system/configuration/test_change_interleavings.py
+++ b/tests/system/configuration/test_change_interleavings.py
@@ -243,7 +243,7 @@
         self.violation = self.violation or rule
 
     def _took_effect(self, name: str) -> bool:
-        return self.history.accepted_as(REQUESTS[name].digest()) is not None
+        return self.history.accepted_version_of(REQUESTS[name].digest()) is not None
 
     def _check_result(self, name: str, result: OperatorResult, contacts: int) -> None:
         """Check a result when it comes."""
@@ -423,7 +423,7 @@
 class ForgetsAccepted(ConfigurationState):
     """No accepted change is remembered."""
 
-    def accepted_as(self, digest: bytes) -> int | None:
+    def accepted_version_of(self, digest: bytes) -> int | None:
         return None
 
 
--- a/tests/system/configuration/test_changes_in_flight.py
+++ b/tests/system/configuration/test_changes_in_flight.py
@@ -247,7 +247,7 @@
         self.assertNotEqual(result.failures, [])
 
     def test_broken_accepted_changes_are_forgotten(self) -> None:
-        with patch.object(ConfigurationState, "accepted_as", lambda state, digest: None):
+        with patch.object(ConfigurationState, "accepted_version_of", lambda state, digest: None):
             self.assert_fails("test_the_forwarding_link_is_reset")
             self.assert_fails("test_a_retry_after_a_lost_response_and_other_accepted_versions")
 
--- a/tests/system/configuration/test_owner_search.py
+++ b/tests/system/configuration/test_owner_search.py
@@ -19,7 +19,7 @@
 
     def next(self, *pending: str) -> str:
         address = self.search.next_candidate(ADDRESSES, pending, self.random)
-        self.search.tried(address, 1.0)
+        self.search.record_attempt(address, 1.0)
         return address
 
     def test_each_candidate_once_then_anew(self) -> None:
@@ -37,14 +37,14 @@
         self.assertIn(self.next(*ADDRESSES), ADDRESSES)
 
     def test_the_owner_found_is_tried_last(self) -> None:
-        self.search.found("b:1", 1.0)
+        self.search.record_owner("b:1", 1.0)
         self.assertEqual({self.next(), self.next()}, {"a:1", "c:1"})
 
     def test_without_candidates(self) -> None:
         self.assertEqual(self.search.next_candidate((), (), self.random), "")
 
     def test_hints_are_followed_unless_the_node_was_just_asked(self) -> None:
-        self.search.tried("a:1", 1.0)
+        self.search.record_attempt("a:1", 1.0)
         cases = (("b:1", 1.0, True), ("a:1", 1.0, False), ("a:1", 1.0 + HINT_RETRY_S, True))
         for address, now, expected in cases:
             with self.subTest(address=address, now=now):
--- a/tests/system/replication/test_member_changes.py
+++ b/tests/system/replication/test_member_changes.py
@@ -62,7 +62,7 @@
                     DesiredMembers(desired),
                     MemberStatus(
                         caught_up=lambda name: random.random() < 0.5,
-                        is_silent=lambda name: random.random() < 0.5,
+                        is_unresponsive=lambda name: random.random() < 0.5,
                         owner=current.voters[0],
                     ),
                 )
--- a/tests/system/replication/test_snapshot_chunks.py
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -58,8 +58,8 @@
     @property
     def offset(self) -> int:
         """Offset of the chunk that was sent last."""
-        snapshot_send = self.host.host.groups["g"].raft.peers["c"].snapshot_send
-        return snapshot_send.offset if snapshot_send is not None else 0
+        outgoing_snapshot = self.host.host.groups["g"].raft.peers["c"].outgoing_snapshot
+        return outgoing_snapshot.offset if outgoing_snapshot is not None else 0
 
     @property
     def size(self) -> int:
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from bitternpath.replication import snapshots
-from bitternpath.replication.bandwidth import TransferBudget, UnlimitedTransferBudget
+from bitternpath.replication.bandwidth import SnapshotRateLimiter, UnlimitedSnapshotRateLimiter
 from bitternpath.replication.compaction import CompactionBounds
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.messages import (
@@ -86,8 +86,8 @@
         def compact(self: Raft, index: int, data: bytes, keep: int) -> None:
             real(self, index, data, keep)
             for peer in self.peers.values():
-                if peer.snapshot_send is not None:
-                    peer.snapshot_send.snapshot = self.snapshot
+                if peer.outgoing_snapshot is not None:
+                    peer.outgoing_snapshot.snapshot = self.snapshot
 
         with patch.object(Raft, "compact", compact):
             caught_up, made = self.return_to_group(False, 20.0)
@@ -153,14 +153,14 @@
         self.assertEqual(raft.take_effects(2.1).messages, [("a", AppendEntriesResponse(2, True, 9, 3))])
 
 
-class TransferBudgetTest(unittest.TestCase):
+class SnapshotRateLimiterTest(unittest.TestCase):
     def test_the_rate_holds_after_a_burst(self) -> None:
-        budget = TransferBudget(bytes_per_second=1000.0, burst_bytes=200.0)
+        budget = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
         due = [budget.reserve(50.0, 100) for _ in range(6)]
         self.assertEqual([round(at - 50.0, 6) for at in due], [0.0, 0.0, 0.0, 0.1, 0.2, 0.3])
 
     def test_a_pause_allows_one_burst(self) -> None:
-        budget = TransferBudget(bytes_per_second=1000.0, burst_bytes=200.0)
+        budget = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
         for _ in range(3):
             budget.reserve(0.0, 100)
         due = [round(budget.reserve(100.0, 100), 6) for _ in range(4)]
@@ -194,14 +194,14 @@
         result.addCallback(lambda _: self.took.append(self.clock.seconds() - began))
 
 
-class TransferBandwidthTest(QuietLogsTestCase):
+class SnapshotBandwidthTest(QuietLogsTestCase):
     """One node returns empty under traffic; its snapshot shares the leader's link with the traffic."""
 
-    def bring_up(self, budget: Callable[[], TransferBudget]) -> tuple[float, float, float]:
+    def bring_up(self, budget: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
         """Seconds to the end of the transfer, highest bytes in any 0.25 s, the longest time of a commit."""
         bounds = CompactionBounds(size=1 << 20, entries=1 << 20)
         with (
-            patch("bitternpath.replication.host.TransferBudget", budget),
+            patch("bitternpath.replication.host.SnapshotRateLimiter", budget),
             patch.object(replica_group, "BOUNDS", bounds),
         ):
             world = SharedLinkGroup()
@@ -224,8 +224,8 @@
         return max(at for at, _ in sent) - began, most, max(world.took)
 
     def test_a_transfer_keeps_to_its_rate_and_commits_stay_fast(self) -> None:
-        seconds, most, slowest = self.bring_up(TransferBudget)
-        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedTransferBudget)
+        seconds, most, slowest = self.bring_up(SnapshotRateLimiter)
+        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedSnapshotRateLimiter)
         print(
             f"\nsnapshot of 8 MiB on a link of 50 MiB/s: bounded {seconds:.2f} s, {most / 2**18:.1f} MiB/s "
             f"at most, slowest commit {slowest * 1000:.1f} ms; unbounded {free_seconds:.2f} s, "
@@ -236,15 +236,15 @@
         self.assertLess(slowest, 0.03)
 
 
-class ManyTransfersTest(QuietLogsTestCase):
+class ManySnapshotsTest(QuietLogsTestCase):
     """A machine was away while the entries of many groups were replaced by snapshots. All of them are owned
     by one process, over whose link the traffic of another group goes, too."""
 
-    def bring_up(self, budget: Callable[[], TransferBudget]) -> tuple[float, float, float]:
-        """As `TransferBandwidthTest.bring_up`."""
+    def bring_up(self, budget: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
+        """As `SnapshotBandwidthTest.bring_up`."""
         bounds = CompactionBounds(size=1 << 20, entries=1 << 20)
         with (
-            patch("bitternpath.replication.host.TransferBudget", budget),
+            patch("bitternpath.replication.host.SnapshotRateLimiter", budget),
             patch.object(replica_group, "BOUNDS", bounds),
         ):
             world = SharedLinkGroup()
@@ -283,8 +283,8 @@
             process.host.open_group(group, LastCommands(GROUP_BYTES >> 17), world.founders, SilentListener())
 
     def test_many_transfers_share_one_budget(self) -> None:
-        seconds, most, slowest = self.bring_up(TransferBudget)
-        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedTransferBudget)
+        seconds, most, slowest = self.bring_up(SnapshotRateLimiter)
+        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedSnapshotRateLimiter)
         print(
             f"\n{GROUPS} snapshots of {GROUP_BYTES >> 20} MiB on a link of 50 MiB/s: "
             f"bounded {seconds:.2f} s, {most / 2**18:.1f} MiB/s at most, "
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -150,7 +150,7 @@
         host.clock.rightNow += FROZEN_SECONDS
         host.answer("b", heartbeat)
         host.turn()
-        self.assertTrue(host.host.hears_quorum("g"), "by when the answers came")
+        self.assertTrue(host.host.has_active_quorum("g"), "by when the answers came")
         self.assertFalse(host.host.has_leader_lease("g"))
 
     def test_a_lease_ends_without_responses_and_with_a_transfer(self) -> None:
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -64,7 +64,7 @@
         self.process = EdgeProcess(self.reactor, self.settings())
         node = self.process.node
         node.base.feed.table = routing()
-        node.base.feed.heard_at = self.reactor.seconds()
+        node.base.feed.last_update_at = self.reactor.seconds()
         node.owners.ownership_changed(FakeLink("storage-1", "z"), Ownership(shard_group(0), 1, True))  # type: ignore[arg-type]
         self.grace_s = self.process.settings.bounds.grace_s
         self.pending: list[Deferred[Any]] = []
--- a/tests/system/test_repairs.py
+++ b/tests/system/test_repairs.py
@@ -191,7 +191,7 @@
         def at_once(voters: Sequence[str], desired: Sequence[str], *_: object) -> str | None:
             return next((name for name in voters if name not in desired), None)
 
-        patched = mock.patch.object(reconfiguration, "_leaving_voter", at_once)
+        patched = mock.patch.object(reconfiguration, "_voter_to_remove", at_once)
         with patched, self.assertRaises(InvariantViolationError):
             leaving_machine_restarts(0)
 
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -202,7 +202,7 @@
     def test_a_build_that_counts_entries_only_is_caught(self) -> None:
         def counted(self: ReplicaGroup, member: str) -> bool:
             peer = self.raft.peers.get(member) if self.raft.has_committed_in_term else None
-            if peer is None or not peer.match_index or peer.snapshot_send is not None:
+            if peer is None or not peer.match_index or peer.outgoing_snapshot is not None:
                 return False
             return peer.match_index >= self.raft.commit_index - 64
 
@@ -259,7 +259,7 @@
             self.assertTrue(world.run_until(lambda: world.is_current(node), 5))
             assert node.process is not None and isinstance(node.process.register, OrdersRegister)
             state, commands = node.process.register.state, node.process.register.commands
-            return all(state.accepted_as(command[:8]) is not None for command in commands)
+            return all(state.accepted_version_of(command[:8]) is not None for command in commands)
 
     def test_orders_are_remembered_through_an_installed_snapshot(self) -> None:
         self.assertTrue(self.remembered())
