--- a/benchmarks/earlier.py
+++ b/benchmarks/earlier.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 import tempfile
+from operator import attrgetter
 from pathlib import Path
 from typing import Any
 
@@ -14,6 +15,25 @@
 
 ROOT = Path(__file__).parent.parent
 NAME = "brain_before"
+# Names that earlier revisions use for what `messages` calls otherwise today.
+TYPES = {
+    "Alarm": "TimerFired", "Entry": "WorkerEntry", "Group": "DedupScope", "How": "AttemptOutcome",
+    "JobNote": "JobProgress", "NEVER_RAN": "NOT_EXECUTED", "Outcome": "AttemptEnded",
+    "RUNS_ON": "LIKELY_STILL_RUNNING", "State": "WorkerState", "StreamBegun": "StreamStarted",
+    "Wake": "StartTimer", "Watch": "SubscribeToWorkers",
+}  # fmt: skip
+FIELDS = {
+    "AttemptEnded": {"how": "outcome"},
+    "JobClass": {
+        "aim": "latency_target", "group": "dedup_scope", "late_worth": "late_value_share",
+        "same": "shares_learning_with", "stretch": "work_factor", "window": "dedup_window",
+    },
+    "Settings": {
+        "ask_for_list": "list_on_request", "fall_multiple": "overload_multiple", "fall_span": "overload_span",
+        "marks_retry": "retries_marked", "me": "dispatcher_index",
+        "tells_start": "reports_start",
+    },
+}  # fmt: skip
 
 
 def earlier_dispatcher(revision: str) -> type[Any]:
@@ -29,6 +49,11 @@
         sys.modules.setdefault("bitternpath.messages", messages)  # where it was then
         vars(bitternpath).setdefault("messages", messages)
         vars(messages).setdefault("ProbeResult", type("ProbeResult", (), {}))  # earlier revisions name it
+        for before, name in TYPES.items():
+            vars(messages).setdefault(before, getattr(messages, name))
+        for type_name, fields in FIELDS.items():
+            for before, name in fields.items():
+                setattr(getattr(messages, type_name), before, property(attrgetter(name)))
         module = importlib.util.module_from_spec(spec)
         sys.modules[NAME] = module
         spec.loader.exec_module(module)
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -72,25 +72,27 @@
     classes = tuple(
         m.JobClass(
             name, random.choice(list(m.Effect)), random.choice((60.0, 400.0)), 3_000.0,
-            value=random.choice((1.0, 4.0)), late_worth=random.choice((0.0, 0.3)),
-            group=random.choice(list(m.Group)), window=900.0, stretch=random.choice((0.0, 2.0)),
+            value=random.choice((1.0, 4.0)), late_value_share=random.choice((0.0, 0.3)),
+            dedup_scope=random.choice(list(m.DedupScope)), dedup_window=900.0,
+            work_factor=random.choice((0.0, 2.0)),
             kind=random.choice((None, None, "x")),
         )
         for name in ("a", "b", "c")
     )  # fmt: skip
     return m.Settings(
-        classes=classes, me=random.randrange(3), dispatchers=random.choice((3, 20)),
-        ask_for_list=random.random() < 0.5, warm_within=2_000.0, may_cancel=random.random() < 0.7,
-        second_copies=random.random() < 0.5, max_retry_after=500.0, tells_start=random.random() < 0.5,
-        in_order=random.random() < 0.5, marks_retry=random.random() < 0.5,
+        classes=classes, dispatcher_index=random.randrange(3), dispatchers=random.choice((3, 20)),
+        list_on_request=random.random() < 0.5, warm_within=2_000.0, may_cancel=random.random() < 0.7,
+        second_copies=random.random() < 0.5, max_retry_after=500.0, reports_start=random.random() < 0.5,
+        in_order=random.random() < 0.5, retries_marked=random.random() < 0.5,
         progress_every=random.choice((0.0, 100.0)),
     )  # fmt: skip
 
 
-def random_entry(random: Random, now: float, many: int) -> m.Entry:
+def random_entry(random: Random, now: float, many: int) -> m.WorkerEntry:
     at = random.randrange(many)
-    return m.Entry(
-        f"w{at}", "pq"[at % 2], "xy"[at % 3 == 0], at % 4, random.choice((*[m.State.SERVING] * 4, *m.State)),
+    return m.WorkerEntry(
+        f"w{at}", "pq"[at % 2], "xy"[at % 3 == 0], at % 4,
+        random.choice((*[m.WorkerState.SERVING] * 4, *m.WorkerState)),
         up_since=random.choice((None, now, now - 1_000.0)), slots=random.choice((0, 0, 3)),
         classes=random.choice((None, None, frozenset("ab"))),
     )  # fmt: skip
@@ -112,11 +114,11 @@
                 repeat=random.random() < 0.2,
             )  # fmt: skip
         elif kind < 0.5 and out:
-            event = m.JobNote(*random.choice(out)[:3])
+            event = m.JobProgress(*random.choice(out)[:3])
         elif kind < 0.8 and out:
             id, n, worker, sent = out.pop(random.randrange(len(out)))
-            how = random.choice((*[m.How.OK] * 8, *m.How))
-            event = m.Outcome(id, n, worker, how, now - sent, how is m.How.OK)
+            how = random.choice((*[m.AttemptOutcome.OK] * 8, *m.AttemptOutcome))
+            event = m.AttemptEnded(id, n, worker, how, now - sent, how is m.AttemptOutcome.OK)
         elif kind < 0.82:
             event = m.Withdrawn(f"r{random.randrange(turn + 1)}")
         elif kind < 0.85 or turn < 3:
@@ -125,7 +127,7 @@
         elif kind < 0.852:
             event = m.NewSettings(random_settings(random))
         else:
-            event = m.Alarm(random.choice(("sweep", "sweep", "sweep", "watch")))
+            event = m.TimerFired(random.choice(("sweep", "sweep", "sweep", "watch")))
         acts = both.handle(now, event)
         for act in [act for act in acts if isinstance(act, m.Send)]:
             tries = [try_ for try_ in both.present.jobs[act.id].attempts if try_.in_flight]
--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -147,7 +147,7 @@
                 AcceptedRequest(
                     id,
                     name,
-                    now + (spec.give_up if budget is None else budget),
+                    now + (spec.max_deadline if budget is None else budget),
                     answer,
                     work,
                     key_from(work.headers),
--- a/bitternpath/balancer/amqp/subscribers.py
+++ b/bitternpath/balancer/amqp/subscribers.py
@@ -48,7 +48,7 @@
 
     def __init__(self, owner: Subscribers, channel: Channel, tag: str, job_class: str, endpoint: str) -> None:
         self.owner, self.channel, self.tag, self.job_class = owner, channel, tag, job_class
-        self.endpoint, self.state = endpoint, m.State.SERVING
+        self.endpoint, self.state = endpoint, m.WorkerState.SERVING
         self.prefetch, self.out = channel.prefetch, 0
         self.zone = self.kind = ""
         self.size, self.up_since = 1.0, 0.0
@@ -60,13 +60,13 @@
         return min(self.prefetch or cap, self.channel.prefetch_all or cap, cap)
 
     def has_room(self) -> bool:
-        serving = self.state is m.State.SERVING
+        serving = self.state is m.WorkerState.SERVING
         return serving and self.out < self.slots and self.channel.has_room(self.prefetch, self.out)
 
     def row(self) -> Endpoint:
         state = self.state
-        if state is m.State.SERVING and not self.channel.flowing:
-            state = m.State.DRAINING  # for as long as its peer wants nothing new
+        if state is m.WorkerState.SERVING and not self.channel.flowing:
+            state = m.WorkerState.DRAINING  # for as long as its peer wants nothing new
         return Endpoint(
             self.endpoint, "", self.zone, self.kind, 0, state, self.size, self.up_since,
             PROTOCOL, SOURCE, frozenset((self.job_class,)), self.slots,
@@ -90,7 +90,7 @@
         self.entry: Entry | None = None
 
     def ack(self) -> None:
-        self.subscriber.owner.finished(self, m.How.OK, self.result or b"")
+        self.subscriber.owner.finished(self, m.AttemptOutcome.OK, self.result or b"")
 
     def reject(self, requeue: bool) -> None:
         self.subscriber.owner.rejected(self, requeue)
@@ -160,9 +160,9 @@
 
     def drain(self, subscriber: Subscriber) -> None:
         """Nothing new for it; what it has may still be acknowledged."""
-        if subscriber.state is not m.State.SERVING:
+        if subscriber.state is not m.WorkerState.SERVING:
             return
-        subscriber.state = m.State.DRAINING
+        subscriber.state = m.WorkerState.DRAINING
         self.changed(subscriber)
         self.recall(subscriber)
         self._leave_if_done(subscriber)
@@ -172,18 +172,18 @@
         unacked = list(subscriber.channel.unacked.values())
         for delivery in [d for d in unacked if isinstance(d, Delivery) and d.subscriber is subscriber]:
             if self._take_back(delivery):
-                self.broker.call_ended(delivery.call, m.How.NO_CONNECTION)
+                self.broker.call_ended(delivery.call, m.AttemptOutcome.NO_CONNECTION)
 
     def remove(self, subscriber: Subscriber) -> None:
         """Its channel is gone, and with it what was out there (see `lost`)."""
-        if subscriber.state is not m.State.GONE:
-            subscriber.state = m.State.GONE
+        if subscriber.state is not m.WorkerState.GONE:
+            subscriber.state = m.WorkerState.GONE
             subscriber.channel.session.work -= 1
             self.by_endpoint.pop(subscriber.endpoint, None)
             self.changed(subscriber)
 
     def _leave_if_done(self, subscriber: Subscriber) -> None:
-        if subscriber.state is m.State.DRAINING and not subscriber.out:
+        if subscriber.state is m.WorkerState.DRAINING and not subscriber.out:
             self.remove(subscriber)
 
     # ---- the upstream client
@@ -191,11 +191,11 @@
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         subscriber = self.by_endpoint.get(endpoint.id)
         if subscriber is None:
-            self.broker.call_ended(call, m.How.NO_CONNECTION)
+            self.broker.call_ended(call, m.AttemptOutcome.NO_CONNECTION)
             return
         if not subscriber.has_room():  # the module's word was older than the last change there
             self.counts["no_room_at_subscriber"] += 1
-            self.broker.call_ended(call, m.How.FULL)
+            self.broker.call_ended(call, m.AttemptOutcome.FULL)
             return
         channel, number = subscriber.channel, subscriber.channel.next_tag()
         token = os.urandom(12).hex()  # not to be guessed by others that may publish here
@@ -259,7 +259,7 @@
         delivery.result = body
         return True
 
-    def finished(self, delivery: Delivery, how: m.How, result: bytes = b"") -> None:
+    def finished(self, delivery: Delivery, how: m.AttemptOutcome, result: bytes = b"") -> None:
         self._free(delivery)
         if delivery.call.finished:
             self.counts["late_acks"] += 1
@@ -269,16 +269,16 @@
     def rejected(self, delivery: Delivery, requeue: bool) -> None:
         unstarted = delivery.subscriber.job_class in self.requeue_unstarted and delivery.result is None
         if not requeue:
-            self.finished(delivery, m.How.ERROR)
+            self.finished(delivery, m.AttemptOutcome.ERROR)
         else:
-            self.finished(delivery, m.How.FULL if unstarted else m.How.RESET)
+            self.finished(delivery, m.AttemptOutcome.FULL if unstarted else m.AttemptOutcome.RESET)
 
     def lost(self, delivery: Delivery) -> None:
         """The channel or the connection is gone."""
         entry = delivery.entry
         if entry is not None and delivery.subscriber.channel.session.outbox.withdraw(entry):
-            self.finished(delivery, m.How.NO_CONNECTION)  # no byte of it was handed to the system
+            self.finished(delivery, m.AttemptOutcome.NO_CONNECTION)  # no byte of it was handed to the system
         elif delivery.result is not None:
-            self.finished(delivery, m.How.OK, delivery.result)
+            self.finished(delivery, m.AttemptOutcome.OK, delivery.result)
         else:
-            self.finished(delivery, m.How.RESET)
+            self.finished(delivery, m.AttemptOutcome.RESET)
--- a/bitternpath/balancer/core/broker.py
+++ b/bitternpath/balancer/core/broker.py
@@ -46,10 +46,10 @@
 FALLBACK_MARGIN_MS = 4.0  # before the deadline, at which the broker answers where the module has not
 
 OUTCOME_OF_REPORT = {
-    CallState.DONE: m.How.OK,
-    CallState.FAILED: m.How.ERROR,
-    CallState.RETURNED: m.How.FULL,
-    CallState.LOST: m.How.RESET,
+    CallState.DONE: m.AttemptOutcome.OK,
+    CallState.FAILED: m.AttemptOutcome.ERROR,
+    CallState.RETURNED: m.AttemptOutcome.FULL,
+    CallState.LOST: m.AttemptOutcome.RESET,
 }
 
 
@@ -149,7 +149,7 @@
             return False
         return True
 
-    def call_ended(self, call: UpstreamCall, how: m.How, result: bytes = b"") -> None:
+    def call_ended(self, call: UpstreamCall, how: m.AttemptOutcome, result: bytes = b"") -> None:
         """Report the outcome of a call; the first one reported counts."""
         if not call.finished:
             self._append(CallEnded(call, how, result))
@@ -181,7 +181,7 @@
             # The report that an earlier call there was handed back may have come again: it proves nothing.
             # This one may be running, and is called off: another may not be out beside it.
             if any(c.handed_back for c in calls[:-1]):
-                how = m.How.RESET
+                how = m.AttemptOutcome.RESET
                 self.upstream_clients[call.protocol].give_up(call)
             call.handed_back = True
         self._append(CallEnded(call, how, report.result))
@@ -194,8 +194,8 @@
 
     def endpoints_changed(self, listing: Listing, *, at_start: bool = False) -> None:
         """The registry's list has changed; `at_start`: this is the list that the process begins with."""
-        kind = m.ListKind.WHOLE if listing.complete else m.ListKind.CHANGES
-        self._append(EndpointsChanged(listing, m.ListKind.AT_START if at_start else kind))
+        kind = m.ListKind.COMPLETE if listing.complete else m.ListKind.CHANGES
+        self._append(EndpointsChanged(listing, m.ListKind.INITIAL if at_start else kind))
 
     def settings_changed(self, settings: m.Settings) -> None:
         """Other settings hold for requests submitted from now on."""
@@ -268,27 +268,29 @@
             case CallUnusable(call):
                 return self._end_unusable_call(call, now)
             case CallProgress(call, share):
-                return None if call.finished else m.JobNote(call.id, call.number, call.endpoint, share)
+                return None if call.finished else m.JobProgress(call.id, call.number, call.endpoint, share)
         return module_event(event)
 
     def _end_unusable_call(self, call: UpstreamCall, now: float) -> m.Event | None:
         if not call.finished and not call.request.answered:
             self._answer(call.request, call.request.client.failed, "failed")
         # For the module the client has left: the endpoint is not at fault.
-        return self._end_call(call, m.How.CANCELLED, b"", now)
+        return self._end_call(call, m.AttemptOutcome.CANCELLED, b"", now)
 
-    def _end_call(self, call: UpstreamCall, how: m.How, result: bytes, now: float) -> m.Event | None:
+    def _end_call(
+        self, call: UpstreamCall, how: m.AttemptOutcome, result: bytes, now: float
+    ) -> m.Event | None:
         if call.finished:
             return None
         self._finish(call)
-        call.may_have_run = how not in m.NEVER_RAN
+        call.may_have_run = how not in m.NOT_EXECUTED
         self.counts[how.value] += 1
         request = call.request
-        if how is m.How.OK and not request.answered:
+        if how is m.AttemptOutcome.OK and not request.answered:
             self._answer(request, partial(request.client.served, result), "served")
         final = request.answered
         self._forget(request)
-        return m.Outcome(call.id, call.number, call.endpoint, how, now - call.sent, final)
+        return m.AttemptEnded(call.id, call.number, call.endpoint, how, now - call.sent, final)
 
     def _finish(self, call: UpstreamCall) -> None:
         call.finished = True
@@ -340,9 +342,9 @@
                     self._answer(owed, owed.client.failed, "failed")
             case m.Cancel(id, number):
                 self._cancel(id, number)
-            case m.Watch():
+            case m.SubscribeToWorkers():
                 self.subscribe()
-            case m.Wake(label, delay):
+            case m.StartTimer(label, delay):
                 self.later.callLater(delay / 1000.0, self._append, TimerExpired(label))
             case _:
                 log.debug("action_not_supported", action=type(action).__name__)
@@ -355,7 +357,7 @@
         call = request.calls[number]
         if not call.finished:
             self.upstream_clients[call.protocol].give_up(call)
-            self._append(CallEnded(call, m.How.CANCELLED))
+            self._append(CallEnded(call, m.AttemptOutcome.CANCELLED))
 
     def _find_unanswered(self, id: str) -> AcceptedRequest | None:
         request = self.in_progress.get(id)
@@ -372,10 +374,10 @@
         request.calls.append(call)
         endpoint = self.registry.serving(worker)
         if request.answered or timeout < 0 or endpoint is None:
-            self._append(CallEnded(call, m.How.NOT_SENT))
+            self._append(CallEnded(call, m.AttemptOutcome.NOT_SENT))
             return
         if not self.may_begin(call):
-            self._append(CallEnded(call, m.How.CANCELLED))
+            self._append(CallEnded(call, m.AttemptOutcome.CANCELLED))
             return
         call.protocol = endpoint.protocol
         self.counts["calls"] += 1
@@ -385,10 +387,10 @@
         except Exception:
             log.exception("call_start_failed", id=id, endpoint=worker)
             self.counts["exceptions"] += 1
-            self._append(CallEnded(call, m.How.RESET))  # how far it got is not known
+            self._append(CallEnded(call, m.AttemptOutcome.RESET))  # how far it got is not known
 
     def _call_timed_out(self, call: UpstreamCall) -> None:
         call.timer = None
         if not call.finished:
             self.upstream_clients[call.protocol].give_up(call)
-            self._append(CallEnded(call, m.How.TIMEOUT))
+            self._append(CallEnded(call, m.AttemptOutcome.TIMEOUT))
--- a/bitternpath/balancer/core/endpoint_registry.py
+++ b/bitternpath/balancer/core/endpoint_registry.py
@@ -25,7 +25,7 @@
     zone: str
     kind: str
     cell: int
-    state: m.State
+    state: m.WorkerState
     size: float
     up_since: float  # Unix ms; 0: long ago
     protocol: str = "http"  # which upstream client carries calls to it
@@ -109,8 +109,8 @@
         """What holds of an endpoint. Those who take one out start it anew before they call it back, and its
         source tells of that late: one of which no start since is known may have started at the call back.
         """
-        if reported.id in self.ejected_since and reported.state is m.State.SERVING:
-            return replace(reported, state=m.State.DRAINING)
+        if reported.id in self.ejected_since and reported.state is m.WorkerState.SERVING:
+            return replace(reported, state=m.WorkerState.DRAINING)
         return self._with_assumed_start(reported)
 
     def _with_assumed_start(self, reported: Endpoint) -> Endpoint:
@@ -145,7 +145,7 @@
             self.endpoints.clear()
         members = tuple(self._effective(reported) for reported in listing.members)
         for reported, effective in zip(listing.members, members, strict=True):
-            if reported.state is m.State.GONE:
+            if reported.state is m.WorkerState.GONE:
                 self._reported.pop(reported.id, None)
                 self.endpoints.pop(reported.id, None)
             else:
@@ -169,7 +169,7 @@
                 self._leaving_since[id] = self._reported[id].up_since
         for reported in listing.members:
             self._leaving_since.pop(reported.id, None)
-            if reported.state is not m.State.SERVING:
+            if reported.state is not m.WorkerState.SERVING:
                 self._leaving_since[reported.id] = reported.up_since
         while len(self._leaving_since) > LEAVING_LIMIT:
             del self._leaving_since[next(iter(self._leaving_since))]
@@ -179,8 +179,8 @@
         of those that drain or are gone stays told, until they start anew or a newer list has them back.
         """
         members = (
-            replace(reported, state=m.State.DRAINING)
-            if reported.state is m.State.SERVING
+            replace(reported, state=m.WorkerState.DRAINING)
+            if reported.state is m.WorkerState.SERVING
             and reported.up_since <= self._leaving_since.get(reported.id, -1.0)
             else reported
             for reported in listing.members
@@ -201,7 +201,7 @@
     def serving(self, endpoint: str) -> Endpoint | None:
         """The endpoint, if it takes new calls."""
         found = self.endpoints.get(endpoint)
-        return found if found is not None and found.state is m.State.SERVING else None
+        return found if found is not None and found.state is m.WorkerState.SERVING else None
 
 
 def _ignore_listing(_listing: Listing) -> None:
--- a/bitternpath/balancer/core/events.py
+++ b/bitternpath/balancer/core/events.py
@@ -29,7 +29,7 @@
     """A call has an outcome; `result` is the answer's body where it succeeded."""
 
     call: UpstreamCall
-    how: m.How
+    how: m.AttemptOutcome
     result: bytes = b""
 
 
@@ -54,7 +54,7 @@
 
 
 class TimerExpired(Struct):
-    """A timer that the module set (`messages.Wake`) is due."""
+    """A timer that the module set (`messages.StartTimer`) is due."""
 
     label: str
 
--- a/bitternpath/balancer/core/module_events.py
+++ b/bitternpath/balancer/core/module_events.py
@@ -13,13 +13,13 @@
         case EndpointsChanged(listing, kind):
             return m.WorkerList(kind, [_entry(endpoint) for endpoint in listing.members])
         case TimerExpired(label):
-            return m.Alarm(label)
+            return m.TimerFired(label)
         case SettingsChanged(settings):
             return m.NewSettings(settings)
 
 
-def _entry(endpoint: Endpoint) -> m.Entry:
-    return m.Entry(
+def _entry(endpoint: Endpoint) -> m.WorkerEntry:
+    return m.WorkerEntry(
         endpoint.id,
         endpoint.zone,
         endpoint.kind,
--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -45,17 +45,17 @@
         self.on_settings(m.NewSettings(settings))
         self.mean_wait = 0.0  # moving averages over all workers and classes
         self.mean_run = 0.0
-        self.behind = settings.start_heard_after  # ms from a job's start to the first report of it
+        self.behind = settings.start_report_delay  # ms from a job's start to the first report of it
         self.ask_wait = ASK_AGAIN / 8  # ms until a refused subscription is tried again
         self.begun_at = now  # when a job was last known to have begun
-        self.actions: list[m.Action] = [m.Wake("sweep", self.pause)]
-        if settings.ask_for_list:  # spread out: a fleet that starts at once would swamp the list service
+        self.actions: list[m.Action] = [m.StartTimer("sweep", self.pause)]
+        if settings.list_on_request:  # spread out: a fleet that starts at once would swamp the list service
             first = self.random.random() * min(settings.must_ask_within / 2, 1.5 * ASK_AGAIN)
-            self.actions.append(m.Wake("watch", first))
+            self.actions.append(m.StartTimer("watch", first))
         self.answer: dict[type, Callable[..., None]] = {
-            m.Request: self.on_request, m.JobNote: self.on_note, m.StreamBegun: self.on_note,
-            m.Outcome: self.on_outcome, m.Withdrawn: self.on_withdrawn, m.WorkerList: self.on_list,
-            m.NewSettings: self.on_settings, m.Alarm: self.on_alarm,
+            m.Request: self.on_request, m.JobProgress: self.on_note, m.StreamStarted: self.on_note,
+            m.AttemptEnded: self.on_outcome, m.Withdrawn: self.on_withdrawn, m.WorkerList: self.on_list,
+            m.NewSettings: self.on_settings, m.TimerFired: self.on_alarm,
         }  # fmt: skip
 
     def handle(self, now: float, event: m.Event) -> list[m.Action]:
@@ -72,13 +72,15 @@
         self.class_states = {}
         for spec in self.settings.classes:
             old = before.get(spec.name)
-            class_state = copy(old) if old and spec.same(old.spec) else ClassState(spec, self.settings)
+            class_state = (
+                copy(old) if old and spec.shares_learning_with(old.spec) else ClassState(spec, self.settings)
+            )
             class_state.spec = spec
             class_state.settings = self.settings
             self.class_states[spec.name] = class_state
             for worker in self.workers.values():
                 class_state.join(worker)
-        self.aim = min(spec.aim for spec in self.settings.classes)
+        self.aim = min(spec.latency_target for spec in self.settings.classes)
         self.pause = max(self.settings.tick, self.aim / 8)
         self.margin = (
             2 * self.pause + self.settings.tick
@@ -87,7 +89,7 @@
     def on_list(self, event: m.WorkerList) -> None:
         if event.kind is m.ListKind.FAILED:  # ask again, later each time: the service may be swamped or down
             wait, self.ask_wait = self.ask_wait, min(2 * self.ask_wait, ASK_AGAIN)
-            return self.actions.append(m.Wake("watch", wait * (0.5 + self.random.random())))
+            return self.actions.append(m.StartTimer("watch", wait * (0.5 + self.random.random())))
         self.ask_wait = ASK_AGAIN / 8
         if event.kind is not m.ListKind.CHANGES:
             named = {entry.worker for entry in event.entries}
@@ -97,25 +99,27 @@
             self.on_entry(entry)
         # All dispatchers cut the same ring of names into as many pieces as they are: theirs overlap little.
         names, piece = sorted(self.workers), len(self.workers) / self.settings.dispatchers
-        self.home_workers = names[int(self.settings.me * piece) : ceil((self.settings.me + 1) * piece)]
+        self.home_workers = names[
+            int(self.settings.dispatcher_index * piece) : ceil((self.settings.dispatcher_index + 1) * piece)
+        ]
 
-    def on_entry(self, entry: m.Entry) -> None:
+    def on_entry(self, entry: m.WorkerEntry) -> None:
         worker = self.workers.get(entry.worker)
         # After a restart what was learned of the old process is void.
-        if worker and (entry.state is not m.State.SERVING or (entry.up_since or 0.0) > worker.up + 1):
+        if worker and (entry.state is not m.WorkerState.SERVING or (entry.up_since or 0.0) > worker.up + 1):
             self.retire(worker)
-        if entry.state is m.State.SERVING and entry.worker not in self.workers:
+        if entry.state is m.WorkerState.SERVING and entry.worker not in self.workers:
             worker = self.workers[entry.worker] = Worker(entry, self.settings.warm_within)
             if worker.warm_at > self.now:
                 # At a random point of the first gap: all dispatchers hear of it at about the same time.
                 work = (
                     max(class_state.work for class_state in self.class_states.values())
-                    or self.settings.fall_span
+                    or self.settings.overload_span
                 )
                 worker.cold_at, worker.cold_work = self.now, work * self.random.random()
             for class_state in self.class_states.values():
                 class_state.join(worker)
-        if entry.state is m.State.SERVING:
+        if entry.state is m.WorkerState.SERVING:
             self.workers[entry.worker].slots = entry.slots
 
     def retire(self, worker: Worker) -> None:
@@ -137,7 +141,7 @@
             return 0.0
         home, many, n = worker.name in self.home_workers, self.settings.dispatchers, len(self.workers)
         slots = COLD_HOME * n / (n + many) if home else COLD_REST / many
-        slots *= self.settings.fall_multiple * self.share(worker) * self.capacity_share
+        slots *= self.settings.overload_multiple * self.share(worker) * self.capacity_share
         gap = worker.cold_work * (
             COLD_IDLE / self.capacity_share if home and not worker.load(self.now) else 1 / slots
         )
@@ -145,7 +149,7 @@
 
     def on_request(self, event: m.Request) -> None:
         job = self.jobs[event.id] = Job(
-            event, self.class_states[event.job_class], self.now, self.settings.marks_retry
+            event, self.class_states[event.job_class], self.now, self.settings.retries_marked
         )
         if not self.send_or_hold(job):
             self.pending.append(job)
@@ -161,7 +165,7 @@
         if worker is not None:
             self.send(job, worker)
         elif not can or self.now + self.margin > job.settle_by:
-            ran = any(t.ran for t in job.attempts) and not job.spec.harmless
+            ran = any(t.ran for t in job.attempts) and not job.spec.safe_to_repeat
             self.actions.append(m.Fail(job.id) if ran else m.Refuse(job.id, self.advice(job.class_state)))
             self.close(job)
         return worker is not None or not job.open
@@ -186,10 +190,10 @@
         job.attempts.append(attempt)
         self.in_flight[job.id, attempt.n] = attempt
         worker.n += 1
-        worker.waiting += self.settings.tells_start
+        worker.waiting += self.settings.reports_start
         worker.room -= worker.room > 0
         if worker.warm_at > self.now:
-            work = (job.class_state.work or self.settings.fall_span) * job.size * job.request.slots
+            work = (job.class_state.work or self.settings.overload_span) * job.size * job.request.slots
             worker.cold_at, worker.cold_work = self.now, work * (0.5 + self.random.random())
 
     def send_window(self, job: Job) -> float:
@@ -197,12 +201,17 @@
         sent = [t.sent for t in job.attempts if t.ran]
         if not sent or job.spec.effect is not m.Effect.KEYED:
             return inf if not sent or job.spec.effect is m.Effect.SAFE else 0.0
-        return sent[0] + 0.9 * job.spec.window - self.now  # the attempt must arrive inside the window too
+        return (
+            sent[0] + 0.9 * job.spec.dedup_window - self.now
+        )  # the attempt must arrive inside the window too
 
     def allowed(self, job: Job, worker: Worker) -> bool:
         """Where earlier attempts may have run: another worker, of the group that drops the repeat."""
-        group, ran = job.spec.repeat_group, [t.worker for t in job.attempts if t.ran]
-        return all(w is not worker and w.entry.within(group) == worker.entry.within(group) for w in ran)
+        group, ran = job.spec.retry_scope, [t.worker for t in job.attempts if t.ran]
+        return all(
+            w is not worker and w.entry.dedup_scope_id(group) == worker.entry.dedup_scope_id(group)
+            for w in ran
+        )
 
     def choose_worker(self, job: Job) -> Worker | None:
         """The usable worker with the highest q / (1 + own jobs in flight), of a sample in large fleets."""
@@ -218,8 +227,8 @@
         usual = (1 - 1 / self.settings.dispatchers) ** UNSEEN * max(
             self.mean_wait - (now - self.begun_at), 0.0
         )
-        late = job.spec.late_worth > 0 and max(kinds.values(), default=0.0) < 0
-        left, paces, harmless = job.deadline - now, job.class_state.pace, job.spec.harmless
+        late = job.spec.late_value_share > 0 and max(kinds.values(), default=0.0) < 0
+        left, paces, harmless = job.deadline - now, job.class_state.pace, job.spec.safe_to_repeat
         # No queue grows longer than the hastiest class bears, by what earns less even less: it is held here.
         most = max(1e-9, *(class_state.value_rate() for class_state in self.class_states.values()))
         part = job.class_state.value_rate() / most if job.class_state.run else 1.0
@@ -265,7 +274,7 @@
         free = (w for w in some if not 0 < w.slots <= w.n and self.next_cold(w) <= now)
         return next((w for w in free if self.allowed(job, w)), None)
 
-    def on_note(self, event: m.JobNote | m.StreamBegun) -> None:
+    def on_note(self, event: m.JobProgress | m.StreamStarted) -> None:
         attempt = self.in_flight.get((event.id, event.attempt))
         if attempt is not None:
             self.record_start(attempt, self.behind)
@@ -278,15 +287,19 @@
             return
         self.mark_lost(attempt, False)
         attempt.begun = max(self.now - since, attempt.sent)
-        worker.waiting -= self.settings.tells_start
-        weight = min((self.now - self.begun_at) / (4 * self.settings.fall_span), 0.5)  # by time, not by jobs
+        worker.waiting -= self.settings.reports_start
+        weight = min(
+            (self.now - self.begun_at) / (4 * self.settings.overload_span), 0.5
+        )  # by time, not by jobs
         worker.wait, worker.wait_at, self.begun_at = attempt.begun - attempt.sent, self.now, self.now
         worker.last_begun = max(worker.last_begun, attempt.sent)
         self.mean_wait += weight * (worker.wait - self.mean_wait)
 
     def send_second_copy(self, job: Job) -> None:
         """Send a job again whose attempts are lost, where it may run twice."""
-        can = job.open and job.spec.harmless and job.settings.second_copies and self.send_window(job) > 0
+        can = (
+            job.open and job.spec.safe_to_repeat and job.settings.second_copies and self.send_window(job) > 0
+        )
         if (
             can
             and len(job.attempts) < job.settings.try_limit
@@ -296,17 +309,17 @@
             if worker is not None:
                 self.send(job, worker)
 
-    def on_outcome(self, event: m.Outcome) -> None:
+    def on_outcome(self, event: m.AttemptEnded) -> None:
         attempt = self.in_flight.pop((event.id, event.attempt), None)
         if attempt is None:
             return
-        job, worker, lost, how = attempt.job, attempt.worker, attempt.lost, event.how
+        job, worker, lost, how = attempt.job, attempt.worker, attempt.lost, event.outcome
         self.mark_lost(attempt, False)
         attempt.in_flight = False
         worker.n -= 1
-        attempt.ran = how not in m.NEVER_RAN
+        attempt.ran = how not in m.NOT_EXECUTED
         worker.room = int(attempt.ran)
-        if how is m.How.OK:
+        if how is m.AttemptOutcome.OK:
             faults = worker.faults.pop(job.spec.name, (0, 0.0, 0.0))[0]
             if faults > 1:
                 worker.faults[job.spec.name] = faults - 1, 0.0, 0.0
@@ -314,25 +327,25 @@
             if not attempt.scored:
                 self.record_payoff(attempt, event.elapsed)
         else:
-            worker.waiting -= self.settings.tells_start and attempt.begun is None
-        if how in m.RUNS_ON and not lost:
+            worker.waiting -= self.settings.reports_start and attempt.begun is None
+        if how in m.LIKELY_STILL_RUNNING and not lost:
             begins = attempt.begun or self.now + max(worker.wait - (self.now - worker.wait_at), 0.0)
             worker.cancelled_until.append(
-                begins + (job.class_state.run or self.settings.fall_span) * job.size
+                begins + (job.class_state.run or self.settings.overload_span) * job.size
             )
-        if how not in (m.How.OK, m.How.CANCELLED):
-            if how is m.How.ERROR and sum(t.ran for t in job.attempts) == 1:
+        if how not in (m.AttemptOutcome.OK, m.AttemptOutcome.CANCELLED):
+            if how is m.AttemptOutcome.ERROR and sum(t.ran for t in job.attempts) == 1:
                 self.record_fault(
                     worker, job.class_state
                 )  # if it failed elsewhere too, the job may itself be the cause
             elif (
-                how is m.How.NO_CONNECTION
+                how is m.AttemptOutcome.NO_CONNECTION
                 and self.now - worker.last_heard > HEARD * self.settings.progress_every
             ):
                 self.suspect(worker)
             elif not attempt.ran:
                 # Until then one job goes there for each own job that ends: more would race for one free slot.
-                rest = FULL_REST * (job.class_state.run or job.spec.aim)
+                rest = FULL_REST * (job.class_state.run or job.spec.latency_target)
                 worker.full_until = self.now + rest * (0.5 + self.random.random())
             job.class_state.net.learn(worker, 0.0, completed=False)
         if event.final or not job.open:
@@ -380,7 +393,7 @@
         """Lost jobs will likely never begin: they hold no place, nor do they tell of a queue."""
         change, attempt.lost = attempt.lost - lost, lost
         attempt.worker.n += change
-        attempt.worker.waiting += change * self.settings.tells_start
+        attempt.worker.waiting += change * self.settings.reports_start
 
     def on_withdrawn(self, event: m.Withdrawn) -> None:
         if event.id in self.jobs:
@@ -404,19 +417,19 @@
             if job.open and not self.send_or_hold(job):
                 return self.pending.append(job)  # more scans of a full fleet are dear
 
-    def on_alarm(self, event: m.Alarm) -> None:
+    def on_alarm(self, event: m.TimerFired) -> None:
         if event.label == "watch":
-            self.actions.append(m.Watch())
+            self.actions.append(m.SubscribeToWorkers())
         elif event.label == "sweep":
             self.sweep()
 
     def sweep(self) -> None:
-        self.actions.append(m.Wake("sweep", self.pause))
+        self.actions.append(m.StartTimer("sweep", self.pause))
         now = self.now
         for attempt in list(self.in_flight.values()):
             class_state, spec, worker = attempt.job.class_state, attempt.job.spec, attempt.worker
             age = now - attempt.sent - self.behind  # it would have been heard of had it begun before that
-            if attempt.begun is not None or age < OVERDUE * spec.aim:
+            if attempt.begun is not None or age < OVERDUE * spec.latency_target:
                 continue
             if not attempt.scored:
                 attempt.scored = True
@@ -429,7 +442,11 @@
                 continue
             if age > worker.wait - (now - worker.wait_at):
                 worker.wait, worker.wait_at = age, now
-            if age > SILENT * spec.aim and worker.last_heard < attempt.sent and worker.out_until <= now:
+            if (
+                age > SILENT * spec.latency_target
+                and worker.last_heard < attempt.sent
+                and worker.out_until <= now
+            ):
                 self.suspect(worker)
             if age > LOST * self.mean_run > 0:
                 self.mark_lost(attempt)
--- a/bitternpath/balancer/dispatch/jobs.py
+++ b/bitternpath/balancer/dispatch/jobs.py
@@ -21,7 +21,7 @@
         self.patience = 0.0  # the longest time that a client gave an attempt
 
     def join(self, worker: Worker) -> None:
-        if worker.entry.runs(self.spec) and worker.name not in self.net.index:
+        if worker.entry.can_run(self.spec) and worker.name not in self.net.index:
             self.net.join(worker)
 
     def value_rate(self) -> float:
@@ -30,7 +30,11 @@
 
     def longest_wait(self) -> float:
         """ms for which its usual job can wait and still meet its latency target."""
-        return self.spec.aim + self.spec.stretch * self.work - min(self.pace.values(), default=0.0)
+        return (
+            self.spec.latency_target
+            + self.spec.work_factor * self.work
+            - min(self.pace.values(), default=0.0)
+        )
 
 
 class Job:
@@ -51,10 +55,14 @@
         # A client's earlier tries have used up some of the aim, as the time that it still gives us shows.
         class_state.patience = max(class_state.patience, request.remaining)
         used = class_state.patience - request.remaining if request.repeat or not marked else 0.0
-        self.end_by = now - used + self.spec.aim + self.spec.stretch * (request.hint or class_state.work)
+        self.end_by = (
+            now - used + self.spec.latency_target + self.spec.work_factor * (request.hint or class_state.work)
+        )
         # What would end late for nothing, or after the deadline, is turned away early: it takes up a place.
         least = min(class_state.pace.values(), default=0.0) * self.size
-        self.settle_by = (self.deadline if self.spec.late_worth else min(self.end_by, self.deadline)) - least
+        self.settle_by = (
+            self.deadline if self.spec.late_value_share else min(self.end_by, self.deadline)
+        ) - least
 
 
 class Attempt:
--- a/bitternpath/balancer/dispatch/workers.py
+++ b/bitternpath/balancer/dispatch/workers.py
@@ -6,7 +6,7 @@
 class Worker:
     """A worker as this dispatcher knows it."""
 
-    def __init__(self, entry: m.Entry, warm_within: float = 0.0) -> None:
+    def __init__(self, entry: m.WorkerEntry, warm_within: float = 0.0) -> None:
         self.entry, self.name, self.kind, self.up = entry, entry.worker, entry.kind, entry.up_since or 0.0
         self.n = self.strikes = self.slots = 0  # own jobs in flight, silences in a row, places (0: not told)
         self.last_heard = self.out_until = self.full_until = self.unsafe_out_until = self.last_begun = 0.0
@@ -20,7 +20,7 @@
 
     def broken(self, spec: m.JobClass, now: float) -> bool:
         """Whether faults keep jobs of the class away: its own, or those of two classes any job."""
-        kept = [name for name, fault in self.faults.items() if fault[1 if spec.harmless else 2] > now]
+        kept = [name for name, fault in self.faults.items() if fault[1 if spec.safe_to_repeat else 2] > now]
         return len(kept) > 1 or self.faults.get(spec.name, (0, 0.0, 0.0))[1] > now
 
     def load(self, now: float) -> int:
--- a/bitternpath/balancer/fleet/plan_settings.py
+++ b/bitternpath/balancer/fleet/plan_settings.py
@@ -12,13 +12,18 @@
 from bitternpath.balancer.fleet.plan import Plan, PlanError
 
 # The platform's words, and the settings' own.
-CLASS_FIELDS = {"aim": "aim", "giveUp": "give_up", "value": "value", "lateWorth": "late_worth"}
+CLASS_FIELDS = {
+    "aim": "latency_target",
+    "giveUp": "max_deadline",
+    "value": "value",
+    "lateWorth": "late_value_share",
+}
 RULES = {
     "rules.drainGrace": "drain_grace",
     "rules.graceToAnswer": "answer_grace",
     "rules.warmWithin": "warm_within",
     "rules.coldFrom": "cold_share",
-    "rules.tipMultiple": "fall_multiple",
+    "rules.tipMultiple": "overload_multiple",
     "allowed.tryLimit": "try_limit",
     "allowed.maxRetryAfter": "max_retry_after",
     "allowed.secondCopies": "second_copies",
--- a/bitternpath/balancer/http/discovery_messages.py
+++ b/bitternpath/balancer/http/discovery_messages.py
@@ -7,7 +7,7 @@
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.core.endpoint_registry import Endpoint, Listing
 
-PHASES = {"up": m.State.SERVING, "draining": m.State.DRAINING, "removed": m.State.GONE}
+PHASES = {"up": m.WorkerState.SERVING, "draining": m.WorkerState.DRAINING, "removed": m.WorkerState.GONE}
 
 
 def listing_from(message: dict[str, Any]) -> Listing:
--- a/bitternpath/balancer/http/operations.py
+++ b/bitternpath/balancer/http/operations.py
@@ -77,5 +77,5 @@
         """How many listed endpoints the node avoids now: ejected, draining, or left out by the module."""
         left_out = avoided(self.module, self.clock())
         return sum(
-            p.id in left_out or p.state is not m.State.SERVING for p in self.registry.endpoints.values()
+            p.id in left_out or p.state is not m.WorkerState.SERVING for p in self.registry.endpoints.values()
         )
--- a/bitternpath/balancer/http/request_handler.py
+++ b/bitternpath/balancer/http/request_handler.py
@@ -88,7 +88,7 @@
     @property
     def longest_deadline(self) -> float:
         """The longest deadline of a class, in ms."""
-        return max(c.give_up for c in self.classes.values())
+        return max(c.max_deadline for c in self.classes.values())
 
     def serve(self, connection: ClientConnection, message: http1.Request) -> None:
         """Answer a message on its connection, at once or later."""
@@ -154,7 +154,7 @@
             self.broker.counts["no_room"] += 1
             self.broker.statistics.count_outcome(spec.name, "rejected")
         else:
-            deadline = connection.begun_at + (spec.give_up if budget is None else float(budget))
+            deadline = connection.begun_at + (spec.max_deadline if budget is None else float(budget))
             request = _accepted_request(connection, message, spec.name, deadline)
             connection.request = request
             connection.only_callbacks = False
--- a/bitternpath/balancer/http/upstream_client.py
+++ b/bitternpath/balancer/http/upstream_client.py
@@ -178,7 +178,7 @@
     def _not_sent(self, exchange: Exchange) -> None:
         """No byte of the request was written: it never ran."""
         if exchange.call is not None:
-            self.broker.call_ended(exchange.call, m.How.NO_CONNECTION)
+            self.broker.call_ended(exchange.call, m.AttemptOutcome.NO_CONNECTION)
 
     def _send(self, connection: Connection, exchange: Exchange) -> None:
         connection.pool.busy[connection] = None
@@ -207,7 +207,7 @@
             exchange = pool.waiting.popleft()
             call = exchange.call
             if call is not None and not self.broker.may_begin(call):
-                self.broker.call_ended(call, m.How.CANCELLED)
+                self.broker.call_ended(call, m.AttemptOutcome.CANCELLED)
                 continue
             # It began to drain, or the start deadline passed, while the call waited for a connection.
             if call is not None and (
@@ -242,12 +242,12 @@
         if message.status == 202:
             call.accepted = True
         elif message.status in (503, 504) and message.headers.get(b"x-rejected") == b"1":
-            self.broker.call_ended(call, m.How.FULL)
+            self.broker.call_ended(call, m.AttemptOutcome.FULL)
         elif 400 <= message.status < 500:
             self.counts["unusable"] += 1
             self.broker.call_unusable(call)
         else:
-            self.broker.call_ended(call, m.How.ERROR)
+            self.broker.call_ended(call, m.AttemptOutcome.ERROR)
 
     def lost(self, connection: Connection, exchange: Exchange | None) -> None:
         """A connection is gone, with the exchange that it carried."""
@@ -261,7 +261,9 @@
             if not call.accepted:
                 if exchange.written and not call.finished:
                     self.reuse.record_call(reused=connection.reused, reset=True)
-                self.broker.call_ended(call, m.How.RESET if exchange.written else m.How.NO_CONNECTION)
+                self.broker.call_ended(
+                    call, m.AttemptOutcome.RESET if exchange.written else m.AttemptOutcome.NO_CONNECTION
+                )
 
     def _close_oldest_idle(self) -> bool:
         idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
@@ -292,7 +294,7 @@
         for endpoint in listing.members:
             before = self._started.get(endpoint.id, endpoint.up_since)
             self._started[endpoint.id] = endpoint.up_since
-            if endpoint.state is m.State.GONE or endpoint.up_since > before:
+            if endpoint.state is m.WorkerState.GONE or endpoint.up_since > before:
                 self.close_idle(endpoint.host_port)
 
     def close_idle(self, address: str) -> None:
--- a/bitternpath/balancer/messages.py
+++ b/bitternpath/balancer/messages.py
@@ -20,7 +20,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which workers detect and drop a repeat of a keyed job."""
 
     ALL = "all"
@@ -28,7 +28,7 @@
     CELL = "cell"
 
 
-class How(Enum):
+class AttemptOutcome(Enum):
     """The outcome of an attempt."""
 
     OK = "ok"
@@ -42,12 +42,12 @@
 
 
 # These outcomes prove that the job never ran on that worker.
-NEVER_RAN = frozenset({How.FULL, How.NO_CONNECTION, How.NOT_SENT})
+NOT_EXECUTED = frozenset({AttemptOutcome.FULL, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT})
 # After these it likely runs on, though its result is lost.
-RUNS_ON = frozenset({How.RESET, How.CANCELLED})
+LIKELY_STILL_RUNNING = frozenset({AttemptOutcome.RESET, AttemptOutcome.CANCELLED})
 
 
-class State(Enum):
+class WorkerState(Enum):
     """The state of a worker in the worker list."""
 
     SERVING = "serving"
@@ -59,8 +59,8 @@
     """What a `WorkerList` carries."""
 
     CHANGES = "changes"
-    WHOLE = "whole"
-    AT_START = "at start"
+    COMPLETE = "whole"
+    INITIAL = "at start"
     FAILED = "failed"
 
 
@@ -76,37 +76,37 @@
 
     name: str
     effect: Effect
-    aim: float
-    give_up: float
+    latency_target: float
+    max_deadline: float
     value: float = 1.0
-    late_worth: float = 0.0
-    group: Group = Group.ALL
-    window: float = 0.0
+    late_value_share: float = 0.0
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: float = 0.0
     stream: bool = False
     kind: str | None = None  # the only machine kind that runs it
     priority: int = 0
-    stretch: float = 0.0  # the latency target grows by this multiple of the job's own work
+    work_factor: float = 0.0  # the latency target grows by this multiple of the job's own work
 
     @property
-    def repeat_group(self) -> Group:
+    def retry_scope(self) -> DedupScope:
         """Which workers may run a job again that another of them may have run (none if it is unsafe)."""
-        return Group.ALL if self.effect is Effect.SAFE else self.group
+        return DedupScope.ALL if self.effect is Effect.SAFE else self.dedup_scope
 
     @property
-    def harmless(self) -> bool:
+    def safe_to_repeat(self) -> bool:
         """Whether a repeat does no harm on any worker."""
-        return self.effect is not Effect.UNSAFE and self.repeat_group is Group.ALL
+        return self.effect is not Effect.UNSAFE and self.retry_scope is DedupScope.ALL
 
-    def same(self, other: JobClass) -> bool:
+    def shares_learning_with(self, other: JobClass) -> bool:
         """Whether what was learned of the other holds for this one: effects must be the same."""
-        return (self.effect, self.group, self.kind) == (other.effect, other.group, other.kind)
+        return (self.effect, self.dedup_scope, self.kind) == (other.effect, other.dedup_scope, other.kind)
 
     def __post_init__(self) -> None:
-        _positive("aim", self.aim)
-        _positive("give_up", self.give_up)
-        _at_least_zero("window", self.window)
-        _at_least_zero("stretch", self.stretch)
-        if self.effect is Effect.KEYED and self.window <= 0:
+        _require_positive("aim", self.latency_target)
+        _require_positive("give_up", self.max_deadline)
+        _require_not_negative("window", self.dedup_window)
+        _require_not_negative("stretch", self.work_factor)
+        if self.effect is Effect.KEYED and self.dedup_window <= 0:
             raise ValueError("window: a keyed class needs a time over which repeats are dropped")
 
 
@@ -123,18 +123,18 @@
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    me: int = 0
+    dispatcher_index: int = 0
     dispatchers: int = 1
     zone: str = ""
     kinds: tuple[str, ...] = ()
-    ask_for_list: bool = False
+    list_on_request: bool = False
     must_ask_within: float = 10_000.0
     drain_grace: float = 1_000.0
     answer_grace: float = 5.0
     cold_share: float = 0.3
     warm_within: float = 10_000.0
-    fall_multiple: float = 3.0
-    fall_span: float = 1_000.0
+    overload_multiple: float = 3.0
+    overload_span: float = 1_000.0
     may_cancel: bool = True
     may_probe: bool = False
     second_copies: bool = False
@@ -142,11 +142,11 @@
     gives_retry_after: bool = False
     max_retry_after: float = 0.0
     tick: float = 1.0
-    tells_start: bool = False
+    reports_start: bool = False
     in_order: bool = False  # a worker begins jobs in the order in which they came
-    marks_retry: bool = False  # clients mark their repeats
+    retries_marked: bool = False  # clients mark their repeats
     progress_every: float = 0.0
-    weights: bool = False  # the list states a size for each worker
+    sizes_listed: bool = False  # the list states a size for each worker
     report_columns: tuple[str, ...] = ()
     over_share_worth: float = 1.0
     late_fail_price: float = 0.0
@@ -154,21 +154,21 @@
     cross_zone_price: float = 0.0
 
     @property
-    def start_heard_after(self) -> float:
+    def start_report_delay(self) -> float:
         """Time (ms) from a job's start to the first report of it; infinite if none comes.
 
         Where starts are not reported, the first report of progress comes one interval after the start."""
-        return 0.0 if self.tells_start else self.progress_every or inf
+        return 0.0 if self.reports_start else self.progress_every or inf
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if len({c.name for c in self.classes}) != len(self.classes):
             raise ValueError("classes: two share a name")
-        for name in ("must_ask_within", "warm_within", "fall_span", "fall_multiple", "tick"):
-            _positive(name, getattr(self, name))
+        for name in ("must_ask_within", "warm_within", "overload_span", "overload_multiple", "tick"):
+            _require_positive(name, getattr(self, name))
         for name in ("drain_grace", "answer_grace", "progress_every", "max_retry_after"):
-            _at_least_zero(name, getattr(self, name))
+            _require_not_negative(name, getattr(self, name))
         if not 0 < self.cold_share <= 1:
             raise ValueError(f"cold_share: must lie above 0 and at most at 1, not {self.cold_share}")
         if self.dispatchers < 1:
@@ -177,12 +177,12 @@
             raise ValueError(f"try_limit: must be 1 or more, not {self.try_limit}")
 
 
-def _positive(name: str, value: float) -> None:
+def _require_positive(name: str, value: float) -> None:
     if not value > 0:
         raise ValueError(f"{name}: must be above 0, not {value}")
 
 
-def _at_least_zero(name: str, value: float) -> None:
+def _require_not_negative(name: str, value: float) -> None:
     if not value >= 0:
         raise ValueError(f"{name}: must not be negative, not {value}")
 
@@ -204,7 +204,7 @@
     repeat: bool = False
 
 
-class StreamBegun(Struct):
+class StreamStarted(Struct):
     """The answer of a streamed attempt has begun; the attempt is the client's from now on."""
 
     id: str
@@ -213,7 +213,7 @@
     elapsed: float
 
 
-class JobNote(Struct):
+class JobProgress(Struct):
     """The job of an attempt has begun to run (`share` None) or reports the share done."""
 
     id: str
@@ -222,13 +222,13 @@
     share: float | None = None
 
 
-class Outcome(Struct):
+class AttemptEnded(Struct):
     """The end of an attempt; `final` says that the request is concluded."""
 
     id: str
     attempt: int
     worker: str
-    how: How
+    outcome: AttemptOutcome
     elapsed: float
     final: bool
     report: tuple[float | None, ...] | None = None
@@ -240,33 +240,33 @@
     id: str
 
 
-class Entry(Struct):
+class WorkerEntry(Struct):
     """A line of the worker list."""
 
     worker: str
     zone: str
     kind: str
     cell: int
-    state: State
+    state: WorkerState
     scale: float = 1.0
     up_since: float | None = None
     classes: frozenset[str] | None = None  # the only classes that it serves; None: all that its kind runs
     slots: int = 0  # jobs that it takes at once; 0: not told
 
-    def runs(self, spec: JobClass) -> bool:
+    def can_run(self, spec: JobClass) -> bool:
         """Whether it runs jobs of the class."""
         return spec.kind in (None, self.kind) and (self.classes is None or spec.name in self.classes)
 
-    def within(self, group: Group) -> str:
+    def dedup_scope_id(self, scope: DedupScope) -> str:
         """Name of its group of that sort; all workers of one name drop each other's repeats."""
-        return {Group.ALL: "", Group.ZONE: self.zone, Group.CELL: str(self.cell)}[group]
+        return {DedupScope.ALL: "", DedupScope.ZONE: self.zone, DedupScope.CELL: str(self.cell)}[scope]
 
 
 class WorkerList(Struct):
     """The worker list, or changes to it."""
 
     kind: ListKind
-    entries: list[Entry] = []
+    entries: list[WorkerEntry] = []
 
 
 class NewSettings(Struct):
@@ -275,13 +275,15 @@
     settings: Settings
 
 
-class Alarm(Struct):
-    """A timer set by `Wake` is due."""
+class TimerFired(Struct):
+    """A timer set by `StartTimer` is due."""
 
     label: str
 
 
-Event = Request | StreamBegun | JobNote | Outcome | Withdrawn | WorkerList | NewSettings | Alarm
+Event = (
+    Request | StreamStarted | JobProgress | AttemptEnded | Withdrawn | WorkerList | NewSettings | TimerFired
+)
 
 # ---- actions
 
@@ -316,17 +318,17 @@
     attempt: int
 
 
-class Watch(Struct):
+class SubscribeToWorkers(Struct):
     """Subscribe to changes of the worker list."""
 
     on: bool = True
 
 
-class Wake(Struct):
-    """Ask for an `Alarm`."""
+class StartTimer(Struct):
+    """Ask for a `TimerFired`."""
 
     label: str
     delay: float
 
 
-Action = Send | Refuse | Fail | Cancel | Watch | Wake
+Action = Send | Refuse | Fail | Cancel | SubscribeToWorkers | StartTimer
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -79,7 +79,7 @@
             (BACKEND_CALLS, *RELOAD_COUNTERS.values()), {"inflight": lambda: self.broker.unanswered}
         )
         # Where the list has to be asked for, the module decides when; else the node's own agent tells it.
-        asks = config.settings.ask_for_list
+        asks = config.settings.list_on_request
         failed = self.broker.subscription_failed if asks else None
         self.subscription = DiscoverySubscription(
             reactor, self.registry, config.discovery, Random(config.seed ^ 0x5EED), failed
@@ -243,7 +243,7 @@
         if self.handover is not None:
             self.broker.drain()  # so that the module knows the workers whose learned weights follow
             self.handover.restore_learned_weights()
-        if self.loaded.platform.settings.ask_for_list:
+        if self.loaded.platform.settings.list_on_request:
             self._serve(descriptor)
             return
         listen = self.reactor.callLater(FIRST_MESSAGE_WAIT, self._serve, descriptor)
--- a/bitternpath/balancer/simhost.py
+++ b/bitternpath/balancer/simhost.py
@@ -17,17 +17,21 @@
 from bitternpath.balancer.settings import settings_from
 
 ENDS = {
-    "GOOD": m.How.OK,
-    "BAD": m.How.ERROR,
-    "FULL": m.How.FULL,
-    "LATE": m.How.TIMEOUT,
-    "NOCONN": m.How.NO_CONNECTION,
-    "RST": m.How.RESET,
-    "CXL": m.How.CANCELLED,
-    "NOP": m.How.NOT_SENT,
+    "GOOD": m.AttemptOutcome.OK,
+    "BAD": m.AttemptOutcome.ERROR,
+    "FULL": m.AttemptOutcome.FULL,
+    "LATE": m.AttemptOutcome.TIMEOUT,
+    "NOCONN": m.AttemptOutcome.NO_CONNECTION,
+    "RST": m.AttemptOutcome.RESET,
+    "CXL": m.AttemptOutcome.CANCELLED,
+    "NOP": m.AttemptOutcome.NOT_SENT,
 }
-STATES = {"in_service": m.State.SERVING, "terminating": m.State.DRAINING, "terminated": m.State.GONE}
-LISTS = {"D": m.ListKind.CHANGES, "F": m.ListKind.WHOLE, "C": m.ListKind.AT_START, "X": m.ListKind.FAILED}
+STATES = {
+    "in_service": m.WorkerState.SERVING,
+    "terminating": m.WorkerState.DRAINING,
+    "terminated": m.WorkerState.GONE,
+}
+LISTS = {"D": m.ListKind.CHANGES, "F": m.ListKind.COMPLETE, "C": m.ListKind.INITIAL, "X": m.ListKind.FAILED}
 
 
 class Malformed(Exception):
@@ -44,7 +48,8 @@
 
 def _list(v: list[Any]) -> m.Event:
     rows = [
-        m.Entry(r[0], r[1], r[2], r[3], STATES[r[4]], r[5], r[6] if len(r) > 6 else None) for r in v[4] or ()
+        m.WorkerEntry(r[0], r[1], r[2], r[3], STATES[r[4]], r[5], r[6] if len(r) > 6 else None)
+        for r in v[4] or ()
     ]
     return m.WorkerList(LISTS[v[2]], rows)
 
@@ -52,13 +57,13 @@
 EVENTS: dict[str, Callable[[list[Any]], m.Event]] = {
     "KNOCK": _request,
     "PEERS_KNOWN": _list,
-    "STARTED": lambda v: m.StreamBegun(v[2], v[5], v[4], v[3]),
-    "NOTE": lambda v: m.JobNote(v[2], v[3], v[4], v[6] if v[5] == 2 else None),
-    "ENDED": lambda v: m.Outcome(
+    "STARTED": lambda v: m.StreamStarted(v[2], v[5], v[4], v[3]),
+    "NOTE": lambda v: m.JobProgress(v[2], v[3], v[4], v[6] if v[5] == 2 else None),
+    "ENDED": lambda v: m.AttemptEnded(
         v[2], v[3], v[4], ENDS[v[5]], v[6], bool(v[7]), v[9] if len(v) > 9 else None
     ),
     "WITHDRAWN": lambda v: m.Withdrawn(v[2]),
-    "FIRED": lambda v: m.Alarm(v[2]),
+    "FIRED": lambda v: m.TimerFired(v[2]),
 }
 
 ACTIONS: dict[type[Any], Callable[[int, Any], list[Any]]] = {
@@ -66,8 +71,8 @@
     m.Refuse: lambda i, a: ["PUSH_BACK", i, a.id, a.retry_after],
     m.Fail: lambda i, a: ["REPORT_FAILURE", i, a.id],
     m.Cancel: lambda i, a: ["CALL_OFF", i, a.id, a.attempt],
-    m.Watch: lambda i, a: ["FOLLOW", i, a.on],
-    m.Wake: lambda i, a: ["SCHEDULE", i, a.label, a.delay],
+    m.SubscribeToWorkers: lambda i, a: ["FOLLOW", i, a.on],
+    m.StartTimer: lambda i, a: ["SCHEDULE", i, a.label, a.delay],
 }
 
 
--- a/bitternpath/testing/emulator/discovery.py
+++ b/bitternpath/testing/emulator/discovery.py
@@ -40,7 +40,7 @@
         self._lags: dict[str, float] = {}
         self._missed: dict[str, set[str]] = {}
 
-    def row(self, worker: Worker, state: m.State = m.State.SERVING) -> Endpoint:
+    def row(self, worker: Worker, state: m.WorkerState = m.WorkerState.SERVING) -> Endpoint:
         since = self.epoch + worker.up_since * 1000.0 if worker.up_since > 0.0 else 0.0
         return Endpoint(
             worker.id, f"{worker.id}:1", worker.site, worker.kind.name, worker.cell, state, 1.0, since
@@ -83,17 +83,17 @@
         self.later.callLater(wait * self.slower, self._gone, worker.id, worker.up_since)
 
     def draining(self, worker: Worker) -> None:
-        self.later.callLater(self.add * self.slower, self._change, self.row(worker, m.State.DRAINING))
+        self.later.callLater(self.add * self.slower, self._change, self.row(worker, m.WorkerState.DRAINING))
 
     def _gone(self, worker: str, up_since: float) -> None:
         found = self.rows.get(worker)
         since = self.epoch + up_since * 1000.0 if up_since > 0.0 else 0.0
         if found is not None and found.up_since == since:
-            self._change(Endpoint(worker, found.host_port, found.zone, found.kind, found.cell, m.State.GONE,
-                                  found.size, found.up_since))  # fmt: skip
+            self._change(Endpoint(worker, found.host_port, found.zone, found.kind, found.cell,
+                                  m.WorkerState.GONE, found.size, found.up_since))  # fmt: skip
 
     def _change(self, row: Endpoint) -> None:
-        if row.state is m.State.GONE:
+        if row.state is m.WorkerState.GONE:
             self.rows.pop(row.id, None)
         else:
             self.rows[row.id] = row
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -133,7 +133,9 @@
         world = self.world
         named = {p.id for p in listing.members}
         for endpoint in listing.members:
-            world.checker.told(world.later.now, self.name, endpoint.id, endpoint.state is m.State.SERVING)
+            world.checker.told(
+                world.later.now, self.name, endpoint.id, endpoint.state is m.WorkerState.SERVING
+            )
             if endpoint.up_since:
                 world.informed.setdefault(endpoint.id, {})[self.name] = endpoint.up_since
         if listing.complete:
@@ -297,7 +299,7 @@
     def _not_connected(self, call: UpstreamCall, worker: Worker, wait: float) -> None:
         if self.world.policy == "oracle":
             self.world.reserved[worker.id] -= 1
-        self.timer.callLater(wait, self.broker.call_ended, call, m.How.NO_CONNECTION)
+        self.timer.callLater(wait, self.broker.call_ended, call, m.AttemptOutcome.NO_CONNECTION)
 
     def _arrive(self, call: UpstreamCall, worker: Worker, attempt: Attempt, timer: Any) -> None:
         world = self.world
@@ -308,7 +310,7 @@
         back = world.net.delay(worker.site, self.site)
         if not worker.up:
             if timer is self.timer:
-                timer.callLater(back, self.broker.call_ended, call, m.How.RESET)
+                timer.callLater(back, self.broker.call_ended, call, m.AttemptOutcome.RESET)
             return
         now = world.later.now
         world.checker.arrived(now, call.id, worker.id, call.number)
@@ -323,7 +325,7 @@
 
     def _turned_away(self, call: UpstreamCall, worker: str) -> None:
         self._kept(worker)
-        self.broker.call_ended(call, m.How.FULL)
+        self.broker.call_ended(call, m.AttemptOutcome.FULL)
 
     def _kept(self, worker: str) -> None:
         world = self.world
--- a/bitternpath/testing/emulator/policies.py
+++ b/bitternpath/testing/emulator/policies.py
@@ -24,7 +24,7 @@
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
         self.set, self.random, self.now = settings, Random(seed), now
         self.classes = {spec.name: spec for spec in settings.classes}
-        self.workers: dict[str, m.Entry] = {}
+        self.workers: dict[str, m.WorkerEntry] = {}
         self.own: dict[str, int] = {}  # own jobs in flight
         self.jobs: dict[str, dict[str, Any]] = {}
         self.pause = settings.tick
@@ -33,7 +33,7 @@
         self.now = now
         if isinstance(event, m.Request):
             return self._request(event)
-        if isinstance(event, m.Outcome):
+        if isinstance(event, m.AttemptEnded):
             return self._outcome(event)
         if isinstance(event, m.Withdrawn):
             self._close(event.id)
@@ -45,10 +45,10 @@
         return min(100.0, self.set.max_retry_after)
 
     def _list(self, event: m.WorkerList) -> None:
-        if event.kind in (m.ListKind.WHOLE, m.ListKind.AT_START):
+        if event.kind in (m.ListKind.COMPLETE, m.ListKind.INITIAL):
             self.workers.clear()
         for entry in event.entries:
-            if entry.state is m.State.SERVING:
+            if entry.state is m.WorkerState.SERVING:
                 self.workers[entry.worker] = entry
                 self.own.setdefault(entry.worker, 0)
             else:
@@ -88,10 +88,10 @@
     def choose(self, usable: list[str], job: dict[str, Any]) -> str | None:
         raise NotImplementedError
 
-    def heard(self, worker: str, event: m.Outcome) -> None:
+    def heard(self, worker: str, event: m.AttemptEnded) -> None:
         """An attempt there has ended."""
 
-    def _outcome(self, event: m.Outcome) -> list[m.Action]:
+    def _outcome(self, event: m.AttemptEnded) -> list[m.Action]:
         self.heard(event.worker, event)
         if event.worker in self.own:
             self.own[event.worker] -= 1
@@ -103,7 +103,7 @@
             self._close(event.id)
             return []
         job["not"].add(event.worker)
-        job["ran"] = job["ran"] or event.how not in m.NEVER_RAN
+        job["ran"] = job["ran"] or event.outcome not in m.NOT_EXECUTED
         return self._send(event.id) if not job["out"] else []
 
     def _close(self, id: str) -> None:
@@ -152,8 +152,8 @@
         usual = sum(known) / len(known) if known else 1.0
         return min(usable, key=lambda w: (self.mean.get(w, usual) * (1 + self.own[w]), self.random.random()))
 
-    def heard(self, worker: str, event: m.Outcome) -> None:
-        took = event.elapsed if event.how is m.How.OK else PENALTY * max(event.elapsed, 100.0)
+    def heard(self, worker: str, event: m.AttemptEnded) -> None:
+        took = event.elapsed if event.outcome is m.AttemptOutcome.OK else PENALTY * max(event.elapsed, 100.0)
         before = self.mean.get(worker, took)
         self.mean[worker] = before + WEIGHT * (took - before)
 
@@ -173,13 +173,13 @@
         super().__init__(settings, seed, now)
         self.held: list[str] = []
         self._next_full = now
-        self.acts: list[m.Action] = [m.Wake("look", LOOK)]
+        self.acts: list[m.Action] = [m.StartTimer("look", LOOK)]
 
     def handle(self, now: float, event: m.Event) -> list[m.Action]:
         acts = super().handle(now, event)
-        if isinstance(event, m.Alarm):
-            acts.append(m.Wake("look", LOOK))
-        if isinstance(event, m.Alarm | m.Outcome | m.Request) and self.held:
+        if isinstance(event, m.TimerFired):
+            acts.append(m.StartTimer("look", LOOK))
+        if isinstance(event, m.TimerFired | m.AttemptEnded | m.Request) and self.held:
             acts += self._place_held()
         return acts
 
--- a/bitternpath/testing/emulator/sockets/feed.py
+++ b/bitternpath/testing/emulator/sockets/feed.py
@@ -12,7 +12,7 @@
 from bitternpath.testing.emulator.sockets.run import Run
 from bitternpath.testing.emulator.sockets.servers import Server, ServerConnection
 
-PHASES = {m.State.SERVING: "up", m.State.DRAINING: "draining", m.State.GONE: "removed"}
+PHASES = {m.WorkerState.SERVING: "up", m.WorkerState.DRAINING: "draining", m.WorkerState.GONE: "removed"}
 HEARTBEAT = 2.0  # s between empty lines on a watch
 MOVED_CLOSES_AFTER = 1.5  # s for which the address before a move still answers
 
@@ -51,7 +51,7 @@
         """Discovery's word goes out on the watches."""
         now = self.world.now()
         for endpoint in listing.members:
-            self.world.checker.told(now, self.node, endpoint.id, endpoint.state is m.State.SERVING)
+            self.world.checker.told(now, self.node, endpoint.id, endpoint.state is m.WorkerState.SERVING)
             if endpoint.up_since:
                 self.world.informed.setdefault(endpoint.id, {})[self.node] = endpoint.up_since
         for connection in list(self.watches):
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -65,12 +65,12 @@
                 c.give_up,
                 c.worth,
                 c.late_worth,
-                window=5000.0,
-                stretch=c.stretch,
+                dedup_window=5000.0,
+                work_factor=c.stretch,
             )
             for c in scenario.classes
         ),
-        me=number,
+        dispatcher_index=number,
         dispatchers=nodes,
         zone=site,
         kinds=tuple(kind.name for kind in scenario.kinds),
@@ -78,17 +78,17 @@
         answer_grace=rules.answer_grace_ms,
         cold_share=rules.stated_cold_share,
         warm_within=rules.stated_warm_ms,
-        fall_multiple=rules.fall_multiple,
-        fall_span=rules.fall_ms,
+        overload_multiple=rules.fall_multiple,
+        overload_span=rules.fall_ms,
         second_copies=rules.second_copies,
         try_limit=rules.try_limit,
         max_retry_after=scenario.clients.longest_retry_after_ms,
         tick=2.0,
-        ask_for_list=scenario.discovery.calls_per_s > 0.0,
+        list_on_request=scenario.discovery.calls_per_s > 0.0,
         must_ask_within=scenario.discovery.must_ask_s * 1000.0,
-        tells_start=rules.tells_start,
+        reports_start=rules.tells_start,
         in_order=True,
-        marks_retry=scenario.clients.marks_retry,
+        retries_marked=scenario.clients.marks_retry,
         progress_every=rules.progress_ms,
         late_fail_price=prices.late_fail,
         waste_price=prices.waste,
@@ -185,7 +185,7 @@
             made.look, made.worth, made.reserve = self._look, self._worth, self._reserve
             made.free = self._free
         for action in getattr(made, "acts", ()):  # asked for before any event
-            if isinstance(action, m.Wake):
+            if isinstance(action, m.StartTimer):
                 node.timer.callLater(action.delay / 1000.0, self._wake, node, action.label, node.timer)
         if hasattr(made, "acts"):
             made.acts = []
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -324,15 +324,21 @@
         self.reactor = Reactor()
         self.peers: list[Peer] = []
         rows = (
-            Endpoint(f"s{k}", f"h:{k}", "z", "k", 0, m.State.SERVING, 1.0, 0.0) for k in range(http_endpoints)
+            Endpoint(f"s{k}", f"h:{k}", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0)
+            for k in range(http_endpoints)
         )
         listing = Listing(1, True, tuple(rows))
         self.classes = (
-            m.JobClass("lookup", m.Effect.SAFE, 5000.0, 9000.0, late_worth=0.5),
-            m.JobClass("reminder", m.Effect.UNSAFE, 5000.0, 9000.0, late_worth=0.5),
+            m.JobClass("lookup", m.Effect.SAFE, 5000.0, 9000.0, late_value_share=0.5),
+            m.JobClass("reminder", m.Effect.UNSAFE, 5000.0, 9000.0, late_value_share=0.5),
         )
         told = m.Settings(
-            self.classes, second_copies=True, try_limit=6, tells_start=True, max_retry_after=2000.0, tick=2.0
+            self.classes,
+            second_copies=True,
+            try_limit=6,
+            reports_start=True,
+            max_retry_after=2000.0,
+            tick=2.0,
         )
         self.module = Dispatcher(told, 1, self.now())
         self.registry = EndpointRegistry(listing)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,15 +9,22 @@
 
 
 def job_class(name: str = "job", effect: m.Effect = m.Effect.SAFE, **more: Any) -> m.JobClass:
-    given: dict[str, Any] = {"aim": 400.0, "give_up": 5000.0, "window": 7500.0, "stretch": 2.0}
+    given: dict[str, Any] = {
+        "latency_target": 400.0,
+        "max_deadline": 5000.0,
+        "dedup_window": 7500.0,
+        "work_factor": 2.0,
+    }
     return m.JobClass(name, effect, **(given | more))
 
 
-def entry(name: str, zone: str = "a", cell: int = 0, **more: Any) -> m.Entry:
-    return m.Entry(name, zone, more.pop("kind", "k"), cell, more.pop("state", m.State.SERVING), **more)
+def entry(name: str, zone: str = "a", cell: int = 0, **more: Any) -> m.WorkerEntry:
+    return m.WorkerEntry(
+        name, zone, more.pop("kind", "k"), cell, more.pop("state", m.WorkerState.SERVING), **more
+    )
 
 
-def listing(*entries: m.Entry, kind: m.ListKind = m.ListKind.AT_START) -> m.WorkerList:
+def listing(*entries: m.WorkerEntry, kind: m.ListKind = m.ListKind.INITIAL) -> m.WorkerList:
     return m.WorkerList(kind, list(entries))
 
 
@@ -25,7 +32,7 @@
     """A dispatcher with the workers w0, w1, ... and a clock."""
 
     def __init__(
-        self, *classes: m.JobClass, workers: int | list[m.Entry] = 3, seed: int = 1, **more: Any
+        self, *classes: m.JobClass, workers: int | list[m.WorkerEntry] = 3, seed: int = 1, **more: Any
     ) -> None:
         self.now = 1_000_000.0
         self.d = Dispatcher(m.Settings(classes=classes or (job_class(),), **more), seed, self.now)
@@ -39,16 +46,20 @@
     def ask(self, name: str, job: str = "job", remaining: float = 5000.0, **more: Any) -> list[m.Action]:
         return self.say(m.Request(name, job, remaining, **more))
 
-    def end(self, name: str, worker: str, how: m.How, n: int = 0, after: float = 10.0) -> list[m.Action]:
+    def end(
+        self, name: str, worker: str, how: m.AttemptOutcome, n: int = 0, after: float = 10.0
+    ) -> list[m.Action]:
         self.now += after
-        return self.d.handle(self.now, m.Outcome(name, n, worker, how, after, how is m.How.OK))
+        return self.d.handle(
+            self.now, m.AttemptEnded(name, n, worker, how, after, how is m.AttemptOutcome.OK)
+        )
 
     def sweep(self, after: float) -> list[m.Action]:
         """Let time pass with the sweep's alarms as they fall due."""
         acts: list[m.Action] = []
         until = self.now + after
         while self.now < until:
-            acts += self.say(m.Alarm("sweep"), self.d.pause)
+            acts += self.say(m.TimerFired("sweep"), self.d.pause)
         return acts
 
 
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -511,7 +511,7 @@
     }  # fmt: skip
     assert (request.key, request.hint, request.slots, request.repeat) == (0x7F, 3.5, 2.0, True)
     assert 600 < request.deadline - rig.now() <= 700
-    rig.broker.call_ended(call, m.How.OK, b"by http")
+    rig.broker.call_ended(call, m.AttemptOutcome.OK, b"by http")
     rig.settle()
     assert publisher.answers() == [("served", "c-a", b"by http")] and publisher.confirms() == [("ack", 1)]
 
@@ -536,7 +536,7 @@
     rig, publisher, _, _ = rig_with()
     from bitternpath.balancer.core.endpoint_registry import Endpoint, Listing
 
-    row = Endpoint("s9", "h:9", "z", "k", 0, m.State.SERVING, 1.0, 0.0)
+    row = Endpoint("s9", "h:9", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0)
     rig.registry.apply(Listing(7, True, (row,)))
     rig.registry.apply(Listing(8, True, ()))
     rig.settle()
@@ -545,7 +545,9 @@
     assert publisher.answers() == [("served", "c-a", b"ran")]
     # An endpoint of discovery's that bears the name of a subscriber does not take its place.
     name = next(iter(rig.subscribers.by_endpoint))
-    rig.registry.apply(Listing(9, True, (Endpoint(name, "h:9", "z", "k", 0, m.State.SERVING, 1.0, 0.0),)))
+    rig.registry.apply(
+        Listing(9, True, (Endpoint(name, "h:9", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
+    )
     found = rig.registry.serving(name)
     assert found is not None and found.protocol == "amqp"
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -22,17 +22,20 @@
         effect: m.Effect = m.Effect.UNSAFE,
         endpoints: int = 2,
         handle: Any = None,
-        window: float = 5000.0,
+        dedup_window: float = 5000.0,
     ) -> None:
         self.reactor = Reactor()
-        rows = (Endpoint(f"s{k}", f"h:{k}", "z", "k", 0, m.State.SERVING, 1.0, 0.0) for k in range(endpoints))
+        rows = (
+            Endpoint(f"s{k}", f"h:{k}", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0)
+            for k in range(endpoints)
+        )
         listing = Listing(1, True, tuple(rows))
         self.calls: list[UpstreamCall] = []
         self.given_up: list[UpstreamCall] = []
         self.answers: list[tuple[Any, ...]] = []
         self.left = False
-        spec = m.JobClass("job", effect, 80.0, 5000.0, late_worth=0.5, window=window)
-        settings = m.Settings((spec,), second_copies=True, try_limit=6, tells_start=True)
+        spec = m.JobClass("job", effect, 80.0, 5000.0, late_value_share=0.5, dedup_window=dedup_window)
+        settings = m.Settings((spec,), second_copies=True, try_limit=6, reports_start=True)
         module = self.module = Dispatcher(settings, 1, self.now())
         self.broker = Broker(
             self.reactor, self.now, EndpointRegistry(listing), {"http": self}, handle or module.handle
@@ -102,7 +105,7 @@
     desk.call_reported(state, endpoint, result=b"r")
     for again in CallState:
         desk.call_reported(again, endpoint, result=b"other")
-    desk.broker.call_ended(desk.calls[0], m.How.RESET)
+    desk.broker.call_ended(desk.calls[0], m.AttemptOutcome.RESET)
     desk.pass_time(2000.0)
     assert desk.answers == [("served", b"r") if state is CallState.DONE else ("failed",)]
     assert len(desk.calls) == 1
@@ -130,11 +133,11 @@
 
 
 def test_a_repeat_of_a_keyed_job_may_begin_only_inside_the_window_of_the_first() -> None:
-    desk = Desk(m.Effect.KEYED, window=1000.0)
+    desk = Desk(m.Effect.KEYED, dedup_window=1000.0)
     desk.submit(budget=4000.0)
     first = desk.calls[0]
     desk.pass_time(200.0)
-    desk.broker.call_ended(first, m.How.RESET)
+    desk.broker.call_ended(first, m.AttemptOutcome.RESET)
     desk.pass_time(1.0)
     assert len(desk.calls) == 2 and first.sent < desk.calls[1].sent < desk.calls[1].start_deadline
     assert desk.calls[1].start_deadline < first.sent + 1000.0
@@ -174,12 +177,12 @@
 
     def handle(now: float, event: m.Event) -> list[m.Action]:
         heard.append(event)
-        if isinstance(event, m.Alarm) and heard.count(event) == 1:
+        if isinstance(event, m.TimerFired) and heard.count(event) == 1:
             raise RuntimeError("alarm")
         if isinstance(event, m.Request):
             if event.id == "bad":
                 raise RuntimeError("request")
-            return [m.Refuse(event.id), m.Wake("sweep", 5.0)]
+            return [m.Refuse(event.id), m.StartTimer("sweep", 5.0)]
         return []
 
     desk = Desk(handle=handle)
@@ -187,7 +190,7 @@
     desk.submit("good")
     assert sorted(desk.answers) == [("failed",), ("rejected",)]
     desk.pass_time(200.0)
-    assert heard.count(m.Alarm("sweep")) == 2 and m.Withdrawn("bad") in heard
+    assert heard.count(m.TimerFired("sweep")) == 2 and m.Withdrawn("bad") in heard
 
 
 def test_a_call_that_fails_to_start_may_have_run_and_is_answered_at_once() -> None:
@@ -225,7 +228,7 @@
     desk.submit()
     before = [(net.plus[:], net.minus[:], net.plus_all, net.minus_all) for net in nets]
     desk.broker.call_unusable(desk.calls[0])
-    desk.broker.call_ended(desk.calls[0], m.How.RESET)
+    desk.broker.call_ended(desk.calls[0], m.AttemptOutcome.RESET)
     desk.pass_time(50.0)
     assert desk.answers == [("failed",)] and len(desk.calls) == 1 and not desk.broker.in_progress
     assert before == [(net.plus[:], net.minus[:], net.plus_all, net.minus_all) for net in nets]
--- a/tests/test_discovery_subscription.py
+++ b/tests/test_discovery_subscription.py
@@ -255,7 +255,7 @@
     assert registry.apply(listing(4, False, row("b", "up", 7.0)))  # it has started anew
     assert registry.apply(listing(6, True, row("a"), row("b", "draining", 7.0)))
     assert [id for id in "abcd" if registry.serving(id)] == ["a"]
-    assert registry.endpoints["b"].state is m.State.DRAINING
+    assert registry.endpoints["b"].state is m.WorkerState.DRAINING
 
 
 # ---- on real connections
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -297,11 +297,13 @@
 class Resends(RandomPolicy):
     """Sends again whatever may have run."""
 
-    def _outcome(self, event: m.Outcome) -> list[m.Action]:
+    def _outcome(self, event: m.AttemptEnded) -> list[m.Action]:
         if event.id in self.jobs and not event.final:
             self.jobs[event.id]["ran"] = False
             acts = super()._outcome(
-                m.Outcome(event.id, event.attempt, event.worker, m.How.FULL, event.elapsed, False)
+                m.AttemptEnded(
+                    event.id, event.attempt, event.worker, m.AttemptOutcome.FULL, event.elapsed, False
+                )
             )
             return acts
         return super()._outcome(event)
@@ -310,9 +312,9 @@
 class Refuses(RandomPolicy):
     """Refuses what may have run."""
 
-    def _outcome(self, event: m.Outcome) -> list[m.Action]:
+    def _outcome(self, event: m.AttemptEnded) -> list[m.Action]:
         job = self.jobs.get(event.id)
-        if job is not None and not event.final and event.how not in m.NEVER_RAN:
+        if job is not None and not event.final and event.outcome not in m.NOT_EXECUTED:
             self._close(event.id)
             return [m.Refuse(event.id)]
         return super()._outcome(event)
@@ -399,7 +401,7 @@
     right = EndpointRegistry.apply
 
     def deaf(self: EndpointRegistry, listing: Any) -> None:
-        if all(p.state is m.State.SERVING for p in listing.members):
+        if all(p.state is m.WorkerState.SERVING for p in listing.members):
             right(self, listing)
 
     monkeypatch.setattr(EndpointRegistry, "apply", deaf)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -86,7 +86,7 @@
 
 
 def test_messages_come_out_as_they_went_in_whatever_the_pieces() -> None:
-    endpoint = Endpoint("s", "h:1", "z", "k", 2, m.State.DRAINING, 1.5, 7.0, serves=frozenset({"a"}))
+    endpoint = Endpoint("s", "h:1", "z", "k", 2, m.WorkerState.DRAINING, 1.5, 7.0, serves=frozenset({"a"}))
     talk = Talk(workers=2)
     said = [
         Hello(1, "h:1"), Welcome(Listing(3, True, (endpoint,)), ["x"], learned_weights_of(talk.d)), Ready(),
@@ -120,19 +120,19 @@
 
 
 def trained(seed: int, workers: int = 4) -> Talk:
-    talk = Talk(job_class("a"), job_class("b"), workers=workers, seed=seed, tells_start=True)
+    talk = Talk(job_class("a"), job_class("b"), workers=workers, seed=seed, reports_start=True)
     for k in range(60):
         for name in "ab":
             for send in sends(talk.ask(f"{name}{k}", name)):
                 slow = 5.0 if send.worker == "w1" else 1.0
-                talk.say(m.JobNote(f"{name}{k}", 0, send.worker), after=2.0)
-                talk.end(f"{name}{k}", send.worker, m.How.OK, after=30.0 * slow)
+                talk.say(m.JobProgress(f"{name}{k}", 0, send.worker), after=2.0)
+                talk.end(f"{name}{k}", send.worker, m.AttemptOutcome.OK, after=30.0 * slow)
     return talk
 
 
 def test_a_newer_module_picks_as_the_older_one_did() -> None:
     old = trained(1)
-    new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, tells_start=True)
+    new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
     new.now = old.now
     assert restore_learned_weights(new.d, learned_weights_of(old.d)) == []
     for name in "ab":
@@ -159,7 +159,7 @@
 def test_jobs_of_the_older_process_weigh_on_their_workers_until_they_should_have_ended() -> None:
     old = trained(1)
     (send,) = sends(old.ask("open", "a"))
-    new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, tells_start=True)
+    new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
     new.now = old.now
     restore_learned_weights(new.d, learned_weights_of(old.d))
     worker = new.d.workers[send.worker]
@@ -179,7 +179,7 @@
     restore_learned_weights(fresh.d, told)
     for k in range(30):
         for send in sends(fresh.ask(f"x{k}", "a")):
-            fresh.end(f"x{k}", send.worker, m.How.OK)
+            fresh.end(f"x{k}", send.worker, m.AttemptOutcome.OK)
     assert all(0.0 <= q <= 1.0 for q in fresh.d.class_states["a"].net.q)
 
 
@@ -190,7 +190,7 @@
     """A process with its end of the link, on a clock and without sockets."""
 
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
-        listing = Listing(1, True, (Endpoint("s", "h:1", "z", "k", 0, m.State.SERVING, 1.0, 0.0),))
+        listing = Listing(1, True, (Endpoint("s", "h:1", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
         self.lifecycle, self.sockets, self.registry = Lifecycle(), Sockets(256), EndpointRegistry(listing)
         self.module = Talk(workers=1).d
         self.broker = Broker(reactor, reactor.seconds, self.registry, {}, self.module.handle)
--- a/tests/test_http_upstream_client.py
+++ b/tests/test_http_upstream_client.py
@@ -20,7 +20,7 @@
 from bitternpath.net.http1 import Request
 from bitternpath.net.sockets import Sockets
 
-ROW = Endpoint("s0", "127.0.0.1:1", "z", "k", 0, m.State.SERVING, 1.0, 5.0)
+ROW = Endpoint("s0", "127.0.0.1:1", "z", "k", 0, m.WorkerState.SERVING, 1.0, 5.0)
 ACCEPTED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 REJECTED = b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -53,7 +53,7 @@
     """A pool whose connections the test makes and breaks."""
 
     def __init__(self) -> None:
-        self.ends: list[m.How | str] = []
+        self.ends: list[m.AttemptOutcome | str] = []
         self.now = 1e6
         self.registry = EndpointRegistry(Listing(1, True, (ROW,)))
         self.statistics = Statistics()
@@ -68,7 +68,7 @@
         line.dials += 1
         return True
 
-    def call_ended(self, call: UpstreamCall, how: m.How) -> None:
+    def call_ended(self, call: UpstreamCall, how: m.AttemptOutcome) -> None:
         self.ends.append(how)
 
     def may_begin(self, call: UpstreamCall) -> bool:
@@ -105,21 +105,25 @@
 @pytest.mark.parametrize(
     ("written", "answer", "want"),
     [
-        (False, b"", [m.How.NO_CONNECTION]),  # a break before the last byte is written: never ran
-        (True, b"", [m.How.RESET]),
-        (True, ACCEPTED[:20], [m.How.RESET]),
+        (False, b"", [m.AttemptOutcome.NO_CONNECTION]),  # a break before the last byte is written: never ran
+        (True, b"", [m.AttemptOutcome.RESET]),
+        (True, ACCEPTED[:20], [m.AttemptOutcome.RESET]),
         (True, ACCEPTED, []),  # call-backs tell the rest
-        (True, b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", [m.How.FULL]),
-        (True, b"HTTP/1.1 504 x\r\nX-Rejected: 1\r\n\r\n", [m.How.FULL]),
-        (True, b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", [m.How.ERROR]),
-        (True, b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", [m.How.ERROR]),
+        (True, b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", [m.AttemptOutcome.FULL]),
+        (True, b"HTTP/1.1 504 x\r\nX-Rejected: 1\r\n\r\n", [m.AttemptOutcome.FULL]),
+        (True, b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", [m.AttemptOutcome.ERROR]),
+        (True, b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", [m.AttemptOutcome.ERROR]),
         (True, b"HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", ["unusable"]),
-        (True, b"nonsense\r\n\r\n", [m.How.RESET]),
-        (False, b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", [m.How.NO_CONNECTION]),
+        (True, b"nonsense\r\n\r\n", [m.AttemptOutcome.RESET]),
+        (
+            False,
+            b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+            [m.AttemptOutcome.NO_CONNECTION],
+        ),
     ],
 )
 def test_what_becomes_of_a_call_when_its_connection_ends(
-    written: bool, answer: bytes, want: list[m.How | str]
+    written: bool, answer: bytes, want: list[m.AttemptOutcome | str]
 ) -> None:
     bench = Bench()
     bench.call()
@@ -137,9 +141,9 @@
     # Guards: the drain was told between the module's choice and the first byte.
     bench = Bench()
     bench.call()
-    bench.registry.apply(Listing(2, False, (replace(ROW, state=m.State.DRAINING),)))
+    bench.registry.apply(Listing(2, False, (replace(ROW, state=m.WorkerState.DRAINING),)))
     _, wire = bench.connect()
-    assert bench.ends == [m.How.NO_CONNECTION] and wire.value() == b""
+    assert bench.ends == [m.AttemptOutcome.NO_CONNECTION] and wire.value() == b""
 
 
 def test_a_call_that_waits_for_a_connection_past_its_time_to_begin_is_not_sent() -> None:
@@ -148,7 +152,7 @@
     bench.call().start_deadline = bench.now + 100.0
     bench.now += 101.0
     _, wire = bench.connect()
-    assert bench.ends == [m.How.NO_CONNECTION] and wire.value() == b""
+    assert bench.ends == [m.AttemptOutcome.NO_CONNECTION] and wire.value() == b""
 
 
 @pytest.mark.parametrize("second", [ACCEPTED, REJECTED, b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"])
@@ -258,7 +262,7 @@
     reused: list[Any] = [None]
     for reset in (False, True, False, True):
         round(reset)
-    assert bench.ends == [m.How.RESET, m.How.RESET]
+    assert bench.ends == [m.AttemptOutcome.RESET, m.AttemptOutcome.RESET]
     round(False)
     assert line is not None and not line.idle and pool.reuse.resets[True] > pool.reuse.resets[False]
     for _ in range(100):
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -23,7 +23,8 @@
 
 def fleet(workers: int = WORKERS, **more: object) -> list[Talk]:
     return [
-        Talk(workers=workers, seed=k, me=k, dispatchers=NODES, tells_start=True, **more) for k in range(NODES)
+        Talk(workers=workers, seed=k, dispatcher_index=k, dispatchers=NODES, reports_start=True, **more)
+        for k in range(NODES)
     ]
 
 
@@ -41,8 +42,8 @@
         used = Counter[str]()
         for n in range(100):
             (send,) = sends(talk.ask(f"r{n}"))
-            talk.say(m.JobNote(f"r{n}", 0, send.worker), 1.0)
-            talk.end(f"r{n}", send.worker, m.How.OK, after=100.0)
+            talk.say(m.JobProgress(f"r{n}", 0, send.worker), 1.0)
+            talk.end(f"r{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
             used[send.worker] += 1
         assert sum(n for _, n in used.most_common(3)) > 80
 
@@ -56,20 +57,25 @@
 def test_workers_that_join_in_a_mass_carry_work_soon_and_none_is_flooded() -> None:
     """Each drew its first gap from a minute: 36 new workers stood idle while 24 had long queues."""
     run, share, multiple = 100.0, 0.25, 4.0
-    cold = {"cold_share": share, "warm_within": 20_000.0, "fall_multiple": multiple, "fall_span": 1000.0}
+    cold = {
+        "cold_share": share,
+        "warm_within": 20_000.0,
+        "overload_multiple": multiple,
+        "overload_span": 1000.0,
+    }
     talks, got, tries = fleet(**cold), Counter[str](), 0
     for talk in talks:
         for n in range(40):  # what jobs take is known, and no worker is
             (send,) = sends(talk.ask(f"t{n}"))
-            talk.say(m.JobNote(f"t{n}", 0, send.worker), 1.0)
-            talk.end(f"t{n}", send.worker, m.How.OK, after=run)
+            talk.say(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
+            talk.end(f"t{n}", send.worker, m.AttemptOutcome.OK, after=run)
         new = [entry(f"new{k}", up_since=talk.now) for k in range(36)]
-        talk.say(listing(*[entry(f"w{k}") for k in range(24)], *new, kind=m.ListKind.WHOLE))
+        talk.say(listing(*[entry(f"w{k}") for k in range(24)], *new, kind=m.ListKind.COMPLETE))
         start = talk.now
         while talk.now < start + 1000.0:  # far more jobs than the fleet can do: what is free is used
             for send in sends(talk.ask(f"r{tries}")):
                 got[send.worker] += send.worker.startswith("new")
-                talk.say(m.JobNote(f"r{tries}", 0, send.worker))
+                talk.say(m.JobProgress(f"r{tries}", 0, send.worker))
             talk.sweep(talk.d.pause)
             tries += 1
     carried = [got[f"new{k}"] * run / 1000.0 for k in range(36)]
@@ -82,10 +88,10 @@
     (talk,) = fleet(cold_share=0.05, warm_within=20_000.0)[:1]
     for n in range(40):
         (send,) = sends(talk.ask(f"t{n}"))
-        talk.say(m.JobNote(f"t{n}", 0, send.worker), 1.0)
-        talk.end(f"t{n}", send.worker, m.How.OK, after=100.0)
+        talk.say(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
+        talk.end(f"t{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
     home = talk.d.home_workers[0]
-    talk.say(listing(*[entry(f"w{k}") for k in range(WORKERS) if f"w{k}" != home], kind=m.ListKind.WHOLE))
+    talk.say(listing(*[entry(f"w{k}") for k in range(WORKERS) if f"w{k}" != home], kind=m.ListKind.COMPLETE))
     talk.say(listing(entry(home, up_since=talk.now), kind=m.ListKind.CHANGES))
     talk.sweep(500.0)
     for worker in talk.d.workers.values():  # no other place is free
@@ -94,8 +100,10 @@
         talk.ask(f"r{turn}")
         out = [t for t in talk.d.in_flight.values() if t.worker.name == home]
         assert len(out) == 1, turn
-        talk.say(m.JobNote(out[0].job.id, out[0].n, home))
-        talk.end(out[0].job.id, home, m.How.OK, after=300.0)  # three times as long as on a warm one
+        talk.say(m.JobProgress(out[0].job.id, out[0].n, home))
+        talk.end(
+            out[0].job.id, home, m.AttemptOutcome.OK, after=300.0
+        )  # three times as long as on a warm one
 
 
 def test_a_dispatcher_with_few_jobs_learns_of_long_waits_within_seconds() -> None:
@@ -103,19 +111,19 @@
     (talk,) = fleet()[:1]
     for n in range(12):
         for send in sends(talk.ask(f"r{n}")):
-            talk.say(m.JobNote(f"r{n}", 0, send.worker), 600.0)
-            talk.end(f"r{n}", send.worker, m.How.OK, after=100.0)
+            talk.say(m.JobProgress(f"r{n}", 0, send.worker), 600.0)
+            talk.end(f"r{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
     assert talk.d.mean_wait > 300.0
 
 
 def test_a_herd_of_nodes_does_not_swamp_a_discovery_service_of_fixed_capacity() -> None:
     """Asked at once and again within a second, it served only calls that had already failed by waiting."""
     serves, waits = 150.0, 2000.0  # ms for a call; ms after which a waiting call fails
-    talks = fleet(ask_for_list=True)
+    talks = fleet(list_on_request=True)
     start, free, calls, granted = talks[0].now, 0.0, 0, set[int]()
 
     def ask_in(acts: list[m.Action]) -> list[float]:
-        return [a.delay for a in acts if isinstance(a, m.Wake) and a.label == "watch"]
+        return [a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch"]
 
     due = [(delay, k, "ask") for k, talk in enumerate(talks) for delay in ask_in(talk.first)]
     heapq.heapify(due)
@@ -125,7 +133,10 @@
         if what == "failed":
             for delay in ask_in(talks[k].say(m.WorkerList(m.ListKind.FAILED))):
                 heapq.heappush(due, (at + delay, k, "ask"))
-        elif any(isinstance(a, m.Watch) for a in talks[k].say(m.Alarm("watch"))) and k not in granted:
+        elif (
+            any(isinstance(a, m.SubscribeToWorkers) for a in talks[k].say(m.TimerFired("watch")))
+            and k not in granted
+        ):
             calls += 1
             free = max(free, at) + serves  # in turn, and at the same cost if nobody waits any more
             if free - at > waits:
@@ -143,7 +154,9 @@
 
     def handle(now: float, event: m.Event) -> list[m.Action]:
         handed.append(event)
-        return [m.Watch()] if isinstance(event, m.Alarm) else [m.Wake("watch", 5000.0)]
+        return (
+            [m.SubscribeToWorkers()] if isinstance(event, m.TimerFired) else [m.StartTimer("watch", 5000.0)]
+        )
 
     broker = Broker(reactor, reactor.seconds, registry, {}, handle)
     subscription = DiscoverySubscription(
@@ -178,11 +191,11 @@
     (first,) = sends(talk.ask("running"))
     assert first.worker == home
     if heard:
-        talk.say(m.JobNote("running", 0, home))
+        talk.say(m.JobProgress("running", 0, home))
     worker.waiting = 0
     (second,) = sends(talk.ask("refused"))
     assert second.worker == home
-    talk.end("refused", home, m.How.NO_CONNECTION, after=1.0)
+    talk.end("refused", home, m.AttemptOutcome.NO_CONNECTION, after=1.0)
     assert (worker.strikes == 0) == heard
     assert (worker.out_until > talk.now) != heard and (worker.full_until > talk.now) == heard
 
--- a/tests/test_manual_ejections.py
+++ b/tests/test_manual_ejections.py
@@ -20,7 +20,9 @@
 UNIX = 1_800_000_000_000.0  # ms
 
 
-def row(id: str, state: m.State = m.State.SERVING, up_since: float = 0.0, port: int = 1) -> Endpoint:
+def row(
+    id: str, state: m.WorkerState = m.WorkerState.SERVING, up_since: float = 0.0, port: int = 1
+) -> Endpoint:
     return Endpoint(id, f"h:{port}", "z", "k", 0, state, 1.0, up_since)
 
 
@@ -74,19 +76,19 @@
         [Listing(2, False, (row("a"),))],
         [Listing(2, False, (row("a", up_since=UNIX),))],
         [Listing(2, False, (row("a", port=9),))],
-        [Listing(2, False, (row("a", m.State.GONE),)), Listing(3, False, (row("a", up_since=UNIX),))],
+        [Listing(2, False, (row("a", m.WorkerState.GONE),)), Listing(3, False, (row("a", up_since=UNIX),))],
         [Listing(2, True, (row("b"),)), Listing(3, True, (row("a"), row("b")))],
     ],
 )
 def test_a_ban_holds_whatever_the_list_says(tmp_path: Path, said: list[Listing]) -> None:
     desk = Desk(tmp_path / "out")
     registry = desk.registries[0]
-    assert desk.ejections[0].eject("a") and desk.heard[-1].members[0].state is m.State.DRAINING
+    assert desk.ejections[0].eject("a") and desk.heard[-1].members[0].state is m.WorkerState.DRAINING
     for listing in said:
         registry.apply(listing)
         assert registry.serving("a") is None and registry.knows("a")
-        assert all(p.state is not m.State.SERVING for p in desk.heard[-1].members if p.id == "a")
-    assert registry.serving("b") and registry.discovered().members[0].state is m.State.SERVING
+        assert all(p.state is not m.WorkerState.SERVING for p in desk.heard[-1].members if p.id == "a")
+    assert registry.serving("b") and registry.discovered().members[0].state is m.WorkerState.SERVING
     assert desk.ejections[0].reinstate("a") and registry.serving("a") is not None
     assert desk.heard[-1].members[0].id == "a"
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -110,9 +110,9 @@
     changed(talk, job_class(effect=m.Effect.SAFE), try_limit=1)
     (new,) = sends(talk.ask("new"))
     for n in range(1, 4):  # the old one has four attempts, of which none ran
-        (old,) = sends(talk.end("old", old.worker, m.How.FULL, n - 1))
-    assert isinstance(finals(talk.end("old", old.worker, m.How.RESET, 3))[0], m.Fail)
-    assert isinstance(finals(talk.end("new", new.worker, m.How.RESET))[0], m.Refuse)
+        (old,) = sends(talk.end("old", old.worker, m.AttemptOutcome.FULL, n - 1))
+    assert isinstance(finals(talk.end("old", old.worker, m.AttemptOutcome.RESET, 3))[0], m.Fail)
+    assert isinstance(finals(talk.end("new", new.worker, m.AttemptOutcome.RESET))[0], m.Refuse)
 
 
 def test_what_was_learned_of_a_class_that_stays_stays_and_one_with_another_effect_is_new() -> None:
@@ -120,15 +120,15 @@
     for k in range(20):
         for name in "ab":
             (send,) = sends(talk.ask(f"{name}{k}", name))
-            talk.end(f"{name}{k}", send.worker, m.How.OK, after=50.0)
+            talk.end(f"{name}{k}", send.worker, m.AttemptOutcome.OK, after=50.0)
     before = {name: talk.d.class_states[name] for name in "ab"}
-    changed(talk, job_class("b", aim=300.0), job_class("c"), job_class("a", m.Effect.UNSAFE))
+    changed(talk, job_class("b", latency_target=300.0), job_class("c"), job_class("a", m.Effect.UNSAFE))
     lines = talk.d.class_states
     assert list(lines) == ["b", "c", "a"]
     assert (
         lines["b"].net is before["b"].net
         and lines["b"].run == before["b"].run
-        and lines["b"].spec.aim == 300.0
+        and lines["b"].spec.latency_target == 300.0
     )
     assert lines["a"].net is not before["a"].net and lines["a"].ended == 0
     assert all(len(line.net.neurons) == 4 for line in lines.values())
@@ -136,18 +136,18 @@
 
 
 def test_a_held_job_of_a_dropped_class_is_answered_as_owed_and_goes_to_nobody_who_has_left() -> None:
-    talk = Talk(job_class("old", give_up=60_000.0), job_class("stays"), workers=2, try_limit=6)
+    talk = Talk(job_class("old", max_deadline=60_000.0), job_class("stays"), workers=2, try_limit=6)
     first = [sends(talk.ask(f"f{k}", "old", 60_000.0)) for k in range(2)]
     for k, (send,) in enumerate(first):
-        talk.end(f"f{k}", send.worker, m.How.FULL, after=1.0)  # both are full
+        talk.end(f"f{k}", send.worker, m.AttemptOutcome.FULL, after=1.0)  # both are full
     changed(talk, job_class("stays"))
-    leaver = m.Entry("w0", "a", "k", 0, m.State.DRAINING)
+    leaver = m.WorkerEntry("w0", "a", "k", 0, m.WorkerState.DRAINING)
     talk.say(m.WorkerList(m.ListKind.CHANGES, [leaver]))
     acts = talk.sweep(60_000.0)
     assert all(send.worker == "w1" for send in sends(acts))
     for job in list(talk.d.jobs.values()):
         for attempt in [t for t in job.attempts if t.in_flight]:
-            acts += talk.end(job.id, attempt.worker.name, m.How.RESET, attempt.n)
+            acts += talk.end(job.id, attempt.worker.name, m.AttemptOutcome.RESET, attempt.n)
     acts += talk.sweep(1000.0)
     assert {a.id for a in finals(acts)} == {"f0", "f1"} and not talk.d.jobs
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,12 +11,12 @@
 
 from bitternpath.balancer import messages as m
 
-NEVER = [m.How.FULL, m.How.NO_CONNECTION, m.How.NOT_SENT]
-MAYBE = [m.How.ERROR, m.How.TIMEOUT, m.How.RESET, m.How.CANCELLED]
+NEVER = [m.AttemptOutcome.FULL, m.AttemptOutcome.NO_CONNECTION, m.AttemptOutcome.NOT_SENT]
+MAYBE = [m.AttemptOutcome.ERROR, m.AttemptOutcome.TIMEOUT, m.AttemptOutcome.RESET, m.AttemptOutcome.CANCELLED]
 
 
 @pytest.mark.parametrize("how", MAYBE)
-def test_unsafe_job_that_may_have_run_is_neither_resent_nor_refused(how: m.How) -> None:
+def test_unsafe_job_that_may_have_run_is_neither_resent_nor_refused(how: m.AttemptOutcome) -> None:
     talk = Talk(job_class(effect=m.Effect.UNSAFE))
     (send,) = sends(talk.ask("r"))
     acts = talk.end("r", send.worker, how)
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("how", NEVER)
-def test_unsafe_job_that_never_ran_goes_to_another_worker(how: m.How) -> None:
+def test_unsafe_job_that_never_ran_goes_to_another_worker(how: m.AttemptOutcome) -> None:
     talk = Talk(job_class(effect=m.Effect.UNSAFE))
     (send,) = sends(talk.ask("r"))
     (again,) = sends(talk.end("r", send.worker, how))
@@ -33,17 +33,20 @@
 
 def test_keyed_job_is_repeated_only_in_its_group_and_window() -> None:
     rows = [entry(f"w{k}", "ab"[k // 3], k // 2) for k in range(6)]
-    for group, same in ((m.Group.ZONE, {0: {1, 2}, 3: {4, 5}}), (m.Group.CELL, {0: {1}, 2: {3}, 4: {5}})):
+    for group, same in (
+        (m.DedupScope.ZONE, {0: {1, 2}, 3: {4, 5}}),
+        (m.DedupScope.CELL, {0: {1}, 2: {3}, 4: {5}}),
+    ):
         for seed in range(12):
-            talk = Talk(job_class(effect=m.Effect.KEYED, group=group), workers=rows, seed=seed)
+            talk = Talk(job_class(effect=m.Effect.KEYED, dedup_scope=group), workers=rows, seed=seed)
             (send,) = sends(talk.ask("r"))
-            again = sends(talk.end("r", send.worker, m.How.ERROR))
+            again = sends(talk.end("r", send.worker, m.AttemptOutcome.ERROR))
             assert len(again) == 1
             old, new = int(send.worker[1]), int(again[0].worker[1])
             assert any({old, new} <= {k, *v} for k, v in same.items())
-    talk = Talk(job_class(effect=m.Effect.KEYED, window=100.0), workers=rows)
+    talk = Talk(job_class(effect=m.Effect.KEYED, dedup_window=100.0), workers=rows)
     (send,) = sends(talk.ask("r"))
-    assert not sends(talk.end("r", send.worker, m.How.ERROR, after=95.0))
+    assert not sends(talk.end("r", send.worker, m.AttemptOutcome.ERROR, after=95.0))
 
 
 def test_final_answer_comes_before_the_deadline_where_no_worker_is_known() -> None:
@@ -59,11 +62,11 @@
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
     talk = Talk(job_class(effect=m.Effect.UNSAFE))
     (send,) = sends(talk.ask("r", remaining=300.0))
-    assert finals(talk.end("r", send.worker, m.How.TIMEOUT, after=300.0)) == [m.Fail("r")]
+    assert finals(talk.end("r", send.worker, m.AttemptOutcome.TIMEOUT, after=300.0)) == [m.Fail("r")]
 
 
-@pytest.mark.parametrize("state", [m.State.DRAINING, m.State.GONE])
-def test_nothing_goes_to_a_draining_worker(state: m.State) -> None:
+@pytest.mark.parametrize("state", [m.WorkerState.DRAINING, m.WorkerState.GONE])
+def test_nothing_goes_to_a_draining_worker(state: m.WorkerState) -> None:
     talk = Talk(workers=2)
     talk.say(listing(entry("w0", state=state), kind=m.ListKind.CHANGES))
     assert {s.worker for k in range(30) for s in sends(talk.ask(f"r{k}"))} == {"w1"}
@@ -73,7 +76,7 @@
 
 def test_worker_missing_from_a_whole_list_is_gone() -> None:
     talk = Talk(workers=2)
-    talk.say(listing(entry("w1"), kind=m.ListKind.WHOLE))
+    talk.say(listing(entry("w1"), kind=m.ListKind.COMPLETE))
     assert {s.worker for k in range(30) for s in sends(talk.ask(f"r{k}"))} == {"w1"}
 
 
@@ -81,7 +84,7 @@
     """Many dispatchers with few jobs each: the sum stays near the worker's present share."""
     fall, many, cold_sends, warm_sends = 1000.0, 20, 0, 0
     for seed in range(many):
-        cold = {"cold_share": 0.33, "warm_within": 8800.0, "fall_span": fall}
+        cold = {"cold_share": 0.33, "warm_within": 8800.0, "overload_span": fall}
         talk = Talk(workers=10, seed=seed, dispatchers=many, **cold)
         for turn in range(600):
             if turn == 500:
@@ -89,18 +92,18 @@
             for send in sends(talk.ask(f"r{turn}")):
                 cold_sends += send.worker == "cold"
                 warm_sends += send.worker == "w1" and turn >= 500
-                talk.end(f"r{turn}", send.worker, m.How.OK, after=1.0)
+                talk.end(f"r{turn}", send.worker, m.AttemptOutcome.OK, after=1.0)
             talk.sweep(1.0)
     assert 0 < cold_sends < 0.8 * warm_sends
 
 
 def test_a_failed_list_call_is_repeated_later_and_later() -> None:
-    talk = Talk(ask_for_list=True)
+    talk = Talk(list_on_request=True)
     delays = []
     for _ in range(6):
         acts = talk.say(m.WorkerList(m.ListKind.FAILED))
-        delays += [a.delay for a in acts if isinstance(a, m.Wake) and a.label == "watch"]
-        assert any(isinstance(a, m.Watch) for a in talk.say(m.Alarm("watch"), delays[-1]))
+        delays += [a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch"]
+        assert any(isinstance(a, m.SubscribeToWorkers) for a in talk.say(m.TimerFired("watch"), delays[-1]))
     assert len(delays) == 6
     assert delays[-1] > 3 * delays[0] and max(delays) < 10_000.0
 
@@ -109,17 +112,19 @@
 def test_discovery_is_asked_again_in_time_for_what_it_had_meanwhile(must_ask_within: float) -> None:
     # Guards: the pause grew to 7.5 s; a change counts as told after 6 s, and a call may hang for 1 s.
     for seed in range(50):
-        talk = Talk(ask_for_list=True, must_ask_within=must_ask_within, seed=seed)
+        talk = Talk(list_on_request=True, must_ask_within=must_ask_within, seed=seed)
         acts = list(talk.first)
         for _ in range(6):
             acts += talk.say(m.WorkerList(m.ListKind.FAILED))
-        assert max(a.delay for a in acts if isinstance(a, m.Wake) and a.label == "watch") <= 4_500.0
+        assert max(a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch") <= 4_500.0
 
 
-@pytest.mark.parametrize("how", [m.How.RESET, m.How.CANCELLED])
-def test_a_cold_worker_that_may_run_a_job_of_which_no_more_is_heard_is_not_idle(how: m.How) -> None:
+@pytest.mark.parametrize("how", [m.AttemptOutcome.RESET, m.AttemptOutcome.CANCELLED])
+def test_a_cold_worker_that_may_run_a_job_of_which_no_more_is_heard_is_not_idle(
+    how: m.AttemptOutcome,
+) -> None:
     # Guards: each job that was reset at once made the worker idle and drew the next, past its budget.
-    cold = {"cold_share": 0.2, "warm_within": 15_000.0, "fall_span": 1000.0, "fall_multiple": 4.0}
+    cold = {"cold_share": 0.2, "warm_within": 15_000.0, "overload_span": 1000.0, "overload_multiple": 4.0}
     for seed in range(30):
         talk = Talk(workers=[entry("cold", up_since=1_000_000.0)], seed=seed, **cold)
         sent, k = list[m.Send](), 0
@@ -134,11 +139,11 @@
 class Bench:
     """Keeps the books that the rules are judged by."""
 
-    def __init__(self, effect: m.Effect, group: m.Group, seed: int, copies: bool) -> None:
+    def __init__(self, effect: m.Effect, group: m.DedupScope, seed: int, copies: bool) -> None:
         self.rows = [entry(f"w{k}", "ab"[k % 2], k // 2) for k in range(6)]
         self.where = {r.worker: r for r in self.rows}
-        self.spec = job_class(effect=effect, group=group, window=600.0, give_up=2000.0)
-        self.talk = Talk(self.spec, workers=self.rows, seed=seed, second_copies=copies, tells_start=True)
+        self.spec = job_class(effect=effect, dedup_scope=group, dedup_window=600.0, max_deadline=2000.0)
+        self.talk = Talk(self.spec, workers=self.rows, seed=seed, second_copies=copies, reports_start=True)
         self.copies, self.down = copies, set[str]()
         self.deadline: dict[str, float] = {}
         self.tries: dict[str, list[dict[str, Any]]] = {}
@@ -157,26 +162,28 @@
                     assert all(t["how"] for t in tries)
                 if live and self.spec.effect is not m.Effect.SAFE:
                     assert self.spec.effect is m.Effect.KEYED
-                    assert now - live[0]["sent"] <= self.spec.window
+                    assert now - live[0]["sent"] <= self.spec.dedup_window
                     new = self.where[act.worker]
                     for old in (self.where[t["worker"]] for t in live):
-                        assert self.spec.group is not m.Group.ZONE or old.zone == new.zone
-                        assert self.spec.group is not m.Group.CELL or old.cell == new.cell
+                        assert self.spec.dedup_scope is not m.DedupScope.ZONE or old.zone == new.zone
+                        assert self.spec.dedup_scope is not m.DedupScope.CELL or old.cell == new.cell
                 tries.append({"worker": act.worker, "how": None, "sent": now})
             elif isinstance(act, m.Refuse | m.Fail):
                 assert act.id not in self.final
                 self.final.add(act.id)
                 if isinstance(act, m.Refuse) and self.spec.effect is not m.Effect.SAFE:
                     ran = any(t["how"] not in NEVER for t in self.tries[act.id])
-                    assert not ran or (self.spec.effect is m.Effect.KEYED and self.spec.group is m.Group.ALL)
+                    assert not ran or (
+                        self.spec.effect is m.Effect.KEYED and self.spec.dedup_scope is m.DedupScope.ALL
+                    )
 
-    def finish(self, name: str, n: int, how: m.How) -> None:
+    def finish(self, name: str, n: int, how: m.AttemptOutcome) -> None:
         attempt = self.tries[name][n]
         attempt["how"] = how
-        if how is m.How.OK:
+        if how is m.AttemptOutcome.OK:
             self.final.add(name)
         elapsed = self.talk.now - attempt["sent"]
-        self.take(self.talk.say(m.Outcome(name, n, attempt["worker"], how, elapsed, name in self.final)))
+        self.take(self.talk.say(m.AttemptEnded(name, n, attempt["worker"], how, elapsed, name in self.final)))
 
     def expire(self) -> None:
         """Attempts end at the deadline, as the outside world does it; then all must be answered."""
@@ -184,13 +191,13 @@
             if self.talk.now >= end:
                 for n, attempt in enumerate(self.tries[name]):
                     if attempt["how"] is None:
-                        self.finish(name, n, m.How.TIMEOUT)
+                        self.finish(name, n, m.AttemptOutcome.TIMEOUT)
                 assert name in self.final
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(
-    st.sampled_from([(e, g) for e in m.Effect for g in m.Group]),
+    st.sampled_from([(e, g) for e in m.Effect for g in m.DedupScope]),
     st.booleans(),
     st.integers(0, 10**6),
     st.lists(
@@ -198,7 +205,7 @@
     ),
 )
 def test_rules_hold_through_any_sequence_of_events(
-    what: tuple[m.Effect, m.Group], copies: bool, seed: int, steps: list[tuple[int, int, float]]
+    what: tuple[m.Effect, m.DedupScope], copies: bool, seed: int, steps: list[tuple[int, int, float]]
 ) -> None:
     bench = Bench(*what, seed, copies)
     talk = bench.talk
@@ -206,7 +213,7 @@
         until = talk.now + wait
         while talk.now < until:
             gap = min(talk.d.pause, until - talk.now)
-            bench.take(talk.say(m.Alarm("sweep"), gap))
+            bench.take(talk.say(m.TimerFired("sweep"), gap))
             bench.expire()
         open_tries = [(r, n) for r, ts in bench.tries.items() for n, t in enumerate(ts) if t["how"] is None]
         if choice <= 2:
@@ -215,18 +222,18 @@
             bench.take(talk.ask(name, remaining=300.0 + number))
         elif choice <= 4 and open_tries:
             name, n = open_tries[number % len(open_tries)]
-            bench.finish(name, n, [*MAYBE, *NEVER, m.How.OK, m.How.OK][number % 9])
+            bench.finish(name, n, [*MAYBE, *NEVER, m.AttemptOutcome.OK, m.AttemptOutcome.OK][number % 9])
         elif choice == 5:
             row = bench.rows[number % 6]
-            state = [m.State.SERVING, m.State.DRAINING, m.State.GONE][number % 3]
-            (bench.down.discard if state is m.State.SERVING else bench.down.add)(row.worker)
+            state = [m.WorkerState.SERVING, m.WorkerState.DRAINING, m.WorkerState.GONE][number % 3]
+            (bench.down.discard if state is m.WorkerState.SERVING else bench.down.add)(row.worker)
             line = entry(row.worker, row.zone, row.cell, state=state)
             bench.take(talk.say(listing(line, kind=m.ListKind.CHANGES)))
         elif open_tries:
             name, n = open_tries[number % len(open_tries)]
-            bench.take(talk.say(m.JobNote(name, n, bench.tries[name][n]["worker"])))
+            bench.take(talk.say(m.JobProgress(name, n, bench.tries[name][n]["worker"])))
     for _ in range(200):
-        bench.take(talk.say(m.Alarm("sweep"), talk.d.pause))
+        bench.take(talk.say(m.TimerFired("sweep"), talk.d.pause))
         bench.expire()
     assert bench.final == set(bench.deadline)
     assert not talk.d.jobs and not talk.d.in_flight
@@ -235,15 +242,15 @@
 def test_unknown_and_finished_things_do_no_harm() -> None:
     talk = Talk()
     (send,) = sends(talk.ask("r"))
-    talk.end("r", send.worker, m.How.OK)
+    talk.end("r", send.worker, m.AttemptOutcome.OK)
     for event in (
-        m.Outcome("r", 0, send.worker, m.How.OK, 5.0, True),
-        m.Outcome("x", 3, "nowhere", m.How.ERROR, 5.0, False),
-        m.JobNote("r", 0, send.worker),
-        m.JobNote("x", -1, "nowhere", 0.5),
+        m.AttemptEnded("r", 0, send.worker, m.AttemptOutcome.OK, 5.0, True),
+        m.AttemptEnded("x", 3, "nowhere", m.AttemptOutcome.ERROR, 5.0, False),
+        m.JobProgress("r", 0, send.worker),
+        m.JobProgress("x", -1, "nowhere", 0.5),
         m.Withdrawn("x"),
-        m.Alarm("old"),
-        listing(entry("nowhere", state=m.State.GONE), kind=m.ListKind.CHANGES),
+        m.TimerFired("old"),
+        listing(entry("nowhere", state=m.WorkerState.GONE), kind=m.ListKind.CHANGES),
     ):
         assert talk.say(event) == []
     assert len(sends(talk.ask("r2"))) == 1
@@ -254,12 +261,12 @@
         with pytest.raises(ValueError, match=field):
             m.Settings(classes=(job_class(),), **{field: value})  # type: ignore[arg-type]
     with pytest.raises(ValueError, match="aim"):
-        job_class(aim=0.0)
+        job_class(latency_target=0.0)
 
 
 def test_heavy_job_held_in_a_full_fleet_is_answered_before_its_deadline() -> None:
     """A job many times the usual size has slack beyond its deadline; the deadline must still be kept."""
-    talk = Talk(job_class(effect=m.Effect.UNSAFE, give_up=1000.0), workers=[], tells_start=True)
+    talk = Talk(job_class(effect=m.Effect.UNSAFE, max_deadline=1000.0), workers=[], reports_start=True)
     talk.ask("usual", remaining=1000.0, hint=10.0)
     talk.d.class_states["job"].pace["k"] = 1.0
     start, answers = talk.now, finals(talk.ask("heavy", remaining=1000.0, hint=400.0))
@@ -272,10 +279,10 @@
 def test_a_refusal_says_when_to_come_again_by_the_waits_that_are_known() -> None:
     # Guards: a refused client must not come back at once to the same queues, nor be sent away for too long.
     def advice(waited: float, longest: float) -> float:
-        talk = Talk(job_class(late_worth=0.0), max_retry_after=longest, tells_start=True, workers=1)
+        talk = Talk(job_class(late_value_share=0.0), max_retry_after=longest, reports_start=True, workers=1)
         talk.ask("first")
-        talk.say(m.JobNote("first", 0, "w0"), after=waited)
-        talk.end("first", "w0", m.How.OK, after=200.0)
+        talk.say(m.JobProgress("first", 0, "w0"), after=waited)
+        talk.end("first", "w0", m.AttemptOutcome.OK, after=200.0)
         talk.ask("busy")
         (refusal,) = finals(talk.ask("late", remaining=1.0))
         assert isinstance(refusal, m.Refuse)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -96,7 +96,7 @@
     registry.on_change = lambda listing: heard.append(listing.revision)
     registry.apply(listing(4, False, a="draining", b="removed", c="up"))
     assert registry.serving("a") is None and registry.serving("b") is None and registry.serving("c")
-    assert registry.endpoints["a"].state is m.State.DRAINING and "b" not in registry.endpoints
+    assert registry.endpoints["a"].state is m.WorkerState.DRAINING and "b" not in registry.endpoints
     registry.apply(listing(4, False, b="up"))  # an old line that came again
     assert registry.serving("b") is None
     registry.apply(listing(2, True, b="up"))
