--- a/bitternpath/delivery/connections.py
+++ b/bitternpath/delivery/connections.py
@@ -28,10 +28,10 @@
     def now(self) -> float:
         """The clock by which `usable_until` is read, in seconds."""
 
-    def released(self, connection: WorkerConnection) -> None:
+    def connection_released(self, connection: WorkerConnection) -> None:
         """A connection has had its complete response and can be used again."""
 
-    def lost(self, connection: WorkerConnection) -> None:
+    def connection_lost(self, connection: WorkerConnection) -> None:
         """A connection has ended, or is not to be used any more; called once for each."""
 
 
@@ -52,8 +52,8 @@
         """Set the socket's options."""
         self.open = True
         self.transport.setTcpNoDelay(True)
-        handle = self.transport.getHandle()
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+        sock = self.transport.getHandle()
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def may_send(self, request_id: str) -> bool:
         """Whether no earlier delivery of the same message may still get a response here.
@@ -104,7 +104,7 @@
             self.usable_until = self._pool.now() + response.keep_alive_s * IDLE_USE_SHARE
             exchange = self._exchange
             self._exchange = None
-            self._pool.released(self)
+            self._pool.connection_released(self)
             if exchange is not None:
                 exchange.complete(outcome)
         else:
@@ -125,7 +125,7 @@
     def _leave_pool(self) -> None:
         if self.open:
             self.open = False
-            self._pool.lost(self)
+            self._pool.connection_lost(self)
 
     def _complete(self, outcome: ResponseOutcome) -> None:
         exchange = self._exchange
--- a/bitternpath/delivery/pool.py
+++ b/bitternpath/delivery/pool.py
@@ -64,7 +64,7 @@
         if not exchange.sendable():
             exchange.complete_unsent(RefusalKind.BUSY)
             return
-        connection = self._take_idle(exchange.message.request_id)
+        connection = self._pop_idle(exchange.message.request_id)
         if connection is not None:
             connection.send(exchange)
         elif self._connection_count < self.limit:
@@ -95,7 +95,7 @@
         while self._waiting:
             self._waiting.popleft().complete_unsent(RefusalKind.NO_CONNECTION)
 
-    def released(self, connection: WorkerConnection) -> None:
+    def connection_released(self, connection: WorkerConnection) -> None:
         """A connection has had its complete response and can be used again."""
         exchange = self._next_waiting()
         if exchange is not None and not connection.may_send(exchange.message.request_id):
@@ -109,34 +109,34 @@
             self._idle.append(connection)
             self._connections_changed()
 
-    def lost(self, connection: WorkerConnection) -> None:
+    def connection_lost(self, connection: WorkerConnection) -> None:
         """A connection has ended, or is not to be used any more."""
         if connection in self._idle:
             self._idle.remove(connection)
         self._connection_ended()
 
-    def _take_idle(self, request_id: str) -> WorkerConnection | None:
+    def _pop_idle(self, request_id: str) -> WorkerConnection | None:
         """The first idle connection that is still good and may carry that message."""
         now = self.now()
         skipped: list[WorkerConnection] = []
-        found = None
-        while self._idle and found is None:
+        usable = None
+        while self._idle and usable is None:
             connection = self._idle.popleft()
             if connection.usable_until <= now or peek(connection.transport) is not None:
                 connection.close()
             elif connection.may_send(request_id):
-                found = connection
+                usable = connection
             else:
                 skipped.append(connection)
         self._idle.extendleft(reversed(skipped))
-        return found
+        return usable
 
     def _connect(self, exchange: Exchange) -> None:
         self._connection_count += 1
         connection = WorkerConnection(self)
         timeout_s = min(connect_timeout_s(exchange.remaining_s()), exchange.send_time_s())
-        dialled = dial(self._reactor, self._host, self._port, timeout_s, connection)
-        dialled.addCallbacks(self._connected, self._connect_failed, (exchange,), {}, (exchange,))
+        connecting = dial(self._reactor, self._host, self._port, timeout_s, connection)
+        connecting.addCallbacks(self._connected, self._connect_failed, (exchange,), {}, (exchange,))
 
     def _connected(self, connection: WorkerConnection, exchange: Exchange) -> None:
         if not connection.open:
@@ -146,7 +146,7 @@
             connection.close()
         elif not exchange.sendable():
             exchange.complete_unsent(RefusalKind.BUSY)
-            self.released(connection)
+            self.connection_released(connection)
         else:
             connection.send(exchange)
 
--- a/bitternpath/delivery/responses.py
+++ b/bitternpath/delivery/responses.py
@@ -85,7 +85,7 @@
             self._reader.piece()
             if not self._reader.ended:
                 return Progress.PARTIAL
-        self._completed(head)
+        self._record_complete(head)
         return Progress.COMPLETE
 
     def _final_head(self) -> Response | None:
@@ -97,7 +97,7 @@
             head = reader.head()  # type: ignore[assignment]
         return head
 
-    def _completed(self, head: Response) -> None:
+    def _record_complete(self, head: Response) -> None:
         self._complete = True
         self.status = head.status
         self._headers = head.headers
--- a/bitternpath/delivery/worker_client.py
+++ b/bitternpath/delivery/worker_client.py
@@ -25,7 +25,7 @@
         self._reactor = reactor
         self._pools: dict[str, AddressPool] = {}
         self._retired: list[AddressPool] = []  # of removed workers, until their deliveries have ended
-        self._sweep: Timer | None = None
+        self._sweep_timer: Timer | None = None
         self._stopped: Deferred[None] | None = None  # set once no more deliveries are accepted
 
     def deliver(self, target: WorkerTarget, message: Message, deadline_ms: int) -> Deferred[DeliveryResult]:
@@ -70,11 +70,11 @@
         if self._stopped is not None:
             if not self._retired and not self._pools and not self._stopped.called:
                 self._stopped.callback(None)
-        elif self._sweep is None and any(pool.has_idle for pool in self._pools.values()):
-            self._sweep = self._reactor.callLater(SWEEP_INTERVAL_S, self._close_expired)
+        elif self._sweep_timer is None and any(pool.has_idle for pool in self._pools.values()):
+            self._sweep_timer = self._reactor.callLater(SWEEP_INTERVAL_S, self._close_expired)
 
     def _close_expired(self) -> None:
-        self._sweep = None
+        self._sweep_timer = None
         for address, pool in tuple(self._pools.items()):
             pool.close_expired()
             if pool.empty:
--- a/bitternpath/queue/adaptive_limit.py
+++ b/bitternpath/queue/adaptive_limit.py
@@ -48,13 +48,13 @@
     def record_outcome(self, now: float, outcome: AttemptOutcome, in_flight: int) -> None:
         """Count the end of an attempt; `in_flight` leases, this one included, were out before it."""
         if outcome in _ANSWERED:
-            self._record_answer()
+            self._record_answered()
             return
         self._unanswered = 0 if outcome is AttemptOutcome.FAILED else self._unanswered + 1
         if outcome in _COUNTED_AS_FAILURE:
             self._record_failure(now, in_flight)
 
-    def _record_answer(self) -> None:
+    def _record_answered(self) -> None:
         self._failure_ratio -= self._failure_ratio * _RATIO_WEIGHT
         self._unanswered = 0
         self._next_grant_at = 0.0
--- a/bitternpath/queue/backoff.py
+++ b/bitternpath/queue/backoff.py
@@ -20,8 +20,8 @@
 
     def delay(self, repetition: int, random: Random) -> float:
         """Return the seconds to wait after `repetition` earlier delays; draws one random number."""
-        plain = min(self.max_s, self.initial_s * 2.0 ** min(repetition, _MAX_DOUBLINGS))
-        return plain * random.uniform(_MIN_JITTER, _MAX_JITTER)
+        nominal = min(self.max_s, self.initial_s * 2.0 ** min(repetition, _MAX_DOUBLINGS))
+        return nominal * random.uniform(_MIN_JITTER, _MAX_JITTER)
 
 
 FAILED_BACKOFF = BackoffSchedule(0.1, 2.0)  # the worker is healthy; the message or what it needs is not
--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -155,7 +155,7 @@
         elif pending.in_flight:
             self._back_off(now, pending)
 
-    def take_confirmation(self, now: float, *, others_proposed: bool) -> ConfirmCallbacks | None:
+    def pop_confirmation(self, now: float, *, others_proposed: bool) -> ConfirmCallbacks | None:
         """Return the command that confirms what was acknowledged; None while that may still wait.
 
         It goes where other commands are proposed, where its time is up, or where there are many.
--- a/bitternpath/queue/edge_nodes.py
+++ b/bitternpath/queue/edge_nodes.py
@@ -54,12 +54,12 @@
         It is the origin, which accepted the message, else a random one, preferably in the owner's zone.
         Nothing goes to `avoided`, at which the message was not run, unless there is no other node.
         """
-        home = self._edges.get(origin)
-        if home is not None and home.name != avoided and home.has_capacity(service):
-            return home
+        origin_node = self._edges.get(origin)
+        if origin_node is not None and origin_node.name != avoided and origin_node.has_capacity(service):
+            return origin_node
         candidates = [edge for edge in self._edges.values() if edge.has_capacity(service)]
         others = [edge for edge in candidates if edge.name != avoided]
-        return self._pick(others or candidates)
+        return self._choose_among(others or candidates)
 
     def choose_for_callback(self, receiver: str, failures: int) -> EdgeNode | None:
         """Choose the edge node for a call-back; None where none is connected.
@@ -68,9 +68,9 @@
         connections to the receiver and use them again. After each failure it is another one.
         """
         connected = [edge for edge in self._edges.values() if edge.connected]
-        near = [edge for edge in connected if edge.zone == self._zone] or connected
-        near.sort(key=lambda edge: edge.name)
-        return near[(crc32(receiver.encode()) + failures) % len(near)] if near else None
+        local = [edge for edge in connected if edge.zone == self._zone] or connected
+        local.sort(key=lambda edge: edge.name)
+        return local[(crc32(receiver.encode()) + failures) % len(local)] if local else None
 
     def holds_body(self, edge: EdgeNode, tracked: TrackedMessage) -> bool:
         """Whether an edge node still has a message's body: its present process accepted it from the client.
@@ -82,7 +82,7 @@
         is_first = tracked.accepted_by_this_owner and entry.leases_granted == 1
         return is_first and edge.name == entry.message.origin and entry.accepted_at > edge.process_ended_at
 
-    def _pick(self, candidates: list[EdgeNode]) -> EdgeNode | None:
-        near = [edge for edge in candidates if edge.zone == self._zone]
-        pool = near or candidates
+    def _choose_among(self, candidates: list[EdgeNode]) -> EdgeNode | None:
+        local = [edge for edge in candidates if edge.zone == self._zone]
+        pool = local or candidates
         return self._random.choice(pool) if pool else None
--- a/bitternpath/queue/entries.py
+++ b/bitternpath/queue/entries.py
@@ -67,7 +67,7 @@
         """Count its complete delay from now, the moment at which its owner accepts it."""
         self.due_at = now + max(0.0, self.message.delay_ms / 1000)
 
-    def remember_end(self, lease_id: str, outcome: AttemptOutcome) -> None:
+    def record_end(self, lease_id: str, outcome: AttemptOutcome) -> None:
         """Keep the outcome of a lease, so that a repeated report gets the same answer."""
         self.ended_leases[lease_id] = outcome
         if len(self.ended_leases) > MAX_ENDED_LEASES:
@@ -101,8 +101,8 @@
     that accepts it counts the complete delay (`Entry.restart_delay`).
     """
     delay = max(0.0, message.delay_ms / 1000)
-    passed = elapsed_beyond(DELAY_CLOCK_MARGIN_S, message.accepted_wall_ms, wall_ms)
-    return Entry(compact(message), index, accepted_at=now, due_at=now + max(0.0, delay - passed))
+    elapsed_s = elapsed_beyond(DELAY_CLOCK_MARGIN_S, message.accepted_wall_ms, wall_ms)
+    return Entry(compact(message), index, accepted_at=now, due_at=now + max(0.0, delay - elapsed_s))
 
 
 def provisional_entry(message: Message, now: float) -> Entry:
--- a/bitternpath/queue/lease_granting.py
+++ b/bitternpath/queue/lease_granting.py
@@ -58,12 +58,12 @@
     def grant_ready(self, now: float, queue: ServiceQueue) -> None:
         """Grant what can be granted of one service."""
         while (tracked := queue.ready.first(now)) is not None:
-            when = queue.next_grant_time(now)
-            if when != now:
-                self._wait(now, queue, when)
+            next_grant_at = queue.next_grant_time(now)
+            if next_grant_at != now:
+                self._schedule_retry(now, queue, next_grant_at)
                 return
             if tracked.pregrant is not None and queue.service.pull_mode:
-                granted = self._hand_out_pregranted(now, queue, tracked, tracked.pregrant)
+                granted = self._dispatch_pregranted(now, queue, tracked, tracked.pregrant)
             else:
                 granted = self._grant(now, queue, tracked)
             if not granted:
@@ -72,12 +72,12 @@
             queue.pollers_request_interval_s, MIN_POLLERS_REQUEST_INTERVAL_S
         )
 
-    def _wait(self, now: float, queue: ServiceQueue, when: float | None) -> None:
+    def _schedule_retry(self, now: float, queue: ServiceQueue, retry_at: float | None) -> None:
         """Have a queue processed again at `when`; None: after a lease has ended, which marks it dirty."""
-        if when is not None:
-            self._services.wake_at(when, queue)
+        if retry_at is not None:
+            self._services.wake_at(retry_at, queue)
         borrower = queue.borrower
-        if borrower is None or not queue.is_short_of_tokens(now):
+        if borrower is None or not queue.needs_borrowed_token(now):
             return
         if now >= borrower.next_request_at:
             borrower.request_sent(now)
@@ -110,11 +110,11 @@
         self._emit(ProposeCommand(command))
         return True
 
-    def _hand_out_pregranted(
+    def _dispatch_pregranted(
         self, now: float, queue: ServiceQueue, tracked: TrackedMessage, grant: GrantLease
     ) -> bool:
         """Give a message whose lease is committed to a worker; False where none waits."""
-        action = self._leases.hand_out_pregranted(now, queue, tracked, grant)
+        action = self._leases.dispatch_pregranted(now, queue, tracked, grant)
         if action is None:
             self._request_pollers(now, queue)
             return False
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -87,7 +87,7 @@
         queue.pregranted.add(tracked.request_id)
         return tracked.pregrant
 
-    def hand_out_pregranted(
+    def dispatch_pregranted(
         self, now: float, queue: ServiceQueue, tracked: TrackedMessage, grant: GrantLease
     ) -> AnswerPoll | None:
         """Give a message whose lease is committed to a worker that waits; None where none does."""
@@ -100,7 +100,7 @@
         tracked.lease = InFlightLease(
             tracked.request_id, grant.lease_id, "", queue.service.name, now, poll.poll_id
         )
-        self.begin(now, tracked, grant.duration_ms)
+        self.start_lease(now, tracked, grant.duration_ms)
         return AnswerPoll(poll.poll_id, poll.request.edge, grant.lease_id, tracked.entry.message)
 
     def drop_pregrant(self, tracked: TrackedMessage) -> None:
@@ -110,7 +110,7 @@
             for queue in self._services.all():
                 queue.pregranted.discard(tracked.request_id)
 
-    def begin(self, now: float, tracked: TrackedMessage, duration_ms: int) -> None:
+    def start_lease(self, now: float, tracked: TrackedMessage, duration_ms: int) -> None:
         """Regard a message as leased from now."""
         tracked.enter(MessagePhase.LEASED)
         tracked.lease_ends_at = now + duration_ms / 1000
@@ -126,10 +126,10 @@
         service = "" if tracked.route is None else tracked.route.service
         tracked.lease = InFlightLease(tracked.request_id, lease.lease_id, edge, service, now)
         if not lease.pulled:
-            self._take_capacity(tracked.lease)
-        self.begin(now, tracked, duration_ms)
+            self._reserve_capacity(tracked.lease)
+        self.start_lease(now, tracked, duration_ms)
 
-    def hand_out(
+    def dispatch(
         self, now: float, tracked: TrackedMessage, command: GrantLease
     ) -> SendDelivery | AnswerPoll | None:
         """Return what is sent now that the grant is committed.
@@ -190,11 +190,11 @@
             return None
         lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, edge.name, service, now)
-        self._take_capacity(tracked.lease)
+        self._reserve_capacity(tracked.lease)
         duration_ms = route.timeout_ms + PUSH_LEASE_MARGIN_MS
         return GrantLease(tracked.request_id, lease_id, edge.name, duration_ms, pulled=False)
 
-    def _take_capacity(self, lease: InFlightLease) -> None:
+    def _reserve_capacity(self, lease: InFlightLease) -> None:
         edge = self._edges.get_or_add(lease.edge)
         edge.leases[lease.lease_id] = lease
         edge.leases_by_service[lease.service] += 1
--- a/bitternpath/queue/lifecycle.py
+++ b/bitternpath/queue/lifecycle.py
@@ -15,7 +15,7 @@
 from bitternpath.queue.ended_messages import EndedMessages
 from bitternpath.queue.entries import Entry
 from bitternpath.queue.lease_table import LeaseTable
-from bitternpath.queue.placement import Placement
+from bitternpath.queue.phase_assignment import PhaseAssigner
 from bitternpath.queue.results import AttemptEnded, LeaseGranted, MessageAppended, MessageExpired
 from bitternpath.queue.state import QueueState
 from bitternpath.queue.timers import Timer, TimerKind
@@ -26,7 +26,7 @@
 
 # In a row, not run or without an answer: then the message goes to another edge node.
 RETURNS_BEFORE_EDGE_CHANGE = 2
-_RETURNED = frozenset({AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN})
+_RETURNED_OUTCOMES = frozenset({AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN})
 
 
 class MessageLifecycle:
@@ -35,14 +35,14 @@
     def __init__(
         self,
         state: QueueState,
-        placement: Placement,
+        phase_assigner: PhaseAssigner,
         leases: LeaseTable,
         ended: EndedMessages,
         random: Random,
     ) -> None:
         """Track the messages of `state`; `random` spreads the back-off."""
         self._state = state
-        self._placement = placement
+        self._phase_assigner = phase_assigner
         self._leases = leases
         self._ended = ended
         self._random = random
@@ -66,8 +66,8 @@
         tracked = TrackedMessage(entry, accepted_by_this_owner=False)
         self._tracked[entry.message.request_id] = tracked
         if entry.lease is None:
-            return self.place(now, tracked)
-        self._placement.assign_route(tracked)
+            return self.assign_phase(now, tracked)
+        self._phase_assigner.assign_route(tracked)
         self._leases.adopt(now, tracked, entry.lease, entry.lease.duration_ms)
         return None
 
@@ -82,16 +82,16 @@
         if tracked is not None:
             self._leases.drop_pregrant(tracked)
             self._leases.release(tracked)
-            self._placement.remove(tracked)
+            self._phase_assigner.remove(tracked)
 
-    def place(self, now: float, tracked: TrackedMessage) -> Action | None:
+    def assign_phase(self, now: float, tracked: TrackedMessage) -> Action | None:
         """Put a message that is neither leased nor ended into its phase."""
-        command = self._placement.place(now, tracked)
+        command = self._phase_assigner.assign_phase(now, tracked)
         return None if command is None else ProposeCommand(command)
 
-    def place_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
+    def reassign_if_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
         """Put a message into its phase where it is idle."""
-        return self.place(now, tracked) if tracked.phase in IDLE_PHASES else None
+        return self.assign_phase(now, tracked) if tracked.phase in IDLE_PHASES else None
 
     # ---- applied commands
 
@@ -107,7 +107,7 @@
             return None
         tracked = TrackedMessage(entry, accepted_by_this_owner=True)
         self._tracked[entry.message.request_id] = tracked
-        return self.place(now, tracked)
+        return self.assign_phase(now, tracked)
 
     def lease_granted(self, now: float, result: LeaseGranted) -> Action | None:
         """Send a message under a lease of this owner that is committed; place it where that is void."""
@@ -116,13 +116,13 @@
         if tracked is None:
             return None
         if not result.granted:
-            return self._return_to_idle(now, tracked)
+            return self._make_idle(now, tracked)
         if tracked.pregrant is not None and tracked.pregrant.lease_id == command.lease_id:
             tracked.lease = None
-            return self.place(now, tracked)
-        self._leases.begin(now, tracked, command.duration_ms)
-        sent = self._leases.hand_out(now, tracked, command)
-        return self._return_unsent(command) if sent is None else sent
+            return self.assign_phase(now, tracked)
+        self._leases.start_lease(now, tracked, command.duration_ms)
+        action = self._leases.dispatch(now, tracked, command)
+        return self._return_unsent(command) if action is None else action
 
     def attempt_ended(self, now: float, result: AttemptEnded) -> Action | None:
         """Back off, or end the message, after a lease of any owner has ended."""
@@ -140,7 +140,7 @@
         self._back_off(now, tracked, command, edge)
         if tracked.phase in (MessagePhase.GRANTING, MessagePhase.EXPIRING):
             return None
-        return self.place(now, tracked)
+        return self.assign_phase(now, tracked)
 
     def expiry_applied(self, now: float, result: MessageExpired) -> Action | None:
         """End a message as a dead letter; place it where the expiry was void."""
@@ -150,7 +150,7 @@
         if result.ended_message:
             return self._end(now, tracked)
         if tracked.phase is MessagePhase.EXPIRING:
-            return self.place(now, tracked)
+            return self.assign_phase(now, tracked)
         return None
 
     # ---- proposals that are surely not in the log
@@ -158,14 +158,14 @@
     def grant_not_proposed(self, now: float, command: GrantLease) -> Action | None:
         """Place a message whose lease was not proposed."""
         tracked = self.find_leased(command.request_id, command.lease_id)
-        return None if tracked is None else self._return_to_idle(now, tracked)
+        return None if tracked is None else self._make_idle(now, tracked)
 
     def expiry_not_proposed(self, now: float, command: ExpireMessage) -> Action | None:
         """Place a message whose expiry was not proposed."""
         tracked = self._tracked.get(command.request_id)
         if tracked is None or tracked.phase is not MessagePhase.EXPIRING:
             return None
-        return self._return_to_idle(now, tracked)
+        return self._make_idle(now, tracked)
 
     def end_not_proposed(self, command: EndAttempt) -> Action | None:
         """Propose the end of an attempt again, unless another lease has been granted."""
@@ -180,9 +180,9 @@
         if timer.kind is TimerKind.RETENTION:
             if timer.when == tracked.retention_timer:
                 tracked.retention_timer = inf
-            return self.place_idle(now, tracked)
+            return self.reassign_if_idle(now, tracked)
         if tracked.phase in (MessagePhase.DELAYED, MessagePhase.UNROUTED):
-            return self.place(now, tracked)
+            return self.assign_phase(now, tracked)
         if tracked.phase is not MessagePhase.LEASED:
             return None
         if now < tracked.lease_ends_at:  # it was extended
@@ -225,7 +225,7 @@
             outcome = AttemptOutcome.NOT_RUN
         tracked = self._tracked.get(request_id)
         if tracked is not None:
-            self._placement.assign_route(tracked)
+            self._phase_assigner.assign_route(tracked)
         route = None if tracked is None else tracked.route
         max_attempts = UNLIMITED_ATTEMPTS if route is None else route.max_attempts
         return EndAttempt(request_id, lease_id, outcome, stamp, max_attempts, retry_after_ms)
@@ -236,21 +236,21 @@
         )
         return ProposeCommand(command)
 
-    def _return_to_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
+    def _make_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
         self._leases.drop_pregrant(tracked)
         self._leases.release(tracked)
-        return self.place(now, tracked)
+        return self.assign_phase(now, tracked)
 
     def _lease_timed_out(self, now: float, tracked: TrackedMessage) -> Action | None:
         """Release a lease whose holder did not report in time. It stays current until the next grant."""
         if tracked.lease is not None:
             tracked.avoided_edge = tracked.lease.edge
         self._leases.release(tracked)
-        return self.place(now, tracked)
+        return self.assign_phase(now, tracked)
 
     def _back_off(self, now: float, tracked: TrackedMessage, command: EndAttempt, edge: str) -> None:
         repetitions = tracked.count_repetitions(command.outcome)
-        if command.outcome in _RETURNED and repetitions + 1 >= RETURNS_BEFORE_EDGE_CHANGE:
+        if command.outcome in _RETURNED_OUTCOMES and repetitions + 1 >= RETURNS_BEFORE_EDGE_CHANGE:
             tracked.avoided_edge = edge
         delay = backoff_after(command.outcome, repetitions, command.retry_after_ms, self._random)
         tracked.retry_at = now + delay
@@ -261,11 +261,11 @@
         self._leases.release(tracked)
         tracked.enter(MessagePhase.ENDED)
         del self._tracked[tracked.request_id]
-        self._placement.remove(tracked)
+        self._phase_assigner.remove(tracked)
         self._ended.add(tracked.entry)
         key = tracked.entry.message.order_key
         head = self._state.order_head(key) if key else None
         successor = None if head is None else self._tracked.get(head.message.request_id)
         if successor is None or successor.phase is not MessagePhase.BLOCKED:
             return None
-        return self.place(now, successor)
+        return self.assign_phase(now, successor)
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -43,7 +43,7 @@
 from bitternpath.queue.lease_table import LeaseHolders, LeaseTable
 from bitternpath.queue.lifecycle import MessageLifecycle
 from bitternpath.queue.long_polls import LongPoll, LongPollRequest, LongPollTable
-from bitternpath.queue.placement import Placement
+from bitternpath.queue.phase_assignment import PhaseAssigner
 from bitternpath.queue.quota_leases import QuotaPools
 from bitternpath.queue.rate_limits import RateBound
 from bitternpath.queue.results import (
@@ -115,7 +115,7 @@
         self._ended = EndedMessages(self._edges, random, settings.status_retention_s)
         self._lifecycle = MessageLifecycle(
             state,
-            Placement(state, self._routes, self._services, self._timers),
+            PhaseAssigner(state, self._routes, self._services, self._timers),
             self._leases,
             self._ended,
             random,
@@ -140,7 +140,7 @@
         self._services.configure(now, table.services)
         self._pools.configure(now, table.services)
         for tracked in self._routes.configure(table):
-            self._emit_optional(self._lifecycle.place_idle(now, tracked))
+            self._emit_optional(self._lifecycle.reassign_if_idle(now, tracked))
         return self._grant_and_collect_actions(now)
 
     def set_capacities(self, now: float, slots: dict[str, int]) -> list[Action]:
@@ -330,11 +330,11 @@
 
     def _grant_and_collect_actions(self, now: float) -> list[Action]:
         """Grant ready leases, advance call-backs, and return the collected actions."""
-        for queue in self._services.take_dirty():
+        for queue in self._services.pop_dirty():
             self._granter.grant_ready(now, queue)
         self._actions.extend(self._ended.callbacks.advance(now))
         others_proposed = any(isinstance(action, ProposeCommand) for action in self._actions)
-        confirmation = self._ended.callbacks.take_confirmation(now, others_proposed=others_proposed)
+        confirmation = self._ended.callbacks.pop_confirmation(now, others_proposed=others_proposed)
         if confirmation is not None:
             self._actions.append(ProposeCommand(confirmation))
         actions = self._actions
--- a/bitternpath/queue/placement.py
+++ b/bitternpath/queue/phase_assignment.py
@@ -16,7 +16,7 @@
 UNROUTED_GRACE_S = 3.0
 
 
-class Placement:
+class PhaseAssigner:
     """Puts messages that are neither leased nor ended into a phase, by the configuration in force."""
 
     def __init__(
@@ -36,13 +36,13 @@
         """Remove a message that has ended, or was not appended after all."""
         self._routes.remove(tracked)
 
-    def place(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
+    def assign_phase(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
         """Enter the phase in which a message is now; returns the command where it is to be ended."""
         self._routes.assign(tracked)
         entry = tracked.entry
         route = tracked.route
         if route is None:
-            return self._place_unrouted(now, tracked)
+            return self._assign_unrouted(now, tracked)
         tracked.unrouted_since = inf
         retention_ends_at = entry.accepted_at + route.retention_s
         self._watch_retention(tracked, retention_ends_at)
@@ -58,7 +58,7 @@
             self._make_ready(tracked, route.service)
         return None
 
-    def _place_unrouted(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
+    def _assign_unrouted(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
         """End a message whose route no longer exists; wait where the table is older than the message."""
         tracked.enter(MessagePhase.UNROUTED)
         table = self._routes.table
--- a/bitternpath/queue/quota_leases.py
+++ b/bitternpath/queue/quota_leases.py
@@ -47,9 +47,9 @@
         expires_at = requested_at + QUOTA_LEASE_S
         if tokens <= 0 or now >= expires_at:
             return
-        left = self.available(now)
-        self._expires_at = min(self._expires_at, expires_at) if left else expires_at
-        self._tokens = left + tokens
+        remaining = self.available(now)
+        self._expires_at = min(self._expires_at, expires_at) if remaining else expires_at
+        self._tokens = remaining + tokens
         self._interval_s = MIN_BORROW_INTERVAL_S
 
 
@@ -64,7 +64,7 @@
 
     def configure(self, now: float, services: Mapping[str, Service]) -> None:
         """Take the services of a configuration."""
-        before = self._pools
+        old_pools = self._pools
         self._pools = {}
         for name, service in services.items():
             if service.rate_per_s <= 0 or home_shard(name, self._bound.shard_count) != self._shard:
@@ -72,7 +72,7 @@
             split = split_rate(service.rate_per_s, self._bound)
             if not split.is_pooled:
                 continue
-            pool = self._pools[name] = before.get(name) or TokenBucket(split.pool, now)
+            pool = self._pools[name] = old_pools.get(name) or TokenBucket(split.pool, now)
             pool.configure(now, split.pool)
 
     def lend(self, now: float, service: str, wanted: int) -> int:
--- a/bitternpath/queue/rate_limits.py
+++ b/bitternpath/queue/rate_limits.py
@@ -91,12 +91,12 @@
     if shards < MIN_POOLED_SHARDS or allowed / shards >= MAX_POOLED_TOKENS_PER_SHARD:
         return RateSplit(equal_share(rate_per_s, bound), NO_SHARE)
     base = BucketShare(BASE_FRACTION * rate_per_s / shards, _MIN_BURST)
-    taken = shards * (base.refill_per_s * (bound.window_s + MAX_SEND_DELAY_S) + base.burst)
-    if taken > allowed / 2:
+    base_arrivals = shards * (base.refill_per_s * (bound.window_s + MAX_SEND_DELAY_S) + base.burst)
+    if base_arrivals > allowed / 2:
         base = NO_SHARE
-        taken = 0.0
+        base_arrivals = 0.0
     span = bound.window_s + MAX_POOL_DELAY_S
-    left = allowed - taken
-    burst = min(_POOL_BURST, left / 2)
-    refill = min(rate_per_s - shards * base.refill_per_s, (left - burst) / span)
-    return RateSplit(base, BucketShare(refill, left - refill * span))
+    pool_arrivals = allowed - base_arrivals
+    burst = min(_POOL_BURST, pool_arrivals / 2)
+    refill = min(rate_per_s - shards * base.refill_per_s, (pool_arrivals - burst) / span)
+    return RateSplit(base, BucketShare(refill, pool_arrivals - refill * span))
--- a/bitternpath/queue/ready_queue.py
+++ b/bitternpath/queue/ready_queue.py
@@ -77,7 +77,9 @@
 
     def __len__(self) -> int:
         """Return the most messages that may wait: those that left out of turn count until they come first."""
-        timely_and_late = sum(len(members.timely) + len(members.late) for members in self._classes.values())
+        timely_and_late = sum(
+            len(priority_class.timely) + len(priority_class.late) for priority_class in self._classes.values()
+        )
         return timely_and_late + len(self._stale)
 
     def push(self, tracked: TrackedMessage) -> None:
@@ -95,12 +97,12 @@
             candidate = None if heap is None else heap.first()
             if candidate is not None:
                 return candidate.tracked
-        last = self._stale.first()
-        return None if last is None else last.tracked
+        stale = self._stale.first()
+        return None if stale is None else stale.tracked
 
     def _first_heap(self, priority: int, now: float) -> _CandidateHeap | None:
-        members = self._classes[priority]
-        while (heap := members.first_heap(now)) is members.late:
+        priority_class = self._classes[priority]
+        while (heap := priority_class.first_heap(now)) is priority_class.late:
             candidate = heap.first()
             if candidate is None or candidate.tracked.entry.due_at + STALE_AFTER_S >= now:
                 return heap
--- a/bitternpath/queue/routes.py
+++ b/bitternpath/queue/routes.py
@@ -43,13 +43,13 @@
         """
         old = self.table
         self.table = table
-        affected = list(self._release(self._unrouted))
+        affected = list(self._unassign(self._unrouted))
         if old is None:
             return affected
         for name, route in old.routes.items():
             affected.extend(self._update(route, table.routes.get(name)))
         for route in table.routes.values():
-            if _matches_anew(old.routes.get(route.name), route):
+            if _match_changed(old.routes.get(route.name), route):
                 affected.extend(self._overlapped(old, route))
         return affected
 
@@ -58,13 +58,13 @@
         if old == new:
             return
         members = self._members(old.name)
-        if new is None or _matches_anew(old, new):
-            yield from self._release(members)
+        if new is None or _match_changed(old, new):
+            yield from self._unassign(members)
             return
-        placed_anew = _placement_of(old) != _placement_of(new)
+        phase_may_change = _phase_inputs(old) != _phase_inputs(new)
         for tracked in members.values():
             tracked.route = new
-            if placed_anew:
+            if phase_may_change:
                 yield tracked
 
     def _overlapped(self, old: RoutingTable, added: Route) -> Iterator[TrackedMessage]:
@@ -72,12 +72,12 @@
         for route in old.routes.values():
             same_host = route.host.lower() == added.host.lower()
             if same_host and added.path_prefix.startswith(route.path_prefix):
-                yield from self._release(self._members(route.name))
+                yield from self._unassign(self._members(route.name))
 
-    def _release(self, members: _Members) -> Iterator[TrackedMessage]:
-        released = list(members.values())
+    def _unassign(self, members: _Members) -> Iterator[TrackedMessage]:
+        unassigned = list(members.values())
         members.clear()
-        for tracked in released:
+        for tracked in unassigned:
             tracked.route = None
             yield tracked
 
@@ -85,11 +85,11 @@
         return self._by_route.setdefault(name, {})
 
 
-def _placement_of(route: Route) -> tuple[str, int, int, float]:
+def _phase_inputs(route: Route) -> tuple[str, int, int, float]:
     """Return what decides where an idle message is placed; the rest matters only from its next lease on."""
     return route.service, route.priority, route.start_target_ms, route.retention_s
 
 
-def _matches_anew(old: Route | None, new: Route) -> bool:
+def _match_changed(old: Route | None, new: Route) -> bool:
     """Whether a route matches other paths than before."""
     return old is None or (old.host.lower(), old.path_prefix) != (new.host.lower(), new.path_prefix)
--- a/bitternpath/queue/service_queues.py
+++ b/bitternpath/queue/service_queues.py
@@ -41,7 +41,7 @@
         token_at = self._next_token_time(now, self.bucket)
         return None if token_at is None else max(when, token_at)
 
-    def is_short_of_tokens(self, now: float) -> bool:
+    def needs_borrowed_token(self, now: float) -> bool:
         """Whether nothing but a token is wanted, and one may be borrowed."""
         if self.bucket is None or self.borrower is None or self._next_concurrent_grant_time(now) != now:
             return False
@@ -127,7 +127,7 @@
         """Have all queues processed."""
         self._dirty.update(dict.fromkeys(self._queues))
 
-    def take_dirty(self) -> list[ServiceQueue]:
+    def pop_dirty(self) -> list[ServiceQueue]:
         """Return the queues to process, which are dirty no more."""
         queues = [self._queues[name] for name in self._dirty]
         self._dirty.clear()
--- a/bitternpath/queue/sharding.py
+++ b/bitternpath/queue/sharding.py
@@ -76,9 +76,9 @@
         """Begin in epoch 0; the owner sets `epoch` before it grants a lease."""
         self.epoch = 0
         self._shard = shard
-        self._counted = 0
+        self._counter = 0
 
     def next(self) -> str:
         """Return an identifier that no lease has had."""
-        self._counted += 1
-        return lease_id(self._shard, self.epoch, self._counted)
+        self._counter += 1
+        return lease_id(self._shard, self.epoch, self._counter)
--- a/bitternpath/queue/snapshot.py
+++ b/bitternpath/queue/snapshot.py
@@ -150,13 +150,13 @@
 
 
 def _restored(saved: SavedEntry, saved_wall_ms: int, now: float, wall_ms: int) -> Entry:
-    passed = elapsed_beyond(DELAY_CLOCK_MARGIN_S, saved_wall_ms, wall_ms)
+    elapsed_s = elapsed_beyond(DELAY_CLOCK_MARGIN_S, saved_wall_ms, wall_ms)
     lease = saved.lease
     return Entry(
         message=compact(saved.message),
         index=saved.index,
         accepted_at=now - saved.age_ms / 1000,
-        due_at=now + max(0.0, saved.delay_left_ms / 1000 - passed),
+        due_at=now + max(0.0, saved.delay_left_ms / 1000 - elapsed_s),
         state=saved.state,
         stamp=saved.stamp,
         attempts=saved.attempts,
--- a/bitternpath/queue/state.py
+++ b/bitternpath/queue/state.py
@@ -159,9 +159,9 @@
 
     def _append(self, index: int, command: AppendMessage) -> MessageAppended:
         message = command.message
-        known = self._entries.get(message.request_id)
-        if known is not None:
-            return MessageAppended(command, is_new=False, state=known.state)
+        existing = self._entries.get(message.request_id)
+        if existing is not None:
+            return MessageAppended(command, is_new=False, state=existing.state)
         entry = new_entry(message, index, self._clock(), self._wall_ms())
         self._entries[message.request_id] = entry
         self.queued += 1
@@ -181,13 +181,13 @@
         entry = self._entries.get(command.request_id)
         if entry is None:
             return AttemptEnded(command)
-        earlier = entry.ended_leases.get(command.lease_id)
-        if earlier is not None:
-            return AttemptEnded(command, accepted=earlier is command.outcome)
+        recorded_outcome = entry.ended_leases.get(command.lease_id)
+        if recorded_outcome is not None:
+            return AttemptEnded(command, accepted=recorded_outcome is command.outcome)
         if entry.lease is None or entry.lease.lease_id != command.lease_id:
             return AttemptEnded(command)
         entry.lease = None
-        entry.remember_end(command.lease_id, command.outcome)
+        entry.record_end(command.lease_id, command.outcome)
         state = self._state_after(entry, command)
         if state is not MessageState.QUEUED:
             self._end(entry, state, command.stamp if state is MessageState.DONE else "")
@@ -200,8 +200,8 @@
                 return MessageState.DONE
             case AttemptOutcome.FAILED:
                 entry.attempts += 1
-                spent = entry.attempts >= command.max_attempts
-                return MessageState.DEAD_LETTER if spent else MessageState.QUEUED
+                exhausted = entry.attempts >= command.max_attempts
+                return MessageState.DEAD_LETTER if exhausted else MessageState.QUEUED
             case AttemptOutcome.REJECTED | AttemptOutcome.ROUTE_GONE:
                 return MessageState.DEAD_LETTER
             case AttemptOutcome.NOT_RUN | AttemptOutcome.UNKNOWN:
--- a/bitternpath/queue/token_bucket.py
+++ b/bitternpath/queue/token_bucket.py
@@ -48,9 +48,9 @@
 
     def take(self, now: float, limit: int) -> int:
         """Take up to `limit` tokens; returns how many."""
-        taken = min(limit, self.available(now))
-        self._tokens -= taken
-        return taken
+        count = min(limit, self.available(now))
+        self._tokens -= count
+        return count
 
     def next_token_time(self, now: float) -> float | None:
         """Return when a token will be there (`now`: at once); None where there is no refill."""
--- a/bitternpath/queue/tracked_messages.py
+++ b/bitternpath/queue/tracked_messages.py
@@ -55,18 +55,18 @@
 IDLE_PHASES = frozenset(
     {MessagePhase.UNROUTED, MessagePhase.BLOCKED, MessagePhase.DELAYED, MessagePhase.READY}
 )
-_PLACED = IDLE_PHASES | {MessagePhase.EXPIRING}
-_FIRST_OF_ITS_KEY = _PLACED - {MessagePhase.BLOCKED}
+_ASSIGNABLE = IDLE_PHASES | {MessagePhase.EXPIRING}
+_ASSIGNABLE_TO_HEAD = _ASSIGNABLE - {MessagePhase.BLOCKED}
 _AFTER_RELEASE = frozenset({MessagePhase.LEASED, MessagePhase.ENDED})
 
 TRANSITIONS = {
-    MessagePhase.UNROUTED: _PLACED | _AFTER_RELEASE | {MessagePhase.GRANTING},  # the first phase
-    MessagePhase.BLOCKED: _PLACED,
-    MessagePhase.DELAYED: _FIRST_OF_ITS_KEY | _AFTER_RELEASE,
-    MessagePhase.READY: _FIRST_OF_ITS_KEY | _AFTER_RELEASE | {MessagePhase.GRANTING},
-    MessagePhase.GRANTING: _PLACED | {MessagePhase.LEASED, MessagePhase.ENDED},
-    MessagePhase.LEASED: _FIRST_OF_ITS_KEY | {MessagePhase.ENDED},
-    MessagePhase.EXPIRING: _PLACED | {MessagePhase.ENDED},
+    MessagePhase.UNROUTED: _ASSIGNABLE | _AFTER_RELEASE | {MessagePhase.GRANTING},  # the first phase
+    MessagePhase.BLOCKED: _ASSIGNABLE,
+    MessagePhase.DELAYED: _ASSIGNABLE_TO_HEAD | _AFTER_RELEASE,
+    MessagePhase.READY: _ASSIGNABLE_TO_HEAD | _AFTER_RELEASE | {MessagePhase.GRANTING},
+    MessagePhase.GRANTING: _ASSIGNABLE | {MessagePhase.LEASED, MessagePhase.ENDED},
+    MessagePhase.LEASED: _ASSIGNABLE_TO_HEAD | {MessagePhase.ENDED},
+    MessagePhase.EXPIRING: _ASSIGNABLE | {MessagePhase.ENDED},
     MessagePhase.ENDED: frozenset[MessagePhase](),
 }
 
--- a/bitternpath/shards/appends.py
+++ b/bitternpath/shards/appends.py
@@ -110,8 +110,8 @@
             return
         match record:
             case AppendResponse():
-                name = message_id(self._shard, self._message.request_id)
-                self._finish(Acceptance(AcceptResult.ACCEPTED, name))
+                message_name = message_id(self._shard, self._message.request_id)
+                self._finish(Acceptance(AcceptResult.ACCEPTED, message_name))
             case Refused():
                 self._retry_or_reject()
             case _:
--- a/bitternpath/shards/lease_requests.py
+++ b/bitternpath/shards/lease_requests.py
@@ -24,24 +24,24 @@
     `timeout_s` seconds. It never fails.
     """
 
-    __slots__ = ("_clock", "_give_up_at", "_group", "_make", "_owners", "result")
+    __slots__ = ("_clock", "_deadline", "_group", "_make_record", "_owners", "result")
 
     def __init__(
-        self, clock: Clock, owners: ShardOwners, group: str, make: LeaseRecord, timeout_s: float
+        self, clock: Clock, owners: ShardOwners, group: str, make_record: LeaseRecord, timeout_s: float
     ) -> None:
         self.result: Deferred[LeaseAnswer] = Deferred()
         self._clock = clock
         self._owners = owners
         self._group = group
-        self._make = make
-        self._give_up_at = clock.seconds() + timeout_s
+        self._make_record = make_record
+        self._deadline = clock.seconds() + timeout_s
         self._attempt()
 
     def _attempt(self) -> None:
-        if self._clock.seconds() >= self._give_up_at:
+        if self._clock.seconds() >= self._deadline:
             self.result.callback(LeaseAnswer.UNAVAILABLE)
             return
-        response = self._owners.request(self._group, self._make)
+        response = self._owners.request(self._group, self._make_record)
         if response is None:
             self._retry()
         else:
--- a/bitternpath/shards/lookups.py
+++ b/bitternpath/shards/lookups.py
@@ -27,7 +27,7 @@
 
     request_id: str
     wants_body: bool
-    give_up_at: float  # of the clock
+    deadline: float  # of the clock
 
 
 class MessageLookup:
@@ -44,13 +44,13 @@
         A client's request id may look like an id that names a shard. So the message is unknown only once all
         shards have said so of the complete text. Fires within `LOOKUP_TIMEOUT_S` and never fails.
         """
-        give_up_at = self.clock.seconds() + LOOKUP_TIMEOUT_S
-        everywhere = _Query(message_id, wants_body, give_up_at)
+        deadline = self.clock.seconds() + LOOKUP_TIMEOUT_S
+        all_shards_query = _Query(message_id, wants_body, deadline)
         shard, request_id = split_message_id(message_id)
         if shard is None or shard >= max(self.shard_count, 1):
-            return self._search_all(everywhere)
-        from_named_shard = _ShardSearch(self, shard, _Query(request_id, wants_body, give_up_at)).result
-        return from_named_shard.addCallback(self._search_all_if_unknown, everywhere)
+            return self._search_all(all_shards_query)
+        from_named_shard = _ShardSearch(self, shard, _Query(request_id, wants_body, deadline)).result
+        return from_named_shard.addCallback(self._search_all_if_unknown, all_shards_query)
 
     def _search_all_if_unknown(
         self, found: LookupResult, query: _Query
@@ -84,7 +84,7 @@
         self._group = shard_group(shard)
         self._query = query
         self._done = False
-        timeout_s = max(query.give_up_at - lookup.clock.seconds(), 0.0)
+        timeout_s = max(query.deadline - lookup.clock.seconds(), 0.0)
         self._timer = lookup.clock.callLater(timeout_s, self._finish, LookupFailure.UNAVAILABLE)
         self._attempt()
 
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -64,7 +64,7 @@
         self._pending: dict[str, dict[_PendingRequest, None]] = {}  # by group; in the order of sending
         self._owner_changed = owner_changed
 
-    def request(self, group: str, make: Callable[[int], Record]) -> Deferred[Response] | None:
+    def request(self, group: str, make_record: Callable[[int], Record]) -> Deferred[Response] | None:
         """Send the record `make(request number)` to the group's owner; None where the group has no owner.
 
         The result fires with the response record. It fails with `LinkLostError` when the link ends, and as
@@ -76,7 +76,7 @@
         if owner is None:
             return None
         pending = _PendingRequest(owner.link, self._pending.setdefault(group, {}))
-        owner.link.request(make).addCallbacks(pending.complete, pending.fail)
+        owner.link.request(make_record).addCallbacks(pending.complete, pending.fail)
         return pending.response
 
     def owner(self, group: str) -> Owner | None:
@@ -93,15 +93,15 @@
 
     def ownership_changed(self, link: Link, ownership: Ownership) -> None:
         """A storage node announces that it owns a shard, or no longer does; a stale epoch is ignored."""
-        known = self._owners.get(ownership.group)
+        current = self._owners.get(ownership.group)
         if ownership.owns:
-            if known is not None and known.epoch > ownership.epoch:
+            if current is not None and current.epoch > ownership.epoch:
                 return
             zone = link.peer.zone if link.peer else ""
             self._owners[ownership.group] = Owner(link, ownership.epoch, zone)
             self._owner_changed(ownership.group)
             self._fail_requests_to_others(ownership.group)
-        elif known is not None and known.link is link:
+        elif current is not None and current.link is link:
             del self._owners[ownership.group]
             self._owner_changed(ownership.group)
 
--- a/bitternpath/shards/pulls.py
+++ b/bitternpath/shards/pulls.py
@@ -20,7 +20,7 @@
 from bitternpath.shards.owners import ShardOwners
 from bitternpath.shards.reports import AttemptReport, AttemptReporter
 from bitternpath.shards.results import LeaseAnswer
-from bitternpath.shards.waiting_pulls import PullTerms, UnroutedPull, WaitingPull
+from bitternpath.shards.waiting_pulls import PullParameters, UnroutedPull, WaitingPull
 from bitternpath.transport.records import AttemptOutcome
 from bitternpath.transport.shard_messages import ExtendRequest, WorkAvailable
 
@@ -52,11 +52,11 @@
 
     def pull(self, service: str, instance: str, wait_ms: int) -> WaitingPull | UnroutedPull:
         """Wait for a job of a service, for `wait_ms` milliseconds at most."""
-        group = self._take_demand(service) or self._any_group()
+        group = self._claim_demand(service) or self._random_group()
         owner = self._owners.owner(group)
         if owner is None:
             return UnroutedPull(self._clock, wait_ms / 1000)
-        pull = WaitingPull(self._clock, PullTerms(service, instance, wait_ms / 1000), self)
+        pull = WaitingPull(self._clock, PullParameters(service, instance, wait_ms / 1000), self)
         self._waiting[pull] = None
         pull.wait_at(group, owner)
         return pull
@@ -66,14 +66,14 @@
         owner = self._owners.owner(work.group)
         if owner is None:
             return
-        elsewhere = [
+        at_other_shards = [
             pull for pull in self._waiting if pull.service == work.service and pull.group != work.group
         ]
         share = max(1, round(work.waiting / max(work.nodes, 1)))
-        moved = min(share, len(elsewhere))
+        moved = min(share, len(at_other_shards))
         demand = _Demand(share - moved, self._clock.seconds() + DEMAND_TTL_S)
         self._demands.setdefault(work.service, {})[work.group] = demand
-        for pull in self._random.sample(elsewhere, moved):
+        for pull in self._random.sample(at_other_shards, moved):
             pull.wait_at(work.group, owner)
 
     def claim_waiting_worker(self, service: str) -> str:
@@ -93,14 +93,14 @@
         if owner is None:
             return
         for pull in [pull for pull in self._waiting if pull.group == group]:
-            if pull.waits_at_another(owner):
+            if pull.waits_at_other_node(owner):
                 pull.wait_at(group, owner)
 
     def pull_ended(self, pull: WaitingPull) -> None:
         """A pull has its result."""
         self._waiting.pop(pull, None)
 
-    def hand_back(self, group: str, request_id: str, lease_id: str) -> None:
+    def return_job(self, group: str, request_id: str, lease_id: str) -> None:
         """Report a job that reached no worker as not run."""
         self._reports.send(AttemptReport(group, request_id, lease_id, AttemptOutcome.NOT_RUN))
 
@@ -119,17 +119,17 @@
             return succeed(LeaseAnswer.NOT_CURRENT)
         group = shard_group(shard)
 
-        def make(number: int) -> ExtendRequest:
+        def make_record(number: int) -> ExtendRequest:
             return ExtendRequest(number, group, request_id, lease_id)
 
-        return LeaseRequest(self._clock, self._owners, group, make, LEASE_CALL_TIMEOUT_S).result
+        return LeaseRequest(self._clock, self._owners, group, make_record, LEASE_CALL_TIMEOUT_S).result
 
-    def _any_group(self) -> str:
+    def _random_group(self) -> str:
         """A random group whose owner is in this zone, else any that has an owner; "" where none has."""
         groups = self._owners.groups_in_zone(self._zone) or self._owners.owned_groups()
         return self._random.choice(groups) if groups else ""
 
-    def _take_demand(self, service: str) -> str:
+    def _claim_demand(self, service: str) -> str:
         """A group that has recently requested a worker of a service, which it gets; "" where none has."""
         demands = self._demands.get(service, {})
         now = self._clock.seconds()
--- a/bitternpath/shards/waiting_pulls.py
+++ b/bitternpath/shards/waiting_pulls.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PullTerms:
+class PullParameters:
     """What a worker asks for."""
 
     service: str
@@ -37,47 +37,52 @@
     def pull_ended(self, pull: WaitingPull) -> None:
         """The pull has its result and waits nowhere any more."""
 
-    def hand_back(self, group: str, request_id: str, lease_id: str) -> None:
+    def return_job(self, group: str, request_id: str, lease_id: str) -> None:
         """A job has come whose worker has disconnected, or has another one: report it as not run."""
 
 
 class WaitingPull:
     """A worker that waits at a shard. `result` fires with a job or None, and never fails."""
 
-    def __init__(self, clock: Clock, terms: PullTerms, listener: PullListener) -> None:
+    def __init__(self, clock: Clock, parameters: PullParameters, listener: PullListener) -> None:
         self.result: Deferred[PulledJob | None] = Deferred()
-        self.service = terms.service
+        self.service = parameters.service
         self.group = ""  # of the shard at which it waits
         self.claimed = False  # a message was sent to that shard for this worker
         self._clock = clock
-        self._instance = terms.instance
+        self._instance = parameters.instance
         self._listener = listener
-        self._ends_at = clock.seconds() + terms.wait_s
+        self._deadline = clock.seconds() + parameters.wait_s
         self._owner: Owner | None = None
         self._request_number = 0
-        self._move = 0  # counts the shards at which it has waited; tells the last one's response from others
+        self._generation = (
+            0  # counts the shards at which it has waited; tells the last one's response from others
+        )
         self._done = False
-        self._timer = clock.callLater(terms.wait_s + RESPONSE_MARGIN_S, self._finish, None)
+        self._timer = clock.callLater(parameters.wait_s + RESPONSE_MARGIN_S, self._finish, None)
 
     def wait_at(self, group: str, owner: Owner) -> None:
         """Wait at this shard from now on, in place of any earlier one."""
         self._cancel_request()
-        wait_ms = int((self._ends_at - self._clock.seconds()) * 1000)
+        wait_ms = int((self._deadline - self._clock.seconds()) * 1000)
         if wait_ms <= 0:
             self._finish(None)
             return
         self.group = group
         self._owner = owner
 
-        def make(number: int) -> PullRequest:
+        def make_record(number: int) -> PullRequest:
             self._request_number = number
             return PullRequest(number, group, self.service, self._instance, wait_ms)
 
-        self._move += 1
+        self._generation += 1
         self.claimed = False
-        response = owner.link.request(make)
+        response = owner.link.request(make_record)
         response.addCallbacks(
-            self._responded, self._response_lost, callbackArgs=(group, self._move), errbackArgs=(self._move,)
+            self._responded,
+            self._response_lost,
+            callbackArgs=(group, self._generation),
+            errbackArgs=(self._generation,),
         )
 
     def cancel(self) -> None:
@@ -86,7 +91,7 @@
             self._cancel_request()
             self._finish(None)
 
-    def waits_at_another(self, owner: Owner) -> bool:
+    def waits_at_other_node(self, owner: Owner) -> bool:
         """Whether it waits at a node other than this owner."""
         return self._owner is not None and self._owner.link is not owner.link
 
@@ -95,20 +100,20 @@
             self._owner.link.send(PullCancel(self._request_number, self.group))
             self._owner = None
 
-    def _responded(self, record: Response, group: str, move: int) -> None:
+    def _responded(self, record: Response, group: str, generation: int) -> None:
         if isinstance(record, PullResponse) and record.message is not None:
             job = PulledJob(record.lease_id, record.message)
             if self._done:
-                self._listener.hand_back(group, job.message.request_id, job.lease_id)
+                self._listener.return_job(group, job.message.request_id, job.lease_id)
                 return
-            if move != self._move:
+            if generation != self._generation:
                 self._cancel_request()  # it waits at another shard by now
             self._finish(job)
-        elif move == self._move:
+        elif generation == self._generation:
             self._finish(None)
 
-    def _response_lost(self, _: Failure, move: int) -> None:
-        if move == self._move:
+    def _response_lost(self, _: Failure, generation: int) -> None:
+        if generation == self._generation:
             self._finish(None)
 
     def _finish(self, job: PulledJob | None) -> None:
--- a/tests/system/delivery/client_case.py
+++ b/tests/system/delivery/client_case.py
@@ -32,17 +32,17 @@
     return head + headers + b"Content-Length: 3\r\n\r\nabc"
 
 
-class _Handle:
+class _Socket:
     """The socket below a connection in memory."""
 
     def __init__(self) -> None:
-        self.ended = False  # the worker's end has come and isn't read
+        self.closed_by_peer = False  # the worker's end has come and isn't read
 
     def setsockopt(self, *option: int) -> None:
         """Options show on real sockets only."""
 
     def recv(self, size: int, flags: int) -> bytes:
-        if not self.ended:
+        if not self.closed_by_peer:
             raise BlockingIOError
         return b""
 
@@ -53,7 +53,7 @@
     def __init__(self, network: Network, protocol: Any) -> None:
         self._network = network
         self._protocol = protocol
-        self.handle = _Handle()
+        self.socket = _Socket()
         self.sent = b""
         self.closed = False
         self.aborted = False
@@ -63,8 +63,8 @@
     def setTcpNoDelay(self, enabled: bool) -> None:
         """It shows on real sockets only."""
 
-    def getHandle(self) -> _Handle:
-        return self.handle
+    def getHandle(self) -> _Socket:
+        return self.socket
 
     def write(self, data: bytes) -> None:
         self.sent += data
@@ -77,7 +77,7 @@
         self.aborted = True
         self.loseConnection()
 
-    def take(self) -> bytes:
+    def take_sent(self) -> bytes:
         """What has been sent since the last call."""
         sent, self.sent = self.sent, b""
         return sent
@@ -152,7 +152,7 @@
         results, wire = self.delivered()
         wire.respond(response(headers=b"X-Server-Stamp: s.1\r\n" + keep_alive))
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
-        wire.take()
+        wire.take_sent()
         return wire
 
     def assert_result(
--- a/tests/system/delivery/test_callback_client.py
+++ b/tests/system/delivery/test_callback_client.py
@@ -167,11 +167,11 @@
     """Receivers that are slow or full."""
 
     def test_receiver_that_times_out(self) -> None:
-        for index, begun in enumerate((b"", b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nab")):
-            with self.subTest(begun):
+        for index, partial_response in enumerate((b"", b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nab")):
+            with self.subTest(partial_response):
                 results = self.notify()
                 self.request(index)
-                self.respond(begun, index)
+                self.respond(partial_response, index)
                 for _ in range(5):
                     self.loopback.reactor.iterate(0)
                 self.assertEqual(results, [])
--- a/tests/system/delivery/test_connections.py
+++ b/tests/system/delivery/test_connections.py
@@ -29,7 +29,7 @@
         wire = self.idle()
         for request_id in ("r2", "r3"):
             results = self.deliver(request_id)
-            self.assertIn(request_id.encode(), wire.take())
+            self.assertIn(request_id.encode(), wire.take_sent())
             wire.respond(response(request_id))
             self.assert_result(results, AttemptOutcome.SUCCEEDED)
         self.assertEqual(len(self.network.attempts), 1)
@@ -60,7 +60,7 @@
         self.network.advance(DEADLINE_S - 0.01)
         wire = self.connect()
         self.assert_result(results, AttemptOutcome.NOT_RUN, RefusalKind.BUSY)
-        self.assertEqual(wire.take(), b"")
+        self.assertEqual(wire.take_sent(), b"")
 
     def test_no_time_at_all(self) -> None:
         for deadline_ms in (0, -5, 10):
@@ -70,13 +70,13 @@
         self.assertEqual(self.network.attempts, [])
 
     def test_sends_only_within_the_given_time(self) -> None:
-        hurried = replace(TARGET, send_within_s=0.1)
-        results = self.deliver(target=hurried)
+        target = replace(TARGET, send_within_s=0.1)
+        results = self.deliver(target=target)
         self.assertAlmostEqual(self.network.attempts[0].timeout, 0.1)
         self.network.advance(0.11)
         wire = self.connect()
         self.assert_result(results, AttemptOutcome.NOT_RUN, RefusalKind.BUSY)
-        self.assertEqual(wire.take(), b"")
+        self.assertEqual(wire.take_sent(), b"")
 
     def test_waits_only_within_the_given_time(self) -> None:
         one = replace(TARGET, max_connections=1, send_within_s=0.1)
@@ -86,18 +86,18 @@
         self.network.advance(0.1)
         self.assert_result(results, AttemptOutcome.NOT_RUN, RefusalKind.BUSY)
         wire.respond(OK)
-        self.assertNotIn(b"r2", wire.take())
+        self.assertNotIn(b"r2", wire.take_sent())
 
     def test_limit_and_order_of_waiting_deliveries(self) -> None:
         first, second, third, fourth = (self.deliver(f"r{number}") for number in range(1, 5))
         self.assertEqual(len(self.network.attempts), 2)
         one, two = self.connect(0), self.connect(1)
-        two.take()
+        two.take_sent()
         two.respond(response("r2"))
-        self.assertIn(b"X-Request-Id: r3\r\n", two.take())
-        one.take()
+        self.assertIn(b"X-Request-Id: r3\r\n", two.take_sent())
+        one.take_sent()
         one.respond(response("r1"))
-        self.assertIn(b"X-Request-Id: r4\r\n", one.take())
+        self.assertIn(b"X-Request-Id: r4\r\n", one.take_sent())
         two.respond(response("r3"))
         one.respond(response("r4"))
         for results in (first, second, third, fourth):
@@ -149,10 +149,10 @@
         one, two = self.connect(0), self.connect(1)
         two.respond(response("r2"))
         one.respond(response("r1"))
-        one.take()
-        two.take()
+        one.take_sent()
+        two.take_sent()
         self.deliver("r3")
-        self.assertEqual((one.take() == b"", two.take() == b""), (True, False))
+        self.assertEqual((one.take_sent() == b"", two.take_sent() == b""), (True, False))
 
     def test_idle_connection_that_the_worker_closed(self) -> None:
         wire = self.idle()
@@ -162,9 +162,9 @@
 
     def test_idle_connection_whose_end_is_not_read_yet(self) -> None:
         wire = self.idle()
-        wire.handle.ended = True
+        wire.socket.closed_by_peer = True
         self.deliver("r2")
-        self.assertEqual(wire.take(), b"")
+        self.assertEqual(wire.take_sent(), b"")
         self.assertEqual(len(self.network.attempts), 2)
 
     def test_a_delivery_over_a_reused_connection_that_breaks_is_not_retried(self) -> None:
@@ -176,7 +176,7 @@
         self.assertEqual(len(self.network.attempts), 1)
 
     def test_idle_connections_are_closed_before_the_worker_does(self) -> None:
-        for header, keep_s in (
+        for header, keep_alive_s in (
             (b"", 4),
             (b"Keep-Alive: timeout=2\r\n", 2),
             (b"Keep-Alive: max=9, timeout=3\r\n", 3),
@@ -185,12 +185,12 @@
                 self.setUp()
                 wire = self.idle(header)
                 self.network.pump(
-                    [SWEEP_INTERVAL_S / 5] * int(5 * (keep_s * IDLE_USE_SHARE) / SWEEP_INTERVAL_S)
+                    [SWEEP_INTERVAL_S / 5] * int(5 * (keep_alive_s * IDLE_USE_SHARE) / SWEEP_INTERVAL_S)
                 )
                 self.assertFalse(wire.closed)
                 self.network.pump([SWEEP_INTERVAL_S / 5] * 6)
                 self.assertTrue(wire.closed)
-                self.assertLess(self.network.seconds(), keep_s)
+                self.assertLess(self.network.seconds(), keep_alive_s)
                 self.network.pump([SWEEP_INTERVAL_S] * 3)
                 self.assertEqual(self.network.getDelayedCalls(), [])
 
@@ -198,7 +198,7 @@
         wire = self.idle(b"Keep-Alive: timeout=1\r\n")
         self.network.rightNow += 0.7  # before any timer has run, as after a stop of the process
         self.deliver("r2")
-        self.assertEqual(wire.take(), b"")
+        self.assertEqual(wire.take_sent(), b"")
         self.assertEqual(len(self.network.attempts), 2)
 
 
@@ -227,7 +227,7 @@
         self.client.remove_address(ADDRESS)
         wire = self.connect()
         self.assert_result(results, AttemptOutcome.NOT_RUN, RefusalKind.NO_CONNECTION)
-        self.assertEqual(wire.take(), b"")
+        self.assertEqual(wire.take_sent(), b"")
         self.assertTrue(wire.closed)
 
     def test_address_that_comes_back(self) -> None:
--- a/tests/system/delivery/test_requests.py
+++ b/tests/system/delivery/test_requests.py
@@ -50,14 +50,14 @@
         target = b"/" + bytes(byte for byte in target if byte > 0x20)
         changed = structs.replace(MESSAGE, target=target.decode("latin-1"), body=body)
         self.client.deliver(TARGET, changed, DEADLINE_MS)
-        head, _, rest = self.connect().take().partition(b"\r\n\r\n")
+        head, _, rest = self.connect().take_sent().partition(b"\r\n\r\n")
         self.assertEqual(head.split(b"\r\n")[0], b"POST " + target + b" HTTP/1.1")
         self.assertEqual(rest, body)
 
     def test_deadline_is_what_is_left(self) -> None:
         self.deliver()
         self.network.advance(0.2)
-        self.assertIn(b"\r\nX-Deadline-Ms: 700\r\n", self.connect().take())
+        self.assertIn(b"\r\nX-Deadline-Ms: 700\r\n", self.connect().take_sent())
 
 
 if __name__ == "__main__":
--- a/tests/system/delivery/test_responses.py
+++ b/tests/system/delivery/test_responses.py
@@ -54,7 +54,7 @@
             (502, b"", outcome.UNKNOWN, refusal.NONE, ""),
             (504, b"", outcome.UNKNOWN, refusal.NONE, ""),
         ]
-        for status, headers, expected, kind, stamped in table:
+        for status, headers, expected_outcome, expected_refusal, expected_stamp in table:
             for step in (0, 1, 7):
                 with self.subTest(status, headers=headers, step=step):
                     self.setUp()
@@ -62,8 +62,8 @@
                     self.network.advance(0.1)
                     wire.respond(response("r1", status, headers), step)
                     (result,) = results
-                    self.assertEqual((result.outcome, result.refusal), (expected, kind))
-                    self.assertEqual((result.stamp, result.status), (stamped, status))
+                    self.assertEqual((result.outcome, result.refusal), (expected_outcome, expected_refusal))
+                    self.assertEqual((result.stamp, result.status), (expected_stamp, status))
                     self.assertAlmostEqual(result.elapsed_s, 0.1)
                     self.assertFalse(wire.closed)
 
@@ -144,11 +144,11 @@
         self.assertEqual(self.network.getDelayedCalls(), [])
 
     def test_response_time_out(self) -> None:
-        for begun in (b"", OK[:20], OK[:-1]):
-            with self.subTest(begun):
+        for partial_response in (b"", OK[:20], OK[:-1]):
+            with self.subTest(partial_response):
                 self.setUp()
                 results, wire = self.delivered()
-                wire.respond(begun)
+                wire.respond(partial_response)
                 self.network.advance(DEADLINE_S + RESPONSE_GRACE_S - 0.001)
                 self.assertEqual(results, [])
                 self.network.advance(0.001)
@@ -187,14 +187,14 @@
         wire.respond(OK)
         self.assertTrue(wire.aborted)
         results = self.deliver("r2")
-        self.assertEqual(wire.take(), b"")
+        self.assertEqual(wire.take_sent(), b"")
         self.connect().respond(response("r2"))
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
 
     def test_second_response_while_the_next_message_is_in_flight(self) -> None:
         wire = self.idle()
         results = self.deliver("r2")
-        self.assertNotEqual(wire.take(), b"")
+        self.assertNotEqual(wire.take_sent(), b"")
         wire.respond(OK)
         self.assert_result(results, AttemptOutcome.UNKNOWN)
         wire.respond(response("r2"))
--- a/tests/system/delivery/test_second_responses.py
+++ b/tests/system/delivery/test_second_responses.py
@@ -20,7 +20,7 @@
         """A connection over which r1 was delivered, and ended with that status."""
         _, wire = self.delivered()
         wire.respond(response(status=status, headers=headers))
-        wire.take()
+        wire.take_sent()
         return wire
 
     def test_a_second_response_to_a_failure_does_not_end_the_retry(self) -> None:
@@ -30,9 +30,9 @@
                 self.setUp()
                 _, wire = self.delivered()
                 wire.respond(response(status=status, headers=headers))
-                wire.take()
+                wire.take_sent()
                 results = self.deliver()  # a retry
-                self.assertEqual(wire.take(), b"", f"sent over the connection that ended with {outcome}")
+                self.assertEqual(wire.take_sent(), b"", f"sent over the connection that ended with {outcome}")
                 second = self.connect()
                 wire.respond(response(status=status, headers=headers))  # late, and for the first delivery
                 self.assertEqual(results, [])
@@ -42,7 +42,7 @@
     def test_other_messages_reuse_the_connection(self) -> None:
         wire = self.ended(500)
         results = self.deliver("r2")
-        self.assertIn(b"X-Request-Id: r2", wire.take())
+        self.assertIn(b"X-Request-Id: r2", wire.take_sent())
         wire.respond(response("r2"))
         self.assert_result(results, SUCCEEDED)
         self.assertEqual(len(self.network.attempts), 1)
@@ -50,7 +50,7 @@
     def test_the_request_id_of_a_final_outcome_is_not_remembered(self) -> None:
         wire = self.idle()
         self.deliver()
-        self.assertIn(b"X-Request-Id: r1", wire.take())
+        self.assertIn(b"X-Request-Id: r1", wire.take_sent())
 
     def test_where_all_connections_have_carried_it_one_is_replaced(self) -> None:
         first = self.ended(500)
@@ -71,7 +71,7 @@
         self.deliver("r3")  # over the first connection
         results = self.deliver("r1")
         wires[0].respond(response("r3"))
-        self.assertNotIn(b"X-Request-Id: r1", wires[0].take().split(b"body", 1)[1])
+        self.assertNotIn(b"X-Request-Id: r1", wires[0].take_sent().split(b"body", 1)[1])
         self.connect().respond(response())
         self.assert_result(results, SUCCEEDED)
 
--- a/tests/system/delivery/test_socket_options.py
+++ b/tests/system/delivery/test_socket_options.py
@@ -43,9 +43,9 @@
         address = self.loopback.listen_with(_Worker)
         client = WorkerClient(self.loopback.reactor)
         target = WorkerTarget(address, "i-1", 1)
-        odd = structs.replace(MESSAGE, target="/p/%2e%2e//\xe9?a=%zz&b")
+        message = structs.replace(MESSAGE, target="/p/%2e%2e//\xe9?a=%zz&b")
         for _ in range(2):
-            result = self.loopback.result(client.deliver(target, odd, 5000))
+            result = self.loopback.result(client.deliver(target, message, 5000))
             self.assertEqual(result.outcome, AttemptOutcome.SUCCEEDED)
         self.assertTrue(_Worker.read.startswith(b"POST /p/%2e%2e//\xe9?a=%zz&b HTTP/1.1\r\n"))
         handles = [reader.getHandle() for reader in self.loopback.reactor.getReaders() if _is_client(reader)]
--- a/tests/system/queue/checkers.py
+++ b/tests/system/queue/checkers.py
@@ -50,7 +50,7 @@
     """A worker began to run a message."""
 
     request_id: str
-    began: float
+    started_at: float
     service: str
 
 
@@ -160,13 +160,13 @@
         if accepted is None or response.request_id in result:
             continue
         failures[response.request_id] += response.kind is WorkerResponseKind.FAILED
-        spent = failures[response.request_id] >= rule_settings.max_attempts[accepted.route]
-        if response.kind is not WorkerResponseKind.FAILED or spent:
+        exhausted = failures[response.request_id] >= rule_settings.max_attempts[accepted.route]
+        if response.kind is not WorkerResponseKind.FAILED or exhausted:
             result[response.request_id] = response.at
     for request_id, accepted in history.accepted.items():
         dropped = [at for at in history.route_dropped.get(accepted.route, []) if at >= accepted.sent]
-        others = min([accepted.sent + rule_settings.retention_s[accepted.route], *dropped])
-        result[request_id] = min(result.get(request_id, inf), others)
+        forced_end = min([accepted.sent + rule_settings.retention_s[accepted.route], *dropped])
+        result[request_id] = min(result.get(request_id, inf), forced_end)
     return result
 
 
@@ -196,12 +196,12 @@
         if accepted.order_key:
             by_key[accepted.order_key].append(accepted)
     for run in history.runs:
-        mine = history.accepted.get(run.request_id)
-        if mine is None:
+        message = history.accepted.get(run.request_id)
+        if message is None:
             continue
-        for other in by_key.get(mine.order_key, ()):
-            if other.accepted < mine.sent and ended[other.request_id] > run.began:
-                text = f"began at {run.began:.3f} before {other.request_id} had ended"
+        for other in by_key.get(message.order_key, ()):
+            if other.accepted < message.sent and ended[other.request_id] > run.started_at:
+                text = f"began at {run.started_at:.3f} before {other.request_id} had ended"
                 violations.append(Violation(Rule.ORDER, run.request_id, text))
     return violations
 
@@ -247,14 +247,14 @@
     last: dict[str, JobReceived] = {}
     violations = []
     for received in history.jobs_received:
-        before = last.get(received.request_id)
+        previous = last.get(received.request_id)
         last[received.request_id] = received
-        if before is None or history.released.get(before.lease_id, inf) <= received.at:
+        if previous is None or history.released.get(previous.lease_id, inf) <= received.at:
             continue
-        times = extensions[before.lease_id]
+        times = extensions[previous.lease_id]
         earlier = times[: bisect_left(times, received.at)]
-        if received.at < max([before.at, *earlier]) + rule_settings.visibility_timeout_s:
-            text = f"received at {received.at:.3f} while {before.lease_id} was out"
+        if received.at < max([previous.at, *earlier]) + rule_settings.visibility_timeout_s:
+            text = f"received at {received.at:.3f} while {previous.lease_id} was out"
             violations.append(Violation(Rule.TWICE, received.request_id, text))
     return violations
 
@@ -265,9 +265,9 @@
         if response.kind is WorkerResponseKind.SUCCESS and response.received:
             done.setdefault(response.request_id, response.at)
     return [
-        Violation(Rule.TWICE, run.request_id, f"runs at {run.began:.3f} after its success")
+        Violation(Rule.TWICE, run.request_id, f"runs at {run.started_at:.3f} after its success")
         for run in history.runs
-        if run.began > done.get(run.request_id, inf)
+        if run.started_at > done.get(run.request_id, inf)
     ]
 
 
@@ -275,12 +275,12 @@
     """Check the arrivals at a rate-limited service in each sliding window."""
     violations = []
     for service, rate in rule_settings.rates.items():
-        times = sorted(run.began for run in history.runs if run.service == service)
+        times = sorted(run.started_at for run in history.runs if run.service == service)
         allowed = rate * rule_settings.window_s * rule_settings.tolerance + 5
-        for position, began in enumerate(times):
-            count = bisect_left(times, began + rule_settings.window_s) - position
+        for position, started_at in enumerate(times):
+            count = bisect_left(times, started_at + rule_settings.window_s) - position
             if count > allowed:
-                text = f"{count} arrivals at {service} from {began:.3f} on; {allowed:.2f} allowed"
+                text = f"{count} arrivals at {service} from {started_at:.3f} on; {allowed:.2f} allowed"
                 violations.append(Violation(Rule.CEILING, "", text))
                 break
     return violations
@@ -304,8 +304,8 @@
             violations.append(Violation(Rule.MIXED, reported.request_id, "dead letter before its end"))
     for request_id, stored in history.stored.items():
         accepted = history.accepted.get(request_id)
-        shown = stored.state is not MessageState.DONE and stored.body is not None
-        if accepted is not None and shown and stored.body != accepted.body:
+        has_body = stored.state is not MessageState.DONE and stored.body is not None
+        if accepted is not None and has_body and stored.body != accepted.body:
             violations.append(Violation(Rule.MIXED, request_id, "other bytes"))
     return violations
 
--- a/tests/system/queue/owner_rig.py
+++ b/tests/system/queue/owner_rig.py
@@ -75,14 +75,14 @@
         self.state = QueueState(lambda: self.now, lambda: WALL_MS + round((self.now - 100.0) * 1000))
         self.index = 0
         self.automatic = True  # commit each proposal at once
-        self.own(routing, edges)
+        self.start_owner(routing, edges)
 
     def new_owner(self) -> ShardOwner:
         """Return an owner of the only shard."""
         settings = OwnerSettings(visibility_timeout_ms=3_000, status_retention_s=120.0)
         return ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
 
-    def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
+    def start_owner(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
         """Let a new owner begin."""
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
@@ -144,7 +144,7 @@
         while (when := self.owner.next_wakeup(self.now)) is not None and when <= end:
             self.now = when
             self.do(self.owner.tick(self.now))
-            assert (again := self.owner.next_wakeup(self.now)) is None or again > self.now, (
+            assert (next_wakeup := self.owner.next_wakeup(self.now)) is None or next_wakeup > self.now, (
                 "wakes without end"
             )
         self.now = end
--- a/tests/system/queue/world.py
+++ b/tests/system/queue/simulation.py
@@ -30,7 +30,7 @@
     WorkerResponse,
     WorkerResponseKind,
 )
-from tests.system.queue.world_nodes import (
+from tests.system.queue.simulation_nodes import (
     BOUNDS,
     NO_FAULTS,
     ROUTES,
@@ -45,14 +45,14 @@
     Faults,
     HolderReport,
     PullingWorker,
+    Scheduler,
     Shard,
-    Simulation,
     WaitingPoll,
     WorkerBehaviour,
 )
 
 
-class World:
+class QueueSimulation:
     """Everything together. `run` returns the history."""
 
     def __init__(
@@ -62,7 +62,7 @@
         self.build = build or Build()
         self.faults = faults or Faults()
         self.fault_level = 1.0 if self.faults != NO_FAULTS else 0.0
-        self.simulation = Simulation()
+        self.scheduler = Scheduler()
         self.history = History()
         self.numbers = count(1)
         self.polls: dict[int, WaitingPoll] = {}
@@ -92,11 +92,11 @@
     def run(self) -> History:
         """Run traffic with faults, then a time without, and collect what the shards have stored."""
         self._start_sources()
-        start = self.simulation.now
-        self.simulation.run_until(start + TRAFFIC_S)
+        start = self.scheduler.now
+        self.scheduler.run_until(start + TRAFFIC_S)
         self.fault_level = 0.0
-        self.simulation.run_until(start + TRAFFIC_S + SETTLING_S)
-        self.history.finished = self.simulation.now
+        self.scheduler.run_until(start + TRAFFIC_S + SETTLING_S)
+        self.history.finished = self.scheduler.now
         for shard in self.shards:
             for entry in shard.state:
                 message = entry.message
@@ -113,20 +113,20 @@
         self._repeat(faults.edge_restarts, lambda: self.random.choice(self.edges).restart())
         self._repeat(faults.configurations, self._change_configuration)
         for puller in self.pulling_workers:
-            self.simulation.after(self.random.uniform(0.0, 1.0), puller.ask)
+            self.scheduler.after(self.random.uniform(0.0, 1.0), puller.poll_repeatedly)
 
     def _repeat(self, rate: float, event: Callable[[], object]) -> None:
         """Have `event` happen at random moments while clients send."""
         if rate <= 0:
             return
-        end = self.simulation.now + TRAFFIC_S
+        end = self.scheduler.now + TRAFFIC_S
 
-        def again() -> None:
-            if self.simulation.now < end:
+        def recur() -> None:
+            if self.scheduler.now < end:
                 event()
-                self.simulation.after(self.random.expovariate(rate), again)
+                self.scheduler.after(self.random.expovariate(rate), recur)
 
-        self.simulation.after(self.random.expovariate(rate), again)
+        self.scheduler.after(self.random.expovariate(rate), recur)
 
     def _lose_all_owners(self) -> None:
         for shard in self.shards:
@@ -141,7 +141,7 @@
         present = "fleeting" in old.routes
         for route in ROUTES:
             if route.name == "fleeting" and present:
-                self.history.route_dropped.setdefault("fleeting", []).append(self.simulation.now)
+                self.history.route_dropped.setdefault("fleeting", []).append(self.scheduler.now)
                 continue
             moved = route.name == "order-one" and self.random.random() < 0.5
             service = "other" if moved else route.service
@@ -158,19 +158,19 @@
             if table.version > edge.table.version:
                 edge.table = table
 
-        self.simulation.after(self.random.uniform(0.0, 0.8), configure)
+        self.scheduler.after(self.random.uniform(0.0, 0.8), configure)
 
     def configure_later(self, shard: Shard) -> None:
         """The newest configuration reaches a shard's owner after a while."""
         table = self.tables[-1]
         delay = self.random.uniform(0.0, 0.8)
-        self.simulation.after(delay, lambda: shard.input(lambda owner, now: owner.configure(now, table)))
+        self.scheduler.after(delay, lambda: shard.input(lambda owner, now: owner.configure(now, table)))
 
     # ---- clients
 
     def _send_message(self) -> None:
         route = self.random.choice([route for route in ROUTES if route.name in self.tables[-1].routes])
-        if route.name == "slow" and self.simulation.now > SLOW_TRAFFIC_END_S:
+        if route.name == "slow" and self.scheduler.now > SLOW_TRAFFIC_END_S:
             return
         request_id = f"r{next(self.numbers)}"
         key = f"key-{self.random.randint(1, 6)}" if route.ordered else ""
@@ -178,13 +178,13 @@
         message = self._message(request_id, route, key, edge)
         self.behaviours[request_id] = self._draw_behaviour()
         shard = self.shards[shard_for(key, self.random.randrange(len(self.shards)), len(self.shards))]
-        sent = self.simulation.now
+        sent = self.scheduler.now
         edge.later(self.network_delay(), lambda: self._append(edge, shard, message, sent, 5))
 
     def _message(self, request_id: str, route: Route, key: str, edge: EdgeNode) -> Message:
         delay_ms = self.random.choice((0, 0, 0, 700))
         callback = "http://10.0.0.9:80/done" if self.random.random() < 0.3 else ""
-        wall_ms = WALL_START_MS + int(self.simulation.now * 1000)
+        wall_ms = WALL_START_MS + int(self.scheduler.now * 1000)
         body = request_id.encode() * 3
         return Message(
             request_id, "POST", route.host, route.path_prefix + request_id, (), key, route.name, 0, delay_ms,
@@ -213,7 +213,7 @@
         self.history.accepted.setdefault(
             message.request_id,
             Accepted(
-                message.request_id, sent, self.simulation.now, message.order_key, message.route, message.body
+                message.request_id, sent, self.scheduler.now, message.order_key, message.route, message.body
             ),
         )
 
@@ -237,26 +237,26 @@
         duration: float | None = None,
     ) -> None:
         """Run a message at a worker; `responded` gets its response, or None at the time-out."""
-        began = self.simulation.now
-        self.history.runs.append(Run(request_id, began, service))
-        lasts = min(0.8 * timeout_s, self.random.expovariate(10.0)) if duration is None else duration
-        fails = self.fault_level if duration is None else 0.0
-        lost = self.random.random() < self.faults.lost_responses * fails
-        crashed = self.random.random() < self.faults.crashes * fails
+        started_at = self.scheduler.now
+        self.history.runs.append(Run(request_id, started_at, service))
+        run_duration = min(0.8 * timeout_s, self.random.expovariate(10.0)) if duration is None else duration
+        fault_level = self.fault_level if duration is None else 0.0
+        lost = self.random.random() < self.faults.lost_responses * fault_level
+        crashed = self.random.random() < self.faults.crashes * fault_level
 
         def finish() -> None:
             kind = self._response_kind(request_id)
             stamp = f"stamp-{next(self.numbers)}" if kind is WorkerResponseKind.SUCCESS else ""
             self.history.responses.append(
-                WorkerResponse(request_id, self.simulation.now, kind, stamp, not lost)
+                WorkerResponse(request_id, self.scheduler.now, kind, stamp, not lost)
             )
             if not lost:
                 responded(kind, stamp)
 
         if not crashed:
-            self.simulation.after(lasts, finish)
+            self.scheduler.after(run_duration, finish)
         if lost or crashed:
-            self.simulation.after(timeout_s, lambda: responded(None, ""))
+            self.scheduler.after(timeout_s, lambda: responded(None, ""))
 
     def _response_kind(self, request_id: str) -> WorkerResponseKind:
         behaviour = self.behaviours[request_id]
@@ -284,7 +284,7 @@
                 EndResponse(
                     report.request_id,
                     report.lease_id,
-                    self.simulation.now,
+                    self.scheduler.now,
                     success=success,
                     pulled=report.pulled,
                     accepted=result.accepted,
@@ -298,12 +298,12 @@
                 )
                 shard.propose(command, applied)
 
-        def again() -> None:
+        def recur() -> None:
             if attempts_left > 0 and (not responded or self.random.random() < 0.05 * self.fault_level):
                 self.report_end(edge, shard, report, attempts_left - 1)
 
         edge.later(self.network_delay(), attempt)
-        edge.later(0.4, again)
+        edge.later(0.4, recur)
 
     def edge(self, name: str) -> EdgeNode:
         """An edge node by its name."""
--- a/tests/system/queue/world_nodes.py
+++ b/tests/system/queue/simulation_nodes.py
@@ -37,7 +37,7 @@
 )
 
 if TYPE_CHECKING:
-    from tests.system.queue.world import World
+    from tests.system.queue.simulation import QueueSimulation
 
 START_S = 100.0
 TRAFFIC_S = 20.0  # clients send for so long
@@ -110,7 +110,7 @@
     pulled: bool
 
 
-class Simulation:
+class Scheduler:
     """Events in the order of time."""
 
     def __init__(self) -> None:
@@ -133,8 +133,8 @@
 class Shard:
     """One replica group: a log, the owner's replica, and one that follows."""
 
-    def __init__(self, world: World, number: int) -> None:
-        self.world = world
+    def __init__(self, simulation: QueueSimulation, number: int) -> None:
+        self.simulation = simulation
         self.number = number
         self.log: list[bytes] = []
         self.step_ms = 0
@@ -147,30 +147,33 @@
         self.elect_owner()
 
     def _new_state(self) -> QueueState:
-        simulation, step_ms = self.world.simulation, self.step_ms
-        return self.world.build.state(
-            lambda: simulation.now, lambda: WALL_START_MS + int(simulation.now * 1000) + step_ms
+        scheduler, step_ms = self.simulation.scheduler, self.step_ms
+        return self.simulation.build.state(
+            lambda: scheduler.now, lambda: WALL_START_MS + int(scheduler.now * 1000) + step_ms
         )
 
     def elect_owner(self) -> None:
         """Let a new owner begin; all that is committed has been applied."""
         self.epoch += 1
-        now = self.world.simulation.now
-        self.owner = self.world.build.owner(
-            self.state, OwnedShard(self.number, self.world.shards_count, ZONES[0]), BOUNDS, self.world.random
+        now = self.simulation.scheduler.now
+        self.owner = self.simulation.build.owner(
+            self.state,
+            OwnedShard(self.number, self.simulation.shards_count, ZONES[0]),
+            BOUNDS,
+            self.simulation.random,
         )
         self._wakeup = float("inf")
         self.execute(self.owner.leadership_acquired(now, self.epoch))
-        for edge in self.world.edges:
+        for edge in self.simulation.edges:
             self.execute(self.owner.edge_connected(now, edge.name, edge.zone))
-        self.execute(self.owner.configure(now, self.world.random.choice(self.world.tables[-2:])))
-        self.world.configure_later(self)
+        self.execute(self.owner.configure(now, self.simulation.random.choice(self.simulation.tables[-2:])))
+        self.simulation.configure_later(self)
 
     def lose_owner(self) -> None:
         """Stop the owner; some of its proposals are committed nevertheless."""
         if self.owner is None:
             return
-        random = self.world.random
+        random = self.simulation.random
         self.owner = None
         survivors = self._pending[: random.randint(0, len(self._pending))]
         self._pending = []
@@ -178,11 +181,11 @@
             self._restart()
         for command, _ in survivors:
             self._commit(command)
-        self.world.simulation.after(random.uniform(0.02, 1.0), self.elect_owner)
+        self.simulation.scheduler.after(random.uniform(0.02, 1.0), self.elect_owner)
 
     def _restart(self) -> None:
         """The next owner starts from a snapshot and the log, by a clock that has stepped."""
-        self.step_ms = self.world.random.randint(-2_000, 2_000)
+        self.step_ms = self.simulation.random.randint(-2_000, 2_000)
         self.state = self._new_state()
         start = 0
         if self.saved is not None:
@@ -200,10 +203,10 @@
         if self.owner is None:
             return
         self._pending.append((command, done))
-        random, epoch = self.world.random, self.epoch
-        stalled = random.random() < 0.01 * self.world.fault_level
+        random, epoch = self.simulation.random, self.epoch
+        stalled = random.random() < 0.01 * self.simulation.fault_level
         delay = random.uniform(0.2, 0.5) if stalled else random.uniform(0.001, 0.02)
-        self.world.simulation.after(delay, lambda: self._commit_next(epoch))
+        self.simulation.scheduler.after(delay, lambda: self._commit_next(epoch))
 
     def _commit_next(self, epoch: int) -> None:
         owner = self.owner
@@ -211,7 +214,7 @@
             return
         command, done = self._pending.pop(0)
         result = self._commit(command)
-        self.execute(owner.applied(self.world.simulation.now, result))
+        self.execute(owner.applied(self.simulation.scheduler.now, result))
         if done is not None:
             done(result)
 
@@ -220,7 +223,7 @@
         self.log.append(data)
         result = self.state.apply(len(self.log), data)
         if isinstance(result, AttemptEnded) and result.effective:
-            self.world.history.released[result.command.lease_id] = self.world.simulation.now
+            self.simulation.history.released[result.command.lease_id] = self.simulation.scheduler.now
         if isinstance(result, AttemptEnded | MessageExpired) and result.ended_message:
             self._report_state(result.command.request_id)
         return result
@@ -228,13 +231,13 @@
     def _report_state(self, request_id: str) -> None:
         entry = self.state.find(request_id)
         assert entry is not None
-        reported = StateReported(request_id, self.world.simulation.now, entry.state, entry.stamp)
-        self.world.history.reported.append(reported)
+        reported = StateReported(request_id, self.simulation.scheduler.now, entry.state, entry.stamp)
+        self.simulation.history.reported.append(reported)
 
     def input(self, call: Callable[[ShardOwner, float], list[Action]]) -> None:
         """Give the owner an event, where there is an owner."""
         if self.owner is not None:
-            self.execute(call(self.owner, self.world.simulation.now))
+            self.execute(call(self.owner, self.simulation.scheduler.now))
 
     def execute(self, actions: list[Action]) -> None:
         """Carry out the owner's actions, and wake it in time."""
@@ -243,45 +246,47 @@
                 case ProposeCommand():
                     self.propose(action.command)
                 case SendDelivery():
-                    self.world.edge(action.edge).receive_delivery(self, action)
+                    self.simulation.edge(action.edge).receive_delivery(self, action)
                 case AnswerPoll():
-                    self.world.edge(action.edge).receive_job(self, action)
+                    self.simulation.edge(action.edge).receive_job(self, action)
                 case ExpirePoll():
-                    self.world.polls.pop(action.poll_id, None)
+                    self.simulation.polls.pop(action.poll_id, None)
                 case BorrowTokens():
                     self._borrow(action)
                 case SendCallback():
-                    self.world.edge(action.edge).receive_callback(self, action)
+                    self.simulation.edge(action.edge).receive_callback(self, action)
         self._set_wakeup()
 
     def _borrow(self, action: BorrowTokens) -> None:
         """Ask the home shard for tokens; the call or its answer may be lost or late."""
-        world, epoch, asked_at = self.world, self.epoch, self.world.simulation.now
+        simulation, epoch, requested_at = self.simulation, self.epoch, self.simulation.scheduler.now
 
         def lend() -> None:
-            home = world.shards[home_shard(action.service, world.shards_count)].owner
-            if home is not None and not world.lost():
-                tokens = home.lend_tokens(world.simulation.now, action.service, action.wanted)
-                late = world.random.uniform(0.0, 0.6) if world.lost() else world.network_delay()
-                world.simulation.after(late, lambda: answer(tokens))
+            home_owner = simulation.shards[home_shard(action.service, simulation.shards_count)].owner
+            if home_owner is not None and not simulation.lost():
+                tokens = home_owner.lend_tokens(simulation.scheduler.now, action.service, action.wanted)
+                delay = (
+                    simulation.random.uniform(0.0, 0.6) if simulation.lost() else simulation.network_delay()
+                )
+                simulation.scheduler.after(delay, lambda: answer(tokens))
 
         def answer(tokens: int) -> None:
             if epoch == self.epoch:
-                self.input(lambda owner, now: owner.tokens_lent(now, action.service, tokens, asked_at))
+                self.input(lambda owner, now: owner.tokens_lent(now, action.service, tokens, requested_at))
 
-        world.simulation.after(world.network_delay(), lend)
+        simulation.scheduler.after(simulation.network_delay(), lend)
 
     def _set_wakeup(self) -> None:
-        now = self.world.simulation.now
+        now = self.simulation.scheduler.now
         when = None if self.owner is None else self.owner.next_wakeup(now)
         if when is None or when >= self._wakeup:
             return
         self._wakeup = when
         epoch = self.epoch
-        self.world.simulation.after(max(0.0005, when - now), lambda: self._wake(epoch))
+        self.simulation.scheduler.after(max(0.0005, when - now), lambda: self._wake(epoch))
 
     def _wake(self, epoch: int) -> None:
-        if epoch == self.epoch and self._wakeup <= self.world.simulation.now:
+        if epoch == self.epoch and self._wakeup <= self.simulation.scheduler.now:
             self._wakeup = float("inf")
             self.input(lambda owner, now: owner.tick(now))
 
@@ -289,33 +294,33 @@
 class EdgeNode:
     """An edge node: sends messages to workers, and reports their ends until the shard responds."""
 
-    def __init__(self, world: World, name: str, zone: str) -> None:
-        self.world = world
+    def __init__(self, simulation: QueueSimulation, name: str, zone: str) -> None:
+        self.simulation = simulation
         self.name = name
         self.zone = zone
         self.incarnation = 0
-        self.table = world.tables[-1]
+        self.table = simulation.tables[-1]
         self.bodies: dict[str, bytes] = {}
 
     def restart(self) -> None:
         """End its process; another begins at once."""
         self.incarnation += 1
         self.bodies.clear()
-        for poll_id, poll in list(self.world.polls.items()):
+        for poll_id, poll in list(self.simulation.polls.items()):
             if poll.edge is self:
-                del self.world.polls[poll_id]
-        for shard in self.world.shards:
+                del self.simulation.polls[poll_id]
+        for shard in self.simulation.shards:
             shard.input(lambda owner, now: owner.edge_process_ended(now, self.name))
-        for shard in self.world.shards:
+        for shard in self.simulation.shards:
             shard.input(lambda owner, now: owner.edge_connected(now, self.name, self.zone))
 
     def later(self, delay: float, event: Callable[[], None]) -> None:
         """Do something unless the process has ended by then."""
         incarnation = self.incarnation
-        self.world.simulation.after(delay, lambda: event() if incarnation == self.incarnation else None)
+        self.simulation.scheduler.after(delay, lambda: event() if incarnation == self.incarnation else None)
 
     def receive_delivery(self, shard: Shard, delivery: SendDelivery) -> None:
-        self.later(self.world.network_delay(), lambda: self._deliver(shard, delivery))
+        self.later(self.simulation.network_delay(), lambda: self._deliver(shard, delivery))
 
     def _deliver(self, shard: Shard, delivery: SendDelivery) -> None:
         message = delivery.message
@@ -327,42 +332,44 @@
         elif route.service == "dead":
             self.end(shard, delivery, AttemptOutcome.NOT_RUN, "")
         else:
-            self.later(self.world.send_lag(), lambda: self._send(shard, delivery, route))
+            self.later(self.simulation.send_lag(), lambda: self._send(shard, delivery, route))
 
     def _send(self, shard: Shard, delivery: SendDelivery, route: Route) -> None:
         def responded(kind: WorkerResponseKind | None, stamp: str) -> None:
             outcome = AttemptOutcome.UNKNOWN if kind is None else _OUTCOMES[kind]
             self.later(0.0, lambda: self.end(shard, delivery, outcome, stamp))
 
-        self.world.work(delivery.message.request_id, route.service, route.timeout_ms / 1000, responded)
+        self.simulation.work(delivery.message.request_id, route.service, route.timeout_ms / 1000, responded)
 
     def end(self, shard: Shard, delivery: SendDelivery, outcome: AttemptOutcome, stamp: str) -> None:
         report = HolderReport(delivery.message.request_id, delivery.lease_id, outcome, stamp, pulled=False)
-        self.world.report_end(self, shard, report)
+        self.simulation.report_end(self, shard, report)
 
     def receive_job(self, shard: Shard, answer: AnswerPoll) -> None:
-        self.later(self.world.network_delay(), lambda: self._answer(shard, answer))
+        self.later(self.simulation.network_delay(), lambda: self._answer(shard, answer))
 
     def _answer(self, shard: Shard, answer: AnswerPoll) -> None:
-        poll = self.world.polls.pop(answer.poll_id, None)
+        poll = self.simulation.polls.pop(answer.poll_id, None)
         if poll is not None:
             poll.worker.start(shard, answer)
             return
         report = HolderReport(
             answer.message.request_id, answer.lease_id, AttemptOutcome.NOT_RUN, stamp="", pulled=True
         )
-        self.world.report_end(self, shard, report)
+        self.simulation.report_end(self, shard, report)
 
     def receive_callback(self, shard: Shard, callback: SendCallback) -> None:
-        self.later(self.world.network_delay(), lambda: self._call_back(shard, callback))
+        self.later(self.simulation.network_delay(), lambda: self._call_back(shard, callback))
 
     def _call_back(self, shard: Shard, callback: SendCallback) -> None:
-        world = self.world
-        reported = StateReported(callback.request_id, world.simulation.now, callback.state, callback.stamp)
-        world.history.reported.append(reported)
-        world.called_back.add(callback.request_id)
-        acknowledged = world.random.random() > 0.2 * world.fault_level
-        if not world.lost():
+        simulation = self.simulation
+        reported = StateReported(
+            callback.request_id, simulation.scheduler.now, callback.state, callback.stamp
+        )
+        simulation.history.reported.append(reported)
+        simulation.called_back.add(callback.request_id)
+        acknowledged = simulation.random.random() > 0.2 * simulation.fault_level
+        if not simulation.lost():
             shard.input(
                 lambda owner, now: owner.callback_report(now, callback.request_id, acknowledged=acknowledged)
             )
@@ -386,58 +393,62 @@
 class PullingWorker:
     """One slot of a pulling worker: it may stop to extend and report for a while, or for ever."""
 
-    def __init__(self, world: World, name: str) -> None:
-        self.world = world
+    def __init__(self, simulation: QueueSimulation, name: str) -> None:
+        self.simulation = simulation
         self.name = name
         self.busy = False
 
-    def ask(self) -> None:
+    def poll_repeatedly(self) -> None:
         """Ask for a job, over and over."""
-        world = self.world
-        world.simulation.after(0.4, self.ask)
-        if self.busy or any(poll.worker is self for poll in world.polls.values()):
+        simulation = self.simulation
+        simulation.scheduler.after(0.4, self.poll_repeatedly)
+        if self.busy or any(poll.worker is self for poll in simulation.polls.values()):
             return
-        edge, shard = world.random.choice(world.edges), world.random.choice(world.shards)
-        poll_id = next(world.numbers)
-        world.polls[poll_id] = WaitingPoll(self, edge)
+        edge, shard = simulation.random.choice(simulation.edges), simulation.random.choice(simulation.shards)
+        poll_id = next(simulation.numbers)
+        simulation.polls[poll_id] = WaitingPoll(self, edge)
         request = LongPollRequest(poll_id, edge.name, "pulled", self.name, 1.0)
         shard.input(lambda owner, now: owner.poll(now, request))
-        edge.later(POLL_LIMIT_S, lambda: world.polls.pop(poll_id, None))
-        if shard.owner is None or world.random.random() < 0.1 * world.fault_level:
-            world.polls.pop(poll_id, None)
+        edge.later(POLL_LIMIT_S, lambda: simulation.polls.pop(poll_id, None))
+        if shard.owner is None or simulation.random.random() < 0.1 * simulation.fault_level:
+            simulation.polls.pop(poll_id, None)
             shard.input(lambda owner, now: owner.cancel_poll(now, poll_id))
 
     def start(self, shard: Shard, job: AnswerPoll) -> None:
         """Work on a job."""
-        world, random = self.world, self.world.random
+        simulation, random = self.simulation, self.simulation.random
         self.busy = True
         request_id, lease_id = job.message.request_id, job.lease_id
-        world.history.jobs_received.append(JobReceived(request_id, lease_id, world.simulation.now))
+        simulation.history.jobs_received.append(JobReceived(request_id, lease_id, simulation.scheduler.now))
         duration = random.choice((0.1, 0.3, 1.0, 3.5))
-        style = random.random() if world.fault_level else 1.0
-        if style < 0.1:
-            world.simulation.after(3.0, self._free)
+        behaviour = random.random() if simulation.fault_level else 1.0
+        if behaviour < 0.1:
+            simulation.scheduler.after(3.0, self._free)
             return
-        if style > 0.2:
-            world.simulation.after(0.5, lambda: self._extend(shard, job, world.simulation.now + duration))
+        if behaviour > 0.2:
+            simulation.scheduler.after(
+                0.5, lambda: self._extend(shard, job, simulation.scheduler.now + duration)
+            )
 
         def responded(kind: WorkerResponseKind | None, stamp: str) -> None:
             self._free()
             outcome = AttemptOutcome.UNKNOWN if kind is None else _OUTCOMES[kind]
-            edge = world.random.choice(world.edges)
-            world.report_end(edge, shard, HolderReport(request_id, lease_id, outcome, stamp, pulled=True))
+            edge = simulation.random.choice(simulation.edges)
+            simulation.report_end(
+                edge, shard, HolderReport(request_id, lease_id, outcome, stamp, pulled=True)
+            )
 
-        world.work(request_id, "pulled", 60.0, responded, duration)
+        simulation.work(request_id, "pulled", 60.0, responded, duration)
 
     def _extend(self, shard: Shard, job: AnswerPoll, until: float) -> None:
-        world, request_id = self.world, job.message.request_id
-        if not self.busy or world.simulation.now > until:
+        simulation, request_id = self.simulation, job.message.request_id
+        if not self.busy or simulation.scheduler.now > until:
             return
-        world.simulation.after(0.5, lambda: self._extend(shard, job, until))
-        if shard.owner is None or world.lost():
+        simulation.scheduler.after(0.5, lambda: self._extend(shard, job, until))
+        if shard.owner is None or simulation.lost():
             return
-        if shard.owner.extend(world.simulation.now, request_id, job.lease_id):
-            world.history.extensions.append(LeaseExtended(job.lease_id, world.simulation.now))
+        if shard.owner.extend(simulation.scheduler.now, request_id, job.lease_id):
+            simulation.history.extensions.append(LeaseExtended(job.lease_id, simulation.scheduler.now))
 
     def _free(self) -> None:
         self.busy = False
--- a/tests/system/queue/test_attempt_ends.py
+++ b/tests/system/queue/test_attempt_ends.py
@@ -29,15 +29,15 @@
     state = QueueState(lambda: rig.now, lambda: 0)
     state.restore(rig.state.snapshot())
     rig.state = state
-    rig.own()
+    rig.start_owner()
 
 
 def change_owner(rig: Rig) -> None:
     """Another replica is the owner."""
-    rig.own()
+    rig.start_owner()
 
 
-def run_on(rig: Rig) -> None:
+def continue_processing(rig: Rig) -> None:
     """The message goes on: later leases, or its end."""
     rig.poll(90, wait_s=10.0)
     rig.advance(5.0)
@@ -46,11 +46,11 @@
     rig.advance(5.0)
 
 
-def nothing(rig: Rig) -> None:
+def no_event(rig: Rig) -> None:
     """At once."""
 
 
-MEANWHILE: tuple[Callable[[Rig], None], ...] = (nothing, change_owner, restart, run_on)
+EVENTS: tuple[Callable[[Rig], None], ...] = (no_event, change_owner, restart, continue_processing)
 
 
 class Repeated(unittest.TestCase):
@@ -64,15 +64,15 @@
 
     def test_the_same_end_has_the_same_answer(self) -> None:
         for outcome in OUTCOMES:
-            for meanwhile in MEANWHILE:
-                with self.subTest(outcome, meanwhile=meanwhile.__doc__):
+            for event in EVENTS:
+                with self.subTest(outcome, event=event.__doc__):
                     rig, job = self.job()
                     self.assertTrue(rig.end(job, outcome))
                     state, attempts = rig.state_of("m"), self.attempts(rig)
-                    meanwhile(rig)
+                    event(rig)
                     self.assertTrue(rig.end(job, outcome))
                     self.assertTrue(rig.end(job, outcome))
-                    if meanwhile is not run_on:
+                    if event is not continue_processing:
                         self.assertEqual((rig.state_of("m"), self.attempts(rig)), (state, attempts))
 
     def attempts(self, rig: Rig) -> int:
@@ -90,15 +90,15 @@
                         self.assertFalse(rig.end(job, second))
 
     def test_two_leases_are_never_both_accepted(self) -> None:
-        for meanwhile in (nothing, change_owner, restart):
+        for event in (no_event, change_owner, restart):
             for order in (0, 1):
-                with self.subTest(meanwhile.__doc__, order=order):
+                with self.subTest(event.__doc__, order=order):
                     rig, first = self.job()
                     rig.poll(2, wait_s=60.0)
                     rig.advance(PULL_LEASE_S + 0.1)
                     second = rig.answer()
                     self.assertNotEqual(first.lease_id, second.lease_id)
-                    meanwhile(rig)
+                    event(rig)
                     jobs = (first, second) if order else (second, first)
                     accepted = [rig.end(job, SUCCEEDED) for job in jobs]
                     self.assertEqual(sorted(accepted), [False, True])
@@ -137,7 +137,7 @@
 class Budgets(unittest.TestCase):
     """BUDGET: a message that always fails ends after `max_attempts`, whoever owns its shard meanwhile."""
 
-    def runs(self, outcome: AttemptOutcome, meanwhile: Callable[[Rig], None]) -> int:
+    def runs(self, outcome: AttemptOutcome, event: Callable[[Rig], None]) -> int:
         """How often a worker gets a message that always ends so; each end is reported twice."""
         rig = Rig()
         rig.append("m")
@@ -151,7 +151,7 @@
             self.assertLess(runs, 3 * MAX_ATTEMPTS)
             for _ in range(2):
                 self.assertTrue(rig.end(sent[0], outcome))
-                meanwhile(rig)
+                event(rig)
         rig.advance(30.0)
         self.assertEqual(rig.take_sent(SendDelivery), [])
         return runs
@@ -162,19 +162,19 @@
         return rig.delivery()
 
     def test_failures_and_rejections(self) -> None:
-        for meanwhile in (nothing, change_owner, restart):
-            with self.subTest(meanwhile.__doc__):
-                self.assertEqual(self.runs(FAILED, meanwhile), MAX_ATTEMPTS)
-                self.assertEqual(self.runs(REJECTED, meanwhile), 1)
+        for event in (no_event, change_owner, restart):
+            with self.subTest(event.__doc__):
+                self.assertEqual(self.runs(FAILED, event), MAX_ATTEMPTS)
+                self.assertEqual(self.runs(REJECTED, event), 1)
 
     def test_a_report_that_comes_before_the_configuration_counts(self) -> None:
         rig = Rig()
         rig.append("m")
         for _ in range(MAX_ATTEMPTS):
             delivery = self.next_delivery(rig)
-            rig.own(routing=None)
+            rig.start_owner(routing=None)
             rig.end(delivery, FAILED)
-            rig.own()
+            rig.start_owner()
         rig.end(self.next_delivery(rig), FAILED)  # the first one that is counted against a limit ends it
         self.assertIs(rig.state_of("m"), MessageState.DEAD_LETTER)
 
--- a/tests/system/queue/test_callback_recovery.py
+++ b/tests/system/queue/test_callback_recovery.py
@@ -78,12 +78,12 @@
         rig, receivers = with_callbacks_due(60)
         receivers.acknowledges = lambda request: None
         receivers.play(DOWN_S)
-        up = rig.now
+        recovered_at = rig.now
         receivers.acknowledges = lambda request: True
         receivers.play(CALLBACK_TIMEOUT_S + PROBE_INTERVAL_S + 0.1)
         self.assertTrue(receivers.acknowledged, "the first within a time-out and a probe interval")
         self.assertLess(
-            min(receivers.acknowledged.values()) - up, CALLBACK_TIMEOUT_S + PROBE_INTERVAL_S + 0.1
+            min(receivers.acknowledged.values()) - recovered_at, CALLBACK_TIMEOUT_S + PROBE_INTERVAL_S + 0.1
         )
         receivers.play(2.0)
         self.assertEqual(len(receivers.acknowledged), 60)
--- a/tests/system/queue/test_campaign.py
+++ b/tests/system/queue/test_campaign.py
@@ -14,7 +14,7 @@
 from bitternpath.queue.entries import Entry
 from bitternpath.queue.lifecycle import MessageLifecycle
 from bitternpath.queue.owner import OwnedShard, ShardOwner
-from bitternpath.queue.placement import Placement
+from bitternpath.queue.phase_assignment import PhaseAssigner
 from bitternpath.queue.rate_limits import RateBound, split_rate
 from bitternpath.queue.results import AttemptEnded, Result
 from bitternpath.queue.state import QueueState
@@ -22,15 +22,15 @@
 from bitternpath.queue.tracked_messages import TRANSITIONS, MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, MessageState
 from tests.system.queue.checkers import Rule, check_all
-from tests.system.queue.world import World
-from tests.system.queue.world_nodes import FREQUENT_FAILOVERS, NO_FAULTS, Build, Faults
+from tests.system.queue.simulation import QueueSimulation
+from tests.system.queue.simulation_nodes import FREQUENT_FAILOVERS, NO_FAULTS, Build, Faults
 
-SOUND_SEEDS = range(1, 13)
+CORRECT_BUILD_SEEDS = range(1, 13)
 FAILOVER_SEEDS = range(1, 5)
-CATCHING_SEEDS = range(1, 13)  # within these each broken build is caught
+DETECTION_SEEDS = range(1, 13)  # within these each broken build is caught
 
 
-class SuccessorBeforeTheEnd(QueueState):
+class SuccessorLeasedBeforeEnd(QueueState):
     """Leases any message of an order key."""
 
     def is_head(self, entry: Entry) -> bool:
@@ -53,7 +53,7 @@
     def adopt(self, now: float, entry: Entry) -> Action | None:
         tracked = TrackedMessage(entry, accepted_by_this_owner=False)
         self._tracked[entry.message.request_id] = tracked
-        return self.place(now, tracked)
+        return self.assign_phase(now, tracked)
 
 
 class IgnoresLeasesOfEarlierOwner(ShardOwner):
@@ -61,9 +61,9 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
-        sound = self._lifecycle
+        original = self._lifecycle
         self._lifecycle = _IgnoresLeases(
-            self._state, sound._placement, self._leases, self._ended, sound._random
+            self._state, original._phase_assigner, self._leases, self._ended, original._random
         )
 
 
@@ -76,7 +76,7 @@
             actions.append(action)
             if isinstance(action, ProposeCommand) and isinstance(action.command, GrantLease):
                 tracked = self._lifecycle.find(action.command.request_id)
-                jobs_received = self._leases.hand_out(now, tracked, action.command)
+                jobs_received = self._leases.dispatch(now, tracked, action.command)
                 actions.extend(() if jobs_received is None else (jobs_received,))
         return actions
 
@@ -88,11 +88,11 @@
         result = super()._end_attempt(command)
         entry = self.find(command.request_id)
         done = entry is not None and entry.state is MessageState.DONE
-        late = done and command.outcome is AttemptOutcome.SUCCEEDED
-        return structs.replace(result, accepted=result.accepted or late)
+        late_success = done and command.outcome is AttemptOutcome.SUCCEEDED
+        return structs.replace(result, accepted=result.accepted or late_success)
 
 
-class EndsForgottenAtRestore(QueueState):
+class EndedLeasesLostAtRestore(QueueState):
     """Loses the memory of ended leases with a restart."""
 
     def restore(self, data: bytes) -> None:
@@ -101,7 +101,7 @@
             entry.ended_leases.clear()
 
 
-class LeasedForgottenAtRestore(QueueState):
+class LeasedMessagesLostAtRestore(QueueState):
     """Loses the messages that are leased with a restart."""
 
     def restore(self, data: bytes) -> None:
@@ -110,7 +110,7 @@
             del self._entries[entry.message.request_id]
 
 
-class BodiesForgottenAtRestore(QueueState):
+class BodiesLostAtRestore(QueueState):
     """Loses the bodies of messages with a restart."""
 
     def restore(self, data: bytes) -> None:
@@ -135,8 +135,8 @@
         return super()._end_attempt(structs.replace(command, stamp="unknown"))
 
 
-class _AnyTableExpires(Placement):
-    def _place_unrouted(self, now: float, tracked: TrackedMessage) -> None:
+class _AnyTableExpires(PhaseAssigner):
+    def _assign_unrouted(self, now: float, tracked: TrackedMessage) -> None:
         return self._expire(tracked)
 
 
@@ -145,7 +145,9 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
-        self._lifecycle._placement = _AnyTableExpires(self._state, self._routes, self._services, self._timers)
+        self._lifecycle._phase_assigner = _AnyTableExpires(
+            self._state, self._routes, self._services, self._timers
+        )
 
 
 class BucketFullForNewOwner(ShardOwner):
@@ -173,14 +175,14 @@
 
 
 BROKEN_BUILDS = (
-    BrokenBuild(Rule.ORDER, Build(state=SuccessorBeforeTheEnd)),
+    BrokenBuild(Rule.ORDER, Build(state=SuccessorLeasedBeforeEnd)),
     BrokenBuild(Rule.ORDER, Build(state=OrderByRouteAndKey)),
     BrokenBuild(Rule.TWICE, Build(owner=IgnoresLeasesOfEarlierOwner)),
     BrokenBuild(Rule.TWICE, Build(owner=SendsBeforeTheGrant)),
     BrokenBuild(Rule.TWICE, Build(state=TwoEndsAccepted)),
-    BrokenBuild(Rule.TWICE, Build(state=EndsForgottenAtRestore)),
-    BrokenBuild(Rule.LOST, Build(state=LeasedForgottenAtRestore)),
-    BrokenBuild(Rule.MIXED, Build(state=BodiesForgottenAtRestore)),
+    BrokenBuild(Rule.TWICE, Build(state=EndedLeasesLostAtRestore)),
+    BrokenBuild(Rule.LOST, Build(state=LeasedMessagesLostAtRestore)),
+    BrokenBuild(Rule.MIXED, Build(state=BodiesLostAtRestore)),
     BrokenBuild(Rule.MIXED, Build(state=NoResponseCountsAsAttempt)),
     BrokenBuild(Rule.MIXED, Build(state=UnknownStamp)),
     BrokenBuild(Rule.MIXED, Build(owner=OlderTableExpiresMessages)),
@@ -189,58 +191,61 @@
 )
 
 
-def first_catch(broken: BrokenBuild) -> int | None:
+def first_detecting_seed(broken: BrokenBuild) -> int | None:
     """The first seed with which the rule's checker sees the fault; None: it doesn't."""
-    for seed in CATCHING_SEEDS:
-        world = World(seed, broken.build, broken.faults)
-        if any(violation.rule is broken.rule for violation in check_all(world.run(), world.rule_settings)):
+    for seed in DETECTION_SEEDS:
+        simulation = QueueSimulation(seed, broken.build, broken.faults)
+        if any(
+            violation.rule is broken.rule
+            for violation in check_all(simulation.run(), simulation.rule_settings)
+        ):
             return seed
     return None
 
 
-class SoundBuild(unittest.TestCase):
+class CorrectBuild(unittest.TestCase):
     """No rule is broken, whatever the seed."""
 
     def test_under_faults(self) -> None:
-        for seed in SOUND_SEEDS:
+        for seed in CORRECT_BUILD_SEEDS:
             with self.subTest(seed=seed):
-                world = World(seed)
-                self.assertEqual(check_all(world.run(), world.rule_settings), [])
-                self.assertGreater(len(world.history.accepted), 400)
+                simulation = QueueSimulation(seed)
+                self.assertEqual(check_all(simulation.run(), simulation.rule_settings), [])
+                self.assertGreater(len(simulation.history.accepted), 400)
 
     def test_with_frequent_failovers(self) -> None:
         for seed in FAILOVER_SEEDS:
             with self.subTest(seed=seed):
-                world = World(seed, faults=FREQUENT_FAILOVERS)
-                self.assertEqual(check_all(world.run(), world.rule_settings), [])
+                simulation = QueueSimulation(seed, faults=FREQUENT_FAILOVERS)
+                self.assertEqual(check_all(simulation.run(), simulation.rule_settings), [])
 
     def test_with_tokens_that_are_lent(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
-                world = World(seed, shards=10)
+                simulation = QueueSimulation(seed, shards=10)
                 self.assertTrue(split_rate(2.0, RateBound(10, 5.0, 1.1)).is_pooled)
-                self.assertEqual(check_all(world.run(), world.rule_settings), [])
+                self.assertEqual(check_all(simulation.run(), simulation.rule_settings), [])
 
     def test_without_faults(self) -> None:
-        world = World(1, faults=NO_FAULTS)
-        self.assertEqual(check_all(world.run(), world.rule_settings), [])
+        simulation = QueueSimulation(1, faults=NO_FAULTS)
+        self.assertEqual(check_all(simulation.run(), simulation.rule_settings), [])
 
     def test_each_call_back_is_made(self) -> None:
-        world = World(3)
-        world.run()
-        owed = {
+        simulation = QueueSimulation(3)
+        simulation.run()
+        expected = {
             entry.message.request_id
-            for shard in world.shards
+            for shard in simulation.shards
             for entry in shard.state
             if entry.ended and entry.message.callback_url
         }
-        self.assertGreater(len(owed), 50)
-        self.assertLessEqual(owed, world.called_back)
+        self.assertGreater(len(expected), 50)
+        self.assertLessEqual(expected, simulation.called_back)
 
     def test_replicas_agree(self) -> None:
-        world = World(4)
-        world.run()
-        for shard in world.shards:
+        simulation = QueueSimulation(4)
+        simulation.run()
+        for shard in simulation.shards:
             replica = shard._new_state()
             for index, command in enumerate(shard.log, start=1):
                 replica.apply(index, command)
@@ -249,30 +254,30 @@
             )
 
 
-class WorldIsDeterministic(unittest.TestCase):
+class SimulationIsDeterministic(unittest.TestCase):
     """One seed replays a failure."""
 
     def test_the_same_seed_gives_the_same_history(self) -> None:
-        self.assertEqual(World(7).run(), World(7).run())
+        self.assertEqual(QueueSimulation(7).run(), QueueSimulation(7).run())
 
 
 class Phases(unittest.TestCase):
     """The phases of messages follow the table of `tracked_messages`."""
 
     def test_only_transitions_of_the_table_happen(self) -> None:
-        seen: Counter[tuple[MessagePhase, MessagePhase]] = Counter()
+        observed: Counter[tuple[MessagePhase, MessagePhase]] = Counter()
         enter = TrackedMessage.enter
 
         def count(tracked: TrackedMessage, phase: MessagePhase) -> None:
-            seen[tracked.phase, phase] += 1
+            observed[tracked.phase, phase] += 1
             enter(tracked, phase)
 
         with patch.object(TrackedMessage, "enter", count):
-            World(1).run()
-            World(2, faults=FREQUENT_FAILOVERS).run()
+            QueueSimulation(1).run()
+            QueueSimulation(2, faults=FREQUENT_FAILOVERS).run()
         table = {(before, after) for before, each in TRANSITIONS.items() for after in each}
-        self.assertEqual(set(seen) - table, set())
-        self.assertGreater(len(seen), 20, "the worlds see most of the table")
+        self.assertEqual(set(observed) - table, set())
+        self.assertGreater(len(observed), 20, "the worlds see most of the table")
 
     def test_each_phase_has_its_row(self) -> None:
         self.assertEqual(set(TRANSITIONS), set(MessagePhase))
@@ -288,10 +293,12 @@
 
     longest_test_s = 30
 
-    def test_each_is_caught(self) -> None:
+    def test_each_is_detected(self) -> None:
         for broken in BROKEN_BUILDS:
             name = (
                 broken.build.state if broken.build.state is not QueueState else broken.build.owner
             ).__name__
             with self.subTest(name):
-                self.assertIsNotNone(first_catch(broken), f"{broken.rule.name} saw nothing of {name}")
+                self.assertIsNotNone(
+                    first_detecting_seed(broken), f"{broken.rule.name} saw nothing of {name}"
+                )
--- a/tests/system/queue/test_checkers.py
+++ b/tests/system/queue/test_checkers.py
@@ -114,12 +114,12 @@
     )
 
     def test_each_checker_fires_and_only_then(self) -> None:
-        for name, check, broken, sound in self.CASES:
+        for name, check, broken, correct in self.CASES:
             with self.subTest(name):
                 self.assertTrue(check(broken, RULE_SETTINGS))
-                self.assertEqual(check(sound, RULE_SETTINGS), [])
+                self.assertEqual(check(correct, RULE_SETTINGS), [])
 
     def test_a_second_run_after_a_success_counts_where_nothing_failed(self) -> None:
-        twice = history(A, runs=[Run("a", 3.0, "s")], responses=[SUCCESS_A])
-        self.assertEqual(check_twice(twice, RULE_SETTINGS), [])
-        self.assertTrue(check_twice(twice, replace(RULE_SETTINGS, without_faults=True)))
+        rerun = history(A, runs=[Run("a", 3.0, "s")], responses=[SUCCESS_A])
+        self.assertEqual(check_twice(rerun, RULE_SETTINGS), [])
+        self.assertTrue(check_twice(rerun, replace(RULE_SETTINGS, without_faults=True)))
--- a/tests/system/queue/test_delays.py
+++ b/tests/system/queue/test_delays.py
@@ -37,9 +37,9 @@
 
 def start_delay(rig: Rig, since: float) -> float:
     """Seconds from `since` to the first delivery."""
-    give_up = rig.now + 4 * DELAY_S
+    deadline = rig.now + 4 * DELAY_S
     while not rig.take_sent(SendDelivery):
-        if rig.now > give_up:
+        if rig.now > deadline:
             raise AssertionError("never delivered")
         rig.advance(0.01)
     return rig.now - since
@@ -49,14 +49,14 @@
     """Clocks of other machines take no part in the delay of a message that this owner accepts."""
 
     def test_the_edge_nodes_clock_is_off(self) -> None:
-        for off_s in STEPS_S:
-            with self.subTest(off_s):
+        for offset_s in STEPS_S:
+            with self.subTest(offset_s):
                 rig = Rig()
                 sent = rig.now
-                rig.apply(AppendMessage(message("m", WALL_MS + round(off_s * 1000))))
-                taken = start_delay(rig, sent)
-                self.assertGreaterEqual(taken, DELAY_S)
-                self.assertLess(taken, DELAY_S + 0.1)
+                rig.apply(AppendMessage(message("m", WALL_MS + round(offset_s * 1000))))
+                elapsed = start_delay(rig, sent)
+                self.assertGreaterEqual(elapsed, DELAY_S)
+                self.assertLess(elapsed, DELAY_S + 0.1)
 
     def test_an_owner_that_is_stopped_meanwhile(self) -> None:
         for stopped_s in (1.0, DELAY_S - 0.2, DELAY_S + 3.0):
@@ -76,7 +76,7 @@
             rig.apply(AppendMessage(message("m", WALL_MS + round(random.uniform(-1e6, 1e9)))))
             for _ in range(random.randrange(3)):
                 rig.advance(random.uniform(0.0, 2.0))
-                rig.own()
+                rig.start_owner()
             self.assertGreaterEqual(start_delay(rig, sent), DELAY_S - 0.001)
 
 
@@ -98,29 +98,29 @@
                 self.assertEqual(entry.due_at, steady + DELAY_S)
 
     def test_a_snapshot_and_a_restart_never_cut_it_short(self) -> None:
-        for away_s in (0.0, 1.0, DELAY_S / 2, DELAY_S, 3 * DELAY_S):
+        for downtime_s in (0.0, 1.0, DELAY_S / 2, DELAY_S, 3 * DELAY_S):
             for margin in (-DELAY_CLOCK_MARGIN_S, 0.0, DELAY_CLOCK_MARGIN_S):
-                with self.subTest(away=away_s, margin=margin):
+                with self.subTest(away=downtime_s, margin=margin):
                     before = QueueState(lambda: 100.0, lambda: WALL_MS)
                     before.apply(1, COMMANDS.encode(AppendMessage(message("m", WALL_MS))))
-                    wall_ms = WALL_MS + round((away_s + margin) * 1000)
+                    wall_ms = WALL_MS + round((downtime_s + margin) * 1000)
                     after = QueueState(lambda: 7.0, lambda: wall_ms)  # noqa: B023
                     after.restore(before.snapshot())
                     entry = after.find("m")
                     assert entry is not None
-                    left = entry.due_at - 7.0
-                    self.assertGreaterEqual(left, DELAY_S - away_s - 0.001)
-                    self.assertLessEqual(left, DELAY_S)
+                    remaining = entry.due_at - 7.0
+                    self.assertGreaterEqual(remaining, DELAY_S - downtime_s - 0.001)
+                    self.assertLessEqual(remaining, DELAY_S)
 
     def test_a_replay_of_the_log_after_a_restart(self) -> None:
-        for away_s in (0.0, 1.0, DELAY_S, 3 * DELAY_S):
-            with self.subTest(away_s):
-                wall_ms = WALL_MS + round((away_s + DELAY_CLOCK_MARGIN_S) * 1000)
+        for downtime_s in (0.0, 1.0, DELAY_S, 3 * DELAY_S):
+            with self.subTest(downtime_s):
+                wall_ms = WALL_MS + round((downtime_s + DELAY_CLOCK_MARGIN_S) * 1000)
                 state = QueueState(lambda: 7.0, lambda: wall_ms)  # noqa: B023
                 state.apply(1, COMMANDS.encode(AppendMessage(message("m", WALL_MS))))
                 entry = state.find("m")
                 assert entry is not None
-                self.assertGreaterEqual(entry.due_at - 7.0, DELAY_S - away_s - 0.001)
+                self.assertGreaterEqual(entry.due_at - 7.0, DELAY_S - downtime_s - 0.001)
 
 
 class Ages(unittest.TestCase):
--- a/tests/system/queue/test_ended_messages.py
+++ b/tests/system/queue/test_ended_messages.py
@@ -99,7 +99,7 @@
         self.assertEqual(rig.take_proposed(), [ExpireMessage("m", "")])
 
 
-def request_id_of(callbacks: Iterable[SendCallback]) -> list[str]:
+def request_ids_of(callbacks: Iterable[SendCallback]) -> list[str]:
     """The messages of call-backs."""
     return [callback.request_id for callback in callbacks]
 
@@ -127,12 +127,12 @@
     def test_receivers_are_spread_over_the_edges_of_the_owners_zone(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2", "edge-3"))
         rig.do(rig.owner.edge_connected(rig.now, "far", "south"))
-        told = set()
+        notifying_edges = set()
         for number in range(40):
             rig.append(f"m{number}", callback_url=f"http://10.0.0.{number}:80/done")
             rig.end(rig.delivery(), SUCCEEDED)
-            told.add(rig.take_sent()[0].edge)
-        self.assertEqual(told, {"edge-1", "edge-2", "edge-3"})
+            notifying_edges.add(rig.take_sent()[0].edge)
+        self.assertEqual(notifying_edges, {"edge-1", "edge-2", "edge-3"})
 
     def test_another_edge_calls_back_where_that_one_is_gone_or_fails(self) -> None:
         rig = self.ended()
@@ -159,10 +159,10 @@
     def test_it_is_repeated_until_it_is_confirmed(self) -> None:
         rig = self.ended()
         rig.take_sent()
-        for longest in (0.375, 0.75, 1.5, 1.875, 1.875, 1.875, 1.875):
+        for max_delay_s in (0.375, 0.75, 1.5, 1.875, 1.875, 1.875, 1.875):
             rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=False))
             self.assertEqual(rig.take_sent(), [])
-            rig.advance(longest + 0.01)
+            rig.advance(max_delay_s + 0.01)
             self.assertEqual(len(rig.take_sent()), 1)
         rig.do(rig.owner.callback_report(rig.now, "m", acknowledged=True))
         rig.advance(MAX_CONFIRMATION_DELAY_S)
@@ -180,8 +180,8 @@
 
     def test_a_new_owner_calls_back(self) -> None:
         rig = self.ended()
-        rig.own()
-        self.assertEqual(request_id_of(rig.take_sent(SendCallback)), ["m"])
+        rig.start_owner()
+        self.assertEqual(request_ids_of(rig.take_sent(SendCallback)), ["m"])
 
     def test_a_lost_confirmation_is_repeated(self) -> None:
         rig = self.ended()
@@ -192,7 +192,7 @@
         (command,) = rig.take_proposed()
         self.assertEqual(command, ConfirmCallbacks(("m",)))
         rig.do(rig.owner.proposal_failed(rig.now, command))
-        self.assertEqual(request_id_of(rig.take_sent(SendCallback)), ["m"])
+        self.assertEqual(request_ids_of(rig.take_sent(SendCallback)), ["m"])
 
     def test_confirmations_wait_for_another_command_and_share_its_round(self) -> None:
         rig = self.ended()
@@ -227,11 +227,11 @@
         rig.append("other", callback_url="http://10.0.0.8:80/done")
         for delivery in rig.take_sent(SendDelivery):
             rig.end(delivery, REJECTED)
-        sent = request_id_of(rig.take_sent(SendCallback))
+        sent = request_ids_of(rig.take_sent(SendCallback))
         self.assertEqual(len(sent), MAX_CALLBACKS_PER_RECEIVER + 1)
         self.assertIn("other", sent)
         rig.do(rig.owner.callback_report(rig.now, "m0", acknowledged=True))
-        self.assertEqual(request_id_of(rig.take_sent(SendCallback)), [f"m{MAX_CALLBACKS_PER_RECEIVER}"])
+        self.assertEqual(request_ids_of(rig.take_sent(SendCallback)), [f"m{MAX_CALLBACKS_PER_RECEIVER}"])
 
 
 class Tombstones(unittest.TestCase):
@@ -263,7 +263,7 @@
         rig.append("m")
         rig.end(rig.delivery(), SUCCEEDED)
         rig.advance(100.0)
-        rig.own()
+        rig.start_owner()
         rig.advance(31.0)
         self.assertIsNone(rig.state.find("m"))
 
--- a/tests/system/queue/test_leases_on_append.py
+++ b/tests/system/queue/test_leases_on_append.py
@@ -108,7 +108,7 @@
 
     def test_a_new_owner_takes_a_pregranted_lease_for_out(self) -> None:
         self.commit(self.propose("m", "/jobs/x"))
-        self.rig.own()
+        self.rig.start_owner()
         self.rig.poll(1, wait_s=60.0)
         self.rig.advance(PULL_LEASE_S - 0.1)
         self.assertEqual(self.rig.take_proposed(), [])
--- a/tests/system/queue/test_limits.py
+++ b/tests/system/queue/test_limits.py
@@ -26,12 +26,12 @@
             (SUCCEEDED, (0.0,)),
         )
         random = Random(1)
-        for outcome, pauses in cases:
-            for repetition, expected in enumerate(pauses):
+        for outcome, delays in cases:
+            for repetition, expected in enumerate(delays):
                 with self.subTest(outcome=outcome, repetition=repetition):
-                    drawn = [backoff_after(outcome, repetition, 0, random) for _ in range(50)]
-                    self.assertGreaterEqual(min(drawn), expected * 0.75)
-                    self.assertLessEqual(max(drawn), expected * 1.25)
+                    delays_drawn = [backoff_after(outcome, repetition, 0, random) for _ in range(50)]
+                    self.assertGreaterEqual(min(delays_drawn), expected * 0.75)
+                    self.assertLessEqual(max(delays_drawn), expected * 1.25)
         self.assertEqual(backoff_after(FAILED, 0, 5_000, random), 5.0)
 
     def test_a_message_waits_for_its_back_off(self) -> None:
@@ -86,13 +86,13 @@
         rig.do(rig.owner.set_capacities(rig.now, {"worker": 3}))
         for number in range(30):
             rig.append(f"old{number}")
-        out = rig.take_sent(SendDelivery)
-        self.assertEqual(len(out), 6)
+        in_flight = rig.take_sent(SendDelivery)
+        self.assertEqual(len(in_flight), 6)
         rig.advance(2.0)  # past the start target of a second
         rig.append("fresh")
-        rig.end(out[0], SUCCEEDED)
+        rig.end(in_flight[0], SUCCEEDED)
         self.assertEqual(rig.delivery().message.request_id, "fresh")
-        rig.end(out[1], SUCCEEDED)
+        rig.end(in_flight[1], SUCCEEDED)
         self.assertEqual(rig.delivery().message.request_id, "old6")
 
     def test_more_slots_allow_more_leases_and_no_list_means_no_bound(self) -> None:
@@ -123,11 +123,11 @@
     def test_shares_keep_the_bound(self) -> None:
         for rate in (0.1, 0.5, 2.0, 19.5, 400.0):
             for shards in range(1, 13):
-                for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
-                    with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        share = equal_share(rate, RateBound(shards, window_s, over))
+                for window_s, tolerance in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
+                    with self.subTest(rate=rate, shards=shards, window_s=window_s, tolerance=tolerance):
+                        share = equal_share(rate, RateBound(shards, window_s, tolerance))
                         spent = share.refill_per_s * (window_s + MAX_SEND_DELAY_S) + share.burst
-                        allowed = rate * window_s * over + ALLOWED_EXCESS
+                        allowed = rate * window_s * tolerance + ALLOWED_EXCESS
                         self.assertLessEqual(shards * spent, allowed + 1e-6)
                         self.assertLessEqual(share.refill_per_s, rate / shards)
                         self.assertTrue(share.burst >= 1.0 or share.refill_per_s == 0.0)
@@ -155,7 +155,7 @@
         self.assertEqual(rig.sent, [])
         rig.advance(10.0)
         self.assertIn(len(rig.take_sent()), (19, 20))
-        rig.own()
+        rig.start_owner()
         self.assertEqual(rig.take_sent(), [])
         rig.advance(5.0)
         self.assertIn(len(rig.take_sent()), (9, 10))
--- a/tests/system/queue/test_long_polls.py
+++ b/tests/system/queue/test_long_polls.py
@@ -77,19 +77,19 @@
         self.assertEqual(rig.take_sent(), [ExpirePoll(1, "edge-1")])
 
     def test_a_worker_that_has_gone_while_its_lease_was_granted(self) -> None:
-        def cancel(rig: Rig) -> list[Action]:
+        def cancel_poll(rig: Rig) -> list[Action]:
             return rig.owner.cancel_poll(rig.now, 1)
 
-        def leave(rig: Rig) -> list[Action]:
+        def disconnect_edge(rig: Rig) -> list[Action]:
             return rig.owner.edge_disconnected(rig.now, "edge-1")
 
-        for vanish in (cancel, leave):
-            with self.subTest(vanish.__name__):
+        for disconnect in (cancel_poll, disconnect_edge):
+            with self.subTest(disconnect.__name__):
                 rig = Rig()
                 rig.automatic = False
                 rig.poll(1)
                 rig.append("m", "/jobs/x")
-                rig.do(vanish(rig))
+                rig.do(disconnect(rig))
                 rig.commit()
                 self.assertEqual(rig.sent, [])
                 (command,) = rig.proposed
--- a/tests/system/queue/test_owner.py
+++ b/tests/system/queue/test_owner.py
@@ -12,7 +12,7 @@
 from bitternpath.queue.edge_nodes import MAX_LEASES_PER_EDGE
 from bitternpath.queue.lease_granting import MAX_POLLERS_REQUEST_INTERVAL_S, MIN_POLLERS_REQUEST_INTERVAL_S
 from bitternpath.queue.lease_table import PUSH_LEASE_MARGIN_MS
-from bitternpath.queue.placement import UNROUTED_GRACE_S
+from bitternpath.queue.phase_assignment import UNROUTED_GRACE_S
 from bitternpath.queue.ready_queue import STALE_AFTER_S
 from bitternpath.transport.records import MessageState
 from tests.system.queue.owner_rig import (
@@ -48,12 +48,12 @@
         self.assertEqual((delivery.edge, delivery.lease_id, delivery.duration_ms), ("edge-1", "0-1-1", 3_000))
 
     def test_a_grant_for_an_edge_that_has_gone_is_returned_unsent(self) -> None:
-        for vanish in ("edge_disconnected", "edge_process_ended"):
-            with self.subTest(vanish):
+        for disconnect in ("edge_disconnected", "edge_process_ended"):
+            with self.subTest(disconnect):
                 rig = Rig()
                 rig.automatic = False
                 rig.append("m")
-                rig.do(getattr(rig.owner, vanish)(rig.now, "edge-1"))
+                rig.do(getattr(rig.owner, disconnect)(rig.now, "edge-1"))
                 rig.commit()
                 self.assertEqual(rig.sent, [])
                 (command,) = rig.proposed
@@ -105,7 +105,7 @@
     def test_the_body_is_sent_by_a_new_owner(self) -> None:
         rig = Rig()
         rig.append("m", delay_ms=1_000)
-        rig.own()
+        rig.start_owner()
         rig.advance(1.0)
         self.assertFalse(rig.delivery().body_omitted)
 
@@ -236,7 +236,7 @@
                 rig.append("m", path)
                 self.assertEqual(len(rig.take_sent()), 1)
                 rig.advance(duration_s - 0.5)
-                rig.own()
+                rig.start_owner()
                 rig.poll(2, wait_s=10.0)
                 rig.advance(duration_s - 0.01)
                 self.assertEqual(rig.take_sent(), [])
@@ -247,7 +247,7 @@
         rig = Rig()
         rig.append("m")
         delivery = rig.delivery()
-        rig.own()
+        rig.start_owner()
         self.assertTrue(rig.end(delivery, SUCCEEDED))
         self.assertIs(rig.state_of("m"), MessageState.DONE)
 
@@ -255,7 +255,7 @@
         rig = Rig()
         rig.append("m")
         first = rig.delivery()
-        rig.own()
+        rig.start_owner()
         rig.end(first, NOT_RUN)
         rig.advance(1.0)
         self.assertNotEqual(rig.delivery().lease_id, first.lease_id)
@@ -263,7 +263,7 @@
     def test_an_edge_process_that_ends_later_releases_its_leases(self) -> None:
         rig = Rig()
         rig.append("m")
-        rig.own(edges=("edge-2",))
+        rig.start_owner(edges=("edge-2",))
         rig.do(rig.owner.edge_process_ended(rig.now, "edge-1"))
         self.assertEqual(rig.delivery().edge, "edge-2")
 
@@ -397,9 +397,9 @@
         rig.poll(1)
         rig.answer()
         rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
-        asked = len(rig.poller_requests)
+        requests_before = len(rig.poller_requests)
         rig.append("m1", "/jobs/x")
-        self.assertEqual(len(rig.poller_requests), asked + 1)
+        self.assertEqual(len(rig.poller_requests), requests_before + 1)
 
     def test_a_change_of_another_route_touches_no_message(self) -> None:
         rig = Rig()
--- a/tests/system/queue/test_quota_leases.py
+++ b/tests/system/queue/test_quota_leases.py
@@ -51,13 +51,15 @@
     def test_base_and_pool_keep_the_bound(self) -> None:
         for rate in (0.1, 0.5, 2.0, 19.5, 32.0, 400.0):
             for shards in (1, 2, 3, 7, 12, 19, 40, 300, 2_000):
-                for window_s, over in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
-                    with self.subTest(rate=rate, shards=shards, window_s=window_s, over=over):
-                        split = split_rate(rate, RateBound(shards, window_s, over))
+                for window_s, tolerance in ((5.0, 1.1), (1.0, 1.0), (10.0, 1.5)):
+                    with self.subTest(rate=rate, shards=shards, window_s=window_s, tolerance=tolerance):
+                        split = split_rate(rate, RateBound(shards, window_s, tolerance))
                         base, pool = split.base, split.pool
                         spent = shards * (base.refill_per_s * (window_s + MAX_SEND_DELAY_S) + base.burst)
                         lent = pool.refill_per_s * (window_s + MAX_POOL_DELAY_S) + pool.burst
-                        self.assertLessEqual(spent + lent, rate * window_s * over + ALLOWED_EXCESS + 1e-6)
+                        self.assertLessEqual(
+                            spent + lent, rate * window_s * tolerance + ALLOWED_EXCESS + 1e-6
+                        )
                         self.assertLessEqual(shards * base.refill_per_s + pool.refill_per_s, rate + 1e-9)
 
     def test_a_rate_is_not_lost_over_many_shards(self) -> None:
@@ -65,8 +67,8 @@
             with self.subTest(rate=rate, shards=shards):
                 split = split_rate(rate, RateBound(shards, WINDOW_S, TOLERANCE))
                 self.assertTrue(split.is_pooled)
-                whole = shards * split.base.refill_per_s + split.pool.refill_per_s
-                self.assertGreater(whole, 0.75 * rate)
+                total = shards * split.base.refill_per_s + split.pool.refill_per_s
+                self.assertGreater(total, 0.75 * rate)
 
     def test_few_shards_have_equal_shares_and_nothing_is_lent(self) -> None:
         for rate, shards in ((19.5, 3), (2.0, 1), (0.5, 7), (32.0, 7), (400.0, 19)):
@@ -112,8 +114,8 @@
         pools.configure(100.0, TABLE.services)
         self.assertEqual(pools.lend(100.0, "limited", 5), 0)
         pool = split_rate(RATE, BOUND).pool
-        there = int(0.2 * pool.refill_per_s)
-        self.assertEqual(pools.lend(100.2, "limited", 100), ceil(there / 2))
+        available = int(0.2 * pool.refill_per_s)
+        self.assertEqual(pools.lend(100.2, "limited", 100), ceil(available / 2))
         self.assertEqual(pools.lend(105.0, "limited", 100), ceil(int(pool.burst) / 2))
         self.assertEqual(pools.lend(105.0, "limited", 1), 1)
         self.assertEqual(pools.lend(101.0, "other", 5), 0)
@@ -137,8 +139,8 @@
         shard = OwnedShard(self.shard, SHARDS, "north")
         return ShardOwner(self.state, shard, OwnerSettings(), Random(self.shard))
 
-    def own(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
-        super().own(routing, edges)
+    def start_owner(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
+        super().start_owner(routing, edges)
 
 
 class Shards:
@@ -173,7 +175,7 @@
         rig = self.rigs[shard]
         if shard == self.home:
             self.former_lender = rig.now + LENDER_OVERLAP_S, rig.owner
-        rig.own()
+        rig.start_owner()
 
     def _act(self, rig: ShardRig) -> None:
         for action in rig.take_sent():
@@ -184,33 +186,33 @@
             self.arrivals.append(rig.now + self.random.uniform(0.0, MAX_SEND_DELAY_S - 0.25))
             rig.end(action, SUCCEEDED)
 
-    def _borrow(self, rig: ShardRig, asked: BorrowTokens) -> None:
-        asked_at, owner = rig.now, rig.owner
+    def _borrow(self, rig: ShardRig, request: BorrowTokens) -> None:
+        requested_at, owner = rig.now, rig.owner
 
         def lend() -> None:
             now, lender = rig.now, self.rigs[self.home].owner
             if self.former_lender is not None and now < self.former_lender[0] and self.random.random() < 0.7:
                 lender = self.former_lender[1]
-            tokens = lender.lend_tokens(now, asked.service, asked.wanted)
+            tokens = lender.lend_tokens(now, request.service, request.wanted)
             self._later(self.random.uniform(0.0, 0.2), lambda: answer(tokens))
 
         def answer(tokens: int) -> None:
             if owner is rig.owner:
-                rig.do(owner.tokens_lent(rig.now, asked.service, tokens, asked_at))
+                rig.do(owner.tokens_lent(rig.now, request.service, tokens, requested_at))
 
         self._later(self.random.uniform(0.0, 0.2), lend)
 
     def _later(self, seconds: float, call: object) -> None:
         heapq.heappush(self.events, (self.rigs[0].now + seconds, next(self.order), call))
 
-    def most_in_a_window(self) -> int:
+    def max_in_a_window(self) -> int:
         arrivals = sorted(self.arrivals)
-        most = first = 0
+        maximum = first = 0
         for last, at in enumerate(arrivals):
             while arrivals[first] <= at - WINDOW_S:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            maximum = max(maximum, last - first + 1)
+        return maximum
 
 
 def arrivals_with_owner_changes(seed: int) -> int:
@@ -221,7 +223,7 @@
     for _ in range(8):
         shards.run(shards.random.uniform(0.5, 4.0))
         shards.change_owner(shards.home if shards.random.random() < 0.6 else shards.random.randrange(SHARDS))
-    return shards.most_in_a_window()
+    return shards.max_in_a_window()
 
 
 def arrivals_with_home_changes(seed: int) -> int:
@@ -233,7 +235,7 @@
         shards.run(0.4)
         shards.change_owner(shards.home)
         shards.former_lender = None
-    return shards.most_in_a_window()
+    return shards.max_in_a_window()
 
 
 class ManyShards(unittest.TestCase):
@@ -244,7 +246,7 @@
         shards.run(10.0)
         equal = 10.0 * equal_share(RATE, BOUND).refill_per_s
         self.assertGreater(shards.started[busy], 6 * equal)
-        self.assertLessEqual(shards.most_in_a_window(), ALLOWED)
+        self.assertLessEqual(shards.max_in_a_window(), ALLOWED)
 
     def test_busy_shards_share_the_pool(self) -> None:
         shards = Shards(2)
@@ -266,10 +268,10 @@
         self.assertEqual([type(action) for action in rig.take_sent()], [SendDelivery])
 
     def test_broken_builds_break_the_bound(self) -> None:
-        begin = TokenBucket.__init__
+        original_init = TokenBucket.__init__
 
         def full_at_first(bucket: TokenBucket, share: BucketShare, now: float) -> None:
-            begin(bucket, share, now - 1_000.0)
+            original_init(bucket, share, now - 1_000.0)
 
         self.assertLessEqual(arrivals_with_home_changes(1), ALLOWED)
         with patch.object(TokenBucket, "__init__", full_at_first):
@@ -288,7 +290,7 @@
     for shard in range(SHARDS):
         shards.append(shard, 40)
     shards.run(6.0)
-    return shards.most_in_a_window()
+    return shards.max_in_a_window()
 
 
 if __name__ == "__main__":
--- a/tests/system/queue/test_state.py
+++ b/tests/system/queue/test_state.py
@@ -300,10 +300,10 @@
                 self.assertAlmostEqual(other.entry("m").due_at - other.now, case.left_s, places=3)
 
     def test_a_delay_goes_on_after_a_replay_of_the_log(self) -> None:
-        for passed_s, left_s in ((0.0, 10.0), (2.0, 10.0), (-5.0, 10.0), (6.0, 6.0), (60.0, 0.0)):
-            with self.subTest(passed_s=passed_s):
+        for elapsed_s, left_s in ((0.0, 10.0), (2.0, 10.0), (-5.0, 10.0), (6.0, 6.0), (60.0, 0.0)):
+            with self.subTest(elapsed_s=elapsed_s):
                 replica = Replica()
-                replica.wall_ms += round(passed_s * 1000)
+                replica.wall_ms += round(elapsed_s * 1000)
                 replica.apply(AppendMessage(message("m", delay_ms=10_000)))
                 self.assertAlmostEqual(replica.entry("m").due_at - replica.now, left_s)
 
--- a/tests/system/shards/shard_case.py
+++ b/tests/system/shards/shard_case.py
@@ -37,9 +37,9 @@
         self.requests: list[tuple[Any, Deferred[Any]]] = []
         self.sent: list[Any] = []
 
-    def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
+    def request(self, make_record: Callable[[int], Any]) -> Deferred[Any]:
         waiting: Deferred[Any] = Deferred()
-        self.requests.append((make(len(self.requests) + 1), waiting))
+        self.requests.append((make_record(len(self.requests) + 1), waiting))
         return waiting
 
     def send(self, record: Any) -> None:
--- a/tests/system/shards/test_appends.py
+++ b/tests/system/shards/test_appends.py
@@ -61,9 +61,9 @@
             [len(link.requests) for link in self.links], [int(n == shard) for n in range(SHARDS)]
         )
         self.owners.link_closed(self.links[shard])  # type: ignore[arg-type]
-        refused = self.result(self.accept("k"))
-        self.assertEqual(refused.result, AcceptResult.REJECTED)
-        self.assertGreaterEqual(refused.retry_after_s, 1)
+        rejected = self.result(self.accept("k"))
+        self.assertEqual(rejected.result, AcceptResult.REJECTED)
+        self.assertGreaterEqual(rejected.retry_after_s, 1)
 
     def test_before_the_placement_is_known_all_are_rejected(self) -> None:
         self.appender.shard_count = 0
--- a/tests/system/shards/test_owner_changes.py
+++ b/tests/system/shards/test_owner_changes.py
@@ -40,7 +40,7 @@
         self.unresponsive = self.links[0]
         self.successor = FakeLink("storage-9", "z0")
 
-    def change(self) -> None:
+    def change_owner(self) -> None:
         self.owned(0, self.successor, 2)
         self.clock.advance(0.1)
 
@@ -55,7 +55,7 @@
         appender = Appender(self.clock, self.owners, "z0", Random(1))
         appender.shard_count = SHARDS
         waiting = appender.accept(message(), 900)
-        self.change()
+        self.change_owner()
         self.assertEqual(self.request_count(self.successor, AppendRequest), 1)
         self.successor.answer(Refused(1, RefusalReason.FULL))  # the first may be in the log
         self.clock.advance(0.1)
@@ -70,7 +70,7 @@
         reports = AttemptReporter(self.clock, self.owners)
         report = AttemptReport(GROUP, "r1", lease_id(0, 1, 1), AttemptOutcome.FAILED)
         waiting = reports.send(report)
-        self.change()
+        self.change_owner()
         self.clock.advance(0.1)
         self.assertEqual(self.request_count(self.successor, EndAttemptRequest), 1)
         self.successor.answer(EndAttemptResponse(1, True))
@@ -84,7 +84,7 @@
         pulls = PullRouter(self.clock, self.owners, AttemptReporter(self.clock, self.owners), "z0", Random(1))
         state = lookup.find(message_id(0, "r1"), wants_body=False)
         extension = pulls.extend(lease_id(0, 1, 1), "r1")
-        self.change()
+        self.change_owner()
         self.assertEqual(
             [self.request_count(self.successor, kind) for kind in (StateRequest, ExtendRequest)], [1, 1]
         )
@@ -125,12 +125,12 @@
         self.lookup = MessageLookup(self.clock, self.owners)
         self.lookup.shard_count = SHARDS
 
-    def unknown(self, link: FakeLink) -> None:
+    def respond_unknown(self, link: FakeLink) -> None:
         link.answer(StateResponse(1, False, MessageState.QUEUED, "", None))
 
     def test_a_request_id_that_looks_like_a_message_id_is_searched_in_all_shards(self) -> None:
         waiting = self.lookup.find("s0.abc", wants_body=False)
-        self.unknown(self.links[0])
+        self.respond_unknown(self.links[0])
         self.assertIsNone(self.result(waiting))
         requests = [link.requests[-1][0].request_id for link in self.links]
         self.assertEqual(requests, ["s0.abc"] * SHARDS)
@@ -140,23 +140,23 @@
 
     def test_unknown_to_all_shards(self) -> None:
         waiting = self.lookup.find("s0.abc", wants_body=False)
-        self.unknown(self.links[0])
+        self.respond_unknown(self.links[0])
         for link in self.links:
-            self.unknown(link)
+            self.respond_unknown(link)
         self.assertEqual(self.result(waiting), LookupFailure.UNKNOWN_MESSAGE)
 
     def test_one_shard_without_a_response_makes_it_unavailable_in_time(self) -> None:
         self.owners.link_closed(self.links[2])  # type: ignore[arg-type]
-        begun = self.clock.seconds()
+        started_at = self.clock.seconds()
         answers = [self.lookup.find(name, wants_body=False) for name in ("s0.abc", "abc", "s2.abc")]
-        while self.clock.seconds() < begun + LOOKUP_TIMEOUT_S:
+        while self.clock.seconds() < started_at + LOOKUP_TIMEOUT_S:
             for link in self.links[:2]:
                 for _, waiting in list(link.requests):
                     link.requests.pop(0)
                     waiting.callback(StateResponse(1, False, MessageState.QUEUED, "", None))
             self.clock.advance(0.05)
         self.assertEqual([self.result(each) for each in answers], [LookupFailure.UNAVAILABLE] * 3)
-        self.assertLess(self.clock.seconds() - begun, 2.0)
+        self.assertLess(self.clock.seconds() - started_at, 2.0)
 
     def test_an_owner_that_could_not_confirm_is_queried_again(self) -> None:
         waiting = self.lookup.find(message_id(0, "r1"), wants_body=False)
--- a/tests/system/shards/test_pulls.py
+++ b/tests/system/shards/test_pulls.py
@@ -61,10 +61,10 @@
         self.assertTrue(empty.result.called)
 
     def test_a_job_for_a_worker_that_has_gone_is_handed_back_as_not_run(self) -> None:
-        ticket = self.pulls.pull("s", "i", 1000)
+        pull = self.pulls.pull("s", "i", 1000)
         link = self.pulled_link()
         group = link.requests[0][0].group
-        ticket.cancel()
+        pull.cancel()
         self.assertIsInstance(link.sent[0], PullCancel)
         link.answer(PullResponse(1, "l1", message()))
         owner = self.owners.owner(group)
@@ -122,44 +122,44 @@
         self.assertEqual(self.pulls.claim_waiting_worker("s"), shard_group(2))
 
     def test_a_job_of_an_earlier_shard_goes_to_the_worker_and_a_second_one_back(self) -> None:
-        ticket = self.pulls.pull("s", "i", 1000)
-        left = self.pulled_link()
-        target = next(number for number, link in enumerate(self.links) if link is not left)
+        pull = self.pulls.pull("s", "i", 1000)
+        first_link = self.pulled_link()
+        target = next(number for number, link in enumerate(self.links) if link is not first_link)
         self.pulls.work_available(WorkAvailable(shard_group(target), "s", 1, 1))
-        left.answer(PullResponse(1, "first", message()))
-        self.assertEqual(self.result(ticket.result).lease_id, "first")
+        first_link.answer(PullResponse(1, "first", message()))
+        self.assertEqual(self.result(pull.result).lease_id, "first")
         self.assertIsInstance(self.links[target].sent[0], PullCancel)
         self.links[target].answer(PullResponse(1, "second", message("r2")))
         returned = [request for request, _ in self.links[target].requests]
         self.assertEqual([request.lease_id for request in returned], ["second"])
 
     def test_an_empty_response_of_an_earlier_shard_does_not_end_the_wait(self) -> None:
-        ticket = self.pulls.pull("s", "i", 1000)
-        left = self.pulled_link()
-        target = next(number for number, link in enumerate(self.links) if link is not left)
+        pull = self.pulls.pull("s", "i", 1000)
+        first_link = self.pulled_link()
+        target = next(number for number, link in enumerate(self.links) if link is not first_link)
         self.pulls.work_available(WorkAvailable(shard_group(target), "s", 1, 1))
-        left.answer(PullResponse(1, "", None))
-        self.assertFalse(ticket.result.called)
+        first_link.answer(PullResponse(1, "", None))
+        self.assertFalse(pull.result.called)
 
     def test_a_link_that_is_lost_ends_the_wait_only_of_those_who_wait_there(self) -> None:
-        ticket = self.pulls.pull("s", "i", 1000)
-        left = self.pulled_link()
-        target = next(number for number, link in enumerate(self.links) if link is not left)
+        pull = self.pulls.pull("s", "i", 1000)
+        first_link = self.pulled_link()
+        target = next(number for number, link in enumerate(self.links) if link is not first_link)
         self.pulls.work_available(WorkAvailable(shard_group(target), "s", 1, 1))
-        left.lose()
-        self.assertFalse(ticket.result.called)
+        first_link.lose()
+        self.assertFalse(pull.result.called)
         self.links[target].lose()
-        self.assertIsNone(self.result(ticket.result))
-        self.assertTrue(ticket.result.called)
+        self.assertIsNone(self.result(pull.result))
+        self.assertTrue(pull.result.called)
 
     def test_without_an_owner_a_worker_waits_for_its_full_time(self) -> None:
         for link in self.links:
             self.owners.link_closed(link)  # type: ignore[arg-type]
-        ticket = self.pulls.pull("s", "i", 1000)
+        pull = self.pulls.pull("s", "i", 1000)
         self.clock.advance(0.9)
-        self.assertFalse(ticket.result.called)
+        self.assertFalse(pull.result.called)
         self.clock.advance(0.2)
-        self.assertTrue(ticket.result.called)
+        self.assertTrue(pull.result.called)
 
     def test_ends_and_extensions(self) -> None:
         lease = lease_id(1, 3, 9)
