--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -26,7 +26,7 @@
 
 TOOL_LINK_USER = "tool"  # of the hub's links
 POLL_INTERVAL_S = 0.1  # between checks whether all have answered
-LINKS_CLOSE_S = 0.05  # for the closing of the links
+LINKS_CLOSE_DELAY_S = 0.05  # for the closing of the links
 
 
 class StatusSurvey:
@@ -44,8 +44,8 @@
         self.events: dict[str, EventCountsResponse] = {}
         self._wants_events = wants_events
         self.known: dict[str, NodeDescriptor] = {}
-        me = NodeDescriptor("tool", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
-        self.hub = NodeHub(reactor, self, lambda: me, random.Random())
+        local_node = NodeDescriptor("tool", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
+        self.hub = NodeHub(reactor, self, lambda: local_node, random.Random())
         self.hub.dial(first_address, TOOL_LINK_USER)
 
     def link_opened(self, link: Link) -> None:
@@ -95,7 +95,7 @@
     def poll() -> None:
         if survey.is_complete() or reactor.seconds() >= give_up_at:
             survey.hub.stop()
-            reactor.callLater(LINKS_CLOSE_S, reactor.stop)
+            reactor.callLater(LINKS_CLOSE_DELAY_S, reactor.stop)
         else:
             reactor.callLater(POLL_INTERVAL_S, poll)
 
@@ -112,29 +112,29 @@
     """Format the answers: a line for each node, one for each replica group, and totals."""
     groups = _newest_groups(survey.answers.values())
     queued = sum(each.status.queued for each in groups.values())
-    dead = sum(each.status.dead_letters for each in groups.values())
+    dead_letters = sum(each.status.dead_letters for each in groups.values())
     versions = sorted({answer.configuration_version for answer in survey.answers.values()})
     return [
         "nodes",
         *(_node_line(name, node, survey.answers.get(name)) for name, node in sorted(survey.known.items())),
         "replica groups",
         *(_group_line(groups[name]) for name in sorted(groups)),
-        f"total queued={queued} dead_letters={dead} configuration_versions={versions}",
+        f"total queued={queued} dead_letters={dead_letters} configuration_versions={versions}",
         *_event_lines(survey.events),
     ]
 
 
 def _event_lines(events: Mapping[str, EventCountsResponse]) -> list[str]:
     """Each event and cause, with its count at each node that has it."""
-    found: dict[tuple[str, str], list[str]] = {}
+    counts_by_event: dict[tuple[str, str], list[str]] = {}
     for name, answer in sorted(events.items()):
         for each in answer.counts:
-            found.setdefault((each.event, each.cause), []).append(f"{name}={each.count}")
-    if not found:
+            counts_by_event.setdefault((each.event, each.cause), []).append(f"{name}={each.count}")
+    if not counts_by_event:
         return []
     lines = [
         f"  {event}{f' cause={cause!r}' if cause else ''}: {' '.join(counts)}"
-        for (event, cause), counts in sorted(found.items())
+        for (event, cause), counts in sorted(counts_by_event.items())
     ]
     return ["log events since each process started", *lines]
 
--- a/bitternpath/discovery/endpoint_list_poller.py
+++ b/bitternpath/discovery/endpoint_list_poller.py
@@ -16,7 +16,7 @@
 log = logbook.Logger("discovery")
 
 POLL_INTERVAL_S = 0.9  # well below `drain_ms`, from which on a drain that a reading shows must be respected
-RETRY_S = 0.25  # after a reading that failed
+RETRY_DELAY_S = 0.25  # after a reading that failed
 RATE_SHARE = 0.5  # of the calls that the platform allows; the rest is for nodes that read the list themselves
 MIN_RATE_PER_S = 0.1  # where the settings allow less
 
@@ -92,7 +92,7 @@
         self._reading = False
         log.info("event=endpoint_list_read_failed error={!r}", str(failure.value))
         if self._running:
-            self._schedule(RETRY_S)
+            self._schedule(RETRY_DELAY_S)
 
     def _schedule(self, interval: float) -> None:
         self._next_read = self._clock.callLater(max(interval, self._min_interval), self._read)
--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -69,8 +69,8 @@
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self.phase = Phase.IDLE
-        self.body_left = 0  # bytes that the body may still have
-        self._head_left = 0  # bytes that the head may still have
+        self.body_bytes_left = 0  # bytes that the body may still have
+        self._head_bytes_left = 0  # bytes that the head may still have
         self._rejected = False  # an error response was written
         self._read_closed = False  # the peer has closed its sending side
 
@@ -89,7 +89,7 @@
         if self.phase is Phase.BODY:
             self.setTimeout(self._body_timeout())  # type: ignore[no-untyped-call]
         LineReceiver.dataReceived(self, data)  # type: ignore[no-untyped-call]
-        self._begin_head_if_data_waits()
+        self._begin_head_if_buffered()
 
     def lineReceived(self, line: bytes) -> None:
         """Read a line of a head, within the limit of all heads; line folding (RFC 9112, 5.2) is an error."""
@@ -98,8 +98,8 @@
         if self.phase is Phase.IDLE and line:
             self._begin_head()
         if self.phase is Phase.HEAD:
-            self._head_left -= len(line) + 2
-            if self._head_left < 0:
+            self._head_bytes_left -= len(line) + 2
+            if self._head_bytes_left < 0:
                 self.reject(431)
                 return
             if line[:1] in (b" ", b"\t"):
@@ -118,13 +118,13 @@
 
     def _begin_head(self) -> None:
         limits = self.site.limits()
-        self._head_left = limits.max_header_bytes
-        self.body_left = limits.max_body_bytes
+        self._head_bytes_left = limits.max_header_bytes
+        self.body_bytes_left = limits.max_body_bytes
         self.MAX_LENGTH = limits.max_header_bytes
         self.totalHeadersSize = limits.max_header_bytes
         self._enter(Phase.HEAD)
 
-    def _begin_head_if_data_waits(self) -> None:
+    def _begin_head_if_buffered(self) -> None:
         if self.phase is Phase.IDLE and self._buffer:
             self._begin_head()
 
@@ -146,7 +146,7 @@
         if len(hosts) > 1 or (not hosts and self._version == b"HTTP/1.1"):
             self.reject(400)
             return
-        if self.length is not None and self.length > self.body_left:
+        if self.length is not None and self.length > self.body_bytes_left:
             self.reject(413)
             return
         self._enter(Phase.BODY)
@@ -178,7 +178,7 @@
         """A response is complete: read on."""
         self._enter(Phase.IDLE)
         super().requestDone(request)  # type: ignore[no-untyped-call]
-        self._begin_head_if_data_waits()
+        self._begin_head_if_buffered()
 
     def reject(self, status: int) -> None:
         """Respond to a request that can't be parsed, and close the connection without reading more of it."""
--- a/bitternpath/ingress/client_api.py
+++ b/bitternpath/ingress/client_api.py
@@ -16,7 +16,7 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from bitternpath.ingress.http_requests import RETRY_SOON_S, HttpRequest
+from bitternpath.ingress.http_requests import RETRY_AFTER_S, HttpRequest
 from bitternpath.ingress.interfaces import NodeService
 from bitternpath.ingress.pull_calls import PullCall
 from bitternpath.net.clock import Clock
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ResponseTerms(Generic[_Result]):
+class _ResponseSpec(Generic[_Result]):
     """How a node's result becomes a response."""
 
     timeout_s: float  # after which the response is 503
@@ -94,7 +94,7 @@
             wait_ms = min(int(wait), MAX_WAIT_MS)
             pull = self._node.pull(service, instance, wait_ms)
             PullCall(request, pull, self._node, self._waiting_pulls).wait(self._clock, wait_ms)
-        return request.ended()
+        return request.when_finished()
 
     @app.route("/job-end/<request_id>", methods=["POST"])
     def end_job(self, request: HttpRequest, request_id: str) -> Deferred[None]:
@@ -104,7 +104,7 @@
         stamp = request.getHeader("X-Server-Stamp") or ""
         if not lease_id or not _STATUS.fullmatch(status) or (status[0] == "2" and not stamp):
             request.reply(400)
-            return request.ended()
+            return request.when_finished()
         ended = self._node.end_job(lease_id, request_id, int(status), stamp)
         return self._respond(request, ended, _LEASE_RESPONSE)
 
@@ -114,7 +114,7 @@
         lease_id = request.getHeader("X-Lease-Id")
         if not lease_id:
             request.reply(400)
-            return request.ended()
+            return request.when_finished()
         return self._respond(request, self._node.extend_job(lease_id, request_id), _LEASE_RESPONSE)
 
     def release_pulls(self) -> None:
@@ -124,31 +124,31 @@
             pull.release()
 
     def _respond(
-        self, request: HttpRequest, result: Deferred[_Result], terms: _ResponseTerms[_Result]
+        self, request: HttpRequest, result: Deferred[_Result], spec: _ResponseSpec[_Result]
     ) -> Deferred[None]:
         """Send the node's result, or 503 after the time-out. The node's Deferred is never cancelled."""
-        timer = self._clock.callLater(terms.timeout_s, request.reply, 503, b"", RETRY_SOON_S)
+        timer = self._clock.callLater(spec.timeout_s, request.reply, 503, b"", RETRY_AFTER_S)
 
         def succeeded(value: _Result) -> None:
             if timer.active():
                 timer.cancel()
-                terms.send(request, value)
+                spec.send(request, value)
 
         def failed(failure: Failure) -> None:
             _log.failure("client_call_failed", failure)
             if timer.active():
                 timer.cancel()
-                request.reply(503, retry_after_s=RETRY_SOON_S)
+                request.reply(503, retry_after_s=RETRY_AFTER_S)
 
         result.addCallbacks(succeeded, failed)
-        return request.ended()
+        return request.when_finished()
 
 
 def _send_lookup_failure(request: HttpRequest, failure: LookupFailure) -> None:
     if failure is LookupFailure.UNKNOWN_MESSAGE:
         request.reply(404)
     else:
-        request.reply(503, retry_after_s=RETRY_SOON_S)
+        request.reply(503, retry_after_s=RETRY_AFTER_S)
 
 
 def _send_state(request: HttpRequest, found: FoundMessage | LookupFailure) -> None:
@@ -168,16 +168,16 @@
     elif found.state is MessageState.DONE:
         request.reply(404)
     elif found.body is None:
-        request.reply(503, retry_after_s=RETRY_SOON_S)
+        request.reply(503, retry_after_s=RETRY_AFTER_S)
     else:
         request.set_header(b"Content-Type", b"application/octet-stream")
         request.reply(200, found.body)
 
 
 def _send_lease_answer(request: HttpRequest, answer: LeaseAnswer) -> None:
-    request.reply(answer.value, retry_after_s=RETRY_SOON_S if answer is LeaseAnswer.UNAVAILABLE else None)
+    request.reply(answer.value, retry_after_s=RETRY_AFTER_S if answer is LeaseAnswer.UNAVAILABLE else None)
 
 
-_STATE_RESPONSE = _ResponseTerms(LOOKUP_TIMEOUT_S, _send_state)
-_BODY_RESPONSE = _ResponseTerms(LOOKUP_TIMEOUT_S, _send_body)
-_LEASE_RESPONSE = _ResponseTerms(LEASE_CALL_TIMEOUT_S, _send_lease_answer)
+_STATE_RESPONSE = _ResponseSpec(LOOKUP_TIMEOUT_S, _send_state)
+_BODY_RESPONSE = _ResponseSpec(LOOKUP_TIMEOUT_S, _send_body)
+_LEASE_RESPONSE = _ResponseSpec(LEASE_CALL_TIMEOUT_S, _send_lease_answer)
--- a/bitternpath/ingress/http_requests.py
+++ b/bitternpath/ingress/http_requests.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.web import server
 
-RETRY_SOON_S = 1  # Retry-After of what may work again in a moment
+RETRY_AFTER_S = 1  # Retry-After of what may work again in a moment
 
 
 class HttpRequest(server.Request):
@@ -21,7 +21,7 @@
     fallback_status = 503  # where the process ends before the result is known; it must promise nothing
 
     @property
-    def answerable(self) -> bool:
+    def can_reply(self) -> bool:
         """Whether the client is there and has no response yet."""
         return not (self.finished or self._disconnected)
 
@@ -31,7 +31,7 @@
 
     def reply(self, status: int, body: bytes = b"", retry_after_s: int | None = None) -> None:
         """Send a complete response, unless the client has disconnected or has its response already."""
-        if not self.answerable:
+        if not self.can_reply:
             return
         self.setResponseCode(status)
         if status != 204:
@@ -44,21 +44,21 @@
     def reply_fallback(self) -> None:
         """Send the response that promises nothing, unless another one has begun."""
         if not self.startedWriting:
-            self.reply(self.fallback_status, retry_after_s=RETRY_SOON_S)
+            self.reply(self.fallback_status, retry_after_s=RETRY_AFTER_S)
 
-    def ended(self) -> Deferred[None]:
+    def when_finished(self) -> Deferred[None]:
         """Fires once the request has its response, or its client has disconnected: what klein waits for."""
-        if not self.answerable:
+        if not self.can_reply:
             return succeed(None)
-        ended: Deferred[None] = self.notifyFinish()
-        return ended.addErrback(lambda _: None)
+        finished: Deferred[None] = self.notifyFinish()
+        return finished.addErrback(lambda _: None)
 
     # ---- hooks of twisted.web
 
     def handleContentChunk(self, data: bytes) -> None:
         """Keep a part of the body, within the limit."""
-        self.channel.body_left -= len(data)
-        if self.channel.body_left < 0:
+        self.channel.body_bytes_left -= len(data)
+        if self.channel.body_bytes_left < 0:
             self.channel.reject(413)
         else:
             self.content.write(data)
--- a/bitternpath/ingress/message_parser.py
+++ b/bitternpath/ingress/message_parser.py
@@ -8,7 +8,7 @@
 
 from bitternpath.configuration.documents import Route
 from bitternpath.configuration.routing_table import RoutingTable
-from bitternpath.ingress.http_requests import RETRY_SOON_S
+from bitternpath.ingress.http_requests import RETRY_AFTER_S
 from bitternpath.net.http1 import HOP_BY_HOP
 from bitternpath.transport.records import Header, Message
 
@@ -22,7 +22,7 @@
 _NUMBER = re.compile(rb"[0-9]{1,15}")
 _CALLBACK_URL = re.compile(rb"http://[0-9]{1,3}(?:\.[0-9]{1,3}){3}(?::[0-9]{1,5})?(?:/[!-~]*)?")
 # Headers that say how this node handles a message, or that come back from the message's own fields.
-_OWN_HEADERS = HOP_BY_HOP | frozenset(
+_CONSUMED_HEADERS = HOP_BY_HOP | frozenset(
     b"x-request-id x-deadline-ms x-delay-ms x-callback-url x-expect-instance".split()
 )
 
@@ -73,12 +73,12 @@
 ) -> ParsedMessage | Rejection:
     """The message in a client's request (PROTOCOL, "Messages")."""
     if routing is None:
-        return Rejection(503, "no configuration yet", RETRY_SOON_S)
+        return Rejection(503, "no configuration yet", RETRY_AFTER_S)
     headers = {name.lower(): values for name, values in request.headers.items()}
     if not request.target.startswith(b"/"):
         return Rejection(400, "the target must begin with /")
     try:
-        request_id = _single(headers, b"x-request-id", _REQUEST_ID)
+        request_id = _single_value(headers, b"x-request-id", _REQUEST_ID)
         host = b"".join(headers.get(b"host", ()))
         route = routing.match(_text(host), _text(request.target.partition(b"?")[0]))
         if not request_id:
@@ -110,7 +110,7 @@
     return value.decode("latin-1")
 
 
-def _single(headers: _Headers, name: bytes, pattern: re.Pattern[bytes]) -> bytes:
+def _single_value(headers: _Headers, name: bytes, pattern: re.Pattern[bytes]) -> bytes:
     """The value of a header that may stand once; b"" where it is missing."""
     values = headers.get(name, ())
     if not values:
@@ -120,9 +120,9 @@
     return values[0]
 
 
-def _number(headers: _Headers, name: bytes, default: int, highest: int) -> int:
-    value = _single(headers, name, _NUMBER)
-    return min(int(value), highest) if value else default
+def _number(headers: _Headers, name: bytes, default: int, maximum: int) -> int:
+    value = _single_value(headers, name, _NUMBER)
+    return min(int(value), maximum) if value else default
 
 
 def _wait_ms(deadline_ms: int) -> int:
@@ -137,12 +137,12 @@
 
 
 def _callback_url(headers: _Headers, route: Route) -> str:
-    return _text(_single(headers, b"x-callback-url", _CALLBACK_URL)) if route.callback_url else ""
+    return _text(_single_value(headers, b"x-callback-url", _CALLBACK_URL)) if route.callback_url else ""
 
 
 def _forwarded_headers(headers: _Headers, original: _Headers, route: Route) -> tuple[Header, ...]:
     """The end-to-end headers, in the order and case in which the worker gets them."""
-    dropped = _OWN_HEADERS | _connection_options(headers.get(b"connection", ()))
+    dropped = _CONSUMED_HEADERS | _connection_options(headers.get(b"connection", ()))
     # A worker gets the sender's key in any case: from the message's own field, or as one of its headers.
     dropped = dropped | {_ORDER_KEY} if route.ordered else dropped - {_ORDER_KEY}
     return tuple(
--- a/bitternpath/ingress/messages.py
+++ b/bitternpath/ingress/messages.py
@@ -64,9 +64,9 @@
     def _decided(self, acceptance: Acceptance) -> None:
         cancel_if_active(self._timer)
         if acceptance.result is AcceptResult.ACCEPTED:
-            name = acceptance.message_id or self._parsed.message.request_id
-            if is_valid_message_id(name):
-                self._request.set_header(b"X-Message-Id", name.encode("latin-1"))
+            message_id = acceptance.message_id or self._parsed.message.request_id
+            if is_valid_message_id(message_id):
+                self._request.set_header(b"X-Message-Id", message_id.encode("latin-1"))
             self._request.reply(202)
         elif acceptance.result is AcceptResult.REJECTED:
             self._request.reply(503, retry_after_s=max(1, acceptance.retry_after_s))
--- a/bitternpath/ingress/operator_api.py
+++ b/bitternpath/ingress/operator_api.py
@@ -9,7 +9,7 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from bitternpath.ingress.http_requests import RETRY_SOON_S, HttpRequest
+from bitternpath.ingress.http_requests import RETRY_AFTER_S, HttpRequest
 from bitternpath.ingress.interfaces import NodeService, OperatorReply
 from bitternpath.net.clock import Clock
 
@@ -45,7 +45,7 @@
         return self._forward(request)
 
     def _forward(self, request: HttpRequest) -> Deferred[None]:
-        timer = self._clock.callLater(CALL_TIMEOUT_S, request.reply, 503, b"", RETRY_SOON_S)
+        timer = self._clock.callLater(CALL_TIMEOUT_S, request.reply, 503, b"", RETRY_AFTER_S)
 
         def replied(reply: OperatorReply) -> None:
             if timer.active():
@@ -64,4 +64,4 @@
             request.content.read(),
         )
         call.addCallbacks(replied, failed)
-        return request.ended()
+        return request.when_finished()
--- a/bitternpath/ingress/pull_calls.py
+++ b/bitternpath/ingress/pull_calls.py
@@ -35,7 +35,7 @@
         self._request.needs_open_peer = True
         self._waiting[self] = None
         self._timer = clock.callLater(wait_ms / 1000 + PULL_GRACE_S, self.release)
-        self._request.notifyFinish().addErrback(lambda _: self._worker_gone())
+        self._request.notifyFinish().addErrback(lambda _: self._worker_disconnected())
         self._pull.result.addCallbacks(self._pulled, self._failed)
 
     def release(self) -> None:
@@ -44,13 +44,13 @@
             self._pull.cancel()
             self._request.reply(204)
 
-    def _worker_gone(self) -> None:
+    def _worker_disconnected(self) -> None:
         if self._end():
             self._pull.cancel()
 
     def _pulled(self, job: PulledJob | None) -> None:
         if not self._end():
-            self._hand_back(job)
+            self._return_job(job)
         elif job is None:
             self._request.reply(204)
         else:
@@ -70,7 +70,7 @@
             cancel_if_active(self._timer)
         return True
 
-    def _hand_back(self, job: PulledJob | None) -> None:
+    def _return_job(self, job: PulledJob | None) -> None:
         if job is not None:
             self._node.end_job(job.lease_id, job.message.request_id, NOT_RUN_JOB_STATUS, "")
 
--- a/bitternpath/membership/bootstrap.py
+++ b/bitternpath/membership/bootstrap.py
@@ -24,7 +24,7 @@
 MAX_FOUNDING_MEMBERS = 7  # replicas of the configuration: more make each change dearer
 CONFIGURATION_GROUP = "configuration"
 BOOTSTRAP_DOCUMENT = "founding"  # a founding member's document on disk
-DECIDER_DOCUMENT = "decider"  # the decider's document on disk: no system in it before the decision
+COORDINATOR_DOCUMENT = "decider"  # the decider's document on disk: no system in it before the decision
 
 _CODEC = RecordCodec(BootstrapDecision)
 
@@ -50,10 +50,10 @@
     if now - started_at < EARLIEST_DECISION_S or now - view.state_nodes_changed_at < VIEW_STABLE_S:
         return None
     nodes = view.counted_edges()
-    wanted = 2 * tolerated_machines + 1
-    if not nodes or (len(nodes) < wanted and now - started_at < FULL_GROUP_TIMEOUT_S):
+    desired_count = 2 * tolerated_machines + 1
+    if not nodes or (len(nodes) < desired_count and now - started_at < FULL_GROUP_TIMEOUT_S):
         return None
-    limit = max(MAX_FOUNDING_MEMBERS, wanted)
+    limit = max(MAX_FOUNDING_MEMBERS, desired_count)
     members = tuple(member_address(node) for node in nodes[:limit])
     system = f"{random.getrandbits(64):016x}"
     return BootstrapDecision(system, GroupPlacement(CONFIGURATION_GROUP, 1, members))
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -15,7 +15,7 @@
 
 log = logbook.Logger("membership")
 
-SHORTEST_PAUSE_S = 0.05  # between rounds, however late the last one was
+MIN_ROUND_INTERVAL_S = 0.05  # between rounds, however late the last one was
 
 
 class DatagramTransport(Protocol):
@@ -58,8 +58,8 @@
     def _round(self) -> None:
         now = self._clock.seconds()
         self._send(self.view.tick(now))
-        pause = max(self.view.round_at - now, SHORTEST_PAUSE_S)
-        self._timer = self._clock.callLater(pause, self._round)
+        delay = max(self.view.next_round_at - now, MIN_ROUND_INTERVAL_S)
+        self._timer = self._clock.callLater(delay, self._round)
 
     def _send(self, datagrams: list[Datagram]) -> None:
         transport = cast(DatagramTransport, self.transport)  # Twisted sets it before `startProtocol`
--- a/bitternpath/membership/view.py
+++ b/bitternpath/membership/view.py
@@ -9,7 +9,7 @@
 
 - The view is bounded (`VIEW_SIZE`, `STATE_VIEW_SIZE`); no node needs to know all others.
 - (incarnation, heartbeat) of a node in the view only rises. An entry that is not newer than what made a node
-  leave the view doesn't bring the node back (`REMEMBER_FORGOTTEN_S`).
+  leave the view doesn't bring the node back (`FORGOTTEN_RETENTION_S`).
 - This node's own entry wins over every entry of an earlier incarnation that others still pass on.
 """
 
@@ -25,21 +25,21 @@
 SHUFFLE_SIZE = 10  # entries in a datagram, which then stays below 1,400 bytes
 VIEW_SIZE = 64  # entries of nodes without state
 STATE_VIEW_SIZE = 64  # entries of nodes with state: core and storage
-ROUND_S = 1.0
-STARTUP_ROUND_S = 0.15  # while the system starts, so that it is bootstrapped soon
-STARTUP_S = 5.0
+ROUND_INTERVAL_S = 1.0
+STARTUP_ROUND_INTERVAL_S = 0.15  # while the system starts, so that it is bootstrapped soon
+STARTUP_PERIOD_S = 5.0
 ROUND_JITTER = 0.2  # rounds are shorter or longer by up to this share
-FEW_NODES = 3  # a view with fewer asks all seeds in each round
-LIVE_WITHIN_S = 2.5  # without a newer heartbeat: two rounds
+MIN_KNOWN_NODES = 3  # a view with fewer asks all seeds in each round
+LIVENESS_TIMEOUT_S = 2.5  # without a newer heartbeat: two rounds
 FORGET_AFTER_S = 20.0  # without a newer heartbeat
-REMEMBER_FORGOTTEN_S = 300.0  # for so long old entries of a forgotten node, still passed on, don't count
+FORGOTTEN_RETENTION_S = 300.0  # for so long old entries of a forgotten node, still passed on, don't count
 MAX_FORGOTTEN = 512  # entries
 
 
 @dataclass(slots=True)
 class _KnownNode:
     node: NodeDescriptor
-    renewed_at: float  # when the entry came
+    updated_at: float  # when the entry came
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
         self._known: dict[str, _KnownNode] = {}
         self._forgotten: dict[str, _ForgottenNode] = {}
         self._started_at = now
-        self._round_at = now
+        self._next_round_at = now
 
     def nodes(self) -> list[NodeDescriptor]:
         """All nodes of the view, without this one."""
@@ -84,7 +84,7 @@
 
     def counted_edges(self) -> list[NodeDescriptor]:
         """Edge nodes that may hold the configuration, by name; this node among them where it may."""
-        nodes = [node for node in [*self.nodes(), self.local_node] if _may_hold_configuration(node)]
+        nodes = [node for node in [*self.nodes(), self.local_node] if _can_host_configuration(node)]
         return sorted(nodes, key=lambda node: node.name)
 
     def live_edges(self, now: float) -> list[NodeDescriptor]:
@@ -92,7 +92,7 @@
         return [
             known.node
             for known in self._known.values()
-            if _may_hold_configuration(known.node) and now - known.renewed_at <= LIVE_WITHIN_S
+            if _can_host_configuration(known.node) and now - known.updated_at <= LIVENESS_TIMEOUT_S
         ]
 
     def find(self, name: str) -> NodeDescriptor | None:
@@ -102,20 +102,20 @@
 
     def tick(self, now: float) -> list[Datagram]:
         """Begin a round where one is due; the datagrams to send."""
-        if now < self._round_at:
+        if now < self._next_round_at:
             return []
-        starting = now - self._started_at < STARTUP_S
-        pause = STARTUP_ROUND_S if starting else ROUND_S
-        self._round_at = now + pause * (1 - ROUND_JITTER + 2 * ROUND_JITTER * self._random.random())
+        starting = now - self._started_at < STARTUP_PERIOD_S
+        interval = STARTUP_ROUND_INTERVAL_S if starting else ROUND_INTERVAL_S
+        self._next_round_at = now + interval * (1 - ROUND_JITTER + 2 * ROUND_JITTER * self._random.random())
         self.local_node = replace(self.local_node, heartbeat=self.local_node.heartbeat + 1)
         self._forget(now)
         request = ShuffleRequest(self.local_node, self._sample())
         return [Datagram(address, request) for address in self._targets(with_seeds=starting)]
 
     @property
-    def round_at(self) -> float:
+    def next_round_at(self) -> float:
         """When `tick` is to be called next."""
-        return self._round_at
+        return self._next_round_at
 
     def received(self, now: float, address: str, record: ShuffleRequest | ShuffleResponse) -> list[Datagram]:
         """Merge a datagram that came from `address`; the response, if there is one."""
@@ -144,7 +144,7 @@
         """
         nodes = self.nodes()
         targets = {self._random.choice(nodes).address} if nodes else set()
-        if with_seeds or len(nodes) < FEW_NODES:
+        if with_seeds or len(nodes) < MIN_KNOWN_NODES:
             targets.update(self.seeds)
         outside = self._addresses_outside({node.address for node in nodes})
         if outside:
@@ -174,7 +174,7 @@
     def _merge(self, now: float, node: NodeDescriptor) -> None:
         """Take an entry where it is newer than what was known of the node."""
         if node.name == self.local_node.name:
-            self._outbid(node)
+            self._raise_incarnation(node)
             return
         known = self._known.get(node.name)
         if known is not None and _version(node) <= _version(known.node):
@@ -184,41 +184,43 @@
             return
         if node.draining:
             self._known.pop(node.name, None)
-            self._remember_forgotten(now, node)
+            self._record_forgotten(now, node)
             return
         if node.disk and (known is None or known.node.disk != node.disk):
             self.state_nodes_changed_at = now
         self._known[node.name] = _KnownNode(node, now)
-        self._drop_excess()
+        self._evict_excess()
 
-    def _outbid(self, node: NodeDescriptor) -> None:
+    def _raise_incarnation(self, node: NodeDescriptor) -> None:
         """Raise this node's incarnation above an entry of it that would win over its own."""
         if _version(node) > _version(self.local_node):
             self.local_node = replace(self.local_node, incarnation=node.incarnation + 1)
 
-    def _drop_excess(self) -> None:
+    def _evict_excess(self) -> None:
         for with_state, limit in ((True, STATE_VIEW_SIZE), (False, VIEW_SIZE)):
             names = [name for name, known in self._known.items() if bool(known.node.disk) is with_state]
             if len(names) > limit:
                 del self._known[self._random.choice(names)]
 
     def _forget(self, now: float) -> None:
-        old = [name for name, known in self._known.items() if now - known.renewed_at > FORGET_AFTER_S]
-        for name in old:
-            self._remember_forgotten(now, self._known.pop(name).node)
-        expired = now - REMEMBER_FORGOTTEN_S
+        expired_names = [
+            name for name, known in self._known.items() if now - known.updated_at > FORGET_AFTER_S
+        ]
+        for name in expired_names:
+            self._record_forgotten(now, self._known.pop(name).node)
+        retained_since = now - FORGOTTEN_RETENTION_S
         self._forgotten = {
             name: forgotten_node
             for name, forgotten_node in self._forgotten.items()
-            if forgotten_node.forgotten_at > expired
+            if forgotten_node.forgotten_at > retained_since
         }
 
-    def _remember_forgotten(self, now: float, node: NodeDescriptor) -> None:
+    def _record_forgotten(self, now: float, node: NodeDescriptor) -> None:
         address = "" if node.draining else node.address
         self._forgotten[node.name] = _ForgottenNode(address, _version(node), now)
         while len(self._forgotten) > MAX_FORGOTTEN:
             del self._forgotten[next(iter(self._forgotten))]
 
 
-def _may_hold_configuration(node: NodeDescriptor) -> bool:
+def _can_host_configuration(node: NodeDescriptor) -> bool:
     return node.counted and node.kind is NodeKind.EDGE
--- a/bitternpath/roles/bootstrap.py
+++ b/bitternpath/roles/bootstrap.py
@@ -18,7 +18,7 @@
 
 from bitternpath.membership.bootstrap import (
     CONFIGURATION_GROUP,
-    DECIDER_DOCUMENT,
+    COORDINATOR_DOCUMENT,
     BootstrapFile,
     decide_bootstrap,
 )
@@ -98,7 +98,7 @@
         self.decision: BootstrapDecision | None = None
         self._own_member_id = own_member_id
         self._file = file
-        self._is_no_founder = False
+        self._known_not_founder = False
 
     def load(self) -> None:
         """Read the decision from disk; raises `CorruptDocumentError` and `CodecError`."""
@@ -107,12 +107,12 @@
     @property
     def is_known(self) -> bool:
         """Whether it is known if this member is a founder: only then it may open the group."""
-        return self.decision is not None or self._is_no_founder
+        return self.decision is not None or self._known_not_founder
 
     def decision_received(self, link: Link, received: BootstrapDecision) -> None:
         """Note the decision that another node sent, and acknowledge it once it is on disk."""
         if all(member.member != self._own_member_id for member in received.group.members):
-            self._is_no_founder = self.decision is None
+            self._known_not_founder = self.decision is None
         elif not self.is_known:
             self._file.store(received)
             self.decision = received
@@ -135,7 +135,7 @@
         self._notifier = BootstrapNotifier(base.hub, COORDINATOR_LINK_USER)
         self._file: BootstrapFile | None = None
         if base.settings.data_dir is not None:
-            self._file = BootstrapFile(base.settings.data_dir, base.disk, DECIDER_DOCUMENT)
+            self._file = BootstrapFile(base.settings.data_dir, base.disk, COORDINATOR_DOCUMENT)
         self._decision: BootstrapDecision | None = None
         self._scheduled: Timer | None = None
 
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -47,7 +47,7 @@
 log = logbook.Logger("configuration")
 
 CHECK_INTERVAL_S = 0.25  # between checks for what no event reports; founders notify each other as often
-COALESCE_S = 0.01  # after an event: many nodes may come at once, and a check goes through all of them
+RECONCILE_DELAY_S = 0.01  # after an event: many nodes may come at once, and a check goes through all of them
 
 
 class ConfigurationMember:
@@ -224,10 +224,10 @@
         self._voters.group_opened(self._schedule_reconcile)
 
     def _schedule_reconcile(self) -> None:
-        """Reconcile once for all events within `COALESCE_S`."""
+        """Reconcile once for all events within `RECONCILE_DELAY_S`."""
         if not self._reconcile_scheduled:
             self._reconcile_scheduled = True
-            self._reactor.callLater(COALESCE_S, self._reconcile)
+            self._reactor.callLater(RECONCILE_DELAY_S, self._reconcile)
 
     def _reconcile(self) -> None:
         """Bring the system closer to its desired state: links, members, placement, retirements."""
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -63,9 +63,9 @@
 log = logbook.Logger("edge")
 
 BODY_CACHE_BYTES = 24 << 20  # of accepted messages that have not been leased yet
-READY_FEED_AGE_S = 20.0  # a node cut off from the configuration for longer takes no new connections
-CONNECTION_SHARES = 2.0  # nodes' shares of a worker's connections overlap: not all use theirs at once
-LEAST_CONNECTIONS = 2  # to a worker, however many edge nodes share it
+MAX_READY_FEED_AGE_S = 20.0  # a node cut off from the configuration for longer takes no new connections
+CONNECTION_OVERCOMMIT = 2.0  # nodes' shares of a worker's connections overlap: not all use theirs at once
+MIN_CONNECTIONS = 2  # to a worker, however many edge nodes share it
 SHARD_LINK_USER = "shards"  # of the hub's links
 
 
@@ -98,7 +98,7 @@
         self.owners = ShardOwners(self._owner_changed)
         self.reports = AttemptReporter(reactor, self.owners)
         self.pulls = PullRouter(reactor, self.owners, self.reports, settings.zone, random)
-        self.appender = Appender(reactor, self.owners, settings.zone, random, self._worker_waits_at)
+        self.appender = Appender(reactor, self.owners, settings.zone, random, self._shard_with_waiting_worker)
         self.lookup = MessageLookup(reactor, self.owners)
         self.bodies = BodyCache(BODY_CACHE_BYTES)
         self.worker_client = WorkerClient(reactor)
@@ -131,7 +131,7 @@
         """Whether new connections are welcome."""
         if self.stopping or self.base.feed.table is None:
             return False
-        return bool(self.owners.owned_groups()) and self.configuration_age() < READY_FEED_AGE_S
+        return bool(self.owners.owned_groups()) and self.configuration_age() < MAX_READY_FEED_AGE_S
 
     def routing(self) -> RoutingTable | None:
         """The configuration in force here; None before the first."""
@@ -147,7 +147,7 @@
             self.bodies.take(message.request_id)
         return acceptance
 
-    def _worker_waits_at(self, message: Message) -> str:
+    def _shard_with_waiting_worker(self, message: Message) -> str:
         """The group of a shard at which a worker waits for such a message; "" where none is known."""
         table = self.routing()
         route = table.routes.get(message.route) if table is not None else None
@@ -185,8 +185,8 @@
 
     def connection_share(self, total: int) -> int:
         """How many of a worker's `total` connections this node may use."""
-        share = int(total * CONNECTION_SHARES / max(self.base.feed.edge_node_count, 1))
-        return max(min(share, total), LEAST_CONNECTIONS)
+        share = int(total * CONNECTION_OVERCOMMIT / max(self.base.feed.edge_node_count, 1))
+        return max(min(share, total), MIN_CONNECTIONS)
 
     # ---- FeedListener
 
@@ -242,7 +242,7 @@
             BootstrapDecisionStored: self._bootstrap_acknowledged,
             StatusRequest: self._send_status,
             EventCountsRequest: lambda link, request: link.send(event_counts(request)),
-            OperatorRequest: self._forwarded_call,
+            OperatorRequest: self._handle_operator_request,
         }
         if self.member is not None:
             handlers |= {
@@ -258,7 +258,7 @@
         if self.member is not None:
             self.member.decision_stored(answer)
 
-    def _forwarded_call(self, link: Link, request: OperatorRequest) -> None:
+    def _handle_operator_request(self, link: Link, request: OperatorRequest) -> None:
         self._operator.handle_request(request).addCallback(
             lambda result: link.send(
                 OperatorResponse(request.number, result.decided, result.status, result.body)
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -19,8 +19,10 @@
 log = logbook.Logger("edge")
 
 RESERVED_DESCRIPTORS = 600  # for files, links to nodes, workers and receivers
-LEAST_CONNECTIONS = 64  # of clients, however few descriptors the settings allow
-UNREADY_S = 2.1  # two failed readiness probes of the platform, a second apart: then no new connections come
+MIN_CONNECTIONS = 64  # of clients, however few descriptors the settings allow
+UNREADY_PERIOD_S = (
+    2.1  # two failed readiness probes of the platform, a second apart: then no new connections come
+)
 UNREADY_GRACE_DIVISOR = 3  # the time of grace divided by this is the longest time for that
 EXIT_RESERVE_S = 1.2  # of the time of grace, kept for the end of the process
 FINAL_ANSWERS_LEAD_S = 0.4  # before that: pending requests are answered, and clients have time to read it
@@ -93,7 +95,7 @@
         self.node.base.announce_draining()
         if self.node.base.host is not None:
             self.node.base.host.transfer_leadership(CONFIGURATION_GROUP)
-        self._reactor.callLater(min(UNREADY_S, grace / UNREADY_GRACE_DIVISOR), self._stop_serving)
+        self._reactor.callLater(min(UNREADY_PERIOD_S, grace / UNREADY_GRACE_DIVISOR), self._stop_serving)
 
     def _stop_serving(self) -> None:
         if "front" in self._ports:
@@ -152,7 +154,7 @@
             node,
             self._reactor,
             origin=settings.node_name,
-            max_connections=max(settings.max_fds - RESERVED_DESCRIPTORS, LEAST_CONNECTIONS),
+            max_connections=max(settings.max_fds - RESERVED_DESCRIPTORS, MIN_CONNECTIONS),
             wall_ms=node.base.wall_clock.wall_ms,
         )
         return [
--- a/bitternpath/roles/event_counts.py
+++ b/bitternpath/roles/event_counts.py
@@ -39,4 +39,4 @@
         )
 
 
-of_this_process = EventCounts()  # logging is one a process, and so is this
+process_event_counts = EventCounts()  # logging is one a process, and so is this
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -50,7 +50,7 @@
 
     # ---- placement
 
-    def place(self, context: ShardContext, groups: tuple[GroupPlacement, ...]) -> None:
+    def apply_placement(self, context: ShardContext, groups: tuple[GroupPlacement, ...]) -> None:
         """Follow a placement of all the system's shards.
 
         Shards that it places here are opened, and so are those that the disk has: a replica that is to be
--- a/bitternpath/roles/logs.py
+++ b/bitternpath/roles/logs.py
@@ -14,19 +14,19 @@
 import logbook
 from twisted.logger import ILogObserver, LogLevel, globalLogBeginner
 
-from bitternpath.roles.event_counts import of_this_process
+from bitternpath.roles.event_counts import process_event_counts
 from bitternpath.roles.settings_reader import SettingsError
 
 LEVEL_VARIABLE = "BITTERNPATH_LOG"
 LEVELS = ("debug", "info", "warning", "error")
 
 
-class _Stream(logbook.StreamHandler):  # type: ignore[misc]
+class _LogHandler(logbook.StreamHandler):  # type: ignore[misc]
     """Writes without a lock: only the reactor's thread logs. Counts what it writes."""
 
     def emit(self, record: Any) -> None:
         """Count and write a line; `record` is logbook's."""
-        of_this_process.add(record.message)
+        process_event_counts.add(record.message)
         super().emit(record)
 
     def format(self, record: Any) -> str:
@@ -38,15 +38,15 @@
 
 def log_level() -> str:
     """The least severe level that the environment asks for, one of `LEVELS`; raises `SettingsError`."""
-    given = os.environ.get(LEVEL_VARIABLE) or "info"
-    if given.lower() not in LEVELS:
-        raise SettingsError(f"{LEVEL_VARIABLE}: must be one of {', '.join(LEVELS)}, not {given!r}")
-    return given.lower()
+    configured = os.environ.get(LEVEL_VARIABLE) or "info"
+    if configured.lower() not in LEVELS:
+        raise SettingsError(f"{LEVEL_VARIABLE}: must be one of {', '.join(LEVELS)}, not {configured!r}")
+    return configured.lower()
 
 
 def start_logging(node_name: str, level: str) -> None:
     """Log from now on what is at least as severe as `level`, one of `LEVELS`; also what Twisted logs."""
-    handler = _Stream(sys.stderr, level=level.upper())
+    handler = _LogHandler(sys.stderr, level=level.upper())
     handler.push_application()
     observers = cast("list[ILogObserver]", [_observe])
     globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -34,8 +34,8 @@
 
 log = logbook.Logger("node")
 
-LOG_DISK_SHARE = 0.35  # of the disk: at this size the journal is replaced by a checkpoint
-LOG_BYTES = 64 << 20  # the same where the size of the disk isn't known
+JOURNAL_DISK_SHARE = 0.35  # of the disk: at this size the journal is replaced by a checkpoint
+DEFAULT_JOURNAL_BYTES = 64 << 20  # the same where the size of the disk isn't known
 
 RecordHandler = Callable[[Link, Any], None]  # what a role does with records of one kind
 
@@ -148,7 +148,7 @@
 
     def _open_host(self, disk: NodeDisk) -> ReplicaHost:
         disk_bytes = self.settings.disk_mb << 20
-        checkpoint_bytes = int(disk_bytes * LOG_DISK_SHARE) or LOG_BYTES
+        checkpoint_bytes = int(disk_bytes * JOURNAL_DISK_SHARE) or DEFAULT_JOURNAL_BYTES
         self.journal = disk.open_journal(self._reactor, checkpoint_bytes)
         host = ReplicaHost(
             self._reactor,
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -25,8 +25,8 @@
 
 log = logbook.Logger("process")
 
-BLOCKED_AT_START = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-PORT_RETRY_S = 0.1
+SIGNALS_BLOCKED_AT_START = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+PORT_RETRY_INTERVAL_S = 0.1
 PORT_RETRY_TIMEOUT_S = 5.0  # the process before may still be ending; a storage node ends within 4 s
 QUARANTINE_DISK_SHARE = 0.25  # of the disk: what `disk_capacity.MAX_USED_SHARE` leaves free
 
@@ -135,7 +135,7 @@
             return
         if self._retry is None:
             log.warning("event=listen_retrying address={} error={!r}", address, str(error.socketError))
-        self._retry = self._reactor.callLater(PORT_RETRY_S, self._listen)
+        self._retry = self._reactor.callLater(PORT_RETRY_INTERVAL_S, self._listen)
 
     def _end(self, code: ExitCode) -> None:
         self.exit_code = code
@@ -160,13 +160,13 @@
         settings = environment.load_settings()
         level = log_level()
     except SettingsError as error:
-        return _refuse(error)
+        return _report_wrong_settings(error)
     start_logging(settings.node_name, level)
     reactor = _monotonic_reactor()
     try:
         lifecycle = RoleLifecycle(reactor, build_role(name, reactor, settings, environment))
     except SettingsError as error:
-        return _refuse(error)
+        return _report_wrong_settings(error)
     except (OSError, CorruptJournalError, CorruptDocumentError) as error:
         return _disk_unusable(error)
     _handle_signals(reactor, lifecycle)
@@ -228,7 +228,7 @@
     )
 
 
-def _refuse(error: SettingsError) -> ExitCode:
+def _report_wrong_settings(error: SettingsError) -> ExitCode:
     print(f"bitternpath: {error}", file=sys.stderr)
     return ExitCode.WRONG_SETTINGS
 
@@ -260,4 +260,4 @@
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
     signal.signal(signal.SIGHUP, reload)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_AT_START)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS_BLOCKED_AT_START)
--- a/bitternpath/roles/quota_borrowing.py
+++ b/bitternpath/roles/quota_borrowing.py
@@ -66,7 +66,7 @@
 
     def _link(self, group: str) -> Link | None:
         """The link to the member that is asked now; None where there is none yet."""
-        self._give_up_unresponsive(group)
+        self._skip_unresponsive(group)
         member = self._candidate(group)
         if member is None or member.member == self._host.member_id:
             self._attempts[group] += 1
@@ -80,10 +80,10 @@
         The link to the previous one is released, as that may be down permanently and would be dialled again
         and again.
         """
-        before = self._dialled.get(group, address)
+        previous = self._dialled.get(group, address)
         self._dialled[group] = address
-        if before not in self._dialled.values():
-            self._hub.release(before, QUOTA_LINK_USER)
+        if previous not in self._dialled.values():
+            self._hub.release(previous, QUOTA_LINK_USER)
         self._hub.dial(address, QUOTA_LINK_USER)
 
     def _candidate(self, group: str) -> MemberAddress | None:
@@ -94,7 +94,7 @@
         known = next((member for member in placement.members if member.member == leader), None)
         return known or placement.members[self._attempts[group] % len(placement.members)]
 
-    def _give_up_unresponsive(self, group: str) -> None:
+    def _skip_unresponsive(self, group: str) -> None:
         """Go on to another member where one hasn't answered for so long that a loan would have lapsed."""
         since = self._unanswered_since.get(group)
         if since is not None and self._reactor.seconds() - since > QUOTA_LEASE_S:
--- a/bitternpath/roles/settings.py
+++ b/bitternpath/roles/settings.py
@@ -16,7 +16,7 @@
 from bitternpath.roles.settings_reader import SettingsError, SettingsTable
 
 __all__ = [
-    "VARIABLE",
+    "CONFIG_VARIABLE",
     "Bounds",
     "Settings",
     "SettingsError",
@@ -25,7 +25,7 @@
     "settings_path",
 ]
 
-VARIABLE = "BITTERNPATH_CONFIG"
+CONFIG_VARIABLE = "BITTERNPATH_CONFIG"
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,9 +81,9 @@
 
 def settings_path() -> Path:
     """The file that the environment names; raises `SettingsError` where it names none."""
-    name = os.environ.get(VARIABLE)
+    name = os.environ.get(CONFIG_VARIABLE)
     if not name:
-        raise SettingsError(f"{VARIABLE} isn't set: it must name the settings file")
+        raise SettingsError(f"{CONFIG_VARIABLE} isn't set: it must name the settings file")
     return Path(name)
 
 
--- a/bitternpath/roles/settings_reader.py
+++ b/bitternpath/roles/settings_reader.py
@@ -76,28 +76,28 @@
             raise self._error(key, f"must be true or false, not {value!r}")
         return value
 
-    def number(self, key: str, default: float, least: float, most: float) -> float:
+    def number(self, key: str, default: float, minimum: float, maximum: float) -> float:
         """An integer or a float, within bounds."""
         value = self.values.get(key, default)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise self._error(key, f"must be a number from {least:.12g} to {most:.12g}, not {value!r}")
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            raise self._error(key, f"must be a number from {minimum:.12g} to {maximum:.12g}, not {value!r}")
         return float(value)
 
-    def integer(self, key: str, default: int, least: int, most: int) -> int:
+    def integer(self, key: str, default: int, minimum: int, maximum: int) -> int:
         """An integer, or a float without a fraction, within bounds."""
-        value = self.number(key, default, least, most)
+        value = self.number(key, default, minimum, maximum)
         if not value.is_integer():
-            raise self._error(key, f"must be a whole number from {least} to {most}, not {value!r}")
+            raise self._error(key, f"must be a whole number from {minimum} to {maximum}, not {value!r}")
         return int(value)
 
-    def size(self, key: str, most: int) -> int:
+    def size(self, key: str, maximum: int) -> int:
         """Return a number of units, rounded down.
 
         0 stands for an unknown size, so a fraction of one unit is refused.
         """
-        value = self.number(key, 0, 0, most)
+        value = self.number(key, 0, 0, maximum)
         if 0 < value < 1:
-            raise self._error(key, f"must be 0 or a number from 1 to {most}, not {value!r}")
+            raise self._error(key, f"must be 0 or a number from 1 to {maximum}, not {value!r}")
         return int(value)
 
     def ports(self, key: str) -> tuple[int, int]:
--- a/bitternpath/roles/status.py
+++ b/bitternpath/roles/status.py
@@ -6,7 +6,7 @@
 
 from bitternpath.queue.state import QueueState
 from bitternpath.replication.host import ReplicaHost
-from bitternpath.roles.event_counts import of_this_process
+from bitternpath.roles.event_counts import process_event_counts
 from bitternpath.roles.node_base import NodeBase
 from bitternpath.transport.operator_messages import (
     EventCountsRequest,
@@ -42,7 +42,7 @@
 
 def event_counts(request: EventCountsRequest) -> EventCountsResponse:
     """The response to a request for the counts of this process's log events."""
-    return EventCountsResponse(request.number, of_this_process.counts())
+    return EventCountsResponse(request.number, process_event_counts.counts())
 
 
 def node_status(base: NodeBase, number: int, *, ready: bool, groups: Sequence[GroupStatus]) -> StatusResponse:
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -155,7 +155,7 @@
 
     def placement_changed(self, _generation: int, groups: tuple[GroupPlacement, ...]) -> None:
         """Shards have other members: open those that are placed here."""
-        self.shards.place(self._shard_context, groups)
+        self.shards.apply_placement(self._shard_context, groups)
         self._cache.save()
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
--- a/bitternpath/roles/storage_process.py
+++ b/bitternpath/roles/storage_process.py
@@ -15,8 +15,8 @@
 
 TRANSFER_TIMEOUT_S = 1.5  # for the transfer of owned shards; then other replicas elect an owner themselves
 CHECK_INTERVAL_S = 0.05  # between checks whether all shards have been transferred
-FLUSH_S = 0.1  # for the records that were sent last
-LINKS_CLOSE_S = 0.05  # from the closing of links to that of the disk, which blocks
+FLUSH_DELAY_S = 0.1  # for the records that were sent last
+LINKS_CLOSE_DELAY_S = 0.05  # from the closing of links to that of the disk, which blocks
 
 
 class StorageProcess:
@@ -54,11 +54,11 @@
             self._reactor.callLater(CHECK_INTERVAL_S, self._transfer_shards, finished)
             return
         log.info("event=shutdown_completed memory_mb={:.0f}", self.node.base.memory_peak_mb())
-        self._reactor.callLater(FLUSH_S, self._close_links, finished)
+        self._reactor.callLater(FLUSH_DELAY_S, self._close_links, finished)
 
     def _close_links(self, finished: Callable[[], None]) -> None:
         self.node.stop()
-        self._reactor.callLater(LINKS_CLOSE_S, self._close_disk, finished)
+        self._reactor.callLater(LINKS_CLOSE_DELAY_S, self._close_disk, finished)
 
     def _close_disk(self, finished: Callable[[], None]) -> None:
         self.node.base.close_disk()
--- a/bitternpath/roles/wall_clock.py
+++ b/bitternpath/roles/wall_clock.py
@@ -12,11 +12,11 @@
     itself, or reads its disk after a restart. A step of the clock in between would shorten a message's delay.
     """
 
-    def __init__(self, wall_ms: Callable[[], int], steady_s: Callable[[], float]) -> None:
-        """`wall_ms` is read once; `steady_s` gives seconds of a clock that never steps."""
-        self._steady_s = steady_s
-        self._offset_ms = wall_ms() - steady_s() * 1000
+    def __init__(self, wall_ms: Callable[[], int], monotonic_s: Callable[[], float]) -> None:
+        """`wall_ms` is read once; `monotonic_s` gives seconds of a clock that never steps."""
+        self._monotonic_s = monotonic_s
+        self._offset_ms = wall_ms() - monotonic_s() * 1000
 
     def wall_ms(self) -> int:
         """Milliseconds since 1970."""
-        return round(self._offset_ms + self._steady_s() * 1000)
+        return round(self._offset_ms + self._monotonic_s() * 1000)
--- a/bitternpath/transport/codec.py
+++ b/bitternpath/transport/codec.py
@@ -102,27 +102,29 @@
     return tuple((name, hints[name]) for name in names)
 
 
-def _is_record(kind: Any) -> bool:
-    return isinstance(kind, type) and (dataclasses.is_dataclass(kind) or issubclass(kind, msgspec.Struct))
+def _is_record(annotation: Any) -> bool:
+    return isinstance(annotation, type) and (
+        dataclasses.is_dataclass(annotation) or issubclass(annotation, msgspec.Struct)
+    )
 
 
-def _is_enum(kind: Any) -> bool:
-    return isinstance(kind, type) and issubclass(kind, IntEnum)
+def _is_enum(annotation: Any) -> bool:
+    return isinstance(annotation, type) and issubclass(annotation, IntEnum)
 
 
-def _is_optional(kind: Any) -> bool:
-    is_union = typing.get_origin(kind) in (types.UnionType, typing.Union)
-    return is_union and len(typing.get_args(kind)) == 2
+def _is_optional(annotation: Any) -> bool:
+    is_union = typing.get_origin(annotation) in (types.UnionType, typing.Union)
+    return is_union and len(typing.get_args(annotation)) == 2
 
 
-def _is_array(kind: Any) -> bool:
-    arguments = typing.get_args(kind)
-    return typing.get_origin(kind) is tuple and len(arguments) == 2 and arguments[1] is Ellipsis
+def _is_array(annotation: Any) -> bool:
+    arguments = typing.get_args(annotation)
+    return typing.get_origin(annotation) is tuple and len(arguments) == 2 and arguments[1] is Ellipsis
 
 
-def _optional_type(kind: Any) -> Any:
+def _optional_type(annotation: Any) -> Any:
     """`T` of `T | None`."""
-    return next(argument for argument in typing.get_args(kind) if argument is not type(None))
+    return next(argument for argument in typing.get_args(annotation) if argument is not type(None))
 
 
 def _record_schema(record: type, defined: dict[str, None]) -> Any:
@@ -130,64 +132,66 @@
     if record.__name__ in defined:
         return record.__name__
     defined[record.__name__] = None
-    fields = [{"name": name, "type": _schema_of(kind, defined)} for name, kind in _fields_of(record)]
+    fields = [
+        {"name": name, "type": _schema_for(annotation, defined)} for name, annotation in _fields_of(record)
+    ]
     return {"type": "record", "name": record.__name__, "fields": fields}
 
 
-def _schema_of(kind: Any, defined: dict[str, None]) -> Any:
-    if kind in _PRIMITIVES:
-        return _PRIMITIVES[kind]
-    if _is_record(kind):
-        return _record_schema(kind, defined)
-    if _is_enum(kind):
+def _schema_for(annotation: Any, defined: dict[str, None]) -> Any:
+    if annotation in _PRIMITIVES:
+        return _PRIMITIVES[annotation]
+    if _is_record(annotation):
+        return _record_schema(annotation, defined)
+    if _is_enum(annotation):
         return "int"
-    if _is_array(kind):
-        return {"type": "array", "items": _schema_of(typing.get_args(kind)[0], defined)}
-    if _is_optional(kind):
-        return ["null", _schema_of(_optional_type(kind), defined)]
-    raise CodecError(f"no Avro type for {kind!r}")
+    if _is_array(annotation):
+        return {"type": "array", "items": _schema_for(typing.get_args(annotation)[0], defined)}
+    if _is_optional(annotation):
+        return ["null", _schema_for(_optional_type(annotation), defined)]
+    raise CodecError(f"no Avro type for {annotation!r}")
 
 
 def _identity(value: Any) -> Any:
     return value
 
 
-def _to_avro(kind: Any) -> Converter:
-    if _is_record(kind):
-        return _record_to_avro(kind)
-    if _is_array(kind):
-        convert_item = _to_avro(typing.get_args(kind)[0])
+def _to_avro(annotation: Any) -> Converter:
+    if _is_record(annotation):
+        return _record_to_avro(annotation)
+    if _is_array(annotation):
+        convert_item = _to_avro(typing.get_args(annotation)[0])
         if convert_item is _identity:
             return list
         return lambda values: [convert_item(value) for value in values]
-    if _is_optional(kind):
-        return _converter_of_optional(_to_avro(_optional_type(kind)))
+    if _is_optional(annotation):
+        return _optional_converter(_to_avro(_optional_type(annotation)))
     return _identity
 
 
-def _from_avro(kind: Any) -> Converter:
-    if _is_record(kind):
-        return _record_from_avro(kind)
-    if _is_enum(kind):
-        return typing.cast("Converter", kind)
-    if _is_array(kind):
-        convert_item = _from_avro(typing.get_args(kind)[0])
+def _from_avro(annotation: Any) -> Converter:
+    if _is_record(annotation):
+        return _record_from_avro(annotation)
+    if _is_enum(annotation):
+        return typing.cast("Converter", annotation)
+    if _is_array(annotation):
+        convert_item = _from_avro(typing.get_args(annotation)[0])
         if convert_item is _identity:
             return tuple
         return lambda values: tuple([convert_item(value) for value in values])
-    if _is_optional(kind):
-        return _converter_of_optional(_from_avro(_optional_type(kind)))
+    if _is_optional(annotation):
+        return _optional_converter(_from_avro(_optional_type(annotation)))
     return _identity
 
 
-def _converter_of_optional(convert: Converter) -> Converter:
+def _optional_converter(convert: Converter) -> Converter:
     if convert is _identity:
         return _identity
     return lambda value: None if value is None else convert(value)
 
 
 def _record_to_avro(record: type) -> Converter:
-    converters = [(name, _to_avro(kind)) for name, kind in _fields_of(record)]
+    converters = [(name, _to_avro(annotation)) for name, annotation in _fields_of(record)]
 
     def convert(value: Any) -> dict[str, Any]:
         return {name: converter(getattr(value, name)) for name, converter in converters}
@@ -196,7 +200,7 @@
 
 
 def _record_from_avro(record: type) -> Converter:
-    converters = [(name, _from_avro(kind)) for name, kind in _fields_of(record)]
+    converters = [(name, _from_avro(annotation)) for name, annotation in _fields_of(record)]
 
     def convert(value: dict[str, Any]) -> Any:
         return record(*[converter(value[name]) for name, converter in converters])
--- a/bitternpath/transport/dialler.py
+++ b/bitternpath/transport/dialler.py
@@ -40,7 +40,7 @@
         self._stopped = False
 
     @property
-    def opened(self) -> Link | None:
+    def open_link(self) -> Link | None:
         """The link, once its peer has greeted."""
         return self.link if self.link is not None and self.link.open else None
 
@@ -70,20 +70,20 @@
         if self._stopped:
             link.close()
 
-    def ended(self, *, was_greeted: bool) -> None:
+    def ended(self, *, handshake_completed: bool) -> None:
         """The connection ended, or couldn't be made: dial again after a pause.
 
-        `was_greeted`: the peer had greeted, so the back-off begins anew.
+        `handshake_completed`: the peer had greeted, so the back-off begins anew.
         """
         self.link = None
         if self._stopped:
             return
-        if was_greeted:
+        if handshake_completed:
             self._backoff_s = INITIAL_BACKOFF_S
         jitter = MIN_JITTER + JITTER_SPAN * self._hub.random.random()
-        pause_s = self._backoff_s * jitter
+        delay_s = self._backoff_s * jitter
         self._backoff_s = min(2 * self._backoff_s, MAX_BACKOFF_S)
-        self._redial = self._hub.reactor.callLater(pause_s, self.start)
+        self._redial = self._hub.reactor.callLater(delay_s, self.start)
 
 
 class _DialFactory(Factory):
@@ -105,7 +105,7 @@
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Nobody answered, or the port is closed."""
-        self._dialler.ended(was_greeted=False)
+        self._dialler.ended(handshake_completed=False)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
         """Part of the interface; the link reports it to its hub."""
--- a/bitternpath/transport/hub.py
+++ b/bitternpath/transport/hub.py
@@ -86,7 +86,7 @@
     def link_to(self, address: str) -> Link | None:
         """The open link that was dialled to an address."""
         dialler = self._diallers.get(address)
-        return dialler.opened if dialler else None
+        return dialler.open_link if dialler else None
 
     def announce(self) -> None:
         """Send `Hello` to all peers again: this node's description has changed."""
@@ -123,7 +123,7 @@
         """A link's connection has ended; its dialler dials again."""
         dialler = self._diallers.get(link.dialled)
         if dialler is not None and dialler.link is link:
-            dialler.ended(was_greeted=link.peer is not None)
+            dialler.ended(handshake_completed=link.peer is not None)
 
     def schedule_check(self) -> None:
         """Check all links for silence from now on, together: one timer and one turn for all pings."""
@@ -140,7 +140,7 @@
         self._check = None
         now = self.reactor.seconds()
         for link in list(self.links):
-            link.abort_or_ping_if_silent(now)
+            link.check_liveness(now)
         if self.links:
             self.schedule_check()
 
--- a/bitternpath/transport/link_liveness.py
+++ b/bitternpath/transport/link_liveness.py
@@ -51,7 +51,7 @@
         self.received_at = now
         self.pinged_at = None
 
-    def silent_for(self, now: float) -> float:
+    def seconds_since_received(self, now: float) -> float:
         """Seconds since a byte came."""
         return now - self.received_at
 
@@ -63,8 +63,8 @@
             is_dialler: whether this end dialled.
             awaits_response: whether a request on the link has no response yet.
         """
-        unanswered = 0.0 if self.pinged_at is None else now - self.pinged_at
-        if self.silent_for(now) > PEER_TIMEOUT_S or unanswered > PONG_TIMEOUT_S:
+        unanswered_s = 0.0 if self.pinged_at is None else now - self.pinged_at
+        if self.seconds_since_received(now) > PEER_TIMEOUT_S or unanswered_s > PONG_TIMEOUT_S:
             return LivenessAction.ABORT
         ping_after_s = self.ping_after_s
         if awaits_response:
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -37,7 +37,7 @@
 
 log = logbook.Logger("transport")
 
-UNACKNOWLEDGED_TIMEOUT_MS = 2_000  # the kernel ends a connection whose bytes nobody acknowledges for so long
+TCP_USER_TIMEOUT_MS = 2_000  # the kernel ends a connection whose bytes nobody acknowledges for so long
 
 
 class LinkState(Enum):
@@ -229,26 +229,26 @@
             case Pong():
                 pass
             case Hello(node):
-                self._greeted(node)
+                self._hello_received(node)
             case _:
-                if type(record) in RESPONSE_RECORDS and self._answers_request(cast("Response", record)):
+                if type(record) in RESPONSE_RECORDS and self._complete_request(cast("Response", record)):
                     return
                 if self._state is _OPEN:
                     self._hub.handler.received(self, record)
 
-    def _answers_request(self, response: Response) -> bool:
+    def _complete_request(self, response: Response) -> bool:
         """Whether a request waited for this response; then it has it now."""
         request = self._requests.pop(response.number, None)
         if request is not None:
             request.callback(response)
         return request is not None
 
-    def _greeted(self, node: NodeDescriptor) -> None:
+    def _hello_received(self, node: NodeDescriptor) -> None:
         self.peer = node
         self._state = _OPEN
         self._hub.handler.link_opened(self)
 
-    def abort_or_ping_if_silent(self, now: float) -> None:
+    def check_liveness(self, now: float) -> None:
         """Ping the peer, or abort the link, where the peer is silent (`now`: the reactor's clock)."""
         action = self._liveness.next_action(
             now, is_dialler=bool(self.dialled), awaits_response=bool(self._requests)
@@ -256,8 +256,8 @@
         if action is LivenessAction.PING:
             self.send(Ping(0))
         elif action is LivenessAction.ABORT:
-            silent = self._liveness.silent_for(now)
-            log.info("event=link_idle_timeout peer={} seconds={:.2f}", self.peer_name, silent)
+            idle_s = self._liveness.seconds_since_received(now)
+            log.info("event=link_idle_timeout peer={} seconds={:.2f}", self.peer_name, idle_s)
             self.abort()
 
 
@@ -265,4 +265,4 @@
     """No delay of small writes, and a bound for unacknowledged ones; simulated sockets have neither."""
     with contextlib.suppress(OSError, AttributeError):
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
+        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
--- a/tests/system/discovery/test_catalogue.py
+++ b/tests/system/discovery/test_catalogue.py
@@ -16,13 +16,13 @@
     def setUp(self) -> None:
         self.changes: list[tuple[list[str], list[str]]] = []
         self.catalogue = Catalogue(
-            lambda entries, left: self.changes.append(([each.instance for each in entries], left))
+            lambda entries, removed: self.changes.append(([each.instance for each in entries], removed))
         )
 
     def update(self, now: float, serial: int, entries: Any, epoch: int = 1, age_ms: int = 100) -> None:
         self.catalogue.update(now, CatalogueUpdate(epoch, serial, age_ms, entries))
 
-    def test_a_draining_or_missing_worker_has_left(self) -> None:
+    def test_a_draining_or_missing_worker_is_removed(self) -> None:
         self.update(1.0, 1, (entry(1), entry(2), entry(3)))
         self.update(2.0, 2, (entry(1), entry(2, draining=True)))
         self.assertEqual(self.changes[-1], (["i1"], ["i2", "i3"]))
--- a/tests/system/discovery/test_endpoint_list_client.py
+++ b/tests/system/discovery/test_endpoint_list_client.py
@@ -40,7 +40,7 @@
     requestFactory = Platform
 
 
-class Reading(unittest.TestCase):
+class EndpointListClientTest(unittest.TestCase):
     def setUp(self) -> None:
         self.loopback = Loopback()
         self.addCleanup(self.loopback.close)
--- a/tests/system/discovery/test_endpoint_list_poller.py
+++ b/tests/system/discovery/test_endpoint_list_poller.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 
 from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListUnavailableError
-from bitternpath.discovery.endpoint_list_poller import POLL_INTERVAL_S, RETRY_S, EndpointListPoller
+from bitternpath.discovery.endpoint_list_poller import POLL_INTERVAL_S, RETRY_DELAY_S, EndpointListPoller
 from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 
 EPOCH = 7
@@ -22,7 +22,7 @@
     return CatalogueEntry(f"i{number}", "workers", f"10.1.0.{number}:80", "z", 4, False, False)
 
 
-class Client:
+class FakeClient:
     """Reads that the test answers."""
 
     def __init__(self, clock: Clock) -> None:
@@ -43,13 +43,13 @@
         self.reads[-1][1].errback(EndpointListUnavailableError("status 500"))
 
 
-class Polling(unittest.TestCase):
+class EndpointListPollerTest(unittest.TestCase):
     def setUp(self) -> None:
         handler = logbook.NullHandler()
         handler.push_application()
         self.addCleanup(handler.pop_application)
         self.clock = Clock()
-        self.client = Client(self.clock)
+        self.client = FakeClient(self.clock)
         self.published: list[CatalogueUpdate] = []
         self.poller = self.make_poller(RATE_PER_S)
 
@@ -84,7 +84,7 @@
     def test_a_failed_reading_is_repeated_soon_and_publishes_nothing(self) -> None:
         self.poller.start()
         self.client.fail()
-        self.clock.advance(RETRY_S)
+        self.clock.advance(RETRY_DELAY_S)
         self.assert_reads(2)
         self.assertEqual(self.published, [])
 
--- a/tests/system/ingress/server_case.py
+++ b/tests/system/ingress/server_case.py
@@ -86,7 +86,7 @@
         self.lease: LeaseAnswer | None = LeaseAnswer.ACKNOWLEDGED  # None: no response
         self.ends: list[tuple[str, str, int, str]] = []
         self.extensions: list[tuple[str, str]] = []
-        self.orders: list[tuple[str, str, str, bytes]] = []
+        self.operator_calls: list[tuple[str, str, str, bytes]] = []
         self.reply: OperatorReply | None = OperatorReply(200, b'{"version":5}')  # None: no response
         self.late_reply: Deferred[OperatorReply] = Deferred()
 
@@ -119,7 +119,7 @@
         return Deferred() if self.lease is None else succeed(self.lease)
 
     def operator_call(self, method: str, path: str, if_match: str, body: bytes) -> Deferred[OperatorReply]:
-        self.orders.append((method, path, if_match, body))
+        self.operator_calls.append((method, path, if_match, body))
         return self.late_reply if self.reply is None else succeed(self.reply)
 
 
--- a/tests/system/ingress/test_client_api.py
+++ b/tests/system/ingress/test_client_api.py
@@ -123,10 +123,10 @@
         self.assertEqual(client.statuses(), [204])
 
     def test_worker_that_disconnects(self) -> None:
-        for gone in ("lose", "half"):
-            with self.subTest(gone):
+        for disconnect in ("lose", "half"):
+            with self.subTest(disconnect):
                 client = self.pull()
-                if gone == "half":
+                if disconnect == "half":
                     client.channel.readConnectionLost()
                     self.assertTrue(client.closed)
                 client.lose(clean=True)
--- a/tests/system/ingress/test_operator_api.py
+++ b/tests/system/ingress/test_operator_api.py
@@ -36,13 +36,13 @@
             ((b"POST /retire/storage-a.b-1", b"{}"), ("POST", "/retire/storage-a.b-1", "", b"{}")),
             ((b"GET /retire/x%2f..%20",), ("GET", "/retire/x%2f..%20", "", b"")),
         ]
-        for call, order in table:
+        for call, expected in table:
             with self.subTest(call[0]):
-                self.node.orders.clear()
+                self.node.operator_calls.clear()
                 (response,) = self.call(*call).responses()
                 self.assertEqual((response.status, response.body), (200, b'{"version":5}'))
                 self.assertEqual(response.headers[b"content-type"], b"application/json")
-                self.assertEqual(self.node.orders, [order])
+                self.assertEqual(self.node.operator_calls, [expected])
 
     def test_responses(self) -> None:
         for status in (200, 400, 404, 409, 412, 503):
@@ -58,7 +58,7 @@
         for line, status in table:
             with self.subTest(line):
                 self.assertEqual(self.call(line).statuses(), [status])
-        self.assertEqual(self.node.orders, [])
+        self.assertEqual(self.node.operator_calls, [])
 
     def test_body_over_the_limit(self) -> None:
         data = b"PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 16777217\r\n\r\n"
--- a/tests/system/membership/view_network.py
+++ b/tests/system/membership/view_network.py
@@ -16,9 +16,9 @@
 ) -> NodeDescriptor:
     """A node; its number is part of its address."""
     name = f"{kind.name.lower()}-some-long-zone-{number}"
-    place = zone or ZONES[number % len(ZONES)]
+    node_zone = zone or ZONES[number % len(ZONES)]
     return NodeDescriptor(
-        name, f"10.0.{number // 250}.{number % 250}:7000", kind, place, bool(disk), disk, incarnation, 0
+        name, f"10.0.{number // 250}.{number % 250}:7000", kind, node_zone, bool(disk), disk, incarnation, 0
     )
 
 
@@ -34,18 +34,18 @@
             each.address: MembershipView(each, addresses, Random(seed + n), 0.0)
             for n, each in enumerate(nodes)
         }
-        self.largest = 0
+        self.largest_datagram = 0
 
     def run(self, seconds: float) -> None:
-        until = self.now + seconds
-        while self.now < until:
+        end = self.now + seconds
+        while self.now < end:
             self.now += 0.05
             for address, view in list(self.views.items()):
-                self._carry(address, view.tick(self.now))
+                self._deliver(address, view.tick(self.now))
 
-    def _carry(self, sender: str, datagrams: list) -> None:  # type: ignore[type-arg]
+    def _deliver(self, sender: str, datagrams: list) -> None:  # type: ignore[type-arg]
         for datagram in datagrams:
-            self.largest = max(self.largest, len(RECORDS.encode(datagram.record)))
+            self.largest_datagram = max(self.largest_datagram, len(RECORDS.encode(datagram.record)))
             receiver = self.views.get(datagram.address)
             if receiver is not None and self.random.random() >= self.loss:
-                self._carry(datagram.address, receiver.received(self.now, sender, datagram.record))
+                self._deliver(datagram.address, receiver.received(self.now, sender, datagram.record))
--- a/tests/system/roles/node_case.py
+++ b/tests/system/roles/node_case.py
@@ -25,13 +25,13 @@
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
 
-OLD = "0123abcd"
+OLD_IDENTITY = "0123abcd"
 SEGMENT = "journal/segment-00000001.log"
-ME = MemberAddress(f"n/{OLD}", "n", "127.0.0.1:7780", "z")
-FOUNDING = BootstrapDecision("5ec0", GroupPlacement(CONFIGURATION_GROUP, 1, (ME,)))
+LOCAL_MEMBER = MemberAddress(f"n/{OLD_IDENTITY}", "n", "127.0.0.1:7780", "z")
+DECISION = BootstrapDecision("5ec0", GroupPlacement(CONFIGURATION_GROUP, 1, (LOCAL_MEMBER,)))
 
 
-class Pool:
+class SynchronousPool:
     """A thread pool that works at once."""
 
     def callInThreadWithCallback(
@@ -51,12 +51,12 @@
     def __init__(self) -> None:
         super().__init__()
         self.stops = 0
-        self.pool = Pool()
+        self.pool = SynchronousPool()
 
     def stop(self) -> None:
         self.stops += 1
 
-    def getThreadPool(self) -> Pool:
+    def getThreadPool(self) -> SynchronousPool:
         return self.pool
 
     def callFromThread(self, call: Callable[..., Any], *arguments: Any) -> None:
@@ -75,7 +75,7 @@
         self.enterContext(self.logged.applicationbound())
 
     def settings(self, **more: Any) -> Settings:
-        made = read_settings(
+        settings = read_settings(
             {
                 "node_name": "n",
                 "ip": "127.0.0.1",
@@ -86,17 +86,17 @@
                 "seeds": ["127.0.0.1:8064"],
             }
         )
-        return replace(made, **more)
+        return replace(settings, **more)
 
     def make_disk(self) -> None:
         """Write the disk of a founder, with two groups."""
-        load_identity(self.data, draw=lambda: OLD)
-        BootstrapFile(self.data).store(FOUNDING)
+        load_identity(self.data, draw=lambda: OLD_IDENTITY)
+        BootstrapFile(self.data).store(DECISION)
         LocalDisk(self.data).write_document(CACHE_DOCUMENT, b"any")
         log = SegmentLog(LocalFileSystem(self.data), lambda: 7, 1 << 30)
         for group in ("g", "h"):
             founded = bootstrap_record(
-                group, PersistentState(snapshot=Snapshot(members=Members((ME.member,))))
+                group, PersistentState(snapshot=Snapshot(members=Members((LOCAL_MEMBER.member,))))
             )
             log.write(Batch([founded], []))
         log.close()
--- a/tests/system/roles/test_event_counts.py
+++ b/tests/system/roles/test_event_counts.py
@@ -9,13 +9,13 @@
 import logbook
 
 from bitternpath.cli.system_show import StatusSurvey, report
-from bitternpath.roles.event_counts import MAX_KEYS, OTHER_CAUSES, EventCounts, of_this_process
-from bitternpath.roles.logs import _Stream
+from bitternpath.roles.event_counts import MAX_KEYS, OTHER_CAUSES, EventCounts, process_event_counts
+from bitternpath.roles.logs import _LogHandler
 from bitternpath.roles.status import event_counts
 from bitternpath.transport.operator_messages import EventCount, EventCountsRequest, EventCountsResponse
 
 
-class Counting(unittest.TestCase):
+class EventCountsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.counts = EventCounts()
 
@@ -25,7 +25,7 @@
         return list(self.counts.counts())
 
     def test_by_event_and_cause(self) -> None:
-        found = self.add(
+        counts = self.add(
             "event=ownership_lost group=queue-1 cause='quorum lost'",
             "event=ownership_lost group=queue-2 cause='quorum lost'",
             "event=ownership_lost group=queue-2 cause='higher term'",
@@ -38,15 +38,15 @@
             EventCount("ownership_lost", "higher term", 1),
             EventCount("ownership_lost", "quorum lost", 2),
         ]
-        self.assertEqual(found, expected)
+        self.assertEqual(counts, expected)
 
     def test_a_line_without_an_event_isnt_counted(self) -> None:
         self.assertEqual(self.add("anything", " event=late"), [])
 
     def test_many_texts_of_errors_are_counted_together(self) -> None:
-        found = self.add(*(f"event=failed error='number {number}'" for number in range(2 * MAX_KEYS)))
-        self.assertEqual(len(found), MAX_KEYS + 1)
-        self.assertEqual({each.cause: each.count for each in found}[OTHER_CAUSES], MAX_KEYS)
+        counts = self.add(*(f"event=failed error='number {number}'" for number in range(2 * MAX_KEYS)))
+        self.assertEqual(len(counts), MAX_KEYS + 1)
+        self.assertEqual({each.cause: each.count for each in counts}[OTHER_CAUSES], MAX_KEYS)
 
     def test_what_is_logged_is_counted_and_sent(self) -> None:
         def count() -> int:
@@ -56,14 +56,14 @@
 
         before = count()
         stream = io.StringIO()
-        with _Stream(stream, level="INFO").applicationbound():
+        with _LogHandler(stream, level="INFO").applicationbound():
             logbook.Logger("test").info("event=counted_in_test n={}", 1)
             logbook.Logger("test").debug("event=counted_in_test n={}", 2)
         self.assertEqual((count() - before, stream.getvalue().count("event=counted_in_test")), (1, 1))
-        self.assertIsInstance(of_this_process, EventCounts)
+        self.assertIsInstance(process_event_counts, EventCounts)
 
 
-class Report(unittest.TestCase):
+class EventReportTest(unittest.TestCase):
     def survey(self, events: dict[str, EventCountsResponse]) -> StatusSurvey:
         survey = cast(Any, StatusSurvey.__new__(StatusSurvey))
         survey.answers, survey.known, survey.events = {}, {}, events
--- a/tests/system/roles/test_feed_cache.py
+++ b/tests/system/roles/test_feed_cache.py
@@ -10,7 +10,7 @@
 from bitternpath.storage.document_writer import RETRY_S, DocumentWriter
 from bitternpath.storage.documents import read_document
 from bitternpath.storage.node_disk import LocalDisk
-from tests.system.roles.node_case import DiskCase, FakeReactor, Pool
+from tests.system.roles.node_case import DiskCase, FakeReactor, SynchronousPool
 
 
 class FeedCacheTest(DiskCase):
@@ -76,7 +76,7 @@
         self.assertEqual(read_document(self.path), b"two")
 
 
-class ManualPool(Pool):
+class ManualPool(SynchronousPool):
     """A thread pool that works when the test says so."""
 
     def __init__(self) -> None:
--- a/tests/system/roles/test_ownership_return.py
+++ b/tests/system/roles/test_ownership_return.py
@@ -17,16 +17,16 @@
 
     def seconds_until_due(self, limit_s: float = 2 * MAX_DELAY_S) -> float:
         """How long the preferred member has to be fit until ownership returns to it."""
-        began_at = self.now
+        started_at = self.now
         while not self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True):
             self.now += CHECK_INTERVAL_S
-            self.assertLess(self.now - began_at, limit_s)
-        return self.now - began_at
+            self.assertLess(self.now - started_at, limit_s)
+        return self.now - started_at
 
-    def test_the_preferred_member_must_be_fit_for_a_while(self) -> None:
+    def test_the_preferred_member_must_be_eligible_for_the_initial_delay(self) -> None:
         self.assertEqual(self.seconds_until_due(), INITIAL_DELAY_S)
 
-    def test_a_break_begins_the_delay_anew(self) -> None:
+    def test_an_interruption_restarts_the_delay(self) -> None:
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True))
         self.now += INITIAL_DELAY_S - CHECK_INTERVAL_S
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, GROUP, eligible=False))
@@ -37,7 +37,7 @@
         doubled = [INITIAL_DELAY_S * 2**number for number in range(8)]
         self.assertEqual(delays, [min(delay, MAX_DELAY_S) for delay in doubled])
 
-    def test_groups_have_delays_of_their_own(self) -> None:
+    def test_each_group_has_its_own_delay(self) -> None:
         self.seconds_until_due()
         self.assertFalse(self.ownership_return.record_and_check_due(self.now, "queue-1", eligible=True))
         self.now += INITIAL_DELAY_S
--- a/tests/system/roles/test_pending_polls.py
+++ b/tests/system/roles/test_pending_polls.py
@@ -39,11 +39,11 @@
 
     def test_polls_of_a_closed_link_are_forgotten(self) -> None:
         dropped = [self.polls.add(self.first, number) for number in (1, 2)]
-        kept = self.polls.add(self.second, 1)
+        remaining = self.polls.add(self.second, 1)
         self.assertEqual(self.polls.drop_link(self.first), dropped)
         self.polls.answer_all()
         self.assertEqual((self.first.sent, self.second.sent), ([], [PullResponse(1, "", None)]))
-        self.assertIsNone(self.polls.find(self.second, 1), f"poll {kept} has been answered")
+        self.assertIsNone(self.polls.find(self.second, 1), f"poll {remaining} has been answered")
 
 
 if __name__ == "__main__":
--- a/tests/system/roles/test_process.py
+++ b/tests/system/roles/test_process.py
@@ -32,7 +32,7 @@
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.transport.operator_messages import OperatorRequest
 from bitternpath.transport.shard_messages import RefusalReason, Refused
-from tests.system.roles.node_case import ME, OLD, SEGMENT, DiskCase, FakeReactor, flip
+from tests.system.roles.node_case import LOCAL_MEMBER, OLD_IDENTITY, SEGMENT, DiskCase, FakeReactor, flip
 
 STATE_CHANGED = "event=process_state_changed"
 
@@ -40,16 +40,16 @@
 class FakeRole:
     """A role whose port is taken for the first `taken` attempts, and whose start raises `fault`."""
 
-    def __init__(self, taken: float = 0, fault: Exception | None = None) -> None:
-        self.taken = taken
+    def __init__(self, failed_attempts: float = 0, fault: Exception | None = None) -> None:
+        self.failed_attempts = failed_attempts
         self.fault = fault
         self.calls: list[str] = []
 
     def listen(self) -> None:
-        if self.taken > 0:
-            self.taken -= 1
-            in_use = OSError(98, "Address already in use")
-            raise CannotListenError("127.0.0.1", 8069, in_use)  # type: ignore[no-untyped-call]
+        if self.failed_attempts > 0:
+            self.failed_attempts -= 1
+            socket_error = OSError(98, "Address already in use")
+            raise CannotListenError("127.0.0.1", 8069, socket_error)  # type: ignore[no-untyped-call]
         self.calls.append("listen")
 
     def start(self) -> None:
@@ -79,8 +79,8 @@
         lifecycle.begin()
         return lifecycle
 
-    def test_listening_is_retried_while_a_port_is_taken(self) -> None:
-        role = FakeRole(taken=3)
+    def test_listening_is_retried_while_a_port_is_in_use(self) -> None:
+        role = FakeRole(failed_attempts=3)
         lifecycle = self.begin(role)
         self.assertEqual(role.calls, [])
         self.reactor.pump([0.1] * 10)
@@ -89,8 +89,8 @@
             (lifecycle.exit_code, self.events()), (ExitCode.STOPPED, ["event=listen_retrying", STATE_CHANGED])
         )
 
-    def test_a_port_that_stays_taken_ends_the_process(self) -> None:
-        role = FakeRole(taken=float("inf"))
+    def test_a_port_that_stays_in_use_ends_the_process(self) -> None:
+        role = FakeRole(failed_attempts=float("inf"))
         lifecycle = self.begin(role)
         self.reactor.pump([0.1] * int(10 * PORT_RETRY_TIMEOUT_S - 1))
         self.assertEqual(self.reactor.stops, 0)
@@ -113,7 +113,7 @@
                 self.assertEqual(self.reactor.getDelayedCalls(), [])
 
     def test_sigterm_while_listening_is_retried(self) -> None:
-        role = FakeRole(taken=3)
+        role = FakeRole(failed_attempts=3)
         lifecycle = self.begin(role)
         lifecycle.stop()
         lifecycle.stop()
@@ -147,8 +147,8 @@
 
 
 class QuarantineTest(DiskCase):
-    def build(self, role: str, **more: Any) -> Any:
-        built: Any = build_role(role, real_reactor, self.settings(**more))
+    def build(self, role: str, **overrides: Any) -> Any:
+        built: Any = build_role(role, real_reactor, self.settings(**overrides))
         self.addCleanup(built.node.base.close_disk)
         return built.node
 
@@ -174,7 +174,7 @@
         """Check that nothing of the old identity is used, and that the node doesn't bootstrap a system."""
         identity = read_identity(self.data)
         self.assertIsNotNone(identity)
-        self.assertNotEqual(identity, OLD)
+        self.assertNotEqual(identity, OLD_IDENTITY)
         self.assertEqual(node.base.view.local_node.disk, identity)
         self.assertEqual((node.base.transport.member_id, node.base.host.member_id), (f"n/{identity}",) * 2)
         self.assertEqual(node.base.journal.groups(), ())
@@ -187,7 +187,9 @@
         self.make_disk()
         before = self.contents(self.data)
         node = self.build("storage")
-        self.assertEqual((node.base.view.local_node.disk, node.base.journal.groups()), (OLD, ("g", "h")))
+        self.assertEqual(
+            (node.base.view.local_node.disk, node.base.journal.groups()), (OLD_IDENTITY, ("g", "h"))
+        )
         self.assertEqual(self.contents(self.data), before)
         self.assertTrue(node.settings.bootstrap)
 
@@ -195,9 +197,9 @@
         self.make_disk()
         flip(self.data / "identity", 0)
         identity = self.build("edge").base.view.local_node.disk
-        again = self.build("edge")
-        self.assertEqual(again.base.view.local_node.disk, identity)
-        self.assertFalse(again.settings.bootstrap)
+        next_process = self.build("edge")
+        self.assertEqual(next_process.base.view.local_node.disk, identity)
+        self.assertFalse(next_process.settings.bootstrap)
         self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
 
     def test_only_the_last_quarantine_is_kept(self) -> None:
@@ -229,22 +231,22 @@
 
     def test_the_folder_of_a_quarantine_is_on_disk_before_anything_moves_there(self) -> None:
         self.make_disk()
-        done: list[str] = []
+        calls: list[str] = []
         original = os.rename
 
         def rename(old: Any, new: Any) -> None:
-            done.append("rename")
+            calls.append("rename")
             original(old, new)
 
         def fsync_directory(path: Any) -> None:
-            done.append(f"sync {path}")
+            calls.append(f"sync {path}")
 
         with (
             patch("os.rename", rename),
             patch("bitternpath.storage.quarantine.fsync_directory", fsync_directory),
         ):
             quarantine_content(self.data)
-        self.assertEqual(done[:2], [f"sync {self.data}", "rename"])
+        self.assertEqual(calls[:2], [f"sync {self.data}", "rename"])
 
     def test_a_quarantine_that_is_killed_is_finished_by_the_next_start(self) -> None:
         original = os.rename
@@ -265,7 +267,7 @@
                 node = self.build("edge")
                 self.check_new_identity(node)
                 self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
-                self.assertEqual((self.data / "damaged-1" / "identity").read_text(), OLD)
+                self.assertEqual((self.data / "damaged-1" / "identity").read_text(), OLD_IDENTITY)
 
     def test_without_an_unfinished_quarantine_nothing_moves(self) -> None:
         self.make_disk()
@@ -277,9 +279,11 @@
 class RefusedStartTest(DiskCase):
     """A process that can't run reports why in one line."""
 
-    def run_role(self, role: str, more: str = "", level: str = "") -> tuple[int, list[str]]:
+    def run_role(self, role: str, extra_lines: str = "", level: str = "") -> tuple[int, list[str]]:
         path = self.scratch / "boot.toml"
-        path.write_text('node_name = "n"\nip = "127.0.0.1"\ninternal_port_range = [7780, 7790]\n' + more)
+        path.write_text(
+            'node_name = "n"\nip = "127.0.0.1"\ninternal_port_range = [7780, 7790]\n' + extra_lines
+        )
         errors = io.StringIO()
         with (
             patch.dict(os.environ, {"BITTERNPATH_CONFIG": str(path), "BITTERNPATH_LOG": level}),
@@ -338,7 +342,7 @@
                 journal = process.node.base.journal
                 assert journal is not None
                 process.shut_down(lambda: calls.append(("end", reactor.seconds())))  # noqa: B023
-                first = PersistentState(snapshot=Snapshot(members=Members((ME.member,))))
+                first = PersistentState(snapshot=Snapshot(members=Members((LOCAL_MEMBER.member,))))
                 journal.bootstrap_group("g", first)
                 reactor.pump([0.05] * 200)
                 self.assertEqual([name for name, _ in calls], ["links", "disk", "end"])
@@ -354,8 +358,8 @@
         return self
 
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
-        order = make(1)
-        assert isinstance(order, OperatorRequest)
+        request = make(1)
+        assert isinstance(request, OperatorRequest)
         return succeed(Refused(1, RefusalReason.NOT_OWNER))
 
 
--- a/tests/system/roles/test_quota_borrowing.py
+++ b/tests/system/roles/test_quota_borrowing.py
@@ -95,19 +95,19 @@
         self.borrower = QuotaBorrower(self.clock, self.hub, self.host, placements, self.shards)  # type: ignore[arg-type]
 
     def borrow(self) -> list[int]:
-        found: list[int] = []
-        self.borrower.borrow(GROUP, "limited", 4).addCallback(found.append)
-        return found
+        lent: list[int] = []
+        self.borrower.borrow(GROUP, "limited", 4).addCallback(lent.append)
+        return lent
 
     def open_requests(self, node: int) -> list[tuple[TokenRequest, Deferred[Any]]]:
         return self.hub.links[f"10.0.0.{node}:1"].requests
 
     def test_the_preferred_member_is_asked_and_answers(self) -> None:
-        found = self.borrow()
+        lent = self.borrow()
         ((request, answer),) = self.open_requests(1)
         self.assertEqual(request, TokenRequest(1, GROUP, "limited", 4))
         answer.callback(TokenResponse(1, 3))
-        self.assertEqual(found, [3])
+        self.assertEqual(lent, [3])
 
     def test_a_leader_that_a_replica_here_knows_is_asked(self) -> None:
         self.host.known_leader = "node-3/x"
@@ -115,13 +115,13 @@
         self.assertEqual(len(self.open_requests(3)), 1)
 
     def test_another_member_is_asked_after_a_refusal_and_after_a_lost_link(self) -> None:
-        found = self.borrow()
+        lent = self.borrow()
         self.open_requests(1)[0][1].callback(Refused(1, RefusalReason.NOT_OWNER))
-        found += self.borrow()
+        lent += self.borrow()
         self.open_requests(2)[0][1].errback(LinkLostError())
         self.borrow()
         self.assertEqual(len(self.open_requests(3)), 1)
-        self.assertEqual(found, [0])
+        self.assertEqual(lent, [0])
 
     def test_another_member_is_asked_after_a_timeout(self) -> None:
         self.borrow()
@@ -144,9 +144,9 @@
         self.hub.links.clear()
         self.assertEqual(self.borrow(), [0])
         self.assertEqual(self.hub.dialled, ["10.0.0.1:1"])
-        found: list[int] = []
-        self.borrower.borrow("shard-99", "limited", 4).addCallback(found.append)
-        self.assertEqual(found, [0])
+        lent: list[int] = []
+        self.borrower.borrow("shard-99", "limited", 4).addCallback(lent.append)
+        self.assertEqual(lent, [0])
 
 
 class HomeShardOwnerTest(unittest.TestCase):
--- a/tests/system/roles/test_settings.py
+++ b/tests/system/roles/test_settings.py
@@ -11,7 +11,7 @@
 from unittest.mock import patch
 
 from bitternpath.cli.system_settings import print_settings
-from bitternpath.roles.settings import VARIABLE, Settings, load_settings, settings_path
+from bitternpath.roles.settings import CONFIG_VARIABLE, Settings, load_settings, settings_path
 from bitternpath.roles.settings_reader import SettingsError
 
 MINIMAL = 'node_name = "a"\nip = "10.1.0.40"\ninternal_port_range = [7780, 7795]\n'
@@ -241,10 +241,13 @@
             load_settings(self.path.parent)
 
     def test_path_comes_from_the_environment(self) -> None:
-        with patch.dict(os.environ, {VARIABLE: "/etc/x.toml"}):
+        with patch.dict(os.environ, {CONFIG_VARIABLE: "/etc/x.toml"}):
             self.assertEqual(settings_path(), Path("/etc/x.toml"))
-        for unset in ({}, {VARIABLE: ""}):
-            with patch.dict(os.environ, unset, clear=True), self.assertRaisesRegex(SettingsError, VARIABLE):
+        for unset in ({}, {CONFIG_VARIABLE: ""}):
+            with (
+                patch.dict(os.environ, unset, clear=True),
+                self.assertRaisesRegex(SettingsError, CONFIG_VARIABLE),
+            ):
                 settings_path()
 
 
@@ -252,18 +255,18 @@
     def check(self, config: Path | None = None) -> tuple[bool, list[str]]:
         printed = io.StringIO()
         with redirect_stdout(printed):
-            good = print_settings(config)
-        return good, printed.getvalue().splitlines()
+            valid = print_settings(config)
+        return valid, printed.getvalue().splitlines()
 
     def test_each_value_with_its_origin(self) -> None:
         self.load(COMPLETE)
-        good, lines = self.check(self.path)
-        self.assertTrue(good)
+        valid, lines = self.check(self.path)
+        self.assertTrue(valid)
         origins = {line.partition(" = ")[0]: line.rpartition("  ")[2] for line in lines}
         self.assertEqual(len(origins), len(lines))
         default = {name for name, origin in origins.items() if origin == "(default)"}
-        given = {name for name, origin in origins.items() if origin == f"({self.path})"}
-        self.assertEqual(default | given, set(origins))
+        from_file = {name for name, origin in origins.items() if origin == f"({self.path})"}
+        self.assertEqual(default | from_file, set(origins))
         bounds = "contact_ms drain_ms config_apply_ms callback_s visible_ms ceiling_window_s origin_rate_over"
         self.assertEqual(default, {f"bounds.{name}" for name in bounds.split()})
         self.assertIn(f"limits.disk_mb = 64  ({self.path})", lines)
@@ -276,12 +279,12 @@
     def test_minimal_file(self) -> None:
         self.load(MINIMAL)
         lines = self.check(self.path)[1]
-        given = {line.partition(" = ")[0] for line in lines if not line.endswith("  (default)")}
-        self.assertEqual(given, {"node_name", "ip", "internal_port_range"})
+        from_file = {line.partition(" = ")[0] for line in lines if not line.endswith("  (default)")}
+        self.assertEqual(from_file, {"node_name", "ip", "internal_port_range"})
 
     def test_file_of_the_environment(self) -> None:
         self.load(MINIMAL)
-        with patch.dict(os.environ, {VARIABLE: str(self.path)}):
+        with patch.dict(os.environ, {CONFIG_VARIABLE: str(self.path)}):
             self.assertEqual(self.check(), self.check(self.path))
 
     def test_invalid_file_is_reported_in_one_line(self) -> None:
@@ -291,9 +294,9 @@
 
     def test_no_file(self) -> None:
         with patch.dict(os.environ, {}, clear=True):
-            good, lines = self.check()
-        self.assertEqual((good, len(lines)), (False, 1))
-        self.assertTrue(lines[0].startswith(f"wrong: {VARIABLE} isn't set"))
+            valid, lines = self.check()
+        self.assertEqual((valid, len(lines)), (False, 1))
+        self.assertTrue(lines[0].startswith(f"wrong: {CONFIG_VARIABLE} isn't set"))
 
 
 if __name__ == "__main__":
--- a/tests/system/transport/test_link_liveness.py
+++ b/tests/system/transport/test_link_liveness.py
@@ -30,19 +30,19 @@
 class Socket:
     """A transport of Twisted's kind whose socket takes `room` bytes."""
 
-    def __init__(self, room: int = 1 << 20) -> None:
-        self.room, self.connected = room, True
+    def __init__(self, capacity: int = 1 << 20) -> None:
+        self.capacity, self.connected = capacity, True
         self.dataBuffer, self._tempDataLen = b"", 0
         self.sent = self.buffered = b""
         self.aborted = False
 
     def writeSomeData(self, data: bytes) -> Any:
-        if self.room < 0:
+        if self.capacity < 0:
             return CONNECTION_LOST
-        taken = data[: self.room]
-        self.sent += taken
-        self.room -= len(taken)
-        return len(taken)
+        accepted = data[: self.capacity]
+        self.sent += accepted
+        self.capacity -= len(accepted)
+        return len(accepted)
 
     def write(self, data: bytes) -> None:
         self.buffered += data
@@ -69,14 +69,14 @@
         self.assertEqual((socket.sent, socket.buffered), (b"abc", b""))
 
     def test_the_rest_is_buffered_and_what_follows_is_behind_it(self) -> None:
-        socket = Socket(room=2)
+        socket = Socket(capacity=2)
         write_now(socket, b"abcd")
-        socket.room = 100
+        socket.capacity = 100
         write_now(socket, b"ef")
         self.assertEqual((socket.sent, socket.buffered), (b"ab", b"cdef"))
 
     def test_an_error_is_left_to_the_reactor(self) -> None:
-        socket = Socket(room=-1)
+        socket = Socket(capacity=-1)
         write_now(socket, b"abc")
         self.assertEqual((socket.sent, socket.buffered), (b"", b"abc"))
 
@@ -137,7 +137,7 @@
             pings += socket.records().count(Ping(0))
         self.assertGreaterEqual(pings, 2)  # before the other end gives up
 
-    def test_a_feed_subscriber_is_heard_twice_a_second(self) -> None:
+    def test_a_feed_subscriber_pings_twice_a_second(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         link.ping_after_s = PING_SUBSCRIBED_S
         self.advance(4 * CHECK_INTERVAL_S + 0.05)
@@ -149,20 +149,20 @@
         self.advance(PING_AWAITING_RESPONSE_S + CHECK_INTERVAL_S)
         self.assertIn(Ping(0), socket.records())
 
-    def test_a_silent_peer_is_given_up_by_the_end_that_pings(self) -> None:
+    def test_an_unresponsive_peer_is_dropped_by_the_end_that_pings(self) -> None:
         _, socket = self.link("10.0.0.2:1")
         self.advance(PING_IDLE_S + PONG_TIMEOUT_S - 0.1)
         self.assertFalse(socket.aborted)
         self.advance(2 * CHECK_INTERVAL_S + 0.2)
         self.assertTrue(socket.aborted)
 
-    def test_a_silent_peer_is_given_up_sooner_while_a_response_is_awaited(self) -> None:
+    def test_an_unresponsive_peer_is_dropped_sooner_while_a_response_is_awaited(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         link.request(lambda number: StateRequest(number, "g", "r", False)).addErrback(lambda _: None)
         self.advance(PING_AWAITING_RESPONSE_S + PONG_TIMEOUT_S + 2 * CHECK_INTERVAL_S + 0.1)
         self.assertTrue(socket.aborted)
 
-    def test_an_idle_link_is_not_given_up_when_a_response_is_awaited(self) -> None:
+    def test_an_idle_link_is_not_dropped_when_a_response_is_awaited(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         for _ in range(4):
             self.advance(PING_IDLE_S - 0.1)
@@ -171,14 +171,14 @@
             link.dataReceived(_framed(Pong(0)))
         self.assertFalse(socket.aborted)
 
-    def test_a_silent_peer_is_given_up_by_the_end_that_was_dialled(self) -> None:
+    def test_an_unresponsive_peer_is_dropped_by_the_end_that_was_dialled(self) -> None:
         _, socket = self.link("")
         self.advance(PEER_TIMEOUT_S - 0.1)
         self.assertFalse(socket.aborted)
         self.advance(CHECK_INTERVAL_S + 0.2)
         self.assertTrue(socket.aborted)
 
-    def test_two_pings_fit_into_the_time_out_of_the_end_that_was_dialled(self) -> None:
+    def test_the_timeout_of_the_end_that_was_dialled_covers_two_pings(self) -> None:
         self.assertGreater(PEER_TIMEOUT_S, 2 * (PING_IDLE_S + CHECK_INTERVAL_S))
 
 
--- a/tests/system/transport/test_request_numbers.py
+++ b/tests/system/transport/test_request_numbers.py
@@ -57,11 +57,11 @@
         self.dialler = self.edge.hub.dial(f"127.0.0.1:{port}", "test")
         self.addCleanup(self.edge.hub.stop)
         self.addCleanup(self.owner.hub.stop)
-        self.loopback.until(lambda: self.dialler.opened is not None and len(self.owner.opened) == 1)
+        self.loopback.until(lambda: self.dialler.open_link is not None and len(self.owner.opened) == 1)
 
     @property
     def link(self) -> Link:
-        link = self.dialler.opened
+        link = self.dialler.open_link
         assert link is not None
         return link
 
@@ -79,14 +79,14 @@
         before, opened = self.link, len(self.owner.opened)
         before.abort()
         self.loopback.until(
-            lambda: self.dialler.opened not in (None, before) and len(self.owner.opened) > opened
+            lambda: self.dialler.open_link not in (None, before) and len(self.owner.opened) > opened
         )
 
     def stamps(self, *results: list[Any]) -> list[list[str]]:
         """Which messages the responses name."""
         return [[record.stamp for record in each if isinstance(record, StateResponse)] for each in results]
 
-    def two_at_once(self) -> list[list[str]]:
+    def respond_in_reverse_order(self) -> list[list[str]]:
         """Two requests on one link, with responses in reverse order."""
         first, second = self.request("first"), self.request("second")
         for link, request in reversed(self.owner.requests):
@@ -97,13 +97,15 @@
         self.loopback.until(lambda: bool(third))
         return self.stamps(first, second, third)
 
-    def over_a_replaced_link(self, late: Callable[[Link, StateRequest], None]) -> list[list[str]]:
+    def respond_over_a_replaced_link(
+        self, send_late_response: Callable[[Link, StateRequest], None]
+    ) -> list[list[str]]:
         """A request whose link is reset before its response, and another one with the same number."""
         first = self.request("first")
-        old, request = self.owner.requests[0]
+        old_link, request = self.owner.requests[0]
         self.replace_link()
         second = self.request("second")
-        late(old, request)
+        send_late_response(old_link, request)
         link, later = self.owner.requests[-1]
         self.assertEqual(later.number, request.number)
         link.send(response_to(later))
@@ -115,13 +117,15 @@
     """Each response ends its own request, once."""
 
     def test_responses_in_another_order(self) -> None:
-        self.assertEqual(self.two_at_once(), [["first"], ["second"], ["third"]])
+        self.assertEqual(self.respond_in_reverse_order(), [["first"], ["second"], ["third"]])
 
-    def test_a_response_on_a_replaced_link_is_lost(self) -> None:
-        stamps = self.over_a_replaced_link(lambda old, request: old.send(response_to(request)))
+    def test_a_response_on_a_replaced_link_is_ignored(self) -> None:
+        stamps = self.respond_over_a_replaced_link(
+            lambda old_link, request: old_link.send(response_to(request))
+        )
         self.assertEqual(stamps, [[], ["second"]])
 
-    def test_a_request_fails_with_its_link_once(self) -> None:
+    def test_a_request_fails_once_when_its_link_closes(self) -> None:
         results = self.request("first")
         self.replace_link()
         self.loopback.until(lambda: bool(results))
@@ -162,7 +166,7 @@
         self.assertIsInstance(results[0].value, LinkLostError)
 
 
-class LinkWithOneNumber(Link):
+class LinkThatReusesNumbers(Link):
     """Broken: a number is used again while a request with it is pending."""
 
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
@@ -175,18 +179,18 @@
 
     def setUp(self) -> None:
         self.link_class = hub.Link
-        hub.Link = LinkWithOneNumber  # type: ignore[misc]
+        hub.Link = LinkThatReusesNumbers  # type: ignore[misc]
         self.addCleanup(setattr, hub, "Link", self.link_class)
         super().setUp()
 
-    def test_a_number_that_is_used_again_is_caught(self) -> None:
-        stamps = self.two_at_once()
+    def test_a_reused_number_is_detected(self) -> None:
+        stamps = self.respond_in_reverse_order()
         self.assertNotEqual(stamps, [["first"], ["second"], ["third"]])
         self.assertEqual(stamps[2], ["second"])  # the wrong request has it
 
-    def test_a_response_over_the_newest_link_is_caught(self) -> None:
-        stamps = self.over_a_replaced_link(
-            lambda old, request: self.owner.opened[-1].send(response_to(request))
+    def test_a_response_over_the_newest_link_is_detected(self) -> None:
+        stamps = self.respond_over_a_replaced_link(
+            lambda old_link, request: self.owner.opened[-1].send(response_to(request))
         )
         self.assertEqual(stamps, [[], ["first"]])  # the wrong request has it
 
