--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -62,7 +62,7 @@
     def compare_networks(self) -> None:
         """Difference where any weight, q or threshold is not equal to the last bit."""
         for name, line in self.present.class_states.items():
-            now, then = line.net, self.earlier.lines[name].net
+            now, then = line.network, self.earlier.lines[name].net
             ours = (now.plus, now.minus, now.q, now.plus_all, now.minus_all, now.threshold)
             if ours != (then.a, then.b, then.q, then.up, then.down, then.threshold):
                 raise Difference(f"network of {name}")
@@ -131,7 +131,7 @@
         acts = both.handle(now, event)
         for act in [act for act in acts if isinstance(act, m.Send)]:
             tries = [try_ for try_ in both.present.jobs[act.id].attempts if try_.in_flight]
-            out.append((act.id, tries[-1].n, act.worker, now))
+            out.append((act.id, tries[-1].number, act.worker, now))
 
 
 def play(given: tuple[str, str, int]) -> tuple[str, int, int]:
--- a/bitternpath/balancer/dispatch/jobs.py
+++ b/bitternpath/balancer/dispatch/jobs.py
@@ -4,7 +4,10 @@
 from bitternpath.balancer.dispatch.workers import Worker
 from bitternpath.dispatch.network import Network
 
-SLOW, QUICK = 0.02, 0.1  # weight of one job in means that last and in means that follow the day
+LONG_TERM_WEIGHT, SHORT_TERM_WEIGHT = (
+    0.02,
+    0.1,
+)  # weight of one job in means that last and in means that follow the day
 
 
 class ClassState:
@@ -13,34 +16,36 @@
     def __init__(self, spec: m.JobClass, settings: m.Settings) -> None:
         self.spec = spec
         self.settings = settings
-        self.net = Network[Worker]()
+        self.network = Network[Worker]()
         # Means of the hint, of the running time at size 1, and of that when nothing slows the fleet.
-        self.hint = self.run = self.work = 0.0
-        self.pace: dict[str, float] = {}  # running time of late on each kind of machine, at size 1
-        self.ended = 0  # jobs
-        self.patience = 0.0  # the longest time that a client gave an attempt
+        self.mean_hint = self.mean_run_time = self.unloaded_run_time = 0.0
+        self.run_time_by_kind: dict[
+            str, float
+        ] = {}  # running time of late on each kind of machine, at size 1
+        self.ended_jobs = 0  # jobs
+        self.longest_remaining = 0.0  # the longest time that a client gave an attempt
 
-    def join(self, worker: Worker) -> None:
-        if worker.entry.can_run(self.spec) and worker.name not in self.net.index:
-            self.net.join(worker)
+    def add_worker(self, worker: Worker) -> None:
+        if worker.entry.can_run(self.spec) and worker.name not in self.network.index:
+            self.network.join(worker)
 
     def value_rate(self) -> float:
         """Value per ms of a worker's time."""
-        return self.spec.value / self.run if self.run else 0.0
+        return self.spec.value / self.mean_run_time if self.mean_run_time else 0.0
 
-    def longest_wait(self) -> float:
+    def max_wait(self) -> float:
         """ms for which its usual job can wait and still meet its latency target."""
         return (
             self.spec.latency_target
-            + self.spec.work_factor * self.work
-            - min(self.pace.values(), default=0.0)
+            + self.spec.work_factor * self.unloaded_run_time
+            - min(self.run_time_by_kind.values(), default=0.0)
         )
 
 
 class Job:
     """A request and its attempts."""
 
-    def __init__(self, request: m.Request, class_state: ClassState, now: float, marked: bool) -> None:
+    def __init__(self, request: m.Request, class_state: ClassState, now: float, retries_marked: bool) -> None:
         self.id = request.id
         self.request = request
         self.class_state = class_state
@@ -50,31 +55,40 @@
         self.open = True  # not answered yet
         self.attempts: list[Attempt] = []
         if request.hint:
-            class_state.hint += SLOW * (request.hint - class_state.hint) if class_state.hint else request.hint
-        self.size = request.hint / class_state.hint if request.hint else 1.0  # 1 is the mean
+            class_state.mean_hint += (
+                LONG_TERM_WEIGHT * (request.hint - class_state.mean_hint)
+                if class_state.mean_hint
+                else request.hint
+            )
+        self.size = request.hint / class_state.mean_hint if request.hint else 1.0  # 1 is the mean
         # A client's earlier tries have used up some of the aim, as the time that it still gives us shows.
-        class_state.patience = max(class_state.patience, request.remaining)
-        used = class_state.patience - request.remaining if request.repeat or not marked else 0.0
-        self.end_by = (
-            now - used + self.spec.latency_target + self.spec.work_factor * (request.hint or class_state.work)
+        class_state.longest_remaining = max(class_state.longest_remaining, request.remaining)
+        time_used = (
+            class_state.longest_remaining - request.remaining if request.repeat or not retries_marked else 0.0
+        )
+        self.on_time_by = (
+            now
+            - time_used
+            + self.spec.latency_target
+            + self.spec.work_factor * (request.hint or class_state.unloaded_run_time)
         )
         # What would end late for nothing, or after the deadline, is turned away early: it takes up a place.
-        least = min(class_state.pace.values(), default=0.0) * self.size
-        self.settle_by = (
-            self.deadline if self.spec.late_value_share else min(self.end_by, self.deadline)
-        ) - least
+        shortest_run = min(class_state.run_time_by_kind.values(), default=0.0) * self.size
+        self.answer_by = (
+            self.deadline if self.spec.late_value_share else min(self.on_time_by, self.deadline)
+        ) - shortest_run
 
 
 class Attempt:
     """One sending of a job."""
 
-    def __init__(self, job: Job, n: int, worker: Worker, now: float) -> None:
+    def __init__(self, job: Job, number: int, worker: Worker, now: float) -> None:
         self.job = job
-        self.n = n
+        self.number = number
         self.worker = worker
-        self.sent = now
+        self.sent_at = now
         self.in_flight = True
-        self.ran = True  # may have run
-        self.begun: float | None = None
+        self.may_have_run = True  # may have run
+        self.started_at: float | None = None
         self.lost = False  # will likely never begin, and so does not count in `Worker.n`
         self.scored = False  # the network has learned from it
--- a/bitternpath/balancer/handover/learned_weights.py
+++ b/bitternpath/balancer/handover/learned_weights.py
@@ -49,35 +49,46 @@
     workers = []
     for w in module.workers.values():
         out = [t for t in module.in_flight.values() if t.worker is w and not t.lost]
-        ends = [(t.begun or t.sent + w.wait) + t.job.class_state.run * t.job.size for t in out]
-        times = (w.last_heard, w.out_until, w.full_until, w.unsafe_out_until, w.last_begun)
+        ends = [
+            (t.started_at or t.sent_at + w.queue_wait) + t.job.class_state.mean_run_time * t.job.size
+            for t in out
+        ]
+        times = (
+            w.last_report_at,
+            w.suspended_until,
+            w.full_until,
+            w.unsafe_suspended_until,
+            w.newest_started_send,
+        )
         workers.append(
             LearnedWorker(
-                w.name, w.up, w.strikes, times, (w.cold_at, w.cold_work), (w.wait, w.wait_at), dict(w.faults),
-                w.cancelled_until + ends,
+                w.name, w.up_since, w.suspensions, times, (w.last_cold_send_at, w.last_cold_work),
+                (w.queue_wait, w.queue_wait_seen_at), dict(w.faults),
+                w.cancelled_job_ends + ends,
             )
         )  # fmt: skip
     classes = []
     for line in module.class_states.values():
-        net = line.net
+        net = line.network
         neurons = {
             w.name: (net.plus[k] + net.plus_all, net.minus[k] + net.minus_all, net.q[k])
             for k, w in enumerate(net.neurons)
         }
         classes.append(
             LearnedClass(
-                line.spec.name, line.spec.effect.value, (line.hint, line.run, line.work, line.patience),
-                line.ended, dict(line.pace), net.threshold, neurons,
+                line.spec.name, line.spec.effect.value,
+                (line.mean_hint, line.mean_run_time, line.unloaded_run_time, line.longest_remaining),
+                line.ended_jobs, dict(line.run_time_by_kind), net.threshold, neurons,
             )
         )  # fmt: skip
-    return LearnedWeights((module.mean_wait, module.mean_run, module.begun_at), classes, workers)
+    return LearnedWeights((module.mean_wait, module.mean_run, module.last_start_at), classes, workers)
 
 
 def restore_learned_weights(module: Dispatcher, learned: LearnedWeights) -> list[str]:
     """Load into the module what fits it; returns the names of workers and classes that were left out."""
     left_out = []
     if _finite(learned.means):
-        module.mean_wait, module.mean_run, module.begun_at = learned.means
+        module.mean_wait, module.mean_run, module.last_start_at = learned.means
     for worker in learned.workers:
         if not _restore_worker(module, worker):
             left_out.append(worker.name)
@@ -95,14 +106,16 @@
     w = module.workers.get(learned.name)
     values = (*learned.times, *learned.cold, *learned.wait, *learned.ends, learned.strikes)
     values += tuple(v for fault in learned.faults.values() for v in fault)
-    if w is None or w.up != learned.up or not _finite(values):
+    if w is None or w.up_since != learned.up or not _finite(values):
         return False
-    w.strikes = learned.strikes
-    w.last_heard, w.out_until, w.full_until, w.unsafe_out_until, w.last_begun = learned.times
-    w.cold_at, w.cold_work = learned.cold
-    w.wait, w.wait_at = learned.wait
+    w.suspensions = learned.strikes
+    w.last_report_at, w.suspended_until, w.full_until, w.unsafe_suspended_until, w.newest_started_send = (
+        learned.times
+    )
+    w.last_cold_send_at, w.last_cold_work = learned.cold
+    w.queue_wait, w.queue_wait_seen_at = learned.wait
     w.faults = dict(learned.faults)
-    w.cancelled_until = list(learned.ends)
+    w.cancelled_job_ends = list(learned.ends)
     return True
 
 
@@ -111,10 +124,10 @@
     numbers = (*learned.means, learned.ended, learned.threshold, *learned.pace.values())
     if line is None or line.spec.effect.value != learned.effect or not _finite(numbers):
         return False
-    line.hint, line.run, line.work, line.patience = learned.means
-    line.ended, line.pace = learned.ended, dict(learned.pace)
+    line.mean_hint, line.mean_run_time, line.unloaded_run_time, line.longest_remaining = learned.means
+    line.ended_jobs, line.run_time_by_kind = learned.ended, dict(learned.pace)
     if all(_finite(n) and n[0] + n[1] > 0.0 and n[2] <= 1.0 for n in learned.neurons.values()):
-        _restore_network(line.net, learned)
+        _restore_network(line.network, learned)
     return True
 
 
--- a/bitternpath/balancer/http/operations.py
+++ b/bitternpath/balancer/http/operations.py
@@ -19,7 +19,11 @@
 def avoided(module: Dispatcher, now: float) -> set[str]:
     """Names of the workers that the dispatcher avoids at `now` (ms), for silence or for faults."""
     workers, lines = module.workers.values(), module.class_states.values()
-    return {w.name for w in workers if w.out_until > now or all(w.broken(line.spec, now) for line in lines)}
+    return {
+        w.name
+        for w in workers
+        if w.suspended_until > now or all(w.blocked_by_faults(line.spec, now) for line in lines)
+    }
 
 
 class Operations:
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -203,7 +203,7 @@
 
     def _retry_after(self, job_class: str) -> float:
         """The module's advice (ms) for a request that the node itself has no capacity for."""
-        return self.module.advice(self.module.class_states[job_class])
+        return self.module.retry_after(self.module.class_states[job_class])
 
     def _has_endpoints(self) -> bool:
         return self.subscription.granted_once or bool(self.registry.endpoints)
--- a/bitternpath/dispatch/network.py
+++ b/bitternpath/dispatch/network.py
@@ -48,9 +48,9 @@
     def join(self, neuron: NeuronT) -> None:
         """Add a neuron with the mean weights of its kind, or of all."""
         n = len(self.neurons)
-        alike = [k for k, other in enumerate(self.neurons) if other.kind == neuron.kind] or list(range(n))
+        similar = [k for k, other in enumerate(self.neurons) if other.kind == neuron.kind] or list(range(n))
         for row in (self.plus, self.minus, self.q):
-            row.append(sum(row[k] for k in alike) / len(alike) if alike else 0.5)
+            row.append(sum(row[k] for k in similar) / len(similar) if similar else 0.5)
         self.neurons.append(neuron)
         self.index[neuron.name] = n
         self.updates_since_solve = n
@@ -59,9 +59,9 @@
 
     def leave(self, neuron: NeuronT) -> None:
         """Remove a neuron; what was learned of the rest stays."""
-        at = self.index[neuron.name]
-        self.total -= self.plus[at] + self.plus_all + self.minus[at] + self.minus_all
-        del self.neurons[at], self.plus[at], self.minus[at], self.q[at]
+        position = self.index[neuron.name]
+        self.total -= self.plus[position] + self.plus_all + self.minus[position] + self.minus_all
+        del self.neurons[position], self.plus[position], self.minus[position], self.q[position]
         self.index = {other.name: k for k, other in enumerate(self.neurons)}
         self.solve_q()
 
@@ -72,39 +72,39 @@
         """
         if completed:
             self.threshold = ALPHA * self.threshold + (1 - ALPHA) * payoff if self.threshold else payoff
-        at = self.index.get(neuron.name)
+        position = self.index.get(neuron.name)
         n = len(self.neurons)
-        limit = self.threshold
-        if at is None or n < 2 or payoff == limit or not limit:
+        threshold = self.threshold
+        if position is None or n < 2 or payoff == threshold or not threshold:
             return
         # In units of T. A worse result must punish more: a loss counts for T/R, the mirror of a win's R/T.
-        size = min(max(payoff / limit, limit / max(payoff, limit / PAYOFF_CAP)), PAYOFF_CAP)
-        step = GAIN * size * self.total / (2 * n)
+        strength = min(max(payoff / threshold, threshold / max(payoff, threshold / PAYOFF_CAP)), PAYOFF_CAP)
+        step = GAIN * strength * self.total / (2 * n)
         share = step / max(n - 2, 1)
-        if payoff > limit:
+        if payoff > threshold:
             raised, lowered = self.plus, self.minus
             self.minus_all += share
         else:
             raised, lowered = self.minus, self.plus
             self.plus_all += share
-        raised[at] += step
-        lowered[at] -= share
+        raised[position] += step
+        lowered[position] -= share
         self.total += step + share * (n - 1)
-        self.update_q(at)
+        self.update_q(position)
         self.updates_since_solve += 1
         if 2 * self.updates_since_solve > n:
             self.solve_q()
 
-    def update_q(self, at: int) -> float:
+    def update_q(self, position: int) -> float:
         """Apply equations (2) and (3) once to one neuron; returns how far its q moved."""
         n = len(self.q)
         unit = n / ((n - 1) * self.total)
-        plus = self.plus[at] + self.plus_all
-        minus = self.minus[at] + self.minus_all
-        old = self.q[at]
+        plus = self.plus[position] + self.plus_all
+        minus = self.minus[position] + self.minus_all
+        old = self.q[position]
         rest = self.sum_q - old
         new = min((0.25 + unit * plus * rest) / (unit * (self.total - plus - minus + minus * rest)), 1.0)
-        self.q[at] = new
+        self.q[position] = new
         self.sum_q = rest + new
         return abs(new - old)
 
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -355,7 +355,7 @@
         upstream_clients["amqp"] = self.subscribers
         self.publishers = Publishers(
             self.now, self.broker, Queues(), self.subscribers, self.classes,
-            lambda name: self.module.advice(self.module.class_states[name]), amqp.max_waiting,
+            lambda name: self.module.retry_after(self.module.class_states[name]), amqp.max_waiting,
         )  # fmt: skip
         self.server = AmqpServer(
             self.reactor, self.now, amqp, self.publishers, self.subscribers, self.broker, lambda: 100_000
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,38 +28,38 @@
     return m.WorkerList(kind, list(entries))
 
 
-class Talk:
+class DispatcherHarness:
     """A dispatcher with the workers w0, w1, ... and a clock."""
 
     def __init__(
         self, *classes: m.JobClass, workers: int | list[m.WorkerEntry] = 3, seed: int = 1, **more: Any
     ) -> None:
         self.now = 1_000_000.0
-        self.d = Dispatcher(m.Settings(classes=classes or (job_class(),), **more), seed, self.now)
+        self.dispatcher = Dispatcher(m.Settings(classes=classes or (job_class(),), **more), seed, self.now)
         rows = workers if isinstance(workers, list) else [entry(f"w{k}") for k in range(workers)]
-        self.first = self.say(listing(*rows))
+        self.initial_actions = self.handle(listing(*rows))
 
-    def say(self, event: m.Event, after: float = 0.0) -> list[m.Action]:
+    def handle(self, event: m.Event, after: float = 0.0) -> list[m.Action]:
         self.now += after
-        return self.d.handle(self.now, event)
+        return self.dispatcher.handle(self.now, event)
 
-    def ask(self, name: str, job: str = "job", remaining: float = 5000.0, **more: Any) -> list[m.Action]:
-        return self.say(m.Request(name, job, remaining, **more))
+    def request(self, name: str, job: str = "job", remaining: float = 5000.0, **more: Any) -> list[m.Action]:
+        return self.handle(m.Request(name, job, remaining, **more))
 
-    def end(
+    def end_attempt(
         self, name: str, worker: str, how: m.AttemptOutcome, n: int = 0, after: float = 10.0
     ) -> list[m.Action]:
         self.now += after
-        return self.d.handle(
+        return self.dispatcher.handle(
             self.now, m.AttemptEnded(name, n, worker, how, after, how is m.AttemptOutcome.OK)
         )
 
-    def sweep(self, after: float) -> list[m.Action]:
+    def run_sweeps(self, after: float) -> list[m.Action]:
         """Let time pass with the sweep's alarms as they fall due."""
         acts: list[m.Action] = []
         until = self.now + after
         while self.now < until:
-            acts += self.say(m.TimerFired("sweep"), self.d.pause)
+            acts += self.handle(m.TimerFired("sweep"), self.dispatcher.sweep_interval)
         return acts
 
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -224,7 +224,7 @@
 def test_what_an_endpoint_cannot_use_fails_without_another_try_or_a_lesson(effect: m.Effect) -> None:
     # Guards: each answer of that kind was an error, tried on every endpoint and held against each of them.
     desk = Desk(effect, endpoints=4)
-    nets = [line.net for line in desk.module.class_states.values()]
+    nets = [class_state.network for class_state in desk.module.class_states.values()]
     desk.submit()
     before = [(net.plus[:], net.minus[:], net.plus_all, net.minus_all) for net in nets]
     desk.broker.call_unusable(desk.calls[0])
@@ -232,7 +232,7 @@
     desk.pass_time(50.0)
     assert desk.answers == [("failed",)] and len(desk.calls) == 1 and not desk.broker.in_progress
     assert before == [(net.plus[:], net.minus[:], net.plus_all, net.minus_all) for net in nets]
-    assert all(worker.n == 0 and worker.waiting == 0 for worker in desk.module.workers.values())
+    assert all(worker.in_flight == 0 and worker.not_started == 0 for worker in desk.module.workers.values())
 
 
 def test_an_id_is_not_taken_again_soon_after_its_answer() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import Talk, job_class, sends
+from helpers import DispatcherHarness, job_class, sends
 from twisted.internet.task import Clock as Reactor
 from twisted.internet.testing import StringTransport
 
@@ -87,9 +87,10 @@
 
 def test_messages_come_out_as_they_went_in_whatever_the_pieces() -> None:
     endpoint = Endpoint("s", "h:1", "z", "k", 2, m.WorkerState.DRAINING, 1.5, 7.0, serves=frozenset({"a"}))
-    talk = Talk(workers=2)
+    harness = DispatcherHarness(workers=2)
     said = [
-        Hello(1, "h:1"), Welcome(Listing(3, True, (endpoint,)), ["x"], learned_weights_of(talk.d)), Ready(),
+        Hello(1, "h:1"),
+        Welcome(Listing(3, True, (endpoint,)), ["x"], learned_weights_of(harness.dispatcher)), Ready(),
         Taken("é\n"), Passed(1, CallReport("x", "s", CallState.DONE, None, bytes(range(256)))),
         Acknowledged(1),
     ]  # fmt: skip
@@ -119,68 +120,74 @@
 # ---- what was learned
 
 
-def trained(seed: int, workers: int = 4) -> Talk:
-    talk = Talk(job_class("a"), job_class("b"), workers=workers, seed=seed, reports_start=True)
+def trained(seed: int, workers: int = 4) -> DispatcherHarness:
+    harness = DispatcherHarness(
+        job_class("a"), job_class("b"), workers=workers, seed=seed, reports_start=True
+    )
     for k in range(60):
         for name in "ab":
-            for send in sends(talk.ask(f"{name}{k}", name)):
+            for send in sends(harness.request(f"{name}{k}", name)):
                 slow = 5.0 if send.worker == "w1" else 1.0
-                talk.say(m.JobProgress(f"{name}{k}", 0, send.worker), after=2.0)
-                talk.end(f"{name}{k}", send.worker, m.AttemptOutcome.OK, after=30.0 * slow)
-    return talk
+                harness.handle(m.JobProgress(f"{name}{k}", 0, send.worker), after=2.0)
+                harness.end_attempt(f"{name}{k}", send.worker, m.AttemptOutcome.OK, after=30.0 * slow)
+    return harness
 
 
 def test_a_newer_module_picks_as_the_older_one_did() -> None:
     old = trained(1)
-    new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
+    new = DispatcherHarness(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
     new.now = old.now
-    assert restore_learned_weights(new.d, learned_weights_of(old.d)) == []
+    assert restore_learned_weights(new.dispatcher, learned_weights_of(old.dispatcher)) == []
     for name in "ab":
-        mine, theirs = new.d.class_states[name], old.d.class_states[name]
-        assert (mine.run, mine.pace, mine.ended) == (theirs.run, theirs.pace, theirs.ended)
-        want = dict(zip((w.name for w in theirs.net.neurons), theirs.net.q, strict=True))
-        got = dict(zip((w.name for w in mine.net.neurons), mine.net.q, strict=True))
+        mine, theirs = new.dispatcher.class_states[name], old.dispatcher.class_states[name]
+        assert (mine.mean_run_time, mine.run_time_by_kind, mine.ended_jobs) == (
+            theirs.mean_run_time,
+            theirs.run_time_by_kind,
+            theirs.ended_jobs,
+        )
+        want = dict(zip((w.name for w in theirs.network.neurons), theirs.network.q, strict=True))
+        got = dict(zip((w.name for w in mine.network.neurons), mine.network.q, strict=True))
         assert max(want, key=want.__getitem__) == max(got, key=got.__getitem__)
         assert got["w1"] < min(got[w] for w in ("w0", "w2", "w3"))
         assert got == pytest.approx(want, abs=0.05)
 
 
 def test_what_does_not_fit_is_left_out_and_the_rest_is_taken() -> None:
-    told = learned_weights_of(trained(1).d)
+    told = learned_weights_of(trained(1).dispatcher)
     told.classes[0].effect = "unsafe"
     told.workers[0].up = 5.0
     told.workers[1].times = (float("nan"), 0.0, 0.0, 0.0, 0.0)
-    fewer = Talk(job_class("a"), job_class("b"), workers=3, seed=2)
-    assert restore_learned_weights(fewer.d, told) == ["w0", "w1", "w3", "a"]
-    assert fewer.d.class_states["a"].ended == 0 < fewer.d.class_states["b"].ended
-    assert len(sends(fewer.ask("x", "b"))) == 1
+    fewer = DispatcherHarness(job_class("a"), job_class("b"), workers=3, seed=2)
+    assert restore_learned_weights(fewer.dispatcher, told) == ["w0", "w1", "w3", "a"]
+    assert fewer.dispatcher.class_states["a"].ended_jobs == 0 < fewer.dispatcher.class_states["b"].ended_jobs
+    assert len(sends(fewer.request("x", "b"))) == 1
 
 
 def test_jobs_of_the_older_process_weigh_on_their_workers_until_they_should_have_ended() -> None:
     old = trained(1)
-    (send,) = sends(old.ask("open", "a"))
-    new = Talk(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
+    (send,) = sends(old.request("open", "a"))
+    new = DispatcherHarness(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
     new.now = old.now
-    restore_learned_weights(new.d, learned_weights_of(old.d))
-    worker = new.d.workers[send.worker]
+    restore_learned_weights(new.dispatcher, learned_weights_of(old.dispatcher))
+    worker = new.dispatcher.workers[send.worker]
     assert worker.load(new.now) == 1 and worker.load(new.now + 60_000.0) == 0
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_any_figures_at_all_leave_a_module_that_works(seed: int) -> None:
-    random, told = Random(seed), learned_weights_of(trained(1).d)
+    random, told = Random(seed), learned_weights_of(trained(1).dispatcher)
     odd = (-1.0, 0.0, 1e300, float("inf"), float("nan"), 0.5)
     for known in told.classes:
         known.threshold = random.choice(odd)
         known.neurons = {
             w: (random.choice(odd), random.choice(odd), random.choice(odd)) for w in known.neurons
         }
-    fresh = Talk(job_class("a"), job_class("b"), workers=4, seed=2)
-    restore_learned_weights(fresh.d, told)
+    fresh = DispatcherHarness(job_class("a"), job_class("b"), workers=4, seed=2)
+    restore_learned_weights(fresh.dispatcher, told)
     for k in range(30):
-        for send in sends(fresh.ask(f"x{k}", "a")):
-            fresh.end(f"x{k}", send.worker, m.AttemptOutcome.OK)
-    assert all(0.0 <= q <= 1.0 for q in fresh.d.class_states["a"].net.q)
+        for send in sends(fresh.request(f"x{k}", "a")):
+            fresh.end_attempt(f"x{k}", send.worker, m.AttemptOutcome.OK)
+    assert all(0.0 <= q <= 1.0 for q in fresh.dispatcher.class_states["a"].network.q)
 
 
 # ---- the link, between two sides on a clock
@@ -192,7 +199,7 @@
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
         listing = Listing(1, True, (Endpoint("s", "h:1", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
         self.lifecycle, self.sockets, self.registry = Lifecycle(), Sockets(256), EndpointRegistry(listing)
-        self.module = Talk(workers=1).d
+        self.module = DispatcherHarness(workers=1).dispatcher
         self.broker = Broker(reactor, reactor.seconds, self.registry, {}, self.module.handle)
         self.handover = Handover(
             reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
@@ -287,4 +294,9 @@
 
 
 def test_learned_of_nothing_is_nothing(tmp_path: Path) -> None:
-    assert restore_learned_weights(Talk(workers=2).d, LearnedWeights((0.0, 0.0, 0.0), [], [])) == []
+    assert (
+        restore_learned_weights(
+            DispatcherHarness(workers=2).dispatcher, LearnedWeights((0.0, 0.0, 0.0), [], [])
+        )
+        == []
+    )
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import Talk, entry, listing, sends
+from helpers import DispatcherHarness, entry, listing, sends
 from twisted.internet.error import ConnectionDone
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
@@ -21,16 +21,20 @@
 NODES, WORKERS = 40, 60
 
 
-def fleet(workers: int = WORKERS, **more: object) -> list[Talk]:
+def fleet(workers: int = WORKERS, **more: object) -> list[DispatcherHarness]:
     return [
-        Talk(workers=workers, seed=k, dispatcher_index=k, dispatchers=NODES, reports_start=True, **more)
+        DispatcherHarness(
+            workers=workers, seed=k, dispatcher_index=k, dispatchers=NODES, reports_start=True, **more
+        )
         for k in range(NODES)
     ]
 
 
 def test_dispatchers_that_know_nothing_of_each_other_spread_their_jobs_evenly() -> None:
     """Each took workers at random: a third of the jobs met others while a third of the workers had none."""
-    got = Counter(send.worker for talk in fleet() for n in range(2) for send in sends(talk.ask(f"r{n}")))
+    got = Counter(
+        send.worker for harness in fleet() for n in range(2) for send in sends(harness.request(f"r{n}"))
+    )
     assert sum(got.values()) == 2 * NODES
     assert len(got) > 0.85 * WORKERS  # 44 of 60 at random
     assert max(got.values()) <= 4
@@ -38,19 +42,19 @@
 
 def test_jobs_one_after_the_other_use_few_workers_and_so_few_connections() -> None:
     """Every worker was new to the node: a handshake for nearly each job, and nothing learned of any."""
-    for talk in fleet()[:5]:
+    for harness in fleet()[:5]:
         used = Counter[str]()
         for n in range(100):
-            (send,) = sends(talk.ask(f"r{n}"))
-            talk.say(m.JobProgress(f"r{n}", 0, send.worker), 1.0)
-            talk.end(f"r{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
+            (send,) = sends(harness.request(f"r{n}"))
+            harness.handle(m.JobProgress(f"r{n}", 0, send.worker), 1.0)
+            harness.end_attempt(f"r{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
             used[send.worker] += 1
         assert sum(n for _, n in used.most_common(3)) > 80
 
 
 def test_jobs_beyond_the_places_of_the_homes_go_elsewhere() -> None:
-    (talk,) = fleet()[:1]
-    at = Counter(send.worker for n in range(30) for send in sends(talk.ask(f"r{n}")))
+    (harness,) = fleet()[:1]
+    at = Counter(send.worker for n in range(30) for send in sends(harness.request(f"r{n}")))
     assert len(at) > 15 and max(at.values()) <= 4
 
 
@@ -63,20 +67,20 @@
         "overload_multiple": multiple,
         "overload_span": 1000.0,
     }
-    talks, got, tries = fleet(**cold), Counter[str](), 0
-    for talk in talks:
+    harnesses, got, tries = fleet(**cold), Counter[str](), 0
+    for harness in harnesses:
         for n in range(40):  # what jobs take is known, and no worker is
-            (send,) = sends(talk.ask(f"t{n}"))
-            talk.say(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
-            talk.end(f"t{n}", send.worker, m.AttemptOutcome.OK, after=run)
-        new = [entry(f"new{k}", up_since=talk.now) for k in range(36)]
-        talk.say(listing(*[entry(f"w{k}") for k in range(24)], *new, kind=m.ListKind.COMPLETE))
-        start = talk.now
-        while talk.now < start + 1000.0:  # far more jobs than the fleet can do: what is free is used
-            for send in sends(talk.ask(f"r{tries}")):
+            (send,) = sends(harness.request(f"t{n}"))
+            harness.handle(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
+            harness.end_attempt(f"t{n}", send.worker, m.AttemptOutcome.OK, after=run)
+        new = [entry(f"new{k}", up_since=harness.now) for k in range(36)]
+        harness.handle(listing(*[entry(f"w{k}") for k in range(24)], *new, kind=m.ListKind.COMPLETE))
+        start = harness.now
+        while harness.now < start + 1000.0:  # far more jobs than the fleet can do: what is free is used
+            for send in sends(harness.request(f"r{tries}")):
                 got[send.worker] += send.worker.startswith("new")
-                talk.say(m.JobProgress(f"r{tries}", 0, send.worker))
-            talk.sweep(talk.d.pause)
+                harness.handle(m.JobProgress(f"r{tries}", 0, send.worker))
+            harness.run_sweeps(harness.dispatcher.sweep_interval)
             tries += 1
     carried = [got[f"new{k}"] * run / 1000.0 for k in range(36)]
     assert sum(n > 0 for n in carried) > 30
@@ -85,56 +89,63 @@
 
 def test_a_cold_home_gets_the_next_job_when_the_last_has_ended() -> None:
     """Paced by time alone, cold homes stood idle for half of it though jobs were held for want of a place."""
-    (talk,) = fleet(cold_share=0.05, warm_within=20_000.0)[:1]
+    (harness,) = fleet(cold_share=0.05, warm_within=20_000.0)[:1]
     for n in range(40):
-        (send,) = sends(talk.ask(f"t{n}"))
-        talk.say(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
-        talk.end(f"t{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
-    home = talk.d.home_workers[0]
-    talk.say(listing(*[entry(f"w{k}") for k in range(WORKERS) if f"w{k}" != home], kind=m.ListKind.COMPLETE))
-    talk.say(listing(entry(home, up_since=talk.now), kind=m.ListKind.CHANGES))
-    talk.sweep(500.0)
-    for worker in talk.d.workers.values():  # no other place is free
-        worker.full_until, worker.room = (0.0 if worker.name == home else talk.now + 60_000.0), 0
+        (send,) = sends(harness.request(f"t{n}"))
+        harness.handle(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
+        harness.end_attempt(f"t{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
+    home = harness.dispatcher.home_workers[0]
+    harness.handle(
+        listing(*[entry(f"w{k}") for k in range(WORKERS) if f"w{k}" != home], kind=m.ListKind.COMPLETE)
+    )
+    harness.handle(listing(entry(home, up_since=harness.now), kind=m.ListKind.CHANGES))
+    harness.run_sweeps(500.0)
+    for worker in harness.dispatcher.workers.values():  # no other place is free
+        worker.full_until, worker.sends_while_full = (
+            (0.0 if worker.name == home else harness.now + 60_000.0),
+            0,
+        )
     for turn in range(5):
-        talk.ask(f"r{turn}")
-        out = [t for t in talk.d.in_flight.values() if t.worker.name == home]
+        harness.request(f"r{turn}")
+        out = [t for t in harness.dispatcher.in_flight.values() if t.worker.name == home]
         assert len(out) == 1, turn
-        talk.say(m.JobProgress(out[0].job.id, out[0].n, home))
-        talk.end(
+        harness.handle(m.JobProgress(out[0].job.id, out[0].number, home))
+        harness.end_attempt(
             out[0].job.id, home, m.AttemptOutcome.OK, after=300.0
         )  # three times as long as on a warm one
 
 
 def test_a_dispatcher_with_few_jobs_learns_of_long_waits_within_seconds() -> None:
     """With a fixed weight for each job it took twenty seconds, and all queues were long by then."""
-    (talk,) = fleet()[:1]
+    (harness,) = fleet()[:1]
     for n in range(12):
-        for send in sends(talk.ask(f"r{n}")):
-            talk.say(m.JobProgress(f"r{n}", 0, send.worker), 600.0)
-            talk.end(f"r{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
-    assert talk.d.mean_wait > 300.0
+        for send in sends(harness.request(f"r{n}")):
+            harness.handle(m.JobProgress(f"r{n}", 0, send.worker), 600.0)
+            harness.end_attempt(f"r{n}", send.worker, m.AttemptOutcome.OK, after=100.0)
+    assert harness.dispatcher.mean_wait > 300.0
 
 
 def test_a_herd_of_nodes_does_not_swamp_a_discovery_service_of_fixed_capacity() -> None:
     """Asked at once and again within a second, it served only calls that had already failed by waiting."""
     serves, waits = 150.0, 2000.0  # ms for a call; ms after which a waiting call fails
-    talks = fleet(list_on_request=True)
-    start, free, calls, granted = talks[0].now, 0.0, 0, set[int]()
+    harnesses = fleet(list_on_request=True)
+    start, free, calls, granted = harnesses[0].now, 0.0, 0, set[int]()
 
     def ask_in(acts: list[m.Action]) -> list[float]:
         return [a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch"]
 
-    due = [(delay, k, "ask") for k, talk in enumerate(talks) for delay in ask_in(talk.first)]
+    due = [
+        (delay, k, "ask") for k, harness in enumerate(harnesses) for delay in ask_in(harness.initial_actions)
+    ]
     heapq.heapify(due)
     while due and due[0][0] < 20_000.0:
         at, k, what = heapq.heappop(due)
-        talks[k].now = start + at
+        harnesses[k].now = start + at
         if what == "failed":
-            for delay in ask_in(talks[k].say(m.WorkerList(m.ListKind.FAILED))):
+            for delay in ask_in(harnesses[k].handle(m.WorkerList(m.ListKind.FAILED))):
                 heapq.heappush(due, (at + delay, k, "ask"))
         elif (
-            any(isinstance(a, m.SubscribeToWorkers) for a in talks[k].say(m.TimerFired("watch")))
+            any(isinstance(a, m.SubscribeToWorkers) for a in harnesses[k].handle(m.TimerFired("watch")))
             and k not in granted
         ):
             calls += 1
@@ -183,36 +194,36 @@
 @pytest.mark.parametrize("heard", [True, False])
 def test_a_refused_connect_proves_no_more_than_that_there_was_no_room(heard: bool) -> None:
     """A worker that was short of connections was left out like a dead one, longer each time."""
-    talk = fleet(progress_every=1000.0)[0]
-    home = talk.d.home_workers[0]
-    worker = talk.d.workers[home]
-    for other in talk.d.workers.values():
-        other.full_until = 0.0 if other is worker else talk.now + 60_000.0
-    (first,) = sends(talk.ask("running"))
+    harness = fleet(progress_every=1000.0)[0]
+    home = harness.dispatcher.home_workers[0]
+    worker = harness.dispatcher.workers[home]
+    for other in harness.dispatcher.workers.values():
+        other.full_until = 0.0 if other is worker else harness.now + 60_000.0
+    (first,) = sends(harness.request("running"))
     assert first.worker == home
     if heard:
-        talk.say(m.JobProgress("running", 0, home))
-    worker.waiting = 0
-    (second,) = sends(talk.ask("refused"))
+        harness.handle(m.JobProgress("running", 0, home))
+    worker.not_started = 0
+    (second,) = sends(harness.request("refused"))
     assert second.worker == home
-    talk.end("refused", home, m.AttemptOutcome.NO_CONNECTION, after=1.0)
-    assert (worker.strikes == 0) == heard
-    assert (worker.out_until > talk.now) != heard and (worker.full_until > talk.now) == heard
+    harness.end_attempt("refused", home, m.AttemptOutcome.NO_CONNECTION, after=1.0)
+    assert (worker.suspensions == 0) == heard
+    assert (worker.suspended_until > harness.now) != heard and (worker.full_until > harness.now) == heard
 
 
 def test_held_jobs_look_at_few_workers_each_where_all_of_a_large_fleet_are_suspect() -> None:
     """A turn took 3.2 s: 6,000 held jobs looked twice each at all of 200 workers that did not answer."""
-    talk = Talk(workers=200, dispatchers=200)
-    for worker in talk.d.workers.values():
-        worker.out_until = worker.unsafe_out_until = 1e9
+    harness = DispatcherHarness(workers=200, dispatchers=200)
+    for worker in harness.dispatcher.workers.values():
+        worker.suspended_until = worker.unsafe_suspended_until = 1e9
     looks = Counter[str]()
-    next_cold = talk.d.next_cold
+    next_cold = harness.dispatcher.next_cold_send_at
 
     def counted(worker: Any) -> float:
         looks["all"] += 1
         return next_cold(worker)
 
-    talk.d.next_cold = counted  # type: ignore[method-assign]
-    assert all(sends(talk.ask(f"r{n}")) for n in range(50))
+    harness.dispatcher.next_cold_send_at = counted  # type: ignore[method-assign]
+    assert all(sends(harness.request(f"r{n}")) for n in range(50))
     fleet_looks = looks["all"] - 50 * 200  # the search for one that is not suspect looks at all of them once
     assert 50 <= fleet_looks <= 50 * 2 * 28
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from helpers import Talk, finals, job_class, sends
+from helpers import DispatcherHarness, finals, job_class, sends
 from rig import SETTINGS, accept, done, reject, running, until
 from twisted.internet.testing import MemoryReactorClock
 
@@ -99,57 +99,59 @@
     assert set(node.handler.classes) == {b"new", b"reminder"} and node._retry_after("new") >= 0.0
 
 
-def changed(talk: Talk, *classes: m.JobClass, **more: Any) -> None:
+def changed(harness: DispatcherHarness, *classes: m.JobClass, **more: Any) -> None:
     given = {"second_copies": True, "try_limit": 3} | more
-    assert talk.say(m.NewSettings(m.Settings(classes, **given))) == []
+    assert harness.handle(m.NewSettings(m.Settings(classes, **given))) == []
 
 
 def test_a_job_keeps_its_attempts_and_its_effect_a_new_one_has_the_new() -> None:
-    talk = Talk(job_class(effect=m.Effect.UNSAFE), workers=6, try_limit=4)
-    (old,) = sends(talk.ask("old"))
-    changed(talk, job_class(effect=m.Effect.SAFE), try_limit=1)
-    (new,) = sends(talk.ask("new"))
+    harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=6, try_limit=4)
+    (old,) = sends(harness.request("old"))
+    changed(harness, job_class(effect=m.Effect.SAFE), try_limit=1)
+    (new,) = sends(harness.request("new"))
     for n in range(1, 4):  # the old one has four attempts, of which none ran
-        (old,) = sends(talk.end("old", old.worker, m.AttemptOutcome.FULL, n - 1))
-    assert isinstance(finals(talk.end("old", old.worker, m.AttemptOutcome.RESET, 3))[0], m.Fail)
-    assert isinstance(finals(talk.end("new", new.worker, m.AttemptOutcome.RESET))[0], m.Refuse)
+        (old,) = sends(harness.end_attempt("old", old.worker, m.AttemptOutcome.FULL, n - 1))
+    assert isinstance(finals(harness.end_attempt("old", old.worker, m.AttemptOutcome.RESET, 3))[0], m.Fail)
+    assert isinstance(finals(harness.end_attempt("new", new.worker, m.AttemptOutcome.RESET))[0], m.Refuse)
 
 
 def test_what_was_learned_of_a_class_that_stays_stays_and_one_with_another_effect_is_new() -> None:
-    talk = Talk(job_class("a"), job_class("b"), workers=4)
+    harness = DispatcherHarness(job_class("a"), job_class("b"), workers=4)
     for k in range(20):
         for name in "ab":
-            (send,) = sends(talk.ask(f"{name}{k}", name))
-            talk.end(f"{name}{k}", send.worker, m.AttemptOutcome.OK, after=50.0)
-    before = {name: talk.d.class_states[name] for name in "ab"}
-    changed(talk, job_class("b", latency_target=300.0), job_class("c"), job_class("a", m.Effect.UNSAFE))
-    lines = talk.d.class_states
+            (send,) = sends(harness.request(f"{name}{k}", name))
+            harness.end_attempt(f"{name}{k}", send.worker, m.AttemptOutcome.OK, after=50.0)
+    before = {name: harness.dispatcher.class_states[name] for name in "ab"}
+    changed(harness, job_class("b", latency_target=300.0), job_class("c"), job_class("a", m.Effect.UNSAFE))
+    lines = harness.dispatcher.class_states
     assert list(lines) == ["b", "c", "a"]
     assert (
-        lines["b"].net is before["b"].net
-        and lines["b"].run == before["b"].run
+        lines["b"].network is before["b"].network
+        and lines["b"].mean_run_time == before["b"].mean_run_time
         and lines["b"].spec.latency_target == 300.0
     )
-    assert lines["a"].net is not before["a"].net and lines["a"].ended == 0
-    assert all(len(line.net.neurons) == 4 for line in lines.values())
-    assert len(sends(talk.ask("c1", "c"))) == 1
+    assert lines["a"].network is not before["a"].network and lines["a"].ended_jobs == 0
+    assert all(len(line.network.neurons) == 4 for line in lines.values())
+    assert len(sends(harness.request("c1", "c"))) == 1
 
 
 def test_a_held_job_of_a_dropped_class_is_answered_as_owed_and_goes_to_nobody_who_has_left() -> None:
-    talk = Talk(job_class("old", max_deadline=60_000.0), job_class("stays"), workers=2, try_limit=6)
-    first = [sends(talk.ask(f"f{k}", "old", 60_000.0)) for k in range(2)]
+    harness = DispatcherHarness(
+        job_class("old", max_deadline=60_000.0), job_class("stays"), workers=2, try_limit=6
+    )
+    first = [sends(harness.request(f"f{k}", "old", 60_000.0)) for k in range(2)]
     for k, (send,) in enumerate(first):
-        talk.end(f"f{k}", send.worker, m.AttemptOutcome.FULL, after=1.0)  # both are full
-    changed(talk, job_class("stays"))
+        harness.end_attempt(f"f{k}", send.worker, m.AttemptOutcome.FULL, after=1.0)  # both are full
+    changed(harness, job_class("stays"))
     leaver = m.WorkerEntry("w0", "a", "k", 0, m.WorkerState.DRAINING)
-    talk.say(m.WorkerList(m.ListKind.CHANGES, [leaver]))
-    acts = talk.sweep(60_000.0)
+    harness.handle(m.WorkerList(m.ListKind.CHANGES, [leaver]))
+    acts = harness.run_sweeps(60_000.0)
     assert all(send.worker == "w1" for send in sends(acts))
-    for job in list(talk.d.jobs.values()):
+    for job in list(harness.dispatcher.jobs.values()):
         for attempt in [t for t in job.attempts if t.in_flight]:
-            acts += talk.end(job.id, attempt.worker.name, m.AttemptOutcome.RESET, attempt.n)
-    acts += talk.sweep(1000.0)
-    assert {a.id for a in finals(acts)} == {"f0", "f1"} and not talk.d.jobs
+            acts += harness.end_attempt(job.id, attempt.worker.name, m.AttemptOutcome.RESET, attempt.number)
+    acts += harness.run_sweeps(1000.0)
+    assert {a.id for a in finals(acts)} == {"f0", "f1"} and not harness.dispatcher.jobs
 
 
 def test_a_node_takes_new_classes_and_attempts_under_open_jobs(tmp_path: Path) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import Talk, entry, finals, job_class, listing, sends
+from helpers import DispatcherHarness, entry, finals, job_class, listing, sends
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -17,17 +17,17 @@
 
 @pytest.mark.parametrize("how", MAYBE)
 def test_unsafe_job_that_may_have_run_is_neither_resent_nor_refused(how: m.AttemptOutcome) -> None:
-    talk = Talk(job_class(effect=m.Effect.UNSAFE))
-    (send,) = sends(talk.ask("r"))
-    acts = talk.end("r", send.worker, how)
+    harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE))
+    (send,) = sends(harness.request("r"))
+    acts = harness.end_attempt("r", send.worker, how)
     assert acts == [m.Fail("r")]
 
 
 @pytest.mark.parametrize("how", NEVER)
 def test_unsafe_job_that_never_ran_goes_to_another_worker(how: m.AttemptOutcome) -> None:
-    talk = Talk(job_class(effect=m.Effect.UNSAFE))
-    (send,) = sends(talk.ask("r"))
-    (again,) = sends(talk.end("r", send.worker, how))
+    harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE))
+    (send,) = sends(harness.request("r"))
+    (again,) = sends(harness.end_attempt("r", send.worker, how))
     assert again.worker != send.worker
 
 
@@ -38,46 +38,50 @@
         (m.DedupScope.CELL, {0: {1}, 2: {3}, 4: {5}}),
     ):
         for seed in range(12):
-            talk = Talk(job_class(effect=m.Effect.KEYED, dedup_scope=group), workers=rows, seed=seed)
-            (send,) = sends(talk.ask("r"))
-            again = sends(talk.end("r", send.worker, m.AttemptOutcome.ERROR))
+            harness = DispatcherHarness(
+                job_class(effect=m.Effect.KEYED, dedup_scope=group), workers=rows, seed=seed
+            )
+            (send,) = sends(harness.request("r"))
+            again = sends(harness.end_attempt("r", send.worker, m.AttemptOutcome.ERROR))
             assert len(again) == 1
             old, new = int(send.worker[1]), int(again[0].worker[1])
             assert any({old, new} <= {k, *v} for k, v in same.items())
-    talk = Talk(job_class(effect=m.Effect.KEYED, dedup_window=100.0), workers=rows)
-    (send,) = sends(talk.ask("r"))
-    assert not sends(talk.end("r", send.worker, m.AttemptOutcome.ERROR, after=95.0))
+    harness = DispatcherHarness(job_class(effect=m.Effect.KEYED, dedup_window=100.0), workers=rows)
+    (send,) = sends(harness.request("r"))
+    assert not sends(harness.end_attempt("r", send.worker, m.AttemptOutcome.ERROR, after=95.0))
 
 
 def test_final_answer_comes_before_the_deadline_where_no_worker_is_known() -> None:
-    talk = Talk(workers=[])
-    assert not finals(talk.ask("r", remaining=150.0))
-    start = talk.now
+    harness = DispatcherHarness(workers=[])
+    assert not finals(harness.request("r", remaining=150.0))
+    start = harness.now
     acts = []
-    while not finals(acts) and talk.now < start + 400:
-        acts = talk.sweep(talk.d.pause)
-    assert finals(acts) and talk.now <= start + 150.0
+    while not finals(acts) and harness.now < start + 400:
+        acts = harness.run_sweeps(harness.dispatcher.sweep_interval)
+    assert finals(acts) and harness.now <= start + 150.0
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
-    talk = Talk(job_class(effect=m.Effect.UNSAFE))
-    (send,) = sends(talk.ask("r", remaining=300.0))
-    assert finals(talk.end("r", send.worker, m.AttemptOutcome.TIMEOUT, after=300.0)) == [m.Fail("r")]
+    harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE))
+    (send,) = sends(harness.request("r", remaining=300.0))
+    assert finals(harness.end_attempt("r", send.worker, m.AttemptOutcome.TIMEOUT, after=300.0)) == [
+        m.Fail("r")
+    ]
 
 
 @pytest.mark.parametrize("state", [m.WorkerState.DRAINING, m.WorkerState.GONE])
 def test_nothing_goes_to_a_draining_worker(state: m.WorkerState) -> None:
-    talk = Talk(workers=2)
-    talk.say(listing(entry("w0", state=state), kind=m.ListKind.CHANGES))
-    assert {s.worker for k in range(30) for s in sends(talk.ask(f"r{k}"))} == {"w1"}
-    talk.say(listing(entry("w0"), kind=m.ListKind.CHANGES))
-    assert "w0" in {s.worker for k in range(30, 60) for s in sends(talk.ask(f"r{k}"))}
+    harness = DispatcherHarness(workers=2)
+    harness.handle(listing(entry("w0", state=state), kind=m.ListKind.CHANGES))
+    assert {s.worker for k in range(30) for s in sends(harness.request(f"r{k}"))} == {"w1"}
+    harness.handle(listing(entry("w0"), kind=m.ListKind.CHANGES))
+    assert "w0" in {s.worker for k in range(30, 60) for s in sends(harness.request(f"r{k}"))}
 
 
 def test_worker_missing_from_a_whole_list_is_gone() -> None:
-    talk = Talk(workers=2)
-    talk.say(listing(entry("w1"), kind=m.ListKind.COMPLETE))
-    assert {s.worker for k in range(30) for s in sends(talk.ask(f"r{k}"))} == {"w1"}
+    harness = DispatcherHarness(workers=2)
+    harness.handle(listing(entry("w1"), kind=m.ListKind.COMPLETE))
+    assert {s.worker for k in range(30) for s in sends(harness.request(f"r{k}"))} == {"w1"}
 
 
 def test_cold_worker_gets_less_than_the_fall_budget_from_all_dispatchers_together() -> None:
@@ -85,25 +89,27 @@
     fall, many, cold_sends, warm_sends = 1000.0, 20, 0, 0
     for seed in range(many):
         cold = {"cold_share": 0.33, "warm_within": 8800.0, "overload_span": fall}
-        talk = Talk(workers=10, seed=seed, dispatchers=many, **cold)
+        harness = DispatcherHarness(workers=10, seed=seed, dispatchers=many, **cold)
         for turn in range(600):
             if turn == 500:
-                talk.say(listing(entry("cold", up_since=talk.now), kind=m.ListKind.CHANGES))
-            for send in sends(talk.ask(f"r{turn}")):
+                harness.handle(listing(entry("cold", up_since=harness.now), kind=m.ListKind.CHANGES))
+            for send in sends(harness.request(f"r{turn}")):
                 cold_sends += send.worker == "cold"
                 warm_sends += send.worker == "w1" and turn >= 500
-                talk.end(f"r{turn}", send.worker, m.AttemptOutcome.OK, after=1.0)
-            talk.sweep(1.0)
+                harness.end_attempt(f"r{turn}", send.worker, m.AttemptOutcome.OK, after=1.0)
+            harness.run_sweeps(1.0)
     assert 0 < cold_sends < 0.8 * warm_sends
 
 
 def test_a_failed_list_call_is_repeated_later_and_later() -> None:
-    talk = Talk(list_on_request=True)
+    harness = DispatcherHarness(list_on_request=True)
     delays = []
     for _ in range(6):
-        acts = talk.say(m.WorkerList(m.ListKind.FAILED))
+        acts = harness.handle(m.WorkerList(m.ListKind.FAILED))
         delays += [a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch"]
-        assert any(isinstance(a, m.SubscribeToWorkers) for a in talk.say(m.TimerFired("watch"), delays[-1]))
+        assert any(
+            isinstance(a, m.SubscribeToWorkers) for a in harness.handle(m.TimerFired("watch"), delays[-1])
+        )
     assert len(delays) == 6
     assert delays[-1] > 3 * delays[0] and max(delays) < 10_000.0
 
@@ -112,10 +118,10 @@
 def test_discovery_is_asked_again_in_time_for_what_it_had_meanwhile(must_ask_within: float) -> None:
     # Guards: the pause grew to 7.5 s; a change counts as told after 6 s, and a call may hang for 1 s.
     for seed in range(50):
-        talk = Talk(list_on_request=True, must_ask_within=must_ask_within, seed=seed)
-        acts = list(talk.first)
+        harness = DispatcherHarness(list_on_request=True, must_ask_within=must_ask_within, seed=seed)
+        acts = list(harness.initial_actions)
         for _ in range(6):
-            acts += talk.say(m.WorkerList(m.ListKind.FAILED))
+            acts += harness.handle(m.WorkerList(m.ListKind.FAILED))
         assert max(a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch") <= 4_500.0
 
 
@@ -126,13 +132,13 @@
     # Guards: each job that was reset at once made the worker idle and drew the next, past its budget.
     cold = {"cold_share": 0.2, "warm_within": 15_000.0, "overload_span": 1000.0, "overload_multiple": 4.0}
     for seed in range(30):
-        talk = Talk(workers=[entry("cold", up_since=1_000_000.0)], seed=seed, **cold)
+        harness = DispatcherHarness(workers=[entry("cold", up_since=1_000_000.0)], seed=seed, **cold)
         sent, k = list[m.Send](), 0
         while not sent:
-            sent, k = sends(talk.ask(f"r{k}") + talk.sweep(10.0)), k + 1
-        acts = talk.end(sent[0].id, "cold", how, after=1.0)
+            sent, k = sends(harness.request(f"r{k}") + harness.run_sweeps(10.0)), k + 1
+        acts = harness.end_attempt(sent[0].id, "cold", how, after=1.0)
         for more in range(10):  # for 500 of the 1000 ms that a job is taken for where none has ended yet
-            acts += talk.ask(f"s{more}") + talk.sweep(10.0)
+            acts += harness.request(f"s{more}") + harness.run_sweeps(10.0)
         assert not sends(acts)
 
 
@@ -143,21 +149,23 @@
         self.rows = [entry(f"w{k}", "ab"[k % 2], k // 2) for k in range(6)]
         self.where = {r.worker: r for r in self.rows}
         self.spec = job_class(effect=effect, dedup_scope=group, dedup_window=600.0, max_deadline=2000.0)
-        self.talk = Talk(self.spec, workers=self.rows, seed=seed, second_copies=copies, reports_start=True)
+        self.harness = DispatcherHarness(
+            self.spec, workers=self.rows, seed=seed, second_copies=copies, reports_start=True
+        )
         self.copies, self.down = copies, set[str]()
         self.deadline: dict[str, float] = {}
         self.tries: dict[str, list[dict[str, Any]]] = {}
         self.final: set[str] = set()
 
     def take(self, acts: list[m.Action]) -> None:
-        now = self.talk.now
+        now = self.harness.now
         for act in acts:
             if isinstance(act, m.Send):
                 tries = self.tries[act.id]
                 live = [t for t in tries if t["how"] not in NEVER]
                 assert act.id not in self.final and now < self.deadline[act.id]
                 assert act.worker not in self.down
-                assert len(tries) < self.talk.d.settings.try_limit
+                assert len(tries) < self.harness.dispatcher.settings.try_limit
                 if not self.copies:
                     assert all(t["how"] for t in tries)
                 if live and self.spec.effect is not m.Effect.SAFE:
@@ -182,13 +190,15 @@
         attempt["how"] = how
         if how is m.AttemptOutcome.OK:
             self.final.add(name)
-        elapsed = self.talk.now - attempt["sent"]
-        self.take(self.talk.say(m.AttemptEnded(name, n, attempt["worker"], how, elapsed, name in self.final)))
+        elapsed = self.harness.now - attempt["sent"]
+        self.take(
+            self.harness.handle(m.AttemptEnded(name, n, attempt["worker"], how, elapsed, name in self.final))
+        )
 
     def expire(self) -> None:
         """Attempts end at the deadline, as the outside world does it; then all must be answered."""
         for name, end in self.deadline.items():
-            if self.talk.now >= end:
+            if self.harness.now >= end:
                 for n, attempt in enumerate(self.tries[name]):
                     if attempt["how"] is None:
                         self.finish(name, n, m.AttemptOutcome.TIMEOUT)
@@ -208,18 +218,18 @@
     what: tuple[m.Effect, m.DedupScope], copies: bool, seed: int, steps: list[tuple[int, int, float]]
 ) -> None:
     bench = Bench(*what, seed, copies)
-    talk = bench.talk
+    harness = bench.harness
     for step, (choice, number, wait) in enumerate(steps):
-        until = talk.now + wait
-        while talk.now < until:
-            gap = min(talk.d.pause, until - talk.now)
-            bench.take(talk.say(m.TimerFired("sweep"), gap))
+        until = harness.now + wait
+        while harness.now < until:
+            gap = min(harness.dispatcher.sweep_interval, until - harness.now)
+            bench.take(harness.handle(m.TimerFired("sweep"), gap))
             bench.expire()
         open_tries = [(r, n) for r, ts in bench.tries.items() for n, t in enumerate(ts) if t["how"] is None]
         if choice <= 2:
             name = f"r{step}"
-            bench.tries[name], bench.deadline[name] = [], talk.now + 300.0 + number
-            bench.take(talk.ask(name, remaining=300.0 + number))
+            bench.tries[name], bench.deadline[name] = [], harness.now + 300.0 + number
+            bench.take(harness.request(name, remaining=300.0 + number))
         elif choice <= 4 and open_tries:
             name, n = open_tries[number % len(open_tries)]
             bench.finish(name, n, [*MAYBE, *NEVER, m.AttemptOutcome.OK, m.AttemptOutcome.OK][number % 9])
@@ -228,21 +238,21 @@
             state = [m.WorkerState.SERVING, m.WorkerState.DRAINING, m.WorkerState.GONE][number % 3]
             (bench.down.discard if state is m.WorkerState.SERVING else bench.down.add)(row.worker)
             line = entry(row.worker, row.zone, row.cell, state=state)
-            bench.take(talk.say(listing(line, kind=m.ListKind.CHANGES)))
+            bench.take(harness.handle(listing(line, kind=m.ListKind.CHANGES)))
         elif open_tries:
             name, n = open_tries[number % len(open_tries)]
-            bench.take(talk.say(m.JobProgress(name, n, bench.tries[name][n]["worker"])))
+            bench.take(harness.handle(m.JobProgress(name, n, bench.tries[name][n]["worker"])))
     for _ in range(200):
-        bench.take(talk.say(m.TimerFired("sweep"), talk.d.pause))
+        bench.take(harness.handle(m.TimerFired("sweep"), harness.dispatcher.sweep_interval))
         bench.expire()
     assert bench.final == set(bench.deadline)
-    assert not talk.d.jobs and not talk.d.in_flight
+    assert not harness.dispatcher.jobs and not harness.dispatcher.in_flight
 
 
 def test_unknown_and_finished_things_do_no_harm() -> None:
-    talk = Talk()
-    (send,) = sends(talk.ask("r"))
-    talk.end("r", send.worker, m.AttemptOutcome.OK)
+    harness = DispatcherHarness()
+    (send,) = sends(harness.request("r"))
+    harness.end_attempt("r", send.worker, m.AttemptOutcome.OK)
     for event in (
         m.AttemptEnded("r", 0, send.worker, m.AttemptOutcome.OK, 5.0, True),
         m.AttemptEnded("x", 3, "nowhere", m.AttemptOutcome.ERROR, 5.0, False),
@@ -252,8 +262,8 @@
         m.TimerFired("old"),
         listing(entry("nowhere", state=m.WorkerState.GONE), kind=m.ListKind.CHANGES),
     ):
-        assert talk.say(event) == []
-    assert len(sends(talk.ask("r2"))) == 1
+        assert harness.handle(event) == []
+    assert len(sends(harness.request("r2"))) == 1
 
 
 def test_impossible_settings_name_the_field() -> None:
@@ -266,25 +276,31 @@
 
 def test_heavy_job_held_in_a_full_fleet_is_answered_before_its_deadline() -> None:
     """A job many times the usual size has slack beyond its deadline; the deadline must still be kept."""
-    talk = Talk(job_class(effect=m.Effect.UNSAFE, max_deadline=1000.0), workers=[], reports_start=True)
-    talk.ask("usual", remaining=1000.0, hint=10.0)
-    talk.d.class_states["job"].pace["k"] = 1.0
-    start, answers = talk.now, finals(talk.ask("heavy", remaining=1000.0, hint=400.0))
-    assert talk.d.jobs["heavy"].end_by > talk.d.jobs["heavy"].deadline
-    while not answers and talk.now < start + 2000.0:
-        answers = [a for a in finals(talk.sweep(talk.d.pause)) if a == m.Refuse("heavy")]
-    assert answers and talk.now < start + 1000.0
+    harness = DispatcherHarness(
+        job_class(effect=m.Effect.UNSAFE, max_deadline=1000.0), workers=[], reports_start=True
+    )
+    harness.request("usual", remaining=1000.0, hint=10.0)
+    harness.dispatcher.class_states["job"].run_time_by_kind["k"] = 1.0
+    start, answers = harness.now, finals(harness.request("heavy", remaining=1000.0, hint=400.0))
+    assert harness.dispatcher.jobs["heavy"].on_time_by > harness.dispatcher.jobs["heavy"].deadline
+    while not answers and harness.now < start + 2000.0:
+        answers = [
+            a for a in finals(harness.run_sweeps(harness.dispatcher.sweep_interval)) if a == m.Refuse("heavy")
+        ]
+    assert answers and harness.now < start + 1000.0
 
 
 def test_a_refusal_says_when_to_come_again_by_the_waits_that_are_known() -> None:
     # Guards: a refused client must not come back at once to the same queues, nor be sent away for too long.
     def advice(waited: float, longest: float) -> float:
-        talk = Talk(job_class(late_value_share=0.0), max_retry_after=longest, reports_start=True, workers=1)
-        talk.ask("first")
-        talk.say(m.JobProgress("first", 0, "w0"), after=waited)
-        talk.end("first", "w0", m.AttemptOutcome.OK, after=200.0)
-        talk.ask("busy")
-        (refusal,) = finals(talk.ask("late", remaining=1.0))
+        harness = DispatcherHarness(
+            job_class(late_value_share=0.0), max_retry_after=longest, reports_start=True, workers=1
+        )
+        harness.request("first")
+        harness.handle(m.JobProgress("first", 0, "w0"), after=waited)
+        harness.end_attempt("first", "w0", m.AttemptOutcome.OK, after=200.0)
+        harness.request("busy")
+        (refusal,) = finals(harness.request("late", remaining=1.0))
         assert isinstance(refusal, m.Refuse)
         return refusal.retry_after
 
--- a/tests/test_strain.py
+++ b/tests/test_strain.py
@@ -5,31 +5,33 @@
 from typing import Any
 
 import pytest
-from helpers import Talk, entry, finals, job_class, sends
+from helpers import DispatcherHarness, entry, finals, job_class, sends
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.dispatch import dispatcher
 
 
-def teach(talk: Talk, run: float, rounds: int = 30, wait: float = 0.0, job: str = "job") -> None:
+def teach(
+    harness: DispatcherHarness, run: float, rounds: int = 30, wait: float = 0.0, job: str = "job"
+) -> None:
     """Jobs that begin after `wait` and take `run`, each on the worker that the dispatcher chose."""
     for k in range(rounds):
-        name = f"{job}-{run}-{k}-{talk.now}"
-        for send in sends(talk.ask(name, job)):
-            talk.say(m.JobProgress(name, 0, send.worker), wait)
-            talk.end(name, send.worker, m.AttemptOutcome.OK, after=run)
+        name = f"{job}-{run}-{k}-{harness.now}"
+        for send in sends(harness.request(name, job)):
+            harness.handle(m.JobProgress(name, 0, send.worker), wait)
+            harness.end_attempt(name, send.worker, m.AttemptOutcome.OK, after=run)
 
 
 def test_one_job_goes_to_a_full_worker_for_each_own_job_that_ends() -> None:
     """All held jobs raced for the one slot that an own job had freed; all but one were turned away."""
-    talk = Talk(workers=1, reports_start=True)
-    teach(talk, 300.0)
-    (send,) = sends(talk.ask("running"))
-    talk.say(m.JobProgress("running", 0, send.worker))
-    (extra,) = sends(talk.ask("turned away"))
-    talk.end("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
-    assert not [s for k in range(6) for s in sends(talk.ask(f"held{k}"))]
-    freed = talk.say(m.AttemptEnded("running", 0, send.worker, m.AttemptOutcome.OK, 20.0, True), 20.0)
+    harness = DispatcherHarness(workers=1, reports_start=True)
+    teach(harness, 300.0)
+    (send,) = sends(harness.request("running"))
+    harness.handle(m.JobProgress("running", 0, send.worker))
+    (extra,) = sends(harness.request("turned away"))
+    harness.end_attempt("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
+    assert not [s for k in range(6) for s in sends(harness.request(f"held{k}"))]
+    freed = harness.handle(m.AttemptEnded("running", 0, send.worker, m.AttemptOutcome.OK, 20.0, True), 20.0)
     assert len(sends(freed)) == 1
     assert sends(freed)[0].id == "held5"  # the newest: oldest first would make all of them late
 
@@ -38,7 +40,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its small share kept it behind every idle warm worker: called back by staff, it stood unused."""
-    monkeypatch.setattr(dispatcher, "EXPLORE", 0.0)  # chance alone may do it in time, or not
+    monkeypatch.setattr(dispatcher, "EXPLORATION_RATE", 0.0)  # chance alone may do it in time, or not
     more: dict[str, Any] = {
         "warm_within": 23_000.0,
         "cold_share": 0.15,
@@ -46,15 +48,15 @@
         "reports_start": True,
     }
     for seed in range(5):
-        talk = Talk(workers=4, seed=seed, **more)
-        teach(talk, 200.0)
-        cold = entry("w0", up_since=talk.now)
-        talk.say(m.WorkerList(m.ListKind.CHANGES, [cold]))
+        harness = DispatcherHarness(workers=4, seed=seed, **more)
+        teach(harness, 200.0)
+        cold = entry("w0", up_since=harness.now)
+        harness.handle(m.WorkerList(m.ListKind.CHANGES, [cold]))
         got = []
         for k in range(100):  # 20 jobs a second, each soon over, for 5 s
-            (send,) = sends(talk.ask(f"r{k}"))
-            talk.say(m.JobProgress(f"r{k}", 0, send.worker))
-            talk.end(f"r{k}", send.worker, m.AttemptOutcome.OK, after=50.0)
+            (send,) = sends(harness.request(f"r{k}"))
+            harness.handle(m.JobProgress(f"r{k}", 0, send.worker))
+            harness.end_attempt(f"r{k}", send.worker, m.AttemptOutcome.OK, after=50.0)
             got.append(send.worker)
         assert 1 <= got.count("w0") <= 5 and "w0" in got[:90]
 
@@ -62,320 +64,351 @@
 def test_of_held_jobs_those_that_earn_most_for_their_time_get_a_free_place_first() -> None:
     """The newest came first whatever they earn, and long jobs of little worth kept the short ones out."""
     classes = [job_class("long", value=5.0), job_class("short", value=3.0)]
-    talk = Talk(*classes, workers=1, reports_start=True)
+    harness = DispatcherHarness(*classes, workers=1, reports_start=True)
     for k, (name, run) in enumerate([("long", 700.0), ("short", 80.0)] * 5):
-        (send,) = sends(talk.ask(f"t{k}", name))
-        talk.say(m.JobProgress(f"t{k}", 0, send.worker))
-        talk.end(f"t{k}", send.worker, m.AttemptOutcome.OK, after=run)
-    (send,) = sends(talk.ask("running", "long"))
-    talk.say(m.JobProgress("running", 0, send.worker))
-    (extra,) = sends(talk.ask("turned away", "short"))
-    talk.end("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
+        (send,) = sends(harness.request(f"t{k}", name))
+        harness.handle(m.JobProgress(f"t{k}", 0, send.worker))
+        harness.end_attempt(f"t{k}", send.worker, m.AttemptOutcome.OK, after=run)
+    (send,) = sends(harness.request("running", "long"))
+    harness.handle(m.JobProgress("running", 0, send.worker))
+    (extra,) = sends(harness.request("turned away", "short"))
+    harness.end_attempt("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
     for name in ("short1", "short2", "long1", "long2"):
-        assert not sends(talk.ask(name, name[:-1]))
-    freed = talk.say(m.AttemptEnded("running", 0, send.worker, m.AttemptOutcome.OK, 20.0, True), 20.0)
+        assert not sends(harness.request(name, name[:-1]))
+    freed = harness.handle(m.AttemptEnded("running", 0, send.worker, m.AttemptOutcome.OK, 20.0, True), 20.0)
     assert [s.id for s in sends(freed)] == ["short2"]
 
 
 def test_full_worker_is_asked_again_after_a_rest_without_own_jobs_there() -> None:
-    talk = Talk(workers=1, reports_start=True)
-    teach(talk, 100.0)
-    (send,) = sends(talk.ask("a"))
-    talk.end("a", send.worker, m.AttemptOutcome.FULL, after=1.0)
-    assert sends(talk.sweep(600.0))
+    harness = DispatcherHarness(workers=1, reports_start=True)
+    teach(harness, 100.0)
+    (send,) = sends(harness.request("a"))
+    harness.end_attempt("a", send.worker, m.AttemptOutcome.FULL, after=1.0)
+    assert sends(harness.run_sweeps(600.0))
 
 
 def test_job_that_would_end_late_for_nothing_is_refused_before_its_aim_has_passed() -> None:
-    talk = Talk(job_class(late_value_share=0.0), workers=1, reports_start=True)
-    teach(talk, 200.0)
-    (send,) = sends(talk.ask("a"))
-    talk.end("a", send.worker, m.AttemptOutcome.FULL, after=1.0)
-    talk.d.workers["w0"].full_until = talk.now + 10_000.0
-    start, answers = talk.now, finals(talk.ask("b"))
-    while not answers and talk.now < start + 5000.0:
-        answers = [a for a in finals(talk.sweep(talk.d.pause)) if a == m.Refuse("b")]
-    assert answers and talk.now - start < 400.0 + 2.0 * 200.0
+    harness = DispatcherHarness(job_class(late_value_share=0.0), workers=1, reports_start=True)
+    teach(harness, 200.0)
+    (send,) = sends(harness.request("a"))
+    harness.end_attempt("a", send.worker, m.AttemptOutcome.FULL, after=1.0)
+    harness.dispatcher.workers["w0"].full_until = harness.now + 10_000.0
+    start, answers = harness.now, finals(harness.request("b"))
+    while not answers and harness.now < start + 5000.0:
+        answers = [
+            a for a in finals(harness.run_sweeps(harness.dispatcher.sweep_interval)) if a == m.Refuse("b")
+        ]
+    assert answers and harness.now - start < 400.0 + 2.0 * 200.0
 
 
 def test_job_with_late_worth_is_kept_until_near_its_deadline() -> None:
-    talk = Talk(job_class(late_value_share=0.5), workers=[])
-    start, answers = talk.now, finals(talk.ask("b"))
+    harness = DispatcherHarness(job_class(late_value_share=0.5), workers=[])
+    start, answers = harness.now, finals(harness.request("b"))
     while not answers:
-        answers = finals(talk.sweep(talk.d.pause))
-    assert 4500.0 < talk.now - start < 5000.0
+        answers = finals(harness.run_sweeps(harness.dispatcher.sweep_interval))
+    assert 4500.0 < harness.now - start < 5000.0
 
 
 def test_strain_does_not_pass_for_heavier_work() -> None:
     """A slow spell raised the lifelong mean, and every later job was given too much slack."""
-    talk = Talk(workers=3, reports_start=True)
-    teach(talk, 100.0, rounds=60)
-    calm = talk.d.class_states["job"].work
-    teach(talk, 300.0, rounds=200)
-    assert talk.d.class_states["job"].work < 1.3 * calm
-    teach(talk, 60.0, rounds=200)
-    assert talk.d.class_states["job"].work < 0.8 * calm
+    harness = DispatcherHarness(workers=3, reports_start=True)
+    teach(harness, 100.0, rounds=60)
+    calm = harness.dispatcher.class_states["job"].unloaded_run_time
+    teach(harness, 300.0, rounds=200)
+    assert harness.dispatcher.class_states["job"].unloaded_run_time < 1.3 * calm
+    teach(harness, 60.0, rounds=200)
+    assert harness.dispatcher.class_states["job"].unloaded_run_time < 0.8 * calm
 
 
 def test_slack_is_that_of_the_machine_kind() -> None:
     """A slow machine with a short queue was usable although no job could end there in time."""
     rows = [entry("fast", kind="f"), entry("slow", kind="s")]
-    talk = Talk(job_class(latency_target=100.0, work_factor=2.0), workers=rows, reports_start=True)
-    line, slow, fast = talk.d.class_states["job"], talk.d.workers["slow"], talk.d.workers["fast"]
-    line.work, line.run, line.pace = 100.0, 100.0, {"f": 60.0, "s": 290.0}
-    slow.wait, fast.wait = 50.0, 50.0
+    harness = DispatcherHarness(
+        job_class(latency_target=100.0, work_factor=2.0), workers=rows, reports_start=True
+    )
+    class_state, slow, fast = (
+        harness.dispatcher.class_states["job"],
+        harness.dispatcher.workers["slow"],
+        harness.dispatcher.workers["fast"],
+    )
+    class_state.unloaded_run_time, class_state.mean_run_time, class_state.run_time_by_kind = (
+        100.0,
+        100.0,
+        {"f": 60.0, "s": 290.0},
+    )
+    slow.queue_wait, fast.queue_wait = 50.0, 50.0
     for k in range(20):
-        slow.wait_at = fast.wait_at = talk.now
-        (send,) = sends(talk.ask(f"r{k}"))
+        slow.queue_wait_seen_at = fast.queue_wait_seen_at = harness.now
+        (send,) = sends(harness.request(f"r{k}"))
         assert send.worker == "fast"
-        talk.say(m.JobProgress(f"r{k}", 0, send.worker))
-        talk.say(m.AttemptEnded(f"r{k}", 0, send.worker, m.AttemptOutcome.CANCELLED, 0.0, True))
+        harness.handle(m.JobProgress(f"r{k}", 0, send.worker))
+        harness.handle(m.AttemptEnded(f"r{k}", 0, send.worker, m.AttemptOutcome.CANCELLED, 0.0, True))
 
 
 def test_worker_with_own_jobs_that_have_not_begun_is_passed_over() -> None:
     apart = 0
     for seed in range(20):
-        talk = Talk(workers=4, reports_start=True, seed=seed)
-        teach(talk, 100.0, rounds=60)
-        apart += sends(talk.ask("a"))[0].worker != sends(talk.ask("b"))[0].worker
+        harness = DispatcherHarness(workers=4, reports_start=True, seed=seed)
+        teach(harness, 100.0, rounds=60)
+        apart += sends(harness.request("a"))[0].worker != sends(harness.request("b"))[0].worker
     assert apart >= 17  # the rest explored
 
 
 def test_start_is_told_from_progress_where_starts_are_not_told() -> None:
-    talk = Talk(workers=1, progress_every=1000.0)
-    (send,) = sends(talk.ask("a"))
-    talk.say(m.JobProgress("a", 0, send.worker, 0.4), 1700.0)
-    assert talk.d.workers["w0"].wait == 700.0
-    assert talk.d.workers["w0"].waiting == 0
+    harness = DispatcherHarness(workers=1, progress_every=1000.0)
+    (send,) = sends(harness.request("a"))
+    harness.handle(m.JobProgress("a", 0, send.worker, 0.4), 1700.0)
+    assert harness.dispatcher.workers["w0"].queue_wait == 700.0
+    assert harness.dispatcher.workers["w0"].not_started == 0
 
 
 def test_silent_worker_leaves_the_usable_set_and_returns_when_heard() -> None:
-    talk = Talk(job_class(max_deadline=60_000.0), workers=3, reports_start=True)
-    teach(talk, 100.0)
-    (send,) = sends(talk.ask("lost", remaining=60_000.0))
-    talk.sweep(900.0)
+    harness = DispatcherHarness(job_class(max_deadline=60_000.0), workers=3, reports_start=True)
+    teach(harness, 100.0)
+    (send,) = sends(harness.request("lost", remaining=60_000.0))
+    harness.run_sweeps(900.0)
     for k in range(30):
-        for other in sends(talk.ask(f"r{k}")):
+        for other in sends(harness.request(f"r{k}")):
             assert other.worker != send.worker
-            talk.say(m.JobProgress(f"r{k}", 0, other.worker))
-            talk.end(f"r{k}", other.worker, m.AttemptOutcome.OK, after=10.0)
-    talk.say(m.JobProgress("lost", 0, send.worker))
-    assert talk.d.workers[send.worker].out_until == 0.0
+            harness.handle(m.JobProgress(f"r{k}", 0, other.worker))
+            harness.end_attempt(f"r{k}", other.worker, m.AttemptOutcome.OK, after=10.0)
+    harness.handle(m.JobProgress("lost", 0, send.worker))
+    assert harness.dispatcher.workers[send.worker].suspended_until == 0.0
 
 
 def test_usual_wait_does_not_close_workers_of_a_kind_too_slow_or_not_known_yet() -> None:
     """Held against every worker, it kept late jobs and unknown kinds waiting although workers stood idle."""
-    talk = Talk(workers=3, reports_start=True, dispatchers=50)
-    teach(talk, 100.0)
-    talk.d.mean_wait, talk.d.begun_at = 300.0, talk.now
-    talk.d.class_states["job"].pace = {}
-    assert sends(talk.ask("unknown kind"))
-    talk.d.class_states["job"].pace = {"k": 5000.0}
-    for worker in talk.d.workers.values():
-        worker.wait = 0.0
-    assert sends(talk.ask("slow kind"))
+    harness = DispatcherHarness(workers=3, reports_start=True, dispatchers=50)
+    teach(harness, 100.0)
+    harness.dispatcher.mean_wait, harness.dispatcher.last_start_at = 300.0, harness.now
+    harness.dispatcher.class_states["job"].run_time_by_kind = {}
+    assert sends(harness.request("unknown kind"))
+    harness.dispatcher.class_states["job"].run_time_by_kind = {"k": 5000.0}
+    for worker in harness.dispatcher.workers.values():
+        worker.queue_wait = 0.0
+    assert sends(harness.request("slow kind"))
 
 
 def test_a_job_that_no_worker_can_end_before_its_deadline_is_refused_at_once() -> None:
     """Clients' last tries came with 30 ms left and took workers' time for answers that nobody awaited."""
-    talk = Talk(job_class(late_value_share=0.5), reports_start=True)
-    teach(talk, 300.0)
-    acts = talk.ask("hopeless", remaining=100.0)
+    harness = DispatcherHarness(job_class(late_value_share=0.5), reports_start=True)
+    teach(harness, 300.0)
+    acts = harness.request("hopeless", remaining=100.0)
     assert not sends(acts) and len(finals(acts)) == 1
-    assert sends(talk.ask("late but served", remaining=3000.0))
+    assert sends(harness.request("late but served", remaining=3000.0))
 
 
 def test_a_held_job_is_given_up_when_its_running_time_no_longer_fits() -> None:
     """It was held to the last moment, though no place that came up by then could serve it."""
-    talk = Talk(job_class(late_value_share=0.5), workers=1, reports_start=True)
-    teach(talk, 300.0)
-    (send,) = sends(talk.ask("running"))
-    talk.say(m.JobProgress("running", 0, send.worker))
-    (extra,) = sends(talk.ask("turned away", remaining=5000.0))
-    talk.end("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
-    assert not finals(talk.ask("held", remaining=700.0))
-    start = talk.now
-    while not finals(talk.sweep(talk.d.pause)):
-        assert talk.now < start + 700.0
-    assert talk.now <= start + 410.0
+    harness = DispatcherHarness(job_class(late_value_share=0.5), workers=1, reports_start=True)
+    teach(harness, 300.0)
+    (send,) = sends(harness.request("running"))
+    harness.handle(m.JobProgress("running", 0, send.worker))
+    (extra,) = sends(harness.request("turned away", remaining=5000.0))
+    harness.end_attempt("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
+    assert not finals(harness.request("held", remaining=700.0))
+    start = harness.now
+    while not finals(harness.run_sweeps(harness.dispatcher.sweep_interval)):
+        assert harness.now < start + 700.0
+    assert harness.now <= start + 410.0
 
 
 def test_a_late_job_goes_only_where_no_own_job_is_out() -> None:
     """Late jobs went to any worker, or beside a running job, and made those late that were still in time."""
-    talk = Talk(
+    harness = DispatcherHarness(
         job_class(late_value_share=0.5, work_factor=0.0, latency_target=200.0), workers=1, reports_start=True
     )
-    teach(talk, 300.0)
-    (send,) = sends(talk.ask("running", remaining=5000.0))
-    talk.say(m.JobProgress("running", 0, send.worker))
-    assert not sends(talk.ask("held")) and not sends(talk.sweep(100.0))
+    teach(harness, 300.0)
+    (send,) = sends(harness.request("running", remaining=5000.0))
+    harness.handle(m.JobProgress("running", 0, send.worker))
+    assert not sends(harness.request("held")) and not sends(harness.run_sweeps(100.0))
     assert [
-        s.id for s in sends(talk.end("running", "w0", m.AttemptOutcome.OK, after=200.0) + talk.sweep(100.0))
+        s.id
+        for s in sends(
+            harness.end_attempt("running", "w0", m.AttemptOutcome.OK, after=200.0) + harness.run_sweeps(100.0)
+        )
     ] == ["held"]
 
 
 def test_workers_that_come_back_after_an_outage_get_jobs_though_little_was_carried_lately() -> None:
     """A cold worker's pace follows what warm ones carried lately: after an outage it got next to nothing."""
     for seed in range(5):
-        talk = Talk(workers=1, reports_start=True, warm_within=20_000.0, cold_share=0.2, seed=seed)
-        teach(talk, 100.0)
-        talk.say(m.WorkerList(m.ListKind.CHANGES, [entry("w0", state=m.WorkerState.GONE)]))
-        talk.sweep(40_000.0)  # nothing is carried for long
-        talk.ask("held")
-        talk.say(m.WorkerList(m.ListKind.CHANGES, [entry("cold", up_since=talk.now)]))
-        assert talk.d.next_cold(talk.d.workers["cold"]) - talk.now < 1000.0
+        harness = DispatcherHarness(
+            workers=1, reports_start=True, warm_within=20_000.0, cold_share=0.2, seed=seed
+        )
+        teach(harness, 100.0)
+        harness.handle(m.WorkerList(m.ListKind.CHANGES, [entry("w0", state=m.WorkerState.GONE)]))
+        harness.run_sweeps(40_000.0)  # nothing is carried for long
+        harness.request("held")
+        harness.handle(m.WorkerList(m.ListKind.CHANGES, [entry("cold", up_since=harness.now)]))
+        assert harness.dispatcher.next_cold_send_at(harness.dispatcher.workers["cold"]) - harness.now < 1000.0
 
 
 def test_what_can_wait_is_held_while_queues_are_longer_than_the_hastiest_class_bears() -> None:
     """Jobs with much time queued deep at the workers, and all with little time came late behind them."""
-    talk = Talk(
+    harness = DispatcherHarness(
         job_class("long", latency_target=3000.0),
         job_class("quick", latency_target=100.0, work_factor=0.0),
         workers=2,
     )
-    for worker in talk.d.workers.values():
-        worker.wait, worker.wait_at = 800.0, talk.now
-    assert not sends(talk.ask("a", "long"))
-    assert not sends(talk.sweep(600.0))
-    assert [s.id for s in sends(talk.sweep(250.0))] == ["a"]
+    for worker in harness.dispatcher.workers.values():
+        worker.queue_wait, worker.queue_wait_seen_at = 800.0, harness.now
+    assert not sends(harness.request("a", "long"))
+    assert not sends(harness.run_sweeps(600.0))
+    assert [s.id for s in sends(harness.run_sweeps(250.0))] == ["a"]
 
 
 def test_a_first_try_with_little_time_is_not_taken_for_a_later_one() -> None:
     """Each try with less time than others counted as late, and where no worker was idle it was refused."""
     for repeat, sent in ((False, 1), (True, 0)):
-        talk = Talk(job_class(late_value_share=0.5), workers=1, reports_start=True, retries_marked=True)
-        teach(talk, 200.0)
-        talk.ask("running")
-        talk.say(m.JobProgress("running", 0, "w0"))
-        assert len(sends(talk.ask("short", remaining=150.0, repeat=repeat))) == sent
+        harness = DispatcherHarness(
+            job_class(late_value_share=0.5), workers=1, reports_start=True, retries_marked=True
+        )
+        teach(harness, 200.0)
+        harness.request("running")
+        harness.handle(m.JobProgress("running", 0, "w0"))
+        assert len(sends(harness.request("short", remaining=150.0, repeat=repeat))) == sent
 
 
 def test_of_few_workers_the_best_is_picked_not_the_best_of_some(monkeypatch: pytest.MonkeyPatch) -> None:
     """A sample drawn with replacement saw two thirds of a small fleet: idle workers were passed over."""
-    monkeypatch.setattr(dispatcher, "EXPLORE", 0.0)
+    monkeypatch.setattr(dispatcher, "EXPLORATION_RATE", 0.0)
     for seed in range(20):
-        talk = Talk(workers=10, seed=seed)
-        assert len({s.worker for k in range(10) for s in sends(talk.ask(f"r{k}"))}) == 10
+        harness = DispatcherHarness(workers=10, seed=seed)
+        assert len({s.worker for k in range(10) for s in sends(harness.request(f"r{k}"))}) == 10
 
 
 def test_what_earns_little_for_its_time_waits_for_shorter_queues() -> None:
     """Long jobs filled the queues while short ones of the same worth came late."""
-    talk = Talk(job_class("long", value=5.0), job_class("short", value=5.0), workers=1, reports_start=True)
-    teach(talk, 500.0, job="long")
-    teach(talk, 100.0, job="short")
-    worker = talk.d.workers["w0"]
-    worker.wait, worker.wait_at = 200.0, talk.now
-    assert not sends(talk.ask("a", "long")) and sends(talk.ask("b", "short"))
+    harness = DispatcherHarness(
+        job_class("long", value=5.0), job_class("short", value=5.0), workers=1, reports_start=True
+    )
+    teach(harness, 500.0, job="long")
+    teach(harness, 100.0, job="short")
+    worker = harness.dispatcher.workers["w0"]
+    worker.queue_wait, worker.queue_wait_seen_at = 200.0, harness.now
+    assert not sends(harness.request("a", "long")) and sends(harness.request("b", "short"))
 
 
-def sent_to(talk: Talk, job: str, rounds: int = 60) -> set[str]:
+def sent_to(harness: DispatcherHarness, job: str, rounds: int = 60) -> set[str]:
     """Where jobs of a class go when many are asked for at once."""
-    names = [f"{job}{talk.now}-{k}" for k in range(rounds)]
-    return {s.worker for name in names for s in sends(talk.ask(name, job))}
+    names = [f"{job}{harness.now}-{k}" for k in range(rounds)]
+    return {s.worker for name in names for s in sends(harness.request(name, job))}
 
 
-def out_at(talk: Talk, worker: str, job: str) -> str:
+def out_at(harness: DispatcherHarness, worker: str, job: str) -> str:
     """A job of the class that is out at the worker."""
     return next(
-        a.job.id for a in talk.d.in_flight.values() if a.worker.name == worker and a.job.spec.name == job
+        a.job.id
+        for a in harness.dispatcher.in_flight.values()
+        if a.worker.name == worker and a.job.spec.name == job
     )
 
 
 def test_errors_keep_a_class_away_and_those_of_two_classes_any_job() -> None:
     """One that fails at once is always idle: job after job went there, also those that must run once."""
     once = [job_class(name, m.Effect.UNSAFE) for name in ("a", "b", "c")]
-    talk = Talk(*once, job_class("safe"), workers=2)
-    assert sent_to(talk, "a") == sent_to(talk, "b") == sent_to(talk, "safe") == {"w0", "w1"}
-    talk.end(out_at(talk, "w0", "a"), "w0", m.AttemptOutcome.ERROR)
-    assert sent_to(talk, "a") == {"w1"} and sent_to(talk, "b") == {"w0", "w1"}
-    talk.end(out_at(talk, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
-    assert sent_to(talk, "c") == sent_to(talk, "safe") == {"w1"}
+    harness = DispatcherHarness(*once, job_class("safe"), workers=2)
+    assert sent_to(harness, "a") == sent_to(harness, "b") == sent_to(harness, "safe") == {"w0", "w1"}
+    harness.end_attempt(out_at(harness, "w0", "a"), "w0", m.AttemptOutcome.ERROR)
+    assert sent_to(harness, "a") == {"w1"} and sent_to(harness, "b") == {"w0", "w1"}
+    harness.end_attempt(out_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
+    assert sent_to(harness, "c") == sent_to(harness, "safe") == {"w1"}
     # Afterwards jobs that may safely run again are the first to go there.
-    faults = talk.d.workers["w0"].faults
-    talk.now = max(until for _, until, _ in faults.values()) + 1.0
-    assert sent_to(talk, "safe") == {"w0", "w1"} and sent_to(talk, "c") == {"w1"}
+    faults = harness.dispatcher.workers["w0"].faults
+    harness.now = max(until for _, until, _ in faults.values()) + 1.0
+    assert sent_to(harness, "safe") == {"w0", "w1"} and sent_to(harness, "c") == {"w1"}
     first = faults["a"][1]
-    talk.end(out_at(talk, "w0", "a"), "w0", m.AttemptOutcome.OK)
-    assert "a" not in faults and sent_to(talk, "c") == {"w0", "w1"}
-    talk.end(out_at(talk, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
-    talk.end(out_at(talk, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
-    assert faults["b"][1] - talk.now > first - 1_000_000.0  # longer each time
+    harness.end_attempt(out_at(harness, "w0", "a"), "w0", m.AttemptOutcome.OK)
+    assert "a" not in faults and sent_to(harness, "c") == {"w0", "w1"}
+    harness.end_attempt(out_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
+    harness.end_attempt(out_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
+    assert faults["b"][1] - harness.now > first - 1_000_000.0  # longer each time
 
 
 def test_a_job_that_never_begins_does_not_shut_its_worker() -> None:
     """It counted as in flight and its age as the worker's queue: nothing went there until its deadline."""
-    talk = Talk(job_class(effect=m.Effect.UNSAFE), workers=1, reports_start=True)
-    teach(talk, 100.0)
-    (stuck,) = sends(talk.ask("stuck"))
-    talk.sweep(2500.0)
-    assert talk.d.workers["w0"].n == 0
-    (other,) = sends(talk.ask("other"))
-    talk.say(m.JobProgress("other", 0, other.worker), 1.0)
-    assert talk.d.workers["w0"].n == 1
-    talk.say(m.JobProgress("stuck", 0, stuck.worker), 1.0)  # it has begun after all
-    assert talk.d.workers["w0"].n == 2 and talk.d.workers["w0"].waiting == 0
+    harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=1, reports_start=True)
+    teach(harness, 100.0)
+    (stuck,) = sends(harness.request("stuck"))
+    harness.run_sweeps(2500.0)
+    assert harness.dispatcher.workers["w0"].in_flight == 0
+    (other,) = sends(harness.request("other"))
+    harness.handle(m.JobProgress("other", 0, other.worker), 1.0)
+    assert harness.dispatcher.workers["w0"].in_flight == 1
+    harness.handle(m.JobProgress("stuck", 0, stuck.worker), 1.0)  # it has begun after all
+    assert (
+        harness.dispatcher.workers["w0"].in_flight == 2 and harness.dispatcher.workers["w0"].not_started == 0
+    )
     for name in ("stuck", "other"):
-        talk.end(name, "w0", m.AttemptOutcome.OK)
-    assert talk.d.workers["w0"].n == 0 and talk.d.workers["w0"].waiting == 0
+        harness.end_attempt(name, "w0", m.AttemptOutcome.OK)
+    assert (
+        harness.dispatcher.workers["w0"].in_flight == 0 and harness.dispatcher.workers["w0"].not_started == 0
+    )
 
 
 def test_a_job_that_later_ones_overtake_is_lost_and_others_of_its_class_stay_away() -> None:
     """A class that a worker never begins was sent there again and again, each time until its deadline."""
     once = job_class("once", m.Effect.UNSAFE)
     for in_order in (True, False):
-        talk = Talk(once, job_class("other"), workers=3, reports_start=True, in_order=in_order)
+        harness = DispatcherHarness(
+            once, job_class("other"), workers=3, reports_start=True, in_order=in_order
+        )
         everywhere = {"w0", "w1", "w2"}
-        assert sent_to(talk, "once", 3) == everywhere
-        name = out_at(talk, "w0", "once")
+        assert sent_to(harness, "once", 3) == everywhere
+        name = out_at(harness, "w0", "once")
         for worker in ("w1", "w2"):
-            talk.say(m.JobProgress(out_at(talk, worker, "once"), 0, worker))
-        talk.now += 350.0
-        assert sent_to(talk, "other", 3) == everywhere
+            harness.handle(m.JobProgress(out_at(harness, worker, "once"), 0, worker))
+        harness.now += 350.0
+        assert sent_to(harness, "other", 3) == everywhere
         for worker in sorted(everywhere):
-            talk.say(m.JobProgress(out_at(talk, worker, "other"), 0, worker))
-        talk.sweep(20.0)
-        assert talk.d.in_flight[name, 0].lost == in_order
-        assert ("w0" in sent_to(talk, "other", 6)) == in_order
-        talk.now += 500.0
-        assert ("w0" in sent_to(talk, "once")) != in_order
+            harness.handle(m.JobProgress(out_at(harness, worker, "other"), 0, worker))
+        harness.run_sweeps(20.0)
+        assert harness.dispatcher.in_flight[name, 0].lost == in_order
+        assert ("w0" in sent_to(harness, "other", 6)) == in_order
+        harness.now += 500.0
+        assert ("w0" in sent_to(harness, "once")) != in_order
 
 
 def test_a_lost_job_that_may_run_again_goes_elsewhere_before_its_deadline() -> None:
     """Jobs on silent machines waited for their whole time although other workers were free."""
     for effect in (m.Effect.SAFE, m.Effect.UNSAFE):
-        talk = Talk(job_class(effect=effect), workers=3, reports_start=True, second_copies=True)
-        teach(talk, 100.0)
-        (first,) = sends(talk.ask("r"))
-        again = {s.worker for s in sends(talk.sweep(1500.0)) if s.id == "r"}
+        harness = DispatcherHarness(
+            job_class(effect=effect), workers=3, reports_start=True, second_copies=True
+        )
+        teach(harness, 100.0)
+        (first,) = sends(harness.request("r"))
+        again = {s.worker for s in sends(harness.run_sweeps(1500.0)) if s.id == "r"}
         assert bool(again) == (effect is m.Effect.SAFE) and first.worker not in again
 
 
 def test_a_connection_that_breaks_does_not_leave_its_worker_out() -> None:
     """Where connections break now and then, workers in good health were left out after each."""
-    talk = Talk(job_class(effect=m.Effect.UNSAFE), workers=2)
-    assert sent_to(talk, "job") == {"w0", "w1"}
-    talk.end(out_at(talk, "w0", "job"), "w0", m.AttemptOutcome.RESET)
-    assert sent_to(talk, "job") == {"w0", "w1"}
-    talk.end(out_at(talk, "w0", "job"), "w0", m.AttemptOutcome.NO_CONNECTION)
-    assert sent_to(talk, "job") == {"w1"}
+    harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=2)
+    assert sent_to(harness, "job") == {"w0", "w1"}
+    harness.end_attempt(out_at(harness, "w0", "job"), "w0", m.AttemptOutcome.RESET)
+    assert sent_to(harness, "job") == {"w0", "w1"}
+    harness.end_attempt(out_at(harness, "w0", "job"), "w0", m.AttemptOutcome.NO_CONNECTION)
+    assert sent_to(harness, "job") == {"w1"}
 
 
 def test_jobs_that_fail_everywhere_do_not_keep_every_worker_from_work() -> None:
     """Errors that a job brings with it must not be held against the fleet."""
-    talk = Talk(workers=4)
+    harness = DispatcherHarness(workers=4)
     for k in range(12):
-        name, acts = f"bad{k}", talk.ask(f"bad{k}")
+        name, acts = f"bad{k}", harness.request(f"bad{k}")
         for n in range(3):
             for send in sends(acts):
-                acts = talk.end(name, send.worker, m.AttemptOutcome.ERROR, n)
-    assert all(sends(talk.ask(f"good{k}")) for k in range(4))
+                acts = harness.end_attempt(name, send.worker, m.AttemptOutcome.ERROR, n)
+    assert all(sends(harness.request(f"good{k}")) for k in range(4))
 
 
 def test_a_job_called_off_counts_as_load_until_it_should_have_ended() -> None:
     """Workers finish what they have: one whose jobs had been called off passed for idle."""
-    talk = Talk(workers=2)
-    teach(talk, 300.0)
-    (send,) = sends(talk.ask("gone"))
-    talk.say(m.Withdrawn("gone"))
-    talk.end("gone", send.worker, m.AttemptOutcome.CANCELLED, after=1.0)
-    worker = talk.d.workers[send.worker]
-    assert worker.n == 0 and worker.load(talk.now) == 1 and worker.load(talk.now + 400.0) == 0
+    harness = DispatcherHarness(workers=2)
+    teach(harness, 300.0)
+    (send,) = sends(harness.request("gone"))
+    harness.handle(m.Withdrawn("gone"))
+    harness.end_attempt("gone", send.worker, m.AttemptOutcome.CANCELLED, after=1.0)
+    worker = harness.dispatcher.workers[send.worker]
+    assert worker.in_flight == 0 and worker.load(harness.now) == 1 and worker.load(harness.now + 400.0) == 0
