--- a/bitternpath/roles/bootstrap.py
+++ b/bitternpath/roles/bootstrap.py
@@ -1,13 +1,14 @@
-"""The bootstrap of a new system: who decides on the founders, and how they learn of it.
+"""Bootstrap of a new system: which process decides on the founding members, and how they are notified.
 
-Only the process at the first seed may decide. It claims that right by a document on its disk, written at its
-first start before anything else, and the decision replaces that document before anybody is notified. A
-coordinator that is killed at any moment resumes with the same decision, and there is never a second one.
+Only the process at the first seed may decide. At its first start, before anything else, it writes a document
+to its disk that claims this right; the decision replaces that document before any node is notified. A
+coordinator that is killed at any point therefore resumes with the same decision, and there is never a second
+one.
 
 A member of the configuration group opens the group only once it knows whether it is a founder: a founder that
-began as an empty member would never learn who the others are, and would never vote. So the group's owner
-notifies all members of the decision until they acknowledge it; a member that isn't named begins empty and is
-brought up to date by the leader.
+started as an empty member would never learn the other founders, and would never vote. The group's owner
+therefore notifies all members of the decision until they acknowledge it. A member that the decision doesn't
+name starts empty and is brought up to date by the leader.
 """
 
 from __future__ import annotations
@@ -39,26 +40,26 @@
 log = logbook.Logger("configuration")
 
 CHECK_INTERVAL_S = 0.25  # between attempts to decide, and between notifications
-COORDINATOR_LINK_USER = "decider"  # of the hub's links
-MEMBER_LINK_USER = "founding"  # likewise
-NO_DECISION = BootstrapDecision("", GroupPlacement(CONFIGURATION_GROUP, 1, ()))  # names nobody
+COORDINATOR_LINK_USER = "decider"  # name of the coordinator as a user of the hub's links
+MEMBER_LINK_USER = "founding"  # name of the configuration member as a user of the hub's links
+NO_DECISION = BootstrapDecision("", GroupPlacement(CONFIGURATION_GROUP, 1, ()))  # names no founder
 
 
 class BootstrapNotifier:
-    """Notifies members of the decision until they have it on disk."""
+    """Sends the decision to members until each has stored it on disk."""
 
     def __init__(self, hub: NodeHub, link_user: str, own_member_id: str = "") -> None:
-        """`link_user` names the user of the hub's links; `own_member_id` isn't notified."""
+        """`link_user` names this object as a user of the hub's links; `own_member_id` isn't notified."""
         self._hub = hub
         self._link_user = link_user
         self._own_member_id = own_member_id
         self._acknowledged: set[str] = set()
-        self._dialled: dict[str, str] = {}  # address by member
+        self._dialled: dict[str, str] = {}  # address by member id
 
     def notify(self, decision: BootstrapDecision, members: Iterable[MemberAddress]) -> bool:
-        """Send the decision to the members that haven't acknowledged it; whether there are any.
+        """Send the decision to the members that haven't acknowledged it; return whether there are any.
 
-        Members that were notified earlier and aren't in `members` any more are given up.
+        Members that were notified earlier and aren't in `members` any more are not notified again.
         """
         pending = [each for each in members if self._is_pending(each.member)]
         for member in pending:
@@ -76,7 +77,7 @@
         return member not in self._acknowledged and member != self._own_member_id
 
     def acknowledged(self, answer: BootstrapDecisionStored) -> None:
-        """A member has the decision on disk."""
+        """Record that a member has stored the decision on disk."""
         self._acknowledged.add(answer.member)
         self._release(answer.member)
 
@@ -87,14 +88,14 @@
 
 
 class BootstrapState:
-    """What a member of the configuration group knows of the decision.
+    """What a member of the configuration group knows about the decision.
 
     Attributes:
-        decision: the one that names this member as a founder, None for others; the same as on disk.
+        decision: the decision that names this member as a founder, as stored on disk; None for other members.
     """
 
     def __init__(self, own_member_id: str, file: BootstrapFile) -> None:
-        """`file` has the decision of this member, if it is a founder."""
+        """`file` stores the decision if this member is a founder."""
         self.decision: BootstrapDecision | None = None
         self._own_member_id = own_member_id
         self._file = file
@@ -106,11 +107,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether it is known if this member is a founder: only then it may open the group."""
+        """Whether this member knows if it is a founder; only then may it open the group."""
         return self.decision is not None or self._known_not_founder
 
     def decision_received(self, link: Link, received: BootstrapDecision) -> None:
-        """Note the decision that another node sent, and acknowledge it once it is on disk."""
+        """Store a decision from another node, and acknowledge it once it is on disk."""
         if all(member.member != self._own_member_id for member in received.group.members):
             self._known_not_founder = self.decision is None
         elif not self.is_known:
@@ -124,10 +125,10 @@
 
 
 class BootstrapCoordinator:
-    """Decides who founds the system, on the node that may, and notifies the founders."""
+    """Decides on the founding members, on the node that may decide, and notifies them."""
 
     def __init__(self, reactor: NodeReactor, base: NodeBase) -> None:
-        """On a node without a disk the decision is kept in memory only."""
+        """On a node without a disk, the decision is kept in memory only."""
         self._reactor = reactor
         self._base = base
         self._settings = base.settings
@@ -140,10 +141,10 @@
         self._scheduled: Timer | None = None
 
     def start(self) -> None:
-        """Claim the right to decide where this node has it, or resume with an earlier claim or decision.
+        """Claim the right to decide if this is the first seed, or resume from an earlier claim or decision.
 
-        A document that can't be read may have contained a decision that others know, so then nothing is
-        decided.
+        A document that can't be read may have contained a decision that other nodes have received, so the
+        coordinator then decides nothing.
         """
         try:
             stored = self._file.load() if self._file is not None else None
@@ -159,11 +160,11 @@
         self._advance()
 
     def stop(self) -> None:
-        """Decide and notify no more."""
+        """Stop deciding and notifying."""
         cancel_if_active(self._scheduled)
 
     def acknowledged(self, answer: BootstrapDecisionStored) -> None:
-        """A founder has the decision on disk."""
+        """Record that a founder has stored the decision on disk."""
         self._notifier.acknowledged(answer)
 
     def _is_first_seed(self) -> bool:
@@ -175,7 +176,7 @@
             self._file.store(decision)
 
     def _advance(self) -> None:
-        """Decide, if that is possible by now, and notify the founders; again until all have acknowledged."""
+        """Decide, if possible by now, and notify the founders; repeat until all have acknowledged."""
         if self._decision is None:
             self._decision = decide_bootstrap(
                 self._base.view,
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -1,8 +1,8 @@
-"""A member of the configuration group: the replica on a counted edge node, and the work of the group's owner.
+"""A member of the configuration group: the replica on a counted edge node, and the tasks of its owner.
 
 The owner decides the operator's changes, serves the feed, polls the platform's endpoint list, places the
-queue shards and reconciles the group's own members. Owning the group is the fencing token of all of these:
-each begins when the node becomes owner and stops when it no longer is, and what it sends carries the epoch.
+queue shards and reconciles the group's own members. Group ownership is the fencing token of all these tasks:
+each starts when the node becomes owner and stops when it no longer is, and its messages carry the epoch.
 """
 
 from __future__ import annotations
@@ -46,27 +46,27 @@
 
 log = logbook.Logger("configuration")
 
-CHECK_INTERVAL_S = 0.25  # between checks for what no event reports; founders notify each other as often
-RECONCILE_DELAY_S = 0.01  # after an event: many nodes may come at once, and a check goes through all of them
+CHECK_INTERVAL_S = 0.25  # between reconciliations without an event, and between founders' notifications
+RECONCILE_DELAY_S = 0.01  # batches events: many nodes may join at once, and one reconciliation covers all
 
 
 class ConfigurationMember:
     """This node's replica of the configuration group.
 
     Implements `replication.interfaces.GroupListener`, and `configuration.changes.ConsensusGroup` for the
-    parts that propose commands.
+    components that propose commands.
 
     Attributes:
-        host: has the replica.
+        host: runs the replica.
         is_open: whether the replica takes part in its group.
         state: the replicated configuration.
-        changes: decides the operator's changes, while this node owns the group.
-        feed: serves the feed, likewise.
-        bootstrap_state: what is known of the bootstrap decision.
+        changes: decides the operator's changes while this node owns the group.
+        feed: serves the feed while this node owns the group.
+        bootstrap_state: what this member knows about the bootstrap decision.
     """
 
     def __init__(self, reactor: NodeReactor, base: NodeBase, host: ReplicaHost) -> None:
-        """`base` needs a data folder; `host` is its replica host."""
+        """`base` must have a data folder; `host` is its replica host."""
         settings = base.settings
         assert settings.data_dir is not None
         self.host = host
@@ -95,13 +95,13 @@
         self._checks = PeriodicCall(reactor, CHECK_INTERVAL_S, self._reconcile)
 
     def start(self) -> None:
-        """Start to take part in the group.
+        """Open the group if this member may take part, and start the periodic reconciliation.
 
-        A member takes part with the state on disk, as a founder once there is a decision, or when a leader
+        A member takes part with its state from disk, as a founder once there is a decision, or when a leader
         adds it.
 
         A member that joined later has no bootstrap decision on disk, only the group's state. It must not wait
-        to be notified: perhaps all members that are left have joined later.
+        for a notification: all remaining members may have joined later.
         """
         self.bootstrap_state.load()
         decided = self.bootstrap_state.decision is not None
@@ -110,7 +110,7 @@
         self._checks.start()
 
     def stop(self) -> None:
-        """Stop the owner's work; the replica is stopped by its host."""
+        """Stop the owner's tasks; the host stops the replica."""
         self._checks.stop()
         self._endpoint_poller.stop()
 
@@ -125,14 +125,14 @@
         return self.host.current_term(CONFIGURATION_GROUP) if self.is_open else 0
 
     def has_lease(self) -> bool:
-        """Whether this node owns the group and has heard a quorum within an election time-out."""
+        """Whether this node owns the group and a quorum responded within an election time-out."""
         return self.is_open and self.host.has_active_quorum(CONFIGURATION_GROUP)
 
     def propose(self, command: bytes) -> Deferred[object]:
         """Commit and apply a command.
 
-        Errors: `NotOwnerError` (had no effect, another owner may be asked), `OutcomeUnknownError` (it may be
-        committed).
+        Errors: `NotOwnerError` (no effect; another owner may be tried), `OutcomeUnknownError` (the command
+        may be committed).
         """
         return self.host.propose(CONFIGURATION_GROUP, command)
 
@@ -157,39 +157,39 @@
     # ---- records of other nodes
 
     def group_message_received(self, link: Link, message: GroupMessage) -> None:
-        """Pass a consensus message on; one of a leader may come before any notification."""
+        """Pass a consensus message on; a leader's may arrive before any bootstrap notification."""
         if message.group == CONFIGURATION_GROUP and not self.is_open and self.bootstrap_state.is_known:
             self._open_group()
         self._transport.received(link, message)
 
     def decision_received(self, link: Link, decision: BootstrapDecision) -> None:
-        """Another node has sent the bootstrap decision."""
+        """Handle a bootstrap decision from another node."""
         self.bootstrap_state.decision_received(link, decision)
         if self.bootstrap_state.decision is not None and not self.is_open:
             self._open_group()
 
     def decision_stored(self, answer: BootstrapDecisionStored) -> None:
-        """Another member has the bootstrap decision on disk."""
+        """Handle another member's acknowledgement of the bootstrap decision."""
         self._notifier.acknowledged(answer)
 
     def subscribe(self, link: Link, request: FeedSubscribe) -> None:
-        """Subscribe a node to the feed, or say where to ask instead."""
+        """Subscribe a node to the feed, or refuse and name the leader and the voters."""
         if not self.is_owner():
             link.send(self._refusal())
             return
         self.feed.subscribe(link, request)
-        if link.peer is not None and link.peer.disk:  # nodes without a disk hold no replica; there are many
+        if link.peer is not None and link.peer.disk:  # only these hold replicas; those without are many
             self._schedule_reconcile()
 
     def membership_reported(self, _link: Link, report: MembershipReport) -> None:
-        """A shard's owner has reported its committed members."""
+        """Handle a shard owner's report of its committed members."""
         if self.is_owner():
             self._retirements.reported(report)
 
     # ---- GroupListener
 
     def became_owner(self, epoch: int) -> None:
-        """This replica leads the group and has applied all that was committed before."""
+        """Called when this replica leads the group and has applied all that was committed before."""
         log.info("event=ownership_acquired group={} epoch={}", CONFIGURATION_GROUP, epoch)
         self._nodes.begin([node_of(member) for member in self.state.storage.members])
         self._placement.begin()
@@ -198,13 +198,13 @@
         self._endpoint_poller.start()
 
     def lost_ownership(self, cause: RoleChangeCause) -> None:
-        """This replica no longer leads the group."""
+        """Called when this replica no longer leads the group."""
         log.info("event=ownership_lost group={} cause={!r}", CONFIGURATION_GROUP, cause.value)
         self._endpoint_poller.stop()
         self.feed.end(self._refusal())
 
     def applied(self, _index: int, _command: bytes, result: object) -> None:
-        """A committed command has been applied; `result` is true where it changed the state."""
+        """Called when a committed command has been applied; `result` is true if it changed the state."""
         if result:
             self.feed.publish()
             self._schedule_reconcile()
@@ -242,10 +242,10 @@
         self._notify_of_bootstrap()
 
     def _notify_of_bootstrap(self) -> None:
-        """Notify members of the decision, as one that isn't notified doesn't take part.
+        """Notify members of the bootstrap decision; a member that isn't notified doesn't take part.
 
-        The owner notifies all members. Without a leader the founders notify each other: the coordinator may
-        be lost.
+        The owner notifies all members. Without a leader the founders notify each other, because the
+        coordinator may be lost.
         """
         decision = self.bootstrap_state.decision
         if self.is_owner():
@@ -254,7 +254,7 @@
             self._notifier.notify(decision, decision.group.members)
 
     def _refusal(self) -> FeedRefused:
-        """Names the leader, as far as it is known, and the voters."""
+        """A refusal that names the leader, if known, and the voters."""
         if not self.is_open:
             return FeedRefused("", ())
         leader = self.host.leader(CONFIGURATION_GROUP)
@@ -266,7 +266,7 @@
         return self.host.members(CONFIGURATION_GROUP)
 
     def _addresses(self, members: tuple[str, ...]) -> tuple[MemberAddress, ...]:
-        """Of those members whose address is known, by the membership view or by the bootstrap decision."""
+        """The known addresses of `members`, from the membership view or the bootstrap decision."""
         found: dict[str, MemberAddress] = {}
         if self.bootstrap_state.decision is not None:
             found = {member.member: member for member in self.bootstrap_state.decision.group.members}
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -1,8 +1,9 @@
-"""Chooses the members of the configuration group: a part of the work of its owner.
+"""Chooses the members of the configuration group; one of the tasks of its owner.
 
-Three sources say which nodes are live: a member answers heartbeats, a node follows the feed, the membership
-view has a recent heartbeat of it. A new node may need seconds to find an owner that is new itself, so the
-view is enough to make it a learner; it becomes a voter only once it has caught up, whatever the view says.
+Three sources show which nodes are live: a member answers heartbeats, a node follows the feed, and the
+membership view has a recent heartbeat of it. A new node may need seconds to find an owner that is new itself,
+so an entry in the view suffices to make the node a learner; it becomes a voter only once it has caught up,
+whatever the view says.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class _Heartbeat(NamedTuple):
-    """The heartbeat of a node; a later one compares greater."""
+    """Identifies a heartbeat of a node; a later one compares greater."""
 
     incarnation: int
     number: int
@@ -32,7 +33,7 @@
 class ConfigurationVoters:
     """Computes the desired members from the live nodes.
 
-    `MembershipReconciler` takes the steps that lead there.
+    `MembershipReconciler` takes the steps towards them.
     """
 
     def __init__(
@@ -43,9 +44,9 @@
         view: MembershipView,
         tolerated_machines: int,
     ) -> None:
-        """Prepare for the group on `host`.
+        """Choose the members of the group on `host`.
 
-        `nodes` are those that follow the feed; the group shall have 2 * `tolerated_machines` + 1 voters.
+        `nodes` are those that follow the feed; the group is to have 2 * `tolerated_machines` + 1 voters.
         """
         self._reactor = reactor
         self._host = host
@@ -53,10 +54,10 @@
         self._view = view
         self._voter_count = 2 * tolerated_machines + 1
         self._membership_reconciler = MembershipReconciler(host)
-        self._voter_heartbeats: dict[str, _Heartbeat] = {}  # the last one seen of each node that had a voter
+        self._voter_heartbeats: dict[str, _Heartbeat] = {}  # last heartbeat of each node that had a voter
 
     def group_opened(self, progressed: Callable[[], None]) -> None:
-        """The group is open here; `progressed` is called when its owner may take the next step."""
+        """Call `progressed` whenever the owner may take the next step. The group must be open here."""
         self._host.on_membership_progress(CONFIGURATION_GROUP, progressed)
 
     def reconcile(self) -> None:
@@ -67,10 +68,11 @@
         self._membership_reconciler.set_desired(CONFIGURATION_GROUP, desired, current.generation)
 
     def _candidates(self, current: Members) -> list[NodeDescriptor]:
-        """Live nodes that may have a member.
+        """Live nodes that may host a member.
 
-        The view is believed for new nodes and learners only. Whether a voter is live, its answers show; that
-        its node has another disk is believed of the node itself, as the view may still have the earlier disk.
+        The view is trusted for new nodes and learners only. A voter's liveness is shown by its responses, and
+        another disk of its node is accepted from that node only, because the view may still have the earlier
+        disk.
         """
         live = self._view.live_edges(self._reactor.seconds())
         voters = {node_of(voter) for voter in current.voters}
@@ -85,16 +87,16 @@
         return list(found.values())
 
     def _is_new(self, node: NodeDescriptor, current: Members) -> bool:
-        """Whether a node has no member and, if it had a voter once, has sent a heartbeat since."""
+        """Whether a node has no member and, if it had a voter before, has sent a heartbeat since."""
         has_member = any(node_of(member) == node.name for member in current.all)
         last = self._voter_heartbeats.get(node.name, _Heartbeat(0, 0))
         return not has_member and _heartbeat(node) > last
 
     def _unresponsive_for(self, node: str) -> float:
-        """Seconds since the owner last heard a node's member; 0 for nodes without one.
+        """Seconds since the owner last received a message from a node's member; 0 for nodes without one.
 
-        Heartbeats of the group show it without the feed, which a node finds again only seconds after the
-        owner has changed.
+        The group's heartbeats show it without the feed, which a node finds again only seconds after a change
+        of owner.
         """
         members = [each for each in self._host.members(CONFIGURATION_GROUP).all if node_of(each) == node]
         return min((self._host.unresponsive_for(CONFIGURATION_GROUP, each) for each in members), default=0.0)
--- a/bitternpath/roles/disk_capacity.py
+++ b/bitternpath/roles/disk_capacity.py
@@ -1,25 +1,25 @@
-"""Whether a storage node's disk can take more messages."""
+"""Whether a storage node's disk has capacity for more messages."""
 
 from __future__ import annotations
 
 from bitternpath.roles.node_base import NodeBase
 
-MAX_USED_SHARE = 0.75  # of the disk: beyond it no message is accepted
-MAX_SNAPSHOT_SHARE = 0.7  # of the disk, for all snapshots and the next one of the largest
+MAX_USED_SHARE = 0.75  # of the disk; no message is accepted while more is in use
+MAX_SNAPSHOT_SHARE = 0.7  # of the disk, for all snapshots and the successor of the largest one
 
 
 class DiskCapacity:
     """Compares the journal's size with `limits.disk_mb`."""
 
     def __init__(self, base: NodeBase) -> None:
-        """`base` is that of a node with a disk."""
+        """`base` must be that of a node with a disk."""
         self._base = base
         self._disk_bytes = base.settings.disk_mb << 20
 
     def has_capacity(self) -> bool:
-        """Whether new messages may be accepted: the journal works, and both shares are below their bounds.
+        """Whether new messages may be accepted: the journal works, and both shares are below their limits.
 
-        Without a known size of the disk only a journal that fails refuses messages.
+        If the size of the disk is unknown, messages are refused only while the journal fails.
         """
         journal = self._base.journal
         if journal is None or journal.failing:
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -1,7 +1,7 @@
 """The edge role: ingress, dispatchers and call-backs; on a counted node also a configuration member.
 
-`EdgeNode` assembles the parts. Its HTTP servers call it as `NodeService`, and its dispatchers ask it as
-`NodeView`; records of other nodes are passed on to the part that they concern.
+`EdgeNode` assembles the components. Its HTTP servers call it as `NodeService`, its dispatchers query it as
+`NodeView`, and it passes records of other nodes on to the component that handles them.
 """
 
 from __future__ import annotations
@@ -62,30 +62,30 @@
 
 log = logbook.Logger("edge")
 
-BODY_CACHE_BYTES = 24 << 20  # of accepted messages that have not been leased yet
-MAX_READY_FEED_AGE_S = 20.0  # a node cut off from the configuration for longer takes no new connections
-CONNECTION_OVERCOMMIT = 2.0  # nodes' shares of a worker's connections overlap: not all use theirs at once
-MIN_CONNECTIONS = 2  # to a worker, however many edge nodes share it
-SHARD_LINK_USER = "shards"  # of the hub's links
+BODY_CACHE_BYTES = 24 << 20  # for the bodies of accepted messages that have not been leased yet
+MAX_READY_FEED_AGE_S = 20.0  # unready after a longer time without contact to the configuration's owner
+CONNECTION_OVERCOMMIT = 2.0  # the nodes' shares of a worker's connections overlap: not all are used at once
+MIN_CONNECTIONS = 2  # to each worker, however many edge nodes share it
+SHARD_LINK_USER = "shards"  # name as a user of the hub's links
 
 
 class EdgeNode:
     """One edge node.
 
-    Implements `ingress.interfaces.NodeService`, `dispatch.deliveries.NodeView`,
-    `transport.links.LinkHandler` and `configuration.feed_client.FeedListener`.
+    Implements `ingress.interfaces.NodeService`, `dispatch.deliveries.NodeView`, `transport.links.LinkHandler`
+    and `configuration.feed_client.FeedListener`.
 
     Attributes:
         base: identity, links, membership, feed and, with a disk, journal and replica host.
-        member: the replica of the configuration group, None on nodes that aren't counted.
-        owners: the owner of each shard, as far as this node knows.
+        member: the replica of the configuration group; None on nodes that aren't counted.
+        owners: the owner of each shard, as far as known to this node.
         stopping: whether the process is shutting down.
     """
 
     def __init__(
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
-        """Open the disk, where there is one.
+        """Open the disk, if the node has one.
 
         Raises `OSError`, `CorruptJournalError` and `CorruptDocumentError`.
         """
@@ -117,7 +117,7 @@
         self._handlers = self._record_handlers()
 
     def start(self) -> None:
-        """Begin to follow the feed, and to take part in the configuration group."""
+        """Start to follow the feed, and to take part in the configuration group."""
         self.base.start()
         self._bootstrap.start()
         self.deliveries.start()
@@ -128,17 +128,17 @@
     # ---- NodeService
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether the node accepts new connections."""
         if self.stopping or self.base.feed.table is None:
             return False
         return bool(self.owners.owned_groups()) and self.configuration_age() < MAX_READY_FEED_AGE_S
 
     def routing(self) -> RoutingTable | None:
-        """The configuration in force here; None before the first."""
+        """The configuration in force on this node; None before the first one."""
         return self.base.feed.table
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
-        """Have a message committed by a shard; keep its body for the first lease, which comes without it."""
+        """Have a shard commit a message; cache its body for the first lease, which omits the body."""
         self.bodies.keep(message)
         return self.appender.accept(message, deadline_ms).addCallback(self._accepted, message)
 
@@ -148,13 +148,13 @@
         return acceptance
 
     def _shard_with_waiting_worker(self, message: Message) -> str:
-        """The group of a shard at which a worker waits for such a message; "" where none is known."""
+        """The group of a shard at which a worker waits for such a message; "" if none is known."""
         table = self.routing()
         route = table.routes.get(message.route) if table is not None else None
         return "" if route is None or message.delay_ms else self.pulls.claim_waiting_worker(route.service)
 
     def find_message(self, message_id: str, *, wants_body: bool) -> Deferred[FoundMessage | LookupFailure]:
-        """The state of a message, by the id that its client was given or by its request id."""
+        """Look up a message by the id that its client received, or by its request id."""
         return self.lookup.find(message_id, wants_body=wants_body)
 
     def pull(self, service: str, instance: str, wait_ms: int) -> PendingPull:
@@ -162,15 +162,15 @@
         return self.pulls.pull(service, instance, wait_ms)
 
     def end_job(self, lease_id: str, request_id: str, status: int, stamp: str) -> Deferred[LeaseAnswer]:
-        """A pulling worker reports the outcome of its job."""
+        """Report the outcome of a pulling worker's job."""
         return self.pulls.end(lease_id, request_id, status, stamp)
 
     def extend_job(self, lease_id: str, request_id: str) -> Deferred[LeaseAnswer]:
-        """A pulling worker extends the lease of its job."""
+        """Extend the lease of a pulling worker's job."""
         return self.pulls.extend(lease_id, request_id)
 
     def operator_call(self, method: str, path: str, if_match: str, body: bytes) -> Deferred[OperatorReply]:
-        """A call of the operator's API, answered here or forwarded."""
+        """Answer a call of the operator's API, or forward it to the configuration's owner."""
         return self._operator.call(method, path, if_match, body)
 
     # ---- NodeView
@@ -180,7 +180,7 @@
         return float(self._reactor.seconds() - self.base.feed.last_update_at)
 
     def catalogue_age(self) -> float:
-        """Seconds since the newest endpoint list was requested of the platform."""
+        """Seconds since the newest endpoint list was requested from the platform."""
         return self.catalogue.age(self._reactor.seconds())
 
     def connection_share(self, total: int) -> int:
@@ -191,10 +191,10 @@
     # ---- FeedListener
 
     def configuration_changed(self, table: RoutingTable) -> None:
-        """Another version is in force; all parts read it from the feed when they need it."""
+        """Does nothing: components read the version in force from the feed when they need it."""
 
     def placement_changed(self, _generation: int, groups: tuple[GroupPlacement, ...]) -> None:
-        """Shards have other members: keep a link to each storage node that is one."""
+        """Called when shards have other members; maintains a link to each storage node that is one."""
         self.appender.shard_count = len(groups)
         self.lookup.shard_count = len(groups)
         addresses = {member.address for group in groups for member in group.members}
@@ -205,25 +205,25 @@
         self._storage_addresses = addresses
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """The configuration's owner has read the platform's endpoint list."""
+        """Called when the configuration's owner has read the platform's endpoint list."""
         self.catalogue.update(self._reactor.seconds(), update)
 
     # ---- LinkHandler
 
     def link_opened(self, link: Link) -> None:
-        """A peer has introduced itself, for the first time on this link or with another descriptor."""
+        """Called when a peer has sent `Hello`, first on a link or again with another descriptor."""
         if link.peer is not None:
             self.base.view.observe(self._reactor.seconds(), link.peer)
 
     def link_closed(self, link: Link) -> None:
-        """A link has ended."""
+        """Called when a link has closed."""
         self.base.feed.link_closed(link)
         self.owners.link_closed(link)
         if self.member is not None:
             self.member.feed.link_closed(link)
 
     def received(self, link: Link, record: Record) -> None:
-        """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
+        """Pass a record on to its handler; ignore kinds that have none in this role."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
@@ -271,10 +271,10 @@
             groups.append(group_status(self.member.host, CONFIGURATION_GROUP, None))
         link.send(node_status(self.base, request.number, ready=self.is_ready(), groups=groups))
 
-    # ---- changes that other parts hear of
+    # ---- notifications to other components
 
     def _workers_changed(self, entries: list[CatalogueEntry], removed: list[str]) -> None:
-        """The catalogue has other entries; `removed` are the names of instances that are gone."""
+        """Called when the catalogue has changed; `removed` names instances that it no longer has."""
         for instance in removed:
             worker = self.deliveries.selection.worker(instance)
             if worker is not None:
--- a/bitternpath/roles/edge_links.py
+++ b/bitternpath/roles/edge_links.py
@@ -1,4 +1,4 @@
-"""The links of edge nodes to this storage node."""
+"""The links from edge nodes to this storage node."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     """The newest link of each connected edge node."""
 
     def __init__(self) -> None:
-        """Begin without links."""
+        """Create an empty table."""
         self._links: dict[str, Link] = {}  # by node name
 
     def opened(self, node: NodeDescriptor, link: Link) -> None:
-        """An edge node has introduced itself on a link, which replaces an earlier one."""
+        """Record the link on which an edge node has sent `Hello`; it replaces an earlier one."""
         self._links[node.name] = link
 
     def closed(self, link: Link) -> str:
-        """A link has ended; the name of the edge node that is no longer connected.
+        """Remove a closed link; return the name of the edge node that is no longer connected.
 
-        "" where the link wasn't the newest one of an edge node: that node is still connected.
+        Returns "" if the link wasn't the newest one of an edge node: that node is still connected.
         """
         for name, known in self._links.items():
             if known is link:
@@ -29,17 +29,17 @@
         return ""
 
     def link(self, name: str) -> Link | None:
-        """The link of an edge node, None while it isn't connected."""
+        """The link to an edge node; None while it isn't connected."""
         return self._links.get(name)
 
     def nodes(self) -> list[NodeDescriptor]:
-        """The connected edge nodes, as they describe themselves."""
+        """The descriptors of the connected edge nodes."""
         return [link.peer for link in self._links.values() if link.peer is not None]
 
     def links_in(self, zone: str) -> list[Link]:
-        """The links of the edge nodes in a zone."""
+        """The links to the edge nodes in a zone."""
         return [link for link in self._links.values() if link.peer is not None and link.peer.zone == zone]
 
     def links(self) -> list[Link]:
-        """The links of all edge nodes."""
+        """The links to all edge nodes."""
         return list(self._links.values())
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -1,4 +1,4 @@
-"""An edge node as a process: its HTTP servers, and its graceful shutdown."""
+"""An edge node as a process: its HTTP servers and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -18,16 +18,14 @@
 
 log = logbook.Logger("edge")
 
-RESERVED_DESCRIPTORS = 600  # for files, links to nodes, workers and receivers
+RESERVED_DESCRIPTORS = 600  # for files and for connections to nodes, workers and call-back receivers
 MIN_CONNECTIONS = 64  # of clients, however few descriptors the settings allow
-UNREADY_PERIOD_S = (
-    2.1  # two failed readiness probes of the platform, a second apart: then no new connections come
-)
-UNREADY_GRACE_DIVISOR = 3  # the time of grace divided by this is the longest time for that
-EXIT_RESERVE_S = 1.2  # of the time of grace, kept for the end of the process
-FINAL_ANSWERS_LEAD_S = 0.4  # before that: pending requests are answered, and clients have time to read it
+UNREADY_PERIOD_S = 2.1  # two failed readiness probes, 1 s apart, make the platform stop new connections
+UNREADY_GRACE_DIVISOR = 3  # the unready period is at most the grace period divided by this
+EXIT_RESERVE_S = 1.2  # of the grace period, reserved for the end of the process
+FINAL_ANSWERS_LEAD_S = 0.4  # before that, pending requests are answered, so that clients can read the answers
 LISTEN_BACKLOG = 1024
-CHECK_INTERVAL_S = 0.05  # between checks whether all work is done; also from closing links to the disk
+CHECK_INTERVAL_S = 0.05  # between checks whether all work is done; also from closing links to closing disk
 
 
 class Server(NamedTuple):
@@ -44,7 +42,7 @@
     def __init__(
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
-        """Raises what `EdgeNode` raises."""
+        """Raises the same exceptions as `EdgeNode`."""
         self.settings = settings
         self.node = EdgeNode(reactor, settings, environment)
         self._reactor = reactor
@@ -59,7 +57,7 @@
     # ---- start
 
     def listen(self) -> None:
-        """Open all ports, the internal one last; raises `CannotListenError`, and may be called again then."""
+        """Open all ports, the internal one last; may be called again after `CannotListenError`."""
         for name, address, site in self._servers:
             if address and name not in self._ports:
                 host, _, port = address.rpartition(":")
@@ -70,12 +68,12 @@
         self.node.base.listen()
 
     def start(self) -> None:
-        """Take part in the system."""
+        """Start to take part in the system."""
         self.node.start()
         log.info("event=listening node={} front={}", self.settings.node_name, self.settings.front)
 
     def reload(self) -> None:
-        """Read the settings file again."""
+        """Reload the settings file."""
         self.node.base.reload()
 
     # ---- graceful shutdown
@@ -83,8 +81,8 @@
     def shut_down(self, finished: Callable[[], None]) -> None:
         """Shut down gracefully, then call `finished()`.
 
-        Turn unready at once, answer all requests that were read, return leases and send reports; then close
-        links and disk.
+        Becomes unready at once, answers all requests that were read, returns leases and sends reports; then
+        closes links and disk.
         """
         log.info("event=shutdown_started")
         grace = self.settings.bounds.grace_s
@@ -108,7 +106,7 @@
         self._served = True
 
     def _check_finished(self) -> None:
-        """Wait until all work is done, but no longer than the time of grace allows."""
+        """Wait until all work is done, for no longer than the grace period allows."""
         now = self._reactor.seconds()
         finished = self._is_finished()
         if not self._served and now >= self._give_up_at - FINAL_ANSWERS_LEAD_S:
@@ -133,7 +131,7 @@
         return self._served and not pending
 
     def _answer_pending_requests(self) -> None:
-        """Answer each request that was read and is still pending, however long its deadline is."""
+        """Answer each request that was read and is still pending, whatever its deadline."""
         if not self._pending_requests_answered:
             self._pending_requests_answered = True
             for site in self._sites:
@@ -147,7 +145,7 @@
     # ---- assembly
 
     def _build_servers(self) -> list[Server]:
-        """The servers for clients and workers, the platform and the operator."""
+        """The servers for clients and workers, for the platform and for the operator."""
         settings = self.settings
         node = self.node
         client_server = build_client_server(
--- a/bitternpath/roles/endpoint_list_fallback.py
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -1,7 +1,7 @@
-"""Reads the platform's endpoint list on an edge node itself while the feed brings no fresh one.
+"""Reads the platform's endpoint list on an edge node itself while the feed delivers no recent one.
 
-The configuration's owner reads the list for all nodes. While there is no owner, or this node is cut off from
-it, the edge nodes read it independently, each at its share of the rate that the platform allows.
+The configuration's owner reads the list for all nodes. While there is no owner, or this node is partitioned
+from it, the edge nodes read the list independently, each at its share of the rate that the platform allows.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from bitternpath.discovery.endpoint_list_client import EndpointList, EndpointListClient
 from bitternpath.net.clock import Clock
 
-MAX_FEED_AGE_S = 1.3  # an older catalogue makes this node read the list itself
+MAX_FEED_AGE_S = 1.3  # with an older catalogue, this node reads the list itself
 MIN_INTERVAL_S = 0.25  # between checks, on average
-MIN_RATE_PER_S = 0.1  # of all nodes together, where the settings allow less
-JITTER = (0.7, 0.6)  # an interval is drawn from 0.7 to 1.3 of its mean
+MIN_RATE_PER_S = 0.1  # of all nodes together, even if the settings allow less
+JITTER = (0.7, 0.6)  # lower bound and width of a random factor: an interval is 0.7 to 1.3 of its mean
 
 
 class EndpointListFallback:
-    """Checks the age of the catalogue and, where it is too old, reads the list into it."""
+    """Checks the age of the catalogue and, if it is too old, reads the list into it."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         feed: FeedClient,
         random: Random,
     ) -> None:
-        """`client` reads the list into `catalogue`; `feed` says how many edge nodes share the rate."""
+        """`client` reads the list into `catalogue`; `feed` has the number of nodes that share the rate."""
         self._reactor = reactor
         self._client = client
         self._catalogue = catalogue
@@ -40,7 +40,7 @@
         self._reading = False
 
     def start(self, max_rate_per_s: float) -> None:
-        """Check from now on. `max_rate_per_s` is that of all nodes together."""
+        """Start the checks. `max_rate_per_s` is the rate of all nodes together."""
         self._max_rate_per_s = max(max_rate_per_s, MIN_RATE_PER_S)
         self._check()
 
@@ -65,5 +65,5 @@
         self._catalogue.replace(endpoints.requested_at, endpoints.entries)
 
     def _failed(self, _: object) -> None:
-        """The client has logged why; the next check reads again."""
+        """Read again at the next check."""
         self._reading = False
--- a/bitternpath/roles/environment.py
+++ b/bitternpath/roles/environment.py
@@ -1,6 +1,6 @@
-"""What a role needs of the operating system besides the reactor: randomness, time of day, disk and settings.
+"""What a role needs from the operating system besides the reactor: randomness, wall clock, disk and settings.
 
-It stands behind a protocol, so that the simulation runs the roles unchanged on simulated machines.
+It is defined as a protocol so that the simulation runs the roles unchanged on simulated machines.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 
 
 class ProcessEnvironment(Protocol):
-    """The surroundings of one process."""
+    """The environment of one process."""
 
     @property
     def random(self) -> Random:
-        """The one source of randomness of this process."""
+        """The process's only source of randomness."""
 
     def compaction(self, disk_bytes: int) -> CompactionBounds:
-        """At which sizes replica groups replace log entries by a snapshot; `disk_bytes` 0: unknown."""
+        """The sizes at which replica groups replace log entries by a snapshot; `disk_bytes` 0: unknown."""
 
     def wall_ms(self) -> int:
-        """Time of day in milliseconds since 1970. It may step."""
+        """Wall-clock time in milliseconds since 1970. It may step."""
 
     def disk(self, data_dir: Path) -> NodeDisk:
-        """The disk that has this data folder."""
+        """The disk with this data folder."""
 
     def load_settings(self) -> Settings:
-        """Read the settings file again; raises `SettingsError`."""
+        """Reload the settings file; raises `SettingsError`."""
 
 
 class LocalEnvironment:
     """`ProcessEnvironment` of the operating system."""
 
     def __init__(self) -> None:
-        """Seed the randomness from the operating system."""
+        """Seed the source of randomness from the operating system."""
         self._random = Random()
 
     @property
--- a/bitternpath/roles/event_counts.py
+++ b/bitternpath/roles/event_counts.py
@@ -1,4 +1,4 @@
-"""How often each log event came in this process, by its cause."""
+"""Counts of this process's log events, by cause."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from bitternpath.transport.operator_messages import EventCount
 
-MAX_KEYS = 256  # pairs of an event and a cause; texts of errors may be many
+MAX_KEYS = 256  # pairs of an event and a cause; the number of distinct error texts has no bound
 OTHER_CAUSES = "(others)"
 
 _EVENT = re.compile(r"event=(\S+)")
@@ -15,10 +15,10 @@
 
 
 class EventCounts:
-    """Counts of log lines. Beyond `MAX_KEYS` pairs, further causes of an event are counted together."""
+    """Counts log lines by event and cause. Beyond `MAX_KEYS` pairs, an event's new causes share one count."""
 
     def __init__(self) -> None:
-        """Without events."""
+        """Create an object without counts."""
         self._counts: Counter[tuple[str, str]] = Counter()
 
     def add(self, line: str) -> None:
@@ -39,4 +39,4 @@
         )
 
 
-process_event_counts = EventCounts()  # logging is one a process, and so is this
+process_event_counts = EventCounts()  # one per process, because logging is process-wide
--- a/bitternpath/roles/feed_cache.py
+++ b/bitternpath/roles/feed_cache.py
@@ -1,6 +1,6 @@
-"""The document in which a storage node keeps what the configuration feed brought last.
+"""The document in which a storage node stores the last state that it received from the configuration feed.
 
-With it, shards open after a restart although no owner of the configuration group can be reached.
+It allows shards to open after a restart while no owner of the configuration group can be reached.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class FeedCache:
-    """Saves the state of a `FeedClient`, and restores it at the start of the next process."""
+    """Saves the state of a `FeedClient`, and restores it when the next process starts."""
 
     def __init__(self, reactor: NodeReactor, data_dir: Path, disk: NodeDisk, feed: FeedClient) -> None:
         """`feed` is saved to, and restored from, a document on `disk`, whose folder is `data_dir`."""
@@ -37,7 +37,7 @@
     def load(self) -> None:
         """Restore the feed from the document, if there is one.
 
-        One that can't be read is removed: the feed brings its content again.
+        A document that can't be read is removed: the feed delivers its content again.
         """
         try:
             data = self._disk.read_document(CACHE_DOCUMENT)
@@ -45,7 +45,7 @@
                 return
             update: FeedUpdate = CACHE_CODEC.decode(data)
             self._feed.restore(update)
-        except (CorruptDocumentError, ValueError) as error:  # of the codec, or of the configuration in it
+        except (CorruptDocumentError, ValueError) as error:  # of the codec or of the configuration
             log.warning("event=feed_cache_discarded error={!r}", str(error))
             self._disk.remove_document(CACHE_DOCUMENT)
             return
@@ -56,7 +56,7 @@
         )
 
     def save(self) -> None:
-        """Write the feed's present state, in a thread; a write that fails is repeated."""
+        """Write the feed's current state in a thread; a failed write is retried."""
         feed = self._feed
         document = pack_document(json.dumps(feed.document).encode()) if feed.document else None
         update = FeedUpdate(
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -1,4 +1,4 @@
-"""The queue shards that have a replica on this storage node: opening and closing them by the placement."""
+"""The queue shards with a replica on this storage node: opens and closes them to match the placement."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class HostedShards:
-    """Owns the table of this node's shards, and passes events that concern all of them on to each.
+    """Owns the table of this node's shards, and forwards events that concern all of them.
 
     Attributes:
-        runtimes: the open shards by the name of their group.
-        placements: the newest placement of each group of the system, also of those without a replica here.
+        runtimes: the open shards, by the name of their group.
+        placements: the newest placement of each group of the system, including those without a replica here.
     """
 
     def __init__(
         self, host: ReplicaHost, transport: GroupTransport, membership_reconciler: MembershipReconciler
     ) -> None:
-        """`membership_reconciler` brings the members of groups that this node owns to their placement."""
+        """`membership_reconciler` changes the members of owned groups to match their placement."""
         self.runtimes: dict[str, ShardRuntime] = {}
         self.placements: dict[str, GroupPlacement] = {}
         self._host = host
@@ -39,7 +39,7 @@
         self._slots: dict[str, int] | None = None
 
     def requests(self, group: str) -> ShardRequests | None:
-        """Who answers requests to a shard; None where it has no replica here."""
+        """The request handler of a shard; None if it has no replica here."""
         return self._requests.get(group)
 
     def owned(self) -> Iterator[tuple[str, GroupPlacement]]:
@@ -51,10 +51,10 @@
     # ---- placement
 
     def apply_placement(self, context: ShardContext, groups: tuple[GroupPlacement, ...]) -> None:
-        """Follow a placement of all the system's shards.
+        """Apply a placement of all the system's shards.
 
-        Shards that it places here are opened, and so are those that the disk has: a replica that is to be
-        removed may still be needed for a majority. None is closed here (see `replica_garbage_collection`).
+        Opens the shards that it places here and those whose state is on disk: a replica that is to be removed
+        may still be needed for a majority. Closes none (see `replica_garbage_collection`).
         """
         for placement in groups:
             self.placements[placement.group] = placement
@@ -72,7 +72,7 @@
         """Take part in a shard's group.
 
         Only the first placement of a group names its founders, each by the identity of its disk. A disk that
-        was added later isn't among them, and one that has given up its replica founds nothing.
+        was added later isn't among them, and a disk whose replica was removed must not found the group again.
         """
         group = placement.group
         founders = None
@@ -97,7 +97,7 @@
     # ---- events that concern all shards
 
     def configure(self, table: RoutingTable) -> None:
-        """Follow another configuration from now on."""
+        """Apply another configuration to all shards."""
         self._table = table
         for runtime in self.runtimes.values():
             runtime.configure(table)
@@ -109,11 +109,11 @@
             runtime.set_capacities(slots)
 
     def edge_connected(self, node: NodeDescriptor, link: Link, *, restarted: bool) -> None:
-        """An edge node has introduced itself (see `ShardRuntime.edge_connected`)."""
+        """Forward to all shards (see `ShardRuntime.edge_connected`)."""
         for runtime in self.runtimes.values():
             runtime.edge_connected(node, link, restarted=restarted)
 
     def edge_link_closed(self, name: str, link: Link) -> None:
-        """A link has ended (see `ShardRuntime.edge_link_closed`)."""
+        """Forward to all shards (see `ShardRuntime.edge_link_closed`)."""
         for runtime in self.runtimes.values():
             runtime.edge_link_closed(name, link)
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of the system as the configuration's owner sees them: who follows, who is down, who is new."""
+"""The system's nodes as the configuration's owner sees them: which follow the feed, are down or are new."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LiveNodes:
-    """Valid while this node owns the configuration group; `begin` restarts it for each ownership."""
+    """Liveness of nodes, valid while this node owns the configuration group; `begin` restarts it."""
 
     def __init__(self, reactor: Clock, feed: FeedServer) -> None:
         """`feed` is served by this node while it is the owner."""
@@ -21,14 +21,14 @@
         self._owned_since = reactor.seconds()
 
     def begin(self, known: Collection[str]) -> None:
-        """This node has become the owner; `known` are names of nodes that belong to the system already."""
+        """Restart for a new ownership; `known` are names of nodes that belong to the system already."""
         self._owned_since = self._reactor.seconds()
         self._liveness = NodeLiveness(self._owned_since, known)
 
     def update(self) -> None:
         """Record when each node with a disk was last contacted.
 
-        To be called four times a second or more often.
+        Must be called at least four times a second.
         """
         last_seen: dict[str, float] = {}
         for node, at in self._feed.last_contacts():
@@ -45,7 +45,7 @@
         return self._liveness.down_for(self._reactor.seconds(), name)
 
     def up_for(self, name: str) -> float:
-        """Seconds since a node joined; infinite where it was there before this ownership."""
+        """Seconds since a node joined; infinite if it had joined before this ownership."""
         return self._liveness.up_for(self._reactor.seconds(), name)
 
     def storage(self) -> list[NodeDescriptor]:
@@ -57,9 +57,9 @@
         return [node for node in self._live() if node.kind is NodeKind.EDGE and node.counted]
 
     def _live(self) -> list[NodeDescriptor]:
-        """Nodes with a disk that follow and aren't draining.
+        """Nodes with a disk that follow the feed, are up and aren't draining.
 
-        Of one name only the newest incarnation counts: the link of an earlier process may not have ended yet.
+        Only the newest incarnation of a name counts: the link of an earlier process may not have closed yet.
         """
         newest: dict[str, NodeDescriptor] = {}
         with_disk = (node for node in self._feed.subscribed_nodes() if node.disk)
--- a/bitternpath/roles/logs.py
+++ b/bitternpath/roles/logs.py
@@ -1,6 +1,6 @@
 """Log lines of the system's processes, on standard error.
 
-One line an event: `t=SECONDS level=LEVEL part=CHANNEL event=NAME key=value ...`. The events are listed in
+One line per event: `t=SECONDS level=LEVEL part=CHANNEL event=NAME key=value ...`. The events are listed in
 docs/operate/events.md.
 """
 
@@ -22,22 +22,22 @@
 
 
 class _LogHandler(logbook.StreamHandler):  # type: ignore[misc]
-    """Writes without a lock: only the reactor's thread logs. Counts what it writes."""
+    """Writes log lines without a lock, because only the reactor's thread logs, and counts them."""
 
     def emit(self, record: Any) -> None:
-        """Count and write a line; `record` is logbook's."""
+        """Count and write a line; `record` is a logbook record."""
         process_event_counts.add(record.message)
         super().emit(record)
 
     def format(self, record: Any) -> str:
-        """One log line; `record` is logbook's."""
+        """Format one log line; `record` is a logbook record."""
         level = record.level_name.lower()
         trace = f" traceback={record.formatted_exception!r}" if record.exc_info else ""
         return f"t={time.monotonic():.3f} level={level} part={record.channel} {record.message}{trace}"
 
 
 def log_level() -> str:
-    """The least severe level that the environment asks for, one of `LEVELS`; raises `SettingsError`."""
+    """The minimum severity set in the environment, one of `LEVELS`; raises `SettingsError`."""
     configured = os.environ.get(LEVEL_VARIABLE) or "info"
     if configured.lower() not in LEVELS:
         raise SettingsError(f"{LEVEL_VARIABLE}: must be one of {', '.join(LEVELS)}, not {configured!r}")
@@ -45,7 +45,7 @@
 
 
 def start_logging(node_name: str, level: str) -> None:
-    """Log from now on what is at least as severe as `level`, one of `LEVELS`; also what Twisted logs."""
+    """Log events of severity `level` (one of `LEVELS`) or higher, including those that Twisted reports."""
     handler = _LogHandler(sys.stderr, level=level.upper())
     handler.push_application()
     observers = cast("list[ILogObserver]", [_observe])
@@ -54,7 +54,7 @@
 
 
 def _observe(event: Any) -> None:
-    """Log errors that Twisted reports: a failure in a call of the reactor, or one that no errback handled."""
+    """Log errors that Twisted reports: a failed call of the reactor, or a failure without an errback."""
     failure = event.get("log_failure")
     if failure is not None:
         logbook.Logger("twisted").error("event=unhandled_failure traceback={!r}", failure.getTraceback())
--- a/bitternpath/roles/membership_reports.py
+++ b/bitternpath/roles/membership_reports.py
@@ -1,7 +1,7 @@
 """Reports of a shard's committed members by its owner.
 
-The configuration's owner learns from them which retirements are complete, and a replica that was removed
-learns that it may be deleted.
+They tell the configuration's owner which retirements are complete, and a removed replica that it may be
+deleted.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class MembershipReporter:
-    """Sends `MembershipReport` for groups that this node owns and that have no open change of members."""
+    """Sends `MembershipReport` for groups that this node owns and whose members aren't being changed."""
 
     def __init__(self, host: ReplicaHost, feed: FeedClient) -> None:
-        """`feed` knows the link to the configuration's owner."""
+        """`feed` provides the link to the configuration's owner."""
         self._host = host
         self._feed = feed
 
     def report(self, group: str) -> None:
-        """Report to the configuration's owner, if it can be reached; called again and again."""
+        """Report to the configuration's owner, if it can be reached; called repeatedly."""
         link = self._feed.owner_link()
         if link is not None:
             self._send(link, group)
@@ -29,8 +29,8 @@
     def respond(self, link: Link, request: MembershipRequest) -> None:
         """Report to a replica that asks whether it may be deleted.
 
-        A read barrier comes first: the replica may hold the last copy, so an owner that may have a successor
-        says nothing.
+        A read barrier comes first: the replica may be the last copy, so an owner that may have a successor
+        doesn't respond.
         """
         self._host.read_barrier(request.group).addCallbacks(
             lambda _: self._send(link, request.group), lambda _: None
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -1,4 +1,4 @@
-"""The parts that nodes of both roles have: disk, identity, links, membership, the feed, replica groups."""
+"""The components common to both roles: disk, identity, links, membership, feed and replica groups."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 log = logbook.Logger("node")
 
-JOURNAL_DISK_SHARE = 0.35  # of the disk: at this size the journal is replaced by a checkpoint
-DEFAULT_JOURNAL_BYTES = 64 << 20  # the same where the size of the disk isn't known
+JOURNAL_DISK_SHARE = 0.35  # of the disk; at this size, a checkpoint replaces the journal
+DEFAULT_JOURNAL_BYTES = 64 << 20  # the same if the size of the disk is unknown
 
-RecordHandler = Callable[[Link, Any], None]  # what a role does with records of one kind
+RecordHandler = Callable[[Link, Any], None]  # handles records of one kind
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessContext:
-    """What a process gives its node. Without an environment the node runs in that of the operating system."""
+    """What a process provides to its node. Without an environment, the operating system's is used."""
 
     reactor: NodeReactor
     settings: Settings
@@ -50,18 +50,18 @@
 
 
 class NodeBase:
-    """Assembles the common parts.
+    """Assembles the common components.
 
     Attributes:
-        disk: None for a node without a data folder; `journal` and `host` then are None, too.
+        disk: None for a node without a data folder; `journal` and `host` are then None, too.
         journal: the write-ahead log of all replica groups; None again once the disk is closed.
-        host: the replica groups that this node takes part in.
-        view: the nodes of the system, by gossip.
+        host: the replica groups in which this node takes part.
+        view: the nodes of the system, learned by gossip.
         hub: links to other nodes.
         feed: follows the configuration group.
         transport: carries the messages of replica groups.
-        wall_clock: time of day that doesn't step.
-        random: the process's one source of randomness.
+        wall_clock: wall-clock time that doesn't step.
+        random: the process's only source of randomness.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
             self.host = self._open_host(self.disk)
 
     def listen(self) -> None:
-        """Open the internal port, TCP and UDP; raises `CannotListenError`, and may be called again then."""
+        """Open the internal port, TCP and UDP; may be called again after `CannotListenError`."""
         host, _, port = self.settings.internal_address.rpartition(":")
         self.hub.listen(host, int(port))
         try:
@@ -109,7 +109,7 @@
             raise
 
     def start(self) -> None:
-        """Begin to follow the feed; other nodes reach this one since `listen`."""
+        """Start to follow the feed; other nodes can connect to this one since `listen`."""
         self.feed.start()
 
     def stop(self) -> None:
@@ -121,19 +121,19 @@
         self.hub.stop()
 
     def close_disk(self) -> None:
-        """Write what is queued and close the files. Blocks for up to 2 s: only once the links are closed."""
+        """Write what is queued and close the files. Blocks for up to 2 s, so links must be closed first."""
         journal = self.journal
         self.journal = None
         if journal is not None:
             journal.close()
 
     def announce_draining(self) -> None:
-        """Tell all nodes that this one is about to stop."""
+        """Announce to all peers that this node is about to stop."""
         self.view.local_node = replace(self.view.local_node, draining=True)
         self.hub.announce()
 
     def reload(self) -> None:
-        """Read the settings file again. Only `seeds` take effect; a file with an error changes nothing."""
+        """Reload the settings file. Only `seeds` takes effect; a file with an error changes nothing."""
         try:
             settings = self._environment.load_settings()
         except SettingsError as error:
@@ -168,9 +168,9 @@
 
 
 def _load_identity(settings: Settings, disk: NodeDisk | None) -> str:
-    """The disk's identity, "" without a disk. It is the first thing that is read of a disk.
+    """The disk's identity, "" without a disk. It is read before anything else on the disk.
 
-    The bootstrap decision is only read to find damage now, while the process can still quarantine the disk.
+    The bootstrap decision is read only to detect damage now, while the process can still quarantine the disk.
     """
     if settings.data_dir is None or disk is None:
         return ""
--- a/bitternpath/roles/operator_calls.py
+++ b/bitternpath/roles/operator_calls.py
@@ -1,8 +1,8 @@
 """The operator's calls on any edge node: the configuration's owner decides them, other nodes forward them.
 
-A call is forwarded at most once: a node that receives a forwarded call and doesn't own the group says so.
-Every call is answered before the operator turns to another node. One without a clear answer by then gets 503,
-and when the operator sends it again, the owner finds the result of the first one.
+A call is forwarded at most once: a node that receives a forwarded call and doesn't own the group answers
+`NOT_OWNER`. Every call is answered before the operator turns to another node. A call without a definite
+result by then gets 503; when the operator repeats it, the owner finds the result of the first one.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 from bitternpath.transport.messages import Response
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
-ANSWER_TIMEOUT_S = 0.8  # the operator turns to another node after a second without an answer
-BODY_BYTES_PER_S = 1 << 20  # large bodies take longer to reach the owner, and the operator waits longer
+ANSWER_TIMEOUT_S = 0.8  # the operator turns to another node after 1 s without an answer
+BODY_BYTES_PER_S = 1 << 20  # a large body takes longer to reach the owner, and the operator waits longer
 CONFIGURATION_PATH = "/config"
 RETIRE_PREFIX = "/retire/"
 
 
 class OperatorCalls:
-    """Answers the calls that reach one node."""
+    """Answers the operator's calls that reach this node."""
 
     def __init__(self, reactor: Clock, feed: FeedClient, member: ConfigurationMember | None) -> None:
-        """`feed` knows the link to the owner; `member` is None on nodes that can't be the owner."""
-        self._reactor: Any = reactor  # Deferred.addTimeout asks for the zope interface
+        """`feed` provides the link to the owner; `member` is None on nodes that can't be the owner."""
+        self._reactor: Any = reactor  # Any, because Deferred.addTimeout requires the zope interface
         self._feed = feed
         self._member = member
 
     def call(self, method: str, path: str, if_match: str, body: bytes) -> Deferred[OperatorReply]:
-        """Answer a call of the operator within the timeout; never fails."""
+        """Answer a call of the operator within the time-out; the Deferred never fails."""
         request = OperatorRequest(0, method, path, if_match, body)
         if self._member is not None and self._member.is_owner():
             answer = self.handle_request(request).addCallback(_reply)
@@ -48,7 +48,7 @@
         return answer.addTimeout(_timeout_s(body), self._reactor).addErrback(_no_answer)
 
     def handle_request(self, request: OperatorRequest) -> Deferred[OperatorResult]:
-        """Decide a call on the owner; other nodes answer `NOT_OWNER`. Never fails."""
+        """Decide a call on the owner; other nodes answer `NOT_OWNER`. The Deferred never fails."""
         member = self._member
         if member is None or not member.is_owner():
             return succeed(operator_result(ResultCode.NOT_OWNER, "this node doesn't own the configuration"))
--- a/bitternpath/roles/ownership_return.py
+++ b/bitternpath/roles/ownership_return.py
@@ -1,20 +1,20 @@
-"""When ownership of a shard returns to the member that its placement prefers. Pure; time is an argument.
+"""Decides when a shard's ownership returns to its preferred member. Pure; time is an argument.
 
 Each storage node is the preferred owner of its share of the shards, so that load is even and edge nodes find
-owners in their own zone. After a node was away, others own its shards.
+owners in their own zone. While a node is away, other nodes take over its shards.
 """
 
 from __future__ import annotations
 
-INITIAL_DELAY_S = 6.0  # the preferred member must have been eligible for so long without a break
-MAX_DELAY_S = 300.0  # the delay doubles with each transfer: a member that came and went was no gain
+INITIAL_DELAY_S = 6.0  # for which the preferred member must have been eligible without interruption
+MAX_DELAY_S = 300.0  # the delay doubles with each transfer, as an unstable member shouldn't be the owner
 
 
 class OwnershipReturn:
-    """For each group: since when its preferred member has been eligible, and how long that must last."""
+    """Since when each group's preferred member has been eligible, and how long it must have been."""
 
     def __init__(self) -> None:
-        """Begin without groups."""
+        """Create an object without groups."""
         self._eligible_since: dict[str, float] = {}
         self._delays: dict[str, float] = {}
 
@@ -22,7 +22,7 @@
         """Record whether a group's preferred member is eligible; return whether to transfer ownership to it.
 
         `now` is in seconds. `eligible`: the member is a voter on another node, caught up, and responded
-        recently. To be called a few times a second; each True doubles the delay before the next one of the
+        recently. Must be called a few times a second; each True doubles the delay before the next one of the
         same group.
         """
         if not eligible:
--- a/bitternpath/roles/pending_polls.py
+++ b/bitternpath/roles/pending_polls.py
@@ -1,4 +1,4 @@
-"""Long polls of pulling workers at the shard's owner: by the owner's number, and by link and request."""
+"""Long polls of pulling workers at a shard's owner, by poll id and by link and request number."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class PullKey(NamedTuple):
-    """Names a `PullRequest`. Its number is unique on its link only."""
+    """Identifies a `PullRequest`, whose number is unique on its link only."""
 
     link: Link
     number: int
 
 
 class PendingPolls:
-    """Long polls that haven't been answered. Poll ids are never used again."""
+    """Long polls that haven't been answered. Poll ids are never reused."""
 
     def __init__(self) -> None:
-        """Begin without polls."""
+        """Create an object without polls."""
         self._keys: dict[int, PullKey] = {}
         self._poll_ids: dict[PullKey, int] = {}
         self._last_poll_id = 0
 
     def add(self, link: Link, number: int) -> int:
-        """Register the request `number` of an edge node; the id of its poll."""
+        """Register the request `number` of an edge node; return the id of its poll."""
         self._last_poll_id += 1
         key = PullKey(link, number)
         self._keys[self._last_poll_id] = key
@@ -34,22 +34,22 @@
         return self._last_poll_id
 
     def find(self, link: Link, number: int) -> int | None:
-        """The poll of a request; None where it has been answered."""
+        """The poll id of a request; None if it has been answered."""
         return self._poll_ids.get(PullKey(link, number))
 
     def answer(self, poll_id: int, lease_id: str = "", message: Message | None = None) -> None:
-        """Answer a poll with a job, or with none. Does nothing where it is no longer pending."""
+        """Answer a poll, with a job or without one. Does nothing if it is no longer pending."""
         key = self._remove(poll_id)
         if key is not None:
             key.link.send(PullResponse(key.number, lease_id, message))
 
     def answer_all(self) -> None:
-        """Answer all polls with no job."""
+        """Answer all polls without a job."""
         for poll_id in list(self._keys):
             self.answer(poll_id)
 
     def drop_link(self, link: Link) -> list[int]:
-        """Forget the polls that came over a link that has ended; their ids."""
+        """Remove the polls of a link that has closed; return their ids."""
         dropped = [poll_id for poll_id, key in self._keys.items() if key.link is link]
         for poll_id in dropped:
             self._remove(poll_id)
--- a/bitternpath/roles/periodic_call.py
+++ b/bitternpath/roles/periodic_call.py
@@ -1,4 +1,4 @@
-"""A call that is repeated, by a reactor's clock."""
+"""Calls a function periodically, by a reactor's clock."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class PeriodicCall:
-    """Calls a function now and then every `interval` seconds, until it is stopped.
+    """Calls a function at `start` and then every `interval` seconds, until it is stopped.
 
-    The next call is scheduled before the function runs, so that a fault in one run doesn't end the series.
+    The next call is scheduled before the function runs, so that an exception in one run doesn't end the
+    series.
     """
 
     def __init__(self, reactor: Clock, interval: float, call: Callable[[], None]) -> None:
@@ -21,7 +22,7 @@
         self._scheduled: Timer | None = None
 
     def start(self) -> None:
-        """Make the first call at once."""
+        """Make the first call immediately."""
         self._scheduled = self._reactor.callLater(self._interval, self.start)
         self._call()
 
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -1,4 +1,4 @@
-"""Runs a role as a process: settings, logging, a damaged disk, ports, signals, the exit code."""
+"""Runs a role as a process: settings, logging, damaged disks, ports, signals and the exit code."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 SIGNALS_BLOCKED_AT_START = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 PORT_RETRY_INTERVAL_S = 0.1
-PORT_RETRY_TIMEOUT_S = 5.0  # the process before may still be ending; a storage node ends within 4 s
-QUARANTINE_DISK_SHARE = 0.25  # of the disk: what `disk_capacity.MAX_USED_SHARE` leaves free
+PORT_RETRY_TIMEOUT_S = 5.0  # the previous process may still be ending; a storage node ends within 4 s
+QUARANTINE_DISK_SHARE = 0.25  # of the disk; what `disk_capacity.MAX_USED_SHARE` leaves free
 
 
 class ExitCode(IntEnum):
-    """How a process of the system ends (docs/ERRORS.md)."""
+    """Exit codes of the system's processes (docs/ERRORS.md)."""
 
     STOPPED = 0
     FAULT = 1
@@ -42,23 +42,23 @@
 
 
 class Role(Protocol):
-    """An edge or a storage node, as its process drives it."""
+    """An edge or a storage node, as its process controls it."""
 
     def listen(self) -> None:
-        """Open all ports; raises `CannotListenError`, and may be called again then."""
+        """Open all ports; may be called again after `CannotListenError`."""
 
     def start(self) -> None:
-        """Take part in the system. Called once, in the reactor's turn in which the last port was opened."""
+        """Start to take part in the system. Called once, in the reactor turn that opened the last port."""
 
     def reload(self) -> None:
-        """Read the settings file again (SIGHUP)."""
+        """Reload the settings file (SIGHUP)."""
 
     def shut_down(self, finished: Callable[[], None]) -> None:
-        """Shut down gracefully (SIGTERM), then call `finished()`, well within the time of grace."""
+        """Shut down gracefully (SIGTERM), then call `finished()`, well within the grace period."""
 
 
 class LifecycleState(Enum):
-    """Where a process stands in its life; it only ever moves on to a later state."""
+    """The state of a process; it only ever moves to a later state."""
 
     WAITING_FOR_PORTS = "waiting for ports"
     RUNNING = "running"
@@ -66,19 +66,19 @@
 
 
 class RoleLifecycle:
-    """The life of a role in a reactor.
+    """The life cycle of a role in a reactor.
 
-    The role listens, again and again while a port is taken, and starts once it does. A fault before or at its
-    start ends the process with a code of its own; after that it ends by `stop`.
+    Listening is retried while a port is in use; the role starts once all ports are open. A fault before or
+    during the start ends the process with its own exit code; after the start, the process ends by `stop`.
 
     Attributes:
         role: the running role.
         exit_code: valid once the reactor has stopped.
-        state: moves as above.
+        state: the state of the process.
     """
 
     def __init__(self, reactor: NodeReactor, role: Role) -> None:
-        """`begin` is to be called once `reactor` runs."""
+        """`begin` must be called once `reactor` runs."""
         self.role = role
         self.exit_code = ExitCode.STOPPED
         self.state = LifecycleState.WAITING_FOR_PORTS
@@ -87,16 +87,16 @@
         self._retry: Timer | None = None
 
     def begin(self) -> None:
-        """Begin to listen; to be called when the reactor runs."""
+        """Start listening. Must be called when the reactor runs."""
         self._give_up_at = self._reactor.seconds() + PORT_RETRY_TIMEOUT_S
         self._listen()
 
     def reload(self) -> None:
-        """Have the settings file read again (SIGHUP)."""
+        """Reload the settings file (SIGHUP)."""
         self.role.reload()
 
     def stop(self) -> None:
-        """End the process gracefully (SIGTERM); repeated calls change nothing."""
+        """End the process gracefully (SIGTERM); repeated calls have no effect."""
         match self.state:
             case LifecycleState.WAITING_FOR_PORTS:
                 self._end(ExitCode.STOPPED)
@@ -154,7 +154,7 @@
 
 
 def run_role(name: str) -> int:
-    """Run the role `edge` or `storage` until it is stopped; the process's exit code."""
+    """Run the role `edge` or `storage` until it is stopped; return the exit code of the process."""
     environment = LocalEnvironment()
     try:
         settings = environment.load_settings()
@@ -181,15 +181,16 @@
 def build_role(
     name: str, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
 ) -> Role:
-    """Build the role `edge` or `storage`, on a disk that can be read.
+    """Build the role `edge` or `storage`, after quarantining the content of a damaged disk.
 
-    The content of a damaged disk is quarantined, so that the node continues as one whose disk was lost. Such
-    a disk isn't a new one, whatever the settings say: the node must not bootstrap a system again.
+    After a quarantine, the node continues as one whose disk was lost. Such a disk isn't a new one, whatever
+    the settings say: the node must not bootstrap a system again.
 
     Raises:
         SettingsError: the role can't run with these settings.
         OSError: the disk can't be read or written.
-        CorruptJournalError, CorruptDocumentError: the disk doesn't even read back what is written on it now.
+        CorruptJournalError, CorruptDocumentError: after the quarantine, the disk doesn't read back what was
+            written.
     """
     environment = environment or LocalEnvironment()
     disk = None if settings.data_dir is None else environment.disk(settings.data_dir)
@@ -234,13 +235,13 @@
 
 
 def _disk_unusable(error: Exception) -> ExitCode:
-    """For a fault outside of the program, which a traceback wouldn't explain."""
+    """Log a fault outside the program, which a traceback wouldn't explain."""
     log.error("event=disk_unusable error={!r}", str(error))
     return ExitCode.NO_DISK
 
 
 def _monotonic_reactor() -> Any:
-    """Twisted's reactor, with timers on the monotonic clock: the time of day may step by seconds."""
+    """Twisted's reactor with timers on the monotonic clock, as the wall clock may step by seconds."""
     from twisted.internet import reactor
 
     running: Any = reactor
@@ -249,7 +250,7 @@
 
 
 def _handle_signals(reactor: NodeReactor, lifecycle: RoleLifecycle) -> None:
-    """Handle signals in the reactor's thread. Those that came earlier were blocked, and are handled now."""
+    """Handle signals in the reactor's thread; those blocked since the start are delivered now."""
 
     def stop(_signal: int, _frame: object) -> None:
         reactor.callFromThread(lifecycle.stop)
--- a/bitternpath/roles/quota_borrowing.py
+++ b/bitternpath/roles/quota_borrowing.py
@@ -21,14 +21,14 @@
 from bitternpath.transport.messages import Response
 from bitternpath.transport.quota_messages import TokenRequest, TokenResponse
 
-QUOTA_LINK_USER = "tokens"  # of the hub's links
+QUOTA_LINK_USER = "tokens"  # name as a user of the hub's links
 
 
 class QuotaBorrower:
-    """Finds the owner of a home shard and asks it for tokens.
+    """Finds the owner of a home shard and requests tokens from it.
 
-    The owner is this node, or the leader that a replica here knows; else the members of the placement are
-    asked in turn, the preferred one first.
+    The owner is this node, or the leader that a replica here knows. Otherwise the members of the placement
+    are tried in turn, the preferred one first.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self._host = host
         self._placements = placements
         self._shards = shards
-        self._attempts: Counter[str] = Counter()  # by group: members that were asked in vain
-        self._dialled: dict[str, str] = {}  # by group: the address that is asked
-        self._unanswered_since: dict[str, float] = {}  # by group: when the first unanswered request was sent
+        self._attempts: Counter[str] = Counter()  # failed attempts, by group; they select the next member
+        self._dialled: dict[str, str] = {}  # address of the member that is tried, by group
+        self._unanswered_since: dict[str, float] = {}  # when the first unanswered request was sent, by group
 
     def borrow(self, group: str, service: str, wanted: int) -> Deferred[int]:
-        """Ask the owner of `group` for up to `wanted` tokens of a service.
+        """Request up to `wanted` tokens of a service from the owner of `group`.
 
-        Fires with the tokens that are lent, 0 where no owner is found; never fails.
+        Fires with the number of tokens lent, 0 if no owner is found; never fails.
         """
         local = self._shards.get(group)
         if local is not None and local.ownership is not None:
@@ -65,7 +65,7 @@
         return request.addCallbacks(self._answered, lambda _: self._failed(group), callbackArgs=(group,))
 
     def _link(self, group: str) -> Link | None:
-        """The link to the member that is asked now; None where there is none yet."""
+        """The link to the member that is tried now; None if it isn't open."""
         self._skip_unresponsive(group)
         member = self._candidate(group)
         if member is None or member.member == self._host.member_id:
@@ -75,10 +75,10 @@
         return self._hub.link_to(member.address)
 
     def _dial(self, group: str, address: str) -> None:
-        """Keep a link to the member that is asked.
+        """Maintain a link to the member that is tried now.
 
-        The link to the previous one is released, as that may be down permanently and would be dialled again
-        and again.
+        The link to the previous one is released: that member may be down permanently, and would be dialled
+        again and again.
         """
         previous = self._dialled.get(group, address)
         self._dialled[group] = address
@@ -95,7 +95,7 @@
         return known or placement.members[self._attempts[group] % len(placement.members)]
 
     def _skip_unresponsive(self, group: str) -> None:
-        """Go on to another member where one hasn't answered for so long that a loan would have lapsed."""
+        """Try another member if one hasn't answered for longer than a loan lasts."""
         since = self._unanswered_since.get(group)
         if since is not None and self._reactor.seconds() - since > QUOTA_LEASE_S:
             self._failed(group)
--- a/bitternpath/roles/replica_garbage_collection.py
+++ b/bitternpath/roles/replica_garbage_collection.py
@@ -1,9 +1,9 @@
-"""Deletes replicas that this node no longer needs to keep.
+"""Deletes replicas that this node no longer needs.
 
-A replica stays for as long as it may be the last copy of something: until the owner of its group reports that
-members without it are committed, by a placement at least as new as the newest one known here. Those members
-then have all that was committed before, a majority of them on disk. A node that was down meanwhile asks when
-it is back.
+A replica is kept for as long as it may be the last copy of something: until the owner of its group reports
+that members without it are committed, by a placement at least as new as the newest one known here. Those
+members then have all that was committed before, a majority of them on disk. A node that was down in the
+meantime asks the owner when it is back.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 log = logbook.Logger("storage")
 
-QUERY_INTERVAL_S = 1.0  # between queries whether a replica may be deleted; nothing waits for the space
+QUERY_INTERVAL_S = 1.0  # between queries whether a replica may be deleted; freeing the space isn't urgent
 
 
 class ReplicaGarbageCollector:
@@ -36,8 +36,8 @@
     ) -> None:
         """Collect replicas of `host`.
 
-        `close(group, generation)` closes a replica and deletes its state. `placements` by group is the table
-        of `HostedShards`; it is only read.
+        `close(group, generation)` closes a replica and deletes its state. `placements`, by group, is the
+        table of `HostedShards`; it is only read.
         """
         self._reactor = reactor
         self._hub = hub
@@ -47,7 +47,10 @@
         self._queried_at = float("-inf")
 
     def query_owners(self) -> None:
-        """Ask the members of such groups for a report, every `QUERY_INTERVAL_S`; their owner answers."""
+        """Ask the owners of groups that are no longer placed here for a report, every `QUERY_INTERVAL_S`.
+
+        All members are asked; only the owner responds.
+        """
         now = self._reactor.seconds()
         if now - self._queried_at < QUERY_INTERVAL_S:
             return
@@ -65,13 +68,13 @@
                 link.send(MembershipRequest(placement.group))
 
     def reported(self, report: MembershipReport) -> None:
-        """An owner has reported its committed members."""
+        """Handle an owner's report of its committed members."""
         if self.may_close(report):
             log.info("event=replica_closed group={} generation={}", report.group, report.generation)
             self._close(report.group, report.generation)
 
     def may_close(self, report: MembershipReport) -> bool:
-        """Whether the replica here may be closed. A report older than what is known here shows nothing."""
+        """Whether the replica here may be closed. A report older than what is known here proves nothing."""
         placement = self._placements.get(report.group)
         if placement is None or report.group not in self._host.groups or self._names_this_node(placement):
             return False
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -1,6 +1,6 @@
-"""Retirement of storage nodes by the operator: all replicas move away from a node.
+"""Retirement of storage nodes by the operator: all replicas are moved away from a node.
 
-The owner of the configuration does this work.
+It is one of the tasks of the configuration's owner.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 log = logbook.Logger("configuration")
 
-FOLLOWERS_KNOWN_AFTER_S = 3.0  # of ownership: followers need 1.3 s to notice that the last owner is gone
+FOLLOWERS_KNOWN_AFTER_S = 3.0  # of ownership; followers notice the loss of the last owner after 1.3 s
 
 
 class Retirements:
@@ -45,19 +45,19 @@
         self._finishing = False
 
     def begin(self) -> None:
-        """This node owns the configuration from now on.
+        """Restart for a new ownership.
 
-        Reports to an earlier owner are lost and come again; completed retirements are committed.
+        Reports to an earlier owner are lost and will be sent again; completed retirements are committed.
         """
         self._reports = MembershipReports()
 
     def reported(self, report: MembershipReport) -> None:
-        """A shard's owner has reported its committed members."""
+        """Handle a shard owner's report of its committed members."""
         self._reports.update(report)
         self.reconcile()
 
     def reconcile(self) -> None:
-        """Commit the completion of a retirement, once the reports show one."""
+        """Commit the completion of a retirement once the reports prove it."""
         finish = None if self._finishing else next_finished_retirement(self._state, self._reports)
         if finish is not None:
             log.info("event=retirement_completed node={}", finish.node)
@@ -88,16 +88,19 @@
         return self._group.propose(COMMANDS.encode(command)).addCallbacks(self._applied, _outcome_unknown)
 
     def _applied(self, accepted: object) -> OperatorResult:
-        """By the committed state: of two retirements at once, one may leave too few nodes for the other."""
+        """Answer by the committed state.
+
+        Of two concurrent retirements, one may leave too few nodes for the other.
+        """
         if accepted:
             return OperatorResult(ResultCode.RETIRING, state_body(RetireState.RUNNING))
         return self._refuse(ResultCode.TOO_FEW_NODES, RetireCheck.TOO_FEW_LEFT)
 
     def _refuse(self, code: ResultCode, check: RetireCheck) -> OperatorResult:
-        """Refuse for good only what no node that this owner hasn't heard of could make valid.
+        """Refuse permanently only what no node that is still unknown to this owner could make valid.
 
-        An operator doesn't send a call again that ended with 404 or 409. A node that joined just before this
-        node became the owner is neither in the committed state nor subscribed here yet.
+        An operator doesn't repeat a call that ended with 404 or 409. A node that joined just before this node
+        became the owner is neither in the committed state nor subscribed here yet.
         """
         if self._nodes.owned_for() < FOLLOWERS_KNOWN_AFTER_S:
             return operator_result(ResultCode.NOT_OWNER, "this owner doesn't know all nodes yet")
@@ -110,7 +113,7 @@
     def _progress_now(self, node: str) -> OperatorResult:
         state = retirement_state(self._state, node)
         if state is RetireState.UNKNOWN:
-            return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being emptied")
+            return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being retired")
         return OperatorResult(ResultCode.RETIRING, state_body(state))
 
 
--- a/bitternpath/roles/settings.py
+++ b/bitternpath/roles/settings.py
@@ -1,7 +1,7 @@
 """The settings of a process of the system, read from a TOML file (DEPLOY, "Settings of a process").
 
-`BITTERNPATH_CONFIG` names the file. Unknown keys are ignored; known ones are typed and bounded.
-docs/operate/system.md lists all with their bounds and defaults.
+`BITTERNPATH_CONFIG` names the file. Unknown keys are ignored; known ones are checked for type and range.
+docs/operate/system.md lists all of them with their ranges and defaults.
 """
 
 from __future__ import annotations
@@ -30,47 +30,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The table `bounds`: figures of the rules in force (RULES). Names end in their unit."""
+    """The table `bounds`: limits set by the rules in force (RULES). Names end with their unit."""
 
     contact_ms: float  # not used yet
     drain_ms: float  # not used yet
-    grace_s: float  # from SIGTERM to the end of the process
+    grace_s: float  # grace period, from SIGTERM to the end of the process
     config_apply_ms: float  # not used yet
     status_s: float  # how long the state of an ended message can be read
     callback_s: float  # not used yet
-    visible_ms: float  # lease of a pulling worker
-    ceiling_window_s: float  # in which a service's rate limit holds
-    origin_rate_over: float  # factor by which that rate may be exceeded in a window
+    visible_ms: float  # visibility time-out: lease of a pulling worker
+    ceiling_window_s: float  # window over which a service's rate limit applies
+    origin_rate_over: float  # factor by which the rate limit may be exceeded in a window
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The whole file. Addresses are `ip:port`, "" where there is none."""
+    """All settings of a process. Addresses are `ip:port`, "" for none."""
 
     node_name: str
     role: str  # not used: the command names the role
-    ip: str  # of the internal listener
-    zone: str  # failure domain: replicas of a shard are in different zones
+    ip: str  # address of the internal listener
+    zone: str  # failure domain; the replicas of a shard are in different zones
     region: str  # not used
     internal_ports: tuple[int, int]  # first and last; the first one is used, for TCP and UDP
-    seeds: tuple[str, ...]  # control addresses of nodes to ask first
+    seeds: tuple[str, ...]  # control addresses of the nodes to contact first
     bootstrap: bool  # true only at the first start of the system
     counted: bool  # whether an edge node with a disk is a member of the configuration group
-    data_dir: Path | None  # None: a node without a disk
+    data_dir: Path | None  # None for a node without a disk
     front: str  # listener for clients and pulling workers
     readiness: str  # listener for the platform's readiness probe
     control: str  # listener for the operator
     memory_mb: int  # not used yet
     max_fds: int  # limit of file descriptors
-    disk_mb: int  # size of the disk; 0: not known
+    disk_mb: int  # size of the disk; 0: unknown
     tolerated_machines: int  # f: shards have 2f+1 replicas
-    platform: str  # where the platform's endpoint list is read
-    platform_rate_per_s: float  # calls to the platform that all nodes together may make
+    platform: str  # address of the platform's endpoint list
+    platform_rate_per_s: float  # calls per second to the platform, for all nodes together
     bounds: Bounds
 
     @property
     def internal_address(self) -> str:
-        """Where other nodes reach this one."""
+        """The address at which other nodes reach this one."""
         return f"{self.ip}:{self.internal_ports[0]}"
 
     @property
@@ -80,7 +80,7 @@
 
 
 def settings_path() -> Path:
-    """The file that the environment names; raises `SettingsError` where it names none."""
+    """The file that the environment names; raises `SettingsError` if it names none."""
     name = os.environ.get(CONFIG_VARIABLE)
     if not name:
         raise SettingsError(f"{CONFIG_VARIABLE} isn't set: it must name the settings file")
--- a/bitternpath/roles/settings_reader.py
+++ b/bitternpath/roles/settings_reader.py
@@ -1,6 +1,6 @@
 """Typed access to the tables of a settings file.
 
-Each error says in one line what is wrong, where, and what is allowed.
+Each error states in one line which key is wrong, why, and what is allowed.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 
 
 class SettingsError(ValueError):
-    """The settings can't be used; the text says why, in one line.
+    """The settings can't be used; the text gives the reason, in one line.
 
-    The operator's fault. Starting again helps only once the file has been corrected.
+    Caused by the operator. A restart helps only once the file has been corrected.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsTable:
-    """A table of the file.
+    """A table of the settings file.
 
-    Each method reads one key, by the type that its value must have; all raise `SettingsError`. Numbers have
-    bounds, which are allowed values themselves.
+    Each method reads one key and checks the type of its value; all raise `SettingsError`. Bounds of numbers
+    are inclusive.
     """
 
-    prefix: str  # stands before the keys in errors; "" for the file itself
+    prefix: str  # precedes the keys in errors; "" for the top level of the file
     values: Mapping[str, Any]
 
     def table(self, key: str) -> SettingsTable:
-        """The table under a key; an empty one where it is missing."""
+        """The table under a key; an empty one if it is missing."""
         value = self.values.get(key, {})
         if not isinstance(value, dict):
             raise self._error(key, "must be a table")
         return SettingsTable(f"{self.prefix}{key}.", value)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string; needed where there is no default."""
+        """A string; required if there is no default."""
         value = self.values.get(key, default)
         if value is None:
             raise self._error(key, "is missing; a text is wanted")
@@ -46,21 +46,21 @@
         return value
 
     def ip(self, key: str) -> str:
-        """An IPv4 address; needed."""
+        """An IPv4 address; required."""
         value = self.text(key)
         if not _is_ip(value):
             raise self._error(key, f"must be an IPv4 address, not {value!r}")
         return value
 
     def address(self, key: str) -> str:
-        """`ip:port`, or "" where there is none."""
+        """`ip:port`; "" if it is missing."""
         value = self.text(key, "")
         if value and not _is_address(value):
             raise self._error(key, f"must be ip:port, not {value!r}")
         return value
 
     def addresses(self, key: str) -> tuple[str, ...]:
-        """A list of `ip:port`, empty where there is none."""
+        """A list of `ip:port`; empty if it is missing."""
         value = self.values.get(key, [])
         if not isinstance(value, list):
             raise self._error(key, f"must be a list of ip:port, not {value!r}")
@@ -70,7 +70,7 @@
         return tuple(value)
 
     def flag(self, key: str) -> bool:
-        """A boolean, false where it is missing."""
+        """A boolean; false if it is missing."""
         value = self.values.get(key, False)
         if not isinstance(value, bool):
             raise self._error(key, f"must be true or false, not {value!r}")
@@ -91,9 +91,9 @@
         return int(value)
 
     def size(self, key: str, maximum: int) -> int:
-        """Return a number of units, rounded down.
+        """A number of units, rounded down.
 
-        0 stands for an unknown size, so a fraction of one unit is refused.
+        0 means that the size is unknown, so a fraction of one unit is refused.
         """
         value = self.number(key, 0, 0, maximum)
         if 0 < value < 1:
@@ -101,7 +101,7 @@
         return int(value)
 
     def ports(self, key: str) -> tuple[int, int]:
-        """The first and the last port of a range; needed."""
+        """The first and the last port of a range; required."""
         value = self.values.get(key)
         match value:
             case [first, last] if _is_port(first) and _is_port(last) and first <= last:
--- a/bitternpath/roles/shard_context.py
+++ b/bitternpath/roles/shard_context.py
@@ -1,4 +1,4 @@
-"""What all queue shards of one storage node share."""
+"""Collaborators that all queue shards of one storage node share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def borrow_nothing(_group: str, _service: str, _wanted: int) -> Deferred[int]:
-    """A `ShardContext.borrow` for nodes on which no other shard can be asked."""
+    """A `ShardContext.borrow` for nodes that can't reach the owners of other shards."""
     return succeed(0)
 
 
@@ -26,13 +26,13 @@
     """Node-wide collaborators of `ShardRuntime`, `ShardOwnership` and `ShardRequests`."""
 
     reactor: Clock
-    host: ReplicaHost  # proposals, read barriers, leader leases
-    edges: EdgeLinks  # where leases, call-backs and announcements of ownership are sent
+    host: ReplicaHost  # for proposals, read barriers and leader leases
+    edges: EdgeLinks  # for leases, call-backs and announcements of ownership
     random: Random
-    zone: str  # of this node; edge nodes in it are preferred
+    zone: str  # this node's zone; edge nodes in it are preferred
     owner_settings: OwnerSettings
-    wall_ms: Callable[[], int]  # time of day in milliseconds since 1970
-    has_capacity: Callable[[], bool]  # whether the disk can take more messages
+    wall_ms: Callable[[], int]  # wall-clock time in milliseconds since 1970
+    has_capacity: Callable[[], bool]  # whether the disk has capacity for more messages
     borrow: Borrow = borrow_nothing
     """`borrow(group, service, wanted)` fires with the tokens (0 or more) that the owner of another shard's
     group lends of a service's rate limit; it never fails."""
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -1,8 +1,8 @@
-"""One term of ownership of a queue shard: executes what the pure `ShardOwner` decides, and wakes it up.
+"""A term of ownership of a queue shard: executes the pure `ShardOwner`'s decisions and schedules its ticks.
 
-An ownership lasts from the replica's election until it loses the leadership. What it started and has not
-finished by then (a loan, a repeated proposal, a timer) has no effect any more: the next owner decides again
-from the replicated state.
+An ownership lasts from the replica's election until it loses the leadership. Operations that it started and
+that have not finished by then (a loan, a repeated proposal, a timer) have no effect any more: the next owner
+decides again from the replicated state.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 from bitternpath.transport.records import AttemptOutcome
 from bitternpath.transport.shard_messages import CallbackRequest, LeaseGrant, WorkAvailable
 
-MIN_EDGES_QUERIED = 4  # edge nodes that are queried for pollers at once, if there are so many
-MAX_EDGES_QUERIED = 16  # the next request goes to others, so all are reached after a few
-REMOTE_REQUEST_SHARE = 0.25  # of the requests for pollers: those that go to edge nodes of all zones
+MIN_EDGES_QUERIED = 4  # edge nodes that are queried for pollers at once, if there are that many
+MAX_EDGES_QUERIED = 16  # each request samples again, so all are reached after a few requests
+REMOTE_REQUEST_SHARE = 0.25  # share of the requests for pollers that go to edge nodes of all zones
 PROPOSAL_RETRY_S = 0.1  # a leader that transfers its leadership refuses proposals for an election time-out
 
 
 class ShardOwnership:
-    """Drives the `ShardOwner` of one shard for as long as this node owns it."""
+    """Runs the `ShardOwner` of one shard for as long as this node owns it."""
 
     def __init__(
         self, context: ShardContext, group: str, shard_count: int, owner: ShardOwner, polls: PendingPolls
@@ -56,14 +56,14 @@
         self._wakeup: Timer | None = None
 
     def end(self) -> None:
-        """The replica has lost the leadership: do nothing more on behalf of this ownership."""
+        """Called when the replica has lost the leadership: no more is done on behalf of this ownership."""
         self.active = False
         self._cancel_wakeup()
 
     # ---- actions of the owner
 
     def execute(self, actions: Iterable[Action]) -> None:
-        """Execute the owner's actions in their order, then schedule its next wake-up."""
+        """Execute the owner's actions in order, then schedule its next tick."""
         for action in actions:
             match action:
                 case ProposeCommand(command):
@@ -83,11 +83,11 @@
         self.schedule_wakeup()
 
     def _propose(self, command: Command) -> None:
-        """Propose a command of the owner itself.
+        """Propose a command that the owner itself decided.
 
-        If ownership is lost meanwhile, the next owner decides again. A command that was surely not proposed
-        though this ownership goes on (a leadership transfer that failed) is given back to the owner after a
-        pause; else its message would wait for it forever.
+        If ownership is lost in the meantime, the next owner decides again. If a command was certainly not
+        proposed but this ownership continues (a leadership transfer that failed), it is returned to the owner
+        after a delay; otherwise its message would wait for it forever.
         """
 
         def failed(failure: Failure) -> None:
@@ -137,7 +137,7 @@
         self._context.borrow(home_group, service, wanted).addCallback(lent)
 
     def _send_callback(self, action: SendCallback) -> None:
-        """Without a link nothing is sent: the owner sends it again when no report comes."""
+        """Send a call-back, if the edge node is connected; the owner sends it again if no report arrives."""
         link = self._context.edges.link(action.edge)
         if link is not None:
             link.send(CallbackRequest(self._group, action.request_id, action.url, action.state, action.stamp))
@@ -145,8 +145,8 @@
     def _request_pollers(self, service: str, waiting: int) -> None:
         """Ask some edge nodes for waiting workers.
 
-        Mostly those of this zone, whose workers are mostly near as well; now and then, or where the zone has
-        none, edge nodes of all zones.
+        These are mostly edge nodes of this zone, whose workers are mostly nearby, too; sometimes, or if the
+        zone has none, edge nodes of all zones.
         """
         edges = self._context.edges
         random = self._context.random
@@ -159,9 +159,9 @@
     # ---- wake-ups
 
     def schedule_wakeup(self) -> None:
-        """Have the owner's `tick` called when it wants it.
+        """Schedule the owner's next `tick`.
 
-        A timer that is set for an earlier time stays: an early tick now and then costs less than moving the
+        A timer that is set for an earlier time stays: an occasional early tick costs less than moving the
         timer with each command.
         """
         if not self.active:
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -1,4 +1,4 @@
-"""Placement of the queue shards, and the list of storage members: work of the configuration's owner."""
+"""Placement of the queue shards and the list of storage members; tasks of the configuration's owner."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 log = logbook.Logger("configuration")
 
-STORAGE_STABLE_S = 0.8  # the initial placement waits until no storage node has come or gone for so long
+STORAGE_STABLE_S = 0.8  # for which no storage node has joined or left before the initial placement
 
 
 class ShardPlacement:
@@ -46,17 +46,17 @@
         self._state = state
         self._nodes = nodes
         self._tolerated_machines = tolerated_machines
-        self._disks: dict[str, str] = {}  # identity by name of the live storage nodes
+        self._disks: dict[str, str] = {}  # disk identity of each live storage node, by name
         self._disks_changed_at = reactor.seconds()
         self._proposing_placement = False
         self._proposing_members = False
 
     def begin(self) -> None:
-        """This node owns the configuration from now on."""
+        """Restart for a new ownership."""
         self._disks_changed_at = self._reactor.seconds()
 
     def reconcile(self) -> None:
-        """Propose what follows from the committed state and the live storage nodes."""
+        """Propose what the committed state and the live storage nodes require."""
         live = self._nodes.storage()
         disks = {node.name: node.disk for node in live}
         if disks != self._disks:
@@ -80,7 +80,7 @@
         return ()
 
     def _retired_nodes(self, live: list[NodeDescriptor]) -> set[str]:
-        """Names of the nodes that may have no replica."""
+        """Names of the nodes that must not have a replica."""
         members = {member.member for group in self._state.groups for member in group.members}
         members |= {member_id(node) for node in live}
         return {node_of(member) for member in members if self._state.storage.is_retired(member)}
@@ -95,7 +95,7 @@
         self._proposing_placement = False
 
     def _update_members(self, live: list[NodeDescriptor]) -> None:
-        """Add storage nodes that follow; remove those without replicas that have been down for long."""
+        """Add storage nodes that follow the feed; remove those without replicas that have long been down."""
         if self._proposing_members:
             return
         storage = self._state.storage
--- a/bitternpath/roles/shard_requests.py
+++ b/bitternpath/roles/shard_requests.py
@@ -1,8 +1,8 @@
 """Requests of edge nodes and other storage nodes to one queue shard.
 
-Each request is answered on its link: by its response, by `Refused` where it surely had no effect, or by
-`RequestOutcomeUnknown` where it may have been committed. A read waits for a read barrier, as an owner that
-was stopped or cut off may have a successor.
+Each request is answered on its link: by its response, by `Refused` if it certainly had no effect, or by
+`RequestOutcomeUnknown` if it may have been committed. A read waits for a read barrier, because an owner that
+was paused or partitioned may have a successor.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 
 
 def _do_nothing() -> None:
-    """For proposals that leave nothing to undo."""
+    """Default for proposals that leave nothing to undo."""
 
 
 class ShardRequests:
-    """Answers requests to one shard over the links that they come on."""
+    """Answers requests to one shard, on the links on which they arrive."""
 
     def __init__(self, context: ShardContext, shard: ShardRuntime) -> None:
-        """`shard` must have been made with the same `context`."""
+        """`shard` must have been created with the same `context`."""
         self._shard = shard
         self._group = shard.group
         self._reactor = context.reactor
@@ -68,7 +68,7 @@
             self._append(link, request, ownership)
 
     def _append(self, link: Link, request: AppendRequest, ownership: ShardOwnership) -> None:
-        """Propose the message and, right behind it, the lease that its owner can grant at once."""
+        """Propose the message and, immediately after it, the lease that its owner can grant at once."""
         owner = ownership.owner
         lease_actions: list[Action] = []
 
@@ -83,7 +83,7 @@
             ownership.execute(lease_actions)
 
     def find(self, link: Link, request: StateRequest) -> None:
-        """Read the state of a message behind a read barrier."""
+        """Read the state of a message after a read barrier."""
         self._host.read_barrier(self._group).addCallbacks(
             lambda _: link.send(self._state_response(request)),
             lambda _: _refuse(link, request.number),
@@ -114,7 +114,7 @@
         self._propose(link, request.number, command, response)
 
     def extend(self, link: Link, request: ExtendRequest) -> None:
-        """Extend the lease of a pulling worker behind a read barrier.
+        """Extend the lease of a pulling worker after a read barrier.
 
         Without the barrier, a successor may have given the job to another worker.
         """
@@ -152,7 +152,7 @@
         )
 
     def cancel_pull(self, link: Link, request: PullCancel) -> None:
-        """Cancel a long poll. The cancelled request is answered too, as its link keeps it until then."""
+        """Cancel a long poll. The cancelled request is answered, too, as its link keeps it until then."""
         poll_id = self._shard.polls.find(link, request.number)
         if poll_id is None:
             return
@@ -164,7 +164,7 @@
     # ---- call-backs and quota
 
     def callback_report(self, report: CallbackReport) -> None:
-        """Note how a call-back went. Reports have no number and are not answered."""
+        """Record the result of a call-back. Reports have no number and are not answered."""
         ownership = self._shard.ownership
         if ownership is not None:
             now = self._reactor.seconds()
@@ -192,7 +192,7 @@
     ) -> None:
         """Commit a command, then answer request `number` with `response(result)`.
 
-        The result is that of `QueueState.apply`. `not_proposed` is called where the command surely is not in
+        `result` is that of `QueueState.apply`. `not_proposed` is called if the command is certainly not in
         the log.
         """
 
@@ -208,5 +208,5 @@
 
 
 def _refuse(link: Link, number: int) -> None:
-    """Answer that this node doesn't own the shard; the request had no effect and may go to another node."""
+    """Answer that this node doesn't own the shard: the request had no effect and may go to another node."""
     link.send(Refused(number, RefusalReason.NOT_OWNER))
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -33,8 +33,8 @@
         group: name of the shard's replica group.
         state: the replicated state, the same on each replica after the same commands.
         polls: long polls of pulling workers; empty while another node owns the shard.
-        ownership: the present ownership, None while another node owns the shard or none does.
-        epoch: the term of the present or last ownership of this node, 0 before the first.
+        ownership: the current ownership; None while another node owns the shard or none does.
+        epoch: the term of this node's current or last ownership, 0 before the first.
     """
 
     def __init__(self, context: ShardContext, group: str, shard_count: int) -> None:
@@ -53,7 +53,7 @@
     # ---- GroupListener
 
     def became_owner(self, epoch: int) -> None:
-        """This replica leads the group and has applied all that was committed before."""
+        """Called when this replica leads the group and has applied all that was committed before."""
         log.info("event=ownership_acquired group={} epoch={} queued={}", self.group, epoch, self.state.queued)
         if self.ownership is not None:
             self.ownership.end()
@@ -74,7 +74,7 @@
         self._announce_ownership(context.edges.links())
 
     def lost_ownership(self, cause: RoleChangeCause) -> None:
-        """This replica no longer leads the group."""
+        """Called when this replica no longer leads the group."""
         log.info("event=ownership_lost group={} cause={!r}", self.group, cause.value)
         if self.ownership is not None:
             self.ownership.end()
@@ -83,7 +83,7 @@
         self._announce_ownership(self._context.edges.links())
 
     def applied(self, _index: int, _command: bytes, result: object) -> None:
-        """A committed command has been applied to `state`."""
+        """Called when a committed command has been applied to `state`."""
         ownership = self.ownership
         if ownership is not None and isinstance(result, Result):
             ownership.execute(ownership.owner.applied(self._reactor.seconds(), result))
@@ -91,7 +91,7 @@
     # ---- configuration and capacity
 
     def configure(self, table: RoutingTable) -> None:
-        """Follow another configuration from now on."""
+        """Apply another configuration."""
         self._table = table
         ownership = self.ownership
         if ownership is None:
@@ -110,9 +110,9 @@
     # ---- edge nodes
 
     def edge_connected(self, node: NodeDescriptor, link: Link, *, restarted: bool) -> None:
-        """An edge node has introduced itself on a link, perhaps again to say that it is draining.
+        """Called when an edge node has sent `Hello` on a link, perhaps again to announce that it is draining.
 
-        `restarted`: it is another process than the one that was connected before.
+        `restarted`: its process isn't the one that was connected before.
         """
         self._announce_ownership([link])
         ownership = self.ownership
@@ -128,10 +128,10 @@
             ownership.execute(owner.edge_connected(now, node.name, node.zone))
 
     def edge_link_closed(self, name: str, link: Link) -> None:
-        """An edge node's link has ended, and with it the polls that came over it.
+        """Called when an edge node's link has closed; drops the polls that arrived on it.
 
-        `name` is empty where the node has another link by now: the node is still connected, but a job for
-        one of those polls would reach nobody.
+        `name` is empty if the node has another link by now: the node is still connected, but a job for one of
+        those polls would reach no worker.
         """
         now = self._reactor.seconds()
         dropped = self.polls.drop_link(link)
--- a/bitternpath/roles/status.py
+++ b/bitternpath/roles/status.py
@@ -1,4 +1,4 @@
-"""What a node reports of itself to `bitternpath system show`."""
+"""What a node reports about itself to `bitternpath system show`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def group_status(host: ReplicaHost, group: str, state: QueueState | None) -> GroupStatus:
-    """A replica group as its member here sees it. `state` is a queue shard's, None for other groups."""
+    """A replica group as seen by its member here. `state` is a queue shard's, None for other groups."""
     members = host.members(group)
     dead_letters = 0
     queued = 0
@@ -46,7 +46,7 @@
 
 
 def node_status(base: NodeBase, number: int, *, ready: bool, groups: Sequence[GroupStatus]) -> StatusResponse:
-    """The response to `StatusRequest` `number`. `ready`: whether the node takes requests."""
+    """The response to `StatusRequest` `number`. `ready`: whether the node accepts requests."""
     return StatusResponse(
         number,
         base.view.local_node,
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -1,7 +1,7 @@
 """The storage role: a node with replicas of queue shards, some of which it owns.
 
-`StorageNode` assembles the parts and passes records, link events and the feed on to them. What it decides by
-itself every `CHECK_INTERVAL_S` is which of its shards another node should own.
+`StorageNode` assembles the components and passes records, link events and the feed on to them. The only
+decision of its own, every `CHECK_INTERVAL_S`, is which of its shards another node should own.
 """
 
 from __future__ import annotations
@@ -58,8 +58,8 @@
 
 log = logbook.Logger("storage")
 
-CHECK_INTERVAL_S = 0.25  # between checks of the owned groups for what no event reports, such as silence
-RESPONSIVE_WITHIN_S = 0.5  # since a member responded: two heartbeats of a group and a margin
+CHECK_INTERVAL_S = 0.25  # between checks of the owned groups for changes without an event, such as time-outs
+RESPONSIVE_WITHIN_S = 0.5  # since the last response of a member: two heartbeats of a group and a margin
 
 
 class StorageNode:
@@ -78,7 +78,7 @@
     ) -> None:
         """Open the disk and read it.
 
-        Raises `SettingsError` where the settings name none, `OSError`, `CorruptJournalError` and
+        Raises `SettingsError` if the settings name no disk, `OSError`, `CorruptJournalError` and
         `CorruptDocumentError`.
         """
         if settings.data_dir is None:
@@ -90,7 +90,7 @@
         self._reactor = reactor
         self._host = self.base.host
         self._edges = EdgeLinks()
-        self._incarnations: dict[str, int] = {}  # of edge nodes, by name
+        self._incarnations: dict[str, int] = {}  # incarnation of each edge node, by name
         self._reporter = MembershipReporter(self._host, self.base.feed)
         self._membership_reconciler = MembershipReconciler(self._host, self._reporter.report)
         self.shards = HostedShards(self._host, self.base.transport, self._membership_reconciler)
@@ -128,7 +128,7 @@
     # ---- life cycle
 
     def start(self) -> None:
-        """Open the shards of the last process from the feed's cache, and begin to follow the feed."""
+        """Open the shards of the previous process from the feed cache, and start to follow the feed."""
         self._cache.load()
         self.base.start()
         self._checks.start()
@@ -139,7 +139,7 @@
         self.base.stop()
 
     def transfer_shards(self) -> bool:
-        """Begin to transfer all shards that this node owns; whether it still owns any. May be repeated."""
+        """Start to transfer all owned shards; return whether any is still owned. May be repeated."""
         self.stopping = True
         owned = [group for group in self.shards.runtimes if self._host.is_owner(group)]
         for group in owned:
@@ -149,17 +149,17 @@
     # ---- FeedListener
 
     def configuration_changed(self, table: RoutingTable) -> None:
-        """Another version of the configuration is in force."""
+        """Called when another version of the configuration is in force."""
         self.shards.configure(table)
         self._cache.save()
 
     def placement_changed(self, _generation: int, groups: tuple[GroupPlacement, ...]) -> None:
-        """Shards have other members: open those that are placed here."""
+        """Called when shards have other members; opens those that are placed here."""
         self.shards.apply_placement(self._shard_context, groups)
         self._cache.save()
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """The platform's list of endpoints was read: job slots by service bound the leases in flight."""
+        """Called with a new endpoint list; its job slots by service limit the leases in flight."""
         if update.entries is None:
             return
         slots: Counter[str] = Counter()
@@ -171,7 +171,7 @@
     # ---- LinkHandler
 
     def link_opened(self, link: Link) -> None:
-        """A peer has introduced itself, for the first time on this link or with another descriptor."""
+        """Called when a peer has sent `Hello`, first on a link or again with another descriptor."""
         node = link.peer
         if node is None:
             return
@@ -183,13 +183,13 @@
             self.shards.edge_connected(node, link, restarted=restarted)
 
     def link_closed(self, link: Link) -> None:
-        """A link has ended."""
+        """Called when a link has closed."""
         self.base.feed.link_closed(link)
         name = self._edges.closed(link)
         self.shards.edge_link_closed(name, link)
 
     def received(self, link: Link, record: Record) -> None:
-        """Pass a record of another node on to its handler; ignore kinds that have none in this role."""
+        """Pass a record on to its handler; ignore kinds that have none in this role."""
         handle = self._handlers.get(type(record))
         if handle is not None:
             handle(link, record)
@@ -217,7 +217,7 @@
         }
 
     def _for_shard(self, handle: Callable[[ShardRequests, Link, Any], None]) -> RecordHandler:
-        """Return a handler that passes requests to the shard that they name.
+        """A handler that passes requests on to the shard that they name.
 
         It refuses requests to shards without a replica here.
         """
@@ -254,7 +254,7 @@
         self._garbage_collector.query_owners()
 
     def _return_ownership(self, group: str, placement: GroupPlacement) -> None:
-        """Transfer a shard to its preferred member once that has been eligible for long."""
+        """Transfer a shard to its preferred member once that has been eligible for long enough."""
         preferred = placement.members[0].member
         eligible = (
             preferred != self.base.transport.member_id
--- a/bitternpath/roles/storage_process.py
+++ b/bitternpath/roles/storage_process.py
@@ -1,4 +1,4 @@
-"""A storage node as a process: its start, and its graceful shutdown."""
+"""A storage node as a process: its start and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 log = logbook.Logger("storage")
 
-TRANSFER_TIMEOUT_S = 1.5  # for the transfer of owned shards; then other replicas elect an owner themselves
+TRANSFER_TIMEOUT_S = 1.5  # for the transfer of owned shards; after it, other replicas elect an owner
 CHECK_INTERVAL_S = 0.05  # between checks whether all shards have been transferred
 FLUSH_DELAY_S = 0.1  # for the records that were sent last
-LINKS_CLOSE_DELAY_S = 0.05  # from the closing of links to that of the disk, which blocks
+LINKS_CLOSE_DELAY_S = 0.05  # from closing the links to closing the disk, which blocks
 
 
 class StorageProcess:
@@ -25,22 +25,22 @@
     def __init__(
         self, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
     ) -> None:
-        """Raises what `StorageNode` raises."""
+        """Raises the same exceptions as `StorageNode`."""
         self.node = StorageNode(reactor, settings, environment)
         self._reactor = reactor
         self._give_up_at = 0.0
 
     def listen(self) -> None:
-        """Open the internal port; raises `CannotListenError`, and may be called again then."""
+        """Open the internal port; may be called again after `CannotListenError`."""
         self.node.base.listen()
 
     def start(self) -> None:
-        """Take part in the system."""
+        """Start to take part in the system."""
         self.node.start()
         log.info("event=listening node={}", self.node.settings.node_name)
 
     def reload(self) -> None:
-        """Read the settings file again."""
+        """Reload the settings file."""
         self.node.base.reload()
 
     def shut_down(self, finished: Callable[[], None]) -> None:
--- a/bitternpath/roles/wall_clock.py
+++ b/bitternpath/roles/wall_clock.py
@@ -1,4 +1,4 @@
-"""Time of day that doesn't step while a process runs."""
+"""Wall-clock time that doesn't step while a process runs."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class SteadyWallClock:
-    """The time of day at the start of the process, continued by the steady clock.
+    """The wall-clock time at the start of the process, advanced by the monotonic clock.
 
-    Times of day of two machines are compared only where a replica applies a message that it did not accept
+    Wall-clock times of two machines are compared only when a replica applies a message that it did not accept
     itself, or reads its disk after a restart. A step of the clock in between would shorten a message's delay.
     """
 
     def __init__(self, wall_ms: Callable[[], int], monotonic_s: Callable[[], float]) -> None:
-        """`wall_ms` is read once; `monotonic_s` gives seconds of a clock that never steps."""
+        """`wall_ms` is read once; `monotonic_s` returns seconds of a clock that never steps."""
         self._monotonic_s = monotonic_s
         self._offset_ms = wall_ms() - monotonic_s() * 1000
 
