--- a/bitternpath/membership/__init__.py
+++ b/bitternpath/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the system: peer sampling over shuffled partial views, and the bootstrap of the system."""
+"""Membership of the system: peer sampling over shuffled partial views, and the bootstrap decision."""
--- a/bitternpath/membership/bootstrap.py
+++ b/bitternpath/membership/bootstrap.py
@@ -1,10 +1,10 @@
-"""Bootstrap of a system: which nodes first hold its configuration. Pure but for `BootstrapFile`.
+"""Bootstrap of a system: which nodes are the first members of the configuration group.
 
 At the first start all nodes have the same seeds, empty disks and `bootstrap = true`. The process at the first
-seed, the decider, notes on its disk that it is the one to decide, and decides once: the founding members are
-the counted edge nodes of its view, once the view is stable. No other process ever decides, and the decider
-only as long as its disk is the same, so there is at most one decision. `roles.bootstrap` carries it to the
-founding members.
+seed, the coordinator, writes to its disk that it is the one to decide, and decides once: the founding members
+are the counted edge nodes of its view, once the view is stable. No other process ever decides, and the
+coordinator decides only while it has the same disk, so there is at most one decision. `roles.bootstrap` sends
+it to the founding members. The functions here are pure; `BootstrapFile` isn't.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
 from bitternpath.transport.node_messages import NodeDescriptor
 
-VIEW_STABLE_S = 1.0  # without a change of the nodes with state: then the view is stable
-EARLIEST_DECISION_S = 1.5  # after the start: all nodes start within 0.3 s, and a start takes a while
-FULL_GROUP_TIMEOUT_S = 6.0  # after the start: then fewer members suffice than the fault tolerance asks for
-MAX_FOUNDING_MEMBERS = 7  # replicas of the configuration: more make each change dearer
+VIEW_STABLE_S = 1.0  # the view is stable if its nodes with state haven't changed for so long
+EARLIEST_DECISION_S = 1.5  # after the start: all nodes start within 0.3 s, and each start takes a while
+FULL_GROUP_TIMEOUT_S = 6.0  # after the start; then fewer members than the fault tolerance requires suffice
+MAX_FOUNDING_MEMBERS = 7  # replicas of the configuration; more would make each change more expensive
 CONFIGURATION_GROUP = "configuration"
 BOOTSTRAP_DOCUMENT = "founding"  # a founding member's document on disk
-COORDINATOR_DOCUMENT = "decider"  # the decider's document on disk: no system in it before the decision
+COORDINATOR_DOCUMENT = "decider"  # the coordinator's document on disk; names no system before the decision
 
 _CODEC = RecordCodec(BootstrapDecision)
 
 
 def member_id(node: NodeDescriptor) -> str:
-    """The identity of a replica: a node on one disk. A node whose disk was lost is another member."""
+    """The identity of a replica: a node with one disk. A node whose disk was lost is another member."""
     return f"{node.name}/{node.disk}"
 
 
 def member_address(node: NodeDescriptor) -> MemberAddress:
-    """The address of the replica on that node."""
+    """The address of the replica on a node."""
     return MemberAddress(member_id(node), node.name, node.address, node.zone)
 
 
 def decide_bootstrap(
     view: MembershipView, tolerated_machines: int, started_at: float, now: float, random: Random
 ) -> BootstrapDecision | None:
-    """The decision, once it is time for it; None before.
+    """The decision, or None while it is too early to decide.
 
     `tolerated_machines`: f; the group is to have 2f+1 members. `started_at` and `now` are seconds of the
     view's clock. `random` draws the identity of the system.
@@ -60,21 +60,21 @@
 
 
 class BootstrapFile:
-    """The decision on a disk: a founding member's document, or the decider's."""
+    """The decision on a disk: the document of a founding member or of the coordinator."""
 
     def __init__(self, data_dir: Path, disk: NodeDisk | None = None, name: str = BOOTSTRAP_DOCUMENT) -> None:
-        """`disk`: the files below `data_dir`, by default the operating system's; `name`: of the document."""
+        """`disk` has the files below `data_dir`, by default the operating system's; `name` is the file's."""
         self._disk = disk or LocalDisk(data_dir)
         self._name = name
 
     def load(self) -> BootstrapDecision | None:
-        """The document; None where there is none.
+        """The stored decision; None if there is none.
 
-        Raises `transport.codec.CodecError` or the disk's errors where it can't be read.
+        Raises `transport.codec.CodecError` or the disk's errors if it can't be read.
         """
         data = self._disk.read_document(self._name)
         return None if data is None else _CODEC.decode(data)
 
     def store(self, decision: BootstrapDecision) -> None:
-        """Write the document atomically and synced. Blocks a few milliseconds, once in a disk's life."""
+        """Write the document atomically and sync it. Blocks for a few milliseconds, once per disk."""
         self._disk.write_document(self._name, _CODEC.encode(decision))
--- a/bitternpath/membership/gossip.py
+++ b/bitternpath/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership view: UDP on the node's internal port."""
+"""Sends and receives the membership view's datagrams: UDP on the node's internal port."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 log = logbook.Logger("membership")
 
-MIN_ROUND_INTERVAL_S = 0.05  # between rounds, however late the last one was
+MIN_ROUND_INTERVAL_S = 0.05  # even if the last round was late
 
 
 class DatagramTransport(Protocol):
-    """The part of `twisted.internet.interfaces.IUDPTransport` that `Gossip` uses."""
+    """The methods of `twisted.internet.interfaces.IUDPTransport` that `Gossip` uses."""
 
     def write(self, packet: bytes, addr: tuple[str, int]) -> None:
         """Send a datagram; raises `OSError`."""
 
 
 class Gossip(DatagramProtocol):
-    """Carries the rounds of a view."""
+    """Runs the rounds of a view."""
 
     noisy = False
 
     def __init__(self, clock: Clock, view: MembershipView) -> None:
-        """`view`: decides what is sent; the rounds begin with `startProtocol`."""
+        """`view` decides what is sent; the rounds start with `startProtocol`."""
         self._clock = clock
         self.view = view
         self._timer: Timer | None = None
 
     def startProtocol(self) -> None:
-        """Begin the rounds."""
+        """Start the rounds."""
         self._round()
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """Merge what a peer sent, and respond. Datagrams that can't be read are ignored."""
+        """Merge what a peer sent, and respond. Datagrams that can't be decoded are ignored."""
         try:
             record = RECORDS.decode(datagram)
         except CodecError:
@@ -51,7 +51,7 @@
             self._send(self.view.received(self._clock.seconds(), sender, record))
 
     def stop(self) -> None:
-        """Announce that this node leaves, and send no more."""
+        """Announce that this node leaves, and stop the rounds."""
         cancel_if_active(self._timer)
         self._send(self.view.leave())
 
--- a/bitternpath/membership/view.py
+++ b/bitternpath/membership/view.py
@@ -1,16 +1,16 @@
-"""A node's partial view of the system, kept by shuffling (peer sampling). Pure.
+"""A node's partial view of the system, maintained by shuffling (peer sampling). Pure.
 
-After Voulgaris, Gavidia and van Steen, "CYCLON: Inexpensive Membership Management" (2005): each round a node
-sends a random part of its view to one peer and receives a part of that peer's. Unlike there, entries carry
-the subject's own heartbeat, the newest entry of a node wins, and nodes with state are preferred:
-every node must find some of them.
+After Voulgaris, Gavidia and van Steen, "CYCLON: Inexpensive Membership Management" (2005): in each round a
+node sends a random part of its view to one peer and receives a part of that peer's. Unlike in CYCLON, entries
+carry the subject's own heartbeat, the newest entry of a node wins, and nodes with state are preferred,
+because every node must find some of them.
 
 Invariants:
 
 - The view is bounded (`VIEW_SIZE`, `STATE_VIEW_SIZE`); no node needs to know all others.
-- (incarnation, heartbeat) of a node in the view only rises. An entry that is not newer than what made a node
-  leave the view doesn't bring the node back (`FORGOTTEN_RETENTION_S`).
-- This node's own entry wins over every entry of an earlier incarnation that others still pass on.
+- The (incarnation, heartbeat) of a node in the view only increases. An entry that isn't newer than the one
+  with which a node left the view doesn't bring the node back (`FORGOTTEN_RETENTION_S`).
+- This node's own entry wins over every entry of an earlier incarnation that other nodes still forward.
 """
 
 from __future__ import annotations
@@ -22,56 +22,56 @@
 
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind, ShuffleRequest, ShuffleResponse
 
-SHUFFLE_SIZE = 10  # entries in a datagram, which then stays below 1,400 bytes
+SHUFFLE_SIZE = 10  # entries in a datagram, which stays below 1,400 bytes
 VIEW_SIZE = 64  # entries of nodes without state
-STATE_VIEW_SIZE = 64  # entries of nodes with state: core and storage
+STATE_VIEW_SIZE = 64  # entries of nodes with state (a disk)
 ROUND_INTERVAL_S = 1.0
-STARTUP_ROUND_INTERVAL_S = 0.15  # while the system starts, so that it is bootstrapped soon
+STARTUP_ROUND_INTERVAL_S = 0.15  # shorter while the system starts, so that it is bootstrapped soon
 STARTUP_PERIOD_S = 5.0
 ROUND_JITTER = 0.2  # rounds are shorter or longer by up to this share
-MIN_KNOWN_NODES = 3  # a view with fewer asks all seeds in each round
-LIVENESS_TIMEOUT_S = 2.5  # without a newer heartbeat: two rounds
-FORGET_AFTER_S = 20.0  # without a newer heartbeat
-FORGOTTEN_RETENTION_S = 300.0  # for so long old entries of a forgotten node, still passed on, don't count
+MIN_KNOWN_NODES = 3  # a view with fewer nodes contacts all seeds in each round
+LIVENESS_TIMEOUT_S = 2.5  # since the last newer heartbeat: two rounds and a margin
+FORGET_AFTER_S = 20.0  # since the last newer heartbeat
+FORGOTTEN_RETENTION_S = 300.0  # in which old entries of a forgotten node, still forwarded, are ignored
 MAX_FORGOTTEN = 512  # entries
 
 
 @dataclass(slots=True)
 class _KnownNode:
     node: NodeDescriptor
-    updated_at: float  # when the entry came
+    updated_at: float  # when the entry was received
 
 
 @dataclass(frozen=True, slots=True)
 class _ForgottenNode:
-    address: str  # "" where the node announced that it leaves
+    address: str  # "" if the node announced that it leaves
     version: tuple[int, int]
     forgotten_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A record for the node at an address (ip:port)."""
+    """A record to send to the node at `address` (ip:port)."""
 
     address: str
     record: ShuffleRequest | ShuffleResponse
 
 
 def _version(node: NodeDescriptor) -> tuple[int, int]:
-    """Orders the entries of one node: of two the higher is the newer."""
+    """Orders the entries of one node: the greater one is newer."""
     return node.incarnation, node.heartbeat
 
 
 class MembershipView:
-    """Partial view of one node. Times are seconds of a clock that doesn't go back."""
+    """The partial view of one node. Times are seconds of a clock that never goes backwards."""
 
     def __init__(
         self, local_node: NodeDescriptor, seeds: tuple[str, ...], random: Random, now: float
     ) -> None:
-        """`local_node`: this node's own entry. `seeds`: addresses from the settings."""
+        """`local_node` is this node's own entry; `seeds` are addresses from the settings."""
         self.local_node = local_node
         self.seeds = seeds
-        self.state_nodes_changed_at = now  # when a node with state came or got another disk
+        self.state_nodes_changed_at = now  # when a node with state was added or changed its disk
         self._random = random
         self._known: dict[str, _KnownNode] = {}
         self._forgotten: dict[str, _ForgottenNode] = {}
@@ -83,12 +83,12 @@
         return [known.node for known in self._known.values()]
 
     def counted_edges(self) -> list[NodeDescriptor]:
-        """Edge nodes that may hold the configuration, by name; this node among them where it may."""
+        """Edge nodes that can host the configuration, by name; includes this node if it can."""
         nodes = [node for node in [*self.nodes(), self.local_node] if _can_host_configuration(node)]
         return sorted(nodes, key=lambda node: node.name)
 
     def live_edges(self, now: float) -> list[NodeDescriptor]:
-        """Other edge nodes that may hold the configuration and whose heartbeat rose lately."""
+        """Other edge nodes that can host the configuration and have sent a recent heartbeat."""
         return [
             known.node
             for known in self._known.values()
@@ -96,12 +96,12 @@
         ]
 
     def find(self, name: str) -> NodeDescriptor | None:
-        """The entry of a node; None where it isn't in the view."""
+        """The entry of a node; None if it isn't in the view."""
         known = self._known.get(name)
         return known.node if known else None
 
     def tick(self, now: float) -> list[Datagram]:
-        """Begin a round where one is due; the datagrams to send."""
+        """Start a round if one is due; return the datagrams to send."""
         if now < self._next_round_at:
             return []
         starting = now - self._started_at < STARTUP_PERIOD_S
@@ -114,11 +114,11 @@
 
     @property
     def next_round_at(self) -> float:
-        """When `tick` is to be called next."""
+        """The time at which `tick` must be called next."""
         return self._next_round_at
 
     def received(self, now: float, address: str, record: ShuffleRequest | ShuffleResponse) -> list[Datagram]:
-        """Merge a datagram that came from `address`; the response, if there is one."""
+        """Merge a datagram from `address`; return the response, if there is one."""
         self._merge(now, record.sender)
         for node in record.nodes:
             self._merge(now, node)
@@ -127,20 +127,20 @@
         return []
 
     def observe(self, now: float, node: NodeDescriptor) -> None:
-        """Merge the entry with which a node introduced itself over a connection."""
+        """Merge the entry that a node sent in its `Hello` on a connection."""
         if node.kind is not NodeKind.TOOL:
             self._merge(now, node)
 
     def leave(self) -> list[Datagram]:
-        """Announce to some peers that this node leaves; the datagrams to send."""
+        """Announce to some peers that this node leaves; return the datagrams to send."""
         self.local_node = replace(self.local_node, draining=True, heartbeat=self.local_node.heartbeat + 1)
         request = ShuffleRequest(self.local_node, ())
         return [Datagram(address, request) for address in self._targets(with_seeds=True)]
 
     def _targets(self, *, with_seeds: bool) -> list[str]:
-        """Addresses to shuffle with: one peer of the view, and one address outside it, where there is any.
+        """The addresses to shuffle with: one peer of the view and one address outside it, if there are any.
 
-        All seeds, too, while the system starts or few nodes are known.
+        While the system starts or few nodes are known, also all seeds.
         """
         nodes = self.nodes()
         targets = {self._random.choice(nodes).address} if nodes else set()
@@ -153,16 +153,16 @@
         return sorted(targets)
 
     def _addresses_outside(self, known: set[str]) -> list[str]:
-        """Seeds and forgotten nodes that aren't in the view.
+        """Addresses of seeds and forgotten nodes that aren't in the view.
 
-        Two parts of the system that were partitioned forget each other, and the settings may name nobody of
-        the other part: without these addresses they would not meet again after the partition.
+        The two sides of a partition forget each other, and the settings may name no node of the other side:
+        without these addresses the sides would not find each other after the partition.
         """
         forgotten = {forgotten_node.address for forgotten_node in self._forgotten.values()}
         return sorted((forgotten | set(self.seeds)) - known - {"", self.local_node.address})
 
     def _sample(self) -> tuple[NodeDescriptor, ...]:
-        """Entries for a datagram: half of nodes with state, the rest of any."""
+        """Entries for a datagram: half are nodes with state, the rest are any nodes."""
         nodes = self.nodes()
         with_state = [node for node in nodes if node.disk]
         chosen = self._random.sample(with_state, min(len(with_state), SHUFFLE_SIZE // 2))
@@ -172,7 +172,7 @@
         return tuple(chosen)
 
     def _merge(self, now: float, node: NodeDescriptor) -> None:
-        """Take an entry where it is newer than what was known of the node."""
+        """Store an entry if it is newer than what was known of the node."""
         if node.name == self.local_node.name:
             self._raise_incarnation(node)
             return
@@ -192,7 +192,7 @@
         self._evict_excess()
 
     def _raise_incarnation(self, node: NodeDescriptor) -> None:
-        """Raise this node's incarnation above an entry of it that would win over its own."""
+        """Raise this node's incarnation above that of an entry that would win over its own."""
         if _version(node) > _version(self.local_node):
             self.local_node = replace(self.local_node, incarnation=node.incarnation + 1)
 
--- a/bitternpath/transport/codec.py
+++ b/bitternpath/transport/codec.py
@@ -2,9 +2,9 @@
 
 A record is a dataclass or a `msgspec.Struct` whose fields are annotated with `int`, `float`, `bool`, `str`,
 `bytes`, another record, `T | None`, `tuple[T, ...]`, or an `IntEnum`. `RecordCodec` derives the Avro schema
-from the annotations (fastavro, schemaless binary encoding), so that the class is the one definition of a
-record. Schemas are neither sent nor stored: what is encoded depends on the order and the types of the
-fields, not on their names. Nodes of a system that run different revisions have to agree on both.
+from the annotations (fastavro, schemaless binary encoding), so that the class is the only definition of a
+record. Schemas are neither sent nor stored: the encoding depends on the order and the types of the fields,
+not on their names. Nodes of a system that run different revisions must agree on both.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from bitternpath.transport.errors import CodecError
 
-MAX_RECORDS_IN_SET = 255  # the record's number takes one byte
+MAX_RECORDS_IN_SET = 255  # the index of a record's class takes one byte
 
 _PRIMITIVES: dict[Any, str] = {int: "long", float: "double", bool: "boolean", str: "string", bytes: "bytes"}
 
@@ -33,17 +33,17 @@
 class RecordCodec:
     """Encodes and decodes one record class.
 
-    The schema and the conversions are made when they are first used: a process needs few of them, and none
-    while it starts.
+    The schema and the conversions are built on first use: a process needs few of them, and none while it
+    starts.
     """
 
     def __init__(self, record: type) -> None:
-        """`record`: the class."""
+        """`record` is the class."""
         self.record = record
 
     @cached_property
     def schema(self) -> Any:
-        """The Avro schema, as fastavro wants it; raises `CodecError` where the class can't be a record."""
+        """The Avro schema as parsed by fastavro; raises `CodecError` if the class can't be a record."""
         return parse_schema(_record_schema(self.record, {}))
 
     @cached_property
@@ -55,13 +55,13 @@
         return _record_from_avro(self.record)
 
     def encode(self, value: Any) -> bytes:
-        """The Avro bytes of a record."""
+        """Encode a record as Avro bytes."""
         buffer = io.BytesIO()
         schemaless_writer(buffer, self.schema, self._to_avro(value))
         return buffer.getvalue()
 
     def decode(self, data: bytes | memoryview) -> Any:
-        """The record that `encode` turned into `data`; raises `CodecError`."""
+        """Decode a record from `data`; raises `CodecError`."""
         try:
             return self._from_avro(schemaless_reader(io.BytesIO(data), self.schema, None))
         except (EOFError, IndexError, UnicodeDecodeError, ValueError, TypeError, StopIteration) as error:
@@ -69,36 +69,36 @@
 
 
 class RecordSet:
-    """Several record classes, distinguished by one byte before the Avro bytes: the index in the set."""
+    """Several record classes, distinguished by one byte before the Avro bytes: the index of the class."""
 
     def __init__(self, *records: type) -> None:
-        """`records`: the classes; their order is part of the encoding."""
+        """`records` are the classes; their order is part of the encoding."""
         if len(records) > MAX_RECORDS_IN_SET:
             raise CodecError(f"at most {MAX_RECORDS_IN_SET} records in a set")
         self._codecs = [RecordCodec(record) for record in records]
         self._numbers = {record: number for number, record in enumerate(records)}
 
     def encode(self, value: Any) -> bytes:
-        """One byte for the class, then the record."""
+        """Encode a record, preceded by one byte for its class."""
         number = self._numbers[type(value)]
         return bytes((number,)) + self._codecs[number].encode(value)
 
     def decode(self, data: bytes | memoryview) -> Any:
-        """The record that `encode` turned into `data`; raises `CodecError`."""
+        """Decode a record from `data`; raises `CodecError`."""
         if not data or data[0] >= len(self._codecs):
-            raise CodecError("unknown kind of record")
+            raise CodecError("unknown record number")
         return self._codecs[data[0]].decode(data[1:])
 
 
 def _fields_of(record: type) -> tuple[tuple[str, Any], ...]:
-    """Name and annotation of each field, in order."""
+    """The name and annotation of each field, in order."""
     hints = typing.get_type_hints(record)
     if dataclasses.is_dataclass(record):
         names = [field.name for field in dataclasses.fields(record)]
     elif issubclass(record, msgspec.Struct):
         names = list(record.__struct_fields__)
     else:
-        raise CodecError(f"{record.__name__} is no record")
+        raise CodecError(f"{record.__name__} is not a record")
     return tuple((name, hints[name]) for name in names)
 
 
@@ -123,12 +123,12 @@
 
 
 def _optional_type(annotation: Any) -> Any:
-    """`T` of `T | None`."""
+    """The `T` of `T | None`."""
     return next(argument for argument in typing.get_args(annotation) if argument is not type(None))
 
 
 def _record_schema(record: type, defined: dict[str, None]) -> Any:
-    """`defined` names the records that stand earlier in the same schema: Avro refers to them by name."""
+    """The schema of a record; `defined` has the earlier records, to which Avro refers by name."""
     if record.__name__ in defined:
         return record.__name__
     defined[record.__name__] = None
--- a/bitternpath/transport/dialler.py
+++ b/bitternpath/transport/dialler.py
@@ -1,4 +1,4 @@
-"""Outgoing connections: one address is dialled, with back-off, for as long as it is wanted."""
+"""Outgoing connections: dials an address, with back-off, for as long as any user needs it."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 CONNECT_TIMEOUT_S = 1.0
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-MIN_JITTER = 0.7  # a pause is the back-off times a random factor from here
-JITTER_SPAN = 0.6  # to here above it
+MIN_JITTER = 0.7  # a delay is the back-off times a random factor of at least this
+JITTER_SPAN = 0.6  # and at most this much more
 
 
 class Dialler:
-    """Keeps a link to one address open for as long as it is wanted.
+    """Keeps a link to one address open for as long as any user needs it.
 
     Attributes:
         address: ip:port.
-        link: the connection, also before its peer has greeted; None between connections.
-        users: names of the parts of the program that want the address.
+        link: the connection, also before its peer has sent `Hello`; None between connections.
+        users: names of the components that use the address.
     """
 
     def __init__(self, hub: LinkOwner, address: str) -> None:
-        """Not started yet."""
+        """Create a dialler that isn't started."""
         self.address = address
         self.link: Link | None = None
         self.users: set[str] = set()
@@ -41,7 +41,7 @@
 
     @property
     def open_link(self) -> Link | None:
-        """The link, once its peer has greeted."""
+        """The link, once its peer has sent `Hello`; else None."""
         return self.link if self.link is not None and self.link.open else None
 
     def start(self) -> None:
@@ -54,26 +54,26 @@
         self._connector = self._hub.reactor.connectTCP(host, int(port), factory, timeout=CONNECT_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Close the link and dial no more."""
+        """Close the link and stop dialling."""
         self._stopped = True
         if self._redial is not None and self._redial.active():
             self._redial.cancel()
         if self.link is not None:
             self.link.close()
         elif self._connector is not None:
-            with contextlib.suppress(Exception):  # Twisted raises where the attempt has just ended
+            with contextlib.suppress(Exception):  # Twisted raises if the attempt has just ended
                 self._connector.stopConnecting()
 
     def connected(self, link: Link) -> None:
-        """Take a new connection over."""
+        """Called with a new connection."""
         self.link = link
         if self._stopped:
             link.close()
 
     def ended(self, *, handshake_completed: bool) -> None:
-        """The connection ended, or couldn't be made: dial again after a pause.
+        """Called when the connection has ended or couldn't be established; dials again after a delay.
 
-        `handshake_completed`: the peer had greeted, so the back-off begins anew.
+        `handshake_completed`: the peer had sent `Hello`, so the back-off is reset.
         """
         self.link = None
         if self._stopped:
@@ -87,7 +87,7 @@
 
 
 class _DialFactory(Factory):
-    """Makes the link of one attempt (Twisted's client factory interface)."""
+    """Creates the link of one attempt (Twisted's client factory interface)."""
 
     noisy = False
 
@@ -101,11 +101,11 @@
         return link
 
     def startedConnecting(self, connector: Any) -> None:
-        """Part of the interface; the dialler knows."""
+        """Required by the interface; the dialler has started the attempt itself."""
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Nobody answered, or the port is closed."""
+        """Called when the attempt timed out or was refused."""
         self._dialler.ended(handshake_completed=False)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Part of the interface; the link reports it to its hub."""
+        """Required by the interface; the link reports its end to the hub."""
--- a/bitternpath/transport/errors.py
+++ b/bitternpath/transport/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the transport package: one tree; each class says whose fault it is and if a retry helps."""
+"""Errors of the transport package: each class documents its cause and whether a retry helps."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 class CodecError(TransportError, ValueError):
     """Bytes that don't encode a record, or a class that can't be a record.
 
-    Of received bytes: the peer is of another revision, or no node of the system. Of stored bytes: the file is
-    damaged. Decoding the same bytes again doesn't help.
+    For received bytes, the peer runs another revision or is no node of the system. For stored bytes, the file
+    is damaged. Decoding the same bytes again doesn't help.
     """
 
 
 class LinkLostError(TransportError):
-    """The link closed before the response came, or was closed when the request was made.
+    """The link closed before the response arrived, or was already closed when the request was made.
 
-    Nobody's fault. The peer may have received the request and acted on it (outcome unknown); a retry needs
-    another link.
+    This isn't a fault. The peer may have received the request and acted on it (outcome unknown); a retry
+    needs another link.
     """
--- a/bitternpath/transport/feed_messages.py
+++ b/bitternpath/transport/feed_messages.py
@@ -8,12 +8,12 @@
 
 
 class FeedSubscribe(Struct, frozen=True):
-    """Subscribes to the feed from these offsets on.
+    """Subscribes to the feed, starting after these offsets.
 
     Attributes:
-        configuration_version: version that the subscriber has; -1 or 0 for none.
-        placement_generation: generation that it has; -1 or 0 for none.
-        wants_catalogue: whether to send the endpoint catalogue too.
+        configuration_version: the version that the subscriber has; -1 or 0 for none.
+        placement_generation: the generation that it has; -1 or 0 for none.
+        wants_catalogue: whether to send the endpoint catalogue, too.
     """
 
     configuration_version: int
@@ -22,16 +22,16 @@
 
 
 class FeedUpdate(Struct, frozen=True):
-    """What changed since the subscriber's offsets; without a change, a heartbeat. Also a node's stored cache.
+    """Changes since the subscriber's offsets; without changes, a heartbeat. Also stored as a node's cache.
 
     Attributes:
         epoch: term of the sender.
         configuration_version: version in force.
-        configuration: the complete document, packed by `configuration.feed_documents`; None where it
-            has not changed.
+        configuration: the complete document, packed by `configuration.feed_documents`; None if it is
+            unchanged.
         placement_generation: generation in force.
-        placement: all queue shards; None where the subscriber has them.
-        edge_node_count: how many edge nodes the system has, as far as known; for shares of common limits.
+        placement: all queue shards; None if the subscriber has them.
+        edge_node_count: number of edge nodes in the system, as far as known; used to share common limits.
     """
 
     epoch: int
@@ -43,10 +43,10 @@
 
 
 class FeedRefused(Struct, frozen=True):
-    """The asked node doesn't own the configuration.
+    """The receiver of a `FeedSubscribe` doesn't own the configuration.
 
     Attributes:
-        leader_address: address of the node that it believes to be the owner; empty where it knows none.
+        leader_address: address of the presumed owner; empty if none is known.
         members: voters of the configuration group, as far as known.
     """
 
@@ -55,16 +55,16 @@
 
 
 class CatalogueEntry(Struct, frozen=True):
-    """A worker of the platform's endpoint list.
+    """A worker in the platform's endpoint list.
 
     Attributes:
         instance: the worker's name.
-        service: the service that it serves.
+        service: the service that it belongs to.
         address: its ip:port.
         zone: its failure domain.
-        slots: how many messages it runs at once.
-        draining: it takes no new messages.
-        warming_up: it started a moment ago and is slow still.
+        slots: number of messages that it processes concurrently.
+        draining: whether it accepts no new messages.
+        warming_up: whether it started recently and is still slow.
     """
 
     instance: str
@@ -81,9 +81,9 @@
 
     Attributes:
         epoch: term of the sender.
-        serial: rises with each change of the entries, within an epoch.
+        serial: increases with each change of the entries, within an epoch.
         age_ms: milliseconds since the reading began.
-        entries: None where they are those of the last update.
+        entries: None if they are those of the last update.
     """
 
     epoch: int
--- a/bitternpath/transport/frames.py
+++ b/bitternpath/transport/frames.py
@@ -1,4 +1,4 @@
-"""Framing of records on a connection between two nodes: a length of four bytes, then one encoded record."""
+"""Framing of records on a connection between two nodes: four bytes of length, then one encoded record."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 from bitternpath.transport.errors import CodecError
 
-HEADER = struct.Struct("!I")  # length of the record, without the header
-MAX_FRAME_BYTES = 24 << 20  # of a record: a configuration of 16 MiB with room for its envelope
+HEADER = struct.Struct("!I")  # length of the record, excluding the header
+MAX_FRAME_BYTES = 24 << 20  # of a record: a configuration of 16 MiB and its envelope
 
 
 class FrameBuffer:
-    """Cuts a stream of received bytes into frames."""
+    """Splits a stream of received bytes into frames."""
 
     def __init__(self) -> None:
-        """Nothing received yet."""
+        """Create an empty buffer."""
         self._received = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes; the records that are complete now, still encoded.
+        """Add received bytes; return the records that are complete now, still encoded.
 
         Raises:
-            CodecError: a frame is longer than `MAX_FRAME_BYTES`. The stream can't be read on.
+            CodecError: a frame is longer than `MAX_FRAME_BYTES`; the rest of the stream can't be decoded.
         """
         self._received += data
         frames: list[bytes] = []
@@ -42,5 +42,5 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """One frame: `payload`, an encoded record, with its length in front."""
+    """Frame `payload`, an encoded record: prefix it with its length."""
     return HEADER.pack(len(payload)) + payload
--- a/bitternpath/transport/group_messages.py
+++ b/bitternpath/transport/group_messages.py
@@ -8,8 +8,7 @@
 class GroupMessage(Struct, frozen=True):
     """A consensus message of one replica group.
 
-    Its sender and receiver are the members on the disks that the link's two ends have named in their
-    greetings.
+    Its sender and receiver are the members on the disks that the two ends of the link have named in `Hello`.
 
     Attributes:
         group: name of the replica group.
@@ -21,10 +20,10 @@
 
 
 class MemberAddress(Struct, frozen=True):
-    """Where a member of a replica group runs.
+    """The address of a member of a replica group.
 
     Attributes:
-        member: member id, which is the node's name and the identity of its disk.
+        member: member id, which consists of the node's name and the identity of its disk.
         node: the node's name.
         address: ip:port of the node's internal listener.
         zone: the node's failure domain.
@@ -41,7 +40,7 @@
 
     Attributes:
         group: name of the replica group.
-        generation: rises with each change of the members.
+        generation: increases with each change of the members.
         members: the first one is the preferred owner.
     """
 
@@ -51,11 +50,11 @@
 
 
 class BootstrapDecision(Struct, frozen=True):
-    """The first members of the configuration's replica group, decided once in the life of a system.
+    """The founding members of the configuration group, decided once in the lifetime of a system.
 
     Attributes:
         system: identity of the system, drawn at the decision.
-        group: the configuration group with its first members.
+        group: the configuration group with its founding members.
     """
 
     system: str
@@ -63,7 +62,7 @@
 
 
 class BootstrapDecisionStored(Struct, frozen=True):
-    """A member (by id) has the bootstrap decision on its disk."""
+    """A member (by id) has stored the bootstrap decision on its disk."""
 
     member: str
 
@@ -71,13 +70,13 @@
 class MembershipReport(Struct, frozen=True):
     """A shard's committed members, reported by its owner.
 
-    It goes to the configuration's owner, and to a replica that asks.
+    Sent to the configuration's owner, and to a replica in response to `MembershipRequest`.
 
     Attributes:
         group: name of the shard's replica group.
         epoch: term of the reporting owner.
         members: ids of voters and learners.
-        generation: of the placement that the members follow.
+        generation: generation of the placement that the members follow.
     """
 
     group: str
@@ -87,6 +86,6 @@
 
 
 class MembershipRequest(Struct, frozen=True):
-    """A replica that the placement doesn't name asks its group's owner for a `MembershipReport`."""
+    """Requests a `MembershipReport` from a group's owner, for a replica that the placement doesn't name."""
 
     group: str
--- a/bitternpath/transport/hub.py
+++ b/bitternpath/transport/hub.py
@@ -1,4 +1,4 @@
-"""All links of a process: those that it accepts and those that it dials."""
+"""All links of a process, accepted and dialled."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from bitternpath.transport.links import Link, LinkHandler
 from bitternpath.transport.node_messages import Hello, NodeDescriptor
 
-CHECK_INTERVAL_S = 0.5  # how often all links are checked for silence
+CHECK_INTERVAL_S = 0.5  # between liveness checks of all links
 LISTEN_BACKLOG = 1024  # connections that wait to be accepted
 
 
 class NodeHub:
-    """Owns all links of a process; one timer checks them all, and one turn of the reactor writes them all.
+    """Owns all links of a process; a single timer checks them all, and a single reactor turn writes them all.
 
     Attributes:
         reactor: clock, timers and TCP.
-        handler: receives what comes over links.
-        describe: this node, as it greets peers.
-        random: jitter of back-offs, and other choices of the links' users.
-        links: all connections that stand, in the order in which they were made.
+        handler: receives the events and records of links.
+        describe: returns this node's descriptor, which is sent in `Hello`.
+        random: for the jitter of back-offs, and for other choices of the links' users.
+        links: all established connections, in the order in which they were made.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         describe: Callable[[], NodeDescriptor],
         random: Random,
     ) -> None:
-        """Without links; neither listening nor dialling."""
+        """Create a hub without links that neither listens nor dials."""
         self.reactor = reactor
         self.handler = handler
         self.describe = describe
@@ -54,18 +54,18 @@
         """Accept links.
 
         Raises:
-            CannotListenError: the port is taken, or the address isn't the machine's.
+            CannotListenError: the port is in use, or the address isn't the machine's.
         """
         factory = _AcceptFactory(self)
         self._port = self.reactor.listenTCP(port, factory, backlog=LISTEN_BACKLOG, interface=host)
 
     @property
     def listening_port(self) -> int:
-        """The TCP port that is listened on; 0 before `listen`."""
+        """The TCP port on which the hub listens; 0 before `listen`."""
         return int(self._port.getHost().port) if self._port is not None else 0
 
     def dial(self, address: str, user: str) -> Dialler:
-        """The dialler of an address, made and started where there is none; `user` names who wants it."""
+        """The dialler of an address, started if there was none; `user` names who needs the link."""
         dialler = self._diallers.get(address)
         if dialler is None:
             dialler = self._diallers[address] = Dialler(self, address)
@@ -74,7 +74,7 @@
         return dialler
 
     def release(self, address: str, user: str) -> None:
-        """A user doesn't want an address any more; the link is closed when no user does."""
+        """Called when `user` no longer needs an address; the link is closed when no user needs it."""
         dialler = self._diallers.get(address)
         if dialler is None:
             return
@@ -84,17 +84,17 @@
             dialler.stop()
 
     def link_to(self, address: str) -> Link | None:
-        """The open link that was dialled to an address."""
+        """The open link that was dialled to an address; None if there is none."""
         dialler = self._diallers.get(address)
         return dialler.open_link if dialler else None
 
     def announce(self) -> None:
-        """Send `Hello` to all peers again: this node's description has changed."""
+        """Send `Hello` to all peers again, because this node's descriptor has changed."""
         for link in self.links:
             link.send(Hello(self.describe()))
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and dialling, and close all links."""
         if self._port is not None:
             self._port.stopListening()
         if self._check is not None:
@@ -108,30 +108,30 @@
             link.close()
 
     def flush(self) -> None:
-        """Write what all links have queued; for callers that know that nothing follows in this turn."""
+        """Write what all links have queued; for callers that queue nothing more in this reactor turn."""
         if self._flush_call is not None:
             self._flush_call.cancel()
             self._write_unflushed()
 
-    # ---- what links call (`LinkOwner`)
+    # ---- LinkOwner
 
     def make_link(self, dialled: str) -> Link:
-        """A link for a connection to that address; empty where the peer dialled."""
+        """Create the link of a connection; `dialled` is its address, empty if the peer dialled."""
         return Link(self, dialled)
 
     def link_ended(self, link: Link) -> None:
-        """A link's connection has ended; its dialler dials again."""
+        """Called when a link's connection has ended; its dialler dials again."""
         dialler = self._diallers.get(link.dialled)
         if dialler is not None and dialler.link is link:
             dialler.ended(handshake_completed=link.peer is not None)
 
     def schedule_check(self) -> None:
-        """Check all links for silence from now on, together: one timer and one turn for all pings."""
+        """Check the liveness of all links from now on, together: one timer and one turn for all pings."""
         if self._check is None:
             self._check = self.reactor.callLater(CHECK_INTERVAL_S, self._check_links)
 
     def schedule_flush(self, link: Link) -> None:
-        """Have a link written at the end of this turn of the reactor, with all others that have anything."""
+        """Write a link at the end of this reactor turn, with all others that have queued data."""
         self._unflushed.append(link)
         if self._flush_call is None:
             self._flush_call = self.reactor.callLater(0, self._write_unflushed)
@@ -153,7 +153,7 @@
 
 
 class _AcceptFactory(Factory):
-    """Makes links of accepted connections."""
+    """Creates the links of accepted connections."""
 
     noisy = False
 
--- a/bitternpath/transport/link_liveness.py
+++ b/bitternpath/transport/link_liveness.py
@@ -1,26 +1,26 @@
 """When a link's peer is pinged, and when the link is aborted. Pure: time is an argument.
 
-The end that dialled pings; the other end receives the pings. Any received byte counts as a sign of life, so a
-busy link is pinged by neither.
+The end that dialled sends the pings; the other end receives them. Any received byte counts as a sign of life,
+so neither end pings on a busy link.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-# The end that dialled pings after so long without a byte one way or the other. A system at rest costs two
-# records a link each time, so this is slow; it is sooner while a response is awaited over the link, and much
-# sooner where the other end counts which nodes are up (the feed's owner).
+# Idle time, in either direction, after which the end that dialled sends a ping. Each ping costs an idle
+# system two records per link, so the interval is long; it is shorter while a response is awaited, and much
+# shorter if the other end tracks which nodes are up (the feed's owner).
 PING_IDLE_S = 2.0
 PING_AWAITING_RESPONSE_S = 0.75
 PING_SUBSCRIBED_S = 0.25
 
-PONG_TIMEOUT_S = 1.65  # the end that has pinged aborts the link after so long without a byte
-PEER_TIMEOUT_S = 6.0  # either end aborts the link; at the end that was dialled, two pings haven't come
+PONG_TIMEOUT_S = 1.65  # the end that pinged aborts the link after this long without a byte
+PEER_TIMEOUT_S = 6.0  # either end aborts the link; at the end that was dialled, two pings are missing
 
 
 class LivenessAction(Enum):
-    """What is to be done about a link's peer."""
+    """What to do about a link's peer."""
 
     NONE = "none"
     PING = "ping"
@@ -28,35 +28,35 @@
 
 
 class LinkLiveness:
-    """The times by which one link is judged, in seconds of a monotonic clock.
+    """Timestamps of one link, in seconds of a monotonic clock, and the decisions based on them.
 
     Attributes:
         ping_after_s: idle time after which the peer is pinged.
-        received_at: when a byte last came.
+        received_at: when a byte was last received.
         sent_at: when bytes were last written.
-        pinged_at: when the first ping since `received_at` was sent; None where none was.
+        pinged_at: when the first ping since `received_at` was sent; None if there was none.
     """
 
     __slots__ = ("ping_after_s", "pinged_at", "received_at", "sent_at")
 
     def __init__(self) -> None:
-        """Of a link that isn't connected yet."""
+        """Create the state of a link that isn't connected yet."""
         self.ping_after_s = PING_IDLE_S
         self.received_at = 0.0
         self.sent_at = 0.0
         self.pinged_at: float | None = None
 
     def received(self, now: float) -> None:
-        """Bytes have come."""
+        """Record that bytes were received."""
         self.received_at = now
         self.pinged_at = None
 
     def seconds_since_received(self, now: float) -> float:
-        """Seconds since a byte came."""
+        """Seconds since a byte was last received."""
         return now - self.received_at
 
     def next_action(self, now: float, *, is_dialler: bool, awaits_response: bool) -> LivenessAction:
-        """What is to be done now; PING is recorded as done.
+        """The action to take now; PING is recorded as done.
 
         Args:
             now: the time.
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -1,7 +1,7 @@
 """One connection between two nodes: framed Avro records, requests and responses, liveness by ping.
 
-Either end may have dialled; after that both ends are equal but for who pings (`link_liveness`). Records go
-to a `LinkHandler`. Nothing is queued for a peer that isn't connected.
+Either end may have dialled; after that both ends are equal, except that only one sends pings
+(`link_liveness`). Records are passed to a `LinkHandler`. Nothing is queued for a peer that isn't connected.
 
 States of a link (`LinkState`):
 
@@ -9,7 +9,7 @@
                                   `----------closed--------------------------^
 
 Responses to requests are accepted in any state but CLOSED; all other records only once the link is open. A
-peer may greet again at any time: its description has changed.
+peer may send `Hello` again at any time, when its descriptor has changed.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 log = logbook.Logger("transport")
 
-TCP_USER_TIMEOUT_MS = 2_000  # the kernel ends a connection whose bytes nobody acknowledges for so long
+TCP_USER_TIMEOUT_MS = 2_000  # the kernel ends a connection whose bytes are unacknowledged for so long
 
 
 class LinkState(Enum):
@@ -49,26 +49,26 @@
     CLOSED = "closed"
 
 
-# Each record asks for these: a module's name is found faster than an enum's member.
+# Used for each record: looking up a module's global is faster than an enum's member.
 _OPEN = LinkState.OPEN
 _CLOSED = LinkState.CLOSED
 
 
 class LinkHandler(Protocol):
-    """Receives what comes over links. All methods are called in the reactor's thread."""
+    """Receives the events and records of links. All methods are called in the reactor's thread."""
 
     def link_opened(self, link: Link) -> None:
-        """The peer has greeted (`link.peer`), for the first time or again."""
+        """Called when the peer has sent `Hello` (`link.peer`), for the first time or again."""
 
     def link_closed(self, link: Link) -> None:
-        """A link that was open has closed."""
+        """Called when a link that was open has closed."""
 
     def received(self, link: Link, record: Record) -> None:
-        """A record has come that is no response to a request of ours."""
+        """Called with each record that isn't the response to a request of this end."""
 
 
 class LinkOwner(Protocol):
-    """What a link needs of the hub that it belongs to."""
+    """What a link needs from the hub that it belongs to."""
 
     reactor: TcpReactor
     random: Random
@@ -77,53 +77,53 @@
     describe: Callable[[], NodeDescriptor]
 
     def make_link(self, dialled: str) -> Link:
-        """A link for a connection that is being made."""
+        """Create the link of a connection that is being established."""
 
     def schedule_check(self) -> None:
-        """Check links for silence from now on."""
+        """Check the liveness of links from now on."""
 
     def schedule_flush(self, link: Link) -> None:
-        """Have a link written at the end of this turn of the reactor."""
+        """Write a link at the end of this reactor turn."""
 
     def link_ended(self, link: Link) -> None:
-        """A link's connection has ended."""
+        """Called when a link's connection has ended."""
 
 
 class Link(TwistedProtocol):
     """One connection to another node.
 
     Attributes:
-        dialled: the address that was dialled; empty where the peer dialled.
-        peer: the peer as it has greeted last; None before that.
+        dialled: the address that was dialled; empty if the peer dialled.
+        peer: the descriptor in the peer's last `Hello`; None before the first.
     """
 
     transport: Any
 
     def __init__(self, hub: LinkOwner, dialled: str) -> None:
-        """Not connected yet."""
+        """Create a link that isn't connected yet."""
         self.dialled = dialled
         self.peer: NodeDescriptor | None = None
         self._hub = hub
         self._state = LinkState.CONNECTING
         self._liveness = LinkLiveness()
         self._frames = FrameBuffer()
-        self._requests: dict[int, Deferred[Response]] = {}  # those without a response, by number
+        self._requests: dict[int, Deferred[Response]] = {}  # requests without a response, by number
         self._last_number = 0
-        self._outgoing: list[bytes] = []  # frames of this turn of the reactor
+        self._outgoing: list[bytes] = []  # frames queued in this reactor turn
 
     @property
     def open(self) -> bool:
-        """Whether the peer has greeted and the connection stands."""
+        """Whether the peer has sent `Hello` and the connection is established."""
         return self._state is _OPEN
 
     @property
     def received_at(self) -> float:
-        """When the peer last sent anything, by the reactor's clock."""
+        """When the peer last sent any bytes, by the reactor's clock."""
         return self._liveness.received_at
 
     @property
     def ping_after_s(self) -> float:
-        """Seconds of silence after which the peer is pinged, where this end dialled."""
+        """Seconds of idle time after which the peer is pinged, if this end dialled."""
         return self._liveness.ping_after_s
 
     @ping_after_s.setter
@@ -137,13 +137,13 @@
 
     @property
     def pending_requests(self) -> int:
-        """How many requests have no response yet."""
+        """The number of requests without a response."""
         return len(self._requests)
 
     # ---- sending
 
     def send(self, record: Record) -> None:
-        """Queue a record; what one turn of the reactor sends goes out in one write."""
+        """Queue a record; the records of one reactor turn are sent in one write."""
         if self._state is _CLOSED:
             return
         if not self._outgoing:
@@ -153,7 +153,7 @@
     def request(self, make: Callable[[int], Record]) -> Deferred[Response]:
         """Send the record `make(number)`; fires with the response that has that number.
 
-        The Deferred fails with `LinkLostError` where the link closes before that, or is closed already.
+        The Deferred fails with `LinkLostError` if the link closes first, or is closed already.
         """
         response: Deferred[Response] = Deferred()
         if self._state is _CLOSED:
@@ -165,18 +165,18 @@
         return response
 
     def close(self) -> None:
-        """Close the connection once all that was sent is written."""
+        """Close the connection once everything that was sent has been written."""
         if self.transport is not None:
             self.flush()
             self.transport.loseConnection()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self.transport is not None:
             self.transport.abortConnection()
 
     def flush(self) -> None:
-        """Write what was queued."""
+        """Write the queued records."""
         if self._outgoing and self.transport is not None and self._state is not _CLOSED:
             data = b"".join(self._outgoing)
             self._outgoing = []
@@ -186,7 +186,7 @@
     # ---- the connection, as Twisted calls it
 
     def connectionMade(self) -> None:
-        """Greet the peer."""
+        """Send `Hello` to the peer."""
         self._state = LinkState.GREETING
         self._liveness.received(self._hub.reactor.seconds())
         _set_socket_options(self.transport.getHandle())
@@ -237,7 +237,7 @@
                     self._hub.handler.received(self, record)
 
     def _complete_request(self, response: Response) -> bool:
-        """Whether a request waited for this response; then it has it now."""
+        """Pass a response to the request that waits for it; return whether there was one."""
         request = self._requests.pop(response.number, None)
         if request is not None:
             request.callback(response)
@@ -249,7 +249,7 @@
         self._hub.handler.link_opened(self)
 
     def check_liveness(self, now: float) -> None:
-        """Ping the peer, or abort the link, where the peer is silent (`now`: the reactor's clock)."""
+        """Ping the peer or abort the link if that is due; `now` is the reactor's time."""
         action = self._liveness.next_action(
             now, is_dialler=bool(self.dialled), awaits_response=bool(self._requests)
         )
@@ -262,7 +262,7 @@
 
 
 def _set_socket_options(handle: Any) -> None:
-    """No delay of small writes, and a bound for unacknowledged ones; simulated sockets have neither."""
+    """Send small writes at once, and bound the time without acknowledgement; simulated sockets can't."""
     with contextlib.suppress(OSError, AttributeError):
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
--- a/bitternpath/transport/messages.py
+++ b/bitternpath/transport/messages.py
@@ -1,8 +1,8 @@
-"""All records that nodes send one another: the sets that number them on the wire.
+"""All records that nodes exchange: the sets that number them on the wire.
 
-The order in `RECORDS` is the wire's numbering: new records are added at its end. Requests carry a
-`number` that their response brings back; numbers are the sender's own and rise on a connection. Epochs
-are the terms of a replica group: a higher one is a later owner (fencing token).
+The order in `RECORDS` determines the numbers on the wire, so new records are added at its end. Requests carry
+a `number` that their response repeats; numbers are chosen by the sender and increase on a connection. Epochs
+are the terms of a replica group: a higher epoch belongs to a later owner (fencing token).
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
     WorkAvailable,
 )
 
-# All records that a link carries; the place of a class is its number on the wire.
+# All records that a link carries; the position of a class is its number on the wire.
 Record = (
     Hello
     | Ping
--- a/bitternpath/transport/node_messages.py
+++ b/bitternpath/transport/node_messages.py
@@ -1,4 +1,4 @@
-"""Records about nodes and the links between them: greetings, liveness, and gossip of membership views."""
+"""Records about nodes and the links between them: `Hello`, pings, and gossip of membership views."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class NodeKind(IntEnum):
-    """The role of a node's process. The numbers are sent."""
+    """The role of a node's process. The numbers are part of the wire format."""
 
     EDGE = 0
     STORAGE = 1
-    TOOL = 2  # an operator's command: it asks, and takes no part in the system
+    TOOL = 2  # an operator's command, which queries nodes but isn't part of the system
 
 
 class NodeDescriptor(Struct, frozen=True):
-    """What nodes know of one another.
+    """A node's description of itself for other nodes.
 
-    Of two descriptions of one name, the greater (`incarnation`, `heartbeat`) is the newer one.
+    Of two descriptors with the same name, the one with the greater (`incarnation`, `heartbeat`) is newer.
 
     Attributes:
         name: unique in the system.
         address: ip:port of its internal listener.
         kind: its role.
         zone: failure domain.
-        counted: it has a disk and counts for the fault tolerance.
+        counted: whether it has a disk and counts for the fault tolerance.
         disk: identity of its disk, drawn when the disk was empty; empty without a disk.
         incarnation: milliseconds of the wall clock at which its process started.
-        heartbeat: counter that rises while the process runs.
-        draining: it is shutting down.
+        heartbeat: counter that increases while the process runs.
+        draining: whether it is shutting down.
     """
 
     name: str
@@ -44,13 +44,13 @@
 
 
 class Hello(Struct, frozen=True):
-    """Greeting: the first record on each connection, from both ends; again when the description changes."""
+    """Greeting: the first record on a connection, from both ends; sent again when the descriptor changes."""
 
     node: NodeDescriptor
 
 
 class Ping(Struct, frozen=True):
-    """Asks for a `Pong` response. `number` comes back in the `Pong`; 0 where it doesn't matter."""
+    """Requests a `Pong` with the same `number`; 0 if the number doesn't matter."""
 
     number: int
 
@@ -62,7 +62,7 @@
 
 
 class ShuffleRequest(Struct, frozen=True):
-    """Gossip (a datagram): part of the sender's view of the system, for part of the receiver's."""
+    """Gossip (a datagram): part of the sender's view of the system, to get part of the receiver's."""
 
     sender: NodeDescriptor
     nodes: tuple[NodeDescriptor, ...]
--- a/bitternpath/transport/operator_messages.py
+++ b/bitternpath/transport/operator_messages.py
@@ -1,4 +1,4 @@
-"""Records of the operator's calls between nodes: forwarded requests, and the status of a node."""
+"""Records of the operator's calls between nodes: forwarded calls, and the status of a node."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     """A call of the operator, forwarded to the configuration's owner.
 
     Attributes:
-        number: of the request on this link.
+        number: number of the request on this link.
         method: HTTP method.
         path: HTTP path.
-        if_match: the header of that name; empty where there is none.
-        body: as it came.
+        if_match: value of the header `If-Match`; empty if there is none.
+        body: body of the HTTP request, unchanged.
     """
 
     number: int
@@ -26,11 +26,11 @@
 
 
 class OperatorResponse(Struct, frozen=True):
-    """The owner's result, as it goes to the operator.
+    """The owner's result, as sent to the operator.
 
     Attributes:
-        number: of the request.
-        decided: False where another node should be tried.
+        number: number of the request.
+        decided: False if another node should be tried.
         status: HTTP status.
         body: JSON.
     """
@@ -42,18 +42,18 @@
 
 
 class GroupStatus(Struct, frozen=True):
-    """A replica group as one of its members sees it.
+    """A replica group as seen by one of its members.
 
     Attributes:
         group: its name.
         epoch: its term.
         owns: whether this member is its owner.
-        owner: member id of the owner; empty where it isn't known.
+        owner: member id of the owner; empty if unknown.
         voters: member ids.
         learners: member ids.
         queued: unfinished messages in the replica's state; 0 for the configuration group.
-        dead_letters: messages that failed permanently and can still be asked for.
-        ended: tombstones, dead letters among them.
+        dead_letters: messages that failed permanently and whose state can still be read.
+        ended: tombstones, including those of dead letters.
     """
 
     group: str
@@ -68,12 +68,12 @@
 
 
 class EventCount(Struct, frozen=True):
-    """How often a log event came, for one cause.
+    """The number of occurrences of a log event, for one cause.
 
     Attributes:
         event: its name.
-        cause: what its line says as cause, reason or error; empty where it says none.
-        count: since the process started.
+        cause: the value of `cause`, `reason` or `error` in its line; empty if there is none.
+        count: occurrences since the process started.
     """
 
     event: str
@@ -82,17 +82,17 @@
 
 
 class EventCountsRequest(Struct, frozen=True):
-    """Asks a node how often its log events came."""
+    """Requests the counts of a node's log events."""
 
     number: int
 
 
 class EventCountsResponse(Struct, frozen=True):
-    """The counts of a node's process; those of the levels that it logs.
+    """The counts of a node's process, for the severities that it logs.
 
     Attributes:
-        number: of the request.
-        counts: by event and cause.
+        number: number of the request.
+        counts: counts by event and cause.
     """
 
     number: int
@@ -100,7 +100,7 @@
 
 
 class StatusRequest(Struct, frozen=True):
-    """Asks a node for its status."""
+    """Requests the status of a node."""
 
     number: int
 
@@ -109,12 +109,12 @@
     """The status of a node.
 
     Attributes:
-        number: of the request.
+        number: number of the request.
         node: the node itself.
         configuration_version: version in force on it.
         placement_generation: generation in force on it.
         ready: whether it passes its readiness check.
-        memory_mb: peak of its resident memory.
+        memory_mb: its peak resident memory.
         groups: replica groups of which it has a member.
         known: its view of the system.
     """
--- a/bitternpath/transport/quota_messages.py
+++ b/bitternpath/transport/quota_messages.py
@@ -1,4 +1,4 @@
-"""Records by which shards lease rate-limit tokens from one another."""
+"""Records by which shards borrow rate-limit tokens from one another."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class TokenRequest(Struct, frozen=True):
-    """A shard asks for tokens of a service at the service's home shard.
+    """Requests tokens of a service from the service's home shard, for another shard.
 
     Attributes:
-        number: of the request on this link.
+        number: number of the request on this link.
         group: replica group of the home shard.
         service: name of the service.
-        wanted: how many tokens.
+        wanted: number of tokens requested.
     """
 
     number: int
@@ -22,11 +22,11 @@
 
 
 class TokenResponse(Struct, frozen=True):
-    """How many tokens the shard gets; they lapse a quota lease's time after the request was sent.
+    """The tokens lent to a shard; they expire one quota lease after the request was sent.
 
     Attributes:
-        number: of the request.
-        tokens: perhaps fewer than wanted, or none.
+        number: number of the request.
+        tokens: number of tokens; may be less than requested, or 0.
     """
 
     number: int
--- a/bitternpath/transport/shard_messages.py
+++ b/bitternpath/transport/shard_messages.py
@@ -1,7 +1,7 @@
 """Records between edge nodes and the owners of queue shards.
 
-`group` is the name of a shard's replica group, `number` the request's on its link. A `stamp` is what a
-worker's successful response carries (PROTOCOL); empty where there is none.
+`group` is the name of a shard's replica group, `number` that of the request on its link. A `stamp` is the
+value that a worker's successful response carries (PROTOCOL); empty if there is none.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
 
 
 class Ownership(Struct, frozen=True):
-    """A storage node tells edge nodes that it owns a shard, or no longer does.
+    """Announces to edge nodes that a storage node owns a shard, or no longer does.
 
     Attributes:
         group: the shard.
-        epoch: term of the ownership; of two owners the one with the higher term is the later (fencing token).
-        owns: whether it owns the shard.
+        epoch: term of the ownership; of two owners, the one with the higher term is the later one (fencing
+            token).
+        owns: whether the sender owns the shard.
     """
 
     group: str
@@ -33,22 +34,22 @@
 
 
 class RefusalReason(IntEnum):
-    """Why a request did nothing at all. The numbers are sent and documented (docs/ERRORS.md)."""
+    """Why a request had no effect. The numbers are sent and documented (docs/ERRORS.md)."""
 
     NOT_OWNER = 0
-    FULL = 1  # of disk or memory
+    FULL = 1  # disk or memory is full
     NOT_READY = 2
 
 
 class Refused(Struct, frozen=True):
-    """The request did nothing and never will; a retry at the owner is safe."""
+    """The request had no effect and never will; a retry at the owner is safe."""
 
     number: int
     reason: RefusalReason
 
 
 class RequestOutcomeUnknown(Struct, frozen=True):
-    """The owner lost its shard while the request was in flight: it may or may not take effect."""
+    """The owner lost its shard while the request was in flight; the request may take effect."""
 
     number: int
 
@@ -57,7 +58,7 @@
 
 
 class AppendRequest(Struct, frozen=True):
-    """Store a message; only once where the same request id comes again."""
+    """Requests to store a message; idempotent by request id."""
 
     number: int
     group: str
@@ -65,21 +66,21 @@
 
 
 class AppendResponse(Struct, frozen=True):
-    """The message is on the disks of f+1 replicas."""
+    """The message is stored on the disks of f+1 replicas."""
 
     number: int
 
 
 class LeaseGrant(Struct, frozen=True):
-    """A lease on a message for the receiving edge node, which delivers it to a worker.
+    """Grants a lease on a message to the receiving edge node, which delivers it to a worker.
 
     Attributes:
         group: the shard.
         lease_id: identifies the lease.
-        duration_ms: how long it lasts.
-        attempts: how many failed attempts there were before.
-        body_omitted: the message's body is left out, as the receiver has it.
-        message: what is to be delivered.
+        duration_ms: duration of the lease.
+        attempts: number of failed attempts so far.
+        body_omitted: whether the message's body is left out because the receiver has it.
+        message: the message to deliver.
     """
 
     group: str
@@ -91,16 +92,16 @@
 
 
 class EndAttemptRequest(Struct, frozen=True):
-    """How a delivery under a lease ended.
+    """Reports the result of a delivery under a lease.
 
     Attributes:
-        number: of the request.
+        number: number of the request.
         group: the shard.
-        request_id: of the message.
-        lease_id: of the lease.
-        outcome: how it ended.
-        stamp: the worker's.
-        retry_after_ms: pause that the worker asked for before the next attempt; 0 for none.
+        request_id: request id of the message.
+        lease_id: id of the lease.
+        outcome: the result.
+        stamp: the worker's stamp.
+        retry_after_ms: delay before the next attempt that the worker requested; 0 for none.
     """
 
     number: int
@@ -113,14 +114,14 @@
 
 
 class EndAttemptResponse(Struct, frozen=True):
-    """`accepted`: the lease was the current one, or the same end was accepted before."""
+    """`accepted`: the lease was the current one, or the same result was accepted before."""
 
     number: int
     accepted: bool
 
 
 class ExtendRequest(Struct, frozen=True):
-    """Extend the lease of a pulled message: its worker is running it still."""
+    """Requests to extend the lease of a pulled message, as its worker is still processing it."""
 
     number: int
     group: str
@@ -132,14 +133,14 @@
 
 
 class CallbackRequest(Struct, frozen=True):
-    """The receiving edge node is asked to call the client's URL: a message has ended.
+    """Requests the receiving edge node to call the client's URL, because a message has ended.
 
     Attributes:
         group: the shard.
-        request_id: of the message.
-        url: the client's.
-        state: in which the message has ended.
-        stamp: the worker's.
+        request_id: request id of the message.
+        url: the client's URL.
+        state: final state of the message.
+        stamp: the worker's stamp.
     """
 
     group: str
@@ -150,7 +151,7 @@
 
 
 class CallbackReport(Struct, frozen=True):
-    """Result of a `CallbackRequest`; `accepted`: the client has acknowledged it."""
+    """Result of a `CallbackRequest`; `accepted`: the client has acknowledged the call."""
 
     group: str
     request_id: str
@@ -158,7 +159,7 @@
 
 
 class StateRequest(Struct, frozen=True):
-    """Asks for a message's state, and for its body where that is wanted."""
+    """Requests a message's state and, if `wants_body`, its body."""
 
     number: int
     group: str
@@ -170,12 +171,12 @@
     """A message's state.
 
     Attributes:
-        number: of the request.
-        known: False where the shard has never had the message, or has forgotten it; the rest doesn't count
-            then.
-        state: of the message.
-        stamp: the worker's.
-        body: the message's, where it was wanted and is stored still.
+        number: number of the request.
+        known: False if the shard has never had the message or has forgotten it; the other fields are then
+            meaningless.
+        state: state of the message.
+        stamp: the worker's stamp.
+        body: the message's body, if it was requested and is still stored.
     """
 
     number: int
@@ -189,11 +190,11 @@
 
 
 class PullRequest(Struct, frozen=True):
-    """A worker waits at this edge node for a message (long poll).
+    """A long poll: a worker waits for a message at the sending edge node.
 
     Attributes:
-        number: of the request.
-        group: the shard that is asked.
+        number: number of the request.
+        group: the shard that is polled.
         service: the worker's service.
         instance: the worker's name.
         wait_ms: how long it waits.
@@ -207,14 +208,14 @@
 
 
 class PullCancel(Struct, frozen=True):
-    """The worker waits no more; a message on its way to it is handed back as not run."""
+    """Cancels a long poll; a message that is already on its way to the worker is returned as not run."""
 
     number: int
     group: str
 
 
 class PullResponse(Struct, frozen=True):
-    """A message under a lease; `message` None: none came in time."""
+    """A message under a lease; `message` is None if there was none in time."""
 
     number: int
     lease_id: str
@@ -222,13 +223,13 @@
 
 
 class WorkAvailable(Struct, frozen=True):
-    """A shard has messages of a service and no waiting worker.
+    """A shard has messages of a service but no waiting worker.
 
     Attributes:
         group: the shard.
         service: name of the service.
-        waiting: how many messages are ready.
-        nodes: how many edge nodes get this record.
+        waiting: number of messages that are ready.
+        nodes: number of edge nodes that receive this record.
     """
 
     group: str
