--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -1,4 +1,4 @@
-"""`bitternpath system check-disk`: reads a data folder as a start would, without changing it."""
+"""`bitternpath system check-disk`: reads a data folder as a node's start would, without changing it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from bitternpath.transport.errors import CodecError
 from bitternpath.transport.feed_messages import FeedUpdate
 
-DATA_COPY = "data"  # name of the scratch folder's copy; messages of damage don't show it
+DATA_COPY = "data"  # name of the copy in the temporary folder; messages about damage don't contain it
 
 
 def print_disk(folder: Path) -> bool:
-    """Print what a start would find; False where something is damaged or can't be read.
+    """Print what a node's start would find; False if anything is damaged or can't be read.
 
     A start may truncate the journal and remove drafts, so a copy of the folder is read.
     """
@@ -50,7 +50,7 @@
 
 
 def _print_content(folder: Path) -> None:
-    """Print what the folder holds; raises what a start would. Changes the folder as a start does."""
+    """Print the folder's content; raises what a start would. Changes the folder as a start does."""
     identity = read_identity(folder)
     decision = BootstrapFile(folder).load()
     sizes = _segment_sizes(folder)
@@ -77,7 +77,7 @@
     if truncated:
         last = max(sizes)
         position = f"journal/{last} at offset {sizes[last] - truncated}"
-        print(f"  torn tail: {position}: {truncated} bytes are no whole batch, and are cut")
+        print(f"  torn tail: {position}: {truncated} bytes aren't a complete batch and are truncated")
 
 
 def _print_groups(journal: Journal) -> None:
@@ -92,7 +92,7 @@
 
 
 def _print_cache(path: Path) -> None:
-    """Print the feed's cache; one that is damaged is no fault, as a start drops it."""
+    """Print the feed's cache; a damaged one is no fault, because a start drops it."""
     try:
         data = read_document(path)
         if data is None:
--- a/bitternpath/cli/system_settings.py
+++ b/bitternpath/cli/system_settings.py
@@ -9,7 +9,7 @@
 from bitternpath.roles.settings import Settings, load_settings, settings_path
 from bitternpath.roles.settings_reader import SettingsError
 
-# Keys in the file of those fields of `Settings` that have another name there.
+# Keys in the file for those fields of `Settings` whose names differ from their keys.
 _FILE_KEYS = {
     "internal_ports": "internal_port_range",
     "counted": "counts_for_quorum",
@@ -26,7 +26,7 @@
 
 
 def print_settings(config: Path | None) -> bool:
-    """Print each value with its origin; False where the file can't be used.
+    """Print each value with its origin; False if the file can't be used.
 
     Without `config`, the file is the one that the environment names.
     """
@@ -44,7 +44,7 @@
 
 
 def _values(settings: Settings) -> list[tuple[str, object]]:
-    """Key in the file and value of each setting."""
+    """The key in the file and the value of each setting."""
     values: list[tuple[str, object]] = []
     for each in dataclasses.fields(settings):
         value = getattr(settings, each.name)
@@ -58,7 +58,7 @@
 
 
 def _is_set(document: object, key: str) -> bool:
-    """Whether a parsed file has a key; one with a dot stands in a table."""
+    """Whether a parsed file has a key; dots in a key separate tables."""
     for part in key.split("."):
         if not isinstance(document, dict) or part not in document:
             return False
--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -1,4 +1,4 @@
-"""`bitternpath system show`: queries one node, then all nodes that it knows, and prints what they answer."""
+"""`bitternpath system show`: queries one node, then all nodes that it knows, and prints their answers."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 reactor: Any = _reactor
 
-TOOL_LINK_USER = "tool"  # of the hub's links
-POLL_INTERVAL_S = 0.1  # between checks whether all have answered
-LINKS_CLOSE_DELAY_S = 0.05  # for the closing of the links
+TOOL_LINK_USER = "tool"  # name as a user of the hub's links
+POLL_INTERVAL_S = 0.1  # between checks whether all nodes have answered
+LINKS_CLOSE_DELAY_S = 0.05  # for closing the links
 
 
 class StatusSurvey:
     """Queries the status of all nodes that can be reached. Implements `transport.links.LinkHandler`.
 
     Attributes:
-        known: all nodes that any answer names, by name.
-        events: counts of log events of each node that was asked and has answered, by name.
+        known: all nodes named in any answer, by name.
+        events: counts of log events of each node that was queried for them and has answered, by name.
         answers: the status of each node that has answered, by name.
     """
 
@@ -49,7 +49,7 @@
         self.hub.dial(first_address, TOOL_LINK_USER)
 
     def link_opened(self, link: Link) -> None:
-        """A node has introduced itself: query it."""
+        """Query a node that has sent `Hello`."""
         link.request(StatusRequest).addCallbacks(self._answered, lambda _: None)
         if self._wants_events and link.peer is not None:
             link.request(EventCountsRequest).addCallbacks(
@@ -57,10 +57,10 @@
             )
 
     def link_closed(self, _link: Link) -> None:
-        """A link has ended; the hub dials again."""
+        """Do nothing: the hub dials again."""
 
     def received(self, _link: Link, _record: Any) -> None:
-        """Ignore records that aren't answers."""
+        """Ignore records that aren't responses."""
 
     def _counted(self, name: str, answer: Response) -> None:
         if isinstance(answer, EventCountsResponse):
@@ -82,12 +82,12 @@
 
 
 def show_system(address: str, seconds: float, *, events: bool = False) -> bool:
-    """Print the system as its nodes describe it; False where the first node doesn't answer.
+    """Print the system as its nodes describe it; False if the first node doesn't answer.
 
-    `events`: also how often each log event came at each node, by cause. Nodes of an earlier revision don't
-    know that question and close the tool's link: they are shown as `no answer`, or without counts.
+    `events`: also print the counts of each node's log events, by cause. Nodes of an earlier revision don't
+    know that request and close the link: they are shown as `no answer`, or without counts.
 
-    Runs the reactor until all known nodes have answered, for `seconds` at most.
+    Runs the reactor until all known nodes have answered, but for `seconds` at most.
     """
     survey = StatusSurvey(address, wants_events=events)
     give_up_at = reactor.seconds() + seconds
@@ -109,7 +109,7 @@
 
 
 def report(survey: StatusSurvey) -> list[str]:
-    """Format the answers: a line for each node, one for each replica group, and totals."""
+    """Format the answers: a line for each node, a line for each replica group, and totals."""
     groups = _newest_groups(survey.answers.values())
     queued = sum(each.status.queued for each in groups.values())
     dead_letters = sum(each.status.dead_letters for each in groups.values())
@@ -125,7 +125,7 @@
 
 
 def _event_lines(events: Mapping[str, EventCountsResponse]) -> list[str]:
-    """Each event and cause, with its count at each node that has it."""
+    """Each event and cause with its counts by node."""
     counts_by_event: dict[tuple[str, str], list[str]] = {}
     for name, answer in sorted(events.items()):
         for each in answer.counts:
@@ -140,7 +140,7 @@
 
 
 class _MemberStatus(NamedTuple):
-    """A replica group as one of its members sees it."""
+    """A replica group as seen by one of its members."""
 
     status: GroupStatus
     node: str
--- a/bitternpath/cli/system_tree.py
+++ b/bitternpath/cli/system_tree.py
@@ -1,7 +1,7 @@
-"""The commands `bitternpath system ...` as click commands: for shell completion, and for a call through them.
+"""The commands `bitternpath system ...` as click commands: for shell completion, and for calls through click.
 
-Typer has a command-line parser of its own, so its commands are no commands of click. Click's completion needs
-this mirror of their names, options and help.
+Typer has its own command-line parser, so its commands aren't click commands. Click's completion needs this
+mirror of their names, options and help.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class SystemGroup(click.Group):
-    """All sub-commands. Called, it passes its arguments to typer unparsed."""
+    """All sub-commands. When called, it passes its arguments to typer unparsed."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Run the command by typer, and exit with its code; parse only to complete a command line."""
+        """Run the command through typer and exit with its code; parse only for completion."""
         if not ctx.resilient_parsing:
             ctx.exit(main(args))
         return super().parse_args(ctx, args)
@@ -28,8 +28,12 @@
 def _mirror() -> SystemGroup:
     source: Any = typer.main.get_command(app)
     tree = SystemGroup("system", help=source.help)
-    for name, each in source.commands.items():
-        tree.add_command(click.Command(name, params=[_parameter(one) for one in each.params], help=each.help))
+    for name, subcommand in source.commands.items():
+        tree.add_command(
+            click.Command(
+                name, params=[_parameter(parameter) for parameter in subcommand.params], help=subcommand.help
+            )
+        )
     return tree
 
 
--- a/bitternpath/discovery/catalogue.py
+++ b/bitternpath/discovery/catalogue.py
@@ -10,20 +10,20 @@
 
 
 class Catalogue:
-    """Workers that aren't draining, by instance. Times are seconds of a steady clock.
+    """Workers that aren't draining, by instance. Times are seconds of a monotonic clock.
 
-    It is written by the feed and, where that is stale, by the node's own reading of the list.
+    Updated from the feed and, if the feed is stale, by the node's own reading of the list.
 
     Attributes:
         read_at: when the newest reading began; minus infinity before the first.
     """
 
     def __init__(self, changed: ChangedCallback) -> None:
-        """Begin empty.
+        """Create an empty catalogue.
 
         Args:
             changed: called after each reading with the workers that aren't draining, and with the instances
-                that were in the catalogue before and are not any more.
+                that were removed from the catalogue.
         """
         self._changed = changed
         self._entries: dict[str, CatalogueEntry] = {}
@@ -31,7 +31,7 @@
         self.read_at = float("-inf")
 
     def update(self, now: float, update: CatalogueUpdate) -> None:
-        """Take an update of the feed; one without entries confirms those of the same epoch and serial."""
+        """Apply an update of the feed; one without entries confirms those of the same epoch and serial."""
         version = update.epoch, update.serial
         read_at = now - update.age_ms / 1000
         if update.entries is None:
@@ -44,7 +44,7 @@
         self.replace(read_at, update.entries)
 
     def replace(self, read_at: float, entries: tuple[CatalogueEntry, ...]) -> None:
-        """Take a complete list whose reading began at `read_at`, unless a newer one is known."""
+        """Store a complete list whose reading began at `read_at`, unless a newer one is known."""
         if read_at < self.read_at:
             return
         self.read_at = read_at
--- a/bitternpath/discovery/endpoint_list_client.py
+++ b/bitternpath/discovery/endpoint_list_client.py
@@ -13,16 +13,19 @@
 
 from bitternpath.transport.feed_messages import CatalogueEntry
 
-CALL_TIMEOUT_S = 0.8  # for connecting, for the answer's head, and for its body
-IDLE_CONNECTION_S = 20  # after which the connection is closed
-MAX_PAGES = 200  # a platform whose pages lead in a circle must not keep a reading going for ever
-STATE_READY = "ready"  # PROTOCOL: every other state means that an instance takes no new calls
+CALL_TIMEOUT_S = 0.8  # each for connecting, for the head of the response, and for its body
+IDLE_CONNECTION_S = 20  # an idle connection is closed after this time
+MAX_PAGES = 200  # ends a reading whose pages refer to each other in a cycle
+STATE_READY = "ready"  # PROTOCOL: in every other state, an instance accepts no new calls
 
 Page = dict[str, Any]  # a JSON object
 
 
 class EndpointListUnavailableError(Exception):
-    """The list couldn't be read; the text says why. A fault of the platform or the network: retriable."""
+    """The list couldn't be read; the text gives the reason.
+
+    Caused by the platform or the network; a retry may help.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,8 +33,8 @@
     """One reading of the complete list.
 
     Attributes:
-        requested_at: when the reading began, in seconds of the reactor's clock: what the list shows may be
-            older than its last page, but not older than this.
+        requested_at: when the reading began, in seconds of the reactor's clock. The content may be older than
+            the last page, but not older than this.
         entries: the workers, ordered by instance.
     """
 
@@ -43,10 +46,10 @@
     """Reads the list over one persistent connection to the platform. It doesn't retry."""
 
     def __init__(self, reactor: Any, address: str) -> None:
-        """Make a client that isn't connected yet.
+        """Create a client that isn't connected yet.
 
         Args:
-            reactor: Twisted's reactor, as `Agent` needs it.
+            reactor: Twisted's reactor, as required by `Agent`.
             address: `host:port` of the platform's API.
         """
         self._reactor = reactor
--- a/bitternpath/discovery/endpoint_list_poller.py
+++ b/bitternpath/discovery/endpoint_list_poller.py
@@ -1,4 +1,4 @@
-"""Polls the platform's endpoint list, as a singleton role that one node holds."""
+"""Polls the platform's endpoint list, as a singleton role that a single node has at a time."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 log = logbook.Logger("discovery")
 
-POLL_INTERVAL_S = 0.9  # well below `drain_ms`, from which on a drain that a reading shows must be respected
-RETRY_DELAY_S = 0.25  # after a reading that failed
-RATE_SHARE = 0.5  # of the calls that the platform allows; the rest is for nodes that read the list themselves
-MIN_RATE_PER_S = 0.1  # where the settings allow less
+POLL_INTERVAL_S = 0.9  # well below `drain_ms`, within which a drain in the list must be respected
+RETRY_DELAY_S = 0.25  # after a failed reading
+RATE_SHARE = 0.5  # of the rate that the platform allows; the rest is for nodes that read the list themselves
+MIN_RATE_PER_S = 0.1  # used if the settings allow less
 
 
 class ListClient(Protocol):
-    """What the poller needs of `EndpointListClient`."""
+    """The methods of `EndpointListClient` that the poller uses."""
 
     def read(self) -> Deferred[EndpointList]:
         """Read the complete list."""
 
 
 class EndpointListPoller:
-    """While it runs, publishes each reading of the list, with the epoch of the role and a serial number."""
+    """While running, publishes each reading of the list, with the epoch of the role and a serial number."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         publish: Callable[[CatalogueUpdate], None],
         max_rate_per_s: float,
     ) -> None:
-        """Make a poller that is stopped.
+        """Create a poller that is stopped.
 
         Args:
             clock: time and timers.
             client: reads the list.
-            epoch: returns the epoch in which this node holds the role (fencing token).
-            publish: called with each reading. The serial rises with each change of the entries.
-            max_rate_per_s: calls a second that the platform allows.
+            epoch: returns the epoch in which this node has the role (fencing token).
+            publish: called with each reading. The serial number increases with each change of the entries.
+            max_rate_per_s: calls per second that the platform allows.
         """
         self._clock = clock
         self._client = client
@@ -60,13 +60,13 @@
         self._last_entries: tuple[CatalogueEntry, ...] | None = None
 
     def start(self) -> None:
-        """Begin to poll, at once."""
+        """Start polling, immediately."""
         if not self._running:
             self._running = True
             self._read()
 
     def stop(self) -> None:
-        """Publish nothing more, not even a reading that is under way."""
+        """Publish nothing more, not even a reading that is in progress."""
         self._running = False
         self._last_entries = None
         cancel_if_active(self._next_read)
--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -1,14 +1,15 @@
-"""The server's end of one HTTP/1.1 connection: strict parsing, limits, time-outs and closing.
+"""The server side of one HTTP/1.1 connection: strict parsing, limits, time-outs and closing.
 
-`StrictChannel` narrows `twisted.web.http.HTTPChannel`: whatever two readers could understand differently
-(RFC 9112, sections 6.1, 6.3 and 11.2) is answered with one error, after which nothing more is read.
+`StrictChannel` restricts `twisted.web.http.HTTPChannel`: a request that two parsers could interpret
+differently (RFC 9112, sections 6.1, 6.3 and 11.2) gets a single error response, after which nothing more is
+read.
 
-A connection's life (`Phase`), with what ends each phase and its time-out:
+Phases of a connection (`Phase`), with the events that end each phase and its time-out:
 
     IDLE        the first byte of a head -> HEAD; idle time-out or shutdown -> CLOSING
     HEAD        a complete head -> BODY; an error, or 408 after the header time-out -> CLOSING
     BODY        a complete body -> RESPONDING; an error, or 408 after the idle time-out -> CLOSING
-    RESPONDING  a complete response -> IDLE, or CLOSING where the connection doesn't persist; no time-out
+    RESPONDING  a complete response -> IDLE, or CLOSING if the connection isn't persistent; no time-out
     CLOSING     final: what was written is flushed, then the connection ends, at the latest after
                 `FLUSH_TIMEOUT_S`, or `LINGER_S` after an error
 """
@@ -29,14 +30,14 @@
 from bitternpath.ingress.http_requests import HttpRequest
 from bitternpath.net.sockets import peek
 
-LINGER_S = 1.0  # after an error: input is discarded for so long, since a reset could destroy the response
-FLUSH_TIMEOUT_S = 5.0  # a peer that reads no more of a response for so long is given up
-DRAINING_READ_TIMEOUT_S = 2.0  # during a shutdown, the rest of a request must come within this
-MAX_LENGTH_DIGITS = 15  # of Content-Length; more can't be a real size
+LINGER_S = 1.0  # after an error, input is discarded for so long, since a reset could destroy the response
+FLUSH_TIMEOUT_S = 5.0  # the connection is aborted if a peer hasn't read its response by then
+DRAINING_READ_TIMEOUT_S = 2.0  # during a shutdown, the rest of a request must arrive within this
+MAX_LENGTH_DIGITS = 15  # of Content-Length; more digits can't be a real size
 
 
 class Phase(Enum):
-    """What a connection is doing."""
+    """The phase of a connection."""
 
     IDLE = "between requests"
     HEAD = "reading a head"
@@ -46,25 +47,25 @@
 
 
 class ChannelSite(Protocol):
-    """What a connection needs of its server; `http_server.HttpServer` is one."""
+    """What a connection needs from its server; implemented by `http_server.HttpServer`."""
 
-    channels: dict[StrictChannel, None]  # the open ones, in the order in which they were made
+    channels: dict[StrictChannel, None]  # the open connections, in the order in which they were made
     closing: bool  # whether the server is shutting down
 
     def limits(self) -> RequestLimits:
-        """The limits for what is read from now on."""
+        """The limits for requests that are read from now on."""
 
     def channel_lost(self) -> None:
-        """A connection has ended, and has left `channels`."""
+        """Called when a connection has ended and has been removed from `channels`."""
 
 
 @implementer(IHalfCloseableProtocol)
 class StrictChannel(HTTPChannel):
-    """One connection from a client. It reads one request at a time; pipelined ones wait."""
+    """One connection from a client. Reads one request at a time; pipelined requests wait."""
 
     site: ChannelSite
     transport: Any
-    timeOut: Any = None  # seconds or None; `TimeoutMixin` says int, fractions are fine as well
+    timeOut: Any = None  # seconds or None; `TimeoutMixin` declares int, but fractions work as well
 
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
@@ -75,7 +76,7 @@
         self._read_closed = False  # the peer has closed its sending side
 
     def connectionMade(self) -> None:
-        """Begin, idle."""
+        """Start in the phase IDLE."""
         super().connectionMade()  # type: ignore[no-untyped-call]
         self.site.channels[self] = None
         self._enter(Phase.IDLE)
@@ -83,7 +84,7 @@
     # ---- reading
 
     def dataReceived(self, data: bytes) -> None:
-        """Read what has come, unless the connection is being closed after an error."""
+        """Read received data, unless the connection is being closed after an error."""
         if self._rejected:
             return
         if self.phase is Phase.BODY:
@@ -92,7 +93,7 @@
         self._begin_head_if_buffered()
 
     def lineReceived(self, line: bytes) -> None:
-        """Read a line of a head, within the limit of all heads; line folding (RFC 9112, 5.2) is an error."""
+        """Read a line of a head, within the limit for heads; line folding (RFC 9112, 5.2) is an error."""
         if self._rejected:
             return
         if self.phase is Phase.IDLE and line:
@@ -112,7 +113,7 @@
         self.reject(431)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Read a part of a body, or drop it after an error."""
+        """Read a part of a body; discard it after an error."""
         if not self._rejected:
             super().rawDataReceived(data)
 
@@ -129,7 +130,7 @@
             self._begin_head()
 
     def _maybeChooseTransferDecoder(self, header: bytes, data: bytes) -> bool:
-        """Choose how the body is framed; False rejects the request (a hook of `HTTPChannel`)."""
+        """Choose the framing of the body; False rejects the request (a hook of `HTTPChannel`)."""
         length_is_bad = header == b"Content-Length" and len(data) > MAX_LENGTH_DIGITS
         coding_is_bad = header == b"Transfer-Encoding" and (
             data.lower() != b"chunked" or self._version != b"HTTP/1.1"
@@ -140,7 +141,7 @@
         return bool(super()._maybeChooseTransferDecoder(header, data))  # type: ignore[no-untyped-call]
 
     def allHeadersReceived(self) -> None:
-        """Check what only a complete head shows: one `Host`, and a length within the limit."""
+        """Check what only a complete head shows: a single `Host`, and a length within the limit."""
         request = self.requests[-1]
         hosts = request.requestHeaders.getRawHeaders(b"Host", ())
         if len(hosts) > 1 or (not hosts and self._version == b"HTTP/1.1"):
@@ -153,7 +154,7 @@
         super().allHeadersReceived()  # type: ignore[no-untyped-call]
 
     def allContentReceived(self) -> None:
-        """A request is complete: let it be processed."""
+        """Process a request that is complete."""
         if not self._rejected:
             self._enter(Phase.RESPONDING)
             super().allContentReceived()  # type: ignore[no-untyped-call]
@@ -175,13 +176,13 @@
             request.responseHeaders.setRawHeaders(b"Connection", [b"close"])
 
     def requestDone(self, request: HttpRequest) -> None:
-        """A response is complete: read on."""
+        """Called when a response is complete; reads the next request."""
         self._enter(Phase.IDLE)
         super().requestDone(request)  # type: ignore[no-untyped-call]
         self._begin_head_if_buffered()
 
     def reject(self, status: int) -> None:
-        """Respond to a request that can't be parsed, and close the connection without reading more of it."""
+        """Respond to a request that can't be parsed, and close the connection without reading the rest."""
         if self._rejected:
             return
         self._rejected = True
@@ -198,20 +199,20 @@
             self.transport.loseWriteConnection()
 
     def _respondToBadRequestAndDisconnect(self) -> None:
-        """Reject what Twisted itself finds malformed (a hook of `HTTPChannel`)."""
+        """Reject a request that Twisted finds malformed (a hook of `HTTPChannel`)."""
         self.reject(400)
 
     # ---- time-outs and closing
 
     def begin_shutdown(self) -> None:
-        """Close an idle connection now, any other one after the response that it waits for."""
+        """Close an idle connection now, any other one after the pending response."""
         if self.phase is Phase.IDLE and not self._has_unread_input():
             self.loseConnection()
         elif self.phase in (Phase.IDLE, Phase.HEAD, Phase.BODY):
             self.setTimeout(DRAINING_READ_TIMEOUT_S)  # type: ignore[no-untyped-call]
 
     def answer_pending(self) -> None:
-        """Respond, without a result, to the request that waits and those read behind it; then close."""
+        """Send the fallback response to the pending request and those pipelined after it; then close."""
         answered: HttpRequest | None = None
         while self.phase is Phase.RESPONDING and self.requests[0] is not answered:
             answered = self.requests[0]
@@ -220,12 +221,12 @@
             self.loseConnection()
 
     def loseConnection(self) -> None:
-        """Close once all that was written is sent, or after the flush time-out."""
+        """Close once everything that was written is sent, or after the flush time-out."""
         self._enter(Phase.CLOSING, FLUSH_TIMEOUT_S)
         super().loseConnection()  # type: ignore[no-untyped-call]
 
     def timeoutConnection(self) -> None:
-        """The time-out of the present phase has passed."""
+        """Called when the time-out of the current phase has expired."""
         if self.phase in (Phase.HEAD, Phase.BODY):
             self.reject(408)
         elif self.phase is Phase.CLOSING:
@@ -236,22 +237,22 @@
             self.loseConnection()
 
     def readConnectionLost(self) -> None:
-        """The peer sends no more; it may still wait for its response."""
+        """Called when the peer has closed its sending side; it may still wait for its response."""
         self._read_closed = True
         if self.phase is not Phase.RESPONDING or self.requests[0].needs_open_peer:
             self.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """Our own half-close after an error; the linger time runs."""
+        """Called after this side's half-close following an error; the linger time is running."""
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The connection has ended, whoever ended it."""
+        """Called when the connection has ended, on whichever side."""
         self.site.channels.pop(self, None)
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
         self.site.channel_lost()
 
     def _enter(self, phase: Phase, timeout_s: float | None = None) -> None:
-        """Go to another phase, with its time-out in seconds; None: without one. `CLOSING` is never left."""
+        """Enter a phase, with its time-out in seconds (None: no time-out). `CLOSING` is never left."""
         if self.phase is Phase.CLOSING:
             return
         self.phase = phase
--- a/bitternpath/ingress/client_api.py
+++ b/bitternpath/ingress/client_api.py
@@ -23,10 +23,10 @@
 from bitternpath.shards.results import FoundMessage, LeaseAnswer, LookupFailure
 from bitternpath.transport.records import MessageState
 
-LOOKUP_TIMEOUT_S = 1.6  # clients wait for two seconds, including the way there and back
-LEASE_CALL_TIMEOUT_S = 4.0  # an end without a response is sent again, and must get the same response then
-MAX_WAIT_MS = 30_000  # no worker is kept waiting longer
-DEFAULT_WAIT_MS = 1_000  # where a worker names no time
+LOOKUP_TIMEOUT_S = 1.6  # clients wait for 2 s, including the transmission in both directions
+LEASE_CALL_TIMEOUT_S = 4.0  # a report without a response is repeated, and must then get the same response
+MAX_WAIT_MS = 30_000  # upper bound for a worker's wait time
+DEFAULT_WAIT_MS = 1_000  # if a worker names no wait time
 
 CALLS = re.compile(
     rb"GET /(?:message|message-body)/[!-.0-~]{1,384}"  # any request id, with its characters escaped or not
@@ -45,20 +45,20 @@
 
 
 def is_call(method: bytes, path: bytes) -> bool:
-    """Whether a request is one of the service's own calls; any other one is a message."""
+    """Whether a request is one of the service's own calls; all others are messages."""
     return CALLS.fullmatch(method + b" " + path) is not None
 
 
 @dataclass(frozen=True, slots=True)
 class _ResponseSpec(Generic[_Result]):
-    """How a node's result becomes a response."""
+    """How a node's result is turned into a response."""
 
     timeout_s: float  # after which the response is 503
     send: Callable[[HttpRequest, _Result], None]
 
 
 class ClientApi:
-    """Responds to the calls with the node's results."""
+    """Answers the calls with the node's results."""
 
     app = Klein()
     app.url_map.merge_slashes = False
@@ -66,7 +66,7 @@
     def __init__(self, node: NodeService, clock: Clock) -> None:
         self._node = node
         self._clock = clock
-        self._waiting_pulls: dict[PullCall, None] = {}  # in the order in which they came
+        self._waiting_pulls: dict[PullCall, None] = {}  # in order of arrival
         self._closing = False
 
     @app.route("/message/<message_id>", methods=["GET"])
@@ -83,7 +83,7 @@
 
     @app.route("/pull/<service>", methods=["POST"])
     def pull(self, request: HttpRequest, service: str) -> Deferred[None]:
-        """Send a job to a worker, or 204 once it has waited."""
+        """Send a job to a worker, or 204 after its wait time."""
         instance = request.getHeader("X-Instance-Id")
         wait = request.getHeader("X-Wait-Ms") or str(DEFAULT_WAIT_MS)
         if not instance or not _NUMBER.fullmatch(wait):
@@ -98,7 +98,7 @@
 
     @app.route("/job-end/<request_id>", methods=["POST"])
     def end_job(self, request: HttpRequest, request_id: str) -> Deferred[None]:
-        """Report the end of a worker's job."""
+        """Report the result of a worker's job."""
         lease_id = request.getHeader("X-Lease-Id")
         status = request.getHeader("X-Job-Status") or ""
         stamp = request.getHeader("X-Server-Stamp") or ""
@@ -110,7 +110,7 @@
 
     @app.route("/job-extend/<request_id>", methods=["POST"])
     def extend_job(self, request: HttpRequest, request_id: str) -> Deferred[None]:
-        """Extend the lease of a worker that still holds its job."""
+        """Extend the lease of a worker that is still processing its job."""
         lease_id = request.getHeader("X-Lease-Id")
         if not lease_id:
             request.reply(400)
@@ -118,7 +118,7 @@
         return self._respond(request, self._node.extend_job(lease_id, request_id), _LEASE_RESPONSE)
 
     def release_pulls(self) -> None:
-        """Respond to the waiting workers that there is no job; later ones don't wait."""
+        """Answer waiting workers that there is no job; later ones don't wait."""
         self._closing = True
         for pull in tuple(self._waiting_pulls):
             pull.release()
--- a/bitternpath/ingress/http_requests.py
+++ b/bitternpath/ingress/http_requests.py
@@ -1,4 +1,4 @@
-"""One request to a server of an edge node, and its one response."""
+"""A request to a server of an edge node, and its single response."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.web import server
 
-RETRY_AFTER_S = 1  # Retry-After of what may work again in a moment
+RETRY_AFTER_S = 1  # Retry-After for failures that may be over soon
 
 
 class HttpRequest(server.Request):
-    """A request whose target and body stay as they came: nothing is decoded, parsed or logged."""
+    """A request whose target and body are left unchanged: nothing is decoded, parsed or logged."""
 
     defaultContentType = None
     channel: Any
     content: Any
     site: Any
-    needs_open_peer = False  # respond only to a peer whose sending side is open: else it may be gone
-    fallback_status = 503  # where the process ends before the result is known; it must promise nothing
+    needs_open_peer = False  # a peer that closed its sending side gets no response, as it may be disconnected
+    fallback_status = 503  # if the process ends before the result is known; must not imply an outcome
 
     @property
     def can_reply(self) -> bool:
-        """Whether the client is there and has no response yet."""
+        """Whether the client is connected and has no response yet."""
         return not (self.finished or self._disconnected)
 
     def set_header(self, name: bytes, value: bytes) -> None:
@@ -30,7 +30,7 @@
         self.responseHeaders.setRawHeaders(name, [value])
 
     def reply(self, status: int, body: bytes = b"", retry_after_s: int | None = None) -> None:
-        """Send a complete response, unless the client has disconnected or has its response already."""
+        """Send a complete response, unless the client has disconnected or already has its response."""
         if not self.can_reply:
             return
         self.setResponseCode(status)
@@ -42,12 +42,12 @@
         self.finish()  # type: ignore[no-untyped-call]
 
     def reply_fallback(self) -> None:
-        """Send the response that promises nothing, unless another one has begun."""
+        """Send the fallback response, unless another response has begun."""
         if not self.startedWriting:
             self.reply(self.fallback_status, retry_after_s=RETRY_AFTER_S)
 
     def when_finished(self) -> Deferred[None]:
-        """Fires once the request has its response, or its client has disconnected: what klein waits for."""
+        """Fires once the request has its response or its client has disconnected; klein waits for it."""
         if not self.can_reply:
             return succeed(None)
         finished: Deferred[None] = self.notifyFinish()
@@ -56,7 +56,7 @@
     # ---- hooks of twisted.web
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Keep a part of the body, within the limit."""
+        """Store a part of the body, within the limit."""
         self.channel.body_bytes_left -= len(data)
         if self.channel.body_bytes_left < 0:
             self.channel.reject(413)
@@ -64,10 +64,10 @@
             self.content.write(data)
 
     def parseCookies(self) -> None:
-        """Cookies are for the workers alone."""
+        """Do nothing: cookies are only for the workers."""
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """Begin with a complete request; unlike Twisted's own, without a look into its body."""
+        """Process a complete request; unlike Twisted's implementation, without parsing its body."""
         self.content.seek(0)
         self.args = {}
         self.method = command
@@ -77,7 +77,7 @@
         self.process()
 
     def process(self) -> None:
-        """Let the server's resource respond; an error there is logged and answered with 500."""
+        """Have the server's resource respond; an exception is logged and answered with 500."""
         self.site = self.channel.site
         self.prepath = []
         self.postpath = self.path[1:].split(b"/")
@@ -89,11 +89,11 @@
                 self.reply(500)
 
     def getRequestHostname(self) -> bytes:
-        """A fixed name: klein builds URLs of it, no response uses them, and clients may send anything."""
+        """A fixed name: klein builds URLs from it that no response uses, and clients may send any value."""
         return b"node"
 
     def write(self, data: bytes) -> None:
-        """Write a part of the response; before its head the channel decides whether it closes after it."""
+        """Write a part of the response; before the head, the channel decides whether it will close."""
         if not self.startedWriting and not self._disconnected:
             self.channel.before_response(self)
         super().write(data)  # type: ignore[no-untyped-call]
--- a/bitternpath/ingress/http_server.py
+++ b/bitternpath/ingress/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server of an edge node: the set of its open connections, their number, and shutdown."""
+"""An HTTP server of an edge node: its open connections, their limit, and shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HttpServer(server.Site):
-    """A server, as a factory of `StrictChannel`s (in Twisted's terms a site)."""
+    """A server, as a factory of `StrictChannel`s (a site, in Twisted's terms)."""
 
     noisy = False
 
@@ -28,7 +28,7 @@
         max_connections: int,
         clock: Clock,
     ) -> None:
-        """`resource_for` chooses who responds; `limits` is called at each request; both must be quick."""
+        """`resource_for` and `limits` are called for each request and must be fast."""
         super().__init__(  # type: ignore[no-untyped-call]
             None, requestFactory=HttpRequest, reactor=clock, parsePOSTFormSubmission=False
         )
@@ -51,19 +51,19 @@
         return self._drained
 
     def answer_pending(self) -> None:
-        """The process is about to end: whoever waits gets a response that promises nothing."""
+        """Send the fallback response to all pending requests, as the process is about to end."""
         for channel in tuple(self.channels):
             channel.answer_pending()
 
     def channel_lost(self) -> None:
-        """A connection has ended."""
+        """Called when a connection has ended."""
         if self._drained is not None and not self.channels and not self._drained.called:
             self._drained.callback(None)
 
     # ---- hooks of twisted.web
 
     def buildProtocol(self, _: object) -> Any:
-        """A `StrictChannel`; None, which closes the connection unread, where there are too many."""
+        """A `StrictChannel`; None, which closes the connection unread, if there are too many."""
         if len(self.channels) >= self.max_connections:
             return None
         channel: Any = StrictChannel()
@@ -74,14 +74,14 @@
         return channel
 
     def startFactory(self) -> None:
-        """Without the log file and the clock of Twisted's access log."""
+        """Do nothing: there is no access log to open."""
 
     def stopFactory(self) -> None:
-        """Nothing has been started."""
+        """Do nothing: there is no access log to close."""
 
     def log(self, _: object) -> None:
-        """There is no access log: writing it uses processor time."""
+        """Do nothing: writing an access log would use processor time."""
 
     def getContentFile(self, _: int | None) -> BytesIO:
-        """Bodies are bounded by the limits and stay in memory."""
+        """A buffer in memory: the limits bound the size of bodies."""
         return BytesIO()
--- a/bitternpath/ingress/message_parser.py
+++ b/bitternpath/ingress/message_parser.py
@@ -12,16 +12,16 @@
 from bitternpath.net.http1 import HOP_BY_HOP
 from bitternpath.transport.records import Header, Message
 
-DEFAULT_DEADLINE_MS = 1_000  # where the client names none
-MAX_DEADLINE_MS = 60_000  # no client is kept waiting longer
-RESPONSE_MARGIN_MS = 150  # the response is on its way so long before the client's deadline
-MAX_DELAY_MS = 30 * 24 * 3_600_000  # a month; more is taken for an error
+DEFAULT_DEADLINE_MS = 1_000  # if the client names no deadline
+MAX_DEADLINE_MS = 60_000  # upper bound for a client's deadline
+RESPONSE_MARGIN_MS = 150  # the response is sent this long before the client's deadline
+MAX_DELAY_MS = 30 * 24 * 3_600_000  # 30 days; longer delays are shortened to it
 
 _ORDER_KEY = b"x-order-key"
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _NUMBER = re.compile(rb"[0-9]{1,15}")
 _CALLBACK_URL = re.compile(rb"http://[0-9]{1,3}(?:\.[0-9]{1,3}){3}(?::[0-9]{1,5})?(?:/[!-~]*)?")
-# Headers that say how this node handles a message, or that come back from the message's own fields.
+# Headers that control how this node handles a message, or that are restored from the message's fields.
 _CONSUMED_HEADERS = HOP_BY_HOP | frozenset(
     b"x-request-id x-deadline-ms x-delay-ms x-callback-url x-expect-instance".split()
 )
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as it was read."""
+    """A request as received."""
 
     method: bytes
     target: bytes
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedMessage:
-    """A message to accept."""
+    """A message to be accepted."""
 
     message: Message
     wait_ms: int  # for which its client may wait for the node's result
@@ -61,17 +61,17 @@
 
     status: int
     reason: str
-    retry_after_s: int | None = None  # None: a retry is useless
+    retry_after_s: int | None = None  # None if a retry is useless
 
 
 class BadHeaderError(ValueError):
-    """A header that can't be parsed. The client's fault; a retry is useless. The text names the header."""
+    """A header that can't be parsed; the text names it. Caused by the client; a retry is useless."""
 
 
 def parse_message(
     request: ClientRequest, routing: RoutingTable | None, origin: Origin
 ) -> ParsedMessage | Rejection:
-    """The message in a client's request (PROTOCOL, "Messages")."""
+    """Parse the message in a client's request (PROTOCOL, "Messages")."""
     if routing is None:
         return Rejection(503, "no configuration yet", RETRY_AFTER_S)
     headers = {name.lower(): values for name, values in request.headers.items()}
@@ -111,7 +111,7 @@
 
 
 def _single_value(headers: _Headers, name: bytes, pattern: re.Pattern[bytes]) -> bytes:
-    """The value of a header that may stand once; b"" where it is missing."""
+    """The value of a header that may occur once; b"" if it is missing."""
     values = headers.get(name, ())
     if not values:
         return b""
@@ -141,9 +141,9 @@
 
 
 def _forwarded_headers(headers: _Headers, original: _Headers, route: Route) -> tuple[Header, ...]:
-    """The end-to-end headers, in the order and case in which the worker gets them."""
+    """The end-to-end headers, in the order and case in which the worker receives them."""
     dropped = _CONSUMED_HEADERS | _connection_options(headers.get(b"connection", ()))
-    # A worker gets the sender's key in any case: from the message's own field, or as one of its headers.
+    # A worker always receives the sender's key: from the message's field, or as one of its headers.
     dropped = dropped | {_ORDER_KEY} if route.ordered else dropped - {_ORDER_KEY}
     return tuple(
         Header(_text(name), _text(value))
--- a/bitternpath/ingress/messages.py
+++ b/bitternpath/ingress/messages.py
@@ -17,18 +17,18 @@
 from bitternpath.queue.sharding import is_valid_message_id
 from bitternpath.shards.results import Acceptance, AcceptResult
 
-ACCEPT_GRACE_MS = 50  # the node's result may be so much later than asked before the client gets 504
+ACCEPT_GRACE_MS = 50  # how late the node's result may be before the client gets 504
 
 _log = Logger()
 
 
 class MessageResource(Resource):
-    """Accepts a message whatever its method and path: it is a leaf and reads the raw request."""
+    """Accepts a message whatever its method and path; a leaf that reads the raw request."""
 
     isLeaf = True
 
     def __init__(self, node: NodeService, origin: str, wall_ms: Callable[[], int], clock: Clock) -> None:
-        """`origin`: this node's name, written into messages; `wall_ms`: Unix time in milliseconds."""
+        """`origin`, this node's name, is stored in messages; `wall_ms` returns Unix time in milliseconds."""
         super().__init__()  # type: ignore[no-untyped-call]
         self._node = node
         self._origin = origin
@@ -36,8 +36,8 @@
         self._clock = clock
 
     def render(self, request: HttpRequest) -> int:
-        """Accept the message; the response follows."""
-        request.fallback_status = 504  # a 503 would promise that the message doesn't run
+        """Accept the message; the response follows later."""
+        request.fallback_status = 504  # a 503 would state that the message doesn't run
         headers = dict(request.requestHeaders.getAllRawHeaders())
         received = ClientRequest(request.method, request.uri, headers, request.content.read())
         parsed = parse_message(received, self._node.routing(), Origin(self._origin, self._wall_ms()))
@@ -49,7 +49,7 @@
 
 
 class _PendingAcceptance:
-    """Waits for the node's result for one message. It is kept even if the client has disconnected."""
+    """Waits for the node's result for one message, even if the client has disconnected."""
 
     def __init__(self, request: HttpRequest, clock: Clock, parsed: ParsedMessage) -> None:
         self._request = request
@@ -57,7 +57,7 @@
         self._timer = clock.callLater((parsed.wait_ms + ACCEPT_GRACE_MS) / 1000, self._timed_out)
 
     def start(self, node: NodeService) -> None:
-        """Let the node accept the message."""
+        """Have the node accept the message."""
         accepted: Deferred[Acceptance] = node.accept(self._parsed.message, self._parsed.wait_ms)
         accepted.addCallbacks(self._decided, self._failed)
 
--- a/bitternpath/ingress/operator_api.py
+++ b/bitternpath/ingress/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls (PROTOCOL, "The operator's API"), passed to the node as they came."""
+"""The operator's calls (PROTOCOL, "The operator's API"), forwarded to the node unchanged."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from bitternpath.ingress.interfaces import NodeService, OperatorReply
 from bitternpath.net.clock import Clock
 
-CALL_TIMEOUT_S = 10.0  # the operator has moved on to another node long before
+CALL_TIMEOUT_S = 10.0  # the operator turns to another node long before
 
 _CALLS = re.compile(rb"/config|/retire/[!-.0-~]+")
 _log = Logger()
 
 
 def is_call(path: bytes) -> bool:
-    """Whether the operator has a call with this path."""
+    """Whether the operator's API has this path."""
     return _CALLS.fullmatch(path) is not None
 
 
 class OperatorApi:
-    """Passes the operator's calls to the node."""
+    """Forwards the operator's calls to the node."""
 
     app = Klein()
     app.url_map.merge_slashes = False
@@ -41,7 +41,7 @@
 
     @app.route("/retire/<node>", methods=["GET", "POST"])
     def retire(self, request: HttpRequest, **_: str) -> Deferred[None]:
-        """Empty a storage machine, or show how far that is."""
+        """Retire a storage node, or show the progress of its retirement."""
         return self._forward(request)
 
     def _forward(self, request: HttpRequest) -> Deferred[None]:
--- a/bitternpath/ingress/pull_calls.py
+++ b/bitternpath/ingress/pull_calls.py
@@ -1,4 +1,4 @@
-"""One `POST /pull`: a worker that waits for a job (PROTOCOL, "Workers")."""
+"""A `POST /pull` request: a worker waits for a job (PROTOCOL, "Workers")."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from bitternpath.shards.results import PulledJob
 from bitternpath.transport.records import Message
 
-PULL_GRACE_S = 0.5  # the node's result may be so much later than the worker waits
-NOT_RUN_JOB_STATUS = 503  # an end with this status hands a job back unrun
+PULL_GRACE_S = 0.5  # how late the node's result may be, after the worker's wait time
+NOT_RUN_JOB_STATUS = 503  # a result with this status returns a job that was not run
 
 _log = Logger()
 
 
 class PullCall:
-    """A waiting worker's request; it ends with a job, with none, or with the worker's connection."""
+    """A waiting worker's request; it ends with a job, without one, or with the worker's connection."""
 
     def __init__(
         self, request: HttpRequest, pull: PendingPull, node: NodeService, waiting: dict[PullCall, None]
     ) -> None:
-        """`waiting` holds the calls that have not ended; the call adds and removes itself."""
+        """`waiting` has the calls that have not ended; the call adds and removes itself."""
         self._request = request
         self._pull = pull
         self._node = node
@@ -62,7 +62,7 @@
             self._request.reply(204)
 
     def _end(self) -> bool:
-        """Whether the call was still waiting; it no longer is."""
+        """Remove the call from the waiting ones; return whether it was still waiting."""
         if self not in self._waiting:
             return False
         del self._waiting[self]
@@ -90,7 +90,7 @@
 
 
 def _order_key(message: Message) -> str:
-    """The client's key, also where its route was not ordered when the message was accepted."""
+    """The client's order key, even if its route was not ordered when the message was accepted."""
     if message.order_key:
         return message.order_key
     return next((header.value for header in message.headers if header.name.lower() == "x-order-key"), "")
--- a/bitternpath/ingress/servers.py
+++ b/bitternpath/ingress/servers.py
@@ -16,10 +16,10 @@
 from bitternpath.ingress.messages import MessageResource
 from bitternpath.net.clock import Clock
 
-OPERATOR_LIMITS = RequestLimits(max_body_bytes=16 * 1024 * 1024)  # a complete configuration
+OPERATOR_LIMITS = RequestLimits(max_body_bytes=16 * 1024 * 1024)  # the body may be a complete configuration
 READINESS_LIMITS = RequestLimits(max_header_bytes=4_096, max_body_bytes=0)
-OPERATOR_MAX_CONNECTIONS = 64  # the operator's programs are few
-READINESS_MAX_CONNECTIONS = 64  # one probe a second, each of which may leave its connection idle
+OPERATOR_MAX_CONNECTIONS = 64  # the operator runs only a few programs
+READINESS_MAX_CONNECTIONS = 64  # one probe per second, each of which may leave its connection idle
 
 
 def _wall_ms() -> int:
@@ -56,7 +56,7 @@
 
 
 class ReadinessResource(Resource):
-    """Answers whether the node wants new connections."""
+    """Answers whether the node accepts new connections."""
 
     isLeaf = True
 
@@ -92,22 +92,23 @@
     max_connections: int,
     wall_ms: Callable[[], int] = _wall_ms,
 ) -> ClientServer:
-    """The server for clients and pulling workers.
+    """Build the server for clients and pulling workers.
 
-    `origin` is this node's name, and `wall_ms` the Unix time in milliseconds; both are written into messages.
+    `origin` is this node's name, and `wall_ms` returns Unix time in milliseconds; both are stored in
+    messages.
     """
     messages = MessageResource(node, origin, wall_ms, clock)
     return ClientServer(node, messages, max_connections, clock)
 
 
 def build_readiness_server(node: NodeService, clock: Clock) -> HttpServer:
-    """The server for the platform's readiness probe."""
+    """Build the server for the platform's readiness probe."""
     resource = ReadinessResource(node)
     return HttpServer(lambda _: resource, lambda: READINESS_LIMITS, READINESS_MAX_CONNECTIONS, clock)
 
 
 def build_operator_server(node: NodeService, clock: Clock) -> HttpServer:
-    """The server for the operator."""
+    """Build the server for the operator."""
     calls: Resource = operator_api.OperatorApi(node, clock).app.resource()
     not_found: Resource = NotFoundResource()  # type: ignore[no-untyped-call]
 
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -113,7 +113,7 @@
     def _progress_now(self, node: str) -> OperatorResult:
         state = retirement_state(self._state, node)
         if state is RetireState.UNKNOWN:
-            return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being retired")
+            return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being emptied")
         return OperatorResult(ResultCode.RETIRING, state_body(state))
 
 
