--- a/tests/system/ingress/test_connections.py
+++ b/tests/system/ingress/test_connections.py
@@ -56,7 +56,7 @@
 class TimeoutTest(ClientServerCase):
     """Connections that are slow or idle."""
 
-    def test_head_that_trickles(self) -> None:
+    def test_slow_head(self) -> None:
         client = self.client()
         for byte in HEAD[:29]:
             client.send(bytes((byte,)))
@@ -88,7 +88,7 @@
         self.assertTrue(client.closed)
         self.assertEqual(client.statuses(), [202])
 
-    def test_idle_connection_whose_next_request_has_come_is_not_closed(self) -> None:
+    def test_idle_connection_with_an_unread_request_is_not_closed(self) -> None:
         client = self.client()
         client.wire.handle.unread = HEAD
         self.clock.advance(15)
@@ -156,7 +156,7 @@
         self.assertEqual(client.statuses(), [202, 202, 202])
         self.assertTrue(client.closed)
 
-    def test_request_that_has_come_but_is_not_read(self) -> None:
+    def test_request_that_has_arrived_but_is_not_read(self) -> None:
         client = self.client()
         client.wire.handle.unread = b"P"
         self.server.begin_shutdown()
--- a/tests/system/membership/test_bootstrap_faults.py
+++ b/tests/system/membership/test_bootstrap_faults.py
@@ -15,9 +15,9 @@
 from tests.system.small_actors import SmallSystem
 
 GROUP = "configuration"
-MOMENTS_S = (0.32, 0.35, 0.8, 1.4, 1.6, 1.7, 1.8, 1.85, 1.9, 2.0, 2.2)  # of the fault
-BOOTSTRAPPED_BY_S = 14.0  # patience of the decider, an election and an order, from its second start on
-SETTLED_S = 12.0
+FAULT_TIMES_S = (0.32, 0.35, 0.8, 1.4, 1.6, 1.7, 1.8, 1.85, 1.9, 2.0, 2.2)  # of the fault
+BOOTSTRAP_TIMEOUT_S = 14.0  # patience of the decider, an election and an order, from its second start on
+STABILIZATION_S = 12.0
 
 
 def member_of(node: SimulatedNode) -> Any:
@@ -37,7 +37,7 @@
     return {decision.system for decision in decisions if decision is not None}
 
 
-def decider(system: SmallSystem) -> SimulatedNode:
+def coordinator(system: SmallSystem) -> SimulatedNode:
     """The node at the first seed."""
     first = system.world.edges()[0].document["seeds"][0]
     return next(edge for edge in system.world.edges() if edge.control == first)
@@ -63,110 +63,118 @@
 
     def accept_first_configuration(self, system: SmallSystem, since: float) -> None:
         """Have the first configuration accepted in time."""
-        world = system.world
-        while world.now - since < BOOTSTRAPPED_BY_S:
-            answer = system.put(1, 0, int(world.now * 3) % len(world.edges()))
-            world.run_for(0.5)
-            if answer.status == 200:
+        simulation = system.world
+        while simulation.now - since < BOOTSTRAP_TIMEOUT_S:
+            response = system.put(1, 0, int(simulation.now * 3) % len(simulation.edges()))
+            simulation.run_for(0.5)
+            if response.status == 200:
                 return
-        self.fail(f"no first configuration {BOOTSTRAPPED_BY_S} s after the fault")
+        self.fail(f"no first configuration {BOOTSTRAP_TIMEOUT_S} s after the fault")
 
     def check(self, system: SmallSystem) -> None:
         """Check that there is one system, and that all its members take part."""
-        world = system.world
-        world.run_for(SETTLED_S)
+        simulation = system.world
+        simulation.run_for(STABILIZATION_S)
         self.assertEqual(len(bootstrapped_systems(system)), 1)
         self.assertEqual([has_members(member) for member in members(system)], [True] * len(members(system)))
         self.assertEqual(voters(system), {member.host.member_id for member in members(system)})
-        self.assertEqual((world.violations, world.failures), ([], []))
+        self.assertEqual((simulation.violations, simulation.failures), ([], []))
 
     def test_any_node_is_killed_or_loses_power(self) -> None:
         for fault in ("kill", "lose_power"):
-            for place in range(3):
-                for number, moment in enumerate(MOMENTS_S):
-                    with self.subTest(fault=fault, place=place, moment=moment):
+            for index in range(3):
+                for number, fault_at in enumerate(FAULT_TIMES_S):
+                    with self.subTest(fault=fault, index=index, fault_at=fault_at):
                         system = SmallSystem(number)
-                        others = [edge for edge in system.world.edges() if edge is not decider(system)]
-                        node = [decider(system), *others][place]
-                        system.world.at(moment, getattr(system.world, fault), node.name)
-                        system.world.run_until(moment + 0.5)
+                        others = [edge for edge in system.world.edges() if edge is not coordinator(system)]
+                        node = [coordinator(system), *others][index]
+                        system.world.at(fault_at, getattr(system.world, fault), node.name)
+                        system.world.run_until(fault_at + 0.5)
                         self.accept_first_configuration(system, system.world.now)
                         self.check(system)
 
-    def test_the_decider_is_killed_twice(self) -> None:
+    def test_the_coordinator_is_killed_twice(self) -> None:
         for first, second in ((0.4, 1.5), (1.6, 3.5), (1.8, 2.6)):
             with self.subTest(first=first, second=second):
                 system = SmallSystem(3)
-                name = decider(system).name
+                name = coordinator(system).name
                 system.world.at(first, system.world.kill, name)
                 system.world.at(second, system.world.kill, name)
                 system.world.run_until(second + 0.5)
                 self.accept_first_configuration(system, system.world.now)
                 self.check(system)
 
-    def test_a_decider_that_lost_its_disk_never_decides_again(self) -> None:
-        for moment in MOMENTS_S:
-            with self.subTest(moment=moment):
+    def test_a_coordinator_that_lost_its_disk_never_decides_again(self) -> None:
+        for fault_at in FAULT_TIMES_S:
+            with self.subTest(fault_at=fault_at):
                 system = SmallSystem(5)
-                system.world.at(moment, system.world.wipe, decider(system).name)
+                system.world.at(fault_at, system.world.wipe, coordinator(system).name)
                 system.world.run_until(20.0)
                 self.assertLessEqual(len(bootstrapped_systems(system)), 1)
                 self.assertEqual(system.world.violations, [])
 
-    def test_a_partitioned_part_decides_nothing(self) -> None:
+    def test_the_side_of_a_partition_without_the_coordinator_decides_nothing(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 system = SmallSystem(seed, Plan(core_edges=5, other_edges=2, tolerated_machines=2))
-                world = system.world
-                near = {decider(system).name, *list(world.nodes)[::2]}
-                far = [name for name in world.nodes if name not in near]
-                for name in far:
-                    for other in near:
-                        world.cut(name, other)
-                world.run_until(1.0)
-                for name in far:  # later the file may name its own side only
-                    seeds = [world.nodes[each].control for each in far if world.nodes[each].control]
-                    world.change_settings(name, seeds=seeds[:3])
-                    world.at(6.0, world.kill, name)
-                world.run_until(25.0)
-                cores = [world.nodes[name] for name in far if world.nodes[name].role == "edge"]
+                simulation = system.world
+                coordinator_side = {coordinator(system).name, *list(simulation.nodes)[::2]}
+                other_side = [name for name in simulation.nodes if name not in coordinator_side]
+                for name in other_side:
+                    for other in coordinator_side:
+                        simulation.cut(name, other)
+                simulation.run_until(1.0)
+                for name in other_side:  # later the file may name its own side only
+                    seeds = [
+                        simulation.nodes[each].control
+                        for each in other_side
+                        if simulation.nodes[each].control
+                    ]
+                    simulation.change_settings(name, seeds=seeds[:3])
+                    simulation.at(6.0, simulation.kill, name)
+                simulation.run_until(25.0)
+                cores = [
+                    simulation.nodes[name] for name in other_side if simulation.nodes[name].role == "edge"
+                ]
                 opened = [member_of(core).is_open for core in cores if core.counted]
                 self.assertEqual(opened, [False] * len(opened))
-                for name in far:  # they have never heard of the others: only the file can name them
-                    world.rejoin(name)
-                    world.reload(name, seeds=world.current_seeds())
-                self.accept_first_configuration(system, world.now)
+                for name in other_side:  # they have never heard of the others: only the file can name them
+                    simulation.rejoin(name)
+                    simulation.reload(name, seeds=simulation.current_seeds())
+                self.accept_first_configuration(system, simulation.now)
                 self.check(system)
 
-    def test_a_founder_that_was_away_becomes_a_voter_without_the_decider(self) -> None:
+    def test_a_founder_that_was_absent_becomes_a_voter_without_the_coordinator(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 system = SmallSystem(seed)
-                world = system.world
-                away = next(edge for edge in world.edges() if edge is not decider(system) and edge.counted)
-                world.at(1.5, world.cut_off, away.name)
-                world.run_until(3.5)
-                self.accept_first_configuration(system, world.now)
-                world.kill(away.name)
-                world.kill(decider(system).name, 8.0)
-                world.at(world.now + 1.0, world.rejoin, away.name)
-                world.run_for(8.0)
+                simulation = system.world
+                absent = next(
+                    edge for edge in simulation.edges() if edge is not coordinator(system) and edge.counted
+                )
+                simulation.at(1.5, simulation.cut_off, absent.name)
+                simulation.run_until(3.5)
+                self.accept_first_configuration(system, simulation.now)
+                simulation.kill(absent.name)
+                simulation.kill(coordinator(system).name, 8.0)
+                simulation.at(simulation.now + 1.0, simulation.rejoin, absent.name)
+                simulation.run_for(8.0)
                 self.check(system)
 
     def test_a_member_that_is_no_founder_becomes_a_voter_in_its_first_incarnation(self) -> None:
         system = SmallSystem(2, Plan(core_edges=8, other_edges=0))
-        world = system.world
+        simulation = system.world
         system.found()
-        world.run_for(2.0)
+        simulation.run_for(2.0)
         before = voters(system)
-        outside = next(member for member in members(system) if member.host.member_id not in before)
+        learner = next(member for member in members(system) if member.host.member_id not in before)
         name = sorted(before)[0].partition("/")[0]
-        world.remove(name)
-        world.run_for(30.0)
+        simulation.remove(name)
+        simulation.run_for(30.0)
         after = voters(system)
         self.assertEqual((len(before), len(after)), (7, 7))
-        self.assertIn(outside.host.member_id, after)
-        self.assertTrue(has_members(outside))
+        self.assertIn(learner.host.member_id, after)
+        self.assertTrue(has_members(learner))
 
 
 if __name__ == "__main__":
--- a/tests/system/roles/test_event_counts.py
+++ b/tests/system/roles/test_event_counts.py
@@ -69,7 +69,7 @@
         survey.answers, survey.known, survey.events = {}, {}, events
         return cast(StatusSurvey, survey)
 
-    def test_counts_of_all_nodes_stand_in_one_line(self) -> None:
+    def test_counts_of_all_nodes_are_in_one_line(self) -> None:
         events = {
             "b": EventCountsResponse(1, (EventCount("ownership_lost", "closed", 2),)),
             "a": EventCountsResponse(
--- a/tests/system/roles/test_periodic_call.py
+++ b/tests/system/roles/test_periodic_call.py
@@ -21,7 +21,7 @@
         if self.fails:
             raise ValueError("planned")
 
-    def test_it_calls_at_once_and_then_at_intervals_until_it_is_stopped(self) -> None:
+    def test_it_calls_immediately_and_then_at_intervals_until_it_is_stopped(self) -> None:
         self.periodic.start()
         self.clock.pump([0.25] * 3)
         self.periodic.stop()
--- a/tests/system/roles/test_process.py
+++ b/tests/system/roles/test_process.py
@@ -222,14 +222,14 @@
         self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
         self.check_new_identity(node)
 
-    def test_a_quarantine_that_fits_is_kept(self) -> None:
+    def test_a_quarantine_within_its_size_limit_is_kept(self) -> None:
         self.make_disk()
         before = self.contents(self.data)
         size = sum(map(len, before.values()))
         self.assertEqual(quarantine_content(self.data, max_bytes=size), "damaged-1")
         self.assertEqual(self.contents(self.data / "damaged-1"), before)
 
-    def test_the_folder_of_a_quarantine_is_on_disk_before_anything_moves_there(self) -> None:
+    def test_the_folder_of_a_quarantine_is_synced_before_anything_is_moved_there(self) -> None:
         self.make_disk()
         calls: list[str] = []
         original = os.rename
@@ -269,7 +269,7 @@
                 self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
                 self.assertEqual((self.data / "damaged-1" / "identity").read_text(), OLD_IDENTITY)
 
-    def test_without_an_unfinished_quarantine_nothing_moves(self) -> None:
+    def test_without_an_unfinished_quarantine_nothing_is_moved(self) -> None:
         self.make_disk()
         before = self.contents(self.data)
         finish_quarantine(self.data)
--- a/tests/system/roles/test_shard_runtime.py
+++ b/tests/system/roles/test_shard_runtime.py
@@ -168,7 +168,7 @@
         entry = self.runtime.state.find("m")
         self.assertIs(entry and entry.state, MessageState.DONE)
 
-    def test_refused_proposals_are_retried_after_a_pause(self) -> None:
+    def test_refused_proposals_are_retried_after_a_delay(self) -> None:
         self.append("m")
         (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery, AttemptOutcome.NOT_RUN)
@@ -182,9 +182,9 @@
         self.append("m", callback_url="http://10.0.0.9:80/done")
         (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery)
-        (order,) = self.link.take(CallbackRequest)
+        (request,) = self.link.take(CallbackRequest)
         self.host.transferring = True
-        self.requests.callback_report(CallbackReport(GROUP, order.request_id, True))
+        self.requests.callback_report(CallbackReport(GROUP, request.request_id, True))
         self.clock.pump([0.05] * 11)  # the confirmation is proposed, and refused
         self.host.transferring = False
         self.clock.pump([0.05] * 20)
@@ -238,7 +238,7 @@
 class RequestPollersTest(RuntimeCase):
     """A job that no worker waits for costs a few records, however many edge nodes there are."""
 
-    def test_a_few_edge_nodes_are_asked_and_others_the_next_time(self) -> None:
+    def test_a_few_edge_nodes_are_queried_and_others_the_next_time(self) -> None:
         links = [FakeLink(f"edge-{number}") for number in range(2, 102)]
         for link in links:
             self.join(link)
@@ -250,21 +250,21 @@
         later = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertTrue(later - first)
 
-    def test_mostly_edge_nodes_of_the_same_zone_are_asked(self) -> None:
+    def test_mostly_edge_nodes_of_the_same_zone_are_queried(self) -> None:
         zones = ("north", "south")
         links = {zone: [FakeLink(f"{zone}-{number}", zone) for number in range(40)] for zone in zones}
         for link in links["north"] + links["south"]:
             self.join(link)
         self.append("m", "/jobs/x")
         self.clock.pump([0.05] * 400)
-        asked = {zone: sum(len(link.take(WorkAvailable)) for link in links[zone]) for zone in links}
-        self.assertGreater(asked["north"], 3 * asked["south"])
-        self.assertGreater(asked["south"], 0)
+        queried = {zone: sum(len(link.take(WorkAvailable)) for link in links[zone]) for zone in links}
+        self.assertGreater(queried["north"], 3 * queried["south"])
+        self.assertGreater(queried["south"], 0)
 
-    def test_few_edge_nodes_are_all_asked(self) -> None:
+    def test_few_edge_nodes_are_all_queried(self) -> None:
         self.append("m", "/jobs/x")
-        (asked,) = self.link.take(WorkAvailable)
-        self.assertEqual((asked.waiting, asked.nodes), (1, 1))
+        (queried,) = self.link.take(WorkAvailable)
+        self.assertEqual((queried.waiting, queried.nodes), (1, 1))
 
 
 class ReadBarrierTest(RuntimeCase):
@@ -316,23 +316,23 @@
 
     def test_no_job_is_given_to_a_poll_of_a_closed_link(self) -> None:
         self.pull(number=7)
-        later = FakeLink()
-        self.join(later)
+        later_link = FakeLink()
+        self.join(later_link)
         self.assertEqual(self.edges.closed(self.link), "")  # type: ignore[arg-type]
         self.runtime.edge_link_closed("", self.link)  # type: ignore[arg-type]
-        self.pull(later, number=7)  # numbers begin anew on each link
+        self.pull(later_link, number=7)  # numbers begin anew on each link
         self.append("m", "/jobs/x")
         self.assertEqual(self.link.take(PullResponse), [])
-        (answer,) = later.take(PullResponse)
+        (answer,) = later_link.take(PullResponse)
         self.assertEqual((answer.number, answer.message.request_id), (7, "m"))
 
     def test_the_edge_node_is_still_connected(self) -> None:
-        later = FakeLink()
-        self.join(later)
+        later_link = FakeLink()
+        self.join(later_link)
         self.assertEqual(self.edges.closed(self.link), "")  # type: ignore[arg-type]
         self.runtime.edge_link_closed("", self.link)  # type: ignore[arg-type]
         self.append("m")
-        self.assertEqual(len(later.take(LeaseGrant)), 1)
+        self.assertEqual(len(later_link.take(LeaseGrant)), 1)
 
     def test_a_cancelled_poll_is_answered_once(self) -> None:
         self.pull(number=7)
@@ -349,8 +349,8 @@
         self.pull(other, number=7)
         self.append("m", "/jobs/x")
         self.append("n", "/jobs/x")
-        got = [link.take(PullResponse)[0].message.request_id for link in (self.link, other)]
-        self.assertEqual(sorted(got), ["m", "n"])
+        answered = [link.take(PullResponse)[0].message.request_id for link in (self.link, other)]
+        self.assertEqual(sorted(answered), ["m", "n"])
 
 
 if __name__ == "__main__":
--- a/tests/system/transport/test_link_liveness.py
+++ b/tests/system/transport/test_link_liveness.py
@@ -128,7 +128,7 @@
         self.assertIn(Ping(0), dialled.records())
         self.assertEqual(accepted.records(), [])
 
-    def test_it_pings_where_it_receives_much_but_sends_nothing(self) -> None:
+    def test_it_pings_while_it_receives_much_but_sends_nothing(self) -> None:
         link, socket = self.link("10.0.0.2:1")
         pings = 0
         for _ in range(round(PEER_TIMEOUT_S / 0.05)):
--- a/tests/system/transport/test_request_numbers.py
+++ b/tests/system/transport/test_request_numbers.py
@@ -132,7 +132,7 @@
         self.assertIsInstance(results[0].value, LinkLostError)
         self.assertEqual(self.edge.closed, 1)
 
-    def test_a_second_response_and_one_to_no_request_end_nothing(self) -> None:
+    def test_a_second_response_and_one_without_a_request_are_ignored(self) -> None:
         first = self.request("first")
         link, request = self.owner.requests[0]
         link.send(response_to(request))
