--- a/tests/system/cli/test_system_commands.py
+++ b/tests/system/cli/test_system_commands.py
@@ -137,7 +137,7 @@
             self.assertEqual(run("system", "check-config", "--config", str(path)).code, 0)
 
 
-# Words, the last of which is completed, and what some of the completions are.
+# A command line whose last word is completed; some expected and some unexpected completions.
 COMPLETIONS: list[tuple[str, set[str], set[str]]] = [
     ("sys", {"system"}, {"steward"}),
     ("", {"serve", "system", "version"}, {"show"}),
@@ -197,7 +197,7 @@
         make_folder(self.folder)
 
     def check(self, expected: int) -> str:
-        """Run the command, which must not change the folder; its output."""
+        """Run the command and return its output; it must not change the folder."""
         before = contents(self.folder)
         result = run("system", "check-disk", str(self.folder))
         self.assertEqual(result.code, expected, result.output + result.errors)
--- a/tests/system/discovery/test_catalogue.py
+++ b/tests/system/discovery/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of workers, as an edge node keeps it. Virtual time."""
+"""The catalogue of workers on an edge node, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CatalogueTest(unittest.TestCase):
-    """The catalogue as an edge node keeps it (RULES, DRAIN)."""
+    """Updates of the catalogue (RULES, DRAIN)."""
 
     def setUp(self) -> None:
         self.changes: list[tuple[list[str], list[str]]] = []
--- a/tests/system/discovery/test_endpoint_list_client.py
+++ b/tests/system/discovery/test_endpoint_list_client.py
@@ -1,4 +1,4 @@
-"""Tests of reading the endpoint list from a server on loopback (PROTOCOL, "Service discovery")."""
+"""Reading the endpoint list from a server on loopback (PROTOCOL, "Service discovery")."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Platform(Request):
-    """Answers with one page for each token."""
+    """Responds with one page per token."""
 
     pages: ClassVar[dict[str, tuple[int, bytes]]] = {}
 
@@ -49,7 +49,7 @@
         self.client = EndpointListClient(self.loopback.reactor, self.loopback.listen(factory))
 
     def read(self, **pages: object) -> Any:
-        """What a reading ends with, a list or a failure; `first` is the page without a token."""
+        """The result of a reading, a list or a failure; `first` is the page without a token."""
         for token, page in pages.items():
             answer = page if isinstance(page, tuple) else (200, json.dumps(page).encode())
             Platform.pages["" if token == "first" else token] = answer
--- a/tests/system/discovery/test_endpoint_list_poller.py
+++ b/tests/system/discovery/test_endpoint_list_poller.py
@@ -1,4 +1,4 @@
-"""Tests of polling the endpoint list: what is published, and how often the platform is called."""
+"""Polling of the endpoint list: what is published, and how often the platform is called."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from bitternpath.transport.feed_messages import CatalogueEntry, CatalogueUpdate
 
 EPOCH = 7
-RATE_PER_S = 100.0  # no bound on these intervals
+RATE_PER_S = 100.0  # doesn't limit these intervals
 SLOW_RATE_PER_S = 0.5
 
 
@@ -23,7 +23,7 @@
 
 
 class FakeClient:
-    """Reads that the test answers."""
+    """Readings that the test completes."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -34,12 +34,12 @@
         return self.reads[-1][1]
 
     def answer(self, *entries: CatalogueEntry) -> None:
-        """Let the last read succeed."""
+        """Complete the last reading."""
         requested_at, result = self.reads[-1]
         result.callback(EndpointList(requested_at, entries))
 
     def fail(self) -> None:
-        """Let the last read fail."""
+        """Fail the last reading."""
         self.reads[-1][1].errback(EndpointListUnavailableError("status 500"))
 
 
--- a/tests/system/ingress/server_case.py
+++ b/tests/system/ingress/server_case.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of an edge node with a node whose results the test gives. In memory, virtual time."""
+"""The HTTP servers of an edge node with a fake node, in memory and in virtual time."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class FakePull:
-    """A waiting pull whose end the test decides."""
+    """A waiting pull that the test completes."""
 
     def __init__(self) -> None:
         self.result: Deferred[PulledJob | None] = Deferred()
@@ -72,7 +72,7 @@
 
 
 class FakeNode:
-    """An edge node whose results the test gives."""
+    """An edge node whose results the test sets."""
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = routing()
@@ -124,7 +124,7 @@
 
 
 class _Handle:
-    """The socket below a connection in memory: it holds what has come and isn't read."""
+    """The socket of a connection in memory; `unread` is data that has arrived but hasn't been read."""
 
     unread = b""
 
@@ -170,7 +170,7 @@
 
 
 class Client:
-    """One connection to a server, in memory."""
+    """A connection to a server, in memory."""
 
     def __init__(self, server: Any) -> None:
         self.channel = server.buildProtocol(None)
@@ -178,7 +178,7 @@
         self.channel.makeConnection(self.wire)
 
     def send(self, data: bytes, step: int = 0) -> Client:
-        """Let the server read `data`, in chunks of `step` bytes if that isn't 0."""
+        """Have the server read `data`, in chunks of `step` bytes unless that is 0."""
         for at in range(0, len(data), step or len(data)):
             self.channel.dataReceived(data[at : at + (step or len(data))])
         return self
@@ -187,7 +187,7 @@
         self.channel.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
     def responses(self) -> list[Response]:
-        """All responses so far; fails if the bytes are anything else."""
+        """All responses so far; fails if the bytes contain anything else."""
         reader = ResponseReader()
         reader.feed(bytes(self.wire.written))
         responses = []
@@ -203,12 +203,12 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the server sends no more."""
+        """Whether the server sends nothing more."""
         return self.wire.disconnecting or self.wire.half_closed or self.wire.aborted
 
 
 class ClientServerCase(unittest.TestCase):
-    """A server for clients in virtual time."""
+    """A test case with a server for clients, in virtual time."""
 
     def setUp(self) -> None:
         self.clock = Clock()
--- a/tests/system/ingress/test_client_api.py
+++ b/tests/system/ingress/test_client_api.py
@@ -1,4 +1,4 @@
-"""The service's own calls: states of messages, pulls, ends of jobs. In memory, virtual time."""
+"""The service's own calls: states of messages, pulls and ends of jobs, in memory and in virtual time."""
 
 from __future__ import annotations
 
--- a/tests/system/ingress/test_closing.py
+++ b/tests/system/ingress/test_closing.py
@@ -1,4 +1,4 @@
-"""Closing on real sockets."""
+"""Closing of connections on real sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SocketTest(unittest.TestCase):
-    """Closing on real sockets, where a close with unread input resets the connection."""
+    """On real sockets, a close with unread input resets the connection."""
 
     def setUp(self) -> None:
         self.loopback = Loopback()
--- a/tests/system/ingress/test_connections.py
+++ b/tests/system/ingress/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: pipelining, time-outs, limits, shutdown. In memory, virtual time."""
+"""Connections of clients: pipelining, time-outs, limits and shutdown, in memory and in virtual time."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
 
 
 class ShutdownTest(ClientServerCase):
-    """Complete requests get their response; then every connection ends."""
+    """Complete requests get their response, then every connection is closed."""
 
     def test_idle_and_busy_connections(self) -> None:
         idle, busy = self.client(), self.send(HEAD + b"\r\n")
--- a/tests/system/ingress/test_messages.py
+++ b/tests/system/ingress/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages from clients: what is accepted, rejected, and how. In memory, virtual time."""
+"""Messages from clients: which are accepted or rejected, and how, in memory and in virtual time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AcceptanceTest(ClientServerCase):
-    """A message that is accepted, and what the node gets."""
+    """Messages that are accepted, and what the node receives."""
 
     def test_all_fields_of_a_message(self) -> None:
         head = (
@@ -190,7 +190,7 @@
 
 
 class RejectionTest(ClientServerCase):
-    """Requests that are not accepted: one response, and the node is never called."""
+    """Requests that are rejected: a single response, and the node is never called."""
 
     def assert_rejected(self, data: bytes, status: int, closed: bool) -> None:
         for step in (0, 1, 5):
--- a/tests/system/ingress/test_operator_api.py
+++ b/tests/system/ingress/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls and the readiness probe. In memory, virtual time."""
+"""The operator's calls and the readiness probe, in memory and in virtual time."""
 
 from __future__ import annotations
 
--- a/tests/system/ingress/test_order_key.py
+++ b/tests/system/ingress/test_order_key.py
@@ -1,4 +1,4 @@
-"""A worker gets the sender's `X-Order-Key` byte for byte, however the message reaches it (RULES, UNASKED)."""
+"""A worker gets the sender's `X-Order-Key` byte for byte, however it gets the message (RULES, UNASKED)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class OrderKeyCase(unittest.TestCase):
-    """A client's request, through a replica's log and a snapshot, to workers of each kind."""
+    """Passes a client's request through a replica's log and a snapshot to workers of each kind."""
 
     def setUp(self) -> None:
         self.node = FakeNode()
@@ -44,7 +44,7 @@
         return entry.message
 
     def delivered(self, message: Message) -> list[bytes]:
-        """The keys in the request that a listed worker or an endpoint reads."""
+        """The keys in the request that a listed worker or an endpoint receives."""
         reader = RequestReader()
         reader.feed(request_bytes(WorkerTarget("10.0.0.1:1", "i-1", 1), message, 1_000))
         head = reader.head()
@@ -52,7 +52,7 @@
         return [value for name, value in head.headers.items() if name == b"x-order-key"]
 
     def pulled(self, message: Message) -> list[bytes]:
-        """The keys in the response that a pulling worker reads."""
+        """The keys in the response that a pulling worker receives."""
         client = Client(self.server)
         client.send(b"POST /pull/s HTTP/1.1\r\nHost: h\r\nX-Instance-Id: i\r\nContent-Length: 0\r\n\r\n")
         self.node.waiting_pulls[-1].result.callback(PulledJob("L1", message))
@@ -64,7 +64,7 @@
 
 
 class OrderKeyTest(OrderKeyCase):
-    """The bytes, their case and the spaces within."""
+    """Keys are preserved, including their case and spaces."""
 
     def test_each_key_to_each_kind_of_worker(self) -> None:
         for kind, path in PATHS.items():
--- a/tests/system/membership/test_bootstrap.py
+++ b/tests/system/membership/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""When the decider decides, and for which members."""
+"""When `decide_bootstrap` decides, and on which members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BootstrapDecisionTest(unittest.TestCase):
-    """When `decide_bootstrap` decides."""
+    """Conditions of the bootstrap decision."""
 
     def view(self, counted: int, at: float = 0.0) -> MembershipView:
         view = MembershipView(node(0, disk="d0"), (), Random(1), 0.0)
@@ -22,12 +22,12 @@
     def test_time_and_members_of_the_decision(self) -> None:
         cases = (
             ("too early", 3, 0.0, 1.2, None),
-            ("at rest", 3, 0.2, 1.6, 3),
-            ("not at rest", 3, 1.0, 1.6, None),
+            ("stable", 3, 0.2, 1.6, 3),
+            ("not stable", 3, 1.0, 1.6, None),
             ("too few for the tolerance", 2, 0.2, 3.0, None),
-            ("too few, but patience is over", 2, 0.2, 6.5, 2),
-            ("more than are needed vote too", 5, 0.2, 1.6, 5),
-            ("not all of very many", 12, 0.2, 1.6, 7),
+            ("too few, after the time-out", 2, 0.2, 6.5, 2),
+            ("more than required", 5, 0.2, 1.6, 5),
+            ("more than the maximum", 12, 0.2, 1.6, 7),
         )
         for label, counted, last_change, now, members in cases:
             with self.subTest(label):
--- a/tests/system/membership/test_bootstrap_faults.py
+++ b/tests/system/membership/test_bootstrap_faults.py
@@ -1,8 +1,9 @@
-"""Bootstrap under faults, in the simulated world: at most one system, and one that works.
+"""Bootstrap under faults, in simulation: there is at most one system, and it works.
 
-Whoever is killed or loses power while the system is being founded, also the process that decides, comes back
-with `bootstrap = false`; a part that is cut off founds nothing; a founder that was away when the others were
-told still becomes a voter, and so does a member that is no founder in its first life.
+A node that is killed or loses power during the bootstrap, including the coordinator, restarts with
+`bootstrap = false`. A side of a partition without the coordinator bootstraps nothing. A founder that was
+absent when the others were notified still becomes a voter, and so does a member that isn't a founder, in its
+first incarnation.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from tests.system.small_actors import SmallSystem
 
 GROUP = "configuration"
-FAULT_TIMES_S = (0.32, 0.35, 0.8, 1.4, 1.6, 1.7, 1.8, 1.85, 1.9, 2.0, 2.2)  # of the fault
-BOOTSTRAP_TIMEOUT_S = 14.0  # patience of the decider, an election and an order, from its second start on
+FAULT_TIMES_S = (0.32, 0.35, 0.8, 1.4, 1.6, 1.7, 1.8, 1.85, 1.9, 2.0, 2.2)  # since the start
+BOOTSTRAP_TIMEOUT_S = 14.0  # from the coordinator's restart: its time-out, an election and a change
 STABILIZATION_S = 12.0
 
 
 def member_of(node: SimulatedNode) -> Any:
-    """A node's replica of the configuration group, None where it has none."""
+    """A node's replica of the configuration group; None if it has none."""
     return node.process.node.member if node.process is not None else None
 
 
@@ -32,19 +33,19 @@
 
 
 def bootstrapped_systems(system: SmallSystem) -> set[str]:
-    """The systems that the members have on disk."""
+    """The identities of the systems that the members have on disk."""
     decisions = [member.bootstrap_state.decision for member in members(system)]
     return {decision.system for decision in decisions if decision is not None}
 
 
 def coordinator(system: SmallSystem) -> SimulatedNode:
-    """The node at the first seed."""
+    """The node at the first seed, which decides."""
     first = system.world.edges()[0].document["seeds"][0]
     return next(edge for edge in system.world.edges() if edge.control == first)
 
 
 def voters(system: SmallSystem) -> set[str]:
-    """The voters that the owner knows; empty without an owner."""
+    """The voters that the owner knows; empty if there is no owner."""
     for member in members(system):
         if member.is_owner():
             return set(member.host.members(GROUP).voters)
@@ -52,7 +53,7 @@
 
 
 def has_members(member: Any) -> bool:
-    """Whether a replica takes part and knows the voters: only then it votes."""
+    """Whether a replica takes part and knows the voters; only then does it vote."""
     return bool(member.is_open and member.host.members(GROUP).voters)
 
 
@@ -62,7 +63,7 @@
     longest_test_s = 70
 
     def accept_first_configuration(self, system: SmallSystem, since: float) -> None:
-        """Have the first configuration accepted in time."""
+        """Check that the first configuration is accepted in time."""
         simulation = system.world
         while simulation.now - since < BOOTSTRAP_TIMEOUT_S:
             response = system.put(1, 0, int(simulation.now * 3) % len(simulation.edges()))
@@ -72,7 +73,7 @@
         self.fail(f"no first configuration {BOOTSTRAP_TIMEOUT_S} s after the fault")
 
     def check(self, system: SmallSystem) -> None:
-        """Check that there is one system, and that all its members take part."""
+        """Check that there is a single system, and that all its members take part."""
         simulation = system.world
         simulation.run_for(STABILIZATION_S)
         self.assertEqual(len(bootstrapped_systems(system)), 1)
@@ -124,7 +125,7 @@
                     for other in coordinator_side:
                         simulation.cut(name, other)
                 simulation.run_until(1.0)
-                for name in other_side:  # later the file may name its own side only
+                for name in other_side:  # a later settings file may name the node's own side only
                     seeds = [
                         simulation.nodes[each].control
                         for each in other_side
@@ -138,7 +139,7 @@
                 ]
                 opened = [member_of(core).is_open for core in cores if core.counted]
                 self.assertEqual(opened, [False] * len(opened))
-                for name in other_side:  # they have never heard of the others: only the file can name them
+                for name in other_side:  # unaware of the others: only the file can name them
                     simulation.rejoin(name)
                     simulation.reload(name, seeds=simulation.current_seeds())
                 self.accept_first_configuration(system, simulation.now)
--- a/tests/system/membership/test_partition_recovery.py
+++ b/tests/system/membership/test_partition_recovery.py
@@ -1,4 +1,4 @@
-"""Two parts of the system that were partitioned until they had forgotten each other."""
+"""Two sides of a partition that lasted until they had forgotten each other."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PartitionedNetwork(ViewNetwork):
-    """Views of two parts; while `cut`, no datagram goes from one part to the other."""
+    """Views on two sides; while `partitioned`, no datagram is delivered from one side to the other."""
 
     def __init__(self, seed: int) -> None:
         nodes = [node(n, disk=f"d{n}" if n % 2 else "") for n in range(NEAR + FAR)]
@@ -34,7 +34,7 @@
         super()._deliver(sender, delivered)
 
     def restart_far_side(self) -> None:
-        """Restart the processes of the far part, with seeds of their own part only."""
+        """Restart the processes of the far side, with seeds on their own side only."""
         far = [address for address in self.views if address not in self.near]
         for number, address in enumerate(far):
             restarted = replace(self.views[address].local_node, incarnation=2, heartbeat=0)
--- a/tests/system/membership/test_view.py
+++ b/tests/system/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Partial views: what nodes know of each other."""
+"""Partial views: what nodes know about each other."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
                 addresses = list(network.views)
                 sides = addresses[:5], addresses[5:]
                 views = dict(network.views)
-                for side in sides:  # each runs alone; the smaller one's nodes start again, knowing nobody
+                for side in sides:  # each runs alone; the smaller one's nodes restart without known nodes
                     network.views = {address: views[address] for address in side}
                     started_at = network.now
                     for view in network.views.values():
--- a/tests/system/membership/view_network.py
+++ b/tests/system/membership/view_network.py
@@ -1,4 +1,4 @@
-"""Views that shuffle over a network which may lose datagrams."""
+"""Views that shuffle over a network that may lose datagrams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def node(
     number: int, kind: NodeKind = NodeKind.EDGE, disk: str = "", zone: str = "", incarnation: int = 1
 ) -> NodeDescriptor:
-    """A node; its number is part of its address."""
+    """A node whose address contains its number."""
     name = f"{kind.name.lower()}-some-long-zone-{number}"
     node_zone = zone or ZONES[number % len(ZONES)]
     return NodeDescriptor(
--- a/tests/system/roles/node_case.py
+++ b/tests/system/roles/node_case.py
@@ -1,4 +1,4 @@
-"""Stand-ins and data folders for tests of nodes that run on a real disk in virtual time."""
+"""Fakes and data folders for tests of nodes on a real disk in virtual time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class SynchronousPool:
-    """A thread pool that works at once."""
+    """A thread pool that runs each call immediately."""
 
     def callInThreadWithCallback(
         self, finished: Callable[[bool, Any], None], work: Callable[..., Any], *arguments: Any
@@ -64,7 +64,7 @@
 
 
 class DiskCase(unittest.TestCase):
-    """Has a data folder, and settings that name it."""
+    """A test case with a data folder and settings that name it."""
 
     def setUp(self) -> None:
         temporary = tempfile.TemporaryDirectory()
@@ -89,7 +89,7 @@
         return replace(settings, **more)
 
     def make_disk(self) -> None:
-        """Write the disk of a founder, with two groups."""
+        """Write the disk of a founder with two groups."""
         load_identity(self.data, draw=lambda: OLD_IDENTITY)
         BootstrapFile(self.data).store(DECISION)
         LocalDisk(self.data).write_document(CACHE_DOCUMENT, b"any")
--- a/tests/system/roles/test_feed_cache.py
+++ b/tests/system/roles/test_feed_cache.py
@@ -1,4 +1,4 @@
-"""The feed's cache on disk, and the writer of documents that it uses."""
+"""The feed cache on disk, and the document writer that it uses."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         return sum("document_write_failed" in record.message for record in self.logged.records)
 
     def test_a_failed_write_is_retried(self) -> None:
-        self.writer.write(b"one")  # there is no folder
+        self.writer.write(b"one")  # the folder doesn't exist yet
         self.reactor.pump([RETRY_S] * 3)
         self.assertEqual(self.warnings(), 1)
         self.data.mkdir()
@@ -77,7 +77,7 @@
 
 
 class ManualPool(SynchronousPool):
-    """A thread pool that works when the test says so."""
+    """A thread pool that runs its calls when the test calls `run`."""
 
     def __init__(self) -> None:
         self.pending: list[tuple[Any, ...]] = []
--- a/tests/system/roles/test_ownership_return.py
+++ b/tests/system/roles/test_ownership_return.py
@@ -1,4 +1,4 @@
-"""When ownership of a shard returns to the member that its placement prefers."""
+"""When ownership of a shard returns to its preferred member."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         self.now = 100.0
 
     def seconds_until_due(self, limit_s: float = 2 * MAX_DELAY_S) -> float:
-        """How long the preferred member has to be fit until ownership returns to it."""
+        """How long the preferred member must be eligible until ownership returns to it."""
         started_at = self.now
         while not self.ownership_return.record_and_check_due(self.now, GROUP, eligible=True):
             self.now += CHECK_INTERVAL_S
--- a/tests/system/roles/test_pending_polls.py
+++ b/tests/system/roles/test_pending_polls.py
@@ -1,4 +1,4 @@
-"""Long polls at a shard's owner: each is answered once."""
+"""Long polls at a shard's owner: each is answered exactly once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FakeLink:
-    """Records what was sent over it."""
+    """Records the records sent over it."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
--- a/tests/system/roles/test_process.py
+++ b/tests/system/roles/test_process.py
@@ -1,4 +1,4 @@
-"""The life cycle of a process: ports that are taken, faults at the start, damaged disks, and the shutdown."""
+"""The life cycle of a process: ports in use, faults at the start, damaged disks, and the shutdown."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class FakeRole:
-    """A role whose port is taken for the first `taken` attempts, and whose start raises `fault`."""
+    """A role whose `listen` fails `failed_attempts` times, and whose start raises `fault`."""
 
     def __init__(self, failed_attempts: float = 0, fault: Exception | None = None) -> None:
         self.failed_attempts = failed_attempts
@@ -277,7 +277,7 @@
 
 
 class RefusedStartTest(DiskCase):
-    """A process that can't run reports why in one line."""
+    """A process that can't run reports the reason in one line."""
 
     def run_role(self, role: str, extra_lines: str = "", level: str = "") -> tuple[int, list[str]]:
         path = self.scratch / "boot.toml"
@@ -313,7 +313,7 @@
 
 
 class GracefulShutdownTest(DiskCase):
-    """SIGTERM: links are closed, then the disk, then the process ends."""
+    """On SIGTERM, the links are closed, then the disk, then the process ends."""
 
     def record_closing(self, node: Any, reactor: FakeReactor) -> list[tuple[str, float]]:
         calls: list[tuple[str, float]] = []
@@ -346,13 +346,13 @@
                 journal.bootstrap_group("g", first)
                 reactor.pump([0.05] * 200)
                 self.assertEqual([name for name, _ in calls], ["links", "disk", "end"])
-                self.assertGreater(calls[1][1], calls[0][1])  # links are closed in a turn of the reactor
+                self.assertGreater(calls[1][1], calls[0][1])  # closing the links needs a reactor turn
                 log = SegmentLog(LocalFileSystem(self.data), lambda: 7, 1 << 30)
                 self.assertEqual(log.groups, ("g",))
 
 
 class OwnerFeed:
-    """Stands for `FeedClient`: its link to the owner answers with a record that is no `OperatorResponse`."""
+    """Replaces `FeedClient`; its link to the owner responds with a record other than `OperatorResponse`."""
 
     def owner_link(self) -> OwnerFeed:
         return self
--- a/tests/system/roles/test_quota_borrowing.py
+++ b/tests/system/roles/test_quota_borrowing.py
@@ -1,4 +1,4 @@
-"""Borrowing of tokens: which member is asked, and what the owner of a home shard answers."""
+"""Borrowing of tokens: which member is asked, and how the owner of a home shard answers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class FakeLink:
-    """Records requests; the test answers them."""
+    """Records requests, which the test answers."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[TokenRequest, Deferred[Any]]] = []
@@ -52,7 +52,7 @@
 
 
 class FakeHub:
-    """Has a link to each member; records which addresses are dialled."""
+    """Has a link to each member, and records which addresses are dialled."""
 
     def __init__(self) -> None:
         self.links = {member.address: FakeLink() for member in MEMBERS}
@@ -70,7 +70,7 @@
 
 
 class FakeHost:
-    """Stands for `ReplicaHost`: the known leader, and whether this node has a leader lease."""
+    """Replaces `ReplicaHost`: the known leader, and whether this node has a leader lease."""
 
     member_id = "node-9/x"
 
@@ -177,7 +177,7 @@
 
     def test_it_lends_only_under_a_leader_lease(self) -> None:
         self.runtime.became_owner(1)
-        self.assertEqual(self.request_tokens(), TokenResponse(7, 0))  # the pool begins empty
+        self.assertEqual(self.request_tokens(), TokenResponse(7, 0))  # the pool is empty at first
         self.clock.advance(1.0)
         self.assertEqual(self.request_tokens(), TokenResponse(7, 2))
         self.host.lease = False
--- a/tests/system/roles/test_settings.py
+++ b/tests/system/roles/test_settings.py
@@ -48,7 +48,7 @@
 duties = []
 """
 
-# A line that is added to the least file, and the value that it gives.
+# A line that is added to the minimal file, a setting, and its expected value.
 VALID: list[tuple[str, str, object]] = [
     ("", "zone", ""),
     ("", "seeds", ()),
@@ -80,7 +80,7 @@
     ("cloud_api.rate_per_s = 1.5", "platform_rate_per_s", 1.5),
 ]
 
-# A line that is added to the least file, and the one line of the error.
+# A line that is added to the minimal file, and the expected error.
 INVALID: list[tuple[str, str]] = [
     ("zone = 4", "zone: must be a text, not 4"),
     ("region = true", "region: must be a text, not True"),
@@ -141,7 +141,7 @@
 
 PORTS = "internal_port_range: must be two port numbers, the lower one first"
 
-# A whole file that lacks a needed value or has a wrong one, and the line that is told.
+# A complete file in which a required value is missing or invalid, and the expected error.
 INCOMPLETE: list[tuple[str, str]] = [
     ('ip = "1.2.3.4"\ninternal_port_range = [1, 2]', "node_name: is missing; a text is wanted"),
     ('node_name = "a"\ninternal_port_range = [1, 2]', "ip: is missing; a text is wanted"),
@@ -166,7 +166,7 @@
 
 
 class SettingsCase(unittest.TestCase):
-    """Has the path of a settings file."""
+    """A test case with the path of a settings file."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
--- a/tests/system/roles/test_shard_runtime.py
+++ b/tests/system/roles/test_shard_runtime.py
@@ -1,4 +1,4 @@
-"""A shard owner on its node: refused proposals, read barriers, links that are replaced. Virtual time."""
+"""A shard owner on its node: refused proposals, read barriers and replaced links, in virtual time."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 from tests.system.queue.owner_rig import TABLE
 
 GROUP = shard_group(0)
-TRANSFER_S = 0.5  # an election's time, for which a leader that hands over proposes nothing
+TRANSFER_S = 0.5  # an election time-out, in which a leader that transfers its leadership proposes nothing
 
 
 class FakeHost:
-    """Stands for `ReplicaHost`: commits at once, or refuses as during a leadership transfer."""
+    """Replaces `ReplicaHost`: commits immediately, or refuses as during a leadership transfer."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -81,7 +81,7 @@
 
 
 class FakeLink:
-    """An edge node's link; records what was sent over it."""
+    """An edge node's link that records the records sent over it."""
 
     def __init__(self, name: str = "edge-1", zone: str = "north") -> None:
         self.peer = NodeDescriptor(name, "10.0.0.1:1", NodeKind.EDGE, zone, False, "", 1, 0)
@@ -97,7 +97,7 @@
 
 
 class RuntimeCase(unittest.TestCase):
-    """One owner, one edge node, and a log that the test controls."""
+    """A test case with one owner, one edge node, and a log that the test controls."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -152,14 +152,14 @@
 
 
 class FailedTransferTest(RuntimeCase):
-    """The ownership goes on after a failed leadership transfer; refused commands are proposed again."""
+    """The ownership continues after a failed leadership transfer; refused commands are proposed again."""
 
     def test_a_refused_grant_is_proposed_again(self) -> None:
         self.append("m")
         (delivery,) = self.link.take(LeaseGrant)
         self.end(delivery, AttemptOutcome.NOT_RUN)
         self.host.transferring = True
-        self.clock.pump([0.02] * round(TRANSFER_S / 0.02))  # its back-off ends: the grant is refused
+        self.clock.pump([0.02] * round(TRANSFER_S / 0.02))  # its back-off ends, and the grant is refused
         self.assertEqual(self.link.take(LeaseGrant), [])
         self.host.transferring = False
         self.clock.pump([0.02] * 50)
@@ -185,7 +185,7 @@
         (request,) = self.link.take(CallbackRequest)
         self.host.transferring = True
         self.requests.callback_report(CallbackReport(GROUP, request.request_id, True))
-        self.clock.pump([0.05] * 11)  # the confirmation is proposed, and refused
+        self.clock.pump([0.05] * 11)  # the confirmation is proposed and refused
         self.host.transferring = False
         self.clock.pump([0.05] * 20)
         (again,) = self.link.take(CallbackRequest)
@@ -197,7 +197,7 @@
     def test_a_refused_return_of_an_unsent_lease_is_proposed_again(self) -> None:
         self.edges.closed(self.link)  # type: ignore[arg-type]
         refuse = self.refuse_first_end_attempt()
-        self.append("m")  # the grant is taken, its return is refused
+        self.append("m")  # the grant is accepted, its return is refused
         self.assertEqual(refuse(), 1)
         self.host.transferring = False
         self.edges.opened(self.link.peer, self.link)  # type: ignore[arg-type]
@@ -206,7 +206,7 @@
         self.assertFalse(delivery.body_omitted)
 
     def refuse_first_end_attempt(self) -> Callable[[], int]:
-        """Refuse the first end of an attempt that is proposed; returns a function that counts refusals."""
+        """Refuse the first proposal to end an attempt; return a function that counts the refusals."""
         propose, refused = self.host.propose, []
 
         def choose(group: str, data: bytes) -> Deferred[object]:
@@ -236,7 +236,7 @@
 
 
 class RequestPollersTest(RuntimeCase):
-    """A job that no worker waits for costs a few records, however many edge nodes there are."""
+    """A job without a waiting worker costs a few records, however many edge nodes there are."""
 
     def test_a_few_edge_nodes_are_queried_and_others_the_next_time(self) -> None:
         links = [FakeLink(f"edge-{number}") for number in range(2, 102)]
@@ -245,7 +245,7 @@
         self.append("m", "/jobs/x")
         first = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertLessEqual(len(first), MAX_EDGES_QUERIED)
-        self.assertGreaterEqual(len(first), MIN_EDGES_QUERIED - 1)  # edge-1 may be one of them
+        self.assertGreaterEqual(len(first), MIN_EDGES_QUERIED - 1)  # edge-1 may be among them
         self.clock.advance(1.0)
         later = {link.peer.name for link in links if link.take(WorkAvailable)}
         self.assertTrue(later - first)
@@ -268,7 +268,7 @@
 
 
 class ReadBarrierTest(RuntimeCase):
-    """An owner that was stopped or cut off answers no read before a majority has confirmed its ownership."""
+    """An owner that was paused or partitioned answers no read before a majority confirms its ownership."""
 
     def job(self) -> PullResponse:
         self.append("m", "/jobs/x")
@@ -286,7 +286,7 @@
 
     def test_a_deposed_owner_neither_extends_a_lease_nor_denies_it(self) -> None:
         job = self.job()
-        self.clock.advance(10.0)  # it was stopped: by its memory the lease is long over
+        self.clock.advance(10.0)  # the owner was paused: by its own state, the lease expired long ago
         for lease_id in (job.lease_id, "0-1-99"):
             self.send(self.requests.extend, ExtendRequest(8, GROUP, "m", lease_id))
             self.host.barriers.pop().errback(NotOwnerError())
@@ -303,7 +303,7 @@
     def test_a_state_is_read_after_the_read_barrier(self) -> None:
         self.host.answers_barriers = False
         self.send(self.requests.find, StateRequest(5, GROUP, "m", False))
-        self.append("m")  # committed while the question waits
+        self.append("m")  # committed while the read is pending
         self.assertEqual(self.link.take(StateResponse), [])
         self.host.barriers.pop().callback(None)
         (answer,) = self.link.take(StateResponse)
@@ -312,7 +312,7 @@
 
 
 class ReplacedLinkTest(RuntimeCase):
-    """An edge node has a new link before the end of its last one was noticed."""
+    """An edge node has a new link before the end of the previous one is noticed."""
 
     def test_no_job_is_given_to_a_poll_of_a_closed_link(self) -> None:
         self.pull(number=7)
@@ -320,7 +320,7 @@
         self.join(later_link)
         self.assertEqual(self.edges.closed(self.link), "")  # type: ignore[arg-type]
         self.runtime.edge_link_closed("", self.link)  # type: ignore[arg-type]
-        self.pull(later_link, number=7)  # numbers begin anew on each link
+        self.pull(later_link, number=7)  # numbers restart on each link
         self.append("m", "/jobs/x")
         self.assertEqual(self.link.take(PullResponse), [])
         (answer,) = later_link.take(PullResponse)
--- a/tests/system/transport/test_codec.py
+++ b/tests/system/transport/test_codec.py
@@ -15,7 +15,7 @@
 
 
 class Colour(IntEnum):
-    """Numbers are encoded."""
+    """Encoded as its number."""
 
     RED = 0
     BLUE = 7
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True)
 class Inner:
-    """A record inside of another one."""
+    """A record within another one."""
 
     colour: Colour
 
 
 class Outer(Struct, frozen=True):
-    """All kinds of fields."""
+    """All types of fields."""
 
     number: int
     share: float
@@ -37,7 +37,7 @@
     text: str
     data: bytes
     inner: Inner
-    again: Inner  # the schema refers to the first one
+    again: Inner  # the schema refers to the first one by name
     several: tuple[Inner, ...]
     names: tuple[str, ...]
     perhaps: Inner | None
@@ -52,7 +52,7 @@
 
 @dataclass
 class Unsupported:
-    """No record: it has no Avro type."""
+    """Not a record: its field has no Avro type."""
 
     anything: dict[str, int]
 
@@ -64,7 +64,7 @@
 
 
 class RecordCodecTest(unittest.TestCase):
-    """One record class."""
+    """Encoding of a single record class."""
 
     def test_round_trips(self) -> None:
         codec = RecordCodec(Outer)
@@ -94,7 +94,7 @@
 
 
 class RecordSetTest(unittest.TestCase):
-    """Several classes, by their index."""
+    """Encoding of several classes, distinguished by their index."""
 
     records = RecordSet(Outer, Other)
 
@@ -111,7 +111,7 @@
 
 
 class FrameTest(unittest.TestCase):
-    """Cutting a stream into frames."""
+    """Splitting a stream into frames."""
 
     def feed_all(self, stream: bytes, step: int) -> list[Any]:
         buffer = FrameBuffer()
--- a/tests/system/transport/test_link_liveness.py
+++ b/tests/system/transport/test_link_liveness.py
@@ -1,4 +1,4 @@
-"""Writes of links without a turn of the reactor, and which end of a link pings when."""
+"""Writes of links without a reactor turn, and when each end of a link pings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Socket:
-    """A transport of Twisted's kind whose socket takes `room` bytes."""
+    """A transport like Twisted's whose socket accepts `capacity` bytes."""
 
     def __init__(self, capacity: int = 1 << 20) -> None:
         self.capacity, self.connected = capacity, True
@@ -55,13 +55,13 @@
         self.aborted = True
 
     def records(self) -> list[Any]:
-        """What was sent since the last call."""
+        """The records that were sent since the last call."""
         data, self.sent = self.sent, b""
         return [RECORDS.decode(payload) for payload in FrameBuffer().feed(data)]
 
 
 class WriteTest(unittest.TestCase):
-    """All bytes go out in order, however many the socket accepts."""
+    """All bytes are sent in order, however many the socket accepts."""
 
     def test_bytes_that_the_socket_accepts_need_no_reactor(self) -> None:
         socket = Socket()
@@ -135,7 +135,7 @@
             link.dataReceived(_framed(Pong(0)))
             self.advance(0.05)
             pings += socket.records().count(Ping(0))
-        self.assertGreaterEqual(pings, 2)  # before the other end gives up
+        self.assertGreaterEqual(pings, 2)  # before the other end's time-out
 
     def test_a_feed_subscriber_pings_twice_a_second(self) -> None:
         link, socket = self.link("10.0.0.2:1")
--- a/tests/system/transport/test_record_types.py
+++ b/tests/system/transport/test_record_types.py
@@ -1,4 +1,4 @@
-"""The types that checkers know of records are those that links carry."""
+"""The type unions of records match the records that links carry."""
 
 from __future__ import annotations
 
--- a/tests/system/transport/test_request_numbers.py
+++ b/tests/system/transport/test_request_numbers.py
@@ -1,4 +1,4 @@
-"""Responses on links find their request by link and number. Real loopback sockets."""
+"""Responses are matched to requests by link and number, on real loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Node:
-    """A node whose responses the test sends; it records requests with the link that they came over."""
+    """A node that records requests with their link; the test sends the responses."""
 
     def __init__(self, loopback: Loopback, name: str) -> None:
         self.requests: list[tuple[Link, StateRequest]] = []
@@ -41,12 +41,12 @@
 
 
 def response_to(request: StateRequest) -> StateResponse:
-    """The response that names the requested message."""
+    """A response that names the requested message."""
     return StateResponse(request.number, True, MessageState.DONE, request.request_id, None)
 
 
 class LinkCase(unittest.TestCase):
-    """Two nodes: `edge` sends requests, `owner` responds."""
+    """A test case with two nodes: `edge` sends requests, `owner` responds."""
 
     def setUp(self) -> None:
         self.loopback = Loopback()
@@ -66,7 +66,7 @@
         return link
 
     def request(self, name: str) -> list[Any]:
-        """Send a request over the present link; the list will hold what it ends with."""
+        """Send a request over the current link; the returned list receives its result."""
         results: list[Any] = []
         before = len(self.owner.requests)
         pending: Deferred[Any] = self.link.request(lambda number: StateRequest(number, "g", name, False))
@@ -75,7 +75,7 @@
         return results
 
     def replace_link(self) -> None:
-        """Reset the connection; the dialler makes another one."""
+        """Reset the connection; the dialler creates another one."""
         before, opened = self.link, len(self.owner.opened)
         before.abort()
         self.loopback.until(
@@ -83,11 +83,11 @@
         )
 
     def stamps(self, *results: list[Any]) -> list[list[str]]:
-        """Which messages the responses name."""
+        """The messages named by the responses."""
         return [[record.stamp for record in each if isinstance(record, StateResponse)] for each in results]
 
     def respond_in_reverse_order(self) -> list[list[str]]:
-        """Two requests on one link, with responses in reverse order."""
+        """Send two requests on one link and respond in reverse order, then a third one."""
         first, second = self.request("first"), self.request("second")
         for link, request in reversed(self.owner.requests):
             link.send(response_to(request))
@@ -100,7 +100,7 @@
     def respond_over_a_replaced_link(
         self, send_late_response: Callable[[Link, StateRequest], None]
     ) -> list[list[str]]:
-        """A request whose link is reset before its response, and another one with the same number."""
+        """Send a request whose link is reset before its response, and another one with the same number."""
         first = self.request("first")
         old_link, request = self.owner.requests[0]
         self.replace_link()
@@ -114,7 +114,7 @@
 
 
 class RequestNumberTest(LinkCase):
-    """Each response ends its own request, once."""
+    """Each response completes its own request, once."""
 
     def test_responses_in_another_order(self) -> None:
         self.assertEqual(self.respond_in_reverse_order(), [["first"], ["second"], ["third"]])
@@ -167,7 +167,7 @@
 
 
 class LinkThatReusesNumbers(Link):
-    """Broken: a number is used again while a request with it is pending."""
+    """Broken on purpose: reuses a number while a request with it is pending."""
 
     def request(self, make: Callable[[int], Any]) -> Deferred[Any]:
         self._last_number = 0
@@ -175,7 +175,7 @@
 
 
 class BrokenBuildTest(LinkCase):
-    """A number of a link that is used again: both ways are caught by the runs above."""
+    """Checks that the tests above would detect reused numbers on a link and responses on the wrong link."""
 
     def setUp(self) -> None:
         self.link_class = hub.Link
