--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -50,7 +50,7 @@
     def failed(self) -> None:
         self.publishers.answer(self, "failed", b"")
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return False  # a publisher is told through a queue, which may outlive its connection
 
 
--- a/bitternpath/balancer/amqp/subscribers.py
+++ b/bitternpath/balancer/amqp/subscribers.py
@@ -215,7 +215,7 @@
         self._by_token[token] = delivery
         self.counts["deliveries"] += 1
 
-    def give_up(self, call: UpstreamCall) -> None:
+    def cancel(self, call: UpstreamCall) -> None:
         """What has left cannot be called back: its place stays taken until it is acknowledged."""
         delivery = call.transport_state
         if isinstance(delivery, Delivery) and self._by_token.get(delivery.token) is delivery:
--- a/bitternpath/balancer/amqp/translation.py
+++ b/bitternpath/balancer/amqp/translation.py
@@ -19,17 +19,17 @@
 from typing import Any
 
 from bitternpath.balancer.amqp.frames import Properties
-from bitternpath.balancer.core.requests import ID_LIMIT, Payload, Work
+from bitternpath.balancer.core.requests import MAX_ID_LENGTH, Payload, RequestPayload
 
 CARRIED = ("x-route-hash", "x-again", "x-call-info")
-_ID = re.compile(rf"[\x21-\x7e]{{1,{ID_LIMIT}}}")
+_ID = re.compile(rf"[\x21-\x7e]{{1,{MAX_ID_LENGTH}}}")
 _BUDGET = re.compile(r"[0-9]{1,9}")
 _KEY = re.compile(r"[0-9A-Fa-f]{1,16}")
 _VALUE = re.compile(r"[\t\x20-\x7e]*")
 _TARGET = re.compile(r"/[\x21\x22\x24-\x7e]*")
 
 
-class AmqpWork(Work):
+class AmqpWork(RequestPayload):
     """A payload that a publisher gave, with the properties as they came."""
 
     properties: Any = None
@@ -76,7 +76,7 @@
     if not properties.message_id:
         return None
     if not _ID.fullmatch(properties.message_id):
-        raise Untranslatable(f"message-id: 1 to {ID_LIMIT} visible ASCII characters are allowed")
+        raise Untranslatable(f"message-id: 1 to {MAX_ID_LENGTH} visible ASCII characters are allowed")
     return str(properties.message_id)
 
 
--- a/bitternpath/balancer/core/broker.py
+++ b/bitternpath/balancer/core/broker.py
@@ -15,7 +15,7 @@
 import structlog
 
 from bitternpath.balancer import messages as m
-from bitternpath.balancer.core.clock import Later
+from bitternpath.balancer.core.clock import TimerScheduler
 from bitternpath.balancer.core.endpoint_registry import EndpointRegistry, Listing
 from bitternpath.balancer.core.events import (
     CallEnded,
@@ -30,7 +30,7 @@
 )
 from bitternpath.balancer.core.module_events import module_event
 from bitternpath.balancer.core.requests import (
-    CALLS_BACK,
+    CALLBACK_PROTOCOL,
     AcceptedRequest,
     CallReport,
     CallState,
@@ -70,13 +70,13 @@
 
     def __init__(
         self,
-        later: Later,
+        scheduler: TimerScheduler,
         clock: Callable[[], float],
         registry: EndpointRegistry,
         upstream_clients: UpstreamClients,
         handle: Callable[[float, m.Event], list[m.Action]],
     ) -> None:
-        self.later = later
+        self.scheduler = scheduler
         self.clock = clock
         self.registry = registry
         self.handle = handle
@@ -104,7 +104,7 @@
         """The ids in progress and those accepted recently."""
         return [*self._recent_ids, *(id for id in self.in_progress if id not in self._recent_ids)]
 
-    def remember(self, id: str) -> None:
+    def record_request_id(self, id: str) -> None:
         """A request with that id was accepted, here or by another process of this node."""
         now = self.clock()
         while self._recent_ids and next(iter(self._recent_ids.values())) < now - RECENT_ID_MS:
@@ -119,15 +119,15 @@
             request.client.rejected(wait)
             return
         now = self.clock()
-        self.remember(request.id)
+        self.record_request_id(request.id)
         if self.on_accepted is not None:
             self.on_accepted(request.id)
         self.in_progress[request.id] = request
         self.unanswered += 1
         # Where next to no time is left, the module is still asked first.
-        last = min(request.deadline, self.answer_deadline) - FALLBACK_MARGIN_MS
-        left = max(last - now, FALLBACK_MARGIN_MS)
-        request.timer = self.later.callLater(left / 1000.0, self._answer_without_module, request)
+        fallback_at = min(request.deadline, self.answer_deadline) - FALLBACK_MARGIN_MS
+        delay_ms = max(fallback_at - now, FALLBACK_MARGIN_MS)
+        request.timer = self.scheduler.callLater(delay_ms / 1000.0, self._answer_without_module, request)
         self._append(RequestArrived(request))
 
     def withdraw(self, request: AcceptedRequest) -> None:
@@ -135,7 +135,7 @@
         if not request.answered:
             self._append(ClientLeft(request))
 
-    def may_begin(self, call: UpstreamCall) -> bool:
+    def may_start(self, call: UpstreamCall) -> bool:
         """Whether a call that has not begun may begin: its client still waits for the answer.
 
         Covers a client that disconnected while the call waited for a connection, or while this process was
@@ -144,15 +144,15 @@
         request = call.request
         if call.finished or request.answered:
             return False
-        if request.client.gone():
+        if request.client.disconnected():
             self.withdraw(request)
             return False
         return True
 
-    def call_ended(self, call: UpstreamCall, how: m.AttemptOutcome, result: bytes = b"") -> None:
+    def call_ended(self, call: UpstreamCall, outcome: m.AttemptOutcome, result: bytes = b"") -> None:
         """Report the outcome of a call; the first one reported counts."""
         if not call.finished:
-            self._append(CallEnded(call, how, result))
+            self._append(CallEnded(call, outcome, result))
 
     def call_unusable(self, call: UpstreamCall) -> None:
         """An endpoint rejected the request itself (4xx): the client's fault, a retry elsewhere is useless."""
@@ -165,26 +165,26 @@
         Returns whether the request is in progress here. Only endpoints that discovery lists call back; other
         protocols report their calls on the connection that carries them.
         """
-        found = self.in_progress.get(report.id)
+        request = self.in_progress.get(report.id)
         state = report.state
-        attempts = found.calls if found else []
-        calls = [c for c in attempts if c.endpoint == report.endpoint and c.protocol == CALLS_BACK]
+        all_calls = request.calls if request else []
+        calls = [c for c in all_calls if c.endpoint == report.endpoint and c.protocol == CALLBACK_PROTOCOL]
         if not calls or calls[-1].finished:
-            return found is not None
+            return request is not None
         call = calls[-1]
         call.accepted = True
         if state is CallState.STARTED or state is CallState.RUNNING:
             self._append(CallProgress(call, report.share if state is CallState.RUNNING else None))
             return True
-        how = OUTCOME_OF_REPORT[state]
+        outcome = OUTCOME_OF_REPORT[state]
         if state is CallState.RETURNED:
             # The report that an earlier call there was handed back may have come again: it proves nothing.
             # This one may be running, and is called off: another may not be out beside it.
-            if any(c.handed_back for c in calls[:-1]):
-                how = m.AttemptOutcome.RESET
-                self.upstream_clients[call.protocol].give_up(call)
-            call.handed_back = True
-        self._append(CallEnded(call, how, report.result))
+            if any(c.returned for c in calls[:-1]):
+                outcome = m.AttemptOutcome.RESET
+                self.upstream_clients[call.protocol].cancel(call)
+            call.returned = True
+        self._append(CallEnded(call, outcome, report.result))
         return True
 
     def call_started(self, call: UpstreamCall) -> None:
@@ -211,9 +211,9 @@
         self._batch.append(event)
         if not self._scheduled:
             self._scheduled = True
-            self.later.callLater(0, self.drain)
+            self.scheduler.callLater(0, self.process_batch)
 
-    def drain(self) -> None:
+    def process_batch(self) -> None:
         """Pass the batch to the module, then execute all actions that it returned."""
         batch = self._batch
         self._batch = []
@@ -228,17 +228,17 @@
             except Exception:
                 log.exception("event_handling_failed", kind=type(event).__name__)
                 self.counts["exceptions"] += 1
-                self._abandon(event)
+                self._fail_after_exception(event)
         for action in actions:
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception:
                 log.exception("action_failed", kind=type(action).__name__)
                 self.counts["exceptions"] += 1
         if not self.unanswered and not self._batch:
             self.on_idle()
 
-    def _abandon(self, event: Event) -> None:
+    def _fail_after_exception(self, event: Event) -> None:
         """An event could not be handled: fail its request, so that no client waits in vain."""
         request: AcceptedRequest | None = None
         if isinstance(event, RequestArrived | ClientLeft):
@@ -247,7 +247,7 @@
             request = event.call.request
         elif isinstance(event, TimerExpired):
             # The module re-arms its timers when they expire; one that failed has to expire again.
-            self.later.callLater(0.1, self._append, TimerExpired(event.label))
+            self.scheduler.callLater(0.1, self._append, TimerExpired(event.label))
         if request is not None and not request.answered:
             self._answer(request, request.client.failed, "failed")
             self._append(ClientLeft(request))
@@ -255,16 +255,24 @@
     def _translate(self, event: Event, now: float) -> m.Event | None:
         """The event as the module takes it; None where it has become void."""
         match event:
-            case RequestArrived(i):
-                remaining = max(i.deadline - ANSWER_MARGIN_MS - now, 1.0)
+            case RequestArrived(request):
+                remaining = max(request.deadline - ANSWER_MARGIN_MS - now, 1.0)
                 return m.Request(
-                    i.id, i.job_class, remaining, None, i.key, i.hint, i.slots, i.memory, i.repeat
+                    request.id,
+                    request.job_class,
+                    remaining,
+                    None,
+                    request.key,
+                    request.hint,
+                    request.slots,
+                    request.memory,
+                    request.repeat,
                 )
-            case ClientLeft(i):
-                self._close(i)
-                return m.Withdrawn(i.id)
-            case CallEnded(call, how, result):
-                return self._end_call(call, how, result, now)
+            case ClientLeft(request):
+                self._close(request)
+                return m.Withdrawn(request.id)
+            case CallEnded(call, outcome, result):
+                return self._end_call(call, outcome, result, now)
             case CallUnusable(call):
                 return self._end_unusable_call(call, now)
             case CallProgress(call, share):
@@ -278,19 +286,19 @@
         return self._end_call(call, m.AttemptOutcome.CANCELLED, b"", now)
 
     def _end_call(
-        self, call: UpstreamCall, how: m.AttemptOutcome, result: bytes, now: float
+        self, call: UpstreamCall, outcome: m.AttemptOutcome, result: bytes, now: float
     ) -> m.Event | None:
         if call.finished:
             return None
         self._finish(call)
-        call.may_have_run = how not in m.NOT_EXECUTED
-        self.counts[how.value] += 1
+        call.may_have_run = outcome not in m.NOT_EXECUTED
+        self.counts[outcome.value] += 1
         request = call.request
-        if how is m.AttemptOutcome.OK and not request.answered:
+        if outcome is m.AttemptOutcome.OK and not request.answered:
             self._answer(request, partial(request.client.served, result), "served")
         final = request.answered
-        self._forget(request)
-        return m.AttemptEnded(call.id, call.number, call.endpoint, how, now - call.sent, final)
+        self._remove_if_finished(request)
+        return m.AttemptEnded(call.id, call.number, call.endpoint, outcome, now - call.sent, final)
 
     def _finish(self, call: UpstreamCall) -> None:
         call.finished = True
@@ -306,46 +314,46 @@
         if request.timer is not None and request.timer.active():
             request.timer.cancel()
         request.timer = None
-        self._forget(request)
+        self._remove_if_finished(request)
 
-    def _forget(self, request: AcceptedRequest) -> None:
+    def _remove_if_finished(self, request: AcceptedRequest) -> None:
         if request.answered and all(call.finished for call in request.calls):
             self.in_progress.pop(request.id, None)
 
-    def _answer(self, request: AcceptedRequest, how: Callable[[], None], outcome: str) -> None:
+    def _answer(self, request: AcceptedRequest, send_answer: Callable[[], None], outcome: str) -> None:
         self._close(request)
         self.counts[outcome] += 1
         self.statistics.count_outcome(request.job_class, outcome)
-        how()
+        send_answer()
 
     def _answer_without_module(self, request: AcceptedRequest) -> None:
         """The deadline is near and the module has not answered: fail the request."""
         if not request.answered:
             calls = [f"{c.endpoint}:{'over' if c.finished else 'out'}" for c in request.calls]
-            kv = {"id": request.id, "class": request.job_class, "calls": ",".join(calls)}
-            kv["late"] = f"{self.clock() - request.deadline + FALLBACK_MARGIN_MS:.1f}"
-            log.warning("answered_without_module", **kv)
+            fields = {"id": request.id, "class": request.job_class, "calls": ",".join(calls)}
+            fields["late"] = f"{self.clock() - request.deadline + FALLBACK_MARGIN_MS:.1f}"
+            log.warning("answered_without_module", **fields)
             self._answer(request, request.client.failed, "failed")
             self._append(ClientLeft(request))
 
     # ---- actions
 
-    def _carry_out(self, action: m.Action) -> None:
+    def _execute(self, action: m.Action) -> None:
         match action:
             case m.Send(id, worker, timeout, within):
                 self._send(id, worker, timeout, within)
             case m.Refuse(id, retry_after):
-                if (owed := self._find_unanswered(id)) is not None:
-                    self._answer(owed, partial(owed.client.rejected, retry_after), "rejected")
+                if (request := self._find_unanswered(id)) is not None:
+                    self._answer(request, partial(request.client.rejected, retry_after), "rejected")
             case m.Fail(id):
-                if (owed := self._find_unanswered(id)) is not None:
-                    self._answer(owed, owed.client.failed, "failed")
+                if (request := self._find_unanswered(id)) is not None:
+                    self._answer(request, request.client.failed, "failed")
             case m.Cancel(id, number):
                 self._cancel(id, number)
             case m.SubscribeToWorkers():
                 self.subscribe()
             case m.StartTimer(label, delay):
-                self.later.callLater(delay / 1000.0, self._append, TimerExpired(label))
+                self.scheduler.callLater(delay / 1000.0, self._append, TimerExpired(label))
             case _:
                 log.debug("action_not_supported", action=type(action).__name__)
 
@@ -356,7 +364,7 @@
             return
         call = request.calls[number]
         if not call.finished:
-            self.upstream_clients[call.protocol].give_up(call)
+            self.upstream_clients[call.protocol].cancel(call)
             self._append(CallEnded(call, m.AttemptOutcome.CANCELLED))
 
     def _find_unanswered(self, id: str) -> AcceptedRequest | None:
@@ -368,20 +376,20 @@
         if request is None:
             return
         now = self.clock()
-        until = request.deadline - ANSWER_MARGIN_MS
-        expires = min(now + timeout, until) if timeout > 0 else until
+        answer_by = request.deadline - ANSWER_MARGIN_MS
+        expires = min(now + timeout, answer_by) if timeout > 0 else answer_by
         call = UpstreamCall(request, len(request.calls), worker, now, expires, now + within)
         request.calls.append(call)
         endpoint = self.registry.serving(worker)
         if request.answered or timeout < 0 or endpoint is None:
             self._append(CallEnded(call, m.AttemptOutcome.NOT_SENT))
             return
-        if not self.may_begin(call):
+        if not self.may_start(call):
             self._append(CallEnded(call, m.AttemptOutcome.CANCELLED))
             return
         call.protocol = endpoint.protocol
         self.counts["calls"] += 1
-        call.timer = self.later.callLater(max(expires - now, 0.0) / 1000.0, self._call_timed_out, call)
+        call.timer = self.scheduler.callLater(max(expires - now, 0.0) / 1000.0, self._call_timed_out, call)
         try:
             self.upstream_clients[call.protocol].start(call, endpoint)
         except Exception:
@@ -392,5 +400,5 @@
     def _call_timed_out(self, call: UpstreamCall) -> None:
         call.timer = None
         if not call.finished:
-            self.upstream_clients[call.protocol].give_up(call)
+            self.upstream_clients[call.protocol].cancel(call)
             self._append(CallEnded(call, m.AttemptOutcome.TIMEOUT))
--- a/bitternpath/balancer/core/clock.py
+++ b/bitternpath/balancer/core/clock.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 
-class Later(Protocol):
+class TimerScheduler(Protocol):
     """The part of a reactor that a part without I/O needs."""
 
     def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> Any:
--- a/bitternpath/balancer/core/endpoint_registry.py
+++ b/bitternpath/balancer/core/endpoint_registry.py
@@ -12,7 +12,7 @@
 log = structlog.get_logger(part="registry")
 
 DISCOVERY = "discovery"  # the source of the platform's own list
-LEAVING_LIMIT = 4096  # of those that drain or are gone, so many are remembered
+MAX_LEAVING_REMEMBERED = 4096  # of those that drain or are gone, so many are remembered
 BY_OPERATOR = "hand"  # who takes endpoints out: staff at this node's console
 
 
@@ -52,12 +52,12 @@
     for every ejection and reinstatement, with the party that asked for it.
     """
 
-    def __init__(self, known: Listing) -> None:
-        self.revision = known.revision
+    def __init__(self, initial: Listing) -> None:
+        self.revision = initial.revision
         self.ejected_since: dict[str, float] = {}  # taken out, and since when
         self._ejected_by: dict[str, set[str]] = {}  # who keeps each of them out
         self._reinstated: dict[str, tuple[float, float]] = {}  # called back: out since, back at
-        self._reported = {p.id: p for p in known.members}  # by the sources
+        self._reported = {p.id: p for p in initial.members}  # by the sources
         self._leaving_since: dict[
             str, float
         ] = {}  # draining or gone: the start time that was reported with it
@@ -67,7 +67,7 @@
 
     # ---- out
 
-    def knows(self, id: str) -> bool:
+    def is_known(self, id: str) -> bool:
         """Whether the id is in the list or out by hand."""
         return id in self._reported or id in self.ejected_since
 
@@ -115,8 +115,8 @@
 
     def _with_assumed_start(self, reported: Endpoint) -> Endpoint:
         """With the start that is assumed of one called back, until its source tells of one."""
-        since, at = self._reinstated.get(reported.id, (0.0, 0.0))
-        return replace(reported, up_since=at) if reported.up_since < since else reported
+        ejected_at, reinstated_at = self._reinstated.get(reported.id, (0.0, 0.0))
+        return replace(reported, up_since=reinstated_at) if reported.up_since < ejected_at else reported
 
     # ---- the sources
 
@@ -151,14 +151,14 @@
             else:
                 self._reported[reported.id], self.endpoints[reported.id] = reported, effective
         listing = replace(listing, members=members)
-        kv: dict[str, object] = {
+        fields: dict[str, object] = {
             "revision": listing.revision,
             "complete": listing.complete,
             "endpoints": len(listing.members),
         }
         if listing.source != DISCOVERY:
-            kv["source"] = listing.source
-        log.info("endpoint_list_applied", **kv)
+            fields["source"] = listing.source
+        log.info("endpoint_list_applied", **fields)
         self.on_change(listing)
         return True
 
@@ -171,7 +171,7 @@
             self._leaving_since.pop(reported.id, None)
             if reported.state is not m.WorkerState.SERVING:
                 self._leaving_since[reported.id] = reported.up_since
-        while len(self._leaving_since) > LEAVING_LIMIT:
+        while len(self._leaving_since) > MAX_LEAVING_REMEMBERED:
             del self._leaving_since[next(iter(self._leaving_since))]
 
     def _keep_leaving(self, listing: Listing) -> Listing:
@@ -187,12 +187,12 @@
         )
         return replace(listing, members=tuple(members))
 
-    def discovered(self) -> Listing:
+    def discovery_listing(self) -> Listing:
         """What holds by discovery's word, bans apart."""
         members = tuple(self._with_assumed_start(p) for p in self._reported.values() if p.source == DISCOVERY)
         return Listing(self.revision, True, members)
 
-    def replace_initial(self, listing: Listing) -> None:
+    def set_initial(self, listing: Listing) -> None:
         """Begin with another list, before anybody has heard of the first."""
         self.revision = listing.revision
         self._reported = {p.id: p for p in listing.members}
--- a/bitternpath/balancer/core/events.py
+++ b/bitternpath/balancer/core/events.py
@@ -29,7 +29,7 @@
     """A call has an outcome; `result` is the answer's body where it succeeded."""
 
     call: UpstreamCall
-    how: m.AttemptOutcome
+    outcome: m.AttemptOutcome
     result: bytes = b""
 
 
--- a/bitternpath/balancer/core/lifecycle.py
+++ b/bitternpath/balancer/core/lifecycle.py
@@ -16,8 +16,8 @@
 from enum import Enum
 
 # ms in which new connections may still come at a plain restart: the load balancer notices 0.2 to 0.4 s late.
-NEW_CONNECTIONS_ARRIVE = 500.0
-DEADLINE_CAP, KILL_GRACE = 3000.0, 700.0  # ms; the platform's own figures
+NEW_CONNECTIONS_UNTIL_MS = 500.0
+DEADLINE_CAP_MS, KILL_GRACE_MS = 3000.0, 700.0  # ms; the platform's own figures
 
 
 def answer_time_after_stop(longest: float) -> float:
@@ -25,10 +25,10 @@
 
     `longest` is the longest deadline in ms.
     """
-    return min(longest, DEADLINE_CAP) + KILL_GRACE - 200.0
+    return min(longest, DEADLINE_CAP_MS) + KILL_GRACE_MS - 200.0
 
 
-def hold_time_after_stop(longest: float) -> float:
+def idle_connection_time_after_stop(longest: float) -> float:
     """Ms for which a process with a successor keeps connections open that clients hold but do not use: a
     close that crosses a request is a loss, and each answer moves one over. The rest is for the end.
     """
@@ -97,7 +97,7 @@
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.changed: list[Callable[[], None]] = []
+        self.listeners: list[Callable[[], None]] = []
 
     @property
     def behavior(self) -> PhaseBehavior:
@@ -115,6 +115,6 @@
         if after is None:
             return False
         self.phase = after
-        for notify in self.changed:
-            notify()
+        for listener in self.listeners:
+            listener()
         return True
--- a/bitternpath/balancer/core/requests.py
+++ b/bitternpath/balancer/core/requests.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from bitternpath.balancer.core.endpoint_registry import Endpoint
 
-ID_LIMIT = 200  # characters of a request's id, all of them visible ASCII: it must pass in any protocol
+MAX_ID_LENGTH = 200  # characters of a request's id, all of them visible ASCII: it must pass in any protocol
 
 
 class Client(Protocol):
@@ -32,7 +32,7 @@
     def failed(self) -> None:
         """The request failed; it may have run."""
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether it has disconnected, though the event may not have been processed yet."""
         ...
 
@@ -50,7 +50,7 @@
     body: bytes
 
 
-class Work(Struct):
+class RequestPayload(Struct):
     """The payload of a server that does not speak HTTP."""
 
     method: bytes
@@ -65,12 +65,12 @@
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         """Send a call to an endpoint."""
 
-    def give_up(self, call: UpstreamCall) -> None:
+    def cancel(self, call: UpstreamCall) -> None:
         """Cancel a call, as far as the protocol can."""
 
 
 UpstreamClients = Mapping[str, UpstreamClient]  # by the protocol of the endpoint
-CALLS_BACK = "http"  # the protocol whose endpoints report by call-backs at the listener
+CALLBACK_PROTOCOL = "http"  # the protocol whose endpoints report by call-backs at the listener
 
 
 class CallState(Enum):
@@ -103,11 +103,11 @@
     sent: float
     expires: float
     start_deadline: float = inf  # ms; not sent later: an endpoint would no longer recognise a repeat
-    protocol: str = CALLS_BACK  # of the endpoint, which selects the upstream client
+    protocol: str = CALLBACK_PROTOCOL  # of the endpoint, which selects the upstream client
     finished: bool = False  # its outcome is known; later reports are ignored
     may_have_run: bool = True  # it may have run, as far as is known
     accepted: bool = False  # the endpoint has accepted it (202): its connection no longer matters
-    handed_back: bool = False  # ended by a call-back that handed it back
+    returned: bool = False  # ended by a call-back that handed it back
     timer: Any = None
     transport_state: Any = None  # owned by the upstream client
 
@@ -137,11 +137,11 @@
 
 def parse_call_info(info: bytes) -> dict[str, float]:
     """Parse `name=value,name=value` (the header `X-Call-Info`); values that are not numbers are left out."""
-    found: dict[str, float] = {}
+    values: dict[str, float] = {}
     for pair in info.split(b","):
         name, _, value = pair.strip().partition(b"=")
         try:
-            found[name.decode()] = float(value)
+            values[name.decode()] = float(value)
         except ValueError:
             continue
-    return found
+    return values
--- a/bitternpath/balancer/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -124,9 +124,9 @@
             return
         os.set_inheritable(descriptor, False)
         if message.listing.revision >= self.registry.revision:
-            self.registry.replace_initial(message.listing)
+            self.registry.set_initial(message.listing)
         for id in message.taken:
-            self.broker.remember(id)
+            self.broker.record_request_id(id)
         self._learned = message.learned
         self._add(link)
         log.info("predecessor_joined", revision=message.listing.revision, taken=len(message.taken))
@@ -171,7 +171,7 @@
             return
         self._newer = link
         taken = self.broker.recent_request_ids()
-        welcome = Welcome(self.registry.discovered(), taken, learned_weights_of(self.module))
+        welcome = Welcome(self.registry.discovery_listing(), taken, learned_weights_of(self.module))
         link.send(welcome, listening.fileno())
         self._add(link)
         log.info("successor_joined", taken=len(taken))
@@ -205,7 +205,7 @@
                 if link is self._newer and self.lifecycle.apply(LifecycleEvent.SUCCESSOR_READY):
                     log.info("successor_ready")
             case Taken(id):
-                self.broker.remember(id)
+                self.broker.record_request_id(id)
             case Acknowledged(number):
                 self._acknowledged(number, link)
             case Passed(number, report):
--- a/bitternpath/balancer/http/client_connection.py
+++ b/bitternpath/balancer/http/client_connection.py
@@ -217,7 +217,7 @@
             self.listener.broker.withdraw(request)
         self.listener.connection_closed(self)
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the client has closed, by the state of the socket, read or not."""
         return not self.open or peek(self.transport) == b""
 
--- a/bitternpath/balancer/http/listener.py
+++ b/bitternpath/balancer/http/listener.py
@@ -12,10 +12,10 @@
 
 from bitternpath.balancer.core.clock import Clock
 from bitternpath.balancer.core.lifecycle import (
-    NEW_CONNECTIONS_ARRIVE,
+    NEW_CONNECTIONS_UNTIL_MS,
     Lifecycle,
     answer_time_after_stop,
-    hold_time_after_stop,
+    idle_connection_time_after_stop,
 )
 from bitternpath.balancer.http.client_connection import ClientConnection
 from bitternpath.balancer.http.request_handler import RequestHandler
@@ -64,7 +64,7 @@
             os.close(descriptor)
         self.port.shared = shared
         self.port.startListening()
-        self.lifecycle.changed.append(self._accept_if_room)
+        self.lifecycle.listeners.append(self._accept_if_room)
         self._check_timeouts()
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
@@ -157,13 +157,15 @@
         """Begin to stop: idle connections are closed as soon as the phase allows."""
         self.stopped_at = self.clock()
         self.broker.answer_deadline = self.stopped_at + answer_time_after_stop(self.handler.longest_deadline)
-        self.reactor.callLater(NEW_CONNECTIONS_ARRIVE / 1000.0, self._close_idle)
+        self.reactor.callLater(NEW_CONNECTIONS_UNTIL_MS / 1000.0, self._close_idle)
 
     @property
     def clients_hold_connections(self) -> bool:
         """Whether clients hold connections that they may still use."""
-        over = self.stopped_at is not None and self.clock() > self.stopped_at + hold_time_after_stop(
-            self.handler.longest_deadline
+        over = (
+            self.stopped_at is not None
+            and self.clock()
+            > self.stopped_at + idle_connection_time_after_stop(self.handler.longest_deadline)
         )
         return not over and any(c.open and not c.only_callbacks for c in self.connections)
 
--- a/bitternpath/balancer/http/request_handler.py
+++ b/bitternpath/balancer/http/request_handler.py
@@ -13,7 +13,7 @@
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.lifecycle import Lifecycle
 from bitternpath.balancer.core.requests import (
-    ID_LIMIT,
+    MAX_ID_LENGTH,
     AcceptedRequest,
     CallReport,
     CallState,
@@ -26,7 +26,7 @@
 CALLBACK_PATH = b"/_jobs/news"
 READY_PATH = b"/ready"
 
-_ID = re.compile(rb"[\x21-\x7e]{1,%d}" % ID_LIMIT)
+_ID = re.compile(rb"[\x21-\x7e]{1,%d}" % MAX_ID_LENGTH)
 _BUDGET = re.compile(rb"[0-9]{1,9}")
 _KEY = re.compile(rb"[0-9A-Fa-f]{1,16}")
 
--- a/bitternpath/balancer/http/upstream_client.py
+++ b/bitternpath/balancer/http/upstream_client.py
@@ -82,7 +82,7 @@
         call.transport_state = exchange
         self._queue(endpoint.host_port, exchange)
 
-    def give_up(self, call: UpstreamCall) -> None:
+    def cancel(self, call: UpstreamCall) -> None:
         """Cancel a call: before the 202 by closing its connection, after it by a DELETE."""
         exchange = call.transport_state
         if call.accepted:
@@ -206,7 +206,7 @@
         while pool.waiting and connection.open:
             exchange = pool.waiting.popleft()
             call = exchange.call
-            if call is not None and not self.broker.may_begin(call):
+            if call is not None and not self.broker.may_start(call):
                 self.broker.call_ended(call, m.AttemptOutcome.CANCELLED)
                 continue
             # It began to drain, or the start deadline passed, while the call waited for a connection.
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -241,7 +241,7 @@
         self.upstream_client.listed(known)
         self.broker.endpoints_changed(known, at_start=True)
         if self.handover is not None:
-            self.broker.drain()  # so that the module knows the workers whose learned weights follow
+            self.broker.process_batch()  # so that the module knows the workers whose learned weights follow
             self.handover.restore_learned_weights()
         if self.loaded.platform.settings.list_on_request:
             self._serve(descriptor)
@@ -333,7 +333,7 @@
         """Change servers, statistics and module in one step, for all requests from now on."""
         self.broker.statistics.add_classes(c.name for c in settings.classes)
         self.broker.settings_changed(settings)
-        self.broker.drain()  # the module has to know each class before a server accepts a request of it
+        self.broker.process_batch()  # the module must know each class before a server accepts a request of it
         self.handler.set_classes(settings.classes)
         if self.amqp is not None:
             self.amqp.publishers.classes = {c.name: c for c in settings.classes}
--- a/bitternpath/balancer/node_shutdown.py
+++ b/bitternpath/balancer/node_shutdown.py
@@ -7,7 +7,7 @@
 
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.clock import Clock
-from bitternpath.balancer.core.lifecycle import NEW_CONNECTIONS_ARRIVE, Lifecycle, Phase
+from bitternpath.balancer.core.lifecycle import NEW_CONNECTIONS_UNTIL_MS, Lifecycle, Phase
 from bitternpath.balancer.http.listener import Listener
 
 FLUSH_DELAY = 0.1  # s for the last answers and DELETEs to be written
@@ -38,7 +38,7 @@
 
     def begin(self) -> None:
         """The stop signal came: end once no new connections arrive and nothing is pending."""
-        self.reactor.callLater(NEW_CONNECTIONS_ARRIVE / 1000.0 + 2 * FLUSH_DELAY, self._close_when_idle)
+        self.reactor.callLater(NEW_CONNECTIONS_UNTIL_MS / 1000.0 + 2 * FLUSH_DELAY, self._close_when_idle)
 
     def _close_when_idle(self) -> None:
         self.broker.on_idle = self._close_if_idle
--- a/bitternpath/balancer/settings.py
+++ b/bitternpath/balancer/settings.py
@@ -14,30 +14,30 @@
     rules, allowed, family = conf.get("rules", {}), conf.get("allowed", {}), conf.get("familyInfo", {})
     prices, kinds = conf.get("deductions", {}), tuple(conf.get("kinds", ()))
 
-    def at(row: str, place: int, default: Any) -> Any:
-        values = family.get(row) or []
-        return values[place] if place < len(values) else default
+    def class_value(name: str, index: int, default: Any) -> Any:
+        values = family.get(name) or []
+        return values[index] if index < len(values) else default
 
     classes = []
-    for place, c in enumerate(conf["classes"]):
-        kind = at("classKind", place, -1)
+    for index, job_class in enumerate(conf["classes"]):
+        kind = class_value("classKind", index, -1)
         classes.append(
             m.JobClass(
-                name=c["name"],
-                effect=EFFECTS[c["effect"]],
-                latency_target=c["aim"],
-                max_deadline=c["giveUp"],
-                value=c.get("value", 1.0),
-                late_value_share=c.get("lateWorth", 0.0),
-                dedup_scope=m.DedupScope(c.get("group") or "all"),
-                dedup_window=c.get("window") or 0.0,
-                stream=bool(c.get("stream")),
+                name=job_class["name"],
+                effect=EFFECTS[job_class["effect"]],
+                latency_target=job_class["aim"],
+                max_deadline=job_class["giveUp"],
+                value=job_class.get("value", 1.0),
+                late_value_share=job_class.get("lateWorth", 0.0),
+                dedup_scope=m.DedupScope(job_class.get("group") or "all"),
+                dedup_window=job_class.get("window") or 0.0,
+                stream=bool(job_class.get("stream")),
                 kind=kinds[kind] if 0 <= kind < len(kinds) else None,
-                priority=at("classPriority", place, 0),
-                work_factor=at("classStretch", place, c.get("aimStretch") or 0.0),
+                priority=class_value("classPriority", index, 0),
+                work_factor=class_value("classStretch", index, job_class.get("aimStretch") or 0.0),
             )
         )
-    given: dict[str, Any] = {
+    options: dict[str, Any] = {
         "dispatcher_index": conf.get("me"),
         "dispatchers": conf.get("balancers"),
         "zone": conf.get("locality"),
@@ -67,11 +67,12 @@
     return m.Settings(
         classes=tuple(classes),
         tenants=tuple(
-            m.Tenant(t["name"], t.get("share", 0.0), t.get("quotaPerS", 0.0)) for t in conf.get("realms", ())
+            m.Tenant(tenant["name"], tenant.get("share", 0.0), tenant.get("quotaPerS", 0.0))
+            for tenant in conf.get("realms", ())
         ),
         kinds=kinds,
         list_on_request=conf.get("registryMode") == "on_request",
         sizes_listed=conf.get("weights", "silent") != "silent",
         report_columns=tuple((conf.get("report") or {}).get("columns") or ()),
-        **{name: value for name, value in given.items() if value is not None},
+        **{name: value for name, value in options.items() if value is not None},
     )
--- a/bitternpath/balancer/simhost.py
+++ b/bitternpath/balancer/simhost.py
@@ -16,7 +16,7 @@
 from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 from bitternpath.balancer.settings import settings_from
 
-ENDS = {
+OUTCOMES = {
     "GOOD": m.AttemptOutcome.OK,
     "BAD": m.AttemptOutcome.ERROR,
     "FULL": m.AttemptOutcome.FULL,
@@ -31,48 +31,63 @@
     "terminating": m.WorkerState.DRAINING,
     "terminated": m.WorkerState.GONE,
 }
-LISTS = {"D": m.ListKind.CHANGES, "F": m.ListKind.COMPLETE, "C": m.ListKind.INITIAL, "X": m.ListKind.FAILED}
+LIST_KINDS = {
+    "D": m.ListKind.CHANGES,
+    "F": m.ListKind.COMPLETE,
+    "C": m.ListKind.INITIAL,
+    "X": m.ListKind.FAILED,
+}
 
 
-class Malformed(Exception):
+class MalformedInput(Exception):
     """A line that is not what the wire allows."""
 
 
-def _request(v: list[Any]) -> m.Event:
-    _, _, rid, service, project, key, expires, work, slots, mem, bits = v[:11]
-    hint = work if (bits or 0) & 1 else None
+def _request(values: list[Any]) -> m.Event:
+    _, _, id, job_class, tenant, key, remaining, work, slots, memory, flags = values[:11]
+    hint = work if (flags or 0) & 1 else None
     return m.Request(
-        rid, service, expires, project, key, hint, slots or 1.0, mem or 0.0, bool((bits or 0) & 2)
+        id, job_class, remaining, tenant, key, hint, slots or 1.0, memory or 0.0, bool((flags or 0) & 2)
     )
 
 
-def _list(v: list[Any]) -> m.Event:
+def _worker_list(values: list[Any]) -> m.Event:
     rows = [
-        m.WorkerEntry(r[0], r[1], r[2], r[3], STATES[r[4]], r[5], r[6] if len(r) > 6 else None)
-        for r in v[4] or ()
+        m.WorkerEntry(
+            row[0], row[1], row[2], row[3], STATES[row[4]], row[5], row[6] if len(row) > 6 else None
+        )
+        for row in values[4] or ()
     ]
-    return m.WorkerList(LISTS[v[2]], rows)
+    return m.WorkerList(LIST_KINDS[values[2]], rows)
 
 
 EVENTS: dict[str, Callable[[list[Any]], m.Event]] = {
     "KNOCK": _request,
-    "PEERS_KNOWN": _list,
-    "STARTED": lambda v: m.StreamStarted(v[2], v[5], v[4], v[3]),
-    "NOTE": lambda v: m.JobProgress(v[2], v[3], v[4], v[6] if v[5] == 2 else None),
-    "ENDED": lambda v: m.AttemptEnded(
-        v[2], v[3], v[4], ENDS[v[5]], v[6], bool(v[7]), v[9] if len(v) > 9 else None
+    "PEERS_KNOWN": _worker_list,
+    "STARTED": lambda values: m.StreamStarted(values[2], values[5], values[4], values[3]),
+    "NOTE": lambda values: m.JobProgress(
+        values[2], values[3], values[4], values[6] if values[5] == 2 else None
+    ),
+    "ENDED": lambda values: m.AttemptEnded(
+        values[2],
+        values[3],
+        values[4],
+        OUTCOMES[values[5]],
+        values[6],
+        bool(values[7]),
+        values[9] if len(values) > 9 else None,
     ),
-    "WITHDRAWN": lambda v: m.Withdrawn(v[2]),
-    "FIRED": lambda v: m.TimerFired(v[2]),
+    "WITHDRAWN": lambda values: m.Withdrawn(values[2]),
+    "FIRED": lambda values: m.TimerFired(values[2]),
 }
 
 ACTIONS: dict[type[Any], Callable[[int, Any], list[Any]]] = {
-    m.Send: lambda i, a: ["ROUTE", i, a.id, a.worker, a.timeout],
-    m.Refuse: lambda i, a: ["PUSH_BACK", i, a.id, a.retry_after],
-    m.Fail: lambda i, a: ["REPORT_FAILURE", i, a.id],
-    m.Cancel: lambda i, a: ["CALL_OFF", i, a.id, a.attempt],
-    m.SubscribeToWorkers: lambda i, a: ["FOLLOW", i, a.on],
-    m.StartTimer: lambda i, a: ["SCHEDULE", i, a.label, a.delay],
+    m.Send: lambda instance, action: ["ROUTE", instance, action.id, action.worker, action.timeout],
+    m.Refuse: lambda instance, action: ["PUSH_BACK", instance, action.id, action.retry_after],
+    m.Fail: lambda instance, action: ["REPORT_FAILURE", instance, action.id],
+    m.Cancel: lambda instance, action: ["CALL_OFF", instance, action.id, action.attempt],
+    m.SubscribeToWorkers: lambda instance, action: ["FOLLOW", instance, action.on],
+    m.StartTimer: lambda instance, action: ["SCHEDULE", instance, action.label, action.delay],
 }
 
 
@@ -86,33 +101,33 @@
         try:
             batch = orjson.loads(line)
             now, inbox = float(batch["time"]), list(batch["inbox"])
-            names = [(str(v[0]), int(v[1])) for v in inbox]
+            names = [(str(values[0]), int(values[1])) for values in inbox]
         except (ValueError, TypeError, KeyError, IndexError) as error:
-            raise Malformed(f"malformed batch: {error}") from error
+            raise MalformedInput(f"malformed batch: {error}") from error
         decisions: list[list[Any]] = []
-        for (name, i), values in zip(names, inbox, strict=True):
+        for (name, instance), values in zip(names, inbox, strict=True):
             if name == "CONFIGURE":
-                self.instances[i] = self.start(values, now)
+                self.instances[instance] = self.create(values, now)
             elif name == "POWER_OFF":
-                self.instances.pop(i, None)
-            elif name in EVENTS and i in self.instances:
+                self.instances.pop(instance, None)
+            elif name in EVENTS and instance in self.instances:
                 try:
                     event = EVENTS[name](values)
                 except (ValueError, TypeError, KeyError, IndexError) as error:
-                    raise Malformed(f"malformed {name}: {error!r}") from error
+                    raise MalformedInput(f"malformed {name}: {error!r}") from error
                 try:
-                    for action in self.instances[i].handle(now, event):
-                        decisions.append(ACTIONS[type(action)](i, action))
+                    for action in self.instances[instance].handle(now, event):
+                        decisions.append(ACTIONS[type(action)](instance, action))
                 except Exception as error:  # the day ends with this text
-                    decisions.append(["DIE", i, f"{type(error).__name__}: {error}"])
+                    decisions.append(["DIE", instance, f"{type(error).__name__}: {error}"])
         return orjson.dumps({"decisions": decisions})
 
     @staticmethod
-    def start(values: list[Any], now: float) -> Dispatcher:
+    def create(values: list[Any], now: float) -> Dispatcher:
         try:
             return Dispatcher(settings_from(values[3]), int(values[2]), now)
         except (ValueError, TypeError, KeyError, IndexError, AttributeError) as error:
-            raise Malformed(f"malformed CONFIGURE: {error!r}") from error
+            raise MalformedInput(f"malformed CONFIGURE: {error!r}") from error
 
 
 def main() -> int:
@@ -120,7 +135,7 @@
     for line in sys.stdin.buffer:
         try:
             answer = host.reply(line)
-        except Malformed as error:
+        except MalformedInput as error:
             print(f"bitternpath: {error}", file=sys.stderr)
             return 1
         sys.stdout.buffer.write(answer + b"\n")
--- a/bitternpath/balancer/store/manual_ejections.py
+++ b/bitternpath/balancer/store/manual_ejections.py
@@ -48,7 +48,7 @@
 
     def eject(self, id: str) -> bool:
         """Eject an endpoint; False where the id is unknown. Raises OSError where it cannot be stored."""
-        if not self.registry.knows(id):
+        if not self.registry.is_known(id):
             return False
         self.store.add(id)
         self.registry.eject(id, self.clock())
@@ -56,7 +56,7 @@
 
     def reinstate(self, id: str) -> bool:
         """Reinstate an endpoint; False where the id is unknown. Raises OSError where it stays ejected."""
-        if not self.registry.knows(id):
+        if not self.registry.is_known(id):
             return False
         self.store.remove(id)
         self.registry.reinstate(id, self.clock())
--- a/bitternpath/dispatch/body_cache.py
+++ b/bitternpath/dispatch/body_cache.py
@@ -18,7 +18,7 @@
         self._max_bytes = max_bytes
         self._bytes = 0
 
-    def keep(self, message: Message) -> None:
+    def add(self, message: Message) -> None:
         """Keep the body of a message, and drop the oldest bodies while there are too many bytes."""
         self._bodies[message.request_id] = message.body
         self._bytes += len(message.body)
@@ -26,7 +26,7 @@
             oldest = next(iter(self._bodies))
             self._bytes -= len(self._bodies.pop(oldest))
 
-    def take(self, request_id: str) -> bytes | None:
+    def pop(self, request_id: str) -> bytes | None:
         """The body, which is removed from the cache; None where it isn't there."""
         body = self._bodies.pop(request_id, None)
         if body is not None:
--- a/bitternpath/dispatch/callbacks.py
+++ b/bitternpath/dispatch/callbacks.py
@@ -32,7 +32,7 @@
         self._owners = owners
         self.in_flight = 0  # call-backs; reports don't count
 
-    def order_received(self, request: CallbackRequest) -> None:
+    def request_received(self, request: CallbackRequest) -> None:
         """An owner requests a call-back."""
         self.in_flight += 1
         sent = self._sender.notify(request.url, request.request_id, request.state, request.stamp)
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -120,7 +120,7 @@
         """The owner of a shard has granted this node a lease."""
         now = self._clock.seconds()
         message = lease.message
-        body = self._parts.bodies.take(message.request_id)
+        body = self._parts.bodies.pop(message.request_id)
         if lease.body_omitted:
             if body is None:
                 self._report_not_run(lease, RETRY_AT_ONCE_MS)
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -139,12 +139,12 @@
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
         """Have a message committed by a shard; keep its body for the first lease, which comes without it."""
-        self.bodies.keep(message)
+        self.bodies.add(message)
         return self.appender.accept(message, deadline_ms).addCallback(self._accepted, message)
 
     def _accepted(self, acceptance: Acceptance, message: Message) -> Acceptance:
         if acceptance.result is not AcceptResult.ACCEPTED:
-            self.bodies.take(message.request_id)
+            self.bodies.pop(message.request_id)
         return acceptance
 
     def _shard_with_waiting_worker(self, message: Message) -> str:
@@ -234,7 +234,7 @@
             Ownership: self.owners.ownership_changed,
             LeaseGrant: lambda _link, record: self.deliveries.lease_granted(record),
             WorkAvailable: lambda _link, record: self.pulls.work_available(record),
-            CallbackRequest: lambda _link, record: self.callbacks.order_received(record),
+            CallbackRequest: lambda _link, record: self.callbacks.request_received(record),
             FeedUpdate: feed.update_received,
             FeedRefused: feed.refusal_received,
             FeedSubscribe: lambda link, _record: link.send(FeedRefused("", feed.members)),
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -58,7 +58,7 @@
     def failed(self) -> None:
         self.node.answer(self.told, "failed", 0.0, b"")
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return False  # virtual time knows no moment between a close and the word of it
 
 
@@ -344,7 +344,7 @@
                 self.open[worker] -= 1
                 self.world.workers[worker].connections -= 1
 
-    def give_up(self, call: UpstreamCall) -> None:
+    def cancel(self, call: UpstreamCall) -> None:
         """Workers finish what they have."""
 
     def _told(self, worker: Worker, number: int, attempt: Attempt, what: str) -> None:
@@ -422,5 +422,5 @@
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         self.node.start_call(call, endpoint)
 
-    def give_up(self, call: UpstreamCall) -> None:
-        self.node.give_up(call)
+    def cancel(self, call: UpstreamCall) -> None:
+        self.node.cancel(call)
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -293,7 +293,7 @@
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         self.calls.append(call)
 
-    def give_up(self, call: UpstreamCall) -> None:
+    def cancel(self, call: UpstreamCall) -> None:
         self.given_up.append(call)
 
 
@@ -313,7 +313,7 @@
     def failed(self) -> None:
         self.answers.append(("failed",))
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return self.left
 
 
@@ -408,7 +408,7 @@
 
     def submit(self, id: str, job_class: str = "reminder", budget: float = 9000.0) -> Caller:
         """A request of another front."""
-        from bitternpath.balancer.core.requests import Work
+        from bitternpath.balancer.core.requests import RequestPayload
 
         caller = Caller()
         headers = {
@@ -416,7 +416,7 @@
             b"x-route-hash": b"7f",
             b"content-type": b"text/plain",
         }
-        work = Work(b"POST", f"/{job_class}/x?y=1".encode(), headers, b"by http")
+        work = RequestPayload(b"POST", f"/{job_class}/x?y=1".encode(), headers, b"by http")
         self.broker.submit(AcceptedRequest(id, job_class, self.now() + budget, caller, work))
         return caller
 
--- a/tests/system/dispatch/test_deliveries.py
+++ b/tests/system/dispatch/test_deliveries.py
@@ -129,7 +129,7 @@
         self.assertEqual([report.outcome for report in self.node.reports], [AttemptOutcome.NOT_RUN] * 2)
 
     def test_a_body_is_cached_for_the_first_lease_alone(self) -> None:
-        self.bodies.keep(message())
+        self.bodies.add(message())
         self.lease(structs.replace(message(), body=b""), omitted=True)
         self.assertEqual(self.node.calls[0][1].body, b"body")
         self.lease(structs.replace(message(), body=b""), omitted=True)
@@ -137,9 +137,9 @@
 
     def test_the_cache_of_bodies_is_bounded(self) -> None:
         for number in range(50):
-            self.bodies.keep(structs.replace(message(), request_id=f"r{number}"))
-        self.assertIsNone(self.bodies.take("r0"))
-        self.assertEqual(self.bodies.take("r49"), b"body")
+            self.bodies.add(structs.replace(message(), request_id=f"r{number}"))
+        self.assertIsNone(self.bodies.pop("r0"))
+        self.assertEqual(self.bodies.pop("r49"), b"body")
 
 
 if __name__ == "__main__":
--- a/tests/test_crossing_closes.py
+++ b/tests/test_crossing_closes.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from bitternpath.balancer.core.lifecycle import NEW_CONNECTIONS_ARRIVE, Lifecycle, Phase
+from bitternpath.balancer.core.lifecycle import NEW_CONNECTIONS_UNTIL_MS, Lifecycle, Phase
 from bitternpath.balancer.core.requests import AcceptedRequest
 from bitternpath.balancer.http.client_connection import ClientConnection
 from bitternpath.balancer.node_shutdown import FLUSH_DELAY, UNSENT_ANSWER_LIMIT, Shutdown
@@ -131,7 +131,7 @@
 
     def answer_in_the_last_turn(self) -> float:
         """Answer just before the end is due, so that nothing is owed any more; the time."""
-        due = (NEW_CONNECTIONS_ARRIVE / 1000.0) + 3 * FLUSH_DELAY
+        due = (NEW_CONNECTIONS_UNTIL_MS / 1000.0) + 3 * FLUSH_DELAY
         self.reactor.advance(due - FLUSH_DELAY)  # idle: the end is planned
         self.reactor.advance(FLUSH_DELAY - 0.001)
         self.connection.dataReceived(REQUEST)
--- a/tests/test_http_upstream_client.py
+++ b/tests/test_http_upstream_client.py
@@ -71,7 +71,7 @@
     def call_ended(self, call: UpstreamCall, how: m.AttemptOutcome) -> None:
         self.ends.append(how)
 
-    def may_begin(self, call: UpstreamCall) -> bool:
+    def may_start(self, call: UpstreamCall) -> bool:
         return not call.finished
 
     def call_unusable(self, call: UpstreamCall) -> None:
--- a/tests/test_manual_ejections.py
+++ b/tests/test_manual_ejections.py
@@ -86,9 +86,9 @@
     assert desk.ejections[0].eject("a") and desk.heard[-1].members[0].state is m.WorkerState.DRAINING
     for listing in said:
         registry.apply(listing)
-        assert registry.serving("a") is None and registry.knows("a")
+        assert registry.serving("a") is None and registry.is_known("a")
         assert all(p.state is not m.WorkerState.SERVING for p in desk.heard[-1].members if p.id == "a")
-    assert registry.serving("b") and registry.discovered().members[0].state is m.WorkerState.SERVING
+    assert registry.serving("b") and registry.discovery_listing().members[0].state is m.WorkerState.SERVING
     assert desk.ejections[0].reinstate("a") and registry.serving("a") is not None
     assert desk.heard[-1].members[0].id == "a"
 
@@ -126,7 +126,7 @@
     registry.reinstate("a", UNIX + 5000.0)
     found: Any = registry.serving("a")
     assert (
-        found.up_since == UNIX + 5000.0 == registry.discovered().members[0].up_since
+        found.up_since == UNIX + 5000.0 == registry.discovery_listing().members[0].up_since
     )  # a newer process knows it
     registry.apply(Listing(2, False, (row("a", up_since=UNIX + 3000.0),)))
     found = registry.serving("a")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,11 @@
 from rig import SETTINGS, Rig, done, running, until
 from twisted.internet.task import Clock as Reactor
 
-from bitternpath.balancer.core.lifecycle import Lifecycle, answer_time_after_stop, hold_time_after_stop
+from bitternpath.balancer.core.lifecycle import (
+    Lifecycle,
+    answer_time_after_stop,
+    idle_connection_time_after_stop,
+)
 from bitternpath.balancer.http.listener import Listener
 from bitternpath.balancer.http.request_handler import NodeChecks, RequestHandler
 from bitternpath.balancer.settings import settings_from
@@ -74,7 +78,7 @@
     listener.stop()
     killed = min(longest, 3000.0) + 700.0  # PROTOCOL, 'Figures'
     assert broker.answer_deadline == 5e6 + answer_time_after_stop(longest) == 5e6 + killed - 200.0
-    assert hold_time_after_stop(longest) < answer_time_after_stop(longest)
+    assert idle_connection_time_after_stop(longest) < answer_time_after_stop(longest)
 
 
 def test_a_request_that_becomes_whole_late_in_the_end_is_answered_by_its_last_moment(tmp_path: Path) -> None:
