--- a/bitternpath/transport/codec.py
+++ b/bitternpath/transport/codec.py
@@ -86,7 +86,7 @@
     def decode(self, data: bytes | memoryview) -> Any:
         """Decode a record from `data`; raises `CodecError`."""
         if not data or data[0] >= len(self._codecs):
-            raise CodecError("unknown record number")
+            raise CodecError("unknown kind of record")
         return self._codecs[data[0]].decode(data[1:])
 
 
