--- a/bitternpath/balancer/core/__init__.py
+++ b/bitternpath/balancer/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, endpoints and the broker between them. It knows no protocol and does no I/O."""
+"""The core: requests, endpoints and the broker between them. Independent of protocols, and without I/O."""
--- a/bitternpath/balancer/core/broker.py
+++ b/bitternpath/balancer/core/broker.py
@@ -1,8 +1,9 @@
 """The broker between servers, upstream clients and the decision module.
 
-It knows no protocol, and decides nothing about workers, retries or rejections. Events are appended to a
-batch; the first event of a batch schedules one `drain`, which passes the whole batch to the module and then
-executes the actions that it returned. Times are milliseconds on the node's clock.
+It is independent of protocols, and leaves decisions on workers, retries and rejections to the module. Events
+are appended to a batch. The first event of a batch schedules one `process_batch`, which passes the whole
+batch to the module and then executes the actions that it returned. Times are milliseconds on the node's
+clock.
 """
 
 from __future__ import annotations
@@ -41,9 +42,9 @@
 
 log = structlog.get_logger(part="broker")
 
-ANSWER_MARGIN_MS = 10.0  # before the client's deadline, at which its calls time out
-RECENT_ID_MS = 10_000.0  # for which the id of a request is not accepted again: longer than any request runs
-FALLBACK_MARGIN_MS = 4.0  # before the deadline, at which the broker answers where the module has not
+ANSWER_MARGIN_MS = 10.0  # calls time out this long before the client's deadline
+RECENT_ID_MS = 10_000.0  # an id is not accepted again for this time, longer than any request runs
+FALLBACK_MARGIN_MS = 4.0  # the broker answers this long before the deadline if the module has not
 
 OUTCOME_OF_REPORT = {
     CallState.DONE: m.AttemptOutcome.OK,
@@ -57,15 +58,16 @@
     """Owns the requests in progress and their calls, and executes what the decision module decides.
 
     Args:
-        later: schedules calls (the reactor, or the emulator's scheduler).
+        scheduler: sets timers (the reactor, or the emulator's scheduler).
         clock: the node's clock, in ms.
-        registry: the endpoint list in force.
-        upstream_clients: by protocol, what carries calls to endpoints.
+        registry: the current endpoint list.
+        upstream_clients: the clients that carry calls to endpoints, by protocol.
         handle: the decision module; takes the time in ms and an event, returns actions.
 
-    Callbacks that other parts set: `on_accepted(id)` for each accepted request; `admission(job_class)`, asked
-    before a request is accepted, returns None, or the ms after which to retry; `on_idle()` whenever no answer
-    is owed any more; `subscribe()` opens the subscription to discovery from the revision held.
+    Other components set these callbacks: `on_accepted(id)` is called for each accepted request;
+    `admission(job_class)` before one is accepted, and returns None, or the ms after which to retry;
+    `on_idle()` whenever no request is unanswered; `subscribe()` opens the subscription to discovery from the
+    current revision.
     """
 
     def __init__(
@@ -81,10 +83,10 @@
         self.registry = registry
         self.handle = handle
         self.upstream_clients = upstream_clients
-        self.in_progress: dict[str, AcceptedRequest] = {}  # unanswered, or answered with calls still out
-        self._recent_ids: OrderedDict[str, float] = OrderedDict()  # id: accepted at; oldest first
-        self.answer_deadline = inf  # requests are answered by then, whatever their own deadline
-        self.unanswered = 0  # requests that are owed an answer
+        self.in_progress: dict[str, AcceptedRequest] = {}  # unanswered, or with calls in flight
+        self._recent_ids: OrderedDict[str, float] = OrderedDict()  # by id, when it was accepted; oldest first
+        self.answer_deadline = inf  # requests are answered by then, if their own deadline is later
+        self.unanswered = 0  # number of requests
         self.counts: Counter[str] = Counter()
         self.statistics = Statistics()
         self.on_accepted: Callable[[str], None] | None = None
@@ -97,22 +99,22 @@
     # ---- reports of servers, upstream clients and the node
 
     def has_seen(self, request: str) -> bool:
-        """Whether a request with that id is in progress or was accepted recently."""
+        """Whether a request with this id is in progress or was accepted recently."""
         return request in self.in_progress or request in self._recent_ids
 
     def recent_request_ids(self) -> list[str]:
-        """The ids in progress and those accepted recently."""
+        """The ids of requests that are in progress or were accepted recently."""
         return [*self._recent_ids, *(id for id in self.in_progress if id not in self._recent_ids)]
 
     def record_request_id(self, id: str) -> None:
-        """A request with that id was accepted, here or by another process of this node."""
+        """Record that a request with this id was accepted, here or by another process of this node."""
         now = self.clock()
         while self._recent_ids and next(iter(self._recent_ids.values())) < now - RECENT_ID_MS:
             self._recent_ids.popitem(last=False)
         self._recent_ids[id] = now
 
     def submit(self, request: AcceptedRequest) -> None:
-        """Accept a request; its client gets exactly one answer, unless it leaves first."""
+        """Accept a request; its client gets exactly one answer, unless it disconnects first."""
         if self.admission is not None and (wait := self.admission(request.job_class)) is not None:
             self.counts["turned_away"] += 1
             self.statistics.count_outcome(request.job_class, "rejected")
@@ -124,21 +126,21 @@
             self.on_accepted(request.id)
         self.in_progress[request.id] = request
         self.unanswered += 1
-        # Where next to no time is left, the module is still asked first.
+        # Even with almost no time left, the module gets the request before the fallback answers it.
         fallback_at = min(request.deadline, self.answer_deadline) - FALLBACK_MARGIN_MS
         delay_ms = max(fallback_at - now, FALLBACK_MARGIN_MS)
         request.timer = self.scheduler.callLater(delay_ms / 1000.0, self._answer_without_module, request)
         self._append(RequestArrived(request))
 
     def withdraw(self, request: AcceptedRequest) -> None:
-        """The client has disconnected: no answer is owed."""
+        """Withdraw a request whose client has disconnected and needs no answer."""
         if not request.answered:
             self._append(ClientLeft(request))
 
     def may_start(self, call: UpstreamCall) -> bool:
-        """Whether a call that has not begun may begin: its client still waits for the answer.
+        """Whether a call may be sent: its client still waits for the answer.
 
-        Covers a client that disconnected while the call waited for a connection, or while this process was
+        The client may have disconnected while the call waited for a connection, or while this process was
         suspended.
         """
         request = call.request
@@ -150,20 +152,20 @@
         return True
 
     def call_ended(self, call: UpstreamCall, outcome: m.AttemptOutcome, result: bytes = b"") -> None:
-        """Report the outcome of a call; the first one reported counts."""
+        """Report the outcome of a call; only the first report counts."""
         if not call.finished:
             self._append(CallEnded(call, outcome, result))
 
     def call_unusable(self, call: UpstreamCall) -> None:
-        """An endpoint rejected the request itself (4xx): the client's fault, a retry elsewhere is useless."""
+        """Report that an endpoint rejected the request itself (4xx): a retry elsewhere would be useless."""
         if not call.finished:
             self._append(CallUnusable(call))
 
     def call_reported(self, report: CallReport) -> bool:
-        """Take an endpoint's call-back: in any order, perhaps a duplicate, perhaps of an unknown request.
+        """Process a call-back of an endpoint; it may be out of order, a duplicate, or of an unknown request.
 
-        Returns whether the request is in progress here. Only endpoints that discovery lists call back; other
-        protocols report their calls on the connection that carries them.
+        Returns whether the request is in progress here. Only endpoints listed by discovery send call-backs;
+        other protocols report on the connection that carries the call.
         """
         request = self.in_progress.get(report.id)
         state = report.state
@@ -178,8 +180,8 @@
             return True
         outcome = OUTCOME_OF_REPORT[state]
         if state is CallState.RETURNED:
-            # The report that an earlier call there was handed back may have come again: it proves nothing.
-            # This one may be running, and is called off: another may not be out beside it.
+            # This may be a duplicate of the report that an earlier call to this endpoint was returned. The
+            # present call may be running then, so it counts as reset and is cancelled before any other.
             if any(c.returned for c in calls[:-1]):
                 outcome = m.AttemptOutcome.RESET
                 self.upstream_clients[call.protocol].cancel(call)
@@ -188,21 +190,21 @@
         return True
 
     def call_started(self, call: UpstreamCall) -> None:
-        """A call has reached a free slot of its endpoint (reported by an upstream client)."""
+        """Report that a call has got a free slot of its endpoint (called by upstream clients)."""
         if not call.finished:
             self._append(CallProgress(call, None))
 
     def endpoints_changed(self, listing: Listing, *, at_start: bool = False) -> None:
-        """The registry's list has changed; `at_start`: this is the list that the process begins with."""
+        """Report a change of the registry's list; `at_start`: it is the list that the process starts with."""
         kind = m.ListKind.COMPLETE if listing.complete else m.ListKind.CHANGES
         self._append(EndpointsChanged(listing, m.ListKind.INITIAL if at_start else kind))
 
     def settings_changed(self, settings: m.Settings) -> None:
-        """Other settings hold for requests submitted from now on."""
+        """Report new settings for requests that are submitted from now on."""
         self._append(SettingsChanged(settings))
 
     def subscription_failed(self) -> None:
-        """Discovery refused a subscription, or ended it."""
+        """Report that discovery refused a subscription, or ended it."""
         self._append(EndpointsChanged(Listing(0, False, ()), m.ListKind.FAILED))
 
     # ---- batches
@@ -214,7 +216,7 @@
             self.scheduler.callLater(0, self.process_batch)
 
     def process_batch(self) -> None:
-        """Pass the batch to the module, then execute all actions that it returned."""
+        """Pass the batch to the module, then execute the actions that it returned."""
         batch = self._batch
         self._batch = []
         self._scheduled = False
@@ -239,21 +241,21 @@
             self.on_idle()
 
     def _fail_after_exception(self, event: Event) -> None:
-        """An event could not be handled: fail its request, so that no client waits in vain."""
+        """Fail the request of an event that raised an exception, so that its client does not wait in vain."""
         request: AcceptedRequest | None = None
         if isinstance(event, RequestArrived | ClientLeft):
             request = event.request
         elif isinstance(event, CallEnded | CallUnusable | CallProgress):
             request = event.call.request
         elif isinstance(event, TimerExpired):
-            # The module re-arms its timers when they expire; one that failed has to expire again.
+            # The module restarts its timers when they expire, but not this one: let it expire again.
             self.scheduler.callLater(0.1, self._append, TimerExpired(event.label))
         if request is not None and not request.answered:
             self._answer(request, request.client.failed, "failed")
             self._append(ClientLeft(request))
 
     def _translate(self, event: Event, now: float) -> m.Event | None:
-        """The event as the module takes it; None where it has become void."""
+        """The module's event for an event of the batch; None if it no longer applies."""
         match event:
             case RequestArrived(request):
                 remaining = max(request.deadline - ANSWER_MARGIN_MS - now, 1.0)
@@ -282,7 +284,7 @@
     def _end_unusable_call(self, call: UpstreamCall, now: float) -> m.Event | None:
         if not call.finished and not call.request.answered:
             self._answer(call.request, call.request.client.failed, "failed")
-        # For the module the client has left: the endpoint is not at fault.
+        # The module sees a cancelled call, so that it does not hold the failure against the endpoint.
         return self._end_call(call, m.AttemptOutcome.CANCELLED, b"", now)
 
     def _end_call(
@@ -307,7 +309,7 @@
         call.timer = None
 
     def _close(self, request: AcceptedRequest) -> None:
-        """No answer is owed any more."""
+        """Mark a request as answered and stop its timer."""
         if not request.answered:
             request.answered = True
             self.unanswered -= 1
@@ -327,7 +329,7 @@
         send_answer()
 
     def _answer_without_module(self, request: AcceptedRequest) -> None:
-        """The deadline is near and the module has not answered: fail the request."""
+        """Fail a request that the module has not answered shortly before its deadline."""
         if not request.answered:
             calls = [f"{c.endpoint}:{'over' if c.finished else 'out'}" for c in request.calls]
             fields = {"id": request.id, "class": request.job_class, "calls": ",".join(calls)}
@@ -358,7 +360,7 @@
                 log.debug("action_not_supported", action=type(action).__name__)
 
     def _cancel(self, id: str, number: int) -> None:
-        """Give up one attempt at a request, if it is still in flight."""
+        """Cancel one attempt at a request, if it is still in flight."""
         request = self.in_progress.get(id)
         if request is None or number >= len(request.calls):
             return
@@ -395,7 +397,7 @@
         except Exception:
             log.exception("call_start_failed", id=id, endpoint=worker)
             self.counts["exceptions"] += 1
-            self._append(CallEnded(call, m.AttemptOutcome.RESET))  # how far it got is not known
+            self._append(CallEnded(call, m.AttemptOutcome.RESET))  # it is unknown whether anything was sent
 
     def _call_timed_out(self, call: UpstreamCall) -> None:
         call.timer = None
--- a/bitternpath/balancer/core/clock.py
+++ b/bitternpath/balancer/core/clock.py
@@ -1,4 +1,4 @@
-"""Time, as the parts of a node are handed it."""
+"""The clock and the timers of a node, as interfaces that tests and the emulator replace."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class TimerScheduler(Protocol):
-    """The part of a reactor that a part without I/O needs."""
+    """The part of a reactor that sets timers."""
 
     def callLater(self, delay: float, callable: Callable[..., object], *args: Any) -> Any:
-        """Call after `delay` seconds; the result can be cancelled."""
+        """Call a function after `delay` seconds; the returned timer can be cancelled."""
 
 
 class Clock:
-    """Monotonic milliseconds, anchored once to Unix time so that an endpoint's start compares."""
+    """Monotonic milliseconds, offset once to Unix time so that start times of endpoints can be compared."""
 
     def __init__(self) -> None:
         self._anchor = (time() - monotonic()) * 1000.0
 
     def __call__(self) -> float:
-        """The time now, in ms."""
+        """Return the current time in ms."""
         return self._anchor + monotonic() * 1000.0
--- a/bitternpath/balancer/core/endpoint_registry.py
+++ b/bitternpath/balancer/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list in force: which endpoints there are, from all sources, and which are ejected."""
+"""The current endpoint list: the endpoints reported by all sources, and which of them are ejected."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 log = structlog.get_logger(part="registry")
 
-DISCOVERY = "discovery"  # the source of the platform's own list
-MAX_LEAVING_REMEMBERED = 4096  # of those that drain or are gone, so many are remembered
-BY_OPERATOR = "hand"  # who takes endpoints out: staff at this node's console
+DISCOVERY = "discovery"  # the source name of the platform's own list
+MAX_LEAVING_REMEMBERED = 4096  # endpoints that drain or are gone
+BY_OPERATOR = "hand"  # the ejecting party: operators at this node's console
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A line of the list."""
+    """An entry of the list."""
 
     id: str
     host_port: str
@@ -27,16 +27,16 @@
     cell: int
     state: m.WorkerState
     size: float
-    up_since: float  # Unix ms; 0: long ago
-    protocol: str = "http"  # which upstream client carries calls to it
-    source: str = DISCOVERY  # who told of it
-    serves: frozenset[str] | None = None  # the classes that it takes; None: all that its kind may
-    slots: int = 0  # calls that it takes at once; 0: not told
+    up_since: float  # Unix ms; 0: unknown, long ago
+    protocol: str = "http"  # selects the upstream client for calls to it
+    source: str = DISCOVERY  # the source that reported it
+    serves: frozenset[str] | None = None  # the classes that it runs; None: all that its kind runs
+    slots: int = 0  # calls that it runs at the same time; 0: not stated
 
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """A list or the changes to one, from one source. Only discovery's carry a revision (0: none)."""
+    """A list or changes to one, from one source. Only lists of discovery have a revision (0: none)."""
 
     revision: int
     complete: bool
@@ -45,38 +45,37 @@
 
 
 class EndpointRegistry:
-    """The endpoint list in force: what the sources report, with ejections by operators and the fleet on top.
+    """The endpoints that the sources report, overridden by ejections of operators and the fleet.
 
-    `endpoints` is the list in force: an ejected endpoint counts as draining, whatever its source reports.
-    `on_change` is called with every change after it has been applied; `on_ejection_change(id, by, ejected)`
-    for every ejection and reinstatement, with the party that asked for it.
+    `endpoints` is the resulting list: an ejected endpoint counts as draining, whatever its source reports.
+    `on_change` is called after each change; `on_ejection_change(id, by, ejected)` for each ejection and
+    reinstatement, with the party that asked for it.
     """
 
     def __init__(self, initial: Listing) -> None:
         self.revision = initial.revision
-        self.ejected_since: dict[str, float] = {}  # taken out, and since when
-        self._ejected_by: dict[str, set[str]] = {}  # who keeps each of them out
-        self._reinstated: dict[str, tuple[float, float]] = {}  # called back: out since, back at
+        self.ejected_since: dict[str, float] = {}  # by endpoint, when it was first ejected
+        self._ejected_by: dict[str, set[str]] = {}  # by endpoint, the parties that eject it
+        self._reinstated: dict[str, tuple[float, float]] = {}  # by endpoint, when ejected and when reinstated
         self._reported = {p.id: p for p in initial.members}  # by the sources
-        self._leaving_since: dict[
-            str, float
-        ] = {}  # draining or gone: the start time that was reported with it
+        # Endpoints that drain or are gone, by id, with the start time reported then.
+        self._leaving_since: dict[str, float] = {}
         self.endpoints = dict(self._reported)
         self.on_change: Callable[[Listing], None] = _ignore_listing
         self.on_ejection_change: Callable[[str, str, bool], None] = _ignore_ejection
 
-    # ---- out
+    # ---- ejections
 
     def is_known(self, id: str) -> bool:
-        """Whether the id is in the list or out by hand."""
+        """Whether the endpoint is listed or ejected."""
         return id in self._reported or id in self.ejected_since
 
     def ejected_by(self, by: str) -> list[str]:
-        """Those that somebody keeps out."""
+        """The endpoints that a party has ejected."""
         return [id for id, sources in self._ejected_by.items() if by in sources]
 
     def eject(self, id: str, since: float, by: str = BY_OPERATOR) -> None:
-        """Nothing new goes there until all who took it out have called it back, whatever is said of it."""
+        """Send no new calls to an endpoint until every party that ejected it has reinstated it."""
         sources = self._ejected_by.setdefault(id, set())
         if by not in sources:
             sources.add(by)
@@ -87,7 +86,7 @@
             self._notify(id)
 
     def reinstate(self, id: str, now: float, by: str = BY_OPERATOR) -> None:
-        """What its source says of it holds again, where nobody else keeps it out."""
+        """Return an endpoint to the state its source reports, unless another party still ejects it."""
         sources = self._ejected_by.get(id, set())
         if by not in sources:
             return
@@ -106,25 +105,27 @@
             self.on_change(Listing(0, False, (self.endpoints[id],)))
 
     def _effective(self, reported: Endpoint) -> Endpoint:
-        """What holds of an endpoint. Those who take one out start it anew before they call it back, and its
-        source tells of that late: one of which no start since is known may have started at the call back.
-        """
+        """The entry in force for a reported one: draining if it is ejected."""
         if reported.id in self.ejected_since and reported.state is m.WorkerState.SERVING:
             return replace(reported, state=m.WorkerState.DRAINING)
         return self._with_assumed_start(reported)
 
     def _with_assumed_start(self, reported: Endpoint) -> Endpoint:
-        """With the start that is assumed of one called back, until its source tells of one."""
+        """The entry of a reinstated endpoint with its assumed start time.
+
+        Operators restart an endpoint before they reinstate it, and its source reports the new start late.
+        Until then it is assumed to have started when it was reinstated.
+        """
         ejected_at, reinstated_at = self._reinstated.get(reported.id, (0.0, 0.0))
         return replace(reported, up_since=reinstated_at) if reported.up_since < ejected_at else reported
 
-    # ---- the sources
+    # ---- sources
 
     def apply(self, listing: Listing, full_resync: bool = False) -> bool:
-        """A source speaks of its own endpoints; those of others are not touched, whatever it says.
+        """Apply a list or changes from a source; endpoints of other sources stay as they are.
 
-        False for changes older than the list in hand, which are passed over, unless they are the answer
-        (`full_resync`) of a discovery that was asked for all it has.
+        Changes of discovery that are older than the current revision are ignored and return False, unless
+        they answer a request for a complete list (`full_resync`).
         """
         if listing.source == DISCOVERY:
             if not (listing.complete or full_resync) and listing.revision <= self.revision:
@@ -138,7 +139,7 @@
         if others:
             other_ids = {p.id for p in others}
             own = tuple(p for p in listing.members if p.id not in other_ids)
-            # To the module a whole list is the whole list: it has to name the others' endpoints too.
+            # A complete list for the module has to include the endpoints of other sources.
             listing = replace(listing, members=(*own, *others) if listing.complete else own)
         if listing.complete:
             self._reported.clear()
@@ -163,7 +164,7 @@
         return True
 
     def _record_leaving(self, listing: Listing) -> None:
-        """Write down who drains and who is gone."""
+        """Record which endpoints drain and which are gone."""
         if listing.complete:
             for id in self._reported.keys() - {p.id for p in listing.members}:
                 self._leaving_since[id] = self._reported[id].up_since
@@ -175,8 +176,10 @@
             del self._leaving_since[next(iter(self._leaving_since))]
 
     def _keep_leaving(self, listing: Listing) -> Listing:
-        """A whole list older than the one in hand, from a discovery that lags or counts anew: what was told
-        of those that drain or are gone stays told, until they start anew or a newer list has them back.
+        """A list older than the current revision, with endpoints known to be leaving set to draining.
+
+        Discovery may lag behind or have restarted its numbering. Endpoints that drain or are gone stay so
+        until they restart, or until a newer list has them in service.
         """
         members = (
             replace(reported, state=m.WorkerState.DRAINING)
@@ -188,25 +191,25 @@
         return replace(listing, members=tuple(members))
 
     def discovery_listing(self) -> Listing:
-        """What holds by discovery's word, bans apart."""
+        """The list as discovery reports it, without ejections."""
         members = tuple(self._with_assumed_start(p) for p in self._reported.values() if p.source == DISCOVERY)
         return Listing(self.revision, True, members)
 
     def set_initial(self, listing: Listing) -> None:
-        """Begin with another list, before anybody has heard of the first."""
+        """Replace the initial list, before any listener has been called."""
         self.revision = listing.revision
         self._reported = {p.id: p for p in listing.members}
         self.endpoints = {id: self._effective(reported) for id, reported in self._reported.items()}
 
     def serving(self, endpoint: str) -> Endpoint | None:
-        """The endpoint, if it takes new calls."""
+        """Return an endpoint if it accepts new calls."""
         found = self.endpoints.get(endpoint)
         return found if found is not None and found.state is m.WorkerState.SERVING else None
 
 
 def _ignore_listing(_listing: Listing) -> None:
-    """Nobody follows the list."""
+    """Default of `on_change`."""
 
 
 def _ignore_ejection(_id: str, _by: str, _ejected: bool) -> None:
-    """Nobody follows the ejections."""
+    """Default of `on_ejection_change`."""
--- a/bitternpath/balancer/core/events.py
+++ b/bitternpath/balancer/core/events.py
@@ -1,7 +1,7 @@
-"""What happens to requests and calls, as the broker queues it for its next batch.
+"""Events that the broker queues for its next batch.
 
-The events are small records without behaviour. `Broker.drain` translates each into an event of the decision
-module (`balancer.messages`) at the time of the batch.
+They are plain records. `Broker.process_batch` translates each into an event of the decision module
+(`balancer.messages`).
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 
 class ClientLeft(Struct):
-    """The client of a request has disconnected, or its request was answered without the module."""
+    """The client of a request has disconnected, or the broker answered the request without the module."""
 
     request: AcceptedRequest
 
 
 class CallEnded(Struct):
-    """A call has an outcome; `result` is the answer's body where it succeeded."""
+    """A call has ended; `result` is the body of the response if it succeeded."""
 
     call: UpstreamCall
     outcome: m.AttemptOutcome
@@ -34,13 +34,13 @@
 
 
 class CallUnusable(Struct):
-    """The endpoint rejected the request itself (4xx): no other endpoint would take it."""
+    """The endpoint rejected the request itself (4xx): any other endpoint would too."""
 
     call: UpstreamCall
 
 
 class CallProgress(Struct):
-    """The job of a call has begun to run (`share` is None), or reports the share done (0 to 1)."""
+    """The job of a call has started (`share` is None), or reports the share done (0 to 1)."""
 
     call: UpstreamCall
     share: float | None
@@ -54,13 +54,13 @@
 
 
 class TimerExpired(Struct):
-    """A timer that the module set (`messages.StartTimer`) is due."""
+    """A timer that the module set (`messages.StartTimer`) has expired."""
 
     label: str
 
 
 class SettingsChanged(Struct):
-    """Other settings hold for requests that arrive from now on."""
+    """New settings apply to requests that arrive from now on."""
 
     settings: m.Settings
 
--- a/bitternpath/balancer/core/lifecycle.py
+++ b/bitternpath/balancer/core/lifecycle.py
@@ -1,12 +1,12 @@
 """The life cycle of one process of a node: its phases, the behaviour in each, and the transitions.
 
-A process starts, serves, and drains when it is told to stop. Where a newer process of the same node takes
-over (its *successor*, see handover/), the older one hands over: it accepts no new connections, since its
-successor does, but keeps serving those that clients hold. Servers read the behaviour of the current phase
-from this object. An event that has no transition in a phase changes nothing.
+A process starts, serves, and drains after a stop signal. When a newer process of the same node takes over
+(its *successor*, see handover/), the older one hands over: it accepts no new connections, since its successor
+does, but keeps serving its open ones. Servers read the behaviour of the current phase from this object. An
+event that has no transition in a phase changes nothing.
 
-Times are counted from the stop signal. The platform kills a process no sooner than the longest deadline,
-counted as 3 s where it is longer, and 0.7 s after it (PROTOCOL, 'Figures'): with short deadlines far earlier.
+Times are measured from the stop signal. The platform kills a process no sooner than 0.7 s after the longest
+deadline, where deadlines over 3 s count as 3 s (PROTOCOL, 'Figures').
 """
 
 from __future__ import annotations
@@ -15,39 +15,41 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# ms in which new connections may still come at a plain restart: the load balancer notices 0.2 to 0.4 s late.
+# New connections may still arrive for this time at a restart: the load balancer notices it 0.2 to 0.4 s late.
 NEW_CONNECTIONS_UNTIL_MS = 500.0
-DEADLINE_CAP_MS, KILL_GRACE_MS = 3000.0, 700.0  # ms; the platform's own figures
+DEADLINE_CAP_MS, KILL_GRACE_MS = 3000.0, 700.0  # the platform's own figures
 
 
 def answer_time_after_stop(longest: float) -> float:
-    """Ms by which all that arrives later is answered, whatever its deadline: 0.2 s before a kill may come.
+    """Time (ms) by which requests that arrive after the stop signal are answered, whatever their deadline.
 
-    `longest` is the longest deadline in ms.
+    It is 0.2 s before the platform may kill the process. `longest` is the longest deadline in ms.
     """
     return min(longest, DEADLINE_CAP_MS) + KILL_GRACE_MS - 200.0
 
 
 def idle_connection_time_after_stop(longest: float) -> float:
-    """Ms for which a process with a successor keeps connections open that clients hold but do not use: a
-    close that crosses a request is a loss, and each answer moves one over. The rest is for the end.
+    """Time (ms) for which a process with a successor keeps idle client connections open.
+
+    A close that crosses a request loses it, while an answer can close its connection safely: the client then
+    connects to the successor. The time that is left serves to close the rest.
     """
     return answer_time_after_stop(longest) - 200.0
 
 
 class Phase(Enum):
-    """The phases of a process; the values stand in the log (`stopping phase=`)."""
+    """The phases of a process; the values appear in the log (`stopping phase=`)."""
 
     STARTING = "starting"  # not listening yet
     READY = "ready"
-    SUPERSEDED = "succeeded"  # the successor serves; not told to stop yet
-    DRAINING = "leaving"  # told to stop, and nobody takes over
-    HANDING_OVER = "passing on"  # told to stop, and the successor serves
+    SUPERSEDED = "succeeded"  # the successor serves; no stop signal yet
+    DRAINING = "leaving"  # stop signal received, no successor
+    HANDING_OVER = "passing on"  # stop signal received, the successor serves
     GONE = "gone"
 
 
 class LifecycleEvent(Enum):
-    """What may change the phase."""
+    """Events that may change the phase."""
 
     LISTENS = "listens"
     SUCCESSOR_READY = "successor ready"
@@ -63,8 +65,8 @@
     accepts: bool = False  # accepts new connections
     ready_for_clients: bool = False  # `/ready` answers 200: the load balancer may send clients here
     ready_for_operators: bool = False  # the console's readiness answers 200: this process can serve
-    keep_alive: bool = False  # answers leave the connection open
-    closes_idle: bool = False  # closes idle connections, once no new ones come
+    keep_alive: bool = False  # connections stay open after an answer
+    closes_idle: bool = False  # closes idle connections, once no new ones arrive
 
 
 BEHAVIOR = {
@@ -93,7 +95,7 @@
 
 
 class Lifecycle:
-    """The current phase. The callbacks in `changed` are called after every change."""
+    """The current phase. `listeners` are called after each change of it."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
@@ -101,12 +103,12 @@
 
     @property
     def behavior(self) -> PhaseBehavior:
-        """What a node does in the current phase."""
+        """The behaviour in the current phase."""
         return BEHAVIOR[self.phase]
 
     @property
     def stopping(self) -> bool:
-        """Whether the process was told to stop."""
+        """Whether the process has received a stop signal."""
         return self.phase in (Phase.DRAINING, Phase.HANDING_OVER, Phase.GONE)
 
     def apply(self, event: LifecycleEvent) -> bool:
--- a/bitternpath/balancer/core/module_events.py
+++ b/bitternpath/balancer/core/module_events.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoints, the settings and the time, as events of the decision module."""
+"""Translates changes of endpoints and settings, and expired timers, into events of the decision module."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def module_event(event: EndpointsChanged | TimerExpired | SettingsChanged) -> m.Event:
-    """The module's event for a change that is about no request."""
+    """Return the module's event for an event that concerns no request."""
     match event:
         case EndpointsChanged(listing, kind):
             return m.WorkerList(kind, [_entry(endpoint) for endpoint in listing.members])
--- a/bitternpath/balancer/core/requests.py
+++ b/bitternpath/balancer/core/requests.py
@@ -1,7 +1,7 @@
 """Accepted requests, their upstream calls, and the interfaces that a protocol implements.
 
 A protocol package has up to three parts. A *server* builds an `AcceptedRequest` and passes it to
-`Broker.submit` with a `Client` that takes the one answer. An `UpstreamClient` carries calls to endpoints of
+`Broker.submit`, with a `Client` that receives its answer. An `UpstreamClient` carries calls to endpoints of
 its protocol. A *source* reports endpoints to the registry (`core.endpoint_registry.Listing`).
 """
 
@@ -17,31 +17,31 @@
 if TYPE_CHECKING:
     from bitternpath.balancer.core.endpoint_registry import Endpoint
 
-MAX_ID_LENGTH = 200  # characters of a request's id, all of them visible ASCII: it must pass in any protocol
+MAX_ID_LENGTH = 200  # of a request's id, in visible ASCII characters, which every protocol can carry
 
 
 class Client(Protocol):
-    """Takes the answer of one request: exactly one of `served`, `rejected` and `failed` is called, once."""
+    """Receives the answer to a request: one of `served`, `rejected` and `failed` is called, exactly once."""
 
     def served(self, result: bytes) -> None:
         """The request succeeded with this result."""
 
     def rejected(self, retry_after: float) -> None:
-        """Nothing ran, or a repeat is harmless: the client may retry after so many ms."""
+        """The job did not run, or may safely run again: the client may retry after `retry_after` ms."""
 
     def failed(self) -> None:
         """The request failed; it may have run."""
 
     def disconnected(self) -> bool:
-        """Whether it has disconnected, though the event may not have been processed yet."""
+        """Whether the client has disconnected, even if that event has not been processed yet."""
         ...
 
 
 class Payload(Protocol):
-    """What an upstream client sends on: a request in the platform's form (PROTOCOL, 'Clients to nodes').
+    """The content of a request in the platform's format (PROTOCOL, 'Clients to nodes'), for upstream clients.
 
-    `target` is the path with its query, `/CLASS` and what follows; `headers` has lower-case names:
-    `x-call-class`, `x-route-hash`, `x-again`, `x-call-info`, `content-type`, where the client gave them.
+    `target` is the path and query that begin with `/CLASS`. Names in `headers` are in lower case, and only
+    those that the client sent: `x-call-class`, `x-route-hash`, `x-again`, `x-call-info`, `content-type`.
     """
 
     method: bytes
@@ -51,7 +51,7 @@
 
 
 class RequestPayload(Struct):
-    """The payload of a server that does not speak HTTP."""
+    """A payload for servers of protocols other than HTTP."""
 
     method: bytes
     target: bytes
@@ -60,7 +60,7 @@
 
 
 class UpstreamClient(Protocol):
-    """Carries calls to the endpoints of one protocol, and reports their outcomes by `Broker.call_ended`."""
+    """Carries calls to the endpoints of one protocol, and reports their outcomes to `Broker.call_ended`."""
 
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         """Send a call to an endpoint."""
@@ -70,11 +70,11 @@
 
 
 UpstreamClients = Mapping[str, UpstreamClient]  # by the protocol of the endpoint
-CALLBACK_PROTOCOL = "http"  # the protocol whose endpoints report by call-backs at the listener
+CALLBACK_PROTOCOL = "http"  # the protocol whose endpoints report by call-backs to the listener
 
 
 class CallState(Enum):
-    """The state of a call, as an endpoint reports it."""
+    """The state of a call that an endpoint reports."""
 
     STARTED = "started"
     RUNNING = "running"
@@ -85,7 +85,7 @@
 
 
 class CallReport(Struct):
-    """An endpoint's report of a call. The field names of its stored form (the handover link) are kept."""
+    """An endpoint's report of a call. Field names on the handover link must not change."""
 
     id: str
     endpoint: str = field(name="provider")
@@ -102,29 +102,29 @@
     endpoint: str
     sent: float
     expires: float
-    start_deadline: float = inf  # ms; not sent later: an endpoint would no longer recognise a repeat
-    protocol: str = CALLBACK_PROTOCOL  # of the endpoint, which selects the upstream client
+    start_deadline: float = inf  # ms; not sent later, as endpoints would no longer detect a repeat
+    protocol: str = CALLBACK_PROTOCOL  # of the endpoint; selects the upstream client
     finished: bool = False  # its outcome is known; later reports are ignored
-    may_have_run: bool = True  # it may have run, as far as is known
-    accepted: bool = False  # the endpoint has accepted it (202): its connection no longer matters
-    returned: bool = False  # ended by a call-back that handed it back
+    may_have_run: bool = True  # false once the outcome proves that it did not
+    accepted: bool = False  # by the endpoint (202): its connection may close
+    returned: bool = False  # ended by a call-back with the state `RETURNED`
     timer: Any = None
     transport_state: Any = None  # owned by the upstream client
 
     @property
     def id(self) -> str:
-        """The id of the request that this is an attempt at."""
+        """The id of the request."""
         return self.request.id
 
 
 class AcceptedRequest(Struct, eq=False):
-    """A request that was taken and is owed one answer. Times are in ms on the node's clock."""
+    """A request that was accepted and must be answered. Times are in ms on the node's clock."""
 
     id: str
     job_class: str
     deadline: float
     client: Client
-    payload: Any  # a Payload; nothing in the core looks inside
+    payload: Any  # a Payload; the core does not read it
     key: int | None = None
     hint: float | None = None
     slots: float = 1.0
@@ -136,7 +136,7 @@
 
 
 def parse_call_info(info: bytes) -> dict[str, float]:
-    """Parse `name=value,name=value` (the header `X-Call-Info`); values that are not numbers are left out."""
+    """Parse `name=value,name=value` (the header `X-Call-Info`); values that are not numbers are ignored."""
     values: dict[str, float] = {}
     for pair in info.split(b","):
         name, _, value = pair.strip().partition(b"=")
--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -1,4 +1,9 @@
-"""All decisions of a dispatcher: `handle` takes an event, returns actions (messages.py). Times are in ms."""
+"""All decisions of a dispatcher. Times are in ms.
+
+`Dispatcher.handle` takes an event and returns actions, both from `balancer.messages`. A job is sent to a
+worker that can end it in time, or stays pending until one can. Workers are ranked by a network for each job
+class.
+"""
 
 from collections.abc import Callable
 from copy import copy
@@ -9,44 +14,43 @@
 from bitternpath.balancer.dispatch.jobs import LONG_TERM_WEIGHT, SHORT_TERM_WEIGHT, Attempt, ClassState, Job
 from bitternpath.balancer.dispatch.workers import Worker
 
-FULL_BACKOFF_RUN_TIMES = (
-    2.0  # mean running times for which a worker that turned a job away is held to be full
-)
-MIN_RUN_TIME_SHARE_LEFT = (
-    0.5  # of the usual running time: with less left before the deadline a job is not worth a try
-)
-BASE_SAMPLE_SIZE = 24  # workers compared for a job, and besides four times a dispatcher's share of the fleet
-UNOBSERVED_SENDS = 2  # sends: an unseen queue is as usual with the chance that so many in a row were others'
-HOME_WORKER_JOB_LIMIT = 2  # own jobs at once at a home: a job for each core of the operators' machines
-EXPLORATION_RATE = 0.05  # share of jobs that go to a random usable worker
-OVERDUE_TARGET_SHARE = 0.5  # of the aim: a job that has not begun by then scores its long time early
-FAULT_SUSPENSION_MS, MAX_COUNTED_FAULTS = (
-    4_000.0,
-    3,
-)  # ms without jobs of a class after a fault, doubled by so many before it
-OVERTAKEN_AFTER_MS = 300.0  # ms: a job that has not begun though one sent so much later has, is lost
-RECENT_REPORT_INTERVALS = (
-    1.5  # intervals of progress: heard of since, a worker that refuses runs and holds all it may
-)
-LOST_AFTER_RUN_TIMES = 4.0  # mean running times after which a job that has not begun counts as lost
-SUSPEND_AFTER_TARGETS = (
-    1.0  # of the aim: a worker not heard from for so long after a send leaves the usable set
-)
-MAX_SUBSCRIBE_DELAY_MS = (
-    3_000.0  # ms, and half of it more: a change counts as told after 6 s, whatever call failed
-)
-COLD_HOME_SHARE, COLD_SHARED_SHARE = (
-    0.8,
-    0.2,
-)  # of the multiple: slots of those whose home it is, and of others, once warm
-COLD_IDLE_GAP_SHARE, COLD_UNUSED_MS = (
-    0.3,
-    4_000.0,
-)  # of a job: the gap at an idle cold home; ms until it goes first
+# A worker that rejected a job counts as full for this multiple of the mean running time, plus or minus half.
+FULL_BACKOFF_RUN_TIMES = 2.0
+# A job is not sent to a worker when less than this share of its expected running time is left before its
+# deadline.
+MIN_RUN_TIME_SHARE_LEFT = 0.5
+# Workers compared for a job: this number, plus four times the number of workers per dispatcher.
+BASE_SAMPLE_SIZE = 24
+# The mean wait is assumed at a worker with the probability that this many sends in a row came from other
+# dispatchers, so that this one could not observe the queue.
+UNOBSERVED_SENDS = 2
+HOME_WORKER_JOB_LIMIT = 2  # own jobs in flight at a home worker: one for each core of the operators' machines
+EXPLORATION_RATE = 0.05  # share of the jobs that go to a random usable worker
+# A job that has not started within this share of its class's latency target teaches the network a low payoff
+# before it ends.
+OVERDUE_TARGET_SHARE = 0.5
+# After a fault a worker gets no job of that class for this time, doubled for each earlier fault that counts.
+FAULT_SUSPENSION_MS, MAX_COUNTED_FAULTS = 4_000.0, 3
+OVERTAKEN_AFTER_MS = 300.0  # a job is lost when one sent this much later to the same worker has started first
+# A worker that reported within this many progress intervals is running: a refused connection then means that
+# it has as many connections as it allows.
+RECENT_REPORT_INTERVALS = 1.5
+LOST_AFTER_RUN_TIMES = 4.0  # a job that has not started counts as lost after this many mean running times
+# A worker is suspended when it has reported nothing for this multiple of the latency target after a send.
+SUSPEND_AFTER_TARGETS = 1.0
+# Upper limit of the delay before a refused subscription is retried; random factors lengthen it by up to half.
+# Discovery counts a change as delivered after 6 s, whichever calls failed, so retries must come sooner.
+MAX_SUBSCRIBE_DELAY_MS = 3_000.0
+# Shares of `overload_multiple` that a warm worker may get at once from the dispatchers whose home worker it
+# is, and from all others. A cold worker gets the part of it that matches its available capacity.
+COLD_HOME_SHARE, COLD_SHARED_SHARE = 0.8, 0.2
+# An idle cold home worker gets its next job after this share of the last job's work. A cold worker that got
+# none for this time is preferred to all others.
+COLD_IDLE_GAP_SHARE, COLD_UNUSED_MS = 0.3, 4_000.0
 
 
 class Dispatcher:
-    """One dispatcher; instances share nothing.
+    """One dispatcher. Instances share no state.
 
     Deterministic: the same settings, seed, times and events give the same actions.
     """
@@ -54,25 +58,23 @@
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
         self.random = Random(seed)
         self.now = now
-        self.capacity_share = 1.0  # this process's part of what the dispatcher may send, during an upgrade
+        # Share of the dispatcher's sends that this process may make; below 1 while two processes run.
+        self.capacity_share = 1.0
         self.class_states: dict[str, ClassState] = {}
         self.workers: dict[str, Worker] = {}
-        self.home_workers: list[str] = []  # workers that in a large fleet get this dispatcher's jobs first
+        self.home_workers: list[str] = []  # in a large fleet, the workers tried first; by name
         self.jobs: dict[str, Job] = {}
-        self.in_flight: dict[tuple[str, int], Attempt] = {}  # in flight by job and number, oldest first
-        self.pending: list[Job] = []
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # by job id and number, oldest first
+        self.pending: list[Job] = []  # jobs with no attempt in flight that wait for a usable worker
         self.on_settings(m.NewSettings(settings))
-        self.mean_wait = 0.0  # moving averages over all workers and classes
+        # Moving averages over all workers and classes.
+        self.mean_wait = 0.0
         self.mean_run = 0.0
-        self.start_report_delay = (
-            settings.start_report_delay
-        )  # ms from a job's start to the first report of it
-        self.subscribe_retry_delay = (
-            MAX_SUBSCRIBE_DELAY_MS / 8
-        )  # ms until a refused subscription is tried again
-        self.last_start_at = now  # when a job was last known to have begun
+        self.start_report_delay = settings.start_report_delay  # from a job's start to the first report of it
+        self.subscribe_retry_delay = MAX_SUBSCRIBE_DELAY_MS / 8  # before a refused subscription is retried
+        self.last_start_at = now  # when the start of a job was last reported
         self.actions: list[m.Action] = [m.StartTimer("sweep", self.sweep_interval)]
-        if settings.list_on_request:  # spread out: a fleet that starts at once would swamp the list service
+        if settings.list_on_request:  # at random: a fleet that starts at once would overload discovery
             delay = self.random.random() * min(settings.must_ask_within / 2, 1.5 * MAX_SUBSCRIBE_DELAY_MS)
             self.actions.append(m.StartTimer("watch", delay))
         self.handlers: dict[type, Callable[..., None]] = {
@@ -82,14 +84,17 @@
         }  # fmt: skip
 
     def handle(self, now: float, event: m.Event) -> list[m.Action]:
-        """Take an event at time `now` (ms); returns the actions to execute, in their order."""
+        """Process an event at time `now`; returns the actions to execute, in order."""
         self.now = now
         self.handlers[type(event)](event)
         actions, self.actions = self.actions, []
         return actions
 
     def on_settings(self, event: m.NewSettings) -> None:
-        """What was learned of a class that stays, stays; open jobs keep the rules under which they came."""
+        """Apply new settings.
+
+        A class that stays keeps what was learned of it. Jobs that are open keep the settings they came under.
+        """
         previous_states = self.class_states
         self.settings = event.settings
         self.class_states = {}
@@ -107,12 +112,12 @@
                 class_state.add_worker(worker)
         self.min_latency_target = min(spec.latency_target for spec in self.settings.classes)
         self.sweep_interval = max(self.settings.tick, self.min_latency_target / 8)
-        self.decision_margin = (
-            2 * self.sweep_interval + self.settings.tick
-        )  # held jobs are settled so long before it is too late
+        # Pending jobs get their final answer this long before it would be too late.
+        self.decision_margin = 2 * self.sweep_interval + self.settings.tick
 
     def on_worker_list(self, event: m.WorkerList) -> None:
-        if event.kind is m.ListKind.FAILED:  # ask again, later each time: the service may be swamped or down
+        """Apply a worker list or changes to it, or schedule another subscription where one failed."""
+        if event.kind is m.ListKind.FAILED:  # retry with back-off: discovery may be overloaded or down
             delay, self.subscribe_retry_delay = (
                 self.subscribe_retry_delay,
                 min(2 * self.subscribe_retry_delay, MAX_SUBSCRIBE_DELAY_MS),
@@ -125,7 +130,8 @@
                 self.remove_worker(self.workers[name])
         for entry in event.entries:
             self.apply_entry(entry)
-        # All dispatchers cut the same ring of names into as many pieces as they are: theirs overlap little.
+        # Each dispatcher takes its slice of the same sorted names, so home workers of different ones overlap
+        # little.
         names, workers_per_dispatcher = sorted(self.workers), len(self.workers) / self.settings.dispatchers
         self.home_workers = names[
             int(self.settings.dispatcher_index * workers_per_dispatcher) : ceil(
@@ -134,8 +140,9 @@
         ]
 
     def apply_entry(self, entry: m.WorkerEntry) -> None:
+        """Add, update or remove the worker of a list entry."""
         worker = self.workers.get(entry.worker)
-        # After a restart what was learned of the old process is void.
+        # A restarted worker is a new one: what was learned of the old process no longer applies.
         if worker and (
             entry.state is not m.WorkerState.SERVING or (entry.up_since or 0.0) > worker.up_since + 1
         ):
@@ -143,7 +150,8 @@
         if entry.state is m.WorkerState.SERVING and entry.worker not in self.workers:
             worker = self.workers[entry.worker] = Worker(entry, self.settings.warm_within)
             if worker.warm_at > self.now:
-                # At a random point of the first gap: all dispatchers hear of it at about the same time.
+                # The first job comes at a random time within the first gap, because all dispatchers learn
+                # of the worker at about the same time.
                 last_work = (
                     max(class_state.unloaded_run_time for class_state in self.class_states.values())
                     or self.settings.overload_span
@@ -155,24 +163,26 @@
             self.workers[entry.worker].slots = entry.slots
 
     def remove_worker(self, worker: Worker) -> None:
-        """Draining or gone: it gets nothing more (well before the grace ends); what is out there runs on."""
+        """Send nothing more to a worker that drains or is gone; attempts in flight there go on."""
         del self.workers[worker.name]
-        worker.suspended_until = worker.unsafe_suspended_until = float(
-            "inf"
-        )  # for jobs of a class that is no more
+        # Pending jobs of a class that was dropped still have the worker in their network.
+        worker.suspended_until = worker.unsafe_suspended_until = float("inf")
         for class_state in self.class_states.values():
             if worker.name in class_state.network.index:
                 class_state.network.leave(worker)
 
     def available_share(self, worker: Worker) -> float:
-        """What part of its full capacity a worker has at least."""
+        """The share of its full capacity that a worker has at least: it grows linearly while it warms up."""
         warm_progress = (
             (self.now - worker.up_since) / self.settings.warm_within if worker.warm_at > self.now else 1.0
         )
         return self.settings.cold_share + (1 - self.settings.cold_share) * min(max(warm_progress, 0.0), 1.0)
 
     def next_cold_send_at(self, worker: Worker) -> float:
-        """When a cold worker may get the next job, for all dispatchers together must not push it over."""
+        """When a cold worker may get its next job from this dispatcher; 0 for a warm one.
+
+        The gaps keep the jobs of all dispatchers together below the load at which the worker collapses.
+        """
         if worker.warm_at <= self.now:
             return 0.0
         is_home, dispatchers, workers = (
@@ -192,6 +202,7 @@
         return min(worker.last_cold_send_at + gap, worker.warm_at)
 
     def on_request(self, event: m.Request) -> None:
+        """Send the job of a new request, or keep it pending."""
         job = self.jobs[event.id] = Job(
             event, self.class_states[event.job_class], self.now, self.settings.retries_marked
         )
@@ -199,7 +210,7 @@
             self.pending.append(job)
 
     def send_or_defer(self, job: Job) -> bool:
-        """Send the job, or hold it while that can help, or give its final answer; False if it is held."""
+        """Send the job, or give its final answer where waiting can't help; False if it stays pending."""
         may_send = (
             len(job.attempts) < job.settings.try_limit
             and job.deadline > self.now
@@ -219,7 +230,7 @@
         return worker is not None or not job.open
 
     def retry_after(self, class_state: ClassState) -> float:
-        """When the client may come again: a place where its job ends in time should be free by then."""
+        """Time until the client may retry: a worker should then be free that can end the job in time."""
         now, longest = self.now, self.settings.max_retry_after
         waits = [
             max(
@@ -244,6 +255,7 @@
         return min(max(wait, self.sweep_interval), longest)
 
     def send(self, job: Job, worker: Worker) -> None:
+        """Start an attempt at the worker and account for it."""
         self.actions.append(m.Send(job.id, worker.name, within=self.send_window(job)))
         attempt = Attempt(job, len(job.attempts), worker, self.now)
         job.attempts.append(attempt)
@@ -260,16 +272,18 @@
             worker.last_cold_send_at, worker.last_cold_work = self.now, work * (0.5 + self.random.random())
 
     def send_window(self, job: Job) -> float:
-        """For how long (ms) the class still lets the job be sent, to some worker at least."""
+        """For how long the job may still be sent: forever, not at all, or within its deduplication window."""
         send_times = [attempt.sent_at for attempt in job.attempts if attempt.may_have_run]
         if not send_times or job.spec.effect is not m.Effect.KEYED:
             return inf if not send_times or job.spec.effect is m.Effect.SAFE else 0.0
-        return (
-            send_times[0] + 0.9 * job.spec.dedup_window - self.now
-        )  # the attempt must arrive inside the window too
+        # Not the whole window: the attempt must also arrive within it.
+        return send_times[0] + 0.9 * job.spec.dedup_window - self.now
 
     def repeat_allowed(self, job: Job, worker: Worker) -> bool:
-        """Where earlier attempts may have run: another worker, of the group that drops the repeat."""
+        """Whether the job may go to this worker after its earlier attempts.
+
+        If any of them may have run, it must be another worker in the same deduplication scope.
+        """
         scope, tried = (
             job.spec.retry_scope,
             [attempt.worker for attempt in job.attempts if attempt.may_have_run],
@@ -280,7 +294,11 @@
         )
 
     def choose_worker(self, job: Job) -> Worker | None:
-        """The usable worker with the highest q / (1 + own jobs in flight), of a sample in large fleets."""
+        """Return the usable worker with the highest q / (1 + own jobs in flight), None if there is none.
+
+        A large fleet is searched in three steps, each only if the one before found none: the home workers, a
+        random sample, all workers.
+        """
         network, random, now = job.class_state.network, self.random.random, self.now
         workers, q, worker_count = network.neurons, network.q, len(network.neurons)
         sample_size = (
@@ -288,7 +306,8 @@
             if random() < EXPLORATION_RATE
             else BASE_SAMPLE_SIZE + 4 * worker_count // self.settings.dispatchers
         )
-        # By kind: time until the job can no longer end there in time, or hardly before the client gives up.
+        # By machine kind: how long the job can wait there and still end in time, or at least have a chance to
+        # end before the deadline.
         slack_by_kind = {
             kind: min(
                 job.on_time_by - run_time * job.size,
@@ -297,7 +316,7 @@
             - now
             for kind, run_time in job.class_state.run_time_by_kind.items()
         }
-        # The usual wait, where the last sends to a worker were likely others'; it drains when no job begins.
+        # The wait assumed where this dispatcher can't see the queue. It shrinks while no start is reported.
         usual_wait = (1 - 1 / self.settings.dispatchers) ** UNOBSERVED_SENDS * max(
             self.mean_wait - (now - self.last_start_at), 0.0
         )
@@ -307,7 +326,8 @@
             job.class_state.run_time_by_kind,
             job.spec.safe_to_repeat,
         )
-        # No queue grows longer than the hastiest class bears, by what earns less even less: it is held here.
+        # No queue may grow longer than the most urgent class tolerates. For jobs of a lower value rate the
+        # limit is lower still; they stay pending here.
         highest_value_rate = max(
             1e-9, *(class_state.value_rate() for class_state in self.class_states.values())
         )
@@ -320,7 +340,9 @@
             for worker in workers
             if worker.faults and worker.blocked_by_faults(job.class_state.spec, now)
         ]
-        faulty = faulty if 2 * len(faulty) <= worker_count else []  # else it is hardly the workers' fault
+        faulty = (
+            faulty if 2 * len(faulty) <= worker_count else []
+        )  # if more than half are, the jobs are the likely cause
         best, best_score = None, 0.0
         home_indexes = (
             [network.index[name] for name in self.home_workers if name in network.index]
@@ -337,7 +359,7 @@
                 if indexes is home_indexes and (
                     worker.not_started or worker.load(now) >= HOME_WORKER_JOB_LIMIT
                 ):
-                    continue  # what others send elsewhere is not known, what is sent here nearly is
+                    continue  # the load of a home worker is known well, since few others send there
                 blocked_until = max(
                     self.next_cold_send_at(worker),
                     worker.suspended_until if safe_to_repeat else worker.unsafe_suspended_until,
@@ -354,7 +376,8 @@
                     worker.own_queue_wait(self.mean_run),
                     now - worker.last_cold_send_at > COLD_UNUSED_MS,
                 )
-                # A queue drains since it was seen. What is late goes only where it makes no other job late.
+                # The observed queue has drained since. A late job goes only to a worker with no own job in
+                # flight, where it delays no other.
                 run_time, available = run_times.get(worker.kind, 0.0) * job.size, self.available_share(worker)
                 wait_limit = min(slack_by_kind.get(worker.kind, 0.0), queue_limit) - run_time * (
                     1 / available - 1
@@ -376,7 +399,7 @@
                     best, best_score = worker, score
             if best is not None:
                 return best
-        # Where all are suspect, better a silent one of a few than none.
+        # Where all workers are suspended, an unresponsive one out of a small sample is better than none.
         suspects = (
             []
             if any(worker.suspended_until <= now for worker in workers)
@@ -390,12 +413,13 @@
         return next((worker for worker in free if self.repeat_allowed(job, worker)), None)
 
     def on_progress(self, event: m.JobProgress | m.StreamStarted) -> None:
+        """Note that the job of an attempt has started."""
         attempt = self.in_flight.get((event.id, event.attempt))
         if attempt is not None:
             self.record_start(attempt, self.start_report_delay)
 
     def record_start(self, attempt: Attempt, ms_ago: float) -> None:
-        """The worker was heard from: a job there has begun, at the latest so long (ms) ago."""
+        """Record a report from the worker of an attempt: the job started at least `ms_ago` ms ago."""
         worker = attempt.worker
         worker.last_report_at, worker.suspensions, worker.suspended_until, worker.unsafe_suspended_until = (
             self.now,
@@ -408,9 +432,8 @@
         self.set_lost(attempt, False)
         attempt.started_at = max(self.now - ms_ago, attempt.sent_at)
         worker.not_started -= self.settings.reports_start
-        weight = min(
-            (self.now - self.last_start_at) / (4 * self.settings.overload_span), 0.5
-        )  # by time, not by jobs
+        # Weighted by time, not by number of jobs: a dispatcher with few jobs must notice long waits too.
+        weight = min((self.now - self.last_start_at) / (4 * self.settings.overload_span), 0.5)
         worker.queue_wait, worker.queue_wait_seen_at, self.last_start_at = (
             attempt.started_at - attempt.sent_at,
             self.now,
@@ -420,7 +443,7 @@
         self.mean_wait += weight * (worker.queue_wait - self.mean_wait)
 
     def send_second_copy(self, job: Job) -> None:
-        """Send a job again whose attempts are lost, where it may run twice."""
+        """Send a job again if all its attempts are lost and a repeat does no harm."""
         may_send = (
             job.open and job.spec.safe_to_repeat and job.settings.second_copies and self.send_window(job) > 0
         )
@@ -434,6 +457,7 @@
                 self.send(job, worker)
 
     def on_outcome(self, event: m.AttemptEnded) -> None:
+        """Learn from an attempt that ended, and retry or answer its job."""
         attempt = self.in_flight.pop((event.id, event.attempt), None)
         if attempt is None:
             return
@@ -461,16 +485,16 @@
             )
         if outcome not in (m.AttemptOutcome.OK, m.AttemptOutcome.CANCELLED):
             if outcome is m.AttemptOutcome.ERROR and sum(other.may_have_run for other in job.attempts) == 1:
-                self.record_fault(
-                    worker, job.class_state
-                )  # if it failed elsewhere too, the job may itself be the cause
+                # Only the first failure of a job: one that fails elsewhere too may be the cause itself.
+                self.record_fault(worker, job.class_state)
             elif (
                 outcome is m.AttemptOutcome.NO_CONNECTION
                 and self.now - worker.last_report_at > RECENT_REPORT_INTERVALS * self.settings.progress_every
             ):
                 self.suspend(worker)
             elif not attempt.may_have_run:
-                # Until then one job goes there for each own job that ends: more would race for one free slot.
+                # Until then one job is sent for each own job that ends there (`sends_while_full`): more would
+                # compete for one free slot.
                 backoff = FULL_BACKOFF_RUN_TIMES * (job.class_state.mean_run_time or job.spec.latency_target)
                 worker.full_until = self.now + backoff * (0.5 + self.random.random())
             job.class_state.network.learn(worker, 0.0, completed=False)
@@ -482,14 +506,15 @@
             self.retry_pending(1)
 
     def record_payoff(self, attempt: Attempt, elapsed: float) -> None:
-        """Payoff 1/G of a job that ended: G is its time over its size."""
+        """Learn from a job that succeeded: its payoff is 1/G, with G its elapsed time over its size."""
         class_state, size, kind = attempt.job.class_state, attempt.job.size, attempt.worker.kind
         run_time = elapsed - (attempt.started_at or attempt.sent_at) + attempt.sent_at
         class_state.ended_jobs += 1
         class_state.mean_run_time += max(LONG_TERM_WEIGHT, 1 / class_state.ended_jobs) * (
             run_time / size - class_state.mean_run_time
         )
-        # Falls at once and rises slowly: strain must not pass for heavier work that has more time to end.
+        # Falls at once and rises slowly: running times of an overloaded fleet must not pass for heavier work,
+        # which would be given more time to end.
         class_state.unloaded_run_time = (
             min(class_state.mean_run_time, class_state.unloaded_run_time * (1 + LONG_TERM_WEIGHT / 100))
             if class_state.ended_jobs > 1 / LONG_TERM_WEIGHT
@@ -500,18 +525,24 @@
             class_state.run_time_by_kind.get(kind, run_time / size) * (1 - SHORT_TERM_WEIGHT)
             + run_time / size * SHORT_TERM_WEIGHT
         )
-        # A heavy job is not its worker's fault: running time counts up to three times the usual.
+        # A heavy job is not its worker's fault: its running time counts up to three times the mean.
         goal = elapsed - run_time + min(run_time, 3 * class_state.mean_run_time * size)
         class_state.network.learn(attempt.worker, size / max(goal, 1e-3))
 
     def suspend(self, worker: Worker) -> None:
-        """Leave it out for a while, longer each time, until it is heard from; unsafe jobs twice as long."""
+        """Send nothing to the worker for a while, unless it reports; unsafe jobs stay away twice as long.
+
+        The time doubles with each suspension in a row, up to 16 times the base.
+        """
         worker.suspensions += 1
         duration = 4 * self.min_latency_target * min(2**worker.suspensions, 16) * (0.5 + self.random.random())
         worker.suspended_until, worker.unsafe_suspended_until = self.now + duration, self.now + 2 * duration
 
     def record_fault(self, worker: Worker, class_state: ClassState) -> None:
-        """Keep a class away for a while: a worker that fails at once is idle and would draw job after job."""
+        """Send the worker no job of the class for a while.
+
+        A worker that fails jobs at once is always idle, and would be chosen for job after job.
+        """
         earlier_faults = worker.faults.get(class_state.spec.name, (0, 0.0, 0.0))[0]
         duration = FAULT_SUSPENSION_MS * 2**earlier_faults * (0.5 + self.random.random())
         worker.faults[class_state.spec.name] = (
@@ -521,17 +552,18 @@
         )
 
     def set_lost(self, attempt: Attempt, lost: bool = True) -> None:
-        """Lost jobs will likely never begin: they hold no place, nor do they tell of a queue."""
+        """Set whether an attempt counts as lost: it will likely never start, so it is no load or queue."""
         change, attempt.lost = attempt.lost - lost, lost
         attempt.worker.in_flight += change
         attempt.worker.not_started += change * self.settings.reports_start
 
     def on_withdrawn(self, event: m.Withdrawn) -> None:
+        """Stop work on a request whose client has left."""
         if event.id in self.jobs:
             self.close(self.jobs[event.id])
 
     def close(self, job: Job) -> None:
-        """The client has its answer or has left: what is still out serves nobody."""
+        """Cancel the attempts of a job that has its final answer or whose client has left."""
         in_flight = [attempt for attempt in job.attempts if attempt.in_flight]
         if job.open and self.settings.may_cancel:
             self.actions += [m.Cancel(job.id, attempt.number) for attempt in in_flight]
@@ -540,28 +572,32 @@
             self.jobs.pop(job.id, None)
 
     def retry_pending(self, limit: int) -> None:
-        """Try to place held jobs, of those that earn most the newest first: oldest first makes all late."""
+        """Try to send up to `limit` pending jobs: highest value rate first, then the newest.
+
+        Oldest first would make all of them late.
+        """
         self.pending.sort(key=lambda job: job.class_state.value_rate())
         while self.pending and limit > 0:
             job = self.pending.pop()
             limit -= job.open
             if job.open and not self.send_or_defer(job):
-                return self.pending.append(job)  # more scans of a full fleet are dear
+                return self.pending.append(job)  # scanning a full fleet for each of the rest is costly
 
     def on_timer(self, event: m.TimerFired) -> None:
+        """Subscribe or sweep, as the label of the timer says."""
         if event.label == "watch":
             self.actions.append(m.SubscribeToWorkers())
         elif event.label == "sweep":
             self.sweep()
 
     def sweep(self) -> None:
+        """Check attempts that have not started and pending jobs, once every `sweep_interval`."""
         self.actions.append(m.StartTimer("sweep", self.sweep_interval))
         now = self.now
         for attempt in list(self.in_flight.values()):
             class_state, spec, worker = attempt.job.class_state, attempt.job.spec, attempt.worker
-            age = (
-                now - attempt.sent_at - self.start_report_delay
-            )  # it would have been heard of had it begun before that
+            # A start earlier than this long ago would have been reported by now.
+            age = now - attempt.sent_at - self.start_report_delay
             if attempt.started_at is not None or age < OVERDUE_TARGET_SHARE * spec.latency_target:
                 continue
             if not attempt.scored:
--- a/bitternpath/balancer/dispatch/jobs.py
+++ b/bitternpath/balancer/dispatch/jobs.py
@@ -1,40 +1,39 @@
-"""Job classes with what is learned of them, jobs, and their attempts. Times are in ms."""
+"""Job classes with what has been learned of them, jobs, and their attempts. Times are in ms."""
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.dispatch.workers import Worker
 from bitternpath.dispatch.network import Network
 
-LONG_TERM_WEIGHT, SHORT_TERM_WEIGHT = (
-    0.02,
-    0.1,
-)  # weight of one job in means that last and in means that follow the day
+# Weight of one job in moving means: of lasting properties, and of those that change over the day.
+LONG_TERM_WEIGHT, SHORT_TERM_WEIGHT = 0.02, 0.1
 
 
 class ClassState:
-    """A class with its network and what its jobs usually take. Its jobs keep it when other settings come."""
+    """A job class, its network and its statistics. Open jobs keep their state object when settings change."""
 
     def __init__(self, spec: m.JobClass, settings: m.Settings) -> None:
         self.spec = spec
         self.settings = settings
         self.network = Network[Worker]()
-        # Means of the hint, of the running time at size 1, and of that when nothing slows the fleet.
+        # Moving means: of the work hint, of the running time of a job of size 1, and of the same while the
+        # fleet is not overloaded.
         self.mean_hint = self.mean_run_time = self.unloaded_run_time = 0.0
-        self.run_time_by_kind: dict[
-            str, float
-        ] = {}  # running time of late on each kind of machine, at size 1
-        self.ended_jobs = 0  # jobs
-        self.longest_remaining = 0.0  # the longest time that a client gave an attempt
+        # Recent running time of a job of size 1 by machine kind.
+        self.run_time_by_kind: dict[str, float] = {}
+        self.ended_jobs = 0
+        self.longest_remaining = 0.0  # the longest time to its deadline with which a request has come
 
     def add_worker(self, worker: Worker) -> None:
+        """Add a worker to the network, if it runs the class and is not there yet."""
         if worker.entry.can_run(self.spec) and worker.name not in self.network.index:
             self.network.join(worker)
 
     def value_rate(self) -> float:
-        """Value per ms of a worker's time."""
+        """Value earned per ms of a worker's time; 0 while the running time is unknown."""
         return self.spec.value / self.mean_run_time if self.mean_run_time else 0.0
 
     def max_wait(self) -> float:
-        """ms for which its usual job can wait and still meet its latency target."""
+        """How long a job of mean size can wait and still meet its latency target."""
         return (
             self.spec.latency_target
             + self.spec.work_factor * self.unloaded_run_time
@@ -52,7 +51,7 @@
         self.spec = class_state.spec
         self.settings = class_state.settings
         self.deadline = now + request.remaining
-        self.open = True  # not answered yet
+        self.open = True  # no final answer yet
         self.attempts: list[Attempt] = []
         if request.hint:
             class_state.mean_hint += (
@@ -60,8 +59,9 @@
                 if class_state.mean_hint
                 else request.hint
             )
-        self.size = request.hint / class_state.mean_hint if request.hint else 1.0  # 1 is the mean
-        # A client's earlier tries have used up some of the aim, as the time that it still gives us shows.
+        self.size = request.hint / class_state.mean_hint if request.hint else 1.0  # relative to the mean
+        # A client's retry has less time left than the first attempt had: the difference was spent on earlier
+        # attempts and counts against the latency target.
         class_state.longest_remaining = max(class_state.longest_remaining, request.remaining)
         time_used = (
             class_state.longest_remaining - request.remaining if request.repeat or not retries_marked else 0.0
@@ -72,7 +72,7 @@
             + self.spec.latency_target
             + self.spec.work_factor * (request.hint or class_state.unloaded_run_time)
         )
-        # What would end late for nothing, or after the deadline, is turned away early: it takes up a place.
+        # A job that would end too late to have any value is rejected early, as it would only take up a slot.
         shortest_run = min(class_state.run_time_by_kind.values(), default=0.0) * self.size
         self.answer_by = (
             self.deadline if self.spec.late_value_share else min(self.on_time_by, self.deadline)
@@ -80,7 +80,7 @@
 
 
 class Attempt:
-    """One sending of a job."""
+    """One attempt to run a job on a worker."""
 
     def __init__(self, job: Job, number: int, worker: Worker, now: float) -> None:
         self.job = job
@@ -88,7 +88,7 @@
         self.worker = worker
         self.sent_at = now
         self.in_flight = True
-        self.may_have_run = True  # may have run
+        self.may_have_run = True
         self.started_at: float | None = None
-        self.lost = False  # will likely never begin, and so does not count in `Worker.n`
+        self.lost = False  # will likely never start, and so does not count in `Worker.in_flight`
         self.scored = False  # the network has learned from it
--- a/bitternpath/balancer/messages.py
+++ b/bitternpath/balancer/messages.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: its settings, the events it takes and the actions it returns.
 
-Times are milliseconds on the caller's clock; durations and deadlines too. Type names are also those that
-`benchmarks/earlier.py` gives to the module of earlier revisions.
+Times and durations are in milliseconds, times by the caller's clock. `benchmarks/earlier.py` maps the names
+here to those of earlier revisions of the module.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DedupScope(Enum):
-    """Which workers detect and drop a repeat of a keyed job."""
+    """Among which workers a repeat of a keyed job is detected and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -41,9 +41,9 @@
     NOT_SENT = "not sent"
 
 
-# These outcomes prove that the job never ran on that worker.
+# Outcomes that prove that the job did not run on that worker.
 NOT_EXECUTED = frozenset({AttemptOutcome.FULL, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT})
-# After these it likely runs on, though its result is lost.
+# Outcomes after which the job likely runs on, though its result is lost.
 LIKELY_STILL_RUNNING = frozenset({AttemptOutcome.RESET, AttemptOutcome.CANCELLED})
 
 
@@ -56,7 +56,7 @@
 
 
 class ListKind(Enum):
-    """What a `WorkerList` carries."""
+    """What a `WorkerList` carries: changes, a whole list, the first list, or none since a call failed."""
 
     CHANGES = "changes"
     COMPLETE = "whole"
@@ -70,8 +70,9 @@
 class JobClass(Struct):
     """One class of requests: its deadlines (ms), its value, and the effect of running a job twice.
 
-    `aim` is the latency target, `give_up` the longest deadline, `value` what a job in time is worth,
-    `late_worth` the share of it that a late one is worth, `window` the time in which repeats are dropped.
+    `value` is earned by a job that meets `latency_target`, `late_value_share` of it by one that is late but
+    within its deadline, which is at most `max_deadline`. Repeats of a keyed job are dropped within
+    `dedup_scope` for `dedup_window`.
     """
 
     name: str
@@ -83,22 +84,22 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: float = 0.0
     stream: bool = False
-    kind: str | None = None  # the only machine kind that runs it
+    kind: str | None = None  # the only machine kind that runs it; None: all do
     priority: int = 0
     work_factor: float = 0.0  # the latency target grows by this multiple of the job's own work
 
     @property
     def retry_scope(self) -> DedupScope:
-        """Which workers may run a job again that another of them may have run (none if it is unsafe)."""
+        """The scope in which a job may run again after it may have run once (not used if it is unsafe)."""
         return DedupScope.ALL if self.effect is Effect.SAFE else self.dedup_scope
 
     @property
     def safe_to_repeat(self) -> bool:
-        """Whether a repeat does no harm on any worker."""
+        """Whether a job may safely run again on any worker."""
         return self.effect is not Effect.UNSAFE and self.retry_scope is DedupScope.ALL
 
     def shares_learning_with(self, other: JobClass) -> bool:
-        """Whether what was learned of the other holds for this one: effects must be the same."""
+        """Whether what was learned of the other class holds for this one too."""
         return (self.effect, self.dedup_scope, self.kind) == (other.effect, other.dedup_scope, other.kind)
 
     def __post_init__(self) -> None:
@@ -111,7 +112,7 @@
 
 
 class Tenant(Struct):
-    """One of the parties that share the service."""
+    """A tenant of the service, with its share and its rate limit."""
 
     name: str
     share: float
@@ -119,7 +120,11 @@
 
 
 class Settings(Struct):
-    """The settings of a dispatcher. Names follow the platform's file (`balancer.settings`)."""
+    """The settings of a dispatcher; `balancer.settings` reads them from the platform's file.
+
+    A worker has `cold_share` of its capacity when it starts, and all of it `warm_within` ms later. It
+    collapses when it gets more than `overload_multiple` times the work that it can do in `overload_span`.
+    """
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -143,10 +148,10 @@
     max_retry_after: float = 0.0
     tick: float = 1.0
     reports_start: bool = False
-    in_order: bool = False  # a worker begins jobs in the order in which they came
-    retries_marked: bool = False  # clients mark their repeats
+    in_order: bool = False  # workers start jobs in the order of their arrival
+    retries_marked: bool = False  # clients mark requests that are retries
     progress_every: float = 0.0
-    sizes_listed: bool = False  # the list states a size for each worker
+    sizes_listed: bool = False  # the worker list states a size for each worker
     report_columns: tuple[str, ...] = ()
     over_share_worth: float = 1.0
     late_fail_price: float = 0.0
@@ -155,9 +160,10 @@
 
     @property
     def start_report_delay(self) -> float:
-        """Time (ms) from a job's start to the first report of it; infinite if none comes.
+        """Time from a job's start to the first report of it; infinite if none comes.
 
-        Where starts are not reported, the first report of progress comes one interval after the start."""
+        Where starts are not reported, the first report of progress comes one interval after the start.
+        """
         return 0.0 if self.reports_start else self.progress_every or inf
 
     def __post_init__(self) -> None:
@@ -191,7 +197,7 @@
 
 
 class Request(Struct):
-    """A client's request, to be answered once before `remaining` (ms) has passed."""
+    """A client's request, to be answered exactly once within `remaining` ms; `hint` is its expected work."""
 
     id: str
     job_class: str
@@ -205,7 +211,7 @@
 
 
 class StreamStarted(Struct):
-    """The answer of a streamed attempt has begun; the attempt is the client's from now on."""
+    """The response of a streaming attempt has started, and is passed on to the client."""
 
     id: str
     attempt: int
@@ -214,7 +220,7 @@
 
 
 class JobProgress(Struct):
-    """The job of an attempt has begun to run (`share` None) or reports the share done."""
+    """The job of an attempt has started (`share` is None), or reports the share done (0 to 1)."""
 
     id: str
     attempt: int
@@ -223,7 +229,7 @@
 
 
 class AttemptEnded(Struct):
-    """The end of an attempt; `final` says that the request is concluded."""
+    """The end of an attempt; `final`: the request needs no further answer."""
 
     id: str
     attempt: int
@@ -235,13 +241,13 @@
 
 
 class Withdrawn(Struct):
-    """The client has left."""
+    """The client of a request has left."""
 
     id: str
 
 
 class WorkerEntry(Struct):
-    """A line of the worker list."""
+    """An entry of the worker list."""
 
     worker: str
     zone: str
@@ -250,33 +256,33 @@
     state: WorkerState
     scale: float = 1.0
     up_since: float | None = None
-    classes: frozenset[str] | None = None  # the only classes that it serves; None: all that its kind runs
-    slots: int = 0  # jobs that it takes at once; 0: not told
+    classes: frozenset[str] | None = None  # the only classes that it runs; None: all that its kind runs
+    slots: int = 0  # jobs that it runs at the same time; 0: not stated
 
     def can_run(self, spec: JobClass) -> bool:
-        """Whether it runs jobs of the class."""
+        """Whether the worker runs jobs of the class."""
         return spec.kind in (None, self.kind) and (self.classes is None or spec.name in self.classes)
 
     def dedup_scope_id(self, scope: DedupScope) -> str:
-        """Name of its group of that sort; all workers of one name drop each other's repeats."""
+        """Id of the worker's scope of that kind; workers with the same id detect each other's repeats."""
         return {DedupScope.ALL: "", DedupScope.ZONE: self.zone, DedupScope.CELL: str(self.cell)}[scope]
 
 
 class WorkerList(Struct):
-    """The worker list, or changes to it."""
+    """The worker list, changes to it, or a failed call for it."""
 
     kind: ListKind
     entries: list[WorkerEntry] = []
 
 
 class NewSettings(Struct):
-    """Other settings hold from now on; jobs that are open keep those under which they came."""
+    """The settings for requests from now on; open jobs keep those under which they came."""
 
     settings: Settings
 
 
 class TimerFired(Struct):
-    """A timer set by `StartTimer` is due."""
+    """A timer that `StartTimer` set has expired."""
 
     label: str
 
@@ -289,8 +295,10 @@
 
 
 class Send(Struct):
-    """Start an attempt; it may take until `timeout` (0: until the client gives up), and has to begin `within`
-    ms, for example before the window closes in which repeats are dropped."""
+    """Start an attempt, which ends after `timeout` ms (0: at the client's deadline).
+
+    It must be sent `within` ms, for example before the deduplication window of its class closes.
+    """
 
     id: str
     worker: str
@@ -299,7 +307,7 @@
 
 
 class Refuse(Struct):
-    """Final answer: nothing ran or a repeat is harmless; the client may retry after `retry_after` (ms)."""
+    """Final answer: the job did not run or may safely run again; the client may retry after `retry_after`."""
 
     id: str
     retry_after: float = 0.0
@@ -312,7 +320,7 @@
 
 
 class Cancel(Struct):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     id: str
     attempt: int
@@ -325,7 +333,7 @@
 
 
 class StartTimer(Struct):
-    """Ask for a `TimerFired`."""
+    """Set a timer that ends with `TimerFired`."""
 
     label: str
     delay: float
--- a/bitternpath/balancer/settings.py
+++ b/bitternpath/balancer/settings.py
@@ -1,4 +1,4 @@
-"""The settings as operators write them, turned into the module's words; adapter and node share this."""
+"""Reads the settings of the decision module from the platform's format, for a node and for the simulator."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def settings_from(conf: dict[str, Any]) -> m.Settings:
-    """The settings in the module's words; keys that it has no use for are left out."""
+    """The module's settings; keys that it doesn't use are ignored, and null counts as absent."""
     rules, allowed, family = conf.get("rules", {}), conf.get("allowed", {}), conf.get("familyInfo", {})
     prices, kinds = conf.get("deductions", {}), tuple(conf.get("kinds", ()))
 
--- a/bitternpath/balancer/simhost.py
+++ b/bitternpath/balancer/simhost.py
@@ -1,7 +1,8 @@
-"""Carries the simulator's wire to the decision module and back; decides nothing.
+"""Adapter between the simulator's wire protocol and the decision module; it decides nothing.
 
-One batch a line on standard input, one reply a line on standard output. Each instance has a Dispatcher of
-its own. What is malformed ends the program with one line on standard error; what is unknown is passed over.
+Standard input has one batch of events per line, standard output one reply per line. Each instance of the
+simulator has a Dispatcher of its own. Malformed input ends the program with one line on standard error;
+unknown events and keys are ignored.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class MalformedInput(Exception):
-    """A line that is not what the wire allows."""
+    """A line of input that violates the protocol."""
 
 
 def _request(values: list[Any]) -> m.Event:
@@ -92,7 +93,7 @@
 
 
 class Host:
-    """The instances that this process was given."""
+    """The dispatchers of this process by the number of their instance."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Dispatcher] = {}
@@ -118,7 +119,7 @@
                 try:
                     for action in self.instances[instance].handle(now, event):
                         decisions.append(ACTIONS[type(action)](instance, action))
-                except Exception as error:  # the day ends with this text
+                except Exception as error:  # the simulator ends its run with this text
                     decisions.append(["DIE", instance, f"{type(error).__name__}: {error}"])
         return orjson.dumps({"decisions": decisions})
 
--- a/bitternpath/dispatch/__init__.py
+++ b/bitternpath/dispatch/__init__.py
@@ -1,6 +1,6 @@
-"""Dispatch on an edge node: from a lease to the report of its attempt, and call-backs.
+"""Dispatch on an edge node: leases, from their grant to the report of the attempt, and call-backs.
 
-`network` is the random neural network that picks workers; the balancer's dispatcher uses it as well. The rest
-is the queue service's own: `deliveries` carries out leases, `selection` picks a listed worker, `callbacks`
-carries out call-back requests.
+`network` is the random neural network that selects workers; the balancer's dispatcher uses it too. The other
+modules belong to the queue service: `deliveries` carries out leases, `selection` selects a listed worker,
+`callbacks` sends call-backs.
 """
--- a/bitternpath/dispatch/body_cache.py
+++ b/bitternpath/dispatch/body_cache.py
@@ -1,4 +1,4 @@
-"""Bodies of messages that this node has accepted, kept for their first lease."""
+"""Cache of the bodies of messages that this node has accepted, for their first lease."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class BodyCache:
-    """Bodies by request id, bounded by their total size; the oldest are dropped first.
+    """Bodies by request id, bounded by their total size; the oldest are evicted first.
 
     An owner that grants the first lease to the node that accepted the message omits the body
-    (`LeaseGrant.body_omitted`), which saves sending it back. A body that has been dropped meanwhile costs a
-    second lease, with the body.
+    (`LeaseGrant.body_omitted`), which saves sending it back. If the body has been evicted by then, the
+    message needs a second lease, with the body.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -19,7 +19,7 @@
         self._bytes = 0
 
     def add(self, message: Message) -> None:
-        """Keep the body of a message, and drop the oldest bodies while there are too many bytes."""
+        """Add the body of a message, and evict the oldest bodies until the total size fits."""
         self._bodies[message.request_id] = message.body
         self._bytes += len(message.body)
         while self._bytes > self._max_bytes and self._bodies:
@@ -27,7 +27,7 @@
             self._bytes -= len(self._bodies.pop(oldest))
 
     def pop(self, request_id: str) -> bytes | None:
-        """The body, which is removed from the cache; None where it isn't there."""
+        """Remove and return a body; None if it isn't in the cache."""
         body = self._bodies.pop(request_id, None)
         if body is not None:
             self._bytes -= len(body)
--- a/bitternpath/dispatch/callbacks.py
+++ b/bitternpath/dispatch/callbacks.py
@@ -13,27 +13,27 @@
 from bitternpath.transport.shard_messages import CallbackReport, CallbackRequest
 
 RETRY_INTERVAL_S = 0.1  # between attempts to report while the shard has no owner
-MAX_REPORT_ATTEMPTS = 30  # after that the owner repeats a request whose report it doesn't get
+MAX_REPORT_ATTEMPTS = 30  # after that the owner repeats the request, since it got no report
 
 
 class CallbackSender(Protocol):
-    """`delivery.callback_client.CallbackClient`, as far as it is needed here."""
+    """The part of `delivery.callback_client.CallbackClient` that is used here."""
 
     def notify(self, url: str, request_id: str, state: MessageState, stamp: str) -> Deferred[CallbackResult]:
-        """Send one call-back; the result never fails."""
+        """Send one call-back; the Deferred never fails."""
 
 
 class CallbackDispatcher:
-    """Carries out call-back requests and reports to the shard's owner how they ended."""
+    """Sends the call-backs that owners request, and reports the results to the shard's owner."""
 
     def __init__(self, clock: Clock, sender: CallbackSender, owners: ShardOwners) -> None:
         self._clock = clock
         self._sender = sender
         self._owners = owners
-        self.in_flight = 0  # call-backs; reports don't count
+        self.in_flight = 0  # call-backs, without pending reports
 
     def request_received(self, request: CallbackRequest) -> None:
-        """An owner requests a call-back."""
+        """Send the call-back that an owner requests."""
         self.in_flight += 1
         sent = self._sender.notify(request.url, request.request_id, request.state, request.stamp)
         sent.addCallback(self._ended, request)
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -1,8 +1,8 @@
 """Deliveries of an edge node: from a lease to the report of how its attempt ended.
 
-A lease allows sends until its end, by this node's clock counted from the lease's arrival. The clock is read
-at the moment of each send, so a process that was stopped in between sends nothing on an old lease. The route
-and the service are those of the configuration in force here at that moment. A rejected send, which proves
+A lease allows sends until its end, measured by this node's clock from the lease's arrival. The clock is read
+at each send, so a process that was suspended in between sends nothing on an old lease. The route and the
+service are those of the node's configuration at that moment. A rejected send, which proves
 that the message didn't run, is retried at another worker within the lease; any other result ends the attempt.
 """
 
@@ -30,45 +30,45 @@
 from bitternpath.transport.shard_messages import LeaseGrant
 
 MAX_SENDS = 4  # under one lease
-RATED_SEND_WITHIN_S = (
-    0.5  # of a lease's arrival, where the service has a rate: the owner's tokens count on it
-)
-LEASE_MARGIN_S = 0.2  # a delivery must have ended so long before its lease
-CATALOGUE_STALE_S = 1.9  # an older catalogue may miss a worker that drains
-CONFIGURATION_STALE_S = 8.0  # without a message of the configuration's owner nothing is sent
-
-# The least back-off that a report of "not run" asks the owner for.
+# For a service with a rate limit, the time after a lease's arrival in which a send may start. The owner
+# relies on it when it issues rate tokens.
+RATED_SEND_WITHIN_S = 0.5
+LEASE_MARGIN_S = 0.2  # a delivery must end this long before its lease does
+CATALOGUE_STALE_S = 1.9  # an older catalogue may still list a worker that drains
+CONFIGURATION_STALE_S = 8.0  # nothing is sent after this time without contact to the configuration's owner
+
+# The minimum back-off that a "not run" report asks the owner for, by cause.
 RETRY_AT_ONCE_MS = 1  # another node, or another lease, may send the message now
-RETRY_NO_WORKER_MS = 80  # no worker took it
+RETRY_NO_WORKER_MS = 80  # no worker accepted it
 RETRY_STALE_MS = 300  # this node's configuration or catalogue is out of date
 
 
 class WorkerSender(Protocol):
-    """`delivery.worker_client.WorkerClient`, as far as it is needed here."""
+    """The part of `delivery.worker_client.WorkerClient` that is used here."""
 
     def deliver(self, target: WorkerTarget, message: Message, deadline_ms: int) -> Deferred[DeliveryResult]:
-        """Send a message once; the result never fails."""
+        """Send a message once; the Deferred never fails."""
 
 
 class NodeView(Protocol):
-    """What a dispatcher must know of its node; `roles.edge.EdgeNode` is one."""
+    """The state of the node that a dispatcher reads; implemented by `roles.edge.EdgeNode`."""
 
     def routing(self) -> RoutingTable | None:
-        """The configuration in force here; None before the first."""
+        """The node's current configuration; None before the first."""
 
     def configuration_age(self) -> float:
         """Seconds since the configuration's owner was last contacted."""
 
     def catalogue_age(self) -> float:
-        """Seconds since the newest reading of the platform's list began."""
+        """Seconds since the start of the newest reading of the platform's endpoint list."""
 
     def connection_share(self, total: int) -> int:
-        """Share of this node in the `total` connections that a worker allows."""
+        """This node's share of the `total` connections that a worker allows."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeliveryParts:
-    """The parts of an edge node that carry out a lease together."""
+    """The components of an edge node that a dispatcher uses."""
 
     workers: WorkerSender
     reports: AttemptReporter
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """A lease and the sends under it. Times are of this node's clock."""
+    """A lease and its sends. Times are those of this node's clock."""
 
     lease: LeaseGrant
     message: Message
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _Send:
-    """One send of an attempt, by the configuration in force at its moment."""
+    """One send of an attempt, with the route and service of the configuration at that moment."""
 
     attempt: _Attempt
     route: Route
@@ -97,27 +97,27 @@
 
 
 class DeliveryDispatcher:
-    """Carries out leases, and counts the sends in flight."""
+    """Carries out leases and reports their outcomes."""
 
     def __init__(self, clock: Clock, node: NodeView, parts: DeliveryParts, random: Random) -> None:
         self.selection = WorkerSelection(random)
         self.in_flight = 0  # sends
-        self.stopping = False  # set when the process drains: leases are returned at once
+        self.stopping = False  # set when the process drains: leases are then returned unused
         self._clock = clock
         self._node = node
         self._parts = parts
         self._stalls = StallDetector(clock)
 
     def start(self) -> None:
-        """Begin to watch for stalls of this process."""
+        """Start to detect stalls of this process."""
         self._stalls.start()
 
     def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
-        """The usable workers are `entries`; `left` are the instances that no longer are."""
+        """Update the listed workers: `entries` are usable, instances in `left` no longer are."""
         self.selection.workers_changed(entries, left)
 
     def lease_granted(self, lease: LeaseGrant) -> None:
-        """The owner of a shard has granted this node a lease."""
+        """Carry out a lease that the owner of a shard has granted to this node."""
         now = self._clock.seconds()
         message = lease.message
         body = self._parts.bodies.pop(message.request_id)
@@ -133,7 +133,7 @@
     # ---- sends
 
     def _next_send(self, attempt: _Attempt) -> None:
-        """Send the message by the configuration in force now, or report that it can't be sent."""
+        """Send the message by the current configuration, or report that it can't be sent."""
         if self.stopping:
             self._report_not_run(attempt.lease, RETRY_AT_ONCE_MS)
             return
@@ -202,7 +202,7 @@
             self._report(attempt.lease, result.outcome, result.stamp)
             return
         attempt.rejected_by.add(worker.name)
-        # A request that was sent has used up its rate token, whatever the worker made of it.
+        # A request that was sent has used its rate token, even if the worker rejected it.
         token_used = send.service.rate_per_s > 0 and result.refusal is not RefusalKind.NO_CONNECTION
         if token_used or attempt.sends >= MAX_SENDS:
             self._report_not_run(attempt.lease, RETRY_NO_WORKER_MS)
--- a/bitternpath/dispatch/network.py
+++ b/bitternpath/dispatch/network.py
@@ -7,32 +7,33 @@
 from typing import Generic, Protocol, TypeVar
 
 GAIN = 0.15  # what a payoff equal to the threshold adds, as a share of a neuron's mean excitatory weight
-ALPHA = 0.95  # the paper's: how much of the threshold T one payoff leaves
-PAYOFF_CAP = 4.0  # no payoff counts for more than this multiple of T, nor a failure for more than its mirror
-CONVERGED = 1e-3  # the iteration of q ends when no neuron moves by more
-MAX_ITERATIONS = 30  # of all neurons, where it doesn't converge sooner
-MAX_TOTAL_WEIGHT = 1e9  # above it the weights are scaled down to a total of 1
+ALPHA = 0.95  # the paper's smoothing factor: the weight of the old threshold T when a payoff updates it
+PAYOFF_CAP = 4.0  # a payoff counts for at most this multiple of T, a loss for at most as much
+CONVERGED = 1e-3  # the iteration of q ends when no neuron's q changes by more
+MAX_ITERATIONS = 30  # over all neurons, if q doesn't converge sooner
+MAX_TOTAL_WEIGHT = 1e9  # above this sum the weights are scaled down to a sum of 1, to keep their precision
 
 
 class Neuron(Protocol):
-    """What a network needs to know of a worker."""
+    """The attributes of a worker that a network uses."""
 
     name: str  # unique in its network
-    kind: str  # workers of one kind are expected to be alike: a new one starts with their mean weights
+    kind: str  # a new worker starts with the mean weights of its kind
 
 
 NeuronT = TypeVar("NeuronT", bound=Neuron)
 
 
 class Network(Generic[NeuronT]):
-    """Network of one job class, factored: q[i] is the excitation probability of neurons[i], equation (1).
+    """Network of one job class in factored form; q[i] is the probability that neurons[i] is excited, eq. (1).
 
-    An update adds the same for all j, so w+(j,i) = plus[i] + plus_all and w-(j,i) = minus[i] + minus_all.
-    They are read in a unit that keeps the mean firing rate at 1: else weights only grow and learning ends.
+    An update adds the same weight from every neuron j, so w+(j,i) = plus[i] + plus_all and w-(j,i) = minus[i]
+    + minus_all: a network takes O(n) memory instead of O(n^2). Weights are scaled on reading so that the mean
+    firing rate is 1. Otherwise they would only grow, and each update would have less effect.
     """
 
     def __init__(self) -> None:
-        """An empty network. `index` gives a neuron's position in the lists by its name."""
+        """Create an empty network. `index` maps a neuron's name to its position in the lists."""
         self.neurons: list[NeuronT] = []
         self.index: dict[str, int] = {}
         self.plus: list[float] = []  # excitatory weights w+ towards each neuron, without `plus_all`
@@ -43,7 +44,7 @@
         self.total = 0.0  # of all weights
         self.sum_q = 0.0
         self.threshold = 0.0  # T, the moving mean of the payoffs; 0 before the first
-        self.updates_since_solve = 0  # at most half the number of neurons, then all are solved again
+        self.updates_since_solve = 0  # of one neuron's q each; after more than n / 2 all are solved again
 
     def join(self, neuron: NeuronT) -> None:
         """Add a neuron with the mean weights of its kind, or of all."""
@@ -58,7 +59,7 @@
         self.sum_q += self.q[n]
 
     def leave(self, neuron: NeuronT) -> None:
-        """Remove a neuron; what was learned of the rest stays."""
+        """Remove a neuron; the weights of the others stay."""
         position = self.index[neuron.name]
         self.total -= self.plus[position] + self.plus_all + self.minus[position] + self.minus_all
         del self.neurons[position], self.plus[position], self.minus[position], self.q[position]
@@ -66,9 +67,9 @@
         self.solve_q()
 
     def learn(self, neuron: NeuronT, payoff: float, *, completed: bool = True) -> None:
-        """Update T by equation (4) and the weights by the two rules after it; `payoff` is R = 1/G.
+        """Update T by equation (4), and the weights by the two rules after it; `payoff` is R = 1/G.
 
-        `completed` is False for a job that has not ended or has failed: it leaves T as it is.
+        `completed` is False for a job that has not ended or has failed: T is not updated.
         """
         if completed:
             self.threshold = ALPHA * self.threshold + (1 - ALPHA) * payoff if self.threshold else payoff
@@ -77,7 +78,7 @@
         threshold = self.threshold
         if position is None or n < 2 or payoff == threshold or not threshold:
             return
-        # In units of T. A worse result must punish more: a loss counts for T/R, the mirror of a win's R/T.
+        # In units of T: a payoff above T counts R/T, one below it T/R, so that a worse result lowers more.
         strength = min(max(payoff / threshold, threshold / max(payoff, threshold / PAYOFF_CAP)), PAYOFF_CAP)
         step = GAIN * strength * self.total / (2 * n)
         share = step / max(n - 2, 1)
@@ -96,7 +97,7 @@
             self.solve_q()
 
     def update_q(self, position: int) -> float:
-        """Apply equations (2) and (3) once to one neuron; returns how far its q moved."""
+        """Apply equations (2) and (3) once to one neuron; returns by how much its q changed."""
         n = len(self.q)
         unit = n / ((n - 1) * self.total)
         plus = self.plus[position] + self.plus_all
@@ -109,7 +110,7 @@
         return abs(new - old)
 
     def solve_q(self) -> None:
-        """Iterate equation (2) until it converges; also keep the weights in a range that floats hold well."""
+        """Iterate equation (2) until it converges, after scaling down weights that have grown too large."""
         self.updates_since_solve = 0
         n = len(self.q)
         if self.total > MAX_TOTAL_WEIGHT:
--- a/bitternpath/dispatch/selection.py
+++ b/bitternpath/dispatch/selection.py
@@ -1,6 +1,6 @@
-"""Which worker gets a delivery: a random neural network for each route (SYSTEM, "The design").
+"""Selection of the worker for a delivery, by a random neural network for each route (SYSTEM, "The design").
 
-A route is a job class. Its network has one neuron for each listed worker of the route's service; a new
+Each route is a job class. Its network has one neuron for each listed worker of the route's service; a new
 incarnation of a worker is a new neuron. A delivery goes to the usable worker with the highest
 q / (1 + own deliveries in flight there), ties broken at random; a share `EXPLORATION_RATE` of them goes to a
 random usable worker. A success, or a rejection by the worker's own decision, pays off 1 / G, with G the
@@ -17,18 +17,18 @@
 from bitternpath.transport.feed_messages import CatalogueEntry
 from bitternpath.transport.records import AttemptOutcome
 
-EXPLORATION_RATE = 0.1  # of the choices
-MIN_ELAPSED_S = 0.001  # G of the payoff; bounds it
-SUSPENSION_MIN_S = 0.4  # after a time-out or without a connection; doubled with each one in a row
-SUSPENSION_MAX_S = 4.0
-BUSY_BACKOFF_S = 0.05  # after a worker said that it has no free slot
-WRONG_INSTANCE_SUSPENSION_S = 5.0  # another worker has the address: until the catalogue shows it
+EXPLORATION_RATE = 0.1  # share of the deliveries that go to a random usable worker
+MIN_ELAPSED_S = 0.001  # lower bound of G, which bounds the payoff 1 / G
+SUSPENSION_MIN_S = 0.4  # after a time-out or a failed connection; doubled by each further one in a row
+SUSPENSION_MAX_S = 4.0  # upper limit of that doubling
+BUSY_BACKOFF_S = 0.05  # after a worker rejected a delivery for want of a free slot
+WRONG_INSTANCE_SUSPENSION_S = 5.0  # another worker has the address; the catalogue shows it before this ends
 
 
 class ListedWorker:
-    """One incarnation of a worker of the catalogue, as this node's dispatcher knows it.
+    """One incarnation of a worker in the catalogue, with the state that this node keeps of it.
 
-    It is a `network.Neuron`: `kind` groups workers whose first weights are taken from each other.
+    It is a `network.Neuron`: a new worker starts with the mean weights of its `kind`.
     """
 
     def __init__(self, entry: CatalogueEntry) -> None:
@@ -42,11 +42,11 @@
         self._failures_in_a_row = 0
 
     def usable(self, now: float) -> bool:
-        """Whether it may get another delivery of this node."""
+        """Whether the worker may get another delivery from this node."""
         return now >= self.suspended_until and self.in_flight < self.slots
 
     def delivery_ended(self, now: float, result: DeliveryResult, random: Random) -> None:
-        """Suspend the worker, or not, after a delivery to it has ended."""
+        """Suspend the worker if the result of a delivery to it requires that."""
         if result.refusal is RefusalKind.WRONG_INSTANCE:
             self.suspended_until = now + WRONG_INSTANCE_SUSPENSION_S
         elif result.refusal is RefusalKind.BUSY:
@@ -60,17 +60,17 @@
 
 
 class WorkerSelection:
-    """The listed workers, and a network for each route that has deliveries."""
+    """The listed workers, and a network for each route with deliveries."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._workers: dict[str, ListedWorker] = {}  # by instance
         self._services: dict[str, dict[str, ListedWorker]] = {}  # by service and instance
         self._networks: dict[str, Network[ListedWorker]] = {}  # by route
-        self._network_services: dict[str, str] = {}  # the service that a route's network was made for
+        self._network_services: dict[str, str] = {}  # the service for which a route's network was created
 
     def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
-        """The usable workers are `entries`; `left` are the instances that no longer are."""
+        """Update the listed workers: `entries` are usable, instances in `left` no longer are."""
         for instance in left:
             self._remove(instance)
         for entry in entries:
@@ -78,13 +78,13 @@
                 self._add(ListedWorker(entry))
 
     def worker(self, instance: str) -> ListedWorker | None:
-        """A listed worker by its instance."""
+        """Look up a listed worker by its instance."""
         return self._workers.get(instance)
 
     def choose(
         self, now: float, route: str, service: str, exclude: Collection[str] = ()
     ) -> ListedWorker | None:
-        """The worker for a delivery, none of the instances `exclude`; None where no worker is usable."""
+        """Choose the worker for a delivery, none of those in `exclude`; None if no worker is usable."""
         listed = self._services.get(service, {})
         usable = [worker for worker in listed.values() if worker.usable(now) and worker.name not in exclude]
         if not usable:
@@ -95,11 +95,11 @@
         return max(usable, key=lambda worker: (self._score(network, worker), self._random.random()))
 
     def delivery_started(self, worker: ListedWorker) -> None:
-        """A delivery goes to the worker."""
+        """Count a delivery that is sent to the worker."""
         worker.in_flight += 1
 
     def delivery_ended(self, now: float, route: str, worker: ListedWorker, result: DeliveryResult) -> None:
-        """A delivery to the worker has ended: learn from its result."""
+        """Learn from the result of a delivery that has ended."""
         worker.in_flight -= 1
         worker.delivery_ended(now, result, self._random)
         network = self._networks.get(route)
@@ -114,7 +114,7 @@
         return network.q[network.index[worker.name]] / (1 + worker.in_flight)
 
     def _network(self, route: str, service: str) -> Network[ListedWorker]:
-        """The route's network; a new one where the route has moved to another service."""
+        """The network of a route; a new one if the route has moved to another service."""
         network = self._networks.get(route)
         if network is None or self._network_services[route] != service:
             network = Network()
--- a/bitternpath/dispatch/stall_detector.py
+++ b/bitternpath/dispatch/stall_detector.py
@@ -1,7 +1,7 @@
-"""Notices that this process stood still: it was stopped, or its machine had no time for it.
+"""Detects stalls of this process: it was suspended, or its machine gave it no processor time.
 
-What the process reads right after a stall may have waited in its sockets for as long as the stall lasted. A
-lease that is read then may have ended already, and its message may have been granted to another node.
+What the process reads right after a stall may have waited in socket buffers for as long as the stall lasted.
+A lease read then may have ended already, and its message may have been granted to another node.
 """
 
 from __future__ import annotations
@@ -9,12 +9,15 @@
 from bitternpath.net.clock import Clock
 
 HEARTBEAT_INTERVAL_S = 0.25
-STALL_THRESHOLD_S = 0.75  # without a heartbeat; three intervals, since a busy reactor is late by one or two
-AFTER_STALL_S = 0.3  # after the first heartbeat that follows, for which what is read may still be old
+STALL_THRESHOLD_S = 0.75  # without a heartbeat; three intervals, as a busy reactor is late by one or two
+AFTER_STALL_S = 0.3  # after the first heartbeat that follows a stall, in which reads may still be old
 
 
 class StallDetector:
-    """Compares the clock with a heartbeat of its own. Without `start` only `stalled` notices anything."""
+    """Compares the clock with the time of its last heartbeat.
+
+    Before `start` there are no heartbeats, and `earliest_arrival` detects nothing.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -24,7 +27,7 @@
         self._suspect_until = 0.0
 
     def start(self) -> None:
-        """Begin with the heartbeat, which goes on until the process ends."""
+        """Send a heartbeat, and one after each interval until the process ends."""
         now = self._clock.seconds()
         if self._started and now - self._heartbeat_at > STALL_THRESHOLD_S:
             self._stall_began = self._heartbeat_at
@@ -34,7 +37,7 @@
         self._clock.callLater(HEARTBEAT_INTERVAL_S, self.start)
 
     def earliest_arrival(self, now: float) -> float:
-        """When something that is read now may have arrived, at the earliest."""
+        """The earliest time at which what is read now may have arrived."""
         if now < self._suspect_until:
             return self._stall_began
         if self._started and now - self._heartbeat_at > STALL_THRESHOLD_S:
@@ -42,5 +45,5 @@
         return now
 
     def stalled(self, now: float) -> bool:
-        """Whether something that is read now may have waited for the length of a stall."""
+        """Whether what is read now may have waited in a socket buffer during a stall."""
         return now - self._heartbeat_at > STALL_THRESHOLD_S or now < self._suspect_until
