--- a/bitternpath/delivery/callback_client.py
+++ b/bitternpath/delivery/callback_client.py
@@ -21,13 +21,13 @@
 from bitternpath.net.reactor import TcpReactor
 from bitternpath.transport.records import MessageState
 
-MAX_CALLS_PER_RECEIVER = 4  # in flight from this node: receivers accept few connections
-MAX_IDLE_PER_RECEIVER = 2  # connections; an owner sends all call-backs of a receiver to one node
-IDLE_TIMEOUT_S = 1.5  # for which an unused connection is kept
-CALL_TIMEOUT_S = 2.0  # for one call, from the connection to the end of the response
-QUEUE_TIMEOUT_S = 2.0  # for which a call waits for earlier ones to the same receiver
+MAX_CALLS_PER_RECEIVER = 4  # calls in flight from this node; receivers accept few connections
+MAX_IDLE_PER_RECEIVER = 2  # idle connections; an owner sends all call-backs of a receiver to one node
+IDLE_TIMEOUT_S = 1.5  # after which an idle connection is closed
+CALL_TIMEOUT_S = 2.0  # for one call, from connecting to the end of the response
+QUEUE_TIMEOUT_S = 2.0  # for which a call waits behind others to the same receiver
 
-# Receivers are named by IP address: a host name would be looked up, which blocks a thread.
+# Receivers must be given by IP address, since resolving a host name would block a thread.
 _URL = re.compile(r"http://([0-9]{1,3}(?:\.[0-9]{1,3}){3}(?::[0-9]{1,5})?)(?:/[!-~]*)?")
 _STATE_NAMES = {MessageState.DONE: "done", MessageState.DEAD_LETTER: "dead_letter"}
 _RESULTS = {200: CallbackResult.ACKNOWLEDGED, 400: CallbackResult.REJECTED}
@@ -45,14 +45,14 @@
         self.result: Deferred[CallbackResult] = Deferred()
 
     def complete(self, result: CallbackResult) -> None:
-        """Give the result."""
+        """Fire the result."""
         cancel_if_active(self.timer)
         self.result.callback(result)
 
 
 @implementer(IBodyProducer)
 class _Body:
-    """A request's body, written at once. Twisted's own producers of bytes need the global reactor."""
+    """A request body that is written in one call. Twisted's own body producers need the global reactor."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
@@ -63,17 +63,17 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:
-        """Nothing is left to pause."""
+        """Do nothing: the body is already written."""
 
     def resumeProducing(self) -> None:
-        """Nothing is left to resume."""
+        """Do nothing: the body is already written."""
 
     def stopProducing(self) -> None:
-        """Nothing is left to stop."""
+        """Do nothing: the body is already written."""
 
 
 class _BodyDiscarder(Protocol):
-    """Reads a response's body to its end and drops it. Cancelling `ended` closes the connection."""
+    """Reads and discards a response body. Cancelling `ended` closes the connection."""
 
     transport: Any
 
@@ -86,10 +86,10 @@
 
 
 class CallbackClient:
-    """Sends call-backs, each once: retries are decided by the message's shard.
+    """Sends each call-back once; the message's shard decides on retries.
 
-    Few calls go to one receiver at a time, and few idle connections are kept for a short time: receivers
-    accept few.
+    Receivers accept few connections, so the calls in flight and the idle connections to each receiver are
+    limited and idle connections are closed soon.
     """
 
     def __init__(self, reactor: TcpReactor) -> None:
@@ -105,7 +105,7 @@
         self._waiting: dict[str, deque[_Call]] = {}  # by receiver
 
     def notify(self, url: str, request_id: str, state: MessageState, stamp: str) -> Deferred[CallbackResult]:
-        """Notify a receiver that a message has ended; the result never fails."""
+        """Notify a receiver that a message has ended; the Deferred never fails."""
         document = {"id": request_id, "state": _STATE_NAMES[state], "stamp": stamp or None}
         address = _URL.fullmatch(url)
         if address is None:
@@ -154,7 +154,7 @@
 
 
 def _complete_status(response: Any) -> Deferred[int]:
-    """The status of a response, once its body has been read."""
+    """Return the status of a response once its body has been read."""
     discarder = _BodyDiscarder()
     response.deliverBody(discarder)
     return discarder.ended.addCallback(lambda _: int(response.code))
--- a/bitternpath/delivery/connections.py
+++ b/bitternpath/delivery/connections.py
@@ -1,4 +1,4 @@
-"""One persistent connection to a worker."""
+"""Persistent connections to workers."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from bitternpath.delivery.responses import NO_RESPONSE, Progress, ResponseOutcome, WorkerResponseReader
 from bitternpath.transport.records import AttemptOutcome
 
-RESPONSE_GRACE_S = 0.05  # the response may come so long after the deadline that the worker was given
-TCP_USER_TIMEOUT_MS = 2_000  # sent bytes that a dead peer doesn't acknowledge for so long end the connection
-MAX_REMEMBERED_REQUESTS = 500  # ids of one connection whose messages may be sent again; then it is closed
-IDLE_USE_SHARE = 0.6  # of a worker's keep-alive time, for which we use an idle connection
+RESPONSE_GRACE_S = 0.05  # added to the deadline sent to the worker, for the response to arrive
+TCP_USER_TIMEOUT_MS = 2_000  # the connection ends if sent bytes are not acknowledged within this time
+MAX_REMEMBERED_REQUESTS = 500  # request ids remembered per connection, which is then closed
+IDLE_USE_SHARE = 0.6  # fraction of a worker's keep-alive time for which an idle connection is used
 
 _FINAL_OUTCOMES = (AttemptOutcome.SUCCEEDED, AttemptOutcome.REJECTED)  # the message is never sent again
 
 
 class ConnectionPool(Interface):
-    """What a connection needs of the pool that made it; `pool.AddressPool` is one."""
+    """Interface of a connection to its pool, implemented by `pool.AddressPool`."""
 
     def now(self) -> float:
-        """The clock by which `usable_until` is read, in seconds."""
+        """Return the time in seconds, on the clock of `usable_until`."""
 
     def connection_released(self, connection: WorkerConnection) -> None:
-        """A connection has had its complete response and can be used again."""
+        """Called when a connection has received a complete response and can be reused."""
 
     def connection_lost(self, connection: WorkerConnection) -> None:
-        """A connection has ended, or is not to be used any more; called once for each."""
+        """Called once per connection when it has ended or must not be reused."""
 
 
 class WorkerConnection(Protocol):
-    """A connection that carries one delivery at a time and is closed once anything about it is doubtful."""
+    """A connection that carries one delivery at a time and is closed after any unexpected data or error."""
 
     transport: Any
 
@@ -45,21 +45,21 @@
         self._exchange: Exchange | None = None
         self._response: WorkerResponseReader | None = None
         self._remembered: set[str] = set()  # request ids of messages that may be sent again
-        self.usable_until = 0.0  # by the pool's clock, while it is idle
+        self.usable_until = 0.0  # on the pool's clock, while the connection is idle
         self.open = False
 
     def connectionMade(self) -> None:
-        """Set the socket's options."""
+        """Set the socket options."""
         self.open = True
         self.transport.setTcpNoDelay(True)
         sock = self.transport.getHandle()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def may_send(self, request_id: str) -> bool:
-        """Whether no earlier delivery of the same message may still get a response here.
+        """Whether a message can be sent without confusing its response with that of an earlier delivery.
 
-        A faulty worker may respond twice, and responses are matched by request id alone: a late second
-        response to the first delivery would be taken for the response to the second one.
+        A faulty worker may respond twice, and responses are matched only by request id: a late second
+        response to an earlier delivery of the message would be mistaken for the response to the new one.
         """
         return request_id not in self._remembered
 
@@ -73,12 +73,12 @@
         self.transport.write(request_bytes(exchange.target, message, int(remaining_s * 1000)))
 
     def close(self) -> None:
-        """End an idle connection."""
+        """Close an idle connection."""
         self._leave_pool()
         self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the response; bytes that nobody waits for end the connection."""
+        """Read the response; unexpected bytes abort the connection."""
         if not self.open:
             return
         if self._response is None:
@@ -91,7 +91,7 @@
             self._abort()
 
     def connectionLost(self, _: Failure = connectionDone) -> None:
-        """End the delivery that waits for a response: whether it ran is unknown."""
+        """End the delivery in flight, if any; whether the message ran is unknown."""
         self._leave_pool()
         self._complete(NO_RESPONSE)
 
@@ -113,7 +113,8 @@
             self._complete(outcome)
 
     def _response_timed_out(self) -> None:
-        # A response may have come while this process stood still: timers run before sockets are read.
+        # Timers run before sockets are read, so a response that arrived while this process was stalled may
+        # still be unread. The second timer runs after the next read.
         if self._exchange is not None:
             self._exchange.set_timeout(0.0, self._abort)
 
--- a/bitternpath/delivery/exchanges.py
+++ b/bitternpath/delivery/exchanges.py
@@ -1,4 +1,4 @@
-"""One delivery on its way: its deadlines, its timer and its result."""
+"""One delivery in progress: its deadlines, its timer and its result."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from bitternpath.net.clock import Clock, Timer, cancel_if_active
 from bitternpath.transport.records import AttemptOutcome, Message
 
-MIN_REMAINING_S = 0.02  # with less time left nothing is sent: no worker could respond
+MIN_REMAINING_S = 0.02  # minimum time to the deadline for sending; a worker could not respond in less
 
 
 class Exchange:
-    """One delivery, which waits for a connection and then for its response.
+    """A delivery that waits for a connection and then for its response.
 
     `result` fires once, with a `DeliveryResult`, and never fails.
     """
@@ -32,28 +32,28 @@
 
     @property
     def completed(self) -> bool:
-        """Whether its result has been given."""
+        """Whether the result has fired."""
         return bool(self.result.called)
 
     def remaining_s(self) -> float:
-        """Time until the deadline, in seconds."""
+        """Return the time until the deadline in seconds."""
         return self._deadline - self._clock.seconds()
 
     def send_time_s(self) -> float:
-        """Time for which it may still wait to be sent, in seconds."""
+        """Return the time in seconds in which the request may still be sent."""
         return max(0.0, self._send_by - self._clock.seconds())
 
     def sendable(self) -> bool:
-        """Whether it may be sent now; call right before sending."""
+        """Whether the request may be sent now; check it immediately before sending."""
         return self._clock.seconds() <= self._send_by
 
     def set_timeout(self, timeout_s: float, expired: Callable[[], None]) -> None:
-        """Call `expired` after that time, unless there is a result or another time-out by then."""
+        """Call `expired` after `timeout_s`, unless a result or another time-out is set before."""
         self._stop_timer()
         self._timer = self._clock.callLater(max(0.0, timeout_s), expired)
 
     def complete(self, outcome: ResponseOutcome) -> None:
-        """Give the result, unless it has been given."""
+        """Fire the result unless it has already fired."""
         self._stop_timer()
         if self.completed:
             return
@@ -63,7 +63,7 @@
         )
 
     def complete_unsent(self, refusal: RefusalKind) -> None:
-        """Give the result that nothing was sent."""
+        """Fire the result with the outcome that the request was not sent."""
         self.complete(ResponseOutcome(AttemptOutcome.NOT_RUN, refusal=refusal))
 
     def _stop_timer(self) -> None:
--- a/bitternpath/delivery/pool.py
+++ b/bitternpath/delivery/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one address, and the deliveries that wait for a free one."""
+"""Connection pool of one address, with the deliveries that wait for a free connection."""
 
 from __future__ import annotations
 
@@ -13,54 +13,54 @@
 from bitternpath.net.reactor import TcpReactor
 from bitternpath.net.sockets import dial, peek
 
-MAX_WAIT_SHARE = 1 / 3  # of a delivery's time, for which it waits for a free connection
-CONNECT_SHARE = 1 / 4  # of the time that a delivery has left, for which it waits for a new connection
-MIN_CONNECT_TIMEOUT_S = 0.25  # distant workers, and a busy machine at either end
-MAX_CONNECT_TIMEOUT_S = 1.0  # a lost SYN is sent again after a second: then another worker is better
+MAX_WAIT_SHARE = 1 / 3  # fraction of a delivery's remaining time for which it waits for a free connection
+CONNECT_SHARE = 1 / 4  # fraction of a delivery's remaining time for which it waits for a new connection
+MIN_CONNECT_TIMEOUT_S = 0.25  # allows for distant workers and a busy machine at either end
+MAX_CONNECT_TIMEOUT_S = 1.0  # a lost SYN is retransmitted after a second; another worker is better by then
 
 
 def connect_timeout_s(remaining_s: float) -> float:
-    """How long a delivery with that time left waits for a new connection, in seconds."""
+    """Return how long a delivery with that remaining time waits for a new connection, in seconds."""
     share = max(MIN_CONNECT_TIMEOUT_S, remaining_s * CONNECT_SHARE)
     return min(MAX_CONNECT_TIMEOUT_S, share, max(remaining_s, MIN_REMAINING_S))
 
 
 class AddressPool:
-    """Up to `limit` connections, each used for one delivery at a time, the one that was idle longest first.
+    """Up to `limit` connections, each used for one delivery at a time; the longest idle one is used first.
 
-    That order gives a late second response of a faulty worker the most time to find its connection idle,
-    which closes it, before another delivery uses it.
+    A late second response of a faulty worker closes its connection if that is idle. This order maximizes the
+    time in which it can arrive before another delivery uses the connection.
     """
 
     def __init__(self, address: str, reactor: TcpReactor, connections_changed: Callable[[], None]) -> None:
-        """`connections_changed` is called when a connection becomes idle, and when one ends."""
+        """Create an empty pool; `connections_changed` is called when a connection becomes idle or ends."""
         host, _, port = address.rpartition(":")
         self._host = host
         self._port = int(port) if port.isdigit() else 0
         self._reactor = reactor
         self._connections_changed = connections_changed
-        self._idle: deque[WorkerConnection] = deque()  # idle for longest first
+        self._idle: deque[WorkerConnection] = deque()  # longest idle first
         self._waiting: deque[Exchange] = deque()
-        self._connection_count = 0  # with those that are being made
+        self._connection_count = 0  # including those being established
         self._retired = False
         self.limit = 1
 
     @property
     def empty(self) -> bool:
-        """Whether there is no connection and nothing waits for one."""
+        """Whether there are no connections and no waiting deliveries."""
         return self._connection_count == 0 and not self._waiting
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is open and unused."""
+        """Whether a connection is idle."""
         return bool(self._idle)
 
     def now(self) -> float:
-        """The pool's clock, in seconds."""
+        """Return the time of the pool's clock in seconds."""
         return self._reactor.seconds()
 
     def submit(self, exchange: Exchange) -> None:
-        """Deliver over an idle connection, a new one, or the next that becomes free."""
+        """Send a delivery over an idle connection, a new one, or the next one that becomes free."""
         if not exchange.sendable():
             exchange.complete_unsent(RefusalKind.BUSY)
             return
@@ -69,7 +69,7 @@
             connection.send(exchange)
         elif self._connection_count < self.limit:
             self._connect(exchange)
-        elif self._idle:  # all of them have carried this message before
+        elif self._idle:  # none may carry this message, since all have carried it before
             self._idle.popleft().close()
             self.submit(exchange)
         else:
@@ -78,7 +78,7 @@
             exchange.set_timeout(timeout_s, lambda: self._wait_timed_out(exchange))
 
     def close_idle(self) -> None:
-        """Close the connections that carry nothing."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.popleft().close()
 
@@ -89,18 +89,18 @@
             connection.close()
 
     def retire(self) -> None:
-        """The worker was removed: nothing new is sent, and what is in flight ends by itself."""
+        """Send nothing more, since the address was removed; deliveries in flight complete normally."""
         self._retired = True
         self.close_idle()
         while self._waiting:
             self._waiting.popleft().complete_unsent(RefusalKind.NO_CONNECTION)
 
     def connection_released(self, connection: WorkerConnection) -> None:
-        """A connection has had its complete response and can be used again."""
+        """Reuse a connection that has received a complete response, or close it if it is over the limit."""
         exchange = self._next_waiting()
         if exchange is not None and not connection.may_send(exchange.message.request_id):
             self._waiting.appendleft(exchange)
-            connection.close()  # which allows for a new connection
+            connection.close()  # the waiting delivery then gets a new connection
         elif exchange is not None:
             connection.send(exchange)
         elif self._retired or self._connection_count > self.limit:
@@ -110,13 +110,13 @@
             self._connections_changed()
 
     def connection_lost(self, connection: WorkerConnection) -> None:
-        """A connection has ended, or is not to be used any more."""
+        """Remove a connection that has ended or must not be reused."""
         if connection in self._idle:
             self._idle.remove(connection)
         self._connection_ended()
 
     def _pop_idle(self, request_id: str) -> WorkerConnection | None:
-        """The first idle connection that is still good and may carry that message."""
+        """Remove and return the first usable idle connection that may carry a message, or None."""
         now = self.now()
         skipped: list[WorkerConnection] = []
         usable = None
--- a/bitternpath/delivery/requests.py
+++ b/bitternpath/delivery/requests.py
@@ -1,18 +1,18 @@
-"""A delivery as the bytes that a worker reads. Pure."""
+"""Encodes the HTTP request of a delivery."""
 
 from __future__ import annotations
 
 from bitternpath.delivery.results import WorkerTarget
 from bitternpath.transport.records import Message
 
-BODILESS_METHODS = ("GET", "HEAD", "DELETE", "OPTIONS")  # no length is sent where there is no body either
+BODILESS_METHODS = ("GET", "HEAD", "DELETE", "OPTIONS")  # no Content-Length is sent with an empty body
 
 
 def request_bytes(target: WorkerTarget, message: Message, deadline_ms: int) -> bytes:
-    """The complete request: the client's message, and the headers of this attempt (PROTOCOL, "Workers").
+    """Return the request: the client's message and the headers of this attempt (PROTOCOL, "Workers").
 
-    Method, target and header values are the client's bytes, kept as Latin-1. A length is sent with every
-    body, and without a body where the method lets a worker expect one.
+    Method, target and header values are the client's bytes, decoded as Latin-1. Content-Length is sent with
+    every body, and also with an empty body if workers may expect one for the method.
     """
     lines = [f"{message.method} {message.target} HTTP/1.1", f"Host: {message.host}"]
     lines += [f"{header.name}: {header.value}" for header in message.headers]
--- a/bitternpath/delivery/responses.py
+++ b/bitternpath/delivery/responses.py
@@ -1,4 +1,4 @@
-"""Reads a worker's response and decides what it says about the message. Pure."""
+"""Reads a worker's response and derives the outcome of the delivery from it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from bitternpath.net.http1 import Headers, HttpError, Response, ResponseReader
 from bitternpath.transport.records import AttemptOutcome
 
-DEFAULT_KEEP_ALIVE_S = 4.0  # for which a worker keeps an idle connection, where it sends no Keep-Alive
+DEFAULT_KEEP_ALIVE_S = 4.0  # assumed keep-alive time of workers that send no Keep-Alive header
 
 _KEEP_ALIVE = re.compile(rb"(?:^|[,\s])timeout\s*=\s*([0-9]{1,4})", re.IGNORECASE)
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseOutcome:
-    """What a response, or its absence, says about the message. Fields as in `results.DeliveryResult`."""
+    """Outcome of a delivery, given its response or the lack of one. Fields as in `results.DeliveryResult`."""
 
     outcome: AttemptOutcome
     stamp: str = ""
@@ -36,22 +36,22 @@
 
 
 class Progress(Enum):
-    """How far a response has been read."""
+    """State of reading a response."""
 
-    PARTIAL = "more is to come"
-    COMPLETE = "the response is complete and belongs to our request"
-    INVALID = "not a response to our request: nothing on this connection can be trusted"
+    PARTIAL = "the response is incomplete"
+    COMPLETE = "the response is complete and belongs to the request"
+    INVALID = "the data are not a response to the request; the connection must not be used again"
 
 
 class WorkerResponseReader:
-    """Reads the response to one request. Its body is read to its end and dropped.
+    """Reads the response to one request; the body is read to its end and discarded.
 
-    A response belongs to the request only where it repeats the `X-Request-Id`. Interim responses (1xx) are
+    A response belongs to the request only if it repeats the `X-Request-Id`. Interim responses (1xx) are
     skipped, except 101.
     """
 
     def __init__(self, request_id: str, *, bodiless: bool) -> None:
-        """`bodiless`: the request was a HEAD, whose response has no body whatever its headers say."""
+        """Create a reader; with `bodiless`, for HEAD, the response has no body regardless of its headers."""
         self._request_id = request_id.encode("latin-1")
         self._bodiless = bodiless
         self._reader = ResponseReader(None)
@@ -59,10 +59,10 @@
         self._complete = False
         self.status = 0
         self.reusable = False  # whether the connection may carry another request
-        self.keep_alive_s = DEFAULT_KEEP_ALIVE_S  # for which the worker keeps the connection when it is idle
+        self.keep_alive_s = DEFAULT_KEEP_ALIVE_S  # after which the worker closes the idle connection
 
     def feed(self, data: bytes) -> Progress:
-        """Read the next bytes of the connection."""
+        """Process the next bytes of the connection."""
         try:
             self._reader.feed(data)
             return self._read()
@@ -70,7 +70,7 @@
             return Progress.INVALID
 
     def outcome(self) -> ResponseOutcome:
-        """What the response says; nothing is known before it is complete."""
+        """Return the outcome of the delivery; it is unknown until the response is complete."""
         return interpret_response(self.status, self._headers) if self._complete else NO_RESPONSE
 
     def _read(self) -> Progress:
@@ -89,7 +89,7 @@
         return Progress.COMPLETE
 
     def _final_head(self) -> Response | None:
-        """The head of the first response that isn't interim, or of a 101; None until it has come."""
+        """Return the head of the first response that is a 101 or not interim; None until it has arrived."""
         reader = self._reader
         head: Response | None = reader.head()  # type: ignore[assignment]
         while head is not None and head.status < 200 and head.status != _SWITCHING_PROTOCOLS:
@@ -108,7 +108,7 @@
 
 
 def interpret_response(status: int, headers: Headers) -> ResponseOutcome:
-    """What a complete response says about its message (PROTOCOL, "Workers"). Header names are lower case."""
+    """Return the outcome for a complete response (PROTOCOL, "Workers"). Header names are in lower case."""
     if status == _WRONG_INSTANCE_STATUS:
         return ResponseOutcome(AttemptOutcome.NOT_RUN, "", status, RefusalKind.WRONG_INSTANCE)
     if b"x-not-executed" in headers:
--- a/bitternpath/delivery/results.py
+++ b/bitternpath/delivery/results.py
@@ -1,4 +1,4 @@
-"""Typed targets and results of calls to workers and receivers."""
+"""Targets and results of deliveries to workers, and results of call-backs to receivers."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 class RefusalKind(Enum):
-    """Why a worker did not run a message, which proves that it may be sent to another worker."""
+    """Reason why a worker did not run a message, which may then be sent to another worker."""
 
-    NONE = "it ran, or may have"
-    BUSY = "no free slot, or over its rate (503, 429), or no connection became free in time"
-    WRONG_INSTANCE = "another worker has that address now (421)"
-    NO_CONNECTION = "no connection could be made"
-    OTHER = "it said that it did not run (X-Not-Executed)"
+    NONE = "the message ran or may have run"
+    BUSY = "no free slot or rate limit exceeded (503, 429), or no connection became free in time"
+    WRONG_INSTANCE = "another worker has the address now (421)"
+    NO_CONNECTION = "no connection could be established"
+    OTHER = "the worker reported that it did not run the message (X-Not-Executed)"
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerTarget:
-    """Where a delivery goes."""
+    """Target of a delivery."""
 
     address: str  # ip:port
-    instance: str  # the incarnation that is expected at the address; "" for an endpoint
-    max_connections: int  # to the address, for this node
-    send_within_s: float = float("inf")  # else it isn't sent: its rate token is valid for so long
+    instance: str  # worker instance that is expected at the address; "" for an endpoint
+    max_connections: int  # maximum number of connections from this node to the address
+    send_within_s: float = float("inf")  # the delivery is not sent later, since its rate token then expires
 
 
 @dataclass(frozen=True, slots=True)
 class DeliveryResult:
-    """How one delivery ended."""
+    """Result of one delivery."""
 
     outcome: AttemptOutcome
-    stamp: str  # the worker's, of a success; else ""
-    status: int  # of the response; 0 where there was none
+    stamp: str  # the worker's stamp if the attempt succeeded, else ""
+    status: int  # status of the response; 0 without a response
     refusal: RefusalKind
-    elapsed_s: float  # from the delivery's start to its end, waiting included
+    elapsed_s: float  # from the start to the end of the delivery, including the wait for a connection
 
 
 class CallbackResult(Enum):
-    """How a call-back ended."""
+    """Result of a call-back."""
 
     ACKNOWLEDGED = "acknowledged"  # 200
-    REJECTED = "rejected"  # 400: the receiver knows no such id, or the state is no end; a retry is useless
-    FAILED = "failed"  # anything else: to be retried
+    REJECTED = "rejected"  # 400: unknown id, or the state is not an end state; a retry does not help
+    FAILED = "failed"  # any other response or none; the call-back is to be retried
--- a/bitternpath/delivery/worker_client.py
+++ b/bitternpath/delivery/worker_client.py
@@ -1,4 +1,4 @@
-"""Delivers messages to workers over persistent HTTP/1.1 connections, each delivery once."""
+"""Delivers messages to workers over persistent HTTP/1.1 connections; each delivery is sent at most once."""
 
 from __future__ import annotations
 
@@ -11,25 +11,24 @@
 from bitternpath.net.reactor import TcpReactor
 from bitternpath.transport.records import Message
 
-SWEEP_INTERVAL_S = 0.5  # between checks for idle connections that are too old
+SWEEP_INTERVAL_S = 0.5  # between checks for expired idle connections
 
 
 class WorkerClient:
-    """A pool of connections for each address that this node delivers to.
+    """Connection pools by address for the deliveries of this node.
 
-    No request is repeated here, whatever becomes of its connection: retries are decided by the message's
-    shard.
+    The client never repeats a request, even if its connection fails; the message's shard decides on retries.
     """
 
     def __init__(self, reactor: TcpReactor) -> None:
         self._reactor = reactor
         self._pools: dict[str, AddressPool] = {}
-        self._retired: list[AddressPool] = []  # of removed workers, until their deliveries have ended
+        self._retired: list[AddressPool] = []  # pools of removed addresses, until their deliveries have ended
         self._sweep_timer: Timer | None = None
         self._stopped: Deferred[None] | None = None  # set once no more deliveries are accepted
 
     def deliver(self, target: WorkerTarget, message: Message, deadline_ms: int) -> Deferred[DeliveryResult]:
-        """Deliver a message within `deadline_ms` milliseconds; the result never fails."""
+        """Deliver a message within `deadline_ms` milliseconds; the Deferred never fails."""
         exchange = Exchange(target, message, deadline_ms, self._reactor)
         if self._stopped is not None:
             exchange.complete_unsent(RefusalKind.NO_CONNECTION)
@@ -43,13 +42,13 @@
         return exchange.result
 
     def close_idle(self, address: str) -> None:
-        """Close the unused connections to an address."""
+        """Close the idle connections to an address."""
         pool = self._pools.get(address)
         if pool is not None:
             pool.close_idle()
 
     def remove_address(self, address: str) -> None:
-        """A worker has left the catalogue: what is in flight ends by itself, nothing new is sent there."""
+        """Retire the pool of a worker that left the catalogue; its deliveries in flight complete normally."""
         pool = self._pools.pop(address, None)
         if pool is not None:
             self._retired.append(pool)
@@ -57,7 +56,7 @@
             self._connections_changed()
 
     def shutdown(self) -> Deferred[None]:
-        """Accept no more deliveries; fires once those in flight have ended and all connections are closed."""
+        """Refuse new deliveries; fires when those in flight have ended and all connections are closed."""
         if self._stopped is None:
             self._stopped = Deferred()
             for address in tuple(self._pools):
--- a/bitternpath/queue/__init__.py
+++ b/bitternpath/queue/__init__.py
@@ -1,23 +1,25 @@
-"""One shard of the durable queue: its replicated state, and the decisions of the shard's owner.
+"""One shard of the durable queue: its replicated state and the decisions of the shard's owner.
 
-A shard is a replica group with a log of commands. Everything here is pure: time and randomness are arguments,
-and the roles that hold the parts (`roles/`) do the input and output.
+A shard is a replica group with a log of commands. The package does no input or output: time and randomness
+are passed in as arguments, and the roles in `roles/` carry out the actions.
 
-Replicated, the same on every replica:
+Replicated state, identical on every replica:
 
-- `commands`: what the log holds; `results`: what applying a command did
+- `commands`: the entries of the log; `results`: the effect of applying a command
 - `state`, with `entries` and `order_queues`: the messages; `snapshot`: their encoding on disk
-- `sharding`: which shard keeps a message, and the identifiers that name the shard
+- `sharding`: which shard stores a message, and the identifiers that contain the shard's number
 
-Known to the owner alone, lost with the ownership:
+State in the owner's memory, lost when ownership changes:
 
-- `owner`: `ShardOwner`, which takes events and returns `actions`
-- `lifecycle`, with `tracked_messages`, `placement`, `routes` and `timers`: the phases of unended messages
-- `lease_granting` and `lease_table`: which messages are leased, and to whom (`edge_nodes`, `long_polls`)
+- `owner`: `ShardOwner`, which receives events and returns `actions`
+- `lifecycle`, with `tracked_messages`, `phase_assignment`, `routes` and `timers`: the phases of messages
+  that have not ended
+- `lease_granting` and `lease_table`: which messages are leased and to which holder (`edge_nodes`,
+  `long_polls`)
 - `service_queues`, with `ready_queue`, `adaptive_limit`, `rate_limits`, `token_bucket` and `quota_leases`:
   the order and the limits of each service
 - `backoff`: delays before a retry
-- `ended_messages`, with `callbacks` and `tombstones`: what is still owed for messages that have ended
+- `ended_messages`, with `callbacks` and `tombstones`: call-backs and tombstones of messages that have ended
 
-The states of a message are one table in `tracked_messages`, those of a lease one in `lease_table`.
+`tracked_messages` has the table of message phases, `lease_table` the table of lease states.
 """
--- a/bitternpath/queue/actions.py
+++ b/bitternpath/queue/actions.py
@@ -1,4 +1,4 @@
-"""Instructions of a shard's owner to the role that holds it, to be carried out in the order given."""
+"""Actions that a shard's owner returns to its role, which carries them out in the given order."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class ProposeCommand(Struct, frozen=True):
-    """Append the command to the shard's log. Where that surely fails, call `ShardOwner.proposal_failed`."""
+    """Append the command to the shard's log. Call `ShardOwner.proposal_failed` if that definitely failed."""
 
     command: Command
 
 
 class SendDelivery(Struct, frozen=True):
-    """Hand a message to an edge node, under a lease that is committed."""
+    """Send a message to an edge node under a committed lease."""
 
     edge: str  # name of the edge node
     message: Message
     lease_id: str
-    duration_ms: int  # of the lease
-    attempts: int  # failed ones so far
-    body_omitted: bool  # the edge node took the message from the client and still has its body
+    duration_ms: int  # duration of the lease
+    attempts: int  # number of failed attempts so far
+    body_omitted: bool  # the edge node accepted the message from the client and still has its body
 
 
 class AnswerPoll(Struct, frozen=True):
-    """Answer a worker's long poll with a message, under a lease that is committed."""
+    """Answer a worker's long poll with a message under a committed lease."""
 
     poll_id: int
     edge: str  # name of the edge node at which the worker waits
@@ -35,21 +35,24 @@
 
 
 class ExpirePoll(Struct, frozen=True):
-    """Answer a worker's long poll with nothing: its deadline has passed."""
+    """Answer a worker's long poll without a message: its deadline has passed."""
 
     poll_id: int
     edge: str
 
 
 class RequestPollers(Struct, frozen=True):
-    """Tell edge nodes that messages wait here for pulling workers, and no worker waits."""
+    """Notify edge nodes that messages of a service wait at this shard and no worker does."""
 
     service: str
-    waiting: int  # messages
+    waiting: int  # number of waiting messages
 
 
 class BorrowTokens(Struct, frozen=True):
-    """Ask the owner of a rate-limited service's home shard for tokens. Answer: `ShardOwner.tokens_lent`."""
+    """Request tokens from the owner of a rate-limited service's home shard.
+
+    The response goes to `ShardOwner.tokens_lent`.
+    """
 
     service: str
     wanted: int
@@ -58,7 +61,7 @@
 class SendCallback(Struct, frozen=True):
     """Have an edge node notify the client's URL that a message has ended.
 
-    Answer: `ShardOwner.callback_report`.
+    Its report goes to `ShardOwner.callback_report`.
     """
 
     edge: str
--- a/bitternpath/queue/adaptive_limit.py
+++ b/bitternpath/queue/adaptive_limit.py
@@ -1,52 +1,52 @@
-"""Limit on the leases in flight to one service: halved while most attempts fail, doubled by each success."""
+"""Adaptive limit on the leases in flight to one service."""
 
 from __future__ import annotations
 
 from bitternpath.transport.records import AttemptOutcome
 
-MIN_LIMIT = 4.0  # leases in flight, however badly a service does: they probe it
-MAX_LIMIT = 4096.0  # leases in flight: no limit in practice
-DECREASE_INTERVAL_S = 0.1  # a burst of failures of one cause halves the limit once
-FAILURE_RATIO_THRESHOLD = 0.5  # of recent attempts; above it the limit decreases
-_RATIO_WEIGHT = 1 / 8  # of the newest attempt in the moving average of failures
-_PACED_AFTER_UNANSWERED = 8  # attempts in a row that ended without an answer
-PACING_INTERVAL_S = 0.025  # between new leases to a service that answers nothing; an answer lifts it
+MIN_LIMIT = 4.0  # leases in flight to a failing service, which probe whether it has recovered
+MAX_LIMIT = 4096.0  # leases in flight; no limit in practice
+DECREASE_INTERVAL_S = 0.1  # between decreases: a burst of failures with one cause halves the limit once
+FAILURE_RATIO_THRESHOLD = 0.5  # ratio of failures among recent attempts above which the limit decreases
+_RATIO_WEIGHT = 1 / 8  # weight of the newest attempt in the moving average of failures
+_PACED_AFTER_UNANSWERED = 8  # consecutive attempts without a response after which new leases are paced
+PACING_INTERVAL_S = 0.025  # between new leases to an unresponsive service; a response ends the pacing
 
 _ANSWERED = frozenset({AttemptOutcome.SUCCEEDED, AttemptOutcome.REJECTED})
 _COUNTED_AS_FAILURE = frozenset({AttemptOutcome.FAILED, AttemptOutcome.UNKNOWN})
 
 
 class AdaptiveConcurrencyLimit:
-    """Limit of leases in flight to one service: halved while most attempts fail, doubled by each success.
+    """Limit on the leases in flight to one service: halved while most attempts fail, doubled by each success.
 
-    Attempts that did not run don't change the limit. But after several attempts in a row without any answer,
+    Attempts that did not run do not change the limit. After several consecutive attempts without a response,
     new leases are also paced, so that a service that is down costs a bounded number of log entries.
     """
 
     def __init__(self) -> None:
-        """Begin without a limit."""
+        """Start at the maximum limit."""
         self.limit = MAX_LIMIT
         self._failure_ratio = 0.0
         self._next_decrease_at = 0.0
-        self._unanswered = 0  # attempts in a row
+        self._unanswered = 0  # consecutive attempts without a response
         self._next_grant_at = 0.0
 
     def next_grant_time(self, now: float, in_flight: int) -> float | None:
-        """Return when a new lease may be granted (`now`: at once).
+        """Return when a new lease may be granted; `now` if immediately.
 
-        None: only after one of those in flight has ended.
+        None means that a lease in flight has to end first.
         """
         if in_flight >= self.limit:
             return None
         return max(now, self._next_grant_at)
 
     def record_grant(self, now: float) -> None:
-        """Count a new lease."""
+        """Record a new lease."""
         if self._unanswered >= _PACED_AFTER_UNANSWERED:
             self._next_grant_at = now + PACING_INTERVAL_S
 
     def record_outcome(self, now: float, outcome: AttemptOutcome, in_flight: int) -> None:
-        """Count the end of an attempt; `in_flight` leases, this one included, were out before it."""
+        """Record the end of an attempt; `in_flight` is the number of leases before it, including its own."""
         if outcome in _ANSWERED:
             self._record_answered()
             return
--- a/bitternpath/queue/backoff.py
+++ b/bitternpath/queue/backoff.py
@@ -8,12 +8,12 @@
 
 from bitternpath.transport.records import AttemptOutcome
 
-_MAX_DOUBLINGS = 20  # beyond any schedule's maximum; keeps the power small
-_MIN_JITTER, _MAX_JITTER = 0.75, 1.25  # factors: spread evenly by a quarter to both sides
+_MAX_DOUBLINGS = 20  # past the maximum of every schedule; keeps the exponent small
+_MIN_JITTER, _MAX_JITTER = 0.75, 1.25  # bounds of the uniform jitter factor
 
 
 class BackoffSchedule(Struct, frozen=True):
-    """First and longest delay in seconds; each delay is double the one before."""
+    """First and maximum delay in seconds; each delay is twice the previous one."""
 
     initial_s: float
     max_s: float
@@ -24,10 +24,10 @@
         return nominal * random.uniform(_MIN_JITTER, _MAX_JITTER)
 
 
-FAILED_BACKOFF = BackoffSchedule(0.1, 2.0)  # the worker is healthy; the message or what it needs is not
-UNKNOWN_BACKOFF = BackoffSchedule(0.2, 2.0)  # the worker may be down, or may still be running it
-NOT_RUN_BACKOFF = BackoffSchedule(0.05, 0.3)  # a free worker is wanted, perhaps at another edge node
-CALLBACK_BACKOFF = BackoffSchedule(0.3, 1.5)  # short: a receiver that is back must be notified soon
+FAILED_BACKOFF = BackoffSchedule(0.1, 2.0)  # the worker responded; the message or a dependency of it fails
+UNKNOWN_BACKOFF = BackoffSchedule(0.2, 2.0)  # the worker may be down or may still be running the message
+NOT_RUN_BACKOFF = BackoffSchedule(0.05, 0.3)  # a worker may become free soon, possibly at another edge node
+CALLBACK_BACKOFF = BackoffSchedule(0.3, 1.5)  # short, so that a recovered receiver is notified soon
 
 _SCHEDULES = {
     AttemptOutcome.FAILED: FAILED_BACKOFF,
@@ -39,8 +39,8 @@
 def backoff_after(outcome: AttemptOutcome, repetition: int, retry_after_ms: int, random: Random) -> float:
     """Return the seconds until a message may be leased again.
 
-    `outcome` came `repetition` times in a row before; `retry_after_ms` is the worker's own minimum. Draws a
-    random number only for outcomes that have a schedule.
+    `repetition` is the number of consecutive earlier attempts with the same outcome; `retry_after_ms` is the
+    minimum that the worker requested. Draws a random number only for outcomes that have a schedule.
     """
     schedule = _SCHEDULES.get(outcome)
     delay = 0.0 if schedule is None else schedule.delay(repetition, random)
--- a/bitternpath/queue/callbacks.py
+++ b/bitternpath/queue/callbacks.py
@@ -1,20 +1,21 @@
-"""Call-backs that a shard owes: which receiver is notified next, and when a call is repeated.
+"""Pending call-backs of a shard: which receiver is notified next, and when a call is repeated.
 
-A receiver that fails call after call gets one call at a time, a probe, until it acknowledges one: then all
-that waits for it goes out again. So a receiver that is down costs little, and a recovered receiver is
-notified of the first message within a probe's interval and time-out, and of the others right after it.
+A receiver with several consecutive failures gets one call at a time, as a probe, until it acknowledges one;
+then all its pending call-backs are sent again. A receiver that is down therefore costs few calls, and a
+recovered receiver gets its first call-back within a probe interval plus a time-out, and the others
+immediately after it.
 
-The states of a call-back, from the message's end to the commit of `ConfirmCallbacks`:
+The states of a call-back, from the end of the message to the commit of `ConfirmCallbacks`:
 
     ============  =====================================================  ===============================
     state         meaning                                                goes on to
     ============  =====================================================  ===============================
     queued        due, in its receiver's queue                           in flight
-    in flight     with an edge node                                      acknowledged; backing off after
-                                                                         a failure or no report in time
-    backing off   failed, until a timer fires                            queued; acknowledged
-    acknowledged  the confirmation is to be proposed, or is              removed; queued where it was
-                                                                         surely not proposed
+    in flight     sent to an edge node                                   acknowledged; backing off after
+                                                                         a failure or a missing report
+    backing off   failed, waits for a timer                              queued; acknowledged
+    acknowledged  the confirmation is about to be proposed or is         removed; queued if the
+                  proposed                                               confirmation was not proposed
     ============  =====================================================  ===============================
 """
 
@@ -35,30 +36,30 @@
 from bitternpath.queue.edge_nodes import EdgeNodeTable
 from bitternpath.queue.entries import Entry
 
-CALLBACK_TIMEOUT_S = 2.6  # without a report, which an edge node gives after 2 s: the edge node may be down
-MAX_CALLBACKS_PER_RECEIVER = 8  # in flight from one shard: receivers take few connections
-FAILURES_BEFORE_PROBING = 4  # in a row, of whichever messages: the receiver is only probed from then on
+CALLBACK_TIMEOUT_S = 2.6  # edge nodes report after 2 s at the latest; without a report the node may be down
+MAX_CALLBACKS_PER_RECEIVER = 8  # in flight from one shard; receivers accept few connections
+FAILURES_BEFORE_PROBING = 4  # consecutive failures of any messages after which a receiver is only probed
 PROBE_INTERVAL_S = 0.5  # from a failure to the next probe
-# Confirmations wait for another command, to share its round of replicas, but no longer than this; an owner
-# that is lost meanwhile has its successor call back once more.
+# A confirmation waits up to this long for another command whose replication round it can share. If the owner
+# fails meanwhile, its successor repeats the call-back.
 MAX_CONFIRMATION_DELAY_S = 0.5
-CONFIRMATION_BATCH_SIZE = 64  # so many don't wait
+CONFIRMATION_BATCH_SIZE = 64  # this many confirmations are proposed without waiting
 
 
 @dataclass(slots=True, eq=False)
 class _PendingCallback:
-    """A call-back that is owed. A timer with an older `serial` is stale."""
+    """A call-back that is not confirmed yet. A timer with an older `serial` is stale."""
 
     entry: Entry
     receiver: str
     failures: int = 0
     in_flight: bool = False
     serial: int = 0
-    acknowledged: bool = False  # only the confirmation has to be applied
+    acknowledged: bool = False  # the receiver has acknowledged it; the confirmation is not applied yet
 
 
 class _Timer(Struct, frozen=True, order=True):
-    """Ends a call-back's time-out or back-off; ordered by time."""
+    """End of a call-back's time-out or back-off; ordered by time."""
 
     when: float
     request_id: str
@@ -67,22 +68,22 @@
 
 @dataclass(slots=True)
 class _Receiver:
-    """One address that is called back: a few calls in flight, the others in the order they came due."""
+    """One receiver's address: a bounded number of calls in flight, the other call-backs in due order."""
 
-    pending: int = 0  # call-backs that aren't confirmed; the receiver is dropped with the last
+    pending: int = 0  # call-backs without an applied confirmation; the receiver is removed with the last one
     in_flight: int = 0
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive failures
     probe_at: float = 0.0
-    scheduled_probe_at: float = 0.0  # the time of the last probe that is in the heap
+    scheduled_probe_at: float = 0.0  # time of the latest probe in the heap
     queue: deque[_PendingCallback] = field(default_factory=deque)
 
     @property
     def max_in_flight(self) -> int:
-        """How many calls may be in flight."""
+        """Maximum number of calls in flight."""
         return 1 if self.failures >= FAILURES_BEFORE_PROBING else MAX_CALLBACKS_PER_RECEIVER
 
     def record_failure(self, now: float) -> None:
-        """Count a call that was refused, or of which no report came."""
+        """Count a call that failed or for which no report arrived."""
         self.failures += 1
         if self.failures >= FAILURES_BEFORE_PROBING:
             self.probe_at = now + PROBE_INTERVAL_S
@@ -94,22 +95,22 @@
 
 
 class CallbackQueue:
-    """All call-backs that are owed and not confirmed. Rebuilt from the state by a new owner."""
+    """All call-backs that are not confirmed. A new owner rebuilds it from the state."""
 
     def __init__(self, edges: EdgeNodeTable, random: Random) -> None:
-        """Send by the edge nodes of `edges`; `random` spreads the back-off."""
+        """Send through the edge nodes of `edges`; `random` provides the jitter of back-off delays."""
         self._edges = edges
         self._random = random
         self._pending: dict[str, _PendingCallback] = {}  # by request id
         self._receivers: dict[str, _Receiver] = {}  # by address
-        self._sendable: dict[str, None] = {}  # receivers to which something may be sent
+        self._sendable: dict[str, None] = {}  # receivers that may accept another call now
         self._timers: list[_Timer] = []
         self._probes: list[tuple[float, str]] = []  # receivers by the time of their next probe
-        self._unconfirmed: list[str] = []  # acknowledged ones whose confirmation is to be proposed
+        self._unconfirmed: list[str] = []  # acknowledged request ids whose confirmation is not proposed yet
         self._confirm_by = inf
 
     def add(self, entry: Entry) -> None:
-        """Owe the call-back of a message that has ended and has a call-back URL."""
+        """Queue the call-back of an ended message that has a call-back URL."""
         request_id = entry.message.request_id
         if request_id in self._pending:
             return
@@ -119,7 +120,7 @@
         self._enqueue(pending)
 
     def remove(self, request_id: str) -> None:
-        """Owe a call-back no more: its confirmation has been applied, or its tombstone is removed."""
+        """Remove a call-back whose confirmation has been applied or whose tombstone was removed."""
         pending = self._pending.pop(request_id, None)
         if pending is None:
             return
@@ -133,7 +134,7 @@
             self._sendable.pop(pending.receiver, None)
 
     def confirmation_failed(self, request_id: str) -> None:
-        """Call back again: the confirmation was surely not proposed."""
+        """Queue a call-back again whose confirmation was not proposed."""
         pending = self._pending.get(request_id)
         if pending is not None and pending.acknowledged:
             pending.acknowledged = False
@@ -141,7 +142,10 @@
             self._enqueue(pending)
 
     def report(self, now: float, request_id: str, *, acknowledged: bool) -> None:
-        """Take an edge node's report. A call-back is confirmed by any report that it was acknowledged."""
+        """Process an edge node's report.
+
+        A report of an acknowledgement counts in every state; a failure counts only while a call is in flight.
+        """
         pending = self._pending.get(request_id)
         if pending is None:
             return
@@ -156,9 +160,10 @@
             self._back_off(now, pending)
 
     def pop_confirmation(self, now: float, *, others_proposed: bool) -> ConfirmCallbacks | None:
-        """Return the command that confirms what was acknowledged; None while that may still wait.
+        """Return the command that confirms the acknowledged call-backs, or None while it may still wait.
 
-        It goes where other commands are proposed, where its time is up, or where there are many.
+        It is returned when other commands are proposed, when the maximum delay has passed, or when the batch
+        is full.
         """
         is_due = (
             others_proposed or now >= self._confirm_by or len(self._unconfirmed) >= CONFIRMATION_BATCH_SIZE
@@ -171,7 +176,7 @@
         return ConfirmCallbacks(request_ids)
 
     def advance(self, now: float) -> list[SendCallback]:
-        """Fire the timers whose time has come; returns what may be sent."""
+        """Fire the due timers; returns the calls to send."""
         while self._timers and self._timers[0].when <= now:
             self._fire(now, heapq.heappop(self._timers))
         while self._probes and self._probes[0][0] <= now:
@@ -182,7 +187,7 @@
         return actions
 
     def next_wakeup(self) -> float | None:
-        """Return when `advance` or `take_confirmation` is wanted next; None where no time is set."""
+        """Return when to call `advance` or `pop_confirmation` next; None if no timer is set."""
         while self._timers and self._is_stale(self._timers[0]):
             heapq.heappop(self._timers)
         times = []
--- a/bitternpath/queue/commands.py
+++ b/bitternpath/queue/commands.py
@@ -1,7 +1,7 @@
-"""Commands of a queue shard's replicated log. Applied in order, they give the same state on every replica.
+"""Commands of a queue shard's replicated log. Applied in order, they produce the same state on every replica.
 
-The commands are on disk and on the wire: the order and the types of their fields, and the order of the
-classes in `COMMANDS`, don't change.
+The commands are stored on disk and sent over the network: the order and the types of their fields and the
+order of the classes in `COMMANDS` must not change.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 
 class AppendMessage(Struct, frozen=True):
-    """Accept a message; no effect where its request id is known already."""
+    """Accept a message; no effect if its request id is already known."""
 
     message: Message
 
 
 class GrantLease(Struct, frozen=True):
-    """Lease a message to a holder, in place of the lease that it may have; `state` says when it is void."""
+    """Lease a message to a holder and replace any current lease; `state` defines when it has no effect."""
 
     request_id: str
     lease_id: str  # unique over all shards and owners
-    holder: str  # name of an edge node, or instance id of a pulling worker; "": whichever worker polls next
+    holder: str  # name of an edge node, or instance id of a pulling worker; "" for the next worker that polls
     duration_ms: int
     pulled: bool  # the holder is a pulling worker
 
@@ -34,16 +34,16 @@
     request_id: str
     lease_id: str
     outcome: AttemptOutcome
-    stamp: str  # of the worker, with a success
-    max_attempts: int  # of the route that was in force at the end
-    retry_after_ms: int  # the shortest time until the message is leased again
+    stamp: str  # the worker's stamp if the attempt succeeded
+    max_attempts: int  # limit of the message's route when the attempt ended
+    retry_after_ms: int  # minimum time until the message is leased again
 
 
 class ExpireMessage(Struct, frozen=True):
-    """End a message as a dead letter: its retention is over, or its route no longer exists.
+    """End a message as a dead letter because its retention is over or its route was removed.
 
-    No effect unless `lease_id` is the message's current lease ("": none): the lease is the fencing token, so
-    that a decision which was made before a later grant does not end a message that is out again.
+    No effect unless `lease_id` is the message's current lease, or "" if it has none. The lease serves as a
+    fencing token: a decision made before a later grant does not end a message that is in flight again.
     """
 
     request_id: str
@@ -57,7 +57,7 @@
 
 
 class RemoveTombstones(Struct, frozen=True):
-    """Remove ended messages whose state nobody may ask for any more; no effect on others."""
+    """Remove ended messages whose state clients can no longer query; no effect on other messages."""
 
     request_ids: tuple[str, ...]
 
--- a/bitternpath/queue/ended_messages.py
+++ b/bitternpath/queue/ended_messages.py
@@ -1,4 +1,4 @@
-"""What a shard still owes for messages that have ended: their call-backs, and tombstones for some time."""
+"""Call-backs and tombstones of messages that have ended."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class EndedMessages:
-    """Call-backs and tombstones of one shard. Rebuilt from the state by a new owner."""
+    """Call-backs and tombstones of one shard. A new owner rebuilds it from the state."""
 
     def __init__(self, edges: EdgeNodeTable, random: Random, status_retention_s: float) -> None:
-        """Call back by `edges`; keep tombstones for `status_retention_s` and a margin."""
+        """Send call-backs through `edges`; retain tombstones for `status_retention_s` plus a margin."""
         self.callbacks = CallbackQueue(edges, random)
         self.tombstones = TombstoneQueue(status_retention_s)
 
--- a/bitternpath/queue/entries.py
+++ b/bitternpath/queue/entries.py
@@ -1,7 +1,7 @@
-"""A message as a shard stores it, and how its times survive a restart.
+"""Entries of the replicated state, and how their times survive a restart.
 
-Times of an entry are on the local steady clock, in seconds; they serve timers only and differ between
-replicas. Everything else is the same on each replica that has applied the same commands.
+The times of an entry are in seconds on the local steady clock; they are used only for timers and differ
+between replicas. All other fields are identical on replicas that have applied the same commands.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 
 from bitternpath.transport.records import AttemptOutcome, Header, Message, MessageState
 
-# A time-of-day clock may step, and clocks of two machines differ; elapsed wall time counts only beyond this,
-# and for delays alone. Ages (retention, tombstones) count only what the steady clock has measured: a dead
-# letter or a removed tombstone too early breaks a rule, one too late costs memory.
-DELAY_CLOCK_MARGIN_S = 2.0  # a delay is then never cut short by a step up to 2 s; it lasts 2 s longer at most
+# Time-of-day clocks may step and differ between machines. Elapsed wall time is therefore used only for
+# delays, and only as far as it exceeds this margin: a clock step of up to 2 s never shortens a delay, which
+# ends at most 2 s late. Ages (retention, tombstones) count only time measured by the steady clock: ending a
+# message or removing a tombstone too early breaks a rule, doing it too late only costs memory.
+DELAY_CLOCK_MARGIN_S = 2.0
 
-MAX_ENDED_LEASES = 64  # remembered ends of one message; the oldest is dropped first
+MAX_ENDED_LEASES = 64  # recorded outcomes per message; the oldest is dropped first
 
 
 @dataclass(slots=True)
@@ -33,15 +34,15 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One known message. A tombstone is an entry whose `state` isn't QUEUED."""
+    """One message, or the tombstone of an ended message, whose `state` is not QUEUED."""
 
     message: Message
-    index: int  # of the log entry that accepted it
-    accepted_at: float  # local steady time of the accept; moved back by what had passed before a restart
-    due_at: float  # local steady time at which its delay is over
+    index: int  # log index of the command that accepted it
+    accepted_at: float  # local steady time of the accept; after a restart, minus the age at the snapshot
+    due_at: float  # local steady time at which its delay ends
     state: MessageState = MessageState.QUEUED
-    stamp: str = ""  # of the worker that ran it, once it is done
-    attempts: int = 0  # failed ones
+    stamp: str = ""  # stamp of the worker that ran it, if it is done
+    attempts: int = 0  # number of failed attempts
     leases_granted: int = 0
     lease: Lease | None = None
     ended_leases: dict[str, AttemptOutcome] = field(default_factory=dict)
@@ -54,7 +55,7 @@
         return self.state is not MessageState.QUEUED
 
     def end(self, state: MessageState, stamp: str, now: float) -> None:
-        """Turn it into a tombstone; a dead letter keeps its body, which clients may still read."""
+        """Turn the entry into a tombstone; a dead letter retains its body for clients to read."""
         self.state = state
         self.stamp = stamp
         self.lease = None
@@ -64,23 +65,23 @@
             self.message = replace(self.message, body=b"", headers=())
 
     def restart_delay(self, now: float) -> None:
-        """Count its complete delay from now, the moment at which its owner accepts it."""
+        """Restart the full delay at `now`, when the owner accepts the message."""
         self.due_at = now + max(0.0, self.message.delay_ms / 1000)
 
     def record_end(self, lease_id: str, outcome: AttemptOutcome) -> None:
-        """Keep the outcome of a lease, so that a repeated report gets the same answer."""
+        """Record the outcome of a lease, so that a repeated report gets the same response."""
         self.ended_leases[lease_id] = outcome
         if len(self.ended_leases) > MAX_ENDED_LEASES:
             del self.ended_leases[next(iter(self.ended_leases))]
 
 
 def elapsed_beyond(margin_s: float, since_wall_ms: int, wall_ms: int) -> float:
-    """Return the seconds of wall time that have surely passed, where clocks may differ by `margin_s`."""
+    """Return the minimum elapsed wall time in seconds, given clocks that may differ by `margin_s`."""
     return max(0.0, (wall_ms - since_wall_ms) / 1000 - margin_s)
 
 
 def compact(message: Message) -> Message:
-    """Return the same message with interned texts: many messages have them in common."""
+    """Return the same message with interned strings, which many messages share."""
     return replace(
         message,
         method=intern(message.method),
@@ -94,11 +95,11 @@
 
 
 def new_entry(message: Message, index: int, now: float, wall_ms: int) -> Entry:
-    """Return the entry of a message that is being appended, now or in a replay of the log after a restart.
+    """Return the entry of a message that is appended now or replayed from the log after a restart.
 
-    Its retention counts from now. Its delay counts from now, less the wall time since the accept beyond
-    `DELAY_CLOCK_MARGIN_S` (none when the append is recent); so it ends at most one delay from now. The owner
-    that accepts it counts the complete delay (`Entry.restart_delay`).
+    Its retention starts now. Its delay starts now too, but is shortened by the wall time since the accept as
+    far as that exceeds `DELAY_CLOCK_MARGIN_S`, which a recent append does not; it ends at most one full delay
+    from now. The owner that accepts the message restarts the full delay (`Entry.restart_delay`).
     """
     delay = max(0.0, message.delay_ms / 1000)
     elapsed_s = elapsed_beyond(DELAY_CLOCK_MARGIN_S, message.accepted_wall_ms, wall_ms)
@@ -106,5 +107,5 @@
 
 
 def provisional_entry(message: Message, now: float) -> Entry:
-    """Return a stand-in for the entry of a message whose append is proposed but not applied yet."""
+    """Return a temporary entry for a message whose append is proposed but not yet applied."""
     return Entry(message, 0, accepted_at=now, due_at=now)
--- a/bitternpath/queue/lease_granting.py
+++ b/bitternpath/queue/lease_granting.py
@@ -1,4 +1,4 @@
-"""Which ready messages are leased now, in the order of the service queues."""
+"""Grants leases of ready messages, in the order of the service queues."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from bitternpath.queue.state import QueueState
 from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 
-# While messages wait and no pulling worker does, workers are asked for at this interval, doubled each time.
+# Interval between requests for pulling workers while messages wait and no worker polls; it doubles each time.
 MIN_POLLERS_REQUEST_INTERVAL_S = 0.05
 MAX_POLLERS_REQUEST_INTERVAL_S = 0.2
 
-# Messages of a service in one shard that are leased before a worker polls, so that it needn't wait for a
-# round of replicas. A later owner takes them for handed out: they wait until their leases end.
+# Messages per service and shard that are leased before a worker polls, so that the poll is answered without a
+# replication round. A new owner treats these leases as dispatched: the messages wait until the leases end.
 MAX_PREGRANTED_LEASES = 32
 
 
 class LeaseGranter:
-    """Grants leases of ready messages, and of messages that are being appended."""
+    """Grants leases of ready messages and of messages whose append is proposed."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         leases: LeaseTable,
         emit: Callable[[Action], None],
     ) -> None:
-        """Grant from the queues of `services` into `leases`; `emit` takes the actions that follow."""
+        """Grant leases from the queues of `services` in `leases`; `emit` receives the resulting actions."""
         self._state = state
         self._routes = routes
         self._services = services
@@ -41,7 +41,7 @@
         self._emit = emit
 
     def grant_on_append(self, now: float, tracked: TrackedMessage) -> GrantLease | None:
-        """Return the command that leases a message whose append is proposed; None where it has to wait."""
+        """Return the command that leases a message whose append is proposed, or None if it has to wait."""
         queue = self._queue_on_append(tracked)
         if queue is None:
             return None
@@ -56,7 +56,7 @@
         return command
 
     def grant_ready(self, now: float, queue: ServiceQueue) -> None:
-        """Grant what can be granted of one service."""
+        """Grant leases of one service until its queue is empty or a limit is reached."""
         while (tracked := queue.ready.first(now)) is not None:
             next_grant_at = queue.next_grant_time(now)
             if next_grant_at != now:
@@ -73,7 +73,10 @@
         )
 
     def _schedule_retry(self, now: float, queue: ServiceQueue, retry_at: float | None) -> None:
-        """Have a queue processed again at `when`; None: after a lease has ended, which marks it dirty."""
+        """Schedule the next processing of a queue at `retry_at`.
+
+        If `retry_at` is None, the end of a lease marks the queue dirty.
+        """
         if retry_at is not None:
             self._services.wake_at(retry_at, queue)
         borrower = queue.borrower
@@ -85,10 +88,10 @@
         self._services.wake_at(borrower.next_request_at, queue)
 
     def _queue_on_append(self, tracked: TrackedMessage) -> ServiceQueue | None:
-        """Return the queue of a message that nothing holds back; None where something does.
+        """Return the queue of a message that may be leased immediately, or None if it has to wait.
 
-        That is as far as is known before its append is applied. An earlier message of its order key that is
-        being appended too makes the lease void when it is applied.
+        This is an estimate until the append is applied: if an earlier append with the same order key is
+        pending too, the grant has no effect when it is applied.
         """
         message = tracked.entry.message
         if message.delay_ms > 0 or (message.order_key and self._state.order_head(message.order_key)):
@@ -97,12 +100,12 @@
         return None if tracked.route is None else self._services.find(tracked.route.service)
 
     def _grant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> bool:
-        """Propose a lease on a ready message; False where it has to wait, and with it those behind it."""
-        self._leases.drop_pregrant(tracked)  # the service's workers don't pull any more
+        """Propose a lease of a ready message; False if it and the messages after it have to wait."""
+        self._leases.drop_pregrant(tracked)  # only set here if the service is no longer in pull mode
         command = self._leases.grant(now, queue, tracked)
         if command is None:
             self._request_pollers(now, queue)
-            # A worker that had the message may still report its end: a new lease would refuse the report.
+            # A worker that received the message may still report its end; a new lease would void that report.
             if tracked.entry.leases_granted or not _may_pregrant(queue):
                 return False
             command = self._leases.pregrant(now, queue, tracked)
@@ -113,7 +116,7 @@
     def _dispatch_pregranted(
         self, now: float, queue: ServiceQueue, tracked: TrackedMessage, grant: GrantLease
     ) -> bool:
-        """Give a message whose lease is committed to a worker; False where none waits."""
+        """Send a message whose lease is committed to a waiting worker; False if no worker waits."""
         action = self._leases.dispatch_pregranted(now, queue, tracked, grant)
         if action is None:
             self._request_pollers(now, queue)
@@ -122,7 +125,7 @@
         return True
 
     def _request_pollers(self, now: float, queue: ServiceQueue) -> None:
-        """Request pulling workers, of which none waits here: edge nodes may know of some elsewhere."""
+        """Request pulling workers from the edge nodes, which may have workers that wait at other shards."""
         if not queue.service.pull_mode:
             return
         if now >= queue.pollers_requested_at + queue.pollers_request_interval_s:
--- a/bitternpath/queue/lease_table.py
+++ b/bitternpath/queue/lease_table.py
@@ -1,26 +1,27 @@
-"""Leases at a shard's owner: to whom they go, what capacity they take, and what is sent when.
+"""Leases at a shard's owner: their holders, the capacity they use, and when their messages are sent.
 
-The states of a lease, which follow from the message's `phase`, `lease` and `pregrant`:
+The states of a lease, determined by the message's `phase`, `lease` and `pregrant`:
 
     ==========  ====================================================  ==================================
     state       meaning                                               goes on to
     ==========  ====================================================  ==================================
-    proposed    `GrantLease` is proposed; it takes capacity of its    out, pregranted; released where it
-                edge node and service, or a poll is reserved for it   is void, not proposed, or can't be
-                                                                      sent any more
-    pregranted  committed in advance for a pulling worker; nobody     out, with the next poll; released
-                has the message                                       when the message ends
-    out         the holder has the message; an extension moves the    released
-                lease's end
-    released    its time is over, its edge node's process has ended,  out, by an extension of a pulled
-                or its attempt has                                    lease that is still current
+    proposed    `GrantLease` is proposed; it uses capacity of its     in flight; pregranted; released if
+                edge node and service, or a poll is reserved for it   it is void, was not proposed, or
+                                                                      can no longer be sent
+    pregranted  committed in advance for a pulling worker; the        in flight with the next poll;
+                message has not been sent                             released when the message ends
+    in flight   the message was sent to the holder; an extension      released
+                moves the lease's end
+    released    the lease has timed out, its edge node's process has  in flight again if the holder
+                ended, or the attempt has ended                       extends a pulled lease that is
+                                                                      still current
     ==========  ====================================================  ==================================
 
-In the replicated state (`state`) a lease is current from `GrantLease` to `EndAttempt`, the next `GrantLease`
-or the message's end. So the report of a released lease still counts while no other one is granted: a holder
-that is late has done the work, and nobody else has begun it.
+In the replicated state (`state`) a lease is current from `GrantLease` until `EndAttempt`, the next
+`GrantLease` or the end of the message. A report under a released lease is therefore accepted until another
+lease is granted: the late holder has done the work and no other holder has started it.
 
-A message is sent only after its `GrantLease` has been applied, so that each later owner knows of it.
+A message is sent only after its `GrantLease` has been applied, so that every later owner knows the lease.
 """
 
 from __future__ import annotations
@@ -39,19 +40,19 @@
 from bitternpath.queue.tracked_messages import InFlightLease, MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome
 
-# Beyond the route's time-out: way to the edge node, choice of a worker, way back.
+# Added to the route's time-out for the transfer to the edge node, the choice of a worker and the report.
 PUSH_LEASE_MARGIN_MS = 2_000
 
 
 class LeaseHolders(Struct, frozen=True):
-    """Who may get a lease: edge nodes for messages that are pushed, long polls for those that are pulled."""
+    """Possible holders of leases: edge nodes for pushed messages, long polls for pulled messages."""
 
     edges: EdgeNodeTable
     polls: LongPollTable
 
 
 class LeaseTable:
-    """Leases that are proposed or out, with the capacity they take of edge nodes, services and polls."""
+    """Proposed and in-flight leases, and the capacity they use of edge nodes, services and polls."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         ids: LeaseIdSequence,
         pull_duration_ms: int,
     ) -> None:
-        """Begin without leases; those for pulling workers last `pull_duration_ms`."""
+        """Create an empty table; leases of pulling workers last `pull_duration_ms`."""
         self.pull_duration_ms = pull_duration_ms
         self._services = services
         self._edges = holders.edges
@@ -70,7 +71,7 @@
         self._ids = ids
 
     def grant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease | None:
-        """Return the command that leases a ready message; None where nobody can take it."""
+        """Return the command that leases a ready message, or None if no holder is available."""
         if queue.service.pull_mode:
             command = self._grant_to_poll(now, queue, tracked)
         else:
@@ -80,7 +81,7 @@
         return command
 
     def pregrant(self, now: float, queue: ServiceQueue, tracked: TrackedMessage) -> GrantLease:
-        """Return the command that leases a message in advance, to whichever worker polls next."""
+        """Return the command that leases a message in advance for the next worker that polls."""
         lease_id = self._ids.next()
         tracked.lease = InFlightLease(tracked.request_id, lease_id, "", queue.service.name, now)
         tracked.pregrant = GrantLease(tracked.request_id, lease_id, "", self.pull_duration_ms, pulled=True)
@@ -90,7 +91,7 @@
     def dispatch_pregranted(
         self, now: float, queue: ServiceQueue, tracked: TrackedMessage, grant: GrantLease
     ) -> AnswerPoll | None:
-        """Give a message whose lease is committed to a worker that waits; None where none does."""
+        """Return the action that sends a pregranted message to a waiting worker, or None if none waits."""
         poll = self._polls.first(queue.service.name)
         if poll is None:
             return None
@@ -104,24 +105,24 @@
         return AnswerPoll(poll.poll_id, poll.request.edge, grant.lease_id, tracked.entry.message)
 
     def drop_pregrant(self, tracked: TrackedMessage) -> None:
-        """Count a lease in advance no more: it is handed out, void, or not wanted."""
+        """Remove the pregrant of a message: it was dispatched, is void, or is no longer needed."""
         if tracked.pregrant is not None:
             tracked.pregrant = None
             for queue in self._services.all():
                 queue.pregranted.discard(tracked.request_id)
 
     def start_lease(self, now: float, tracked: TrackedMessage, duration_ms: int) -> None:
-        """Regard a message as leased from now."""
+        """Enter phase LEASED for `duration_ms` from now."""
         tracked.enter(MessagePhase.LEASED)
         tracked.lease_ends_at = now + duration_ms / 1000
         self.set_timer(tracked)
 
     def set_timer(self, tracked: TrackedMessage) -> None:
-        """Have the owner re-check a leased message at `lease_ends_at`."""
+        """Set the timer that checks a leased message at `lease_ends_at`."""
         self._timers.set(tracked.lease_ends_at, TimerKind.PHASE, tracked)
 
     def adopt(self, now: float, tracked: TrackedMessage, lease: Lease, duration_ms: int) -> None:
-        """Regard a lease as out from now that is current but was granted by another owner, or released."""
+        """Track a current lease as in flight from now; an earlier owner granted it, or it was released."""
         edge = "" if lease.pulled else lease.holder
         service = "" if tracked.route is None else tracked.route.service
         tracked.lease = InFlightLease(tracked.request_id, lease.lease_id, edge, service, now)
@@ -132,10 +133,10 @@
     def dispatch(
         self, now: float, tracked: TrackedMessage, command: GrantLease
     ) -> SendDelivery | AnswerPoll | None:
-        """Return what is sent now that the grant is committed.
+        """Return the action that sends a message whose grant is committed.
 
-        None: the receiver has disconnected, or the grant took so long that the token of a limited service has
-        lapsed; the lease is then to be ended as not run.
+        Returns None if the receiver has disconnected, or if the grant took so long that the token of a
+        rate-limited service has expired; the caller then ends the attempt as not run.
         """
         lease = tracked.lease
         assert lease is not None, "the caller has found the lease that the command grants"
@@ -148,7 +149,7 @@
         return self._send(lease.edge, tracked, command)
 
     def release(self, tracked: TrackedMessage) -> None:
-        """Free the capacity of a lease that is over or was not granted; a worker meant for it waits on."""
+        """Free the capacity of a lease that has ended or was not granted; its reserved poll waits again."""
         lease = tracked.lease
         if lease is None:
             return
@@ -164,7 +165,7 @@
             queue.in_flight -= 1
 
     def record_outcome(self, now: float, tracked: TrackedMessage, outcome: AttemptOutcome) -> None:
-        """Count the end of the attempt under the message's lease in the concurrency limit of its service."""
+        """Record the end of the attempt under the message's lease in its service's concurrency limit."""
         queue = None if tracked.lease is None else self._services.find(tracked.lease.service)
         if queue is not None:
             queue.concurrency.record_outcome(now, outcome, queue.in_flight)
--- a/bitternpath/queue/lifecycle.py
+++ b/bitternpath/queue/lifecycle.py
@@ -1,7 +1,7 @@
-"""The unended messages of a shard at its owner, and how events take them from phase to phase.
+"""The messages of a shard that have not ended, and the events that move them from phase to phase.
 
-`tracked_messages` has the table of phases. Each event of one message has at most one action as its
-consequence, which is returned; leases of messages that become ready are granted later, by `lease_granting`.
+`tracked_messages` has the table of phases. An event of one message returns at most one action; messages that
+become ready are leased later by `lease_granting`.
 """
 
 from __future__ import annotations
@@ -22,15 +22,18 @@
 from bitternpath.queue.tracked_messages import IDLE_PHASES, MessagePhase, TrackedMessage
 from bitternpath.transport.records import AttemptOutcome
 
-UNLIMITED_ATTEMPTS = 2**31 - 1  # for ends of messages whose route is not known here (yet, or any more)
+UNLIMITED_ATTEMPTS = 2**31 - 1  # `max_attempts` of a message whose route is not in the owner's routing table
 
-# In a row, not run or without an answer: then the message goes to another edge node.
+# After this many consecutive attempts that were not run or got no response, another edge node is chosen.
 RETURNS_BEFORE_EDGE_CHANGE = 2
 _RETURNED_OUTCOMES = frozenset({AttemptOutcome.NOT_RUN, AttemptOutcome.UNKNOWN})
 
 
 class MessageLifecycle:
-    """The unended messages of one shard. Nobody else changes their phases but `Placement` and the leases."""
+    """Messages of one shard that have not ended.
+
+    Only this class, `PhaseAssigner`, `LeaseTable` and `LeaseGranter` change their phases.
+    """
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
         ended: EndedMessages,
         random: Random,
     ) -> None:
-        """Track the messages of `state`; `random` spreads the back-off."""
+        """Track the messages of `state`; `random` provides the jitter of back-off delays."""
         self._state = state
         self._phase_assigner = phase_assigner
         self._leases = leases
@@ -51,18 +54,21 @@
     # ---- the table
 
     def find(self, request_id: str) -> TrackedMessage | None:
-        """Return a tracked message; None where it is unknown or has ended."""
+        """Return a tracked message, or None if it is unknown or has ended."""
         return self._tracked.get(request_id)
 
     def find_leased(self, request_id: str, lease_id: str) -> TrackedMessage | None:
-        """Return a message whose lease, proposed or out, is this one."""
+        """Return the message whose proposed or dispatched lease is `lease_id`, or None."""
         tracked = self._tracked.get(request_id)
         if tracked is None or tracked.lease is None or tracked.lease.lease_id != lease_id:
             return None
         return tracked
 
     def adopt(self, now: float, entry: Entry) -> Action | None:
-        """Track a message of an earlier owner. Its holder may be running it: its lease restarts."""
+        """Track a message accepted under an earlier owner.
+
+        Its lease, if any, restarts now, because the holder may be running the message.
+        """
         tracked = TrackedMessage(entry, accepted_by_this_owner=False)
         self._tracked[entry.message.request_id] = tracked
         if entry.lease is None:
@@ -77,7 +83,7 @@
         tracked.enter(MessagePhase.GRANTING)
 
     def remove_provisional(self, request_id: str) -> None:
-        """Drop a message whose append is surely not in the log."""
+        """Drop a message whose append is known not to be in the log."""
         tracked = self._tracked.pop(request_id, None)
         if tracked is not None:
             self._leases.drop_pregrant(tracked)
@@ -85,12 +91,12 @@
             self._phase_assigner.remove(tracked)
 
     def assign_phase(self, now: float, tracked: TrackedMessage) -> Action | None:
-        """Put a message that is neither leased nor ended into its phase."""
+        """Assign the phase of a message that is neither leased nor ended."""
         command = self._phase_assigner.assign_phase(now, tracked)
         return None if command is None else ProposeCommand(command)
 
     def reassign_if_idle(self, now: float, tracked: TrackedMessage) -> Action | None:
-        """Put a message into its phase where it is idle."""
+        """Assign the phase of a message again if it is in an idle phase."""
         return self.assign_phase(now, tracked) if tracked.phase in IDLE_PHASES else None
 
     # ---- applied commands
@@ -103,14 +109,14 @@
         self._state.restart_delay(entry)
         provisional = self._tracked.get(entry.message.request_id)
         if provisional is not None:
-            provisional.entry = entry  # its lease is the next command
+            provisional.entry = entry  # the next command in the log grants its lease
             return None
         tracked = TrackedMessage(entry, accepted_by_this_owner=True)
         self._tracked[entry.message.request_id] = tracked
         return self.assign_phase(now, tracked)
 
     def lease_granted(self, now: float, result: LeaseGranted) -> Action | None:
-        """Send a message under a lease of this owner that is committed; place it where that is void."""
+        """Dispatch a message whose lease is committed; make it idle if the grant had no effect."""
         command = result.command
         tracked = self.find_leased(command.request_id, command.lease_id)
         if tracked is None:
@@ -125,7 +131,7 @@
         return self._return_unsent(command) if action is None else action
 
     def attempt_ended(self, now: float, result: AttemptEnded) -> Action | None:
-        """Back off, or end the message, after a lease of any owner has ended."""
+        """End the message or apply its back-off after an attempt under a lease of any owner has ended."""
         command = result.command
         tracked = self._tracked.get(command.request_id)
         if tracked is None:
@@ -143,7 +149,7 @@
         return self.assign_phase(now, tracked)
 
     def expiry_applied(self, now: float, result: MessageExpired) -> Action | None:
-        """End a message as a dead letter; place it where the expiry was void."""
+        """End a message as a dead letter; assign its phase again if the expiry had no effect."""
         tracked = self._tracked.get(result.command.request_id)
         if tracked is None:
             return None
@@ -153,29 +159,29 @@
             return self.assign_phase(now, tracked)
         return None
 
-    # ---- proposals that are surely not in the log
+    # ---- proposals that are known not to be in the log
 
     def grant_not_proposed(self, now: float, command: GrantLease) -> Action | None:
-        """Place a message whose lease was not proposed."""
+        """Make a message idle whose lease was not proposed."""
         tracked = self.find_leased(command.request_id, command.lease_id)
         return None if tracked is None else self._make_idle(now, tracked)
 
     def expiry_not_proposed(self, now: float, command: ExpireMessage) -> Action | None:
-        """Place a message whose expiry was not proposed."""
+        """Make a message idle whose expiry was not proposed."""
         tracked = self._tracked.get(command.request_id)
         if tracked is None or tracked.phase is not MessagePhase.EXPIRING:
             return None
         return self._make_idle(now, tracked)
 
     def end_not_proposed(self, command: EndAttempt) -> Action | None:
-        """Propose the end of an attempt again, unless another lease has been granted."""
+        """Propose the end of an attempt again unless another lease has been granted."""
         tracked = self.find_leased(command.request_id, command.lease_id)
         return None if tracked is None else ProposeCommand(command)
 
     # ---- time and edge nodes
 
     def timer_fired(self, now: float, timer: Timer) -> Action | None:
-        """Go on with a message whose delay, back-off, grace, lease or retention is over."""
+        """Process the end of a message's delay, back-off, grace period, lease or retention."""
         tracked = timer.tracked
         if timer.kind is TimerKind.RETENTION:
             if timer.when == tracked.retention_timer:
@@ -185,7 +191,7 @@
             return self.assign_phase(now, tracked)
         if tracked.phase is not MessagePhase.LEASED:
             return None
-        if now < tracked.lease_ends_at:  # it was extended
+        if now < tracked.lease_ends_at:  # the lease was extended
             self._leases.set_timer(tracked)
             return None
         return self._lease_timed_out(now, tracked)
@@ -193,7 +199,7 @@
     def edge_process_ended(self, now: float, request_id: str) -> Action | None:
         """Release a lease of an edge node whose process has ended.
 
-        A worker may still run a message that has an order key: its lease goes on until its end.
+        The lease of an ordered message stays until it times out, since a worker may still be running it.
         """
         tracked = self._tracked[request_id]
         if tracked.phase is not MessagePhase.LEASED or tracked.entry.message.order_key:
@@ -203,7 +209,7 @@
     # ---- reports of holders
 
     def extend(self, now: float, request_id: str, lease_id: str) -> bool:
-        """Extend a pulled lease from now; False where it is not current."""
+        """Extend a pulled lease from now; False if it is not current."""
         tracked = self._tracked.get(request_id)
         lease = None if tracked is None else tracked.entry.lease
         if tracked is None or lease is None or lease.lease_id != lease_id or not lease.pulled:
@@ -220,7 +226,7 @@
     def end_attempt_command(
         self, request_id: str, lease_id: str, outcome: AttemptOutcome, stamp: str, retry_after_ms: int
     ) -> EndAttempt:
-        """Return the command for a holder's report, with the `max_attempts` in force."""
+        """Return the command for a holder's report, with the current `max_attempts`."""
         if outcome is AttemptOutcome.ROUTE_GONE:
             outcome = AttemptOutcome.NOT_RUN
         tracked = self._tracked.get(request_id)
@@ -242,7 +248,10 @@
         return self.assign_phase(now, tracked)
 
     def _lease_timed_out(self, now: float, tracked: TrackedMessage) -> Action | None:
-        """Release a lease whose holder did not report in time. It stays current until the next grant."""
+        """Release a lease whose holder did not report in time.
+
+        It stays current in the replicated state until the next grant.
+        """
         if tracked.lease is not None:
             tracked.avoided_edge = tracked.lease.edge
         self._leases.release(tracked)
@@ -256,7 +265,7 @@
         tracked.retry_at = now + delay
 
     def _end(self, now: float, tracked: TrackedMessage) -> Action | None:
-        """Hand a message over to `EndedMessages`, and place the next one of its order key."""
+        """Move a message to `EndedMessages` and assign the phase of the next one of its order key."""
         self._leases.drop_pregrant(tracked)
         self._leases.release(tracked)
         tracked.enter(MessagePhase.ENDED)
--- a/bitternpath/queue/long_polls.py
+++ b/bitternpath/queue/long_polls.py
@@ -1,4 +1,4 @@
-"""Long polls: pulling workers that wait for a message of one service."""
+"""Long polls of pulling workers, each of which waits for a message of one service."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     """A worker's request for a message."""
 
     poll_id: int  # unique over all edge nodes
-    edge: str  # name of the edge node at which it waits
+    edge: str  # name of the edge node at which the worker waits
     service: str
     instance: str  # id of the worker's instance
-    wait_s: float  # it is answered with nothing after that
+    wait_s: float  # after this time the poll is answered without a message
 
 
 @dataclass(slots=True, eq=False)
 class LongPoll:
-    """A worker that waits."""
+    """A pending poll of a worker."""
 
     request: LongPollRequest
     deadline: float  # local steady time
@@ -30,27 +30,27 @@
 
     @property
     def poll_id(self) -> int:
-        """The number of the poll."""
+        """Identifier of the poll."""
         return self.request.poll_id
 
 
 class LongPollTable:
-    """All waiting workers of a shard, by service: those in the owner's zone first, then the longest wait."""
+    """Pending polls of a shard by service, ordered by zone (the owner's zone first), then by arrival."""
 
     def __init__(self) -> None:
-        """Begin without polls."""
+        """Create an empty table."""
         self._polls: dict[int, LongPoll] = {}
         self._waiting: dict[tuple[str, bool], OrderedDict[int, LongPoll]] = {}  # by service and `is_local`
         self._deadlines: list[tuple[float, int]] = []
 
     def add(self, poll: LongPoll) -> None:
-        """Add a worker that begins to wait."""
+        """Add a poll."""
         self._polls[poll.poll_id] = poll
         self._queue(poll)[poll.poll_id] = poll
         heapq.heappush(self._deadlines, (poll.deadline, poll.poll_id))
 
     def first(self, service: str) -> LongPoll | None:
-        """Return the poll that should get the next message of a service; None where none waits."""
+        """Return the poll that should get the next message of a service, or None if none waits."""
         for is_local in (True, False):
             queue = self._waiting.get((service, is_local))
             if queue:
@@ -58,12 +58,12 @@
         return None
 
     def reserve(self, poll: LongPoll) -> None:
-        """Take a poll out of its queue while a lease for it is being granted; it doesn't expire meanwhile."""
+        """Take a poll out of its queue while a lease for it is being granted; it cannot expire meanwhile."""
         poll.reserved = True
         self._queue(poll).pop(poll.poll_id, None)
 
     def release(self, poll_id: int) -> None:
-        """Put a reserved poll back, before the others: the lease for it was not granted."""
+        """Return a reserved poll to the head of its queue because the lease was not granted."""
         poll = self._polls.get(poll_id)
         if poll is None or not poll.reserved:
             return
@@ -74,7 +74,7 @@
         heapq.heappush(self._deadlines, (poll.deadline, poll_id))
 
     def remove(self, poll_id: int) -> LongPoll | None:
-        """Remove a poll that is answered or cancelled; None where it is unknown."""
+        """Remove and return a poll that is answered or cancelled, or None if it is unknown."""
         poll = self._polls.pop(poll_id, None)
         if poll is not None:
             self._queue(poll).pop(poll_id, None)
@@ -86,14 +86,14 @@
             self.remove(poll.poll_id)
 
     def pop_expired(self, now: float) -> LongPoll | None:
-        """Remove a poll whose deadline has passed, and return it; None where there is none."""
+        """Remove and return a poll whose deadline has passed, or None."""
         when = self.next_deadline()
         if when is None or when > now:
             return None
         return self.remove(heapq.heappop(self._deadlines)[1])
 
     def next_deadline(self) -> float | None:
-        """Return when the next poll expires; None where none will."""
+        """Return when the next poll expires, or None."""
         while self._deadlines:
             poll = self._polls.get(self._deadlines[0][1])
             if poll is not None and not poll.reserved:
--- a/bitternpath/queue/order_queues.py
+++ b/bitternpath/queue/order_queues.py
@@ -1,4 +1,4 @@
-"""First-in-first-out queues of unended messages by order key."""
+"""First-in-first-out queues of the messages of each order key."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class OrderQueues:
-    """Request ids of unended messages, by order key, in log order. Each operation is O(1) on average."""
+    """Request ids of queued messages by order key, in log order. Each operation is O(1) on average."""
 
     def __init__(self) -> None:
-        """Begin without messages."""
+        """Create empty queues."""
         self._queues: dict[str, deque[str]] = {}
-        self._removed: set[str] = set()  # ended while not at the head; dropped once they get there
+        self._removed: set[str] = set()  # ids that ended behind the head; dropped when they reach the head
 
     def append(self, key: str, request_id: str) -> None:
-        """Add a message behind all others of its key."""
+        """Add a message at the end of its key's queue."""
         self._queues.setdefault(key, deque()).append(request_id)
 
     def head(self, key: str) -> str | None:
-        """Return the only message of a key that may be leased; None where none waits."""
+        """Return the first message of a key, the only one that may be leased, or None."""
         queue = self._queues.get(key)
         return queue[0] if queue else None
 
     def remove(self, key: str, request_id: str) -> None:
-        """Take out a message that has ended, wherever in the queue it is."""
+        """Remove a message that has ended, at any position in its queue."""
         self._removed.add(request_id)
         queue = self._queues.get(key)
         while queue and queue[0] in self._removed:
--- a/bitternpath/queue/owner.py
+++ b/bitternpath/queue/owner.py
@@ -1,22 +1,25 @@
 """Decisions of the owner of a queue shard.
 
-`ShardOwner` is a pure decider: its inputs are events, each a call with the time, its outputs are `actions`
-for the role that holds it. It reads the replicated state and changes it only by the commands it proposes. All
-it knows beyond the state is lost with the ownership; a new owner starts from `leadership_acquired`.
+`ShardOwner` does no input or output. Its inputs are events, each a method call with the current time; its
+outputs are `actions`, which its role carries out. It reads the replicated state and changes it only through
+the commands that it proposes. Everything else that it stores is lost when ownership changes; a new owner
+starts from `leadership_acquired`.
 
 Invariants:
 
-- a message is sent only after its `GrantLease` has been applied, so that each later owner knows of the lease;
-- a lease of an earlier owner restarts when a new owner begins: its holder may be running the message;
-- after each event the owner's role calls `next_wakeup`, and `tick` at that time: nothing waits for another
-  event whose time has come.
+- A message is sent only after its `GrantLease` has been applied, so that every later owner knows the lease.
+- A lease granted by an earlier owner restarts when a new owner takes over, since its holder may be running
+  the message.
+- After each event the owner's role calls `next_wakeup`, and calls `tick` at that time, so that a due timer
+  never waits for an unrelated event.
 
-Ways in which messages came to a standstill, and what prevents them:
+Faults that left messages undelivered, and what prevents them:
 
-- a failed leadership transfer had rejected proposals; `proposal_failed` retries each;
-- an edge node that is partitioned from the workers returned a message again and again: after
-  `lifecycle.RETURNS_BEFORE_EDGE_CHANGE` returns it goes to another one;
-- a message ready for a pulling worker waited at one shard while workers waited at others: `RequestPollers`.
+- A failed leadership transfer had rejected proposals: `proposal_failed` retries each of them.
+- An edge node partitioned from the workers returned the same message repeatedly: after
+  `lifecycle.RETURNS_BEFORE_EDGE_CHANGE` returns the message goes to another edge node.
+- A message for pulling workers waited at one shard while workers waited at others: `RequestPollers` moves
+  workers to the shard.
 """
 
 from __future__ import annotations
@@ -63,37 +66,37 @@
 from bitternpath.queue.tracked_messages import TrackedMessage
 from bitternpath.transport.records import AttemptOutcome, Message
 
-# Beyond the visibility time-out: the worker counts from an answer that is later than the grant.
+# Added to the visibility time-out: the worker measures it from the response, which arrives after the grant.
 PULL_LEASE_MARGIN_MS = 500
-DEFAULT_RETENTION_S = 90.0  # for tombstones while there is no configuration
+DEFAULT_RETENTION_S = 90.0  # used for tombstones while no configuration is known
 
 
 class OwnerSettings(Struct, frozen=True):
     """Values of the settings' `bounds` (DEPLOY, "Settings of a process") that shards need."""
 
-    visibility_timeout_ms: int = 3_000  # `visible_ms`: a pulled message is given to nobody else for so long
-    status_retention_s: float = 120.0  # `status_s`: states of ended messages are answered for so long
+    visibility_timeout_ms: int = 3_000  # `visible_ms`: how long a pulled message is hidden from other workers
+    status_retention_s: float = 120.0  # `status_s`: how long clients may query the state of an ended message
     rate_window_s: float = 5.0  # `ceiling_window_s`: sliding window of rate limits
-    rate_tolerance: float = 1.1  # `origin_rate_over`: factor on a rate, within each window
+    rate_tolerance: float = 1.1  # `origin_rate_over`: factor by which a window may exceed the rate
 
 
 class OwnedShard(Struct, frozen=True):
-    """Which shard is owned, and where."""
+    """Number of the owned shard, and the environment of its owner."""
 
     number: int
-    shard_count: int  # of the system
-    zone: str  # of the owner's node
+    shard_count: int  # number of shards in the system
+    zone: str  # zone of the owner's node
 
 
 class ShardOwner:
-    """Owner of one shard, over the state that its replica applies.
+    """Owner of one shard; reads the state that its replica applies.
 
-    Each event returns the actions to carry out now, in order. Times are on the local steady clock, in
-    seconds, and never go back.
+    Each event method returns the actions to carry out, in order. Times are in seconds on the local steady
+    clock and never decrease.
     """
 
     def __init__(self, state: QueueState, shard: OwnedShard, settings: OwnerSettings, random: Random) -> None:
-        """Begin without messages; call `leadership_acquired` before anything else."""
+        """Create an owner without messages; call `leadership_acquired` before any other method."""
         bound = RateBound(shard.shard_count, settings.rate_window_s, settings.rate_tolerance)
         self._state = state
         self._actions: list[Action] = []
@@ -124,7 +127,10 @@
     # ---- events: ownership, configuration, edge nodes
 
     def leadership_acquired(self, now: float, epoch: int) -> list[Action]:
-        """Begin, once all commands of earlier epochs are applied. Each lease counts as extended now."""
+        """Adopt the messages of the state. Each existing lease restarts at `now`.
+
+        The caller has applied all commands of earlier epochs.
+        """
         self._lease_ids.epoch = epoch
         for entry in self._state:
             if entry.ended:
@@ -134,7 +140,7 @@
         return self._grant_and_collect_actions(now)
 
     def configure(self, now: float, table: RoutingTable) -> list[Action]:
-        """Follow another configuration from now on; an older one than the present one is ignored."""
+        """Apply a configuration; one older than the current one is ignored."""
         if self._routes.table is not None and table.version < self._routes.table.version:
             return []
         self._services.configure(now, table.services)
@@ -144,12 +150,15 @@
         return self._grant_and_collect_actions(now)
 
     def set_capacities(self, now: float, slots: dict[str, int]) -> list[Action]:
-        """Take the number of slots that the listed workers of each service have."""
+        """Set the number of slots that the listed workers of each service have."""
         self._services.set_capacities(slots)
         return self._grant_and_collect_actions(now)
 
     def edge_connected(self, now: float, name: str, zone: str) -> list[Action]:
-        """Use an edge node that is connected. Call `edge_process_ended` first for an earlier process."""
+        """Send messages to an edge node that has connected.
+
+        If it replaces an earlier process of the same node, call `edge_process_ended` first.
+        """
         edge = self._edges.get_or_add(name)
         edge.zone = zone
         edge.connected = True
@@ -157,13 +166,13 @@
         return self._grant_and_collect_actions(now)
 
     def edge_disconnected(self, now: float, name: str) -> list[Action]:
-        """Send nothing to an edge node that is away. Its leases go on: it may be running the messages."""
+        """Stop sending to an edge node. Its leases remain, since it may be running the messages."""
         self._edges.get_or_add(name).connected = False
         self._polls.remove_of_edge(name)
         return self._grant_and_collect_actions(now)
 
     def edge_process_ended(self, now: float, name: str) -> list[Action]:
-        """Release the leases of an edge node whose process has ended, of messages without an order key."""
+        """Release the leases of an edge node whose process has ended, except for ordered messages."""
         edge = self._edges.get_or_add(name)
         edge.connected = False
         edge.process_ended_at = now
@@ -175,14 +184,14 @@
     # ---- events: rate limits that shards share
 
     def lend_tokens(self, now: float, service: str, wanted: int) -> int:
-        """Lend tokens of a service whose home is this shard; returns how many.
+        """Lend tokens of a service whose home shard is this one; returns the number lent.
 
-        The caller knows that this owner has no successor yet.
+        The caller has confirmed that this owner has no successor yet.
         """
         return self._pools.lend(now, service, wanted)
 
     def tokens_lent(self, now: float, service: str, tokens: int, requested_at: float) -> list[Action]:
-        """Take the answer to `BorrowTokens`, which was handed over at `requested_at`."""
+        """Process the response to a `BorrowTokens` action that was returned at `requested_at`."""
         queue = self._services.find(service)
         if queue is not None and queue.borrower is not None:
             queue.borrower.tokens_lent(now, tokens, requested_at)
@@ -192,44 +201,47 @@
     # ---- events: workers that pull, reports of holders, call-backs
 
     def poll(self, now: float, request: LongPollRequest) -> list[Action]:
-        """Have a worker wait for a message at an edge node."""
+        """Register a worker that waits for a message at an edge node."""
         is_local = self._edges.is_local(request.edge)
         self._polls.add(LongPoll(request, now + request.wait_s, is_local))
         self._services.mark_dirty(request.service)
         return self._grant_and_collect_actions(now)
 
     def cancel_poll(self, now: float, poll_id: int) -> list[Action]:
-        """Let a worker wait no more; a message that is being leased to it will be returned."""
+        """Cancel a worker's poll; a message that is being leased to it will be returned."""
         self._polls.remove(poll_id)
         return self._grant_and_collect_actions(now)
 
     def extend(self, now: float, request_id: str, lease_id: str) -> bool:
-        """Extend the lease of a pulled message, which is not in the log; False where it is not current."""
+        """Extend the lease of a pulled message; False if the lease is not current.
+
+        Extensions are not written to the log.
+        """
         return self._lifecycle.extend(now, request_id, lease_id)
 
     def end_attempt_command(
         self, request_id: str, lease_id: str, outcome: AttemptOutcome, stamp: str, retry_after_ms: int
     ) -> EndAttempt:
-        """Return the command for a holder's report, with the `max_attempts` in force. The caller proposes it.
+        """Return the command for a holder's report, with the current `max_attempts`. The caller proposes it.
 
-        A report that the route no longer exists returns the message: the holder's configuration may be older
-        than the message. Whether the message ends is decided here, by the table in force.
+        A report that the route no longer exists only returns the message, since the holder's configuration
+        may be older than the message. The owner's own routing table decides whether the message ends.
         """
         return self._lifecycle.end_attempt_command(request_id, lease_id, outcome, stamp, retry_after_ms)
 
     def callback_report(self, now: float, request_id: str, *, acknowledged: bool) -> list[Action]:
-        """Take an edge node's report on a call-back, which the receiver acknowledged or not."""
+        """Process an edge node's report on whether a receiver acknowledged a call-back."""
         self._ended.callbacks.report(now, request_id, acknowledged=acknowledged)
         return self._grant_and_collect_actions(now)
 
     # ---- events: the log
 
     def append_proposed(self, now: float, message: Message) -> list[Action]:
-        """Lease a message whose append has just been proposed, where that can be at once.
+        """Lease a message whose append has just been proposed, if it can be leased immediately.
 
-        The lease goes into the log right behind the append: one round of replicas and one sync for both.
-        Returns nothing where the message has to wait; else call `append_failed` should the append surely
-        never be in the log.
+        The grant follows the append in the log, so that both share one replication round and one sync.
+        Returns no actions if the message has to wait. If it returns actions and the append is known to have
+        failed, the caller calls `append_failed`.
         """
         request_id = message.request_id
         if self._lifecycle.find(request_id) is not None or self._state.find(request_id) is not None:
@@ -244,11 +256,14 @@
         return self._grant_and_collect_actions(now)
 
     def append_failed(self, request_id: str) -> None:
-        """Drop a message whose append, for which `append_proposed` gave actions, is surely not in the log."""
+        """Drop a message for which `append_proposed` returned actions but whose append has failed.
+
+        The caller knows that the append will never be in the log.
+        """
         self._lifecycle.remove_provisional(request_id)
 
     def applied(self, now: float, result: Result) -> list[Action]:
-        """Follow a command that has been applied to the state; call it after each one, before the next."""
+        """Process the result of an applied command; called after each command, before the next is applied."""
         match result:
             case MessageAppended(is_new=True):
                 self._emit_optional(self._lifecycle.message_appended(now, result))
@@ -266,7 +281,7 @@
         return self._grant_and_collect_actions(now)
 
     def proposal_failed(self, now: float, command: Command) -> list[Action]:
-        """Make up for a proposal that is surely not in the log, though this owner still owns the shard."""
+        """Retry or undo a proposal that is known not to be in the log; this owner still owns the shard."""
         match command:
             case GrantLease():
                 self._emit_optional(self._lifecycle.grant_not_proposed(now, command))
@@ -280,7 +295,7 @@
             case RemoveTombstones():
                 self._retry_removal(now, command)
             case AppendMessage():
-                pass  # the client's request is refused, and repeated there
+                pass  # the edge node gets a refusal; it retries the append or rejects the client's message
         return self._grant_and_collect_actions(now)
 
     # ---- time
@@ -297,7 +312,7 @@
         return self._grant_and_collect_actions(now)
 
     def next_wakeup(self, now: float) -> float | None:
-        """Return when `tick` is wanted next; None: not before another event."""
+        """Return when to call `tick` next; None if no timer is set."""
         times = (
             self._timers.next_time(),
             self._services.next_wakeup(),
--- a/bitternpath/queue/phase_assignment.py
+++ b/bitternpath/queue/phase_assignment.py
@@ -1,4 +1,4 @@
-"""Which phase an idle message is in: unrouted, blocked, delayed or ready; or that it is to end."""
+"""Assigns the phase of an idle message: unrouted, blocked, delayed or ready, or expiring if it is to end."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
 from bitternpath.queue.timers import TimerKind, TimerQueue
 from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 
-# Seconds between the loss of its route and a message's end. An edge node may accept by a configuration older
-# than both the removal of a route and its return; the message was then sent when the route was there again.
+# Seconds from the removal of a message's route to the end of the message. A client may send a message after a
+# removed route has returned, to an edge node that still accepts by a configuration older than both changes.
 UNROUTED_GRACE_S = 3.0
 
 
 class PhaseAssigner:
-    """Puts messages that are neither leased nor ended into a phase, by the configuration in force."""
+    """Assigns phases to messages that are neither leased nor ended, by the current configuration."""
 
     def __init__(
         self, state: QueueState, routes: RouteIndex, services: ServiceQueueTable, timers: TimerQueue
     ) -> None:
-        """Place by `state` and `routes`, into the queues of `services`, or until a timer of `timers`."""
+        """Use the order keys of `state` and the routes of `routes`.
+
+        Ready messages enter the queues of `services`; other phases set timers in `timers`.
+        """
         self._state = state
         self._routes = routes
         self._services = services
         self._timers = timers
 
     def assign_route(self, tracked: TrackedMessage) -> None:
-        """Set the route of a message by the configuration in force."""
+        """Set the route of a message by the current configuration."""
         self._routes.assign(tracked)
 
     def remove(self, tracked: TrackedMessage) -> None:
-        """Remove a message that has ended, or was not appended after all."""
+        """Remove a message that has ended or whose append has failed."""
         self._routes.remove(tracked)
 
     def assign_phase(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
-        """Enter the phase in which a message is now; returns the command where it is to be ended."""
+        """Assign the current phase of a message; returns a command if the message is to end."""
         self._routes.assign(tracked)
         entry = tracked.entry
         route = tracked.route
@@ -59,7 +62,10 @@
         return None
 
     def _assign_unrouted(self, now: float, tracked: TrackedMessage) -> ExpireMessage | None:
-        """End a message whose route no longer exists; wait where the table is older than the message."""
+        """End a message whose route was removed, after a grace period.
+
+        A message that is newer than the routing table waits for a newer table.
+        """
         tracked.enter(MessagePhase.UNROUTED)
         table = self._routes.table
         if table is None or table.version < tracked.entry.message.accepted_version:
--- a/bitternpath/queue/rate_limits.py
+++ b/bitternpath/queue/rate_limits.py
@@ -1,19 +1,19 @@
-"""How the rate limit of a service is divided among the token buckets of the shards.
+"""Division of a service's rate limit among the token buckets of the shards.
 
-RULES, "CEILING": in each sliding window of `window_s`, arrivals at a service over all shards stay at or below
-`rate * window_s * tolerance + 5`. A token is spent when a lease is granted; the arrival follows within
-`MAX_SEND_DELAY_S`. Tokens spent in a span W by one bucket are at most refill * W + burst, so the bound holds
-if
+RULES, "CEILING": in each sliding window of `window_s`, the arrivals at a service over all shards must not
+exceed `rate * window_s * tolerance + 5`. A token is spent when a lease is granted; the arrival follows within
+`MAX_SEND_DELAY_S`. One bucket spends at most `refill * W + burst` tokens in a span W, so the bound holds if
 
     shards * (refill * (window_s + MAX_SEND_DELAY_S) + burst) <= rate * window_s * tolerance + 5.
 
-A bucket starts empty when a shard gets a new owner: its predecessor may just have spent its burst.
+A bucket starts empty when a shard gets a new owner, since the previous owner may just have spent its burst.
 
-Where equal shares are small, a shard whose keys belong to a busy service has too little while others have too
-much. Then each shard has a smaller one, and the rest is a pool: a bucket at the owner of the service's home
-shard, which lends tokens to the shards where messages wait (`quota_leases`). A lent token lapses
-`QUOTA_LEASE_S` after it was asked for. An owner of the home shard lends only while it surely leads, and for
-at most `LENDER_OVERLAP_S` beside its successor, whose pool starts empty. So the pool's tokens arrive within
+With small equal shares, a shard that stores many messages of a service has too few tokens while other shards
+have more than they need. Each shard then gets a smaller base share, and the rest of the rate is a pool: a
+bucket at the owner of the service's home shard, which lends tokens to the shards where messages wait
+(`quota_leases`). A lent token expires `QUOTA_LEASE_S` after it was requested. The owner of the home shard
+lends only while its leadership is confirmed, which overlaps with its successor for at most
+`LENDER_OVERLAP_S`; the successor's pool starts empty. The arrivals of pool tokens therefore follow within
 `MAX_POOL_DELAY_S`, and the bound is
 
     shards * (refill * (window_s + MAX_SEND_DELAY_S) + burst)
@@ -26,39 +26,40 @@
 
 from bitternpath.queue.token_bucket import NO_SHARE, BucketShare
 
-ALLOWED_EXCESS = 5.0  # arrivals a window beyond the rate (RULES, "CEILING")
-EDGE_SEND_DELAY_S = 0.5  # an edge node sends within this time of receiving a lease, or hands it back
-MAX_GRANT_DELAY_S = 0.25  # a lease whose grant takes longer to commit is handed back unsent
+ALLOWED_EXCESS = 5.0  # arrivals per window that may exceed the rate (RULES, "CEILING")
+EDGE_SEND_DELAY_S = 0.5  # an edge node sends a leased message within this time or returns it
+MAX_GRANT_DELAY_S = 0.25  # a lease whose grant takes longer to commit is returned without sending
 MAX_SEND_DELAY_S = EDGE_SEND_DELAY_S + MAX_GRANT_DELAY_S
-# A limit is pooled over so many shards where an equal share is below so many tokens in a window: chance then
-# loads shards too unevenly. Else equal shares are better: they use nearly all of the rate.
+# A limit is pooled if there are at least this many shards and an equal share has fewer than this many tokens
+# per window, since random load is then too uneven between shards. Otherwise equal shares are better because
+# they use nearly the full rate.
 MIN_POOLED_SHARDS = 8
 MAX_POOLED_TOKENS_PER_SHARD = 16.0
-BASE_FRACTION = 0.15  # of a pooled service's rate that is shared equally
-QUOTA_LEASE_S = 0.4  # a lent token is spent within this time of being asked for, or lapses
-LENDER_OVERLAP_S = 0.5  # a former owner of the home shard may lend for so long beside its successor
+BASE_FRACTION = 0.15  # fraction of a pooled service's rate that is divided into equal shares
+QUOTA_LEASE_S = 0.4  # a lent token expires this long after it was requested
+LENDER_OVERLAP_S = 0.5  # maximum time in which a former owner of the home shard and its successor both lend
 MAX_POOL_DELAY_S = MAX_SEND_DELAY_S + QUOTA_LEASE_S + LENDER_OVERLAP_S
-_POOL_BURST = 6.0  # tokens, at least where the bound allows it: shards ask ten times a second at most
-_MIN_BURST = 1.0  # a smaller bucket never holds a complete token
+_POOL_BURST = 6.0  # tokens, if the bound allows it; shards request tokens at most ten times a second
+_MIN_BURST = 1.0  # a bucket with a smaller burst never contains a full token
 
 
 class RateBound(Struct, frozen=True):
-    """The bound on the arrivals at each rate-limited service, by settings that all nodes have in common."""
+    """Bound on the arrivals at each rate-limited service; its settings are the same on all nodes."""
 
     shard_count: int
     window_s: float
-    tolerance: float  # factor on the rate, 1 or more
+    tolerance: float  # factor by which the rate may be exceeded within a window, at least 1
 
     def allowed(self, rate_per_s: float) -> float:
-        """Return the arrivals at a service that a window may have, over all shards."""
+        """Return the maximum number of arrivals at a service per window, over all shards."""
         return rate_per_s * self.window_s * self.tolerance + ALLOWED_EXCESS
 
 
 class RateSplit(Struct, frozen=True):
-    """How a service's rate is divided."""
+    """Division of a service's rate into equal shares and a pool."""
 
-    base: BucketShare  # of each shard
-    pool: BucketShare  # from which the shards borrow
+    base: BucketShare  # share of each shard
+    pool: BucketShare  # share of the pool from which the shards borrow
 
     @property
     def is_pooled(self) -> bool:
@@ -67,11 +68,11 @@
 
 
 def equal_share(rate_per_s: float, bound: RateBound) -> BucketShare:
-    """Return the largest share up to rate/shards that keeps the bound with a burst of one token or more.
+    """Return the largest share up to rate/shards that keeps the bound with a burst of at least one token.
 
-    Many shards or a low rate can push the refill under rate/shards: the bound goes first, and the service
-    then gets less than its rate. Where even one token a window for each shard would break the bound
-    (rate * window_s * tolerance + 5 < shards), the share is nothing at all.
+    With many shards or a low rate the bound requires a refill below rate/shards, and the service gets less
+    than its rate. If even one token per window and shard would exceed the bound
+    (rate * window_s * tolerance + 5 < shards), the share is empty.
     """
     allowed = bound.allowed(rate_per_s) / bound.shard_count
     if allowed < _MIN_BURST:
@@ -82,9 +83,9 @@
 
 
 def split_rate(rate_per_s: float, bound: RateBound) -> RateSplit:
-    """Divide a rate: equal shares where they are large, else a part in equal shares and the rest in a pool.
+    """Divide a rate into equal shares, or into smaller base shares and a pool if equal shares are small.
 
-    Where equal shares of a part would take half of what the bound allows, all is in the pool.
+    If the base shares alone would use more than half of the allowed arrivals, everything goes to the pool.
     """
     allowed = bound.allowed(rate_per_s)
     shards = bound.shard_count
--- a/bitternpath/queue/ready_queue.py
+++ b/bitternpath/queue/ready_queue.py
@@ -1,4 +1,4 @@
-"""Messages of one service that may be leased now, in the order in which they should be."""
+"""Messages of one service that may be leased now, in the order in which to lease them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from bitternpath.queue.tracked_messages import MessagePhase, TrackedMessage
 
-# After a message was due, a start is worth little (SYSTEM, tables of requests: "late").
+# From the due time of a message; later starts have little value (SYSTEM, tables of requests: "late").
 STALE_AFTER_S = 15.0
 
 
@@ -23,9 +23,9 @@
 
 
 class _CandidateHeap:
-    """A heap of candidates by the time at which they should start, then by age.
+    """A heap of candidates, ordered by target start time and then by age.
 
-    Candidates that have left the phase READY stay until they come first.
+    Candidates that have left the phase READY are removed when they reach the top.
     """
 
     def __init__(self) -> None:
@@ -48,14 +48,14 @@
 
 
 class _PriorityClass:
-    """Candidates of one priority: those that can still start in time, and those that are late."""
+    """Candidates of one priority: those that can still start in time, and late ones."""
 
     def __init__(self) -> None:
         self.timely = _CandidateHeap()
         self.late = _CandidateHeap()
 
     def first_heap(self, now: float) -> _CandidateHeap | None:
-        """Return the heap to take from; candidates whose start target has passed become late here."""
+        """Return the heap with the next candidate; candidates past their start target move to `late` here."""
         while (candidate := self.timely.first()) is not None and candidate.start_by < now:
             self.late.push(self.timely.pop())
         if candidate is not None:
@@ -64,26 +64,29 @@
 
 
 class ReadyQueue:
-    """Orders by priority (0 first), then timely before late, then the nearest start target, then the oldest.
+    """Orders messages by priority (0 first), timely before late ones, nearest start target, and age.
 
-    Messages that were due over `STALE_AFTER_S` ago come after all others, whatever their priority. Each
-    message moves down at most twice, so that an operation is O(log n) on average.
+    Messages that were due more than `STALE_AFTER_S` ago come after all others, regardless of priority. Each
+    message moves between heaps at most twice, so that an operation is O(log n) on average.
     """
 
     def __init__(self) -> None:
-        """Begin without messages."""
+        """Create an empty queue."""
         self._classes: dict[int, _PriorityClass] = {}  # by priority
         self._stale = _CandidateHeap()
 
     def __len__(self) -> int:
-        """Return the most messages that may wait: those that left out of turn count until they come first."""
+        """Return an upper bound of the number of messages.
+
+        Messages that left the phase READY count until they reach the top of their heap.
+        """
         timely_and_late = sum(
             len(priority_class.timely) + len(priority_class.late) for priority_class in self._classes.values()
         )
         return timely_and_late + len(self._stale)
 
     def push(self, tracked: TrackedMessage) -> None:
-        """Add a message in phase READY with its route."""
+        """Add a message that is in phase READY and has a route."""
         route = tracked.route
         assert route is not None
         start_by = tracked.entry.due_at + route.start_target_ms / 1000
@@ -91,7 +94,7 @@
         self._classes.setdefault(route.priority, _PriorityClass()).timely.push(candidate)
 
     def first(self, now: float) -> TrackedMessage | None:
-        """Return the message to lease next; it leaves the queue when it leaves the phase READY."""
+        """Return the message to lease next; it leaves the queue by leaving the phase READY."""
         for priority in sorted(self._classes):
             heap = self._first_heap(priority, now)
             candidate = None if heap is None else heap.first()
--- a/bitternpath/queue/results.py
+++ b/bitternpath/queue/results.py
@@ -1,4 +1,4 @@
-"""What applying a command to a shard's state did. Each result carries its decoded command."""
+"""Results of applying commands to a shard's state. Each result contains its decoded command."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
     """Result of `AppendMessage`."""
 
     command: AppendMessage
-    is_new: bool  # False: the request id was known before
-    state: MessageState  # of the message with this request id
+    is_new: bool  # False if the request id was already known
+    state: MessageState  # state of the message with this request id
 
 
 class LeaseGranted(Struct, frozen=True):
     """Result of `GrantLease`."""
 
     command: GrantLease
-    granted: bool  # False: the message is unknown, has ended, or is not the head of its order key
+    granted: bool  # False if the message is unknown, has ended, or is not the first of its order key
 
 
 class AttemptEnded(Struct, frozen=True):
     """Result of `EndAttempt`."""
 
     command: EndAttempt
-    accepted: bool = False  # the lease was the current one, or has ended before with this very outcome
-    effective: bool = False  # this command ended the lease; False for a repetition
+    accepted: bool = False  # the lease was current, or had already ended with the same outcome
+    effective: bool = False  # this command ended the lease; False for a repeated report
     ended_message: bool = False  # this command ended the message
 
 
@@ -43,21 +43,21 @@
     """Result of `ExpireMessage`."""
 
     command: ExpireMessage
-    ended_message: bool  # False: it had ended, is unknown, or has another lease than the one named
+    ended_message: bool  # False if it is unknown, had ended, or has another lease than the command names
 
 
 class CallbacksConfirmed(Struct, frozen=True):
     """Result of `ConfirmCallbacks`."""
 
     command: ConfirmCallbacks
-    count: int  # call-backs among them that were pending
+    count: int  # number of call-backs that were pending
 
 
 class TombstonesRemoved(Struct, frozen=True):
     """Result of `RemoveTombstones`."""
 
     command: RemoveTombstones
-    count: int  # tombstones that were removed
+    count: int  # number of removed tombstones
 
 
 Result = (
--- a/bitternpath/queue/routes.py
+++ b/bitternpath/queue/routes.py
@@ -1,4 +1,4 @@
-"""The routes of unended messages, and which messages a new configuration concerns."""
+"""The routes of messages that have not ended, and the messages that a new configuration affects."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class RouteIndex:
-    """The route in force of each unended message, looked up once and again when its routes change."""
+    """The current route of each message that has not ended; looked up again only if a change affects it."""
 
     def __init__(self) -> None:
-        """Begin without a configuration."""
+        """Create an index without a routing table."""
         self.table: RoutingTable | None = None
         self._by_route: dict[str, _Members] = {}
         self._unrouted: _Members = {}
 
     def assign(self, tracked: TrackedMessage) -> None:
-        """Set `tracked.route` by the table in force; None where it has none."""
+        """Set `tracked.route` by the current routing table; None if no route matches."""
         if tracked.route is not None:
             return
         message = tracked.entry.message
@@ -37,9 +37,9 @@
             self._members(tracked.route.name).pop(tracked.request_id, None)
 
     def configure(self, table: RoutingTable) -> list[TrackedMessage]:
-        """Take another table.
+        """Replace the routing table and return the affected messages.
 
-        Returns the messages that it concerns, without a route where that may be another one now.
+        The `route` of a returned message is None if another route may match it now.
         """
         old = self.table
         self.table = table
@@ -54,7 +54,7 @@
         return affected
 
     def _update(self, old: Route, new: Route | None) -> Iterator[TrackedMessage]:
-        """Yield the messages that a changed route concerns. Those of an unchanged one cost nothing."""
+        """Yield the messages that a changed route affects. An unchanged route costs no work per message."""
         if old == new:
             return
         members = self._members(old.name)
@@ -68,7 +68,7 @@
                 yield tracked
 
     def _overlapped(self, old: RoutingTable, added: Route) -> Iterator[TrackedMessage]:
-        """Yield the messages of routes with a shorter prefix on the host of a route that is new."""
+        """Yield the messages that an added route may match: those of routes with a shorter prefix."""
         for route in old.routes.values():
             same_host = route.host.lower() == added.host.lower()
             if same_host and added.path_prefix.startswith(route.path_prefix):
@@ -86,10 +86,10 @@
 
 
 def _phase_inputs(route: Route) -> tuple[str, int, int, float]:
-    """Return what decides where an idle message is placed; the rest matters only from its next lease on."""
+    """Return the fields that determine the phase of an idle message; the others affect only later leases."""
     return route.service, route.priority, route.start_target_ms, route.retention_s
 
 
 def _match_changed(old: Route | None, new: Route) -> bool:
-    """Whether a route matches other paths than before."""
+    """Whether a route matches different paths than before."""
     return old is None or (old.host.lower(), old.path_prefix) != (new.host.lower(), new.path_prefix)
--- a/bitternpath/queue/sharding.py
+++ b/bitternpath/queue/sharding.py
@@ -1,4 +1,4 @@
-"""Which shard keeps a message, and the identifiers that name the shard again later."""
+"""The shard of a message, and message and lease identifiers that contain the shard's number."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def shard_for(order_key: str, preferred: int, shard_count: int) -> int:
-    """Return the shard of a new message: by its order key alone where it has one, else the preferred one.
+    """Return the shard of a new message: determined by its order key if it has one, else the preferred one.
 
-    The route takes no part, since a route may move to another service while messages of a key wait.
+    The route is not considered, since it may move to another service while messages of a key are queued.
     """
     return _shard_by_hash(order_key, shard_count) if order_key else preferred % shard_count
 
 
 def home_shard(service: str, shard_count: int) -> int:
-    """Return the shard whose owner holds the pool of a rate-limited service's tokens."""
+    """Return the shard whose owner has the token pool of a rate-limited service."""
     return _shard_by_hash(service, shard_count)
 
 
@@ -31,26 +31,26 @@
 
 
 def message_id(shard: int, request_id: str) -> str:
-    """Return the name of a message for clients: `s<shard>.<request id>`.
+    """Return the message id for clients: `s<shard>.<request id>`.
 
-    Where that would be longer than 64 characters, or the request id has a character outside letters, digits,
-    `-_.`, the request id itself is returned: such a message must not be named to the client (no
-    `X-Message-Id`), is asked for by its request id, and is searched for in all shards.
+    If that is longer than 64 characters, or the request id contains characters other than letters, digits and
+    `-_.`, the request id itself is returned. Such a message gets no `X-Message-Id`; clients query it by its
+    request id, which is looked up in all shards.
     """
     text = f"s{shard}.{request_id}"
     return text if request_id and is_valid_message_id(text) else request_id
 
 
 def is_valid_message_id(text: str) -> bool:
-    """Whether a text may be given to a client as the name of its message."""
+    """Whether a text may be sent to a client as a message id."""
     return len(text) <= MAX_MESSAGE_ID_LENGTH and _ALLOWED.match(text) is not None
 
 
 def split_message_id(text: str) -> tuple[int | None, str]:
-    """Return shard and request id of a message's name; the shard is None where the text is a bare request id.
+    """Return the shard and the request id of a message id; the shard is None for a plain request id.
 
-    A bare request id that happens to have the form of a name yields a shard that doesn't know the rest:
-    callers then search for the complete text in all shards.
+    A plain request id that happens to look like a message id yields a shard that does not know the remainder;
+    callers then look up the complete text in all shards.
     """
     found = _MESSAGE_ID.match(text)
     if found is None:
@@ -59,26 +59,26 @@
 
 
 def lease_id(shard: int, epoch: int, counter: int) -> str:
-    """Return the identifier of a lease, unique over shards and owners: an epoch has one owner, who counts."""
+    """Return a lease id, unique over shards and owners: each epoch has one owner, which counts its leases."""
     return f"{shard}-{epoch}-{counter}"
 
 
 def shard_of_lease(text: str) -> int | None:
-    """Return the shard that granted a lease; None where the text is no lease identifier."""
+    """Return the shard that granted a lease, or None if the text is not a lease id."""
     found = _LEASE_ID.match(text)
     return None if found is None else int(found[1])
 
 
 class LeaseIdSequence:
-    """Draws the lease identifiers of one owner of a shard."""
+    """Generates the lease ids of one owner of a shard."""
 
     def __init__(self, shard: int) -> None:
-        """Begin in epoch 0; the owner sets `epoch` before it grants a lease."""
+        """Start in epoch 0; the owner sets `epoch` before it grants a lease."""
         self.epoch = 0
         self._shard = shard
         self._counter = 0
 
     def next(self) -> str:
-        """Return an identifier that no lease has had."""
+        """Return an unused lease id."""
         self._counter += 1
         return lease_id(self._shard, self.epoch, self._counter)
--- a/bitternpath/queue/snapshot.py
+++ b/bitternpath/queue/snapshot.py
@@ -1,9 +1,9 @@
 """Encoding of a shard's complete state.
 
-A snapshot is a sequence of Avro records, each behind its length (4 bytes, big-endian): a header, then one
-record a message in log order. Times are durations at the moment of the snapshot, with the time of day at
-which it was taken. The records are on disk and on the wire: the order and the types of their fields don't
-change.
+A snapshot is a sequence of Avro records, each preceded by its length (4 bytes, big-endian): a header, then
+one record per message in log order. Times are stored as durations relative to the snapshot; the header has
+its time of day. The records are stored on disk and sent over the network: the order and the types of their
+fields must not change.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 class SnapshotHeader:
     """First record of a snapshot."""
 
-    index: int  # of the last applied command
-    wall_ms: int  # time of day of the snapshot, since 1970
-    entries: int  # records that follow
+    index: int  # log index of the last applied command
+    wall_ms: int  # time of day of the snapshot, in milliseconds since 1970
+    entries: int  # number of records that follow
 
 
 @dataclass(frozen=True, slots=True)
 class SavedLease:
-    """The current lease of a message, as `entries.Lease`."""
+    """Current lease of a message; fields as in `entries.Lease`."""
 
     lease_id: str
     holder: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedEnd:
-    """A lease that has ended, with the outcome of its attempt."""
+    """An ended lease and the outcome of its attempt."""
 
     lease_id: str
     outcome: AttemptOutcome
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedEntry:
-    """One message, as `entries.Entry`."""
+    """One message or tombstone; fields as in `entries.Entry`, with durations for its times."""
 
     message: Message
     index: int
@@ -68,12 +68,12 @@
     callback_pending: bool
     age_ms: int  # since its accept
     delay_left_ms: int  # until it is due
-    ended_ms: int  # since its end; 0: it has not ended
+    ended_ms: int  # since its end; 0 if it has not ended
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """Contents of a snapshot, with its times on the local steady clock."""
+    """Decoded snapshot with times on the local steady clock."""
 
     index: int
     entries: tuple[Entry, ...]
@@ -84,7 +84,7 @@
 
 
 def encode_snapshot(index: int, entries: Iterable[Entry], now: float, wall_ms: int) -> bytes:
-    """Return the bytes of a state whose last applied command is `index`.
+    """Return the snapshot of a state whose last applied command is at `index`.
 
     `now` is the local steady time in seconds, `wall_ms` the time of day in milliseconds since 1970.
     """
@@ -97,7 +97,7 @@
 
 
 def decode_snapshot(data: bytes, now: float, wall_ms: int) -> RestoredState:
-    """Return the state that `encode_snapshot` wrote.
+    """Decode a snapshot written by `encode_snapshot`.
 
     Raises:
         CodecError: the data are damaged or incomplete.
--- a/bitternpath/queue/state.py
+++ b/bitternpath/queue/state.py
@@ -1,9 +1,10 @@
-"""The replicated state of a queue shard: a deterministic function of the commands of its log.
+"""The replicated state of a queue shard: a deterministic function of the commands in its log.
 
-Every replica applies the committed commands in order. What a command does depends on earlier commands only;
-the local clocks given to `QueueState` set the times that the owner's timers use (see `entries`).
+Every replica applies the committed commands in order. The effect of a command depends only on the commands
+before it; the local clocks passed to `QueueState` only set the times that the owner's timers use (see
+`entries`).
 
-A message's state, and the commands that change it:
+The states of a message and the commands that change them:
 
     ===========  ================================================================  ===========
     from         command                                                           to
@@ -19,9 +20,9 @@
     DEAD_LETTER
     ===========  ================================================================  ===========
 
-A message has at most one current lease. `GrantLease` sets it, also in place of another one, while the message
-is QUEUED and the first unended one of its order key; the message's end and `EndAttempt` clear it. All other
-commands leave a state as it is.
+A message has at most one current lease. `GrantLease` sets or replaces it while the message is QUEUED and is
+the first message of its order key that has not ended; `EndAttempt` and the end of the message clear it. In
+all other cases a command does not change the message.
 """
 
 from __future__ import annotations
@@ -54,51 +55,53 @@
 
 
 class QueueState:
-    """Messages of one shard: an entry for each that is known, a tombstone for each that has ended.
+    """Entries of one shard: one for each queued message, and a tombstone for each ended message.
 
-    Only `apply`, `apply_command` and `restore` change it; readers must not change the entries they get.
+    Only `apply`, `apply_command`, `restore` and `restart_delay` change it; callers must not modify the
+    entries that other methods return.
     """
 
     def __init__(self, clock: Callable[[], float], wall_ms: Callable[[], int]) -> None:
-        """Begin without messages.
+        """Create an empty state.
 
-        `clock` is steady, in seconds; `wall_ms` is the time of day in milliseconds since 1970.
+        `clock` returns the steady time in seconds; `wall_ms` returns the time of day in milliseconds since
+        1970.
         """
         self._clock = clock
         self._wall_ms = wall_ms
         self._entries: dict[str, Entry] = {}
         self._order = OrderQueues()
-        self.applied_index = 0  # of the last applied command
-        self.queued = 0  # messages that have not ended
-        self.body_bytes = 0  # of all messages whose body is kept
+        self.applied_index = 0  # log index of the last applied command
+        self.queued = 0  # number of messages that have not ended
+        self.body_bytes = 0  # total size of the stored bodies
 
     def __len__(self) -> int:
-        """Return the number of entries, tombstones included."""
+        """Return the number of entries, including tombstones."""
         return len(self._entries)
 
     def __iter__(self) -> Iterator[Entry]:
-        """Iterate over all entries, tombstones included, in log order."""
+        """Iterate over all entries, including tombstones, in log order."""
         return iter(self._entries.values())
 
     def find(self, request_id: str) -> Entry | None:
-        """Return a message or its tombstone; None where it is unknown."""
+        """Return a message or its tombstone, or None if the request id is unknown."""
         return self._entries.get(request_id)
 
     def restart_delay(self, entry: Entry) -> None:
-        """Count the complete delay of a message from now.
+        """Restart the full delay of a message from now.
 
-        For a message that this replica's owner has accepted a moment ago: no clock of another machine or of
-        the time of day takes part in its delay here.
+        The owner calls this for a message that it has just accepted, so that its delay depends neither on
+        another machine's clock nor on the time of day.
         """
         entry.restart_delay(self._clock())
 
     def is_head(self, entry: Entry) -> bool:
-        """Whether no earlier unended message has its order key."""
+        """Whether no earlier message with the same order key is still queued."""
         key = entry.message.order_key
         return not key or self._order.head(key) == entry.message.request_id
 
     def order_head(self, order_key: str) -> Entry | None:
-        """Return the earliest unended message of an order key; None where there is none."""
+        """Return the earliest queued message of an order key, or None."""
         head = self._order.head(order_key)
         return None if head is None else self._entries[head]
 
@@ -106,8 +109,8 @@
         """Apply the encoded command at `index` of the log.
 
         Raises:
-            CodecError: the bytes are not a command; nothing has changed. The log is damaged, or was written
-                by a newer version; a retry doesn't help.
+            CodecError: the bytes are not a command; the state is unchanged. The log is damaged or was
+                written by a newer version, so a retry does not help.
 
         """
         result = self.apply_command(index, COMMANDS.decode(command))
@@ -115,7 +118,7 @@
         return result
 
     def apply_command(self, index: int, command: Command) -> Result:
-        """Apply a decoded command."""
+        """Apply a decoded command; `applied_index` does not change."""
         match command:
             case AppendMessage():
                 return self._append(index, command)
@@ -131,14 +134,14 @@
                 return self._remove_tombstones(command)
 
     def snapshot(self) -> bytes:
-        """Return the encoded state, which `restore` of any replica takes."""
+        """Return the encoded state; `restore` on any replica accepts it."""
         return encode_snapshot(self.applied_index, self._entries.values(), self._clock(), self._wall_ms())
 
     def restore(self, data: bytes) -> None:
         """Replace the state by a snapshot.
 
         Raises:
-            CodecError: the snapshot is damaged; nothing has changed. Another copy of it may be good.
+            CodecError: the snapshot is damaged; the state is unchanged. Another replica's copy may be intact.
 
         """
         restored = decode_snapshot(data, self._clock(), self._wall_ms())
@@ -194,7 +197,7 @@
         return AttemptEnded(command, accepted=True, effective=True, ended_message=entry.ended)
 
     def _state_after(self, entry: Entry, command: EndAttempt) -> MessageState:
-        """Return the state that the end of its lease gives a message; counts a failed attempt."""
+        """Return the state of a message after an attempt has ended, and count the attempt if it failed."""
         match command.outcome:
             case AttemptOutcome.SUCCEEDED:
                 return MessageState.DONE
--- a/bitternpath/queue/tombstones.py
+++ b/bitternpath/queue/tombstones.py
@@ -1,4 +1,4 @@
-"""When the tombstones of ended messages are removed."""
+"""Removal of the tombstones of ended messages."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from bitternpath.queue.commands import RemoveTombstones
 from bitternpath.queue.entries import Entry
 
-REMOVAL_MARGIN_S = 10.0  # beyond the time for which states are answered: clocks and networks may be slow
-REMOVAL_BATCH_SIZE = 256  # messages a command
-UNCONFIRMED_RECHECK_S = 10.0  # while a call-back is pending
+REMOVAL_MARGIN_S = 10.0  # added to the time for which states can be queried, for slow clocks and networks
+REMOVAL_BATCH_SIZE = 256  # messages per command
+UNCONFIRMED_RECHECK_S = 10.0  # interval of checks while a call-back is pending
 
 
 class TombstoneQueue:
-    """Ended messages by the time at which their tombstones may be removed."""
+    """Ended messages ordered by the time at which their tombstones may be removed."""
 
     def __init__(self, status_retention_s: float) -> None:
-        """Keep tombstones for `status_retention_s`, for which clients may ask for a state, and a margin."""
+        """Retain tombstones for `status_retention_s`, in which clients may query states, plus a margin."""
         self._retention_s = status_retention_s + REMOVAL_MARGIN_S
         self._heap: list[tuple[float, int, Entry]] = []
         self._sequence = 0
@@ -26,13 +26,13 @@
         self._push(entry.ended_at + self._retention_s, entry)
 
     def retry(self, now: float, entry: Entry) -> None:
-        """Add a message again, whose `RemoveTombstones` was surely not proposed."""
+        """Add a message again whose `RemoveTombstones` command was not proposed."""
         self._push(now + UNCONFIRMED_RECHECK_S, entry)
 
     def collect(self, now: float, retention_s: float) -> list[RemoveTombstones]:
-        """Return commands that remove the tombstones whose time is over.
+        """Return commands that remove the tombstones that are due.
 
-        One whose call-back is pending stays until `retention_s` after its accept.
+        A tombstone with a pending call-back is kept until `retention_s` after the message was accepted.
         """
         ids: list[str] = []
         while self._heap and self._heap[0][0] <= now:
@@ -47,7 +47,7 @@
         ]
 
     def next_wakeup(self) -> float | None:
-        """Return when the next tombstone is due; None where there is none."""
+        """Return when the next tombstone is due, or None."""
         return self._heap[0][0] if self._heap else None
 
     def _push(self, when: float, entry: Entry) -> None:
--- a/bitternpath/shards/appends.py
+++ b/bitternpath/shards/appends.py
@@ -1,9 +1,9 @@
-"""Appends messages to a shard until their outcome is known or their deadline has passed.
+"""Appends messages to a shard, with retries until the outcome is known or the deadline has passed.
 
-A rejection promises that the message will never run. It is given only while nothing was sent that could be
-appended: before the first request, or after owners that refused before they proposed anything. From the first
-request whose response was lost the message stays with its shard. An append is idempotent by its request id,
-so it is retried there until it is accepted or its outcome is reported as unknown.
+A rejection promises that the message will never run. It is returned only if no request was sent that could
+still be appended: before the first request, or after refusals by owners that had proposed nothing. After a
+request whose response was lost, the message stays with its shard. Appends are idempotent by request id, so
+the append is retried there until it is accepted or its outcome is reported as unknown.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from bitternpath.transport.shard_messages import AppendRequest, AppendResponse, Refused
 
 RETRY_INTERVAL_S = 0.02  # between attempts while the shard has no owner and the outcome is unknown
-CLIENT_RETRY_AFTER_S = 1  # sent to rejected clients: a shard has an owner again within about that time
-MAX_IN_FLIGHT = 2_000  # appends of this node; more are rejected at once
+CLIENT_RETRY_AFTER_S = 1  # sent to rejected clients; a shard without an owner gets one within about that time
+MAX_IN_FLIGHT = 2_000  # appends of this node; further ones are rejected immediately
 
 _REJECTED = Acceptance(AcceptResult.REJECTED, retry_after_s=CLIENT_RETRY_AFTER_S)
 
@@ -45,27 +45,31 @@
         random: Random,
         waiting_worker_group: Callable[[Message], str] = _no_waiting_worker,
     ) -> None:
-        """`waiting_worker_group(message)`: a group at which a worker of this node waits for it, or ""."""
+        """Create an appender that prefers owners in `zone` for messages without an order key.
+
+        `waiting_worker_group(message)` returns a group at which a worker of this node waits for the message,
+        or "".
+        """
         self.clock = clock
         self.owners = owners
         self._zone = zone
         self._random = random
         self._waiting_worker_group = waiting_worker_group
-        self.shard_count = 0  # in the system; 0 until the placement is known
+        self.shard_count = 0  # number of shards in the system; 0 until the placement is known
         self.in_flight = 0
 
     def accept(self, message: Message, deadline_ms: int) -> Deferred[Acceptance]:
-        """Append a message; the result fires within `deadline_ms` milliseconds and never fails."""
+        """Append a message; the Deferred fires within `deadline_ms` milliseconds and never fails."""
         shard = self._choose_shard(message)
         if shard is None or self.in_flight >= MAX_IN_FLIGHT:
             return succeed(_REJECTED)
         return _PendingAppend(self, message, shard, deadline_ms / 1000).result
 
     def _choose_shard(self, message: Message) -> int | None:
-        """The shard of a message; None where that shard has no owner.
+        """Return the shard of a message, or None if no suitable shard has an owner.
 
-        An ordered message has one shard, by its key. Others go to where a worker of this node waits, else to
-        an owner in this zone, else to any owner.
+        The shard of an ordered message is determined by its key. For others, a shard at which a worker of
+        this node waits is preferred, then one with an owner in this zone, then any shard with an owner.
         """
         if not self.shard_count:
             return None
@@ -88,7 +92,7 @@
         self._message = message
         self._shard = shard
         self._group = shard_group(shard)
-        self._outcome_unknown = False  # a request was sent that may have been, or may still be, appended
+        self._outcome_unknown = False  # whether an earlier request may have been or may still be appended
         self._done = False
         self._timer = appender.clock.callLater(deadline_s, self._deadline_passed)
         appender.in_flight += 1
@@ -124,7 +128,7 @@
             self._retry()
 
     def _retry_or_reject(self) -> None:
-        """Nothing came of this attempt; a rejection may say so where that holds for all attempts."""
+        """Handle an attempt that had no effect; reject the message if that is known of all attempts."""
         if self._outcome_unknown:
             self._retry()
         else:
--- a/bitternpath/shards/lease_requests.py
+++ b/bitternpath/shards/lease_requests.py
@@ -1,4 +1,4 @@
-"""A request about a lease, repeated until the shard's owner has answered it."""
+"""Requests about a lease, retried until the shard's owner has responded."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 RETRY_INTERVAL_S = 0.1  # between attempts while the shard has no owner or the outcome is unknown
 
-LeaseRecord = Callable[[int], Record]  # makes the record to send from its request number
+LeaseRecord = Callable[[int], Record]  # returns the record to send, given its request number
 
 
 class LeaseRequest:
-    """One idempotent request about a lease: the end of an attempt, or an extension.
+    """One idempotent request about a lease: the end of an attempt or an extension.
 
-    `result` fires with the owner's answer, or with `UNAVAILABLE` where no owner has answered within
+    `result` fires with the owner's response, or with `UNAVAILABLE` if no owner has responded within
     `timeout_s` seconds. It never fails.
     """
 
@@ -50,7 +50,7 @@
     def _responded(self, record: Response) -> None:
         if isinstance(record, EndAttemptResponse):
             self.result.callback(LeaseAnswer.ACKNOWLEDGED if record.accepted else LeaseAnswer.NOT_CURRENT)
-        else:  # refused by a node that isn't the owner, or its outcome is unknown
+        else:  # the node is not the owner, or the outcome is unknown
             self._retry()
 
     def _retry(self) -> None:
--- a/bitternpath/shards/lookups.py
+++ b/bitternpath/shards/lookups.py
@@ -1,4 +1,4 @@
-"""Looks up the state of a message by its id, on any edge node (PROTOCOL, "Messages")."""
+"""Look-ups of a message's state by its id, which any edge node answers (PROTOCOL, "Messages")."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 from bitternpath.transport.messages import Response
 from bitternpath.transport.shard_messages import StateRequest, StateResponse
 
-LOOKUP_TIMEOUT_S = 1.5  # clients wait for two seconds, including the way there and back
-RETRY_INTERVAL_S = 0.1  # between requests while a shard has no owner, or its owner could not confirm
+LOOKUP_TIMEOUT_S = 1.5  # clients wait for two seconds, including the network round trip
+RETRY_INTERVAL_S = 0.1  # between requests while a shard has no owner or its ownership is not confirmed
 
 LookupResult = FoundMessage | LookupFailure
 
 
 @dataclass(frozen=True, slots=True)
 class _Query:
-    """What all shards are asked alike."""
+    """Parameters of a query, which are the same for every shard."""
 
     request_id: str
     wants_body: bool
-    deadline: float  # of the clock
+    deadline: float  # on the edge node's clock, in seconds
 
 
 class MessageLookup:
-    """Asks the owners of shards for the state of messages."""
+    """Queries the owners of shards for the state of messages."""
 
     def __init__(self, clock: Clock, owners: ShardOwners) -> None:
         self.clock = clock
         self.owners = owners
-        self.shard_count = 0  # in the system; 0 until the placement is known
+        self.shard_count = 0  # number of shards in the system; 0 until the placement is known
 
     def find(self, message_id: str, *, wants_body: bool) -> Deferred[LookupResult]:
-        """Look up by an id that names its shard, or by a request id, for which all shards are asked.
+        """Look up a message by a message id, which names its shard, or by a request id, in all shards.
 
-        A client's request id may look like an id that names a shard. So the message is unknown only once all
-        shards have said so of the complete text. Fires within `LOOKUP_TIMEOUT_S` and never fails.
+        A client's request id may look like a message id. The result is therefore `UNKNOWN_MESSAGE` only if no
+        shard knows the complete text as a request id. Fires within `LOOKUP_TIMEOUT_S` and never fails.
         """
         deadline = self.clock.seconds() + LOOKUP_TIMEOUT_S
         all_shards_query = _Query(message_id, wants_body, deadline)
@@ -65,7 +65,7 @@
 
 
 def _combined(results: list[tuple[bool, LookupResult]]) -> LookupResult:
-    """The result of a search in all shards: unknown only where every shard has said so."""
+    """Combine the results of all shards: the message is unknown only if no shard knows it."""
     found = [result for _, result in results]
     for result in found:
         if isinstance(result, FoundMessage):
@@ -76,7 +76,7 @@
 
 
 class _ShardSearch:
-    """One query to one shard, repeated until its owner has answered."""
+    """One query to one shard, retried until its owner has responded."""
 
     def __init__(self, lookup: MessageLookup, shard: int, query: _Query) -> None:
         self.result: Deferred[LookupResult] = Deferred()
--- a/bitternpath/shards/owners.py
+++ b/bitternpath/shards/owners.py
@@ -1,4 +1,4 @@
-"""Which storage node owns which shard, as the storage nodes announce it, and requests to these owners."""
+"""Owners of the shards as announced by the storage nodes, and requests to these owners."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     """A shard's owner."""
 
     link: Link
-    epoch: int  # rises with each change of owner; of two announcements the higher one holds
-    zone: str  # the owner's failure domain; "" where its node hasn't named one
+    epoch: int  # increases with each change of owner; the announcement with the highest epoch is valid
+    zone: str  # failure domain of the owner; "" if its node has not announced one
 
 
 class _PendingRequest:
-    """A request to an owner. It ends with the first of: its response, the link's end, a change of owner."""
+    """A request to an owner. It ends with its response, the end of the link or a change of owner."""
 
     def __init__(self, link: Link, pending: dict[_PendingRequest, None]) -> None:
         self.link = link
@@ -33,20 +33,17 @@
         pending[self] = None
 
     def complete(self, record: Response) -> None:
-        """Pass the owner's response on; one that arrives after the end is dropped."""
+        """Fire with the owner's response; a response after the end of the request is dropped."""
         if self._end():
             self.response.callback(record)
 
     def fail(self, _: Failure | None = None) -> None:
-        """Fail with `LinkLostError`.
-
-        No response will come, or the node that was asked is no longer the owner.
-        """
+        """Fail with `LinkLostError`: no response will arrive, or the node is no longer the owner."""
         if self._end():
             self.response.errback(LinkLostError())
 
     def _end(self) -> bool:
-        """Whether the request was still pending; it no longer is."""
+        """End the request; returns False if it had already ended."""
         if self not in self._pending:
             return False
         del self._pending[self]
@@ -54,23 +51,23 @@
 
 
 class ShardOwners:
-    """The owners by replica group, and the requests that are pending with them.
+    """The owners by replica group, and the pending requests to them.
 
-    `owner_changed` is called with a group's name after each change of its owner, also when it has none.
+    `owner_changed` is called with a group's name after each change of its owner, including the loss of it.
     """
 
     def __init__(self, owner_changed: Callable[[str], None]) -> None:
         self._owners: dict[str, Owner] = {}
-        self._pending: dict[str, dict[_PendingRequest, None]] = {}  # by group; in the order of sending
+        self._pending: dict[str, dict[_PendingRequest, None]] = {}  # by group, in the order of sending
         self._owner_changed = owner_changed
 
     def request(self, group: str, make_record: Callable[[int], Record]) -> Deferred[Response] | None:
-        """Send the record `make(request number)` to the group's owner; None where the group has no owner.
+        """Send the record `make_record(request number)` to the group's owner; None if it has no owner.
 
-        The result fires with the response record. It fails with `LinkLostError` when the link ends, and as
-        soon as another node announces itself as owner: the one that was asked may be stopped or partitioned,
-        which its link shows only much later. Only for idempotent requests: after a failure the outcome is
-        unknown, and a retry is in order.
+        The result fires with the response record. It fails with `LinkLostError` when the link ends or another
+        node announces itself as the owner, since the former owner may be stopped or partitioned, which its
+        link detects only much later. Use it only for idempotent requests: after a failure the outcome is
+        unknown and the caller has to retry.
         """
         owner = self._owners.get(group)
         if owner is None:
@@ -80,19 +77,22 @@
         return pending.response
 
     def owner(self, group: str) -> Owner | None:
-        """The group's owner as last announced; None where it has none."""
+        """Return the group's owner as last announced, or None."""
         return self._owners.get(group)
 
     def owned_groups(self) -> list[str]:
-        """The groups that have an owner."""
+        """Return the groups that have an owner."""
         return list(self._owners)
 
     def groups_in_zone(self, zone: str) -> list[str]:
-        """The groups whose owner is in a zone."""
+        """Return the groups whose owner is in a zone."""
         return [group for group, owner in self._owners.items() if owner.zone == zone]
 
     def ownership_changed(self, link: Link, ownership: Ownership) -> None:
-        """A storage node announces that it owns a shard, or no longer does; a stale epoch is ignored."""
+        """Process a storage node's announcement that it owns a shard or no longer does.
+
+        An announcement with an older epoch is ignored.
+        """
         current = self._owners.get(ownership.group)
         if ownership.owns:
             if current is not None and current.epoch > ownership.epoch:
@@ -106,7 +106,7 @@
             self._owner_changed(ownership.group)
 
     def link_closed(self, link: Link) -> None:
-        """A link has ended: the node at its other end owns nothing any more, as far as is known."""
+        """Remove the storage node of a closed link as the owner of its shards."""
         groups = [group for group, owner in self._owners.items() if owner.link is link]
         for group in groups:
             del self._owners[group]
@@ -114,7 +114,7 @@
             self._fail_requests_to_others(group)
 
     def _fail_requests_to_others(self, group: str) -> None:
-        """Fail the pending requests to nodes other than the present owner."""
+        """Fail the pending requests to nodes other than the current owner."""
         owner = self._owners.get(group)
         for pending in list(self._pending.get(group, ())):
             if owner is None or pending.link is not owner.link:
--- a/bitternpath/shards/pulls.py
+++ b/bitternpath/shards/pulls.py
@@ -1,8 +1,8 @@
 """Routes pulling workers to shards.
 
-Each worker waits at one shard, whose owner is in this node's zone where there is one, so jobs rarely cross
-zones. A shard that has jobs and no waiting worker notifies a few edge nodes (`WorkAvailable`). Each of them
-moves its share of the workers that wait elsewhere; where it has too few, the workers that come next go there.
+Each worker waits at one shard, if possible one whose owner is in this node's zone, so that jobs rarely cross
+zones. A shard that has jobs but no waiting worker notifies a few edge nodes (`WorkAvailable`). Each of them
+moves its share of the workers that wait at other shards; if it has too few, its next workers go to the shard.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 from bitternpath.transport.records import AttemptOutcome
 from bitternpath.transport.shard_messages import ExtendRequest, WorkAvailable
 
-LEASE_CALL_TIMEOUT_S = 5.0  # for which a worker's end or extension waits for an owner
-DEMAND_TTL_S = 0.5  # of a shard's unmet demand: after that it has asked other nodes, or again
+LEASE_CALL_TIMEOUT_S = 5.0  # maximum time for which a worker's end or extension call waits for an owner
+DEMAND_TTL_S = 0.5  # lifetime of a shard's unmet demand; by then it has notified other nodes or repeats it
 
 
 @dataclass(slots=True)
 class _Demand:
-    """Workers that a shard requested from this node and that it did not have."""
+    """Number of workers that a shard requested from this node and that were not available."""
 
     workers: int
     expires_at: float
 
 
 class PullRouter:
-    """The waiting workers of this node, and calls about the leases that workers hold."""
+    """Waiting workers of this node, and calls about the leases that its workers hold."""
 
     def __init__(
         self, clock: Clock, owners: ShardOwners, reports: AttemptReporter, zone: str, random: Random
@@ -47,11 +47,11 @@
         self._reports = reports
         self._zone = zone
         self._random = random
-        self._waiting: dict[WaitingPull, None] = {}  # in the order of their arrival, which a seed repeats
+        self._waiting: dict[WaitingPull, None] = {}  # in order of arrival; makes seeded runs reproducible
         self._demands: dict[str, dict[str, _Demand]] = {}  # by service and group
 
     def pull(self, service: str, instance: str, wait_ms: int) -> WaitingPull | UnroutedPull:
-        """Wait for a job of a service, for `wait_ms` milliseconds at most."""
+        """Wait for a job of a service for at most `wait_ms` milliseconds."""
         group = self._claim_demand(service) or self._random_group()
         owner = self._owners.owner(group)
         if owner is None:
@@ -62,7 +62,7 @@
         return pull
 
     def work_available(self, work: WorkAvailable) -> None:
-        """Jobs of a service wait at a shard without a worker: this node's share of its workers goes there."""
+        """Move this node's share of workers to a shard at which jobs of a service wait without a worker."""
         owner = self._owners.owner(work.group)
         if owner is None:
             return
@@ -77,9 +77,9 @@
             pull.wait_at(work.group, owner)
 
     def claim_waiting_worker(self, service: str) -> str:
-        """The group at which a worker of this node waits for a job of a service; "" where none does.
+        """Claim a worker of this node that waits for a job of a service, and return its group, or "".
 
-        For a message that is about to be appended: it goes there. Each waiting worker is claimed once.
+        The caller appends a message of the service there. Each waiting worker is claimed only once.
         """
         for pull in self._waiting:
             if pull.service == service and not pull.claimed:
@@ -88,7 +88,10 @@
         return ""
 
     def owner_changed(self, group: str) -> None:
-        """Workers that wait at a shard move to its new owner: the old one may be stopped or partitioned."""
+        """Move the workers that wait at a shard to its new owner.
+
+        The previous owner may be stopped or partitioned.
+        """
         owner = self._owners.owner(group)
         if owner is None:
             return
@@ -97,15 +100,15 @@
                 pull.wait_at(group, owner)
 
     def pull_ended(self, pull: WaitingPull) -> None:
-        """A pull has its result."""
+        """Remove a pull that has its result."""
         self._waiting.pop(pull, None)
 
     def return_job(self, group: str, request_id: str, lease_id: str) -> None:
-        """Report a job that reached no worker as not run."""
+        """Report a job that was not sent to a worker as not run."""
         self._reports.send(AttemptReport(group, request_id, lease_id, AttemptOutcome.NOT_RUN))
 
     def end(self, lease_id: str, request_id: str, status: int, stamp: str) -> Deferred[LeaseAnswer]:
-        """Report the end of a job as its worker states it; never fails."""
+        """Report the end of a job with the status and stamp that its worker sent; never fails."""
         shard = shard_of_lease(lease_id)
         if shard is None:
             return succeed(LeaseAnswer.NOT_CURRENT)
@@ -113,7 +116,7 @@
         return self._reports.send(report, LEASE_CALL_TIMEOUT_S)
 
     def extend(self, lease_id: str, request_id: str) -> Deferred[LeaseAnswer]:
-        """Extend the lease of a worker that still holds its job; never fails."""
+        """Extend the lease of a worker that is still running its job; never fails."""
         shard = shard_of_lease(lease_id)
         if shard is None:
             return succeed(LeaseAnswer.NOT_CURRENT)
@@ -125,12 +128,12 @@
         return LeaseRequest(self._clock, self._owners, group, make_record, LEASE_CALL_TIMEOUT_S).result
 
     def _random_group(self) -> str:
-        """A random group whose owner is in this zone, else any that has an owner; "" where none has."""
+        """Return a random group with an owner in this zone, else any group with an owner, or ""."""
         groups = self._owners.groups_in_zone(self._zone) or self._owners.owned_groups()
         return self._random.choice(groups) if groups else ""
 
     def _claim_demand(self, service: str) -> str:
-        """A group that has recently requested a worker of a service, which it gets; "" where none has."""
+        """Return a group with unmet demand for workers of a service and decrement its demand, or ""."""
         demands = self._demands.get(service, {})
         now = self._clock.seconds()
         for group in list(demands):
--- a/bitternpath/shards/reports.py
+++ b/bitternpath/shards/reports.py
@@ -13,29 +13,29 @@
 from bitternpath.transport.records import AttemptOutcome
 from bitternpath.transport.shard_messages import EndAttemptRequest
 
-REPORT_TIMEOUT_S = 60.0  # longer than any lease: by then the owner has granted the message to another node
+REPORT_TIMEOUT_S = 60.0  # longer than any lease; by then the owner has leased the message again
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptReport:
-    """How an attempt under a lease ended."""
+    """The end of an attempt under a lease."""
 
-    group: str  # of the shard that granted the lease
+    group: str  # group of the shard that granted the lease
     request_id: str
     lease_id: str
     outcome: AttemptOutcome
-    stamp: str = ""  # the worker's, of a success
-    retry_after_ms: int = 0  # least back-off before the owner grants the message again
+    stamp: str = ""  # the worker's stamp if the attempt succeeded
+    retry_after_ms: int = 0  # minimum back-off before the owner leases the message again
 
     def request(self, number: int) -> EndAttemptRequest:
-        """The record for the owner, with its request number."""
+        """Return the record to send to the owner under a request number."""
         return EndAttemptRequest(
             number, self.group, self.request_id, self.lease_id, self.outcome, self.stamp, self.retry_after_ms
         )
 
 
 class AttemptReporter:
-    """Sends attempt reports and counts those that are in flight."""
+    """Sends attempt reports and counts the ones in flight."""
 
     def __init__(self, clock: Clock, owners: ShardOwners) -> None:
         self._clock = clock
@@ -43,7 +43,7 @@
         self.in_flight = 0
 
     def send(self, report: AttemptReport, timeout_s: float = REPORT_TIMEOUT_S) -> Deferred[LeaseAnswer]:
-        """Send a report until an owner has answered, or for `timeout_s` seconds; the result never fails."""
+        """Send a report and retry until an owner responds or `timeout_s` seconds have passed; never fails."""
         self.in_flight += 1
         request = LeaseRequest(self._clock, self._owners, report.group, report.request, timeout_s)
         return request.result.addCallback(self._ended)
--- a/bitternpath/shards/results.py
+++ b/bitternpath/shards/results.py
@@ -1,4 +1,4 @@
-"""What came of a request to the shards, as an edge node gives it to whoever asked."""
+"""Results of requests to the shards, as returned to the other components of an edge node."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 
 
 class AcceptResult(Enum):
-    """What became of a message that a client submitted."""
+    """Outcome of submitting a client's message."""
 
-    ACCEPTED = "accepted"  # f+1 replicas have it on disk
-    REJECTED = "rejected"  # not stored, and never will be: a promise that it won't run
-    UNKNOWN = "outcome unknown"  # may have been stored: nothing is promised
+    ACCEPTED = "accepted"  # stored on disk by f+1 replicas
+    REJECTED = "rejected"  # not stored and never will be; guarantees that it will not run
+    UNKNOWN = "outcome unknown"  # may have been stored; nothing is guaranteed
 
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """The result of submitting a message."""
+    """Result of submitting a message, for the response to the client."""
 
     result: AcceptResult
-    message_id: str = ""  # names an accepted message; "" where its request id does
-    retry_after_s: int = 1  # of a rejected message, for the client
+    message_id: str = ""  # id of an accepted message; "" if its request id identifies it
+    retry_after_s: int = 1  # for the client of a rejected message
 
 
 @dataclass(frozen=True, slots=True)
 class FoundMessage:
-    """A message's state."""
+    """State of a message that was found."""
 
     state: MessageState
-    stamp: str  # the worker's, of a message that is done; else ""
-    body: bytes | None  # None where it wasn't asked for, or is no longer kept
+    stamp: str  # the worker's stamp if the message is done, else ""
+    body: bytes | None  # None if it was not requested or is no longer stored
 
 
 class LookupFailure(Enum):
-    """Why a look-up found no state."""
+    """Reason why a look-up found no state."""
 
     UNKNOWN_MESSAGE = "no such message"
-    UNAVAILABLE = "a shard's owner can't be reached"  # a retry may help
+    UNAVAILABLE = "the owner of a shard can't be reached"  # a retry may help
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,8 +50,8 @@
 
 
 class LeaseAnswer(Enum):
-    """The result of a call about a lease: its end or its extension. The values are the HTTP statuses."""
+    """Result of a call that ends or extends a lease. The values are HTTP statuses."""
 
     ACKNOWLEDGED = 200
-    NOT_CURRENT = 409  # the lease isn't the current one; a retry is useless
+    NOT_CURRENT = 409  # the lease is not the current one; a retry does not help
     UNAVAILABLE = 503  # no owner could be reached; a retry may help
--- a/bitternpath/shards/waiting_pulls.py
+++ b/bitternpath/shards/waiting_pulls.py
@@ -1,8 +1,8 @@
-"""One pulling worker that waits for a job (`ingress.interfaces.PendingPull`).
+"""Pulls of workers that wait for a job (implementations of `ingress.interfaces.PendingPull`).
 
-A pull waits at one shard at a time, as one `PullRequest` to the shard's owner. It may move to another shard,
-which cancels that request and sends another one. A response that was on its way by then still counts: its
-job goes to the worker, and a second job is handed back to its shard as not run.
+A pull waits at one shard at a time, as one `PullRequest` to the shard's owner. Moving to another shard
+cancels that request and sends a new one. If a response to the cancelled request still arrives, its job goes
+to the worker, and a second job is returned to its shard as not run.
 """
 
 from __future__ import annotations
@@ -19,50 +19,48 @@
 from bitternpath.transport.messages import Response
 from bitternpath.transport.shard_messages import PullCancel, PullRequest, PullResponse
 
-RESPONSE_MARGIN_S = 0.5  # beyond the worker's wait, for the owner's response
+RESPONSE_MARGIN_S = 0.5  # added to the worker's wait for the owner's response to arrive
 
 
 @dataclass(frozen=True, slots=True)
 class PullParameters:
-    """What a worker asks for."""
+    """Parameters of a worker's pull."""
 
     service: str
-    instance: str  # the worker's incarnation
+    instance: str  # id of the worker's instance
     wait_s: float
 
 
 class PullListener(Protocol):
-    """What a waiting pull needs of the router that made it; `pulls.PullRouter` is one."""
+    """Callbacks of a waiting pull, implemented by `pulls.PullRouter`."""
 
     def pull_ended(self, pull: WaitingPull) -> None:
-        """The pull has its result and waits nowhere any more."""
+        """Called when the pull has its result and no longer waits."""
 
     def return_job(self, group: str, request_id: str, lease_id: str) -> None:
-        """A job has come whose worker has disconnected, or has another one: report it as not run."""
+        """Called for a job whose worker has disconnected or has another job; it is reported as not run."""
 
 
 class WaitingPull:
-    """A worker that waits at a shard. `result` fires with a job or None, and never fails."""
+    """A worker that waits at a shard. `result` fires with a job or None and never fails."""
 
     def __init__(self, clock: Clock, parameters: PullParameters, listener: PullListener) -> None:
         self.result: Deferred[PulledJob | None] = Deferred()
         self.service = parameters.service
-        self.group = ""  # of the shard at which it waits
-        self.claimed = False  # a message was sent to that shard for this worker
+        self.group = ""  # group of the shard at which it waits
+        self.claimed = False  # whether a message was appended to that shard for this worker
         self._clock = clock
         self._instance = parameters.instance
         self._listener = listener
         self._deadline = clock.seconds() + parameters.wait_s
         self._owner: Owner | None = None
         self._request_number = 0
-        self._generation = (
-            0  # counts the shards at which it has waited; tells the last one's response from others
-        )
+        self._generation = 0  # number of shards at which it has waited; identifies stale responses
         self._done = False
         self._timer = clock.callLater(parameters.wait_s + RESPONSE_MARGIN_S, self._finish, None)
 
     def wait_at(self, group: str, owner: Owner) -> None:
-        """Wait at this shard from now on, in place of any earlier one."""
+        """Wait at this shard and no longer at any previous one."""
         self._cancel_request()
         wait_ms = int((self._deadline - self._clock.seconds()) * 1000)
         if wait_ms <= 0:
@@ -86,13 +84,13 @@
         )
 
     def cancel(self) -> None:
-        """The worker has disconnected; a job that still comes is handed back."""
+        """End the pull because the worker has disconnected; a job that still arrives is returned."""
         if not self._done:
             self._cancel_request()
             self._finish(None)
 
     def waits_at_other_node(self, owner: Owner) -> bool:
-        """Whether it waits at a node other than this owner."""
+        """Whether it waits at another node than this owner's."""
         return self._owner is not None and self._owner.link is not owner.link
 
     def _cancel_request(self) -> None:
@@ -107,7 +105,7 @@
                 self._listener.return_job(group, job.message.request_id, job.lease_id)
                 return
             if generation != self._generation:
-                self._cancel_request()  # it waits at another shard by now
+                self._cancel_request()  # the pull has moved to another shard
             self._finish(job)
         elif generation == self._generation:
             self._finish(None)
@@ -126,14 +124,14 @@
 
 
 class UnroutedPull:
-    """A worker that waits at no shard, because none has an owner: it gets no job."""
+    """A worker that waits without a job because no shard has an owner."""
 
     def __init__(self, clock: Clock, wait_s: float) -> None:
         self.result: Deferred[PulledJob | None] = Deferred()
         self._timer = clock.callLater(wait_s, self.result.callback, None)
 
     def cancel(self) -> None:
-        """The worker has disconnected."""
+        """End the pull because the worker has disconnected."""
         if self._timer.active():
             self._timer.cancel()
             self.result.callback(None)
