--- a/tests/system/delivery/client_case.py
+++ b/tests/system/delivery/client_case.py
@@ -1,4 +1,4 @@
-"""A worker client on a network in memory, in virtual time."""
+"""Test case with a worker client on an in-memory network in virtual time."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class _Socket:
-    """The socket below a connection in memory."""
+    """The socket of an in-memory connection."""
 
     def __init__(self) -> None:
-        self.closed_by_peer = False  # the worker's end has come and isn't read
+        self.closed_by_peer = False  # whether the worker's end of stream has arrived and is unread
 
     def setsockopt(self, *option: int) -> None:
-        """Options show on real sockets only."""
+        """Do nothing; `test_socket_options` checks the options on real sockets."""
 
     def recv(self, size: int, flags: int) -> bytes:
         if not self.closed_by_peer:
@@ -48,7 +48,7 @@
 
 
 class Wire:
-    """A connection in memory, as the client made it and as the worker sees it."""
+    """An in-memory connection: the client's transport and the worker's view of it."""
 
     def __init__(self, network: Network, protocol: Any) -> None:
         self._network = network
@@ -61,7 +61,7 @@
         protocol.makeConnection(self)
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """It shows on real sockets only."""
+        """Do nothing; `test_socket_options` checks the option on real sockets."""
 
     def getHandle(self) -> _Socket:
         return self.socket
@@ -78,7 +78,7 @@
         self.loseConnection()
 
     def take_sent(self) -> bytes:
-        """What has been sent since the last call."""
+        """Return and clear the bytes that the client has sent."""
         sent, self.sent = self.sent, b""
         return sent
 
@@ -93,7 +93,7 @@
 
 
 class Attempt:
-    """A connection that the client dials."""
+    """A connection attempt of the client."""
 
     def __init__(self, network: Network, host: str, port: int, factory: Any, timeout: float) -> None:
         self.address = f"{host}:{port}"
@@ -109,7 +109,7 @@
 
 
 class Network(Clock):
-    """A clock, and the connections that the client dials."""
+    """A clock, and the client's connection attempts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -124,7 +124,7 @@
 
 
 class ClientCase(unittest.TestCase):
-    """A client in virtual time."""
+    """A worker client on an in-memory network."""
 
     def setUp(self) -> None:
         self.network = Network()
@@ -133,7 +133,7 @@
     def deliver(
         self, request_id: str = "r1", target: WorkerTarget = TARGET, deadline_ms: int = DEADLINE_MS
     ) -> list[DeliveryResult]:
-        """Begin a delivery; the list will hold its result."""
+        """Start a delivery; its result is appended to the returned list."""
         results: list[DeliveryResult] = []
         deferred: Deferred[DeliveryResult] = self.client.deliver(target, message(request_id), deadline_ms)
         deferred.addCallback(results.append)
@@ -143,12 +143,12 @@
         return self.network.attempts[index].succeed()
 
     def delivered(self) -> tuple[list[DeliveryResult], Wire]:
-        """A delivery that a worker has read."""
+        """Start a delivery and return its results and the connection over which it was sent."""
         results = self.deliver()
         return results, self.connect()
 
     def idle(self, keep_alive: bytes = b"") -> Wire:
-        """A connection that has carried one delivery."""
+        """Return an idle connection that has carried one delivery."""
         results, wire = self.delivered()
         wire.respond(response(headers=b"X-Server-Stamp: s.1\r\n" + keep_alive))
         self.assert_result(results, AttemptOutcome.SUCCEEDED)
--- a/tests/system/delivery/test_callback_client.py
+++ b/tests/system/delivery/test_callback_client.py
@@ -1,4 +1,4 @@
-"""What receivers of call-backs get, and what the client makes of their responses. On loopback sockets."""
+"""The requests that receivers of call-backs get, and the results of their responses, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Receiver(Protocol):
-    """A connection to a receiver; it keeps what it reads, and answers when the test says so."""
+    """A connection to a receiver; it records requests, and the test sends the responses."""
 
     transport: Any
     connections: list[Receiver]
-    requests: list[tuple[Receiver, Request]]  # every request, in the order in which they came
+    requests: list[tuple[Receiver, Request]]  # all requests in order of arrival
 
     def connectionMade(self) -> None:
         self.reader = RequestReader()
@@ -47,7 +47,7 @@
 
 
 class ReceiverCase(unittest.TestCase):
-    """A receiver on loopback, and a client whose timers the test can fire."""
+    """A receiver on a loopback socket, and a client whose timers the test can fire."""
 
     def setUp(self) -> None:
         Receiver.connections = []
@@ -73,7 +73,7 @@
         Receiver.requests[index][0].transport.write(data)
 
     def fire_timers(self, seconds: float) -> None:
-        """Let the timers that were set for `seconds` run out now."""
+        """Fire the timers that were set for `seconds`."""
         now = self.loopback.reactor.seconds()
         for call in self.loopback.reactor.getDelayedCalls():
             if abs(call.getTime() - now - seconds) < seconds / 2:
@@ -102,7 +102,7 @@
 
 
 class ResponseTest(ReceiverCase):
-    """What a response means."""
+    """The results of responses."""
 
     def test_statuses(self) -> None:
         table = [
@@ -126,7 +126,7 @@
                 self.respond(b"HTTP/1.1 " + status + b"\r\n" + location + body + b"\r\n", index)
                 self.loopback.until(lambda results=results: bool(results))  # type: ignore[misc]
                 self.assertEqual(results, [expected])
-        self.assertEqual(len(Receiver.requests), len(table))  # no redirect was followed, nothing repeated
+        self.assertEqual(len(Receiver.requests), len(table))  # no redirect was followed, no request repeated
 
     def test_a_connection_is_used_again(self) -> None:
         for index in range(3):
@@ -164,7 +164,7 @@
 
 
 class TimeoutTest(ReceiverCase):
-    """Receivers that are slow or full."""
+    """Receivers that are slow or have the maximum number of calls in flight."""
 
     def test_receiver_that_times_out(self) -> None:
         for index, partial_response in enumerate((b"", b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nab")):
--- a/tests/system/delivery/test_connections.py
+++ b/tests/system/delivery/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections of the worker client: their number, reuse and end. The network is in memory."""
+"""Connections of the worker client: their number, reuse and end, on an in-memory network."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ConnectionTest(ClientCase):
-    """Making, sharing, reusing and closing connections."""
+    """Establishing, sharing, reusing and closing connections."""
 
     def test_reuse(self) -> None:
         wire = self.idle()
@@ -196,14 +196,14 @@
 
     def test_idle_connection_past_its_time_is_not_used(self) -> None:
         wire = self.idle(b"Keep-Alive: timeout=1\r\n")
-        self.network.rightNow += 0.7  # before any timer has run, as after a stop of the process
+        self.network.rightNow += 0.7  # no timer has fired yet, as after a stall of the process
         self.deliver("r2")
         self.assertEqual(wire.take_sent(), b"")
         self.assertEqual(len(self.network.attempts), 2)
 
 
 class RemovalTest(ClientCase):
-    """Workers that leave the catalogue, and shutdown of the client."""
+    """Removal of addresses, and shutdown of the client."""
 
     def test_close_idle(self) -> None:
         wire = self.idle()
--- a/tests/system/delivery/test_requests.py
+++ b/tests/system/delivery/test_requests.py
@@ -1,4 +1,4 @@
-"""The bytes of a delivery. The network is in memory and time is virtual."""
+"""The bytes of a delivery's request, on an in-memory network in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RequestTest(ClientCase):
-    """The bytes that a worker reads."""
+    """The request that a worker reads."""
 
     def test_all_fields_of_a_message(self) -> None:
         headers = (Header("Content-Type", "a/b"), Header("X-A", "1"), Header("X-A", "\xe9 2"))
--- a/tests/system/delivery/test_responses.py
+++ b/tests/system/delivery/test_responses.py
@@ -1,4 +1,4 @@
-"""What the client makes of responses, time-outs and broken connections. The network is in memory."""
+"""Results of responses, time-outs and broken connections, on an in-memory network."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ResponseTest(ClientCase):
-    """What a response says about its message."""
+    """The outcome of a delivery by its response."""
 
     def test_outcomes(self) -> None:
         outcome, refusal = AttemptOutcome, RefusalKind
--- a/tests/system/delivery/test_second_responses.py
+++ b/tests/system/delivery/test_second_responses.py
@@ -1,4 +1,4 @@
-"""A message that is sent again, and late second responses to its earlier delivery (PROTOCOL, "Workers")."""
+"""Repeated deliveries of a message, and late second responses to earlier ones (PROTOCOL, "Workers")."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class SecondResponseTest(ClientCase):
-    """A response never ends a later delivery of the same message."""
+    """A second response never ends a later delivery of the same message."""
 
     def ended(self, status: int, headers: bytes = b"") -> Wire:
-        """A connection over which r1 was delivered, and ended with that status."""
+        """Return a connection over which the delivery of r1 got a response with that status."""
         _, wire = self.delivered()
         wire.respond(response(status=status, headers=headers))
         wire.take_sent()
@@ -34,7 +34,7 @@
                 results = self.deliver()  # a retry
                 self.assertEqual(wire.take_sent(), b"", f"sent over the connection that ended with {outcome}")
                 second = self.connect()
-                wire.respond(response(status=status, headers=headers))  # late, and for the first delivery
+                wire.respond(response(status=status, headers=headers))  # late response to the first delivery
                 self.assertEqual(results, [])
                 second.respond(response())
                 self.assert_result(results, SUCCEEDED)
@@ -68,7 +68,7 @@
             self.deliver(request_id)
             wires.append(self.connect())
         wires[0].respond(response("r1", status=500, headers=b""))
-        self.deliver("r3")  # over the first connection
+        self.deliver("r3")  # uses the first connection
         results = self.deliver("r1")
         wires[0].respond(response("r3"))
         self.assertNotIn(b"X-Request-Id: r1", wires[0].take_sent().split(b"body", 1)[1])
--- a/tests/system/delivery/test_socket_options.py
+++ b/tests/system/delivery/test_socket_options.py
@@ -21,7 +21,7 @@
 
 
 class _Worker(Protocol):
-    """A worker that remembers what it read."""
+    """A worker that records the bytes that it reads."""
 
     read = b""
 
--- a/tests/system/queue/checkers.py
+++ b/tests/system/queue/checkers.py
@@ -1,6 +1,7 @@
-"""Checkers of what a queue's clients, workers and receivers have seen; `test_checkers` shows that each fires.
+"""Checkers for the histories of simulated queues; `test_checkers` shows that each of them detects violations.
 
-The rules' names are those of RULES. A history has what happened outside the queue, and what its shards said.
+The names of the rules are those of RULES. A history contains the events at clients, workers and receivers,
+and the responses and reports of the shards.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class Rule(Enum):
-    """A rule of RULES that a history may break."""
+    """A rule of RULES that a history may violate."""
 
     LOST = "LOST"
     ORDER = "ORDER"
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule."""
+    """A violation of a rule."""
 
     rule: Rule
     request_id: str
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A client received its 202."""
+    """A client received a 202 response."""
 
     request_id: str
     sent: float
@@ -69,8 +70,8 @@
     request_id: str
     at: float
     kind: WorkerResponseKind
-    stamp: str  # "" but with a success
-    received: bool  # the sender received the complete response
+    stamp: str  # "" unless it is a success
+    received: bool  # whether the sender received the complete response
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,16 +115,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredMessage:
-    """A message in its shard at the end of a run."""
+    """A message stored in its shard at the end of a run."""
 
     request_id: str
     state: MessageState
-    body: bytes | None  # None: it is done
+    body: bytes | None  # None if the message is done
 
 
 @dataclass(slots=True)
 class History:
-    """All that happened, each list in the order of time."""
+    """All recorded events; each list is in the order of time."""
 
     accepted: dict[str, Accepted] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
@@ -131,7 +132,7 @@
     jobs_received: list[JobReceived] = field(default_factory=list)
     extensions: list[LeaseExtended] = field(default_factory=list)
     ends: list[EndResponse] = field(default_factory=list)
-    released: dict[str, float] = field(default_factory=dict)  # by lease: when its attempt ended
+    released: dict[str, float] = field(default_factory=dict)  # end of the attempt by lease id
     reported: list[StateReported] = field(default_factory=list)
     stored: dict[str, StoredMessage] = field(default_factory=dict)
     route_dropped: dict[str, list[float]] = field(default_factory=dict)
@@ -140,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleSettings:
-    """Settings by which a history is judged."""
+    """Settings for checking a history."""
 
     max_attempts: dict[str, int]  # by route
     retention_s: dict[str, float]  # by route
@@ -148,11 +149,11 @@
     rates: dict[str, float]  # by service
     window_s: float
     tolerance: float
-    without_faults: bool  # nothing failed: a success is never followed by another run
+    without_faults: bool  # no faults were injected, so a success must never be followed by another run
 
 
 def ended_times(history: History, rule_settings: RuleSettings) -> dict[str, float]:
-    """Return when each accepted message had ended by the rules ("Messages", "Ended"); infinity: not yet."""
+    """Return when each accepted message ended by the rules ("Messages", "Ended"); infinity if it did not."""
     result: dict[str, float] = {}
     failures: dict[str, int] = defaultdict(int)
     for response in history.responses:
@@ -171,7 +172,7 @@
 
 
 def check_lost(history: History, rule_settings: RuleSettings) -> list[Violation]:
-    """Check that an unended message is stored as queued with its body, and that none is left unended."""
+    """Check that every accepted message has ended; a violation describes what is stored instead."""
     violations = []
     ended = ended_times(history, rule_settings)
     for request_id, accepted in history.accepted.items():
@@ -179,16 +180,16 @@
             continue
         stored = history.stored.get(request_id)
         if stored is None or stored.body != accepted.body:
-            violations.append(Violation(Rule.LOST, request_id, "the body is gone"))
+            violations.append(Violation(Rule.LOST, request_id, "the body is missing or differs"))
         elif stored.state is not MessageState.QUEUED:
             violations.append(Violation(Rule.LOST, request_id, f"stored as {stored.state.name}"))
         else:
-            violations.append(Violation(Rule.LOST, request_id, "never run though nothing failed any more"))
+            violations.append(Violation(Rule.LOST, request_id, "still queued after the time without faults"))
     return violations
 
 
 def check_order(history: History, rule_settings: RuleSettings) -> list[Violation]:
-    """Check that a run begins after the end of all messages of its key accepted before it was sent."""
+    """Check that a run begins after the end of all messages of its key that were accepted before its send."""
     violations = []
     ended = ended_times(history, rule_settings)
     by_key: dict[str, list[Accepted]] = defaultdict(list)
@@ -207,7 +208,10 @@
 
 
 def check_twice(history: History, rule_settings: RuleSettings) -> list[Violation]:
-    """Check that one success a message is accepted, that responses to reports don't change, and leases."""
+    """Check that at most one success per message is accepted and no message is received while leased.
+
+    Also check that responses to repeated reports do not change.
+    """
     return [
         *_two_successes_accepted(history),
         *_changed_responses(history),
@@ -235,7 +239,7 @@
         if end.accepted:
             accepted.add((end.lease_id, end.success))
         elif (end.lease_id, end.success) in accepted:
-            text = f"the end of {end.lease_id} was accepted before and is refused now"
+            text = f"the end of {end.lease_id} was accepted before and is now refused"
             violations.append(Violation(Rule.TWICE, end.request_id, text))
     return violations
 
@@ -254,7 +258,7 @@
         times = extensions[previous.lease_id]
         earlier = times[: bisect_left(times, received.at)]
         if received.at < max([previous.at, *earlier]) + rule_settings.visibility_timeout_s:
-            text = f"received at {received.at:.3f} while {previous.lease_id} was out"
+            text = f"received at {received.at:.3f} while {previous.lease_id} was in flight"
             violations.append(Violation(Rule.TWICE, received.request_id, text))
     return violations
 
@@ -272,7 +276,7 @@
 
 
 def check_ceiling(history: History, rule_settings: RuleSettings) -> list[Violation]:
-    """Check the arrivals at a rate-limited service in each sliding window."""
+    """Check the number of arrivals at each rate-limited service in each sliding window."""
     violations = []
     for service, rate in rule_settings.rates.items():
         times = sorted(run.started_at for run in history.runs if run.service == service)
@@ -287,7 +291,7 @@
 
 
 def check_mixed(history: History, rule_settings: RuleSettings) -> list[Violation]:
-    """Check that `done` comes with a successful run's stamp, and `dead_letter` after the message's end."""
+    """Check that `done` has a successful run's stamp, and `dead_letter` and stored bodies are correct."""
     stamps: dict[str, set[str]] = defaultdict(set)
     for response in history.responses:
         if response.kind is WorkerResponseKind.SUCCESS:
@@ -306,7 +310,7 @@
         accepted = history.accepted.get(request_id)
         has_body = stored.state is not MessageState.DONE and stored.body is not None
         if accepted is not None and has_body and stored.body != accepted.body:
-            violations.append(Violation(Rule.MIXED, request_id, "other bytes"))
+            violations.append(Violation(Rule.MIXED, request_id, "the stored body differs"))
     return violations
 
 
--- a/tests/system/queue/owner_rig.py
+++ b/tests/system/queue/owner_rig.py
@@ -1,4 +1,4 @@
-"""A shard owner over a state, with a log that commits when a test wants it."""
+"""Test rig: a shard owner and its state, with a log whose commits the test controls."""
 
 from __future__ import annotations
 
@@ -50,31 +50,31 @@
 
 
 def table(version: int, routes: Iterable[Route]) -> RoutingTable:
-    """Another configuration of the same services."""
+    """Return another configuration of the same services."""
     return RoutingTable(Configuration(version, tuple(routes), SERVICES))
 
 
 def without(name: str, version: int = 6) -> RoutingTable:
-    """A configuration that has dropped a route."""
+    """Return the configuration without one of its routes."""
     return table(version, (route for route in ROUTES if route.name != name))
 
 
 def changed(name: str, version: int = 6, **fields: Any) -> RoutingTable:
-    """A configuration with another definition of a route."""
+    """Return the configuration with changed fields of one route."""
     return table(version, (replace(route, **fields) if route.name == name else route for route in ROUTES))
 
 
 class Rig:
-    """An owner over a state. Proposals wait in `proposed` until `commit`.
+    """An owner and its state. Proposed commands are in `proposed` until `commit`.
 
-    Requests for pulling workers go to `poller_requests`, other actions to `sent`.
+    `RequestPollers` actions are recorded in `poller_requests`, all other actions in `sent`.
     """
 
     def __init__(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
         self.now = 100.0
         self.state = QueueState(lambda: self.now, lambda: WALL_MS + round((self.now - 100.0) * 1000))
         self.index = 0
-        self.automatic = True  # commit each proposal at once
+        self.automatic = True  # whether each proposal is committed immediately
         self.start_owner(routing, edges)
 
     def new_owner(self) -> ShardOwner:
@@ -83,7 +83,7 @@
         return ShardOwner(self.state, OwnedShard(0, 1, "north"), settings, Random(1))
 
     def start_owner(self, routing: RoutingTable | None = TABLE, edges: Iterable[str] = ("edge-1",)) -> None:
-        """Let a new owner begin."""
+        """Start a new owner of the same state."""
         self.proposed: list[Command] = []
         self.sent: list[Action] = []
         self.poller_requests: list[RequestPollers] = []
@@ -95,7 +95,7 @@
             self.configure(routing)
 
     def do(self, actions: list[Action]) -> None:
-        """Take the owner's actions."""
+        """Record the owner's actions, and commit its proposals if that is automatic."""
         for action in actions:
             if isinstance(action, ProposeCommand):
                 self.proposed.append(action.command)
@@ -107,7 +107,7 @@
             self.commit()
 
     def commit(self) -> None:
-        """Commit and apply everything that is proposed, and what follows from it if that is automatic."""
+        """Commit and apply all proposed commands; further proposals only if that is automatic."""
         for command in self.take_proposed():
             self.apply(command)
 
@@ -119,17 +119,17 @@
         return result
 
     def take_proposed(self) -> list[Command]:
-        """What was proposed since the last time."""
+        """Return and clear the proposed commands."""
         proposed, self.proposed = self.proposed, []
         return proposed
 
     def take_sent(self, kind: type | None = None) -> list[Any]:
-        """Other actions since the last time, all or of one kind."""
+        """Return and clear the other actions, filtered by `kind` if it is given."""
         sent, self.sent = self.sent, []
         return [action for action in sent if kind is None or isinstance(action, kind)]
 
     def append(self, request_id: str, path: str = "/plain/x", **fields: Any) -> None:
-        """Append a client's message."""
+        """Append a message of a client."""
         values: dict[str, Any] = {"order_key": "", "delay_ms": 0, "callback_url": "", "origin": "edge-1"}
         values |= {"accepted_version": 5, "body": b"body"} | fields
         wall_ms = WALL_MS + round((self.now - 100.0) * 1000)
@@ -139,40 +139,40 @@
         self.apply(AppendMessage(message))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, waking the owner whenever it wants."""
+        """Advance the time and call the owner's `tick` at each wake-up."""
         end = self.now + seconds
         while (when := self.owner.next_wakeup(self.now)) is not None and when <= end:
             self.now = when
             self.do(self.owner.tick(self.now))
             assert (next_wakeup := self.owner.next_wakeup(self.now)) is None or next_wakeup > self.now, (
-                "wakes without end"
+                "the owner requests another wake-up at the same time"
             )
         self.now = end
 
     def end(
         self, delivery: SendDelivery | AnswerPoll, outcome: AttemptOutcome, retry_after_ms: int = 0
     ) -> bool:
-        """Report the end of an attempt; returns whether it is accepted."""
+        """Report the end of an attempt; returns whether the report is accepted."""
         request_id, lease_id = delivery.message.request_id, delivery.lease_id
         command = self.owner.end_attempt_command(request_id, lease_id, outcome, "stamp", retry_after_ms)
         return self.apply(command).accepted
 
     def configure(self, routing: RoutingTable) -> None:
-        """Put another configuration into force."""
+        """Apply another configuration."""
         self.do(self.owner.configure(self.now, routing))
 
     def poll(self, number: int, edge: str = "edge-1", wait_s: float = 1.0) -> None:
-        """Let a worker wait for a message."""
+        """Start a worker's poll."""
         request = LongPollRequest(number, edge, "puller", f"instance-{number}", wait_s)
         self.do(self.owner.poll(self.now, request))
 
     def delivery(self) -> SendDelivery:
-        """Return the only delivery since the last time."""
+        """Return the single delivery since the last call."""
         (delivery,) = self.take_sent(SendDelivery)
         return delivery
 
     def answer(self) -> AnswerPoll:
-        """Return the only answer to a poll since the last time."""
+        """Return the single answer to a poll since the last call."""
         (answer,) = self.take_sent(AnswerPoll)
         return answer
 
@@ -184,5 +184,5 @@
 
 
 def request_ids(actions: Iterable[Any]) -> list[str]:
-    """The messages of deliveries or jobs."""
+    """Return the request ids of deliveries or jobs."""
     return [action.message.request_id for action in actions]
--- a/tests/system/queue/simulation.py
+++ b/tests/system/queue/simulation.py
@@ -1,8 +1,8 @@
-"""A queue of several shards in virtual time, with its edge nodes, workers, clients and receivers.
+"""Simulation of a queue with several shards, edge nodes, workers, clients and receivers in virtual time.
 
-One seed decides everything: delays, lost calls, owners that change at any moment, restarts from a snapshot
-with a stepped clock, edge nodes that restart, configurations that arrive late. The shard's own parts are
-real; `Build` names their classes, so that a broken build can take their place.
+A seed determines all delays, lost calls, owner changes, restarts from a snapshot with a stepped clock,
+restarts of edge nodes and late configurations. The shards use the production classes, which `Build` names so
+that a test can replace them with faulty ones.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class QueueSimulation:
-    """Everything together. `run` returns the history."""
+    """A simulated queue; `run` returns its history."""
 
     def __init__(
         self, seed: int, build: Build | None = None, faults: Faults | None = None, shards: int = 3
@@ -78,7 +78,7 @@
 
     @property
     def rule_settings(self) -> RuleSettings:
-        """The settings by which its history is judged."""
+        """Settings for checking its history."""
         return RuleSettings(
             {route.name: route.max_attempts for route in ROUTES},
             {route.name: route.retention_s for route in ROUTES},
@@ -90,7 +90,7 @@
         )
 
     def run(self) -> History:
-        """Run traffic with faults, then a time without, and collect what the shards have stored."""
+        """Simulate traffic with faults, then a time without faults, and record the stored messages."""
         self._start_sources()
         start = self.scheduler.now
         self.scheduler.run_until(start + TRAFFIC_S)
@@ -116,7 +116,7 @@
             self.scheduler.after(self.random.uniform(0.0, 1.0), puller.poll_repeatedly)
 
     def _repeat(self, rate: float, event: Callable[[], object]) -> None:
-        """Have `event` happen at random moments while clients send."""
+        """Repeat `event` at random times, at an average `rate` per second, while clients send."""
         if rate <= 0:
             return
         end = self.scheduler.now + TRAFFIC_S
@@ -135,7 +135,7 @@
     # ---- configuration
 
     def _change_configuration(self) -> None:
-        """Drop or bring back a route, move one to another service, change time-outs."""
+        """Remove or restore one route, move another to a different service, and change time-outs."""
         old = self.tables[-1]
         routes = []
         present = "fleeting" in old.routes
@@ -161,7 +161,7 @@
         self.scheduler.after(self.random.uniform(0.0, 0.8), configure)
 
     def configure_later(self, shard: Shard) -> None:
-        """The newest configuration reaches a shard's owner after a while."""
+        """Apply the newest configuration at a shard's owner after a random delay."""
         table = self.tables[-1]
         delay = self.random.uniform(0.0, 0.8)
         self.scheduler.after(delay, lambda: shard.input(lambda owner, now: owner.configure(now, table)))
@@ -194,7 +194,7 @@
     def _append(
         self, edge: EdgeNode, shard: Shard, message: Message, sent: float, attempts_left: int
     ) -> None:
-        """Append until it is accepted: the same request id may come several times."""
+        """Append a message repeatedly until it is accepted, with the same request id."""
         route = edge.table.match(message.host, message.target)
         if route is None or message.request_id in self.history.accepted or attempts_left == 0:
             return
@@ -236,7 +236,7 @@
         responded: Callable[[WorkerResponseKind | None, str], None],
         duration: float | None = None,
     ) -> None:
-        """Run a message at a worker; `responded` gets its response, or None at the time-out."""
+        """Run a message at a worker; `responded` receives its response, or None at the time-out."""
         started_at = self.scheduler.now
         self.history.runs.append(Run(request_id, started_at, service))
         run_duration = min(0.8 * timeout_s, self.random.expovariate(10.0)) if duration is None else duration
@@ -270,7 +270,7 @@
         return WorkerResponseKind.SUCCESS
 
     def report_end(self, edge: EdgeNode, shard: Shard, report: HolderReport, attempts_left: int = 40) -> None:
-        """Report to a shard how a lease ended, until it responds; sometimes once more after that."""
+        """Report the end of a lease until the shard responds, and in some cases once more after that."""
         responded = False
 
         def applied(result: Result | None) -> None:
@@ -306,17 +306,17 @@
         edge.later(0.4, recur)
 
     def edge(self, name: str) -> EdgeNode:
-        """An edge node by its name."""
+        """Return an edge node by its name."""
         return next(edge for edge in self.edges if edge.name == name)
 
     def lost(self) -> bool:
-        """Whether a call between nodes, or its answer, is lost."""
+        """Draw whether a call between nodes or its response is lost."""
         return self.random.random() < self.faults.lost_calls * self.fault_level
 
     def network_delay(self) -> float:
-        """Seconds of one way."""
+        """Draw the one-way delay of a call in seconds."""
         return self.random.uniform(0.0005, 0.01)
 
     def send_lag(self) -> float:
-        """Seconds from an edge node's receipt of a lease to its send."""
+        """Draw the time in seconds between an edge node's receipt of a delivery and the send to a worker."""
         return self.random.choice((0.0, 0.001, 0.01, 0.4 * self.fault_level))
--- a/tests/system/queue/simulation_nodes.py
+++ b/tests/system/queue/simulation_nodes.py
@@ -1,6 +1,6 @@
-"""Shards, edge nodes and pulling workers of a queue in virtual time; `world` puts them together.
+"""Shards, edge nodes and pulling workers of the queue that `simulation` runs in virtual time.
 
-The shard's own parts are real; `Build` names their classes, so that a broken build can take their place.
+The shards use the production classes, which `Build` names so that a test can replace them with faulty ones.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
     from tests.system.queue.simulation import QueueSimulation
 
 START_S = 100.0
-TRAFFIC_S = 20.0  # clients send for so long
-SETTLING_S = 45.0  # after it, without faults: everything that can be done gets done
-SLOW_TRAFFIC_END_S = START_S + 10.0  # more than the limited service may get meanwhile
+TRAFFIC_S = 20.0  # time in which clients send and faults occur
+SETTLING_S = 45.0  # time without faults after the traffic, in which all messages must end
+SLOW_TRAFFIC_END_S = START_S + 10.0  # until then, more messages are sent than the rate-limited service allows
 ZONES = ("north", "south")
 WALL_START_MS = 1_700_000_000_000
-POLL_LIMIT_S = 1.3  # an edge node ends a poll by itself where its owner has gone
+POLL_LIMIT_S = 1.3  # after which an edge node ends a poll that the owner did not answer
 ROUTES = (
     Route("plain", "a.example", "/plain/", "worker", 800, priority=1),
     Route("order-one", "a.example", "/one/", "worker", 800, max_attempts=2, ordered=True, priority=2),
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """The classes that a world is made of."""
+    """The classes under test that a simulation uses."""
 
     state: type[QueueState] = QueueState
     owner: type[ShardOwner] = ShardOwner
@@ -75,23 +75,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """Rates of faults a second, and fractions of calls that fail."""
+    """Rates of faults per second, and fractions of failing calls."""
 
     owner_changes: float = 0.25
-    simultaneous_owner_changes: float = 0.08  # all shards at once
+    simultaneous_owner_changes: float = 0.08  # of all shards at once
     edge_restarts: float = 0.1
     configurations: float = 0.3
     lost_calls: float = 0.05
-    lost_responses: float = 0.05  # of workers: it has run
-    crashes: float = 0.08  # of workers while they run: it has not ended
+    lost_responses: float = 0.05  # responses of workers that have completed the run
+    crashes: float = 0.08  # of workers during a run
 
 
 NO_FAULTS = Faults(0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-FREQUENT_FAILOVERS = replace(Faults(), simultaneous_owner_changes=0.8)  # owners change about every second
+FREQUENT_FAILOVERS = replace(Faults(), simultaneous_owner_changes=0.8)  # an owner change about every second
 
 
 class WorkerBehaviour(Enum):
-    """How workers respond to a message."""
+    """Behaviour of workers for a message."""
 
     SUCCEEDS = auto()
     FAILS_ONCE = auto()
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderReport:
-    """How the attempt under a lease has ended, by its holder."""
+    """A holder's report that the attempt under its lease has ended."""
 
     request_id: str
     lease_id: str
@@ -111,7 +111,7 @@
 
 
 class Scheduler:
-    """Events in the order of time."""
+    """A virtual clock, and events that it executes in the order of time."""
 
     def __init__(self) -> None:
         self.now = START_S
@@ -119,11 +119,11 @@
         self._numbers = count()
 
     def after(self, delay: float, event: Callable[[], None]) -> None:
-        """Have `event` happen."""
+        """Schedule `event` after `delay` seconds."""
         heapq.heappush(self._events, (self.now + delay, next(self._numbers), event))
 
     def run_until(self, end: float) -> None:
-        """Let time pass."""
+        """Execute the events up to the time `end`."""
         while self._events and self._events[0][0] <= end:
             self.now, _, event = heapq.heappop(self._events)
             event()
@@ -131,7 +131,7 @@
 
 
 class Shard:
-    """One replica group: a log, the owner's replica, and one that follows."""
+    """One replica group: its log, the owner's replica, and the snapshot from which a restart begins."""
 
     def __init__(self, simulation: QueueSimulation, number: int) -> None:
         self.simulation = simulation
@@ -153,7 +153,7 @@
         )
 
     def elect_owner(self) -> None:
-        """Let a new owner begin; all that is committed has been applied."""
+        """Start a new owner after all committed commands have been applied."""
         self.epoch += 1
         now = self.simulation.scheduler.now
         self.owner = self.simulation.build.owner(
@@ -170,7 +170,7 @@
         self.simulation.configure_later(self)
 
     def lose_owner(self) -> None:
-        """Stop the owner; some of its proposals are committed nevertheless."""
+        """Stop the owner; a random number of its pending proposals are still committed."""
         if self.owner is None:
             return
         random = self.simulation.random
@@ -184,7 +184,7 @@
         self.simulation.scheduler.after(random.uniform(0.02, 1.0), self.elect_owner)
 
     def _restart(self) -> None:
-        """The next owner starts from a snapshot and the log, by a clock that has stepped."""
+        """Restore the state from the snapshot and the log, with a time of day that has stepped."""
         self.step_ms = self.simulation.random.randint(-2_000, 2_000)
         self.state = self._new_state()
         start = 0
@@ -195,11 +195,14 @@
             self.state.apply(index + 1, self.log[index])
 
     def save(self) -> None:
-        """Take a snapshot for later restarts."""
+        """Save a snapshot for later restarts."""
         self.saved = len(self.log), self.state.snapshot()
 
     def propose(self, command: Command, done: Callable[[Result | None], None] | None = None) -> None:
-        """Commit and apply a command soon, unless the owner is lost; `done` gets None when that is open."""
+        """Commit and apply a command after a random delay; `done` is called with the result.
+
+        If the owner is lost first, the outcome is unknown and `done` is not called.
+        """
         if self.owner is None:
             return
         self._pending.append((command, done))
@@ -235,12 +238,12 @@
         self.simulation.history.reported.append(reported)
 
     def input(self, call: Callable[[ShardOwner, float], list[Action]]) -> None:
-        """Give the owner an event, where there is an owner."""
+        """Pass an event to the owner, if there is one."""
         if self.owner is not None:
             self.execute(call(self.owner, self.simulation.scheduler.now))
 
     def execute(self, actions: list[Action]) -> None:
-        """Carry out the owner's actions, and wake it in time."""
+        """Execute the owner's actions and schedule its next wake-up."""
         for action in actions:
             match action:
                 case ProposeCommand():
@@ -258,7 +261,7 @@
         self._set_wakeup()
 
     def _borrow(self, action: BorrowTokens) -> None:
-        """Ask the home shard for tokens; the call or its answer may be lost or late."""
+        """Request tokens from the home shard; the call or its response may be lost or delayed."""
         simulation, epoch, requested_at = self.simulation, self.epoch, self.simulation.scheduler.now
 
         def lend() -> None:
@@ -292,7 +295,7 @@
 
 
 class EdgeNode:
-    """An edge node: sends messages to workers, and reports their ends until the shard responds."""
+    """An edge node, which sends messages to workers and reports ended attempts until the shard responds."""
 
     def __init__(self, simulation: QueueSimulation, name: str, zone: str) -> None:
         self.simulation = simulation
@@ -303,7 +306,7 @@
         self.bodies: dict[str, bytes] = {}
 
     def restart(self) -> None:
-        """End its process; another begins at once."""
+        """End the process and start another one immediately."""
         self.incarnation += 1
         self.bodies.clear()
         for poll_id, poll in list(self.simulation.polls.items()):
@@ -315,7 +318,7 @@
             shard.input(lambda owner, now: owner.edge_connected(now, self.name, self.zone))
 
     def later(self, delay: float, event: Callable[[], None]) -> None:
-        """Do something unless the process has ended by then."""
+        """Schedule an event that is skipped if the process has ended by then."""
         incarnation = self.incarnation
         self.simulation.scheduler.after(delay, lambda: event() if incarnation == self.incarnation else None)
 
@@ -384,14 +387,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingPoll:
-    """A worker that waits at an edge node."""
+    """A worker's poll at an edge node."""
 
     worker: PullingWorker
     edge: EdgeNode
 
 
 class PullingWorker:
-    """One slot of a pulling worker: it may stop to extend and report for a while, or for ever."""
+    """One slot of a pulling worker, which may fail to extend its lease or to report the end of a job."""
 
     def __init__(self, simulation: QueueSimulation, name: str) -> None:
         self.simulation = simulation
@@ -399,7 +402,7 @@
         self.busy = False
 
     def poll_repeatedly(self) -> None:
-        """Ask for a job, over and over."""
+        """Poll for a job at a fixed interval while the worker is free."""
         simulation = self.simulation
         simulation.scheduler.after(0.4, self.poll_repeatedly)
         if self.busy or any(poll.worker is self for poll in simulation.polls.values()):
@@ -415,7 +418,7 @@
             shard.input(lambda owner, now: owner.cancel_poll(now, poll_id))
 
     def start(self, shard: Shard, job: AnswerPoll) -> None:
-        """Work on a job."""
+        """Run a job, usually with extensions of its lease."""
         simulation, random = self.simulation, self.simulation.random
         self.busy = True
         request_id, lease_id = job.message.request_id, job.lease_id
--- a/tests/system/queue/test_attempt_ends.py
+++ b/tests/system/queue/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""Reports of ended attempts: repeated ones get the same response; new owners count on."""
+"""Reports of ended attempts: repeated reports get the same response, and new owners continue the counts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def restart(rig: Rig) -> None:
-    """The next owner begins from a snapshot."""
+    """Start the next owner from a snapshot."""
     state = QueueState(lambda: rig.now, lambda: 0)
     state.restore(rig.state.snapshot())
     rig.state = state
@@ -33,12 +33,12 @@
 
 
 def change_owner(rig: Rig) -> None:
-    """Another replica is the owner."""
+    """Start another owner of the same state."""
     rig.start_owner()
 
 
 def continue_processing(rig: Rig) -> None:
-    """The message goes on: later leases, or its end."""
+    """Lease the message again, or end it."""
     rig.poll(90, wait_s=10.0)
     rig.advance(5.0)
     for job in rig.take_sent(AnswerPoll):
@@ -47,14 +47,14 @@
 
 
 def no_event(rig: Rig) -> None:
-    """At once."""
+    """Do nothing."""
 
 
 EVENTS: tuple[Callable[[Rig], None], ...] = (no_event, change_owner, restart, continue_processing)
 
 
 class Repeated(unittest.TestCase):
-    """MIXED: an end that was accepted once is accepted again, by any owner, whatever has come since."""
+    """MIXED: an end that was accepted once is accepted again by any owner, regardless of later events."""
 
     def job(self) -> tuple[Rig, AnswerPoll]:
         rig = Rig()
@@ -135,10 +135,10 @@
 
 
 class Budgets(unittest.TestCase):
-    """BUDGET: a message that always fails ends after `max_attempts`, whoever owns its shard meanwhile."""
+    """BUDGET: a message that always fails ends after `max_attempts`, even if its shard changes owners."""
 
     def runs(self, outcome: AttemptOutcome, event: Callable[[Rig], None]) -> int:
-        """How often a worker gets a message that always ends so; each end is reported twice."""
+        """Return how often a worker gets a message whose attempts all have `outcome`, each reported twice."""
         rig = Rig()
         rig.append("m")
         runs = 0
@@ -175,7 +175,7 @@
             rig.start_owner(routing=None)
             rig.end(delivery, FAILED)
             rig.start_owner()
-        rig.end(self.next_delivery(rig), FAILED)  # the first one that is counted against a limit ends it
+        rig.end(self.next_delivery(rig), FAILED)  # the first report that is checked against `max_attempts`
         self.assertIs(rig.state_of("m"), MessageState.DEAD_LETTER)
 
 
--- a/tests/system/queue/test_callback_recovery.py
+++ b/tests/system/queue/test_callback_recovery.py
@@ -1,4 +1,4 @@
-"""Receivers of call-backs that are down for long and recover: few calls meanwhile, all notified soon."""
+"""Receivers that are down for a long time get few calls until they recover, and then all call-backs soon."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from tests.system.queue.owner_rig import SUCCEEDED, Rig
 
 URL = "http://10.0.0.9:80/done"
-RESPONSE_S = 0.01  # a receiver that is up, or resets, has responded after that
+RESPONSE_S = 0.01  # response time of a receiver that works or resets connections
 STEP_S = 0.01
-RECOVERY_S = 3.0  # RULES, LOST: so long without a call-back, while some are due, counts
+RECOVERY_S = 3.0  # RULES, LOST: a longer time without a call-back, while some are due, is a violation
 DOWN_S = 40.0
 
 
 class Receivers:
-    """Plays edge nodes and receivers: each request is reported on after `RESPONSE_S`, or never."""
+    """Simulated edge nodes and receivers, which report on each call after `RESPONSE_S`, or never."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
-        # Whether the receiver acknowledges a call-back; None: no report comes.
+        # Whether the receiver acknowledges a call-back; None if no report arrives.
         self.acknowledges: Callable[[SendCallback], bool | None] = lambda request: True
         self.calls: list[float] = []
         self.acknowledged: dict[str, float] = {}
         self._reports: list[tuple[float, str, bool]] = []
 
     def play(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the simulation for some time."""
         end = self.rig.now + seconds
         while self.rig.now < end:
             for request in self.rig.take_sent(SendCallback):
@@ -52,7 +52,7 @@
 
 
 def with_callbacks_due(count: int) -> tuple[Rig, Receivers]:
-    """A shard with `count` call-backs due to one receiver."""
+    """Return a shard with `count` due call-backs to one receiver, which refuses them at first."""
     rig = Rig(edges=("edge-1", "edge-2", "edge-3"))
     for number in range(count):
         rig.append(f"m{number}", callback_url=URL)
@@ -64,7 +64,7 @@
 
 
 class Recovery(unittest.TestCase):
-    """Receivers that were down are all notified after their recovery."""
+    """A receiver that recovers gets all its call-backs."""
 
     def test_a_receiver_that_resets_gets_few_calls_and_all_soon_after_its_recovery(self) -> None:
         _, receivers = with_callbacks_due(60)
@@ -93,7 +93,7 @@
         receivers.acknowledges = lambda request: request.request_id != "m0"
         receivers.play(1.0)
         self.assertEqual(set(receivers.acknowledged), {f"m{number}" for number in range(1, 6)})
-        receivers.play(DOWN_S)  # m0 alone has made it a failing receiver
+        receivers.play(DOWN_S)  # the failures of m0 alone make it a receiver that is only probed
         rig.append("late", callback_url=URL)
         rig.end(rig.delivery(), SUCCEEDED)
         receivers.play(RECOVERY_S)
--- a/tests/system/queue/test_campaign.py
+++ b/tests/system/queue/test_campaign.py
@@ -1,4 +1,4 @@
-"""Seeded campaigns over a queue in virtual time, and the broken builds that the checkers must catch."""
+"""Seeded simulations of a queue, and faulty builds in which the checkers must detect violations."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 CORRECT_BUILD_SEEDS = range(1, 13)
 FAILOVER_SEEDS = range(1, 5)
-DETECTION_SEEDS = range(1, 13)  # within these each broken build is caught
+DETECTION_SEEDS = range(1, 13)  # each faulty build must be detected with one of these
 
 
 class SuccessorLeasedBeforeEnd(QueueState):
-    """Leases any message of an order key."""
+    """Allows a lease of any message of an order key."""
 
     def is_head(self, entry: Entry) -> bool:
         return True
 
 
 class OrderByRouteAndKey(QueueState):
-    """Takes equal keys of two routes for different ones."""
+    """Treats equal order keys of two routes as different keys."""
 
     def apply_command(self, index: int, command: Command) -> Result:
         if isinstance(command, AppendMessage) and command.message.order_key:
@@ -57,7 +57,7 @@
 
 
 class IgnoresLeasesOfEarlierOwner(ShardOwner):
-    """Leases at once what an earlier owner has leased."""
+    """Leases messages again immediately although an earlier owner has leased them."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
@@ -68,7 +68,7 @@
 
 
 class SendsBeforeTheGrant(ShardOwner):
-    """Sends a message to a worker when its lease is proposed."""
+    """Sends a message when its lease is proposed, before the grant is committed."""
 
     def _grant_and_collect_actions(self, now: float) -> list[Action]:
         actions: list[Action] = []
@@ -82,7 +82,7 @@
 
 
 class TwoEndsAccepted(QueueState):
-    """Accepts a success of any lease of a message that is done."""
+    """Accepts a success under any lease of a message that is done."""
 
     def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         result = super()._end_attempt(command)
@@ -93,7 +93,7 @@
 
 
 class EndedLeasesLostAtRestore(QueueState):
-    """Loses the memory of ended leases with a restart."""
+    """Loses the outcomes of ended leases at a restart."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -102,7 +102,7 @@
 
 
 class LeasedMessagesLostAtRestore(QueueState):
-    """Loses the messages that are leased with a restart."""
+    """Loses the leased messages at a restart."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -111,7 +111,7 @@
 
 
 class BodiesLostAtRestore(QueueState):
-    """Loses the bodies of messages with a restart."""
+    """Loses the bodies of messages at a restart."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -120,7 +120,7 @@
 
 
 class NoResponseCountsAsAttempt(QueueState):
-    """Takes a delivery without an answer for a failed one."""
+    """Counts a delivery without a response as a failed attempt."""
 
     def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         if command.outcome is AttemptOutcome.UNKNOWN:
@@ -129,7 +129,7 @@
 
 
 class UnknownStamp(QueueState):
-    """Ends a message without the stamp of its run."""
+    """Replaces the stamp of a successful run."""
 
     def _end_attempt(self, command: EndAttempt) -> AttemptEnded:
         return super()._end_attempt(structs.replace(command, stamp="unknown"))
@@ -141,7 +141,7 @@
 
 
 class OlderTableExpiresMessages(ShardOwner):
-    """Ends messages whose route is missing in a table that is older than they are."""
+    """Ends messages whose route is missing in a routing table that is older than the message."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
@@ -151,7 +151,7 @@
 
 
 class BucketFullForNewOwner(ShardOwner):
-    """Gives a new owner a full burst, which its predecessor may just have spent."""
+    """Starts a new owner with a full bucket, although its predecessor may just have spent its burst."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
@@ -159,7 +159,7 @@
 
 
 class FullRateForEachShard(ShardOwner):
-    """Gives each shard the full rate of a service."""
+    """Allows each shard the full rate of a service."""
 
     def __init__(self, state: QueueState, shard: OwnedShard, *rest: object) -> None:
         super().__init__(state, structs.replace(shard, shard_count=1), *rest)
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenBuild:
-    """A build with a fault, and the rule whose checker must see it."""
+    """A build with a fault, and the rule whose checker must detect it."""
 
     rule: Rule
     build: Build
@@ -192,7 +192,7 @@
 
 
 def first_detecting_seed(broken: BrokenBuild) -> int | None:
-    """The first seed with which the rule's checker sees the fault; None: it doesn't."""
+    """Return the first seed with which the rule's checker detects the fault, or None."""
     for seed in DETECTION_SEEDS:
         simulation = QueueSimulation(seed, broken.build, broken.faults)
         if any(
@@ -204,7 +204,7 @@
 
 
 class CorrectBuild(unittest.TestCase):
-    """No rule is broken, whatever the seed."""
+    """The correct build violates no rule with any seed."""
 
     def test_under_faults(self) -> None:
         for seed in CORRECT_BUILD_SEEDS:
@@ -255,14 +255,14 @@
 
 
 class SimulationIsDeterministic(unittest.TestCase):
-    """One seed replays a failure."""
+    """A failure can be replayed with its seed."""
 
     def test_the_same_seed_gives_the_same_history(self) -> None:
         self.assertEqual(QueueSimulation(7).run(), QueueSimulation(7).run())
 
 
 class Phases(unittest.TestCase):
-    """The phases of messages follow the table of `tracked_messages`."""
+    """The phases of messages change only as in the table of `tracked_messages`."""
 
     def test_only_transitions_of_the_table_happen(self) -> None:
         observed: Counter[tuple[MessagePhase, MessagePhase]] = Counter()
@@ -277,19 +277,19 @@
             QueueSimulation(2, faults=FREQUENT_FAILOVERS).run()
         table = {(before, after) for before, each in TRANSITIONS.items() for after in each}
         self.assertEqual(set(observed) - table, set())
-        self.assertGreater(len(observed), 20, "the worlds see most of the table")
+        self.assertGreater(len(observed), 20, "the simulations cover most of the table")
 
     def test_each_phase_has_its_row(self) -> None:
         self.assertEqual(set(TRANSITIONS), set(MessagePhase))
 
 
 def replicated(entry: Entry) -> Entry:
-    """An entry without its local times."""
+    """Return an entry without its local times."""
     return replace(entry, accepted_at=0.0, due_at=0.0, ended_at=0.0)
 
 
 class BrokenBuilds(unittest.TestCase):
-    """Each fault is seen by the checker of its rule, so that a silent checker means something."""
+    """The checkers detect the faulty builds, so that no violations in the correct build mean something."""
 
     longest_test_s = 30
 
@@ -300,5 +300,5 @@
             ).__name__
             with self.subTest(name):
                 self.assertIsNotNone(
-                    first_detecting_seed(broken), f"{broken.rule.name} saw nothing of {name}"
+                    first_detecting_seed(broken), f"{broken.rule.name} did not detect {name}"
                 )
--- a/tests/system/queue/test_checkers.py
+++ b/tests/system/queue/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker of `checkers` fires on a history that breaks its rule, and on no other."""
+"""Each checker of `checkers` reports a history that violates its rule, and no similar valid history."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 def history(*accepted: Accepted, **lists: object) -> History:
-    """A history of a few events."""
+    """Return a history of a few events."""
     return History(accepted={item.request_id: item for item in accepted}, finished=50.0, **lists)
 
 
 class CheckersFire(unittest.TestCase):
-    """Each rule's checker fires on a history that breaks it and not on the nearest that doesn't."""
+    """Each checker reports a history that violates its rule, but not the most similar valid history."""
 
     CASES = (
-        ("gone", check_lost, history(A), history(A, responses=[SUCCESS_A])),
+        ("not stored", check_lost, history(A), history(A, responses=[SUCCESS_A])),
         (
             "stored as dead",
             check_lost,
@@ -106,7 +106,7 @@
             history(A, responses=[FAILED_A, FAILED_A], reported=[StateReported("a", 3.0, DEAD, "")]),
         ),
         (
-            "other bytes",
+            "stored body differs",
             check_mixed,
             history(A, stored={"a": StoredMessage("a", QUEUED, b"")}),
             history(A, stored={"a": StoredMessage("a", QUEUED, b"body")}),
--- a/tests/system/queue/test_delays.py
+++ b/tests/system/queue/test_delays.py
@@ -1,4 +1,7 @@
-"""Delays are never cut short (RULES, ORDER: `early_ms`): clocks that differ or step, new owners, restarts."""
+"""Messages never start before the end of their delay (RULES, ORDER: `early_ms`).
+
+The tests cover clocks that differ or step, new owners and restarts.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
 
 def start_delay(rig: Rig, since: float) -> float:
-    """Seconds from `since` to the first delivery."""
+    """Return the seconds from `since` to the first delivery."""
     deadline = rig.now + 4 * DELAY_S
     while not rig.take_sent(SendDelivery):
         if rig.now > deadline:
@@ -46,7 +49,7 @@
 
 
 class AtTheOwner(unittest.TestCase):
-    """Clocks of other machines take no part in the delay of a message that this owner accepts."""
+    """The delay of a message that this owner accepts does not depend on the clocks of other machines."""
 
     def test_the_edge_nodes_clock_is_off(self) -> None:
         for offset_s in STEPS_S:
@@ -81,7 +84,7 @@
 
 
 class AtASuccessor(unittest.TestCase):
-    """A replica that applied the message counts from then; after a restart by the times of day."""
+    """A running replica measures the delay from its apply; a restarted one uses the time of day."""
 
     def test_a_step_of_its_own_clock_while_it_runs_changes_nothing(self) -> None:
         for step_s in STEPS_S:
@@ -124,7 +127,7 @@
 
 
 class Ages(unittest.TestCase):
-    """Retention and tombstones: no time of day ends a message, or removes its tombstone, too early."""
+    """Retention and tombstones: no clock step ends a message or removes its tombstone too early."""
 
     def test_an_edge_nodes_clock_that_is_off_ends_no_message(self) -> None:
         rig = Rig()
--- a/tests/system/queue/test_edge_changes.py
+++ b/tests/system/queue/test_edge_changes.py
@@ -1,4 +1,4 @@
-"""Messages that an edge node returns again and again go to another one."""
+"""Messages that an edge node returns repeatedly go to another edge node."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.system.queue.owner_rig import NOT_RUN, SUCCEEDED, UNKNOWN, Rig
 
 EDGES = ("edge-1", "edge-2", "edge-3")
-START_LIMIT_S = 6.0  # RULES, LOST: a message that is due is to reach a worker within that time
+START_LIMIT_S = 6.0  # RULES, LOST: a due message must reach a worker within this time
 
 
 class EdgeChanges(unittest.TestCase):
-    """The origin gets a message first; where it is partitioned from the workers, others do."""
+    """The origin gets a message first; if it is partitioned from the workers, other edge nodes get it."""
 
     def edges_of_attempts(self, rig: Rig, outcome: AttemptOutcome, count: int) -> list[str]:
-        """Return the edge nodes of `count` leases in a row, each of which ends with `outcome`."""
+        """Return the edge nodes of `count` consecutive leases, each of which ends with `outcome`."""
         edges = []
         for _ in range(count):
             delivery = rig.delivery()
--- a/tests/system/queue/test_ended_messages.py
+++ b/tests/system/queue/test_ended_messages.py
@@ -35,7 +35,7 @@
 
 
 class Retention(unittest.TestCase):
-    """Messages that are not run in time."""
+    """Messages that are not run within their retention."""
 
     def test_it_ends_a_message_that_is_not_leased(self) -> None:
         rig = Rig(edges=())
@@ -81,7 +81,7 @@
 
 
 class Expiries(unittest.TestCase):
-    """The owner proposes an expiry once, and again if it was void."""
+    """The owner proposes an expiry once, and again if it had no effect."""
 
     def test_a_fenced_expiry_that_came_too_late_is_proposed_again(self) -> None:
         rig = Rig()
@@ -100,12 +100,12 @@
 
 
 def request_ids_of(callbacks: Iterable[SendCallback]) -> list[str]:
-    """The messages of call-backs."""
+    """Return the request ids of call-backs."""
     return [callback.request_id for callback in callbacks]
 
 
 class Callbacks(unittest.TestCase):
-    """Clients are notified of the end until they have acknowledged it."""
+    """Receivers are notified of the end of a message until they acknowledge it."""
 
     URL = "http://10.0.0.9:80/done"
 
@@ -235,7 +235,7 @@
 
 
 class Tombstones(unittest.TestCase):
-    """Tombstones are removed when clients may not ask for the state any more."""
+    """Tombstones are removed when clients may no longer query the state."""
 
     def test_after_the_status_time(self) -> None:
         rig = Rig()
--- a/tests/system/queue/test_leases_on_append.py
+++ b/tests/system/queue/test_leases_on_append.py
@@ -1,4 +1,4 @@
-"""Leases that are proposed right behind a message's append, before either is committed."""
+"""Leases that are proposed immediately after a message's append, before either is committed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def message(request_id: str, path: str = "/plain/x", **fields: Any) -> Message:
-    """A client's message."""
+    """Return a client's message."""
     values: dict[str, Any] = {"order_key": "", "delay_ms": 0, "callback_url": "", "origin": "edge-1"}
     values |= fields
     return Message(
@@ -31,14 +31,14 @@
 
 
 class LeasesOnAppend(unittest.TestCase):
-    """The owner's side; the log holds what the test puts there."""
+    """Behaviour of the owner; the test decides which commands are committed."""
 
     def setUp(self) -> None:
         self.rig = Rig()
         self.rig.automatic = False
 
     def propose(self, request_id: str, path: str = "/plain/x", **fields: Any) -> list[Any]:
-        """An append and what the owner proposes right behind it."""
+        """Return an append and the commands that the owner proposes after it."""
         command = AppendMessage(message(request_id, path, **fields))
         self.rig.do(self.rig.owner.append_proposed(self.rig.now, command.message))
         return [command, *self.rig.take_proposed()]
@@ -48,7 +48,7 @@
             self.rig.apply(command)
 
     def count_further_pregrants(self) -> int:
-        """Append messages until one is not leased in advance; returns how many are."""
+        """Append messages until one is not leased in advance; returns the number that are."""
         count = 0
         while len(commands := self.propose(f"further-{count}", "/jobs/x")) == 2:
             self.commit(commands)
--- a/tests/system/queue/test_limits.py
+++ b/tests/system/queue/test_limits.py
@@ -16,7 +16,7 @@
 
 
 class Backoff(unittest.TestCase):
-    """Back-off, and the limit on leases to a failing service."""
+    """Back-off delays and the adaptive limit on leases to a failing service."""
 
     def test_delays_of_each_outcome(self) -> None:
         cases = (
@@ -75,11 +75,11 @@
         for delivery in rig.take_sent(SendDelivery):
             rig.end(delivery, SUCCEEDED)
         rig.advance(0.1)
-        self.assertGreater(len(rig.take_sent(SendDelivery)), 30, "open again")
+        self.assertGreater(len(rig.take_sent(SendDelivery)), 30, "no longer limited")
 
 
 class SlotLimits(unittest.TestCase):
-    """The slots of listed workers bound the leases, so that the queue's order decides what goes next."""
+    """The slots of listed workers limit the leases, so that the queue determines which message is next."""
 
     def test_slots_bound_the_leases_and_fresh_messages_go_before_late_ones(self) -> None:
         rig = Rig()
@@ -118,7 +118,7 @@
 
 
 class RateLimits(unittest.TestCase):
-    """Shares of a service's rate limit."""
+    """Shares of a service's rate limit, and leases under it."""
 
     def test_shares_keep_the_bound(self) -> None:
         for rate in (0.1, 0.5, 2.0, 19.5, 400.0):
--- a/tests/system/queue/test_long_polls.py
+++ b/tests/system/queue/test_long_polls.py
@@ -1,4 +1,4 @@
-"""Conformance of a shard owner: workers that ask for jobs."""
+"""Conformance of a shard owner: long polls of pulling workers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LongPolls(unittest.TestCase):
-    """Workers that ask."""
+    """Polls, their answers, and extensions of the leases."""
 
     def test_a_message_waits_for_a_worker_and_a_worker_for_a_message(self) -> None:
         rig = Rig()
@@ -38,7 +38,7 @@
         self.assertEqual(rig.poller_requests, [RequestPollers("puller", 1)])
         rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
         self.assertEqual(rig.poller_requests[1:], [RequestPollers("puller", 2)])
-        rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # pauses that double up to POLLS_ASKED_MOST_S
+        rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # intervals double up to MAX_POLLERS_REQUEST_INTERVAL_S
         self.assertEqual(len(rig.poller_requests), 6)
 
     def test_no_workers_are_requested_without_waiting_pulled_messages(self) -> None:
@@ -152,14 +152,14 @@
         self.assertFalse(rig.owner.extend(rig.now, "unknown", answer.lease_id))
         self.assertFalse(rig.owner.extend(rig.now, "pushed", pushed.lease_id))
         rig.advance(PULL_LEASE_S + 1.0)
-        self.assertTrue(rig.owner.extend(rig.now, "m", answer.lease_id), "nobody else has it")
+        self.assertTrue(rig.owner.extend(rig.now, "m", answer.lease_id), "no other worker has the message")
         rig.poll(2)
         self.assertEqual(rig.take_sent(AnswerPoll), [])
         rig.advance(PULL_LEASE_S + 1.0)
         rig.take_sent()
         rig.poll(3)
         self.assertEqual(rig.answer().poll_id, 3)
-        self.assertFalse(rig.owner.extend(rig.now, "m", answer.lease_id), "another has it")
+        self.assertFalse(rig.owner.extend(rig.now, "m", answer.lease_id), "another worker has the message")
 
     def test_an_extension_fails_while_another_lease_is_being_granted(self) -> None:
         rig = Rig()
--- a/tests/system/queue/test_owner.py
+++ b/tests/system/queue/test_owner.py
@@ -34,7 +34,7 @@
 
 
 class Deliveries(unittest.TestCase):
-    """Grants, sends, and who gets them."""
+    """Grants, deliveries and the choice of the edge node."""
 
     def test_a_delivery_goes_out_only_after_its_grant_is_applied(self) -> None:
         rig = Rig()
@@ -226,7 +226,7 @@
 
 
 class NewOwners(unittest.TestCase):
-    """What a new owner does with what it finds."""
+    """A new owner takes over the messages and leases of earlier owners."""
 
     def test_a_lease_counts_as_extended(self) -> None:
         for path, duration_s in (("/plain/x", PUSH_LEASE_S), ("/jobs/x", PULL_LEASE_S)):
@@ -269,7 +269,7 @@
 
 
 class Configurations(unittest.TestCase):
-    """Messages follow the configuration in force."""
+    """Messages follow the current configuration."""
 
     def test_a_dropped_route_ends_its_messages_after_the_grace(self) -> None:
         rig = Rig(edges=())
@@ -364,7 +364,7 @@
 
 
 class Backlogs(unittest.TestCase):
-    """Work for an event doesn't grow with what waits."""
+    """The work per event does not grow with the number of waiting messages."""
 
     def test_wakeups_and_proposals_with_a_backlog(self) -> None:
         rig = Rig(edges=())
--- a/tests/system/queue/test_quota_leases.py
+++ b/tests/system/queue/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Rate limits whose tokens are lent: the split, quota leases, and the bound over many shards and owners."""
+"""Pooled rate limits: the split of the rate, quota leases, and the bound over many shards and owners."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
         borrower.tokens_lent(100.3, 3, requested_at=100.0)
         self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S - 0.01), 3)
         self.assertEqual(borrower.available(100.0 + QUOTA_LEASE_S), 0)
-        borrower.tokens_lent(101.0, 5, requested_at=100.5)  # the answer came too late
+        borrower.tokens_lent(101.0, 5, requested_at=100.5)  # the response is too late
         self.assertEqual(borrower.available(101.0), 0)
 
     def test_tokens_of_two_requests_lapse_with_those_of_the_earlier_one(self) -> None:
@@ -129,7 +129,7 @@
 
 
 class ShardRig(Rig):
-    """One shard of many."""
+    """A rig for one of `SHARDS` shards."""
 
     def __init__(self, shard: int) -> None:
         self.shard = shard
@@ -144,13 +144,14 @@
 
 
 class Shards:
-    """All shards of a service, slow requests for tokens, and a home shard whose owner changes."""
+    """All shards, with delayed requests for tokens and changing owners."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.rigs = [ShardRig(shard) for shard in range(SHARDS)]
         self.home = home_shard("limited", SHARDS)
-        self.former_lender: tuple[float, ShardOwner] | None = None  # until when it still lends, and who
+        # The former owner of the home shard, and the time until which it still lends.
+        self.former_lender: tuple[float, ShardOwner] | None = None
         self.arrivals: list[float] = []
         self.started = [0] * SHARDS
         self.messages = count()
@@ -171,7 +172,7 @@
                 rig.advance(STEP_S)
 
     def change_owner(self, shard: int) -> None:
-        """Elect another owner; a former one of the home shard lends for a while, as it doesn't know yet."""
+        """Elect another owner; a former owner of the home shard still lends until it learns of the change."""
         rig = self.rigs[shard]
         if shard == self.home:
             self.former_lender = rig.now + LENDER_OVERLAP_S, rig.owner
@@ -216,7 +217,7 @@
 
 
 def arrivals_with_owner_changes(seed: int) -> int:
-    """The most arrivals in a window, with messages everywhere and owners that change now and then."""
+    """Return the maximum arrivals in a window, with messages at all shards and random owner changes."""
     shards = Shards(seed)
     for shard in range(SHARDS):
         shards.append(shard, 40)
@@ -227,7 +228,7 @@
 
 
 def arrivals_with_home_changes(seed: int) -> int:
-    """Likewise, with owners of the home shard that change as fast as elections allow."""
+    """Return the same for owners of the home shard that change as fast as elections allow."""
     shards = Shards(seed)
     for shard in range(SHARDS):
         shards.append(shard, 40)
@@ -282,7 +283,7 @@
 
 
 def arrivals_with_unspent_tokens() -> int:
-    """The most arrivals in a window where each shard has borrowed and then had nothing to send for long."""
+    """Return the maximum arrivals in a window if all shards borrow long before they have messages."""
     shards = Shards(3)
     for rig in shards.rigs:
         rig.do(rig.owner.tokens_lent(rig.now, "limited", MAX_BORROWED_TOKENS, rig.now))
--- a/tests/system/queue/test_state.py
+++ b/tests/system/queue/test_state.py
@@ -33,7 +33,7 @@
 
 
 def message(request_id: str, key: str = "", delay_ms: int = 0, callback_url: str = "") -> Message:
-    """A message accepted at the rig's first moment."""
+    """Return a message accepted at the initial time of a replica."""
     headers = (Header("X-Request-Id", request_id),)
     return Message(
         request_id, "POST", "a.example", "/x/1", headers, key, "route", 1, delay_ms, callback_url, "edge-1",
@@ -42,18 +42,18 @@
 
 
 def grant(request_id: str, lease: str) -> GrantLease:
-    """A lease for an edge node."""
+    """Return the grant of a lease to an edge node."""
     return GrantLease(request_id, lease, "edge-1", 3_000, False)
 
 
 def end(request_id: str, lease: str, outcome: AttemptOutcome, max_attempts: int = 3) -> EndAttempt:
-    """The report of an attempt's end; successes have the lease in their stamp."""
+    """Return the end of an attempt; the stamp of a success contains the lease id."""
     stamp = f"stamp-{lease}" if outcome is SUCCEEDED else ""
     return EndAttempt(request_id, lease, outcome, stamp, max_attempts, 0)
 
 
 class Replica:
-    """A state with clocks that tests set."""
+    """A state whose clocks the test sets."""
 
     def __init__(self) -> None:
         self.now = 10.0
@@ -62,20 +62,20 @@
         self.state = QueueState(lambda: self.now, lambda: self.wall_ms)
 
     def apply(self, *commands: Command) -> Result:
-        """Apply commands in order; the last result."""
+        """Apply commands in order and return the last result."""
         for command in commands:
             self.index += 1
             result = self.state.apply(self.index, COMMANDS.encode(command))
         return result
 
     def entry(self, request_id: str) -> Entry:
-        """A message that must be known."""
+        """Return the entry of a message that must be known."""
         entry = self.state.find(request_id)
         assert entry is not None, request_id
         return entry
 
     def restart(self, wall_s: float) -> Replica:
-        """Another replica that starts from a snapshot, `wall_s` later by the time of day."""
+        """Return another replica that is restored from a snapshot, `wall_s` later by the time of day."""
         other = Replica()
         other.now = 5_000.0
         other.wall_ms = self.wall_ms + round(wall_s * 1000)
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndCase:
-    """What the current lease's end makes of a message that has failed `before` times."""
+    """Expected state after the end of the current lease, for a message with `before` failed attempts."""
 
     outcome: AttemptOutcome
     before: int
@@ -108,7 +108,7 @@
 
 
 class Ends(unittest.TestCase):
-    """Which ends count, and what they do."""
+    """Which ends are accepted, and their effects."""
 
     def leased(self, before: int = 0) -> Replica:
         replica = Replica()
@@ -177,7 +177,7 @@
 
 
 class Accepts(unittest.TestCase):
-    """Appends, bodies, counts and tombstones."""
+    """Appends, bodies, counts, call-backs, expiries and tombstones."""
 
     def test_a_known_request_id_has_no_effect(self) -> None:
         replica = Replica()
@@ -269,7 +269,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayCase:
-    """A delay of 10 s, `waited_s` before the restart, and the wall time that it took by the new clock."""
+    """A delay of 10 s with `waited_s` before a restart that takes `restart_s` by the time of day."""
 
     waited_s: float
     restart_s: float
@@ -279,8 +279,8 @@
 DELAY_CASES = (
     DelayCase(0.0, 0.0, 10.0),
     DelayCase(4.0, 0.0, 6.0),
-    DelayCase(4.0, 2.0, 6.0),  # a step of 2 s forward must not let it run early
-    DelayCase(4.0, -2.0, 6.0),  # one backward doesn't prolong it
+    DelayCase(4.0, 2.0, 6.0),  # a forward step of 2 s must not shorten the delay
+    DelayCase(4.0, -2.0, 6.0),  # a backward step does not prolong it
     DelayCase(4.0, 5.0, 3.0),
     DelayCase(4.0, 60.0, 0.0),
     DelayCase(12.0, 0.0, 0.0),
@@ -288,7 +288,7 @@
 
 
 class Restarts(unittest.TestCase):
-    """Snapshots keep everything, and times go on."""
+    """A restored state is complete, and its times continue."""
 
     def test_a_delay_goes_on_after_a_snapshot(self) -> None:
         for case in DELAY_CASES:
@@ -339,12 +339,12 @@
 
 
 def random_commands(random: Random, number: int) -> list[Command]:
-    """Commands on a few messages, which meet them in all states."""
+    """Return random commands for a few messages in all states."""
     return [random_command(random) for _ in range(number)]
 
 
 def random_command(random: Random) -> Command:
-    """One of them."""
+    """Return one random command."""
     request_id = f"m{random.randint(1, 30)}"
     lease = f"L{random.randint(1, 40)}"
     key = random.choice(("", "k", "l"))
@@ -361,7 +361,7 @@
 
 
 def contents(replica: Replica) -> list[Entry]:
-    """All entries, without their local times."""
+    """Return all entries without their local times, after checking the state's totals."""
     state = replica.state
     entries = [replace(entry, accepted_at=0.0, due_at=0.0, ended_at=0.0) for entry in state]
     assert state.queued == sum(not entry.ended for entry in entries)
@@ -370,7 +370,7 @@
 
 
 class Sharding(unittest.TestCase):
-    """Shards and identifiers."""
+    """The shard of a message, message ids and lease ids."""
 
     def test_a_key_has_one_shard_whichever_is_preferred(self) -> None:
         self.assertEqual(
--- a/tests/system/shards/shard_case.py
+++ b/tests/system/shards/shard_case.py
@@ -1,4 +1,4 @@
-"""Three shards and their owners, as an edge node sees them, in virtual time."""
+"""Test case with three shards and their owners, as seen by an edge node, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def message(request_id: str = "r1", order_key: str = "") -> Message:
-    """A message."""
+    """Return a message of a client."""
     return Message(
         request_id, "POST", "a.example", "/x", (), order_key, "route", 1, 0, "", "edge-1", 0, b"body"
     )
 
 
 class FakeLink:
-    """A link to a storage node; the test answers its requests."""
+    """A link to a storage node; the test responds to its requests."""
 
     def __init__(self, name: str, zone: str) -> None:
         self.peer = NodeDescriptor(name, "10.0.0.1:1", NodeKind.STORAGE, zone, True, "d", 1, 0)
@@ -66,7 +66,7 @@
         self.owners.ownership_changed(link, Ownership(shard_group(shard), epoch, owns))  # type: ignore[arg-type]
 
     def result(self, waiting: Deferred[Any]) -> Any:
-        """The result so far, or None."""
+        """Return the result if the Deferred has fired, else None."""
         results: list[Any] = []
         waiting.addCallback(lambda value: results.append(value) or value)  # type: ignore[func-returns-value]
         return results[0] if results else None
--- a/tests/system/shards/test_appends.py
+++ b/tests/system/shards/test_appends.py
@@ -1,4 +1,4 @@
-"""Appends: which shard a message goes to, and what its client may be told. Virtual time."""
+"""Appends: the choice of the shard and the result for the client, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AppendTest(ShardCase):
-    """A message is rejected only where it can't have been appended (RULES, REFUSED)."""
+    """A message is rejected only if it cannot have been appended (RULES, REFUSED)."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/system/shards/test_lookups.py
+++ b/tests/system/shards/test_lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups of message states. Virtual time."""
+"""Look-ups of message states, in virtual time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LookupTest(ShardCase):
-    """States by message id and by request id."""
+    """Look-ups by message id and by request id."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -31,7 +31,10 @@
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.DONE, "stamp", b"x"))
 
     def test_an_id_of_a_shard_that_the_system_doesnt_have_is_sought_everywhere_at_once(self) -> None:
-        """A client's request id that looks so; that shard would be sought until the look-up gives up."""
+        """Guards against a look-up that waits for such a shard until its deadline.
+
+        A client's request id may look like a message id of a shard that does not exist.
+        """
         waiting = self.lookup.find(message_id(SHARDS, "r1"), wants_body=False)
         self.assertEqual([len(link.requests) for link in self.links], [1] * SHARDS)
         for link in self.links:
--- a/tests/system/shards/test_owner_changes.py
+++ b/tests/system/shards/test_owner_changes.py
@@ -1,4 +1,4 @@
-"""Requests to a shard's owner that is stopped or partitioned go to its successor. Virtual time."""
+"""Requests to a shard's owner that is stopped or partitioned go to its successor, in virtual time."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ChangeCase(ShardCase):
-    """Shard 0 has an owner that doesn't respond; then another node is its owner."""
+    """The owner of shard 0 does not respond; then another node becomes its owner."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -49,7 +49,7 @@
 
 
 class SuccessorTest(ChangeCase):
-    """Idempotent requests are retried there at once; nothing is promised that may not hold."""
+    """Idempotent requests are retried at the successor immediately, and no result is returned prematurely."""
 
     def test_an_append_is_retried_and_a_refusal_there_is_no_rejection(self) -> None:
         appender = Appender(self.clock, self.owners, "z0", Random(1))
@@ -57,10 +57,10 @@
         waiting = appender.accept(message(), 900)
         self.change_owner()
         self.assertEqual(self.request_count(self.successor, AppendRequest), 1)
-        self.successor.answer(Refused(1, RefusalReason.FULL))  # the first may be in the log
+        self.successor.answer(Refused(1, RefusalReason.FULL))  # the first request may be in the log
         self.clock.advance(0.1)
         self.assertIsNone(self.result(waiting))
-        self.unresponsive.answer(Refused(1, RefusalReason.NOT_OWNER))  # resumed; too late to mean anything
+        self.unresponsive.answer(Refused(1, RefusalReason.NOT_OWNER))  # ignored, since it is too late
         self.assertIsNone(self.result(waiting))
         self.successor.answer(AppendResponse(2))
         self.assertEqual(self.result(waiting), Acceptance(AcceptResult.ACCEPTED, message_id(0, "r1")))
@@ -105,7 +105,7 @@
         self.assertEqual(self.request_count(self.successor, PullRequest), 1)
         self.successor.answer(PullResponse(1, "0-2-1", message("r2")))
         self.assertEqual(self.result(waiting).message.request_id, "r2")
-        self.unresponsive.answer(PullResponse(1, "0-1-1", message("r1")))  # a second job goes back
+        self.unresponsive.answer(PullResponse(1, "0-1-1", message("r1")))  # the second job is returned
         (request, _) = self.successor.requests[-1]
         self.assertEqual((request.request_id, request.outcome), ("r1", AttemptOutcome.NOT_RUN))
 
@@ -118,7 +118,7 @@
 
 
 class UnconfirmedLookupTest(ChangeCase):
-    """404 only where every shard that may have it has said so under its ownership; else 503 in time."""
+    """The result is 404 only if every shard that may have the message confirms it, else 503 in time."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/system/shards/test_pulls.py
+++ b/tests/system/shards/test_pulls.py
@@ -1,4 +1,4 @@
-"""Pulling workers: where they wait, the jobs that they get, their leases. Virtual time."""
+"""Pulling workers: the shards at which they wait, their jobs and their leases, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PullTest(ShardCase):
-    """Waiting workers, and calls about the leases that they hold."""
+    """Waiting workers and calls about their leases."""
 
     STATUSES = (
         (200, "s", AttemptOutcome.SUCCEEDED),
@@ -44,7 +44,7 @@
         self.pulls = PullRouter(self.clock, self.owners, self.reports, "z0", Random(1))
 
     def pulled_link(self) -> FakeLink:
-        """The link over which the worker waits."""
+        """Return the link over which the worker waits."""
         return next(link for link in self.links if link.requests)
 
     def test_statuses(self) -> None:
@@ -73,7 +73,7 @@
         self.assertEqual((returned[0].lease_id, returned[0].outcome), ("l1", AttemptOutcome.NOT_RUN))
 
     def waiting_at(self, number: int) -> int:
-        """Pulls that wait at a link; cancelled ones don't count."""
+        """Return the number of pulls that wait at a link, without cancelled ones."""
         return len(self.links[number].requests) - len(self.links[number].sent)
 
     def test_workers_wait_at_the_owner_in_their_zone_or_where_there_is_one(self) -> None:
--- a/tests/system/shards/test_reports.py
+++ b/tests/system/shards/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of ended attempts. Virtual time."""
+"""Reports of ended attempts, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ReportTest(ShardCase):
-    """A report is sent until an owner has answered it."""
+    """A report is retried until an owner has responded."""
 
     def setUp(self) -> None:
         super().setUp()
