--- a/bitternpath/delivery/connections.py
+++ b/bitternpath/delivery/connections.py
@@ -16,14 +16,14 @@
 
 RESPONSE_GRACE_S = 0.05  # added to the deadline sent to the worker, for the response to arrive
 TCP_USER_TIMEOUT_MS = 2_000  # the connection ends if sent bytes are not acknowledged within this time
-MAX_REMEMBERED_REQUESTS = 500  # request ids remembered per connection, which is then closed
+MAX_REMEMBERED_REQUESTS = 500  # a connection is closed when it has remembered this many request ids
 IDLE_USE_SHARE = 0.6  # fraction of a worker's keep-alive time for which an idle connection is used
 
 _FINAL_OUTCOMES = (AttemptOutcome.SUCCEEDED, AttemptOutcome.REJECTED)  # the message is never sent again
 
 
 class ConnectionPool(Interface):
-    """Interface of a connection to its pool, implemented by `pool.AddressPool`."""
+    """Interface that a connection requires of its pool, implemented by `pool.AddressPool`."""
 
     def now(self) -> float:
         """Return the time in seconds, on the clock of `usable_until`."""
--- a/bitternpath/shards/pulls.py
+++ b/bitternpath/shards/pulls.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Demand:
-    """Number of workers that a shard requested from this node and that were not available."""
+    """Workers that a shard requested from this node and that were not available."""
 
     workers: int
     expires_at: float
@@ -104,7 +104,7 @@
         self._waiting.pop(pull, None)
 
     def return_job(self, group: str, request_id: str, lease_id: str) -> None:
-        """Report a job that was not sent to a worker as not run."""
+        """Return a job that was not sent to a worker: report its attempt as not run."""
         self._reports.send(AttemptReport(group, request_id, lease_id, AttemptOutcome.NOT_RUN))
 
     def end(self, lease_id: str, request_id: str, status: int, stamp: str) -> Deferred[LeaseAnswer]:
--- a/bitternpath/shards/waiting_pulls.py
+++ b/bitternpath/shards/waiting_pulls.py
@@ -32,13 +32,13 @@
 
 
 class PullListener(Protocol):
-    """Callbacks of a waiting pull, implemented by `pulls.PullRouter`."""
+    """Interface that a waiting pull requires of its router, implemented by `pulls.PullRouter`."""
 
     def pull_ended(self, pull: WaitingPull) -> None:
         """Called when the pull has its result and no longer waits."""
 
     def return_job(self, group: str, request_id: str, lease_id: str) -> None:
-        """Called for a job whose worker has disconnected or has another job; it is reported as not run."""
+        """Called for a job whose worker has disconnected or has another job; reports it as not run."""
 
 
 class WaitingPull:
--- a/tests/system/queue/__init__.py
+++ b/tests/system/queue/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `bitternpath.queue`: conformance of its parts, and seeded worlds with broken builds."""
+"""Tests of `bitternpath.queue`: conformance tests, and seeded simulations with correct and faulty builds."""
--- a/tests/system/shards/test_lookups.py
+++ b/tests/system/shards/test_lookups.py
@@ -31,9 +31,9 @@
         self.assertEqual(self.result(waiting), FoundMessage(MessageState.DONE, "stamp", b"x"))
 
     def test_an_id_of_a_nonexistent_shard_is_looked_up_in_all_shards_immediately(self) -> None:
-        """Guards against a look-up that waits for such a shard until its deadline.
+        """A client's request id may look like a message id of a shard that does not exist.
 
-        A client's request id may look like a message id of a shard that does not exist.
+        Guards against a look-up that waits for the owner of that shard until its deadline.
         """
         waiting = self.lookup.find(message_id(SHARDS, "r1"), wants_body=False)
         self.assertEqual([len(link.requests) for link in self.links], [1] * SHARDS)
