--- a/tests/system/queue/test_limits.py
+++ b/tests/system/queue/test_limits.py
@@ -16,7 +16,7 @@
 
 
 class Backoff(unittest.TestCase):
-    """Back-off, and the limit on leases to a failing service."""
+    """Back-off delays and the adaptive limit on leases to a failing service."""
 
     def test_delays_of_each_outcome(self) -> None:
         cases = (
@@ -75,15 +75,15 @@
         for delivery in rig.take_sent(SendDelivery):
             rig.end(delivery, SUCCEEDED)
         rig.advance(0.1)
-        self.assertGreater(len(rig.take_sent(SendDelivery)), 30, "open again")
+        self.assertGreater(len(rig.take_sent(SendDelivery)), 30, "no longer limited")
 
 
 class SlotLimits(unittest.TestCase):
-    """The slots of listed workers bound the leases, so that the queue's order decides what goes next."""
+    """The slots of listed workers limit the leases, so that the queue determines which message is next."""
 
     def test_slots_bound_the_leases_and_fresh_messages_go_before_late_ones(self) -> None:
         rig = Rig()
-        rig.do(rig.owner.set_capacities(rig.now, {"worker": 3}))
+        rig.execute(rig.owner.set_capacities(rig.now, {"worker": 3}))
         for number in range(30):
             rig.append(f"old{number}")
         in_flight = rig.take_sent(SendDelivery)
@@ -101,16 +101,16 @@
             rig.append(f"m{number}")
         self.assertEqual(len(rig.take_sent(SendDelivery)), 20)
         rig = Rig()
-        rig.do(rig.owner.set_capacities(rig.now, {}))
+        rig.execute(rig.owner.set_capacities(rig.now, {}))
         for number in range(20):
             rig.append(f"m{number}")
         self.assertEqual(len(rig.take_sent(SendDelivery)), MIN_IN_FLIGHT)
-        rig.do(rig.owner.set_capacities(rig.now, {"worker": 5}))
+        rig.execute(rig.owner.set_capacities(rig.now, {"worker": 5}))
         self.assertEqual(len(rig.take_sent(SendDelivery)), 10 - MIN_IN_FLIGHT)
 
     def test_slots_do_not_bound_workers_that_pull(self) -> None:
         rig = Rig()
-        rig.do(rig.owner.set_capacities(rig.now, {}))
+        rig.execute(rig.owner.set_capacities(rig.now, {}))
         for number in range(5):
             rig.poll(number)
             rig.append(f"j{number}", "/jobs/x")
@@ -118,7 +118,7 @@
 
 
 class RateLimits(unittest.TestCase):
-    """Shares of a service's rate limit."""
+    """Shares of a service's rate limit, and leases under it."""
 
     def test_shares_keep_the_bound(self) -> None:
         for rate in (0.1, 0.5, 2.0, 19.5, 400.0):
@@ -132,7 +132,7 @@
                         self.assertLessEqual(share.refill_per_s, rate / shards)
                         self.assertTrue(share.burst >= 1.0 or share.refill_per_s == 0.0)
 
-    def test_nearly_the_whole_rate_is_used(self) -> None:
+    def test_nearly_the_full_rate_is_used(self) -> None:
         for shards in (1, 2, 3, 4):
             share = equal_share(19.5, RateBound(shards, 5.0, 1.1))
             self.assertGreater(share.refill_per_s * shards, 0.9 * 19.5)
--- a/tests/system/queue/test_long_polls.py
+++ b/tests/system/queue/test_long_polls.py
@@ -1,4 +1,4 @@
-"""Conformance of a shard owner: workers that ask for jobs."""
+"""Conformance of a shard owner: long polls of pulling workers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LongPolls(unittest.TestCase):
-    """Workers that ask."""
+    """Polls, their answers, and extensions of the leases."""
 
     def test_a_message_waits_for_a_worker_and_a_worker_for_a_message(self) -> None:
         rig = Rig()
@@ -38,7 +38,7 @@
         self.assertEqual(rig.poller_requests, [RequestPollers("puller", 1)])
         rig.advance(MIN_POLLERS_REQUEST_INTERVAL_S)
         self.assertEqual(rig.poller_requests[1:], [RequestPollers("puller", 2)])
-        rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # pauses that double up to POLLS_ASKED_MOST_S
+        rig.advance(0.1 + 0.2 + 0.2 + 0.2 + 0.01)  # intervals double up to MAX_POLLERS_REQUEST_INTERVAL_S
         self.assertEqual(len(rig.poller_requests), 6)
 
     def test_no_workers_are_requested_without_waiting_pulled_messages(self) -> None:
@@ -59,9 +59,9 @@
         rig.append("m", "/jobs/x")
         self.assertEqual(rig.proposed, [GrantLease("m", "0-1-1", "instance-1", 3_500, True)])
 
-    def test_nearer_workers_go_first_then_longer_waiting_ones(self) -> None:
+    def test_workers_in_the_zone_are_first_then_longer_waiting_ones(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2"))
-        rig.do(rig.owner.edge_connected(rig.now, "far", "south"))
+        rig.execute(rig.owner.edge_connected(rig.now, "far", "south"))
         for number, edge in ((1, "far"), (2, "edge-1"), (3, "edge-2"), (4, "far")):
             rig.poll(number, edge)
         for number in range(4):
@@ -76,7 +76,7 @@
         rig.advance(5.0)
         self.assertEqual(rig.take_sent(), [ExpirePoll(1, "edge-1")])
 
-    def test_a_worker_that_has_gone_while_its_lease_was_granted(self) -> None:
+    def test_a_worker_that_disconnects_while_its_lease_is_granted(self) -> None:
         def cancel_poll(rig: Rig) -> list[Action]:
             return rig.owner.cancel_poll(rig.now, 1)
 
@@ -89,14 +89,14 @@
                 rig.automatic = False
                 rig.poll(1)
                 rig.append("m", "/jobs/x")
-                rig.do(disconnect(rig))
+                rig.execute(disconnect(rig))
                 rig.commit()
                 self.assertEqual(rig.sent, [])
                 (command,) = rig.proposed
                 self.assertEqual((command.lease_id, command.outcome), ("0-1-1", NOT_RUN))
                 rig.commit()
                 rig.automatic = True
-                rig.do(rig.owner.edge_connected(rig.now, "edge-1", "north"))
+                rig.execute(rig.owner.edge_connected(rig.now, "edge-1", "north"))
                 rig.poll(2, wait_s=2.0)
                 rig.advance(1.0)
                 self.assertEqual(rig.answer().poll_id, 2)
@@ -110,7 +110,7 @@
         rig.commit()
         self.assertEqual(rig.answer().poll_id, 1)
 
-    def test_a_worker_waits_on_when_its_message_was_done_meanwhile(self) -> None:
+    def test_a_worker_keeps_waiting_if_its_message_was_done_meanwhile(self) -> None:
         rig = Rig()
         rig.poll(1)
         rig.append("m", "/jobs/x")
@@ -152,14 +152,14 @@
         self.assertFalse(rig.owner.extend(rig.now, "unknown", answer.lease_id))
         self.assertFalse(rig.owner.extend(rig.now, "pushed", pushed.lease_id))
         rig.advance(PULL_LEASE_S + 1.0)
-        self.assertTrue(rig.owner.extend(rig.now, "m", answer.lease_id), "nobody else has it")
+        self.assertTrue(rig.owner.extend(rig.now, "m", answer.lease_id), "no other worker has the message")
         rig.poll(2)
         self.assertEqual(rig.take_sent(AnswerPoll), [])
         rig.advance(PULL_LEASE_S + 1.0)
         rig.take_sent()
         rig.poll(3)
         self.assertEqual(rig.answer().poll_id, 3)
-        self.assertFalse(rig.owner.extend(rig.now, "m", answer.lease_id), "another has it")
+        self.assertFalse(rig.owner.extend(rig.now, "m", answer.lease_id), "another worker has the message")
 
     def test_an_extension_fails_while_another_lease_is_being_granted(self) -> None:
         rig = Rig()
@@ -171,12 +171,12 @@
         rig.poll(2)
         self.assertFalse(rig.owner.extend(rig.now, "m", answer.lease_id))
 
-    def test_an_edge_process_that_ends_leaves_the_worker_its_lease(self) -> None:
+    def test_the_end_of_an_edge_process_does_not_end_a_workers_lease(self) -> None:
         rig = Rig(edges=("edge-1", "edge-2"))
         rig.poll(1)
         rig.append("m", "/jobs/x")
         answer = rig.answer()
-        rig.do(rig.owner.edge_process_ended(rig.now, "edge-1"))
+        rig.execute(rig.owner.edge_process_ended(rig.now, "edge-1"))
         rig.poll(2, "edge-2")
         self.assertEqual(rig.sent, [])
         self.assertTrue(rig.end(answer, SUCCEEDED))
--- a/tests/system/shards/test_pulls.py
+++ b/tests/system/shards/test_pulls.py
@@ -1,4 +1,4 @@
-"""Pulling workers: where they wait, the jobs that they get, their leases. Virtual time."""
+"""Pulling workers: the shards at which they wait, their jobs and their leases, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PullTest(ShardCase):
-    """Waiting workers, and calls about the leases that they hold."""
+    """Waiting workers and calls about their leases."""
 
     STATUSES = (
         (200, "s", AttemptOutcome.SUCCEEDED),
@@ -44,7 +44,7 @@
         self.pulls = PullRouter(self.clock, self.owners, self.reports, "z0", Random(1))
 
     def pulled_link(self) -> FakeLink:
-        """The link over which the worker waits."""
+        """Return the link over which the worker waits."""
         return next(link for link in self.links if link.requests)
 
     def test_statuses(self) -> None:
@@ -60,7 +60,7 @@
         self.pulled_link().answer(PullResponse(1, "", None))
         self.assertTrue(empty.result.called)
 
-    def test_a_job_for_a_worker_that_has_gone_is_handed_back_as_not_run(self) -> None:
+    def test_a_job_for_a_disconnected_worker_is_returned_as_not_run(self) -> None:
         pull = self.pulls.pull("s", "i", 1000)
         link = self.pulled_link()
         group = link.requests[0][0].group
@@ -73,7 +73,7 @@
         self.assertEqual((returned[0].lease_id, returned[0].outcome), ("l1", AttemptOutcome.NOT_RUN))
 
     def waiting_at(self, number: int) -> int:
-        """Pulls that wait at a link; cancelled ones don't count."""
+        """Return the number of pulls that wait at a link, without cancelled ones."""
         return len(self.links[number].requests) - len(self.links[number].sent)
 
     def test_workers_wait_at_the_owner_in_their_zone_or_where_there_is_one(self) -> None:
@@ -121,7 +121,7 @@
         self.pulls.work_available(WorkAvailable(shard_group(2), "s", 1, 1))
         self.assertEqual(self.pulls.claim_waiting_worker("s"), shard_group(2))
 
-    def test_a_job_of_an_earlier_shard_goes_to_the_worker_and_a_second_one_back(self) -> None:
+    def test_a_job_of_an_earlier_shard_goes_to_the_worker_and_a_second_one_is_returned(self) -> None:
         pull = self.pulls.pull("s", "i", 1000)
         first_link = self.pulled_link()
         target = next(number for number, link in enumerate(self.links) if link is not first_link)
@@ -141,7 +141,7 @@
         first_link.answer(PullResponse(1, "", None))
         self.assertFalse(pull.result.called)
 
-    def test_a_link_that_is_lost_ends_the_wait_only_of_those_who_wait_there(self) -> None:
+    def test_a_lost_link_ends_only_the_waits_at_its_node(self) -> None:
         pull = self.pulls.pull("s", "i", 1000)
         first_link = self.pulled_link()
         target = next(number for number, link in enumerate(self.links) if link is not first_link)
@@ -181,7 +181,7 @@
         self.clock.pump([0.1] * 60)
         self.assertEqual([self.result(each) for each in waiting], [LeaseAnswer.UNAVAILABLE] * 2)
 
-    def test_a_malformed_lease_id_is_gone(self) -> None:
+    def test_a_malformed_lease_id_is_not_current(self) -> None:
         self.assertEqual(self.result(self.pulls.end("nonsense", "r1", 200, "s")), LeaseAnswer.NOT_CURRENT)
         self.assertEqual(self.result(self.pulls.extend("nonsense", "r1")), LeaseAnswer.NOT_CURRENT)
 
