--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,13 +9,13 @@
 
 
 def job_class(name: str = "job", effect: m.Effect = m.Effect.SAFE, **more: Any) -> m.JobClass:
-    given: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "latency_target": 400.0,
         "max_deadline": 5000.0,
         "dedup_window": 7500.0,
         "work_factor": 2.0,
     }
-    return m.JobClass(name, effect, **(given | more))
+    return m.JobClass(name, effect, **(defaults | more))
 
 
 def entry(name: str, zone: str = "a", cell: int = 0, **more: Any) -> m.WorkerEntry:
@@ -47,25 +47,25 @@
         return self.handle(m.Request(name, job, remaining, **more))
 
     def end_attempt(
-        self, name: str, worker: str, how: m.AttemptOutcome, n: int = 0, after: float = 10.0
+        self, name: str, worker: str, outcome: m.AttemptOutcome, n: int = 0, after: float = 10.0
     ) -> list[m.Action]:
         self.now += after
         return self.dispatcher.handle(
-            self.now, m.AttemptEnded(name, n, worker, how, after, how is m.AttemptOutcome.OK)
+            self.now, m.AttemptEnded(name, n, worker, outcome, after, outcome is m.AttemptOutcome.OK)
         )
 
     def run_sweeps(self, after: float) -> list[m.Action]:
         """Let time pass with the sweep's alarms as they fall due."""
-        acts: list[m.Action] = []
+        actions: list[m.Action] = []
         until = self.now + after
         while self.now < until:
-            acts += self.handle(m.TimerFired("sweep"), self.dispatcher.sweep_interval)
-        return acts
+            actions += self.handle(m.TimerFired("sweep"), self.dispatcher.sweep_interval)
+        return actions
 
 
-def sends(acts: list[m.Action]) -> list[m.Send]:
-    return [a for a in acts if isinstance(a, m.Send)]
+def sends(actions: list[m.Action]) -> list[m.Send]:
+    return [a for a in actions if isinstance(a, m.Send)]
 
 
-def finals(acts: list[m.Action]) -> list[m.Action]:
-    return [a for a in acts if isinstance(a, m.Refuse | m.Fail)]
+def finals(actions: list[m.Action]) -> list[m.Action]:
+    return [a for a in actions if isinstance(a, m.Refuse | m.Fail)]
--- a/tests/system/dispatch/delivery_case.py
+++ b/tests/system/dispatch/delivery_case.py
@@ -99,9 +99,11 @@
         self.deliveries = DeliveryDispatcher(self.clock, self.node, parts, Random(1))  # type: ignore[arg-type]
         self.deliveries.workers_changed([entry(1), entry(2), entry(3)], [])
 
-    def lease(self, given: Message | None = None, duration_ms: int = 3000, omitted: bool = False) -> None:
+    def lease(
+        self, message_sent: Message | None = None, duration_ms: int = 3000, omitted: bool = False
+    ) -> None:
         self.deliveries.lease_granted(
-            LeaseGrant("queue-0", "l1", duration_ms, 0, omitted, given or message())
+            LeaseGrant("queue-0", "l1", duration_ms, 0, omitted, message_sent or message())
         )
 
     def outcome(self) -> AttemptOutcome:
--- a/tests/system/dispatch/test_deliveries.py
+++ b/tests/system/dispatch/test_deliveries.py
@@ -91,7 +91,7 @@
             [call[0].send_within_s for call in self.node.calls], [RATED_SEND_WITHIN_S, float("inf")]
         )
 
-    def test_the_configuration_in_force_at_the_send_decides(self) -> None:
+    def test_the_configuration_at_the_time_of_the_send_counts(self) -> None:
         cases = (
             ("dropped, table as new", table(3), "/none/1", AttemptOutcome.ROUTE_GONE),
             ("unknown, table older than the message", table(2), "/none/1", AttemptOutcome.NOT_RUN),
@@ -105,7 +105,7 @@
                 self.lease(message(target))
                 self.assertEqual((self.outcome(), self.node.calls), (expected, []))
 
-    def test_a_moved_route_goes_to_the_new_service_alone(self) -> None:
+    def test_a_moved_route_is_sent_to_the_new_service_only(self) -> None:
         self.deliveries.workers_changed([entry(1), entry(9, "others")], [])
         self.node.table = table(4, listed="others")
         self.lease()
@@ -128,7 +128,7 @@
         self.lease(message("/endpoint/1"))
         self.assertEqual([report.outcome for report in self.node.reports], [AttemptOutcome.NOT_RUN] * 2)
 
-    def test_a_body_is_cached_for_the_first_lease_alone(self) -> None:
+    def test_a_body_is_cached_for_the_first_lease_only(self) -> None:
         self.bodies.add(message())
         self.lease(structs.replace(message(), body=b""), omitted=True)
         self.assertEqual(self.node.calls[0][1].body, b"body")
--- a/tests/system/dispatch/test_selection.py
+++ b/tests/system/dispatch/test_selection.py
@@ -24,7 +24,7 @@
         self.selection = WorkerSelection(Random(7))
         self.selection.workers_changed([entry(n, slots=100) for n in range(4)], [])
 
-    def play(self, times: dict[str, float], rounds: int) -> dict[str, int]:
+    def counts_of_choices(self, times: dict[str, float], rounds: int) -> dict[str, int]:
         """One delivery at a time; how often each worker was chosen in the last half."""
         counts = dict.fromkeys(times, 0)
         for number in range(rounds):
@@ -38,7 +38,7 @@
         return counts
 
     def test_the_fastest_worker_gets_most_and_others_are_still_explored(self) -> None:
-        counts = self.play({"i0": 0.1, "i1": 0.1, "i2": 0.02, "i3": 0.1}, 1000)
+        counts = self.counts_of_choices({"i0": 0.1, "i1": 0.1, "i2": 0.02, "i3": 0.1}, 1000)
         self.assertGreater(counts["i2"], 300)
         self.assertTrue(all(count > 0 for count in counts.values()))
 
@@ -71,7 +71,7 @@
                 self.assertIsNotNone(self.selection.choose(within, "r", "one"))
 
     def test_a_new_incarnation_is_a_new_neuron(self) -> None:
-        self.play({"i0": 0.1, "i1": 0.1, "i2": 0.02, "i3": 0.1}, 400)
+        self.counts_of_choices({"i0": 0.1, "i1": 0.1, "i2": 0.02, "i3": 0.1}, 400)
         self.selection.workers_changed([entry(7)], ["i2"])
         self.assertIsNone(self.selection.worker("i2"))
         self.assertIsNotNone(self.selection.worker("i7"))
--- a/tests/system/dispatch/test_stalls.py
+++ b/tests/system/dispatch/test_stalls.py
@@ -30,7 +30,7 @@
                 self.assertEqual(self.node.calls, [])
                 self.assertEqual(self.outcome(), AttemptOutcome.NOT_RUN)
 
-    def test_a_short_stall_costs_its_own_time_alone(self) -> None:
+    def test_a_short_stall_only_shortens_the_lease(self) -> None:
         self.stall(1.0)
         self.clock.advance(0.0)
         self.lease(duration_ms=DURATION_MS)
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("effect", list(m.Effect))
-def test_a_silent_endpoint_costs_an_answer_before_the_deadline(effect: m.Effect) -> None:
+def test_an_unresponsive_endpoint_leads_to_an_answer_before_the_deadline(effect: m.Effect) -> None:
     harness = BrokerHarness(effect, endpoints=1)
     harness.submit(budget=500.0)
     harness.advance(480.0)
@@ -90,7 +90,7 @@
     assert not harness.broker.in_progress and not harness.broker.unanswered
 
 
-def test_an_request_with_next_to_no_time_left_is_still_the_modules_to_answer() -> None:
+def test_a_request_with_almost_no_time_left_is_still_answered_by_the_module() -> None:
     # Guards: the last-moment timer was due before the drain, and 'failed' was said without asking the module.
     harness = BrokerHarness(m.Effect.SAFE, endpoints=0)
     harness.submit(budget=3.0)
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("state", [CallState.DONE, CallState.FAILED, CallState.LOST])
-def test_the_first_end_of_a_call_counts(state: CallState) -> None:
+def test_only_the_first_end_of_a_call_counts(state: CallState) -> None:
     harness = BrokerHarness()
     harness.submit()
     endpoint = harness.calls[0].endpoint
@@ -111,7 +111,7 @@
     assert len(harness.calls) == 1
 
 
-def test_news_from_an_endpoint_that_has_no_call_changes_nothing() -> None:
+def test_reports_of_an_endpoint_without_a_call_are_ignored() -> None:
     harness = BrokerHarness()
     harness.submit()
     other = {"s0": "s1", "s1": "s0"}[harness.calls[0].endpoint]
@@ -120,7 +120,7 @@
     assert harness.answers == [] and not harness.calls[0].finished
 
 
-def test_a_job_handed_back_goes_on_but_a_repeat_of_that_news_proves_nothing() -> None:
+def test_a_returned_job_is_retried_but_a_duplicate_of_that_report_proves_nothing() -> None:
     # Guards: a late copy of 'returned' for the first call must not count as proof for a second one there.
     harness = BrokerHarness(endpoints=1)
     harness.submit(budget=4000.0)
@@ -132,7 +132,7 @@
     assert harness.given_up == [harness.calls[1]]  # it may be running
 
 
-def test_a_repeat_of_a_keyed_job_may_begin_only_inside_the_window_of_the_first() -> None:
+def test_a_repeat_of_a_keyed_job_may_start_only_within_the_window_of_the_first() -> None:
     harness = BrokerHarness(m.Effect.KEYED, dedup_window=1000.0)
     harness.submit(budget=4000.0)
     first = harness.calls[0]
@@ -146,13 +146,13 @@
 def test_a_call_not_sent_because_its_endpoint_drains_goes_elsewhere() -> None:
     harness = BrokerHarness()
     serving = harness.broker.registry.endpoints
-    drained = serving.pop("s0")
+    removed = serving.pop("s0")
     for k in range(8):
         harness.submit(f"a{k}")
-    assert len(harness.calls) == 8 and not any(call.endpoint == drained.id for call in harness.calls)
+    assert len(harness.calls) == 8 and not any(call.endpoint == removed.id for call in harness.calls)
 
 
-def test_a_client_that_has_gone_has_its_calls_given_up_and_no_answer() -> None:
+def test_calls_of_a_client_that_left_are_cancelled_and_it_gets_no_answer() -> None:
     harness = BrokerHarness()
     harness.broker.withdraw(harness.submit())
     harness.advance(2.0)
@@ -160,7 +160,7 @@
     assert not harness.broker.in_progress and not harness.broker.unanswered
 
 
-def test_a_call_for_a_client_that_is_gone_before_anybody_heard_of_it_does_not_begin() -> None:
+def test_no_call_starts_for_a_client_whose_disconnect_is_not_processed_yet() -> None:
     # Guards: a process that did not come to look sent what its client had long left.
     harness = BrokerHarness()
     harness.client_left = True
@@ -174,7 +174,7 @@
     )
 
 
-def test_an_exception_in_the_module_costs_one_failed_answer_and_no_more() -> None:
+def test_an_exception_in_the_module_fails_one_request_only() -> None:
     # Guards: an exception must not lose the request, the rest of the batch, or the module's alarms.
     received: list[m.Event] = []
 
@@ -205,14 +205,14 @@
     assert harness.answers == [("failed",)] and not harness.broker.in_progress
 
 
-def test_an_request_that_the_module_forgets_is_answered_all_the_same() -> None:
+def test_a_request_that_the_module_ignores_is_answered_before_its_deadline() -> None:
     harness = BrokerHarness(handle=lambda now, event: [])
     harness.submit(budget=100.0)
     harness.advance(99.0)
     assert harness.answers == [("failed",)] and not harness.broker.unanswered
 
 
-def test_what_arrives_after_the_signal_to_stop_is_answered_before_the_process_may_be_killed() -> None:
+def test_requests_after_the_stop_signal_are_answered_before_the_process_may_be_killed() -> None:
     # Guards: what was taken late in a planned restart had no answer when the process was killed.
     harness = BrokerHarness()
     harness.broker.answer_deadline = harness.now() + 300.0
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("effect", list(m.Effect))
-def test_what_an_endpoint_cannot_use_fails_without_another_try_or_a_lesson(effect: m.Effect) -> None:
+def test_a_request_that_an_endpoint_rejects_fails_without_retry_or_learning(effect: m.Effect) -> None:
     # Guards: each answer of that kind was an error, tried on every endpoint and held against each of them.
     harness = BrokerHarness(effect, endpoints=4)
     nets = [class_state.network for class_state in harness.module.class_states.values()]
@@ -240,7 +240,7 @@
     )
 
 
-def test_an_id_is_not_taken_again_soon_after_its_answer() -> None:
+def test_an_id_is_not_accepted_again_soon_after_its_answer() -> None:
     # Guards: the same id a moment later would have run a second time what must run once.
     harness = BrokerHarness()
     harness.submit("a")
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -30,7 +30,7 @@
     ]
 
 
-def test_dispatchers_that_know_nothing_of_each_other_spread_their_jobs_evenly() -> None:
+def test_dispatchers_without_coordination_spread_their_jobs_evenly() -> None:
     """Each took workers at random: a third of the jobs met others while a third of the workers had none."""
     got = Counter(
         send.worker for harness in fleet() for n in range(2) for send in sends(harness.request(f"r{n}"))
@@ -40,7 +40,7 @@
     assert max(got.values()) <= 4
 
 
-def test_jobs_one_after_the_other_use_few_workers_and_so_few_connections() -> None:
+def test_sequential_jobs_use_few_workers_and_connections() -> None:
     """Every worker was new to the node: a handshake for nearly each job, and nothing learned of any."""
     for harness in fleet()[:5]:
         used = Counter[str]()
@@ -52,13 +52,13 @@
         assert sum(n for _, n in used.most_common(3)) > 80
 
 
-def test_jobs_beyond_the_places_of_the_homes_go_elsewhere() -> None:
+def test_jobs_beyond_the_limit_of_home_workers_go_elsewhere() -> None:
     (harness,) = fleet()[:1]
     at = Counter(send.worker for n in range(30) for send in sends(harness.request(f"r{n}")))
     assert len(at) > 15 and max(at.values()) <= 4
 
 
-def test_workers_that_join_in_a_mass_carry_work_soon_and_none_is_flooded() -> None:
+def test_many_workers_that_join_at_once_get_jobs_soon_and_none_is_overloaded() -> None:
     """Each drew its first gap from a minute: 36 new workers stood idle while 24 had long queues."""
     run, share, multiple = 100.0, 0.25, 4.0
     cold = {
@@ -87,7 +87,7 @@
     assert max(carried) < multiple * 2 * share
 
 
-def test_a_cold_home_gets_the_next_job_when_the_last_has_ended() -> None:
+def test_an_idle_cold_home_worker_gets_its_next_job_soon() -> None:
     """Paced by time alone, cold homes stood idle for half of it though jobs were held for want of a place."""
     (harness,) = fleet(cold_share=0.05, warm_within=20_000.0)[:1]
     for n in range(40):
@@ -125,46 +125,48 @@
     assert harness.dispatcher.mean_wait > 300.0
 
 
-def test_a_herd_of_nodes_does_not_swamp_a_discovery_service_of_fixed_capacity() -> None:
+def test_nodes_that_start_together_do_not_overload_discovery() -> None:
     """Asked at once and again within a second, it served only calls that had already failed by waiting."""
-    serves, waits = 150.0, 2000.0  # ms for a call; ms after which a waiting call fails
+    call_time, call_timeout = 150.0, 2000.0  # ms for a call; ms after which a waiting call fails
     harnesses = fleet(list_on_request=True)
     start, free, calls, granted = harnesses[0].now, 0.0, 0, set[int]()
 
-    def ask_in(acts: list[m.Action]) -> list[float]:
-        return [a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch"]
+    def subscribe_delays(actions: list[m.Action]) -> list[float]:
+        return [a.delay for a in actions if isinstance(a, m.StartTimer) and a.label == "watch"]
 
     due = [
-        (delay, k, "ask") for k, harness in enumerate(harnesses) for delay in ask_in(harness.initial_actions)
+        (delay, k, "ask")
+        for k, harness in enumerate(harnesses)
+        for delay in subscribe_delays(harness.initial_actions)
     ]
     heapq.heapify(due)
     while due and due[0][0] < 20_000.0:
         at, k, what = heapq.heappop(due)
         harnesses[k].now = start + at
         if what == "failed":
-            for delay in ask_in(harnesses[k].handle(m.WorkerList(m.ListKind.FAILED))):
+            for delay in subscribe_delays(harnesses[k].handle(m.WorkerList(m.ListKind.FAILED))):
                 heapq.heappush(due, (at + delay, k, "ask"))
         elif (
             any(isinstance(a, m.SubscribeToWorkers) for a in harnesses[k].handle(m.TimerFired("watch")))
             and k not in granted
         ):
             calls += 1
-            free = max(free, at) + serves  # in turn, and at the same cost if nobody waits any more
-            if free - at > waits:
-                heapq.heappush(due, (at + waits, k, "failed"))
+            free = max(free, at) + call_time  # in turn, and at the same cost if nobody waits any more
+            if free - at > call_timeout:
+                heapq.heappush(due, (at + call_timeout, k, "failed"))
             else:
                 granted.add(k)
     assert len(granted) == NODES and calls < 2 * NODES
 
 
-def test_a_watch_that_is_refused_is_opened_again_when_the_module_says_so() -> None:
+def test_a_refused_subscription_is_retried_when_the_module_says_so() -> None:
     """The watch opened itself again within a second, whatever the module knew of an overbooked service."""
     reactor: Any = MemoryReactorClock()
     registry = EndpointRegistry(Listing(7, True, ()))
-    handed = list[m.Event]()
+    handled = list[m.Event]()
 
     def handle(now: float, event: m.Event) -> list[m.Action]:
-        handed.append(event)
+        handled.append(event)
         return (
             [m.SubscribeToWorkers()] if isinstance(event, m.TimerFired) else [m.StartTimer("watch", 5000.0)]
         )
@@ -184,15 +186,15 @@
         protocol.dataReceived(b"HTTP/1.1 503 Overbooked\r\nContent-Length: 0\r\n\r\n")
         protocol.connectionLost(Failure(ConnectionDone()))
         reactor.advance(0.0)
-        assert handed[-1] == m.WorkerList(m.ListKind.FAILED, [])
+        assert handled[-1] == m.WorkerList(m.ListKind.FAILED, [])
         reactor.advance(4.9)
         assert len(reactor.tcpClients) == turn
         reactor.advance(0.2)
         reactor.advance(0.0)
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_a_refused_connect_proves_no_more_than_that_there_was_no_room(heard: bool) -> None:
+@pytest.mark.parametrize("reported", [True, False])
+def test_a_refused_connection_to_a_worker_that_reports_means_that_it_is_full(reported: bool) -> None:
     """A worker that was short of connections was left out like a dead one, longer each time."""
     harness = fleet(progress_every=1000.0)[0]
     home = harness.dispatcher.home_workers[0]
@@ -201,29 +203,33 @@
         other.full_until = 0.0 if other is worker else harness.now + 60_000.0
     (first,) = sends(harness.request("running"))
     assert first.worker == home
-    if heard:
+    if reported:
         harness.handle(m.JobProgress("running", 0, home))
     worker.not_started = 0
     (second,) = sends(harness.request("refused"))
     assert second.worker == home
     harness.end_attempt("refused", home, m.AttemptOutcome.NO_CONNECTION, after=1.0)
-    assert (worker.suspensions == 0) == heard
-    assert (worker.suspended_until > harness.now) != heard and (worker.full_until > harness.now) == heard
+    assert (worker.suspensions == 0) == reported
+    assert (worker.suspended_until > harness.now) != reported and (
+        worker.full_until > harness.now
+    ) == reported
 
 
-def test_held_jobs_look_at_few_workers_each_where_all_of_a_large_fleet_are_suspect() -> None:
+def test_a_job_checks_few_workers_where_all_of_a_large_fleet_are_suspended() -> None:
     """A turn took 3.2 s: 6,000 held jobs looked twice each at all of 200 workers that did not answer."""
     harness = DispatcherHarness(workers=200, dispatchers=200)
     for worker in harness.dispatcher.workers.values():
         worker.suspended_until = worker.unsafe_suspended_until = 1e9
-    looks = Counter[str]()
+    checks = Counter[str]()
     next_cold = harness.dispatcher.next_cold_send_at
 
-    def counted(worker: Any) -> float:
-        looks["all"] += 1
+    def counting_next_cold_send_at(worker: Any) -> float:
+        checks["all"] += 1
         return next_cold(worker)
 
-    harness.dispatcher.next_cold_send_at = counted  # type: ignore[method-assign]
+    harness.dispatcher.next_cold_send_at = counting_next_cold_send_at  # type: ignore[method-assign]
     assert all(sends(harness.request(f"r{n}")) for n in range(50))
-    fleet_looks = looks["all"] - 50 * 200  # the search for one that is not suspect looks at all of them once
-    assert 50 <= fleet_looks <= 50 * 2 * 28
+    sample_checks = (
+        checks["all"] - 50 * 200
+    )  # the search for one that is not suspect looks at all of them once
+    assert 50 <= sample_checks <= 50 * 2 * 28
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -11,29 +11,31 @@
 from bitternpath.dispatch import network
 
 
-class Dense:
+class DenseNetwork:
     """Matrices w+ and w-, updated and solved as section II says, scaled to a mean firing rate of 1."""
 
     def __init__(self, n: int) -> None:
-        self.n, self.t = n, 0.0
+        self.n, self.threshold = n, 0.0
         start = 1 / (2 * (n - 1))
         self.plus = [[0.0 if i == j else start for i in range(n)] for j in range(n)]
         self.minus = [row[:] for row in self.plus]
 
-    def learn(self, at: int, reward: float) -> None:
+    def learn(self, position: int, reward: float) -> None:
         n = self.n
-        self.t = network.ALPHA * self.t + (1 - network.ALPHA) * reward if self.t else reward
-        if reward == self.t:
+        self.threshold = (
+            network.ALPHA * self.threshold + (1 - network.ALPHA) * reward if self.threshold else reward
+        )
+        if reward == self.threshold:
             return
-        size = min(max(reward / self.t, self.t / max(reward, 1e-9)), network.PAYOFF_CAP)
-        step = network.GAIN * size / (2 * (n - 1))
-        up, down = (self.plus, self.minus) if reward > self.t else (self.minus, self.plus)
+        strength = min(max(reward / self.threshold, self.threshold / max(reward, 1e-9)), network.PAYOFF_CAP)
+        step = network.GAIN * strength / (2 * (n - 1))
+        raised, lowered = (self.plus, self.minus) if reward > self.threshold else (self.minus, self.plus)
         for j in range(n):
-            if j != at:
-                up[j][at] += step
+            if j != position:
+                raised[j][position] += step
             for k in range(n):
-                if k not in (at, j):
-                    down[j][k] += step / (n - 2 if n > 2 else 1)
+                if k not in (position, j):
+                    lowered[j][k] += step / (n - 2 if n > 2 else 1)
         rate = sum(map(sum, self.plus)) + sum(map(sum, self.minus))
         for matrix in (self.plus, self.minus):
             for row in matrix:
@@ -52,7 +54,7 @@
 
 @pytest.mark.parametrize("n", [2, 3, 8, 25])
 def test_factored_network_solves_the_papers_equations(n: int) -> None:
-    rand, dense, net = Random(n), Dense(n), network.Network[Worker]()
+    rand, dense, net = Random(n), DenseNetwork(n), network.Network[Worker]()
     workers = [Worker(entry(f"w{k}")) for k in range(n)]
     for worker in workers:
         net.join(worker)
@@ -62,10 +64,10 @@
         dense.learn(at, reward)
         net.learn(workers[at], reward)
     net.solve_q()
-    assert net.threshold == pytest.approx(dense.t)
-    wanted = dense.solve()
-    assert net.q == pytest.approx(wanted, abs=5 * network.CONVERGED)
-    assert max(wanted) - min(wanted) > 0.01
+    assert net.threshold == pytest.approx(dense.threshold)
+    expected = dense.solve()
+    assert net.q == pytest.approx(expected, abs=5 * network.CONVERGED)
+    assert max(expected) - min(expected) > 0.01
 
 
 def test_new_network_has_equal_q() -> None:
@@ -75,7 +77,7 @@
     assert max(net.q) - min(net.q) < network.CONVERGED
 
 
-def test_a_tie_and_a_single_worker_change_nothing() -> None:
+def test_a_payoff_equal_to_the_threshold_or_a_single_worker_changes_nothing() -> None:
     net = network.Network[Worker]()
     one, two = Worker(entry("w0")), Worker(entry("w1"))
     net.join(one)
@@ -104,7 +106,7 @@
     assert nets[1] < nets[0]
 
 
-def test_leaving_and_joining_keep_what_is_known_of_the_rest() -> None:
+def test_leaving_and_joining_keep_what_was_learned_of_the_others() -> None:
     net = network.Network[Worker]()
     workers = [Worker(entry(f"w{k}", kind="x" if k < 3 else "y")) for k in range(6)]
     for worker in workers:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,27 +11,32 @@
 
 from bitternpath.balancer import messages as m
 
-NEVER = [m.AttemptOutcome.FULL, m.AttemptOutcome.NO_CONNECTION, m.AttemptOutcome.NOT_SENT]
-MAYBE = [m.AttemptOutcome.ERROR, m.AttemptOutcome.TIMEOUT, m.AttemptOutcome.RESET, m.AttemptOutcome.CANCELLED]
+NOT_EXECUTED = [m.AttemptOutcome.FULL, m.AttemptOutcome.NO_CONNECTION, m.AttemptOutcome.NOT_SENT]
+MAY_HAVE_RUN = [
+    m.AttemptOutcome.ERROR,
+    m.AttemptOutcome.TIMEOUT,
+    m.AttemptOutcome.RESET,
+    m.AttemptOutcome.CANCELLED,
+]
 
 
-@pytest.mark.parametrize("how", MAYBE)
-def test_unsafe_job_that_may_have_run_is_neither_resent_nor_refused(how: m.AttemptOutcome) -> None:
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
+def test_unsafe_job_that_may_have_run_is_neither_resent_nor_refused(outcome: m.AttemptOutcome) -> None:
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE))
     (send,) = sends(harness.request("r"))
-    acts = harness.end_attempt("r", send.worker, how)
-    assert acts == [m.Fail("r")]
+    actions = harness.end_attempt("r", send.worker, outcome)
+    assert actions == [m.Fail("r")]
 
 
-@pytest.mark.parametrize("how", NEVER)
-def test_unsafe_job_that_never_ran_goes_to_another_worker(how: m.AttemptOutcome) -> None:
+@pytest.mark.parametrize("outcome", NOT_EXECUTED)
+def test_unsafe_job_that_never_ran_goes_to_another_worker(outcome: m.AttemptOutcome) -> None:
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE))
     (send,) = sends(harness.request("r"))
-    (again,) = sends(harness.end_attempt("r", send.worker, how))
+    (again,) = sends(harness.end_attempt("r", send.worker, outcome))
     assert again.worker != send.worker
 
 
-def test_keyed_job_is_repeated_only_in_its_group_and_window() -> None:
+def test_keyed_job_is_repeated_only_in_its_dedup_scope_and_window() -> None:
     rows = [entry(f"w{k}", "ab"[k // 3], k // 2) for k in range(6)]
     for group, same in (
         (m.DedupScope.ZONE, {0: {1, 2}, 3: {4, 5}}),
@@ -55,10 +60,10 @@
     harness = DispatcherHarness(workers=[])
     assert not finals(harness.request("r", remaining=150.0))
     start = harness.now
-    acts = []
-    while not finals(acts) and harness.now < start + 400:
-        acts = harness.run_sweeps(harness.dispatcher.sweep_interval)
-    assert finals(acts) and harness.now <= start + 150.0
+    actions = []
+    while not finals(actions) and harness.now < start + 400:
+        actions = harness.run_sweeps(harness.dispatcher.sweep_interval)
+    assert finals(actions) and harness.now <= start + 150.0
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
@@ -78,13 +83,13 @@
     assert "w0" in {s.worker for k in range(30, 60) for s in sends(harness.request(f"r{k}"))}
 
 
-def test_worker_missing_from_a_whole_list_is_gone() -> None:
+def test_worker_missing_from_a_complete_list_gets_nothing_more() -> None:
     harness = DispatcherHarness(workers=2)
     harness.handle(listing(entry("w1"), kind=m.ListKind.COMPLETE))
     assert {s.worker for k in range(30) for s in sends(harness.request(f"r{k}"))} == {"w1"}
 
 
-def test_cold_worker_gets_less_than_the_fall_budget_from_all_dispatchers_together() -> None:
+def test_cold_worker_is_not_overloaded_by_all_dispatchers_together() -> None:
     """Many dispatchers with few jobs each: the sum stays near the worker's present share."""
     fall, many, cold_sends, warm_sends = 1000.0, 20, 0, 0
     for seed in range(many):
@@ -101,12 +106,12 @@
     assert 0 < cold_sends < 0.8 * warm_sends
 
 
-def test_a_failed_list_call_is_repeated_later_and_later() -> None:
+def test_a_failed_list_call_is_retried_with_growing_delays() -> None:
     harness = DispatcherHarness(list_on_request=True)
     delays = []
     for _ in range(6):
-        acts = harness.handle(m.WorkerList(m.ListKind.FAILED))
-        delays += [a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch"]
+        actions = harness.handle(m.WorkerList(m.ListKind.FAILED))
+        delays += [a.delay for a in actions if isinstance(a, m.StartTimer) and a.label == "watch"]
         assert any(
             isinstance(a, m.SubscribeToWorkers) for a in harness.handle(m.TimerFired("watch"), delays[-1])
         )
@@ -115,19 +120,19 @@
 
 
 @pytest.mark.parametrize("must_ask_within", [2_000.0, 10_000.0, 60_000.0])
-def test_discovery_is_asked_again_in_time_for_what_it_had_meanwhile(must_ask_within: float) -> None:
+def test_a_failed_list_call_is_retried_before_a_change_counts_as_delivered(must_ask_within: float) -> None:
     # Guards: the pause grew to 7.5 s; a change counts as told after 6 s, and a call may hang for 1 s.
     for seed in range(50):
         harness = DispatcherHarness(list_on_request=True, must_ask_within=must_ask_within, seed=seed)
-        acts = list(harness.initial_actions)
+        actions = list(harness.initial_actions)
         for _ in range(6):
-            acts += harness.handle(m.WorkerList(m.ListKind.FAILED))
-        assert max(a.delay for a in acts if isinstance(a, m.StartTimer) and a.label == "watch") <= 4_500.0
+            actions += harness.handle(m.WorkerList(m.ListKind.FAILED))
+        assert max(a.delay for a in actions if isinstance(a, m.StartTimer) and a.label == "watch") <= 4_500.0
 
 
-@pytest.mark.parametrize("how", [m.AttemptOutcome.RESET, m.AttemptOutcome.CANCELLED])
-def test_a_cold_worker_that_may_run_a_job_of_which_no_more_is_heard_is_not_idle(
-    how: m.AttemptOutcome,
+@pytest.mark.parametrize("outcome", [m.AttemptOutcome.RESET, m.AttemptOutcome.CANCELLED])
+def test_a_cold_worker_that_may_still_run_a_reset_job_is_not_idle(
+    outcome: m.AttemptOutcome,
 ) -> None:
     # Guards: each job that was reset at once made the worker idle and drew the next, past its budget.
     cold = {"cold_share": 0.2, "warm_within": 15_000.0, "overload_span": 1000.0, "overload_multiple": 4.0}
@@ -136,73 +141,75 @@
         sent, k = list[m.Send](), 0
         while not sent:
             sent, k = sends(harness.request(f"r{k}") + harness.run_sweeps(10.0)), k + 1
-        acts = harness.end_attempt(sent[0].id, "cold", how, after=1.0)
+        actions = harness.end_attempt(sent[0].id, "cold", outcome, after=1.0)
         for more in range(10):  # for 500 of the 1000 ms that a job is taken for where none has ended yet
-            acts += harness.request(f"s{more}") + harness.run_sweeps(10.0)
-        assert not sends(acts)
+            actions += harness.request(f"s{more}") + harness.run_sweeps(10.0)
+        assert not sends(actions)
 
 
-class Bench:
+class RuleChecker:
     """Keeps the books that the rules are judged by."""
 
-    def __init__(self, effect: m.Effect, group: m.DedupScope, seed: int, copies: bool) -> None:
+    def __init__(self, effect: m.Effect, group: m.DedupScope, seed: int, second_copies: bool) -> None:
         self.rows = [entry(f"w{k}", "ab"[k % 2], k // 2) for k in range(6)]
-        self.where = {r.worker: r for r in self.rows}
+        self.entries = {r.worker: r for r in self.rows}
         self.spec = job_class(effect=effect, dedup_scope=group, dedup_window=600.0, max_deadline=2000.0)
         self.harness = DispatcherHarness(
-            self.spec, workers=self.rows, seed=seed, second_copies=copies, reports_start=True
+            self.spec, workers=self.rows, seed=seed, second_copies=second_copies, reports_start=True
         )
-        self.copies, self.down = copies, set[str]()
-        self.deadline: dict[str, float] = {}
-        self.tries: dict[str, list[dict[str, Any]]] = {}
-        self.final: set[str] = set()
+        self.second_copies, self.down = second_copies, set[str]()
+        self.deadlines: dict[str, float] = {}
+        self.attempts: dict[str, list[dict[str, Any]]] = {}
+        self.answered: set[str] = set()
 
-    def take(self, acts: list[m.Action]) -> None:
+    def check(self, actions: list[m.Action]) -> None:
         now = self.harness.now
-        for act in acts:
-            if isinstance(act, m.Send):
-                tries = self.tries[act.id]
-                live = [t for t in tries if t["how"] not in NEVER]
-                assert act.id not in self.final and now < self.deadline[act.id]
-                assert act.worker not in self.down
-                assert len(tries) < self.harness.dispatcher.settings.try_limit
-                if not self.copies:
-                    assert all(t["how"] for t in tries)
+        for action in actions:
+            if isinstance(action, m.Send):
+                attempts = self.attempts[action.id]
+                live = [t for t in attempts if t["outcome"] not in NOT_EXECUTED]
+                assert action.id not in self.answered and now < self.deadlines[action.id]
+                assert action.worker not in self.down
+                assert len(attempts) < self.harness.dispatcher.settings.try_limit
+                if not self.second_copies:
+                    assert all(t["outcome"] for t in attempts)
                 if live and self.spec.effect is not m.Effect.SAFE:
                     assert self.spec.effect is m.Effect.KEYED
                     assert now - live[0]["sent"] <= self.spec.dedup_window
-                    new = self.where[act.worker]
-                    for old in (self.where[t["worker"]] for t in live):
+                    new = self.entries[action.worker]
+                    for old in (self.entries[t["worker"]] for t in live):
                         assert self.spec.dedup_scope is not m.DedupScope.ZONE or old.zone == new.zone
                         assert self.spec.dedup_scope is not m.DedupScope.CELL or old.cell == new.cell
-                tries.append({"worker": act.worker, "how": None, "sent": now})
-            elif isinstance(act, m.Refuse | m.Fail):
-                assert act.id not in self.final
-                self.final.add(act.id)
-                if isinstance(act, m.Refuse) and self.spec.effect is not m.Effect.SAFE:
-                    ran = any(t["how"] not in NEVER for t in self.tries[act.id])
+                attempts.append({"worker": action.worker, "outcome": None, "sent": now})
+            elif isinstance(action, m.Refuse | m.Fail):
+                assert action.id not in self.answered
+                self.answered.add(action.id)
+                if isinstance(action, m.Refuse) and self.spec.effect is not m.Effect.SAFE:
+                    ran = any(t["outcome"] not in NOT_EXECUTED for t in self.attempts[action.id])
                     assert not ran or (
                         self.spec.effect is m.Effect.KEYED and self.spec.dedup_scope is m.DedupScope.ALL
                     )
 
-    def finish(self, name: str, n: int, how: m.AttemptOutcome) -> None:
-        attempt = self.tries[name][n]
-        attempt["how"] = how
-        if how is m.AttemptOutcome.OK:
-            self.final.add(name)
+    def finish(self, name: str, n: int, outcome: m.AttemptOutcome) -> None:
+        attempt = self.attempts[name][n]
+        attempt["outcome"] = outcome
+        if outcome is m.AttemptOutcome.OK:
+            self.answered.add(name)
         elapsed = self.harness.now - attempt["sent"]
-        self.take(
-            self.harness.handle(m.AttemptEnded(name, n, attempt["worker"], how, elapsed, name in self.final))
+        self.check(
+            self.harness.handle(
+                m.AttemptEnded(name, n, attempt["worker"], outcome, elapsed, name in self.answered)
+            )
         )
 
     def expire(self) -> None:
         """Attempts end at the deadline, as the outside world does it; then all must be answered."""
-        for name, end in self.deadline.items():
+        for name, end in self.deadlines.items():
             if self.harness.now >= end:
-                for n, attempt in enumerate(self.tries[name]):
-                    if attempt["how"] is None:
+                for n, attempt in enumerate(self.attempts[name]):
+                    if attempt["outcome"] is None:
                         self.finish(name, n, m.AttemptOutcome.TIMEOUT)
-                assert name in self.final
+                assert name in self.answered
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -215,41 +222,45 @@
     ),
 )
 def test_rules_hold_through_any_sequence_of_events(
-    what: tuple[m.Effect, m.DedupScope], copies: bool, seed: int, steps: list[tuple[int, int, float]]
+    what: tuple[m.Effect, m.DedupScope], second_copies: bool, seed: int, steps: list[tuple[int, int, float]]
 ) -> None:
-    bench = Bench(*what, seed, copies)
-    harness = bench.harness
+    checker = RuleChecker(*what, seed, second_copies)
+    harness = checker.harness
     for step, (choice, number, wait) in enumerate(steps):
         until = harness.now + wait
         while harness.now < until:
             gap = min(harness.dispatcher.sweep_interval, until - harness.now)
-            bench.take(harness.handle(m.TimerFired("sweep"), gap))
-            bench.expire()
-        open_tries = [(r, n) for r, ts in bench.tries.items() for n, t in enumerate(ts) if t["how"] is None]
+            checker.check(harness.handle(m.TimerFired("sweep"), gap))
+            checker.expire()
+        open_attempts = [
+            (r, n) for r, ts in checker.attempts.items() for n, t in enumerate(ts) if t["outcome"] is None
+        ]
         if choice <= 2:
             name = f"r{step}"
-            bench.tries[name], bench.deadline[name] = [], harness.now + 300.0 + number
-            bench.take(harness.request(name, remaining=300.0 + number))
-        elif choice <= 4 and open_tries:
-            name, n = open_tries[number % len(open_tries)]
-            bench.finish(name, n, [*MAYBE, *NEVER, m.AttemptOutcome.OK, m.AttemptOutcome.OK][number % 9])
+            checker.attempts[name], checker.deadlines[name] = [], harness.now + 300.0 + number
+            checker.check(harness.request(name, remaining=300.0 + number))
+        elif choice <= 4 and open_attempts:
+            name, n = open_attempts[number % len(open_attempts)]
+            checker.finish(
+                name, n, [*MAY_HAVE_RUN, *NOT_EXECUTED, m.AttemptOutcome.OK, m.AttemptOutcome.OK][number % 9]
+            )
         elif choice == 5:
-            row = bench.rows[number % 6]
+            row = checker.rows[number % 6]
             state = [m.WorkerState.SERVING, m.WorkerState.DRAINING, m.WorkerState.GONE][number % 3]
-            (bench.down.discard if state is m.WorkerState.SERVING else bench.down.add)(row.worker)
+            (checker.down.discard if state is m.WorkerState.SERVING else checker.down.add)(row.worker)
             line = entry(row.worker, row.zone, row.cell, state=state)
-            bench.take(harness.handle(listing(line, kind=m.ListKind.CHANGES)))
-        elif open_tries:
-            name, n = open_tries[number % len(open_tries)]
-            bench.take(harness.handle(m.JobProgress(name, n, bench.tries[name][n]["worker"])))
+            checker.check(harness.handle(listing(line, kind=m.ListKind.CHANGES)))
+        elif open_attempts:
+            name, n = open_attempts[number % len(open_attempts)]
+            checker.check(harness.handle(m.JobProgress(name, n, checker.attempts[name][n]["worker"])))
     for _ in range(200):
-        bench.take(harness.handle(m.TimerFired("sweep"), harness.dispatcher.sweep_interval))
-        bench.expire()
-    assert bench.final == set(bench.deadline)
+        checker.check(harness.handle(m.TimerFired("sweep"), harness.dispatcher.sweep_interval))
+        checker.expire()
+    assert checker.answered == set(checker.deadlines)
     assert not harness.dispatcher.jobs and not harness.dispatcher.in_flight
 
 
-def test_unknown_and_finished_things_do_no_harm() -> None:
+def test_events_of_unknown_or_finished_attempts_are_ignored() -> None:
     harness = DispatcherHarness()
     (send,) = sends(harness.request("r"))
     harness.end_attempt("r", send.worker, m.AttemptOutcome.OK)
@@ -274,7 +285,7 @@
         job_class(latency_target=0.0)
 
 
-def test_heavy_job_held_in_a_full_fleet_is_answered_before_its_deadline() -> None:
+def test_heavy_job_pending_in_a_full_fleet_is_answered_before_its_deadline() -> None:
     """A job many times the usual size has slack beyond its deadline; the deadline must still be kept."""
     harness = DispatcherHarness(
         job_class(effect=m.Effect.UNSAFE, max_deadline=1000.0), workers=[], reports_start=True
@@ -290,7 +301,7 @@
     assert answers and harness.now < start + 1000.0
 
 
-def test_a_refusal_says_when_to_come_again_by_the_waits_that_are_known() -> None:
+def test_the_retry_after_of_a_refusal_follows_the_known_waits() -> None:
     # Guards: a refused client must not come back at once to the same queues, nor be sent away for too long.
     def advice(waited: float, longest: float) -> float:
         harness = DispatcherHarness(
--- a/tests/test_strain.py
+++ b/tests/test_strain.py
@@ -61,7 +61,7 @@
         assert 1 <= got.count("w0") <= 5 and "w0" in got[:90]
 
 
-def test_of_held_jobs_those_that_earn_most_for_their_time_get_a_free_place_first() -> None:
+def test_pending_jobs_with_the_highest_value_rate_get_a_free_slot_first() -> None:
     """The newest came first whatever they earn, and long jobs of little worth kept the short ones out."""
     classes = [job_class("long", value=5.0), job_class("short", value=3.0)]
     harness = DispatcherHarness(*classes, workers=1, reports_start=True)
@@ -79,7 +79,7 @@
     assert [s.id for s in sends(freed)] == ["short2"]
 
 
-def test_full_worker_is_asked_again_after_a_rest_without_own_jobs_there() -> None:
+def test_full_worker_is_tried_again_after_its_backoff() -> None:
     harness = DispatcherHarness(workers=1, reports_start=True)
     teach(harness, 100.0)
     (send,) = sends(harness.request("a"))
@@ -87,7 +87,7 @@
     assert sends(harness.run_sweeps(600.0))
 
 
-def test_job_that_would_end_late_for_nothing_is_refused_before_its_aim_has_passed() -> None:
+def test_job_without_value_when_late_is_refused_before_its_latency_target() -> None:
     harness = DispatcherHarness(job_class(late_value_share=0.0), workers=1, reports_start=True)
     teach(harness, 200.0)
     (send,) = sends(harness.request("a"))
@@ -101,7 +101,7 @@
     assert answers and harness.now - start < 400.0 + 2.0 * 200.0
 
 
-def test_job_with_late_worth_is_kept_until_near_its_deadline() -> None:
+def test_job_with_value_when_late_stays_pending_until_near_its_deadline() -> None:
     harness = DispatcherHarness(job_class(late_value_share=0.5), workers=[])
     start, answers = harness.now, finals(harness.request("b"))
     while not answers:
@@ -109,7 +109,7 @@
     assert 4500.0 < harness.now - start < 5000.0
 
 
-def test_strain_does_not_pass_for_heavier_work() -> None:
+def test_overload_does_not_pass_for_heavier_work() -> None:
     """A slow spell raised the lifelong mean, and every later job was given too much slack."""
     harness = DispatcherHarness(workers=3, reports_start=True)
     teach(harness, 100.0, rounds=60)
@@ -120,7 +120,7 @@
     assert harness.dispatcher.class_states["job"].unloaded_run_time < 0.8 * calm
 
 
-def test_slack_is_that_of_the_machine_kind() -> None:
+def test_slack_depends_on_the_machine_kind() -> None:
     """A slow machine with a short queue was usable although no job could end there in time."""
     rows = [entry("fast", kind="f"), entry("slow", kind="s")]
     harness = DispatcherHarness(
@@ -145,7 +145,7 @@
         harness.handle(m.AttemptEnded(f"r{k}", 0, send.worker, m.AttemptOutcome.CANCELLED, 0.0, True))
 
 
-def test_worker_with_own_jobs_that_have_not_begun_is_passed_over() -> None:
+def test_worker_with_own_jobs_that_have_not_started_is_not_chosen() -> None:
     apart = 0
     for seed in range(20):
         harness = DispatcherHarness(workers=4, reports_start=True, seed=seed)
@@ -154,7 +154,7 @@
     assert apart >= 17  # the rest explored
 
 
-def test_start_is_told_from_progress_where_starts_are_not_told() -> None:
+def test_start_is_derived_from_progress_where_starts_are_not_reported() -> None:
     harness = DispatcherHarness(workers=1, progress_every=1000.0)
     (send,) = sends(harness.request("a"))
     harness.handle(m.JobProgress("a", 0, send.worker, 0.4), 1700.0)
@@ -162,7 +162,7 @@
     assert harness.dispatcher.workers["w0"].not_started == 0
 
 
-def test_silent_worker_leaves_the_usable_set_and_returns_when_heard() -> None:
+def test_unresponsive_worker_is_suspended_until_it_reports() -> None:
     harness = DispatcherHarness(job_class(max_deadline=60_000.0), workers=3, reports_start=True)
     teach(harness, 100.0)
     (send,) = sends(harness.request("lost", remaining=60_000.0))
@@ -176,7 +176,7 @@
     assert harness.dispatcher.workers[send.worker].suspended_until == 0.0
 
 
-def test_usual_wait_does_not_close_workers_of_a_kind_too_slow_or_not_known_yet() -> None:
+def test_assumed_wait_does_not_exclude_workers_of_a_slow_or_unknown_kind() -> None:
     """Held against every worker, it kept late jobs and unknown kinds waiting although workers stood idle."""
     harness = DispatcherHarness(workers=3, reports_start=True, dispatchers=50)
     teach(harness, 100.0)
@@ -193,12 +193,12 @@
     """Clients' last tries came with 30 ms left and took workers' time for answers that nobody awaited."""
     harness = DispatcherHarness(job_class(late_value_share=0.5), reports_start=True)
     teach(harness, 300.0)
-    acts = harness.request("hopeless", remaining=100.0)
-    assert not sends(acts) and len(finals(acts)) == 1
+    actions = harness.request("hopeless", remaining=100.0)
+    assert not sends(actions) and len(finals(actions)) == 1
     assert sends(harness.request("late but served", remaining=3000.0))
 
 
-def test_a_held_job_is_given_up_when_its_running_time_no_longer_fits() -> None:
+def test_a_pending_job_is_answered_when_its_running_time_no_longer_fits() -> None:
     """It was held to the last moment, though no place that came up by then could serve it."""
     harness = DispatcherHarness(job_class(late_value_share=0.5), workers=1, reports_start=True)
     teach(harness, 300.0)
@@ -213,7 +213,7 @@
     assert harness.now <= start + 410.0
 
 
-def test_a_late_job_goes_only_where_no_own_job_is_out() -> None:
+def test_a_late_job_goes_only_to_a_worker_without_own_jobs() -> None:
     """Late jobs went to any worker, or beside a running job, and made those late that were still in time."""
     harness = DispatcherHarness(
         job_class(late_value_share=0.5, work_factor=0.0, latency_target=200.0), workers=1, reports_start=True
@@ -230,7 +230,7 @@
     ] == ["held"]
 
 
-def test_workers_that_come_back_after_an_outage_get_jobs_though_little_was_carried_lately() -> None:
+def test_workers_that_restart_after_an_outage_get_jobs_at_once() -> None:
     """A cold worker's pace follows what warm ones carried lately: after an outage it got next to nothing."""
     for seed in range(5):
         harness = DispatcherHarness(
@@ -244,7 +244,7 @@
         assert harness.dispatcher.next_cold_send_at(harness.dispatcher.workers["cold"]) - harness.now < 1000.0
 
 
-def test_what_can_wait_is_held_while_queues_are_longer_than_the_hastiest_class_bears() -> None:
+def test_jobs_that_can_wait_stay_pending_while_queues_are_too_long_for_urgent_ones() -> None:
     """Jobs with much time queued deep at the workers, and all with little time came late behind them."""
     harness = DispatcherHarness(
         job_class("long", latency_target=3000.0),
@@ -258,7 +258,7 @@
     assert [s.id for s in sends(harness.run_sweeps(250.0))] == ["a"]
 
 
-def test_a_first_try_with_little_time_is_not_taken_for_a_later_one() -> None:
+def test_a_first_request_with_little_time_does_not_count_as_a_retry() -> None:
     """Each try with less time than others counted as late, and where no worker was idle it was refused."""
     for repeat, sent in ((False, 1), (True, 0)):
         harness = DispatcherHarness(
@@ -270,7 +270,7 @@
         assert len(sends(harness.request("short", remaining=150.0, repeat=repeat))) == sent
 
 
-def test_of_few_workers_the_best_is_picked_not_the_best_of_some(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_in_a_small_fleet_all_workers_are_compared(monkeypatch: pytest.MonkeyPatch) -> None:
     """A sample drawn with replacement saw two thirds of a small fleet: idle workers were passed over."""
     monkeypatch.setattr(dispatcher, "EXPLORATION_RATE", 0.0)
     for seed in range(20):
@@ -278,7 +278,7 @@
         assert len({s.worker for k in range(10) for s in sends(harness.request(f"r{k}"))}) == 10
 
 
-def test_what_earns_little_for_its_time_waits_for_shorter_queues() -> None:
+def test_jobs_of_a_low_value_rate_wait_for_shorter_queues() -> None:
     """Long jobs filled the queues while short ones of the same worth came late."""
     harness = DispatcherHarness(
         job_class("long", value=5.0), job_class("short", value=5.0), workers=1, reports_start=True
@@ -296,7 +296,7 @@
     return {s.worker for name in names for s in sends(harness.request(name, job))}
 
 
-def out_at(harness: DispatcherHarness, worker: str, job: str) -> str:
+def attempt_at(harness: DispatcherHarness, worker: str, job: str) -> str:
     """A job of the class that is out at the worker."""
     return next(
         a.job.id
@@ -310,23 +310,23 @@
     once = [job_class(name, m.Effect.UNSAFE) for name in ("a", "b", "c")]
     harness = DispatcherHarness(*once, job_class("safe"), workers=2)
     assert sent_to(harness, "a") == sent_to(harness, "b") == sent_to(harness, "safe") == {"w0", "w1"}
-    harness.end_attempt(out_at(harness, "w0", "a"), "w0", m.AttemptOutcome.ERROR)
+    harness.end_attempt(attempt_at(harness, "w0", "a"), "w0", m.AttemptOutcome.ERROR)
     assert sent_to(harness, "a") == {"w1"} and sent_to(harness, "b") == {"w0", "w1"}
-    harness.end_attempt(out_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
+    harness.end_attempt(attempt_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
     assert sent_to(harness, "c") == sent_to(harness, "safe") == {"w1"}
     # Afterwards jobs that may safely run again are the first to go there.
     faults = harness.dispatcher.workers["w0"].faults
     harness.now = max(until for _, until, _ in faults.values()) + 1.0
     assert sent_to(harness, "safe") == {"w0", "w1"} and sent_to(harness, "c") == {"w1"}
     first = faults["a"][1]
-    harness.end_attempt(out_at(harness, "w0", "a"), "w0", m.AttemptOutcome.OK)
+    harness.end_attempt(attempt_at(harness, "w0", "a"), "w0", m.AttemptOutcome.OK)
     assert "a" not in faults and sent_to(harness, "c") == {"w0", "w1"}
-    harness.end_attempt(out_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
-    harness.end_attempt(out_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
+    harness.end_attempt(attempt_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
+    harness.end_attempt(attempt_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
     assert faults["b"][1] - harness.now > first - 1_000_000.0  # longer each time
 
 
-def test_a_job_that_never_begins_does_not_shut_its_worker() -> None:
+def test_a_job_that_never_starts_does_not_block_its_worker() -> None:
     """It counted as in flight and its age as the worker's queue: nothing went there until its deadline."""
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=1, reports_start=True)
     teach(harness, 100.0)
@@ -347,7 +347,7 @@
     )
 
 
-def test_a_job_that_later_ones_overtake_is_lost_and_others_of_its_class_stay_away() -> None:
+def test_a_job_overtaken_by_later_ones_is_lost_and_counts_as_a_fault() -> None:
     """A class that a worker never begins was sent there again and again, each time until its deadline."""
     once = job_class("once", m.Effect.UNSAFE)
     for in_order in (True, False):
@@ -356,13 +356,13 @@
         )
         everywhere = {"w0", "w1", "w2"}
         assert sent_to(harness, "once", 3) == everywhere
-        name = out_at(harness, "w0", "once")
+        name = attempt_at(harness, "w0", "once")
         for worker in ("w1", "w2"):
-            harness.handle(m.JobProgress(out_at(harness, worker, "once"), 0, worker))
+            harness.handle(m.JobProgress(attempt_at(harness, worker, "once"), 0, worker))
         harness.now += 350.0
         assert sent_to(harness, "other", 3) == everywhere
         for worker in sorted(everywhere):
-            harness.handle(m.JobProgress(out_at(harness, worker, "other"), 0, worker))
+            harness.handle(m.JobProgress(attempt_at(harness, worker, "other"), 0, worker))
         harness.run_sweeps(20.0)
         assert harness.dispatcher.in_flight[name, 0].lost == in_order
         assert ("w0" in sent_to(harness, "other", 6)) == in_order
@@ -382,28 +382,28 @@
         assert bool(again) == (effect is m.Effect.SAFE) and first.worker not in again
 
 
-def test_a_connection_that_breaks_does_not_leave_its_worker_out() -> None:
+def test_a_reset_connection_does_not_suspend_its_worker() -> None:
     """Where connections break now and then, workers in good health were left out after each."""
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=2)
     assert sent_to(harness, "job") == {"w0", "w1"}
-    harness.end_attempt(out_at(harness, "w0", "job"), "w0", m.AttemptOutcome.RESET)
+    harness.end_attempt(attempt_at(harness, "w0", "job"), "w0", m.AttemptOutcome.RESET)
     assert sent_to(harness, "job") == {"w0", "w1"}
-    harness.end_attempt(out_at(harness, "w0", "job"), "w0", m.AttemptOutcome.NO_CONNECTION)
+    harness.end_attempt(attempt_at(harness, "w0", "job"), "w0", m.AttemptOutcome.NO_CONNECTION)
     assert sent_to(harness, "job") == {"w1"}
 
 
-def test_jobs_that_fail_everywhere_do_not_keep_every_worker_from_work() -> None:
+def test_jobs_that_fail_everywhere_do_not_block_every_worker() -> None:
     """Errors that a job brings with it must not be held against the fleet."""
     harness = DispatcherHarness(workers=4)
     for k in range(12):
-        name, acts = f"bad{k}", harness.request(f"bad{k}")
+        name, actions = f"bad{k}", harness.request(f"bad{k}")
         for n in range(3):
-            for send in sends(acts):
-                acts = harness.end_attempt(name, send.worker, m.AttemptOutcome.ERROR, n)
+            for send in sends(actions):
+                actions = harness.end_attempt(name, send.worker, m.AttemptOutcome.ERROR, n)
     assert all(sends(harness.request(f"good{k}")) for k in range(4))
 
 
-def test_a_job_called_off_counts_as_load_until_it_should_have_ended() -> None:
+def test_a_cancelled_job_counts_as_load_until_it_should_have_ended() -> None:
     """Workers finish what they have: one whose jobs had been called off passed for idle."""
     harness = DispatcherHarness(workers=2)
     teach(harness, 300.0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,7 +27,7 @@
 START = [["CONFIGURE", 1, 99, CONF], ["PEERS_KNOWN", 1, "C", 1, ROWS]]
 
 
-def talk(*lines: Any, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_simhost(*lines: Any, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
         [sys.executable, "-m", "bitternpath.balancer.simhost"],
@@ -43,7 +43,7 @@
     return {"time": time, "inbox": list(events)}
 
 
-def knock(name: str, service: str = "scan") -> list[Any]:
+def request_event(name: str, service: str = "scan") -> list[Any]:
     return ["KNOCK", 1, name, service, None, None, 900.0, 10.0, 1, None, 1]
 
 
@@ -52,55 +52,59 @@
     return [action for line in run.stdout.splitlines() for action in json.loads(line)["decisions"]]
 
 
-def test_a_request_is_routed_and_its_class_keeps_to_its_kind() -> None:
-    run = talk(batch(5.0, *START), batch(6.0, knock("a")), batch(7.0, knock("b", "post"), ["NOVEL", 1, 2]))
+def test_a_request_is_routed_to_a_worker_of_its_kind() -> None:
+    run = run_simhost(
+        batch(5.0, *START),
+        batch(6.0, request_event("a")),
+        batch(7.0, request_event("b", "post"), ["NOVEL", 1, 2]),
+    )
     routes = {a[2]: a[3] for a in decisions(run) if a[0] == "ROUTE"}
     assert routes["a"] in [r[0] for r in ROWS]
     assert routes["b"] in [r[0] for r in ROWS[3:]]
 
 
 def test_every_event_is_read_and_every_final_answer_written() -> None:
-    first = talk(batch(5.0, *START), batch(6.0, knock("a", "post")))
+    first = run_simhost(batch(5.0, *START), batch(6.0, request_event("a", "post")))
     worker = next(a[3] for a in decisions(first) if a[0] == "ROUTE")
-    run = talk(
+    run = run_simhost(
         batch(5.0, *START),
-        batch(6.0, knock("a", "post")),
+        batch(6.0, request_event("a", "post")),
         batch(9.0, ["NOTE", 1, "a", 0, worker, 1, None]),
         batch(12.0, ["PONG", 1, 1.4, "GOOD", worker, None], ["PEERS_KNOWN", 1, "X", 1, []]),
         batch(906.0, ["ENDED", 1, "a", 0, worker, "LATE", 900.0, False, None, None]),
         batch(950.0, ["WITHDRAWN", 1, "a"], ["FIRED", 1, "sweep"]),
     )
-    acts = decisions(run)
-    assert ["REPORT_FAILURE", 1, "a"] in acts
-    assert sum(a[0] == "SCHEDULE" and a[2] == "watch" for a in acts) == 2
+    actions = decisions(run)
+    assert ["REPORT_FAILURE", 1, "a"] in actions
+    assert sum(a[0] == "SCHEDULE" and a[2] == "watch" for a in actions) == 2
 
 
-def test_a_stopped_instance_keeps_nothing() -> None:
-    run = talk(batch(5.0, *START), batch(6.0, ["POWER_OFF", 1], knock("a")))
+def test_a_stopped_instance_ignores_events() -> None:
+    run = run_simhost(batch(5.0, *START), batch(6.0, ["POWER_OFF", 1], request_event("a")))
     assert not [a for a in decisions(run) if a[0] == "ROUTE"]
 
 
 def test_malformed_input_ends_in_one_line_on_standard_error() -> None:
-    short, odd = ["KNOCK", 1, "a"], ["ENDED", 1, "a", 0, "w", "ODD", 1, 1]
-    for bad in ("{", "[]", '{"time":1}', batch(6.0, short), batch(6.0, odd)):
-        run = talk(batch(5.0, *START), bad)
+    short, invalid = ["KNOCK", 1, "a"], ["ENDED", 1, "a", 0, "w", "ODD", 1, 1]
+    for bad in ("{", "[]", '{"time":1}', batch(6.0, short), batch(6.0, invalid)):
+        run = run_simhost(batch(5.0, *START), bad)
         assert run.returncode != 0
         assert len(run.stderr.splitlines()) == 1 and run.stderr.startswith("bitternpath: malformed")
 
 
 def test_impossible_settings_are_named() -> None:
     conf = {**CONF, "rules": {"coldFrom": 0.0}}
-    run = talk(batch(5.0, ["CONFIGURE", 1, 99, conf]))
+    run = run_simhost(batch(5.0, ["CONFIGURE", 1, 99, conf]))
     assert run.returncode != 0 and "cold_share" in run.stderr
 
 
 def test_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
-    asks = [knock(f"r{k}", "scan" if k % 3 else "post") for k in range(60)]
-    lines = [batch(5.0, *START), *(batch(6.0 + k, ask) for k, ask in enumerate(asks))]
-    assert talk(*lines, hash_seed="1").stdout == talk(*lines, hash_seed="2").stdout
+    requests = [request_event(f"r{k}", "scan" if k % 3 else "post") for k in range(60)]
+    lines = [batch(5.0, *START), *(batch(6.0 + k, request) for k, request in enumerate(requests))]
+    assert run_simhost(*lines, hash_seed="1").stdout == run_simhost(*lines, hash_seed="2").stdout
 
 
-def test_an_exception_in_an_instance_is_told_on_the_wire() -> None:
-    odd = ["KNOCK", 1, "a", "scan", None, None, "soon", 10.0, 1, None, 1]
-    run = talk(batch(5.0, *START), batch(6.0, odd))
+def test_an_exception_in_an_instance_is_reported_on_the_wire() -> None:
+    invalid = ["KNOCK", 1, "a", "scan", None, None, "soon", 10.0, 1, None, 1]
+    run = run_simhost(batch(5.0, *START), batch(6.0, invalid))
     assert any(a[0] == "DIE" and "TypeError" in a[2] for a in decisions(run))
