--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Short ways to set up a dispatcher and to talk to it."""
+"""Helpers to set up a dispatcher and to pass events to it."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         )
 
     def run_sweeps(self, after: float) -> list[m.Action]:
-        """Let time pass with the sweep's alarms as they fall due."""
+        """Advance the clock, firing the sweep timer as it expires."""
         actions: list[m.Action] = []
         until = self.now + after
         while self.now < until:
--- a/tests/system/dispatch/delivery_case.py
+++ b/tests/system/dispatch/delivery_case.py
@@ -1,4 +1,4 @@
-"""A dispatcher of an edge node, with the workers and reports that it sees. Virtual time."""
+"""A delivery dispatcher with a fake node and fake workers, in virtual time."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 def message(target: str = "/listed/1", version: int = 3) -> Message:
-    """A message."""
+    """A message that node edge-1 accepted."""
     return Message("r1", "POST", "a.example", target, (), "", "listed", version, 0, "", "edge-1", 0, b"body")
 
 
 def entry(number: int, service: str = "workers", draining: bool = False, slots: int = 4) -> CatalogueEntry:
-    """A listed worker."""
+    """A catalogue entry of a worker."""
     return CatalogueEntry(f"i{number}", service, f"10.1.0.{number}:80", "z", slots, draining, False)
 
 
 def table(version: int = 3, *, listed: str = "workers") -> RoutingTable:
-    """Routes to listed workers, to an endpoint with a rate, and to workers that pull."""
+    """Routes to listed workers, to an endpoint with a rate limit, and to workers that pull."""
     routes = (
         Route("listed", "a.example", "/listed/", listed, 1000),
         Route("endpoint", "a.example", "/endpoint/", "endpoint", 1000),
@@ -55,7 +55,7 @@
 
 
 class FakeNode:
-    """What the dispatcher sees of its node, the workers and the attempt reports."""
+    """Stands in for the node, the worker client and the reporter of attempts."""
 
     def __init__(self) -> None:
         self.table: RoutingTable | None = table()
--- a/tests/system/dispatch/test_deliveries.py
+++ b/tests/system/dispatch/test_deliveries.py
@@ -1,4 +1,4 @@
-"""Deliveries: leases, configurations in force, fresh catalogues, reports. Virtual time."""
+"""Deliveries: leases, the current configuration, stale catalogues, reports. Virtual time."""
 
 from __future__ import annotations
 
@@ -75,9 +75,9 @@
     def test_a_stalled_process_sends_nothing_to_a_service_with_a_rate(self) -> None:
         self.deliveries.start()
         self.clock.advance(0.2)
-        self.clock.rightNow += 3.0  # time passes and no timer fires: a stall
+        self.clock.rightNow += 3.0  # a stall: time passes and no timer fires
         self.lease(message("/endpoint/1"))
-        self.clock.advance(0.0)  # its timers fire before the next read
+        self.clock.advance(0.0)  # timers fire before the next read
         self.lease(message("/endpoint/1"))
         self.assertEqual([report.outcome for report in self.node.reports], [AttemptOutcome.NOT_RUN] * 2)
         self.clock.pump([0.1] * 5)
@@ -115,7 +115,7 @@
         self.node.catalogue_s = CATALOGUE_STALE_S + 0.1
         self.lease()
         self.assertEqual(self.outcome(), AttemptOutcome.NOT_RUN)
-        self.lease(message("/endpoint/1"))  # an endpoint is on no list
+        self.lease(message("/endpoint/1"))  # endpoints are not in the catalogue
         self.assertEqual(len(self.node.calls), 1)
         self.node.configuration_s = CONFIGURATION_STALE_S + 0.1
         self.lease(message("/endpoint/1"))
--- a/tests/system/dispatch/test_selection.py
+++ b/tests/system/dispatch/test_selection.py
@@ -1,4 +1,4 @@
-"""The choice of a worker by the networks. Virtual time."""
+"""Selection of workers by the networks. Virtual time."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class SelectionTest(unittest.TestCase):
-    """The choice by the networks."""
+    """Selection among four workers of one service."""
 
     def setUp(self) -> None:
         self.selection = WorkerSelection(Random(7))
         self.selection.workers_changed([entry(n, slots=100) for n in range(4)], [])
 
     def counts_of_choices(self, times: dict[str, float], rounds: int) -> dict[str, int]:
-        """One delivery at a time; how often each worker was chosen in the last half."""
+        """Send one delivery at a time; count how often each worker was chosen in the second half."""
         counts = dict.fromkeys(times, 0)
         for number in range(rounds):
             worker = self.selection.choose(float(number), "route", "workers")
--- a/tests/system/dispatch/test_stalls.py
+++ b/tests/system/dispatch/test_stalls.py
@@ -1,4 +1,4 @@
-"""Leases that waited during a stall of their edge node: nothing is sent that another node may have by now."""
+"""After a stall, an edge node sends nothing on a lease that may have ended meanwhile."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from tests.system.dispatch.delivery_case import DeliveryCase
 
 DURATION_MS = 3_000  # of a lease on a route with a time-out of 1 s
-MARGIN_S = 2.0 - 0.2  # for which a send may wait
+MARGIN_S = 2.0 - 0.2  # the time for which a send may wait
 
 
 class StallTest(DeliveryCase):
-    """A process that was stopped reads what came meanwhile, its timers first."""
+    """A suspended process reads what has arrived meanwhile, after its timers have fired."""
 
     def stall(self, seconds: float) -> None:
         self.deliveries.start()
         self.clock.pump([0.1] * 5)
-        self.clock.rightNow += seconds  # the time passes and no timer fires
+        self.clock.rightNow += seconds  # time passes and no timer fires
 
     def test_a_lease_that_may_have_ended_is_returned(self) -> None:
         for timers_first in (False, True):
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The core on a clock of its own: no sockets, no waiting."""
+"""The broker with the decision module, in virtual time and without sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BrokerHarness:
-    """A broker between a client and an upstream client that write down what they are told."""
+    """A broker whose client and upstream client record what it calls."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
 
 
 def test_a_request_with_almost_no_time_left_is_still_answered_by_the_module() -> None:
-    # Guards: the last-moment timer was due before the drain, and 'failed' was said without asking the module.
+    # The fallback timer expired before the batch was processed, and the request failed without the module.
     harness = BrokerHarness(m.Effect.SAFE, endpoints=0)
     harness.submit(budget=3.0)
     assert harness.answers == [("rejected",)]
@@ -121,7 +121,7 @@
 
 
 def test_a_returned_job_is_retried_but_a_duplicate_of_that_report_proves_nothing() -> None:
-    # Guards: a late copy of 'returned' for the first call must not count as proof for a second one there.
+    # A duplicate of the first call's report must not count as proof that the second call did not run.
     harness = BrokerHarness(endpoints=1)
     harness.submit(budget=4000.0)
     harness.call_reported(CallState.RETURNED, "s0")
@@ -161,7 +161,7 @@
 
 
 def test_no_call_starts_for_a_client_whose_disconnect_is_not_processed_yet() -> None:
-    # Guards: a process that did not come to look sent what its client had long left.
+    # A process that was suspended sent calls whose client had disconnected long before.
     harness = BrokerHarness()
     harness.client_left = True
     harness.submit()
@@ -175,7 +175,7 @@
 
 
 def test_an_exception_in_the_module_fails_one_request_only() -> None:
-    # Guards: an exception must not lose the request, the rest of the batch, or the module's alarms.
+    # An exception must not lose the request, the rest of the batch, or the module's timers.
     received: list[m.Event] = []
 
     def handle(now: float, event: m.Event) -> list[m.Action]:
@@ -197,7 +197,7 @@
 
 
 def test_a_call_that_fails_to_start_may_have_run_and_is_answered_at_once() -> None:
-    # Guards: an exception in the upstream client must not leave its request waiting for the deadline.
+    # An exception in the upstream client must not leave the request unanswered until its deadline.
     harness = BrokerHarness()
     harness.start = lambda call, endpoint: 1 / 0  # type: ignore[method-assign, assignment, return-value]
     harness.submit(budget=4000.0)
@@ -213,7 +213,7 @@
 
 
 def test_requests_after_the_stop_signal_are_answered_before_the_process_may_be_killed() -> None:
-    # Guards: what was taken late in a planned restart had no answer when the process was killed.
+    # Requests accepted late in a planned restart had no answer when the process was killed.
     harness = BrokerHarness()
     harness.broker.answer_deadline = harness.now() + 300.0
     harness.submit(budget=5000.0)
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("effect", list(m.Effect))
 def test_a_request_that_an_endpoint_rejects_fails_without_retry_or_learning(effect: m.Effect) -> None:
-    # Guards: each answer of that kind was an error, tried on every endpoint and held against each of them.
+    # Each such response counted as an error of its endpoint, and the request was retried on all of them.
     harness = BrokerHarness(effect, endpoints=4)
     nets = [class_state.network for class_state in harness.module.class_states.values()]
     harness.submit()
@@ -241,7 +241,7 @@
 
 
 def test_an_id_is_not_accepted_again_soon_after_its_answer() -> None:
-    # Guards: the same id a moment later would have run a second time what must run once.
+    # A repeat of the id a moment later would have run an unsafe request a second time.
     harness = BrokerHarness()
     harness.submit("a")
     harness.call_reported(CallState.DONE, harness.calls[0].endpoint)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""What was found to go wrong with forty dispatchers and sixty workers, each on the module alone."""
+"""Regression tests for faults found with forty dispatchers and sixty workers."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 
 
 def test_dispatchers_without_coordination_spread_their_jobs_evenly() -> None:
-    """Each took workers at random: a third of the jobs met others while a third of the workers had none."""
+    """With random choices a third of the jobs shared a worker while a third of the workers had none."""
     got = Counter(
         send.worker for harness in fleet() for n in range(2) for send in sends(harness.request(f"r{n}"))
     )
     assert sum(got.values()) == 2 * NODES
-    assert len(got) > 0.85 * WORKERS  # 44 of 60 at random
+    assert len(got) > 0.85 * WORKERS  # random choices reach 44 of 60
     assert max(got.values()) <= 4
 
 
 def test_sequential_jobs_use_few_workers_and_connections() -> None:
-    """Every worker was new to the node: a handshake for nearly each job, and nothing learned of any."""
+    """Nearly every job went to another worker, which cost a handshake each, and nothing was learned."""
     for harness in fleet()[:5]:
         used = Counter[str]()
         for n in range(100):
@@ -59,7 +59,7 @@
 
 
 def test_many_workers_that_join_at_once_get_jobs_soon_and_none_is_overloaded() -> None:
-    """Each drew its first gap from a minute: 36 new workers stood idle while 24 had long queues."""
+    """The first job came after up to a minute: 36 new workers were idle while 24 had long queues."""
     run, share, multiple = 100.0, 0.25, 4.0
     cold = {
         "cold_share": share,
@@ -69,14 +69,14 @@
     }
     harnesses, got, tries = fleet(**cold), Counter[str](), 0
     for harness in harnesses:
-        for n in range(40):  # what jobs take is known, and no worker is
+        for n in range(40):  # the running time is known before the new workers join
             (send,) = sends(harness.request(f"t{n}"))
             harness.handle(m.JobProgress(f"t{n}", 0, send.worker), 1.0)
             harness.end_attempt(f"t{n}", send.worker, m.AttemptOutcome.OK, after=run)
         new = [entry(f"new{k}", up_since=harness.now) for k in range(36)]
         harness.handle(listing(*[entry(f"w{k}") for k in range(24)], *new, kind=m.ListKind.COMPLETE))
         start = harness.now
-        while harness.now < start + 1000.0:  # far more jobs than the fleet can do: what is free is used
+        while harness.now < start + 1000.0:  # more jobs than the fleet can run, so every free slot is used
             for send in sends(harness.request(f"r{tries}")):
                 got[send.worker] += send.worker.startswith("new")
                 harness.handle(m.JobProgress(f"r{tries}", 0, send.worker))
@@ -88,7 +88,7 @@
 
 
 def test_an_idle_cold_home_worker_gets_its_next_job_soon() -> None:
-    """Paced by time alone, cold homes stood idle for half of it though jobs were held for want of a place."""
+    """With gaps by time alone, cold home workers were idle half of the time although jobs were pending."""
     (harness,) = fleet(cold_share=0.05, warm_within=20_000.0)[:1]
     for n in range(40):
         (send,) = sends(harness.request(f"t{n}"))
@@ -100,7 +100,7 @@
     )
     harness.handle(listing(entry(home, up_since=harness.now), kind=m.ListKind.CHANGES))
     harness.run_sweeps(500.0)
-    for worker in harness.dispatcher.workers.values():  # no other place is free
+    for worker in harness.dispatcher.workers.values():  # no other worker has a free slot
         worker.full_until, worker.sends_while_full = (
             (0.0 if worker.name == home else harness.now + 60_000.0),
             0,
@@ -112,11 +112,11 @@
         harness.handle(m.JobProgress(out[0].job.id, out[0].number, home))
         harness.end_attempt(
             out[0].job.id, home, m.AttemptOutcome.OK, after=300.0
-        )  # three times as long as on a warm one
+        )  # three times as long as on a warm worker
 
 
 def test_a_dispatcher_with_few_jobs_learns_of_long_waits_within_seconds() -> None:
-    """With a fixed weight for each job it took twenty seconds, and all queues were long by then."""
+    """With a fixed weight for each job it took twenty seconds, and by then all queues were long."""
     (harness,) = fleet()[:1]
     for n in range(12):
         for send in sends(harness.request(f"r{n}")):
@@ -126,8 +126,8 @@
 
 
 def test_nodes_that_start_together_do_not_overload_discovery() -> None:
-    """Asked at once and again within a second, it served only calls that had already failed by waiting."""
-    call_time, call_timeout = 150.0, 2000.0  # ms for a call; ms after which a waiting call fails
+    """Called by all at once and again within a second, it only served calls that had already timed out."""
+    call_time, call_timeout = 150.0, 2000.0  # ms
     harnesses = fleet(list_on_request=True)
     start, free, calls, granted = harnesses[0].now, 0.0, 0, set[int]()
 
@@ -151,7 +151,7 @@
             and k not in granted
         ):
             calls += 1
-            free = max(free, at) + call_time  # in turn, and at the same cost if nobody waits any more
+            free = max(free, at) + call_time  # one at a time, also for a caller that no longer waits
             if free - at > call_timeout:
                 heapq.heappush(due, (at + call_timeout, k, "failed"))
             else:
@@ -160,7 +160,7 @@
 
 
 def test_a_refused_subscription_is_retried_when_the_module_says_so() -> None:
-    """The watch opened itself again within a second, whatever the module knew of an overbooked service."""
+    """It was retried within a second, although the module had backed off from an overloaded service."""
     reactor: Any = MemoryReactorClock()
     registry = EndpointRegistry(Listing(7, True, ()))
     handled = list[m.Event]()
@@ -182,7 +182,7 @@
         wire = StringTransport()
         protocol = reactor.tcpClients[-1][2].buildProtocol(None)
         protocol.makeConnection(wire)
-        assert b"index=7" in wire.value()  # from the revision held
+        assert b"index=7" in wire.value()  # from the current revision
         protocol.dataReceived(b"HTTP/1.1 503 Overbooked\r\nContent-Length: 0\r\n\r\n")
         protocol.connectionLost(Failure(ConnectionDone()))
         reactor.advance(0.0)
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("reported", [True, False])
 def test_a_refused_connection_to_a_worker_that_reports_means_that_it_is_full(reported: bool) -> None:
-    """A worker that was short of connections was left out like a dead one, longer each time."""
+    """A worker at its connection limit was suspended like a dead one, longer each time."""
     harness = fleet(progress_every=1000.0)[0]
     home = harness.dispatcher.home_workers[0]
     worker = harness.dispatcher.workers[home]
@@ -216,7 +216,7 @@
 
 
 def test_a_job_checks_few_workers_where_all_of_a_large_fleet_are_suspended() -> None:
-    """A turn took 3.2 s: 6,000 held jobs looked twice each at all of 200 workers that did not answer."""
+    """One event took 3.2 s: 6,000 pending jobs checked all of 200 unresponsive workers twice each."""
     harness = DispatcherHarness(workers=200, dispatchers=200)
     for worker in harness.dispatcher.workers.values():
         worker.suspended_until = worker.unsafe_suspended_until = 1e9
@@ -229,7 +229,5 @@
 
     harness.dispatcher.next_cold_send_at = counting_next_cold_send_at  # type: ignore[method-assign]
     assert all(sends(harness.request(f"r{n}")) for n in range(50))
-    sample_checks = (
-        checks["all"] - 50 * 200
-    )  # the search for one that is not suspect looks at all of them once
+    sample_checks = checks["all"] - 50 * 200  # the search for one that is not suspended checks each once
     assert 50 <= sample_checks <= 50 * 2 * 28
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -1,4 +1,4 @@
-"""The factored network against the paper's equations, written out densely."""
+"""The factored network compared with a direct implementation of the paper's equations."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DenseNetwork:
-    """Matrices w+ and w-, updated and solved as section II says, scaled to a mean firing rate of 1."""
+    """Full matrices w+ and w-, updated and solved as in section II, scaled to a mean firing rate of 1."""
 
     def __init__(self, n: int) -> None:
         self.n, self.threshold = n, 0.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each on the module alone."""
+"""The rules that every decision must keep, tested on the decision module alone."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
 
 def test_cold_worker_is_not_overloaded_by_all_dispatchers_together() -> None:
-    """Many dispatchers with few jobs each: the sum stays near the worker's present share."""
+    """Many dispatchers with few jobs each: their sum stays near the worker's current share of capacity."""
     fall, many, cold_sends, warm_sends = 1000.0, 20, 0, 0
     for seed in range(many):
         cold = {"cold_share": 0.33, "warm_within": 8800.0, "overload_span": fall}
@@ -121,7 +121,8 @@
 
 @pytest.mark.parametrize("must_ask_within", [2_000.0, 10_000.0, 60_000.0])
 def test_a_failed_list_call_is_retried_before_a_change_counts_as_delivered(must_ask_within: float) -> None:
-    # Guards: the pause grew to 7.5 s; a change counts as told after 6 s, and a call may hang for 1 s.
+    # The delay between retries grew to 7.5 s. A change counts as delivered after 6 s, and a call may hang for
+    # 1 s.
     for seed in range(50):
         harness = DispatcherHarness(list_on_request=True, must_ask_within=must_ask_within, seed=seed)
         actions = list(harness.initial_actions)
@@ -134,7 +135,7 @@
 def test_a_cold_worker_that_may_still_run_a_reset_job_is_not_idle(
     outcome: m.AttemptOutcome,
 ) -> None:
-    # Guards: each job that was reset at once made the worker idle and drew the next, past its budget.
+    # A worker whose jobs were reset at once counted as idle, so it got more jobs than its cold share allows.
     cold = {"cold_share": 0.2, "warm_within": 15_000.0, "overload_span": 1000.0, "overload_multiple": 4.0}
     for seed in range(30):
         harness = DispatcherHarness(workers=[entry("cold", up_since=1_000_000.0)], seed=seed, **cold)
@@ -142,13 +143,13 @@
         while not sent:
             sent, k = sends(harness.request(f"r{k}") + harness.run_sweeps(10.0)), k + 1
         actions = harness.end_attempt(sent[0].id, "cold", outcome, after=1.0)
-        for more in range(10):  # for 500 of the 1000 ms that a job is taken for where none has ended yet
+        for more in range(10):  # 500 of the 1000 ms that a job counts for while no running time is known
             actions += harness.request(f"s{more}") + harness.run_sweeps(10.0)
         assert not sends(actions)
 
 
 class RuleChecker:
-    """Keeps the books that the rules are judged by."""
+    """Records attempts and answers, and asserts the rules for every action of the module."""
 
     def __init__(self, effect: m.Effect, group: m.DedupScope, seed: int, second_copies: bool) -> None:
         self.rows = [entry(f"w{k}", "ab"[k % 2], k // 2) for k in range(6)]
@@ -203,7 +204,7 @@
         )
 
     def expire(self) -> None:
-        """Attempts end at the deadline, as the outside world does it; then all must be answered."""
+        """End attempts at their request's deadline, as a node does; every such request must be answered."""
         for name, end in self.deadlines.items():
             if self.harness.now >= end:
                 for n, attempt in enumerate(self.attempts[name]):
@@ -286,7 +287,7 @@
 
 
 def test_heavy_job_pending_in_a_full_fleet_is_answered_before_its_deadline() -> None:
-    """A job many times the usual size has slack beyond its deadline; the deadline must still be kept."""
+    """The latency target of a very large job lies beyond its deadline, which still has to be kept."""
     harness = DispatcherHarness(
         job_class(effect=m.Effect.UNSAFE, max_deadline=1000.0), workers=[], reports_start=True
     )
@@ -302,7 +303,7 @@
 
 
 def test_the_retry_after_of_a_refusal_follows_the_known_waits() -> None:
-    # Guards: a refused client must not come back at once to the same queues, nor be sent away for too long.
+    # A refused client must not retry at once into the same queues, nor be sent away for too long.
     def advice(waited: float, longest: float) -> float:
         harness = DispatcherHarness(
             job_class(late_value_share=0.0), max_retry_after=longest, reports_start=True, workers=1
--- a/tests/test_strain.py
+++ b/tests/test_strain.py
@@ -1,4 +1,4 @@
-"""What was found to go wrong in overload and at full size, each on the module alone."""
+"""Regression tests for faults found under overload and at full size, on the decision module alone."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def teach(
     harness: DispatcherHarness, run: float, rounds: int = 30, wait: float = 0.0, job: str = "job"
 ) -> None:
-    """Jobs that begin after `wait` and take `run`, each on the worker that the dispatcher chose."""
+    """Run jobs that start after `wait` and take `run` ms, each on the worker that the dispatcher chose."""
     for k in range(rounds):
         name = f"{job}-{run}-{k}-{harness.now}"
         for send in sends(harness.request(name, job)):
@@ -23,7 +23,7 @@
 
 
 def test_one_job_goes_to_a_full_worker_for_each_own_job_that_ends() -> None:
-    """All held jobs raced for the one slot that an own job had freed; all but one were turned away."""
+    """All pending jobs were sent for the one slot that an own job had freed; all but one were rejected."""
     harness = DispatcherHarness(workers=1, reports_start=True)
     teach(harness, 300.0)
     (send,) = sends(harness.request("running"))
@@ -33,14 +33,16 @@
     assert not [s for k in range(6) for s in sends(harness.request(f"held{k}"))]
     freed = harness.handle(m.AttemptEnded("running", 0, send.worker, m.AttemptOutcome.OK, 20.0, True), 20.0)
     assert len(sends(freed)) == 1
-    assert sends(freed)[0].id == "held5"  # the newest: oldest first would make all of them late
+    assert sends(freed)[0].id == "held5"  # the newest; oldest first would make all of them late
 
 
 def test_a_cold_worker_that_stays_unused_gets_a_job_within_seconds_though_others_are_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its small share kept it behind every idle warm worker: called back by staff, it stood unused."""
-    monkeypatch.setattr(dispatcher, "EXPLORATION_RATE", 0.0)  # chance alone may do it in time, or not
+    """Its small share of capacity ranked it behind every idle warm worker, so it got no jobs at all."""
+    monkeypatch.setattr(
+        dispatcher, "EXPLORATION_RATE", 0.0
+    )  # exploration alone might choose it in time, or might not
     more: dict[str, Any] = {
         "warm_within": 23_000.0,
         "cold_share": 0.15,
@@ -53,7 +55,7 @@
         cold = entry("w0", up_since=harness.now)
         harness.handle(m.WorkerList(m.ListKind.CHANGES, [cold]))
         got = []
-        for k in range(100):  # 20 jobs a second, each soon over, for 5 s
+        for k in range(100):  # 20 short jobs per second for 5 s
             (send,) = sends(harness.request(f"r{k}"))
             harness.handle(m.JobProgress(f"r{k}", 0, send.worker))
             harness.end_attempt(f"r{k}", send.worker, m.AttemptOutcome.OK, after=50.0)
@@ -62,7 +64,7 @@
 
 
 def test_pending_jobs_with_the_highest_value_rate_get_a_free_slot_first() -> None:
-    """The newest came first whatever they earn, and long jobs of little worth kept the short ones out."""
+    """The newest came first whatever their value, and long jobs of low value kept short ones waiting."""
     classes = [job_class("long", value=5.0), job_class("short", value=3.0)]
     harness = DispatcherHarness(*classes, workers=1, reports_start=True)
     for k, (name, run) in enumerate([("long", 700.0), ("short", 80.0)] * 5):
@@ -110,7 +112,7 @@
 
 
 def test_overload_does_not_pass_for_heavier_work() -> None:
-    """A slow spell raised the lifelong mean, and every later job was given too much slack."""
+    """A period of overload raised the mean running time, so later jobs were given too much time."""
     harness = DispatcherHarness(workers=3, reports_start=True)
     teach(harness, 100.0, rounds=60)
     calm = harness.dispatcher.class_states["job"].unloaded_run_time
@@ -121,7 +123,7 @@
 
 
 def test_slack_depends_on_the_machine_kind() -> None:
-    """A slow machine with a short queue was usable although no job could end there in time."""
+    """A slow machine with a short queue was chosen although no job could end there in time."""
     rows = [entry("fast", kind="f"), entry("slow", kind="s")]
     harness = DispatcherHarness(
         job_class(latency_target=100.0, work_factor=2.0), workers=rows, reports_start=True
@@ -151,7 +153,7 @@
         harness = DispatcherHarness(workers=4, reports_start=True, seed=seed)
         teach(harness, 100.0, rounds=60)
         apart += sends(harness.request("a"))[0].worker != sends(harness.request("b"))[0].worker
-    assert apart >= 17  # the rest explored
+    assert apart >= 17  # the others were chosen by exploration
 
 
 def test_start_is_derived_from_progress_where_starts_are_not_reported() -> None:
@@ -177,7 +179,7 @@
 
 
 def test_assumed_wait_does_not_exclude_workers_of_a_slow_or_unknown_kind() -> None:
-    """Held against every worker, it kept late jobs and unknown kinds waiting although workers stood idle."""
+    """Assumed at every worker, it kept late jobs and unknown kinds pending although workers were idle."""
     harness = DispatcherHarness(workers=3, reports_start=True, dispatchers=50)
     teach(harness, 100.0)
     harness.dispatcher.mean_wait, harness.dispatcher.last_start_at = 300.0, harness.now
@@ -190,7 +192,7 @@
 
 
 def test_a_job_that_no_worker_can_end_before_its_deadline_is_refused_at_once() -> None:
-    """Clients' last tries came with 30 ms left and took workers' time for answers that nobody awaited."""
+    """Clients' last retries came with 30 ms left, and used workers' time for answers that came too late."""
     harness = DispatcherHarness(job_class(late_value_share=0.5), reports_start=True)
     teach(harness, 300.0)
     actions = harness.request("hopeless", remaining=100.0)
@@ -199,7 +201,7 @@
 
 
 def test_a_pending_job_is_answered_when_its_running_time_no_longer_fits() -> None:
-    """It was held to the last moment, though no place that came up by then could serve it."""
+    """It stayed pending until its deadline, though it could not end by then on any slot that became free."""
     harness = DispatcherHarness(job_class(late_value_share=0.5), workers=1, reports_start=True)
     teach(harness, 300.0)
     (send,) = sends(harness.request("running"))
@@ -214,7 +216,7 @@
 
 
 def test_a_late_job_goes_only_to_a_worker_without_own_jobs() -> None:
-    """Late jobs went to any worker, or beside a running job, and made those late that were still in time."""
+    """Late jobs went to busy workers too, and delayed jobs that could still have ended in time."""
     harness = DispatcherHarness(
         job_class(late_value_share=0.5, work_factor=0.0, latency_target=200.0), workers=1, reports_start=True
     )
@@ -231,21 +233,21 @@
 
 
 def test_workers_that_restart_after_an_outage_get_jobs_at_once() -> None:
-    """A cold worker's pace follows what warm ones carried lately: after an outage it got next to nothing."""
+    """The rate of jobs to a cold worker followed recent throughput, so after an outage it got almost none."""
     for seed in range(5):
         harness = DispatcherHarness(
             workers=1, reports_start=True, warm_within=20_000.0, cold_share=0.2, seed=seed
         )
         teach(harness, 100.0)
         harness.handle(m.WorkerList(m.ListKind.CHANGES, [entry("w0", state=m.WorkerState.GONE)]))
-        harness.run_sweeps(40_000.0)  # nothing is carried for long
+        harness.run_sweeps(40_000.0)  # no job ends for a long time
         harness.request("held")
         harness.handle(m.WorkerList(m.ListKind.CHANGES, [entry("cold", up_since=harness.now)]))
         assert harness.dispatcher.next_cold_send_at(harness.dispatcher.workers["cold"]) - harness.now < 1000.0
 
 
 def test_jobs_that_can_wait_stay_pending_while_queues_are_too_long_for_urgent_ones() -> None:
-    """Jobs with much time queued deep at the workers, and all with little time came late behind them."""
+    """Jobs with much time filled the workers' queues, and urgent ones behind them were late."""
     harness = DispatcherHarness(
         job_class("long", latency_target=3000.0),
         job_class("quick", latency_target=100.0, work_factor=0.0),
@@ -259,7 +261,7 @@
 
 
 def test_a_first_request_with_little_time_does_not_count_as_a_retry() -> None:
-    """Each try with less time than others counted as late, and where no worker was idle it was refused."""
+    """A request with less time than others counted as a late retry, and was refused if no worker was idle."""
     for repeat, sent in ((False, 1), (True, 0)):
         harness = DispatcherHarness(
             job_class(late_value_share=0.5), workers=1, reports_start=True, retries_marked=True
@@ -271,7 +273,7 @@
 
 
 def test_in_a_small_fleet_all_workers_are_compared(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A sample drawn with replacement saw two thirds of a small fleet: idle workers were passed over."""
+    """A sample drawn with replacement covers two thirds of a small fleet, so idle workers were missed."""
     monkeypatch.setattr(dispatcher, "EXPLORATION_RATE", 0.0)
     for seed in range(20):
         harness = DispatcherHarness(workers=10, seed=seed)
@@ -279,7 +281,7 @@
 
 
 def test_jobs_of_a_low_value_rate_wait_for_shorter_queues() -> None:
-    """Long jobs filled the queues while short ones of the same worth came late."""
+    """Long jobs filled the queues, and short ones of the same value were late."""
     harness = DispatcherHarness(
         job_class("long", value=5.0), job_class("short", value=5.0), workers=1, reports_start=True
     )
@@ -291,13 +293,13 @@
 
 
 def sent_to(harness: DispatcherHarness, job: str, rounds: int = 60) -> set[str]:
-    """Where jobs of a class go when many are asked for at once."""
+    """The workers that get jobs of a class when many are requested at once."""
     names = [f"{job}{harness.now}-{k}" for k in range(rounds)]
     return {s.worker for name in names for s in sends(harness.request(name, job))}
 
 
 def attempt_at(harness: DispatcherHarness, worker: str, job: str) -> str:
-    """A job of the class that is out at the worker."""
+    """The id of a job of the class that is in flight at the worker."""
     return next(
         a.job.id
         for a in harness.dispatcher.in_flight.values()
@@ -306,7 +308,7 @@
 
 
 def test_errors_keep_a_class_away_and_those_of_two_classes_any_job() -> None:
-    """One that fails at once is always idle: job after job went there, also those that must run once."""
+    """A worker that fails jobs at once is always idle, so it got job after job, unsafe ones too."""
     once = [job_class(name, m.Effect.UNSAFE) for name in ("a", "b", "c")]
     harness = DispatcherHarness(*once, job_class("safe"), workers=2)
     assert sent_to(harness, "a") == sent_to(harness, "b") == sent_to(harness, "safe") == {"w0", "w1"}
@@ -314,7 +316,7 @@
     assert sent_to(harness, "a") == {"w1"} and sent_to(harness, "b") == {"w0", "w1"}
     harness.end_attempt(attempt_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
     assert sent_to(harness, "c") == sent_to(harness, "safe") == {"w1"}
-    # Afterwards jobs that may safely run again are the first to go there.
+    # Afterwards jobs that may safely run again are sent there first.
     faults = harness.dispatcher.workers["w0"].faults
     harness.now = max(until for _, until, _ in faults.values()) + 1.0
     assert sent_to(harness, "safe") == {"w0", "w1"} and sent_to(harness, "c") == {"w1"}
@@ -323,11 +325,11 @@
     assert "a" not in faults and sent_to(harness, "c") == {"w0", "w1"}
     harness.end_attempt(attempt_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
     harness.end_attempt(attempt_at(harness, "w0", "b"), "w0", m.AttemptOutcome.ERROR)
-    assert faults["b"][1] - harness.now > first - 1_000_000.0  # longer each time
+    assert faults["b"][1] - harness.now > first - 1_000_000.0  # longer after each fault
 
 
 def test_a_job_that_never_starts_does_not_block_its_worker() -> None:
-    """It counted as in flight and its age as the worker's queue: nothing went there until its deadline."""
+    """It counted as load, and its age as the queue's wait, so the worker got nothing until its deadline."""
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=1, reports_start=True)
     teach(harness, 100.0)
     (stuck,) = sends(harness.request("stuck"))
@@ -336,7 +338,7 @@
     (other,) = sends(harness.request("other"))
     harness.handle(m.JobProgress("other", 0, other.worker), 1.0)
     assert harness.dispatcher.workers["w0"].in_flight == 1
-    harness.handle(m.JobProgress("stuck", 0, stuck.worker), 1.0)  # it has begun after all
+    harness.handle(m.JobProgress("stuck", 0, stuck.worker), 1.0)  # it has started after all
     assert (
         harness.dispatcher.workers["w0"].in_flight == 2 and harness.dispatcher.workers["w0"].not_started == 0
     )
@@ -348,7 +350,7 @@
 
 
 def test_a_job_overtaken_by_later_ones_is_lost_and_counts_as_a_fault() -> None:
-    """A class that a worker never begins was sent there again and again, each time until its deadline."""
+    """Jobs of a class that a worker never starts were sent there repeatedly, each until its deadline."""
     once = job_class("once", m.Effect.UNSAFE)
     for in_order in (True, False):
         harness = DispatcherHarness(
@@ -371,7 +373,7 @@
 
 
 def test_a_lost_job_that_may_run_again_goes_elsewhere_before_its_deadline() -> None:
-    """Jobs on silent machines waited for their whole time although other workers were free."""
+    """Jobs on unresponsive machines waited until their deadline although other workers were free."""
     for effect in (m.Effect.SAFE, m.Effect.UNSAFE):
         harness = DispatcherHarness(
             job_class(effect=effect), workers=3, reports_start=True, second_copies=True
@@ -383,7 +385,7 @@
 
 
 def test_a_reset_connection_does_not_suspend_its_worker() -> None:
-    """Where connections break now and then, workers in good health were left out after each."""
+    """Healthy workers were suspended after each reset, on networks where connections break now and then."""
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=2)
     assert sent_to(harness, "job") == {"w0", "w1"}
     harness.end_attempt(attempt_at(harness, "w0", "job"), "w0", m.AttemptOutcome.RESET)
@@ -393,7 +395,7 @@
 
 
 def test_jobs_that_fail_everywhere_do_not_block_every_worker() -> None:
-    """Errors that a job brings with it must not be held against the fleet."""
+    """Errors that a job itself causes must not count against the workers."""
     harness = DispatcherHarness(workers=4)
     for k in range(12):
         name, actions = f"bad{k}", harness.request(f"bad{k}")
@@ -404,7 +406,7 @@
 
 
 def test_a_cancelled_job_counts_as_load_until_it_should_have_ended() -> None:
-    """Workers finish what they have: one whose jobs had been called off passed for idle."""
+    """Workers finish cancelled jobs, but one that had some counted as idle."""
     harness = DispatcherHarness(workers=2)
     teach(harness, 300.0)
     (send,) = sends(harness.request("gone"))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter, on lines written here."""
+"""The simulator adapter, run as a process on hand-written lines."""
 
 from __future__ import annotations
 
