--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -79,7 +79,7 @@
             self.actions.append(m.StartTimer("watch", delay))
         self.handlers: dict[type, Callable[..., None]] = {
             m.Request: self.on_request, m.JobProgress: self.on_progress, m.StreamStarted: self.on_progress,
-            m.AttemptEnded: self.on_outcome, m.Withdrawn: self.on_withdrawn,
+            m.AttemptEnded: self.on_attempt_ended, m.Withdrawn: self.on_withdrawn,
             m.WorkerList: self.on_worker_list, m.NewSettings: self.on_settings, m.TimerFired: self.on_timer,
         }  # fmt: skip
 
@@ -456,7 +456,7 @@
             if worker is not None:
                 self.send(job, worker)
 
-    def on_outcome(self, event: m.AttemptEnded) -> None:
+    def on_attempt_ended(self, event: m.AttemptEnded) -> None:
         """Learn from an attempt that ended, and retry or answer its job."""
         attempt = self.in_flight.pop((event.id, event.attempt), None)
         if attempt is None:
--- a/bitternpath/dispatch/deliveries.py
+++ b/bitternpath/dispatch/deliveries.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeliveryParts:
+class DeliveryComponents:
     """The components of an edge node that a dispatcher uses."""
 
     workers: WorkerSender
@@ -99,28 +99,28 @@
 class DeliveryDispatcher:
     """Carries out leases and reports their outcomes."""
 
-    def __init__(self, clock: Clock, node: NodeView, parts: DeliveryParts, random: Random) -> None:
+    def __init__(self, clock: Clock, node: NodeView, components: DeliveryComponents, random: Random) -> None:
         self.selection = WorkerSelection(random)
         self.in_flight = 0  # sends
         self.stopping = False  # set when the process drains: leases are then returned unused
         self._clock = clock
         self._node = node
-        self._parts = parts
+        self._components = components
         self._stalls = StallDetector(clock)
 
     def start(self) -> None:
         """Start to detect stalls of this process."""
         self._stalls.start()
 
-    def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
+    def workers_changed(self, entries: list[CatalogueEntry], removed: list[str]) -> None:
         """Update the listed workers: `entries` are usable, instances in `left` no longer are."""
-        self.selection.workers_changed(entries, left)
+        self.selection.workers_changed(entries, removed)
 
     def lease_granted(self, lease: LeaseGrant) -> None:
         """Carry out a lease that the owner of a shard has granted to this node."""
         now = self._clock.seconds()
         message = lease.message
-        body = self._parts.bodies.pop(message.request_id)
+        body = self._components.bodies.pop(message.request_id)
         if lease.body_omitted:
             if body is None:
                 self._report_not_run(lease, RETRY_AT_ONCE_MS)
@@ -217,7 +217,7 @@
             self.in_flight -= 1
             ended(result)
 
-        delivered = self._parts.workers.deliver(target, send.attempt.message, send.route.timeout_ms)
+        delivered = self._components.workers.deliver(target, send.attempt.message, send.route.timeout_ms)
         delivered.addCallback(finished)
 
     # ---- reports
@@ -235,7 +235,7 @@
         self, lease: LeaseGrant, outcome: AttemptOutcome, stamp: str = "", retry_after_ms: int = 0
     ) -> None:
         request_id = lease.message.request_id
-        self._parts.reports.send(
+        self._components.reports.send(
             AttemptReport(lease.group, request_id, lease.lease_id, outcome, stamp, retry_after_ms)
         )
 
--- a/bitternpath/dispatch/selection.py
+++ b/bitternpath/dispatch/selection.py
@@ -69,9 +69,9 @@
         self._networks: dict[str, Network[ListedWorker]] = {}  # by route
         self._network_services: dict[str, str] = {}  # the service for which a route's network was created
 
-    def workers_changed(self, entries: list[CatalogueEntry], left: list[str]) -> None:
+    def workers_changed(self, entries: list[CatalogueEntry], removed: list[str]) -> None:
         """Update the listed workers: `entries` are usable, instances in `left` no longer are."""
-        for instance in left:
+        for instance in removed:
             self._remove(instance)
         for entry in entries:
             if entry.instance not in self._workers:
--- a/bitternpath/dispatch/stall_detector.py
+++ b/bitternpath/dispatch/stall_detector.py
@@ -23,14 +23,14 @@
         self._clock = clock
         self._started = False
         self._heartbeat_at = clock.seconds()
-        self._stall_began = 0.0
+        self._stall_started_at = 0.0
         self._suspect_until = 0.0
 
     def start(self) -> None:
         """Send a heartbeat, and one after each interval until the process ends."""
         now = self._clock.seconds()
         if self._started and now - self._heartbeat_at > STALL_THRESHOLD_S:
-            self._stall_began = self._heartbeat_at
+            self._stall_started_at = self._heartbeat_at
             self._suspect_until = now + AFTER_STALL_S
         self._started = True
         self._heartbeat_at = now
@@ -39,7 +39,7 @@
     def earliest_arrival(self, now: float) -> float:
         """The earliest time at which what is read now may have arrived."""
         if now < self._suspect_until:
-            return self._stall_began
+            return self._stall_started_at
         if self._started and now - self._heartbeat_at > STALL_THRESHOLD_S:
             return self._heartbeat_at
         return now
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -16,7 +16,7 @@
 from bitternpath.discovery.endpoint_list_client import EndpointListClient
 from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.callbacks import CallbackDispatcher
-from bitternpath.dispatch.deliveries import DeliveryDispatcher, DeliveryParts
+from bitternpath.dispatch.deliveries import DeliveryComponents, DeliveryDispatcher
 from bitternpath.ingress.interfaces import OperatorReply, PendingPull
 from bitternpath.membership.bootstrap import CONFIGURATION_GROUP
 from bitternpath.net.reactor import NodeReactor
@@ -102,8 +102,8 @@
         self.lookup = MessageLookup(reactor, self.owners)
         self.bodies = BodyCache(BODY_CACHE_BYTES)
         self.worker_client = WorkerClient(reactor)
-        delivery_parts = DeliveryParts(self.worker_client, self.reports, self.bodies)
-        self.deliveries = DeliveryDispatcher(reactor, self, delivery_parts, random)
+        delivery_components = DeliveryComponents(self.worker_client, self.reports, self.bodies)
+        self.deliveries = DeliveryDispatcher(reactor, self, delivery_components, random)
         self.callbacks = CallbackDispatcher(reactor, CallbackClient(reactor), self.owners)
         self.catalogue = Catalogue(self._workers_changed)
         self._endpoint_list = EndpointListFallback(
--- a/tests/system/dispatch/delivery_case.py
+++ b/tests/system/dispatch/delivery_case.py
@@ -13,8 +13,8 @@
 from bitternpath.delivery.results import DeliveryResult, RefusalKind, WorkerTarget
 from bitternpath.dispatch.body_cache import BodyCache
 from bitternpath.dispatch.deliveries import (
+    DeliveryComponents,
     DeliveryDispatcher,
-    DeliveryParts,
 )
 from bitternpath.shards.reports import AttemptReport
 from bitternpath.transport.feed_messages import CatalogueEntry
@@ -95,8 +95,8 @@
         self.clock = Clock()
         self.node = FakeNode()
         self.bodies = BodyCache(100)
-        parts = DeliveryParts(self.node, self.node, self.bodies)  # type: ignore[arg-type]
-        self.deliveries = DeliveryDispatcher(self.clock, self.node, parts, Random(1))  # type: ignore[arg-type]
+        components = DeliveryComponents(self.node, self.node, self.bodies)  # type: ignore[arg-type]
+        self.deliveries = DeliveryDispatcher(self.clock, self.node, components, Random(1))  # type: ignore[arg-type]
         self.deliveries.workers_changed([entry(1), entry(2), entry(3)], [])
 
     def lease(
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -31,7 +31,7 @@
         )
         listing = Listing(1, True, tuple(rows))
         self.calls: list[UpstreamCall] = []
-        self.given_up: list[UpstreamCall] = []
+        self.cancelled: list[UpstreamCall] = []
         self.answers: list[tuple[Any, ...]] = []
         self.client_left = False
         spec = m.JobClass("job", effect, 80.0, 5000.0, late_value_share=0.5, dedup_window=dedup_window)
@@ -64,7 +64,7 @@
         self.calls.append(call)
 
     def cancel(self, call: UpstreamCall) -> None:
-        self.given_up.append(call)
+        self.cancelled.append(call)
 
     def served(self, result: bytes) -> None:
         self.answers.append(("served", result))
@@ -86,7 +86,7 @@
     harness.advance(480.0)
     assert harness.answers == [] and len(harness.calls) == 1
     harness.advance(19.0)
-    assert len(harness.answers) == 1 and harness.given_up == harness.calls
+    assert len(harness.answers) == 1 and harness.cancelled == harness.calls
     assert not harness.broker.in_progress and not harness.broker.unanswered
 
 
@@ -129,7 +129,7 @@
     assert len(harness.calls) == 2
     harness.call_reported(CallState.RETURNED, "s0")
     assert harness.answers == [("failed",)] and len(harness.calls) == 2
-    assert harness.given_up == [harness.calls[1]]  # it may be running
+    assert harness.cancelled == [harness.calls[1]]  # it may be running
 
 
 def test_a_repeat_of_a_keyed_job_may_start_only_within_the_window_of_the_first() -> None:
@@ -156,7 +156,7 @@
     harness = BrokerHarness()
     harness.broker.withdraw(harness.submit())
     harness.advance(2.0)
-    assert harness.given_up == harness.calls and harness.answers == []
+    assert harness.cancelled == harness.calls and harness.answers == []
     assert not harness.broker.in_progress and not harness.broker.unanswered
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -135,7 +135,7 @@
         return [a.delay for a in actions if isinstance(a, m.StartTimer) and a.label == "watch"]
 
     due = [
-        (delay, k, "ask")
+        (delay, k, "subscribe")
         for k, harness in enumerate(harnesses)
         for delay in subscribe_delays(harness.initial_actions)
     ]
@@ -145,7 +145,7 @@
         harnesses[k].now = start + at
         if what == "failed":
             for delay in subscribe_delays(harnesses[k].handle(m.WorkerList(m.ListKind.FAILED))):
-                heapq.heappush(due, (at + delay, k, "ask"))
+                heapq.heappush(due, (at + delay, k, "subscribe"))
         elif (
             any(isinstance(a, m.SubscribeToWorkers) for a in harnesses[k].handle(m.TimerFired("watch")))
             and k not in granted
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -113,11 +113,11 @@
         net.join(worker)
     for turn in range(60):
         net.learn(workers[turn % 6], 2.0 if turn % 6 < 3 else 1.0)
-    kept = {w.name: net.q[net.index[w.name]] for w in workers[1:]}
+    before = {w.name: net.q[net.index[w.name]] for w in workers[1:]}
     net.leave(workers[0])
-    assert set(net.index) == set(kept)
-    now = {name: net.q[at] for name, at in net.index.items()}
-    assert min(now["w1"], now["w2"]) > max(now["w3"], now["w4"], now["w5"])
-    fresh = Worker(entry("new", kind="x"))
-    net.join(fresh)
+    assert set(net.index) == set(before)
+    after = {name: net.q[at] for name, at in net.index.items()}
+    assert min(after["w1"], after["w2"]) > max(after["w3"], after["w4"], after["w5"])
+    added = Worker(entry("new", kind="x"))
+    net.join(added)
     assert net.q[net.index["new"]] > net.q[net.index["w4"]]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,7 @@
 
 def test_keyed_job_is_repeated_only_in_its_dedup_scope_and_window() -> None:
     rows = [entry(f"w{k}", "ab"[k // 3], k // 2) for k in range(6)]
-    for group, same in (
+    for group, partners in (
         (m.DedupScope.ZONE, {0: {1, 2}, 3: {4, 5}}),
         (m.DedupScope.CELL, {0: {1}, 2: {3}, 4: {5}}),
     ):
@@ -50,7 +50,7 @@
             again = sends(harness.end_attempt("r", send.worker, m.AttemptOutcome.ERROR))
             assert len(again) == 1
             old, new = int(send.worker[1]), int(again[0].worker[1])
-            assert any({old, new} <= {k, *v} for k, v in same.items())
+            assert any({old, new} <= {k, *v} for k, v in partners.items())
     harness = DispatcherHarness(job_class(effect=m.Effect.KEYED, dedup_window=100.0), workers=rows)
     (send,) = sends(harness.request("r"))
     assert not sends(harness.end_attempt("r", send.worker, m.AttemptOutcome.ERROR, after=95.0))
@@ -91,10 +91,10 @@
 
 def test_cold_worker_is_not_overloaded_by_all_dispatchers_together() -> None:
     """Many dispatchers with few jobs each: their sum stays near the worker's current share of capacity."""
-    fall, many, cold_sends, warm_sends = 1000.0, 20, 0, 0
-    for seed in range(many):
-        cold = {"cold_share": 0.33, "warm_within": 8800.0, "overload_span": fall}
-        harness = DispatcherHarness(workers=10, seed=seed, dispatchers=many, **cold)
+    span, dispatchers, cold_sends, warm_sends = 1000.0, 20, 0, 0
+    for seed in range(dispatchers):
+        cold = {"cold_share": 0.33, "warm_within": 8800.0, "overload_span": span}
+        harness = DispatcherHarness(workers=10, seed=seed, dispatchers=dispatchers, **cold)
         for turn in range(600):
             if turn == 500:
                 harness.handle(listing(entry("cold", up_since=harness.now), kind=m.ListKind.CHANGES))
@@ -223,9 +223,12 @@
     ),
 )
 def test_rules_hold_through_any_sequence_of_events(
-    what: tuple[m.Effect, m.DedupScope], second_copies: bool, seed: int, steps: list[tuple[int, int, float]]
+    effect_and_scope: tuple[m.Effect, m.DedupScope],
+    second_copies: bool,
+    seed: int,
+    steps: list[tuple[int, int, float]],
 ) -> None:
-    checker = RuleChecker(*what, seed, second_copies)
+    checker = RuleChecker(*effect_and_scope, seed, second_copies)
     harness = checker.harness
     for step, (choice, number, wait) in enumerate(steps):
         until = harness.now + wait
--- a/tests/test_strain.py
+++ b/tests/test_strain.py
@@ -30,10 +30,10 @@
     harness.handle(m.JobProgress("running", 0, send.worker))
     (extra,) = sends(harness.request("turned away"))
     harness.end_attempt("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
-    assert not [s for k in range(6) for s in sends(harness.request(f"held{k}"))]
+    assert not [s for k in range(6) for s in sends(harness.request(f"pending{k}"))]
     freed = harness.handle(m.AttemptEnded("running", 0, send.worker, m.AttemptOutcome.OK, 20.0, True), 20.0)
     assert len(sends(freed)) == 1
-    assert sends(freed)[0].id == "held5"  # the newest; oldest first would make all of them late
+    assert sends(freed)[0].id == "pending5"  # the newest; oldest first would make all of them late
 
 
 def test_a_cold_worker_that_stays_unused_gets_a_job_within_seconds_though_others_are_idle(
@@ -115,11 +115,11 @@
     """A period of overload raised the mean running time, so later jobs were given too much time."""
     harness = DispatcherHarness(workers=3, reports_start=True)
     teach(harness, 100.0, rounds=60)
-    calm = harness.dispatcher.class_states["job"].unloaded_run_time
+    before_overload = harness.dispatcher.class_states["job"].unloaded_run_time
     teach(harness, 300.0, rounds=200)
-    assert harness.dispatcher.class_states["job"].unloaded_run_time < 1.3 * calm
+    assert harness.dispatcher.class_states["job"].unloaded_run_time < 1.3 * before_overload
     teach(harness, 60.0, rounds=200)
-    assert harness.dispatcher.class_states["job"].unloaded_run_time < 0.8 * calm
+    assert harness.dispatcher.class_states["job"].unloaded_run_time < 0.8 * before_overload
 
 
 def test_slack_depends_on_the_machine_kind() -> None:
@@ -148,12 +148,12 @@
 
 
 def test_worker_with_own_jobs_that_have_not_started_is_not_chosen() -> None:
-    apart = 0
+    different = 0
     for seed in range(20):
         harness = DispatcherHarness(workers=4, reports_start=True, seed=seed)
         teach(harness, 100.0, rounds=60)
-        apart += sends(harness.request("a"))[0].worker != sends(harness.request("b"))[0].worker
-    assert apart >= 17  # the others were chosen by exploration
+        different += sends(harness.request("a"))[0].worker != sends(harness.request("b"))[0].worker
+    assert different >= 17  # the others were chosen by exploration
 
 
 def test_start_is_derived_from_progress_where_starts_are_not_reported() -> None:
@@ -208,7 +208,7 @@
     harness.handle(m.JobProgress("running", 0, send.worker))
     (extra,) = sends(harness.request("turned away", remaining=5000.0))
     harness.end_attempt("turned away", extra.worker, m.AttemptOutcome.FULL, after=1.0)
-    assert not finals(harness.request("held", remaining=700.0))
+    assert not finals(harness.request("pending", remaining=700.0))
     start = harness.now
     while not finals(harness.run_sweeps(harness.dispatcher.sweep_interval)):
         assert harness.now < start + 700.0
@@ -223,13 +223,13 @@
     teach(harness, 300.0)
     (send,) = sends(harness.request("running", remaining=5000.0))
     harness.handle(m.JobProgress("running", 0, send.worker))
-    assert not sends(harness.request("held")) and not sends(harness.run_sweeps(100.0))
+    assert not sends(harness.request("pending")) and not sends(harness.run_sweeps(100.0))
     assert [
         s.id
         for s in sends(
             harness.end_attempt("running", "w0", m.AttemptOutcome.OK, after=200.0) + harness.run_sweeps(100.0)
         )
-    ] == ["held"]
+    ] == ["pending"]
 
 
 def test_workers_that_restart_after_an_outage_get_jobs_at_once() -> None:
@@ -241,7 +241,7 @@
         teach(harness, 100.0)
         harness.handle(m.WorkerList(m.ListKind.CHANGES, [entry("w0", state=m.WorkerState.GONE)]))
         harness.run_sweeps(40_000.0)  # no job ends for a long time
-        harness.request("held")
+        harness.request("pending")
         harness.handle(m.WorkerList(m.ListKind.CHANGES, [entry("cold", up_since=harness.now)]))
         assert harness.dispatcher.next_cold_send_at(harness.dispatcher.workers["cold"]) - harness.now < 1000.0
 
@@ -309,8 +309,8 @@
 
 def test_errors_keep_a_class_away_and_those_of_two_classes_any_job() -> None:
     """A worker that fails jobs at once is always idle, so it got job after job, unsafe ones too."""
-    once = [job_class(name, m.Effect.UNSAFE) for name in ("a", "b", "c")]
-    harness = DispatcherHarness(*once, job_class("safe"), workers=2)
+    unsafe = [job_class(name, m.Effect.UNSAFE) for name in ("a", "b", "c")]
+    harness = DispatcherHarness(*unsafe, job_class("safe"), workers=2)
     assert sent_to(harness, "a") == sent_to(harness, "b") == sent_to(harness, "safe") == {"w0", "w1"}
     harness.end_attempt(attempt_at(harness, "w0", "a"), "w0", m.AttemptOutcome.ERROR)
     assert sent_to(harness, "a") == {"w1"} and sent_to(harness, "b") == {"w0", "w1"}
@@ -332,13 +332,13 @@
     """It counted as load, and its age as the queue's wait, so the worker got nothing until its deadline."""
     harness = DispatcherHarness(job_class(effect=m.Effect.UNSAFE), workers=1, reports_start=True)
     teach(harness, 100.0)
-    (stuck,) = sends(harness.request("stuck"))
+    (unstarted,) = sends(harness.request("stuck"))
     harness.run_sweeps(2500.0)
     assert harness.dispatcher.workers["w0"].in_flight == 0
     (other,) = sends(harness.request("other"))
     harness.handle(m.JobProgress("other", 0, other.worker), 1.0)
     assert harness.dispatcher.workers["w0"].in_flight == 1
-    harness.handle(m.JobProgress("stuck", 0, stuck.worker), 1.0)  # it has started after all
+    harness.handle(m.JobProgress("stuck", 0, unstarted.worker), 1.0)  # it has started after all
     assert (
         harness.dispatcher.workers["w0"].in_flight == 2 and harness.dispatcher.workers["w0"].not_started == 0
     )
@@ -351,19 +351,19 @@
 
 def test_a_job_overtaken_by_later_ones_is_lost_and_counts_as_a_fault() -> None:
     """Jobs of a class that a worker never starts were sent there repeatedly, each until its deadline."""
-    once = job_class("once", m.Effect.UNSAFE)
+    unsafe = job_class("once", m.Effect.UNSAFE)
     for in_order in (True, False):
         harness = DispatcherHarness(
-            once, job_class("other"), workers=3, reports_start=True, in_order=in_order
+            unsafe, job_class("other"), workers=3, reports_start=True, in_order=in_order
         )
-        everywhere = {"w0", "w1", "w2"}
-        assert sent_to(harness, "once", 3) == everywhere
+        all_workers = {"w0", "w1", "w2"}
+        assert sent_to(harness, "once", 3) == all_workers
         name = attempt_at(harness, "w0", "once")
         for worker in ("w1", "w2"):
             harness.handle(m.JobProgress(attempt_at(harness, worker, "once"), 0, worker))
         harness.now += 350.0
-        assert sent_to(harness, "other", 3) == everywhere
-        for worker in sorted(everywhere):
+        assert sent_to(harness, "other", 3) == all_workers
+        for worker in sorted(all_workers):
             harness.handle(m.JobProgress(attempt_at(harness, worker, "other"), 0, worker))
         harness.run_sweeps(20.0)
         assert harness.dispatcher.in_flight[name, 0].lost == in_order
