--- a/bitternpath/cli/system_settings.py
+++ b/bitternpath/cli/system_settings.py
@@ -46,21 +46,21 @@
 def _values(settings: Settings) -> list[tuple[str, object]]:
     """The key in the file and the value of each setting."""
     values: list[tuple[str, object]] = []
-    for each in dataclasses.fields(settings):
-        value = getattr(settings, each.name)
+    for field in dataclasses.fields(settings):
+        value = getattr(settings, field.name)
         if dataclasses.is_dataclass(value):
             values += [
                 (f"bounds.{bound.name}", getattr(value, bound.name)) for bound in dataclasses.fields(value)
             ]
         else:
-            values.append((_FILE_KEYS.get(each.name, each.name), value))
+            values.append((_FILE_KEYS.get(field.name, field.name), value))
     return values
 
 
 def _is_set(document: object, key: str) -> bool:
     """Whether a parsed file has a key; dots in a key separate tables."""
-    for part in key.split("."):
-        if not isinstance(document, dict) or part not in document:
+    for segment in key.split("."):
+        if not isinstance(document, dict) or segment not in document:
             return False
-        document = document[part]
+        document = document[segment]
     return True
--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -90,10 +90,10 @@
     Runs the reactor until all known nodes have answered, but for `seconds` at most.
     """
     survey = StatusSurvey(address, wants_events=events)
-    give_up_at = reactor.seconds() + seconds
+    deadline = reactor.seconds() + seconds
 
     def poll() -> None:
-        if survey.is_complete() or reactor.seconds() >= give_up_at:
+        if survey.is_complete() or reactor.seconds() >= deadline:
             survey.hub.stop()
             reactor.callLater(LINKS_CLOSE_DELAY_S, reactor.stop)
         else:
--- a/bitternpath/roles/configuration_member.py
+++ b/bitternpath/roles/configuration_member.py
@@ -267,9 +267,9 @@
 
     def _addresses(self, members: tuple[str, ...]) -> tuple[MemberAddress, ...]:
         """The known addresses of `members`, from the membership view or the bootstrap decision."""
-        found: dict[str, MemberAddress] = {}
+        addresses: dict[str, MemberAddress] = {}
         if self.bootstrap_state.decision is not None:
-            found = {member.member: member for member in self.bootstrap_state.decision.group.members}
+            addresses = {member.member: member for member in self.bootstrap_state.decision.group.members}
         for node in self._view.counted_edges():
-            found[member_id(node)] = member_address(node)
-        return tuple(found[member] for member in members if member in found)
+            addresses[member_id(node)] = member_address(node)
+        return tuple(addresses[member] for member in members if member in addresses)
--- a/bitternpath/roles/configuration_voters.py
+++ b/bitternpath/roles/configuration_voters.py
@@ -77,14 +77,14 @@
         live = self._view.live_edges(self._reactor.seconds())
         voters = {node_of(voter) for voter in current.voters}
         self._voter_heartbeats |= {node.name: _heartbeat(node) for node in live if node.name in voters}
-        found = {
+        candidates = {
             node.name: node
             for node in live
             if member_id(node) in current.learners or self._is_new(node, current)
         }
-        found |= {node.name: node for node in self._nodes.counted_edges()}
-        found |= {self._view.local_node.name: self._view.local_node}
-        return list(found.values())
+        candidates |= {node.name: node for node in self._nodes.counted_edges()}
+        candidates |= {self._view.local_node.name: self._view.local_node}
+        return list(candidates.values())
 
     def _is_new(self, node: NodeDescriptor, current: Members) -> bool:
         """Whether a node has no member and, if it had a voter before, has sent a heartbeat since."""
--- a/bitternpath/roles/edge_links.py
+++ b/bitternpath/roles/edge_links.py
@@ -22,8 +22,8 @@
 
         Returns "" if the link wasn't the newest one of an edge node: that node is still connected.
         """
-        for name, known in self._links.items():
-            if known is link:
+        for name, current in self._links.items():
+            if current is link:
                 del self._links[name]
                 return name
         return ""
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -49,7 +49,7 @@
         self._servers = self._build_servers()
         self._ports: dict[str, ListeningPort] = {}
         self._sites: list[HttpServer] = []
-        self._give_up_at = 0.0
+        self._shutdown_deadline = 0.0
         self._finished: Callable[[], None] | None = None
         self._served = False
         self._pending_requests_answered = False
@@ -87,7 +87,7 @@
         log.info("event=shutdown_started")
         grace = self.settings.bounds.grace_s
         self._finished = finished
-        self._give_up_at = self._reactor.seconds() + grace - EXIT_RESERVE_S
+        self._shutdown_deadline = self._reactor.seconds() + grace - EXIT_RESERVE_S
         self.node.stopping = True
         self.node.deliveries.stopping = True
         self.node.base.announce_draining()
@@ -109,9 +109,9 @@
         """Wait until all work is done, for no longer than the grace period allows."""
         now = self._reactor.seconds()
         finished = self._is_finished()
-        if not self._served and now >= self._give_up_at - FINAL_ANSWERS_LEAD_S:
+        if not self._served and now >= self._shutdown_deadline - FINAL_ANSWERS_LEAD_S:
             self._answer_pending_requests()
-        if not finished and now < self._give_up_at:
+        if not finished and now < self._shutdown_deadline:
             self._reactor.callLater(CHECK_INTERVAL_S, self._check_finished)
             return
         node = self.node
--- a/bitternpath/roles/endpoint_list_fallback.py
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -47,14 +47,14 @@
     def _check(self) -> None:
         node_count = max(self._feed.edge_node_count, 1)
         interval = max(MIN_INTERVAL_S, node_count / self._max_rate_per_s)
-        least, spread = JITTER
-        self._reactor.callLater(interval * (least + spread * self._random.random()), self._check)
+        minimum, width = JITTER
+        self._reactor.callLater(interval * (minimum + width * self._random.random()), self._check)
         stale = self._catalogue.age(self._reactor.seconds()) > MAX_FEED_AGE_S
-        if stale and not self._reading and self._is_wanted():
+        if stale and not self._reading and self._has_listed_workers():
             self._reading = True
             self._client.read().addCallbacks(self._read, self._failed)
 
-    def _is_wanted(self) -> bool:
+    def _has_listed_workers(self) -> bool:
         """Whether any service has listed workers."""
         table = self._feed.table
         services = table.services.values() if table else ()
--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -60,10 +60,10 @@
             self.placements[placement.group] = placement
             self._transport.update_addresses(placement.members)
             named = any(member.member == self._transport.member_id for member in placement.members)
-            wanted = named or self._host.has_unopened_state(placement.group)
-            if wanted and placement.group not in self.runtimes:
+            required = named or self._host.has_unopened_state(placement.group)
+            if required and placement.group not in self.runtimes:
                 self._open(context, placement, len(groups))
-            if wanted:
+            if required:
                 self._transport.connect_members(placement.members)
             members = [member.member for member in placement.members]
             self._membership_reconciler.set_desired(placement.group, members, placement.generation)
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -83,12 +83,12 @@
         self.exit_code = ExitCode.STOPPED
         self.state = LifecycleState.WAITING_FOR_PORTS
         self._reactor = reactor
-        self._give_up_at = 0.0
+        self._listen_deadline = 0.0
         self._retry: Timer | None = None
 
     def begin(self) -> None:
         """Start listening. Must be called when the reactor runs."""
-        self._give_up_at = self._reactor.seconds() + PORT_RETRY_TIMEOUT_S
+        self._listen_deadline = self._reactor.seconds() + PORT_RETRY_TIMEOUT_S
         self._listen()
 
     def reload(self) -> None:
@@ -129,7 +129,7 @@
 
     def _listen_failed(self, error: CannotListenError) -> None:
         address = f"{error.interface}:{error.port}"
-        if self._reactor.seconds() >= self._give_up_at:
+        if self._reactor.seconds() >= self._listen_deadline:
             log.error("event=listen_failed address={} error={!r}", address, str(error.socketError))
             self._end(ExitCode.NO_PORT)
             return
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -108,9 +108,9 @@
 
     def progress(self, node: str) -> Deferred[OperatorResult]:
         """The progress of a node's retirement; fires with the result for the operator, and never fails."""
-        return self._group.barrier().addCallbacks(lambda _: self._progress_now(node), _not_owner)
+        return self._group.barrier().addCallbacks(lambda _: self._read_progress(node), _not_owner)
 
-    def _progress_now(self, node: str) -> OperatorResult:
+    def _read_progress(self, node: str) -> OperatorResult:
         state = retirement_state(self._state, node)
         if state is RetireState.UNKNOWN:
             return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being emptied")
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -128,13 +128,13 @@
     def _borrow_tokens(self, service: str, wanted: int) -> None:
         requested_at = self._reactor.seconds()
 
-        def lent(tokens: int) -> None:
+        def tokens_received(tokens: int) -> None:
             if self.active:
                 now = self._reactor.seconds()
                 self.execute(self.owner.tokens_lent(now, service, tokens, requested_at))
 
         home_group = shard_group(home_shard(service, self._shard_count))
-        self._context.borrow(home_group, service, wanted).addCallback(lent)
+        self._context.borrow(home_group, service, wanted).addCallback(tokens_received)
 
     def _send_callback(self, action: SendCallback) -> None:
         """Send a call-back, if the edge node is connected; the owner sends it again if no report arrives."""
--- a/bitternpath/roles/storage_process.py
+++ b/bitternpath/roles/storage_process.py
@@ -28,7 +28,7 @@
         """Raises the same exceptions as `StorageNode`."""
         self.node = StorageNode(reactor, settings, environment)
         self._reactor = reactor
-        self._give_up_at = 0.0
+        self._transfer_deadline = 0.0
 
     def listen(self) -> None:
         """Open the internal port; may be called again after `CannotListenError`."""
@@ -46,11 +46,11 @@
     def shut_down(self, finished: Callable[[], None]) -> None:
         """Transfer the owned shards, close the links, then the disk, and call `finished()`."""
         log.info("event=shutdown_started")
-        self._give_up_at = self._reactor.seconds() + TRANSFER_TIMEOUT_S
+        self._transfer_deadline = self._reactor.seconds() + TRANSFER_TIMEOUT_S
         self._transfer_shards(finished)
 
     def _transfer_shards(self, finished: Callable[[], None]) -> None:
-        if self.node.transfer_shards() and self._reactor.seconds() < self._give_up_at:
+        if self.node.transfer_shards() and self._reactor.seconds() < self._transfer_deadline:
             self._reactor.callLater(CHECK_INTERVAL_S, self._transfer_shards, finished)
             return
         log.info("event=shutdown_completed memory_mb={:.0f}", self.node.base.memory_peak_mb())
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -150,8 +150,8 @@
             self._hub.schedule_flush(self)
         self._outgoing.append(frame(RECORDS.encode(record)))
 
-    def request(self, make: Callable[[int], Record]) -> Deferred[Response]:
-        """Send the record `make(number)`; fires with the response that has that number.
+    def request(self, build_record: Callable[[int], Record]) -> Deferred[Response]:
+        """Send the record `build_record(number)`; fires with the response that has that number.
 
         The Deferred fails with `LinkLostError` if the link closes first, or is closed already.
         """
@@ -161,7 +161,7 @@
             return response
         self._last_number += 1
         self._requests[self._last_number] = response
-        self.send(make(self._last_number))
+        self.send(build_record(self._last_number))
         return response
 
     def close(self) -> None:
