--- a/bitternpath/cli/system_show.py
+++ b/bitternpath/cli/system_show.py
@@ -26,7 +26,7 @@
 
 TOOL_LINK_USER = "tool"  # name as a user of the hub's links
 POLL_INTERVAL_S = 0.1  # between checks whether all nodes have answered
-LINKS_CLOSE_DELAY_S = 0.05  # for closing the links
+LINKS_CLOSE_DELAY_S = 0.05  # time to close the links
 
 
 class StatusSurvey:
--- a/bitternpath/discovery/endpoint_list_poller.py
+++ b/bitternpath/discovery/endpoint_list_poller.py
@@ -17,7 +17,7 @@
 
 POLL_INTERVAL_S = 0.9  # well below `drain_ms`, within which a drain in the list must be respected
 RETRY_DELAY_S = 0.25  # after a failed reading
-RATE_SHARE = 0.5  # of the rate that the platform allows; the rest is for nodes that read the list themselves
+RATE_SHARE = 0.5  # share of the platform's rate limit; the rest is for nodes that read the list themselves
 MIN_RATE_PER_S = 0.1  # used if the settings allow less
 
 
--- a/bitternpath/ingress/channel.py
+++ b/bitternpath/ingress/channel.py
@@ -30,7 +30,7 @@
 from bitternpath.ingress.http_requests import HttpRequest
 from bitternpath.net.sockets import peek
 
-LINGER_S = 1.0  # after an error, input is discarded for so long, since a reset could destroy the response
+LINGER_S = 1.0  # after an error, input is discarded for this long, since a reset could destroy the response
 FLUSH_TIMEOUT_S = 5.0  # the connection is aborted if a peer hasn't read its response by then
 DRAINING_READ_TIMEOUT_S = 2.0  # during a shutdown, the rest of a request must arrive within this
 MAX_LENGTH_DIGITS = 15  # of Content-Length; more digits can't be a real size
--- a/bitternpath/ingress/http_requests.py
+++ b/bitternpath/ingress/http_requests.py
@@ -17,7 +17,7 @@
     channel: Any
     content: Any
     site: Any
-    needs_open_peer = False  # a peer that closed its sending side gets no response, as it may be disconnected
+    needs_open_peer = False  # whether a peer that closed its sending side counts as disconnected
     fallback_status = 503  # if the process ends before the result is known; must not imply an outcome
 
     @property
--- a/bitternpath/membership/bootstrap.py
+++ b/bitternpath/membership/bootstrap.py
@@ -18,7 +18,7 @@
 from bitternpath.transport.group_messages import BootstrapDecision, GroupPlacement, MemberAddress
 from bitternpath.transport.node_messages import NodeDescriptor
 
-VIEW_STABLE_S = 1.0  # the view is stable if its nodes with state haven't changed for so long
+VIEW_STABLE_S = 1.0  # time without changes of the nodes with state after which a view is stable
 EARLIEST_DECISION_S = 1.5  # after the start: all nodes start within 0.3 s, and each start takes a while
 FULL_GROUP_TIMEOUT_S = 6.0  # after the start; then fewer members than the fault tolerance requires suffice
 MAX_FOUNDING_MEMBERS = 7  # replicas of the configuration; more would make each change more expensive
--- a/bitternpath/membership/view.py
+++ b/bitternpath/membership/view.py
@@ -30,10 +30,10 @@
 STARTUP_PERIOD_S = 5.0
 ROUND_JITTER = 0.2  # rounds are shorter or longer by up to this share
 MIN_KNOWN_NODES = 3  # a view with fewer nodes contacts all seeds in each round
-LIVENESS_TIMEOUT_S = 2.5  # since the last newer heartbeat: two rounds and a margin
-FORGET_AFTER_S = 20.0  # since the last newer heartbeat
-FORGOTTEN_RETENTION_S = 300.0  # in which old entries of a forgotten node, still forwarded, are ignored
-MAX_FORGOTTEN = 512  # entries
+LIVENESS_TIMEOUT_S = 2.5  # time without a newer heartbeat: two rounds and a margin
+FORGET_AFTER_S = 20.0  # time without a newer heartbeat
+FORGOTTEN_RETENTION_S = 300.0  # old entries of a forgotten node, still forwarded, are ignored for this long
+MAX_FORGOTTEN = 512  # forgotten nodes that are remembered
 
 
 @dataclass(slots=True)
--- a/bitternpath/roles/disk_capacity.py
+++ b/bitternpath/roles/disk_capacity.py
@@ -4,8 +4,8 @@
 
 from bitternpath.roles.node_base import NodeBase
 
-MAX_USED_SHARE = 0.75  # of the disk; no message is accepted while more is in use
-MAX_SNAPSHOT_SHARE = 0.7  # of the disk, for all snapshots and the successor of the largest one
+MAX_USED_SHARE = 0.75  # share of the disk above which no message is accepted
+MAX_SNAPSHOT_SHARE = 0.7  # share of the disk for all snapshots and the successor of the largest one
 
 
 class DiskCapacity:
--- a/bitternpath/roles/edge.py
+++ b/bitternpath/roles/edge.py
@@ -62,10 +62,10 @@
 
 log = logbook.Logger("edge")
 
-BODY_CACHE_BYTES = 24 << 20  # for the bodies of accepted messages that have not been leased yet
-MAX_READY_FEED_AGE_S = 20.0  # unready after a longer time without contact to the configuration's owner
+BODY_CACHE_BYTES = 24 << 20  # for bodies of accepted messages that have not been leased yet
+MAX_READY_FEED_AGE_S = 20.0  # a node without contact to the configuration's owner for longer is unready
 CONNECTION_OVERCOMMIT = 2.0  # the nodes' shares of a worker's connections overlap: not all are used at once
-MIN_CONNECTIONS = 2  # to each worker, however many edge nodes share it
+MIN_CONNECTIONS = 2  # connections to each worker, however many edge nodes share it
 SHARD_LINK_USER = "shards"  # name as a user of the hub's links
 
 
--- a/bitternpath/roles/edge_process.py
+++ b/bitternpath/roles/edge_process.py
@@ -18,12 +18,12 @@
 
 log = logbook.Logger("edge")
 
-RESERVED_DESCRIPTORS = 600  # for files and for connections to nodes, workers and call-back receivers
-MIN_CONNECTIONS = 64  # of clients, however few descriptors the settings allow
+RESERVED_DESCRIPTORS = 600  # descriptors for files and for connections to nodes, workers and receivers
+MIN_CONNECTIONS = 64  # client connections, however few descriptors the settings allow
 UNREADY_PERIOD_S = 2.1  # two failed readiness probes, 1 s apart, make the platform stop new connections
 UNREADY_GRACE_DIVISOR = 3  # the unready period is at most the grace period divided by this
-EXIT_RESERVE_S = 1.2  # of the grace period, reserved for the end of the process
-FINAL_ANSWERS_LEAD_S = 0.4  # before that, pending requests are answered, so that clients can read the answers
+EXIT_RESERVE_S = 1.2  # part of the grace period that is reserved for the end of the process
+FINAL_ANSWERS_LEAD_S = 0.4  # before the shutdown deadline: time for clients to read the last answers
 LISTEN_BACKLOG = 1024
 CHECK_INTERVAL_S = 0.05  # between checks whether all work is done; also from closing links to closing disk
 
--- a/bitternpath/roles/endpoint_list_fallback.py
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -14,8 +14,8 @@
 from bitternpath.net.clock import Clock
 
 MAX_FEED_AGE_S = 1.3  # with an older catalogue, this node reads the list itself
-MIN_INTERVAL_S = 0.25  # between checks, on average
-MIN_RATE_PER_S = 0.1  # of all nodes together, even if the settings allow less
+MIN_INTERVAL_S = 0.25  # lower bound of the mean interval between checks
+MIN_RATE_PER_S = 0.1  # lower bound of the rate of all nodes together, whatever the settings
 JITTER = (0.7, 0.6)  # lower bound and width of a random factor: an interval is 0.7 to 1.3 of its mean
 
 
--- a/bitternpath/roles/feed_cache.py
+++ b/bitternpath/roles/feed_cache.py
@@ -45,7 +45,7 @@
                 return
             update: FeedUpdate = CACHE_CODEC.decode(data)
             self._feed.restore(update)
-        except (CorruptDocumentError, ValueError) as error:  # of the codec or of the configuration
+        except (CorruptDocumentError, ValueError) as error:  # of `decode` or `restore`
             log.warning("event=feed_cache_discarded error={!r}", str(error))
             self._disk.remove_document(CACHE_DOCUMENT)
             return
--- a/bitternpath/roles/node_base.py
+++ b/bitternpath/roles/node_base.py
@@ -34,8 +34,8 @@
 
 log = logbook.Logger("node")
 
-JOURNAL_DISK_SHARE = 0.35  # of the disk; at this size, a checkpoint replaces the journal
-DEFAULT_JOURNAL_BYTES = 64 << 20  # the same if the size of the disk is unknown
+JOURNAL_DISK_SHARE = 0.35  # size, as a share of the disk, at which a checkpoint replaces the journal
+DEFAULT_JOURNAL_BYTES = 64 << 20  # the same limit if the size of the disk is unknown
 
 RecordHandler = Callable[[Link, Any], None]  # handles records of one kind
 
--- a/bitternpath/roles/ownership_return.py
+++ b/bitternpath/roles/ownership_return.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-INITIAL_DELAY_S = 6.0  # for which the preferred member must have been eligible without interruption
+INITIAL_DELAY_S = 6.0  # time for which the preferred member must have been eligible without interruption
 MAX_DELAY_S = 300.0  # the delay doubles with each transfer, as an unstable member shouldn't be the owner
 
 
--- a/bitternpath/roles/process.py
+++ b/bitternpath/roles/process.py
@@ -28,7 +28,7 @@
 SIGNALS_BLOCKED_AT_START = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 PORT_RETRY_INTERVAL_S = 0.1
 PORT_RETRY_TIMEOUT_S = 5.0  # the previous process may still be ending; a storage node ends within 4 s
-QUARANTINE_DISK_SHARE = 0.25  # of the disk; what `disk_capacity.MAX_USED_SHARE` leaves free
+QUARANTINE_DISK_SHARE = 0.25  # share of the disk that `disk_capacity.MAX_USED_SHARE` leaves free
 
 
 class ExitCode(IntEnum):
@@ -181,7 +181,7 @@
 def build_role(
     name: str, reactor: NodeReactor, settings: Settings, environment: ProcessEnvironment | None = None
 ) -> Role:
-    """Build the role `edge` or `storage`, after quarantining the content of a damaged disk.
+    """Build the role `edge` or `storage`; the content of a damaged disk is quarantined first.
 
     After a quarantine, the node continues as one whose disk was lost. Such a disk isn't a new one, whatever
     the settings say: the node must not bootstrap a system again.
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -27,7 +27,7 @@
 
 log = logbook.Logger("configuration")
 
-FOLLOWERS_KNOWN_AFTER_S = 3.0  # of ownership; followers notice the loss of the last owner after 1.3 s
+FOLLOWERS_KNOWN_AFTER_S = 3.0  # since becoming owner; followers notice the loss of the last one within 1.3 s
 
 
 class Retirements:
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -34,7 +34,7 @@
 from bitternpath.transport.shard_messages import CallbackRequest, LeaseGrant, WorkAvailable
 
 MIN_EDGES_QUERIED = 4  # edge nodes that are queried for pollers at once, if there are that many
-MAX_EDGES_QUERIED = 16  # each request samples again, so all are reached after a few requests
+MAX_EDGES_QUERIED = 16  # each request draws a new sample, so all are reached after a few requests
 REMOTE_REQUEST_SHARE = 0.25  # share of the requests for pollers that go to edge nodes of all zones
 PROPOSAL_RETRY_S = 0.1  # a leader that transfers its leadership refuses proposals for an election time-out
 
--- a/bitternpath/roles/shard_placement.py
+++ b/bitternpath/roles/shard_placement.py
@@ -22,7 +22,7 @@
 
 log = logbook.Logger("configuration")
 
-STORAGE_STABLE_S = 0.8  # for which no storage node has joined or left before the initial placement
+STORAGE_STABLE_S = 0.8  # time without joining or leaving storage nodes before the initial placement
 
 
 class ShardPlacement:
--- a/bitternpath/roles/storage.py
+++ b/bitternpath/roles/storage.py
@@ -59,7 +59,7 @@
 log = logbook.Logger("storage")
 
 CHECK_INTERVAL_S = 0.25  # between checks of the owned groups for changes without an event, such as time-outs
-RESPONSIVE_WITHIN_S = 0.5  # since the last response of a member: two heartbeats of a group and a margin
+RESPONSIVE_WITHIN_S = 0.5  # time since a member's last response: two heartbeats of a group and a margin
 
 
 class StorageNode:
--- a/bitternpath/roles/storage_process.py
+++ b/bitternpath/roles/storage_process.py
@@ -15,7 +15,7 @@
 
 TRANSFER_TIMEOUT_S = 1.5  # for the transfer of owned shards; after it, other replicas elect an owner
 CHECK_INTERVAL_S = 0.05  # between checks whether all shards have been transferred
-FLUSH_DELAY_S = 0.1  # for the records that were sent last
+FLUSH_DELAY_S = 0.1  # time to send the last records
 LINKS_CLOSE_DELAY_S = 0.05  # from closing the links to closing the disk, which blocks
 
 
--- a/bitternpath/transport/dialler.py
+++ b/bitternpath/transport/dialler.py
@@ -15,8 +15,8 @@
 CONNECT_TIMEOUT_S = 1.0
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-MIN_JITTER = 0.7  # a delay is the back-off times a random factor of at least this
-JITTER_SPAN = 0.6  # and at most this much more
+MIN_JITTER = 0.7  # lower bound of the random factor of a back-off
+JITTER_SPAN = 0.6  # range of that factor
 
 
 class Dialler:
--- a/bitternpath/transport/frames.py
+++ b/bitternpath/transport/frames.py
@@ -7,7 +7,7 @@
 from bitternpath.transport.errors import CodecError
 
 HEADER = struct.Struct("!I")  # length of the record, excluding the header
-MAX_FRAME_BYTES = 24 << 20  # of a record: a configuration of 16 MiB and its envelope
+MAX_FRAME_BYTES = 24 << 20  # maximum size of a record: a configuration of 16 MiB and its envelope
 
 
 class FrameBuffer:
--- a/bitternpath/transport/link_liveness.py
+++ b/bitternpath/transport/link_liveness.py
@@ -16,7 +16,7 @@
 PING_SUBSCRIBED_S = 0.25
 
 PONG_TIMEOUT_S = 1.65  # the end that pinged aborts the link after this long without a byte
-PEER_TIMEOUT_S = 6.0  # either end aborts the link; at the end that was dialled, two pings are missing
+PEER_TIMEOUT_S = 6.0  # either end aborts the link; at the end that was dialled, two pings were missed
 
 
 class LivenessAction(Enum):
--- a/bitternpath/transport/links.py
+++ b/bitternpath/transport/links.py
@@ -37,7 +37,7 @@
 
 log = logbook.Logger("transport")
 
-TCP_USER_TIMEOUT_MS = 2_000  # the kernel ends a connection whose bytes are unacknowledged for so long
+TCP_USER_TIMEOUT_MS = 2_000  # the kernel ends a connection with bytes that are unacknowledged for this long
 
 
 class LinkState(Enum):
