--- a/bitternpath/roles/hosted_shards.py
+++ b/bitternpath/roles/hosted_shards.py
@@ -89,7 +89,7 @@
         self._membership_reconciler.group_opened(group)
 
     def close(self, group: str, generation: int) -> None:
-        """Close a replica and delete its state. Members of this generation without it must be committed."""
+        """Close a replica and delete its state. Committed members of this generation must not include it."""
         self._host.close_group(group, generation)
         del self.runtimes[group]
         del self._requests[group]
--- a/bitternpath/roles/live_nodes.py
+++ b/bitternpath/roles/live_nodes.py
@@ -41,7 +41,7 @@
         return self._reactor.seconds() - self._owned_since
 
     def down_for(self, name: str) -> float:
-        """Seconds since a node was last contacted; 0 where that was just now."""
+        """Seconds since a node was last contacted; 0 if that was recently."""
         return self._liveness.down_for(self._reactor.seconds(), name)
 
     def up_for(self, name: str) -> float:
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -45,7 +45,7 @@
     def __init__(
         self, context: ShardContext, group: str, shard_count: int, owner: ShardOwner, polls: PendingPolls
     ) -> None:
-        """`group` is the shard's replica group; `shard_count` is that of the whole system."""
+        """`group` is the shard's replica group; `shard_count` is the number of shards in the system."""
         self.owner = owner
         self.active = True
         self._context = context
--- a/bitternpath/roles/shard_runtime.py
+++ b/bitternpath/roles/shard_runtime.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, context: ShardContext, group: str, shard_count: int) -> None:
-        """`shard_count` is that of the whole system."""
+        """`shard_count` is the number of shards in the system."""
         self.group = group
         self.state = QueueState(context.reactor.seconds, context.wall_ms)
         self.polls = PendingPolls()
