--- a/bitternpath/roles/endpoint_list_fallback.py
+++ b/bitternpath/roles/endpoint_list_fallback.py
@@ -14,8 +14,8 @@
 from bitternpath.net.clock import Clock
 
 MAX_FEED_AGE_S = 1.3  # with an older catalogue, this node reads the list itself
-MIN_INTERVAL_S = 0.25  # between checks, on average
-MIN_RATE_PER_S = 0.1  # of all nodes together, even if the settings allow less
+MIN_INTERVAL_S = 0.25  # lower bound of the mean interval between checks
+MIN_RATE_PER_S = 0.1  # lower bound of the rate of all nodes together, whatever the settings
 JITTER = (0.7, 0.6)  # lower bound and width of a random factor: an interval is 0.7 to 1.3 of its mean
 
 
@@ -47,14 +47,14 @@
     def _check(self) -> None:
         node_count = max(self._feed.edge_node_count, 1)
         interval = max(MIN_INTERVAL_S, node_count / self._max_rate_per_s)
-        least, spread = JITTER
-        self._reactor.callLater(interval * (least + spread * self._random.random()), self._check)
+        minimum, width = JITTER
+        self._reactor.callLater(interval * (minimum + width * self._random.random()), self._check)
         stale = self._catalogue.age(self._reactor.seconds()) > MAX_FEED_AGE_S
-        if stale and not self._reading and self._is_wanted():
+        if stale and not self._reading and self._has_listed_workers():
             self._reading = True
             self._client.read().addCallbacks(self._read, self._failed)
 
-    def _is_wanted(self) -> bool:
+    def _has_listed_workers(self) -> bool:
         """Whether any service has listed workers."""
         table = self._feed.table
         services = table.services.values() if table else ()
--- a/bitternpath/roles/retirements.py
+++ b/bitternpath/roles/retirements.py
@@ -27,7 +27,7 @@
 
 log = logbook.Logger("configuration")
 
-FOLLOWERS_KNOWN_AFTER_S = 3.0  # of ownership; followers notice the loss of the last owner after 1.3 s
+FOLLOWERS_KNOWN_AFTER_S = 3.0  # since becoming owner; followers notice the loss of the last one within 1.3 s
 
 
 class Retirements:
@@ -108,9 +108,9 @@
 
     def progress(self, node: str) -> Deferred[OperatorResult]:
         """The progress of a node's retirement; fires with the result for the operator, and never fails."""
-        return self._group.barrier().addCallbacks(lambda _: self._progress_now(node), _not_owner)
+        return self._group.barrier().addCallbacks(lambda _: self._read_progress(node), _not_owner)
 
-    def _progress_now(self, node: str) -> OperatorResult:
+    def _read_progress(self, node: str) -> OperatorResult:
         state = retirement_state(self._state, node)
         if state is RetireState.UNKNOWN:
             return operator_result(ResultCode.UNKNOWN_NODE, f"{node} isn't being emptied")
--- a/bitternpath/roles/shard_ownership.py
+++ b/bitternpath/roles/shard_ownership.py
@@ -34,7 +34,7 @@
 from bitternpath.transport.shard_messages import CallbackRequest, LeaseGrant, WorkAvailable
 
 MIN_EDGES_QUERIED = 4  # edge nodes that are queried for pollers at once, if there are that many
-MAX_EDGES_QUERIED = 16  # each request samples again, so all are reached after a few requests
+MAX_EDGES_QUERIED = 16  # each request draws a new sample, so all are reached after a few requests
 REMOTE_REQUEST_SHARE = 0.25  # share of the requests for pollers that go to edge nodes of all zones
 PROPOSAL_RETRY_S = 0.1  # a leader that transfers its leadership refuses proposals for an election time-out
 
@@ -45,7 +45,7 @@
     def __init__(
         self, context: ShardContext, group: str, shard_count: int, owner: ShardOwner, polls: PendingPolls
     ) -> None:
-        """`group` is the shard's replica group; `shard_count` is that of the whole system."""
+        """`group` is the shard's replica group; `shard_count` is the number of shards in the system."""
         self.owner = owner
         self.active = True
         self._context = context
@@ -128,13 +128,13 @@
     def _borrow_tokens(self, service: str, wanted: int) -> None:
         requested_at = self._reactor.seconds()
 
-        def lent(tokens: int) -> None:
+        def tokens_received(tokens: int) -> None:
             if self.active:
                 now = self._reactor.seconds()
                 self.execute(self.owner.tokens_lent(now, service, tokens, requested_at))
 
         home_group = shard_group(home_shard(service, self._shard_count))
-        self._context.borrow(home_group, service, wanted).addCallback(lent)
+        self._context.borrow(home_group, service, wanted).addCallback(tokens_received)
 
     def _send_callback(self, action: SendCallback) -> None:
         """Send a call-back, if the edge node is connected; the owner sends it again if no report arrives."""
