--- a/bitternpath/balancer/core/endpoint_registry.py
+++ b/bitternpath/balancer/core/endpoint_registry.py
@@ -57,7 +57,7 @@
         self.ejected_since: dict[str, float] = {}  # by endpoint, when it was first ejected
         self._ejected_by: dict[str, set[str]] = {}  # by endpoint, the parties that eject it
         self._reinstated: dict[str, tuple[float, float]] = {}  # by endpoint, when ejected and when reinstated
-        self._reported = {p.id: p for p in initial.members}  # by the sources
+        self._reported = {endpoint.id: endpoint for endpoint in initial.members}  # by the sources
         # Endpoints that drain or are gone, by id, with the start time reported then.
         self._leaving_since: dict[str, float] = {}
         self.endpoints = dict(self._reported)
@@ -72,13 +72,13 @@
 
     def ejected_by(self, by: str) -> list[str]:
         """The endpoints that a party has ejected."""
-        return [id for id, sources in self._ejected_by.items() if by in sources]
+        return [id for id, parties in self._ejected_by.items() if by in parties]
 
     def eject(self, id: str, since: float, by: str = BY_OPERATOR) -> None:
         """Send no new calls to an endpoint until every party that ejected it has reinstated it."""
-        sources = self._ejected_by.setdefault(id, set())
-        if by not in sources:
-            sources.add(by)
+        parties = self._ejected_by.setdefault(id, set())
+        if by not in parties:
+            parties.add(by)
             self.on_ejection_change(id, by, True)
         if id not in self.ejected_since:
             self.ejected_since[id] = since
@@ -87,12 +87,12 @@
 
     def reinstate(self, id: str, now: float, by: str = BY_OPERATOR) -> None:
         """Return an endpoint to the state its source reports, unless another party still ejects it."""
-        sources = self._ejected_by.get(id, set())
-        if by not in sources:
+        parties = self._ejected_by.get(id, set())
+        if by not in parties:
             return
-        sources.remove(by)
+        parties.remove(by)
         self.on_ejection_change(id, by, False)
-        if not sources:
+        if not parties:
             del self._ejected_by[id]
             self._reinstated[id] = self.ejected_since.pop(id), now
             log.info("endpoint_reinstated", id=id)
@@ -135,10 +135,10 @@
             else:
                 self._record_leaving(listing)
             self.revision = listing.revision
-        others = [p for p in self._reported.values() if p.source != listing.source]
+        others = [endpoint for endpoint in self._reported.values() if endpoint.source != listing.source]
         if others:
-            other_ids = {p.id for p in others}
-            own = tuple(p for p in listing.members if p.id not in other_ids)
+            other_ids = {endpoint.id for endpoint in others}
+            own = tuple(endpoint for endpoint in listing.members if endpoint.id not in other_ids)
             # A complete list for the module has to include the endpoints of other sources.
             listing = replace(listing, members=(*own, *others) if listing.complete else own)
         if listing.complete:
@@ -166,7 +166,7 @@
     def _record_leaving(self, listing: Listing) -> None:
         """Record which endpoints drain and which are gone."""
         if listing.complete:
-            for id in self._reported.keys() - {p.id for p in listing.members}:
+            for id in self._reported.keys() - {endpoint.id for endpoint in listing.members}:
                 self._leaving_since[id] = self._reported[id].up_since
         for reported in listing.members:
             self._leaving_since.pop(reported.id, None)
@@ -192,13 +192,17 @@
 
     def discovery_listing(self) -> Listing:
         """The list as discovery reports it, without ejections."""
-        members = tuple(self._with_assumed_start(p) for p in self._reported.values() if p.source == DISCOVERY)
+        members = tuple(
+            self._with_assumed_start(endpoint)
+            for endpoint in self._reported.values()
+            if endpoint.source == DISCOVERY
+        )
         return Listing(self.revision, True, members)
 
     def set_initial(self, listing: Listing) -> None:
         """Replace the initial list, before any listener has been called."""
         self.revision = listing.revision
-        self._reported = {p.id: p for p in listing.members}
+        self._reported = {endpoint.id: endpoint for endpoint in listing.members}
         self.endpoints = {id: self._effective(reported) for id, reported in self._reported.items()}
 
     def serving(self, endpoint: str) -> Endpoint | None:
