--- a/bitternpath/balancer/core/lifecycle.py
+++ b/bitternpath/balancer/core/lifecycle.py
@@ -6,7 +6,8 @@
 event that has no transition in a phase changes nothing.
 
 Times are measured from the stop signal. The platform kills a process no sooner than 0.7 s after the longest
-deadline, where deadlines over 3 s count as 3 s (PROTOCOL, 'Figures').
+deadline, where deadlines over 3 s count as 3 s (PROTOCOL, 'Figures'): with short deadlines, far earlier than
+3.7 s.
 """
 
 from __future__ import annotations
--- a/bitternpath/balancer/dispatch/dispatcher.py
+++ b/bitternpath/balancer/dispatch/dispatcher.py
@@ -301,6 +301,7 @@
         """
         network, random, now = job.class_state.network, self.random.random, self.now
         workers, q, worker_count = network.neurons, network.q, len(network.neurons)
+        # A sample of one explores: the job goes to a random worker, if that one is usable.
         sample_size = (
             1
             if random() < EXPLORATION_RATE
@@ -340,9 +341,8 @@
             for worker in workers
             if worker.faults and worker.blocked_by_faults(job.class_state.spec, now)
         ]
-        faulty = (
-            faulty if 2 * len(faulty) <= worker_count else []
-        )  # if more than half are, the jobs are the likely cause
+        # If more than half of the workers are, the jobs are the likely cause.
+        faulty = faulty if 2 * len(faulty) <= worker_count else []
         best, best_score = None, 0.0
         home_indexes = (
             [network.index[name] for name in self.home_workers if name in network.index]
--- a/bitternpath/balancer/messages.py
+++ b/bitternpath/balancer/messages.py
@@ -128,12 +128,12 @@
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    dispatcher_index: int = 0
-    dispatchers: int = 1
+    dispatcher_index: int = 0  # position of this dispatcher among the `dispatchers`
+    dispatchers: int = 1  # number of dispatchers that share the workers
     zone: str = ""
     kinds: tuple[str, ...] = ()
-    list_on_request: bool = False
-    must_ask_within: float = 10_000.0
+    list_on_request: bool = False  # discovery sends the worker list only to subscribers
+    must_ask_within: float = 10_000.0  # ms after the start in which the list must be requested
     drain_grace: float = 1_000.0
     answer_grace: float = 5.0
     cold_share: float = 0.3
@@ -142,15 +142,15 @@
     overload_span: float = 1_000.0
     may_cancel: bool = True
     may_probe: bool = False
-    second_copies: bool = False
-    try_limit: int = 3
+    second_copies: bool = False  # a job may have a second attempt while one is in flight
+    try_limit: int = 3  # attempts per job
     gives_retry_after: bool = False
-    max_retry_after: float = 0.0
+    max_retry_after: float = 0.0  # upper limit of `Refuse.retry_after`
     tick: float = 1.0
-    reports_start: bool = False
+    reports_start: bool = False  # workers report the start of each job
     in_order: bool = False  # workers start jobs in the order of their arrival
     retries_marked: bool = False  # clients mark requests that are retries
-    progress_every: float = 0.0
+    progress_every: float = 0.0  # interval between reports of progress; 0: none
     sizes_listed: bool = False  # the worker list states a size for each worker
     report_columns: tuple[str, ...] = ()
     over_share_worth: float = 1.0
@@ -297,7 +297,7 @@
 class Send(Struct):
     """Start an attempt, which ends after `timeout` ms (0: at the client's deadline).
 
-    It must be sent `within` ms, for example before the deduplication window of its class closes.
+    It must be sent within `within` ms, for example before the deduplication window of its class closes.
     """
 
     id: str
