--- a/bitternpath/balancer/handover/learned_weights.py
+++ b/bitternpath/balancer/handover/learned_weights.py
@@ -21,9 +21,10 @@
     name: str
     up: float
     strikes: int
-    times: tuple[float, float, float, float, float]  # heard, out_until, full_until, shy_until, last_begun
-    cold: tuple[float, float]  # cold_at, cold_work
-    wait: tuple[float, float]  # wait, wait_at
+    # last_report_at, suspended_until, full_until, unsafe_suspended_until, newest_started_send
+    times: tuple[float, float, float, float, float]
+    cold: tuple[float, float]  # last_cold_send_at, last_cold_work
+    wait: tuple[float, float]  # queue_wait, queue_wait_seen_at
     faults: dict[str, tuple[int, float, float]]
     ends: list[float]  # when jobs there should end that the older process sent
 
@@ -31,7 +32,8 @@
 class LearnedClass(Struct):
     name: str
     effect: str
-    means: tuple[float, float, float, float]  # hint, run, work, patience
+    # mean_hint, mean_run_time, unloaded_run_time, longest_remaining
+    means: tuple[float, float, float, float]
     ended: int
     pace: dict[str, float]
     threshold: float
@@ -39,7 +41,7 @@
 
 
 class LearnedWeights(Struct):
-    means: tuple[float, float, float]  # mean_wait, mean_run, begun_at
+    means: tuple[float, float, float]  # mean_wait, mean_run, last_start_at
     classes: list[LearnedClass]
     workers: list[LearnedWorker]
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -221,11 +221,11 @@
     for worker in harness.dispatcher.workers.values():
         worker.suspended_until = worker.unsafe_suspended_until = 1e9
     checks = Counter[str]()
-    next_cold = harness.dispatcher.next_cold_send_at
+    next_cold_send_at = harness.dispatcher.next_cold_send_at
 
     def counting_next_cold_send_at(worker: Any) -> float:
         checks["all"] += 1
-        return next_cold(worker)
+        return next_cold_send_at(worker)
 
     harness.dispatcher.next_cold_send_at = counting_next_cold_send_at  # type: ignore[method-assign]
     assert all(sends(harness.request(f"r{n}")) for n in range(50))
