--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -88,7 +88,7 @@
         while not (node.holder.fencing_token and node.holder.plan.version == 1):
             world.later.run(world.later.now + 0.01)
         back.append(world.later.now - begun)
-        node.holder.check = lambda plan: "it cannot"
+        node.holder.validate = lambda plan: "it cannot"
         begun = world.later.now
         world.operator.type(m.Propose("d", "a", "b", p.EjectWorker("w2")))
         while world.leader().desk.record.released.version < 2:  # type: ignore[union-attr]
@@ -110,7 +110,7 @@
                 old.send(number)
                 others = {name: at for name, at in made.at.items() if name != old.name}
                 ban = m.Propose(f"c{k}", "a", "b", p.SetClass("x", {"aim": 1.0 + k}))
-                assert client.ask(others, ban, "bench", 30.0).ok
+                assert client.send_command(others, ban, "bench", 30.0).ok
                 took.append(time.monotonic() - begun)
                 if number == signal.SIGKILL:
                     old.kill()
--- a/bitternpath/balancer/fleet/client.py
+++ b/bitternpath/balancer/fleet/client.py
@@ -12,30 +12,32 @@
 from bitternpath.balancer.config.platform import Address
 from bitternpath.balancer.fleet import messages as m
 
-ANSWER_WITHIN = 2.0  # s that one steward is waited for
-AGAIN_AFTER = 0.3  # s before all of them are asked again
-MANY_BYTES = 1 << 16
+REPLY_TIMEOUT = 2.0  # s that one steward is waited for
+RETRY_INTERVAL = 0.3  # s before all of them are asked again
+RECEIVE_BYTES = 1 << 16
 
 
 class NoAnswerError(Exception):
     """Nobody who could answer did in time; the text says what each said."""
 
 
-def _ask_one(at: Address, ask: m.CommandRequest, name: str, within: float) -> m.CommandReply:
+def _send_to_server(at: Address, request: m.CommandRequest, name: str, within: float) -> m.CommandReply:
     until = time.monotonic() + within
     with socket.create_connection(at, within) as link:
-        link.sendall(m.frame(m.Hello(m.VERSION, "", "command", name)) + m.frame(ask))
-        frames = m.Frames()
+        link.sendall(
+            m.encode_frame(m.Hello(m.PROTOCOL_VERSION, "", "command", name)) + m.encode_frame(request)
+        )
+        frames = m.FrameDecoder()
         while (left := until - time.monotonic()) > 0:
             link.settimeout(left)
-            data = link.recv(MANY_BYTES)
+            data = link.recv(RECEIVE_BYTES)
             if not data:
                 break
             for said in frames.feed(data):
-                if isinstance(said, m.CommandReply) and said.number == ask.number:
+                if isinstance(said, m.CommandReply) and said.number == request.number:
                     return said
                 if isinstance(said, m.Refused):
-                    return m.CommandReply(ask.number, False, said.why)
+                    return m.CommandReply(request.number, False, said.reason)
     raise TimeoutError("no answer")
 
 
@@ -44,13 +46,15 @@
     return not answer.ok and ("leader" in answer.text or "again" in answer.text)
 
 
-def ask(servers: Mapping[str, Address], command: m.Command, name: str, within: float) -> m.CommandReply:
+def send_command(
+    servers: Mapping[str, Address], command: m.Command, name: str, within: float
+) -> m.CommandReply:
     """Ask any steward, again until one answers or the time is up; NoAnswerError then."""
     until, said = time.monotonic() + within, dict.fromkeys(servers, "not asked")
     while True:
         for server, at in servers.items():
             try:
-                answer = _ask_one(at, m.CommandRequest(1, command), name, min(ANSWER_WITHIN, within))
+                answer = _send_to_server(at, m.CommandRequest(1, command), name, min(REPLY_TIMEOUT, within))
             except (OSError, m.WireError) as error:
                 said[server] = str(error) or type(error).__name__
                 continue
@@ -59,7 +63,7 @@
             said[server] = answer.text
         if time.monotonic() >= until:
             raise NoAnswerError("; ".join(f"{server}: {why}" for server, why in said.items()))
-        time.sleep(AGAIN_AFTER)
+        time.sleep(RETRY_INTERVAL)
 
 
 def query(
@@ -67,13 +71,13 @@
 ) -> tuple[dict[str, Any], str]:
     """What is known, and why it may be old: empty where a majority stands behind it."""
     try:
-        answer, why = ask(servers, command, name, within), ""
+        answer, why = send_command(servers, command, name, within), ""
     except NoAnswerError as error:
         why, found = str(error), []
         stale = msgspec.structs.replace(command, stale=True)
         for at in servers.values():
             try:
-                found.append(_ask_one(at, m.CommandRequest(1, stale), name, ANSWER_WITHIN))
+                found.append(_send_to_server(at, m.CommandRequest(1, stale), name, REPLY_TIMEOUT))
             except (OSError, m.WireError):
                 continue
         if not found:
--- a/bitternpath/balancer/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -12,14 +12,16 @@
 from bitternpath.balancer.fleet.replica import ReplicaState
 from bitternpath.replication.records import MemberRole, Members
 
-CLOSE_ENTRIES = 64  # by which a learner may lag to become a voter
-CHANGING = "leadership or membership is changing; ask again"
+MAX_LEARNER_LAG = 64  # by which a learner may lag to become a voter
+CHANGE_IN_PROGRESS = "leadership or membership is changing; ask again"
 
 
 class Commands(ReplicaState):
     """Commands of operators, while this member leads; the status also where it doesn't."""
 
-    def _command(self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest) -> None:
+    def _handle_command(
+        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest
+    ) -> None:
         match ask.command:
             case m.Query():
                 waits = PendingRequest(self.raft.request_heartbeat_round(), now, route, ask)
@@ -28,22 +30,24 @@
                 self._propose_change(now, leadership, route, ask, ask.command)
             case m.Withdraw(version, author, reason):
                 index = self._propose(now, p.WithdrawVersion(version, author, reason))
-                self._answer_when_committed(now, leadership, route, ask, index)
+                self._reply_when_committed(now, leadership, route, ask, index)
             case m.ChangeMembers():
                 self._change_members(now, leadership, route, ask, ask.command)
             case m.TransferLeadership(to):
                 to = self._voter_id(to)
                 done = self.raft.transfer_leadership(now, to)
-                self._answer(route, ask.number, "" if done else f"{to} is no other voter")
+                self._reply_to_command(route, ask.number, "" if done else f"{to} is no other voter")
 
     def _propose_change(
         self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, command: m.Propose
     ) -> None:
-        if command.id in self.record.ids:  # asked again
-            self._answer(route, ask.number, "", {"version": self.record.ids[command.id]})
+        if command.id in self.record.change_versions:  # asked again
+            self._reply_to_command(
+                route, ask.number, "", {"version": self.record.change_versions[command.id]}
+            )
             return
-        adopt = p.AgreeChange(command.id, command.author, command.reason, self.wall(), command.change)
-        self._answer_when_committed(now, leadership, route, ask, self._propose(now, adopt))
+        adopt = p.AgreeChange(command.id, command.author, command.reason, self.wall_clock(), command.change)
+        self._reply_when_committed(now, leadership, route, ask, self._propose(now, adopt))
 
     def _change_members(
         self,
@@ -54,32 +58,32 @@
         command: m.ChangeMembers,
     ) -> None:
         if command.add and command.add not in self.member_ids:
-            self._answer(route, ask.number, f"{command.add} has not been heard of; does it run?")
+            self._reply_to_command(route, ask.number, f"{command.add} has not been heard of; does it run?")
             return
         members = self.raft.members
         add = self.member_ids.get(command.add, "")
         remove = next((id for id in members.all if id.partition(".")[0] == command.remove), command.remove)
-        why_not = self._members_fault(add, remove)
+        why_not = self._membership_error(add, remove)
         if why_not:
-            self._answer(route, ask.number, why_not)
+            self._reply_to_command(route, ask.number, why_not)
             return
         voters = tuple(name for name in members.voters if name != remove)
         learners = tuple(name for name in members.learners if name != remove)
         index = self._propose_members(now, Members(voters, (*learners, add) if add else learners))
-        self._answer_when_committed(now, leadership, route, ask, index)
+        self._reply_when_committed(now, leadership, route, ask, index)
 
-    def _answer_when_committed(
+    def _reply_when_committed(
         self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, index: int | None
     ) -> None:
         if index is None:
-            self._answer(route, ask.number, CHANGING)
+            self._reply_to_command(route, ask.number, CHANGE_IN_PROGRESS)
         else:
             leadership.awaiting_entry[index] = PendingRequest(index, now, route, ask)
 
     def _voter_id(self, name: str) -> str:
         return next((id for id in self.raft.members.voters if id.partition(".")[0] == name), name)
 
-    def _members_fault(self, add: str, remove: str) -> str:
+    def _membership_error(self, add: str, remove: str) -> str:
         members = self.raft.members
         if bool(add) == bool(remove):
             return "one steward is added or removed at a time"
@@ -100,7 +104,7 @@
             return
         for name in members.learners:
             peer = raft.peers.get(name)
-            near = raft.commit_index - CLOSE_ENTRIES
+            near = raft.commit_index - MAX_LEARNER_LAG
             if peer is not None and peer.match_index and peer.match_index >= near:
                 left = tuple(other for other in members.learners if other != name)
                 self._propose_members(now, Members((*members.voters, name), left))
@@ -108,20 +112,20 @@
 
     # ---- status
 
-    def _answer_status(self, now: float, route: Route, ask: m.CommandRequest) -> None:
+    def _reply_with_status(self, now: float, route: Route, ask: m.CommandRequest) -> None:
         found = self._status(now)
         if isinstance(ask.command, m.Query) and ask.command.what == "audit":
-            found |= self._audit()
-        self._answer(route, ask.number, "", found)
+            found |= self._audit_status()
+        self._reply_to_command(route, ask.number, "", found)
 
     def _status(self, now: float) -> dict[str, Any]:
         """What is known. Times in s; those of holders are ages on the leader's clock."""
         record, raft = self.record, self.raft
         states = self.leadership.holders if self.leadership is not None else {}
-        acting = (state.acting for state in states.values())
+        acting = (state.applied_version for state in states.values())
         return {
-            "steward": self.me,
-            "applied": self.applied,
+            "steward": self.member_id,
+            "applied": self.applied_index,
             "terms": record.terms,
             "leader": raft.leader,
             "term": raft.term,
@@ -132,7 +136,7 @@
             "latest": record.latest.version,
             "in_effect": min(acting, default=record.released.version),
             "plan": record.released,
-            "waiting": record.waiting,
+            "waiting": record.unreleased,
             "changes": record.changes,
             "release_times": record.release_times,
             "holders": [
@@ -140,13 +144,13 @@
             ],
         }
 
-    def _audit(self) -> dict[str, Any]:
+    def _audit_status(self) -> dict[str, Any]:
         record = self.record
         accounts = [
-            msgspec.to_builtins(account) | {"unheard": account.says_missing(key in record.holders)}
-            for key, account in record.accounts.items()
+            msgspec.to_builtins(account) | {"unheard": account.missing_entries(key in record.holders)}
+            for key, account in record.process_audits.items()
         ]
-        return {"ids": record.ids, "accounts": accounts}
+        return {"ids": record.change_versions, "accounts": accounts}
 
 
 def holder_status(now: float, holder: p.Holder, state: HolderState | None) -> dict[str, Any]:
@@ -154,11 +158,11 @@
     status: dict[str, Any] = msgspec.to_builtins(holder)
     if state is not None:
         status |= {
-            "acting": state.acting,
-            "have": state.have,
-            "heard": now - state.heard if state.route is not None else None,
-            "until": state.until - now,
-            "refuses": state.refuses,
+            "acting": state.applied_version,
+            "have": state.validated_version,
+            "heard": now - state.last_heard_at if state.route is not None else None,
+            "until": state.expires_at - now,
+            "refuses": state.rejection,
             "behind": now - state.behind_since if state.behind_since is not None else 0.0,
         }
     return status
--- a/bitternpath/balancer/fleet/connection.py
+++ b/bitternpath/balancer/fleet/connection.py
@@ -15,8 +15,8 @@
 
 log = structlog.get_logger(part="fleet")
 
-UNREAD = 4 << 20  # bytes written that the other side has not taken, beyond which it is given up
-HELLO_WITHIN = 3.0  # s for the first message after connecting
+MAX_UNREAD_BYTES = 4 << 20  # bytes written that the other side has not taken, beyond which it is given up
+HELLO_TIMEOUT = 3.0  # s for the first message after connecting
 
 
 @implementer(IPushProducer)
@@ -36,88 +36,90 @@
         lost: Callable[[FleetConnection], None],
     ) -> None:
         self.reactor, self.hello, self._receive, self._lost = reactor, hello, receive, lost
-        self.name = ""  # of whom was dialled, for those who dial
-        self.frames = m.Frames()
+        self.server_name = ""  # of whom was dialled, for those who dial
+        self.decoder = m.FrameDecoder()
         self.peer: m.Hello | None = None  # who it says to be
-        self.open = self.full = False
-        self.unread = 0  # bytes since the other side last kept up
-        self._alarm: Any = None
+        self.is_open = self.paused = False
+        self.unread_bytes = 0  # bytes since the other side last kept up
+        self._hello_timer: Any = None
 
     def connectionMade(self) -> None:
-        self.open = True
+        self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._alarm = self.reactor.callLater(HELLO_WITHIN, self.drop, "said nothing")
+        self._hello_timer = self.reactor.callLater(HELLO_TIMEOUT, self.abort, "said nothing")
         self.send(self.hello)
 
     # What we write is made elsewhere; as a producer we only hear whether the other side reads.
 
     def pauseProducing(self) -> None:
-        self.full = True
+        self.paused = True
 
     def resumeProducing(self) -> None:
-        self.full, self.unread = False, 0
+        self.paused, self.unread_bytes = False, 0
 
     def stopProducing(self) -> None:
-        self.full = True
+        self.paused = True
 
     def send(self, message: m.FleetMessage) -> None:
-        if not self.open:
+        if not self.is_open:
             return
-        data = m.frame(message)
-        if self.full:
-            self.unread += len(data)
-            if self.unread > UNREAD:
-                self.drop(f"has not read {self.unread} bytes")
+        data = m.encode_frame(message)
+        if self.paused:
+            self.unread_bytes += len(data)
+            if self.unread_bytes > MAX_UNREAD_BYTES:
+                self.abort(f"has not read {self.unread_bytes} bytes")
                 return
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:
         try:
-            for message in self.frames.feed(data):
-                if not self.open:
+            for message in self.decoder.feed(data):
+                if not self.is_open:
                     return
                 if self.peer is None and not self._accept_hello(message):
                     return
                 self._receive(self, message)
         except m.WireError as error:
-            self.drop(str(error))
+            self.abort(str(error))
 
     def _accept_hello(self, message: m.FleetMessage) -> bool:
         refused = ""
         if isinstance(message, m.Refused):
-            self.drop(f"refused us: {message.why}")
+            self.abort(f"refused us: {message.reason}")
             return False
         if not isinstance(message, m.Hello):
             refused = "the first message must be hello"
-        elif message.version != m.VERSION:
-            refused = f"version {message.version} of the fleet's messages; {m.VERSION} is spoken here"
+        elif message.version != m.PROTOCOL_VERSION:
+            refused = (
+                f"version {message.version} of the fleet's messages; {m.PROTOCOL_VERSION} is spoken here"
+            )
         elif message.fleet and self.hello.fleet and message.fleet != self.hello.fleet:
             refused = "another fleet"
         else:
             self.peer = message
-            self._alarm.cancel()
+            self._hello_timer.cancel()
             return True
         log.warning("connection_refused", peer=str(self.transport.getPeer()), why=refused)
         self.send(m.Refused(refused))
         self.close()
         return False
 
-    def drop(self, why: str) -> None:
+    def abort(self, why: str) -> None:
         """Close now, and say why in one line."""
-        if self.open:
+        if self.is_open:
             peer = self.peer.name if self.peer is not None else str(self.transport.getPeer())
             log.warning("connection_aborted", peer=peer, why=why)
-            self.open = False
+            self.is_open = False
             self.transport.abortConnection()
 
     def close(self) -> None:
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.open = False
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
+        self.is_open = False
+        if self._hello_timer is not None and self._hello_timer.active():
+            self._hello_timer.cancel()
         self._lost(self)
--- a/bitternpath/balancer/fleet/consensus_server.py
+++ b/bitternpath/balancer/fleet/consensus_server.py
@@ -27,18 +27,18 @@
 from bitternpath.balancer.fleet import clock
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.balancer.fleet.bootstrap import bootstrapped
+from bitternpath.balancer.fleet.bootstrap import bootstrap_state
 from bitternpath.balancer.fleet.connection import FleetConnection
 from bitternpath.balancer.fleet.record_replica import Effects, RecordReplica
-from bitternpath.balancer.fleet.store import DamagedError, Store, StoreError, set_aside
+from bitternpath.balancer.fleet.store import DamagedError, Store, StoreError, quarantine_folder
 from bitternpath.net.sockets import dial
 from bitternpath.replication.records import MemberRole, PersistentState, RaftTiming, StorageWrite
 
 log = structlog.get_logger(part="consensus_server")
 
-DIAL_WITHIN = 1.0  # s
-FIRST_BACKOFF, LONGEST_BACKOFF = 0.1, 1.0  # s before a steward is dialled again
-CONNECTIONS = 1024  # at once; beyond them the one that has been silent for longest goes
+CONNECT_TIMEOUT = 1.0  # s
+FIRST_BACKOFF, MAX_BACKOFF = 0.1, 1.0  # s before a steward is dialled again
+MAX_CONNECTIONS = 1024  # at once; beyond them the one that has been silent for longest goes
 
 
 def server_addresses(fleet: Fleet) -> dict[str, Address]:
@@ -46,7 +46,7 @@
     return {name: address(at) for name, _, at in (each.partition("=") for each in fleet.stewards)}
 
 
-def opened(folder: Path, name: str, found: p.LeaseTerms | None) -> tuple[Store, Any]:
+def open_store(folder: Path, name: str, found: p.LeaseTerms | None) -> tuple[Store, Any]:
     """The steward's folder and what it holds. A damaged one is set aside, where others have the record;
     StoreError where it is the only word, or cannot be used. `found`: a new folder begins a fleet."""
     try:
@@ -60,48 +60,48 @@
         store.close()
         if voters <= 1:
             raise StoreError(f"{error}: it is the fleet's only copy; put back one that is whole") from error
-        aside = set_aside(folder)
+        aside = quarantine_folder(folder)
         log.error("record_quarantined", why=error, moved_to=str(aside))
         store = Store(folder, name)
         kept = store.read()
     if found is not None and kept == PersistentState():
-        kept = bootstrapped(store.me, found, secrets.token_hex(8))
+        kept = bootstrap_state(store.me, found, secrets.token_hex(8))
         begin = StorageWrite(0, kept.term, kept.vote, None, tuple(kept.entries), None, kept.compacted_through)
         store.write([begin], voters=1)
     return store, kept
 
 
-class Link:
+class PeerLink:
     """The way to another steward: dialled again and again, and what cannot be sent is dropped."""
 
     def __init__(self, server: ConsensusServer, name: str, at: Address) -> None:
-        self.server, self.name, self.at = server, name, at
+        self.server, self.name, self.address = server, name, at
         self.connection: FleetConnection | None = None
         self.backoff = FIRST_BACKOFF
 
-    def dial(self) -> None:
+    def connect(self) -> None:
         server = self.server
         connection = FleetConnection(server.reactor, server.hello, self._receive, self._lost)
-        made = dial(server.reactor, *self.at, DIAL_WITHIN, connection)
-        made.addErrback(lambda failure: self._again())
+        made = dial(server.reactor, *self.address, CONNECT_TIMEOUT, connection)
+        made.addErrback(lambda failure: self._reconnect_later())
 
-    def _again(self) -> None:
-        self.server.reactor.callLater(self.backoff * (0.5 + self.server.random.random()), self.dial)
-        self.backoff = min(2 * self.backoff, LONGEST_BACKOFF)
+    def _reconnect_later(self) -> None:
+        self.server.reactor.callLater(self.backoff * (0.5 + self.server.random.random()), self.connect)
+        self.backoff = min(2 * self.backoff, MAX_BACKOFF)
 
     def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
         if isinstance(message, m.Hello):
             if message.role != "steward" or message.name.partition(".")[0] != self.name:
-                connection.drop(f"is not the steward {self.name}")
+                connection.abort(f"is not the steward {self.name}")
                 return
             self.connection, self.backoff = connection, FIRST_BACKOFF
-            self.server.met(message.name)
+            self.server.identify_member(message.name)
 
     def _lost(self, connection: FleetConnection) -> None:
         if self.connection is connection:
             self.connection = None
             self.server.replica.member_ids.pop(self.name, None)  # who comes next may be another
-        self._again()
+        self._reconnect_later()
 
     def send(self, to: str, message: m.FleetMessage) -> None:
         connection = self.connection
@@ -109,7 +109,7 @@
             connection is not None
             and connection.peer is not None
             and connection.peer.name == to
-            and not connection.full
+            and not connection.paused
         ):
             connection.send(message)
 
@@ -122,37 +122,39 @@
         self.random = Random()
         self.replica = RecordReplica(store.me, kept, Random(), clock.elapsed(), time.time, times)
         self.links = {
-            name: Link(self, name, at) for name, at in server_addresses(fleet).items() if name != fleet.name
-        }  # fmt: skip
+            name: PeerLink(self, name, at)
+            for name, at in server_addresses(fleet).items()
+            if name != fleet.name
+        }
         self.connections: dict[int, FleetConnection] = {}  # those that others opened
         self._tokens = 0
-        self.disk = ThreadPool(1, 1, name="disk")
-        self._writing: list[StorageWrite] = []
-        self._queued: list[StorageWrite] = []
-        self._alarm: Any = None
-        self._settling = False
+        self.disk_thread = ThreadPool(1, 1, name="disk")
+        self._writes_in_progress: list[StorageWrite] = []
+        self._queued_writes: list[StorageWrite] = []
+        self._timer: Any = None
+        self._effects_scheduled = False
         self.port: Any = None
         self.exit_code = 0
         self.role = MemberRole.FOLLOWER
 
-    def begin(self) -> None:
+    def start(self) -> None:
         host, port = (
             address(self.fleet.listen) if self.fleet.listen else server_addresses(self.fleet)[self.fleet.name]
         )
-        self.port = self.reactor.listenTCP(port, _Listening(self), 128, host)
-        self.disk.start()
+        self.port = self.reactor.listenTCP(port, _ServerFactory(self), 128, host)
+        self.disk_thread.start()
         for link in self.links.values():
-            link.dial()
+            link.connect()
         at = self.port.getHost()
         members = self.replica.raft.members.all
         log.info("listening", name=self.store.me, address=f"{at.host}:{at.port}", members=len(members))
         if self.store.me not in members:
             log.info("not_a_fleet_member", do=f"bitternpath fleet members add {self.fleet.name}")
-        self.settle()
+        self.schedule_effects()
 
     @property
     def hello(self) -> m.Hello:
-        return m.Hello(m.VERSION, self.replica.record.fleet, "steward", self.store.me)
+        return m.Hello(m.PROTOCOL_VERSION, self.replica.record.fleet, "steward", self.store.me)
 
     # ---- who speaks
 
@@ -161,61 +163,61 @@
         token = self._tokens
 
         def receive(connection: FleetConnection, message: m.FleetMessage) -> None:
-            self._received(token, connection, message)
+            self._receive(token, connection, message)
 
         def lost(connection: FleetConnection) -> None:
             self.connections.pop(token, None)
 
         connection = self.connections[token] = FleetConnection(self.reactor, self.hello, receive, lost)
-        while len(self.connections) > CONNECTIONS:
+        while len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
-            self.connections.pop(oldest).drop("too many connections")
+            self.connections.pop(oldest).abort("too many connections")
         return connection
 
-    def _received(self, token: int, connection: FleetConnection, message: m.FleetMessage) -> None:
+    def _receive(self, token: int, connection: FleetConnection, message: m.FleetMessage) -> None:
         assert connection.peer is not None
         now = clock.elapsed()
         if connection.peer.role == "steward":
             if isinstance(message, m.Hello):
-                self.met(message.name)
+                self.identify_member(message.name)
             elif isinstance(message, m.Consensus | m.ForwardedRequest | m.ForwardedReply):
                 self.replica.receive(now, connection.peer.name, message)
             else:
-                connection.drop(f"a steward does not say {type(message).__name__}")
+                connection.abort(f"a steward does not say {type(message).__name__}")
         elif isinstance(message, m.ForwardableRequest):
             self.connections[token] = self.connections.pop(token)  # the one heard last is at the end
             self.replica.receive_request(now, token, message)
         elif not isinstance(message, m.Hello):
-            connection.drop(f"only a steward says {type(message).__name__}")
-        self.settle()
+            connection.abort(f"only a steward says {type(message).__name__}")
+        self.schedule_effects()
 
-    def met(self, id: str) -> None:
-        self.replica.met(id)
+    def identify_member(self, id: str) -> None:
+        self.replica.identify_member(id)
 
     # ---- what follows
 
-    def settle(self) -> None:
+    def schedule_effects(self) -> None:
         """Have what follows carried out at the end of this turn."""
-        if not self._settling:
-            self._settling = True
-            self.reactor.callLater(0, self._settle)
+        if not self._effects_scheduled:
+            self._effects_scheduled = True
+            self.reactor.callLater(0, self._process_effects)
 
-    def _settle(self) -> None:
-        self._settling = False
+    def _process_effects(self) -> None:
+        self._effects_scheduled = False
         now = clock.elapsed()
-        effects = self.replica.take(now)
-        self._carry_out(effects)
+        effects = self.replica.take_effects(now)
+        self._execute(effects)
         if self.replica.raft.role is not self.role:
             old, self.role = self.role, self.replica.raft.role
             log.info("role_changed", old=old.value, new=self.role.value, term=self.replica.raft.term)
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
-        self._alarm = self.reactor.callLater(max(self.replica.alarm - now, 0.0), self._tick)
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = self.reactor.callLater(max(self.replica.next_timeout_at - now, 0.0), self._tick)
 
-    def _carry_out(self, effects: Effects) -> None:
-        self._queued += effects.writes
+    def _execute(self, effects: Effects) -> None:
+        self._queued_writes += effects.writes
         self._write()
-        for to, message in effects.send:
+        for to, message in effects.messages:
             link = self.links.get(to.partition(".")[0])
             if link is not None:
                 link.send(to, message)
@@ -226,24 +228,26 @@
 
     def _tick(self) -> None:
         self.replica.tick(clock.elapsed())
-        self.settle()
+        self.schedule_effects()
 
     def _write(self) -> None:
-        if self._writing or not self._queued:
+        if self._writes_in_progress or not self._queued_writes:
             return
-        self._writing, self._queued = self._queued, []
+        self._writes_in_progress, self._queued_writes = self._queued_writes, []
         voters = len(self.replica.raft.members.voters)
-        done: Any = deferToThreadPool(self.reactor, self.disk, self.store.write, self._writing, voters)
-        done.addCallbacks(self._written, self._not_written)
+        done: Any = deferToThreadPool(
+            self.reactor, self.disk_thread, self.store.write, self._writes_in_progress, voters
+        )
+        done.addCallbacks(self._write_completed, self._write_failed)
 
-    def _written(self, _: None) -> None:
-        number = self._writing[-1].number
-        self._writing = []
-        self.replica.stored(clock.elapsed(), number)
+    def _write_completed(self, _: None) -> None:
+        number = self._writes_in_progress[-1].number
+        self._writes_in_progress = []
+        self.replica.write_completed(clock.elapsed(), number)
         self._write()
-        self.settle()
+        self.schedule_effects()
 
-    def _not_written(self, failure: Failure) -> None:
+    def _write_failed(self, failure: Failure) -> None:
         log.error("record_write_failed", folder=str(self.store.folder), why=failure.getErrorMessage())
         self.exit_code = 1
         self.stop()
@@ -252,12 +256,12 @@
         if self.reactor.running:
             self.reactor.stop()
 
-    def end(self) -> None:
-        self.disk.stop()
+    def close(self) -> None:
+        self.disk_thread.stop()
         self.store.close()
 
 
-class _Listening(Factory):
+class _ServerFactory(Factory):
     noisy = False
 
     def __init__(self, server: ConsensusServer) -> None:
@@ -274,7 +278,7 @@
 
         reactor = installed
     terms = p.LeaseTerms(fleet.lease, fleet.drift, fleet.catch_up) if found else None
-    store, kept = opened(Path(fleet.folder), fleet.name, terms)
+    store, kept = open_store(Path(fleet.folder), fleet.name, terms)
     server = ConsensusServer(reactor, fleet, store, kept, times or RaftTiming())
 
     def on_signal(number: int, frame: object) -> None:
@@ -282,10 +286,10 @@
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_signal)
-    begin: Callable[[], None] = server.begin
+    begin: Callable[[], None] = server.start
     reactor.callWhenRunning(begin)
     reactor.run(installSignalHandlers=False)
-    server.end()
+    server.close()
     log.info("stopped")
     return server.exit_code
 
--- a/bitternpath/balancer/fleet/leadership.py
+++ b/bitternpath/balancer/fleet/leadership.py
@@ -13,49 +13,50 @@
     """What the leader knows of the holder of a lease."""
 
     __slots__ = (
-        "acting", "behind_since", "digest", "ending", "have", "heard", "refuses", "route", "sent", "until",
+        "applied_version", "behind_since", "digest", "end_proposed", "expires_at", "last_heard_at",
+        "last_sent_at", "rejection", "route", "validated_version",
     )  # fmt: skip
 
     def __init__(self, until: float) -> None:
-        self.until = until  # its lease may hold until then
-        self.heard = 0.0
-        self.sent = float("-inf")  # by the holder's clock, of the last request heard
-        self.acting = self.have = -1  # not told yet
+        self.expires_at = until  # its lease may hold until then
+        self.last_heard_at = 0.0
+        self.last_sent_at = float("-inf")  # by the holder's clock, of the last request heard
+        self.applied_version = self.validated_version = -1  # not told yet
         self.digest = b""
-        self.refuses = ""
+        self.rejection = ""
         self.route: Route | None = None
         self.behind_since: float | None = None
-        self.ending = False  # its end is in the log
+        self.end_proposed = False  # its end is in the log
 
     def update(self, now: float, route: Route, renew: m.RenewLease) -> None:
         """A request of the holder has come."""
-        self.heard, self.route, self.sent = now, route, renew.sent
-        self.acting, self.have = renew.acting, renew.have
-        self.digest, self.refuses = renew.digest, renew.refuses
+        self.last_heard_at, self.route, self.last_sent_at = now, route, renew.sent
+        self.applied_version, self.validated_version = renew.applied_version, renew.validated_version
+        self.digest, self.rejection = renew.digest, renew.rejection
 
 
 class PendingRequest(Struct):
     """A request that waits for a round, or for an entry to be committed."""
 
     awaited: int  # the round, or the entry's index
-    received: float  # by the leader's clock, s
+    received_at: float  # by the leader's clock, s
     route: Route
-    request: m.RenewLease | m.AuditLines | m.CommandRequest
+    request: m.RenewLease | m.AuditEntries | m.CommandRequest
 
 
 class Leadership:
     """One term in which this member leads."""
 
     def __init__(self, term: int, since: float) -> None:
-        self.term, self.since = term, since
+        self.term, self.elected_at = term, since
         self.holders: dict[str, HolderState] = {}  # by process
         self.awaiting_round: list[PendingRequest] = []
         self.awaiting_entry: dict[int, PendingRequest] = {}  # by index
-        self.joining: dict[str, int] = {}  # process: the index of its entry
+        self.proposed_starts: dict[str, int] = {}  # process: the index of its entry
         self.release_index = 0  # of a release that is not committed yet
         self.ready = False  # the record is that of the leaders before
 
-    def half_refuse(self) -> bool:
+    def half_reject(self) -> bool:
         """Where half of the holders refuse a change, it is the change that is wrong."""
-        refusing = sum(bool(holder.refuses) for holder in self.holders.values())
+        refusing = sum(bool(holder.rejection) for holder in self.holders.values())
         return 2 * refusing >= len(self.holders)
--- a/bitternpath/balancer/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -11,30 +11,33 @@
 class LeaseGrants(ReplicaState):
     """Leases of the nodes' processes, while this member leads."""
 
-    def _lease_requested(
+    def _handle_lease_request(
         self, now: float, leadership: Leadership, route: Route, request: m.RenewLease
     ) -> None:
         holder = self.record.holders.get(f"{request.node}#{request.boot}")
-        if holder is not None and request.sent < leadership.holders[holder.key].sent:
+        if holder is not None and request.sent < leadership.holders[holder.key].last_sent_at:
             return  # it came late, and says less than what is known
         if holder is not None and holder.fencing_token == request.fencing_token:
             self._renew(now, leadership, leadership.holders[holder.key], route, request)
         else:
-            self._join(now, leadership, route, request)
+            self._start_lease(now, leadership, route, request)
 
     def _renew(
         self, now: float, leadership: Leadership, state: HolderState, route: Route, request: m.RenewLease
     ) -> None:
         state.update(now, route, request)
-        current = request.acting >= self.record.released.version
-        if current and self._has_taken(state, self.record.latest.version):
+        current = request.applied_version >= self.record.released.version
+        if current and self._has_validated(state, self.record.latest.version):
             state.behind_since = None
         else:
             if state.behind_since is None:
                 state.behind_since = now
-            self._send_missing(route, request)
+            self._send_missing_versions(route, request)
             if self._lags_too_long(now, leadership, state):
-                why = state.refuses or f"it acts on {request.acting} and has {request.have}"
+                why = (
+                    state.rejection
+                    or f"it acts on {request.applied_version} and has {request.validated_version}"
+                )
                 late = f"a straggler for {self.record.terms.catch_up:g} s"
                 self._reply(route, m.LeaseRefused(request.sent, f"{late}: {why}"))
                 return
@@ -44,64 +47,81 @@
 
     def _lags_too_long(self, now: float, leadership: Leadership, state: HolderState) -> bool:
         since = state.behind_since or now
-        excused = bool(state.refuses) and leadership.half_refuse()
+        excused = bool(state.rejection) and leadership.half_reject()
         return now > since + self.record.terms.catch_up and not excused
 
-    def _has_taken(self, state: HolderState, version: int) -> bool:
+    def _has_validated(self, state: HolderState, version: int) -> bool:
         """Whether a holder has taken that version as it is now."""
-        return state.have >= version and self.record.digest_of(state.have) == state.digest
+        return (
+            state.validated_version >= version
+            and self.record.digest_of(state.validated_version) == state.digest
+        )
 
-    def _send_missing(self, route: Route, request: m.RenewLease) -> None:
+    def _send_missing_versions(self, route: Route, request: m.RenewLease) -> None:
         """What a process lacks."""
-        since = self.record.since(request.have, request.digest)
+        since = self.record.changes_since(request.validated_version, request.digest)
         if since is None:
-            self._reply(route, m.PlanSnapshot(self.record.released, tuple(self.record.waiting)))
+            self._reply(route, m.PlanSnapshot(self.record.released, tuple(self.record.unreleased)))
         elif changes := tuple(since):
             self._reply(route, m.VersionChanges(changes))
 
-    def _join(self, now: float, leadership: Leadership, route: Route, request: m.RenewLease) -> None:
-        same_plan = self.record.digest_of(request.have) == request.digest
+    def _start_lease(self, now: float, leadership: Leadership, route: Route, request: m.RenewLease) -> None:
+        same_plan = self.record.digest_of(request.validated_version) == request.digest
         too_old = request.release < self.record.latest.least_release
-        if not too_old and not (same_plan and request.have >= self.record.latest.version):
-            self._send_missing(route, request)
-        why = self._join_refused(leadership, request)
+        if not too_old and not (same_plan and request.validated_version >= self.record.latest.version):
+            self._send_missing_versions(route, request)
+        why = self._start_refusal(leadership, request)
         if why:
             self._reply(route, m.LeaseRefused(request.sent, why))
         else:
-            self._propose_join(now, leadership, route, request)
+            self._propose_lease_start(now, leadership, route, request)
 
-    def _join_refused(self, leadership: Leadership, request: m.RenewLease) -> str:
+    def _start_refusal(self, leadership: Leadership, request: m.RenewLease) -> str:
         """Why a process can't become a holder now; empty where it can."""
         record = self.record
         if request.release < record.latest.least_release:
             least = ".".join(map(str, record.latest.least_release))
             return f"its release is older than {least}, the least allowed"
-        if request.have < record.released.version or record.digest_of(request.have) != request.digest:
-            return request.refuses or f"it has {request.have}, {record.released.version} is released"
-        if request.refuses and request.have < record.latest.version and not leadership.half_refuse():
-            return request.refuses  # it would hold up all the others
+        if (
+            request.validated_version < record.released.version
+            or record.digest_of(request.validated_version) != request.digest
+        ):
+            return (
+                request.rejection
+                or f"it has {request.validated_version}, {record.released.version} is released"
+            )
+        if (
+            request.rejection
+            and request.validated_version < record.latest.version
+            and not leadership.half_reject()
+        ):
+            return request.rejection  # it would hold up all the others
         return ""
 
-    def _propose_join(self, now: float, leadership: Leadership, route: Route, request: m.RenewLease) -> None:
+    def _propose_lease_start(
+        self, now: float, leadership: Leadership, route: Route, request: m.RenewLease
+    ) -> None:
         key = f"{request.node}#{request.boot}"
-        if leadership.joining.get(key, 0) > self.applied:
+        if leadership.proposed_starts.get(key, 0) > self.applied_index:
             return
         item = p.LeaseStarted(
-            request.node, request.boot, request.site, request.release, request.alone, request.have,
-            request.digest, self.wall(),
+            request.node, request.boot, request.site, request.release, request.without_lease,
+            request.validated_version, request.digest, self.wall_clock(),
         )  # fmt: skip
         index = self._propose(now, item)
         if index is not None:
-            leadership.joining[key] = index
+            leadership.proposed_starts[key] = index
             leadership.awaiting_entry[index] = PendingRequest(index, now, route, request)
 
-    def _joined(self, now: float, leadership: Leadership, key: str, pending: PendingRequest | None) -> None:
+    def _lease_started(
+        self, now: float, leadership: Leadership, key: str, pending: PendingRequest | None
+    ) -> None:
         """The entry by which a process becomes a holder is committed."""
         if key not in self.record.holders:
             return
         # Proposed by this leader: entries of earlier ones were applied before its leadership was ready.
         assert pending is not None and isinstance(pending.request, m.RenewLease)
-        state = HolderState(pending.received + self.record.terms.longest)
+        state = HolderState(pending.received_at + self.record.terms.max_duration)
         leadership.holders[key] = state
         state.update(now, pending.route, pending.request)
         self._grant(now, leadership, pending)
@@ -112,38 +132,40 @@
         assert isinstance(request, m.RenewLease)
         holder = self.record.holders.get(f"{request.node}#{request.boot}")
         state = leadership.holders.get(holder.key) if holder is not None else None
-        if holder is None or state is None or state.ending:
+        if holder is None or state is None or state.end_proposed:
             return
-        state.until = max(state.until, pending.received + self.record.terms.longest)
+        state.expires_at = max(state.expires_at, pending.received_at + self.record.terms.max_duration)
         released, length = self.record.released, self.record.terms.lease
         lease = m.Lease(request.sent, length, holder.fencing_token, released.version, released.digest)
         self._reply(pending.route, lease)
 
-    def _parting(self, leadership: Leadership, parting: m.LeaseReleased) -> None:
+    def _lease_released(self, leadership: Leadership, parting: m.LeaseReleased) -> None:
         """A process has released its lease."""
         holder = self.record.holders.get(f"{parting.node}#{parting.boot}")
         if holder is not None and holder.fencing_token == parting.fencing_token:
-            self._end_lease(leadership, holder, "it ended")
+            self._propose_lease_end(leadership, holder, "it ended")
 
-    def _end_lease(self, leadership: Leadership, holder: p.Holder, why: str) -> None:
+    def _propose_lease_end(self, leadership: Leadership, holder: p.Holder, why: str) -> None:
         state = leadership.holders[holder.key]
-        if not state.ending:
-            item = p.LeaseEnded(holder.node, holder.boot, holder.fencing_token, why, self.wall())
-            state.ending = self._propose(self.raft.now, item) is not None
+        if not state.end_proposed:
+            item = p.LeaseEnded(holder.node, holder.boot, holder.fencing_token, why, self.wall_clock())
+            state.end_proposed = self._propose(self.raft.now, item) is not None
 
-    def _end_old_leases(self, now: float, leadership: Leadership) -> None:
+    def _end_expired_leases(self, now: float, leadership: Leadership) -> None:
         for key, state in leadership.holders.items():
-            if now > state.until and not state.ending:
-                self._end_lease(leadership, self.record.holders[key], "its lease is over")
+            if now > state.expires_at and not state.end_proposed:
+                self._propose_lease_end(leadership, self.record.holders[key], "its lease is over")
 
     def _release_next(self, now: float, leadership: Leadership) -> None:
         """The next version, once every holder has it and acts on the one before."""
         released = self.record.released.version
-        if self.record.latest.version <= released or leadership.release_index > self.applied:
+        if self.record.latest.version <= released or leadership.release_index > self.applied_index:
             return
         states = leadership.holders.values()
-        if all(state.acting >= released and self._has_taken(state, released + 1) for state in states):
-            leadership.release_index = self._propose(now, p.Release(released + 1, self.wall())) or 0
+        if all(
+            state.applied_version >= released and self._has_validated(state, released + 1) for state in states
+        ):
+            leadership.release_index = self._propose(now, p.Release(released + 1, self.wall_clock())) or 0
 
     def _send_version_update(self, leadership: Leadership) -> None:
         """What is released and what is latest has changed."""
--- a/bitternpath/balancer/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -13,13 +13,13 @@
 import msgspec
 from msgspec import Struct
 
-from bitternpath.balancer.fleet.audit import Line
+from bitternpath.balancer.fleet.audit import AuditEntry
 from bitternpath.balancer.fleet.plan import AgreedVersion, Change, Plan
 from bitternpath.replication import messages as consensus
 
-VERSION = 1  # of these messages
-FRAME_LIMIT = 16 << 20  # bytes of one message
-_HEAD = struct.Struct(">I")
+PROTOCOL_VERSION = 1  # of these messages
+MAX_FRAME_BYTES = 16 << 20  # bytes of one message
+_HEADER = struct.Struct(">I")
 
 
 class WireError(Exception):
@@ -38,7 +38,7 @@
 class Refused(Struct, frozen=True, tag="refused"):
     """The peer is rejected (`why`: protocol version, fleet); the connection closes after it."""
 
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
 # ---- between stewards
@@ -54,14 +54,14 @@
     """A request received by a follower, forwarded to the leader."""
 
     token: int  # the connection there
-    said: RenewLease | LeaseReleased | AuditLines | CommandRequest
+    request: RenewLease | LeaseReleased | AuditEntries | CommandRequest = msgspec.field(name="said")
 
 
 class ForwardedReply(Struct, frozen=True, tag="back"):
     """The leader's reply, to be returned on the follower's connection `token`."""
 
     token: int
-    said: (
+    reply: (
         Lease
         | LeaseRefused
         | VersionChanges
@@ -69,7 +69,7 @@
         | VersionUpdate
         | AuditAcknowledged
         | CommandReply
-    )
+    ) = msgspec.field(name="said")
 
 
 # ---- an agent to its steward
@@ -82,13 +82,13 @@
     boot: str  # of this process
     site: str
     release: tuple[int, ...]
-    alone: str  # what it does without a lease: serve or leave
+    without_lease: str = msgspec.field(name="alone")  # what it does without a lease: serve or leave
     sent: float  # s on its own clock
     fencing_token: int = msgspec.field(name="fence")  # of the lease in hand; 0: none
-    acting: int  # the version it acts on; 0: none
-    have: int  # the last version that it has taken
+    applied_version: int = msgspec.field(name="acting")  # the version it acts on; 0: none
+    validated_version: int = msgspec.field(name="have")  # the last version that it has taken
     digest: bytes  # of that one
-    refuses: str = ""  # why it cannot take the next one
+    rejection: str = msgspec.field(default="", name="refuses")  # why it cannot take the next one
 
 
 class LeaseReleased(Struct, frozen=True, tag="parting"):
@@ -99,13 +99,15 @@
     fencing_token: int = msgspec.field(name="fence")
 
 
-class AuditLines(Struct, frozen=True, tag="acts"):
+class AuditEntries(Struct, frozen=True, tag="acts"):
     """Lines of a process's audit log that are not acknowledged yet."""
 
     node: str
     boot: str
-    lines: tuple[Line, ...]
-    final: int  # of one that has ended: how many lines its file has; 0: more may come
+    entries: tuple[AuditEntry, ...] = msgspec.field(name="lines")
+    final_count: int = msgspec.field(
+        name="final"
+    )  # of one that has ended: how many lines its file has; 0: more may come
 
 
 # ---- a steward to an agent
@@ -125,8 +127,8 @@
     """No lease is granted or renewed, with the reason; missing versions are sent separately."""
 
     sent: float
-    why: str
-    elsewhere: bool = False  # another steward may know more
+    reason: str = msgspec.field(name="why")
+    retry_elsewhere: bool = msgspec.field(default=False, name="elsewhere")  # another steward may know more
 
 
 class VersionChanges(Struct, frozen=True, tag="changes"):
@@ -226,7 +228,7 @@
     | ForwardedReply
     | RenewLease
     | LeaseReleased
-    | AuditLines
+    | AuditEntries
     | Lease
     | LeaseRefused
     | VersionChanges
@@ -237,8 +239,8 @@
     | CommandReply
 )
 
-ClientMessage = RenewLease | LeaseReleased | AuditLines
-ForwardableRequest = RenewLease | LeaseReleased | AuditLines | CommandRequest  # what a steward passes on
+ClientMessage = RenewLease | LeaseReleased | AuditEntries
+ForwardableRequest = RenewLease | LeaseReleased | AuditEntries | CommandRequest  # what a steward passes on
 ForwardableReply = (
     Lease | LeaseRefused | VersionChanges | PlanSnapshot | VersionUpdate | AuditAcknowledged | CommandReply
 )
@@ -247,14 +249,14 @@
 _decoder = msgspec.msgpack.Decoder(FleetMessage)
 
 
-def frame(said: FleetMessage) -> bytes:
+def encode_frame(said: FleetMessage) -> bytes:
     data = _encoder.encode(said)
-    if len(data) > FRAME_LIMIT:
-        raise WireError(f"a message of {len(data)} bytes; at most {FRAME_LIMIT} are allowed")
-    return _HEAD.pack(len(data)) + data
+    if len(data) > MAX_FRAME_BYTES:
+        raise WireError(f"a message of {len(data)} bytes; at most {MAX_FRAME_BYTES} are allowed")
+    return _HEADER.pack(len(data)) + data
 
 
-class Frames:
+class FrameDecoder:
     """Takes messages out of the bytes of one direction."""
 
     def __init__(self) -> None:
@@ -265,13 +267,13 @@
         self._data += data
         found: list[FleetMessage] = []
         at = 0
-        while len(self._data) - at >= _HEAD.size:
-            (size,) = _HEAD.unpack_from(self._data, at)
-            if size > FRAME_LIMIT:
-                raise WireError(f"a message of {size} bytes; at most {FRAME_LIMIT} are allowed")
-            if len(self._data) - at - _HEAD.size < size:
+        while len(self._data) - at >= _HEADER.size:
+            (size,) = _HEADER.unpack_from(self._data, at)
+            if size > MAX_FRAME_BYTES:
+                raise WireError(f"a message of {size} bytes; at most {MAX_FRAME_BYTES} are allowed")
+            if len(self._data) - at - _HEADER.size < size:
                 break
-            at += _HEAD.size
+            at += _HEADER.size
             try:
                 found.append(_decoder.decode(bytes(self._data[at : at + size])))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/bitternpath/balancer/fleet/node_folder.py
+++ b/bitternpath/balancer/fleet/node_folder.py
@@ -24,43 +24,43 @@
 
 log = structlog.get_logger(part="record_client")
 
-PLAN, ACTS = "plan", "acts-"
-put = os.write  # the seam for tests: a disk that is held up, or refuses
+PLAN_FILE, AUDIT_FILE_PREFIX = "plan", "acts-"
+write_bytes = os.write  # the seam for tests: a disk that is held up, or refuses
 
 
-class Folder:
+class NodeFolder:
     """An open folder. `written` hears up to which line all is on file; None: none will be from now on."""
 
     def __init__(self, reactor: Any, path: Path, boot: str, written: Callable[[int | None], None]) -> None:
         """OSError where it cannot be made or written to."""
-        self.reactor, self.path, self.boot, self.written = reactor, path, boot, written
+        self.reactor, self.path, self.boot, self.on_written = reactor, path, boot, written
         path.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._file = os.open(
-            path / f"{ACTS}{boot}", os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
+            path / f"{AUDIT_FILE_PREFIX}{boot}", os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
         )
-        self._lines: list[audit.Line] = []
-        self._plan: p.Plan | None = None
+        self._queued_entries: list[audit.AuditEntry] = []
+        self._queued_plan: p.Plan | None = None
         self._writing = self._failed = False
-        self._disk = ThreadPool(0, 1, name="files")
-        self._disk.start()
-        reactor.addSystemEventTrigger("during", "shutdown", self._disk.stop)
+        self._disk_thread = ThreadPool(0, 1, name="files")
+        self._disk_thread.start()
+        reactor.addSystemEventTrigger("during", "shutdown", self._disk_thread.stop)
 
     # ---- what earlier processes left
 
     def older(self) -> list[audit.AuditLog]:
         """Of earlier processes, the oldest first; what is wrong with one is logged."""
         found = []
-        for file in sorted(self.path.glob(f"{ACTS}*"), key=lambda file: file.stat().st_mtime):
-            boot = file.name.removeprefix(ACTS)
+        for file in sorted(self.path.glob(f"{AUDIT_FILE_PREFIX}*"), key=lambda file: file.stat().st_mtime):
+            boot = file.name.removeprefix(AUDIT_FILE_PREFIX)
             if boot == self.boot:
                 continue
             lines, why = [], ""
             try:
                 for text in file.read_bytes().splitlines():
-                    lines.append(msgspec.json.decode(text, type=audit.Line))
+                    lines.append(msgspec.json.decode(text, type=audit.AuditEntry))
             except (OSError, msgspec.DecodeError) as error:
                 why = f"line {len(lines) + 1}: {error}"  # the last one is torn, or somebody has been at it
-            audit_log, fault = audit.read_back(boot, lines)
+            audit_log, fault = audit.restore_audit_log(boot, lines)
             if why or fault:
                 log.error("earlier_audit_log_corrupt", file=str(file), why=fault or why)
             if lines:
@@ -72,7 +72,7 @@
     def plan(self) -> p.Plan | None:
         """The one last acted on, where there is one that can be read."""
         try:
-            return msgspec.msgpack.decode((self.path / PLAN).read_bytes(), type=p.Plan)
+            return msgspec.msgpack.decode((self.path / PLAN_FILE).read_bytes(), type=p.Plan)
         except FileNotFoundError:
             return None
         except (OSError, msgspec.DecodeError) as error:
@@ -81,50 +81,55 @@
 
     # ---- what is written
 
-    def write(self, lines: list[audit.Line], plan: p.Plan | None) -> None:
+    def write(self, lines: list[audit.AuditEntry], plan: p.Plan | None) -> None:
         """These too, in their order; the plan replaces what stands there."""
         if self._failed:
             return
-        self._lines += lines
-        self._plan = plan or self._plan
-        if len(self._lines) > audit.AUDIT_LOG_LINES:
-            self._fail(f"a write has not come back, and {len(self._lines)} lines wait for it")
+        self._queued_entries += lines
+        self._queued_plan = plan or self._queued_plan
+        if len(self._queued_entries) > audit.MAX_UNACKNOWLEDGED_ENTRIES:
+            self._give_up(f"a write has not come back, and {len(self._queued_entries)} lines wait for it")
         elif not self._writing:
-            self._next()
+            self._write_queued()
 
-    def _next(self) -> None:
-        if not self._lines and self._plan is None:
+    def _write_queued(self) -> None:
+        if not self._queued_entries and self._queued_plan is None:
             return
-        lines, plan, self._lines, self._plan = self._lines, self._plan, [], None
+        lines, plan, self._queued_entries, self._queued_plan = (
+            self._queued_entries,
+            self._queued_plan,
+            [],
+            None,
+        )
         self._writing = True
-        done: Any = deferToThreadPool(self.reactor, self._disk, self._put, lines, plan)
-        done.addCallbacks(lambda _: self._done(lines), self._refused)
+        done: Any = deferToThreadPool(self.reactor, self._disk_thread, self._write_files, lines, plan)
+        done.addCallbacks(lambda _: self._write_completed(lines), self._write_failed)
 
-    def _put(self, lines: list[audit.Line], plan: p.Plan | None) -> None:
+    def _write_files(self, lines: list[audit.AuditEntry], plan: p.Plan | None) -> None:
         """In the thread."""
         data = b"".join(msgspec.json.encode(line) + b"\n" for line in lines)
         while data:
-            data = data[put(self._file, data) :]
+            data = data[write_bytes(self._file, data) :]
         if plan is not None:
-            draft = self.path / f"{PLAN}.{self.boot}"
+            draft = self.path / f"{PLAN_FILE}.{self.boot}"
             draft.write_bytes(msgspec.msgpack.encode(plan))
-            os.replace(draft, self.path / PLAN)
+            os.replace(draft, self.path / PLAN_FILE)
 
-    def _done(self, lines: list[audit.Line]) -> None:
+    def _write_completed(self, lines: list[audit.AuditEntry]) -> None:
         self._writing = False
         if self._failed:
             return
         if lines:
-            self.written(lines[-1].number)
+            self.on_written(lines[-1].number)
         if not self._writing:  # `written` may have brought more
-            self._next()
+            self._write_queued()
 
-    def _refused(self, failure: Failure) -> None:
+    def _write_failed(self, failure: Failure) -> None:
         self._writing = False
-        self._fail(failure.getErrorMessage())
+        self._give_up(failure.getErrorMessage())
 
-    def _fail(self, why: str) -> None:
+    def _give_up(self, why: str) -> None:
         if not self._failed:
-            self._failed, self._lines, self._plan = True, [], None
+            self._failed, self._queued_entries, self._queued_plan = True, [], None
             log.error("audit_log_write_failed", folder=str(self.path), why=why)
-            self.written(None)
+            self.on_written(None)
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -16,14 +16,14 @@
 from blake3 import blake3
 from msgspec import Struct
 
-from bitternpath.balancer.fleet.audit import Line, ProcessAudit
+from bitternpath.balancer.fleet.audit import AuditEntry, ProcessAudit
 
-KEPT_CHANGES = 256  # released ones that are kept for those who lag; who lags more gets the whole plan
-KEPT_FOR = 7 * 86400.0  # s for which lines of the audit are kept
-KEPT_IDS = 4096  # ids of changes, by which one that is asked for again is known
+RETAINED_CHANGES = 256  # released ones that are kept for those who lag; who lags more gets the whole plan
+AUDIT_RETENTION = 7 * 86400.0  # s for which lines of the audit are kept
+RETAINED_CHANGE_IDS = 4096  # ids of changes, by which one that is asked for again is known
 CLASS_FIELDS = ("aim", "giveUp", "value", "lateWorth")  # numbers that operators may set for a class
-RULES = ("drainGrace", "graceToAnswer", "warmWithin", "coldFrom", "tipMultiple")
-ALLOWED = ("tryLimit", "maxRetryAfter", "secondCopies", "cancel")
+RULE_KEYS = ("drainGrace", "graceToAnswer", "warmWithin", "coldFrom", "tipMultiple")
+ALLOWED_KEYS = ("tryLimit", "maxRetryAfter", "secondCopies", "cancel")
 
 
 class PlanError(Exception):
@@ -94,14 +94,14 @@
     )  # worker: since which version
     least_release: tuple[int, ...] = ()
 
-    def after(self, agreed: AgreedVersion) -> Plan:
+    def with_version(self, agreed: AgreedVersion) -> Plan:
         """With the next version; PlanError where the change cannot be."""
         if agreed.version != self.version + 1:
             raise PlanError(f"version {agreed.version} does not follow {self.version}")
-        made = self if agreed.change is None else self._with(agreed.change, agreed.version)
+        made = self if agreed.change is None else self._with_change(agreed.change, agreed.version)
         return msgspec.structs.replace(made, version=agreed.version, digest=agreed.digest)
 
-    def _with(self, change: Change, version: int) -> Plan:
+    def _with_change(self, change: Change, version: int) -> Plan:
         match change:
             case SetClass(name, fields):
                 if not name or not fields:
@@ -117,9 +117,11 @@
                 merged = self.classes.get(name, {}) | fields
                 return msgspec.structs.replace(self, classes=self.classes | {name: merged})
             case SetRule(section, key, value):
-                keys = {"rules": RULES, "allowed": ALLOWED}.get(section)
+                keys = {"rules": RULE_KEYS, "allowed": ALLOWED_KEYS}.get(section)
                 if keys is None or key not in keys:
-                    some = ", ".join([f"rules.{k}" for k in RULES] + [f"allowed.{k}" for k in ALLOWED])
+                    some = ", ".join(
+                        [f"rules.{k}" for k in RULE_KEYS] + [f"allowed.{k}" for k in ALLOWED_KEYS]
+                    )
                     raise PlanError(f"{section}.{key}: unknown; allowed are {some}")
                 if not 0 <= value < float("inf") or (key == "tryLimit" and value < 1):
                     raise PlanError(f"{section}.{key} = {value}: must be a number above 0")
@@ -142,7 +144,7 @@
                 return msgspec.structs.replace(self, least_release=release)
 
 
-def chained(before: bytes, version: int, change: Change | None) -> bytes:
+def chained_digest(before: bytes, version: int, change: Change | None) -> bytes:
     """The digest of a version."""
     return blake3(before + version.to_bytes(8, "big") + msgspec.msgpack.encode(change)).digest()
 
@@ -159,7 +161,7 @@
     catch_up: float = 5.0  # for which a holder may lag
 
     @property
-    def longest(self) -> float:
+    def max_duration(self) -> float:
         """For how long, on the leader's clock, a lease may hold at its node."""
         return self.lease * (1.0 + self.drift) / (1.0 - self.drift)
 
@@ -203,8 +205,8 @@
     boot: str
     site: str
     release: tuple[int, ...]
-    alone: str
-    have: int
+    without_lease: str = msgspec.field(name="alone")
+    validated_version: int = msgspec.field(name="have")
     digest: bytes
     time: float
 
@@ -215,7 +217,7 @@
     node: str
     boot: str
     fencing_token: int = msgspec.field(name="fence")
-    why: str
+    reason: str = msgspec.field(name="why")
     time: float
 
 
@@ -224,8 +226,8 @@
 
     node: str
     boot: str
-    lines: tuple[Line, ...]
-    final: int
+    entries: tuple[AuditEntry, ...] = msgspec.field(name="lines")
+    final_count: int = msgspec.field(name="final")
     time: float
 
 
@@ -239,9 +241,9 @@
     boot: str
     site: str
     release: tuple[int, ...]
-    alone: str
+    without_lease: str = msgspec.field(name="alone")
     fencing_token: int = msgspec.field(name="fence")
-    joined: float  # Unix s
+    started_at: float = msgspec.field(name="joined")  # Unix s
 
     @property
     def key(self) -> str:
@@ -258,15 +260,18 @@
     changes: list[AgreedVersion] = []  # the released ones that are kept, then those that are not released
     release_times: dict[int, float] = {}
     holders: dict[str, Holder] = {}
-    ids: dict[str, int] = {}  # of changes: their version
-    accounts: dict[str, ProcessAudit] = {}  # process: what it did, as far as was heard
+    change_versions: dict[str, int] = msgspec.field(
+        default_factory=dict, name="ids"
+    )  # of changes: their version
+    # process: what it did, as far as was heard
+    process_audits: dict[str, ProcessAudit] = msgspec.field(default_factory=dict, name="accounts")
 
     @property
-    def waiting(self) -> list[AgreedVersion]:
+    def unreleased(self) -> list[AgreedVersion]:
         """Agreed and not released."""
         return [agreed for agreed in self.changes if agreed.version > self.released.version]
 
-    def find(self, version: int) -> AgreedVersion | None:
+    def find_version(self, version: int) -> AgreedVersion | None:
         first = self.changes[0].version if self.changes else 0
         at = version - first
         return self.changes[at] if self.changes and 0 <= at < len(self.changes) else None
@@ -275,7 +280,7 @@
         """None where that version is not kept."""
         if version == self.released.version:
             return self.released.digest
-        found = self.find(version)
+        found = self.find_version(version)
         return found.digest if found is not None else None
 
     def apply(self, index: int, item: Item) -> str:
@@ -285,91 +290,100 @@
                 self.terms, self.fleet = terms, id
                 return ""
             case AgreeChange():
-                return self._adopt(item)
+                return self._commit_change(item)
             case WithdrawVersion():
-                return self._void(item)
+                return self._withdraw_version(item)
             case Release(version, time):
-                if version != self.released.version + 1 or self.find(version) is None:
+                if version != self.released.version + 1 or self.find_version(version) is None:
                     return f"version {version} is not the next one"
-                found = self.find(version)
+                found = self.find_version(version)
                 assert found is not None
-                self.released = self.released.after(found)
+                self.released = self.released.with_version(found)
                 self.release_times[version] = time
-                while len(self.changes) - len(self.waiting) > KEPT_CHANGES:
+                while len(self.changes) - len(self.unreleased) > RETAINED_CHANGES:
                     self.release_times.pop(self.changes.pop(0).version, None)
                 return ""
             case LeaseStarted():
-                digest = self.digest_of(item.have)
-                if item.have < self.released.version - 1 or digest != item.digest:
-                    return f"{item.node} is at version {item.have}, {self.released.version} is released"
+                digest = self.digest_of(item.validated_version)
+                if item.validated_version < self.released.version - 1 or digest != item.digest:
+                    return (
+                        f"{item.node} is at version {item.validated_version}, "
+                        f"{self.released.version} is released"
+                    )
                 holder = Holder(
-                    item.node, item.boot, item.site, item.release, item.alone, index, item.time
+                    item.node, item.boot, item.site, item.release, item.without_lease, index, item.time
                 )  # fmt: skip
                 self.holders[holder.key] = holder
-                self.accounts.setdefault(holder.key, ProcessAudit(item.node, item.boot)).granted = index
+                self.process_audits.setdefault(
+                    holder.key, ProcessAudit(item.node, item.boot)
+                ).last_fencing_token = index
                 return ""
             case LeaseEnded(node, boot, fencing_token, why, time):
                 holder_ = self.holders.get(f"{node}#{boot}")
                 if holder_ is None or holder_.fencing_token != fencing_token:
                     return f"{node} does not hold fence {fencing_token}"
                 del self.holders[holder_.key]
-                self.accounts.setdefault(holder_.key, ProcessAudit(node, boot)).part(fencing_token, time, why)
+                self.process_audits.setdefault(holder_.key, ProcessAudit(node, boot)).end_lease(
+                    fencing_token, time, why
+                )
                 return ""
             case AuditRecorded(node, boot, lines, final, time):
                 key = f"{node}#{boot}"
-                account = self.accounts.setdefault(key, ProcessAudit(node, boot))
-                account.take(lines, final)
-                self._forget(time - KEPT_FOR)
+                account = self.process_audits.setdefault(key, ProcessAudit(node, boot))
+                account.add_entries(lines, final)
+                self._drop_old_audits(time - AUDIT_RETENTION)
                 return ""
 
-    def _forget(self, before: float) -> None:
+    def _drop_old_audits(self, before: float) -> None:
         """What is too old, and processes of which nothing is left."""
-        for key, account in list(self.accounts.items()):
-            if account.lines and account.lines[0].at < before:
-                account.forget(before)
-            ended = account.let_go[-1][1] if account.let_go else 0.0  # a lease of which nothing was told
-            if not account.lines and key not in self.holders and ended < before:
-                del self.accounts[key]
-
-    def _adopt(self, item: AgreeChange) -> str:
-        if item.id in self.ids:
+        for key, account in list(self.process_audits.items()):
+            if account.entries and account.entries[0].at < before:
+                account.drop_entries_before(before)
+            ended = (
+                account.ended_leases[-1][1] if account.ended_leases else 0.0
+            )  # a lease of which nothing was told
+            if not account.entries and key not in self.holders and ended < before:
+                del self.process_audits[key]
+
+    def _commit_change(self, item: AgreeChange) -> str:
+        if item.id in self.change_versions:
             return ""
         version, before = self.latest.version + 1, self.latest.digest
         agreed = AgreedVersion(
             version, item.id, item.author, item.reason, item.time, item.change,
-            chained(before, version, item.change),
+            chained_digest(before, version, item.change),
         )  # fmt: skip
         try:
-            self.latest = self.latest.after(agreed)
+            self.latest = self.latest.with_version(agreed)
         except PlanError as error:
             return str(error)
         self.changes.append(agreed)
-        self.ids[item.id] = version
-        while len(self.ids) > KEPT_IDS:
-            del self.ids[next(iter(self.ids))]
+        self.change_versions[item.id] = version
+        while len(self.change_versions) > RETAINED_CHANGE_IDS:
+            del self.change_versions[next(iter(self.change_versions))]
         return ""
 
-    def _void(self, item: WithdrawVersion) -> str:
+    def _withdraw_version(self, item: WithdrawVersion) -> str:
         if item.version <= self.released.version:
             return f"version {item.version} is released; make another change that takes it back"
-        if self.find(item.version) is None:
+        if self.find_version(item.version) is None:
             return f"there is no version {item.version}; the last one is {self.latest.version}"
         plan, changes = self.released, [a for a in self.changes if a.version <= self.released.version]
-        for agreed in self.waiting:
+        for agreed in self.unreleased:
             change, withdrawn = agreed.change, agreed.withdrawn
             if agreed.version == item.version:
                 change, withdrawn = None, f"{item.author}: {item.reason}"
-            digest = chained(plan.digest, agreed.version, change)
+            digest = chained_digest(plan.digest, agreed.version, change)
             again = msgspec.structs.replace(agreed, change=change, digest=digest, withdrawn=withdrawn)
             try:
-                plan = plan.after(again)
+                plan = plan.with_version(again)
             except PlanError as error:
                 return f"version {agreed.version} rests on it: {error}"
             changes.append(again)
         self.latest, self.changes = plan, changes
         return ""
 
-    def since(self, version: int, digest: bytes) -> Iterable[AgreedVersion] | None:
+    def changes_since(self, version: int, digest: bytes) -> Iterable[AgreedVersion] | None:
         """What follows that version; None where that is not kept, or where it is not ours."""
         if self.digest_of(version) != digest and not (version == 0 and not digest):
             return None
@@ -379,21 +393,21 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_items = msgspec.msgpack.Decoder(Item)
-_records = msgspec.msgpack.Decoder(Record)
+_item_decoder = msgspec.msgpack.Decoder(Item)
+_record_decoder = msgspec.msgpack.Decoder(Record)
 
 
-def item_bytes(item: Item) -> bytes:
+def encode_item(item: Item) -> bytes:
     return _encoder.encode(item)
 
 
-def item_from(data: bytes) -> Item:
-    return _items.decode(data)
+def decode_item(data: bytes) -> Item:
+    return _item_decoder.decode(data)
 
 
-def record_bytes(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     return _encoder.encode(record)
 
 
-def record_from(data: bytes) -> Record:
-    return _records.decode(data) if data else Record()
+def decode_record(data: bytes) -> Record:
+    return _record_decoder.decode(data) if data else Record()
--- a/bitternpath/balancer/fleet/plan_settings.py
+++ b/bitternpath/balancer/fleet/plan_settings.py
@@ -18,7 +18,7 @@
     "value": "value",
     "lateWorth": "late_value_share",
 }
-RULES = {
+RULE_FIELDS = {
     "rules.drainGrace": "drain_grace",
     "rules.graceToAnswer": "answer_grace",
     "rules.warmWithin": "warm_within",
@@ -33,10 +33,10 @@
 
 def with_plan(config: Config, plan: Plan) -> Config:
     """The configuration with what the fleet has agreed; PlanError where the two are at odds."""
-    return replace(config, settings=_settings(config.settings, plan))
+    return replace(config, settings=_merged_settings(config.settings, plan))
 
 
-def _settings(settings: m.Settings, plan: Plan) -> m.Settings:
+def _merged_settings(settings: m.Settings, plan: Plan) -> m.Settings:
     known = {spec.name for spec in settings.classes}
     for name in plan.classes:
         if name not in known:
@@ -50,7 +50,7 @@
     rules: dict[str, Any] = {}
     for section, keys in plan.rules.items():
         for key, value in keys.items():
-            name = RULES[f"{section}.{key}"]
+            name = RULE_FIELDS[f"{section}.{key}"]
             kind = type(getattr(settings, name))
             rules[name] = kind(value)
     return msgspec.structs.replace(settings, classes=classes, **rules)
--- a/bitternpath/balancer/fleet/record_client.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -29,9 +29,9 @@
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.connection import FleetConnection
-from bitternpath.balancer.fleet.consensus_server import DIAL_WITHIN, server_addresses
+from bitternpath.balancer.fleet.consensus_server import CONNECT_TIMEOUT, server_addresses
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
-from bitternpath.balancer.fleet.node_folder import Folder
+from bitternpath.balancer.fleet.node_folder import NodeFolder
 from bitternpath.net.sockets import dial
 
 log = structlog.get_logger(part="record_client")
@@ -47,15 +47,15 @@
     fencing_token: int
     first: float = 0.0  # Unix s
     last: float = 0.0
-    taken: Counter[str] = msgspec.field(default_factory=Counter)  # by class
+    accepted: Counter[str] = msgspec.field(default_factory=Counter)  # by class
 
     def detail(self) -> str:
         return msgspec.json.encode(
-            {"first": round(self.first, 3), "last": round(self.last, 3), "taken": dict(self.taken)}
+            {"first": round(self.first, 3), "last": round(self.last, 3), "taken": dict(self.accepted)}
         ).decode()
 
 
-def release_of(version: str) -> tuple[int, ...]:
+def parse_release(version: str) -> tuple[int, ...]:
     """The numbers that a version begins with."""
     numbers = []
     for part in version.split("."):
@@ -79,65 +79,71 @@
         act: Callable[[p.Plan], None],
         advice: Callable[[str], float],
     ) -> None:
-        self.reactor, self.fleet, self.registry, self.act, self.advice = reactor, fleet, registry, act, advice
+        self.reactor, self.fleet, self.registry, self.on_plan_change, self.retry_delay = (
+            reactor,
+            fleet,
+            registry,
+            act,
+            advice,
+        )
         self.servers: dict[str, Address] = server_addresses(fleet)
         who = ProcessIdentity(
-            node, secrets.token_hex(4), fleet.site or site, release_of(__version__), fleet.alone
+            node, secrets.token_hex(4), fleet.site or site, parse_release(__version__), fleet.alone
         )
         self.holder = LeaseHolder(who, list(self.servers), Random(), clock.elapsed(), time.time, check)
         self.connection: FleetConnection | None = None
         self.fleet_id = ""  # of the first fleet that granted a lease
-        self._alarm: Any = None
+        self._timer: Any = None
         self.service_span = ServiceSpan(0, NO_LEASE)
-        registry.on_ejection_change = self._noted
-        self.folder = self._open(Path(fleet.folder)) if fleet.folder else None
+        registry.on_ejection_change = self._ejection_changed
+        self.folder = self._open_folder(Path(fleet.folder)) if fleet.folder else None
 
     # ---- what the node asks
 
-    def gate(self, job_class: str) -> float | None:
+    def admission_delay(self, job_class: str) -> float | None:
         """Return None to accept an invocation, or the ms after which to retry it (`alone = "leave"`)."""
         holder = self.holder
         if holder.fencing_token != self.service_span.fencing_token or (
-            holder.fencing_token and clock.elapsed() >= holder.until
+            holder.fencing_token and clock.elapsed() >= holder.expires_at
         ):
-            self.settle()
+            self.process_effects()
         service_span = self.service_span
         if service_span.fencing_token == NO_LEASE and self.fleet.alone == "leave":
-            return self.advice(job_class)
+            return self.retry_delay(job_class)
         service_span.last = time.time()
         service_span.first = service_span.first or service_span.last
-        service_span.taken[job_class] += 1
+        service_span.accepted[job_class] += 1
         return None
 
-    def welcome(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether consumers may be sent here."""
-        return self.fleet.alone == "serve" or self.holder.holds(clock.elapsed())
+        return self.fleet.alone == "serve" or self.holder.holds_lease(clock.elapsed())
 
     # ---- files
 
-    def _open(self, path: Path) -> Folder | None:
+    def _open_folder(self, path: Path) -> NodeFolder | None:
         """What earlier processes did and had agreed. Nothing of it keeps a node from starting."""
         holder = self.holder
         try:
-            folder = Folder(self.reactor, path, holder.who.boot, self._written)
-            holder.older += folder.older()
+            folder = NodeFolder(self.reactor, path, holder.identity.boot, self._audit_written)
+            holder.earlier_audit_logs += folder.older()
         except OSError as error:
             log.error("audit_log_open_failed", folder=str(path), why=error)
             return None
-        holder.audit_log.written = 0
+        holder.audit_log.written_upto = 0
         plan = folder.plan()
-        if plan is not None and (why := holder.check(plan)):
+        if plan is not None and (why := holder.validate(plan)):
             log.warning("last_plan_rejected", version=plan.version, why=why)
         elif plan is not None:
-            holder.plan = holder.taken = plan
+            holder.plan = holder.validated_plan = plan
             self.service_span.version = plan.version
         return folder
 
-    def _written(self, upto: int | None) -> None:
-        self.holder.wrote(clock.elapsed(), upto)
-        self.settle()
+    def _audit_written(self, upto: int | None) -> None:
+        self.holder.audit_written(clock.elapsed(), upto)
+        self.process_effects()
 
-    def _write_down(self, plan: p.Plan | None = None) -> None:
+    def _write_to_folder(self, plan: p.Plan | None = None) -> None:
         """In the order in which it is done; a steward hears of it once it is on file."""
         audit_log = self.holder.audit_log
         fresh, audit_log.fresh = audit_log.fresh, []
@@ -146,48 +152,48 @@
 
     # ---- what is done
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Serve as last agreed, and ask for a lease."""
         if self.holder.plan.version:
             self._apply_plan(self.holder.plan)
-        self.settle()
+        self.process_effects()
 
-    def settle(self) -> None:
+    def process_effects(self) -> None:
         """Carry out the holder's effects in order: audit lines to file, then actions, then messages."""
         holder, now = self.holder, clock.elapsed()
-        fencing_token = holder.fencing_token if holder.holds(now) else NO_LEASE
+        fencing_token = holder.fencing_token if holder.holds_lease(now) else NO_LEASE
         if (holder.plan.version, fencing_token) != (
             self.service_span.version,
             self.service_span.fencing_token,
         ):
-            self._change_version(fencing_token)
-        self._write_down()
-        holder.acts.clear()
-        sends, holder.sends = holder.sends, []
+            self._start_service_span(fencing_token)
+        self._write_to_folder()
+        holder.events.clear()
+        sends, holder.outgoing = holder.outgoing, []
         for message in sends:
             if self.connection is not None:
                 self.connection.send(message)
-        if holder.hang_up:
-            holder.hang_up = False
+        if holder.disconnect:
+            holder.disconnect = False
             connection, self.connection = self.connection, None
             if connection is not None:
                 connection.close()
-        if holder.dial is not None:
-            name, holder.dial = holder.dial, None
-            self._dial(name)
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
-        self._alarm = None
-        if holder.alarm != float("inf"):
-            self._alarm = self.reactor.callLater(max(holder.alarm - now, 0.0), self._tick)
-
-    def _change_version(self, fencing_token: int) -> None:
+        if holder.server_to_dial is not None:
+            name, holder.server_to_dial = holder.server_to_dial, None
+            self._connect(name)
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = None
+        if holder.next_timeout_at != float("inf"):
+            self._timer = self.reactor.callLater(max(holder.next_timeout_at - now, 0.0), self._tick)
+
+    def _start_service_span(self, fencing_token: int) -> None:
         """Another version, or a lease got or lost: what comes from now on is under that."""
         plan, before = self.holder.plan, self.service_span.version
         self._close_service_span()
         self.service_span = ServiceSpan(plan.version, fencing_token)
         changed = plan.version != before
-        self._write_down(plan if changed else None)
+        self._write_to_folder(plan if changed else None)
         if changed:
             self._apply_plan(plan)
         log.info(
@@ -198,15 +204,15 @@
 
     def _close_service_span(self) -> None:
         service_span = self.service_span
-        if service_span.taken:
+        if service_span.accepted:
             self.holder.audit_log.add(
                 time.time(),
-                audit.SERVED,
+                audit.INVOCATIONS_SERVED,
                 service_span.version,
                 service_span.fencing_token,
                 service_span.detail(),
             )
-            service_span.taken = Counter()
+            service_span.accepted = Counter()
 
     def _apply_plan(self, plan: p.Plan) -> None:
         for id in plan.ejections:
@@ -214,33 +220,33 @@
         for id in self.registry.ejected_by(BY_FLEET):
             if id not in plan.ejections:
                 self.registry.reinstate(id, time.time() * 1000.0, BY_FLEET)
-        self.act(plan)
+        self.on_plan_change(plan)
 
-    def _noted(self, id: str, by: str, out: bool) -> None:
+    def _ejection_changed(self, id: str, by: str, out: bool) -> None:
         """Staff have taken a provider out, or back, at this node's own console."""
         if by == BY_OPERATOR:
-            self.holder.note(audit.OUT if out else audit.BACK, id)
-            self._write_down()
+            self.holder.record_action(audit.WORKER_EJECTED if out else audit.WORKER_REINSTATED, id)
+            self._write_to_folder()
 
     def stop(self) -> None:
         """The node ends: it acts no more."""
         self._close_service_span()
-        self.holder.end(clock.elapsed())
-        self.settle()
+        self.holder.shut_down(clock.elapsed())
+        self.process_effects()
 
     # ---- the connection
 
     def _tick(self) -> None:
         self.holder.tick(clock.elapsed())
-        self.settle()
+        self.process_effects()
 
-    def _dial(self, name: str) -> None:
-        who = self.holder.who
-        hello = m.Hello(m.VERSION, self.fleet_id, "agent", f"{who.node}#{who.boot}")
+    def _connect(self, name: str) -> None:
+        who = self.holder.identity
+        hello = m.Hello(m.PROTOCOL_VERSION, self.fleet_id, "agent", f"{who.node}#{who.boot}")
         connection = FleetConnection(self.reactor, hello, self._receive, self._lost)
-        connection.name = name
+        connection.server_name = name
         self.connection = connection
-        made = dial(self.reactor, *self.servers[name], DIAL_WITHIN, connection)
+        made = dial(self.reactor, *self.servers[name], CONNECT_TIMEOUT, connection)
         made.addErrback(lambda failure: self._lost(connection))
 
     def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
@@ -248,7 +254,7 @@
             return
         now = clock.elapsed()
         if isinstance(message, m.Hello):
-            self.holder.up(now, connection.name)
+            self.holder.connection_made(now, connection.server_name)
         elif isinstance(
             message,
             m.Lease
@@ -260,16 +266,16 @@
         ):
             if isinstance(message, m.Lease) and not self.fleet_id and connection.peer is not None:
                 self.fleet_id = connection.peer.fleet
-            before = self.holder.withheld
+            before = self.holder.refusal
             self.holder.receive(now, message)
-            if isinstance(message, m.LeaseRefused) and message.why != before:
-                log.warning("lease_refused", server=connection.name, why=message.why)
+            if isinstance(message, m.LeaseRefused) and message.reason != before:
+                log.warning("lease_refused", server=connection.server_name, why=message.reason)
         else:
-            connection.drop(f"a steward does not say {type(message).__name__} to an agent")
-        self.settle()
+            connection.abort(f"a steward does not say {type(message).__name__} to an agent")
+        self.process_effects()
 
     def _lost(self, connection: FleetConnection) -> None:
         if connection is self.connection:
             self.connection = None
-            self.holder.lost(clock.elapsed())
-            self.settle()
+            self.holder.connection_lost(clock.elapsed())
+            self.process_effects()
--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -29,18 +29,18 @@
 from bitternpath.balancer.fleet.leases import LeaseGrants
 from bitternpath.replication.records import Entry, EntryKind, MemberRole, StorageWrite
 
-COMPACT_ENTRIES = 1024  # after which the record is written down whole
-KEPT_ENTRIES = 512  # that stay for members that lag
+ENTRIES_PER_COMPACTION = 1024  # after which the record is written down whole
+RETAINED_ENTRIES = 512  # that stay for members that lag
 
 
 class Effects(Struct):
     """What follows; `agreed` tells of entries that changed the record."""
 
-    send: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]]  # to other members
+    messages: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]]  # to other members
     writes: list[StorageWrite]
     replies: list[tuple[int, m.ForwardableReply]]  # on this member's own connections
-    agreed: list[tuple[int, p.Item]]
-    applied: list[tuple[int, int, bytes]]  # index, term and content of all that was taken for agreed
+    items: list[tuple[int, p.Item]]
+    committed: list[tuple[int, int, bytes]]  # index, term and content of all that was taken for agreed
 
 
 class RecordReplica(LeaseGrants, Commands):
@@ -49,7 +49,7 @@
     # ---- inputs
 
     @property
-    def alarm(self) -> float:
+    def next_timeout_at(self) -> float:
         """When `tick` is wanted next."""
         return self.raft.next_timeout_at
 
@@ -57,7 +57,7 @@
         """Time has passed."""
         self.raft.tick(now)
 
-    def stored(self, now: float, number: int) -> None:
+    def write_completed(self, now: float, number: int) -> None:
         """That write and those before it are on disk."""
         self.raft.write_completed(now, number)
 
@@ -69,112 +69,114 @@
             case m.Consensus(inner):
                 self.raft.receive(now, sender, inner)
             case m.ForwardedRequest(token, request):
-                self._take_request(now, (sender, token), request, passed=True)
+                self._handle_request(now, (sender, token), request, passed=True)
             case m.ForwardedReply(token, answer):
                 self._replies.append((token, answer))
 
     def receive_request(self, now: float, token: int, request: m.ForwardableRequest) -> None:
         """Receive a request on one of this member's own connections."""
-        self._take_request(now, (self.me, token), request, passed=False)
+        self._handle_request(now, (self.member_id, token), request, passed=False)
 
-    def met(self, id: str) -> None:
+    def identify_member(self, id: str) -> None:
         """A member has said who it is: its name, a dot, and its incarnation."""
         self.member_ids[id.partition(".")[0]] = id
 
-    def take(self, now: float) -> Effects:
+    def take_effects(self, now: float) -> Effects:
         """Return the effects of all input so far."""
         effects = Effects([], [], [], [], [])
-        self._keep_leadership()
+        self._update_leadership()
         while True:
             out = self.raft.take_effects(now)
-            effects.send += [(to, m.Consensus(message)) for to, message in out.messages]
+            effects.messages += [(to, m.Consensus(message)) for to, message in out.messages]
             effects.writes += out.writes
             if out.restore is not None:
-                self.record, self.applied = p.record_from(out.restore.data), out.restore.index
+                self.record, self.applied_index = p.decode_record(out.restore.data), out.restore.index
             for entry in out.committed:
                 self._apply(now, entry, effects)
             before = self.raft.last_index, self.raft.heartbeat_round_requested
-            self._lead(now)
+            self._advance_leadership(now)
             if (self.raft.last_index, self.raft.heartbeat_round_requested) == before:
                 break
         self._compact()
-        effects.send += self._send
+        effects.messages += self._messages
         effects.replies = self._replies
-        self._send, self._replies = [], []
+        self._messages, self._replies = [], []
         return effects
 
     # ---- requests
 
-    def _take_request(self, now: float, route: Route, request: m.ForwardableRequest, passed: bool) -> None:
+    def _handle_request(self, now: float, route: Route, request: m.ForwardableRequest, passed: bool) -> None:
         raft = self.raft
         if (
             isinstance(request, m.CommandRequest)
             and isinstance(request.command, m.Query)
             and request.command.stale
         ):
-            self._answer_status(now, route, request)
+            self._reply_with_status(now, route, request)
         elif raft.role is MemberRole.LEADER:
             if self.leadership is not None and self.leadership.ready:
-                self._lead_request(now, self.leadership, route, request)
+                self._handle_as_leader(now, self.leadership, route, request)
             else:
                 self._reject(route, request, "the leader is new and does not know the record yet")
         elif raft.leader and not passed:
-            self._send.append((raft.leader, m.ForwardedRequest(route[1], request)))
+            self._messages.append((raft.leader, m.ForwardedRequest(route[1], request)))
         else:
             self._reject(route, request, "no leader is known here")
 
     def _reject(self, route: Route, request: m.ForwardableRequest, why: str) -> None:
         if isinstance(request, m.RenewLease):
-            self._reply(route, m.LeaseRefused(request.sent, why, elsewhere=True))
+            self._reply(route, m.LeaseRefused(request.sent, why, retry_elsewhere=True))
         elif isinstance(request, m.CommandRequest):
             self._reply(route, m.CommandReply(request.number, False, why))
 
-    def _lead_request(
+    def _handle_as_leader(
         self, now: float, leadership: Leadership, route: Route, request: m.ForwardableRequest
     ) -> None:
         match request:
             case m.RenewLease():
-                self._lease_requested(now, leadership, route, request)
+                self._handle_lease_request(now, leadership, route, request)
             case m.LeaseReleased():
-                self._parting(leadership, request)
-            case m.AuditLines():
-                self._take_audit_lines(now, leadership, route, request)
+                self._lease_released(leadership, request)
+            case m.AuditEntries():
+                self._handle_audit_entries(now, leadership, route, request)
             case m.CommandRequest():
-                self._command(now, leadership, route, request)
+                self._handle_command(now, leadership, route, request)
 
-    def _take_audit_lines(
-        self, now: float, leadership: Leadership, route: Route, request: m.AuditLines
+    def _handle_audit_entries(
+        self, now: float, leadership: Leadership, route: Route, request: m.AuditEntries
     ) -> None:
         """Lines are acknowledged once the record has them."""
-        account = self.record.accounts.get(f"{request.node}#{request.boot}")
+        account = self.record.process_audits.get(f"{request.node}#{request.boot}")
         upto = account.upto if account is not None else 0
-        fresh = any(line.number > upto for line in request.lines)
-        ends_here = 0 < request.final < upto
-        if not fresh and not ends_here and account is not None and account.agrees(request.lines):
+        fresh = any(line.number > upto for line in request.entries)
+        ends_here = 0 < request.final_count < upto
+        if not fresh and not ends_here and account is not None and account.matches_recorded(request.entries):
             self._reply(route, m.AuditAcknowledged(request.boot, upto))
             return
-        item = p.AuditRecorded(request.node, request.boot, request.lines, request.final, self.wall())
+        item = p.AuditRecorded(
+            request.node, request.boot, request.entries, request.final_count, self.wall_clock()
+        )
         index = self._propose(now, item)
         if index is not None:
             leadership.awaiting_entry[index] = PendingRequest(index, now, route, request)
 
     # ---- leading
 
-    def _lead(self, now: float) -> None:
-        self._keep_leadership()
+    def _advance_leadership(self, now: float) -> None:
+        self._update_leadership()
         raft, leadership = self.raft, self.leadership
-        if leadership is None or not raft.has_committed_in_term or self.applied < raft.term_start_index:
+        if leadership is None or not raft.has_committed_in_term or self.applied_index < raft.term_start_index:
             return
         if not leadership.ready:
             leadership.ready = True
-            until = leadership.since + self.record.terms.longest
+            until = leadership.elected_at + self.record.terms.max_duration
             leadership.holders = {key: HolderState(until) for key in self.record.holders}
-        self._answer_rounds(now, leadership)
-        self._end_old_leases(now, leadership)
+        self._complete_rounds(now, leadership)
+        self._end_expired_leases(now, leadership)
         self._release_next(now, leadership)
         self._promote_learner(now)
 
-    def _answer_rounds(self, now: float, leadership: Leadership) -> None:
+    def _complete_rounds(self, now: float, leadership: Leadership) -> None:
         """A majority has answered a round: what waited for it is answered."""
         confirmed = self.raft.confirmed_round
         due = [pending for pending in leadership.awaiting_round if pending.awaited <= confirmed]
@@ -182,11 +184,11 @@
         leadership.awaiting_round = later
         for pending in due:
             if isinstance(pending.request, m.CommandRequest):
-                self._answer_status(now, pending.route, pending.request)
+                self._reply_with_status(now, pending.route, pending.request)
             else:
                 self._grant(now, leadership, pending)
 
-    def _keep_leadership(self) -> None:
+    def _update_leadership(self) -> None:
         """A leadership is one term's."""
         leadership, leads = self.leadership, self.raft.role is MemberRole.LEADER
         if leadership is not None and not (leads and leadership.term == self.raft.term):
@@ -202,8 +204,8 @@
     # ---- the record
 
     def _apply(self, now: float, entry: Entry, effects: Effects) -> None:
-        self.applied = entry.index
-        effects.applied.append((entry.index, entry.term, entry.data))
+        self.applied_index = entry.index
+        effects.committed.append((entry.index, entry.term, entry.data))
         leadership, pending = self.leadership, None
         if leadership is not None and leadership.term == entry.term:
             pending = leadership.awaiting_entry.pop(entry.index, None)
@@ -211,37 +213,41 @@
             if pending is not None and isinstance(pending.request, m.CommandRequest):
                 self._reply(pending.route, m.CommandReply(pending.request.number, True, ""))
             return
-        item = p.item_from(entry.data)
+        item = p.decode_item(entry.data)
         why_not = self.record.apply(entry.index, item)
         if not why_not:
-            effects.agreed.append((entry.index, item))
+            effects.items.append((entry.index, item))
         if leadership is None or not leadership.ready:
             return
         if not why_not:
             self._record_changed(now, leadership, item, pending)
         if pending is not None:
-            self._answer_entry(item, why_not, pending)
+            self._reply_to_proposer(item, why_not, pending)
 
     def _record_changed(
         self, now: float, leadership: Leadership, item: p.Item, pending: PendingRequest | None
     ) -> None:
         match item:
             case p.LeaseStarted(node, boot):
-                self._joined(now, leadership, f"{node}#{boot}", pending)
+                self._lease_started(now, leadership, f"{node}#{boot}", pending)
             case p.LeaseEnded(node, boot):
                 leadership.holders.pop(f"{node}#{boot}", None)
             case p.AgreeChange() | p.WithdrawVersion() | p.Release():
                 self._send_version_update(leadership)
 
-    def _answer_entry(self, item: p.Item, why_not: str, pending: PendingRequest) -> None:
+    def _reply_to_proposer(self, item: p.Item, why_not: str, pending: PendingRequest) -> None:
         """An entry that somebody waited for is applied."""
         if isinstance(item, p.AuditRecorded):
-            account = self.record.accounts[f"{item.node}#{item.boot}"]
+            account = self.record.process_audits[f"{item.node}#{item.boot}"]
             self._reply(pending.route, m.AuditAcknowledged(item.boot, account.upto))
         if isinstance(pending.request, m.CommandRequest):
-            data = {"version": self.record.ids.get(item.id, 0)} if isinstance(item, p.AgreeChange) else None
-            self._answer(pending.route, pending.request.number, why_not, data)
+            data = (
+                {"version": self.record.change_versions.get(item.id, 0)}
+                if isinstance(item, p.AgreeChange)
+                else None
+            )
+            self._reply_to_command(pending.route, pending.request.number, why_not, data)
 
     def _compact(self) -> None:
-        if self.applied - self.raft.snapshot.index >= COMPACT_ENTRIES:
-            self.raft.compact(self.applied, p.record_bytes(self.record), KEPT_ENTRIES)
+        if self.applied_index - self.raft.snapshot.index >= ENTRIES_PER_COMPACTION:
+            self.raft.compact(self.applied_index, p.encode_record(self.record), RETAINED_ENTRIES)
--- a/bitternpath/balancer/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -28,29 +28,29 @@
         wall: Callable[[], float],
         times: RaftTiming,
     ) -> None:
-        self.me, self.wall = me, wall
-        self.record = p.record_from(kept.snapshot.data)
-        self.applied = kept.snapshot.index
+        self.member_id, self.wall_clock = me, wall
+        self.record = p.decode_record(kept.snapshot.data)
+        self.applied_index = kept.snapshot.index
         self.raft = Raft(me, kept, random, now, RaftOptions(times))
         self.leadership: Leadership | None = None
         self.member_ids: dict[str, str] = {}  # a member's name: the incarnation that it is, as it last said
-        self._send: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]] = []
+        self._messages: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]] = []
         self._replies: list[tuple[int, m.ForwardableReply]] = []
 
     def _reply(self, route: Route, reply: m.ForwardableReply) -> None:
-        if route[0] == self.me:
+        if route[0] == self.member_id:
             self._replies.append((route[1], reply))
         else:
-            self._send.append((route[0], m.ForwardedReply(route[1], reply)))
+            self._messages.append((route[0], m.ForwardedReply(route[1], reply)))
 
-    def _answer(self, route: Route, number: int, why_not: str, data: Any = None) -> None:
+    def _reply_to_command(self, route: Route, number: int, why_not: str, data: Any = None) -> None:
         """Answer a command; `why_not` is empty where it was done."""
         content = msgspec.Raw(msgspec.msgpack.encode(data))
         self._reply(route, m.CommandReply(number, not why_not, why_not, content))
 
     def _propose(self, now: float, item: p.Item) -> int | None:
         """The index of the item's entry; None where it can't be proposed now."""
-        return self.raft.propose(now, EntryKind.COMMAND, p.item_bytes(item))
+        return self.raft.propose(now, EntryKind.COMMAND, p.encode_item(item))
 
     def _propose_members(self, now: float, members: Members) -> int | None:
         return self.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members))
--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -23,10 +23,10 @@
 from bitternpath.replication.records import Entry, PersistentState, Snapshot, StorageWrite
 
 MAP_SIZE = 1 << 30  # bytes of address space; the file is as large as what it holds
-SUM = 8  # bytes of a checksum
-FORM = 1  # of what is kept here
-LOCK, DATA = "lock", "data.mdb"
-STATE, SNAPSHOT = b"state", b"snapshot"
+CHECKSUM_BYTES = 8  # bytes of a checksum
+FORMAT_VERSION = 1  # of what is kept here
+LOCK_FILE, DATA_FILE = "lock", "data.mdb"
+STATE_KEY, SNAPSHOT_KEY = b"state", b"snapshot"
 
 
 class StoreError(Exception):
@@ -37,32 +37,32 @@
     """The folder's content is incomplete or fails its checksum."""
 
 
-class State(Struct, frozen=True):
+class StoredState(Struct, frozen=True):
     """What is stored beside entries and snapshot; field names are stored keys."""
 
-    form: int
+    format_version: int = msgspec.field(name="form")
     name: str
     incarnation: str  # drawn when the folder was made: a steward that lost its disk is another one
-    file: tuple[int, int]  # device and inode
+    file_id: tuple[int, int] = msgspec.field(name="file")  # device and inode
     voters: int  # how many the fleet had, as last written
     term: int = 0
     vote: str = ""
-    before: tuple[int, int] = (0, 0)
+    compacted_through: tuple[int, int] = msgspec.field(default=(0, 0), name="before")
 
 
 _encoder = msgspec.msgpack.Encoder()
 
 
-def _sealed(value: Any) -> bytes:
+def _encode_with_checksum(value: Any) -> bytes:
     data = _encoder.encode(value)
-    return blake3(data).digest(SUM) + data
+    return blake3(data).digest(CHECKSUM_BYTES) + data
 
 
-def _unsealed(sealed: bytes | None, kind: Any, what: str) -> Any:
+def _decode_with_checksum(sealed: bytes | None, kind: Any, what: str) -> Any:
     if sealed is None:
         raise DamagedError(f"{what} is missing")
-    data = bytes(sealed[SUM:])
-    if blake3(data).digest(SUM) != sealed[:SUM]:
+    data = bytes(sealed[CHECKSUM_BYTES:])
+    if blake3(data).digest(CHECKSUM_BYTES) != sealed[:CHECKSUM_BYTES]:
         raise DamagedError(f"{what} does not match its checksum")
     try:
         return msgspec.msgpack.decode(data, type=kind)
@@ -77,7 +77,7 @@
         self.folder = folder
         try:
             folder.mkdir(parents=True, exist_ok=True, mode=0o700)
-            self._lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self._lock = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
             raise StoreError(f"{folder}: {error.strerror}") from error
         try:
@@ -93,7 +93,7 @@
 
     def _open(self, name: str) -> None:
         self._env: Any = None
-        self.is_new = not (self.folder / DATA).exists()
+        self.is_new = not (self.folder / DATA_FILE).exists()
         try:
             self._env = lmdb.open(
                 str(self.folder), map_size=MAP_SIZE, max_dbs=2, lock=False, readahead=False, mode=0o600
@@ -103,14 +103,17 @@
         except (lmdb.Error, OSError) as error:
             raise DamagedError(f"{self.folder}: {error}") from error
         if self.is_new:
-            self.state = State(FORM, name, secrets.token_hex(4), self._file(), 0)
-            self._put_state()
-        self.state = self._get(STATE, State)
-        if self.state.form != FORM:
-            raise StoreError(f"{self.folder}: written in form {self.state.form}; this release reads {FORM}")
+            self.state = StoredState(FORMAT_VERSION, name, secrets.token_hex(4), self._data_file_id(), 0)
+            self._write_state()
+        self.state = self._get(STATE_KEY, StoredState)
+        if self.state.format_version != FORMAT_VERSION:
+            raise StoreError(
+                f"{self.folder}: written in form {self.state.format_version}; "
+                f"this release reads {FORMAT_VERSION}"
+            )
         if self.state.name != name:
             raise StoreError(f"{self.folder}: is the folder of {self.state.name}, not of {name}")
-        if self.state.file != self._file():
+        if self.state.file_id != self._data_file_id():
             raise StoreError(
                 f"{self.folder}: a copy of another folder; a steward votes from one disk: empty it, and add "
                 f"{name} as new"
@@ -121,42 +124,44 @@
         """The steward's name with its incarnation: the member that it is."""
         return f"{self.state.name}.{self.state.incarnation}"
 
-    def _file(self) -> tuple[int, int]:
-        found = os.stat(self.folder / DATA)
+    def _data_file_id(self) -> tuple[int, int]:
+        found = os.stat(self.folder / DATA_FILE)
         return found.st_dev, found.st_ino
 
     def _get(self, key: bytes, kind: Any) -> Any:
         try:
             with self._env.begin(db=self._meta) as reading:
-                return _unsealed(reading.get(key), kind, f"{self.folder}: {key.decode()}")
+                return _decode_with_checksum(reading.get(key), kind, f"{self.folder}: {key.decode()}")
         except lmdb.Error as error:
             raise DamagedError(f"{self.folder}: {error}") from error
 
-    def _put_state(self) -> None:
+    def _write_state(self) -> None:
         with self._env.begin(write=True) as writing:
-            writing.put(STATE, _sealed(self.state), db=self._meta)
+            writing.put(STATE_KEY, _encode_with_checksum(self.state), db=self._meta)
 
     def read(self) -> PersistentState:
         """Return the persistent state; raise DamagedError if any of it is incomplete or damaged."""
         state, entries = self.state, list[Entry]()
         with self._env.begin() as reading:
-            has = reading.get(SNAPSHOT, db=self._meta) is not None
-        snapshot = self._get(SNAPSHOT, Snapshot) if has else Snapshot()
+            has = reading.get(SNAPSHOT_KEY, db=self._meta) is not None
+        snapshot = self._get(SNAPSHOT_KEY, Snapshot) if has else Snapshot()
         try:
             with self._env.begin(db=self._log) as reading:
                 for key, value in reading.cursor():
                     index = int.from_bytes(key, "big")
-                    entry = _unsealed(value, Entry, f"{self.folder}: entry {index}")
-                    if entry.index != state.before[0] + len(entries) + 1 or entry.index != index:
+                    entry = _decode_with_checksum(value, Entry, f"{self.folder}: entry {index}")
+                    if entry.index != state.compacted_through[0] + len(entries) + 1 or entry.index != index:
                         raise DamagedError(
-                            f"{self.folder}: entry {state.before[0] + len(entries) + 1} is missing"
+                            f"{self.folder}: entry {state.compacted_through[0] + len(entries) + 1} is missing"
                         )
                     entries.append(entry)
         except lmdb.Error as error:
             raise DamagedError(f"{self.folder}: {error}") from error
-        if snapshot.index < state.before[0] or snapshot.index > state.before[0] + len(entries):
+        if snapshot.index < state.compacted_through[0] or snapshot.index > state.compacted_through[0] + len(
+            entries
+        ):
             raise DamagedError(f"{self.folder}: the snapshot at {snapshot.index} does not meet the log")
-        return PersistentState(state.term, state.vote, snapshot, state.before, entries)
+        return PersistentState(state.term, state.vote, snapshot, state.compacted_through, entries)
 
     def write(self, writes: Sequence[StorageWrite], voters: int) -> None:
         """Do them in order, in one transaction that is on disk when this returns; OSError or lmdb.Error."""
@@ -164,24 +169,24 @@
         with self._env.begin(write=True) as writing:
             for write in writes:
                 state = self._apply_write(writing, state, write, voters)
-            writing.put(STATE, _sealed(state), db=self._meta)
+            writing.put(STATE_KEY, _encode_with_checksum(state), db=self._meta)
         self.state = state
 
-    def _apply_write(self, writing: Any, state: State, write: StorageWrite, voters: int) -> State:
+    def _apply_write(self, writing: Any, state: StoredState, write: StorageWrite, voters: int) -> StoredState:
         log = self._log
         if write.truncate_from is not None:
-            self._delete(writing, write.truncate_from, None)
+            self._delete_entries(writing, write.truncate_from, None)
         for entry in write.entries:
-            writing.put(entry.index.to_bytes(8, "big"), _sealed(entry), db=log)
+            writing.put(entry.index.to_bytes(8, "big"), _encode_with_checksum(entry), db=log)
         if write.snapshot is not None:
-            writing.put(SNAPSHOT, _sealed(write.snapshot), db=self._meta)
-        if write.compacted_through != state.before:
-            self._delete(writing, state.before[0] + 1, write.compacted_through[0])
+            writing.put(SNAPSHOT_KEY, _encode_with_checksum(write.snapshot), db=self._meta)
+        if write.compacted_through != state.compacted_through:
+            self._delete_entries(writing, state.compacted_through[0] + 1, write.compacted_through[0])
         return msgspec.structs.replace(
-            state, term=write.term, vote=write.vote, before=write.compacted_through, voters=voters
+            state, term=write.term, vote=write.vote, compacted_through=write.compacted_through, voters=voters
         )  # fmt: skip
 
-    def _delete(self, writing: Any, first: int, last: int | None) -> None:
+    def _delete_entries(self, writing: Any, first: int, last: int | None) -> None:
         """The entries from one index to another, or to the end."""
         with writing.cursor(db=self._log) as cursor:
             found = cursor.set_range(first.to_bytes(8, "big"))
@@ -197,7 +202,7 @@
             self._lock = -1
 
 
-def set_aside(folder: Path) -> Path:
+def quarantine_folder(folder: Path) -> Path:
     """Move a damaged folder away, so that the steward can begin anew; where it is now."""
     aside = folder.with_name(f"{folder.name}.damaged-{int(time.time())}")
     os.rename(folder, aside)
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -165,8 +165,8 @@
             self.reactor, self.startup_settings.fleet, config.name, config.settings.zone, self.registry,
             self._plan_fault, self._plan_changed, self._retry_after,
         )  # fmt: skip
-        self.broker.admission = record_client.gate
-        self.handler.fleet_admits = record_client.welcome
+        self.broker.admission = record_client.admission_delay
+        self.handler.fleet_admits = record_client.accepts_clients
         return record_client
 
     def _plan_changed(self, plan: Plan) -> None:
@@ -270,7 +270,7 @@
             self.amqp.listen(*address(self.startup_settings.amqp.listen))
         self.upstream_client.run()
         if self.record_client is not None:
-            self.record_client.begin()
+            self.record_client.start()
         self.reactor.callLater(REPORT_EVERY, self._report)
         kv: dict[str, object] = {
             "name": self.loaded.platform.name,
--- a/bitternpath/cli/consensus_server.py
+++ b/bitternpath/cli/consensus_server.py
@@ -14,7 +14,7 @@
 from bitternpath.cli.run import fault
 
 
-def _fit(fleet: Fleet) -> Fleet:
+def _checked_settings(fleet: Fleet) -> Fleet:
     """The fleet settings, if a consensus server can run with them; ConfigError if not."""
     names = [each.partition("=")[0] for each in fleet.stewards]
     if fleet.name not in names:
@@ -45,7 +45,7 @@
     context = click.get_current_context()
     try:
         settings = read(operator_file, os.environ, given(flags)).settings
-        fleet = _fit(settings.fleet)
+        fleet = _checked_settings(settings.fleet)
     except ConfigError as error:
         context.exit(fault(error))
     from bitternpath.balancer.fleet.consensus_server import run
--- a/bitternpath/cli/fleet_changes.py
+++ b/bitternpath/cli/fleet_changes.py
@@ -10,12 +10,12 @@
 import click
 
 from bitternpath.cli.fleet_client import FleetClient, with_fleet_client
-from bitternpath.cli.fleet_format import lag
+from bitternpath.cli.fleet_format import holder_state
 
 POLL_INTERVAL = 0.2  # s between looks whether a change is in effect
 
 
-def parsed_change(words: tuple[str, ...]) -> Any:
+def parse_change(words: tuple[str, ...]) -> Any:
     """The change that `KEY=VALUE` words mean; click.UsageError where they mean none."""
     from bitternpath.balancer.fleet import plan as p
 
@@ -50,7 +50,7 @@
     from bitternpath.balancer.fleet.messages import Propose
 
     id = id or secrets.token_hex(8)
-    told = fleet.ask(Propose(id, fleet.author, reason, change))
+    told = fleet.send(Propose(id, fleet.author, reason, change))
     version = told["version"]
     click.echo(f"agreed as version {version} (id {id})")
     if required:
@@ -73,7 +73,7 @@
                 f"version {version} is refused by {len(refuse)} of {len(found['holders'])}, first by "
                 f"{refuse[0]['node']}: {refuse[0]['refuses']}; `bitternpath fleet withdraw {version}` ends it"
             )
-        waits = ", ".join(f"{h['node']} ({lag(found, h)})" for h in held) or "the release"
+        waits = ", ".join(f"{h['node']} ({holder_state(found, h)})" for h in held) or "the release"
         line = f"no majority: {why}" if why else f"waits for {waits}"
         if line != said:
             click.echo(line)
@@ -81,7 +81,7 @@
         time.sleep(POLL_INTERVAL)
 
 
-def _changing(function: Callable[..., Any]) -> Callable[..., Any]:
+def _change_options(function: Callable[..., Any]) -> Callable[..., Any]:
     function = click.option("--required", is_flag=True, help="wait until all who hold a lease act on it")(
         function
     )
@@ -92,15 +92,15 @@
 
 
 @click.command()
-@_changing
+@_change_options
 @click.argument("words", nargs=-1, metavar="KEY=VALUE...")
 def change(fleet: FleetClient, words: tuple[str, ...], reason: str, id: str | None, required: bool) -> None:
     """Change a class, a rule, or the least release that may hold a lease, for all nodes."""
-    propose(fleet, parsed_change(words), reason, id, required)
+    propose(fleet, parse_change(words), reason, id, required)
 
 
 @click.command()
-@_changing
+@_change_options
 @click.argument("worker")
 def ban(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
     """Nothing new to that calendar worker, from any node."""
@@ -110,7 +110,7 @@
 
 
 @click.command()
-@_changing
+@_change_options
 @click.argument("worker")
 def back(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
     """The fleet's ban of that calendar worker ends; one at a node's own console stays."""
@@ -127,5 +127,5 @@
     """A version that is agreed and not released shall change nothing."""
     from bitternpath.balancer.fleet.messages import Withdraw
 
-    fleet.ask(Withdraw(version, fleet.author, reason))
+    fleet.send(Withdraw(version, fleet.author, reason))
     click.echo(f"version {version} is withdrawn")
--- a/bitternpath/cli/fleet_client.py
+++ b/bitternpath/cli/fleet_client.py
@@ -23,12 +23,12 @@
     def __init__(self, servers: dict[str, Address], author: str, within: float) -> None:
         self.servers, self.author, self.within = servers, author, within
 
-    def ask(self, command: Any) -> Any:
+    def send(self, command: Any) -> Any:
         """The answer's data; ends with 1 and one line where it is no, or nobody answers."""
-        from bitternpath.balancer.fleet.client import NoAnswerError, ask
+        from bitternpath.balancer.fleet.client import NoAnswerError, send_command
 
         try:
-            answer = ask(self.servers, command, self.author, self.within)
+            answer = send_command(self.servers, command, self.author, self.within)
         except NoAnswerError as error:
             raise click.ClickException(f"no steward that can decide answers: {error}") from error
         if not answer.ok:
--- a/bitternpath/cli/fleet_format.py
+++ b/bitternpath/cli/fleet_format.py
@@ -8,7 +8,7 @@
 import click
 import msgspec
 
-WHEN = "%Y-%m-%d %H:%M:%S"  # how moments are printed, and read
+TIME_FORMAT = "%Y-%m-%d %H:%M:%S"  # how moments are printed, and read
 
 
 def print_no_majority(found: dict[str, Any], why: str) -> None:
@@ -35,7 +35,7 @@
         click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
-def lag(found: dict[str, Any], holder: dict[str, Any]) -> str:
+def holder_state(found: dict[str, Any], holder: dict[str, Any]) -> str:
     """In one word, how a holder stands to what is agreed."""
     if holder.get("heard") is None:
         return "not heard"
@@ -46,7 +46,7 @@
     return "ok" if holder["have"] >= found["latest"] else "takes"
 
 
-def describe(change: dict[str, Any] | None) -> str:
+def describe_change(change: dict[str, Any] | None) -> str:
     """A change in the words of `fleet change`."""
     if change is None:
         return "withdrawn"
@@ -61,12 +61,12 @@
             return f"least-release={'.'.join(map(str, change['release']))}"
 
 
-def local_time(at: float) -> str:
+def format_time(at: float) -> str:
     """A moment in Unix s, in words."""
-    return time.strftime(WHEN, time.localtime(at))
+    return time.strftime(TIME_FORMAT, time.localtime(at))
 
 
-def moment(text: str) -> float:
+def parse_time(text: str) -> float:
     """Unix s of `YYYY-MM-DD HH:MM:SS`, of `HH:MM:SS` today, or as it stands."""
     try:
         return float(text)
@@ -74,14 +74,14 @@
         pass
     full = text if "-" in text else f"{time.strftime('%Y-%m-%d')} {text}"
     try:
-        return time.mktime(time.strptime(full.replace("T", " "), WHEN))
+        return time.mktime(time.strptime(full.replace("T", " "), TIME_FORMAT))
     except ValueError as error:
         raise click.UsageError(
             f"--at {text}: allowed are YYYY-MM-DD HH:MM:SS, HH:MM:SS, Unix seconds"
         ) from error
 
 
-def acted_version(account: dict[str, Any], at: float) -> str:
+def applied_version(account: dict[str, Any], at: float) -> str:
     """On what a process acted at a moment, in words."""
     told = [
         line for line in account["lines"] if line[1] <= at and line[2] in ("joined", "acts", "lost", "left")
@@ -91,13 +91,13 @@
     _, since, what, version, fencing_token, *_ = told[-1]
     if what in ("lost", "left"):
         how = "alone, as in" if what == "lost" else "ended, after"
-        return f"{how} version {version}, since {local_time(since)}"
-    return f"version {version} under fence {fencing_token}, since {local_time(since)}"
+        return f"{how} version {version}, since {format_time(since)}"
+    return f"version {version} under fence {fencing_token}, since {format_time(since)}"
 
 
-def explanation(found: dict[str, Any], holder: dict[str, Any]) -> str:
+def explain_holder(found: dict[str, Any], holder: dict[str, Any]) -> str:
     """How a holder stands, and what to do, in words."""
-    state = lag(found, holder)
+    state = holder_state(found, holder)
     heard = f"heard {holder['heard']:.1f} s ago" if holder.get("heard") is not None else "not heard yet"
     if state == "not heard":
         return (
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -32,7 +32,7 @@
     """The steward NAME, which runs and has an empty folder, takes part; it votes once it has caught up."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
-    fleet.ask(ChangeMembers(add=name))
+    fleet.send(ChangeMembers(add=name))
     click.echo(f"{name} is added")
 
 
@@ -43,7 +43,7 @@
     """The steward NAME takes part no longer."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
-    fleet.ask(ChangeMembers(remove=name))
+    fleet.send(ChangeMembers(remove=name))
     click.echo(f"{name} is removed")
 
 
@@ -54,5 +54,5 @@
     """The steward NAME shall lead."""
     from bitternpath.balancer.fleet.messages import TransferLeadership
 
-    fleet.ask(TransferLeadership(name))
+    fleet.send(TransferLeadership(name))
     click.echo(f"leadership passes to {name}")
--- a/bitternpath/cli/fleet_reports.py
+++ b/bitternpath/cli/fleet_reports.py
@@ -8,12 +8,12 @@
 
 from bitternpath.cli.fleet_client import FleetClient, as_json, with_fleet_client
 from bitternpath.cli.fleet_format import (
-    acted_version,
-    describe,
-    explanation,
-    lag,
-    local_time,
-    moment,
+    applied_version,
+    describe_change,
+    explain_holder,
+    format_time,
+    holder_state,
+    parse_time,
     print_json,
     print_no_majority,
     print_table,
@@ -43,7 +43,7 @@
                 h["node"], h["boot"], h["site"], ".".join(map(str, h["release"])), h["fence"],
                 h.get("acting", "-"), h.get("have", "-"),
                 f"{h['heard']:.1f} s" if h.get("heard") is not None else "-",
-                f"{max(h['until'], 0.0):.1f} s" if "until" in h else "-", lag(found, h),
+                f"{max(h['until'], 0.0):.1f} s" if "until" in h else "-", holder_state(found, h),
             )
             for h in sorted(found["holders"], key=lambda h: (h["node"], h["boot"]))
         ]  # fmt: skip
@@ -68,12 +68,14 @@
         rows = []
         for agreed in found["changes"]:
             since = found["release_times"].get(agreed["version"])
-            state = "released " + local_time(since) if since is not None else "agreed"
-            what = describe(agreed["change"]) + (f" ({agreed['withdrawn']})" if agreed["withdrawn"] else "")
+            state = "released " + format_time(since) if since is not None else "agreed"
+            what = describe_change(agreed["change"]) + (
+                f" ({agreed['withdrawn']})" if agreed["withdrawn"] else ""
+            )
             rows.append(
                 (
                     agreed["version"],
-                    local_time(agreed["time"]),
+                    format_time(agreed["time"]),
                     agreed["author"],
                     state,
                     what,
@@ -92,7 +94,7 @@
 @click.option("--at", metavar="TIME", help="on what each acted at that time")
 def audit(fleet: FleetClient, node: str | None, version: int | None, at: str | None, json: bool) -> None:
     """Who acted on which version, from when to when, and what is missing."""
-    when = moment(at) if at is not None else None
+    when = parse_time(at) if at is not None else None
     found, why = fleet.query("audit")
     accounts = [a for a in found["accounts"] if node in (None, a["node"])]
     accounts.sort(key=lambda a: (a["node"], a["lines"][0][1] if a["lines"] else 0.0))
@@ -102,16 +104,16 @@
     print_no_majority(found, why)
     if when is not None:
         print_table(
-            ("node", "process", f"at {local_time(when)}"),
+            ("node", "process", f"at {format_time(when)}"),
             [
-                (a["node"], a["boot"], acted_version(a, when))
+                (a["node"], a["boot"], applied_version(a, when))
                 for a in accounts
                 if a["lines"] and a["lines"][0][1] <= when
             ],
         )
     else:
         rows = [
-            (a["node"], a["boot"], number, local_time(since), what, of, fencing_token, detail)
+            (a["node"], a["boot"], number, format_time(since), what, of, fencing_token, detail)
             for a in accounts
             for number, since, what, of, fencing_token, detail, _ in a["lines"]
             if version in (None, of)
@@ -135,12 +137,12 @@
     if not holders and not accounts:
         raise click.ClickException(f"nobody has heard of {node}")
     for holder in holders:
-        click.echo(f"{node}#{holder['boot']}: {explanation(found, holder)}")
+        click.echo(f"{node}#{holder['boot']}: {explain_holder(found, holder)}")
     held = {h["boot"] for h in holders}
     gone = [a for a in accounts if a["boot"] not in held]
     if gone:
         last = max(gone, key=lambda a: a["lines"][-1][1] if a["lines"] else 0.0)
-        click.echo(f"{node}#{last['boot']}: no lease; {acted_version(last, time.time())}")
+        click.echo(f"{node}#{last['boot']}: no lease; {applied_version(last, time.time())}")
         if not holders:
             click.echo("It gets a lease by itself once it reaches a steward and can take what is released:")
             click.echo("look whether it runs, at its links, and whether its log has")
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -78,7 +78,7 @@
 
 def drift_forgotten(stack: ExitStack) -> None:
     """The leader takes a lease for over when its own clock says so."""
-    _put(stack, p.LeaseTerms, "longest", property(lambda self: self.lease))
+    _put(stack, p.LeaseTerms, "max_duration", property(lambda self: self.lease))
 
 
 def no_round(stack: ExitStack) -> None:
@@ -99,26 +99,26 @@
 
     def hasty(self: Any, now: float, leadership: Any) -> None:
         released = self.record.released.version
-        if self.record.latest.version > released and leadership.release_index <= self.applied:
-            item = p.Release(released + 1, self.wall())
-            leadership.release_index = self.raft.propose(now, EntryKind.COMMAND, p.item_bytes(item)) or 0
+        if self.record.latest.version > released and leadership.release_index <= self.applied_index:
+            item = p.Release(released + 1, self.wall_clock())
+            leadership.release_index = self.raft.propose(now, EntryKind.COMMAND, p.encode_item(item)) or 0
 
     _put(stack, record_replica.RecordReplica, "_release_next", hasty)
 
 
 def lease_from_arrival(stack: ExitStack) -> None:
     """A node's lease runs from when the answer came."""
-    lease = lease_holder.LeaseHolder._lease
+    lease = lease_holder.LeaseHolder._handle_lease
 
     def late(self: Any, now: float, told: m.Lease) -> None:
         lease(self, now, m.Lease(now, told.length, told.fencing_token, told.released, told.digest))
 
-    _put(stack, lease_holder.LeaseHolder, "_lease", late)
+    _put(stack, lease_holder.LeaseHolder, "_handle_lease", late)
 
 
 def lease_by_timer(stack: ExitStack) -> None:
     """A node takes its lease for good until a timer has rung."""
-    tick, holds = lease_holder.LeaseHolder.tick, lease_holder.LeaseHolder.holds
+    tick, holds = lease_holder.LeaseHolder.tick, lease_holder.LeaseHolder.holds_lease
     ringing: list[bool] = []
 
     def ring(self: Any, now: float) -> None:
@@ -133,50 +133,50 @@
     def while_ringing(self: Any, now: float) -> bool:
         return bool(holds(self, now) if ringing else self.fencing_token)
 
-    _put(stack, lease_holder.LeaseHolder, "holds", while_ringing)
+    _put(stack, lease_holder.LeaseHolder, "holds_lease", while_ringing)
 
 
 def lease_not_looked_at(stack: ExitStack) -> None:
     """A node takes a lease for good."""
 
     def for_good(self: Any, now: float) -> bool:
-        self.until = max(self.until, now + 1.0)
+        self.expires_at = max(self.expires_at, now + 1.0)
         return bool(self.fencing_token)
 
-    _put(stack, lease_holder.LeaseHolder, "holds", for_good)
+    _put(stack, lease_holder.LeaseHolder, "holds_lease", for_good)
 
 
 def fence_ignored(stack: ExitStack) -> None:
     """A node takes any lease that names it, of whatever fence."""
-    lease = lease_holder.LeaseHolder._lease
+    lease = lease_holder.LeaseHolder._handle_lease
 
     def any_fence(self: Any, now: float, told: m.Lease) -> None:
         if self.fencing_token and told.fencing_token < self.fencing_token:
             self.fencing_token = told.fencing_token
         lease(self, now, told)
 
-    _put(stack, lease_holder.LeaseHolder, "_lease", any_fence)
+    _put(stack, lease_holder.LeaseHolder, "_handle_lease", any_fence)
 
 
 def digest_ignored(stack: ExitStack) -> None:
     """A node acts on a version by its number, whatever it holds under it."""
 
     def by_number(self: Any, lease: m.Lease) -> bool:
-        for plan in [plan for plan in self._next if plan.version <= lease.released]:
+        for plan in [plan for plan in self._pending_plans if plan.version <= lease.released]:
             self.plan = plan
-            self._next.remove(plan)
+            self._pending_plans.remove(plan)
         return bool(self.plan.version == lease.released)
 
-    _put(stack, lease_holder.LeaseHolder, "_advance", by_number)
+    _put(stack, lease_holder.LeaseHolder, "_apply_released_version", by_number)
 
 
 def told_before_written(stack: ExitStack) -> None:
     """A node tells the stewards of lines that its own file may come to lack."""
 
-    def all_of_them(self: audit.AuditLog) -> tuple[audit.Line, ...]:
-        return tuple(islice(self.unheard, audit.AT_ONCE))
+    def all_of_them(self: audit.AuditLog) -> tuple[audit.AuditEntry, ...]:
+        return tuple(islice(self.unacknowledged, audit.ENTRIES_PER_MESSAGE))
 
-    _put(stack, audit.AuditLog, "next", property(all_of_them))
+    _put(stack, audit.AuditLog, "next_batch", property(all_of_them))
 
 
 BUILDS: dict[str, Build] = {
--- a/bitternpath/testing/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -115,7 +115,7 @@
     def end(self, at: float, record: p.Record) -> None:
         """The record of the leader at the end has all that was ever answered for."""
         for id, version in self.promised.items():
-            if record.ids.get(id) != version:
+            if record.change_versions.get(id) != version:
                 self._break("lost", at, f"change {id} was answered as version {version} and is not there")
         self._audited(at, record)
         for version, digest in self.digests.items():
@@ -124,17 +124,17 @@
                 self._break("lost", at, f"version {version} was released and is not there")
 
     def _audited(self, at: float, record: p.Record) -> None:
-        told = (audit.JOINED, audit.ACTS, *audit.LAST)
-        for process, account in record.accounts.items():
+        told = (audit.LEASE_STARTED, audit.VERSION_APPLIED, *audit.LEASE_END_KINDS)
+        for process, account in record.process_audits.items():
             did = self.happened.get(process, [])
-            lines = [line for line in account.lines if line.what in told]
+            lines = [line for line in account.entries if line.what in told]
             heard = [(line.what, line.version, line.fencing_token) for line in lines]
             if account.faults:
                 self._break("audit", at, f"{process}: {account.faults[0]}, though nobody changed it")
             if heard != did[: len(heard)] and not account.missing and not account.dropped:
                 self._break("audit", at, f"{process} did {did}, and the audit has {heard}")
-            if len(heard) < len(did) and not account.says_missing(process in record.holders):
+            if len(heard) < len(did) and not account.missing_entries(process in record.holders):
                 self._break("audit", at, f"{process} did {did[len(heard) :]}, of which nothing is said")
         for process, did in self.happened.items():
-            if did and process not in record.accounts:
+            if did and process not in record.process_audits:
                 self._break("audit", at, f"{process} did {did}, and is not in the audit")
--- a/bitternpath/testing/emulator/fleet/faults.py
+++ b/bitternpath/testing/emulator/fleet/faults.py
@@ -171,7 +171,7 @@
 
     def again() -> None:
         leader = world.leader()
-        waiting = leader.replica.record.waiting if leader is not None else []
+        waiting = leader.replica.record.unreleased if leader is not None else []
         if waiting:
             version = random.choice(waiting).version
             world.operator.type(m.Withdraw(version, "somebody", "it was a mistake"))
@@ -202,11 +202,11 @@
     """Nodes cannot take what comes now."""
     name = random.choice(list(world.nodes))
     holder = world.nodes[name].holder
-    holder.check = lambda plan: "its own file is at odds with it"
+    holder.validate = lambda plan: "its own file is at odds with it"
 
     def undo() -> None:
-        holder.check = world.check
-        holder.refuses = ""
+        holder.validate = world.check
+        holder.rejection = ""
 
     return undo
 
--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -26,10 +26,10 @@
     last: float
 
 
-def served(process: str, lines: list[audit.Line]) -> list[Served]:
+def served(process: str, lines: list[audit.AuditEntry]) -> list[Served]:
     found = []
     for line in lines:
-        if line.what == audit.SERVED and line.fencing_token:
+        if line.what == audit.INVOCATIONS_SERVED and line.fencing_token:
             told = msgspec.json.decode(line.detail)
             found.append(Served(process, line.version, line.fencing_token, told["first"], told["last"]))
     return found
@@ -62,17 +62,19 @@
     return broken
 
 
-def fences(process: str, lines: list[audit.Line]) -> list[str]:
+def fences(process: str, lines: list[audit.AuditEntry]) -> list[str]:
     """Rule 3: nor with a lower fence after a higher one."""
-    under = [line.fencing_token for line in lines if line.what in (audit.JOINED, audit.ACTS)]
+    under = [
+        line.fencing_token for line in lines if line.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
+    ]
     if under != sorted(under):
         return [f"fence: {process} acted under fences {under}"]
     return []
 
 
-def heard(process: str, lines: list[audit.Line], account: dict[str, Any] | None) -> list[str]:
+def heard(process: str, lines: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
     """Rule 4: each line that was written is in the audit, or named as missing; none else is there."""
-    told = [msgspec.convert(line, audit.Line) for line in account["lines"]] if account else []
+    told = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
     written = {line.number: line for line in lines}
     broken = [
         f"audit: {process}: line {line.number} is in the audit and was never written"
--- a/bitternpath/testing/emulator/fleet/operator_request.py
+++ b/bitternpath/testing/emulator/fleet/operator_request.py
@@ -30,7 +30,7 @@
     def _ask(self) -> None:
         self.tries += 1
         wire = self.wire = FleetConnection(
-            self.reactor, m.Hello(m.VERSION, "", "command", OPERATOR), self._receive, self._lost
+            self.reactor, m.Hello(m.PROTOCOL_VERSION, "", "command", OPERATOR), self._receive, self._lost
         )
         made = dial(self.reactor, "127.0.0.1", self.ports[self.tries % len(self.ports)], ANSWER_WITHIN, wire)
         made.addErrback(lambda failure: self._lost(wire))
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -217,7 +217,7 @@
                 wire.close()
 
         wire = FleetConnection(
-            reactor, m.Hello(m.VERSION, "", "command", "checker"), receive, lambda wire: None
+            reactor, m.Hello(m.PROTOCOL_VERSION, "", "command", "checker"), receive, lambda wire: None
         )
         dial(reactor, "127.0.0.1", steward.held.number, 1.0, wire).addErrback(lambda failure: None)
 
@@ -322,7 +322,8 @@
             for file in sorted((self.world.folder / f"{node.name}.acts").glob("acts-*")):
                 process = f"{node.name}#{file.name.removeprefix('acts-')}"
                 lines = [
-                    msgspec.json.decode(text, type=audit.Line) for text in file.read_bytes().splitlines()
+                    msgspec.json.decode(text, type=audit.AuditEntry)
+                    for text in file.read_bytes().splitlines()
                 ]
                 spans += final_checks.served(process, lines)
                 self.faults += final_checks.fences(process, lines)
--- a/bitternpath/testing/emulator/fleet/random_schedule.py
+++ b/bitternpath/testing/emulator/fleet/random_schedule.py
@@ -65,7 +65,7 @@
         self.sequence = 0
         names = [f"S{k}" for k in range(stewards)]
         members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
-        found = Entry(2, 1, EntryKind.COMMAND, p.item_bytes(p.Bootstrap(p.LeaseTerms(), "f")))
+        found = Entry(2, 1, EntryKind.COMMAND, p.encode_item(p.Bootstrap(p.LeaseTerms(), "f")))
         self.all = {name: One(name, PersistentState(term=1, entries=[members, found])) for name in names}
         for one in self.all.values():
             self._start(one)
@@ -114,13 +114,13 @@
         if one.writing:
             write = one.writing.pop(0)
             world.keep(one.disk, write)
-            one.replica.stored(one.now, write.number)
+            one.replica.write_completed(one.now, write.number)
             self._settle(one)
 
     def _ring(self) -> None:
         one = self._any()
         if one.replica.raft.role is MemberRole.LEADER and self.random.random() < 0.8:
-            one.now = one.replica.alarm  # a heartbeat
+            one.now = one.replica.next_timeout_at  # a heartbeat
         else:
             one.now += JUMP
         one.replica.tick(one.now)
@@ -155,18 +155,18 @@
 
     def _settle(self, one: One) -> None:
         replica, step = one.replica, float(self.step)
-        effects = replica.take(one.now)
-        for index, term, data in effects.applied:
+        effects = replica.take_effects(one.now)
+        for index, term, data in effects.committed:
             self.checker.applied(step, one.name, index, term, data)
-        for index, item in effects.agreed:
+        for index, item in effects.items:
             self.checker.agreed(step, replica.record, index, item)
         if replica.raft.role is MemberRole.LEADER:
             self.checker.leads(step, one.name, replica.raft.term)
             self.elected.setdefault(replica.raft.term, self.step)
         one.writing += effects.writes
-        for to, said in effects.send:
-            if isinstance(said, m.ForwardedReply) and isinstance(said.said, m.Lease):
-                self._granted(one, said.said)
+        for to, said in effects.messages:
+            if isinstance(said, m.ForwardedReply) and isinstance(said.reply, m.Lease):
+                self._granted(one, said.reply)
             self.flying.append(Flying(one.name, to, said))
         for _, answer in effects.replies:
             if isinstance(answer, m.Lease) and replica.raft.role is MemberRole.LEADER:
--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -12,7 +12,7 @@
 from bitternpath.balancer.fleet import audit
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.balancer.fleet.bootstrap import bootstrapped
+from bitternpath.balancer.fleet.bootstrap import bootstrap_state
 from bitternpath.balancer.fleet.leadership import PendingRequest
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
 from bitternpath.balancer.fleet.record_replica import RecordReplica
@@ -44,7 +44,7 @@
         self.left = {"time": scope.steps, "change": scope.changes, "crash": scope.crashes}
         self.left["cut"] = scope.cuts
         self.now = 0
-        self.disk = bootstrapped("S", TERMS, "f")
+        self.disk = bootstrap_state("S", TERMS, "f")
         self.channels = Channels()
         self.versions = 0
         self.broken = ""
@@ -52,7 +52,7 @@
         self.nodes: dict[str, LeaseHolder] = {}
         self.replica = self._new_replica()
         while self.catching_up:  # until it leads, and nothing is on the way
-            self.replica.tick(self.replica.alarm)
+            self.replica.tick(self.replica.next_timeout_at)
             self.settle()
         self.begun = self.replica.raft.now
         fixed: Any = FixedRandom()
@@ -60,8 +60,8 @@
             who = ProcessIdentity(f"n{k}", "b", "site", (1,))
             holder = LeaseHolder(who, ["S"], fixed, self.clock(k), lambda: 0.0, lambda plan: "")
             self.nodes[who.node] = holder
-            holder.dial = None
-            holder.up(self.clock(k), "S")
+            holder.server_to_dial = None
+            holder.connection_made(self.clock(k), "S")
             self.said(who.node)
 
     def _new_replica(self) -> RecordReplica:
@@ -87,7 +87,7 @@
         replica: RecordReplica = copied(self.replica)
         self.replica = replica
         replica.raft = copied(replica.raft)
-        replica.record = p.record_from(p.record_bytes(replica.record))
+        replica.record = p.decode_record(p.encode_record(replica.record))
         if replica.leadership is not None:
             replica.leadership = copied(replica.leadership)
         return replica
@@ -102,19 +102,29 @@
         replica, raft = self.replica, self.replica.raft
         leadership = replica.leadership
         holders = tuple(
-            (key, w.until, w.acting, w.have, w.digest, w.sent, w.behind_since, w.ending)
+            (
+                key,
+                w.expires_at,
+                w.applied_version,
+                w.validated_version,
+                w.digest,
+                w.last_sent_at,
+                w.behind_since,
+                w.end_proposed,
+            )
             for key, w in (leadership.holders.items() if leadership is not None else ())
         )
         pending: list[PendingRequest] = []
         own: tuple[Hashable, ...] = ()
         if leadership is not None:
             pending = [*leadership.awaiting_round, *leadership.awaiting_entry.values()]
-            own = (leadership.ready, leadership.release_index, tuple(leadership.joining.items()))
-        waiting = tuple((each.awaited, each.received, encoded(each.request)) for each in pending)
+            own = (leadership.ready, leadership.release_index, tuple(leadership.proposed_starts.items()))
+        waiting = tuple((each.awaited, each.received_at, encoded(each.request)) for each in pending)
         nodes = tuple(
-            (a.fencing_token, a._lost, a.until, a.plan.version, a.plan.digest, a.taken.version,
-             a.taken.digest, a.connected, a.latest, a._renew_at, a._answer_by, a._dial_at,
-             tuple((n.version, n.digest) for n in a._next))
+            (a.fencing_token, a._last_expired_token, a.expires_at, a.plan.version, a.plan.digest,
+             a.validated_plan.version, a.validated_plan.digest, a.connected_server, a.latest_version,
+             a._renew_at, a._reply_due_at, a._dial_at,
+             tuple((n.version, n.digest) for n in a._pending_plans))
             for a in self.nodes.values()
         )  # fmt: skip
         return (
@@ -137,16 +147,16 @@
             yield "a change", _agreed
         if self.left["crash"]:
             yield "S: ends and comes back", _steward_crash
-        if self.replica.alarm <= self.steward_clock():
+        if self.replica.next_timeout_at <= self.steward_clock():
             yield "S: its timer rings", _steward_ring
         for k, (name, holder) in enumerate(self.nodes.items()):
-            if holder.alarm <= self.clock(k) or holder.dial is not None:
+            if holder.next_timeout_at <= self.clock(k) or holder.server_to_dial is not None:
                 yield f"{name}: its timer rings", partial(_node_ring, name=name)
 
     def settle(self) -> None:
         """The steward's effects, and what must hold in every state."""
         while True:
-            effects = self.replica.take(self.steward_clock())
+            effects = self.replica.take_effects(self.steward_clock())
             for token, said in effects.replies:
                 if token >= 0:
                     self.channels = self.channels.with_message("S", f"n{token}", said)
@@ -154,17 +164,17 @@
                 break
             for write in effects.writes:
                 world.keep(self.disk, write)
-                self.replica.stored(self.steward_clock(), write.number)
+                self.replica.write_completed(self.steward_clock(), write.number)
         self.check()
 
     def said(self, name: str) -> None:
         """A node's effects."""
         holder = self.nodes[name]
-        sends, holder.sends = holder.sends, []
-        holder.acts.clear()
+        sends, holder.outgoing = holder.outgoing, []
+        holder.events.clear()
         holder.audit_log = audit.AuditLog("b")
         for said in sends:
-            if not isinstance(said, m.AuditLines):
+            if not isinstance(said, m.AuditEntries):
                 self.channels = self.channels.with_message(name, "S", said)
         self.check()
 
@@ -173,7 +183,7 @@
         holders = {h.node: h.fencing_token for h in self.replica.record.holders.values()}
         acting = {}
         for k, (name, holder) in enumerate(self.nodes.items()):
-            if holder.fencing_token and self.clock(k) < holder.until:
+            if holder.fencing_token and self.clock(k) < holder.expires_at:
                 acting[name] = holder.plan.version
                 if holders.get(name, 0) < holder.fencing_token and not self.catching_up:
                     self.broken = f"{name} may act under fence {holder.fencing_token}, which is let go of"
@@ -193,7 +203,7 @@
         state.settle()
         return
     holder, k = state.own_node(to), int(to[1:])
-    if holder.connected:
+    if holder.connected_server:
         holder.receive(state.clock(k), said)
         state.said(to)
 
@@ -221,7 +231,7 @@
     state.left["crash"] -= 1
     state.disk = world.kept_copy(state.disk)
     state.replica = state._new_replica()
-    state.replica.tick(state.replica.alarm)  # alone, it may stand at once
+    state.replica.tick(state.replica.next_timeout_at)  # alone, it may stand at once
     state.settle()
 
 
@@ -232,9 +242,9 @@
 
 def _node_ring(state: Leases, name: str) -> None:
     holder, k = state.own_node(name), int(name[1:])
-    if holder.dial is not None:
-        holder.dial, holder.hang_up = None, False
-        holder.up(state.clock(k), "S")
+    if holder.server_to_dial is not None:
+        holder.server_to_dial, holder.disconnect = None, False
+        holder.connection_made(state.clock(k), "S")
     else:
         holder.tick(state.clock(k))
     state.said(name)
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -19,7 +19,7 @@
 from bitternpath.balancer.fleet import audit
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.balancer.fleet.bootstrap import bootstrapped
+from bitternpath.balancer.fleet.bootstrap import bootstrap_state
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
 from bitternpath.balancer.fleet.record_replica import RecordReplica
 from bitternpath.replication.records import MemberRole, PersistentState, RaftTiming, StorageWrite
@@ -130,7 +130,7 @@
             lambda: self.world.later.now, self.world.times,
         )  # fmt: skip
         for name in self.world.stewards:
-            self.replica.met(name)
+            self.replica.identify_member(name)
         self.settle()
 
     def kill(self) -> None:
@@ -154,7 +154,7 @@
         keep(self.disk, write)
         if self._writing:
             self._write()
-        self.replica.stored(self.clock(), write.number)
+        self.replica.write_completed(self.clock(), write.number)
 
     def _write(self) -> None:
         wait = self.world.random.uniform(*SYNC) + self.slow_disk
@@ -162,10 +162,10 @@
 
     def settle(self) -> None:
         world, replica = self.world, self.replica
-        effects = replica.take(self.clock())
-        for index, term, data in effects.applied:
+        effects = replica.take_effects(self.clock())
+        for index, term, data in effects.committed:
             world.checker.applied(world.later.now, self.name, index, term, data)
-        for index, item in effects.agreed:
+        for index, item in effects.items:
             world.checker.agreed(world.later.now, replica.record, index, item)
         if replica.raft.role is MemberRole.LEADER:
             world.checker.leads(world.later.now, self.name, replica.raft.term)
@@ -174,7 +174,7 @@
             self._writing += effects.writes
             if idle:
                 self._write()
-        for to, said in effects.send:
+        for to, said in effects.messages:
             other = world.stewards.get(to)
             if other is not None:
                 world.send(
@@ -186,7 +186,7 @@
                 world.send(
                     self.name, host.name, partial(host.do, life, partial(host.receive, token, answer))  # type: ignore[attr-defined]
                 )  # fmt: skip
-        self._ring_at(replica.alarm)
+        self._ring_at(replica.next_timeout_at)
 
 
 class NodeHost(Host):
@@ -196,7 +196,7 @@
         super().__init__(world, name)
         self.site = site
         self.keeps = int(name[1:]) % 2 == 1  # whether it has a folder that lasts
-        self.folder: dict[str, list[audit.Line]] = {}
+        self.folder: dict[str, list[audit.AuditEntry]] = {}
         self.disk_free = 0.0  # when its disk has done all that it was given
         self.holder: Any = None
         self.token = 0
@@ -211,11 +211,11 @@
             lambda: self.world.later.now, self.world.check,
         )  # fmt: skip
         for boot, lines in self.folder.items():
-            audit_log, why = audit.read_back(boot, lines)
+            audit_log, why = audit.restore_audit_log(boot, lines)
             assert not why
-            self.holder.older.append(audit_log)
+            self.holder.earlier_audit_logs.append(audit_log)
         if self.keeps:
-            self.holder.audit_log.written = 0
+            self.holder.audit_log.written_upto = 0
         self.settle()
         self._act(self.life)
 
@@ -231,7 +231,7 @@
         self.do(life, self.act)
 
     def act(self) -> None:
-        if self.holder.holds(self.clock()):
+        if self.holder.holds_lease(self.clock()):
             now, holder = self.world.later.now, self.holder
             self.world.checker.act(now, self.process, holder.plan, holder.fencing_token)
             self.world.look()
@@ -246,7 +246,7 @@
     def cut_off(self, steward: str) -> None:
         if steward == self.steward:
             self.steward = ""
-            self.holder.lost(self.clock())
+            self.holder.connection_lost(self.clock())
 
     def _connect(self, steward: str) -> None:
         """The handshake goes there and back."""
@@ -265,20 +265,20 @@
     def _up(self, steward: str, token: int) -> None:
         if token == self.token and not self.steward:
             self.steward = steward
-            self.holder.up(self.clock(), steward)
+            self.holder.connection_made(self.clock(), steward)
 
     def _dialled_in_vain(self, token: int) -> None:
         if token == self.token and not self.steward:
-            self.holder.lost(self.clock())
+            self.holder.connection_lost(self.clock())
 
-    def _wrote(self, lines: list[audit.Line]) -> None:
-        kept = self.folder.setdefault(self.holder.who.boot, [])
+    def _wrote(self, lines: list[audit.AuditEntry]) -> None:
+        kept = self.folder.setdefault(self.holder.identity.boot, [])
         kept += lines
-        self.holder.wrote(self.clock(), len(kept))
+        self.holder.audit_written(self.clock(), len(kept))
 
     def settle(self) -> None:
         holder, world = self.holder, self.world
-        sends, holder.sends = holder.sends, []
+        sends, holder.outgoing = holder.outgoing, []
         if sends and self.steward:
             other = world.stewards[self.steward]
             for said in sends:
@@ -289,10 +289,10 @@
                         partial(other.receive_request, self, self.token, self.life, said),
                     ),
                 )  # fmt: skip
-        if not holder.connected:
+        if not holder.connected_server:
             self.steward = ""
-        if holder.dial is not None:
-            dial, holder.dial = holder.dial, None
+        if holder.server_to_dial is not None:
+            dial, holder.server_to_dial = holder.server_to_dial, None
             self._connect(dial)
         if holder.audit_log.fresh:
             lines, holder.audit_log.fresh = holder.audit_log.fresh, []
@@ -302,14 +302,14 @@
                 world.later.callLater(
                     self.disk_free - world.later.now, self.do, self.life, partial(self._wrote, lines)
                 )
-        if holder.acts:
-            acts, holder.acts = holder.acts, []
+        if holder.events:
+            acts, holder.events = holder.events, []
             for act in acts:
-                world.checker.did(self.process, act.what, act.version, act.fencing_token)
-                if act.what in ("joined", "acts"):
+                world.checker.did(self.process, act.kind, act.version, act.fencing_token)
+                if act.kind in ("joined", "acts"):
                     world.checker.act(world.later.now, self.process, holder.plan, act.fencing_token)
             world.look()
-        self._ring_at(holder.alarm)
+        self._ring_at(holder.next_timeout_at)
 
 
 class OperatorHost(Host):
@@ -384,7 +384,7 @@
         names = [f"S{k}" for k in range(stewards)]
         self.stewards = {
             name: StewardHost(
-                self, name, bootstrapped(name, terms, "f") if name == "S0" else PersistentState()
+                self, name, bootstrap_state(name, terms, "f") if name == "S0" else PersistentState()
             )
             for name in names
         }
@@ -436,7 +436,7 @@
         holding: dict[str, int] = {}
         for node in self.nodes.values():
             holder = node.holder
-            if node.up and holder.fencing_token and node.clock() < holder.until:
+            if node.up and holder.fencing_token and node.clock() < holder.expires_at:
                 holding[node.process] = holder.plan.version
         self.checker.hold(self.later.now, holding)
 
@@ -450,11 +450,19 @@
             return f"version {record.latest.version} is agreed, {record.released.version} released"
         for node in self.nodes.values():
             holder = node.holder
-            if node.up and not node.stalled and not (holder.fencing_token and node.clock() < holder.until):
-                return f"{node.name} has no lease: {holder.withheld}"
+            if (
+                node.up
+                and not node.stalled
+                and not (holder.fencing_token and node.clock() < holder.expires_at)
+            ):
+                return f"{node.name} has no lease: {holder.refusal}"
             if node.up and holder.plan.version != record.released.version:
                 return f"{node.name} acts on {holder.plan.version} of {record.released.version}"
-            if node.up and not node.stalled and (holder.audit_log.unheard or holder.older):
+            if (
+                node.up
+                and not node.stalled
+                and (holder.audit_log.unacknowledged or holder.earlier_audit_logs)
+            ):
                 return f"{node.name}: lines of its audit are not heard of"
         alive = {node.process for node in self.nodes.values() if node.up}
         if dead := record.holders.keys() - alive:
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -89,7 +89,7 @@
         until(lambda: len(self.status()["voters"]) == len(self.stewards), "all vote")
 
     def ask(self, command: m.Command, within: float = LONG) -> m.CommandReply:
-        return client.ask(self.at, command, "test", within)
+        return client.send_command(self.at, command, "test", within)
 
     def change(self, id: str, change: Any) -> int:
         answer = self.ask(m.Propose(id, "test", "a test", change))
@@ -101,7 +101,7 @@
 
     def known(self, name: str) -> dict[str, Any]:
         """What one steward knows by itself."""
-        answer = client.ask({name: self.at[name]}, m.Query("status", stale=True), "test", LONG)
+        answer = client.send_command({name: self.at[name]}, m.Query("status", stale=True), "test", LONG)
         return dict(msgspec.msgpack.decode(answer.data))
 
     def leader(self) -> ConsensusServerProcess:
--- a/tests/system/pinned/program.py
+++ b/tests/system/pinned/program.py
@@ -60,7 +60,7 @@
     "snapshot": replication_records.Snapshot,
     "fleet plan": fleet_plan.Plan,
     "fleet record": fleet_plan.Record,
-    "audit line": fleet_audit.Line,
+    "audit line": fleet_audit.AuditEntry,
 }
 
 # Unions of tagged records of the older node, with the function that encodes one and the one that decodes.
@@ -70,10 +70,10 @@
 CONSENSUS_MESSAGES: Any = replication_messages.Message
 FLEET_ITEMS: Any = fleet_plan.Item
 HANDOVER_MESSAGES: Any = handover_messages.Message
-fleet_frame = fleet_messages.frame
-FleetFrames = fleet_messages.Frames
-fleet_item_bytes = fleet_plan.item_bytes
-fleet_item_from = fleet_plan.item_from
+fleet_frame = fleet_messages.encode_frame
+FleetFrames = fleet_messages.FrameDecoder
+fleet_item_bytes = fleet_plan.encode_item
+fleet_item_from = fleet_plan.decode_item
 handover_line = handover_messages.line
 HandoverLines = handover_messages.Lines
 
@@ -115,12 +115,12 @@
 LogEntry: Any = replication_records.Entry
 LogSnapshot: Any = replication_records.Snapshot
 LogMembers: Any = replication_records.Members
-fleet_record_bytes: Any = fleet_plan.record_bytes
-fleet_record_from: Any = fleet_plan.record_from
+fleet_record_bytes: Any = fleet_plan.encode_record
+fleet_record_from: Any = fleet_plan.decode_record
 FleetPlan: Any = fleet_plan.Plan
-AuditLine: Any = fleet_audit.Line
+AuditLine: Any = fleet_audit.AuditEntry
 AuditLedger: Any = fleet_audit.AuditLog
-NodeFolder: Any = fleet_files.Folder
+NodeFolder: Any = fleet_files.NodeFolder
 ManualEjections: Any = ejection_files.EjectionFiles
 node_settings_from: Any = node_settings.settings_from
 load_node_config: Any = node_config.load
--- a/tests/test_fleet_consensus_servers.py
+++ b/tests/test_fleet_consensus_servers.py
@@ -50,16 +50,17 @@
         old = made.leader()
         old.send(signal.SIGSTOP)
         others = {name: at for name, at in made.at.items() if name != old.name}
-        answer = client.ask(others, m.Propose("a", "test", "", p.EjectWorker("w1")), "test", 30.0)
+        answer = client.send_command(others, m.Propose("a", "test", "", p.EjectWorker("w1")), "test", 30.0)
         assert answer.ok
         # What is asked of it while it sleeps lies in its buffers, and is answered when it wakes: with a no.
         with socket.create_connection(made.at[old.name]) as asleep:
-            hello = m.Hello(m.VERSION, "", "command", "test")
+            hello = m.Hello(m.PROTOCOL_VERSION, "", "command", "test")
             asleep.sendall(
-                m.frame(hello) + m.frame(m.CommandRequest(1, m.Propose("b", "test", "", p.EjectWorker("w1"))))
+                m.encode_frame(hello)
+                + m.encode_frame(m.CommandRequest(1, m.Propose("b", "test", "", p.EjectWorker("w1"))))
             )
             old.send(signal.SIGCONT)
-            frames, said = m.Frames(), list[m.FleetMessage]()
+            frames, said = m.FrameDecoder(), list[m.FleetMessage]()
             asleep.settimeout(30)
             while not any(isinstance(each, m.CommandReply) for each in said):
                 said += frames.feed(asleep.recv(65536))
@@ -179,8 +180,8 @@
         made.start()
         at = made.at["S1"]
         never_reads = socket.create_connection(at)
-        never_reads.sendall(m.frame(m.Hello(m.VERSION, "", "command", "x")))
-        look = m.frame(m.CommandRequest(1, m.Query("status", stale=True)))
+        never_reads.sendall(m.encode_frame(m.Hello(m.PROTOCOL_VERSION, "", "command", "x")))
+        look = m.encode_frame(m.CommandRequest(1, m.Query("status", stale=True)))
         for rubbish in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, b"\x00\x00\x00\x01\xc0", look):
             with socket.create_connection(at) as bad, contextlib.suppress(ConnectionResetError):
                 bad.sendall(rubbish)
@@ -188,9 +189,9 @@
                 while bad.recv(65536):
                     pass
         with socket.create_connection(at) as newer:
-            newer.sendall(m.frame(m.Hello(m.VERSION + 1, "", "agent", "n1#b")))
+            newer.sendall(m.encode_frame(m.Hello(m.PROTOCOL_VERSION + 1, "", "agent", "n1#b")))
             newer.settimeout(30)
-            frames, said = m.Frames(), list[m.FleetMessage]()
+            frames, said = m.FrameDecoder(), list[m.FleetMessage]()
             while not any(isinstance(each, m.Refused) for each in said):
                 said += frames.feed(newer.recv(65536))
         never_reads.settimeout(30)
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -117,16 +117,16 @@
 # ---- final checks
 
 
-def written(*told: tuple[str, int, int, str]) -> list[audit.Line]:
+def written(*told: tuple[str, int, int, str]) -> list[audit.AuditEntry]:
     audit_log = audit.AuditLog("b")
     for k, (what, version, fencing_token, detail) in enumerate(told):
         audit_log.add(100.0 + k, what, version, fencing_token, detail)
-    return list(audit_log.unheard)
+    return list(audit_log.unacknowledged)
 
 
-def account(lines: list[audit.Line], **more: Any) -> dict[str, Any]:
+def account(lines: list[audit.AuditEntry], **more: Any) -> dict[str, Any]:
     made = audit.ProcessAudit("n", "b")
-    made.take(tuple(lines), 0)
+    made.add_entries(tuple(lines), 0)
     return msgspec.to_builtins(made) | {"unheard": []} | more
 
 
--- a/tests/test_fleet_lease_renewal.py
+++ b/tests/test_fleet_lease_renewal.py
@@ -17,14 +17,14 @@
     """A holder that has asked its one server for a lease at `now`."""
     who = ProcessIdentity("n0", "b007", "", (1,))
     holder = LeaseHolder(who, ["S1"], Random(1), now, lambda: now, lambda plan: "")
-    holder.dial = None
-    holder.up(now, "S1")
+    holder.server_to_dial = None
+    holder.connection_made(now, "S1")
     return holder
 
 
 def requests(holder: LeaseHolder) -> list[m.RenewLease]:
     """Requests since the last call."""
-    sent, holder.sends = holder.sends, []
+    sent, holder.outgoing = holder.outgoing, []
     return [message for message in sent if isinstance(message, m.RenewLease)]
 
 
@@ -38,7 +38,7 @@
     holder = connected_holder(100.0)
     (first,) = requests(holder)
     holder.receive(100.0 + length / 10, granted(first.sent, length))
-    assert holder.alarm <= 100.0 + length * RENEWAL_SHARE
+    assert holder.next_timeout_at <= 100.0 + length * RENEWAL_SHARE
     holder.tick(100.0 + length * RENEWAL_SHARE)
     (renewal,) = requests(holder)
     assert renewal.fencing_token == TOKEN
@@ -51,15 +51,15 @@
     holder.tick(101.0)
     requests(holder)
     holder.receive(101.1, granted(101.0, length))
-    assert holder.alarm <= 101.0 + length * RENEWAL_SHARE
+    assert holder.next_timeout_at <= 101.0 + length * RENEWAL_SHARE
 
 
 def test_a_lease_that_comes_when_the_connection_is_lost_plans_no_renewal() -> None:
     holder = connected_holder(100.0)
-    holder.lost(100.1)
+    holder.connection_lost(100.1)
     requests(holder)
     holder.receive(100.2, granted(100.0, 1.0))
-    dial_at = holder.alarm
+    dial_at = holder.next_timeout_at
     holder.tick(dial_at)
     assert not requests(holder)
     assert dial_at > 100.1
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -12,7 +12,7 @@
 
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.balancer.fleet.bootstrap import bootstrapped
+from bitternpath.balancer.fleet.bootstrap import bootstrap_state
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.messages import (
@@ -120,23 +120,23 @@
     holder = LeaseHolder(
         ProcessIdentity("n", "b", "s", (1,)), ["S"], Random(1), 0.0, lambda: 0.0, lambda plan: ""
     )
-    holder.up(0.0, "S")
+    holder.connection_made(0.0, "S")
     for fencing_token in (6, 7, 6):
         holder.receive(0.1, m.Lease(0.0, 1.0, fencing_token, 0, b""))
-    assert holder.fencing_token == 7 and [act.fencing_token for act in holder.acts] == [6, 7]
+    assert holder.fencing_token == 7 and [act.fencing_token for act in holder.events] == [6, 7]
 
 
 def test_a_lease_that_is_over_is_not_found_again() -> None:
     holder = LeaseHolder(
         ProcessIdentity("n", "b", "s", (1,)), ["S"], Random(1), 0.0, lambda: 0.0, lambda plan: ""
     )
-    holder.up(0.0, "S")
+    holder.connection_made(0.0, "S")
     holder.receive(0.1, m.Lease(0.0, 1.0, 6, 0, b""))
-    assert holder.holds(0.9) and not holder.holds(1.0)
+    assert holder.holds_lease(0.9) and not holder.holds_lease(1.0)
     holder.receive(1.1, m.Lease(0.8, 1.0, 6, 0, b""))  # a renewal that was on its way
-    assert not holder.holds(1.1)
+    assert not holder.holds_lease(1.1)
     holder.receive(1.2, m.Lease(1.1, 1.0, 9, 0, b""))
-    assert holder.holds(1.3) and holder.fencing_token == 9
+    assert holder.holds_lease(1.3) and holder.fencing_token == 9
 
 
 def test_one_seed_is_one_run() -> None:
@@ -219,10 +219,10 @@
     record.apply(2, joined)
     record.apply(3, p.LeaseEnded("n", "b", 2, "its lease is over", 20.0))
     record.apply(4, p.AuditRecorded("other", "b", (), 0, 30.0))
-    unheard = record.accounts["n#b"].says_missing(False)
+    unheard = record.process_audits["n#b"].missing_entries(False)
     assert unheard == ["nothing heard after act 0 of what it did under fence 2"]
-    record.apply(5, p.AuditRecorded("other", "b", (), 0, 20.1 + p.KEPT_FOR))
-    assert "n#b" not in record.accounts
+    record.apply(5, p.AuditRecorded("other", "b", (), 0, 20.1 + p.AUDIT_RETENTION))
+    assert "n#b" not in record.process_audits
 
 
 def test_what_is_agreed_is_never_cut() -> None:
@@ -235,7 +235,7 @@
 
 
 def test_the_only_member_leads_once_its_vote_is_stored() -> None:
-    member = Raft("a", bootstrapped("a", p.LeaseTerms(), "f"), Random(1), 0.0)
+    member = Raft("a", bootstrap_state("a", p.LeaseTerms(), "f"), Random(1), 0.0)
     member.tick(9.0)
     first = member.take_effects(9.0)
     assert member.role is MemberRole.PRE_CANDIDATE or first.writes
@@ -258,7 +258,7 @@
 def test_a_change_that_is_asked_for_again_is_one_change() -> None:
     record = p.Record()
     assert not adopt(record, 1, p.EjectWorker("w1"), "c") and not adopt(record, 2, p.EjectWorker("w1"), "c")
-    assert record.latest.version == 1 and record.ids == {"c": 1}
+    assert record.latest.version == 1 and record.change_versions == {"c": 1}
 
 
 def test_a_version_that_is_withdrawn_changes_nothing_and_stays_in_the_record() -> None:
@@ -278,7 +278,7 @@
     adopt(record, 1, p.EjectWorker("w1"))
     adopt(record, 2, p.ReinstateWorker("w1"))
     assert "version 2 rests on it" in record.apply(3, p.WithdrawVersion(1, "ana", ""))
-    assert len(record.waiting) == 2 and record.changes[0].change == p.EjectWorker("w1")
+    assert len(record.unreleased) == 2 and record.changes[0].change == p.EjectWorker("w1")
 
 
 @pytest.mark.parametrize(
@@ -306,15 +306,15 @@
 def test_messages_survive_the_wire_in_any_pieces_and_rubbish_ends_it() -> None:
     renew = m.RenewLease("n1", "b", "suva", (1, 2), "serve", 1.5, 7, 3, 4, b"d")
     said: list[m.FleetMessage] = [
-        m.Hello(m.VERSION, "vanua", "agent", "n1#b"), renew, m.ForwardedRequest(4, renew),
+        m.Hello(m.PROTOCOL_VERSION, "vanua", "agent", "n1#b"), renew, m.ForwardedRequest(4, renew),
         m.Consensus(AppendEntries(2, 0, 0, (Entry(1, 2, EntryKind.COMMAND, b"x"),), 1, 1)),
         m.CommandRequest(1, m.Propose("c", "ana", "because", p.SetClass("lookup", {"aim": 50.0}))),
     ]  # fmt: skip
-    data = b"".join(m.frame(each) for each in said)
-    frames, found = m.Frames(), []
+    data = b"".join(m.encode_frame(each) for each in said)
+    frames, found = m.FrameDecoder(), []
     for at in range(len(data)):
         found += frames.feed(data[at : at + 1])
     assert found == said
     for rubbish in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x03abc", b"\x00\x00\x00\x01\xc0"):
         with pytest.raises(m.WireError):
-            m.Frames().feed(rubbish)
+            m.FrameDecoder().feed(rubbish)
