--- a/bitternpath/balancer/fleet/audit.py
+++ b/bitternpath/balancer/fleet/audit.py
@@ -42,17 +42,20 @@
 
 
 def next_entry(
-    before: bytes, number: int, at: float, what: str, version: int, fencing_token: int, detail: str
+    previous_link: bytes, number: int, at: float, what: str, version: int, fencing_token: int, detail: str
 ) -> AuditEntry:
     """The line that follows."""
     content = msgspec.msgpack.encode((number, at, what, version, fencing_token, detail))
     return AuditEntry(
-        number, at, what, version, fencing_token, detail, blake3(before + content).digest(DIGEST_BYTES)
+        number, at, what, version, fencing_token, detail, blake3(previous_link + content).digest(DIGEST_BYTES)
     )
 
 
-def follows(before: bytes, line: AuditEntry) -> bool:
-    return next_entry(before, *(getattr(line, name) for name in AuditEntry.__struct_fields__[:-1])) == line
+def follows(previous_link: bytes, entry: AuditEntry) -> bool:
+    return (
+        next_entry(previous_link, *(getattr(entry, name) for name in AuditEntry.__struct_fields__[:-1]))
+        == entry
+    )
 
 
 class AuditLog:
@@ -68,10 +71,10 @@
 
     def add(self, at: float, what: str, version: int, fencing_token: int, detail: str = "") -> None:
         self.number += 1
-        line = next_entry(self.link, self.number, at, what, version, fencing_token, detail)
-        self.link = line.link
-        self.fresh.append(line)
-        self.unacknowledged.append(line)
+        entry = next_entry(self.link, self.number, at, what, version, fencing_token, detail)
+        self.link = entry.link
+        self.fresh.append(entry)
+        self.unacknowledged.append(entry)
         if len(self.unacknowledged) > MAX_UNACKNOWLEDGED_ENTRIES:
             self.unacknowledged.popleft()
 
@@ -83,22 +86,24 @@
     @property
     def next_batch(self) -> tuple[AuditEntry, ...]:
         """What to send now."""
-        known = self.number if self.written_upto is None else self.written_upto
+        sendable_upto = self.number if self.written_upto is None else self.written_upto
         return tuple(
-            line for line in islice(self.unacknowledged, ENTRIES_PER_MESSAGE) if line.number <= known
+            entry
+            for entry in islice(self.unacknowledged, ENTRIES_PER_MESSAGE)
+            if entry.number <= sendable_upto
         )
 
 
-def restore_audit_log(boot: str, lines: list[AuditEntry]) -> tuple[AuditLog, str]:
+def restore_audit_log(boot: str, entries: list[AuditEntry]) -> tuple[AuditLog, str]:
     """The ledger of an earlier process from its file, and what is wrong with the file; empty: nothing."""
-    audit_log, why = AuditLog(boot), ""
+    audit_log, fault = AuditLog(boot), ""
     audit_log.ended = True
-    for line in lines:
-        if not why and (line.number != audit_log.number + 1 or not follows(audit_log.link, line)):
-            why = f"line {line.number} does not follow from line {audit_log.number}"
-        audit_log.number, audit_log.link = line.number, line.link
-        audit_log.unacknowledged.append(line)
-    return audit_log, why
+    for entry in entries:
+        if not fault and (entry.number != audit_log.number + 1 or not follows(audit_log.link, entry)):
+            fault = f"line {entry.number} does not follow from line {audit_log.number}"
+        audit_log.number, audit_log.link = entry.number, entry.link
+        audit_log.unacknowledged.append(entry)
+    return audit_log, fault
 
 
 class ProcessAudit(Struct):
@@ -116,71 +121,75 @@
     missing: list[tuple[int, int]] = []  # numbers that never came, from and to
     faults: list[str] = []
 
-    def add_entries(self, lines: tuple[AuditEntry, ...], final: int) -> None:
+    def add_entries(self, entries: tuple[AuditEntry, ...], final_count: int) -> None:
         """Lines in any order of messages; `final`: how many the file of one that has ended has, else 0."""
-        if 0 < final < self.upto:
-            self._add_fault(f"its file has {final} lines, and {self.upto} were heard: cut")
-        for line in lines:
-            if line.number <= self.upto:
-                kept = next((old for old in self.entries if old.number == line.number), line)
-                if kept != line:
-                    self._add_fault(f"line {line.number} is another one than was heard before: changed")
+        if 0 < final_count < self.upto:
+            self._add_fault(f"its file has {final_count} lines, and {self.upto} were heard: cut")
+        for entry in entries:
+            if entry.number <= self.upto:
+                recorded = next((known for known in self.entries if known.number == entry.number), entry)
+                if recorded != entry:
+                    self._add_fault(f"line {entry.number} is another one than was heard before: changed")
                 continue
-            if line.number > self.upto + 1:
-                self.missing.append((self.upto + 1, line.number - 1))
-            elif not follows(self.link, line):
-                self._add_fault(f"line {line.number} does not follow from line {self.upto}: changed")
-            self.upto, self.link = line.number, line.link
-            self.entries.append(line)
+            if entry.number > self.upto + 1:
+                self.missing.append((self.upto + 1, entry.number - 1))
+            elif not follows(self.link, entry):
+                self._add_fault(f"line {entry.number} does not follow from line {self.upto}: changed")
+            self.upto, self.link = entry.number, entry.link
+            self.entries.append(entry)
         if len(self.entries) > MAX_ENTRIES_PER_PROCESS:
             self.dropped += len(self.entries) - MAX_ENTRIES_PER_PROCESS
             del self.entries[:-MAX_ENTRIES_PER_PROCESS]
 
-    def end_lease(self, fencing_token: int, at: float, why: str) -> None:
+    def end_lease(self, fencing_token: int, at: float, reason: str) -> None:
         """Its lease is over for the stewards."""
-        self.ended_leases.append((fencing_token, at, why))
+        self.ended_leases.append((fencing_token, at, reason))
         del self.ended_leases[:-MAX_ENDED_LEASES]
 
-    def matches_recorded(self, lines: tuple[AuditEntry, ...]) -> bool:
+    def matches_recorded(self, entries: tuple[AuditEntry, ...]) -> bool:
         """Whether lines that were heard before are the same again."""
-        kept = {line.number: line for line in self.entries}
-        return all(kept.get(line.number, line) == line for line in lines)
+        recorded = {entry.number: entry for entry in self.entries}
+        return all(recorded.get(entry.number, entry) == entry for entry in entries)
 
     def drop_entries_before(self, before: float) -> None:
         """Lines older than that are not kept."""
-        keep = [line for line in self.entries if line.at >= before]
-        self.dropped += len(self.entries) - len(keep)
-        self.entries = keep
+        kept = [entry for entry in self.entries if entry.at >= before]
+        self.dropped += len(self.entries) - len(kept)
+        self.entries = kept
 
-    def _add_fault(self, why: str) -> None:
-        if why not in self.faults:
-            self.faults.append(why)
+    def _add_fault(self, fault: str) -> None:
+        if fault not in self.faults:
+            self.faults.append(fault)
 
-    def missing_entries(self, holds: bool) -> list[str]:
+    def missing_entries(self, has_lease: bool) -> list[str]:
         """What is missing, in words; `holds`: it has a lease, so that more may be on its way."""
-        named = [
-            f"act {a} not heard of" if a == b else f"acts {a} to {b} not heard of" for a, b in self.missing
+        missing = [
+            f"act {first} not heard of" if first == end else f"acts {first} to {end} not heard of"
+            for first, end in self.missing
         ]
         last = next(
             (
-                line
-                for line in reversed(self.entries)
-                if line.what in (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
+                entry
+                for entry in reversed(self.entries)
+                if entry.what in (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
             ),
             None,
         )
-        heard = (
+        complete = (
             self.last_fencing_token == 0
             if last is None
             else last.fencing_token >= self.last_fencing_token and last.what in LEASE_END_KINDS
         )
-        if not holds and not heard:
-            named.append(
+        if not has_lease and not complete:
+            missing.append(
                 f"nothing heard after act {self.upto} of what it did under fence {self.last_fencing_token}"
             )
-        return named
+        return missing
 
-    def last_state_at(self, when: float) -> AuditEntry | None:
+    def last_state_at(self, time: float) -> AuditEntry | None:
         """The last line by then that tells on what it acted, or that it did not."""
-        told = (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
-        return next((line for line in reversed(self.entries) if line.at <= when and line.what in told), None)
+        state_kinds = (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
+        return next(
+            (entry for entry in reversed(self.entries) if entry.at <= time and entry.what in state_kinds),
+            None,
+        )
--- a/bitternpath/balancer/fleet/client.py
+++ b/bitternpath/balancer/fleet/client.py
@@ -21,66 +21,70 @@
     """Nobody who could answer did in time; the text says what each said."""
 
 
-def _send_to_server(at: Address, request: m.CommandRequest, name: str, within: float) -> m.CommandReply:
-    until = time.monotonic() + within
-    with socket.create_connection(at, within) as link:
-        link.sendall(
+def _send_to_server(address: Address, request: m.CommandRequest, name: str, timeout: float) -> m.CommandReply:
+    deadline = time.monotonic() + timeout
+    with socket.create_connection(address, timeout) as connection:
+        connection.sendall(
             m.encode_frame(m.Hello(m.PROTOCOL_VERSION, "", "command", name)) + m.encode_frame(request)
         )
-        frames = m.FrameDecoder()
-        while (left := until - time.monotonic()) > 0:
-            link.settimeout(left)
-            data = link.recv(RECEIVE_BYTES)
+        decoder = m.FrameDecoder()
+        while (remaining := deadline - time.monotonic()) > 0:
+            connection.settimeout(remaining)
+            data = connection.recv(RECEIVE_BYTES)
             if not data:
                 break
-            for said in frames.feed(data):
-                if isinstance(said, m.CommandReply) and said.number == request.number:
-                    return said
-                if isinstance(said, m.Refused):
-                    return m.CommandReply(request.number, False, said.reason)
+            for message in decoder.feed(data):
+                if isinstance(message, m.CommandReply) and message.number == request.number:
+                    return message
+                if isinstance(message, m.Refused):
+                    return m.CommandReply(request.number, False, message.reason)
     raise TimeoutError("no answer")
 
 
-def is_transient(answer: m.CommandReply) -> bool:
+def is_transient(reply: m.CommandReply) -> bool:
     """Whether the same question may be answered soon."""
-    return not answer.ok and ("leader" in answer.text or "again" in answer.text)
+    return not reply.ok and ("leader" in reply.text or "again" in reply.text)
 
 
 def send_command(
-    servers: Mapping[str, Address], command: m.Command, name: str, within: float
+    servers: Mapping[str, Address], command: m.Command, name: str, timeout: float
 ) -> m.CommandReply:
     """Ask any steward, again until one answers or the time is up; NoAnswerError then."""
-    until, said = time.monotonic() + within, dict.fromkeys(servers, "not asked")
+    deadline, failures = time.monotonic() + timeout, dict.fromkeys(servers, "not asked")
     while True:
-        for server, at in servers.items():
+        for server, address in servers.items():
             try:
-                answer = _send_to_server(at, m.CommandRequest(1, command), name, min(REPLY_TIMEOUT, within))
+                reply = _send_to_server(
+                    address, m.CommandRequest(1, command), name, min(REPLY_TIMEOUT, timeout)
+                )
             except (OSError, m.WireError) as error:
-                said[server] = str(error) or type(error).__name__
+                failures[server] = str(error) or type(error).__name__
                 continue
-            if not is_transient(answer):
-                return answer
-            said[server] = answer.text
-        if time.monotonic() >= until:
-            raise NoAnswerError("; ".join(f"{server}: {why}" for server, why in said.items()))
+            if not is_transient(reply):
+                return reply
+            failures[server] = reply.text
+        if time.monotonic() >= deadline:
+            raise NoAnswerError("; ".join(f"{server}: {failure}" for server, failure in failures.items()))
         time.sleep(RETRY_INTERVAL)
 
 
 def query(
-    servers: Mapping[str, Address], command: m.Query, name: str, within: float
+    servers: Mapping[str, Address], command: m.Query, name: str, timeout: float
 ) -> tuple[dict[str, Any], str]:
     """What is known, and why it may be old: empty where a majority stands behind it."""
     try:
-        answer, why = send_command(servers, command, name, within), ""
+        reply, failure = send_command(servers, command, name, timeout), ""
     except NoAnswerError as error:
-        why, found = str(error), []
-        stale = msgspec.structs.replace(command, stale=True)
-        for at in servers.values():
+        failure, replies = str(error), []
+        stale_query = msgspec.structs.replace(command, stale=True)
+        for address in servers.values():
             try:
-                found.append(_send_to_server(at, m.CommandRequest(1, stale), name, REPLY_TIMEOUT))
+                replies.append(
+                    _send_to_server(address, m.CommandRequest(1, stale_query), name, REPLY_TIMEOUT)
+                )
             except (OSError, m.WireError):
                 continue
-        if not found:
+        if not replies:
             raise
-        answer = max(found, key=lambda each: msgspec.msgpack.decode(each.data)["applied"])
-    return dict(msgspec.msgpack.decode(answer.data)), why
+        reply = max(replies, key=lambda each: msgspec.msgpack.decode(each.data)["applied"])
+    return dict(msgspec.msgpack.decode(reply.data)), failure
--- a/bitternpath/balancer/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -20,65 +20,67 @@
     """Commands of operators, while this member leads; the status also where it doesn't."""
 
     def _handle_command(
-        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest
+        self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest
     ) -> None:
-        match ask.command:
+        match request.command:
             case m.Query():
-                waits = PendingRequest(self.raft.request_heartbeat_round(), now, route, ask)
-                leadership.awaiting_round.append(waits)
+                pending = PendingRequest(self.raft.request_heartbeat_round(), now, route, request)
+                leadership.awaiting_round.append(pending)
             case m.Propose():
-                self._propose_change(now, leadership, route, ask, ask.command)
+                self._propose_change(now, leadership, route, request, request.command)
             case m.Withdraw(version, author, reason):
                 index = self._propose(now, p.WithdrawVersion(version, author, reason))
-                self._reply_when_committed(now, leadership, route, ask, index)
+                self._reply_when_committed(now, leadership, route, request, index)
             case m.ChangeMembers():
-                self._change_members(now, leadership, route, ask, ask.command)
+                self._change_members(now, leadership, route, request, request.command)
             case m.TransferLeadership(to):
                 to = self._voter_id(to)
-                done = self.raft.transfer_leadership(now, to)
-                self._reply_to_command(route, ask.number, "" if done else f"{to} is no other voter")
+                accepted = self.raft.transfer_leadership(now, to)
+                self._reply_to_command(route, request.number, "" if accepted else f"{to} is no other voter")
 
     def _propose_change(
-        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, command: m.Propose
+        self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest, command: m.Propose
     ) -> None:
         if command.id in self.record.change_versions:  # asked again
             self._reply_to_command(
-                route, ask.number, "", {"version": self.record.change_versions[command.id]}
+                route, request.number, "", {"version": self.record.change_versions[command.id]}
             )
             return
-        adopt = p.AgreeChange(command.id, command.author, command.reason, self.wall_clock(), command.change)
-        self._reply_when_committed(now, leadership, route, ask, self._propose(now, adopt))
+        item = p.AgreeChange(command.id, command.author, command.reason, self.wall_clock(), command.change)
+        self._reply_when_committed(now, leadership, route, request, self._propose(now, item))
 
     def _change_members(
         self,
         now: float,
         leadership: Leadership,
         route: Route,
-        ask: m.CommandRequest,
+        request: m.CommandRequest,
         command: m.ChangeMembers,
     ) -> None:
         if command.add and command.add not in self.member_ids:
-            self._reply_to_command(route, ask.number, f"{command.add} has not been heard of; does it run?")
+            self._reply_to_command(
+                route, request.number, f"{command.add} has not been heard of; does it run?"
+            )
             return
         members = self.raft.members
         add = self.member_ids.get(command.add, "")
         remove = next((id for id in members.all if id.partition(".")[0] == command.remove), command.remove)
-        why_not = self._membership_error(add, remove)
-        if why_not:
-            self._reply_to_command(route, ask.number, why_not)
+        error = self._membership_error(add, remove)
+        if error:
+            self._reply_to_command(route, request.number, error)
             return
         voters = tuple(name for name in members.voters if name != remove)
         learners = tuple(name for name in members.learners if name != remove)
         index = self._propose_members(now, Members(voters, (*learners, add) if add else learners))
-        self._reply_when_committed(now, leadership, route, ask, index)
+        self._reply_when_committed(now, leadership, route, request, index)
 
     def _reply_when_committed(
-        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, index: int | None
+        self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest, index: int | None
     ) -> None:
         if index is None:
-            self._reply_to_command(route, ask.number, CHANGE_IN_PROGRESS)
+            self._reply_to_command(route, request.number, CHANGE_IN_PROGRESS)
         else:
-            leadership.awaiting_entry[index] = PendingRequest(index, now, route, ask)
+            leadership.awaiting_entry[index] = PendingRequest(index, now, route, request)
 
     def _voter_id(self, name: str) -> str:
         return next((id for id in self.raft.members.voters if id.partition(".")[0] == name), name)
@@ -104,25 +106,25 @@
             return
         for name in members.learners:
             peer = raft.peers.get(name)
-            near = raft.commit_index - MAX_LEARNER_LAG
-            if peer is not None and peer.match_index and peer.match_index >= near:
-                left = tuple(other for other in members.learners if other != name)
-                self._propose_members(now, Members((*members.voters, name), left))
+            least_index = raft.commit_index - MAX_LEARNER_LAG
+            if peer is not None and peer.match_index and peer.match_index >= least_index:
+                learners = tuple(other for other in members.learners if other != name)
+                self._propose_members(now, Members((*members.voters, name), learners))
                 return
 
     # ---- status
 
-    def _reply_with_status(self, now: float, route: Route, ask: m.CommandRequest) -> None:
-        found = self._status(now)
-        if isinstance(ask.command, m.Query) and ask.command.what == "audit":
-            found |= self._audit_status()
-        self._reply_to_command(route, ask.number, "", found)
+    def _reply_with_status(self, now: float, route: Route, request: m.CommandRequest) -> None:
+        status = self._status(now)
+        if isinstance(request.command, m.Query) and request.command.what == "audit":
+            status |= self._audit_status()
+        self._reply_to_command(route, request.number, "", status)
 
     def _status(self, now: float) -> dict[str, Any]:
         """What is known. Times in s; those of holders are ages on the leader's clock."""
         record, raft = self.record, self.raft
         states = self.leadership.holders if self.leadership is not None else {}
-        acting = (state.applied_version for state in states.values())
+        applied_versions = (state.applied_version for state in states.values())
         return {
             "steward": self.member_id,
             "applied": self.applied_index,
@@ -134,7 +136,7 @@
             "heard": now - raft.last_contact if raft.role is not MemberRole.LEADER else 0.0,
             "released": record.released.version,
             "latest": record.latest.version,
-            "in_effect": min(acting, default=record.released.version),
+            "in_effect": min(applied_versions, default=record.released.version),
             "plan": record.released,
             "waiting": record.unreleased,
             "changes": record.changes,
@@ -146,11 +148,12 @@
 
     def _audit_status(self) -> dict[str, Any]:
         record = self.record
-        accounts = [
-            msgspec.to_builtins(account) | {"unheard": account.missing_entries(key in record.holders)}
-            for key, account in record.process_audits.items()
+        audits = [
+            msgspec.to_builtins(process_audit)
+            | {"unheard": process_audit.missing_entries(key in record.holders)}
+            for key, process_audit in record.process_audits.items()
         ]
-        return {"ids": record.change_versions, "accounts": accounts}
+        return {"ids": record.change_versions, "accounts": audits}
 
 
 def holder_status(now: float, holder: p.Holder, state: HolderState | None) -> dict[str, Any]:
--- a/bitternpath/balancer/fleet/connection.py
+++ b/bitternpath/balancer/fleet/connection.py
@@ -84,32 +84,32 @@
             self.abort(str(error))
 
     def _accept_hello(self, message: m.FleetMessage) -> bool:
-        refused = ""
+        refusal = ""
         if isinstance(message, m.Refused):
             self.abort(f"refused us: {message.reason}")
             return False
         if not isinstance(message, m.Hello):
-            refused = "the first message must be hello"
+            refusal = "the first message must be hello"
         elif message.version != m.PROTOCOL_VERSION:
-            refused = (
+            refusal = (
                 f"version {message.version} of the fleet's messages; {m.PROTOCOL_VERSION} is spoken here"
             )
         elif message.fleet and self.hello.fleet and message.fleet != self.hello.fleet:
-            refused = "another fleet"
+            refusal = "another fleet"
         else:
             self.peer = message
             self._hello_timer.cancel()
             return True
-        log.warning("connection_refused", peer=str(self.transport.getPeer()), why=refused)
-        self.send(m.Refused(refused))
+        log.warning("connection_refused", peer=str(self.transport.getPeer()), why=refusal)
+        self.send(m.Refused(refusal))
         self.close()
         return False
 
-    def abort(self, why: str) -> None:
+    def abort(self, reason: str) -> None:
         """Close now, and say why in one line."""
         if self.is_open:
             peer = self.peer.name if self.peer is not None else str(self.transport.getPeer())
-            log.warning("connection_aborted", peer=peer, why=why)
+            log.warning("connection_aborted", peer=peer, why=reason)
             self.is_open = False
             self.transport.abortConnection()
 
--- a/bitternpath/balancer/fleet/consensus_server.py
+++ b/bitternpath/balancer/fleet/consensus_server.py
@@ -43,10 +43,12 @@
 
 def server_addresses(fleet: Fleet) -> dict[str, Address]:
     """Return the consensus servers' addresses by name."""
-    return {name: address(at) for name, _, at in (each.partition("=") for each in fleet.stewards)}
+    return {
+        name: address(host_port) for name, _, host_port in (each.partition("=") for each in fleet.stewards)
+    }
 
 
-def open_store(folder: Path, name: str, found: p.LeaseTerms | None) -> tuple[Store, Any]:
+def open_store(folder: Path, name: str, bootstrap_terms: p.LeaseTerms | None) -> tuple[Store, Any]:
     """The steward's folder and what it holds. A damaged one is set aside, where others have the record;
     StoreError where it is the only word, or cannot be used. `found`: a new folder begins a fleet."""
     try:
@@ -54,36 +56,44 @@
     except DamagedError as error:
         raise StoreError(f"{error}: move it away if other stewards have the record") from error
     try:
-        kept = store.read()
+        persistent_state = store.read()
     except DamagedError as error:
         voters = store.state.voters
         store.close()
         if voters <= 1:
             raise StoreError(f"{error}: it is the fleet's only copy; put back one that is whole") from error
-        aside = quarantine_folder(folder)
-        log.error("record_quarantined", why=error, moved_to=str(aside))
+        moved_to = quarantine_folder(folder)
+        log.error("record_quarantined", why=error, moved_to=str(moved_to))
         store = Store(folder, name)
-        kept = store.read()
-    if found is not None and kept == PersistentState():
-        kept = bootstrap_state(store.me, found, secrets.token_hex(8))
-        begin = StorageWrite(0, kept.term, kept.vote, None, tuple(kept.entries), None, kept.compacted_through)
-        store.write([begin], voters=1)
-    return store, kept
+        persistent_state = store.read()
+    if bootstrap_terms is not None and persistent_state == PersistentState():
+        persistent_state = bootstrap_state(store.me, bootstrap_terms, secrets.token_hex(8))
+        write = StorageWrite(
+            0,
+            persistent_state.term,
+            persistent_state.vote,
+            None,
+            tuple(persistent_state.entries),
+            None,
+            persistent_state.compacted_through,
+        )
+        store.write([write], voters=1)
+    return store, persistent_state
 
 
 class PeerLink:
     """The way to another steward: dialled again and again, and what cannot be sent is dropped."""
 
-    def __init__(self, server: ConsensusServer, name: str, at: Address) -> None:
-        self.server, self.name, self.address = server, name, at
+    def __init__(self, server: ConsensusServer, name: str, address: Address) -> None:
+        self.server, self.name, self.address = server, name, address
         self.connection: FleetConnection | None = None
         self.backoff = FIRST_BACKOFF
 
     def connect(self) -> None:
         server = self.server
         connection = FleetConnection(server.reactor, server.hello, self._receive, self._lost)
-        made = dial(server.reactor, *self.address, CONNECT_TIMEOUT, connection)
-        made.addErrback(lambda failure: self._reconnect_later())
+        connecting = dial(server.reactor, *self.address, CONNECT_TIMEOUT, connection)
+        connecting.addErrback(lambda failure: self._reconnect_later())
 
     def _reconnect_later(self) -> None:
         self.server.reactor.callLater(self.backoff * (0.5 + self.server.random.random()), self.connect)
@@ -103,12 +113,12 @@
             self.server.replica.member_ids.pop(self.name, None)  # who comes next may be another
         self._reconnect_later()
 
-    def send(self, to: str, message: m.FleetMessage) -> None:
+    def send(self, member_id: str, message: m.FleetMessage) -> None:
         connection = self.connection
         if (
             connection is not None
             and connection.peer is not None
-            and connection.peer.name == to
+            and connection.peer.name == member_id
             and not connection.paused
         ):
             connection.send(message)
@@ -117,13 +127,15 @@
 class ConsensusServer:
     """The parts put together."""
 
-    def __init__(self, reactor: Any, fleet: Fleet, store: Store, kept: Any, times: RaftTiming) -> None:
+    def __init__(
+        self, reactor: Any, fleet: Fleet, store: Store, persistent_state: Any, timing: RaftTiming
+    ) -> None:
         self.reactor, self.fleet, self.store = reactor, fleet, store
         self.random = Random()
-        self.replica = RecordReplica(store.me, kept, Random(), clock.elapsed(), time.time, times)
+        self.replica = RecordReplica(store.me, persistent_state, Random(), clock.elapsed(), time.time, timing)
         self.links = {
-            name: PeerLink(self, name, at)
-            for name, at in server_addresses(fleet).items()
+            name: PeerLink(self, name, peer_address)
+            for name, peer_address in server_addresses(fleet).items()
             if name != fleet.name
         }
         self.connections: dict[int, FleetConnection] = {}  # those that others opened
@@ -145,9 +157,9 @@
         self.disk_thread.start()
         for link in self.links.values():
             link.connect()
-        at = self.port.getHost()
+        bound = self.port.getHost()
         members = self.replica.raft.members.all
-        log.info("listening", name=self.store.me, address=f"{at.host}:{at.port}", members=len(members))
+        log.info("listening", name=self.store.me, address=f"{bound.host}:{bound.port}", members=len(members))
         if self.store.me not in members:
             log.info("not_a_fleet_member", do=f"bitternpath fleet members add {self.fleet.name}")
         self.schedule_effects()
@@ -191,8 +203,8 @@
             connection.abort(f"only a steward says {type(message).__name__}")
         self.schedule_effects()
 
-    def identify_member(self, id: str) -> None:
-        self.replica.identify_member(id)
+    def identify_member(self, member_id: str) -> None:
+        self.replica.identify_member(member_id)
 
     # ---- what follows
 
@@ -208,8 +220,8 @@
         effects = self.replica.take_effects(now)
         self._execute(effects)
         if self.replica.raft.role is not self.role:
-            old, self.role = self.role, self.replica.raft.role
-            log.info("role_changed", old=old.value, new=self.role.value, term=self.replica.raft.term)
+            old_role, self.role = self.role, self.replica.raft.role
+            log.info("role_changed", old=old_role.value, new=self.role.value, term=self.replica.raft.term)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = self.reactor.callLater(max(self.replica.next_timeout_at - now, 0.0), self._tick)
@@ -217,14 +229,14 @@
     def _execute(self, effects: Effects) -> None:
         self._queued_writes += effects.writes
         self._write()
-        for to, message in effects.messages:
-            link = self.links.get(to.partition(".")[0])
+        for member_id, message in effects.messages:
+            link = self.links.get(member_id.partition(".")[0])
             if link is not None:
-                link.send(to, message)
-        for token, answer in effects.replies:
+                link.send(member_id, message)
+        for token, reply in effects.replies:
             connection = self.connections.get(token)
             if connection is not None:
-                connection.send(answer)
+                connection.send(reply)
 
     def _tick(self) -> None:
         self.replica.tick(clock.elapsed())
@@ -235,10 +247,10 @@
             return
         self._writes_in_progress, self._queued_writes = self._queued_writes, []
         voters = len(self.replica.raft.members.voters)
-        done: Any = deferToThreadPool(
+        writing: Any = deferToThreadPool(
             self.reactor, self.disk_thread, self.store.write, self._writes_in_progress, voters
         )
-        done.addCallbacks(self._write_completed, self._write_failed)
+        writing.addCallbacks(self._write_completed, self._write_failed)
 
     def _write_completed(self, _: None) -> None:
         number = self._writes_in_progress[-1].number
@@ -271,23 +283,23 @@
         return self.server.accept()
 
 
-def run(fleet: Fleet, found: bool, reactor: Any = None, times: RaftTiming | None = None) -> int:
+def run(fleet: Fleet, bootstrap: bool, reactor: Any = None, timing: RaftTiming | None = None) -> int:
     """Run a steward until it is told to stop; the exit code. StoreError where its folder can't be used."""
     if reactor is None:
         from twisted.internet import reactor as installed
 
         reactor = installed
-    terms = p.LeaseTerms(fleet.lease, fleet.drift, fleet.catch_up) if found else None
-    store, kept = open_store(Path(fleet.folder), fleet.name, terms)
-    server = ConsensusServer(reactor, fleet, store, kept, times or RaftTiming())
+    terms = p.LeaseTerms(fleet.lease, fleet.drift, fleet.catch_up) if bootstrap else None
+    store, persistent_state = open_store(Path(fleet.folder), fleet.name, terms)
+    server = ConsensusServer(reactor, fleet, store, persistent_state, timing or RaftTiming())
 
     def on_signal(number: int, frame: object) -> None:
         reactor.callFromThread(server.stop)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_signal)
-    begin: Callable[[], None] = server.start
-    reactor.callWhenRunning(begin)
+    start: Callable[[], None] = server.start
+    reactor.callWhenRunning(start)
     reactor.run(installSignalHandlers=False)
     server.close()
     log.info("stopped")
--- a/bitternpath/balancer/fleet/leadership.py
+++ b/bitternpath/balancer/fleet/leadership.py
@@ -17,8 +17,8 @@
         "last_sent_at", "rejection", "route", "validated_version",
     )  # fmt: skip
 
-    def __init__(self, until: float) -> None:
-        self.expires_at = until  # its lease may hold until then
+    def __init__(self, expires_at: float) -> None:
+        self.expires_at = expires_at  # its lease may hold until then
         self.last_heard_at = 0.0
         self.last_sent_at = float("-inf")  # by the holder's clock, of the last request heard
         self.applied_version = self.validated_version = -1  # not told yet
@@ -28,11 +28,11 @@
         self.behind_since: float | None = None
         self.end_proposed = False  # its end is in the log
 
-    def update(self, now: float, route: Route, renew: m.RenewLease) -> None:
+    def update(self, now: float, route: Route, request: m.RenewLease) -> None:
         """A request of the holder has come."""
-        self.last_heard_at, self.route, self.last_sent_at = now, route, renew.sent
-        self.applied_version, self.validated_version = renew.applied_version, renew.validated_version
-        self.digest, self.rejection = renew.digest, renew.rejection
+        self.last_heard_at, self.route, self.last_sent_at = now, route, request.sent
+        self.applied_version, self.validated_version = request.applied_version, request.validated_version
+        self.digest, self.rejection = request.digest, request.rejection
 
 
 class PendingRequest(Struct):
@@ -47,8 +47,8 @@
 class Leadership:
     """One term in which this member leads."""
 
-    def __init__(self, term: int, since: float) -> None:
-        self.term, self.elected_at = term, since
+    def __init__(self, term: int, elected_at: float) -> None:
+        self.term, self.elected_at = term, elected_at
         self.holders: dict[str, HolderState] = {}  # by process
         self.awaiting_round: list[PendingRequest] = []
         self.awaiting_entry: dict[int, PendingRequest] = {}  # by index
@@ -58,5 +58,5 @@
 
     def half_reject(self) -> bool:
         """Where half of the holders refuse a change, it is the change that is wrong."""
-        refusing = sum(bool(holder.rejection) for holder in self.holders.values())
-        return 2 * refusing >= len(self.holders)
+        rejecting = sum(bool(holder.rejection) for holder in self.holders.values())
+        return 2 * rejecting >= len(self.holders)
--- a/bitternpath/balancer/fleet/lease_holder.py
+++ b/bitternpath/balancer/fleet/lease_holder.py
@@ -55,15 +55,15 @@
 
     def __init__(
         self,
-        who: ProcessIdentity,
+        identity: ProcessIdentity,
         servers: list[str],
         random: Random,
         now: float,
-        wall: Callable[[], float],
-        check: Callable[[p.Plan], str],
+        wall_clock: Callable[[], float],
+        validate: Callable[[p.Plan], str],
     ) -> None:
-        self.identity, self.random, self.wall_clock, self.validate = who, random, wall, check
-        self.audit_log = audit.AuditLog(who.boot)
+        self.identity, self.random, self.wall_clock, self.validate = identity, random, wall_clock, validate
+        self.audit_log = audit.AuditLog(identity.boot)
         self.earlier_audit_logs: list[
             audit.AuditLog
         ] = []  # of processes of this node before, not acknowledged yet
@@ -99,13 +99,13 @@
             self._last_expired_token, self.fencing_token = self.fencing_token, 0
         return bool(self.fencing_token)
 
-    def _add_event(self, now: float, what: str, detail: str = "") -> None:
-        self.events.append(ProcessEvent(now, what, self.plan.version, self.fencing_token))
-        self.audit_log.add(self.wall_clock(), what, self.plan.version, self.fencing_token, detail)
+    def _add_event(self, now: float, kind: str, detail: str = "") -> None:
+        self.events.append(ProcessEvent(now, kind, self.plan.version, self.fencing_token))
+        self.audit_log.add(self.wall_clock(), kind, self.plan.version, self.fencing_token, detail)
 
-    def record_action(self, what: str, detail: str) -> None:
+    def record_action(self, kind: str, detail: str) -> None:
         """Something that the node did by itself."""
-        self.audit_log.add(self.wall_clock(), what, self.plan.version, self.fencing_token, detail)
+        self.audit_log.add(self.wall_clock(), kind, self.plan.version, self.fencing_token, detail)
 
     # ---- inputs
 
@@ -151,8 +151,8 @@
             case m.Lease():
                 self._reply_received(now)
                 self._handle_lease(now, message)
-            case m.LeaseRefused(_, why, elsewhere):
-                self.refusal = why
+            case m.LeaseRefused(_, reason, elsewhere):
+                self.refusal = reason
                 if elsewhere:
                     self.connection_lost(now)
                 else:
@@ -205,12 +205,13 @@
     # ---- asking
 
     def _renew(self, now: float) -> None:
-        who = self.identity
+        identity = self.identity
         fencing_token = self.fencing_token if self.holds_lease(now) else 0
         self.outgoing.append(
             m.RenewLease(
-                who.node, who.boot, who.site, who.release, who.without_lease, now, fencing_token,
-                self.plan.version, self.validated_plan.version, self.validated_plan.digest, self.rejection,
+                identity.node, identity.boot, identity.site, identity.release, identity.without_lease,
+                now, fencing_token, self.plan.version, self.validated_plan.version,
+                self.validated_plan.digest, self.rejection,
             )
         )  # fmt: skip
         self._send_audit_entries()
@@ -231,20 +232,20 @@
     def _send_audit_entries(self) -> None:
         """What was done and is not acknowledged, the oldest process first."""
         for audit_log in [*self.earlier_audit_logs, self.audit_log][:MAX_LOGS_PER_REPORT]:
-            lines = audit_log.next_batch
-            if lines or audit_log is not self.audit_log:
-                final = audit_log.number if audit_log.ended else 0
-                self.outgoing.append(m.AuditEntries(self.identity.node, audit_log.boot, lines, final))
+            entries = audit_log.next_batch
+            if entries or audit_log is not self.audit_log:
+                final_count = audit_log.number if audit_log.ended else 0
+                self.outgoing.append(m.AuditEntries(self.identity.node, audit_log.boot, entries, final_count))
 
     def _audit_acknowledged(self, boot: str, upto: int) -> None:
         for audit_log in [*self.earlier_audit_logs, self.audit_log]:
             if audit_log.boot != boot:
                 continue
-            before = len(audit_log.unacknowledged)
+            count_before = len(audit_log.unacknowledged)
             audit_log.acknowledge(upto)
             if not audit_log.unacknowledged and audit_log in self.earlier_audit_logs:
                 self.earlier_audit_logs.remove(audit_log)
-            if len(audit_log.unacknowledged) < before and (
+            if len(audit_log.unacknowledged) < count_before and (
                 audit_log.unacknowledged or self.earlier_audit_logs
             ):
                 self._send_audit_entries()  # there is more
@@ -255,58 +256,58 @@
 
     def _handle_lease(self, now: float, lease: m.Lease) -> None:
         self.holds_lease(now)
-        old = (
+        outdated = (
             lease.fencing_token < self.fencing_token or lease.fencing_token <= self._last_expired_token
         )  # that one is over, renewed or not
-        if old or lease.sent > now or lease.sent + lease.length <= now:
+        if outdated or lease.sent > now or lease.sent + lease.length <= now:
             return
-        joins = (
+        starts = (
             lease.fencing_token != self.fencing_token
         )  # while one is in hand, too: two requests to join were on the way
-        before = self.plan.version
-        current = self._apply_released_version(lease)
-        if joins and not current:
+        version_before = self.plan.version
+        applied = self._apply_released_version(lease)
+        if starts and not applied:
             return  # what is released is not in hand any more: ask again
         self.lease_length, self.refusal = lease.length, ""
         self.expires_at = max(self.expires_at, lease.sent + lease.length)
         self._renew_by(lease.sent + lease.length * RENEWAL_SHARE)
-        if joins:
+        if starts:
             self.fencing_token = lease.fencing_token
             self._add_event(now, audit.LEASE_STARTED)
-        elif self.plan.version != before:
+        elif self.plan.version != version_before:
             self._add_event(now, audit.VERSION_APPLIED)
-        if self.plan.version != before:
+        if self.plan.version != version_before:
             self._renew(now)
 
     def _apply_released_version(self, lease: m.Lease) -> bool:
         """Act on what is released, where that very plan is in hand; whether it is acted on now."""
-        ahead = [plan for plan in self._pending_plans if plan.version == lease.released]
-        if ahead and ahead[0].digest == lease.digest:
-            self.plan = ahead[0]
+        candidates = [plan for plan in self._pending_plans if plan.version == lease.released]
+        if candidates and candidates[0].digest == lease.digest:
+            self.plan = candidates[0]
             self._pending_plans = [plan for plan in self._pending_plans if plan.version > lease.released]
         return (self.plan.version, self.plan.digest) == (lease.released, lease.digest)
 
     # ---- taking
 
     def _validate_changes(self, now: float, changes: tuple[p.AgreedVersion, ...]) -> None:
-        had, refused = self.validated_plan, self.rejection
+        plan_before, rejection_before = self.validated_plan, self.rejection
         for agreed in changes:
             self.latest_version = max(self.latest_version, agreed.version)
             if agreed.version <= self.validated_plan.version:
                 continue
             try:
                 plan = self.validated_plan.with_version(agreed)
-                why = self.validate(plan)
+                error_text = self.validate(plan)
             except p.PlanError as error:
-                why = str(error)
-            if why:
-                self.rejection = f"version {agreed.version}: {why}"
+                error_text = str(error)
+            if error_text:
+                self.rejection = f"version {agreed.version}: {error_text}"
                 break
             self.rejection, self.validated_plan = "", plan
             self._pending_plans.append(plan)
-        if self.rejection and self.rejection != refused:
+        if self.rejection and self.rejection != rejection_before:
             self.record_action(audit.CHANGE_REJECTED, self.rejection)
-        if (had, refused) != (self.validated_plan, self.rejection):
+        if (plan_before, rejection_before) != (self.validated_plan, self.rejection):
             self._renew_if_connected(now)
 
     def _validate_snapshot(self, now: float, plan: p.Plan, changes: tuple[p.AgreedVersion, ...]) -> None:
@@ -314,9 +315,9 @@
         self.latest_version = max(self.latest_version, plan.version)
         if plan.version < self.plan.version:
             return  # an old one
-        if why := self.validate(plan):
-            again, self.rejection = self.rejection, f"version {plan.version}: {why}"
-            if again != self.rejection:
+        if error_text := self.validate(plan):
+            rejection_before, self.rejection = self.rejection, f"version {plan.version}: {error_text}"
+            if rejection_before != self.rejection:
                 self._renew_if_connected(now)
             return
         self._pending_plans = [plan] if plan.version > self.plan.version else []
--- a/bitternpath/balancer/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -26,20 +26,20 @@
         self, now: float, leadership: Leadership, state: HolderState, route: Route, request: m.RenewLease
     ) -> None:
         state.update(now, route, request)
-        current = request.applied_version >= self.record.released.version
-        if current and self._has_validated(state, self.record.latest.version):
+        up_to_date = request.applied_version >= self.record.released.version
+        if up_to_date and self._has_validated(state, self.record.latest.version):
             state.behind_since = None
         else:
             if state.behind_since is None:
                 state.behind_since = now
             self._send_missing_versions(route, request)
             if self._lags_too_long(now, leadership, state):
-                why = (
+                reason = (
                     state.rejection
                     or f"it acts on {request.applied_version} and has {request.validated_version}"
                 )
-                late = f"a straggler for {self.record.terms.catch_up:g} s"
-                self._reply(route, m.LeaseRefused(request.sent, f"{late}: {why}"))
+                lag = f"a straggler for {self.record.terms.catch_up:g} s"
+                self._reply(route, m.LeaseRefused(request.sent, f"{lag}: {reason}"))
                 return
         leadership.awaiting_round.append(
             PendingRequest(self.raft.request_heartbeat_round(), now, route, request)
@@ -59,10 +59,10 @@
 
     def _send_missing_versions(self, route: Route, request: m.RenewLease) -> None:
         """What a process lacks."""
-        since = self.record.changes_since(request.validated_version, request.digest)
-        if since is None:
+        changes_since = self.record.changes_since(request.validated_version, request.digest)
+        if changes_since is None:
             self._reply(route, m.PlanSnapshot(self.record.released, tuple(self.record.unreleased)))
-        elif changes := tuple(since):
+        elif changes := tuple(changes_since):
             self._reply(route, m.VersionChanges(changes))
 
     def _start_lease(self, now: float, leadership: Leadership, route: Route, request: m.RenewLease) -> None:
@@ -70,9 +70,9 @@
         too_old = request.release < self.record.latest.least_release
         if not too_old and not (same_plan and request.validated_version >= self.record.latest.version):
             self._send_missing_versions(route, request)
-        why = self._start_refusal(leadership, request)
-        if why:
-            self._reply(route, m.LeaseRefused(request.sent, why))
+        refusal = self._start_refusal(leadership, request)
+        if refusal:
+            self._reply(route, m.LeaseRefused(request.sent, refusal))
         else:
             self._propose_lease_start(now, leadership, route, request)
 
@@ -80,8 +80,8 @@
         """Why a process can't become a holder now; empty where it can."""
         record = self.record
         if request.release < record.latest.least_release:
-            least = ".".join(map(str, record.latest.least_release))
-            return f"its release is older than {least}, the least allowed"
+            least_release = ".".join(map(str, record.latest.least_release))
+            return f"its release is older than {least_release}, the least allowed"
         if (
             request.validated_version < record.released.version
             or record.digest_of(request.validated_version) != request.digest
@@ -139,16 +139,16 @@
         lease = m.Lease(request.sent, length, holder.fencing_token, released.version, released.digest)
         self._reply(pending.route, lease)
 
-    def _lease_released(self, leadership: Leadership, parting: m.LeaseReleased) -> None:
+    def _lease_released(self, leadership: Leadership, message: m.LeaseReleased) -> None:
         """A process has released its lease."""
-        holder = self.record.holders.get(f"{parting.node}#{parting.boot}")
-        if holder is not None and holder.fencing_token == parting.fencing_token:
+        holder = self.record.holders.get(f"{message.node}#{message.boot}")
+        if holder is not None and holder.fencing_token == message.fencing_token:
             self._propose_lease_end(leadership, holder, "it ended")
 
-    def _propose_lease_end(self, leadership: Leadership, holder: p.Holder, why: str) -> None:
+    def _propose_lease_end(self, leadership: Leadership, holder: p.Holder, reason: str) -> None:
         state = leadership.holders[holder.key]
         if not state.end_proposed:
-            item = p.LeaseEnded(holder.node, holder.boot, holder.fencing_token, why, self.wall_clock())
+            item = p.LeaseEnded(holder.node, holder.boot, holder.fencing_token, reason, self.wall_clock())
             state.end_proposed = self._propose(self.raft.now, item) is not None
 
     def _end_expired_leases(self, now: float, leadership: Leadership) -> None:
--- a/bitternpath/balancer/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -249,8 +249,8 @@
 _decoder = msgspec.msgpack.Decoder(FleetMessage)
 
 
-def encode_frame(said: FleetMessage) -> bytes:
-    data = _encoder.encode(said)
+def encode_frame(message: FleetMessage) -> bytes:
+    data = _encoder.encode(message)
     if len(data) > MAX_FRAME_BYTES:
         raise WireError(f"a message of {len(data)} bytes; at most {MAX_FRAME_BYTES} are allowed")
     return _HEADER.pack(len(data)) + data
@@ -265,19 +265,19 @@
     def feed(self, data: bytes) -> list[FleetMessage]:
         """Return the messages completed by `data`; raise WireError if one can't be decoded."""
         self._data += data
-        found: list[FleetMessage] = []
-        at = 0
-        while len(self._data) - at >= _HEADER.size:
-            (size,) = _HEADER.unpack_from(self._data, at)
+        messages: list[FleetMessage] = []
+        position = 0
+        while len(self._data) - position >= _HEADER.size:
+            (size,) = _HEADER.unpack_from(self._data, position)
             if size > MAX_FRAME_BYTES:
                 raise WireError(f"a message of {size} bytes; at most {MAX_FRAME_BYTES} are allowed")
-            if len(self._data) - at - _HEADER.size < size:
+            if len(self._data) - position - _HEADER.size < size:
                 break
-            at += _HEADER.size
+            position += _HEADER.size
             try:
-                found.append(_decoder.decode(bytes(self._data[at : at + size])))
+                messages.append(_decoder.decode(bytes(self._data[position : position + size])))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
                 raise WireError(f"not a message of the fleet: {error}") from error
-            at += size
-        del self._data[:at]
-        return found
+            position += size
+        del self._data[:position]
+        return messages
--- a/bitternpath/balancer/fleet/node_folder.py
+++ b/bitternpath/balancer/fleet/node_folder.py
@@ -31,9 +31,9 @@
 class NodeFolder:
     """An open folder. `written` hears up to which line all is on file; None: none will be from now on."""
 
-    def __init__(self, reactor: Any, path: Path, boot: str, written: Callable[[int | None], None]) -> None:
+    def __init__(self, reactor: Any, path: Path, boot: str, on_written: Callable[[int | None], None]) -> None:
         """OSError where it cannot be made or written to."""
-        self.reactor, self.path, self.boot, self.on_written = reactor, path, boot, written
+        self.reactor, self.path, self.boot, self.on_written = reactor, path, boot, on_written
         path.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._file = os.open(
             path / f"{AUDIT_FILE_PREFIX}{boot}", os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
@@ -49,25 +49,27 @@
 
     def older(self) -> list[audit.AuditLog]:
         """Of earlier processes, the oldest first; what is wrong with one is logged."""
-        found = []
+        audit_logs = []
         for file in sorted(self.path.glob(f"{AUDIT_FILE_PREFIX}*"), key=lambda file: file.stat().st_mtime):
             boot = file.name.removeprefix(AUDIT_FILE_PREFIX)
             if boot == self.boot:
                 continue
-            lines, why = [], ""
+            entries, decode_error = [], ""
             try:
-                for text in file.read_bytes().splitlines():
-                    lines.append(msgspec.json.decode(text, type=audit.AuditEntry))
+                for line in file.read_bytes().splitlines():
+                    entries.append(msgspec.json.decode(line, type=audit.AuditEntry))
             except (OSError, msgspec.DecodeError) as error:
-                why = f"line {len(lines) + 1}: {error}"  # the last one is torn, or somebody has been at it
-            audit_log, fault = audit.restore_audit_log(boot, lines)
-            if why or fault:
-                log.error("earlier_audit_log_corrupt", file=str(file), why=fault or why)
-            if lines:
-                found.append(audit_log)
+                decode_error = (
+                    f"line {len(entries) + 1}: {error}"  # the last one is torn, or somebody has been at it
+                )
+            audit_log, fault = audit.restore_audit_log(boot, entries)
+            if decode_error or fault:
+                log.error("earlier_audit_log_corrupt", file=str(file), why=fault or decode_error)
+            if entries:
+                audit_logs.append(audit_log)
             else:
                 file.unlink(missing_ok=True)
-        return found
+        return audit_logs
 
     def plan(self) -> p.Plan | None:
         """The one last acted on, where there is one that can be read."""
@@ -81,11 +83,11 @@
 
     # ---- what is written
 
-    def write(self, lines: list[audit.AuditEntry], plan: p.Plan | None) -> None:
+    def write(self, entries: list[audit.AuditEntry], plan: p.Plan | None) -> None:
         """These too, in their order; the plan replaces what stands there."""
         if self._failed:
             return
-        self._queued_entries += lines
+        self._queued_entries += entries
         self._queued_plan = plan or self._queued_plan
         if len(self._queued_entries) > audit.MAX_UNACKNOWLEDGED_ENTRIES:
             self._give_up(f"a write has not come back, and {len(self._queued_entries)} lines wait for it")
@@ -95,32 +97,32 @@
     def _write_queued(self) -> None:
         if not self._queued_entries and self._queued_plan is None:
             return
-        lines, plan, self._queued_entries, self._queued_plan = (
+        entries, plan, self._queued_entries, self._queued_plan = (
             self._queued_entries,
             self._queued_plan,
             [],
             None,
         )
         self._writing = True
-        done: Any = deferToThreadPool(self.reactor, self._disk_thread, self._write_files, lines, plan)
-        done.addCallbacks(lambda _: self._write_completed(lines), self._write_failed)
+        writing: Any = deferToThreadPool(self.reactor, self._disk_thread, self._write_files, entries, plan)
+        writing.addCallbacks(lambda _: self._write_completed(entries), self._write_failed)
 
-    def _write_files(self, lines: list[audit.AuditEntry], plan: p.Plan | None) -> None:
+    def _write_files(self, entries: list[audit.AuditEntry], plan: p.Plan | None) -> None:
         """In the thread."""
-        data = b"".join(msgspec.json.encode(line) + b"\n" for line in lines)
+        data = b"".join(msgspec.json.encode(entry) + b"\n" for entry in entries)
         while data:
             data = data[write_bytes(self._file, data) :]
         if plan is not None:
-            draft = self.path / f"{PLAN_FILE}.{self.boot}"
-            draft.write_bytes(msgspec.msgpack.encode(plan))
-            os.replace(draft, self.path / PLAN_FILE)
+            temporary = self.path / f"{PLAN_FILE}.{self.boot}"
+            temporary.write_bytes(msgspec.msgpack.encode(plan))
+            os.replace(temporary, self.path / PLAN_FILE)
 
-    def _write_completed(self, lines: list[audit.AuditEntry]) -> None:
+    def _write_completed(self, entries: list[audit.AuditEntry]) -> None:
         self._writing = False
         if self._failed:
             return
-        if lines:
-            self.on_written(lines[-1].number)
+        if entries:
+            self.on_written(entries[-1].number)
         if not self._writing:  # `written` may have brought more
             self._write_queued()
 
@@ -128,8 +130,8 @@
         self._writing = False
         self._give_up(failure.getErrorMessage())
 
-    def _give_up(self, why: str) -> None:
+    def _give_up(self, reason: str) -> None:
         if not self._failed:
             self._failed, self._queued_entries, self._queued_plan = True, [], None
-            log.error("audit_log_write_failed", folder=str(self.path), why=why)
+            log.error("audit_log_write_failed", folder=str(self.path), why=reason)
             self.on_written(None)
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -94,12 +94,16 @@
     )  # worker: since which version
     least_release: tuple[int, ...] = ()
 
-    def with_version(self, agreed: AgreedVersion) -> Plan:
+    def with_version(self, next_version: AgreedVersion) -> Plan:
         """With the next version; PlanError where the change cannot be."""
-        if agreed.version != self.version + 1:
-            raise PlanError(f"version {agreed.version} does not follow {self.version}")
-        made = self if agreed.change is None else self._with_change(agreed.change, agreed.version)
-        return msgspec.structs.replace(made, version=agreed.version, digest=agreed.digest)
+        if next_version.version != self.version + 1:
+            raise PlanError(f"version {next_version.version} does not follow {self.version}")
+        plan = (
+            self
+            if next_version.change is None
+            else self._with_change(next_version.change, next_version.version)
+        )
+        return msgspec.structs.replace(plan, version=next_version.version, digest=next_version.digest)
 
     def _with_change(self, change: Change, version: int) -> Plan:
         match change:
@@ -109,24 +113,25 @@
                 for key, value in fields.items():
                     if key not in CLASS_FIELDS:
                         raise PlanError(f"{name}.{key}: unknown field; allowed are {', '.join(CLASS_FIELDS)}")
-                    least = key in ("aim", "giveUp")
-                    if not 0 <= value < float("inf") or (least and value == 0):
+                    must_be_positive = key in ("aim", "giveUp")
+                    if not 0 <= value < float("inf") or (must_be_positive and value == 0):
                         raise PlanError(
-                            f"{name}.{key} = {value}: must be a number above 0" + " or 0" * (not least)
+                            f"{name}.{key} = {value}: must be a number above 0"
+                            + " or 0" * (not must_be_positive)
                         )
                 merged = self.classes.get(name, {}) | fields
                 return msgspec.structs.replace(self, classes=self.classes | {name: merged})
             case SetRule(section, key, value):
                 keys = {"rules": RULE_KEYS, "allowed": ALLOWED_KEYS}.get(section)
                 if keys is None or key not in keys:
-                    some = ", ".join(
+                    allowed = ", ".join(
                         [f"rules.{k}" for k in RULE_KEYS] + [f"allowed.{k}" for k in ALLOWED_KEYS]
                     )
-                    raise PlanError(f"{section}.{key}: unknown; allowed are {some}")
+                    raise PlanError(f"{section}.{key}: unknown; allowed are {allowed}")
                 if not 0 <= value < float("inf") or (key == "tryLimit" and value < 1):
                     raise PlanError(f"{section}.{key} = {value}: must be a number above 0")
-                changed = self.rules.get(section, {}) | {key: value}
-                return msgspec.structs.replace(self, rules=self.rules | {section: changed})
+                merged_rules = self.rules.get(section, {}) | {key: value}
+                return msgspec.structs.replace(self, rules=self.rules | {section: merged_rules})
             case EjectWorker(worker):
                 if not worker or worker in self.ejections:
                     raise PlanError(
@@ -136,17 +141,17 @@
             case ReinstateWorker(worker):
                 if worker not in self.ejections:
                     raise PlanError(f"{worker}: is not banned by the fleet")
-                left = {id: since for id, since in self.ejections.items() if id != worker}
-                return msgspec.structs.replace(self, ejections=left)
+                remaining = {other: since for other, since in self.ejections.items() if other != worker}
+                return msgspec.structs.replace(self, ejections=remaining)
             case LeastRelease(release):
                 if not release or any(part < 0 for part in release):
                     raise PlanError(f"release {release}: must be numbers, as 1.4.0")
                 return msgspec.structs.replace(self, least_release=release)
 
 
-def chained_digest(before: bytes, version: int, change: Change | None) -> bytes:
+def chained_digest(previous_digest: bytes, version: int, change: Change | None) -> bytes:
     """The digest of a version."""
-    return blake3(before + version.to_bytes(8, "big") + msgspec.msgpack.encode(change)).digest()
+    return blake3(previous_digest + version.to_bytes(8, "big") + msgspec.msgpack.encode(change)).digest()
 
 
 # ---- entries of the log
@@ -273,8 +278,8 @@
 
     def find_version(self, version: int) -> AgreedVersion | None:
         first = self.changes[0].version if self.changes else 0
-        at = version - first
-        return self.changes[at] if self.changes and 0 <= at < len(self.changes) else None
+        position = version - first
+        return self.changes[position] if self.changes and 0 <= position < len(self.changes) else None
 
     def digest_of(self, version: int) -> bytes | None:
         """None where that version is not kept."""
@@ -318,40 +323,40 @@
                     holder.key, ProcessAudit(item.node, item.boot)
                 ).last_fencing_token = index
                 return ""
-            case LeaseEnded(node, boot, fencing_token, why, time):
-                holder_ = self.holders.get(f"{node}#{boot}")
-                if holder_ is None or holder_.fencing_token != fencing_token:
+            case LeaseEnded(node, boot, fencing_token, reason, time):
+                ended_holder = self.holders.get(f"{node}#{boot}")
+                if ended_holder is None or ended_holder.fencing_token != fencing_token:
                     return f"{node} does not hold fence {fencing_token}"
-                del self.holders[holder_.key]
-                self.process_audits.setdefault(holder_.key, ProcessAudit(node, boot)).end_lease(
-                    fencing_token, time, why
+                del self.holders[ended_holder.key]
+                self.process_audits.setdefault(ended_holder.key, ProcessAudit(node, boot)).end_lease(
+                    fencing_token, time, reason
                 )
                 return ""
-            case AuditRecorded(node, boot, lines, final, time):
+            case AuditRecorded(node, boot, entries, final_count, time):
                 key = f"{node}#{boot}"
-                account = self.process_audits.setdefault(key, ProcessAudit(node, boot))
-                account.add_entries(lines, final)
+                process_audit = self.process_audits.setdefault(key, ProcessAudit(node, boot))
+                process_audit.add_entries(entries, final_count)
                 self._drop_old_audits(time - AUDIT_RETENTION)
                 return ""
 
-    def _drop_old_audits(self, before: float) -> None:
+    def _drop_old_audits(self, oldest: float) -> None:
         """What is too old, and processes of which nothing is left."""
-        for key, account in list(self.process_audits.items()):
-            if account.entries and account.entries[0].at < before:
-                account.drop_entries_before(before)
-            ended = (
-                account.ended_leases[-1][1] if account.ended_leases else 0.0
+        for key, process_audit in list(self.process_audits.items()):
+            if process_audit.entries and process_audit.entries[0].at < oldest:
+                process_audit.drop_entries_before(oldest)
+            last_lease_end = (
+                process_audit.ended_leases[-1][1] if process_audit.ended_leases else 0.0
             )  # a lease of which nothing was told
-            if not account.entries and key not in self.holders and ended < before:
+            if not process_audit.entries and key not in self.holders and last_lease_end < oldest:
                 del self.process_audits[key]
 
     def _commit_change(self, item: AgreeChange) -> str:
         if item.id in self.change_versions:
             return ""
-        version, before = self.latest.version + 1, self.latest.digest
+        version, previous_digest = self.latest.version + 1, self.latest.digest
         agreed = AgreedVersion(
             version, item.id, item.author, item.reason, item.time, item.change,
-            chained_digest(before, version, item.change),
+            chained_digest(previous_digest, version, item.change),
         )  # fmt: skip
         try:
             self.latest = self.latest.with_version(agreed)
@@ -374,12 +379,12 @@
             if agreed.version == item.version:
                 change, withdrawn = None, f"{item.author}: {item.reason}"
             digest = chained_digest(plan.digest, agreed.version, change)
-            again = msgspec.structs.replace(agreed, change=change, digest=digest, withdrawn=withdrawn)
+            replaced = msgspec.structs.replace(agreed, change=change, digest=digest, withdrawn=withdrawn)
             try:
-                plan = plan.with_version(again)
+                plan = plan.with_version(replaced)
             except PlanError as error:
                 return f"version {agreed.version} rests on it: {error}"
-            changes.append(again)
+            changes.append(replaced)
         self.latest, self.changes = plan, changes
         return ""
 
@@ -387,9 +392,9 @@
         """What follows that version; None where that is not kept, or where it is not ours."""
         if self.digest_of(version) != digest and not (version == 0 and not digest):
             return None
-        kept = [agreed for agreed in self.changes if agreed.version > version]
-        whole = len(kept) == self.latest.version - version
-        return kept if whole else None
+        changes = [agreed for agreed in self.changes if agreed.version > version]
+        complete = len(changes) == self.latest.version - version
+        return changes if complete else None
 
 
 _encoder = msgspec.msgpack.Encoder()
--- a/bitternpath/balancer/fleet/plan_settings.py
+++ b/bitternpath/balancer/fleet/plan_settings.py
@@ -37,10 +37,10 @@
 
 
 def _merged_settings(settings: m.Settings, plan: Plan) -> m.Settings:
-    known = {spec.name for spec in settings.classes}
+    known_classes = {spec.name for spec in settings.classes}
     for name in plan.classes:
-        if name not in known:
-            raise PlanError(f"no class {name} in this node's file; it has {', '.join(sorted(known))}")
+        if name not in known_classes:
+            raise PlanError(f"no class {name} in this node's file; it has {', '.join(sorted(known_classes))}")
     classes = tuple(
         msgspec.structs.replace(
             spec, **{CLASS_FIELDS[key]: value for key, value in plan.classes.get(spec.name, {}).items()}
--- a/bitternpath/balancer/fleet/record_client.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -75,22 +75,24 @@
         node: str,
         site: str,
         registry: EndpointRegistry,
-        check: Callable[[p.Plan], str],
-        act: Callable[[p.Plan], None],
-        advice: Callable[[str], float],
+        validate: Callable[[p.Plan], str],
+        on_plan_change: Callable[[p.Plan], None],
+        retry_delay: Callable[[str], float],
     ) -> None:
         self.reactor, self.fleet, self.registry, self.on_plan_change, self.retry_delay = (
             reactor,
             fleet,
             registry,
-            act,
-            advice,
+            on_plan_change,
+            retry_delay,
         )
         self.servers: dict[str, Address] = server_addresses(fleet)
-        who = ProcessIdentity(
+        identity = ProcessIdentity(
             node, secrets.token_hex(4), fleet.site or site, parse_release(__version__), fleet.alone
         )
-        self.holder = LeaseHolder(who, list(self.servers), Random(), clock.elapsed(), time.time, check)
+        self.holder = LeaseHolder(
+            identity, list(self.servers), Random(), clock.elapsed(), time.time, validate
+        )
         self.connection: FleetConnection | None = None
         self.fleet_id = ""  # of the first fleet that granted a lease
         self._timer: Any = None
@@ -132,8 +134,8 @@
             return None
         holder.audit_log.written_upto = 0
         plan = folder.plan()
-        if plan is not None and (why := holder.validate(plan)):
-            log.warning("last_plan_rejected", version=plan.version, why=why)
+        if plan is not None and (error_text := holder.validate(plan)):
+            log.warning("last_plan_rejected", version=plan.version, why=error_text)
         elif plan is not None:
             holder.plan = holder.validated_plan = plan
             self.service_span.version = plan.version
@@ -146,9 +148,9 @@
     def _write_to_folder(self, plan: p.Plan | None = None) -> None:
         """In the order in which it is done; a steward hears of it once it is on file."""
         audit_log = self.holder.audit_log
-        fresh, audit_log.fresh = audit_log.fresh, []
-        if self.folder is not None and (fresh or plan is not None):
-            self.folder.write(fresh, plan)
+        entries, audit_log.fresh = audit_log.fresh, []
+        if self.folder is not None and (entries or plan is not None):
+            self.folder.write(entries, plan)
 
     # ---- what is done
 
@@ -169,8 +171,8 @@
             self._start_service_span(fencing_token)
         self._write_to_folder()
         holder.events.clear()
-        sends, holder.outgoing = holder.outgoing, []
-        for message in sends:
+        messages, holder.outgoing = holder.outgoing, []
+        for message in messages:
             if self.connection is not None:
                 self.connection.send(message)
         if holder.disconnect:
@@ -179,8 +181,8 @@
             if connection is not None:
                 connection.close()
         if holder.server_to_dial is not None:
-            name, holder.server_to_dial = holder.server_to_dial, None
-            self._connect(name)
+            server_name, holder.server_to_dial = holder.server_to_dial, None
+            self._connect(server_name)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
@@ -189,10 +191,10 @@
 
     def _start_service_span(self, fencing_token: int) -> None:
         """Another version, or a lease got or lost: what comes from now on is under that."""
-        plan, before = self.holder.plan, self.service_span.version
+        plan, version_before = self.holder.plan, self.service_span.version
         self._close_service_span()
         self.service_span = ServiceSpan(plan.version, fencing_token)
-        changed = plan.version != before
+        changed = plan.version != version_before
         self._write_to_folder(plan if changed else None)
         if changed:
             self._apply_plan(plan)
@@ -215,17 +217,17 @@
             service_span.accepted = Counter()
 
     def _apply_plan(self, plan: p.Plan) -> None:
-        for id in plan.ejections:
-            self.registry.eject(id, time.time() * 1000.0, BY_FLEET)
-        for id in self.registry.ejected_by(BY_FLEET):
-            if id not in plan.ejections:
-                self.registry.reinstate(id, time.time() * 1000.0, BY_FLEET)
+        for worker in plan.ejections:
+            self.registry.eject(worker, time.time() * 1000.0, BY_FLEET)
+        for worker in self.registry.ejected_by(BY_FLEET):
+            if worker not in plan.ejections:
+                self.registry.reinstate(worker, time.time() * 1000.0, BY_FLEET)
         self.on_plan_change(plan)
 
-    def _ejection_changed(self, id: str, by: str, out: bool) -> None:
+    def _ejection_changed(self, worker: str, by: str, ejected: bool) -> None:
         """Staff have taken a provider out, or back, at this node's own console."""
         if by == BY_OPERATOR:
-            self.holder.record_action(audit.WORKER_EJECTED if out else audit.WORKER_REINSTATED, id)
+            self.holder.record_action(audit.WORKER_EJECTED if ejected else audit.WORKER_REINSTATED, worker)
             self._write_to_folder()
 
     def stop(self) -> None:
@@ -240,14 +242,14 @@
         self.holder.tick(clock.elapsed())
         self.process_effects()
 
-    def _connect(self, name: str) -> None:
-        who = self.holder.identity
-        hello = m.Hello(m.PROTOCOL_VERSION, self.fleet_id, "agent", f"{who.node}#{who.boot}")
+    def _connect(self, server_name: str) -> None:
+        identity = self.holder.identity
+        hello = m.Hello(m.PROTOCOL_VERSION, self.fleet_id, "agent", f"{identity.node}#{identity.boot}")
         connection = FleetConnection(self.reactor, hello, self._receive, self._lost)
-        connection.server_name = name
+        connection.server_name = server_name
         self.connection = connection
-        made = dial(self.reactor, *self.servers[name], CONNECT_TIMEOUT, connection)
-        made.addErrback(lambda failure: self._lost(connection))
+        connecting = dial(self.reactor, *self.servers[server_name], CONNECT_TIMEOUT, connection)
+        connecting.addErrback(lambda failure: self._lost(connection))
 
     def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
         if connection is not self.connection:
@@ -266,9 +268,9 @@
         ):
             if isinstance(message, m.Lease) and not self.fleet_id and connection.peer is not None:
                 self.fleet_id = connection.peer.fleet
-            before = self.holder.refusal
+            refusal_before = self.holder.refusal
             self.holder.receive(now, message)
-            if isinstance(message, m.LeaseRefused) and message.reason != before:
+            if isinstance(message, m.LeaseRefused) and message.reason != refusal_before:
                 log.warning("lease_refused", server=connection.server_name, why=message.reason)
         else:
             connection.abort(f"a steward does not say {type(message).__name__} to an agent")
--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -69,29 +69,32 @@
             case m.Consensus(inner):
                 self.raft.receive(now, sender, inner)
             case m.ForwardedRequest(token, request):
-                self._handle_request(now, (sender, token), request, passed=True)
-            case m.ForwardedReply(token, answer):
-                self._replies.append((token, answer))
+                self._handle_request(now, (sender, token), request, forwarded=True)
+            case m.ForwardedReply(token, reply):
+                self._replies.append((token, reply))
 
     def receive_request(self, now: float, token: int, request: m.ForwardableRequest) -> None:
         """Receive a request on one of this member's own connections."""
-        self._handle_request(now, (self.member_id, token), request, passed=False)
+        self._handle_request(now, (self.member_id, token), request, forwarded=False)
 
-    def identify_member(self, id: str) -> None:
+    def identify_member(self, member_id: str) -> None:
         """A member has said who it is: its name, a dot, and its incarnation."""
-        self.member_ids[id.partition(".")[0]] = id
+        self.member_ids[member_id.partition(".")[0]] = member_id
 
     def take_effects(self, now: float) -> Effects:
         """Return the effects of all input so far."""
         effects = Effects([], [], [], [], [])
         self._update_leadership()
         while True:
-            out = self.raft.take_effects(now)
-            effects.messages += [(to, m.Consensus(message)) for to, message in out.messages]
-            effects.writes += out.writes
-            if out.restore is not None:
-                self.record, self.applied_index = p.decode_record(out.restore.data), out.restore.index
-            for entry in out.committed:
+            raft_effects = self.raft.take_effects(now)
+            effects.messages += [(to, m.Consensus(message)) for to, message in raft_effects.messages]
+            effects.writes += raft_effects.writes
+            if raft_effects.restore is not None:
+                self.record, self.applied_index = (
+                    p.decode_record(raft_effects.restore.data),
+                    raft_effects.restore.index,
+                )
+            for entry in raft_effects.committed:
                 self._apply(now, entry, effects)
             before = self.raft.last_index, self.raft.heartbeat_round_requested
             self._advance_leadership(now)
@@ -105,7 +108,9 @@
 
     # ---- requests
 
-    def _handle_request(self, now: float, route: Route, request: m.ForwardableRequest, passed: bool) -> None:
+    def _handle_request(
+        self, now: float, route: Route, request: m.ForwardableRequest, forwarded: bool
+    ) -> None:
         raft = self.raft
         if (
             isinstance(request, m.CommandRequest)
@@ -118,16 +123,16 @@
                 self._handle_as_leader(now, self.leadership, route, request)
             else:
                 self._reject(route, request, "the leader is new and does not know the record yet")
-        elif raft.leader and not passed:
+        elif raft.leader and not forwarded:
             self._messages.append((raft.leader, m.ForwardedRequest(route[1], request)))
         else:
             self._reject(route, request, "no leader is known here")
 
-    def _reject(self, route: Route, request: m.ForwardableRequest, why: str) -> None:
+    def _reject(self, route: Route, request: m.ForwardableRequest, reason: str) -> None:
         if isinstance(request, m.RenewLease):
-            self._reply(route, m.LeaseRefused(request.sent, why, retry_elsewhere=True))
+            self._reply(route, m.LeaseRefused(request.sent, reason, retry_elsewhere=True))
         elif isinstance(request, m.CommandRequest):
-            self._reply(route, m.CommandReply(request.number, False, why))
+            self._reply(route, m.CommandReply(request.number, False, reason))
 
     def _handle_as_leader(
         self, now: float, leadership: Leadership, route: Route, request: m.ForwardableRequest
@@ -146,11 +151,16 @@
         self, now: float, leadership: Leadership, route: Route, request: m.AuditEntries
     ) -> None:
         """Lines are acknowledged once the record has them."""
-        account = self.record.process_audits.get(f"{request.node}#{request.boot}")
-        upto = account.upto if account is not None else 0
-        fresh = any(line.number > upto for line in request.entries)
-        ends_here = 0 < request.final_count < upto
-        if not fresh and not ends_here and account is not None and account.matches_recorded(request.entries):
+        process_audit = self.record.process_audits.get(f"{request.node}#{request.boot}")
+        upto = process_audit.upto if process_audit is not None else 0
+        has_new = any(entry.number > upto for entry in request.entries)
+        truncated = 0 < request.final_count < upto
+        if (
+            not has_new
+            and not truncated
+            and process_audit is not None
+            and process_audit.matches_recorded(request.entries)
+        ):
             self._reply(route, m.AuditAcknowledged(request.boot, upto))
             return
         item = p.AuditRecorded(
@@ -169,8 +179,8 @@
             return
         if not leadership.ready:
             leadership.ready = True
-            until = leadership.elected_at + self.record.terms.max_duration
-            leadership.holders = {key: HolderState(until) for key in self.record.holders}
+            expires_at = leadership.elected_at + self.record.terms.max_duration
+            leadership.holders = {key: HolderState(expires_at) for key in self.record.holders}
         self._complete_rounds(now, leadership)
         self._end_expired_leases(now, leadership)
         self._release_next(now, leadership)
@@ -180,8 +190,8 @@
         """A majority has answered a round: what waited for it is answered."""
         confirmed = self.raft.confirmed_round
         due = [pending for pending in leadership.awaiting_round if pending.awaited <= confirmed]
-        later = [pending for pending in leadership.awaiting_round if pending.awaited > confirmed]
-        leadership.awaiting_round = later
+        still_waiting = [pending for pending in leadership.awaiting_round if pending.awaited > confirmed]
+        leadership.awaiting_round = still_waiting
         for pending in due:
             if isinstance(pending.request, m.CommandRequest):
                 self._reply_with_status(now, pending.route, pending.request)
@@ -190,10 +200,10 @@
 
     def _update_leadership(self) -> None:
         """A leadership is one term's."""
-        leadership, leads = self.leadership, self.raft.role is MemberRole.LEADER
-        if leadership is not None and not (leads and leadership.term == self.raft.term):
+        leadership, is_leader = self.leadership, self.raft.role is MemberRole.LEADER
+        if leadership is not None and not (is_leader and leadership.term == self.raft.term):
             self._step_down(leadership)
-        if self.leadership is None and leads:
+        if self.leadership is None and is_leader:
             self.leadership = Leadership(self.raft.term, self.raft.elected_at)
 
     def _step_down(self, leadership: Leadership) -> None:
@@ -214,15 +224,15 @@
                 self._reply(pending.route, m.CommandReply(pending.request.number, True, ""))
             return
         item = p.decode_item(entry.data)
-        why_not = self.record.apply(entry.index, item)
-        if not why_not:
+        error = self.record.apply(entry.index, item)
+        if not error:
             effects.items.append((entry.index, item))
         if leadership is None or not leadership.ready:
             return
-        if not why_not:
+        if not error:
             self._record_changed(now, leadership, item, pending)
         if pending is not None:
-            self._reply_to_proposer(item, why_not, pending)
+            self._reply_to_proposer(item, error, pending)
 
     def _record_changed(
         self, now: float, leadership: Leadership, item: p.Item, pending: PendingRequest | None
@@ -235,18 +245,18 @@
             case p.AgreeChange() | p.WithdrawVersion() | p.Release():
                 self._send_version_update(leadership)
 
-    def _reply_to_proposer(self, item: p.Item, why_not: str, pending: PendingRequest) -> None:
+    def _reply_to_proposer(self, item: p.Item, error: str, pending: PendingRequest) -> None:
         """An entry that somebody waited for is applied."""
         if isinstance(item, p.AuditRecorded):
-            account = self.record.process_audits[f"{item.node}#{item.boot}"]
-            self._reply(pending.route, m.AuditAcknowledged(item.boot, account.upto))
+            process_audit = self.record.process_audits[f"{item.node}#{item.boot}"]
+            self._reply(pending.route, m.AuditAcknowledged(item.boot, process_audit.upto))
         if isinstance(pending.request, m.CommandRequest):
             data = (
                 {"version": self.record.change_versions.get(item.id, 0)}
                 if isinstance(item, p.AgreeChange)
                 else None
             )
-            self._reply_to_command(pending.route, pending.request.number, why_not, data)
+            self._reply_to_command(pending.route, pending.request.number, error, data)
 
     def _compact(self) -> None:
         if self.applied_index - self.raft.snapshot.index >= ENTRIES_PER_COMPACTION:
--- a/bitternpath/balancer/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -21,17 +21,17 @@
 
     def __init__(
         self,
-        me: str,
-        kept: PersistentState,
+        member_id: str,
+        persistent_state: PersistentState,
         random: Random,
         now: float,
-        wall: Callable[[], float],
-        times: RaftTiming,
+        wall_clock: Callable[[], float],
+        timing: RaftTiming,
     ) -> None:
-        self.member_id, self.wall_clock = me, wall
-        self.record = p.decode_record(kept.snapshot.data)
-        self.applied_index = kept.snapshot.index
-        self.raft = Raft(me, kept, random, now, RaftOptions(times))
+        self.member_id, self.wall_clock = member_id, wall_clock
+        self.record = p.decode_record(persistent_state.snapshot.data)
+        self.applied_index = persistent_state.snapshot.index
+        self.raft = Raft(member_id, persistent_state, random, now, RaftOptions(timing))
         self.leadership: Leadership | None = None
         self.member_ids: dict[str, str] = {}  # a member's name: the incarnation that it is, as it last said
         self._messages: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]] = []
@@ -43,10 +43,10 @@
         else:
             self._messages.append((route[0], m.ForwardedReply(route[1], reply)))
 
-    def _reply_to_command(self, route: Route, number: int, why_not: str, data: Any = None) -> None:
+    def _reply_to_command(self, route: Route, number: int, error: str, data: Any = None) -> None:
         """Answer a command; `why_not` is empty where it was done."""
-        content = msgspec.Raw(msgspec.msgpack.encode(data))
-        self._reply(route, m.CommandReply(number, not why_not, why_not, content))
+        encoded = msgspec.Raw(msgspec.msgpack.encode(data))
+        self._reply(route, m.CommandReply(number, not error, error, encoded))
 
     def _propose(self, now: float, item: p.Item) -> int | None:
         """The index of the item's entry; None where it can't be proposed now."""
--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -58,16 +58,16 @@
     return blake3(data).digest(CHECKSUM_BYTES) + data
 
 
-def _decode_with_checksum(sealed: bytes | None, kind: Any, what: str) -> Any:
-    if sealed is None:
-        raise DamagedError(f"{what} is missing")
-    data = bytes(sealed[CHECKSUM_BYTES:])
-    if blake3(data).digest(CHECKSUM_BYTES) != sealed[:CHECKSUM_BYTES]:
-        raise DamagedError(f"{what} does not match its checksum")
+def _decode_with_checksum(value: bytes | None, kind: Any, description: str) -> Any:
+    if value is None:
+        raise DamagedError(f"{description} is missing")
+    data = bytes(value[CHECKSUM_BYTES:])
+    if blake3(data).digest(CHECKSUM_BYTES) != value[:CHECKSUM_BYTES]:
+        raise DamagedError(f"{description} does not match its checksum")
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.DecodeError as error:
-        raise DamagedError(f"{what}: {error}") from error
+        raise DamagedError(f"{description}: {error}") from error
 
 
 class Store:
@@ -125,29 +125,29 @@
         return f"{self.state.name}.{self.state.incarnation}"
 
     def _data_file_id(self) -> tuple[int, int]:
-        found = os.stat(self.folder / DATA_FILE)
-        return found.st_dev, found.st_ino
+        status = os.stat(self.folder / DATA_FILE)
+        return status.st_dev, status.st_ino
 
     def _get(self, key: bytes, kind: Any) -> Any:
         try:
-            with self._env.begin(db=self._meta) as reading:
-                return _decode_with_checksum(reading.get(key), kind, f"{self.folder}: {key.decode()}")
+            with self._env.begin(db=self._meta) as transaction:
+                return _decode_with_checksum(transaction.get(key), kind, f"{self.folder}: {key.decode()}")
         except lmdb.Error as error:
             raise DamagedError(f"{self.folder}: {error}") from error
 
     def _write_state(self) -> None:
-        with self._env.begin(write=True) as writing:
-            writing.put(STATE_KEY, _encode_with_checksum(self.state), db=self._meta)
+        with self._env.begin(write=True) as transaction:
+            transaction.put(STATE_KEY, _encode_with_checksum(self.state), db=self._meta)
 
     def read(self) -> PersistentState:
         """Return the persistent state; raise DamagedError if any of it is incomplete or damaged."""
         state, entries = self.state, list[Entry]()
-        with self._env.begin() as reading:
-            has = reading.get(SNAPSHOT_KEY, db=self._meta) is not None
-        snapshot = self._get(SNAPSHOT_KEY, Snapshot) if has else Snapshot()
+        with self._env.begin() as transaction:
+            has_snapshot = transaction.get(SNAPSHOT_KEY, db=self._meta) is not None
+        snapshot = self._get(SNAPSHOT_KEY, Snapshot) if has_snapshot else Snapshot()
         try:
-            with self._env.begin(db=self._log) as reading:
-                for key, value in reading.cursor():
+            with self._env.begin(db=self._log) as transaction:
+                for key, value in transaction.cursor():
                     index = int.from_bytes(key, "big")
                     entry = _decode_with_checksum(value, Entry, f"{self.folder}: entry {index}")
                     if entry.index != state.compacted_through[0] + len(entries) + 1 or entry.index != index:
@@ -166,32 +166,34 @@
     def write(self, writes: Sequence[StorageWrite], voters: int) -> None:
         """Do them in order, in one transaction that is on disk when this returns; OSError or lmdb.Error."""
         state = self.state
-        with self._env.begin(write=True) as writing:
+        with self._env.begin(write=True) as transaction:
             for write in writes:
-                state = self._apply_write(writing, state, write, voters)
-            writing.put(STATE_KEY, _encode_with_checksum(state), db=self._meta)
+                state = self._apply_write(transaction, state, write, voters)
+            transaction.put(STATE_KEY, _encode_with_checksum(state), db=self._meta)
         self.state = state
 
-    def _apply_write(self, writing: Any, state: StoredState, write: StorageWrite, voters: int) -> StoredState:
+    def _apply_write(
+        self, transaction: Any, state: StoredState, write: StorageWrite, voters: int
+    ) -> StoredState:
         log = self._log
         if write.truncate_from is not None:
-            self._delete_entries(writing, write.truncate_from, None)
+            self._delete_entries(transaction, write.truncate_from, None)
         for entry in write.entries:
-            writing.put(entry.index.to_bytes(8, "big"), _encode_with_checksum(entry), db=log)
+            transaction.put(entry.index.to_bytes(8, "big"), _encode_with_checksum(entry), db=log)
         if write.snapshot is not None:
-            writing.put(SNAPSHOT_KEY, _encode_with_checksum(write.snapshot), db=self._meta)
+            transaction.put(SNAPSHOT_KEY, _encode_with_checksum(write.snapshot), db=self._meta)
         if write.compacted_through != state.compacted_through:
-            self._delete_entries(writing, state.compacted_through[0] + 1, write.compacted_through[0])
+            self._delete_entries(transaction, state.compacted_through[0] + 1, write.compacted_through[0])
         return msgspec.structs.replace(
             state, term=write.term, vote=write.vote, compacted_through=write.compacted_through, voters=voters
         )  # fmt: skip
 
-    def _delete_entries(self, writing: Any, first: int, last: int | None) -> None:
+    def _delete_entries(self, transaction: Any, first: int, last: int | None) -> None:
         """The entries from one index to another, or to the end."""
-        with writing.cursor(db=self._log) as cursor:
-            found = cursor.set_range(first.to_bytes(8, "big"))
-            while found and (last is None or int.from_bytes(cursor.key(), "big") <= last):
-                found = cursor.delete()
+        with transaction.cursor(db=self._log) as cursor:
+            more = cursor.set_range(first.to_bytes(8, "big"))
+            while more and (last is None or int.from_bytes(cursor.key(), "big") <= last):
+                more = cursor.delete()
 
     def close(self) -> None:
         if getattr(self, "_env", None) is not None:
@@ -204,6 +206,6 @@
 
 def quarantine_folder(folder: Path) -> Path:
     """Move a damaged folder away, so that the steward can begin anew; where it is now."""
-    aside = folder.with_name(f"{folder.name}.damaged-{int(time.time())}")
-    os.rename(folder, aside)
-    return aside
+    quarantined = folder.with_name(f"{folder.name}.damaged-{int(time.time())}")
+    os.rename(folder, quarantined)
+    return quarantined
--- a/bitternpath/cli/consensus_server.py
+++ b/bitternpath/cli/consensus_server.py
@@ -16,10 +16,10 @@
 
 def _checked_settings(fleet: Fleet) -> Fleet:
     """The fleet settings, if a consensus server can run with them; ConfigError if not."""
-    names = [each.partition("=")[0] for each in fleet.stewards]
-    if fleet.name not in names:
+    server_names = [each.partition("=")[0] for each in fleet.stewards]
+    if fleet.name not in server_names:
         raise ConfigError(
-            f"fleet.name = {fleet.name!r}: allowed are those of fleet.stewards: {', '.join(names)}"
+            f"fleet.name = {fleet.name!r}: allowed are those of fleet.stewards: {', '.join(server_names)}"
         )
     if not fleet.folder:
         raise ConfigError("fleet.folder: a consensus server needs a folder that lasts")
@@ -51,8 +51,8 @@
     from bitternpath.balancer.fleet.consensus_server import run
     from bitternpath.balancer.fleet.store import StoreError
 
-    told = settings.log
-    logs.start(told.level, told.format, told.per_second)
+    log_settings = settings.log
+    logs.start(log_settings.level, log_settings.format, log_settings.per_second)
     try:
         context.exit(run(fleet, found))
     except StoreError as error:
--- a/bitternpath/cli/fleet_changes.py
+++ b/bitternpath/cli/fleet_changes.py
@@ -28,8 +28,8 @@
     try:
         if key == "least-release" and len(pairs) == 1:
             return p.LeastRelease(tuple(int(part) for part in text.split(".")))
-        section, dot, name = key.rpartition(".")
-        if not dot:
+        section, has_section, name = key.rpartition(".")
+        if not has_section:
             raise click.UsageError(
                 f"{key}: unknown; allowed are CLASS.FIELD, rules.KEY, allowed.KEY, least-release"
             )
@@ -50,8 +50,8 @@
     from bitternpath.balancer.fleet.messages import Propose
 
     id = id or secrets.token_hex(8)
-    told = fleet.send(Propose(id, fleet.author, reason, change))
-    version = told["version"]
+    reply = fleet.send(Propose(id, fleet.author, reason, change))
+    version = reply["version"]
     click.echo(f"agreed as version {version} (id {id})")
     if required:
         _await_effect(fleet, version)
@@ -60,24 +60,25 @@
 def _await_effect(fleet: FleetClient, version: int) -> None:
     """Until all who hold a lease act on it. Who does not answer or lags loses its lease, so that this ends;
     where half of the fleet refuses the change it ends by saying so."""
-    said = ""
+    printed = ""
     while True:
-        found, why = fleet.query()
-        held = [h for h in found["holders"] if h.get("acting", -1) < version]
-        if not why and found["released"] >= version and not held:
-            click.echo(f"version {version} is in effect at {len(found['holders'])} processes")
+        status, no_majority = fleet.query()
+        behind = [h for h in status["holders"] if h.get("acting", -1) < version]
+        if not no_majority and status["released"] >= version and not behind:
+            click.echo(f"version {version} is in effect at {len(status['holders'])} processes")
             return
-        refuse = [h for h in found["holders"] if h.get("refuses")]
-        if refuse and 2 * len(refuse) >= len(found["holders"]):
+        rejecting = [h for h in status["holders"] if h.get("refuses")]
+        if rejecting and 2 * len(rejecting) >= len(status["holders"]):
             raise click.ClickException(
-                f"version {version} is refused by {len(refuse)} of {len(found['holders'])}, first by "
-                f"{refuse[0]['node']}: {refuse[0]['refuses']}; `bitternpath fleet withdraw {version}` ends it"
+                f"version {version} is refused by {len(rejecting)} of {len(status['holders'])}, first by "
+                f"{rejecting[0]['node']}: {rejecting[0]['refuses']}; "
+                f"`bitternpath fleet withdraw {version}` ends it"
             )
-        waits = ", ".join(f"{h['node']} ({holder_state(found, h)})" for h in held) or "the release"
-        line = f"no majority: {why}" if why else f"waits for {waits}"
-        if line != said:
+        waiting_for = ", ".join(f"{h['node']} ({holder_state(status, h)})" for h in behind) or "the release"
+        line = f"no majority: {no_majority}" if no_majority else f"waits for {waiting_for}"
+        if line != printed:
             click.echo(line)
-            said = line
+            printed = line
         time.sleep(POLL_INTERVAL)
 
 
--- a/bitternpath/cli/fleet_client.py
+++ b/bitternpath/cli/fleet_client.py
@@ -28,12 +28,12 @@
         from bitternpath.balancer.fleet.client import NoAnswerError, send_command
 
         try:
-            answer = send_command(self.servers, command, self.author, self.within)
+            reply = send_command(self.servers, command, self.author, self.within)
         except NoAnswerError as error:
             raise click.ClickException(f"no steward that can decide answers: {error}") from error
-        if not answer.ok:
-            raise click.ClickException(answer.text)
-        return msgspec.msgpack.decode(answer.data)
+        if not reply.ok:
+            raise click.ClickException(reply.text)
+        return msgspec.msgpack.decode(reply.data)
 
     def query(self, what: str = "status") -> tuple[dict[str, Any], str]:
         from bitternpath.balancer.fleet.client import NoAnswerError, query
@@ -49,26 +49,26 @@
     """Hands over a `FleetClient` made from the operator file and the flags."""
 
     @wraps(function)
-    def made(operator_file: str | None, within: float, author: str | None, **more: Any) -> Any:
-        flags = {name: more.pop(name) for name in list(more) if "__" in name}
+    def wrapper(operator_file: str | None, within: float, author: str | None, **arguments: Any) -> Any:
+        flags = {name: arguments.pop(name) for name in list(arguments) if "__" in name}
         context = click.get_current_context()
         try:
-            told = read(operator_file, os.environ, given(flags)).settings.fleet
-            if not told.stewards:
+            settings = read(operator_file, os.environ, given(flags)).settings.fleet
+            if not settings.stewards:
                 raise ConfigError(
                     "fleet.stewards: no steward is named; give --fleet-stewards or --operator-file"
                 )
-            pairs = [each.partition("=") for each in told.stewards]
-            servers = {name: address(at) for name, _, at in pairs}
+            pairs = [each.partition("=") for each in settings.stewards]
+            servers = {name: address(host_port) for name, _, host_port in pairs}
         except (ConfigError, ValueError) as error:
             context.exit(fault(error))
-        return function(FleetClient(servers, author or getpass.getuser(), within), **more)
+        return function(FleetClient(servers, author or getpass.getuser(), within), **arguments)
 
-    made = click.option("--author", metavar="NAME", help="who asks; else your user name")(made)
-    made = click.option(
+    wrapper = click.option("--author", metavar="NAME", help="who asks; else your user name")(wrapper)
+    wrapper = click.option(
         "--within", default=5.0, show_default=True, metavar="S", help="for how long an answer is waited for"
-    )(made)
-    return operator_options(made)
+    )(wrapper)
+    return operator_options(wrapper)
 
 
 as_json = click.option("--json", "json", is_flag=True, help="all that is known, for machines")
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -17,12 +17,12 @@
 @with_fleet_client
 def list_(fleet: FleetClient) -> None:
     """The members, by name and incarnation."""
-    found, why = fleet.query()
-    print_no_majority(found, why)
-    for id in found["voters"]:
-        click.echo(f"{id} votes" + (", leads" if id == found["leader"] else ""))
-    for id in found["learners"]:
-        click.echo(f"{id} learns")
+    status, no_majority = fleet.query()
+    print_no_majority(status, no_majority)
+    for member_id in status["voters"]:
+        click.echo(f"{member_id} votes" + (", leads" if member_id == status["leader"] else ""))
+    for member_id in status["learners"]:
+        click.echo(f"{member_id} learns")
 
 
 @members.command()
--- a/bitternpath/cli/fleet_reports.py
+++ b/bitternpath/cli/fleet_reports.py
@@ -25,32 +25,32 @@
 @as_json
 def status(fleet: FleetClient, json: bool) -> None:
     """Who leads, which version is in effect, and who holds a lease on which."""
-    found, why = fleet.query()
+    record, no_majority = fleet.query()
     if json:
-        print_json(found | {"no_majority": why})
+        print_json(record | {"no_majority": no_majority})
     else:
-        print_no_majority(found, why)
+        print_no_majority(record, no_majority)
         click.echo(
-            f"leader {found['leader'] or '-'}, term {found['term']}; version {found['released']} released, "
-            f"{found['latest']} agreed, {found['in_effect']} acted on by all"
+            f"leader {record['leader'] or '-'}, term {record['term']}; version "
+            f"{record['released']} released, {record['latest']} agreed, {record['in_effect']} acted on by all"
         )
-        for id in found["voters"]:
-            click.echo(f"steward {id}" + (" (leads)" if id == found["leader"] else ""))
-        for id in found["learners"]:
-            click.echo(f"steward {id} (learns, does not vote yet)")
+        for member_id in record["voters"]:
+            click.echo(f"steward {member_id}" + (" (leads)" if member_id == record["leader"] else ""))
+        for member_id in record["learners"]:
+            click.echo(f"steward {member_id} (learns, does not vote yet)")
         rows = [
             (
                 h["node"], h["boot"], h["site"], ".".join(map(str, h["release"])), h["fence"],
                 h.get("acting", "-"), h.get("have", "-"),
                 f"{h['heard']:.1f} s" if h.get("heard") is not None else "-",
-                f"{max(h['until'], 0.0):.1f} s" if "until" in h else "-", holder_state(found, h),
+                f"{max(h['until'], 0.0):.1f} s" if "until" in h else "-", holder_state(record, h),
             )
-            for h in sorted(found["holders"], key=lambda h: (h["node"], h["boot"]))
+            for h in sorted(record["holders"], key=lambda h: (h["node"], h["boot"]))
         ]  # fmt: skip
         print_table(
             ("node", "process", "site", "release", "fence", "acts on", "has", "heard", "lease", "state"), rows
         )
-    click.get_current_context().exit(1 if why else 0)
+    click.get_current_context().exit(1 if no_majority else 0)
 
 
 @click.command()
@@ -58,18 +58,22 @@
 @as_json
 def versions(fleet: FleetClient, json: bool) -> None:
     """What was agreed, by whom, why, and since when it is acted on."""
-    found, why = fleet.query()
+    record, no_majority = fleet.query()
     if json:
         print_json(
-            {"versions": found["changes"], "release_times": found["release_times"], "no_majority": why}
+            {
+                "versions": record["changes"],
+                "release_times": record["release_times"],
+                "no_majority": no_majority,
+            }
         )
     else:
-        print_no_majority(found, why)
+        print_no_majority(record, no_majority)
         rows = []
-        for agreed in found["changes"]:
-            since = found["release_times"].get(agreed["version"])
-            state = "released " + format_time(since) if since is not None else "agreed"
-            what = describe_change(agreed["change"]) + (
+        for agreed in record["changes"]:
+            released_at = record["release_times"].get(agreed["version"])
+            state = "released " + format_time(released_at) if released_at is not None else "agreed"
+            description = describe_change(agreed["change"]) + (
                 f" ({agreed['withdrawn']})" if agreed["withdrawn"] else ""
             )
             rows.append(
@@ -78,12 +82,12 @@
                     format_time(agreed["time"]),
                     agreed["author"],
                     state,
-                    what,
+                    description,
                     agreed["reason"],
                 )
             )
         print_table(("version", "agreed", "by", "state", "change", "reason"), rows)
-    click.get_current_context().exit(1 if why else 0)
+    click.get_current_context().exit(1 if no_majority else 0)
 
 
 @click.command()
@@ -95,34 +99,43 @@
 def audit(fleet: FleetClient, node: str | None, version: int | None, at: str | None, json: bool) -> None:
     """Who acted on which version, from when to when, and what is missing."""
     when = parse_time(at) if at is not None else None
-    found, why = fleet.query("audit")
-    accounts = [a for a in found["accounts"] if node in (None, a["node"])]
-    accounts.sort(key=lambda a: (a["node"], a["lines"][0][1] if a["lines"] else 0.0))
+    record, no_majority = fleet.query("audit")
+    process_audits = [process for process in record["accounts"] if node in (None, process["node"])]
+    process_audits.sort(key=lambda a: (a["node"], a["lines"][0][1] if a["lines"] else 0.0))
     if json:
-        print_json({"accounts": accounts, "no_majority": why})
-        click.get_current_context().exit(1 if why else 0)
-    print_no_majority(found, why)
+        print_json({"accounts": process_audits, "no_majority": no_majority})
+        click.get_current_context().exit(1 if no_majority else 0)
+    print_no_majority(record, no_majority)
     if when is not None:
         print_table(
             ("node", "process", f"at {format_time(when)}"),
             [
-                (a["node"], a["boot"], applied_version(a, when))
-                for a in accounts
-                if a["lines"] and a["lines"][0][1] <= when
+                (process["node"], process["boot"], applied_version(process, when))
+                for process in process_audits
+                if process["lines"] and process["lines"][0][1] <= when
             ],
         )
     else:
         rows = [
-            (a["node"], a["boot"], number, format_time(since), what, of, fencing_token, detail)
-            for a in accounts
-            for number, since, what, of, fencing_token, detail, _ in a["lines"]
-            if version in (None, of)
+            (
+                process["node"],
+                process["boot"],
+                number,
+                format_time(logged_at),
+                kind,
+                entry_version,
+                fencing_token,
+                detail,
+            )
+            for process in process_audits
+            for number, logged_at, kind, entry_version, fencing_token, detail, _ in process["lines"]
+            if version in (None, entry_version)
         ]
         print_table(("node", "process", "act", "time", "what", "version", "fence", ""), rows)
-    for account in accounts:
-        for wrong in [*account["faults"], *account["unheard"]]:
-            click.echo(f"{account['node']}#{account['boot']}: {wrong}")
-    click.get_current_context().exit(1 if why else 0)
+    for process_audit in process_audits:
+        for fault in [*process_audit["faults"], *process_audit["unheard"]]:
+            click.echo(f"{process_audit['node']}#{process_audit['boot']}: {fault}")
+    click.get_current_context().exit(1 if no_majority else 0)
 
 
 @click.command()
@@ -130,21 +143,21 @@
 @click.argument("node")
 def explain(fleet: FleetClient, node: str) -> None:
     """Why a node is where it is: what was last heard, what it acts on, what stops it, what to do."""
-    found, why = fleet.query("audit")
-    print_no_majority(found, why)
-    holders = [h for h in found["holders"] if h["node"] == node]
-    accounts = [a for a in found["accounts"] if a["node"] == node]
-    if not holders and not accounts:
+    record, no_majority = fleet.query("audit")
+    print_no_majority(record, no_majority)
+    holders = [h for h in record["holders"] if h["node"] == node]
+    process_audits = [a for a in record["accounts"] if a["node"] == node]
+    if not holders and not process_audits:
         raise click.ClickException(f"nobody has heard of {node}")
     for holder in holders:
-        click.echo(f"{node}#{holder['boot']}: {explain_holder(found, holder)}")
-    held = {h["boot"] for h in holders}
-    gone = [a for a in accounts if a["boot"] not in held]
-    if gone:
-        last = max(gone, key=lambda a: a["lines"][-1][1] if a["lines"] else 0.0)
+        click.echo(f"{node}#{holder['boot']}: {explain_holder(record, holder)}")
+    with_lease = {h["boot"] for h in holders}
+    without_lease = [a for a in process_audits if a["boot"] not in with_lease]
+    if without_lease:
+        last = max(without_lease, key=lambda a: a["lines"][-1][1] if a["lines"] else 0.0)
         click.echo(f"{node}#{last['boot']}: no lease; {applied_version(last, time.time())}")
         if not holders:
             click.echo("It gets a lease by itself once it reaches a steward and can take what is released:")
             click.echo("look whether it runs, at its links, and whether its log has")
             click.echo("`serving_without_lease` or `lease_refused`.")
-    click.get_current_context().exit(1 if why else 0)
+    click.get_current_context().exit(1 if no_majority else 0)
