--- a/bitternpath/balancer/fleet/__init__.py
+++ b/bitternpath/balancer/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What many processes of the program agree on: the record, leases, the audit (docs/design/fleet.md)."""
+"""What the nodes of a fleet agree on: the record, its servers, leases, the audit (docs/design/fleet.md)."""
--- a/bitternpath/balancer/fleet/audit.py
+++ b/bitternpath/balancer/fleet/audit.py
@@ -1,8 +1,8 @@
-"""The audit log of a node's process: numbered lines, each chained to the one before by a digest. Pure.
+"""The audit log of a node process: numbered entries, each chained to the one before by a digest. Does no I/O.
 
-An `AuditLog` is the process's own; lines that are written and not acknowledged are sent again. A
-`ProcessAudit` is what the consensus servers have received from one process; lines that are missing or do
-not follow from the line before are reported as faults.
+An `AuditLog` belongs to the process itself; entries are sent again until they are acknowledged. A
+`ProcessAudit` is what the consensus servers have received from one process; missing entries and entries that
+do not follow from the one before are reported as faults.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from blake3 import blake3
 from msgspec import Struct
 
-DIGEST_BYTES = 16  # bytes of a link of the chain
-MAX_UNACKNOWLEDGED_ENTRIES = 2000  # that a process keeps while nobody acknowledges them; the oldest go first
-MAX_ENTRIES_PER_PROCESS = 500  # that the stewards keep of one process
-MAX_ENDED_LEASES = 50  # ends of leases that are kept of one
-ENTRIES_PER_MESSAGE = 100  # lines of one message
+DIGEST_BYTES = 16  # of an entry's link
+MAX_UNACKNOWLEDGED_ENTRIES = 2000  # in a process; beyond it the oldest are dropped
+MAX_ENTRIES_PER_PROCESS = 500  # in the record
+MAX_ENDED_LEASES = 50  # per process, in the record
+ENTRIES_PER_MESSAGE = 100
 
-# What a line may tell, beside version and fence.
+# Kinds of entries (`AuditEntry.what`), as stored and sent.
 LEASE_STARTED, VERSION_APPLIED, LEASE_EXPIRED, LEASE_RELEASED = "joined", "acts", "lost", "left"
 WORKER_EJECTED, WORKER_REINSTATED, INVOCATIONS_SERVED, CHANGE_REJECTED = (
     "out by hand",
@@ -28,23 +28,25 @@
     "served",
     "refuses",
 )
-LEASE_END_KINDS = (LEASE_EXPIRED, LEASE_RELEASED)  # after these the process acts no more under that fence
+LEASE_END_KINDS = (LEASE_EXPIRED, LEASE_RELEASED)  # after these the process no longer uses the fencing token
 
 
 class AuditEntry(Struct, frozen=True, array_like=True):
-    number: int  # from 1 on
-    at: float  # Unix s, by the process's own clock
+    """An entry; `link` is a digest of the other fields and the link of the entry before."""
+
+    number: int  # from 1
+    at: float  # Unix s, on the process's own clock
     what: str
     version: int
     fencing_token: int
-    detail: str  # a worker, a reason, or counts as JSON
+    detail: str  # a worker, a reason, or counts as JSON, by kind
     link: bytes
 
 
 def next_entry(
     previous_link: bytes, number: int, at: float, what: str, version: int, fencing_token: int, detail: str
 ) -> AuditEntry:
-    """The line that follows."""
+    """Return the entry that follows the one with `previous_link`."""
     content = msgspec.msgpack.encode((number, at, what, version, fencing_token, detail))
     return AuditEntry(
         number, at, what, version, fencing_token, detail, blake3(previous_link + content).digest(DIGEST_BYTES)
@@ -59,15 +61,15 @@
 
 
 class AuditLog:
-    """The lines of one process."""
+    """The audit log of one process, on the process's side."""
 
     def __init__(self, boot: str) -> None:
         self.boot = boot
         self.number, self.link = 0, b""
-        self.ended = False
+        self.ended = False  # whether it belongs to an earlier process
         self.unacknowledged: deque[AuditEntry] = deque()
-        self.fresh: list[AuditEntry] = []  # to be written down
-        self.written_upto: int | None = None  # up to which line they are on file; None: no file is waited for
+        self.fresh: list[AuditEntry] = []  # not passed to the file yet
+        self.written_upto: int | None = None  # last entry on file; None: sends do not wait for a file
 
     def add(self, at: float, what: str, version: int, fencing_token: int, detail: str = "") -> None:
         self.number += 1
@@ -79,13 +81,13 @@
             self.unacknowledged.popleft()
 
     def acknowledge(self, upto: int) -> None:
-        """The stewards have all lines up to that one."""
+        """Drop the entries up to number `upto`: the record has them."""
         while self.unacknowledged and self.unacknowledged[0].number <= upto:
             self.unacknowledged.popleft()
 
     @property
     def next_batch(self) -> tuple[AuditEntry, ...]:
-        """What to send now."""
+        """The entries to send now."""
         sendable_upto = self.number if self.written_upto is None else self.written_upto
         return tuple(
             entry
@@ -95,7 +97,7 @@
 
 
 def restore_audit_log(boot: str, entries: list[AuditEntry]) -> tuple[AuditLog, str]:
-    """The ledger of an earlier process from its file, and what is wrong with the file; empty: nothing."""
+    """Return an earlier process's audit log from its file, and the file's first fault or an empty string."""
     audit_log, fault = AuditLog(boot), ""
     audit_log.ended = True
     for entry in entries:
@@ -107,22 +109,25 @@
 
 
 class ProcessAudit(Struct):
-    """What was heard of one process."""
+    """The audit of one process in the record."""
 
     node: str
     boot: str
-    last_fencing_token: int = msgspec.field(default=0, name="granted")  # the last fence that it got
-    # fences that are over: when, by the leader's clock, and why
+    last_fencing_token: int = msgspec.field(default=0, name="granted")  # of its latest lease
+    # fencing token, end in Unix s on the leader's clock, and reason
     ended_leases: list[tuple[int, float, str]] = msgspec.field(default_factory=list, name="let_go")
-    upto: int = 0
+    upto: int = 0  # number of the last entry received
     link: bytes = b""
     entries: list[AuditEntry] = msgspec.field(default_factory=list, name="lines")
-    dropped: int = 0  # lines that were heard and are not kept any more
-    missing: list[tuple[int, int]] = []  # numbers that never came, from and to
-    faults: list[str] = []
+    dropped: int = 0  # entries received and no longer kept
+    missing: list[tuple[int, int]] = []  # ranges of entry numbers never received, first and last
+    faults: list[str] = []  # signs of a changed or truncated audit log
 
     def add_entries(self, entries: tuple[AuditEntry, ...], final_count: int) -> None:
-        """Lines in any order of messages; `final`: how many the file of one that has ended has, else 0."""
+        """Add received entries; `final_count` is the file's entry count for an ended process, else 0.
+
+        The texts of faults are part of the replicated state: servers of all releases must write the same.
+        """
         if 0 < final_count < self.upto:
             self._add_fault(f"its file has {final_count} lines, and {self.upto} were heard: cut")
         for entry in entries:
@@ -142,17 +147,17 @@
             del self.entries[:-MAX_ENTRIES_PER_PROCESS]
 
     def end_lease(self, fencing_token: int, at: float, reason: str) -> None:
-        """Its lease is over for the stewards."""
+        """Note that a lease of the process has ended in the record."""
         self.ended_leases.append((fencing_token, at, reason))
         del self.ended_leases[:-MAX_ENDED_LEASES]
 
     def matches_recorded(self, entries: tuple[AuditEntry, ...]) -> bool:
-        """Whether lines that were heard before are the same again."""
+        """Whether entries that are recorded already are the same as before."""
         recorded = {entry.number: entry for entry in self.entries}
         return all(recorded.get(entry.number, entry) == entry for entry in entries)
 
     def drop_entries_before(self, before: float) -> None:
-        """Lines older than that are not kept."""
+        """Drop entries older than `before` (Unix s)."""
         kept = [entry for entry in self.entries if entry.at >= before]
         self.dropped += len(self.entries) - len(kept)
         self.entries = kept
@@ -162,9 +167,9 @@
             self.faults.append(fault)
 
     def missing_entries(self, has_lease: bool) -> list[str]:
-        """What is missing, in words; `holds`: it has a lease, so that more may be on its way."""
+        """Describe what is missing; with `has_lease`, later entries may still arrive."""
         missing = [
-            f"act {first} not heard of" if first == end else f"acts {first} to {end} not heard of"
+            f"entry {first} not received" if first == end else f"entries {first} to {end} not received"
             for first, end in self.missing
         ]
         last = next(
@@ -182,12 +187,12 @@
         )
         if not has_lease and not complete:
             missing.append(
-                f"nothing heard after act {self.upto} of what it did under fence {self.last_fencing_token}"
+                f"nothing received after entry {self.upto} under fencing token {self.last_fencing_token}"
             )
         return missing
 
     def last_state_at(self, time: float) -> AuditEntry | None:
-        """The last line by then that tells on what it acted, or that it did not."""
+        """Return the last entry up to `time` that says which version the process applied, or none."""
         state_kinds = (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
         return next(
             (entry for entry in reversed(self.entries) if entry.at <= time and entry.what in state_kinds),
--- a/bitternpath/balancer/fleet/bootstrap.py
+++ b/bitternpath/balancer/fleet/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first steward of a fleet, before anybody else is asked. Pure."""
+"""The initial state of a fleet's first consensus server. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def bootstrap_state(member_id: str, terms: p.LeaseTerms, fleet_id: str) -> PersistentState:
-    """What the disk of a fleet's only member holds: that it is one, and the fleet's terms."""
+    """Return the persistent state of a fleet's only member: its membership and the lease terms."""
     members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members((member_id,))))
     bootstrap = Entry(2, 1, EntryKind.COMMAND, p.encode_item(p.Bootstrap(terms, fleet_id)))
     return PersistentState(term=1, vote=member_id, entries=[members, bootstrap])
--- a/bitternpath/balancer/fleet/client.py
+++ b/bitternpath/balancer/fleet/client.py
@@ -1,4 +1,4 @@
-"""Requests of a command to the consensus servers: blocking sockets, one server after the other."""
+"""Client for commands: asks the consensus servers one after the other, over blocking sockets."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from bitternpath.balancer.config.platform import Address
 from bitternpath.balancer.fleet import messages as m
 
-REPLY_TIMEOUT = 2.0  # s that one steward is waited for
-RETRY_INTERVAL = 0.3  # s before all of them are asked again
+REPLY_TIMEOUT = 2.0  # s to wait for the reply of one server
+RETRY_INTERVAL = 0.3  # s between two passes over all servers
 RECEIVE_BYTES = 1 << 16
 
 
 class NoAnswerError(Exception):
-    """Nobody who could answer did in time; the text says what each said."""
+    """No server gave a final reply in time; the text has the last failure of each server."""
 
 
 def _send_to_server(address: Address, request: m.CommandRequest, name: str, timeout: float) -> m.CommandReply:
@@ -42,15 +42,15 @@
 
 
 def is_transient(reply: m.CommandReply) -> bool:
-    """Whether the same question may be answered soon."""
+    """Whether the server is expected to answer the same command soon."""
     return not reply.ok and ("leader" in reply.text or "again" in reply.text)
 
 
 def send_command(
     servers: Mapping[str, Address], command: m.Command, name: str, timeout: float
 ) -> m.CommandReply:
-    """Ask any steward, again until one answers or the time is up; NoAnswerError then."""
-    deadline, failures = time.monotonic() + timeout, dict.fromkeys(servers, "not asked")
+    """Try the servers in turn until one gives a final reply; NoAnswerError after `timeout` s."""
+    deadline, failures = time.monotonic() + timeout, dict.fromkeys(servers, "not tried yet")
     while True:
         for server, address in servers.items():
             try:
@@ -71,7 +71,10 @@
 def query(
     servers: Mapping[str, Address], command: m.Query, name: str, timeout: float
 ) -> tuple[dict[str, Any], str]:
-    """What is known, and why it may be old: empty where a majority stands behind it."""
+    """Return the data and why it may be outdated; the reason is empty if a majority confirmed the data.
+
+    Without a majority the newest data that any server has is returned.
+    """
     try:
         reply, failure = send_command(servers, command, name, timeout), ""
     except NoAnswerError as error:
--- a/bitternpath/balancer/fleet/clock.py
+++ b/bitternpath/balancer/fleet/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are measured by: it counts while the machine sleeps, and never goes back."""
+"""The clock for leases: it also counts while the machine is suspended, and never goes back."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def elapsed() -> float:
-    """Seconds since some moment of this machine (clock_gettime(2), CLOCK_BOOTTIME)."""
+    """Return the seconds since the machine booted (clock_gettime(2), CLOCK_BOOTTIME)."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/bitternpath/balancer/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -1,4 +1,4 @@
-"""The leader's answers to operators: changes, members, leadership, and what the record says. Pure."""
+"""Operators' commands on the leader: changes, membership, leadership transfer, status. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from bitternpath.balancer.fleet.replica import ReplicaState
 from bitternpath.replication.records import MemberRole, Members
 
-MAX_LEARNER_LAG = 64  # by which a learner may lag to become a voter
+MAX_LEARNER_LAG = 64  # entries by which a learner may lag behind the commit index to become a voter
 CHANGE_IN_PROGRESS = "leadership or membership is changing; ask again"
 
 
 class Commands(ReplicaState):
-    """Commands of operators, while this member leads; the status also where it doesn't."""
+    """The part of a replica that executes commands as the leader; status queries as any member."""
 
     def _handle_command(
         self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest
@@ -36,12 +36,14 @@
             case m.TransferLeadership(to):
                 to = self._voter_id(to)
                 accepted = self.raft.transfer_leadership(now, to)
-                self._reply_to_command(route, request.number, "" if accepted else f"{to} is no other voter")
+                self._reply_to_command(
+                    route, request.number, "" if accepted else f"{to} is not another voter"
+                )
 
     def _propose_change(
         self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest, command: m.Propose
     ) -> None:
-        if command.id in self.record.change_versions:  # asked again
+        if command.id in self.record.change_versions:  # a retry of a committed change
             self._reply_to_command(
                 route, request.number, "", {"version": self.record.change_versions[command.id]}
             )
@@ -58,9 +60,7 @@
         command: m.ChangeMembers,
     ) -> None:
         if command.add and command.add not in self.member_ids:
-            self._reply_to_command(
-                route, request.number, f"{command.add} has not been heard of; does it run?"
-            )
+            self._reply_to_command(route, request.number, f"{command.add} is not connected; does it run?")
             return
         members = self.raft.members
         add = self.member_ids.get(command.add, "")
@@ -88,19 +88,19 @@
     def _membership_error(self, add: str, remove: str) -> str:
         members = self.raft.members
         if bool(add) == bool(remove):
-            return "one steward is added or removed at a time"
+            return "exactly one server can be added or removed at a time"
         if not self.raft.may_change_members or (members.learners and add):
-            return "another change of members is under way; ask again"
+            return "another membership change is in progress; ask again"
         if add in members.all:
-            return f"{add} is a member already"
+            return f"{add} is already a member"
         if remove and remove not in members.all:
-            return f"{remove} is no member; members are {', '.join(members.all)}"
+            return f"{remove} is not a member; members are {', '.join(members.all)}"
         if remove and members.voters == (remove,):
-            return f"{remove} is the last one"
+            return f"{remove} is the last voter"
         return ""
 
     def _promote_learner(self, now: float) -> None:
-        """A learner that has nearly all becomes a voter."""
+        """Make a learner a voter once it has nearly all committed entries."""
         members, raft = self.raft.members, self.raft
         if not members.learners or not raft.may_change_members:
             return
@@ -121,7 +121,7 @@
         self._reply_to_command(route, request.number, "", status)
 
     def _status(self, now: float) -> dict[str, Any]:
-        """What is known. Times in s; those of holders are ages on the leader's clock."""
+        """Return what this member knows. Times are in s; those of holders are ages on the leader's clock."""
         record, raft = self.record, self.raft
         states = self.leadership.holders if self.leadership is not None else {}
         applied_versions = (state.applied_version for state in states.values())
@@ -157,7 +157,7 @@
 
 
 def holder_status(now: float, holder: p.Holder, state: HolderState | None) -> dict[str, Any]:
-    """A holder as the record has it, and what the leader knows of it."""
+    """Return a holder as the record has it, with what the leader knows about it."""
     status: dict[str, Any] = msgspec.to_builtins(holder)
     if state is not None:
         status |= {
--- a/bitternpath/balancer/fleet/connection.py
+++ b/bitternpath/balancer/fleet/connection.py
@@ -15,8 +15,8 @@
 
 log = structlog.get_logger(part="fleet")
 
-MAX_UNREAD_BYTES = 4 << 20  # bytes written that the other side has not taken, beyond which it is given up
-HELLO_TIMEOUT = 3.0  # s for the first message after connecting
+MAX_UNREAD_BYTES = 4 << 20  # bytes sent while the peer does not read, beyond which the connection is aborted
+HELLO_TIMEOUT = 3.0  # s from connecting to the peer's first message
 
 
 @implementer(IPushProducer)
@@ -36,21 +36,21 @@
         lost: Callable[[FleetConnection], None],
     ) -> None:
         self.reactor, self.hello, self._receive, self._lost = reactor, hello, receive, lost
-        self.server_name = ""  # of whom was dialled, for those who dial
+        self.server_name = ""  # of the server connected to, on the client's side
         self.decoder = m.FrameDecoder()
-        self.peer: m.Hello | None = None  # who it says to be
+        self.peer: m.Hello | None = None  # what the peer sent as its identity
         self.is_open = self.paused = False
-        self.unread_bytes = 0  # bytes since the other side last kept up
+        self.unread_bytes = 0  # bytes sent since the transport was paused
         self._hello_timer: Any = None
 
     def connectionMade(self) -> None:
         self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._hello_timer = self.reactor.callLater(HELLO_TIMEOUT, self.abort, "said nothing")
+        self._hello_timer = self.reactor.callLater(HELLO_TIMEOUT, self.abort, "no first message in time")
         self.send(self.hello)
 
-    # What we write is made elsewhere; as a producer we only hear whether the other side reads.
+    # Registered as a push producer only to learn whether the peer reads: messages are not produced here.
 
     def pauseProducing(self) -> None:
         self.paused = True
@@ -86,13 +86,14 @@
     def _accept_hello(self, message: m.FleetMessage) -> bool:
         refusal = ""
         if isinstance(message, m.Refused):
-            self.abort(f"refused us: {message.reason}")
+            self.abort(f"rejected this side: {message.reason}")
             return False
         if not isinstance(message, m.Hello):
             refusal = "the first message must be hello"
         elif message.version != m.PROTOCOL_VERSION:
             refusal = (
-                f"version {message.version} of the fleet's messages; {m.PROTOCOL_VERSION} is spoken here"
+                f"protocol version {message.version} of the fleet's messages; "
+                f"this side supports {m.PROTOCOL_VERSION}"
             )
         elif message.fleet and self.hello.fleet and message.fleet != self.hello.fleet:
             refusal = "another fleet"
@@ -106,7 +107,7 @@
         return False
 
     def abort(self, reason: str) -> None:
-        """Close now, and say why in one line."""
+        """Abort the connection, and log the reason in one line."""
         if self.is_open:
             peer = self.peer.name if self.peer is not None else str(self.transport.getPeer())
             log.warning("connection_aborted", peer=peer, why=reason)
--- a/bitternpath/balancer/fleet/consensus_server.py
+++ b/bitternpath/balancer/fleet/consensus_server.py
@@ -1,8 +1,8 @@
 """A consensus server's process: a replica of the record with its disk, peer links and a listener (Twisted).
 
-Input goes into the replica, and its effects are carried out in the same turn, except for writes: a thread of
-its own does them one batch after the other, and the replica is notified when they are on disk. A disk error
-ends the process: a server that can't store its vote must not answer.
+Input is passed to the replica, and the resulting effects are carried out in the same turn, except for writes:
+a separate thread does them in batches, and the replica is notified when they are on disk. A disk error ends
+the process: a server that can't store its vote must not answer.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 log = structlog.get_logger(part="consensus_server")
 
 CONNECT_TIMEOUT = 1.0  # s
-FIRST_BACKOFF, MAX_BACKOFF = 0.1, 1.0  # s before a steward is dialled again
-MAX_CONNECTIONS = 1024  # at once; beyond them the one that has been silent for longest goes
+FIRST_BACKOFF, MAX_BACKOFF = 0.1, 1.0  # s before another attempt to connect to a peer
+MAX_CONNECTIONS = 1024  # open at a time; beyond that the one silent for longest is aborted
 
 
 def server_addresses(fleet: Fleet) -> dict[str, Address]:
@@ -49,19 +49,22 @@
 
 
 def open_store(folder: Path, name: str, bootstrap_terms: p.LeaseTerms | None) -> tuple[Store, Any]:
-    """The steward's folder and what it holds. A damaged one is set aside, where others have the record;
-    StoreError where it is the only word, or cannot be used. `found`: a new folder begins a fleet."""
+    """Open the server's folder and read its state.
+
+    A damaged folder is quarantined and replaced if other voters have the record. StoreError is raised if it
+    is the only copy, or can't be used. With `bootstrap_terms` a new folder bootstraps a fleet.
+    """
     try:
         store = Store(folder, name)
     except DamagedError as error:
-        raise StoreError(f"{error}: move it away if other stewards have the record") from error
+        raise StoreError(f"{error}: move it away if other servers have the record") from error
     try:
         persistent_state = store.read()
     except DamagedError as error:
         voters = store.state.voters
         store.close()
         if voters <= 1:
-            raise StoreError(f"{error}: it is the fleet's only copy; put back one that is whole") from error
+            raise StoreError(f"{error}: it is the fleet's only copy; restore an undamaged one") from error
         moved_to = quarantine_folder(folder)
         log.error("record_quarantined", why=error, moved_to=str(moved_to))
         store = Store(folder, name)
@@ -82,7 +85,7 @@
 
 
 class PeerLink:
-    """The way to another steward: dialled again and again, and what cannot be sent is dropped."""
+    """The link to another server: it reconnects forever, and messages that can't be sent are dropped."""
 
     def __init__(self, server: ConsensusServer, name: str, address: Address) -> None:
         self.server, self.name, self.address = server, name, address
@@ -102,7 +105,7 @@
     def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
         if isinstance(message, m.Hello):
             if message.role != "steward" or message.name.partition(".")[0] != self.name:
-                connection.abort(f"is not the steward {self.name}")
+                connection.abort(f"is not the server {self.name}")
                 return
             self.connection, self.backoff = connection, FIRST_BACKOFF
             self.server.identify_member(message.name)
@@ -110,7 +113,7 @@
     def _lost(self, connection: FleetConnection) -> None:
         if self.connection is connection:
             self.connection = None
-            self.server.replica.member_ids.pop(self.name, None)  # who comes next may be another
+            self.server.replica.member_ids.pop(self.name, None)  # the next peer may be a new incarnation
         self._reconnect_later()
 
     def send(self, member_id: str, message: m.FleetMessage) -> None:
@@ -125,7 +128,7 @@
 
 
 class ConsensusServer:
-    """The parts put together."""
+    """The replica with its store, links, connections and timer."""
 
     def __init__(
         self, reactor: Any, fleet: Fleet, store: Store, persistent_state: Any, timing: RaftTiming
@@ -138,7 +141,7 @@
             for name, peer_address in server_addresses(fleet).items()
             if name != fleet.name
         }
-        self.connections: dict[int, FleetConnection] = {}  # those that others opened
+        self.connections: dict[int, FleetConnection] = {}  # accepted ones, by token
         self._tokens = 0
         self.disk_thread = ThreadPool(1, 1, name="disk")
         self._writes_in_progress: list[StorageWrite] = []
@@ -168,7 +171,7 @@
     def hello(self) -> m.Hello:
         return m.Hello(m.PROTOCOL_VERSION, self.replica.record.fleet, "steward", self.store.me)
 
-    # ---- who speaks
+    # ---- connections
 
     def accept(self) -> Protocol:
         self._tokens += 1
@@ -195,21 +198,21 @@
             elif isinstance(message, m.Consensus | m.ForwardedRequest | m.ForwardedReply):
                 self.replica.receive(now, connection.peer.name, message)
             else:
-                connection.abort(f"a steward does not say {type(message).__name__}")
+                connection.abort(f"unexpected message from a consensus server: {type(message).__name__}")
         elif isinstance(message, m.ForwardableRequest):
-            self.connections[token] = self.connections.pop(token)  # the one heard last is at the end
+            self.connections[token] = self.connections.pop(token)  # most recently active last
             self.replica.receive_request(now, token, message)
         elif not isinstance(message, m.Hello):
-            connection.abort(f"only a steward says {type(message).__name__}")
+            connection.abort(f"message allowed to consensus servers only: {type(message).__name__}")
         self.schedule_effects()
 
     def identify_member(self, member_id: str) -> None:
         self.replica.identify_member(member_id)
 
-    # ---- what follows
+    # ---- effects
 
     def schedule_effects(self) -> None:
-        """Have what follows carried out at the end of this turn."""
+        """Process the replica's effects once, after the current input."""
         if not self._effects_scheduled:
             self._effects_scheduled = True
             self.reactor.callLater(0, self._process_effects)
@@ -284,7 +287,7 @@
 
 
 def run(fleet: Fleet, bootstrap: bool, reactor: Any = None, timing: RaftTiming | None = None) -> int:
-    """Run a steward until it is told to stop; the exit code. StoreError where its folder can't be used."""
+    """Run a server until it is stopped and return the exit code; StoreError if its folder can't be used."""
     if reactor is None:
         from twisted.internet import reactor as installed
 
--- a/bitternpath/balancer/fleet/lease_holder.py
+++ b/bitternpath/balancer/fleet/lease_holder.py
@@ -1,12 +1,12 @@
-"""A node process's side of the lease protocol: its lease and the versions it has. Pure.
+"""A node process's side of the lease protocol: its lease and the versions it has. Does no I/O.
 
-    no lease --lease granted, and the released plan is validated--> holds --expiry or end--> no lease
+    no lease --lease granted, and the released plan is validated--> lease held --expiry or end--> no lease
 
-- A lease expires `length` seconds after this process *sent* the request that renewed it, by its own clock. No
-  message or timer is needed for that: the caller checks `holds` first, in the same turn.
-- A change is *taken* once the plan with it has passed `check`, the node's validation. A change that fails is
-  reported with the reason, and so is every later one until it is withdrawn.
-- A version is *applied* when a lease says that it is released and its digest equals that of the plan taken.
+- A lease expires `length` seconds after this process *sent* the request that renewed it, by its own clock.
+  This needs no message and no timer: the caller checks `holds_lease` before each use, in the same turn.
+- A change is *validated* by passing the plan with it to `validate`, which the node supplies. A change that
+  fails is reported with the reason, and blocks all later ones until it is withdrawn.
+- A version is *applied* when a lease names it as released and its digest equals that of the validated plan.
 - A lease that has expired is never resumed: the next one has a new fencing token.
 """
 
@@ -21,18 +21,16 @@
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
 
-RENEWAL_SHARE = 1 / 3  # of a lease, after which it is renewed
-FIRST_RENEWAL_INTERVAL = 1.0  # s between requests while nobody has told how long a lease is
-REPLY_TIMEOUT = 1.0  # s after which another steward is tried
-MAX_LOGS_PER_REPORT = 4  # processes of which lines are sent at a time
-FIRST_BACKOFF, MAX_BACKOFF = (
-    0.2,
-    3.0,
-)  # s before another is tried, doubled each time and drawn from half on
+RENEWAL_SHARE = 1 / 3  # fraction of a lease after which it is renewed
+FIRST_RENEWAL_INTERVAL = 1.0  # s between requests until the first lease tells its length
+REPLY_TIMEOUT = 1.0  # s without a reply after which another server is tried
+MAX_LOGS_PER_REPORT = 4  # audit logs, the process's own or earlier ones, sent at a time
+# s before the next server is tried: doubled each time, with a random factor from 0.5 to 1.5
+FIRST_BACKOFF, MAX_BACKOFF = 0.2, 3.0
 
 
 class ProcessIdentity(Struct, frozen=True):
-    """A process of a node."""
+    """Identifies a process of a node; `boot` is random, `without_lease` is "serve" or "leave"."""
 
     node: str
     boot: str
@@ -51,7 +49,10 @@
 
 
 class LeaseHolder:
-    """One process's side. What it wants done is in `sends`, `acts` and `dial` until it is taken."""
+    """The lease protocol of one process.
+
+    The caller carries out what is in `outgoing`, `events`, `server_to_dial` and `disconnect`, and clears it.
+    """
 
     def __init__(
         self,
@@ -66,24 +67,24 @@
         self.audit_log = audit.AuditLog(identity.boot)
         self.earlier_audit_logs: list[
             audit.AuditLog
-        ] = []  # of processes of this node before, not acknowledged yet
-        self.plan = p.Plan()  # acted on
-        self.validated_plan = p.Plan()  # the last one that was checked whole
-        self._pending_plans: list[p.Plan] = []  # taken and not acted on
+        ] = []  # of earlier processes of this node, not acknowledged yet
+        self.plan = p.Plan()  # the version that is applied
+        self.validated_plan = p.Plan()  # the last version that passed validation
+        self._pending_plans: list[p.Plan] = []  # validated and not applied yet
         self.rejection = ""
-        self.refusal = "no steward has answered yet"  # why there is no lease, as last told
+        self.refusal = "no server has replied yet"  # why there is no lease, by the last reply
         self.fencing_token, self.expires_at, self.lease_length = 0, now, 0.0
-        self._last_expired_token = 0  # the last fence of which the lease was over
-        self.latest_version = 0  # the last version heard of
+        self._last_expired_token = 0  # of the last lease that expired
+        self.latest_version = 0  # the highest version known to exist
         self.outgoing: list[m.ClientMessage] = []
         self.events: list[ProcessEvent] = []
         self.servers = servers[:]
         self.random.shuffle(self.servers)
-        self.connected_server = ""  # the steward spoken to
+        self.connected_server = ""  # empty: none
         self.ended = False
-        self._release_message: m.LeaseReleased | None = None  # the last word
-        self.disconnect = False  # the connection, or the dialling, is given up
-        self.server_to_dial: str | None = self.servers[0]  # to be connected to now
+        self._release_message: m.LeaseReleased | None = None  # sent once the audit log is on file
+        self.disconnect = False  # whether to close the connection or to cancel connecting
+        self.server_to_dial: str | None = self.servers[0]  # the server to connect to now
         self._attempts = 0
         self._backoff = FIRST_BACKOFF
         self._dial_at = float("inf")
@@ -104,14 +105,14 @@
         self.audit_log.add(self.wall_clock(), kind, self.plan.version, self.fencing_token, detail)
 
     def record_action(self, kind: str, detail: str) -> None:
-        """Something that the node did by itself."""
+        """Record an action of the node in its audit log."""
         self.audit_log.add(self.wall_clock(), kind, self.plan.version, self.fencing_token, detail)
 
     # ---- inputs
 
     @property
     def next_timeout_at(self) -> float:
-        """When `tick` is wanted next."""
+        """The time at which `tick` must be called next."""
         return min(
             self._dial_at,
             self._renew_at,
@@ -131,12 +132,12 @@
             self._renew(now)
 
     def connection_made(self, now: float, server: str) -> None:
-        """The connection that was dialled is there."""
+        """Handle that the connection to `server` is established."""
         self.connected_server = server
         self._renew(now)
 
     def connection_lost(self, now: float) -> None:
-        """There is no connection, or nobody answers on it: another steward is tried after a while."""
+        """Handle a failed or silent connection: try another server after a backoff."""
         self.connected_server, self.server_to_dial, self.disconnect = "", None, True
         self._renew_at = self._reply_due_at = float("inf")
         if self.ended:
@@ -169,11 +170,11 @@
 
     @property
     def current_plans(self) -> list[p.Plan]:
-        """The plan that is acted on, and those that were taken and may be acted on any moment."""
+        """The applied plan, and the validated ones that may be applied at any moment."""
         return [self.plan, *self._pending_plans]
 
     def shut_down(self, now: float) -> None:
-        """Release the lease; the servers are notified once the audit log is on file."""
+        """Release the lease; the server is notified once the audit log is on file."""
         if self.holds_lease(now):
             self._add_event(now, audit.LEASE_RELEASED)
             self._release_message = m.LeaseReleased(
@@ -185,7 +186,7 @@
         self._send_final_messages()
 
     def audit_written(self, now: float, upto: int | None) -> None:
-        """Lines up to that one are on file; None: no file is waited for any more."""
+        """Handle that entries up to number `upto` are on file; None: there is no file to wait for."""
         self.audit_log.written_upto = upto
         if self.ended:
             self._send_final_messages()
@@ -193,7 +194,7 @@
             self._send_audit_entries()
 
     def _send_final_messages(self) -> None:
-        """The last words, where all is on file."""
+        """Send the last audit entries and release the lease, if all entries are on file."""
         if self.audit_log.written_upto not in (None, self.audit_log.number):
             return
         if self.connected_server:
@@ -202,7 +203,7 @@
                 self.outgoing.append(self._release_message)
         self.connected_server, self.disconnect = "", True
 
-    # ---- asking
+    # ---- requests
 
     def _renew(self, now: float) -> None:
         identity = self.identity
@@ -221,7 +222,7 @@
         self._reply_due_at = min(self._reply_due_at, now + REPLY_TIMEOUT)
 
     def _renew_by(self, at: float) -> None:
-        """Renew at `at` if nothing was planned sooner.
+        """Renew at `at` if no earlier renewal is planned.
 
         The request for the first lease was sent before its length was known: the interval after it may be
         longer than that lease.
@@ -230,7 +231,7 @@
             self._renew_at = min(self._renew_at, at)
 
     def _send_audit_entries(self) -> None:
-        """What was done and is not acknowledged, the oldest process first."""
+        """Send unacknowledged audit entries, those of the oldest process first."""
         for audit_log in [*self.earlier_audit_logs, self.audit_log][:MAX_LOGS_PER_REPORT]:
             entries = audit_log.next_batch
             if entries or audit_log is not self.audit_log:
@@ -248,7 +249,7 @@
             if len(audit_log.unacknowledged) < count_before and (
                 audit_log.unacknowledged or self.earlier_audit_logs
             ):
-                self._send_audit_entries()  # there is more
+                self._send_audit_entries()  # more entries remain
 
     def _reply_received(self, now: float) -> None:
         self._reply_due_at = float("inf")
@@ -258,16 +259,16 @@
         self.holds_lease(now)
         outdated = (
             lease.fencing_token < self.fencing_token or lease.fencing_token <= self._last_expired_token
-        )  # that one is over, renewed or not
+        )  # an expired lease is not resumed, even if it was renewed
         if outdated or lease.sent > now or lease.sent + lease.length <= now:
             return
         starts = (
             lease.fencing_token != self.fencing_token
-        )  # while one is in hand, too: two requests to join were on the way
+        )  # also while one is held: two requests may have been under way
         version_before = self.plan.version
         applied = self._apply_released_version(lease)
         if starts and not applied:
-            return  # what is released is not in hand any more: ask again
+            return  # the released plan is no longer at hand: request again
         self.lease_length, self.refusal = lease.length, ""
         self.expires_at = max(self.expires_at, lease.sent + lease.length)
         self._renew_by(lease.sent + lease.length * RENEWAL_SHARE)
@@ -280,14 +281,14 @@
             self._renew(now)
 
     def _apply_released_version(self, lease: m.Lease) -> bool:
-        """Act on what is released, where that very plan is in hand; whether it is acted on now."""
+        """Apply the released version if its validated plan is at hand; return whether it is applied now."""
         candidates = [plan for plan in self._pending_plans if plan.version == lease.released]
         if candidates and candidates[0].digest == lease.digest:
             self.plan = candidates[0]
             self._pending_plans = [plan for plan in self._pending_plans if plan.version > lease.released]
         return (self.plan.version, self.plan.digest) == (lease.released, lease.digest)
 
-    # ---- taking
+    # ---- validation
 
     def _validate_changes(self, now: float, changes: tuple[p.AgreedVersion, ...]) -> None:
         plan_before, rejection_before = self.validated_plan, self.rejection
@@ -311,10 +312,10 @@
             self._renew_if_connected(now)
 
     def _validate_snapshot(self, now: float, plan: p.Plan, changes: tuple[p.AgreedVersion, ...]) -> None:
-        """Replace the plan by the released one: the servers no longer keep the changes between."""
+        """Replace the plan by the released one: the servers no longer retain the changes between."""
         self.latest_version = max(self.latest_version, plan.version)
         if plan.version < self.plan.version:
-            return  # an old one
+            return  # outdated
         if error_text := self.validate(plan):
             rejection_before, self.rejection = self.rejection, f"version {plan.version}: {error_text}"
             if rejection_before != self.rejection:
--- a/bitternpath/balancer/fleet/leases.py
+++ b/bitternpath/balancer/fleet/leases.py
@@ -1,4 +1,4 @@
-"""The leader's side of leases: who holds one, who lags, and when the next version may be released. Pure."""
+"""Leases on the leader's side: grants, lagging holders, and the release of the next version. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class LeaseGrants(ReplicaState):
-    """Leases of the nodes' processes, while this member leads."""
+    """The part of a replica that grants leases to node processes while it is the leader."""
 
     def _handle_lease_request(
         self, now: float, leadership: Leadership, route: Route, request: m.RenewLease
     ) -> None:
         holder = self.record.holders.get(f"{request.node}#{request.boot}")
         if holder is not None and request.sent < leadership.holders[holder.key].last_sent_at:
-            return  # it came late, and says less than what is known
+            return  # delayed: a newer request has been handled already
         if holder is not None and holder.fencing_token == request.fencing_token:
             self._renew(now, leadership, leadership.holders[holder.key], route, request)
         else:
@@ -36,9 +36,9 @@
             if self._lags_too_long(now, leadership, state):
                 reason = (
                     state.rejection
-                    or f"it acts on {request.applied_version} and has {request.validated_version}"
+                    or f"it applies {request.applied_version} and has {request.validated_version}"
                 )
-                lag = f"a straggler for {self.record.terms.catch_up:g} s"
+                lag = f"straggler for more than {self.record.terms.catch_up:g} s"
                 self._reply(route, m.LeaseRefused(request.sent, f"{lag}: {reason}"))
                 return
         leadership.awaiting_round.append(
@@ -51,14 +51,14 @@
         return now > since + self.record.terms.catch_up and not excused
 
     def _has_validated(self, state: HolderState, version: int) -> bool:
-        """Whether a holder has taken that version as it is now."""
+        """Whether a holder has validated `version` with its present content."""
         return (
             state.validated_version >= version
             and self.record.digest_of(state.validated_version) == state.digest
         )
 
     def _send_missing_versions(self, route: Route, request: m.RenewLease) -> None:
-        """What a process lacks."""
+        """Send the versions that a process lacks; the whole plan where they are no longer kept."""
         changes_since = self.record.changes_since(request.validated_version, request.digest)
         if changes_since is None:
             self._reply(route, m.PlanSnapshot(self.record.released, tuple(self.record.unreleased)))
@@ -77,7 +77,7 @@
             self._propose_lease_start(now, leadership, route, request)
 
     def _start_refusal(self, leadership: Leadership, request: m.RenewLease) -> str:
-        """Why a process can't become a holder now; empty where it can."""
+        """Return why a process can't get a lease now, or an empty string if it can."""
         record = self.record
         if request.release < record.latest.least_release:
             least_release = ".".join(map(str, record.latest.least_release))
@@ -95,7 +95,7 @@
             and request.validated_version < record.latest.version
             and not leadership.half_reject()
         ):
-            return request.rejection  # it would hold up all the others
+            return request.rejection  # as a holder it would block the release for all others
         return ""
 
     def _propose_lease_start(
@@ -116,10 +116,10 @@
     def _lease_started(
         self, now: float, leadership: Leadership, key: str, pending: PendingRequest | None
     ) -> None:
-        """The entry by which a process becomes a holder is committed."""
+        """Grant the lease: the entry that makes the process a holder is committed."""
         if key not in self.record.holders:
             return
-        # Proposed by this leader: entries of earlier ones were applied before its leadership was ready.
+        # This leader proposed it: entries of earlier leaders were applied before this leadership was ready.
         assert pending is not None and isinstance(pending.request, m.RenewLease)
         state = HolderState(pending.received_at + self.record.terms.max_duration)
         leadership.holders[key] = state
@@ -127,7 +127,7 @@
         self._grant(now, leadership, pending)
 
     def _grant(self, now: float, leadership: Leadership, pending: PendingRequest) -> None:
-        """A request's round is answered, or its entry committed."""
+        """Grant a lease once the request's heartbeat round is answered or its entry is committed."""
         request = pending.request
         assert isinstance(request, m.RenewLease)
         holder = self.record.holders.get(f"{request.node}#{request.boot}")
@@ -140,7 +140,7 @@
         self._reply(pending.route, lease)
 
     def _lease_released(self, leadership: Leadership, message: m.LeaseReleased) -> None:
-        """A process has released its lease."""
+        """Handle a process that releases its lease."""
         holder = self.record.holders.get(f"{message.node}#{message.boot}")
         if holder is not None and holder.fencing_token == message.fencing_token:
             self._propose_lease_end(leadership, holder, "it ended")
@@ -157,7 +157,7 @@
                 self._propose_lease_end(leadership, self.record.holders[key], "its lease is over")
 
     def _release_next(self, now: float, leadership: Leadership) -> None:
-        """The next version, once every holder has it and acts on the one before."""
+        """Release the next version once every holder has validated it and applies the one before."""
         released = self.record.released.version
         if self.record.latest.version <= released or leadership.release_index > self.applied_index:
             return
@@ -168,7 +168,7 @@
             leadership.release_index = self._propose(now, p.Release(released + 1, self.wall_clock())) or 0
 
     def _send_version_update(self, leadership: Leadership) -> None:
-        """What is released and what is latest has changed."""
+        """Notify all holders of the released and the latest version."""
         update = m.VersionUpdate(self.record.released.version, self.record.latest.version)
         for state in leadership.holders.values():
             if state.route is not None:
--- a/bitternpath/balancer/fleet/messages.py
+++ b/bitternpath/balancer/fleet/messages.py
@@ -1,9 +1,10 @@
-"""Messages between consensus servers, record clients (nodes) and commands. Pure.
+"""Messages between consensus servers, record clients (nodes) and commands. Does no I/O.
 
 On the wire: four bytes of length (big-endian), then one message in msgpack. Each side's first message is
-`Hello`. A different protocol version, a different fleet id or bytes that are no message close the connection,
-with one log line. Tags and field names on the wire are fixed; where a class or field has another name here,
-its tag or `name=` keeps the one on the wire.
+`Hello`. Another protocol version, another fleet id or malformed bytes close the connection, with one log
+line. Tags and field names on the wire are fixed: where a class or field has another name here, its tag
+or `name=` keeps the one on the wire. On the wire a consensus server is a "steward", a record client an
+"agent".
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from bitternpath.balancer.fleet.plan import AgreedVersion, Change, Plan
 from bitternpath.replication import messages as consensus
 
-PROTOCOL_VERSION = 1  # of these messages
-MAX_FRAME_BYTES = 16 << 20  # bytes of one message
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 16 << 20  # of one message, without its length
 _HEADER = struct.Struct(">I")
 
 
 class WireError(Exception):
-    """The peer sent bytes that are no valid message; the text says why. A retry does not help."""
+    """A frame is too long or is not a valid message; the text says why. A retry does not help."""
 
 
 class Hello(Struct, frozen=True, tag="hello"):
@@ -32,16 +33,16 @@
     version: int
     fleet: str
     role: str  # steward, agent or command
-    name: str  # a steward's, with its incarnation; a process of a node; or whoever types
+    name: str  # a server's id (name.incarnation), a node process (node#boot), or a command's author
 
 
 class Refused(Struct, frozen=True, tag="refused"):
-    """The peer is rejected (`why`: protocol version, fleet); the connection closes after it."""
+    """The peer is rejected (other protocol version, other fleet); the connection is closed after it."""
 
     reason: str = msgspec.field(name="why")
 
 
-# ---- between stewards
+# ---- between consensus servers
 
 
 class Consensus(Struct, frozen=True, tag="raft"):
@@ -53,7 +54,7 @@
 class ForwardedRequest(Struct, frozen=True, tag="passed"):
     """A request received by a follower, forwarded to the leader."""
 
-    token: int  # the connection there
+    token: int  # of the client's connection at the follower
     request: RenewLease | LeaseReleased | AuditEntries | CommandRequest = msgspec.field(name="said")
 
 
@@ -72,23 +73,23 @@
     ) = msgspec.field(name="said")
 
 
-# ---- an agent to its steward
+# ---- a record client to its server
 
 
 class RenewLease(Struct, frozen=True, tag="renew"):
     """A node process requests a lease or renews it, and reports which versions it has and applies."""
 
     node: str
-    boot: str  # of this process
+    boot: str  # random id of this process
     site: str
     release: tuple[int, ...]
-    without_lease: str = msgspec.field(name="alone")  # what it does without a lease: serve or leave
-    sent: float  # s on its own clock
-    fencing_token: int = msgspec.field(name="fence")  # of the lease in hand; 0: none
-    applied_version: int = msgspec.field(name="acting")  # the version it acts on; 0: none
-    validated_version: int = msgspec.field(name="have")  # the last version that it has taken
-    digest: bytes  # of that one
-    rejection: str = msgspec.field(default="", name="refuses")  # why it cannot take the next one
+    without_lease: str = msgspec.field(name="alone")  # "serve" or "leave"
+    sent: float  # s, on the process's own clock
+    fencing_token: int = msgspec.field(name="fence")  # of the present lease; 0: none
+    applied_version: int = msgspec.field(name="acting")  # 0: none
+    validated_version: int = msgspec.field(name="have")  # the last version that passed validation
+    digest: bytes  # of the validated version
+    rejection: str = msgspec.field(default="", name="refuses")  # why the next version failed validation
 
 
 class LeaseReleased(Struct, frozen=True, tag="parting"):
@@ -100,17 +101,17 @@
 
 
 class AuditEntries(Struct, frozen=True, tag="acts"):
-    """Lines of a process's audit log that are not acknowledged yet."""
+    """Entries of a process's audit log that are not acknowledged yet."""
 
     node: str
     boot: str
     entries: tuple[AuditEntry, ...] = msgspec.field(name="lines")
     final_count: int = msgspec.field(
         name="final"
-    )  # of one that has ended: how many lines its file has; 0: more may come
+    )  # entries in the file of an ended process; 0: the process still runs
 
 
-# ---- a steward to an agent
+# ---- a server to a record client
 
 
 class Lease(Struct, frozen=True, tag="lease"):
@@ -119,7 +120,7 @@
     sent: float
     length: float  # s
     fencing_token: int = msgspec.field(name="fence")
-    released: int  # to be acted on now
+    released: int  # the version to apply now
     digest: bytes
 
 
@@ -128,31 +129,33 @@
 
     sent: float
     reason: str = msgspec.field(name="why")
-    retry_elsewhere: bool = msgspec.field(default=False, name="elsewhere")  # another steward may know more
+    retry_elsewhere: bool = msgspec.field(
+        default=False, name="elsewhere"
+    )  # another server may be able to grant it
 
 
 class VersionChanges(Struct, frozen=True, tag="changes"):
-    """The versions that follow the one the process has."""
+    """The versions that follow the one that the process has."""
 
     changes: tuple[AgreedVersion, ...]
 
 
 class PlanSnapshot(Struct, frozen=True, tag="whole"):
-    """The released plan and what follows, for a process whose next changes are no longer kept."""
+    """The released plan and the later versions, for a process that lags behind the retained changes."""
 
     plan: Plan
     changes: tuple[AgreedVersion, ...]
 
 
 class VersionUpdate(Struct, frozen=True, tag="news"):
-    """A version was committed or released: renew at once."""
+    """A version was committed or released; the process renews its lease at once."""
 
     released: int
     latest: int
 
 
 class AuditAcknowledged(Struct, frozen=True, tag="heard"):
-    """The record holds the audit lines of that process up to line `upto`."""
+    """The record holds the audit entries of that process up to number `upto`."""
 
     boot: str
     upto: int
@@ -164,14 +167,14 @@
 class Propose(Struct, frozen=True, tag="propose"):
     """Propose a change of the plan; idempotent by `id`."""
 
-    id: str  # the same one again is the same change
+    id: str  # a proposal with the same id is the same change
     author: str
     reason: str
     change: Change
 
 
 class Withdraw(Struct, frozen=True, tag="withdraw"):
-    """Make a version that is not released yet a no-op."""
+    """Turn a version that is not released yet into a no-op."""
 
     version: int
     author: str
@@ -185,7 +188,7 @@
     node: str = ""
     version: int = 0
     at: float = 0.0  # Unix s; 0: now
-    stale: bool = False  # what this steward knows by itself, however old
+    stale: bool = False  # answer from local state, without a majority
 
 
 class ChangeMembers(Struct, frozen=True, tag="members"):
@@ -216,7 +219,7 @@
 
     number: int
     ok: bool
-    text: str  # what went wrong, in one line
+    text: str  # the error, in one line
     data: msgspec.Raw = msgspec.Raw(b"\xc0")
 
 
@@ -240,7 +243,9 @@
 )
 
 ClientMessage = RenewLease | LeaseReleased | AuditEntries
-ForwardableRequest = RenewLease | LeaseReleased | AuditEntries | CommandRequest  # what a steward passes on
+ForwardableRequest = (
+    RenewLease | LeaseReleased | AuditEntries | CommandRequest
+)  # what a follower forwards to the leader
 ForwardableReply = (
     Lease | LeaseRefused | VersionChanges | PlanSnapshot | VersionUpdate | AuditAcknowledged | CommandReply
 )
@@ -252,12 +257,12 @@
 def encode_frame(message: FleetMessage) -> bytes:
     data = _encoder.encode(message)
     if len(data) > MAX_FRAME_BYTES:
-        raise WireError(f"a message of {len(data)} bytes; at most {MAX_FRAME_BYTES} are allowed")
+        raise WireError(f"message of {len(data)} bytes; at most {MAX_FRAME_BYTES} are allowed")
     return _HEADER.pack(len(data)) + data
 
 
 class FrameDecoder:
-    """Takes messages out of the bytes of one direction."""
+    """Decodes the messages in the byte stream of one direction."""
 
     def __init__(self) -> None:
         self._data = bytearray()
@@ -270,14 +275,14 @@
         while len(self._data) - position >= _HEADER.size:
             (size,) = _HEADER.unpack_from(self._data, position)
             if size > MAX_FRAME_BYTES:
-                raise WireError(f"a message of {size} bytes; at most {MAX_FRAME_BYTES} are allowed")
+                raise WireError(f"message of {size} bytes; at most {MAX_FRAME_BYTES} are allowed")
             if len(self._data) - position - _HEADER.size < size:
                 break
             position += _HEADER.size
             try:
                 messages.append(_decoder.decode(bytes(self._data[position : position + size])))
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-                raise WireError(f"not a message of the fleet: {error}") from error
+                raise WireError(f"not a message of the fleet's protocol: {error}") from error
             position += size
         del self._data[:position]
         return messages
--- a/bitternpath/balancer/fleet/node_folder.py
+++ b/bitternpath/balancer/fleet/node_folder.py
@@ -1,9 +1,9 @@
-"""A node's folder: the audit logs of its processes and the plan last applied, written by a thread of its own.
+"""A node's folder: the audit logs of its processes and the plan last applied, written by a separate thread.
 
-A disk may delay a write for a long time, and no invocation may wait for it. So lines are queued here, and the
+A write to disk may take long, and no invocation may wait for it. So entries are queued here, and the
 `LeaseHolder` is notified when they are on file. Only then are they sent to a consensus server, because the
-record must hold no line that the process's own file may lack.
-Files: `acts-BOOT`, a process's audit log with one JSON array a line, and `plan` (msgpack).
+record must hold no entry that the process's own file may lack.
+Files: `acts-BOOT`, a process's audit log with one JSON array per line, and `plan` (msgpack).
 """
 
 from __future__ import annotations
@@ -25,14 +25,17 @@
 log = structlog.get_logger(part="record_client")
 
 PLAN_FILE, AUDIT_FILE_PREFIX = "plan", "acts-"
-write_bytes = os.write  # the seam for tests: a disk that is held up, or refuses
+write_bytes = os.write  # tests replace it by a slow or failing disk
 
 
 class NodeFolder:
-    """An open folder. `written` hears up to which line all is on file; None: none will be from now on."""
+    """An open folder.
+
+    `on_written` is called with the number of the last entry on file, or with None once writing has failed.
+    """
 
     def __init__(self, reactor: Any, path: Path, boot: str, on_written: Callable[[int | None], None]) -> None:
-        """OSError where it cannot be made or written to."""
+        """Open or create the folder; raise OSError if it can't be created or written to."""
         self.reactor, self.path, self.boot, self.on_written = reactor, path, boot, on_written
         path.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._file = os.open(
@@ -45,10 +48,10 @@
         self._disk_thread.start()
         reactor.addSystemEventTrigger("during", "shutdown", self._disk_thread.stop)
 
-    # ---- what earlier processes left
+    # ---- files of earlier processes
 
     def older(self) -> list[audit.AuditLog]:
-        """Of earlier processes, the oldest first; what is wrong with one is logged."""
+        """Return the audit logs of earlier processes, the oldest first; faults are logged."""
         audit_logs = []
         for file in sorted(self.path.glob(f"{AUDIT_FILE_PREFIX}*"), key=lambda file: file.stat().st_mtime):
             boot = file.name.removeprefix(AUDIT_FILE_PREFIX)
@@ -59,9 +62,7 @@
                 for line in file.read_bytes().splitlines():
                     entries.append(msgspec.json.decode(line, type=audit.AuditEntry))
             except (OSError, msgspec.DecodeError) as error:
-                decode_error = (
-                    f"line {len(entries) + 1}: {error}"  # the last one is torn, or somebody has been at it
-                )
+                decode_error = f"line {len(entries) + 1}: {error}"  # a torn last line, or a changed file
             audit_log, fault = audit.restore_audit_log(boot, entries)
             if decode_error or fault:
                 log.error("earlier_audit_log_corrupt", file=str(file), why=fault or decode_error)
@@ -72,7 +73,7 @@
         return audit_logs
 
     def plan(self) -> p.Plan | None:
-        """The one last acted on, where there is one that can be read."""
+        """Return the plan last applied, or None if there is none that can be read."""
         try:
             return msgspec.msgpack.decode((self.path / PLAN_FILE).read_bytes(), type=p.Plan)
         except FileNotFoundError:
@@ -81,16 +82,16 @@
             log.warning("last_plan_read_failed", why=error)
             return None
 
-    # ---- what is written
+    # ---- writes
 
     def write(self, entries: list[audit.AuditEntry], plan: p.Plan | None) -> None:
-        """These too, in their order; the plan replaces what stands there."""
+        """Queue entries, in order, and a plan, which replaces the one on file."""
         if self._failed:
             return
         self._queued_entries += entries
         self._queued_plan = plan or self._queued_plan
         if len(self._queued_entries) > audit.MAX_UNACKNOWLEDGED_ENTRIES:
-            self._give_up(f"a write has not come back, and {len(self._queued_entries)} lines wait for it")
+            self._give_up(f"a write has not completed, and {len(self._queued_entries)} entries wait for it")
         elif not self._writing:
             self._write_queued()
 
@@ -108,7 +109,7 @@
         writing.addCallbacks(lambda _: self._write_completed(entries), self._write_failed)
 
     def _write_files(self, entries: list[audit.AuditEntry], plan: p.Plan | None) -> None:
-        """In the thread."""
+        """Runs in the disk thread."""
         data = b"".join(msgspec.json.encode(entry) + b"\n" for entry in entries)
         while data:
             data = data[write_bytes(self._file, data) :]
@@ -123,7 +124,7 @@
             return
         if entries:
             self.on_written(entries[-1].number)
-        if not self._writing:  # `written` may have brought more
+        if not self._writing:  # `on_written` may have queued more
             self._write_queued()
 
     def _write_failed(self, failure: Failure) -> None:
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -1,11 +1,11 @@
-"""The replicated state: the plan with its versions, lease holders, audit logs, and pending changes. Pure.
+"""The replicated state: the plan and its versions, lease holders, audits. Does no I/O.
 
 Every consensus server applies the same entries in the same order to a `Record`, and so has the same state. A
-change gets the next version when it is committed, and is *released* by an entry of its own: from then on
-nodes apply it. A version that is not released yet can be withdrawn: it stays in the record as a no-op.
+change gets the next version when it is committed. A separate entry *releases* the version; from then on nodes
+apply it. A version that is not released yet can be withdrawn: it stays in the record as a no-op.
 
-The digest of a version is that of its change chained to the digest before, so that two nodes that name the
-same digest hold the same plan. Records are stored: tags and stored field names are fixed (see `name=`).
+The digest of a version covers its change and the digest of the version before, so that two nodes with the
+same digest have the same plan. Records are stored: tags and stored field names are fixed (see `name=`).
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 
 from bitternpath.balancer.fleet.audit import AuditEntry, ProcessAudit
 
-RETAINED_CHANGES = 256  # released ones that are kept for those who lag; who lags more gets the whole plan
-AUDIT_RETENTION = 7 * 86400.0  # s for which lines of the audit are kept
-RETAINED_CHANGE_IDS = 4096  # ids of changes, by which one that is asked for again is known
-CLASS_FIELDS = ("aim", "giveUp", "value", "lateWorth")  # numbers that operators may set for a class
+RETAINED_CHANGES = 256  # released versions kept for lagging processes; others get the whole plan
+AUDIT_RETENTION = 7 * 86400.0  # s
+RETAINED_CHANGE_IDS = 4096  # latest change ids kept to recognize retries
+CLASS_FIELDS = ("aim", "giveUp", "value", "lateWorth")  # fields of a job class that a change may set
 RULE_KEYS = ("drainGrace", "graceToAnswer", "warmWithin", "coldFrom", "tipMultiple")
 ALLOWED_KEYS = ("tryLimit", "maxRetryAfter", "secondCopies", "cancel")
 
 
 class PlanError(Exception):
-    """An invalid change: the caller's fault; the text says why, in one line."""
+    """The change is invalid; the text says why, in one line."""
 
 
 # ---- changes
 
 
 class SetClass(Struct, frozen=True, tag="class"):
-    """Fields of a job class, in the platform's words."""
+    """Set fields of a job class, by their names in the platform's configuration."""
 
     name: str
     fields: dict[str, float]
 
 
 class SetRule(Struct, frozen=True, tag="rule"):
-    """A key of `settings.rules` or `settings.allowed`, in the platform's words."""
+    """Set a key of `settings.rules` or `settings.allowed` in the platform's configuration."""
 
     section: str
     key: str
@@ -61,7 +61,7 @@
 
 
 class LeastRelease(Struct, frozen=True, tag="least release"):
-    """Processes of an older release get no lease."""
+    """Set the oldest release whose processes can get a lease."""
 
     release: tuple[int, ...]
 
@@ -70,16 +70,16 @@
 
 
 class AgreedVersion(Struct, frozen=True):
-    """A version."""
+    """A committed version: its change, who made it, and the digest up to it."""
 
     version: int
     id: str
     author: str
     reason: str
-    time: float  # Unix s, by the leader's clock
+    time: float  # Unix s, on the leader's clock
     change: Change | None  # None: withdrawn
     digest: bytes
-    withdrawn: str = ""  # by whom and why
+    withdrawn: str = ""  # by whom and why; empty if it is not withdrawn
 
 
 class Plan(Struct, frozen=True):
@@ -95,7 +95,7 @@
     least_release: tuple[int, ...] = ()
 
     def with_version(self, next_version: AgreedVersion) -> Plan:
-        """With the next version; PlanError where the change cannot be."""
+        """Return the plan with the next version; raise PlanError if the change is invalid."""
         if next_version.version != self.version + 1:
             raise PlanError(f"version {next_version.version} does not follow {self.version}")
         plan = (
@@ -145,12 +145,12 @@
                 return msgspec.structs.replace(self, ejections=remaining)
             case LeastRelease(release):
                 if not release or any(part < 0 for part in release):
-                    raise PlanError(f"release {release}: must be numbers, as 1.4.0")
+                    raise PlanError(f"release {release}: must be numbers, such as 1.4.0")
                 return msgspec.structs.replace(self, least_release=release)
 
 
 def chained_digest(previous_digest: bytes, version: int, change: Change | None) -> bytes:
-    """The digest of a version."""
+    """Return the digest of a version."""
     return blake3(previous_digest + version.to_bytes(8, "big") + msgspec.msgpack.encode(change)).digest()
 
 
@@ -158,21 +158,23 @@
 
 
 class LeaseTerms(Struct, frozen=True):
-    """Times in s; `drift` is by how much of its time any clock may run fast or slow. The fleet has one set of
-    them, or stewards would not agree when a lease is over."""
+    """The lease times in s, and `drift`: the fraction by which a clock may run fast or slow.
+
+    They are part of the record: with different terms servers would disagree on when a lease has expired.
+    """
 
     lease: float = 4.0
     drift: float = 0.02
-    catch_up: float = 5.0  # for which a holder may lag
+    catch_up: float = 5.0  # how long a holder may lag
 
     @property
     def max_duration(self) -> float:
-        """For how long, on the leader's clock, a lease may hold at its node."""
+        """How long a lease may be valid at its node, measured on the leader's clock."""
         return self.lease * (1.0 + self.drift) / (1.0 - self.drift)
 
 
 class Bootstrap(Struct, frozen=True, tag="found"):
-    """The first entry of a fleet; `id` is random, so that two fleets are told apart."""
+    """The first entry of a fleet; its random `id` distinguishes it from other fleets."""
 
     terms: LeaseTerms
     id: str
@@ -189,7 +191,7 @@
 
 
 class WithdrawVersion(Struct, frozen=True, tag="void"):
-    """Withdraw a version, if it is not released."""
+    """Withdraw a version, if it is not released yet."""
 
     version: int
     author: str
@@ -227,7 +229,7 @@
 
 
 class AuditRecorded(Struct, frozen=True, tag="noted"):
-    """Lines of a process's audit log were received."""
+    """Entries of a process's audit log were received."""
 
     node: str
     boot: str
@@ -240,7 +242,7 @@
 
 
 class Holder(Struct):
-    """A node process that holds a lease, by the record."""
+    """A node process that holds a lease."""
 
     node: str
     boot: str
@@ -261,9 +263,9 @@
     fleet: str = ""
     terms: LeaseTerms = LeaseTerms()
     released: Plan = Plan()
-    latest: Plan = Plan()  # with all that is agreed
-    changes: list[AgreedVersion] = []  # the released ones that are kept, then those that are not released
-    release_times: dict[int, float] = {}
+    latest: Plan = Plan()  # the released plan with all later versions
+    changes: list[AgreedVersion] = []  # retained released ones, then unreleased ones
+    release_times: dict[int, float] = {}  # version: Unix s
     holders: dict[str, Holder] = {}
     change_versions: dict[str, int] = msgspec.field(
         default_factory=dict, name="ids"
@@ -273,7 +275,7 @@
 
     @property
     def unreleased(self) -> list[AgreedVersion]:
-        """Agreed and not released."""
+        """Versions that are committed and not released yet."""
         return [agreed for agreed in self.changes if agreed.version > self.released.version]
 
     def find_version(self, version: int) -> AgreedVersion | None:
@@ -282,7 +284,7 @@
         return self.changes[position] if self.changes and 0 <= position < len(self.changes) else None
 
     def digest_of(self, version: int) -> bytes | None:
-        """None where that version is not kept."""
+        """Return the digest of a version, or None if the version is not retained."""
         if version == self.released.version:
             return self.released.digest
         found = self.find_version(version)
@@ -340,7 +342,7 @@
                 return ""
 
     def _drop_old_audits(self, oldest: float) -> None:
-        """What is too old, and processes of which nothing is left."""
+        """Drop entries older than `oldest`, and the audits of processes without entries or a recent lease."""
         for key, process_audit in list(self.process_audits.items()):
             if process_audit.entries and process_audit.entries[0].at < oldest:
                 process_audit.drop_entries_before(oldest)
@@ -370,9 +372,9 @@
 
     def _withdraw_version(self, item: WithdrawVersion) -> str:
         if item.version <= self.released.version:
-            return f"version {item.version} is released; make another change that takes it back"
+            return f"version {item.version} is released; revert it with another change"
         if self.find_version(item.version) is None:
-            return f"there is no version {item.version}; the last one is {self.latest.version}"
+            return f"there is no version {item.version}; the latest is {self.latest.version}"
         plan, changes = self.released, [a for a in self.changes if a.version <= self.released.version]
         for agreed in self.unreleased:
             change, withdrawn = agreed.change, agreed.withdrawn
@@ -389,7 +391,7 @@
         return ""
 
     def changes_since(self, version: int, digest: bytes) -> Iterable[AgreedVersion] | None:
-        """What follows that version; None where that is not kept, or where it is not ours."""
+        """Return the versions after `version`; None if they are not retained or the digest is not ours."""
         if self.digest_of(version) != digest and not (version == 0 and not digest):
             return None
         changes = [agreed for agreed in self.changes if agreed.version > version]
--- a/bitternpath/balancer/fleet/plan_settings.py
+++ b/bitternpath/balancer/fleet/plan_settings.py
@@ -1,4 +1,4 @@
-"""The plan on top of a node's own configuration. Pure."""
+"""Merges the fleet's plan into a node's own configuration. Does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from bitternpath.balancer.config.platform import Config
 from bitternpath.balancer.fleet.plan import Plan, PlanError
 
-# The platform's words, and the settings' own.
+# Names in the platform's configuration, and the names of the settings' fields.
 CLASS_FIELDS = {
     "aim": "latency_target",
     "giveUp": "max_deadline",
@@ -32,7 +32,7 @@
 
 
 def with_plan(config: Config, plan: Plan) -> Config:
-    """The configuration with what the fleet has agreed; PlanError where the two are at odds."""
+    """Return the configuration with the plan merged in; raise PlanError if the two conflict."""
     return replace(config, settings=_merged_settings(config.settings, plan))
 
 
--- a/bitternpath/balancer/fleet/record_client.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -1,10 +1,10 @@
 """A node's client of the fleet's record, on sockets: a `LeaseHolder` with its connection and its files.
 
-The node supplies a check of a plan, a function that applies one, and its roster of providers. It calls `gate`
-before it accepts an invocation; the lease is checked there, in the same turn of the event loop in which the
-invocation is accepted. What must survive a restart is in `fleet.folder`, if set (node_folder.py): the audit
-log of each process, and the plan last applied, with which a node serves that starts while no server can be
-reached.
+The node supplies the validation of a plan, a callback for a new plan, and its registry of providers. It calls
+`admission_delay` before it accepts an invocation: the lease is checked there, in the same turn of the event
+loop in which the invocation is accepted. What must survive a restart is in `fleet.folder`, if set
+(node_folder.py): the audit log of each process, and the plan last applied, with which a node serves that
+starts while no server can be reached.
 """
 
 from __future__ import annotations
@@ -36,18 +36,18 @@
 
 log = structlog.get_logger(part="record_client")
 
-BY_FLEET = "fleet"  # who takes providers out
-NO_LEASE = 0  # the fence of what is done without a lease
+BY_FLEET = "fleet"  # marks ejections by the fleet's plan
+NO_LEASE = 0  # fencing token of what is done without a lease
 
 
 class ServiceSpan(Struct):
-    """Invocations accepted under one version and fencing token, or without a lease."""
+    """Counts invocations accepted under one version and fencing token, or without a lease."""
 
     version: int
     fencing_token: int
     first: float = 0.0  # Unix s
     last: float = 0.0
-    accepted: Counter[str] = msgspec.field(default_factory=Counter)  # by class
+    accepted: Counter[str] = msgspec.field(default_factory=Counter)  # by job class
 
     def detail(self) -> str:
         return msgspec.json.encode(
@@ -56,7 +56,7 @@
 
 
 def parse_release(version: str) -> tuple[int, ...]:
-    """The numbers that a version begins with."""
+    """Return the leading numbers of a version."""
     numbers = []
     for part in version.split("."):
         if not part.isdigit():
@@ -66,7 +66,7 @@
 
 
 class RecordClient:
-    """One process of a node."""
+    """The fleet's client in one node process."""
 
     def __init__(
         self,
@@ -94,13 +94,13 @@
             identity, list(self.servers), Random(), clock.elapsed(), time.time, validate
         )
         self.connection: FleetConnection | None = None
-        self.fleet_id = ""  # of the first fleet that granted a lease
+        self.fleet_id = ""  # of the first fleet that granted a lease; empty before
         self._timer: Any = None
         self.service_span = ServiceSpan(0, NO_LEASE)
         registry.on_ejection_change = self._ejection_changed
         self.folder = self._open_folder(Path(fleet.folder)) if fleet.folder else None
 
-    # ---- what the node asks
+    # ---- queries of the node
 
     def admission_delay(self, job_class: str) -> float | None:
         """Return None to accept an invocation, or the ms after which to retry it (`alone = "leave"`)."""
@@ -118,13 +118,13 @@
         return None
 
     def accepts_clients(self) -> bool:
-        """Whether consumers may be sent here."""
+        """Whether clients may be sent to this node."""
         return self.fleet.alone == "serve" or self.holder.holds_lease(clock.elapsed())
 
     # ---- files
 
     def _open_folder(self, path: Path) -> NodeFolder | None:
-        """What earlier processes did and had agreed. Nothing of it keeps a node from starting."""
+        """Open the folder, and restore earlier audit logs and the last plan; errors do not stop the node."""
         holder = self.holder
         try:
             folder = NodeFolder(self.reactor, path, holder.identity.boot, self._audit_written)
@@ -146,22 +146,22 @@
         self.process_effects()
 
     def _write_to_folder(self, plan: p.Plan | None = None) -> None:
-        """In the order in which it is done; a steward hears of it once it is on file."""
+        """Queue new audit entries and the plan, in order; entries are sent only once they are on file."""
         audit_log = self.holder.audit_log
         entries, audit_log.fresh = audit_log.fresh, []
         if self.folder is not None and (entries or plan is not None):
             self.folder.write(entries, plan)
 
-    # ---- what is done
+    # ---- effects
 
     def start(self) -> None:
-        """Serve as last agreed, and ask for a lease."""
+        """Apply the plan last on file, and request a lease."""
         if self.holder.plan.version:
             self._apply_plan(self.holder.plan)
         self.process_effects()
 
     def process_effects(self) -> None:
-        """Carry out the holder's effects in order: audit lines to file, then actions, then messages."""
+        """Carry out the holder's effects in order: audit entries to file, then actions, then messages."""
         holder, now = self.holder, clock.elapsed()
         fencing_token = holder.fencing_token if holder.holds_lease(now) else NO_LEASE
         if (holder.plan.version, fencing_token) != (
@@ -190,7 +190,7 @@
             self._timer = self.reactor.callLater(max(holder.next_timeout_at - now, 0.0), self._tick)
 
     def _start_service_span(self, fencing_token: int) -> None:
-        """Another version, or a lease got or lost: what comes from now on is under that."""
+        """Begin a new span: the version has changed, or a lease was granted or has ended."""
         plan, version_before = self.holder.plan, self.service_span.version
         self._close_service_span()
         self.service_span = ServiceSpan(plan.version, fencing_token)
@@ -225,13 +225,13 @@
         self.on_plan_change(plan)
 
     def _ejection_changed(self, worker: str, by: str, ejected: bool) -> None:
-        """Staff have taken a provider out, or back, at this node's own console."""
+        """Record that an operator ejected or reinstated a worker at this node's own console."""
         if by == BY_OPERATOR:
             self.holder.record_action(audit.WORKER_EJECTED if ejected else audit.WORKER_REINSTATED, worker)
             self._write_to_folder()
 
     def stop(self) -> None:
-        """The node ends: it acts no more."""
+        """Release the lease: the node ends."""
         self._close_service_span()
         self.holder.shut_down(clock.elapsed())
         self.process_effects()
@@ -273,7 +273,7 @@
             if isinstance(message, m.LeaseRefused) and message.reason != refusal_before:
                 log.warning("lease_refused", server=connection.server_name, why=message.reason)
         else:
-            connection.abort(f"a steward does not say {type(message).__name__} to an agent")
+            connection.abort(f"unexpected message from a consensus server: {type(message).__name__}")
         self.process_effects()
 
     def _lost(self, connection: FleetConnection) -> None:
--- a/bitternpath/balancer/fleet/record_replica.py
+++ b/bitternpath/balancer/fleet/record_replica.py
@@ -1,21 +1,22 @@
-"""A replica of the fleet's record, and what its leader decides: leases, releases, answers. Pure.
-
-A `RecordReplica` is a member of the consensus with the record that follows from it. Requests of record
-clients and commands go to the leader, whichever member receives them. The leader alone grants leases
-(`leases.py`), releases versions and does what operators ask (`commands.py`); what it needs for that beyond
-the record it keeps in a `Leadership`, which ends with its term.
-
-Why two members never grant at odds:
-
-- A lease is granted only once a round has been answered by a majority that began after the request came. Who
-  answered had voted for nobody else by then, so the request is older than any later leader's election.
-- A node's lease runs from the moment of its asking, by its own clock. For the leader it runs from the moment
-  in which the request came, and `LeaseTerms.longest` on: longer, whatever both clocks do within the drift
-  stated.
-- A new leader takes every holder's lease as granted in the moment of its election.
-- A holder leaves the record only after that time, or by its own word; and a version is released only when
-  every holder in the record has reported, under its fencing token, that it acts on the one before and has
-  taken this one.
+"""A replica of the fleet's record, with the leader's decisions: leases, releases, replies. Does no I/O.
+
+A `RecordReplica` is a Raft member together with the record that results from its log. A member that receives
+a request from a record client or a command forwards it to the leader. Only the leader grants leases
+(`leases.py`), releases versions and executes operators' commands (`commands.py`). The volatile state it needs
+for this is a `Leadership`, which is discarded at the end of the term.
+
+Why two members never make conflicting grants:
+
+- A lease is granted only after a majority has answered a heartbeat round that began after the request
+  arrived. No member of that majority had voted in a later term when it answered, so the request arrived
+  before any later leader was elected.
+- A node counts its lease from the moment it sent the request, by its own clock. The leader counts it from the
+  arrival of the request, for `LeaseTerms.max_duration`, which is the longer time as long as both clocks stay
+  within the configured drift.
+- A new leader treats every holder's lease as granted at the moment of its own election.
+- A holder is removed from the record only after that time, or once it has released its lease. A version is
+  released only when every holder in the record has reported, under its fencing token, that it applies the
+  previous version and has validated this one.
 """
 
 from __future__ import annotations
@@ -29,42 +30,42 @@
 from bitternpath.balancer.fleet.leases import LeaseGrants
 from bitternpath.replication.records import Entry, EntryKind, MemberRole, StorageWrite
 
-ENTRIES_PER_COMPACTION = 1024  # after which the record is written down whole
-RETAINED_ENTRIES = 512  # that stay for members that lag
+ENTRIES_PER_COMPACTION = 1024  # entries applied since the last snapshot before the next is taken
+RETAINED_ENTRIES = 512  # entries before the snapshot that stay in the log for lagging members
 
 
 class Effects(Struct):
-    """What follows; `agreed` tells of entries that changed the record."""
+    """What the caller must do after the input handled so far."""
 
     messages: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]]  # to other members
     writes: list[StorageWrite]
     replies: list[tuple[int, m.ForwardableReply]]  # on this member's own connections
-    items: list[tuple[int, p.Item]]
-    committed: list[tuple[int, int, bytes]]  # index, term and content of all that was taken for agreed
+    items: list[tuple[int, p.Item]]  # entries that changed the record, by index
+    committed: list[tuple[int, int, bytes]]  # index, term and data of every committed entry
 
 
 class RecordReplica(LeaseGrants, Commands):
-    """One member."""
+    """One member of the record's Raft group."""
 
-    # ---- inputs
+    # ---- input
 
     @property
     def next_timeout_at(self) -> float:
-        """When `tick` is wanted next."""
+        """The time at which `tick` must be called next."""
         return self.raft.next_timeout_at
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Handle timeouts that are due."""
         self.raft.tick(now)
 
     def write_completed(self, now: float, number: int) -> None:
-        """That write and those before it are on disk."""
+        """Handle that the write `number` and all before it are on disk."""
         self.raft.write_completed(now, number)
 
     def receive(
         self, now: float, sender: str, message: m.Consensus | m.ForwardedRequest | m.ForwardedReply
     ) -> None:
-        """Receive a message of another member."""
+        """Handle a message from another member."""
         match message:
             case m.Consensus(inner):
                 self.raft.receive(now, sender, inner)
@@ -74,11 +75,11 @@
                 self._replies.append((token, reply))
 
     def receive_request(self, now: float, token: int, request: m.ForwardableRequest) -> None:
-        """Receive a request on one of this member's own connections."""
+        """Handle a request received on one of this member's own connections."""
         self._handle_request(now, (self.member_id, token), request, forwarded=False)
 
     def identify_member(self, member_id: str) -> None:
-        """A member has said who it is: its name, a dot, and its incarnation."""
+        """Register the id of a connected member: its name, a dot, and its incarnation."""
         self.member_ids[member_id.partition(".")[0]] = member_id
 
     def take_effects(self, now: float) -> Effects:
@@ -122,11 +123,11 @@
             if self.leadership is not None and self.leadership.ready:
                 self._handle_as_leader(now, self.leadership, route, request)
             else:
-                self._reject(route, request, "the leader is new and does not know the record yet")
+                self._reject(route, request, "the leader is new and has not applied the whole record yet")
         elif raft.leader and not forwarded:
             self._messages.append((raft.leader, m.ForwardedRequest(route[1], request)))
         else:
-            self._reject(route, request, "no leader is known here")
+            self._reject(route, request, "this server knows no leader")
 
     def _reject(self, route: Route, request: m.ForwardableRequest, reason: str) -> None:
         if isinstance(request, m.RenewLease):
@@ -150,7 +151,7 @@
     def _handle_audit_entries(
         self, now: float, leadership: Leadership, route: Route, request: m.AuditEntries
     ) -> None:
-        """Lines are acknowledged once the record has them."""
+        """Propose audit entries for the record; they are acknowledged once committed."""
         process_audit = self.record.process_audits.get(f"{request.node}#{request.boot}")
         upto = process_audit.upto if process_audit is not None else 0
         has_new = any(entry.number > upto for entry in request.entries)
@@ -170,7 +171,7 @@
         if index is not None:
             leadership.awaiting_entry[index] = PendingRequest(index, now, route, request)
 
-    # ---- leading
+    # ---- leadership
 
     def _advance_leadership(self, now: float) -> None:
         self._update_leadership()
@@ -187,7 +188,7 @@
         self._promote_learner(now)
 
     def _complete_rounds(self, now: float, leadership: Leadership) -> None:
-        """A majority has answered a round: what waited for it is answered."""
+        """Answer the requests whose heartbeat round a majority has answered."""
         confirmed = self.raft.confirmed_round
         due = [pending for pending in leadership.awaiting_round if pending.awaited <= confirmed]
         still_waiting = [pending for pending in leadership.awaiting_round if pending.awaited > confirmed]
@@ -199,7 +200,7 @@
                 self._grant(now, leadership, pending)
 
     def _update_leadership(self) -> None:
-        """A leadership is one term's."""
+        """Begin or end the `Leadership` when this member's role or term has changed."""
         leadership, is_leader = self.leadership, self.raft.role is MemberRole.LEADER
         if leadership is not None and not (is_leader and leadership.term == self.raft.term):
             self._step_down(leadership)
@@ -246,7 +247,7 @@
                 self._send_version_update(leadership)
 
     def _reply_to_proposer(self, item: p.Item, error: str, pending: PendingRequest) -> None:
-        """An entry that somebody waited for is applied."""
+        """Answer the request whose proposed entry has been applied."""
         if isinstance(item, p.AuditRecorded):
             process_audit = self.record.process_audits[f"{item.node}#{item.boot}"]
             self._reply(pending.route, m.AuditAcknowledged(item.boot, process_audit.upto))
--- a/bitternpath/balancer/fleet/replica.py
+++ b/bitternpath/balancer/fleet/replica.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica of the fleet's record share: consensus, the record, and what is to be sent."""
+"""State and helpers shared by the parts of a record replica: consensus, the record, and pending output."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReplicaState:
-    """A member of the consensus and the record that follows from it."""
+    """A Raft member and the record that results from its log."""
 
     def __init__(
         self,
@@ -33,7 +33,9 @@
         self.applied_index = persistent_state.snapshot.index
         self.raft = Raft(member_id, persistent_state, random, now, RaftOptions(timing))
         self.leadership: Leadership | None = None
-        self.member_ids: dict[str, str] = {}  # a member's name: the incarnation that it is, as it last said
+        self.member_ids: dict[
+            str, str
+        ] = {}  # member name: its id (name.incarnation) on the present connection
         self._messages: list[tuple[str, m.Consensus | m.ForwardedRequest | m.ForwardedReply]] = []
         self._replies: list[tuple[int, m.ForwardableReply]] = []
 
@@ -44,12 +46,12 @@
             self._messages.append((route[0], m.ForwardedReply(route[1], reply)))
 
     def _reply_to_command(self, route: Route, number: int, error: str, data: Any = None) -> None:
-        """Answer a command; `why_not` is empty where it was done."""
+        """Reply to a command; `error` is empty on success."""
         encoded = msgspec.Raw(msgspec.msgpack.encode(data))
         self._reply(route, m.CommandReply(number, not error, error, encoded))
 
     def _propose(self, now: float, item: p.Item) -> int | None:
-        """The index of the item's entry; None where it can't be proposed now."""
+        """Return the index of the item's entry, or None if it can't be proposed now."""
         return self.raft.propose(now, EntryKind.COMMAND, p.encode_item(item))
 
     def _propose_members(self, now: float, members: Members) -> int | None:
--- a/bitternpath/balancer/fleet/store.py
+++ b/bitternpath/balancer/fleet/store.py
@@ -1,7 +1,7 @@
-"""A consensus server's disk: term, vote, entries and snapshot in LMDB, one synced transaction a batch.
+"""A consensus server's disk: term, vote, entries and snapshot in LMDB, one synced transaction per batch.
 
-A folder belongs to one server on one disk. It has a lock that one process holds, and stores the inode of its
-data file: a copy would vote a second time under the same name, and is refused. Each value is stored with a
+A folder belongs to one server on one disk. A lock admits one process. The folder stores the inode of its data
+file, and a copy is rejected: it could vote a second time under the same name. Each value is stored with a
 checksum, and a damaged value is never used.
 """
 
@@ -22,15 +22,15 @@
 
 from bitternpath.replication.records import Entry, PersistentState, Snapshot, StorageWrite
 
-MAP_SIZE = 1 << 30  # bytes of address space; the file is as large as what it holds
-CHECKSUM_BYTES = 8  # bytes of a checksum
-FORMAT_VERSION = 1  # of what is kept here
+MAP_SIZE = 1 << 30  # bytes of address space; the file only takes the space in use
+CHECKSUM_BYTES = 8  # before each value
+FORMAT_VERSION = 1  # of the stored keys and values
 LOCK_FILE, DATA_FILE = "lock", "data.mdb"
 STATE_KEY, SNAPSHOT_KEY = b"state", b"snapshot"
 
 
 class StoreError(Exception):
-    """The folder can't be used (an operator's task); the text says why, in one line."""
+    """The folder can't be used until an operator acts; the text says why, in one line."""
 
 
 class DamagedError(StoreError):
@@ -38,13 +38,13 @@
 
 
 class StoredState(Struct, frozen=True):
-    """What is stored beside entries and snapshot; field names are stored keys."""
+    """What is stored besides entries and snapshot; the outer field names are stored keys."""
 
     format_version: int = msgspec.field(name="form")
     name: str
-    incarnation: str  # drawn when the folder was made: a steward that lost its disk is another one
-    file_id: tuple[int, int] = msgspec.field(name="file")  # device and inode
-    voters: int  # how many the fleet had, as last written
+    incarnation: str  # random, drawn for a new folder: a server that lost its disk is a new member
+    file_id: tuple[int, int] = msgspec.field(name="file")  # device and inode of the data file
+    voters: int  # number of voters at the last write
     term: int = 0
     vote: str = ""
     compacted_through: tuple[int, int] = msgspec.field(default=(0, 0), name="before")
@@ -71,7 +71,7 @@
 
 
 class Store:
-    """An open folder. `write` may be called in one other thread, all else in the one that opened it."""
+    """An open folder. `write` may be called in one other thread, all other methods in the opening thread."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self.folder = folder
@@ -84,7 +84,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock)
-            raise StoreError(f"{folder}: another steward runs on this folder") from error
+            raise StoreError(f"{folder}: another server runs on this folder") from error
         try:
             self._open(name)
         except BaseException:
@@ -108,20 +108,20 @@
         self.state = self._get(STATE_KEY, StoredState)
         if self.state.format_version != FORMAT_VERSION:
             raise StoreError(
-                f"{self.folder}: written in form {self.state.format_version}; "
+                f"{self.folder}: written in format {self.state.format_version}; "
                 f"this release reads {FORMAT_VERSION}"
             )
         if self.state.name != name:
             raise StoreError(f"{self.folder}: is the folder of {self.state.name}, not of {name}")
         if self.state.file_id != self._data_file_id():
             raise StoreError(
-                f"{self.folder}: a copy of another folder; a steward votes from one disk: empty it, and add "
+                f"{self.folder}: a copy of another folder; a server votes from one disk: empty it, and add "
                 f"{name} as new"
             )
 
     @property
     def me(self) -> str:
-        """The steward's name with its incarnation: the member that it is."""
+        """The server's id as a member: its name and incarnation."""
         return f"{self.state.name}.{self.state.incarnation}"
 
     def _data_file_id(self) -> tuple[int, int]:
@@ -160,11 +160,11 @@
         if snapshot.index < state.compacted_through[0] or snapshot.index > state.compacted_through[0] + len(
             entries
         ):
-            raise DamagedError(f"{self.folder}: the snapshot at {snapshot.index} does not meet the log")
+            raise DamagedError(f"{self.folder}: the snapshot at {snapshot.index} does not connect to the log")
         return PersistentState(state.term, state.vote, snapshot, state.compacted_through, entries)
 
     def write(self, writes: Sequence[StorageWrite], voters: int) -> None:
-        """Do them in order, in one transaction that is on disk when this returns; OSError or lmdb.Error."""
+        """Apply the writes in order, in one transaction that is on disk on return; OSError or lmdb.Error."""
         state = self.state
         with self._env.begin(write=True) as transaction:
             for write in writes:
@@ -189,7 +189,7 @@
         )  # fmt: skip
 
     def _delete_entries(self, transaction: Any, first: int, last: int | None) -> None:
-        """The entries from one index to another, or to the end."""
+        """Delete the entries from `first` to `last`, or to the end if `last` is None."""
         with transaction.cursor(db=self._log) as cursor:
             more = cursor.set_range(first.to_bytes(8, "big"))
             while more and (last is None or int.from_bytes(cursor.key(), "big") <= last):
@@ -205,7 +205,7 @@
 
 
 def quarantine_folder(folder: Path) -> Path:
-    """Move a damaged folder away, so that the steward can begin anew; where it is now."""
+    """Rename a damaged folder, so that the server can start with a new one; return the new path."""
     quarantined = folder.with_name(f"{folder.name}.damaged-{int(time.time())}")
     os.rename(folder, quarantined)
     return quarantined
--- a/bitternpath/cli/consensus_server.py
+++ b/bitternpath/cli/consensus_server.py
@@ -15,14 +15,14 @@
 
 
 def _checked_settings(fleet: Fleet) -> Fleet:
-    """The fleet settings, if a consensus server can run with them; ConfigError if not."""
+    """Return the fleet settings if a consensus server can run with them; raise ConfigError if not."""
     server_names = [each.partition("=")[0] for each in fleet.stewards]
     if fleet.name not in server_names:
         raise ConfigError(
             f"fleet.name = {fleet.name!r}: allowed are those of fleet.stewards: {', '.join(server_names)}"
         )
     if not fleet.folder:
-        raise ConfigError("fleet.folder: a consensus server needs a folder that lasts")
+        raise ConfigError("fleet.folder: a consensus server needs a persistent folder")
     return fleet
 
 
@@ -36,11 +36,11 @@
 """
 )
 @operator_options
-@click.option("--found", is_flag=True, help="begin a new fleet, where the folder is empty")
+@click.option("--found", is_flag=True, help="bootstrap a new fleet if the folder is empty")
 def command(operator_file: str | None, found: bool, **flags: Any) -> None:
     """Run a consensus server, a replica of the fleet's record.
 
-    Ends with 0 after SIGTERM, with 1 where its disk fails, with 2 where configuration or folder are wrong.
+    Exit status: 0 after SIGTERM, 1 on a disk error, 2 if the configuration or the folder is invalid.
     """
     context = click.get_current_context()
     try:
--- a/bitternpath/cli/fleet.py
+++ b/bitternpath/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`bitternpath fleet`: ask the stewards, and change what all nodes act on."""
+"""`bitternpath fleet`: query the consensus servers, and change the plan that all nodes apply."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @click.group()
 def command() -> None:
-    """Ask the fleet, and change what all nodes act on. Every command works through any steward.
+    """Query the fleet, and change the plan that all nodes apply. Any consensus server accepts the commands.
 
-    Ends with 0 where it went well, with 1 where the answer is no or nobody can give one, with 2 where the
-    command or the configuration is wrong.
+    Exit status: 0 on success, 1 if the command is refused or gets no answer, 2 if the command line or the
+    configuration is invalid.
     """
 
 
--- a/bitternpath/cli/fleet_changes.py
+++ b/bitternpath/cli/fleet_changes.py
@@ -12,11 +12,11 @@
 from bitternpath.cli.fleet_client import FleetClient, with_fleet_client
 from bitternpath.cli.fleet_format import holder_state
 
-POLL_INTERVAL = 0.2  # s between looks whether a change is in effect
+POLL_INTERVAL = 0.2  # s between two queries whether a change is in effect
 
 
 def parse_change(words: tuple[str, ...]) -> Any:
-    """The change that `KEY=VALUE` words mean; click.UsageError where they mean none."""
+    """Return the change given by `KEY=VALUE` words; raise click.UsageError if they give none."""
     from bitternpath.balancer.fleet import plan as p
 
     pairs = [word.partition("=") for word in words]
@@ -40,7 +40,7 @@
             "rules",
             "allowed",
         ):
-            raise click.UsageError("one change at a time: fields of one class, or one other key")
+            raise click.UsageError("only one change at a time: fields of one class, or one other key")
         return p.SetClass(section, {other.rpartition(".")[2]: float(value) for other, _, value in pairs})
     except ValueError as error:
         raise click.UsageError(f"{key}={text}: {error}") from error
@@ -58,8 +58,11 @@
 
 
 def _await_effect(fleet: FleetClient, version: int) -> None:
-    """Until all who hold a lease act on it. Who does not answer or lags loses its lease, so that this ends;
-    where half of the fleet refuses the change it ends by saying so."""
+    """Wait until all lease holders apply the version.
+
+    The wait ends: a holder that is silent or lags loses its lease. If half of the holders reject the change,
+    it ends with an error.
+    """
     printed = ""
     while True:
         status, no_majority = fleet.query()
@@ -75,7 +78,7 @@
                 f"`bitternpath fleet withdraw {version}` ends it"
             )
         waiting_for = ", ".join(f"{h['node']} ({holder_state(status, h)})" for h in behind) or "the release"
-        line = f"no majority: {no_majority}" if no_majority else f"waits for {waiting_for}"
+        line = f"no majority: {no_majority}" if no_majority else f"waiting for {waiting_for}"
         if line != printed:
             click.echo(line)
             printed = line
@@ -83,12 +86,14 @@
 
 
 def _change_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    function = click.option("--required", is_flag=True, help="wait until all who hold a lease act on it")(
+    function = click.option("--required", is_flag=True, help="wait until all lease holders apply the change")(
+        function
+    )
+    function = click.option("--id", help="id of the change; a retry with the same id is the same change")(
         function
     )
-    function = click.option("--id", help="asked again with the same one, it is the same change")(function)
     return with_fleet_client(
-        click.option("--reason", required=True, help="why; it stands in the record")(function)
+        click.option("--reason", required=True, help="why; stored in the record")(function)
     )
 
 
@@ -96,7 +101,7 @@
 @_change_options
 @click.argument("words", nargs=-1, metavar="KEY=VALUE...")
 def change(fleet: FleetClient, words: tuple[str, ...], reason: str, id: str | None, required: bool) -> None:
-    """Change a class, a rule, or the least release that may hold a lease, for all nodes."""
+    """Change a class, a rule, or the least release that can get a lease, for all nodes."""
     propose(fleet, parse_change(words), reason, id, required)
 
 
@@ -104,7 +109,7 @@
 @_change_options
 @click.argument("worker")
 def ban(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
-    """Nothing new to that calendar worker, from any node."""
+    """Eject a calendar worker: no node sends it new jobs."""
     from bitternpath.balancer.fleet.plan import EjectWorker
 
     propose(fleet, EjectWorker(worker), reason, id, required)
@@ -114,7 +119,7 @@
 @_change_options
 @click.argument("worker")
 def back(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
-    """The fleet's ban of that calendar worker ends; one at a node's own console stays."""
+    """End the fleet's ban of a calendar worker; a ban at a node's own console stays."""
     from bitternpath.balancer.fleet.plan import ReinstateWorker
 
     propose(fleet, ReinstateWorker(worker), reason, id, required)
@@ -122,10 +127,10 @@
 
 @click.command()
 @with_fleet_client
-@click.option("--reason", required=True, help="why; it stands in the record")
+@click.option("--reason", required=True, help="why; stored in the record")
 @click.argument("version", type=int)
 def withdraw(fleet: FleetClient, version: int, reason: str) -> None:
-    """A version that is agreed and not released shall change nothing."""
+    """Turn a version that is agreed and not released into a no-op."""
     from bitternpath.balancer.fleet.messages import Withdraw
 
     fleet.send(Withdraw(version, fleet.author, reason))
--- a/bitternpath/cli/fleet_client.py
+++ b/bitternpath/cli/fleet_client.py
@@ -1,4 +1,4 @@
-"""What commands of `bitternpath fleet` share: whom they ask, and who asks."""
+"""Client and options shared by the commands of `bitternpath fleet`."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class FleetClient:
-    """The stewards that a command may ask, and who asks."""
+    """Sends commands to the consensus servers in the name of `author`, waiting `within` s for an answer."""
 
     def __init__(self, servers: dict[str, Address], author: str, within: float) -> None:
         self.servers, self.author, self.within = servers, author, within
 
     def send(self, command: Any) -> Any:
-        """The answer's data; ends with 1 and one line where it is no, or nobody answers."""
+        """Send a command and return the reply's data; exit with 1 if it is refused or not answered."""
         from bitternpath.balancer.fleet.client import NoAnswerError, send_command
 
         try:
             reply = send_command(self.servers, command, self.author, self.within)
         except NoAnswerError as error:
-            raise click.ClickException(f"no steward that can decide answers: {error}") from error
+            raise click.ClickException(f"no consensus server with a majority answers: {error}") from error
         if not reply.ok:
             raise click.ClickException(reply.text)
         return msgspec.msgpack.decode(reply.data)
@@ -42,11 +42,11 @@
         try:
             return query(self.servers, Query(what), self.author, self.within)
         except NoAnswerError as error:
-            raise click.ClickException(f"no steward answers: {error}") from error
+            raise click.ClickException(f"no consensus server answers: {error}") from error
 
 
 def with_fleet_client(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Hands over a `FleetClient` made from the operator file and the flags."""
+    """Decorator: passes a `FleetClient` made from the operator file and the flags."""
 
     @wraps(function)
     def wrapper(operator_file: str | None, within: float, author: str | None, **arguments: Any) -> Any:
@@ -56,7 +56,7 @@
             settings = read(operator_file, os.environ, given(flags)).settings.fleet
             if not settings.stewards:
                 raise ConfigError(
-                    "fleet.stewards: no steward is named; give --fleet-stewards or --operator-file"
+                    "fleet.stewards: no consensus server is named; give --fleet-stewards or --operator-file"
                 )
             pairs = [each.partition("=") for each in settings.stewards]
             servers = {name: address(host_port) for name, _, host_port in pairs}
@@ -64,11 +64,13 @@
             context.exit(fault(error))
         return function(FleetClient(servers, author or getpass.getuser(), within), **arguments)
 
-    wrapper = click.option("--author", metavar="NAME", help="who asks; else your user name")(wrapper)
+    wrapper = click.option("--author", metavar="NAME", help="who gives the command; default: your user name")(
+        wrapper
+    )
     wrapper = click.option(
-        "--within", default=5.0, show_default=True, metavar="S", help="for how long an answer is waited for"
+        "--within", default=5.0, show_default=True, metavar="S", help="how long to wait for an answer"
     )(wrapper)
     return operator_options(wrapper)
 
 
-as_json = click.option("--json", "json", is_flag=True, help="all that is known, for machines")
+as_json = click.option("--json", "json", is_flag=True, help="print all data as JSON")
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -1,4 +1,4 @@
-"""`bitternpath fleet members`: which stewards keep the record."""
+"""`bitternpath fleet members`: the consensus servers that keep the record."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @click.group()
 def members() -> None:
-    """Which stewards keep the record; one is added or taken away at a time."""
+    """Show or change the consensus servers that keep the record; one is added or removed at a time."""
 
 
 @members.command("list")
 @with_fleet_client
 def list_(fleet: FleetClient) -> None:
-    """The members, by name and incarnation."""
+    """List the members, by name and incarnation."""
     status, no_majority = fleet.query()
     print_no_majority(status, no_majority)
     for member_id in status["voters"]:
@@ -29,7 +29,7 @@
 @with_fleet_client
 @click.argument("name")
 def add(fleet: FleetClient, name: str) -> None:
-    """The steward NAME, which runs and has an empty folder, takes part; it votes once it has caught up."""
+    """Add the server NAME, which runs with an empty folder; it votes once it has caught up."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
     fleet.send(ChangeMembers(add=name))
@@ -40,7 +40,7 @@
 @with_fleet_client
 @click.argument("name")
 def remove(fleet: FleetClient, name: str) -> None:
-    """The steward NAME takes part no longer."""
+    """Remove the server NAME."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
     fleet.send(ChangeMembers(remove=name))
@@ -51,7 +51,7 @@
 @with_fleet_client
 @click.argument("name")
 def lead(fleet: FleetClient, name: str) -> None:
-    """The steward NAME shall lead."""
+    """Transfer leadership to the server NAME."""
     from bitternpath.balancer.fleet.messages import TransferLeadership
 
     fleet.send(TransferLeadership(name))
--- a/bitternpath/cli/fleet_reports.py
+++ b/bitternpath/cli/fleet_reports.py
@@ -24,7 +24,7 @@
 @with_fleet_client
 @as_json
 def status(fleet: FleetClient, json: bool) -> None:
-    """Who leads, which version is in effect, and who holds a lease on which."""
+    """Show the leader, the version in effect, and the lease holders with their versions."""
     record, no_majority = fleet.query()
     if json:
         print_json(record | {"no_majority": no_majority})
@@ -32,12 +32,12 @@
         print_no_majority(record, no_majority)
         click.echo(
             f"leader {record['leader'] or '-'}, term {record['term']}; version "
-            f"{record['released']} released, {record['latest']} agreed, {record['in_effect']} acted on by all"
+            f"{record['released']} released, {record['latest']} agreed, {record['in_effect']} applied by all"
         )
         for member_id in record["voters"]:
-            click.echo(f"steward {member_id}" + (" (leads)" if member_id == record["leader"] else ""))
+            click.echo(f"server {member_id}" + (" (leads)" if member_id == record["leader"] else ""))
         for member_id in record["learners"]:
-            click.echo(f"steward {member_id} (learns, does not vote yet)")
+            click.echo(f"server {member_id} (learns, does not vote yet)")
         rows = [
             (
                 h["node"], h["boot"], h["site"], ".".join(map(str, h["release"])), h["fence"],
@@ -48,7 +48,7 @@
             for h in sorted(record["holders"], key=lambda h: (h["node"], h["boot"]))
         ]  # fmt: skip
         print_table(
-            ("node", "process", "site", "release", "fence", "acts on", "has", "heard", "lease", "state"), rows
+            ("node", "process", "site", "release", "fence", "applies", "has", "heard", "lease", "state"), rows
         )
     click.get_current_context().exit(1 if no_majority else 0)
 
@@ -57,7 +57,7 @@
 @with_fleet_client
 @as_json
 def versions(fleet: FleetClient, json: bool) -> None:
-    """What was agreed, by whom, why, and since when it is acted on."""
+    """Show the agreed versions: by whom, why, and since when they are released."""
     record, no_majority = fleet.query()
     if json:
         print_json(
@@ -93,11 +93,11 @@
 @click.command()
 @with_fleet_client
 @as_json
-@click.option("--node", help="of this node alone")
-@click.option("--version", type=int, help="what was done under this version alone")
-@click.option("--at", metavar="TIME", help="on what each acted at that time")
+@click.option("--node", help="only this node")
+@click.option("--version", type=int, help="only what was done under this version")
+@click.option("--at", metavar="TIME", help="which version each process applied at that time")
 def audit(fleet: FleetClient, node: str | None, version: int | None, at: str | None, json: bool) -> None:
-    """Who acted on which version, from when to when, and what is missing."""
+    """Show which process applied which version and when, and what is missing from the audit."""
     when = parse_time(at) if at is not None else None
     record, no_majority = fleet.query("audit")
     process_audits = [process for process in record["accounts"] if node in (None, process["node"])]
@@ -131,7 +131,7 @@
             for number, logged_at, kind, entry_version, fencing_token, detail, _ in process["lines"]
             if version in (None, entry_version)
         ]
-        print_table(("node", "process", "act", "time", "what", "version", "fence", ""), rows)
+        print_table(("node", "process", "entry", "time", "what", "version", "fence", ""), rows)
     for process_audit in process_audits:
         for fault in [*process_audit["faults"], *process_audit["unheard"]]:
             click.echo(f"{process_audit['node']}#{process_audit['boot']}: {fault}")
@@ -142,13 +142,13 @@
 @with_fleet_client
 @click.argument("node")
 def explain(fleet: FleetClient, node: str) -> None:
-    """Why a node is where it is: what was last heard, what it acts on, what stops it, what to do."""
+    """Explain the state of a node: when it was heard, what it applies, what blocks it, what to do."""
     record, no_majority = fleet.query("audit")
     print_no_majority(record, no_majority)
     holders = [h for h in record["holders"] if h["node"] == node]
     process_audits = [a for a in record["accounts"] if a["node"] == node]
     if not holders and not process_audits:
-        raise click.ClickException(f"nobody has heard of {node}")
+        raise click.ClickException(f"node {node} is not in the record")
     for holder in holders:
         click.echo(f"{node}#{holder['boot']}: {explain_holder(record, holder)}")
     with_lease = {h["boot"] for h in holders}
@@ -157,7 +157,7 @@
         last = max(without_lease, key=lambda a: a["lines"][-1][1] if a["lines"] else 0.0)
         click.echo(f"{node}#{last['boot']}: no lease; {applied_version(last, time.time())}")
         if not holders:
-            click.echo("It gets a lease by itself once it reaches a steward and can take what is released:")
-            click.echo("look whether it runs, at its links, and whether its log has")
+            click.echo("It gets a lease by itself once it reaches a server and accepts the released version:")
+            click.echo("check whether it runs, its network links, and whether its log has")
             click.echo("`serving_without_lease` or `lease_refused`.")
     click.get_current_context().exit(1 if no_majority else 0)
--- a/tests/test_fleet_consensus_servers.py
+++ b/tests/test_fleet_consensus_servers.py
@@ -88,7 +88,7 @@
         assert "version 1 released" in shown.stdout
         refused = command("ban", "w2", "--reason", "no majority")
         assert refused.returncode == 1 and refused.stderr.startswith(
-            "Error: no steward that can decide answers"
+            "Error: no consensus server with a majority answers"
         )
         made.stewards["S3"].send(signal.SIGCONT)
         assert made.change("b", p.EjectWorker("w3")) == 2
@@ -147,7 +147,7 @@
         until(lambda: first.says("event=listening"))
         second.folder = first.folder
         second.start()
-        assert second.ended() == 2 and second.says("another steward runs on this folder")
+        assert second.ended() == 2 and second.says("another server runs on this folder")
         first.kill()
         second.folder = tmp_path / "copy"
         shutil.copytree(first.folder, second.folder)
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -220,7 +220,7 @@
     record.apply(3, p.LeaseEnded("n", "b", 2, "its lease is over", 20.0))
     record.apply(4, p.AuditRecorded("other", "b", (), 0, 30.0))
     unheard = record.process_audits["n#b"].missing_entries(False)
-    assert unheard == ["nothing heard after act 0 of what it did under fence 2"]
+    assert unheard == ["nothing received after entry 0 under fencing token 2"]
     record.apply(5, p.AuditRecorded("other", "b", (), 0, 20.1 + p.AUDIT_RETENTION))
     assert "n#b" not in record.process_audits
 
