--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,7 +26,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests")]
 
-from fleet_rig import fleet, until
+from fleet_rig import running_fleet, wait_until
 from start import HERTZ, ROOT, Node, lookups
 
 from bitternpath.balancer.fleet import client
@@ -102,13 +102,13 @@
 def leader() -> None:
     for number, word in ((signal.SIGKILL, "SIGKILL"), (signal.SIGSTOP, "SIGSTOP")):
         took = []
-        with tempfile.TemporaryDirectory() as folder, fleet(Path(folder), 3) as made:
+        with tempfile.TemporaryDirectory() as folder, running_fleet(Path(folder), 3) as made:
             made.start()
             for k in range(ROUNDS):
                 old = made.leader()
                 begun = time.monotonic()
-                old.send(number)
-                others = {name: at for name, at in made.at.items() if name != old.name}
+                old.send_signal(number)
+                others = {name: at for name, at in made.server_addresses.items() if name != old.name}
                 ban = m.Propose(f"c{k}", "a", "b", p.SetClass("x", {"aim": 1.0 + k}))
                 assert client.send_command(others, ban, "bench", 30.0).ok
                 took.append(time.monotonic() - begun)
@@ -116,9 +116,9 @@
                     old.kill()
                     old.start()
                 else:
-                    old.send(signal.SIGCONT)
-                until(lambda: len(made.status()["voters"]) == 3)
-                until(lambda old=old: made.known(old.name).get("leader"))
+                    old.send_signal(signal.SIGCONT)
+                wait_until(lambda: len(made.status()["voters"]) == 3)
+                wait_until(lambda old=old: made.known_by(old.name).get("leader"))
         print(f"without a leader after {word}, until a change is answered: {shown(took, 1, 's')}")
 
 
@@ -167,10 +167,10 @@
 
 def steward() -> None:
     for many in (3, 50, 200):
-        with tempfile.TemporaryDirectory() as folder, fleet(Path(folder), 3) as made:
+        with tempfile.TemporaryDirectory() as folder, running_fleet(Path(folder), 3) as made:
             made.start()
             lead = made.leader()
-            at = f"{lead.name}=127.0.0.1:{lead.held.number}"
+            at = f"{lead.name}=127.0.0.1:{lead.held_port.number}"
             agents = subprocess.Popen(
                 [sys.executable, "-c", AGENTS, str(many), at], cwd=ROOT, stdout=subprocess.PIPE, text=True
             )
@@ -189,7 +189,7 @@
             for k in range(20):
                 begun = time.monotonic()
                 version = made.change(f"c{k}", p.SetClass("lookup", {"aim": 1.0 + k}))
-                while min(h.get("acting", -1) for h in made.known(lead.name)["holders"]) < version:
+                while min(h.get("acting", -1) for h in made.known_by(lead.name)["holders"]) < version:
                     time.sleep(0.005)
                 took.append(time.monotonic() - begun)
             disk = (lead.folder / "data.mdb").stat().st_size / 1e6
@@ -204,7 +204,7 @@
 def lookup() -> None:
     rounds = 9
     found: dict[str, list[float]] = {"without": [], "with": []}
-    with tempfile.TemporaryDirectory() as name, fleet(Path(name) / "s", 1) as made:
+    with tempfile.TemporaryDirectory() as name, running_fleet(Path(name) / "s", 1) as made:
         made.start()
         folder = Path(name) / "n"
         for round_ in range(rounds + 1):
@@ -222,7 +222,7 @@
                 node = Node(ROOT, folder, int(worker.stdout.readline()))
                 try:
                     if which == "with":
-                        until(lambda: made.status()["holders"])
+                        wait_until(lambda: made.status()["holders"])
                     (folder / "node").write_text(f"127.0.0.1:{node.port}")
                     asyncio.run(lookups(node.port, 200, 4, "warm"))
                     before = node.cpu()
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -16,107 +16,107 @@
 from bitternpath.balancer.fleet import plan as p
 
 
-class Turns:
+class ManualReactor:
     """A reactor's way to hear of threads, turned by hand."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
         self.stops: list[Callable[[], None]] = []
 
-    def callFromThread(self, what: Callable[..., Any], *args: Any) -> None:
-        self.calls.append((what, args))
+    def callFromThread(self, call: Callable[..., Any], *args: Any) -> None:
+        self.calls.append((call, args))
 
-    def addSystemEventTrigger(self, phase: str, event: str, what: Callable[[], None]) -> None:
-        self.stops.append(what)
+    def addSystemEventTrigger(self, phase: str, event: str, callback: Callable[[], None]) -> None:
+        self.stops.append(callback)
 
-    def until(self, what: Callable[[], bool]) -> None:
-        end = time.monotonic() + 30.0
-        while not what() and time.monotonic() < end:
+    def until(self, condition: Callable[[], bool]) -> None:
+        deadline = time.monotonic() + 30.0
+        while not condition() and time.monotonic() < deadline:
             calls, self.calls = self.calls, []
             for call, args in calls:
                 call(*args)
             time.sleep(0.001)
-        assert what()
+        assert condition()
 
 
 @pytest.fixture
-def turns() -> Iterator[Turns]:
-    made = Turns()
-    yield made
-    for stop in made.stops:
+def reactor() -> Iterator[ManualReactor]:
+    manual = ManualReactor()
+    yield manual
+    for stop in manual.stops:
         stop()
 
 
-def lines(many: int, boot: str = "b") -> list[audit.AuditEntry]:
+def audit_entries(count: int, boot: str = "b") -> list[audit.AuditEntry]:
     audit_log = audit.AuditLog(boot)
-    for k in range(many):
+    for k in range(count):
         audit_log.add(100.0 + k, audit.VERSION_APPLIED, k, 1)
     return audit_log.fresh
 
 
-def test_what_is_written_is_read_back_by_the_next_process(tmp_path: Path, turns: Turns) -> None:
-    heard: list[int | None] = []
-    folder = node_folder.NodeFolder(turns, tmp_path, "b", heard.append)
-    made = lines(5)
-    folder.write(made[:2], None)
-    folder.write(made[2:], p.Plan(3))
-    turns.until(lambda: heard == [2, 5])
-    after = node_folder.NodeFolder(turns, tmp_path, "c", heard.append)
-    assert [list(audit_log.unacknowledged) for audit_log in after.older()] == [made]
-    turns.until(lambda: (tmp_path / node_folder.PLAN_FILE).exists())
+def test_what_is_written_is_read_back_by_the_next_process(tmp_path: Path, reactor: ManualReactor) -> None:
+    written: list[int | None] = []
+    folder = node_folder.NodeFolder(reactor, tmp_path, "b", written.append)
+    entries = audit_entries(5)
+    folder.write(entries[:2], None)
+    folder.write(entries[2:], p.Plan(3))
+    reactor.until(lambda: written == [2, 5])
+    after = node_folder.NodeFolder(reactor, tmp_path, "c", written.append)
+    assert [list(audit_log.unacknowledged) for audit_log in after.older()] == [entries]
+    reactor.until(lambda: (tmp_path / node_folder.PLAN_FILE).exists())
     kept = after.plan()
     assert kept is not None and kept.version == 3
 
 
-def test_a_disk_that_holds_a_write_up_holds_nobody_up_and_no_line_is_told_before(
-    tmp_path: Path, turns: Turns, monkeypatch: pytest.MonkeyPatch
+def test_a_slow_disk_blocks_nobody_and_entries_are_reported_once_on_file(
+    tmp_path: Path, reactor: ManualReactor, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go, put = threading.Event(), node_folder.write_bytes
+    resume, put = threading.Event(), node_folder.write_bytes
 
-    def late(file: int, data: bytes) -> int:
-        go.wait(30.0)
-        return put(file, data[:7])  # and in small pieces
+    def late(descriptor: int, data: bytes) -> int:
+        resume.wait(30.0)
+        return put(descriptor, data[:7])  # and in small pieces
 
     monkeypatch.setattr(node_folder, "write_bytes", late)
-    heard: list[int | None] = []
-    folder = node_folder.NodeFolder(turns, tmp_path, "b", heard.append)
-    made = lines(4)
-    for line in made:
-        folder.write([line], None)  # comes back at once, or the test would never get to the next line
-    assert not heard
-    go.set()
-    turns.until(lambda: heard == [1, 4])
+    written: list[int | None] = []
+    folder = node_folder.NodeFolder(reactor, tmp_path, "b", written.append)
+    entries = audit_entries(4)
+    for entry in entries:
+        folder.write([entry], None)  # comes back at once, or the test would never get to the next line
+    assert not written
+    resume.set()
+    reactor.until(lambda: written == [1, 4])
     found = (tmp_path / f"{node_folder.AUDIT_FILE_PREFIX}b").read_bytes().splitlines()
-    assert [msgspec.json.decode(line, type=audit.AuditEntry) for line in found] == made
+    assert [msgspec.json.decode(entry, type=audit.AuditEntry) for entry in found] == entries
 
 
-def test_a_disk_that_never_answers_or_refuses_is_given_up(
-    tmp_path: Path, turns: Turns, monkeypatch: pytest.MonkeyPatch
+def test_a_disk_that_hangs_or_fails_is_given_up(
+    tmp_path: Path, reactor: ManualReactor, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go = threading.Event()
+    resume = threading.Event()
 
-    def never(file: int, data: bytes) -> int:
-        go.wait(30.0)
+    def never(descriptor: int, data: bytes) -> int:
+        resume.wait(30.0)
         raise OSError(errno.ENOSPC, "No space left on device")
 
     monkeypatch.setattr(node_folder, "write_bytes", never)
-    heard: list[int | None] = []
-    folder = node_folder.NodeFolder(turns, tmp_path, "b", heard.append)
-    for line in lines(audit.MAX_UNACKNOWLEDGED_ENTRIES + 1):
-        folder.write([line], None)
-    assert not heard
-    folder.write(lines(1), None)
-    assert heard == [None]
-    refusing = node_folder.NodeFolder(turns, tmp_path, "c", heard.append)
-    refusing.write(lines(1), None)
-    go.set()
-    turns.until(lambda: heard == [None, None])
-
-
-def test_a_ledger_sends_what_is_on_file(turns: Turns) -> None:
+    written: list[int | None] = []
+    folder = node_folder.NodeFolder(reactor, tmp_path, "b", written.append)
+    for entry in audit_entries(audit.MAX_UNACKNOWLEDGED_ENTRIES + 1):
+        folder.write([entry], None)
+    assert not written
+    folder.write(audit_entries(1), None)
+    assert written == [None]
+    failing = node_folder.NodeFolder(reactor, tmp_path, "c", written.append)
+    failing.write(audit_entries(1), None)
+    resume.set()
+    reactor.until(lambda: written == [None, None])
+
+
+def test_an_audit_log_sends_only_entries_on_file(reactor: ManualReactor) -> None:
     audit_log = audit.AuditLog("b")
     for k in range(3):
         audit_log.add(100.0 + k, audit.VERSION_APPLIED, k, 1)
     assert len(audit_log.next_batch) == 3
     audit_log.written_upto = 1
-    assert [line.number for line in audit_log.next_batch] == [1]
+    assert [entry.number for entry in audit_log.next_batch] == [1]
--- a/tests/test_fleet_lease_renewal.py
+++ b/tests/test_fleet_lease_renewal.py
@@ -15,8 +15,8 @@
 
 def connected_holder(now: float) -> LeaseHolder:
     """A holder that has asked its one server for a lease at `now`."""
-    who = ProcessIdentity("n0", "b007", "", (1,))
-    holder = LeaseHolder(who, ["S1"], Random(1), now, lambda: now, lambda plan: "")
+    identity = ProcessIdentity("n0", "b007", "", (1,))
+    holder = LeaseHolder(identity, ["S1"], Random(1), now, lambda: now, lambda plan: "")
     holder.server_to_dial = None
     holder.connection_made(now, "S1")
     return holder
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -35,30 +35,30 @@
 
 # Where a fault was found and mended: a joining of which nothing was told and that was forgotten at once; a
 # leader that was put back as a learner and stayed; a lease that was over and found again.
-MENDED = (283, 656, 884, 1732)
+FIXED_SEEDS = (283, 656, 884, 1732)
 
 
-@pytest.mark.parametrize("seed", MENDED)
-def test_what_was_mended_stays_so(seed: int) -> None:
+@pytest.mark.parametrize("seed", FIXED_SEEDS)
+def test_fixed_seeds_keep_the_rules(seed: int) -> None:
     assert play(seed).kept, str(play(seed))
 
 
 @pytest.mark.parametrize("first", range(0, 80, 10))
-def test_the_rules_hold_and_all_comes_right_whatever_fails(first: int) -> None:
+def test_the_rules_hold_and_the_fleet_recovers_under_faults(first: int) -> None:
     outcomes = [play(seed) for seed in range(first, first + 10)]
     assert not [str(outcome) for outcome in outcomes if not outcome.kept]
     assert sum(outcome.versions for outcome in outcomes) > 60 and all(o.acts > 100 for o in outcomes)
 
 
-def test_no_scheduler_however_bad_breaks_the_record() -> None:
+def test_random_schedules_do_not_break_the_record() -> None:
     walks = [Walk(seed) for seed in range(250)]
-    broken_ones = [(seed, walk.run(1500).broken) for seed, walk in enumerate(walks)]
-    assert not [found for found in broken_ones if found[1]]
+    outcomes = [(seed, walk.run(1500).broken) for seed, walk in enumerate(walks)]
+    assert not [found for found in outcomes if found[1]]
     assert sum(len(walk.elected) for walk in walks) > 1000 and sum(walk.checker.last for walk in walks) > 2000
 
 
 # Where each broken build was found: by which way to play, and from which seed; that one is tried first.
-FOUND = {
+FIRST_SEEDS = {
     "vote_not_on_disk": ("walk", 513),
     "yes_before_the_disk": ("walk", 0),
     "other_terms_counted": ("walk", 70),
@@ -73,10 +73,10 @@
     "told_before_written": ("play", 28),
     "lease_not_looked_at": ("play", 0),
 }
-MOST = {"walk": 3000, "play": 800}  # seeds tried where another change has moved what each seed means
+MAX_SEEDS = {"walk": 3000, "play": 800}  # seeds tried where another change has moved what each seed means
 
 
-def found_by(way: str, seed: int) -> object:
+def breaks_rule(way: str, seed: int) -> object:
     try:
         return walk(seed).broken if way == "walk" else play(seed).broken
     except AssertionError as error:  # the build itself has noticed
@@ -84,17 +84,17 @@
 
 
 @pytest.mark.parametrize("name", BUILDS)
-def test_a_build_with_a_safeguard_taken_out_is_found(name: str) -> None:
-    way, first = FOUND[name]
-    assert not found_by(way, first)
+def test_a_build_without_a_safeguard_is_detected(name: str) -> None:
+    way, first = FIRST_SEEDS[name]
+    assert not breaks_rule(way, first)
     with broken(name):
-        assert any(found_by(way, seed) for seed in [first, *range(MOST[way])])
+        assert any(breaks_rule(way, seed) for seed in [first, *range(MAX_SEEDS[way])])
 
 
 @pytest.mark.parametrize("scope", SCOPES[:4], ids=str)
 def test_no_order_of_events_within_a_small_scope_breaks_a_rule(scope: Scope | LeaseScope) -> None:
-    found = search(begun(scope), 100_000)
-    assert found.whole and not found.broken and found.states > 2000
+    result = search(begun(scope), 100_000)
+    assert result.whole and not result.broken and result.states > 2000
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
         ("vote_not_on_disk", Scope(rings=2, changes=0, crashes=1), 11),
     ],
 )
-def test_the_search_finds_the_shortest_way_to_a_fault(
+def test_the_search_finds_the_shortest_trail_to_a_fault(
     name: str, scope: Scope | LeaseScope, moves: int
 ) -> None:
     with broken(name):
@@ -126,7 +126,7 @@
     assert holder.fencing_token == 7 and [act.fencing_token for act in holder.events] == [6, 7]
 
 
-def test_a_lease_that_is_over_is_not_found_again() -> None:
+def test_an_expired_lease_is_not_resumed() -> None:
     holder = LeaseHolder(
         ProcessIdentity("n", "b", "s", (1,)), ["S"], Random(1), 0.0, lambda: 0.0, lambda plan: ""
     )
@@ -139,7 +139,7 @@
     assert holder.holds_lease(1.3) and holder.fencing_token == 9
 
 
-def test_one_seed_is_one_run() -> None:
+def test_a_seed_determines_the_run() -> None:
     code = "from bitternpath.testing.emulator.fleet.campaign import play; print(play(5).trace)"
     traces = {
         subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True).stdout
@@ -153,7 +153,7 @@
     return Raft(me, PersistentState(term, "", snapshot, (0, 0), entries or []), Random(1), 0.0)
 
 
-def stored(member: Raft, now: float) -> list[tuple[str, object]]:
+def take_and_store(member: Raft, now: float) -> list[tuple[str, object]]:
     """Take, do all writes, and take again; what is sent."""
     out = member.take_effects(now)
     sent: list[tuple[str, object]] = list(out.messages)
@@ -164,7 +164,7 @@
     return sent
 
 
-def test_a_vote_is_told_only_once_it_is_on_disk() -> None:
+def test_a_vote_is_sent_only_once_it_is_on_disk() -> None:
     member = raft("b", ("a", "b", "c"))
     member.receive(5.0, "a", RequestVote(2, 0, 0, pre_vote=False))
     out = member.take_effects(5.0)
@@ -172,60 +172,60 @@
     member.write_completed(5.0, out.writes[0].number)
     assert member.take_effects(5.0).messages == [("a", RequestVoteResponse(2, False, True))]
     member.receive(5.1, "c", RequestVote(2, 0, 0, pre_vote=False))
-    assert stored(member, 5.1) == [("c", RequestVoteResponse(2, False, False))]
+    assert take_and_store(member, 5.1) == [("c", RequestVoteResponse(2, False, False))]
 
 
-def test_no_vote_is_given_while_a_leader_is_heard_but_at_its_own_word() -> None:
+def test_no_vote_is_given_while_a_leader_is_active_except_for_a_transfer() -> None:
     member = raft("b", ("a", "b", "c"))
     member.receive(5.0, "a", AppendEntries(2, 0, 0, (), 0, 1))
-    stored(member, 5.0)
+    take_and_store(member, 5.0)
     member.receive(5.5, "c", RequestVote(3, 9, 2, pre_vote=False))
-    assert stored(member, 5.5) == [("c", RequestVoteResponse(2, False, False))] and member.term == 2
+    assert take_and_store(member, 5.5) == [("c", RequestVoteResponse(2, False, False))] and member.term == 2
     member.receive(5.6, "c", RequestVote(3, 9, 2, pre_vote=False, leadership_transfer=True))
-    assert stored(member, 5.6) == [("c", RequestVoteResponse(3, False, True))]
+    assert take_and_store(member, 5.6) == [("c", RequestVoteResponse(3, False, True))]
 
 
-def test_one_that_is_no_member_any_more_stands_while_that_is_not_agreed() -> None:
+def test_a_removed_member_campaigns_until_its_removal_is_committed() -> None:
     """Each of three had the removal of another as its last entry, and none could win: no leader for ever."""
-    gone = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("a", "b"))))
-    member = raft("c", ("a", "b", "c"), [gone])
+    removal = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("a", "b"))))
+    member = raft("c", ("a", "b", "c"), [removal])
     assert member.member_id not in member.members.voters
     member.tick(9.0)
-    stored(member, 9.0)
+    take_and_store(member, 9.0)
     assert member.role is MemberRole.PRE_CANDIDATE
-    agreed = raft("c", ("a", "b"))
-    agreed.tick(9.0)
-    assert agreed.role is MemberRole.FOLLOWER
+    removed = raft("c", ("a", "b"))
+    removed.tick(9.0)
+    assert removed.role is MemberRole.FOLLOWER
 
 
-def test_a_leader_that_is_put_back_as_a_learner_gives_way_once_that_is_agreed() -> None:
-    back = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("b", "c"), ("a",))))
-    member = raft("a", ("a", "b", "c"), [back])
+def test_a_leader_demoted_to_learner_steps_down_once_that_is_committed() -> None:
+    demotion = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("b", "c"), ("a",))))
+    member = raft("a", ("a", "b", "c"), [demotion])
     member.tick(9.0)
     for pre_vote in (True, False):
-        stored(member, 9.0)
+        take_and_store(member, 9.0)
         for name in ("b", "c"):
             member.receive(9.0, name, RequestVoteResponse(2, pre_vote, True))
-    stored(member, 9.0)
+    take_and_store(member, 9.0)
     assert member.role is MemberRole.LEADER
     for name in ("b", "c"):
         member.receive(9.1, name, AppendEntriesResponse(2, True, member.last_index, 1))
     assert member.role is MemberRole.FOLLOWER and member.commit_index == member.last_index
 
 
-def test_a_lease_of_which_nothing_was_told_is_not_forgotten_before_its_time() -> None:
+def test_the_audit_of_a_lease_without_entries_is_retained() -> None:
     record = p.Record()
-    joined = p.LeaseStarted("n", "b", "s", (1,), "serve", 0, record.digest_of(0) or b"", 10.0)
-    record.apply(2, joined)
+    started = p.LeaseStarted("n", "b", "s", (1,), "serve", 0, record.digest_of(0) or b"", 10.0)
+    record.apply(2, started)
     record.apply(3, p.LeaseEnded("n", "b", 2, "its lease is over", 20.0))
     record.apply(4, p.AuditRecorded("other", "b", (), 0, 30.0))
-    unheard = record.process_audits["n#b"].missing_entries(False)
-    assert unheard == ["nothing received after entry 0 under fencing token 2"]
+    missing = record.process_audits["n#b"].missing_entries(False)
+    assert missing == ["nothing received after entry 0 under fencing token 2"]
     record.apply(5, p.AuditRecorded("other", "b", (), 0, 20.1 + p.AUDIT_RETENTION))
     assert "n#b" not in record.process_audits
 
 
-def test_what_is_agreed_is_never_cut() -> None:
+def test_committed_entries_are_never_truncated() -> None:
     member = raft("b", ("a", "b", "c"))
     entry = Entry(1, 2, EntryKind.COMMAND, b"x")
     member.receive(5.0, "a", AppendEntries(2, 0, 0, (entry,), 1, 1))
@@ -239,7 +239,7 @@
     member.tick(9.0)
     first = member.take_effects(9.0)
     assert member.role is MemberRole.PRE_CANDIDATE or first.writes
-    stored(member, 9.0)
+    take_and_store(member, 9.0)
     out = first
     for _ in range(4):
         for write in out.writes:
@@ -251,20 +251,22 @@
 # ---- the plan
 
 
-def adopt(record: p.Record, index: int, change: p.Change, id: str = "") -> str:
+def commit_change(record: p.Record, index: int, change: p.Change, id: str = "") -> str:
     return record.apply(index, p.AgreeChange(id or f"c{index}", "ana", "because", 0.0, change))
 
 
-def test_a_change_that_is_asked_for_again_is_one_change() -> None:
+def test_a_retried_change_is_committed_once() -> None:
     record = p.Record()
-    assert not adopt(record, 1, p.EjectWorker("w1"), "c") and not adopt(record, 2, p.EjectWorker("w1"), "c")
+    assert not commit_change(record, 1, p.EjectWorker("w1"), "c") and not commit_change(
+        record, 2, p.EjectWorker("w1"), "c"
+    )
     assert record.latest.version == 1 and record.change_versions == {"c": 1}
 
 
-def test_a_version_that_is_withdrawn_changes_nothing_and_stays_in_the_record() -> None:
+def test_a_withdrawn_version_stays_in_the_record_as_a_no_op() -> None:
     record = p.Record()
-    adopt(record, 1, p.EjectWorker("w1"))
-    adopt(record, 2, p.EjectWorker("w2"))
+    commit_change(record, 1, p.EjectWorker("w1"))
+    commit_change(record, 2, p.EjectWorker("w2"))
     before = record.digest_of(2)
     assert not record.apply(3, p.WithdrawVersion(1, "ana", "a mistake"))
     assert record.latest.ejections == {"w2": 2} and record.digest_of(2) != before
@@ -273,16 +275,16 @@
     assert "is released" in record.apply(5, p.WithdrawVersion(1, "ana", "again"))
 
 
-def test_a_version_on_which_another_rests_is_not_withdrawn() -> None:
+def test_a_version_that_a_later_one_depends_on_is_not_withdrawn() -> None:
     record = p.Record()
-    adopt(record, 1, p.EjectWorker("w1"))
-    adopt(record, 2, p.ReinstateWorker("w1"))
+    commit_change(record, 1, p.EjectWorker("w1"))
+    commit_change(record, 2, p.ReinstateWorker("w1"))
     assert "version 2 rests on it" in record.apply(3, p.WithdrawVersion(1, "ana", ""))
     assert len(record.unreleased) == 2 and record.changes[0].change == p.EjectWorker("w1")
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "expected"),
     [
         (p.SetClass("lookup", {"speed": 1.0}), "lookup.speed: unknown field; allowed are aim"),
         (p.SetClass("lookup", {"aim": 0.0}), "must be a number above 0"),
@@ -294,27 +296,27 @@
         (p.LeastRelease(()), "must be numbers"),
     ],
 )
-def test_a_change_that_cannot_be_is_turned_down_in_one_line(change: p.Change, says: str) -> None:
+def test_an_invalid_change_is_rejected_in_one_line(change: p.Change, expected: str) -> None:
     record = p.Record()
-    why = adopt(record, 1, change)
-    assert says in why and "\n" not in why and record.latest.version == 0
+    error = commit_change(record, 1, change)
+    assert expected in error and "\n" not in error and record.latest.version == 0
 
 
 # ---- the wire
 
 
-def test_messages_survive_the_wire_in_any_pieces_and_rubbish_ends_it() -> None:
+def test_messages_are_decoded_from_any_chunks_and_garbage_is_an_error() -> None:
     renew = m.RenewLease("n1", "b", "suva", (1, 2), "serve", 1.5, 7, 3, 4, b"d")
-    said: list[m.FleetMessage] = [
+    messages: list[m.FleetMessage] = [
         m.Hello(m.PROTOCOL_VERSION, "vanua", "agent", "n1#b"), renew, m.ForwardedRequest(4, renew),
         m.Consensus(AppendEntries(2, 0, 0, (Entry(1, 2, EntryKind.COMMAND, b"x"),), 1, 1)),
         m.CommandRequest(1, m.Propose("c", "ana", "because", p.SetClass("lookup", {"aim": 50.0}))),
     ]  # fmt: skip
-    data = b"".join(m.encode_frame(each) for each in said)
-    frames, found = m.FrameDecoder(), []
+    data = b"".join(m.encode_frame(each) for each in messages)
+    decoder, found = m.FrameDecoder(), []
     for at in range(len(data)):
-        found += frames.feed(data[at : at + 1])
-    assert found == said
-    for rubbish in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x03abc", b"\x00\x00\x00\x01\xc0"):
+        found += decoder.feed(data[at : at + 1])
+    assert found == messages
+    for garbage in (b"GET / HTTP/1.1\r\n\r\n", b"\x00\x00\x00\x03abc", b"\x00\x00\x00\x01\xc0"):
         with pytest.raises(m.WireError):
-            m.FrameDecoder().feed(rubbish)
+            m.FrameDecoder().feed(garbage)
