--- a/bitternpath/balancer/fleet/lease_holder.py
+++ b/bitternpath/balancer/fleet/lease_holder.py
@@ -65,9 +65,8 @@
     ) -> None:
         self.identity, self.random, self.wall_clock, self.validate = identity, random, wall_clock, validate
         self.audit_log = audit.AuditLog(identity.boot)
-        self.earlier_audit_logs: list[
-            audit.AuditLog
-        ] = []  # of earlier processes of this node, not acknowledged yet
+        # of earlier processes of this node, not acknowledged yet
+        self.earlier_audit_logs: list[audit.AuditLog] = []
         self.plan = p.Plan()  # the version that is applied
         self.validated_plan = p.Plan()  # the last version that passed validation
         self._pending_plans: list[p.Plan] = []  # validated and not applied yet
@@ -108,7 +107,7 @@
         """Record an action of the node in its audit log."""
         self.audit_log.add(self.wall_clock(), kind, self.plan.version, self.fencing_token, detail)
 
-    # ---- inputs
+    # ---- input
 
     @property
     def next_timeout_at(self) -> float:
@@ -257,14 +256,12 @@
 
     def _handle_lease(self, now: float, lease: m.Lease) -> None:
         self.holds_lease(now)
-        outdated = (
-            lease.fencing_token < self.fencing_token or lease.fencing_token <= self._last_expired_token
-        )  # an expired lease is not resumed, even if it was renewed
+        # An expired lease is not resumed, even if a renewal was granted in time.
+        outdated = lease.fencing_token < self.fencing_token or lease.fencing_token <= self._last_expired_token
         if outdated or lease.sent > now or lease.sent + lease.length <= now:
             return
-        starts = (
-            lease.fencing_token != self.fencing_token
-        )  # also while one is held: two requests may have been under way
+        # A new lease can also arrive while one is held, if two requests were under way.
+        starts = lease.fencing_token != self.fencing_token
         version_before = self.plan.version
         applied = self._apply_released_version(lease)
         if starts and not applied:
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -89,9 +89,8 @@
     digest: bytes = b""
     classes: dict[str, dict[str, float]] = {}
     rules: dict[str, dict[str, float | bool]] = {}
-    ejections: dict[str, int] = msgspec.field(
-        default_factory=dict, name="bans"
-    )  # worker: since which version
+    # worker: the version that ejected it
+    ejections: dict[str, int] = msgspec.field(default_factory=dict, name="bans")
     least_release: tuple[int, ...] = ()
 
     def with_version(self, next_version: AgreedVersion) -> Plan:
@@ -270,7 +269,7 @@
     change_versions: dict[str, int] = msgspec.field(
         default_factory=dict, name="ids"
     )  # of changes: their version
-    # process: what it did, as far as was heard
+    # by process (node#boot)
     process_audits: dict[str, ProcessAudit] = msgspec.field(default_factory=dict, name="accounts")
 
     @property
@@ -346,9 +345,8 @@
         for key, process_audit in list(self.process_audits.items()):
             if process_audit.entries and process_audit.entries[0].at < oldest:
                 process_audit.drop_entries_before(oldest)
-            last_lease_end = (
-                process_audit.ended_leases[-1][1] if process_audit.ended_leases else 0.0
-            )  # a lease of which nothing was told
+            # Retained even without entries: the missing entries of an ended lease are reported by it.
+            last_lease_end = process_audit.ended_leases[-1][1] if process_audit.ended_leases else 0.0
             if not process_audit.entries and key not in self.holders and last_lease_end < oldest:
                 del self.process_audits[key]
 
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -1,4 +1,4 @@
-"""Real stewards on loopback, and questions to them."""
+"""Runs real consensus servers on loopback and sends them commands."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from bitternpath.testing.emulator.ports import HeldPort
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT = 30.0  # s: beyond that it will not happen any more
+TIMEOUT = 30.0  # s to wait for an expected condition
 
 
 def wait_until(condition: Callable[[], Any], description: str = "") -> Any:
-    """What it gives once that is something."""
+    """Return the condition's value once it is true; fail after `TIMEOUT`."""
     deadline = time.monotonic() + TIMEOUT
     while time.monotonic() < deadline:
         if result := condition():
@@ -33,6 +33,8 @@
 
 
 class ConsensusServerProcess:
+    """A `consensus-server` process with its port, folder and log."""
+
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
         self.held_port = HeldPort()
@@ -41,7 +43,7 @@
         self.process: Any = None
 
     def start(self, found: bool = False, ulimit: str = "") -> None:
-        """`limit`: what the shell's ulimit is told first."""
+        """Start the process; `ulimit` is an argument of the shell's `ulimit`, set before."""
         command = [sys.executable, "-m", "bitternpath", "consensus-server", "--fleet-name", self.name]
         command += ["--fleet-folder", str(self.folder)] + ["--found"] * found
         if ulimit:
@@ -70,12 +72,12 @@
         return text in self.log.read_text()
 
     def wait_exit_code(self) -> int:
-        """Its exit code, once it has ended."""
+        """Wait for the process to end and return its exit code."""
         return int(self.process.wait(TIMEOUT))
 
 
 class Fleet:
-    """So many stewards; the first one founds, the others are added."""
+    """Several consensus servers: the first bootstraps the fleet, the others are added."""
 
     def __init__(self, folder: Path, count: int, settings: Mapping[str, str]) -> None:
         self.folder, self.settings = folder, settings
@@ -106,7 +108,7 @@
         return dict(msgspec.msgpack.decode(self.send(m.Query("status"), timeout).data))
 
     def known_by(self, name: str) -> dict[str, Any]:
-        """What one steward knows by itself."""
+        """Return the status from the local state of one server."""
         reply = client.send_command(
             {name: self.server_addresses[name]}, m.Query("status", stale=True), "test", TIMEOUT
         )
@@ -125,7 +127,7 @@
 
 @contextlib.contextmanager
 def running_fleet(folder: Path, count: int, settings: Mapping[str, str] | None = None) -> Iterator[Fleet]:
-    """`settings`: further variables of the stewards."""
+    """Yield a fleet, and stop its servers at the end; `settings` are added to their environment."""
     fleet = Fleet(folder, count, settings or {})
     try:
         yield fleet
--- a/tests/test_fleet_consensus_servers.py
+++ b/tests/test_fleet_consensus_servers.py
@@ -1,4 +1,4 @@
-"""Stewards as real processes: killed, stalled, with bad disks and bad callers."""
+"""Consensus servers as real processes: killed, stalled, with disk faults and misbehaving clients."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         assert fleet.change("a", p.EjectWorker("w1")) == 1
         leader = fleet.leader()
         leader.kill()
-        # The command did not hear, and asks again with the same id: one change.
+        # A client that got no reply retries with the same id: this must not commit a second change.
         assert fleet.change("a", p.EjectWorker("w1")) == 1
         assert fleet.change("b", p.SetClass("lookup", {"aim": 90.0})) == 2
         assert fleet.leader() is not leader
@@ -52,7 +52,7 @@
         others = {name: at for name, at in fleet.server_addresses.items() if name != old.name}
         reply = client.send_command(others, m.Propose("a", "test", "", p.EjectWorker("w1")), "test", 30.0)
         assert reply.ok
-        # What is asked of it while it sleeps lies in its buffers, and is answered when it wakes: with a no.
+        # A command sent during the stall waits in socket buffers; the resumed old leader must refuse it.
         with socket.create_connection(fleet.server_addresses[old.name]) as connection:
             hello = m.Hello(m.PROTOCOL_VERSION, "", "command", "test")
             connection.sendall(
@@ -120,7 +120,7 @@
         wait_until(lambda: len(fleet.status()["voters"]) == 3)
         assert before not in fleet.status()["voters"]
         fleet.servers["S1"].kill()
-        assert fleet.change("b", p.EjectWorker("w2")) == 2  # with the new one's vote
+        assert fleet.change("b", p.EjectWorker("w2")) == 2  # needs the vote of the new member
 
 
 def test_a_damaged_folder_is_quarantined_unless_it_is_the_only_copy(tmp_path: Path) -> None:
@@ -206,7 +206,7 @@
                 messages += decoder.feed(newer.recv(65536))
         never_reads.settimeout(30)
         with contextlib.suppress(ConnectionError):
-            while True:  # until it is given up
+            while True:  # until the server aborts the connection
                 never_reads.sendall(query * 1000)
         assert fleet.change("a", p.EjectWorker("w1")) == 1
         assert fleet.servers["S1"].has_logged("has not read")
@@ -224,7 +224,7 @@
     assert "steward" not in run("--help").stdout
 
 
-# ---- the store alone
+# ---- the store
 
 
 def test_a_store_returns_what_was_written_and_reports_what_is_missing(tmp_path: Path) -> None:
@@ -251,5 +251,5 @@
 
 
 def test_the_status_reply_is_plain_data() -> None:
-    """So that another release's command can show it."""
+    """A command of another release must be able to show it."""
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(p.Record()))["released"]["version"] == 0
--- a/tests/test_fleet_files.py
+++ b/tests/test_fleet_files.py
@@ -1,4 +1,4 @@
-"""A node's folder: what is written in it, in which order, and what a disk that holds up or fails does."""
+"""A node's folder: what is written and in which order, and the effects of a slow or failing disk."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ManualReactor:
-    """A reactor's way to hear of threads, turned by hand."""
+    """The part of a reactor that receives calls from threads; the test runs them."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
@@ -75,14 +75,14 @@
 
     def late(descriptor: int, data: bytes) -> int:
         resume.wait(30.0)
-        return put(descriptor, data[:7])  # and in small pieces
+        return put(descriptor, data[:7])  # a short write
 
     monkeypatch.setattr(node_folder, "write_bytes", late)
     written: list[int | None] = []
     folder = node_folder.NodeFolder(reactor, tmp_path, "b", written.append)
     entries = audit_entries(4)
     for entry in entries:
-        folder.write([entry], None)  # comes back at once, or the test would never get to the next line
+        folder.write([entry], None)  # must return at once; else the test hangs here
     assert not written
     resume.set()
     reactor.until(lambda: written == [1, 4])
--- a/tests/test_fleet_lease_renewal.py
+++ b/tests/test_fleet_lease_renewal.py
@@ -1,4 +1,4 @@
-"""When a node's process renews its lease, by the pure `LeaseHolder`."""
+"""When a `LeaseHolder` renews its lease."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def connected_holder(now: float) -> LeaseHolder:
-    """A holder that has asked its one server for a lease at `now`."""
+    """Return a holder that requested a lease from its only server at `now`."""
     identity = ProcessIdentity("n0", "b007", "", (1,))
     holder = LeaseHolder(identity, ["S1"], Random(1), now, lambda: now, lambda plan: "")
     holder.server_to_dial = None
@@ -23,13 +23,13 @@
 
 
 def requests(holder: LeaseHolder) -> list[m.RenewLease]:
-    """Requests since the last call."""
+    """Return the lease requests sent since the last call."""
     sent, holder.outgoing = holder.outgoing, []
     return [message for message in sent if isinstance(message, m.RenewLease)]
 
 
 def granted(sent: float, length: float) -> m.Lease:
-    """A lease on the empty plan."""
+    """Return a lease for the empty plan."""
     return m.Lease(sent, length, TOKEN, 0, p.Plan().digest)
 
 
--- a/tests/test_fleet_nodes.py
+++ b/tests/test_fleet_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes under the fleet's word, with real stewards: changes, bans, stalls, absent stewards, the audit."""
+"""Nodes with real consensus servers: changes, bans, stalls, servers that are down, the audit."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def audit(fleet: Fleet) -> dict[str, dict[str, Any]]:
-    """Accounts by process."""
+    """Return the audits by process."""
     data = msgspec.msgpack.decode(fleet.send(m.Query("audit")).data)
     return {f"{a['node']}#{a['boot']}": a for a in data["accounts"]}
 
@@ -71,7 +71,7 @@
             assert command(fleet, "ban", "s-0", "--reason", "it errs", "--required").returncode == 0
             assert all(rig.submit(f"a{k}")[0] == 200 for k in range(10))
             assert rig.endpoints[0].posts == 0 and rig.endpoints[1].posts == 10
-            # Staff at this node's console ban the same one; the fleet's call back leaves that in place.
+            # A ban at the node's own console stays when the fleet's ban of the same worker ends.
             assert rig.operate("POST", "/ops/calendar-workers/down", b"s-0")[0] == 200
             assert command(fleet, "back", "s-0", "--reason", "mended", "--required").returncode == 0
             assert all(rig.submit(f"b{k}")[0] == 200 for k in range(10))
@@ -83,7 +83,7 @@
             assert kinds.count("joined") == 1 and kinds.count("acts") == 3
             assert [line[5] for line in lines(fleet) if "by hand" in line[2]] == ["s-0", "s-0"]
             served = [json.loads(line[5])["taken"] for line in lines(fleet) if line[2] == "served"]
-            assert served == [{"lookup": 10}]  # under version 2; what is under 3 is not over
+            assert served == [{"lookup": 10}]  # under version 2; the span under version 3 is still open
             shown = command(fleet, "audit", "--version", "2")
             assert shown.returncode == 0 and " acts " in shown.stdout and " joined " not in shown.stdout
             now = command(fleet, "audit", "--at", "2100-01-01 00:00:00")
@@ -108,18 +108,18 @@
             for k, caller in enumerate(callers):
                 caller.request("POST", "/lookup", b"b", {"X-Call-Id": f"z{k}", "X-Budget-Ms": "20000"})
             assert fleet.change("a", p.EjectWorker("s-0")) == 1
-            wait_until(lambda: fleet.status()["released"] == 1)  # not before the node's lease is over
+            wait_until(lambda: fleet.status()["released"] == 1)  # only once the node's lease has expired
             assert not holders(fleet)
             rig.process.send_signal(signal.SIGCONT)
             assert all(caller.getresponse().status == 200 for caller in callers)
             wait_until(lambda: in_effect(fleet, 1))
             assert all(rig.submit(f"b{k}")[0] == 200 for k in range(5))
-            command(fleet, "ban", "s-9", "--reason", "so that the count is told", "--required")
+            command(fleet, "ban", "s-9", "--reason", "ends the span of version 1", "--required")
             wait_until(lambda: len([line for line in lines(fleet) if line[2] == "served"]) >= 3)
             entries = [(line[2], line[3], line[4], line[5]) for line in lines(fleet)]
             first = next(fencing_token for what, _, fencing_token, _ in entries if what == "joined")
             served = {(v, f): json.loads(d)["taken"]["lookup"] for w, v, f, d in entries if w == "served"}
-            assert served[0, first] == 5  # what came before it slept
+            assert served[0, first] == 5  # served before the stall
             assert (
                 sum(served.values()) == 110
                 and served[0, 0] + sum(many for (version, _), many in served.items() if version) == 105
@@ -146,7 +146,7 @@
             else:
                 assert rig.send("GET", "/ready")[0] == 200
                 assert all(rig.submit(f"x{k}")[0] == 200 for k in range(10))
-                assert rig.endpoints[0].posts == 0  # as last agreed
+                assert rig.endpoints[0].posts == 0  # by the plan last applied
             server.start()
             wait_until(lambda: holders(fleet))
             wait_until(lambda: rig.send("GET", "/ready")[0] == 200)
@@ -172,7 +172,7 @@
             assert rig.endpoints[0].posts == 0
             server.start()
             wait_until(lambda: holders(fleet))
-            # The first process's last line, written while nobody was there to hear it.
+            # The first process wrote its last entry while no server was up.
             wait_until(lambda: any(line[2] == "lost" for line in lines(fleet)))
             assert not any(a["faults"] for a in audit(fleet).values())
 
@@ -187,7 +187,7 @@
             rig.process.wait(20)
             (file,) = (tmp_path / "n" / "acts").glob("acts-*")
             entries = [json.loads(line) for line in file.read_text().splitlines()]
-            entries[0][3] = 7  # it acted on another version, it says now
+            entries[0][3] = 7  # claims another version than was reported
             file.write_text("".join(json.dumps(line) + "\n" for line in entries))
             rig.start()
             wait_until(lambda: any(a["faults"] for a in audit(fleet).values()))
@@ -212,7 +212,7 @@
             assert all(rig.submit(f"x{k}")[0] == 200 for k in range(5)) and rig.endpoints[0].posts == 0
             listed = command(fleet, "versions").stdout
             assert "withdrawn (ana: a typo)" in listed and "ban s-0" in listed
-            # A file that is at odds with what is agreed is turned down as a whole.
+            # A reload of a file that conflicts with the plan is rejected as a whole.
             assert fleet.change("c", p.SetClass("reminder", {"aim": 700.0})) == 3
             wait_until(lambda: in_effect(fleet, 3))
             conf = json.loads(rig.file.read_text())
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -1,4 +1,4 @@
-"""The fleet's record in virtual time: consensus, versions and leases under faults; broken builds found."""
+"""The fleet's record in virtual time: consensus, versions and leases under faults; broken builds."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-# Where a fault was found and mended: a joining of which nothing was told and that was forgotten at once; a
-# leader that was put back as a learner and stayed; a lease that was over and found again.
+# Seeds that found faults, since fixed: the audit of a lease without entries was dropped at once; a leader
+# demoted to learner stayed leader; an expired lease was resumed.
 FIXED_SEEDS = (283, 656, 884, 1732)
 
 
@@ -57,7 +57,7 @@
     assert sum(len(walk.elected) for walk in walks) > 1000 and sum(walk.checker.last for walk in walks) > 2000
 
 
-# Where each broken build was found: by which way to play, and from which seed; that one is tried first.
+# How each broken build was detected: the kind of run, and the seed that is tried first.
 FIRST_SEEDS = {
     "vote_not_on_disk": ("walk", 513),
     "yes_before_the_disk": ("walk", 0),
@@ -73,13 +73,13 @@
     "told_before_written": ("play", 28),
     "lease_not_looked_at": ("play", 0),
 }
-MAX_SEEDS = {"walk": 3000, "play": 800}  # seeds tried where another change has moved what each seed means
+MAX_SEEDS = {"walk": 3000, "play": 800}  # seeds to try if another change has altered the runs of the seeds
 
 
 def breaks_rule(way: str, seed: int) -> object:
     try:
         return walk(seed).broken if way == "walk" else play(seed).broken
-    except AssertionError as error:  # the build itself has noticed
+    except AssertionError as error:  # an assertion in the build itself
         return error
 
 
@@ -116,7 +116,7 @@
 
 
 def test_two_requests_to_join_leave_a_node_the_later_lease() -> None:
-    """It kept the earlier one, which could not be renewed, and was without a lease once that was over."""
+    """The node kept the earlier lease, which could not be renewed, and had none once that one expired."""
     holder = LeaseHolder(
         ProcessIdentity("n", "b", "s", (1,)), ["S"], Random(1), 0.0, lambda: 0.0, lambda plan: ""
     )
@@ -133,7 +133,7 @@
     holder.connection_made(0.0, "S")
     holder.receive(0.1, m.Lease(0.0, 1.0, 6, 0, b""))
     assert holder.holds_lease(0.9) and not holder.holds_lease(1.0)
-    holder.receive(1.1, m.Lease(0.8, 1.0, 6, 0, b""))  # a renewal that was on its way
+    holder.receive(1.1, m.Lease(0.8, 1.0, 6, 0, b""))  # a delayed renewal
     assert not holder.holds_lease(1.1)
     holder.receive(1.2, m.Lease(1.1, 1.0, 9, 0, b""))
     assert holder.holds_lease(1.3) and holder.fencing_token == 9
@@ -154,7 +154,7 @@
 
 
 def take_and_store(member: Raft, now: float) -> list[tuple[str, object]]:
-    """Take, do all writes, and take again; what is sent."""
+    """Take effects and complete their writes until none is left; return the messages sent."""
     out = member.take_effects(now)
     sent: list[tuple[str, object]] = list(out.messages)
     while out.writes:
@@ -186,7 +186,7 @@
 
 
 def test_a_removed_member_campaigns_until_its_removal_is_committed() -> None:
-    """Each of three had the removal of another as its last entry, and none could win: no leader for ever."""
+    """Each of three members had the removal of another as its last entry, and no election could be won."""
     removal = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(("a", "b"))))
     member = raft("c", ("a", "b", "c"), [removal])
     assert member.member_id not in member.members.voters
