--- a/bitternpath/balancer/fleet/audit.py
+++ b/bitternpath/balancer/fleet/audit.py
@@ -1,8 +1,8 @@
-"""The audit log of a node's process: numbered lines, each chained to the one before by a digest. Pure.
+"""The audit log of a node process: numbered entries, each chained to the one before by a digest. Does no I/O.
 
-An `AuditLog` is the process's own; lines that are written and not acknowledged are sent again. A
-`ProcessAudit` is what the consensus servers have received from one process; lines that are missing or do
-not follow from the line before are reported as faults.
+An `AuditLog` belongs to the process itself; entries are sent again until they are acknowledged. A
+`ProcessAudit` is what the consensus servers have received from one process; missing entries and entries that
+do not follow from the one before are reported as faults.
 """
 
 from __future__ import annotations
@@ -14,152 +14,187 @@
 from blake3 import blake3
 from msgspec import Struct
 
-LINK = 16  # bytes of a link of the chain
-AUDIT_LOG_LINES = 2000  # that a process keeps while nobody acknowledges them; the oldest go first
-PROCESS_AUDIT_LINES = 500  # that the stewards keep of one process
-LET_GO = 50  # ends of leases that are kept of one
-AT_ONCE = 100  # lines of one message
+DIGEST_BYTES = 16  # of an entry's link
+MAX_UNACKNOWLEDGED_ENTRIES = 2000  # in a process; beyond it the oldest are dropped
+MAX_ENTRIES_PER_PROCESS = 500  # in the record
+MAX_ENDED_LEASES = 50  # per process, in the record
+ENTRIES_PER_MESSAGE = 100
 
-# What a line may tell, beside version and fence.
-JOINED, ACTS, LOST, LEFT = "joined", "acts", "lost", "left"
-OUT, BACK, SERVED, REFUSES = "out by hand", "back by hand", "served", "refuses"
-LAST = (LOST, LEFT)  # after these the process acts no more under that fence
+# Kinds of entries (`AuditEntry.what`), as stored and sent.
+LEASE_STARTED, VERSION_APPLIED, LEASE_EXPIRED, LEASE_RELEASED = "joined", "acts", "lost", "left"
+WORKER_EJECTED, WORKER_REINSTATED, INVOCATIONS_SERVED, CHANGE_REJECTED = (
+    "out by hand",
+    "back by hand",
+    "served",
+    "refuses",
+)
+LEASE_END_KINDS = (LEASE_EXPIRED, LEASE_RELEASED)  # after these the process no longer uses the fencing token
 
 
-class Line(Struct, frozen=True, array_like=True):
-    number: int  # from 1 on
-    at: float  # Unix s, by the process's own clock
+class AuditEntry(Struct, frozen=True, array_like=True):
+    """An entry; `link` is a digest of the other fields and the link of the entry before."""
+
+    number: int  # from 1
+    at: float  # Unix s, on the process's own clock
     what: str
     version: int
     fencing_token: int
-    detail: str  # a worker, a reason, or counts as JSON
+    detail: str  # a worker, a reason, or counts as JSON, by kind
     link: bytes
 
 
-def linked(
-    before: bytes, number: int, at: float, what: str, version: int, fencing_token: int, detail: str
-) -> Line:
-    """The line that follows."""
+def next_entry(
+    previous_link: bytes, number: int, at: float, what: str, version: int, fencing_token: int, detail: str
+) -> AuditEntry:
+    """Return the entry that follows the one with `previous_link`."""
     content = msgspec.msgpack.encode((number, at, what, version, fencing_token, detail))
-    return Line(number, at, what, version, fencing_token, detail, blake3(before + content).digest(LINK))
+    return AuditEntry(
+        number, at, what, version, fencing_token, detail, blake3(previous_link + content).digest(DIGEST_BYTES)
+    )
 
 
-def follows(before: bytes, line: Line) -> bool:
-    return linked(before, *(getattr(line, name) for name in Line.__struct_fields__[:-1])) == line
+def follows(previous_link: bytes, entry: AuditEntry) -> bool:
+    return (
+        next_entry(previous_link, *(getattr(entry, name) for name in AuditEntry.__struct_fields__[:-1]))
+        == entry
+    )
 
 
 class AuditLog:
-    """The lines of one process."""
+    """The audit log of one process, on the process's side."""
 
     def __init__(self, boot: str) -> None:
         self.boot = boot
         self.number, self.link = 0, b""
-        self.ended = False
-        self.unheard: deque[Line] = deque()
-        self.fresh: list[Line] = []  # to be written down
-        self.written: int | None = None  # up to which line they are on file; None: no file is waited for
+        self.ended = False  # whether it belongs to an earlier process
+        self.unacknowledged: deque[AuditEntry] = deque()
+        self.fresh: list[AuditEntry] = []  # not passed to the file yet
+        self.written_upto: int | None = None  # last entry on file; None: sends do not wait for a file
 
     def add(self, at: float, what: str, version: int, fencing_token: int, detail: str = "") -> None:
         self.number += 1
-        line = linked(self.link, self.number, at, what, version, fencing_token, detail)
-        self.link = line.link
-        self.fresh.append(line)
-        self.unheard.append(line)
-        if len(self.unheard) > AUDIT_LOG_LINES:
-            self.unheard.popleft()
-
-    def heard(self, upto: int) -> None:
-        """The stewards have all lines up to that one."""
-        while self.unheard and self.unheard[0].number <= upto:
-            self.unheard.popleft()
+        entry = next_entry(self.link, self.number, at, what, version, fencing_token, detail)
+        self.link = entry.link
+        self.fresh.append(entry)
+        self.unacknowledged.append(entry)
+        if len(self.unacknowledged) > MAX_UNACKNOWLEDGED_ENTRIES:
+            self.unacknowledged.popleft()
+
+    def acknowledge(self, upto: int) -> None:
+        """Drop the entries up to number `upto`: the record has them."""
+        while self.unacknowledged and self.unacknowledged[0].number <= upto:
+            self.unacknowledged.popleft()
 
     @property
-    def next(self) -> tuple[Line, ...]:
-        """What to send now."""
-        known = self.number if self.written is None else self.written
-        return tuple(line for line in islice(self.unheard, AT_ONCE) if line.number <= known)
+    def next_batch(self) -> tuple[AuditEntry, ...]:
+        """The entries to send now."""
+        sendable_upto = self.number if self.written_upto is None else self.written_upto
+        return tuple(
+            entry
+            for entry in islice(self.unacknowledged, ENTRIES_PER_MESSAGE)
+            if entry.number <= sendable_upto
+        )
 
 
-def read_back(boot: str, lines: list[Line]) -> tuple[AuditLog, str]:
-    """The ledger of an earlier process from its file, and what is wrong with the file; empty: nothing."""
-    audit_log, why = AuditLog(boot), ""
+def restore_audit_log(boot: str, entries: list[AuditEntry]) -> tuple[AuditLog, str]:
+    """Return an earlier process's audit log from its file, and the file's first fault or an empty string."""
+    audit_log, fault = AuditLog(boot), ""
     audit_log.ended = True
-    for line in lines:
-        if not why and (line.number != audit_log.number + 1 or not follows(audit_log.link, line)):
-            why = f"line {line.number} does not follow from line {audit_log.number}"
-        audit_log.number, audit_log.link = line.number, line.link
-        audit_log.unheard.append(line)
-    return audit_log, why
+    for entry in entries:
+        if not fault and (entry.number != audit_log.number + 1 or not follows(audit_log.link, entry)):
+            fault = f"line {entry.number} does not follow from line {audit_log.number}"
+        audit_log.number, audit_log.link = entry.number, entry.link
+        audit_log.unacknowledged.append(entry)
+    return audit_log, fault
 
 
 class ProcessAudit(Struct):
-    """What was heard of one process."""
+    """The audit of one process in the record."""
 
     node: str
     boot: str
-    granted: int = 0  # the last fence that it got
-    let_go: list[tuple[int, float, str]] = []  # fences that are over: when, by the leader's clock, and why
-    upto: int = 0
+    last_fencing_token: int = msgspec.field(default=0, name="granted")  # of its latest lease
+    # fencing token, end in Unix s on the leader's clock, and reason
+    ended_leases: list[tuple[int, float, str]] = msgspec.field(default_factory=list, name="let_go")
+    upto: int = 0  # number of the last entry received
     link: bytes = b""
-    lines: list[Line] = []
-    dropped: int = 0  # lines that were heard and are not kept any more
-    missing: list[tuple[int, int]] = []  # numbers that never came, from and to
-    faults: list[str] = []
-
-    def take(self, lines: tuple[Line, ...], final: int) -> None:
-        """Lines in any order of messages; `final`: how many the file of one that has ended has, else 0."""
-        if 0 < final < self.upto:
-            self._fault(f"its file has {final} lines, and {self.upto} were heard: cut")
-        for line in lines:
-            if line.number <= self.upto:
-                kept = next((old for old in self.lines if old.number == line.number), line)
-                if kept != line:
-                    self._fault(f"line {line.number} is another one than was heard before: changed")
+    entries: list[AuditEntry] = msgspec.field(default_factory=list, name="lines")
+    dropped: int = 0  # entries received and no longer kept
+    missing: list[tuple[int, int]] = []  # ranges of entry numbers never received, first and last
+    faults: list[str] = []  # signs of a changed or truncated audit log
+
+    def add_entries(self, entries: tuple[AuditEntry, ...], final_count: int) -> None:
+        """Add received entries; `final_count` is the file's entry count for an ended process, else 0.
+
+        The texts of faults are part of the replicated state: servers of all releases must write the same.
+        """
+        if 0 < final_count < self.upto:
+            self._add_fault(f"its file has {final_count} lines, and {self.upto} were heard: cut")
+        for entry in entries:
+            if entry.number <= self.upto:
+                recorded = next((known for known in self.entries if known.number == entry.number), entry)
+                if recorded != entry:
+                    self._add_fault(f"line {entry.number} is another one than was heard before: changed")
                 continue
-            if line.number > self.upto + 1:
-                self.missing.append((self.upto + 1, line.number - 1))
-            elif not follows(self.link, line):
-                self._fault(f"line {line.number} does not follow from line {self.upto}: changed")
-            self.upto, self.link = line.number, line.link
-            self.lines.append(line)
-        if len(self.lines) > PROCESS_AUDIT_LINES:
-            self.dropped += len(self.lines) - PROCESS_AUDIT_LINES
-            del self.lines[:-PROCESS_AUDIT_LINES]
-
-    def part(self, fencing_token: int, at: float, why: str) -> None:
-        """Its lease is over for the stewards."""
-        self.let_go.append((fencing_token, at, why))
-        del self.let_go[:-LET_GO]
-
-    def agrees(self, lines: tuple[Line, ...]) -> bool:
-        """Whether lines that were heard before are the same again."""
-        kept = {line.number: line for line in self.lines}
-        return all(kept.get(line.number, line) == line for line in lines)
-
-    def forget(self, before: float) -> None:
-        """Lines older than that are not kept."""
-        keep = [line for line in self.lines if line.at >= before]
-        self.dropped += len(self.lines) - len(keep)
-        self.lines = keep
-
-    def _fault(self, why: str) -> None:
-        if why not in self.faults:
-            self.faults.append(why)
-
-    def says_missing(self, holds: bool) -> list[str]:
-        """What is missing, in words; `holds`: it has a lease, so that more may be on its way."""
-        named = [
-            f"act {a} not heard of" if a == b else f"acts {a} to {b} not heard of" for a, b in self.missing
+            if entry.number > self.upto + 1:
+                self.missing.append((self.upto + 1, entry.number - 1))
+            elif not follows(self.link, entry):
+                self._add_fault(f"line {entry.number} does not follow from line {self.upto}: changed")
+            self.upto, self.link = entry.number, entry.link
+            self.entries.append(entry)
+        if len(self.entries) > MAX_ENTRIES_PER_PROCESS:
+            self.dropped += len(self.entries) - MAX_ENTRIES_PER_PROCESS
+            del self.entries[:-MAX_ENTRIES_PER_PROCESS]
+
+    def end_lease(self, fencing_token: int, at: float, reason: str) -> None:
+        """Note that a lease of the process has ended in the record."""
+        self.ended_leases.append((fencing_token, at, reason))
+        del self.ended_leases[:-MAX_ENDED_LEASES]
+
+    def matches_recorded(self, entries: tuple[AuditEntry, ...]) -> bool:
+        """Whether entries that are recorded already are the same as before."""
+        recorded = {entry.number: entry for entry in self.entries}
+        return all(recorded.get(entry.number, entry) == entry for entry in entries)
+
+    def drop_entries_before(self, before: float) -> None:
+        """Drop entries older than `before` (Unix s)."""
+        kept = [entry for entry in self.entries if entry.at >= before]
+        self.dropped += len(self.entries) - len(kept)
+        self.entries = kept
+
+    def _add_fault(self, fault: str) -> None:
+        if fault not in self.faults:
+            self.faults.append(fault)
+
+    def missing_entries(self, has_lease: bool) -> list[str]:
+        """Describe what is missing; with `has_lease`, later entries may still arrive."""
+        missing = [
+            f"entry {first} not received" if first == end else f"entries {first} to {end} not received"
+            for first, end in self.missing
         ]
-        last = next((line for line in reversed(self.lines) if line.what in (JOINED, ACTS, *LAST)), None)
-        heard = (
-            self.granted == 0 if last is None else last.fencing_token >= self.granted and last.what in LAST
+        last = next(
+            (
+                entry
+                for entry in reversed(self.entries)
+                if entry.what in (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
+            ),
+            None,
+        )
+        complete = (
+            self.last_fencing_token == 0
+            if last is None
+            else last.fencing_token >= self.last_fencing_token and last.what in LEASE_END_KINDS
+        )
+        if not has_lease and not complete:
+            missing.append(
+                f"nothing received after entry {self.upto} under fencing token {self.last_fencing_token}"
+            )
+        return missing
+
+    def last_state_at(self, time: float) -> AuditEntry | None:
+        """Return the last entry up to `time` that says which version the process applied, or none."""
+        state_kinds = (LEASE_STARTED, VERSION_APPLIED, *LEASE_END_KINDS)
+        return next(
+            (entry for entry in reversed(self.entries) if entry.at <= time and entry.what in state_kinds),
+            None,
         )
-        if not holds and not heard:
-            named.append(f"nothing heard after act {self.upto} of what it did under fence {self.granted}")
-        return named
-
-    def at(self, when: float) -> Line | None:
-        """The last line by then that tells on what it acted, or that it did not."""
-        told = (JOINED, ACTS, *LAST)
-        return next((line for line in reversed(self.lines) if line.at <= when and line.what in told), None)
--- a/bitternpath/balancer/fleet/bootstrap.py
+++ b/bitternpath/balancer/fleet/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first steward of a fleet, before anybody else is asked. Pure."""
+"""The initial state of a fleet's first consensus server. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from bitternpath.replication.records import Entry, EntryKind, Members, PersistentState
 
 
-def bootstrapped(me: str, terms: p.LeaseTerms, id: str) -> PersistentState:
-    """What the disk of a fleet's only member holds: that it is one, and the fleet's terms."""
-    members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members((me,))))
-    found = Entry(2, 1, EntryKind.COMMAND, p.item_bytes(p.Bootstrap(terms, id)))
-    return PersistentState(term=1, vote=me, entries=[members, found])
+def bootstrap_state(member_id: str, terms: p.LeaseTerms, fleet_id: str) -> PersistentState:
+    """Return the persistent state of a fleet's only member: its membership and the lease terms."""
+    members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members((member_id,))))
+    bootstrap = Entry(2, 1, EntryKind.COMMAND, p.encode_item(p.Bootstrap(terms, fleet_id)))
+    return PersistentState(term=1, vote=member_id, entries=[members, bootstrap])
--- a/bitternpath/balancer/fleet/commands.py
+++ b/bitternpath/balancer/fleet/commands.py
@@ -1,4 +1,4 @@
-"""The leader's answers to operators: changes, members, leadership, and what the record says. Pure."""
+"""Operators' commands on the leader: changes, membership, leadership transfer, status. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,116 +12,122 @@
 from bitternpath.balancer.fleet.replica import ReplicaState
 from bitternpath.replication.records import MemberRole, Members
 
-CLOSE_ENTRIES = 64  # by which a learner may lag to become a voter
-CHANGING = "leadership or membership is changing; ask again"
+MAX_LEARNER_LAG = 64  # entries by which a learner may lag behind the commit index to become a voter
+CHANGE_IN_PROGRESS = "leadership or membership is changing; ask again"
 
 
 class Commands(ReplicaState):
-    """Commands of operators, while this member leads; the status also where it doesn't."""
+    """The part of a replica that executes commands as the leader; status queries as any member."""
 
-    def _command(self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest) -> None:
-        match ask.command:
+    def _handle_command(
+        self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest
+    ) -> None:
+        match request.command:
             case m.Query():
-                waits = PendingRequest(self.raft.request_heartbeat_round(), now, route, ask)
-                leadership.awaiting_round.append(waits)
+                pending = PendingRequest(self.raft.request_heartbeat_round(), now, route, request)
+                leadership.awaiting_round.append(pending)
             case m.Propose():
-                self._propose_change(now, leadership, route, ask, ask.command)
+                self._propose_change(now, leadership, route, request, request.command)
             case m.Withdraw(version, author, reason):
                 index = self._propose(now, p.WithdrawVersion(version, author, reason))
-                self._answer_when_committed(now, leadership, route, ask, index)
+                self._reply_when_committed(now, leadership, route, request, index)
             case m.ChangeMembers():
-                self._change_members(now, leadership, route, ask, ask.command)
+                self._change_members(now, leadership, route, request, request.command)
             case m.TransferLeadership(to):
                 to = self._voter_id(to)
-                done = self.raft.transfer_leadership(now, to)
-                self._answer(route, ask.number, "" if done else f"{to} is no other voter")
+                accepted = self.raft.transfer_leadership(now, to)
+                self._reply_to_command(
+                    route, request.number, "" if accepted else f"{to} is not another voter"
+                )
 
     def _propose_change(
-        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, command: m.Propose
+        self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest, command: m.Propose
     ) -> None:
-        if command.id in self.record.ids:  # asked again
-            self._answer(route, ask.number, "", {"version": self.record.ids[command.id]})
+        if command.id in self.record.change_versions:  # a retry of a committed change
+            self._reply_to_command(
+                route, request.number, "", {"version": self.record.change_versions[command.id]}
+            )
             return
-        adopt = p.AgreeChange(command.id, command.author, command.reason, self.wall(), command.change)
-        self._answer_when_committed(now, leadership, route, ask, self._propose(now, adopt))
+        item = p.AgreeChange(command.id, command.author, command.reason, self.wall_clock(), command.change)
+        self._reply_when_committed(now, leadership, route, request, self._propose(now, item))
 
     def _change_members(
         self,
         now: float,
         leadership: Leadership,
         route: Route,
-        ask: m.CommandRequest,
+        request: m.CommandRequest,
         command: m.ChangeMembers,
     ) -> None:
         if command.add and command.add not in self.member_ids:
-            self._answer(route, ask.number, f"{command.add} has not been heard of; does it run?")
+            self._reply_to_command(route, request.number, f"{command.add} is not connected; does it run?")
             return
         members = self.raft.members
         add = self.member_ids.get(command.add, "")
         remove = next((id for id in members.all if id.partition(".")[0] == command.remove), command.remove)
-        why_not = self._members_fault(add, remove)
-        if why_not:
-            self._answer(route, ask.number, why_not)
+        error = self._membership_error(add, remove)
+        if error:
+            self._reply_to_command(route, request.number, error)
             return
         voters = tuple(name for name in members.voters if name != remove)
         learners = tuple(name for name in members.learners if name != remove)
         index = self._propose_members(now, Members(voters, (*learners, add) if add else learners))
-        self._answer_when_committed(now, leadership, route, ask, index)
+        self._reply_when_committed(now, leadership, route, request, index)
 
-    def _answer_when_committed(
-        self, now: float, leadership: Leadership, route: Route, ask: m.CommandRequest, index: int | None
+    def _reply_when_committed(
+        self, now: float, leadership: Leadership, route: Route, request: m.CommandRequest, index: int | None
     ) -> None:
         if index is None:
-            self._answer(route, ask.number, CHANGING)
+            self._reply_to_command(route, request.number, CHANGE_IN_PROGRESS)
         else:
-            leadership.awaiting_entry[index] = PendingRequest(index, now, route, ask)
+            leadership.awaiting_entry[index] = PendingRequest(index, now, route, request)
 
     def _voter_id(self, name: str) -> str:
         return next((id for id in self.raft.members.voters if id.partition(".")[0] == name), name)
 
-    def _members_fault(self, add: str, remove: str) -> str:
+    def _membership_error(self, add: str, remove: str) -> str:
         members = self.raft.members
         if bool(add) == bool(remove):
-            return "one steward is added or removed at a time"
+            return "exactly one server can be added or removed at a time"
         if not self.raft.may_change_members or (members.learners and add):
-            return "another change of members is under way; ask again"
+            return "another membership change is in progress; ask again"
         if add in members.all:
-            return f"{add} is a member already"
+            return f"{add} is already a member"
         if remove and remove not in members.all:
-            return f"{remove} is no member; members are {', '.join(members.all)}"
+            return f"{remove} is not a member; members are {', '.join(members.all)}"
         if remove and members.voters == (remove,):
-            return f"{remove} is the last one"
+            return f"{remove} is the last voter"
         return ""
 
     def _promote_learner(self, now: float) -> None:
-        """A learner that has nearly all becomes a voter."""
+        """Make a learner a voter once it has nearly all committed entries."""
         members, raft = self.raft.members, self.raft
         if not members.learners or not raft.may_change_members:
             return
         for name in members.learners:
             peer = raft.peers.get(name)
-            near = raft.commit_index - CLOSE_ENTRIES
-            if peer is not None and peer.match_index and peer.match_index >= near:
-                left = tuple(other for other in members.learners if other != name)
-                self._propose_members(now, Members((*members.voters, name), left))
+            least_index = raft.commit_index - MAX_LEARNER_LAG
+            if peer is not None and peer.match_index and peer.match_index >= least_index:
+                learners = tuple(other for other in members.learners if other != name)
+                self._propose_members(now, Members((*members.voters, name), learners))
                 return
 
     # ---- status
 
-    def _answer_status(self, now: float, route: Route, ask: m.CommandRequest) -> None:
-        found = self._status(now)
-        if isinstance(ask.command, m.Query) and ask.command.what == "audit":
-            found |= self._audit()
-        self._answer(route, ask.number, "", found)
+    def _reply_with_status(self, now: float, route: Route, request: m.CommandRequest) -> None:
+        status = self._status(now)
+        if isinstance(request.command, m.Query) and request.command.what == "audit":
+            status |= self._audit_status()
+        self._reply_to_command(route, request.number, "", status)
 
     def _status(self, now: float) -> dict[str, Any]:
-        """What is known. Times in s; those of holders are ages on the leader's clock."""
+        """Return what this member knows. Times are in s; those of holders are ages on the leader's clock."""
         record, raft = self.record, self.raft
         states = self.leadership.holders if self.leadership is not None else {}
-        acting = (state.acting for state in states.values())
+        applied_versions = (state.applied_version for state in states.values())
         return {
-            "steward": self.me,
-            "applied": self.applied,
+            "steward": self.member_id,
+            "applied": self.applied_index,
             "terms": record.terms,
             "leader": raft.leader,
             "term": raft.term,
@@ -130,9 +136,9 @@
             "heard": now - raft.last_contact if raft.role is not MemberRole.LEADER else 0.0,
             "released": record.released.version,
             "latest": record.latest.version,
-            "in_effect": min(acting, default=record.released.version),
+            "in_effect": min(applied_versions, default=record.released.version),
             "plan": record.released,
-            "waiting": record.waiting,
+            "waiting": record.unreleased,
             "changes": record.changes,
             "release_times": record.release_times,
             "holders": [
@@ -140,25 +146,26 @@
             ],
         }
 
-    def _audit(self) -> dict[str, Any]:
+    def _audit_status(self) -> dict[str, Any]:
         record = self.record
-        accounts = [
-            msgspec.to_builtins(account) | {"unheard": account.says_missing(key in record.holders)}
-            for key, account in record.accounts.items()
+        audits = [
+            msgspec.to_builtins(process_audit)
+            | {"unheard": process_audit.missing_entries(key in record.holders)}
+            for key, process_audit in record.process_audits.items()
         ]
-        return {"ids": record.ids, "accounts": accounts}
+        return {"ids": record.change_versions, "accounts": audits}
 
 
 def holder_status(now: float, holder: p.Holder, state: HolderState | None) -> dict[str, Any]:
-    """A holder as the record has it, and what the leader knows of it."""
+    """Return a holder as the record has it, with what the leader knows about it."""
     status: dict[str, Any] = msgspec.to_builtins(holder)
     if state is not None:
         status |= {
-            "acting": state.acting,
-            "have": state.have,
-            "heard": now - state.heard if state.route is not None else None,
-            "until": state.until - now,
-            "refuses": state.refuses,
+            "acting": state.applied_version,
+            "have": state.validated_version,
+            "heard": now - state.last_heard_at if state.route is not None else None,
+            "until": state.expires_at - now,
+            "refuses": state.rejection,
             "behind": now - state.behind_since if state.behind_since is not None else 0.0,
         }
     return status
--- a/bitternpath/balancer/fleet/node_folder.py
+++ b/bitternpath/balancer/fleet/node_folder.py
@@ -1,9 +1,9 @@
-"""A node's folder: the audit logs of its processes and the plan last applied, written by a thread of its own.
+"""A node's folder: the audit logs of its processes and the plan last applied, written by a separate thread.
 
-A disk may delay a write for a long time, and no invocation may wait for it. So lines are queued here, and the
+A write to disk may take long, and no invocation may wait for it. So entries are queued here, and the
 `LeaseHolder` is notified when they are on file. Only then are they sent to a consensus server, because the
-record must hold no line that the process's own file may lack.
-Files: `acts-BOOT`, a process's audit log with one JSON array a line, and `plan` (msgpack).
+record must hold no entry that the process's own file may lack.
+Files: `acts-BOOT`, a process's audit log with one JSON array per line, and `plan` (msgpack).
 """
 
 from __future__ import annotations
@@ -24,107 +24,115 @@
 
 log = structlog.get_logger(part="record_client")
 
-PLAN, ACTS = "plan", "acts-"
-put = os.write  # the seam for tests: a disk that is held up, or refuses
+PLAN_FILE, AUDIT_FILE_PREFIX = "plan", "acts-"
+write_bytes = os.write  # tests replace it by a slow or failing disk
 
 
-class Folder:
-    """An open folder. `written` hears up to which line all is on file; None: none will be from now on."""
+class NodeFolder:
+    """An open folder.
 
-    def __init__(self, reactor: Any, path: Path, boot: str, written: Callable[[int | None], None]) -> None:
-        """OSError where it cannot be made or written to."""
-        self.reactor, self.path, self.boot, self.written = reactor, path, boot, written
+    `on_written` is called with the number of the last entry on file, or with None once writing has failed.
+    """
+
+    def __init__(self, reactor: Any, path: Path, boot: str, on_written: Callable[[int | None], None]) -> None:
+        """Open or create the folder; raise OSError if it can't be created or written to."""
+        self.reactor, self.path, self.boot, self.on_written = reactor, path, boot, on_written
         path.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._file = os.open(
-            path / f"{ACTS}{boot}", os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
+            path / f"{AUDIT_FILE_PREFIX}{boot}", os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600
         )
-        self._lines: list[audit.Line] = []
-        self._plan: p.Plan | None = None
+        self._queued_entries: list[audit.AuditEntry] = []
+        self._queued_plan: p.Plan | None = None
         self._writing = self._failed = False
-        self._disk = ThreadPool(0, 1, name="files")
-        self._disk.start()
-        reactor.addSystemEventTrigger("during", "shutdown", self._disk.stop)
+        self._disk_thread = ThreadPool(0, 1, name="files")
+        self._disk_thread.start()
+        reactor.addSystemEventTrigger("during", "shutdown", self._disk_thread.stop)
 
-    # ---- what earlier processes left
+    # ---- files of earlier processes
 
     def older(self) -> list[audit.AuditLog]:
-        """Of earlier processes, the oldest first; what is wrong with one is logged."""
-        found = []
-        for file in sorted(self.path.glob(f"{ACTS}*"), key=lambda file: file.stat().st_mtime):
-            boot = file.name.removeprefix(ACTS)
+        """Return the audit logs of earlier processes, the oldest first; faults are logged."""
+        audit_logs = []
+        for file in sorted(self.path.glob(f"{AUDIT_FILE_PREFIX}*"), key=lambda file: file.stat().st_mtime):
+            boot = file.name.removeprefix(AUDIT_FILE_PREFIX)
             if boot == self.boot:
                 continue
-            lines, why = [], ""
+            entries, decode_error = [], ""
             try:
-                for text in file.read_bytes().splitlines():
-                    lines.append(msgspec.json.decode(text, type=audit.Line))
+                for line in file.read_bytes().splitlines():
+                    entries.append(msgspec.json.decode(line, type=audit.AuditEntry))
             except (OSError, msgspec.DecodeError) as error:
-                why = f"line {len(lines) + 1}: {error}"  # the last one is torn, or somebody has been at it
-            audit_log, fault = audit.read_back(boot, lines)
-            if why or fault:
-                log.error("earlier_audit_log_corrupt", file=str(file), why=fault or why)
-            if lines:
-                found.append(audit_log)
+                decode_error = f"line {len(entries) + 1}: {error}"  # a torn last line, or a changed file
+            audit_log, fault = audit.restore_audit_log(boot, entries)
+            if decode_error or fault:
+                log.error("earlier_audit_log_corrupt", file=str(file), why=fault or decode_error)
+            if entries:
+                audit_logs.append(audit_log)
             else:
                 file.unlink(missing_ok=True)
-        return found
+        return audit_logs
 
     def plan(self) -> p.Plan | None:
-        """The one last acted on, where there is one that can be read."""
+        """Return the plan last applied, or None if there is none that can be read."""
         try:
-            return msgspec.msgpack.decode((self.path / PLAN).read_bytes(), type=p.Plan)
+            return msgspec.msgpack.decode((self.path / PLAN_FILE).read_bytes(), type=p.Plan)
         except FileNotFoundError:
             return None
         except (OSError, msgspec.DecodeError) as error:
             log.warning("last_plan_read_failed", why=error)
             return None
 
-    # ---- what is written
+    # ---- writes
 
-    def write(self, lines: list[audit.Line], plan: p.Plan | None) -> None:
-        """These too, in their order; the plan replaces what stands there."""
+    def write(self, entries: list[audit.AuditEntry], plan: p.Plan | None) -> None:
+        """Queue entries, in order, and a plan, which replaces the one on file."""
         if self._failed:
             return
-        self._lines += lines
-        self._plan = plan or self._plan
-        if len(self._lines) > audit.AUDIT_LOG_LINES:
-            self._fail(f"a write has not come back, and {len(self._lines)} lines wait for it")
+        self._queued_entries += entries
+        self._queued_plan = plan or self._queued_plan
+        if len(self._queued_entries) > audit.MAX_UNACKNOWLEDGED_ENTRIES:
+            self._give_up(f"a write has not completed, and {len(self._queued_entries)} entries wait for it")
         elif not self._writing:
-            self._next()
+            self._write_queued()
 
-    def _next(self) -> None:
-        if not self._lines and self._plan is None:
+    def _write_queued(self) -> None:
+        if not self._queued_entries and self._queued_plan is None:
             return
-        lines, plan, self._lines, self._plan = self._lines, self._plan, [], None
+        entries, plan, self._queued_entries, self._queued_plan = (
+            self._queued_entries,
+            self._queued_plan,
+            [],
+            None,
+        )
         self._writing = True
-        done: Any = deferToThreadPool(self.reactor, self._disk, self._put, lines, plan)
-        done.addCallbacks(lambda _: self._done(lines), self._refused)
+        writing: Any = deferToThreadPool(self.reactor, self._disk_thread, self._write_files, entries, plan)
+        writing.addCallbacks(lambda _: self._write_completed(entries), self._write_failed)
 
-    def _put(self, lines: list[audit.Line], plan: p.Plan | None) -> None:
-        """In the thread."""
-        data = b"".join(msgspec.json.encode(line) + b"\n" for line in lines)
+    def _write_files(self, entries: list[audit.AuditEntry], plan: p.Plan | None) -> None:
+        """Runs in the disk thread."""
+        data = b"".join(msgspec.json.encode(entry) + b"\n" for entry in entries)
         while data:
-            data = data[put(self._file, data) :]
+            data = data[write_bytes(self._file, data) :]
         if plan is not None:
-            draft = self.path / f"{PLAN}.{self.boot}"
-            draft.write_bytes(msgspec.msgpack.encode(plan))
-            os.replace(draft, self.path / PLAN)
+            temporary = self.path / f"{PLAN_FILE}.{self.boot}"
+            temporary.write_bytes(msgspec.msgpack.encode(plan))
+            os.replace(temporary, self.path / PLAN_FILE)
 
-    def _done(self, lines: list[audit.Line]) -> None:
+    def _write_completed(self, entries: list[audit.AuditEntry]) -> None:
         self._writing = False
         if self._failed:
             return
-        if lines:
-            self.written(lines[-1].number)
-        if not self._writing:  # `written` may have brought more
-            self._next()
+        if entries:
+            self.on_written(entries[-1].number)
+        if not self._writing:  # `on_written` may have queued more
+            self._write_queued()
 
-    def _refused(self, failure: Failure) -> None:
+    def _write_failed(self, failure: Failure) -> None:
         self._writing = False
-        self._fail(failure.getErrorMessage())
+        self._give_up(failure.getErrorMessage())
 
-    def _fail(self, why: str) -> None:
+    def _give_up(self, reason: str) -> None:
         if not self._failed:
-            self._failed, self._lines, self._plan = True, [], None
-            log.error("audit_log_write_failed", folder=str(self.path), why=why)
-            self.written(None)
+            self._failed, self._queued_entries, self._queued_plan = True, [], None
+            log.error("audit_log_write_failed", folder=str(self.path), why=reason)
+            self.on_written(None)
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -1,11 +1,11 @@
-"""The replicated state: the plan with its versions, lease holders, audit logs, and pending changes. Pure.
+"""The replicated state: the plan and its versions, lease holders, audits. Does no I/O.
 
 Every consensus server applies the same entries in the same order to a `Record`, and so has the same state. A
-change gets the next version when it is committed, and is *released* by an entry of its own: from then on
-nodes apply it. A version that is not released yet can be withdrawn: it stays in the record as a no-op.
+change gets the next version when it is committed. A separate entry *releases* the version; from then on nodes
+apply it. A version that is not released yet can be withdrawn: it stays in the record as a no-op.
 
-The digest of a version is that of its change chained to the digest before, so that two nodes that name the
-same digest hold the same plan. Records are stored: tags and stored field names are fixed (see `name=`).
+The digest of a version covers its change and the digest of the version before, so that two nodes with the
+same digest have the same plan. Records are stored: tags and stored field names are fixed (see `name=`).
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 from blake3 import blake3
 from msgspec import Struct
 
-from bitternpath.balancer.fleet.audit import Line, ProcessAudit
+from bitternpath.balancer.fleet.audit import AuditEntry, ProcessAudit
 
-KEPT_CHANGES = 256  # released ones that are kept for those who lag; who lags more gets the whole plan
-KEPT_FOR = 7 * 86400.0  # s for which lines of the audit are kept
-KEPT_IDS = 4096  # ids of changes, by which one that is asked for again is known
-CLASS_FIELDS = ("aim", "giveUp", "value", "lateWorth")  # numbers that operators may set for a class
-RULES = ("drainGrace", "graceToAnswer", "warmWithin", "coldFrom", "tipMultiple")
-ALLOWED = ("tryLimit", "maxRetryAfter", "secondCopies", "cancel")
+RETAINED_CHANGES = 256  # released versions kept for lagging processes; others get the whole plan
+AUDIT_RETENTION = 7 * 86400.0  # s
+RETAINED_CHANGE_IDS = 4096  # latest change ids kept to recognize retries
+CLASS_FIELDS = ("aim", "giveUp", "value", "lateWorth")  # fields of a job class that a change may set
+RULE_KEYS = ("drainGrace", "graceToAnswer", "warmWithin", "coldFrom", "tipMultiple")
+ALLOWED_KEYS = ("tryLimit", "maxRetryAfter", "secondCopies", "cancel")
 
 
 class PlanError(Exception):
-    """An invalid change: the caller's fault; the text says why, in one line."""
+    """The change is invalid; the text says why, in one line."""
 
 
 # ---- changes
 
 
 class SetClass(Struct, frozen=True, tag="class"):
-    """Fields of a job class, in the platform's words."""
+    """Set fields of a job class, by their names in the platform's configuration."""
 
     name: str
     fields: dict[str, float]
 
 
 class SetRule(Struct, frozen=True, tag="rule"):
-    """A key of `settings.rules` or `settings.allowed`, in the platform's words."""
+    """Set a key of `settings.rules` or `settings.allowed` in the platform's configuration."""
 
     section: str
     key: str
@@ -61,7 +61,7 @@
 
 
 class LeastRelease(Struct, frozen=True, tag="least release"):
-    """Processes of an older release get no lease."""
+    """Set the oldest release whose processes can get a lease."""
 
     release: tuple[int, ...]
 
@@ -70,16 +70,16 @@
 
 
 class AgreedVersion(Struct, frozen=True):
-    """A version."""
+    """A committed version: its change, who made it, and the digest up to it."""
 
     version: int
     id: str
     author: str
     reason: str
-    time: float  # Unix s, by the leader's clock
+    time: float  # Unix s, on the leader's clock
     change: Change | None  # None: withdrawn
     digest: bytes
-    withdrawn: str = ""  # by whom and why
+    withdrawn: str = ""  # by whom and why; empty if it is not withdrawn
 
 
 class Plan(Struct, frozen=True):
@@ -89,19 +89,22 @@
     digest: bytes = b""
     classes: dict[str, dict[str, float]] = {}
     rules: dict[str, dict[str, float | bool]] = {}
-    ejections: dict[str, int] = msgspec.field(
-        default_factory=dict, name="bans"
-    )  # worker: since which version
+    # worker: the version that ejected it
+    ejections: dict[str, int] = msgspec.field(default_factory=dict, name="bans")
     least_release: tuple[int, ...] = ()
 
-    def after(self, agreed: AgreedVersion) -> Plan:
-        """With the next version; PlanError where the change cannot be."""
-        if agreed.version != self.version + 1:
-            raise PlanError(f"version {agreed.version} does not follow {self.version}")
-        made = self if agreed.change is None else self._with(agreed.change, agreed.version)
-        return msgspec.structs.replace(made, version=agreed.version, digest=agreed.digest)
-
-    def _with(self, change: Change, version: int) -> Plan:
+    def with_version(self, next_version: AgreedVersion) -> Plan:
+        """Return the plan with the next version; raise PlanError if the change is invalid."""
+        if next_version.version != self.version + 1:
+            raise PlanError(f"version {next_version.version} does not follow {self.version}")
+        plan = (
+            self
+            if next_version.change is None
+            else self._with_change(next_version.change, next_version.version)
+        )
+        return msgspec.structs.replace(plan, version=next_version.version, digest=next_version.digest)
+
+    def _with_change(self, change: Change, version: int) -> Plan:
         match change:
             case SetClass(name, fields):
                 if not name or not fields:
@@ -109,22 +112,25 @@
                 for key, value in fields.items():
                     if key not in CLASS_FIELDS:
                         raise PlanError(f"{name}.{key}: unknown field; allowed are {', '.join(CLASS_FIELDS)}")
-                    least = key in ("aim", "giveUp")
-                    if not 0 <= value < float("inf") or (least and value == 0):
+                    must_be_positive = key in ("aim", "giveUp")
+                    if not 0 <= value < float("inf") or (must_be_positive and value == 0):
                         raise PlanError(
-                            f"{name}.{key} = {value}: must be a number above 0" + " or 0" * (not least)
+                            f"{name}.{key} = {value}: must be a number above 0"
+                            + " or 0" * (not must_be_positive)
                         )
                 merged = self.classes.get(name, {}) | fields
                 return msgspec.structs.replace(self, classes=self.classes | {name: merged})
             case SetRule(section, key, value):
-                keys = {"rules": RULES, "allowed": ALLOWED}.get(section)
+                keys = {"rules": RULE_KEYS, "allowed": ALLOWED_KEYS}.get(section)
                 if keys is None or key not in keys:
-                    some = ", ".join([f"rules.{k}" for k in RULES] + [f"allowed.{k}" for k in ALLOWED])
-                    raise PlanError(f"{section}.{key}: unknown; allowed are {some}")
+                    allowed = ", ".join(
+                        [f"rules.{k}" for k in RULE_KEYS] + [f"allowed.{k}" for k in ALLOWED_KEYS]
+                    )
+                    raise PlanError(f"{section}.{key}: unknown; allowed are {allowed}")
                 if not 0 <= value < float("inf") or (key == "tryLimit" and value < 1):
                     raise PlanError(f"{section}.{key} = {value}: must be a number above 0")
-                changed = self.rules.get(section, {}) | {key: value}
-                return msgspec.structs.replace(self, rules=self.rules | {section: changed})
+                merged_rules = self.rules.get(section, {}) | {key: value}
+                return msgspec.structs.replace(self, rules=self.rules | {section: merged_rules})
             case EjectWorker(worker):
                 if not worker or worker in self.ejections:
                     raise PlanError(
@@ -134,38 +140,40 @@
             case ReinstateWorker(worker):
                 if worker not in self.ejections:
                     raise PlanError(f"{worker}: is not banned by the fleet")
-                left = {id: since for id, since in self.ejections.items() if id != worker}
-                return msgspec.structs.replace(self, ejections=left)
+                remaining = {other: since for other, since in self.ejections.items() if other != worker}
+                return msgspec.structs.replace(self, ejections=remaining)
             case LeastRelease(release):
                 if not release or any(part < 0 for part in release):
-                    raise PlanError(f"release {release}: must be numbers, as 1.4.0")
+                    raise PlanError(f"release {release}: must be numbers, such as 1.4.0")
                 return msgspec.structs.replace(self, least_release=release)
 
 
-def chained(before: bytes, version: int, change: Change | None) -> bytes:
-    """The digest of a version."""
-    return blake3(before + version.to_bytes(8, "big") + msgspec.msgpack.encode(change)).digest()
+def chained_digest(previous_digest: bytes, version: int, change: Change | None) -> bytes:
+    """Return the digest of a version."""
+    return blake3(previous_digest + version.to_bytes(8, "big") + msgspec.msgpack.encode(change)).digest()
 
 
 # ---- entries of the log
 
 
 class LeaseTerms(Struct, frozen=True):
-    """Times in s; `drift` is by how much of its time any clock may run fast or slow. The fleet has one set of
-    them, or stewards would not agree when a lease is over."""
+    """The lease times in s, and `drift`: the fraction by which a clock may run fast or slow.
+
+    They are part of the record: with different terms servers would disagree on when a lease has expired.
+    """
 
     lease: float = 4.0
     drift: float = 0.02
-    catch_up: float = 5.0  # for which a holder may lag
+    catch_up: float = 5.0  # how long a holder may lag
 
     @property
-    def longest(self) -> float:
-        """For how long, on the leader's clock, a lease may hold at its node."""
+    def max_duration(self) -> float:
+        """How long a lease may be valid at its node, measured on the leader's clock."""
         return self.lease * (1.0 + self.drift) / (1.0 - self.drift)
 
 
 class Bootstrap(Struct, frozen=True, tag="found"):
-    """The first entry of a fleet; `id` is random, so that two fleets are told apart."""
+    """The first entry of a fleet; its random `id` distinguishes it from other fleets."""
 
     terms: LeaseTerms
     id: str
@@ -182,7 +190,7 @@
 
 
 class WithdrawVersion(Struct, frozen=True, tag="void"):
-    """Withdraw a version, if it is not released."""
+    """Withdraw a version, if it is not released yet."""
 
     version: int
     author: str
@@ -203,8 +211,8 @@
     boot: str
     site: str
     release: tuple[int, ...]
-    alone: str
-    have: int
+    without_lease: str = msgspec.field(name="alone")
+    validated_version: int = msgspec.field(name="have")
     digest: bytes
     time: float
 
@@ -215,17 +223,17 @@
     node: str
     boot: str
     fencing_token: int = msgspec.field(name="fence")
-    why: str
+    reason: str = msgspec.field(name="why")
     time: float
 
 
 class AuditRecorded(Struct, frozen=True, tag="noted"):
-    """Lines of a process's audit log were received."""
+    """Entries of a process's audit log were received."""
 
     node: str
     boot: str
-    lines: tuple[Line, ...]
-    final: int
+    entries: tuple[AuditEntry, ...] = msgspec.field(name="lines")
+    final_count: int = msgspec.field(name="final")
     time: float
 
 
@@ -233,15 +241,15 @@
 
 
 class Holder(Struct):
-    """A node process that holds a lease, by the record."""
+    """A node process that holds a lease."""
 
     node: str
     boot: str
     site: str
     release: tuple[int, ...]
-    alone: str
+    without_lease: str = msgspec.field(name="alone")
     fencing_token: int = msgspec.field(name="fence")
-    joined: float  # Unix s
+    started_at: float = msgspec.field(name="joined")  # Unix s
 
     @property
     def key(self) -> str:
@@ -254,28 +262,31 @@
     fleet: str = ""
     terms: LeaseTerms = LeaseTerms()
     released: Plan = Plan()
-    latest: Plan = Plan()  # with all that is agreed
-    changes: list[AgreedVersion] = []  # the released ones that are kept, then those that are not released
-    release_times: dict[int, float] = {}
+    latest: Plan = Plan()  # the released plan with all later versions
+    changes: list[AgreedVersion] = []  # retained released ones, then unreleased ones
+    release_times: dict[int, float] = {}  # version: Unix s
     holders: dict[str, Holder] = {}
-    ids: dict[str, int] = {}  # of changes: their version
-    accounts: dict[str, ProcessAudit] = {}  # process: what it did, as far as was heard
+    change_versions: dict[str, int] = msgspec.field(
+        default_factory=dict, name="ids"
+    )  # of changes: their version
+    # by process (node#boot)
+    process_audits: dict[str, ProcessAudit] = msgspec.field(default_factory=dict, name="accounts")
 
     @property
-    def waiting(self) -> list[AgreedVersion]:
-        """Agreed and not released."""
+    def unreleased(self) -> list[AgreedVersion]:
+        """Versions that are committed and not released yet."""
         return [agreed for agreed in self.changes if agreed.version > self.released.version]
 
-    def find(self, version: int) -> AgreedVersion | None:
+    def find_version(self, version: int) -> AgreedVersion | None:
         first = self.changes[0].version if self.changes else 0
-        at = version - first
-        return self.changes[at] if self.changes and 0 <= at < len(self.changes) else None
+        position = version - first
+        return self.changes[position] if self.changes and 0 <= position < len(self.changes) else None
 
     def digest_of(self, version: int) -> bytes | None:
-        """None where that version is not kept."""
+        """Return the digest of a version, or None if the version is not retained."""
         if version == self.released.version:
             return self.released.digest
-        found = self.find(version)
+        found = self.find_version(version)
         return found.digest if found is not None else None
 
     def apply(self, index: int, item: Item) -> str:
@@ -285,115 +296,123 @@
                 self.terms, self.fleet = terms, id
                 return ""
             case AgreeChange():
-                return self._adopt(item)
+                return self._commit_change(item)
             case WithdrawVersion():
-                return self._void(item)
+                return self._withdraw_version(item)
             case Release(version, time):
-                if version != self.released.version + 1 or self.find(version) is None:
+                if version != self.released.version + 1 or self.find_version(version) is None:
                     return f"version {version} is not the next one"
-                found = self.find(version)
+                found = self.find_version(version)
                 assert found is not None
-                self.released = self.released.after(found)
+                self.released = self.released.with_version(found)
                 self.release_times[version] = time
-                while len(self.changes) - len(self.waiting) > KEPT_CHANGES:
+                while len(self.changes) - len(self.unreleased) > RETAINED_CHANGES:
                     self.release_times.pop(self.changes.pop(0).version, None)
                 return ""
             case LeaseStarted():
-                digest = self.digest_of(item.have)
-                if item.have < self.released.version - 1 or digest != item.digest:
-                    return f"{item.node} is at version {item.have}, {self.released.version} is released"
+                digest = self.digest_of(item.validated_version)
+                if item.validated_version < self.released.version - 1 or digest != item.digest:
+                    return (
+                        f"{item.node} is at version {item.validated_version}, "
+                        f"{self.released.version} is released"
+                    )
                 holder = Holder(
-                    item.node, item.boot, item.site, item.release, item.alone, index, item.time
+                    item.node, item.boot, item.site, item.release, item.without_lease, index, item.time
                 )  # fmt: skip
                 self.holders[holder.key] = holder
-                self.accounts.setdefault(holder.key, ProcessAudit(item.node, item.boot)).granted = index
+                self.process_audits.setdefault(
+                    holder.key, ProcessAudit(item.node, item.boot)
+                ).last_fencing_token = index
                 return ""
-            case LeaseEnded(node, boot, fencing_token, why, time):
-                holder_ = self.holders.get(f"{node}#{boot}")
-                if holder_ is None or holder_.fencing_token != fencing_token:
+            case LeaseEnded(node, boot, fencing_token, reason, time):
+                ended_holder = self.holders.get(f"{node}#{boot}")
+                if ended_holder is None or ended_holder.fencing_token != fencing_token:
                     return f"{node} does not hold fence {fencing_token}"
-                del self.holders[holder_.key]
-                self.accounts.setdefault(holder_.key, ProcessAudit(node, boot)).part(fencing_token, time, why)
+                del self.holders[ended_holder.key]
+                self.process_audits.setdefault(ended_holder.key, ProcessAudit(node, boot)).end_lease(
+                    fencing_token, time, reason
+                )
                 return ""
-            case AuditRecorded(node, boot, lines, final, time):
+            case AuditRecorded(node, boot, entries, final_count, time):
                 key = f"{node}#{boot}"
-                account = self.accounts.setdefault(key, ProcessAudit(node, boot))
-                account.take(lines, final)
-                self._forget(time - KEPT_FOR)
+                process_audit = self.process_audits.setdefault(key, ProcessAudit(node, boot))
+                process_audit.add_entries(entries, final_count)
+                self._drop_old_audits(time - AUDIT_RETENTION)
                 return ""
 
-    def _forget(self, before: float) -> None:
-        """What is too old, and processes of which nothing is left."""
-        for key, account in list(self.accounts.items()):
-            if account.lines and account.lines[0].at < before:
-                account.forget(before)
-            ended = account.let_go[-1][1] if account.let_go else 0.0  # a lease of which nothing was told
-            if not account.lines and key not in self.holders and ended < before:
-                del self.accounts[key]
-
-    def _adopt(self, item: AgreeChange) -> str:
-        if item.id in self.ids:
+    def _drop_old_audits(self, oldest: float) -> None:
+        """Drop entries older than `oldest`, and the audits of processes without entries or a recent lease."""
+        for key, process_audit in list(self.process_audits.items()):
+            if process_audit.entries and process_audit.entries[0].at < oldest:
+                process_audit.drop_entries_before(oldest)
+            # Retained even without entries: the missing entries of an ended lease are reported by it.
+            last_lease_end = process_audit.ended_leases[-1][1] if process_audit.ended_leases else 0.0
+            if not process_audit.entries and key not in self.holders and last_lease_end < oldest:
+                del self.process_audits[key]
+
+    def _commit_change(self, item: AgreeChange) -> str:
+        if item.id in self.change_versions:
             return ""
-        version, before = self.latest.version + 1, self.latest.digest
+        version, previous_digest = self.latest.version + 1, self.latest.digest
         agreed = AgreedVersion(
             version, item.id, item.author, item.reason, item.time, item.change,
-            chained(before, version, item.change),
+            chained_digest(previous_digest, version, item.change),
         )  # fmt: skip
         try:
-            self.latest = self.latest.after(agreed)
+            self.latest = self.latest.with_version(agreed)
         except PlanError as error:
             return str(error)
         self.changes.append(agreed)
-        self.ids[item.id] = version
-        while len(self.ids) > KEPT_IDS:
-            del self.ids[next(iter(self.ids))]
+        self.change_versions[item.id] = version
+        while len(self.change_versions) > RETAINED_CHANGE_IDS:
+            del self.change_versions[next(iter(self.change_versions))]
         return ""
 
-    def _void(self, item: WithdrawVersion) -> str:
+    def _withdraw_version(self, item: WithdrawVersion) -> str:
         if item.version <= self.released.version:
-            return f"version {item.version} is released; make another change that takes it back"
-        if self.find(item.version) is None:
-            return f"there is no version {item.version}; the last one is {self.latest.version}"
+            return f"version {item.version} is released; revert it with another change"
+        if self.find_version(item.version) is None:
+            return f"there is no version {item.version}; the latest is {self.latest.version}"
         plan, changes = self.released, [a for a in self.changes if a.version <= self.released.version]
-        for agreed in self.waiting:
+        for agreed in self.unreleased:
             change, withdrawn = agreed.change, agreed.withdrawn
             if agreed.version == item.version:
                 change, withdrawn = None, f"{item.author}: {item.reason}"
-            digest = chained(plan.digest, agreed.version, change)
-            again = msgspec.structs.replace(agreed, change=change, digest=digest, withdrawn=withdrawn)
+            digest = chained_digest(plan.digest, agreed.version, change)
+            replaced = msgspec.structs.replace(agreed, change=change, digest=digest, withdrawn=withdrawn)
             try:
-                plan = plan.after(again)
+                plan = plan.with_version(replaced)
             except PlanError as error:
                 return f"version {agreed.version} rests on it: {error}"
-            changes.append(again)
+            changes.append(replaced)
         self.latest, self.changes = plan, changes
         return ""
 
-    def since(self, version: int, digest: bytes) -> Iterable[AgreedVersion] | None:
-        """What follows that version; None where that is not kept, or where it is not ours."""
+    def changes_since(self, version: int, digest: bytes) -> Iterable[AgreedVersion] | None:
+        """Return the versions after `version`; None if they are not retained or the digest is not ours."""
         if self.digest_of(version) != digest and not (version == 0 and not digest):
             return None
-        kept = [agreed for agreed in self.changes if agreed.version > version]
-        whole = len(kept) == self.latest.version - version
-        return kept if whole else None
+        changes = [agreed for agreed in self.changes if agreed.version > version]
+        complete = len(changes) == self.latest.version - version
+        return changes if complete else None
 
 
 _encoder = msgspec.msgpack.Encoder()
-_items = msgspec.msgpack.Decoder(Item)
-_records = msgspec.msgpack.Decoder(Record)
+_item_decoder = msgspec.msgpack.Decoder(Item)
+_record_decoder = msgspec.msgpack.Decoder(Record)
 
 
-def item_bytes(item: Item) -> bytes:
+def encode_item(item: Item) -> bytes:
     return _encoder.encode(item)
 
 
-def item_from(data: bytes) -> Item:
-    return _items.decode(data)
+def decode_item(data: bytes) -> Item:
+    return _item_decoder.decode(data)
 
 
-def record_bytes(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     return _encoder.encode(record)
 
 
-def record_from(data: bytes) -> Record:
-    return _records.decode(data) if data else Record()
+def decode_record(data: bytes) -> Record:
+    return _record_decoder.decode(data) if data else Record()
--- a/bitternpath/balancer/fleet/plan_settings.py
+++ b/bitternpath/balancer/fleet/plan_settings.py
@@ -1,4 +1,4 @@
-"""The plan on top of a node's own configuration. Pure."""
+"""Merges the fleet's plan into a node's own configuration. Does no I/O."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from bitternpath.balancer.config.platform import Config
 from bitternpath.balancer.fleet.plan import Plan, PlanError
 
-# The platform's words, and the settings' own.
+# Names in the platform's configuration, and the names of the settings' fields.
 CLASS_FIELDS = {
     "aim": "latency_target",
     "giveUp": "max_deadline",
     "value": "value",
     "lateWorth": "late_value_share",
 }
-RULES = {
+RULE_FIELDS = {
     "rules.drainGrace": "drain_grace",
     "rules.graceToAnswer": "answer_grace",
     "rules.warmWithin": "warm_within",
@@ -32,15 +32,15 @@
 
 
 def with_plan(config: Config, plan: Plan) -> Config:
-    """The configuration with what the fleet has agreed; PlanError where the two are at odds."""
-    return replace(config, settings=_settings(config.settings, plan))
+    """Return the configuration with the plan merged in; raise PlanError if the two conflict."""
+    return replace(config, settings=_merged_settings(config.settings, plan))
 
 
-def _settings(settings: m.Settings, plan: Plan) -> m.Settings:
-    known = {spec.name for spec in settings.classes}
+def _merged_settings(settings: m.Settings, plan: Plan) -> m.Settings:
+    known_classes = {spec.name for spec in settings.classes}
     for name in plan.classes:
-        if name not in known:
-            raise PlanError(f"no class {name} in this node's file; it has {', '.join(sorted(known))}")
+        if name not in known_classes:
+            raise PlanError(f"no class {name} in this node's file; it has {', '.join(sorted(known_classes))}")
     classes = tuple(
         msgspec.structs.replace(
             spec, **{CLASS_FIELDS[key]: value for key, value in plan.classes.get(spec.name, {}).items()}
@@ -50,7 +50,7 @@
     rules: dict[str, Any] = {}
     for section, keys in plan.rules.items():
         for key, value in keys.items():
-            name = RULES[f"{section}.{key}"]
+            name = RULE_FIELDS[f"{section}.{key}"]
             kind = type(getattr(settings, name))
             rules[name] = kind(value)
     return msgspec.structs.replace(settings, classes=classes, **rules)
--- a/bitternpath/balancer/fleet/record_client.py
+++ b/bitternpath/balancer/fleet/record_client.py
@@ -1,10 +1,10 @@
 """A node's client of the fleet's record, on sockets: a `LeaseHolder` with its connection and its files.
 
-The node supplies a check of a plan, a function that applies one, and its roster of providers. It calls `gate`
-before it accepts an invocation; the lease is checked there, in the same turn of the event loop in which the
-invocation is accepted. What must survive a restart is in `fleet.folder`, if set (node_folder.py): the audit
-log of each process, and the plan last applied, with which a node serves that starts while no server can be
-reached.
+The node supplies the validation of a plan, a callback for a new plan, and its registry of providers. It calls
+`admission_delay` before it accepts an invocation: the lease is checked there, in the same turn of the event
+loop in which the invocation is accepted. What must survive a restart is in `fleet.folder`, if set
+(node_folder.py): the audit log of each process, and the plan last applied, with which a node serves that
+starts while no server can be reached.
 """
 
 from __future__ import annotations
@@ -29,34 +29,34 @@
 from bitternpath.balancer.fleet import messages as m
 from bitternpath.balancer.fleet import plan as p
 from bitternpath.balancer.fleet.connection import FleetConnection
-from bitternpath.balancer.fleet.consensus_server import DIAL_WITHIN, server_addresses
+from bitternpath.balancer.fleet.consensus_server import CONNECT_TIMEOUT, server_addresses
 from bitternpath.balancer.fleet.lease_holder import LeaseHolder, ProcessIdentity
-from bitternpath.balancer.fleet.node_folder import Folder
+from bitternpath.balancer.fleet.node_folder import NodeFolder
 from bitternpath.net.sockets import dial
 
 log = structlog.get_logger(part="record_client")
 
-BY_FLEET = "fleet"  # who takes providers out
-NO_LEASE = 0  # the fence of what is done without a lease
+BY_FLEET = "fleet"  # marks ejections by the fleet's plan
+NO_LEASE = 0  # fencing token of what is done without a lease
 
 
 class ServiceSpan(Struct):
-    """Invocations accepted under one version and fencing token, or without a lease."""
+    """Counts invocations accepted under one version and fencing token, or without a lease."""
 
     version: int
     fencing_token: int
     first: float = 0.0  # Unix s
     last: float = 0.0
-    taken: Counter[str] = msgspec.field(default_factory=Counter)  # by class
+    accepted: Counter[str] = msgspec.field(default_factory=Counter)  # by job class
 
     def detail(self) -> str:
         return msgspec.json.encode(
-            {"first": round(self.first, 3), "last": round(self.last, 3), "taken": dict(self.taken)}
+            {"first": round(self.first, 3), "last": round(self.last, 3), "taken": dict(self.accepted)}
         ).decode()
 
 
-def release_of(version: str) -> tuple[int, ...]:
-    """The numbers that a version begins with."""
+def parse_release(version: str) -> tuple[int, ...]:
+    """Return the leading numbers of a version."""
     numbers = []
     for part in version.split("."):
         if not part.isdigit():
@@ -66,7 +66,7 @@
 
 
 class RecordClient:
-    """One process of a node."""
+    """The fleet's client in one node process."""
 
     def __init__(
         self,
@@ -75,119 +75,127 @@
         node: str,
         site: str,
         registry: EndpointRegistry,
-        check: Callable[[p.Plan], str],
-        act: Callable[[p.Plan], None],
-        advice: Callable[[str], float],
+        validate: Callable[[p.Plan], str],
+        on_plan_change: Callable[[p.Plan], None],
+        retry_delay: Callable[[str], float],
     ) -> None:
-        self.reactor, self.fleet, self.registry, self.act, self.advice = reactor, fleet, registry, act, advice
+        self.reactor, self.fleet, self.registry, self.on_plan_change, self.retry_delay = (
+            reactor,
+            fleet,
+            registry,
+            on_plan_change,
+            retry_delay,
+        )
         self.servers: dict[str, Address] = server_addresses(fleet)
-        who = ProcessIdentity(
-            node, secrets.token_hex(4), fleet.site or site, release_of(__version__), fleet.alone
+        identity = ProcessIdentity(
+            node, secrets.token_hex(4), fleet.site or site, parse_release(__version__), fleet.alone
+        )
+        self.holder = LeaseHolder(
+            identity, list(self.servers), Random(), clock.elapsed(), time.time, validate
         )
-        self.holder = LeaseHolder(who, list(self.servers), Random(), clock.elapsed(), time.time, check)
         self.connection: FleetConnection | None = None
-        self.fleet_id = ""  # of the first fleet that granted a lease
-        self._alarm: Any = None
+        self.fleet_id = ""  # of the first fleet that granted a lease; empty before
+        self._timer: Any = None
         self.service_span = ServiceSpan(0, NO_LEASE)
-        registry.on_ejection_change = self._noted
-        self.folder = self._open(Path(fleet.folder)) if fleet.folder else None
+        registry.on_ejection_change = self._ejection_changed
+        self.folder = self._open_folder(Path(fleet.folder)) if fleet.folder else None
 
-    # ---- what the node asks
+    # ---- queries of the node
 
-    def gate(self, job_class: str) -> float | None:
+    def admission_delay(self, job_class: str) -> float | None:
         """Return None to accept an invocation, or the ms after which to retry it (`alone = "leave"`)."""
         holder = self.holder
         if holder.fencing_token != self.service_span.fencing_token or (
-            holder.fencing_token and clock.elapsed() >= holder.until
+            holder.fencing_token and clock.elapsed() >= holder.expires_at
         ):
-            self.settle()
+            self.process_effects()
         service_span = self.service_span
         if service_span.fencing_token == NO_LEASE and self.fleet.alone == "leave":
-            return self.advice(job_class)
+            return self.retry_delay(job_class)
         service_span.last = time.time()
         service_span.first = service_span.first or service_span.last
-        service_span.taken[job_class] += 1
+        service_span.accepted[job_class] += 1
         return None
 
-    def welcome(self) -> bool:
-        """Whether consumers may be sent here."""
-        return self.fleet.alone == "serve" or self.holder.holds(clock.elapsed())
+    def accepts_clients(self) -> bool:
+        """Whether clients may be sent to this node."""
+        return self.fleet.alone == "serve" or self.holder.holds_lease(clock.elapsed())
 
     # ---- files
 
-    def _open(self, path: Path) -> Folder | None:
-        """What earlier processes did and had agreed. Nothing of it keeps a node from starting."""
+    def _open_folder(self, path: Path) -> NodeFolder | None:
+        """Open the folder, and restore earlier audit logs and the last plan; errors do not stop the node."""
         holder = self.holder
         try:
-            folder = Folder(self.reactor, path, holder.who.boot, self._written)
-            holder.older += folder.older()
+            folder = NodeFolder(self.reactor, path, holder.identity.boot, self._audit_written)
+            holder.earlier_audit_logs += folder.older()
         except OSError as error:
             log.error("audit_log_open_failed", folder=str(path), why=error)
             return None
-        holder.audit_log.written = 0
+        holder.audit_log.written_upto = 0
         plan = folder.plan()
-        if plan is not None and (why := holder.check(plan)):
-            log.warning("last_plan_rejected", version=plan.version, why=why)
+        if plan is not None and (error_text := holder.validate(plan)):
+            log.warning("last_plan_rejected", version=plan.version, why=error_text)
         elif plan is not None:
-            holder.plan = holder.taken = plan
+            holder.plan = holder.validated_plan = plan
             self.service_span.version = plan.version
         return folder
 
-    def _written(self, upto: int | None) -> None:
-        self.holder.wrote(clock.elapsed(), upto)
-        self.settle()
+    def _audit_written(self, upto: int | None) -> None:
+        self.holder.audit_written(clock.elapsed(), upto)
+        self.process_effects()
 
-    def _write_down(self, plan: p.Plan | None = None) -> None:
-        """In the order in which it is done; a steward hears of it once it is on file."""
+    def _write_to_folder(self, plan: p.Plan | None = None) -> None:
+        """Queue new audit entries and the plan, in order; entries are sent only once they are on file."""
         audit_log = self.holder.audit_log
-        fresh, audit_log.fresh = audit_log.fresh, []
-        if self.folder is not None and (fresh or plan is not None):
-            self.folder.write(fresh, plan)
+        entries, audit_log.fresh = audit_log.fresh, []
+        if self.folder is not None and (entries or plan is not None):
+            self.folder.write(entries, plan)
 
-    # ---- what is done
+    # ---- effects
 
-    def begin(self) -> None:
-        """Serve as last agreed, and ask for a lease."""
+    def start(self) -> None:
+        """Apply the plan last on file, and request a lease."""
         if self.holder.plan.version:
             self._apply_plan(self.holder.plan)
-        self.settle()
+        self.process_effects()
 
-    def settle(self) -> None:
-        """Carry out the holder's effects in order: audit lines to file, then actions, then messages."""
+    def process_effects(self) -> None:
+        """Carry out the holder's effects in order: audit entries to file, then actions, then messages."""
         holder, now = self.holder, clock.elapsed()
-        fencing_token = holder.fencing_token if holder.holds(now) else NO_LEASE
+        fencing_token = holder.fencing_token if holder.holds_lease(now) else NO_LEASE
         if (holder.plan.version, fencing_token) != (
             self.service_span.version,
             self.service_span.fencing_token,
         ):
-            self._change_version(fencing_token)
-        self._write_down()
-        holder.acts.clear()
-        sends, holder.sends = holder.sends, []
-        for message in sends:
+            self._start_service_span(fencing_token)
+        self._write_to_folder()
+        holder.events.clear()
+        messages, holder.outgoing = holder.outgoing, []
+        for message in messages:
             if self.connection is not None:
                 self.connection.send(message)
-        if holder.hang_up:
-            holder.hang_up = False
+        if holder.disconnect:
+            holder.disconnect = False
             connection, self.connection = self.connection, None
             if connection is not None:
                 connection.close()
-        if holder.dial is not None:
-            name, holder.dial = holder.dial, None
-            self._dial(name)
-        if self._alarm is not None and self._alarm.active():
-            self._alarm.cancel()
-        self._alarm = None
-        if holder.alarm != float("inf"):
-            self._alarm = self.reactor.callLater(max(holder.alarm - now, 0.0), self._tick)
-
-    def _change_version(self, fencing_token: int) -> None:
-        """Another version, or a lease got or lost: what comes from now on is under that."""
-        plan, before = self.holder.plan, self.service_span.version
+        if holder.server_to_dial is not None:
+            server_name, holder.server_to_dial = holder.server_to_dial, None
+            self._connect(server_name)
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = None
+        if holder.next_timeout_at != float("inf"):
+            self._timer = self.reactor.callLater(max(holder.next_timeout_at - now, 0.0), self._tick)
+
+    def _start_service_span(self, fencing_token: int) -> None:
+        """Begin a new span: the version has changed, or a lease was granted or has ended."""
+        plan, version_before = self.holder.plan, self.service_span.version
         self._close_service_span()
         self.service_span = ServiceSpan(plan.version, fencing_token)
-        changed = plan.version != before
-        self._write_down(plan if changed else None)
+        changed = plan.version != version_before
+        self._write_to_folder(plan if changed else None)
         if changed:
             self._apply_plan(plan)
         log.info(
@@ -198,57 +206,57 @@
 
     def _close_service_span(self) -> None:
         service_span = self.service_span
-        if service_span.taken:
+        if service_span.accepted:
             self.holder.audit_log.add(
                 time.time(),
-                audit.SERVED,
+                audit.INVOCATIONS_SERVED,
                 service_span.version,
                 service_span.fencing_token,
                 service_span.detail(),
             )
-            service_span.taken = Counter()
+            service_span.accepted = Counter()
 
     def _apply_plan(self, plan: p.Plan) -> None:
-        for id in plan.ejections:
-            self.registry.eject(id, time.time() * 1000.0, BY_FLEET)
-        for id in self.registry.ejected_by(BY_FLEET):
-            if id not in plan.ejections:
-                self.registry.reinstate(id, time.time() * 1000.0, BY_FLEET)
-        self.act(plan)
-
-    def _noted(self, id: str, by: str, out: bool) -> None:
-        """Staff have taken a provider out, or back, at this node's own console."""
+        for worker in plan.ejections:
+            self.registry.eject(worker, time.time() * 1000.0, BY_FLEET)
+        for worker in self.registry.ejected_by(BY_FLEET):
+            if worker not in plan.ejections:
+                self.registry.reinstate(worker, time.time() * 1000.0, BY_FLEET)
+        self.on_plan_change(plan)
+
+    def _ejection_changed(self, worker: str, by: str, ejected: bool) -> None:
+        """Record that an operator ejected or reinstated a worker at this node's own console."""
         if by == BY_OPERATOR:
-            self.holder.note(audit.OUT if out else audit.BACK, id)
-            self._write_down()
+            self.holder.record_action(audit.WORKER_EJECTED if ejected else audit.WORKER_REINSTATED, worker)
+            self._write_to_folder()
 
     def stop(self) -> None:
-        """The node ends: it acts no more."""
+        """Release the lease: the node ends."""
         self._close_service_span()
-        self.holder.end(clock.elapsed())
-        self.settle()
+        self.holder.shut_down(clock.elapsed())
+        self.process_effects()
 
     # ---- the connection
 
     def _tick(self) -> None:
         self.holder.tick(clock.elapsed())
-        self.settle()
+        self.process_effects()
 
-    def _dial(self, name: str) -> None:
-        who = self.holder.who
-        hello = m.Hello(m.VERSION, self.fleet_id, "agent", f"{who.node}#{who.boot}")
+    def _connect(self, server_name: str) -> None:
+        identity = self.holder.identity
+        hello = m.Hello(m.PROTOCOL_VERSION, self.fleet_id, "agent", f"{identity.node}#{identity.boot}")
         connection = FleetConnection(self.reactor, hello, self._receive, self._lost)
-        connection.name = name
+        connection.server_name = server_name
         self.connection = connection
-        made = dial(self.reactor, *self.servers[name], DIAL_WITHIN, connection)
-        made.addErrback(lambda failure: self._lost(connection))
+        connecting = dial(self.reactor, *self.servers[server_name], CONNECT_TIMEOUT, connection)
+        connecting.addErrback(lambda failure: self._lost(connection))
 
     def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
         if connection is not self.connection:
             return
         now = clock.elapsed()
         if isinstance(message, m.Hello):
-            self.holder.up(now, connection.name)
+            self.holder.connection_made(now, connection.server_name)
         elif isinstance(
             message,
             m.Lease
@@ -260,16 +268,16 @@
         ):
             if isinstance(message, m.Lease) and not self.fleet_id and connection.peer is not None:
                 self.fleet_id = connection.peer.fleet
-            before = self.holder.withheld
+            refusal_before = self.holder.refusal
             self.holder.receive(now, message)
-            if isinstance(message, m.LeaseRefused) and message.why != before:
-                log.warning("lease_refused", server=connection.name, why=message.why)
+            if isinstance(message, m.LeaseRefused) and message.reason != refusal_before:
+                log.warning("lease_refused", server=connection.server_name, why=message.reason)
         else:
-            connection.drop(f"a steward does not say {type(message).__name__} to an agent")
-        self.settle()
+            connection.abort(f"unexpected message from a consensus server: {type(message).__name__}")
+        self.process_effects()
 
     def _lost(self, connection: FleetConnection) -> None:
         if connection is self.connection:
             self.connection = None
-            self.holder.lost(clock.elapsed())
-            self.settle()
+            self.holder.connection_lost(clock.elapsed())
+            self.process_effects()
--- a/bitternpath/cli/fleet_changes.py
+++ b/bitternpath/cli/fleet_changes.py
@@ -10,13 +10,13 @@
 import click
 
 from bitternpath.cli.fleet_client import FleetClient, with_fleet_client
-from bitternpath.cli.fleet_format import lag
+from bitternpath.cli.fleet_format import holder_state
 
-POLL_INTERVAL = 0.2  # s between looks whether a change is in effect
+POLL_INTERVAL = 0.2  # s between two queries whether a change is in effect
 
 
-def parsed_change(words: tuple[str, ...]) -> Any:
-    """The change that `KEY=VALUE` words mean; click.UsageError where they mean none."""
+def parse_change(words: tuple[str, ...]) -> Any:
+    """Return the change given by `KEY=VALUE` words; raise click.UsageError if they give none."""
     from bitternpath.balancer.fleet import plan as p
 
     pairs = [word.partition("=") for word in words]
@@ -28,8 +28,8 @@
     try:
         if key == "least-release" and len(pairs) == 1:
             return p.LeastRelease(tuple(int(part) for part in text.split(".")))
-        section, dot, name = key.rpartition(".")
-        if not dot:
+        section, has_section, name = key.rpartition(".")
+        if not has_section:
             raise click.UsageError(
                 f"{key}: unknown; allowed are CLASS.FIELD, rules.KEY, allowed.KEY, least-release"
             )
@@ -40,7 +40,7 @@
             "rules",
             "allowed",
         ):
-            raise click.UsageError("one change at a time: fields of one class, or one other key")
+            raise click.UsageError("only one change at a time: fields of one class, or one other key")
         return p.SetClass(section, {other.rpartition(".")[2]: float(value) for other, _, value in pairs})
     except ValueError as error:
         raise click.UsageError(f"{key}={text}: {error}") from error
@@ -50,70 +50,76 @@
     from bitternpath.balancer.fleet.messages import Propose
 
     id = id or secrets.token_hex(8)
-    told = fleet.ask(Propose(id, fleet.author, reason, change))
-    version = told["version"]
+    reply = fleet.send(Propose(id, fleet.author, reason, change))
+    version = reply["version"]
     click.echo(f"agreed as version {version} (id {id})")
     if required:
         _await_effect(fleet, version)
 
 
 def _await_effect(fleet: FleetClient, version: int) -> None:
-    """Until all who hold a lease act on it. Who does not answer or lags loses its lease, so that this ends;
-    where half of the fleet refuses the change it ends by saying so."""
-    said = ""
+    """Wait until all lease holders apply the version.
+
+    The wait ends: a holder that is silent or lags loses its lease. If half of the holders reject the change,
+    it ends with an error.
+    """
+    printed = ""
     while True:
-        found, why = fleet.query()
-        held = [h for h in found["holders"] if h.get("acting", -1) < version]
-        if not why and found["released"] >= version and not held:
-            click.echo(f"version {version} is in effect at {len(found['holders'])} processes")
+        status, no_majority = fleet.query()
+        behind = [h for h in status["holders"] if h.get("acting", -1) < version]
+        if not no_majority and status["released"] >= version and not behind:
+            click.echo(f"version {version} is in effect at {len(status['holders'])} processes")
             return
-        refuse = [h for h in found["holders"] if h.get("refuses")]
-        if refuse and 2 * len(refuse) >= len(found["holders"]):
+        rejecting = [h for h in status["holders"] if h.get("refuses")]
+        if rejecting and 2 * len(rejecting) >= len(status["holders"]):
             raise click.ClickException(
-                f"version {version} is refused by {len(refuse)} of {len(found['holders'])}, first by "
-                f"{refuse[0]['node']}: {refuse[0]['refuses']}; `bitternpath fleet withdraw {version}` ends it"
+                f"version {version} is refused by {len(rejecting)} of {len(status['holders'])}, first by "
+                f"{rejecting[0]['node']}: {rejecting[0]['refuses']}; "
+                f"`bitternpath fleet withdraw {version}` ends it"
             )
-        waits = ", ".join(f"{h['node']} ({lag(found, h)})" for h in held) or "the release"
-        line = f"no majority: {why}" if why else f"waits for {waits}"
-        if line != said:
+        waiting_for = ", ".join(f"{h['node']} ({holder_state(status, h)})" for h in behind) or "the release"
+        line = f"no majority: {no_majority}" if no_majority else f"waiting for {waiting_for}"
+        if line != printed:
             click.echo(line)
-            said = line
+            printed = line
         time.sleep(POLL_INTERVAL)
 
 
-def _changing(function: Callable[..., Any]) -> Callable[..., Any]:
-    function = click.option("--required", is_flag=True, help="wait until all who hold a lease act on it")(
+def _change_options(function: Callable[..., Any]) -> Callable[..., Any]:
+    function = click.option("--required", is_flag=True, help="wait until all lease holders apply the change")(
+        function
+    )
+    function = click.option("--id", help="id of the change; a retry with the same id is the same change")(
         function
     )
-    function = click.option("--id", help="asked again with the same one, it is the same change")(function)
     return with_fleet_client(
-        click.option("--reason", required=True, help="why; it stands in the record")(function)
+        click.option("--reason", required=True, help="why; stored in the record")(function)
     )
 
 
 @click.command()
-@_changing
+@_change_options
 @click.argument("words", nargs=-1, metavar="KEY=VALUE...")
 def change(fleet: FleetClient, words: tuple[str, ...], reason: str, id: str | None, required: bool) -> None:
-    """Change a class, a rule, or the least release that may hold a lease, for all nodes."""
-    propose(fleet, parsed_change(words), reason, id, required)
+    """Change a class, a rule, or the least release that can get a lease, for all nodes."""
+    propose(fleet, parse_change(words), reason, id, required)
 
 
 @click.command()
-@_changing
+@_change_options
 @click.argument("worker")
 def ban(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
-    """Nothing new to that calendar worker, from any node."""
+    """Eject a calendar worker: no node sends it new jobs."""
     from bitternpath.balancer.fleet.plan import EjectWorker
 
     propose(fleet, EjectWorker(worker), reason, id, required)
 
 
 @click.command()
-@_changing
+@_change_options
 @click.argument("worker")
 def back(fleet: FleetClient, worker: str, reason: str, id: str | None, required: bool) -> None:
-    """The fleet's ban of that calendar worker ends; one at a node's own console stays."""
+    """End the fleet's ban of a calendar worker; a ban at a node's own console stays."""
     from bitternpath.balancer.fleet.plan import ReinstateWorker
 
     propose(fleet, ReinstateWorker(worker), reason, id, required)
@@ -121,11 +127,11 @@
 
 @click.command()
 @with_fleet_client
-@click.option("--reason", required=True, help="why; it stands in the record")
+@click.option("--reason", required=True, help="why; stored in the record")
 @click.argument("version", type=int)
 def withdraw(fleet: FleetClient, version: int, reason: str) -> None:
-    """A version that is agreed and not released shall change nothing."""
+    """Turn a version that is agreed and not released into a no-op."""
     from bitternpath.balancer.fleet.messages import Withdraw
 
-    fleet.ask(Withdraw(version, fleet.author, reason))
+    fleet.send(Withdraw(version, fleet.author, reason))
     click.echo(f"version {version} is withdrawn")
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -1,4 +1,4 @@
-"""`bitternpath fleet members`: which stewards keep the record."""
+"""`bitternpath fleet members`: the consensus servers that keep the record."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 @click.group()
 def members() -> None:
-    """Which stewards keep the record; one is added or taken away at a time."""
+    """Show or change the consensus servers that keep the record; one is added or removed at a time."""
 
 
 @members.command("list")
 @with_fleet_client
 def list_(fleet: FleetClient) -> None:
-    """The members, by name and incarnation."""
-    found, why = fleet.query()
-    print_no_majority(found, why)
-    for id in found["voters"]:
-        click.echo(f"{id} votes" + (", leads" if id == found["leader"] else ""))
-    for id in found["learners"]:
-        click.echo(f"{id} learns")
+    """List the members, by name and incarnation."""
+    status, no_majority = fleet.query()
+    print_no_majority(status, no_majority)
+    for member_id in status["voters"]:
+        click.echo(f"{member_id} votes" + (", leads" if member_id == status["leader"] else ""))
+    for member_id in status["learners"]:
+        click.echo(f"{member_id} learns")
 
 
 @members.command()
 @with_fleet_client
 @click.argument("name")
 def add(fleet: FleetClient, name: str) -> None:
-    """The steward NAME, which runs and has an empty folder, takes part; it votes once it has caught up."""
+    """Add the server NAME, which runs with an empty folder; it votes once it has caught up."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
-    fleet.ask(ChangeMembers(add=name))
+    fleet.send(ChangeMembers(add=name))
     click.echo(f"{name} is added")
 
 
@@ -40,10 +40,10 @@
 @with_fleet_client
 @click.argument("name")
 def remove(fleet: FleetClient, name: str) -> None:
-    """The steward NAME takes part no longer."""
+    """Remove the server NAME."""
     from bitternpath.balancer.fleet.messages import ChangeMembers
 
-    fleet.ask(ChangeMembers(remove=name))
+    fleet.send(ChangeMembers(remove=name))
     click.echo(f"{name} is removed")
 
 
@@ -51,8 +51,8 @@
 @with_fleet_client
 @click.argument("name")
 def lead(fleet: FleetClient, name: str) -> None:
-    """The steward NAME shall lead."""
+    """Transfer leadership to the server NAME."""
     from bitternpath.balancer.fleet.messages import TransferLeadership
 
-    fleet.ask(TransferLeadership(name))
+    fleet.send(TransferLeadership(name))
     click.echo(f"leadership passes to {name}")
