--- a/bitternpath/configuration/change_evaluation.py
+++ b/bitternpath/configuration/change_evaluation.py
@@ -1,4 +1,4 @@
-"""What a change request results in, in a given state: a command to propose, or its result at once. Pure."""
+"""Evaluation of a change request against a state, to a command to propose or an immediate result. Pure."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposedChange:
-    """A valid change of the version in force.
+    """A valid change of the current version.
 
     Attributes:
         version: version of the resulting document.
@@ -32,10 +32,9 @@
 def evaluate_change(
     state: ConfigurationState, request: ChangeRequest, digest: bytes
 ) -> ProposedChange | OperatorResult:
-    """Evaluate a request against the state as it is now.
+    """Evaluate a request, whose digest is `digest`, against the current state.
 
-    `digest` is the request's own. A request that was accepted before is acknowledged again, whatever has been
-    accepted since.
+    A request that was accepted earlier is acknowledged again, even if other changes were accepted since.
 
     Raises:
         InvalidConfigurationError: the request or the resulting document is invalid.
@@ -55,7 +54,7 @@
     try:
         return request.base_version()
     except InvalidBaseVersionError:
-        raise InvalidConfigurationError("If-Match: must be the version that the change builds on") from None
+        raise InvalidConfigurationError("If-Match: must be the version that the change is based on") from None
 
 
 def _version_conflict(state: ConfigurationState, base: int) -> OperatorResult:
--- a/bitternpath/configuration/change_requests.py
+++ b/bitternpath/configuration/change_requests.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration as operators send them."""
+"""Configuration changes as sent by operators."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from bitternpath.configuration.errors import InvalidBaseVersionError
 
-DIGEST_BYTES = 24  # of BLAKE2b: long enough that two requests never collide; replicated with each change
+DIGEST_BYTES = 24  # of BLAKE2b: long enough to rule out collisions; replicated with each change
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """A change as the operator sent it, not decoded yet.
+    """A change as the operator sent it, before decoding.
 
     Attributes:
         method: PUT (a complete configuration) or PATCH.
-        if_match: the header of that name as it came, empty where there was none.
+        if_match: the `If-Match` header as received; empty if there was none.
         body: JSON.
     """
 
@@ -25,10 +25,10 @@
     body: bytes
 
     def base_version(self) -> int:
-        """The version that the change builds on; 0 without `If-Match`.
+        """The version that the change is based on; 0 without `If-Match`.
 
         Raises:
-            InvalidBaseVersionError: the header is no version number.
+            InvalidBaseVersionError: the header isn't a version number.
         """
         text = self.if_match.strip().strip('"')
         if not text:
@@ -37,14 +37,14 @@
             raise InvalidBaseVersionError(text)
         try:
             return int(text)
-        except ValueError as error:  # more digits than Python converts
+        except ValueError as error:  # exceeds Python's limit of digits
             raise InvalidBaseVersionError(text) from error
 
     def digest(self) -> bytes:
-        """Identifies the request: the same for a retry, another one for any other change.
+        """Identifies the request: equal for a retry, different for any other change.
 
-        Spellings of the same `If-Match` give one digest. Bodies are compared byte for byte, as operators
-        send a request again unchanged.
+        Different spellings of the same `If-Match` version have the same digest. Bodies are compared byte for
+        byte, since operators retry with an unchanged request.
         """
         try:
             base = str(self.base_version())
--- a/bitternpath/configuration/changes.py
+++ b/bitternpath/configuration/changes.py
@@ -1,14 +1,14 @@
 """Processing of the operator's changes by the owner of the configuration group.
 
-Each change goes through the same three steps. The owner confirms by a majority that it still leads the group
-(a read index that begins after the request came). Only then is the request evaluated, against the state of
-that moment. A valid change is proposed in the same turn of the reactor and acknowledged once it is
-committed. Proposals are made one at a time.
-
-Invariants that follow:
-- No result but 503 is given without a confirmation by a majority, and none is older than the state at it.
-- No request is refused while an earlier attempt of it may still be committed: entries of earlier epochs are
-  settled when an owner is ready, and those of its own epoch have had their result.
+Each change is processed in three steps. First, a majority confirms that the owner still leads the group (a
+read index that starts after the request arrived). The request is then evaluated against the state at that
+time. A valid change is proposed in the same reactor turn and acknowledged once it is committed. Only one
+proposal is in flight at a time.
+
+Resulting invariants:
+- Any result other than 503 requires the confirmation by a majority and is based on the state after it.
+- A request is never rejected while an earlier attempt of it may still be committed: the outcome of entries of
+  earlier epochs is known before an owner becomes ready, and proposals of its own epoch are awaited.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingChange:
-    """A request that waits for its result.
+    """A request that awaits its result.
 
     Attributes:
-        request: as it came.
-        digest: the request's own, computed once.
-        result: fires with the result, once.
+        request: the request as received.
+        digest: cached digest of the request.
+        result: fires once, with the result.
     """
 
     request: ChangeRequest
@@ -46,7 +46,7 @@
 
 
 class ChangeProcessor:
-    """Processes changes and reads on the owner. Confirmations overlap; proposals are made one at a time.
+    """Processes changes and reads on the owner. Confirmations run concurrently, proposals one at a time.
 
     Attributes:
         state: this node's replica of the configuration.
@@ -54,10 +54,10 @@
     """
 
     def __init__(self, state: ConfigurationState, group: ConsensusGroup) -> None:
-        """Without requests; nothing is done until one is submitted."""
+        """Start without requests."""
         self.state = state
         self.group = group
-        self._confirmed: deque[PendingChange] = deque()  # ownership was confirmed after they came
+        self._confirmed: deque[PendingChange] = deque()  # requests whose ownership confirmation has arrived
         self._proposing = False
 
     def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
@@ -73,7 +73,7 @@
         return result
 
     def read(self) -> Deferred[OperatorResult]:
-        """The document in force, confirmed by a majority; the Deferred never fails."""
+        """Read the current document after confirmation by a majority; the Deferred never fails."""
         return result_after_confirmation(self.group, self._current)
 
     def _current(self) -> OperatorResult:
@@ -86,7 +86,7 @@
         self._process_confirmed()
 
     def _process_confirmed(self) -> None:
-        """Evaluate confirmed requests in order, up to the first that has to be proposed."""
+        """Evaluate confirmed requests in order, until one has to be proposed."""
         while self._confirmed and not self._proposing:
             change = self._confirmed.popleft()
             evaluated = self._evaluate(change)
@@ -96,14 +96,14 @@
                 change.result.callback(evaluated)
 
     def _evaluate(self, change: PendingChange) -> ProposedChange | OperatorResult:
-        """What the request results in, in the state as it is now; never raises."""
+        """Evaluate a request against the current state; never raises."""
         if not self.group.is_owner():
             return not_owner()
         try:
             return evaluate_change(self.state, change.request, change.digest)
         except InvalidConfigurationError as error:
             return operator_result(ResultCode.INVALID, str(error))
-        except Exception as error:  # a fault in the evaluation of one request must not block those after it
+        except Exception as error:  # a failed evaluation must not block later requests
             log.exception("event=change_evaluation_failed")
             return operator_result(ResultCode.INVALID, f"can't be read: {type(error).__name__}")
 
--- a/bitternpath/configuration/commands.py
+++ b/bitternpath/configuration/commands.py
@@ -1,7 +1,7 @@
-"""Commands of the configuration group's log.
+"""Commands in the configuration group's log.
 
-The log is stored: the order of the records in `COMMANDS` and of the fields in a record must stay as it is
-(Avro, schemaless). A new command goes to the end of the set.
+The log is stored on disk as schemaless Avro, so the order of the records in `COMMANDS` and of the fields in a
+record must not change. New commands are added at the end of the set.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceDocument:
-    """Put an operator's change in force: a complete document in place of version `base`.
+    """Apply an operator's change by replacing version `base` with a complete document.
 
-    No effect where another version is in force.
+    No effect if `base` isn't the current version.
 
     Attributes:
-        base: version that the change builds on; 0 for the first configuration.
-        digest: `ChangeRequest.digest()` of the request, by which a retry is recognised.
-        document: the complete resulting document, JSON.
+        base: version that the change is based on; 0 for the first configuration.
+        digest: `ChangeRequest.digest()` of the request, which identifies retries.
+        document: the complete resulting document as JSON.
     """
 
     base: int
@@ -33,10 +33,10 @@
 class SetPlacement:
     """Set the desired members of all queue shards.
 
-    No effect unless it builds on the current generation, and where it would put a replica on a retired node.
+    No effect if it isn't based on the current generation, or if it would add a replica to a retired node.
 
     Attributes:
-        base: placement generation that it builds on.
+        base: placement generation that it is based on.
         groups: all queue shards.
     """
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateStorageMembers:
-    """Record storage nodes that have joined, or are permanently removed.
+    """Record storage nodes that have joined or were permanently removed.
 
     Attributes:
         added: member ids.
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireNode:
-    """Begin to empty a storage node; no effect unless enough nodes are left.
+    """Start the retirement of a storage node. No effect if too few nodes would remain.
 
     Attributes:
         member: member id of the node.
-        remaining: member ids of the nodes that would be left, when the command was proposed.
-        least: how many of `remaining` must not be retired themselves when the command is applied.
+        remaining: member ids of the nodes that would remain, as of the proposal.
+        least: minimum number of `remaining` nodes that aren't retired when the command is applied.
     """
 
     member: str
@@ -74,12 +74,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishRetirement:
-    """Record that a retired node holds no replica any more; no effect where the placement has changed since.
+    """Record that a retired node has no replica any more. No effect if the placement has changed since.
 
     Attributes:
         node: the node's name.
-        placement_generation: generation at which, or after which, the owners of all shards have reported
-            committed members without the node.
+        placement_generation: the placement generation as of which, or later, the owners of all shards have
+            reported committed members without the node.
     """
 
     node: str
--- a/bitternpath/configuration/configuration_members.py
+++ b/bitternpath/configuration/configuration_members.py
@@ -1,4 +1,4 @@
-"""Which nodes the configuration's own replica group should consist of. Pure."""
+"""Selection of the members of the configuration's own replica group. Pure."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from bitternpath.replication.records import Members
 from bitternpath.transport.node_messages import NodeDescriptor
 
-# A member that has answered no heartbeat for so long is dropped where enough others are up: the group's
-# state is small, so that the member catches up within milliseconds when it comes back.
+# A member that hasn't answered a heartbeat for this long is removed if enough others are up. The state of the
+# group is small, so a member that returns catches up within milliseconds.
 UNRESPONSIVE_AFTER_S = 1.0
 
 
@@ -20,17 +20,17 @@
     unresponsive_for: Callable[[str], float],
     required_voters: int,
 ) -> list[str]:
-    """Member ids that the configuration group should have; `replication.reconfiguration` takes the steps.
+    """The desired member ids of the configuration group; `replication.reconfiguration` makes the changes.
 
-    A node that has come back with another disk takes its own place. New nodes join, up to
-    `MAX_FOUNDING_MEMBERS`. Members that neither are present nor answer the owner are dropped only while
-    `required_voters` others stay: they don't take the place of a new one.
+    A node that has returned with a different disk replaces its earlier member. New nodes are added up to
+    `MAX_FOUNDING_MEMBERS` members. Members that are neither present nor responding to the owner are removed
+    if at least `required_voters` others remain, and don't prevent a new node from being added.
 
     Args:
         current: the group's committed members.
-        present: nodes that are up and count for the fault tolerance.
-        unresponsive_for: seconds since the member of a node (by name) last answered the owner.
-        required_voters: how many voters the fault tolerance asks for (2f+1).
+        present: nodes that are up and count towards the fault tolerance.
+        unresponsive_for: seconds since the member on a node (by name) last responded to the owner.
+        required_voters: number of voters that the fault tolerance requires (2f+1).
     """
     present_members = {node.name: member_id(node) for node in present}
     retained = list(dict.fromkeys(present_members.get(node_of(voter), voter) for voter in current.voters))
--- a/bitternpath/configuration/consensus_group.py
+++ b/bitternpath/configuration/consensus_group.py
@@ -1,4 +1,4 @@
-"""The configuration's replica group as the operator's calls need it."""
+"""The interface to the configuration's replica group for the processing of operators' calls."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
     def propose(self, command: bytes) -> Deferred[object]:
         """Commit a command of `commands.COMMANDS` and apply it.
 
-        Fires with what the state machine returned. Fails where this node doesn't lead the group (nothing was
-        done), or lost its leadership meanwhile (the outcome is unknown).
+        Fires with the result of the state machine. Fails if this node doesn't lead the group (nothing was
+        done) or lost its leadership in the meantime (the outcome is unknown).
         """
 
     def barrier(self) -> Deferred[None]:
         """Confirm ownership by a majority (read index).
 
-        Fires once a majority has answered a heartbeat that was sent after the call; fails where leadership
-        was lost before.
+        Fires once a majority has answered a heartbeat that was sent after the call. Fails if leadership is
+        lost before that.
         """
 
 
 def result_after_confirmation(
     group: ConsensusGroup, make_result: Callable[[], OperatorResult]
 ) -> Deferred[OperatorResult]:
-    """The result of `make_result()` as of the moment at which ownership is confirmed; never fails.
+    """Confirm ownership, then fire with the result of `make_result()`; never fails.
 
-    It is called after the confirmation, so that its result can't be older than what was acknowledged to
-    anyone before the call came. Without a confirmation the result is NOT_OWNER.
+    The result is computed after the confirmation, so it reflects everything that was acknowledged before this
+    call. If ownership can't be confirmed, the result is NOT_OWNER.
     """
     if not group.is_owner():
         return succeed(not_owner())
--- a/bitternpath/configuration/documents.py
+++ b/bitternpath/configuration/documents.py
@@ -1,7 +1,7 @@
 """The operator's configuration as typed documents (PROTOCOL, "The operator's API").
 
-Field names are the JSON keys. Fields of a JSON document that aren't listed here are ignored by the program
-and stay in the stored document, which is what operators get back.
+Field names are the JSON keys. Other fields of a JSON document are ignored by the program, but stay in the
+stored document that operators read back.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests for a host and path prefix go, and how their messages are delivered.
+    """Maps requests for a host and path prefix to a service, and sets how their messages are delivered.
 
     Attributes:
         name: unique among routes.
-        host: the request's host, without port; case doesn't matter.
-        path_prefix: begins with a slash; the longest one that fits wins.
-        service: name of the service whose workers get the messages.
-        timeout_ms: how long one delivery may take.
+        host: the request's host without port, case-insensitive.
+        path_prefix: starts with a slash; the longest matching prefix takes precedence.
+        service: name of the service whose workers receive the messages.
+        timeout_ms: time limit of one delivery.
         route_type: as the operator's API defines it.
         target_latency_ms: latency target (SLO) of a message.
-        start_target_ms: latency target from when a message is due to the start of its delivery.
-        priority: class of urgency; 0 is delivered first.
-        max_attempts: failed attempts after which a message is a dead letter.
-        ordered: messages with the same order key are delivered one after the other.
-        retention_s: age, counted from acceptance, at which an unfinished message becomes a dead letter.
-        callback_url: clients may name a URL that is called when the message has ended.
+        start_target_ms: latency target from the due time of a message to the start of its delivery.
+        priority: priority class; 0 is delivered first.
+        max_attempts: number of failed attempts after which a message becomes a dead letter.
+        ordered: messages with the same order key are delivered one at a time, in order.
+        retention_s: age since acceptance at which an unfinished message becomes a dead letter.
+        callback_url: whether clients may specify a URL that is called when a message has ended.
     """
 
     name: str
@@ -46,16 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What runs messages: workers of the platform's endpoint list, one `endpoint`, or workers that pull.
+    """A group of workers: from the platform's endpoint list, a single `endpoint`, or workers that pull.
 
     Attributes:
         name: unique among services.
         health_path: path of the workers' health check.
-        max_connections: concurrent connections of the system to one worker.
-        rate_per_s: rate limit of the whole system; 0: none.
-        idempotent: whether workers may run a message more than once without harm.
-        pull_mode: workers fetch their messages by long polls.
-        endpoint: ip:port of the one worker, or None.
+        max_connections: maximum concurrent connections of the system to one worker.
+        rate_per_s: rate limit for the entire system; 0 means unlimited.
+        idempotent: whether workers can safely run a message more than once.
+        pull_mode: whether workers fetch their messages by long polling.
+        endpoint: ip:port of a single worker, or None.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bounds of what clients may send. Sizes are in bytes, times in milliseconds."""
+    """Limits on client requests. Sizes are in bytes, times in milliseconds."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
--- a/bitternpath/configuration/errors.py
+++ b/bitternpath/configuration/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the configuration package: one tree; each class says whose fault it is and if a retry helps."""
+"""Exceptions of the configuration package, with the responsible party and whether a retry helps."""
 
 from __future__ import annotations
 
 
 class ConfigurationError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class InvalidConfigurationError(ConfigurationError, ValueError):
-    """A document or patch that breaks a rule of the format: the sender's fault.
+    """A document or patch violates the format: the sender's fault, and a retry doesn't help.
 
-    Sending the same bytes again doesn't help. The text says which field is wrong and what is allowed;
-    operators get it as `error` of the response (result code INVALID).
+    The message names the invalid field and the permitted values. Operators receive it as `error` in the
+    response (result code INVALID).
     """
 
 
 class InvalidBaseVersionError(ConfigurationError, ValueError):
-    """An `If-Match` that is no version number: the sender's fault; sending it again doesn't help."""
+    """An `If-Match` header isn't a version number: the sender's fault, and a retry doesn't help."""
--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -1,8 +1,8 @@
-"""A node's end of the configuration feed: it finds the owner, subscribes, and follows what it sends.
+"""Client of the configuration feed: finds the owner, subscribes, and applies its updates.
 
 Invariants:
-- Offsets (version of the document, generation of the placement) never go back in a process's life.
-- An update of an epoch older than the newest one seen is ignored: its sender owns the group no longer.
+- Offsets (version of the document, generation of the placement) never decrease while a process runs.
+- Updates of an epoch older than the newest known one are ignored, since their sender has lost ownership.
 
 A search tries one candidate after another. Subscriptions to candidates that don't respond stay open, up to
 `MAX_CONCURRENT_CANDIDATES` at a time, and the first candidate to send an update is followed. The previous
@@ -30,41 +30,43 @@
 
 log = logbook.Logger("feed")
 
-OWNER_TIMEOUT_S = 1.3  # without an update: three heartbeats
-CHECK_INTERVAL_S = 0.15  # how often the feed is checked for silence, and new links for subscriptions
-REFUSAL_RETRY_DELAY_S = 0.03  # after a refusal, before the next candidate is tried: soon, but not in a loop
-ATTEMPT_TIMEOUT_S = 0.45  # how long one candidate is tried alone: a connection and a response, far away
-MAX_CONCURRENT_CANDIDATES = 3  # tried at once, so that those that don't respond hold nobody up
-FEED_USER = "feed"  # name under which the hub keeps the feed's links
+OWNER_TIMEOUT_S = 1.3  # time without an update; about three heartbeat intervals
+CHECK_INTERVAL_S = 0.15  # interval of checks for an owner timeout and for new links to subscribe on
+REFUSAL_RETRY_DELAY_S = 0.03  # short delay before the next candidate is tried; prevents a busy loop
+ATTEMPT_TIMEOUT_S = (
+    0.45  # until the next candidate is tried; covers a connection and response over a long distance
+)
+MAX_CONCURRENT_CANDIDATES = 3  # tried in parallel, so that unresponsive ones don't delay the search
+FEED_USER = "feed"  # user name of the feed's links in the hub
 
 _NEVER = float("-inf")
 
 
 class FeedListener(Protocol):
-    """Receives what the feed brings."""
+    """Receives the changes from the feed."""
 
     def configuration_changed(self, table: RoutingTable) -> None:
-        """Another version is in force."""
+        """A new version of the configuration has come into force."""
 
     def placement_changed(self, generation: int, groups: tuple[GroupPlacement, ...]) -> None:
-        """Another placement of the queue shards is in force."""
+        """A new placement of the queue shards has come into force."""
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """The owner has read the endpoint catalogue."""
+        """The owner has sent an update of the endpoint catalogue."""
 
 
 class FeedClient:
-    """Follows the feed.
+    """Subscribes to the feed and keeps the current state.
 
     Attributes:
-        table: the configuration in force here; None before the first.
-        document: the same as decoded JSON; empty before the first.
-        placement_generation: generation of `groups`; 0 before the first.
-        groups: the placement in force here.
-        members: the configuration group's members, as a node that refused has named them.
-        edge_node_count: how many edge nodes the system has, as far as the owner knows.
-        last_update_at: when, by the reactor's clock, the last update came; minus infinity before the first.
-        epoch: the newest epoch of which an update came.
+        table: the current configuration; None before the first one.
+        document: the current configuration as decoded JSON; empty before the first one.
+        placement_generation: generation of `groups`; 0 before the first one.
+        groups: the current placement.
+        members: the configuration group's members, as listed in the last refusal.
+        edge_node_count: number of edge nodes in the system, as known to the owner.
+        last_update_at: time of the last update by the reactor's clock; minus infinity before the first one.
+        epoch: the newest epoch of the received updates.
     """
 
     def __init__(
@@ -76,14 +78,14 @@
         *,
         wants_catalogue: bool,
     ) -> None:
-        """Not started yet.
+        """Create a client that isn't started yet.
 
         Args:
             reactor: clock and timers.
             hub: dials candidates.
-            listener: is called for each change.
-            candidates: addresses of nodes that may be, or know, the owner.
-            wants_catalogue: whether to get the endpoint catalogue too.
+            listener: called for each change.
+            candidates: returns addresses of nodes that may be the owner or know it.
+            wants_catalogue: whether to receive the endpoint catalogue, too.
         """
         self.table: RoutingTable | None = None
         self.document: dict[str, Any] = {}
@@ -99,43 +101,43 @@
         self._candidates = candidates
         self._wants_catalogue = wants_catalogue
         self._search = OwnerSearch()
-        self._owner_address = ""  # of the owner, or of the candidate that was tried last
-        self._owner_link: Link | None = None  # the link that is followed, while it is open
-        self._subscribed: dict[str, Link | None] = {}  # by address: the link that was subscribed on, if any
-        self._last_subscribed_at = _NEVER  # when the last candidate was tried
+        self._owner_address = ""  # address of the owner, or of the last tried candidate
+        self._owner_link: Link | None = None  # the open link whose updates are applied
+        self._subscribed: dict[str, Link | None] = {}  # subscriptions by address, with their link
+        self._last_subscribed_at = _NEVER  # time of the last attempt
         self._check: Timer | None = None
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force here; 0 before the first."""
+        """Version of the current configuration; 0 before the first one."""
         return self.table.version if self.table else 0
 
     @property
     def owner_address(self) -> str:
-        """The address that the feed is followed from, or was last looked for at."""
+        """The address of the owner, or of the last tried candidate."""
         return self._owner_address
 
     def owner_link(self) -> Link | None:
-        """The link to the owner, while updates come from it."""
+        """The link to the owner; None if no updates are arriving."""
         return self._owner_link if self._is_alive() else None
 
     def start(self) -> None:
-        """Begin to look for the owner."""
+        """Start the search for the owner."""
         self._run_check()
 
     def stop(self) -> None:
-        """Stop looking for the owner; updates that come still are followed."""
+        """Stop the search for the owner. Updates that arrive are still applied."""
         if self._check is not None and self._check.active():
             self._check.cancel()
 
     def restore(self, update: FeedUpdate) -> None:
-        """Begin from what an earlier process of this node had stored."""
+        """Restore the state that an earlier process of this node has stored."""
         self._apply(update)
 
-    # ---- what comes over links
+    # ---- received messages
 
     def update_received(self, link: Link, update: FeedUpdate) -> None:
-        """An update, or a heartbeat, has come."""
+        """Handle an update or heartbeat."""
         if update.epoch < self.epoch or not self._follow(link):
             return
         self.epoch = update.epoch
@@ -145,7 +147,7 @@
         self._apply(update)
 
     def refusal_received(self, link: Link, refusal: FeedRefused) -> None:
-        """A candidate doesn't own the group; perhaps it names the owner."""
+        """Handle a refusal by a candidate that doesn't own the group, but may know the owner."""
         address = self._address_of(link)
         if not address:
             return
@@ -160,7 +162,7 @@
             self._advance_check(REFUSAL_RETRY_DELAY_S)
 
     def link_closed(self, link: Link) -> None:
-        """A link has closed. Its address stays a candidate: the subscription is repeated on the next link."""
+        """Handle a closed link. Its address stays a candidate, and the next link is subscribed on again."""
         if link is self._owner_link:
             self._owner_link = None
             self._last_subscribed_at = _NEVER
@@ -168,14 +170,14 @@
             if subscribed is link:
                 self._subscribed[address] = None
 
-    # ---- following
+    # ---- owner and updates
 
     def _is_alive(self) -> bool:
         updated_recently = self._reactor.seconds() - self.last_update_at < OWNER_TIMEOUT_S
         return updated_recently and self._owner_link is not None and self._owner_link.open
 
     def _follow(self, link: Link) -> bool:
-        """Follow a link from now on; False where it isn't subscribed on."""
+        """Make a link the owner's link. Returns False if there is no subscription on it."""
         address = self._address_of(link)
         if not address:
             return False
@@ -195,7 +197,7 @@
             log.info("event=configuration_in_force version={}", self.table.version)
             self._listener.configuration_changed(self.table)
 
-    # ---- the search for the owner
+    # ---- search for the owner
 
     def _run_check(self) -> None:
         self._check = self._reactor.callLater(CHECK_INTERVAL_S, self._run_check)
@@ -204,7 +206,7 @@
         self._subscribe()
 
     def _advance_check(self, seconds: float) -> None:
-        """Bring the next check forward, where it is due later than that."""
+        """Bring the next check forward to at most `seconds` from now."""
         if self._check is not None and self._check.active():
             due = self._reactor.seconds() + seconds
             if self._check.getTime() > due:
@@ -228,7 +230,7 @@
         self._subscribe()
 
     def _subscribe(self) -> None:
-        """Subscribe on all links to candidates that have opened since."""
+        """Subscribe on all new links to candidates."""
         for address, subscribed in self._subscribed.items():
             link = self._hub.link_to(address)
             if link is not None and link is not subscribed:
@@ -242,11 +244,11 @@
         self._hub.release(address, FEED_USER)
 
     def _end_search(self) -> None:
-        """The owner is known: unsubscribe from all others."""
+        """End the search, since the owner is known, and unsubscribe from all others."""
         self._search.record_owner(self._owner_address, self._reactor.seconds())
         for address in [address for address in self._subscribed if address != self._owner_address]:
             self._unsubscribe(address)
 
     def _address_of(self, link: Link) -> str:
-        """The address of a link that is subscribed on; "" where it isn't."""
+        """The address of a link with a subscription; "" if it has none."""
         return next((address for address, subscribed in self._subscribed.items() if subscribed is link), "")
--- a/bitternpath/configuration/feed_documents.py
+++ b/bitternpath/configuration/feed_documents.py
@@ -1,6 +1,6 @@
 """Compression of configuration documents in feed updates.
 
-A document is sent to every node of the system, and its JSON repeats itself.
+A document is sent to every node of the system, and its repetitive JSON compresses well.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from bitternpath.transport.errors import CodecError
 
-MAX_DOCUMENT_BYTES = 64 << 20  # of a decompressed document: bounds what a damaged update can allocate
+MAX_DOCUMENT_BYTES = 64 << 20  # limits the memory that a corrupt update can allocate
 
 
 def pack_document(document: bytes) -> bytes:
@@ -18,16 +18,16 @@
 
 
 def unpack_document(packed: bytes) -> bytes:
-    """Decompress what `pack_document` made.
+    """Decompress the output of `pack_document`.
 
     Raises:
-        CodecError: truncated, damaged, or larger than `MAX_DOCUMENT_BYTES`.
+        CodecError: truncated, corrupt, or larger than `MAX_DOCUMENT_BYTES`.
     """
     decompressor = zlib.decompressobj()
     try:
         document = decompressor.decompress(packed, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
-        raise CodecError(f"a configuration that can't be unpacked: {error}") from error
+        raise CodecError(f"can't decompress configuration: {error}") from error
     if not decompressor.eof:
-        raise CodecError("a configuration that is cut or too long")
+        raise CodecError("configuration is truncated or too long")
     return document
--- a/bitternpath/configuration/feed_server.py
+++ b/bitternpath/configuration/feed_server.py
@@ -1,11 +1,11 @@
-"""The owner's end of the configuration feed: a snapshot for each subscriber, then what changes.
+"""Server of the configuration feed on the owner: sends each subscriber a snapshot, then changes.
 
-Offsets are the version of the document and the generation of the placement. A subscriber gets what is newer
-than its offsets. Without a change the same update, empty, is sent as a heartbeat.
+Offsets are the version of the document and the generation of the placement. A subscriber receives everything
+that is newer than its offsets. If nothing has changed, an empty update is sent as a heartbeat.
 
-Nothing is sent while the owner has no lease, that is, while it hasn't heard a majority lately: its
-subscribers then time out and look for another owner, and so leave one that is partitioned and can't know its
-successor.
+Nothing is sent while the owner has no leader lease, i.e. no recent confirmation by a majority. Subscribers
+then time out and search for another owner. This makes them leave a partitioned owner, which doesn't know of
+its successor.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 HEARTBEAT_INTERVAL_S = 0.4
 
-_NEVER_SENT = -1  # below every serial of the catalogue
+_NEVER_SENT = -1  # lower than any catalogue serial
 
 
 @dataclass(slots=True)
 class _Subscriber:
-    """A subscription, and what the subscriber has: updates on a link arrive in order or not at all."""
+    """A subscription with the subscriber's offsets, which are known since links deliver in order."""
 
     version: int
     generation: int
@@ -45,9 +45,9 @@
     """Serves the feed while this node owns the configuration group.
 
     Attributes:
-        epoch: term of this ownership. The group's own term may already be a later owner's.
-        serving: whether this node serves the feed now.
-        catalogue: the endpoint catalogue as last read by this owner; None before that.
+        epoch: term of this ownership. The group's current term may already be that of a later owner.
+        serving: whether this node currently serves the feed.
+        catalogue: the endpoint catalogue that this owner read last; None before the first one.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         state: ConfigurationState,
         has_lease: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Not serving yet.
+        """Create a server that doesn't serve yet.
 
         Args:
             reactor: clock and timers.
             state: this node's replica of the configuration.
-            has_lease: whether a majority was heard so lately that there can be no later owner yet.
+            has_lease: whether a majority has responded so recently that there can't be a later owner yet.
         """
         self.epoch = 0
         self.serving = False
@@ -71,16 +71,16 @@
         self._has_lease = has_lease
         self._subscribers: dict[Link, _Subscriber] = {}
         self._heartbeat: Timer | None = None
-        self._packed = _PackedDocument(0, b"")  # the version that was sent last
+        self._packed = _PackedDocument(0, b"")  # cache of the last version sent
 
     def begin(self, epoch: int) -> None:
-        """Serve the feed: this node owns the group from now on."""
+        """Start to serve the feed, because this node became the owner."""
         self.epoch = epoch
         self.serving = True
         self._send_heartbeat()
 
     def end(self, refusal: FeedRefused) -> None:
-        """Stop serving and redirect all subscribers: this node doesn't own the group any more."""
+        """Stop serving and redirect all subscribers, because this node lost ownership."""
         self.serving = False
         self.catalogue = None
         if self._heartbeat is not None and self._heartbeat.active():
@@ -91,7 +91,7 @@
             link.send(refusal)
 
     def subscribe(self, link: Link, request: FeedSubscribe) -> None:
-        """Add a subscriber, or reset its offsets, and send what it lacks."""
+        """Add a subscriber or reset its offsets, and send everything newer."""
         subscriber = _Subscriber(
             request.configuration_version, request.placement_generation, request.wants_catalogue
         )
@@ -100,18 +100,18 @@
             self._send(link, subscriber, self._edge_node_count())
 
     def link_closed(self, link: Link) -> None:
-        """A link has closed; its subscription ends."""
+        """Remove the subscription of a closed link."""
         self._subscribers.pop(link, None)
 
     def publish(self) -> None:
-        """Send to all subscribers what they lack: the state has changed."""
+        """Send all subscribers the changes that they lack."""
         if self.serving and self._has_lease():
             edge_node_count = self._edge_node_count()
             for link, subscriber in self._subscribers.items():
                 self._send(link, subscriber, edge_node_count)
 
     def publish_catalogue(self, update: CatalogueUpdate) -> None:
-        """Send a catalogue that was just read to all subscribers that want it."""
+        """Send a newly read catalogue to all subscribers that want it."""
         self.catalogue = update
         if not self._has_lease():
             return
@@ -119,12 +119,12 @@
             self._send_catalogue(link, subscriber, update)
 
     def subscribed_nodes(self) -> list[NodeDescriptor]:
-        """The nodes that are subscribed now. Of two links to one, the last: the other is about to end."""
+        """The subscribed nodes. If a node has two links, the later one counts, since the other is closing."""
         peers = [link.peer for link in self._subscribers if link.peer is not None]
         return list({peer.name: peer for peer in peers}.values())
 
     def last_contacts(self) -> list[tuple[NodeDescriptor, float]]:
-        """The subscribed nodes by link, and when (by the reactor's clock) each was last heard."""
+        """The subscribed node of each link, and the time of the last contact by the reactor's clock."""
         return [(link.peer, link.received_at) for link in self._subscribers if link.peer is not None]
 
     def _send_heartbeat(self) -> None:
@@ -154,7 +154,7 @@
             self._send_catalogue(link, subscriber, self.catalogue)
 
     def _packed_document(self) -> bytes:
-        """The document in force, compressed once for all subscribers."""
+        """The current document, compressed once for all subscribers."""
         if self._packed.version != self._state.version:
             self._packed = _PackedDocument(self._state.version, pack_document(self._state.document))
         return self._packed.packed
--- a/bitternpath/configuration/json_documents.py
+++ b/bitternpath/configuration/json_documents.py
@@ -1,7 +1,7 @@
-"""JSON bodies of the operator's calls, and the bytes in which accepted documents are stored.
+"""Decoding of JSON request bodies, and encoding of accepted documents for storage.
 
-Every replica decodes the stored bytes again, so that a body must be refused before it is replicated if any
-replica could fail on it: numbers that aren't finite and documents nested beyond the parser's recursion limit.
+Every replica decodes the stored document. A body that any replica might fail to decode must therefore be
+rejected before it is replicated: one with non-finite numbers, or nested beyond the parser's recursion limit.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from bitternpath.configuration.errors import InvalidConfigurationError
 
-MAX_NESTING_LEVELS = 32  # a deeper document might be decoded on one replica and not on another
+MAX_NESTING_LEVELS = 32  # a deeper document might exceed the recursion limit on some replicas only
 
-JsonObject = dict[str, Any]  # as `json.loads` returns it: the operator's fields, known or not
+JsonObject = dict[str, Any]  # as returned by `json.loads`, including fields unknown to this program
 
 
 def decode_document(body: bytes) -> JsonObject:
     """Decode the JSON object in a request's body.
 
     Raises:
-        InvalidConfigurationError: not UTF-8, not JSON, not an object, nested too deeply, or with numbers that
-            aren't finite.
+        InvalidConfigurationError: not UTF-8, not JSON, not an object, nested too deeply, or with non-finite
+            numbers.
     """
     try:
         document = json.loads(
@@ -38,12 +38,12 @@
 
 
 def encode_document(document: Mapping[str, Any]) -> bytes:
-    """The bytes in which a validated document is stored and sent (UTF-8 JSON)."""
+    """Encode a validated document as UTF-8 JSON, for storage and sending."""
     return json.dumps(document, allow_nan=False).encode()
 
 
 def _reject_constant(name: str) -> float:
-    raise ValueError(f"{name} is no number")
+    raise ValueError(f"{name} is not a number")
 
 
 def _finite_float(text: str) -> float:
@@ -54,7 +54,7 @@
 
 
 def _check_nesting(document: JsonObject) -> None:
-    """Walk the document level by level: recursion could itself overflow."""
+    """Check the nesting level by level, since recursion could itself overflow the stack."""
     level: list[object] = [document]
     for _ in range(MAX_NESTING_LEVELS):
         level = [child for parent in level for child in _children(parent)]
--- a/bitternpath/configuration/owner_search.py
+++ b/bitternpath/configuration/owner_search.py
@@ -1,37 +1,37 @@
-"""The order in which a node queries others for the owner of the configuration. Pure."""
+"""The order in which a node queries candidates for the owner of the configuration. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable
 from random import Random
 
-HINT_RETRY_S = 0.3  # a node that was queried this recently isn't queried again when another one names it
+HINT_RETRY_S = 0.3  # minimum time before a hint makes the client query the same node again
 
 
 class OwnerSearch:
-    """One search after the other: each candidate is tried once a search, in random order."""
+    """Repeated searches. Each search tries every candidate once, in random order."""
 
     def __init__(self) -> None:
-        """Nothing was tried."""
-        self._tried_at: dict[str, float] = {}  # by address, in this search
+        """Start the first search."""
+        self._tried_at: dict[str, float] = {}  # by address; only attempts of the current search
 
     def record_attempt(self, address: str, now: float) -> None:
-        """Record that a candidate was queried, or has refused, at `now` (seconds of a monotonic clock)."""
+        """Record that a candidate was queried, or refused, at `now` (seconds of a monotonic clock)."""
         self._tried_at[address] = now
 
     def record_owner(self, address: str, now: float) -> None:
-        """End the search: that candidate is the owner. In the next search it is the last one to be tried."""
+        """End the search, because this candidate is the owner. The next search tries it last."""
         self._tried_at = {address: now}
 
     def may_follow_hint(self, address: str, now: float) -> bool:
-        """Whether to query a node that another one has named as the owner: two could name one another."""
+        """Whether to query a node named as the owner by another; avoids loops of nodes naming each other."""
         return now - self._tried_at.get(address, float("-inf")) >= HINT_RETRY_S
 
     def next_candidate(self, addresses: Iterable[str], pending: Collection[str], random: Random) -> str:
-        """An address that wasn't tried in this search; "" where there are no addresses.
+        """An address that wasn't tried in this search; "" if there are no addresses.
 
-        When all were tried another search begins, first with those that aren't `pending` (queried and
-        silent).
+        Once all have been tried, a new search starts with the addresses that aren't `pending` (queried
+        without a response).
         """
         known = list(dict.fromkeys(addresses))
         untried = [address for address in known if address not in self._tried_at]
--- a/bitternpath/configuration/patches.py
+++ b/bitternpath/configuration/patches.py
@@ -1,7 +1,7 @@
 """Patches of a configuration document (PROTOCOL, "PATCH /config").
 
-A patch names items to add or replace (`upsert`) and names to remove (`remove`), by section. Sections that are
-objects, such as `limits`, are updated key by key.
+A patch lists items to add or replace (`upsert`) and names to remove (`remove`), by section. Sections that
+are objects, such as `limits`, are updated key by key.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 def apply_patch(base: Mapping[str, Any], patch: Mapping[str, Any]) -> dict[str, Any]:
-    """The document that a patch makes of `base`; `base` stays as it is, and the result isn't validated yet.
+    """Apply a patch to a copy of `base`. The result isn't validated yet.
 
     Raises:
-        InvalidConfigurationError: the patch hasn't the form of one, or a section can't be patched.
+        InvalidConfigurationError: the patch is malformed, or a section can't be patched.
     """
     patched = dict(base)
     patched["version"] = patch.get("version")
@@ -58,5 +58,5 @@
 def _item_name(section: str, item: Mapping[str, Any]) -> str:
     name = item.get("name")
     if not isinstance(name, str):
-        raise InvalidConfigurationError(f"{section}: has items without a name, which a patch can't alter")
+        raise InvalidConfigurationError(f"{section}: has items without a name, which a patch can't change")
     return name
--- a/bitternpath/configuration/placement.py
+++ b/bitternpath/configuration/placement.py
@@ -1,9 +1,9 @@
 """Placement of the queue shards' replicas on storage nodes. Pure.
 
-The number of shards is fixed when the system is bootstrapped, because it decides in which shard a message is
-stored. Each shard has 2f+1 replicas in different zones where there are enough; the first one named is the
-preferred owner. A change moves as little as possible: a replica stays where it is unless its node is down for
-long, retired, or has lost its disk.
+The number of shards is fixed when the system is bootstrapped, because the mapping of messages to shards
+depends on it. Each shard has 2f+1 replicas, in different zones if there are enough. The first one is the
+preferred owner. Changes move as few replicas as possible: a replica stays on its node unless the node is down
+for long, is retired, or has lost its disk.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from bitternpath.transport.group_messages import GroupPlacement, MemberAddress
 from bitternpath.transport.node_messages import NodeDescriptor
 
-# A node that is down is replaced soon where a spare (a node without replicas) has just joined: it was added
-# for that, and has to have caught up within `catch_up_s` of its start. Otherwise the node is waited for:
-# most come back within seconds, and moving its shards costs more than waiting. Where a spare has been there
-# all along, no replacement has begun, so there is time to see whether the node comes back.
+# A node that is down is replaced quickly if a spare (a node without replicas) has just joined, because the
+# spare was added for this purpose and must catch up within `catch_up_s` of its start. Otherwise the node is
+# given time to return: most nodes return within seconds, and moving shards costs more than waiting. A spare
+# that has been idle for longer shows that no replacement is in progress.
 DOWN_WITH_NEW_SPARE_S = 1.5
 DOWN_WITH_IDLE_SPARE_S = 5.0
 DOWN_WITHOUT_SPARE_S = 30.0
-SPARE_IS_IDLE_AFTER_S = 10.0  # since it joined
+SPARE_IS_IDLE_AFTER_S = 10.0  # time since a spare joined
 
 MIN_SHARDS = 3
 MAX_SHARDS = 256
@@ -38,15 +38,15 @@
 
 
 def shard_of(group: str) -> int:
-    """Number of the shard that a replica group stores; raises `ValueError` for other groups."""
+    """Number of the shard that a replica group stores. Raises `ValueError` for other groups."""
     return int(group.removeprefix(_GROUP_PREFIX))
 
 
 def initial_placement(nodes: Sequence[NodeDescriptor], tolerated: int) -> tuple[GroupPlacement, ...]:
-    """The placement of a new system: one shard for each storage node, so that each owns one.
+    """The placement of a new system, with one shard per storage node, so that each node owns one.
 
-    `tolerated` is how many faults the system must survive (f); with fewer than 2f+1 nodes, each shard has a
-    replica on every node.
+    `tolerated` is the number of faults that the system must tolerate (f). With fewer than 2f+1 nodes, each
+    shard has a replica on every node.
     """
     ring = _interleaved_by_zone(nodes)
     shard_count = min(max(len(ring), MIN_SHARDS), MAX_SHARDS)
@@ -63,15 +63,15 @@
     to_replace: frozenset[str],
     tolerated: int,
 ) -> tuple[GroupPlacement, ...]:
-    """The placement with other members in place of lost ones, as far as there are nodes for them.
+    """The placement with lost members replaced, as far as there are nodes available.
 
-    Groups that don't change keep their generation.
+    Unchanged groups keep their generation.
 
     Args:
-        groups: the placement in force.
-        nodes: storage nodes that are up; a member whose node has another disk now is lost.
-        to_replace: names of nodes that must hold no replica (`nodes_to_replace`).
-        tolerated: how many faults the system must survive.
+        groups: the current placement.
+        nodes: storage nodes that are up; a member whose node now has a different disk is lost.
+        to_replace: names of nodes that must not have replicas (`nodes_to_replace`).
+        tolerated: number of faults that the system must tolerate.
     """
     by_name = {node.name: node for node in sorted(nodes, key=lambda node: node.incarnation) if node.disk}
     repair = _Repair(by_name, to_replace, 2 * tolerated + 1, _replica_counts(groups))
@@ -85,12 +85,12 @@
     down_for: Callable[[str], float],
     up_for: Callable[[str], float] = lambda _name: 0.0,
 ) -> frozenset[str]:
-    """Names of nodes whose replicas must move: retired ones, and those that have been down too long.
+    """Names of nodes whose replicas must be moved: retired nodes and nodes that have been down for too long.
 
     Args:
-        groups: the placement in force.
+        groups: the current placement.
         present: storage nodes that are subscribed to the feed.
-        retired: names of nodes that may hold no replica.
+        retired: names of nodes that must not have replicas.
         down_for: seconds since a node (by name) was last contacted; 0 while it is up.
         up_for: seconds since a node (by name) joined.
     """
@@ -101,7 +101,7 @@
 
 
 def _down_limit(spares_up_for: Sequence[float]) -> float:
-    """Seconds for which a node may be down before it is replaced, by when each spare joined."""
+    """Seconds that a node may be down before it is replaced, depending on the age of the newest spare."""
     if not spares_up_for:
         return DOWN_WITHOUT_SPARE_S
     newest_spare = min(spares_up_for)
@@ -109,7 +109,7 @@
 
 
 class _Repair:
-    """One repair of all groups: `replica_counts`, by node, takes the replicas along that it has placed."""
+    """A repair of all groups. Updates `replica_counts` (by node) with each replica that it places."""
 
     def __init__(
         self,
@@ -124,13 +124,13 @@
         self._replica_counts = replica_counts
 
     def repaired(self, group: GroupPlacement) -> GroupPlacement:
-        """The group with its lost members replaced; the same where none is lost or none can be replaced."""
+        """The group with lost members replaced; unchanged if no member is lost or replaceable."""
         retained = {
             slot: self._current_member(member)
             for slot, member in enumerate(group.members)
             if member.node not in self._to_replace
         }
-        # A new member takes the lost one's slot, so that it is the preferred owner of as many shards.
+        # A new member takes the slot of the lost one, so that it becomes preferred owner of the same shards.
         for slot in range(max(self._desired_replicas, len(group.members))):
             if slot in retained or len(retained) >= self._desired_replicas:
                 continue
@@ -140,14 +140,14 @@
                 self._replica_counts[replacement.name] += 1
         for slot, member in enumerate(group.members):
             if slot not in retained and len(retained) < self._desired_replicas:
-                retained[slot] = member  # no node can take its place: it stays named
+                retained[slot] = member  # stays in the placement, because no other node is available
         members = tuple(retained[slot] for slot in sorted(retained))
         if members == group.members:
             return group
         return GroupPlacement(group.group, group.generation + 1, members)
 
     def _current_member(self, member: MemberAddress) -> MemberAddress:
-        """The member that its node is now: another one with a new disk, or the same at another address."""
+        """The current member of a node, which has changed if the node has a new disk or address."""
         node = self._nodes.get(member.node)
         if node is None:
             return member
@@ -156,7 +156,7 @@
         return replace(member, address=node.address)
 
     def _replacement(self, retained: Sequence[MemberAddress]) -> NodeDescriptor | None:
-        """The node with the fewest replicas, in a zone of its own where there is one."""
+        """The node with the fewest replicas, preferably in a zone without a replica of the group."""
         names = {member.node for member in retained}
         zones = {member.zone for member in retained}
         candidates = [
@@ -172,7 +172,7 @@
 
 
 def _replica_counts(groups: Sequence[GroupPlacement]) -> dict[str, int]:
-    """How many replicas each node holds; 0 for nodes that aren't named."""
+    """Number of replicas by node; 0 for unknown nodes."""
     counts: dict[str, int] = defaultdict(int)
     for group in groups:
         for member in group.members:
@@ -181,7 +181,7 @@
 
 
 def _interleaved_by_zone(nodes: Sequence[NodeDescriptor]) -> list[NodeDescriptor]:
-    """Nodes in such an order that neighbours are in different zones, as far as possible."""
+    """Order nodes so that neighbours are in different zones, as far as possible."""
     zones: dict[str, list[NodeDescriptor]] = defaultdict(list)
     for node in sorted(nodes, key=lambda node: node.name):
         zones[node.zone].append(node)
@@ -193,7 +193,7 @@
 
 
 def _choose_members(ring: list[NodeDescriptor], start: int, replica_count: int) -> tuple[MemberAddress, ...]:
-    """Nodes of the ring from an index on, in different zones as far as there are enough."""
+    """Choose nodes of the ring from the index `start` on, in different zones if there are enough."""
     candidates = [ring[(start + offset) % len(ring)] for offset in range(len(ring))]
     chosen = [candidates[0]]
     for needs_own_zone in (True, False):
--- a/bitternpath/configuration/results.py
+++ b/bitternpath/configuration/results.py
@@ -8,34 +8,34 @@
 
 
 class ResultCode(Enum):
-    """Numbered results of the operator's calls; operators see the number and the `wire_name`."""
+    """Numbered results of the operator's calls. Responses contain the number and the `wire_name`."""
 
     ACCEPTED = 1000
     """The change is committed."""
     CURRENT = 1001
-    """The configuration in force, in answer to a read."""
+    """The current configuration, in response to a read."""
     INVALID = 1100
-    """The change breaks a rule of the format: the operator's fault, a retry doesn't help."""
+    """The change violates the format: the operator's fault, and a retry doesn't help."""
     OTHER_VERSION = 1101
-    """The change builds on a version that isn't in force: the operator's fault, a retry doesn't help."""
+    """The change isn't based on the current version: the operator's fault, and a retry doesn't help."""
     NOT_OWNER = 1200
-    """No owner of the configuration was reached; nothing was changed, and a retry helps."""
+    """The owner of the configuration wasn't reached. Nothing was changed, and a retry helps."""
     OUTCOME_UNKNOWN = 1201
-    """The change may be in force; sending it again, unchanged, gives its result."""
+    """The change may or may not be committed. An unchanged retry returns its result."""
     NO_CONFIGURATION = 1202
-    """Nothing to be read yet: no configuration has been accepted."""
+    """No configuration has been accepted yet."""
     UNKNOWN_CALL = 1203
-    """No such path or method."""
+    """Unknown path or method."""
     UNKNOWN_NODE = 1300
-    """No such storage node."""
+    """Unknown storage node."""
     TOO_FEW_NODES = 1301
-    """Too few storage nodes would be left after a retirement."""
+    """Too few storage nodes would remain after a retirement."""
     RETIRING = 1302
-    """The retirement was accepted, or is asked about."""
+    """The retirement was accepted, or its state was requested."""
 
     @property
     def wire_name(self) -> str:
-        """The `result` of a JSON body: what operators' programs compare, so it outlives renamed members."""
+        """The `result` in a JSON body. Operators' programs compare it, so renamed members must keep it."""
         return _WIRE_NAMES.get(self, self.name.lower())
 
 
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorResult:
-    """The result of a call, as it goes to the operator.
+    """The result of a call, as sent to the operator.
 
     Attributes:
-        code: what came of the call.
+        code: the result code.
         body: the response's JSON body.
     """
 
@@ -75,12 +75,12 @@
 
     @property
     def decided(self) -> bool:
-        """False where another node should be asked."""
+        """Whether the result is final; if not, the operator should try another node."""
         return self.code not in (ResultCode.NOT_OWNER, ResultCode.OUTCOME_UNKNOWN)
 
 
 def operator_result(code: ResultCode, error: str = "", **fields: object) -> OperatorResult:
-    """A result with a small JSON body: the code, its name, `fields`, and what was wrong if anything was."""
+    """A result with a small JSON body: the code, its name, `fields`, and an error message if there is one."""
     content: dict[str, object] = {"code": code.value, "result": code.wire_name, **fields}
     if error:
         content["error"] = error
@@ -88,5 +88,5 @@
 
 
 def not_owner(reason: str = "") -> OperatorResult:
-    """The result that sends the operator to another node; nothing was changed."""
+    """The result that makes the operator try another node. Nothing was changed."""
     return operator_result(ResultCode.NOT_OWNER, reason or "this node doesn't own the configuration")
--- a/bitternpath/configuration/retirement.py
+++ b/bitternpath/configuration/retirement.py
@@ -1,12 +1,12 @@
 """Retirement of storage nodes: moving all replicas off a node (PROTOCOL, "POST /retire/NODE"). Pure.
 
-A retirement and its end are part of the replicated configuration state, so that they outlive the owner that
-decided them. A request is judged by the committed membership and placement, not only by which nodes are
-subscribed to this owner now.
+The start and end of a retirement are part of the replicated configuration state, so they survive a change of
+owner. A request is evaluated against the committed membership and placement, not only against the nodes that
+are currently subscribed to this owner.
 
-A retirement is done once the owners of all shards have reported committed members without the node, by the
-placement in force or a later one; until then the node's disk is needed. No older placement can bring the node
-back: a shard's group refuses members of an older generation than its last ones.
+A retirement is done once the owners of all shards have reported committed members without the node, for the
+current placement or a later one. Until then the node's disk is needed. An older placement can't add the node
+again, because a shard's group rejects members of an older generation than its current one.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RetireCheck(Enum):
-    """Whether a node may be retired. The values are texts for operators."""
+    """Whether a node may be retired. The values are shown to operators."""
 
     ACCEPTABLE = "acceptable"
     REPEATED = "ordered before"
@@ -35,7 +35,7 @@
 
 
 class RetireState(Enum):
-    """How far a retirement is. The values are what operators get as `state`."""
+    """Progress of a retirement. The values are sent to operators as `state`."""
 
     UNKNOWN = "unknown"
     RUNNING = "running"
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireDecision:
-    """What a request to retire a node results in.
+    """The decision on a request to retire a node.
 
     Attributes:
         check: whether the node may be retired.
-        command: the command to be proposed; None unless `check` is ACCEPTABLE.
+        command: the command to propose; None unless `check` is ACCEPTABLE.
     """
 
     check: RetireCheck
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Report:
-    """The members of one shard as its owner has reported them; nodes by name."""
+    """A shard's members as reported by its owner, by node name."""
 
     generation: int
     epoch: int
@@ -65,21 +65,21 @@
 
 
 class MembershipReports:
-    """The newest report of each shard's members, as this owner of the configuration has received them."""
+    """The latest report of each shard's members that this owner of the configuration has received."""
 
     def __init__(self) -> None:
-        """Without reports."""
+        """Start without reports."""
         self._reports: dict[str, _Report] = {}  # by replica group
 
     def update(self, report: MembershipReport) -> None:
-        """Take a report in; one that is older than the known one is ignored."""
+        """Record a report. Reports that are older than the known one are ignored."""
         known = self._reports.get(report.group)
         if known is None or (report.generation, report.epoch) >= (known.generation, known.epoch):
             nodes = frozenset(map(node_of, report.members))
             self._reports[report.group] = _Report(report.generation, report.epoch, nodes)
 
     def holds_no_replica(self, node: str, groups: Iterable[GroupPlacement]) -> bool:
-        """Whether a node is known to be a member of no group, by these placements or later ones."""
+        """Whether a node is known not to be a member of any group, as of these placements or later ones."""
         return all(self._is_without(node, group) for group in groups)
 
     def _is_without(self, node: str, group: GroupPlacement) -> bool:
@@ -88,7 +88,7 @@
 
 
 def known_members(state: ConfigurationState, present: Iterable[NodeDescriptor]) -> dict[str, str]:
-    """Member ids, by node, of the storage nodes in the committed state and of those that are present."""
+    """Member ids by node, of the storage nodes in the committed state and those that are present."""
     known = {member.node: member.member for group in state.groups for member in group.members}
     known |= {node_of(member): member for member in state.storage.members}
     return known | {node.name: member_id(node) for node in present}
@@ -107,9 +107,9 @@
         state: the committed state.
         node: the node's name.
         present: storage nodes that are subscribed to the feed.
-        down_for: seconds for which a node (by name) has been down; one that has been down for long doesn't
+        down_for: seconds that a node (by name) has been down; a node that has been down for long doesn't
             count as remaining.
-        tolerated: how many faults the system must survive (f): 2f+1 nodes must remain.
+        tolerated: number of faults that the system must tolerate (f); 2f+1 nodes must remain.
     """
     members = known_members(state, present)
     member = members.get(node)
@@ -130,7 +130,7 @@
 
 
 def retirement_state(state: ConfigurationState, node: str) -> RetireState:
-    """How far the retirement of a node (by name) is, by the committed state alone."""
+    """Progress of the retirement of a node (by name), based only on the committed state."""
     retirement = state.storage.retirement(node)
     if retirement is None:
         return RetireState.UNKNOWN
@@ -140,7 +140,7 @@
 def next_finished_retirement(
     state: ConfigurationState, reports: MembershipReports
 ) -> FinishRetirement | None:
-    """The command that ends a retirement whose node is needed no more; None where there is none."""
+    """The command to finish a retirement whose node isn't needed any more; None if there is none."""
     if not state.groups:
         return None
     placed = {member.node for group in state.groups for member in group.members}
@@ -153,5 +153,5 @@
 
 
 def state_body(state: RetireState) -> bytes:
-    """The JSON that the operator gets."""
+    """The JSON body that is sent to the operator."""
     return json.dumps({"state": state.value}).encode()
--- a/bitternpath/configuration/routing_table.py
+++ b/bitternpath/configuration/routing_table.py
@@ -1,4 +1,4 @@
-"""Look-up of routes and services in one version of the configuration."""
+"""Look-up of routes and services in a version of the configuration."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RoutingTable:
-    """Indexes one configuration: routes by host and longest path prefix, routes and services by name.
+    """Index of a configuration: routes by host and longest path prefix, routes and services by name.
 
     Attributes:
-        configuration: the configuration that is indexed.
+        configuration: the indexed configuration.
         version: its version.
         services: services by name.
         routes: routes by name.
@@ -28,7 +28,7 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of `path` (without query) on a host (port and case aside)."""
+        """The route with the longest prefix of `path` (without query) on a host (ignoring port and case)."""
         name = host.rsplit(":", 1)[0] if ":" in host else host
         for route in self._by_host.get(name.lower(), ()):
             if path.startswith(route.path_prefix):
@@ -36,5 +36,5 @@
         return None
 
     def service_of(self, route: Route) -> Service:
-        """The service that a route names; a validated configuration always has it."""
+        """The service of a route, which always exists in a validated configuration."""
         return self.services[route.service]
--- a/bitternpath/configuration/state_machine.py
+++ b/bitternpath/configuration/state_machine.py
@@ -1,7 +1,7 @@
-"""The replicated state of the configuration group: the document in force, accepted changes, and placement.
+"""The replicated state of the configuration group: current document, accepted changes, and placement.
 
-Commands are applied in log order on every replica and give the same state everywhere, so nothing here reads a
-clock or draws a random number.
+Commands are applied in log order on every replica and must result in the same state everywhere, so nothing
+here reads a clock or uses random numbers.
 """
 
 from __future__ import annotations
@@ -25,14 +25,12 @@
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.group_messages import GroupPlacement
 
-MAX_REMEMBERED_CHANGES = (
-    4096  # digests of accepted changes, by which retries are acknowledged; ~32 bytes each
-)
+MAX_REMEMBERED_CHANGES = 4096  # digests that identify retries of accepted changes; about 32 bytes each
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeDigest:
-    """An accepted change in a snapshot: the request's digest and the version that it made."""
+    """An accepted change in a snapshot: digest of the request and resulting version."""
 
     digest: bytes
     version: int
@@ -40,15 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSnapshot:
-    """The complete state, as it is stored and sent. The order of the fields is the stored form.
+    """The complete state, as it is stored and sent. The order of the fields defines the encoding.
 
     Attributes:
-        document: the document in force, JSON; empty before the first.
-        accepted_changes: the remembered ones, oldest first.
+        document: the current document as JSON; empty before the first one.
+        accepted_changes: the remembered changes, oldest first.
         placement_generation: generation of `groups`.
         groups: desired members of all queue shards.
         storage: member ids of the storage nodes.
-        retirements: all retirements that were ordered.
+        retirements: the last retirement of each node that had one.
     """
 
     document: bytes
@@ -66,16 +64,16 @@
     """State machine of the configuration group (see `replication.interfaces.StateMachine`).
 
     Attributes:
-        document: the document in force, JSON; empty before the first.
-        raw: `document` decoded.
-        configuration: `document` parsed; None before the first.
-        placement_generation: rises with each change of `groups`.
+        document: the current document as JSON; empty before the first one.
+        raw: the decoded `document`.
+        configuration: the parsed `document`; None before the first one.
+        placement_generation: increases with each change of `groups`.
         groups: desired members of all queue shards.
         storage: the storage nodes and their retirements.
     """
 
     def __init__(self, remembered: int = MAX_REMEMBERED_CHANGES) -> None:
-        """An empty state. `remembered`: how many accepted changes; the same on all replicas."""
+        """Start empty. All replicas must have the same number of `remembered` changes."""
         self.document = b""
         self.raw: dict[str, Any] = {}
         self.configuration: Configuration | None = None
@@ -87,29 +85,29 @@
 
     @property
     def version(self) -> int:
-        """Version of the document in force; 0 before the first."""
+        """Version of the current document; 0 before the first one."""
         return self.configuration.version if self.configuration else 0
 
     def accepted_version_of(self, digest: bytes) -> int | None:
-        """The version that a change made, if it was accepted and is remembered."""
+        """The version that a change resulted in; None if it wasn't accepted or isn't remembered any more."""
         return self._accepted.get(digest)
 
     def may_have_evicted(self, base: int) -> bool:
-        """Whether a change of that version may have been accepted whose digest isn't remembered any more.
+        """Whether a change based on version `base` may have been accepted and its digest evicted.
 
-        Each accepted change builds on the version that the one before it made, so all changes of the oldest
-        remembered version or a later one are remembered.
+        Each accepted change is based on the version that its predecessor resulted in. All accepted changes
+        based on the oldest remembered version or later ones are therefore remembered.
         """
         oldest = next(iter(self._accepted.values()), 0)
         return len(self._accepted) >= self._remembered and base < oldest
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply a committed command of `commands.COMMANDS`; True where it took effect.
+        """Apply a committed command of `commands.COMMANDS`. Returns whether it took effect.
 
-        `index` is its place in the log, which this state doesn't need.
+        `index` is the command's log index, which this state machine doesn't use.
 
         Raises:
-            CodecError: not a command; the log is damaged or of another revision.
+            CodecError: not a command: the log is damaged or from a different revision.
         """
         match COMMANDS.decode(command):
             case ReplaceDocument() as change:
@@ -126,7 +124,7 @@
         return False
 
     def snapshot(self) -> bytes:
-        """The state as bytes, for `restore`."""
+        """Encode the state for `restore`."""
         return _SNAPSHOT.encode(
             ConfigurationSnapshot(
                 document=self.document,
@@ -139,7 +137,7 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot.
+        """Replace the state with that of a snapshot.
 
         Raises:
             CodecError: not a snapshot.
@@ -174,7 +172,7 @@
         return True
 
     def _adds_to_retired_node(self, placement: SetPlacement) -> bool:
-        """Whether a node that is being emptied, or is empty, would get a replica that it doesn't hold."""
+        """Whether a retiring or retired node would get a new replica."""
         placed = {(group.group, member.member) for group in self.groups for member in group.members}
         return any(
             (group.group, member.member) not in placed and self.storage.is_retired(member.member)
--- a/bitternpath/configuration/storage_membership.py
+++ b/bitternpath/configuration/storage_membership.py
@@ -1,11 +1,11 @@
-"""Which storage nodes belong to the system, and which of them are being retired: replicated state. Pure.
+"""Replicated state of the storage nodes that belong to the system and of their retirements. Pure.
 
-A node is a member from when it first subscribed to the configuration feed until it is retired, or has been
-down for long and holds no replica. So a new owner of the configuration knows the nodes before any of them
-has found it.
+A node becomes a member when it first subscribes to the configuration feed. It is removed when it is retired,
+or when it has been down for long and has no replicas. A new owner of the configuration therefore knows the
+nodes before they have connected to it.
 
-A retirement is of a node with its disk, and stays known after it has finished: the same disk never holds a
-replica again, while a node that joins later under the same name, with another disk, is a new one.
+A retirement applies to a node and its disk, and is remembered after it has finished: the same disk never gets
+a replica again. A node that later joins under the same name with a different disk is a new member.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
     """The retirement of a storage node.
 
     Attributes:
-        member: member id, which is the node's name and the identity of its disk.
-        done: no replica on the node is needed any more.
+        member: member id, which consists of the node's name and the identity of its disk.
+        done: whether no replica on the node is needed any more.
     """
 
     member: str
@@ -30,10 +30,10 @@
 
 
 class StorageMembership:
-    """The storage nodes: a part of the configuration group's state machine."""
+    """The storage nodes, as part of the configuration group's state machine."""
 
     def __init__(self) -> None:
-        """Without nodes."""
+        """Start without nodes."""
         self._members: dict[str, str] = {}  # member id by node
         self._retirements: dict[str, Retirement] = {}  # by node
 
@@ -48,7 +48,7 @@
         return tuple(self._retirements.values())
 
     def restore(self, members: Iterable[str], retirements: Iterable[Retirement]) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self._members = {node_of(member): member for member in members}
         self._retirements = {node_of(retirement.member): retirement for retirement in retirements}
 
@@ -57,12 +57,12 @@
         return self._retirements.get(node)
 
     def is_retired(self, member: str) -> bool:
-        """Whether a member may hold no replica: its node is being retired, or its disk was."""
+        """Whether a member must not get replicas: its node is being retired, or its disk was retired."""
         retirement = self._retirements.get(node_of(member))
         return retirement is not None and (not retirement.done or retirement.member == member)
 
     def update(self, added: Iterable[str], removed: Iterable[str]) -> None:
-        """Record members that have joined, and members that are permanently removed."""
+        """Record members that have joined and members that were permanently removed."""
         for member in removed:
             if self._members.get(node_of(member)) == member:
                 del self._members[node_of(member)]
@@ -71,7 +71,7 @@
                 self._members[node_of(member)] = member
 
     def retire(self, member: str, remaining: Collection[str], least: int) -> bool:
-        """Begin to retire a member; False where fewer than `least` nodes of the `remaining` would be left."""
+        """Start to retire a member. Returns False if fewer than `least` of `remaining` would be left."""
         if self.is_retired(member):
             return True
         left = {node_of(each) for each in remaining if not self.is_retired(each)} - {node_of(member)}
@@ -81,7 +81,7 @@
         return True
 
     def finish_retirement(self, node: str) -> bool:
-        """Record that a node holds no replica that is needed; True where that wasn't known."""
+        """Record that no replica on a node is needed any more. Returns False if no retirement is running."""
         retirement = self._retirements.get(node)
         if retirement is None or retirement.done:
             return False
--- a/bitternpath/configuration/validation.py
+++ b/bitternpath/configuration/validation.py
@@ -1,7 +1,7 @@
 """Parsing and validation of a configuration document (PROTOCOL, "The operator's API").
 
-The document has been decoded from JSON (`json_documents`). What passes here fits the records that carry it,
-so that no replica can fail on an accepted document.
+The input was decoded from JSON (`json_documents`). Valid values fit the fields of the records that contain
+them, so that no replica can fail on an accepted document.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from bitternpath.configuration.documents import Configuration, RequestLimits, Route, Service
 from bitternpath.configuration.errors import InvalidConfigurationError
 
-MAX_VERSION = 2**63 - 1  # records carry versions in 64 bits
-MAX_NUMBER = 10**15  # of all other fields: no bound or time is near that, and records carry them in 64 bits
+MAX_VERSION = 2**63 - 1  # records store versions in 64 bits
+MAX_NUMBER = 10**15  # for all other fields: far above any useful value, and records store them in 64 bits
 
 _DACITE = dacite.Config(cast=[], type_hooks={float: float}, check_types=True)
 _FLOAT_FIELDS = ("retention_s", "rate_per_s")
@@ -29,11 +29,11 @@
     """Parse and validate a complete configuration.
 
     Raises:
-        InvalidConfigurationError: with the section, the item's name and what is allowed.
+        InvalidConfigurationError: the message contains the section, the item's name and the permitted values.
     """
     version = document.get("version")
     if not isinstance(version, int) or isinstance(version, bool) or version < 1:
-        raise InvalidConfigurationError("version: must be a whole number above 0")
+        raise InvalidConfigurationError("version: must be a positive integer")
     if version > MAX_VERSION:
         raise InvalidConfigurationError(f"version: must be at most {MAX_VERSION}")
     configuration = Configuration(
@@ -81,7 +81,7 @@
 
 
 def _convert_numbers(raw: Mapping[str, Any]) -> dict[str, Any]:
-    """A copy with integers as floats and floats as integers, where a field has the other type."""
+    """A copy with integers converted to floats and floats to integers where the field requires it."""
     converted = dict(raw)
     for name in _FLOAT_FIELDS:
         value = converted.get(name)
@@ -98,7 +98,7 @@
     seen: set[str] = set()
     for name in names:
         if not name or name in seen:
-            raise InvalidConfigurationError(f"{section}: the name {name!r} is empty or stands twice")
+            raise InvalidConfigurationError(f"{section}: the name {name!r} is empty or a duplicate")
         seen.add(name)
 
 
@@ -110,17 +110,19 @@
         location = (route.host.lower(), route.path_prefix)
         if location in locations:
             raise InvalidConfigurationError(
-                f"routes {route.name}: another route has its host and path_prefix"
+                f"routes {route.name}: another route has the same host and path_prefix"
             )
         locations.add(location)
 
 
 def _check_route(route: Route, services: set[str]) -> None:
     if route.service not in services:
-        raise InvalidConfigurationError(f"routes {route.name}: service {route.service} is not known")
+        raise InvalidConfigurationError(f"routes {route.name}: service {route.service} does not exist")
     if route.timeout_ms <= 0:
         raise InvalidConfigurationError(f"routes {route.name}: timeout_ms must be above 0")
     if route.max_attempts <= 0 or route.retention_s <= 0:
         raise InvalidConfigurationError(f"routes {route.name}: max_attempts and retention_s must be above 0")
     if not route.path_prefix.startswith("/") or not route.host:
-        raise InvalidConfigurationError(f"routes {route.name}: host is empty or path_prefix has no leading /")
+        raise InvalidConfigurationError(
+            f"routes {route.name}: empty host, or path_prefix does not start with /"
+        )
--- a/bitternpath/replication/__init__.py
+++ b/bitternpath/replication/__init__.py
@@ -1,6 +1,6 @@
-"""Replication: consensus of one replica group (Raft), and many groups in one process.
+"""Replication of state machines by Raft, for many replica groups in one process.
 
-Read `consensus` first: it has the table of a member's roles and the invariants. `group` puts a state machine
-behind a consensus member, `host` runs the groups of a process, `member_changes` leads their membership to
-what a placement names.
+Start reading at `consensus`, which documents the role transitions and invariants. `group` combines a
+consensus member with a state machine, `host` runs the groups of a process, and `membership_reconciler`
+changes their members step by step to those of a placement.
 """
--- a/bitternpath/replication/bandwidth.py
+++ b/bitternpath/replication/bandwidth.py
@@ -1,38 +1,38 @@
-"""A bound on the bandwidth of snapshot transfers, shared by all groups of a process. Pure."""
+"""Rate limiting of outgoing snapshots, shared by all groups of a process. Pure."""
 
 from __future__ import annotations
 
-SNAPSHOT_BYTES_PER_SECOND = 16 << 20  # a disk of 64 MB is brought up well within `catch_up_s` (4.2 s)
-SNAPSHOT_BURST_BYTES = 512 << 10  # at once after a pause; more than the rate gives in a tick of the host
+SNAPSHOT_BYTES_PER_SECOND = 16 << 20  # a node with a 64 MB disk catches up well within `catch_up_s` (4.2 s)
+SNAPSHOT_BURST_BYTES = 512 << 10  # burst after idle time; exceeds what the rate permits per host timer tick
 
 
 class SnapshotRateLimiter:
-    """The generic cell rate algorithm (ITU-T I.371): each chunk gets the time at which it may be sent."""
+    """Assigns each chunk the time at which it may be sent (generic cell rate algorithm, ITU-T I.371)."""
 
     def __init__(
         self,
         bytes_per_second: float = SNAPSHOT_BYTES_PER_SECOND,
         burst_bytes: float = SNAPSHOT_BURST_BYTES,
     ) -> None:
-        """After a pause `burst_bytes` may be sent at once; the average is `bytes_per_second`."""
+        """Limit the average rate to `bytes_per_second`; `burst_bytes` may be sent at once after idle time."""
         self._rate = bytes_per_second
         self._burst_seconds = burst_bytes / bytes_per_second
-        self._next_at = float("-inf")  # theoretical arrival time: when the next chunk is due at an even rate
+        self._next_at = float("-inf")  # theoretical arrival time of the next chunk, at a constant rate
 
     def reserve(self, now: float, size: int) -> float:
-        """Reserve bandwidth for `size` bytes; the time at which they may be sent, `now` or later."""
+        """Reserve bandwidth for `size` bytes. Returns the earliest time at which they may be sent."""
         earliest = max(self._next_at, now - self._burst_seconds)
         self._next_at = earliest + size / self._rate
         return max(earliest, now)
 
 
 class UnlimitedSnapshotRateLimiter(SnapshotRateLimiter):
-    """For groups that share their process with no other traffic."""
+    """No limit, for groups whose process has no other traffic."""
 
     def __init__(self) -> None:
-        """Make a budget without a bound; it has no state, and may be shared."""
+        """Create an unlimited rate limiter. It is stateless and may be shared."""
         super().__init__(float("inf"), 0.0)
 
     def reserve(self, now: float, size: int) -> float:
-        """Any chunk may be sent now."""
+        """Permit any chunk immediately."""
         return now
--- a/bitternpath/replication/consensus.py
+++ b/bitternpath/replication/consensus.py
@@ -1,48 +1,51 @@
-"""Consensus of one replica group, as a pure function of messages, ticks and completed writes.
+"""Raft consensus of one replica group, as a pure function of messages, ticks and completed writes.
 
-From the extended Raft paper (Ongaro and Ousterhout 2014; "fig. 2" below is its figure 2) and Ongaro's thesis
-(2014; "T" below and a section): pre-vote (T 9.6), no vote while a leader is heard (T 4.2.3), a leader that
-hears no majority steps down (T 6.2), leadership transfer (T 3.10), read index (T 6.4), snapshots in chunks
-(T 5), membership changes of one voter at a time with learners first (T 4).
+It implements the extended Raft paper (Ongaro and Ousterhout 2014; "fig. 2" below is its figure 2) and these
+parts of Ongaro's thesis (2014; cited below as "T" with a section): pre-vote (T 9.6), rejection of vote
+requests while a leader is active (T 4.2.3), check quorum (a leader without a responsive majority steps down,
+T 6.2), leadership transfer (T 3.10), read index (T 6.4), snapshots in chunks (T 5), and single-server
+membership changes in which a new voter starts as a learner (T 4).
 
-Each input (`receive`, `tick`, `write_completed`, `propose`, `compact`, ...) changes the state; `take_effects`
-returns what follows: messages to send, writes, and committed entries. One module for each part: `log`,
-`elections`, `leadership` (the leader's side of replication), `follower`, `snapshots`; `member` has the state
-that they share.
+Each input (`receive`, `tick`, `write_completed`, `propose`, `compact`, ...) changes the state. `take_effects`
+returns the resulting effects: messages to send, writes, and committed entries. The implementation is split
+into `log`, `elections`, `leadership` (the leader's side of replication), `follower` and `snapshots`; `member`
+defines the state that they share.
 
-The life of a member, by `MemberRole` (`ReplicaHost` logs what a turn changed as `role_changed`, old, new and
-the `RoleChangeCause`):
+Transitions between the values of `MemberRole` (`ReplicaHost` logs each transition of a reactor turn as
+`role_changed`, with the old role, the new role and the `RoleChangeCause`):
 
     FROM            INPUT                                                         TO
-    FOLLOWER        election timeout, may stand                                   PRE_CANDIDATE
+    FOLLOWER        election timeout, may start an election                       PRE_CANDIDATE
     FOLLOWER        TimeoutNow of its leader, is a voter                          CANDIDATE
     PRE_CANDIDATE   a majority would grant its vote                               CANDIDATE (term + 1)
-    PRE_CANDIDATE   election timeout, may stand                                   PRE_CANDIDATE (again)
+    PRE_CANDIDATE   election timeout, may start an election                       PRE_CANDIDATE (again)
     CANDIDATE       a majority granted its vote                                   LEADER
-    CANDIDATE       election timeout, may stand                                   PRE_CANDIDATE
-    LEADER          heartbeat due and no majority heard for `election_timeout`    FOLLOWER
-    LEADER          a membership is committed in which it is no voter             FOLLOWER
+    CANDIDATE       election timeout, may start an election                       PRE_CANDIDATE
+    LEADER          heartbeat due, no majority responded in `election_timeout`    FOLLOWER
+    LEADER          a membership is committed in which it is not a voter          FOLLOWER
     not FOLLOWER    AppendEntries or InstallSnapshot of its own term              FOLLOWER
     any             a message with a higher term (*)                              FOLLOWER
 
-A voter may stand for election, and so may one that was removed while its removal is not committed. (*) Not a
-pre-vote request, a granted pre-vote, or a vote request while a leader is known, unless the leader
-caused it (`leadership_transfer`).
-
-Invariants, beside the safety properties of the paper's fig. 3:
-
-- Writes are numbered and done in order. Whatever promises something (a vote, a candidate's requests, a
-  follower's confirmation) is held back until the write that keeps the promise is done. A leader sends entries
-  at once, but counts itself among those that have them only when its own write is done (T 10.2.1).
-- A message may come late, twice, out of order or never. Only its term, index and heartbeat round say what it
-  means.
-- A *heartbeat round* is a number that a leader's requests carry and the responses return. It only rises in a
-  term. Responses of a majority to round r prove that no other leader had been elected when r was started:
-  this confirms reads (read index) and the leader's lease.
+A voter may start an election. So may a removed voter until its removal is committed. (*) Exceptions: a
+pre-vote request, a granted pre-vote, and a vote request while an active leader is known, unless the request
+belongs to a leadership transfer (`leadership_transfer`).
+
+Invariants, in addition to the safety properties of the paper's fig. 3:
+
+- Writes are numbered and completed in order. A message that depends on persistent state (a vote, a
+  candidate's requests, a follower's confirmation) is sent only after the write of that state has completed.
+  A leader sends entries before its own write has completed, but counts itself towards the majority only
+  afterwards (T 10.2.1).
+- Messages may be delayed, duplicated, reordered or lost. They are interpreted only by their term, index and
+  heartbeat round.
+- A *heartbeat round* is a number that a leader's requests carry and that the responses return. It increases
+  monotonically within a term. Responses of a majority to round r prove that no other leader had been elected
+  when r was started. This confirms reads (read index) and the leader's lease.
 - At most one membership change is uncommitted, and a leader changes the membership only after it has
   committed an entry of its own term.
 
-Times are in seconds on any clock that does not go back. Nothing here looks at a clock or at the network.
+Times are in seconds of any monotonic clock, passed in by the caller. Nothing here reads a clock or accesses
+the network.
 """
 
 from __future__ import annotations
@@ -73,25 +76,25 @@
     StorageWrite,
 )
 
-_COMMAND_KIND = int(EntryKind.COMMAND)  # an enum member's look-up costs as much as the rest of an append
+_COMMAND_KIND = int(EntryKind.COMMAND)  # looking up an enum member costs as much as the rest of an append
 
 
 class RaftEffects(Struct):
-    """What follows from the inputs since the last `Raft.take_effects`."""
+    """Actions required by the inputs since the last `Raft.take_effects`."""
 
-    messages: list[tuple[str, Message]]  # receivers and messages, to be sent in this order
-    writes: list[StorageWrite]  # to be done in this order; each is reported by `Raft.write_completed`
-    restore: Snapshot | None  # replaces the state of the state machine, before `committed` is applied
-    committed: list[Entry]  # to be applied in this order
+    messages: list[tuple[str, Message]]  # receiver and message, to be sent in this order
+    writes: list[StorageWrite]  # to be performed in this order, each acknowledged by `Raft.write_completed`
+    restore: Snapshot | None  # snapshot to restore the state machine from before `committed` is applied
+    committed: list[Entry]  # entries to be applied in this order
 
 
 class Raft(Elections, Leadership, Follower):
-    """One consensus member."""
+    """One member of a Raft group."""
 
-    # ---- time and disk
+    # ---- timers and completed writes
 
     def tick(self, now: float) -> None:
-        """Time has passed; to be called at `next_timeout_at` at the latest."""
+        """Handle expired timers. To be called no later than `next_timeout_at`."""
         self.now = now
         if self.role is MemberRole.LEADER:
             if now >= self._chunk_at:
@@ -103,13 +106,13 @@
 
     @property
     def next_timeout_at(self) -> float:
-        """When `tick` is to be called next."""
+        """The time at which `tick` has to be called next."""
         if self.role is MemberRole.LEADER:
             return min(self._heartbeat_at, self._chunk_at)
         return self._election_at
 
     def write_completed(self, now: float, number: int) -> None:
-        """The writes up to that number are on disk."""
+        """Handle the completion of all writes up to `number`: their data is on disk."""
         self.now = now
         self.log.write_completed(number)
         self._release_messages_awaiting_write(number)
@@ -119,7 +122,7 @@
     # ---- messages
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """Take a message from another member. One that is stale or makes no sense is ignored."""
+        """Handle a message from another member. Stale and invalid messages are ignored."""
         self.now = now
         match message:
             case RequestVote():
@@ -151,7 +154,10 @@
     # ---- proposals
 
     def propose(self, now: float, kind: int, data: bytes) -> int | None:
-        """Append an entry of that `EntryKind` as leader; its index, or None where this member can't now."""
+        """Append an entry of the given `EntryKind` as leader.
+
+        Returns its index, or None if this member currently can't append it.
+        """
         self.now = now
         if self.role is not MemberRole.LEADER or self.leadership_transfer_target:
             return None
@@ -165,9 +171,10 @@
         return self.last_index
 
     def propose_many(self, now: float, commands: Sequence[bytes]) -> int | None:
-        """Append commands as leader; the index of the first, or None where this member can't now.
+        """Append commands as leader; returns the index of the first, or None if this member currently can't.
 
-        Unlike with `propose`, a peer gets them together, and only replication targets get them at once.
+        Unlike `propose`, this sends all commands to a peer together, and immediately only to the replication
+        targets.
         """
         self.now = now
         if self.role is not MemberRole.LEADER or self.leadership_transfer_target:
@@ -181,10 +188,10 @@
 
     @property
     def may_change_members(self) -> bool:
-        """Whether this leader may propose a membership.
+        """Whether this leader may propose a membership change.
 
-        One change at a time, and only after the leader has committed an entry of its own term (Ongaro's
-        correction of T 4 on the raft-dev list, 2015).
+        Only one change may be uncommitted at a time, and the leader must have committed an entry of its own
+        term first (Ongaro's correction of T 4 on the raft-dev list, 2015).
         """
         return self.has_committed_in_term and self.log.members_index <= self.commit_index
 
@@ -192,13 +199,14 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether this is a leader that has committed all that was committed before it (T 6.4)."""
+        """Whether this leader has committed an entry of its term, and thereby all earlier ones (T 6.4)."""
         return self.role is MemberRole.LEADER and self.commit_index >= self.term_start_index
 
     def request_heartbeat_round(self) -> int:
-        """Have a heartbeat round started soon; its number.
+        """Request a new heartbeat round; returns its number.
 
-        Once it is confirmed, this member led when the round was requested (read index, T 6.4).
+        The confirmation of the round proves that this member was the leader when it was requested (read
+        index, T 6.4).
         """
         self.heartbeat_round_requested = True
         return self.heartbeat_round + 1
@@ -206,14 +214,17 @@
     # ---- state machine
 
     def compact(self, index: int, data: bytes, keep: int) -> None:
-        """Take `data` as the state after the committed entry `index`; `keep` entries before it stay."""
+        """Compact the log up to the committed entry `index`, after which the state is `data`.
+
+        The last `keep` entries up to `index` stay in the log.
+        """
         if self.snapshot.index < index <= self.last_applied:
             self.log.compact(index, data, keep)
 
     # ---- effects
 
     def take_effects(self, now: float) -> RaftEffects:
-        """Return all that follows from the inputs since the last call."""
+        """Return the effects of all inputs since the last call."""
         self.now = now
         if self.role is MemberRole.LEADER:
             may_start_round = self.confirmed_round >= self.heartbeat_round or not self.peers
--- a/bitternpath/replication/elections.py
+++ b/bitternpath/replication/elections.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and which members may stand (sections 5.2 and 5.4.1 of the Raft paper)."""
+"""Leader election: pre-votes, votes, and eligible candidates (sections 5.2 and 5.4.1 of the Raft paper)."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from bitternpath.replication.messages import RequestVote, RequestVoteResponse
 from bitternpath.replication.records import EntryKind, MemberRole, RoleChangeCause, members_from
 
-# Share of the election timeout within which a member stands that has more of the log than a pre-candidate.
-# The time is many times that of a message and a sync.
+# A member whose log is more up-to-date than a pre-candidate's starts an election within this share of the
+# election timeout. That is many times longer than a message and a sync take.
 EARLY_ELECTION_SHARE = 0.3
 
 
 class Elections(MemberState):
-    """A member as voter and as candidate."""
+    """The behaviour of a member as voter and candidate."""
 
     # ---- candidate
 
@@ -20,8 +20,8 @@
     def _may_start_election(self) -> bool:
         """Whether this member may be a candidate.
 
-        A member that was removed may stand as long as the removal is not committed: nobody else may have the
-        entries that the others demand of a leader (T 4.2.2).
+        A removed voter may be one until its removal is committed, because it may be the only member whose
+        log is up-to-date enough to win the election (T 4.2.2).
         """
         if self.is_voter:
             return True
@@ -42,10 +42,10 @@
             self._request_votes(pre_vote=True)
 
     def _schedule_early_election(self) -> None:
-        """Stand before the timeout: the leader is silent, and the pre-candidate lacks entries.
+        """Bring the election timeout forward: the leader has failed, and the pre-candidate lacks entries.
 
-        Not at once: all members that have more of the log than the pre-candidate are asked at the same time,
-        and would split the votes again and again.
+        The delay is random, because all members with a more up-to-date log receive the pre-vote request at
+        about the same time and would otherwise split the vote repeatedly.
         """
         early = self.now + self.timing.election_timeout * EARLY_ELECTION_SHARE * self.random.random()
         self._election_at = min(self._election_at, early)
@@ -66,7 +66,7 @@
             self.role_cause = RoleChangeCause.ELECTION_TIMEOUT
         term = self.term + 1 if pre_vote else self.term
         request = RequestVote(term, self.log.last_index, self.log.last_term, pre_vote, leadership_transfer)
-        # This member's own vote counts like any other: once it is on disk.
+        # This member's own vote also counts only once it is on disk.
         self._messages_awaiting_next_write.append((self.member_id, RequestVoteResponse(term, pre_vote, True)))
         self._messages_awaiting_next_write += [
             (name, request) for name in self.members.voters if name != self.member_id
@@ -92,7 +92,7 @@
     # ---- voter
 
     def _on_vote_request(self, sender: str, request: RequestVote) -> None:
-        """RequestVote of fig. 2, and a pre-vote (T 9.6)."""
+        """Handle RequestVote (fig. 2) and pre-vote requests (T 9.6)."""
         if not request.leadership_transfer and self._has_live_leader:
             self._messages.append((sender, RequestVoteResponse(self.term, request.pre_vote, False)))
             return
@@ -122,7 +122,7 @@
 
     @property
     def _has_live_leader(self) -> bool:
-        """Whether a leader was heard lately, or this member leads: then nobody gets a vote (T 4.2.3)."""
+        """Whether this member leads or was recently contacted by a leader, and denies votes (T 4.2.3)."""
         if self.role is MemberRole.LEADER:
             return True
         return bool(self.leader) and self.now < self.last_contact + self.timing.election_timeout
--- a/bitternpath/replication/follower.py
+++ b/bitternpath/replication/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: a leader's entries, and when they are confirmed to it."""
+"""The follower's side of replication: appending a leader's entries and confirming them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Follower(SnapshotInstallation):
-    """A member as follower."""
+    """The behaviour of a member as follower."""
 
     def _accept_leader(self, sender: str, term: int, heartbeat_round: int) -> bool:
-        """Whether the sender leads this member; where it doesn't, it is sent the higher term."""
+        """Whether the sender is this member's leader. Replies with the higher term if it isn't."""
         if term < self.term:
             response = AppendEntriesResponse(self.term, False, self.last_index, heartbeat_round)
             self._messages_awaiting_next_write.append((sender, response))
@@ -27,10 +27,10 @@
         return True
 
     def _on_append_entries(self, sender: str, request: AppendEntries) -> None:
-        """AppendEntries of fig. 2."""
+        """Handle AppendEntries (fig. 2)."""
         previous = request.previous_index
         entries = request.entries
-        if previous < self.log.compacted_index:  # committed long ago, and so the same here
+        if previous < self.log.compacted_index:  # compacted entries are committed, so they match
             previous = self.log.compacted_index
             entries = tuple(entry for entry in entries if entry.index > previous)
         elif previous > self.last_index or self.log.term_at(previous) != request.previous_term:
@@ -45,7 +45,7 @@
         self._confirm_entries(sender, request, match_index)
 
     def _last_possible_match(self, previous: int) -> int:
-        """The next index to try: all entries of the term that conflicts are skipped (section 5.3)."""
+        """The next index to try. Skips all entries of the conflicting term (section 5.3)."""
         index = min(previous - 1, self.last_index)
         if previous <= self.last_index:
             term = self.log.term_at(previous)
@@ -54,7 +54,7 @@
         return max(index, self.commit_index)
 
     def _append_entry(self, entry: Entry) -> None:
-        """Append an entry unless it is there; entries that conflict with it are truncated first.
+        """Append an entry unless it already exists. Entries that conflict with it are truncated first.
 
         Raises `CommittedEntryConflictError`.
         """
@@ -67,10 +67,10 @@
         self.log.append(entry)
 
     def _confirm_entries(self, sender: str, request: AppendEntries, match_index: int) -> None:
-        """Confirm the log up to `agrees`: what is on disk at once, the rest after the writes.
+        """Confirm the log up to `match_index`: entries on disk immediately, others after their write.
 
-        A heartbeat gets an answer at once, so that a slow disk isn't taken for silence. The term itself need
-        not be on disk: an entry of this term that is on disk was written together with it.
+        A heartbeat is answered immediately, so that a follower with a slow disk doesn't appear unresponsive.
+        The current term need not be on disk for that: every entry of this term was written together with it.
         """
         stable = self.log.stable_index
         heartbeat_round = request.heartbeat_round
--- a/bitternpath/replication/group.py
+++ b/bitternpath/replication/group.py
@@ -1,4 +1,4 @@
-"""One replica group's part of a process: consensus, state machine, and the requests that wait for them."""
+"""A member of one replica group in a process: consensus, state machine, and pending requests."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 )
 from bitternpath.replication.response_coalescing import coalesce_append_responses
 
-_COMMAND_KIND = int(EntryKind.COMMAND)  # an enum member's look-up is not free on the path of each entry
+_COMMAND_KIND = int(EntryKind.COMMAND)  # looking up an enum member costs time for each entry
 
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """Which member a replica is, and the persistent state that it starts with.
+    """The member id of a replica, and the persistent state that it starts with.
 
-    `tombstone_generation`: generation of the membership at which this disk gave an earlier state of the group
-    up; None where it never did.
+    `tombstone_generation` is the membership generation at which an earlier state of the group was removed
+    from this disk; None if that never happened.
     """
 
     member_id: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupApplication:
-    """The program that a group replicates: its state machine, and who is notified of the group's events."""
+    """The application that a group replicates: its state machine and the listener for the group's events."""
 
     machine: StateMachine
     listener: GroupListener
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupOptions:
-    """What a group is run with."""
+    """Options of a group."""
 
     raft: RaftOptions = field(default_factory=RaftOptions)
     bounds: CompactionBounds = field(default_factory=CompactionBounds)
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True)
 class GroupEffects:
-    """What a flush of a group gives the host to do: first the writes, then the messages."""
+    """Actions for the host after a flush of a group: the writes first, then the messages."""
 
     writes: list[StorageWrite] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
 
 
 class RoleTransition(NamedTuple):
-    """What a member's role was after the flush before, what it is now, and why."""
+    """A change of a member's role since the previous flush, and its cause."""
 
     old: MemberRole
     new: MemberRole
@@ -77,7 +77,7 @@
 
 
 class MembershipProgress(NamedTuple):
-    """What an owner knows of its group's membership; a change of it is worth another reconciliation."""
+    """The owner's view of its group's membership. Each change of it calls for another reconciliation."""
 
     owned_epoch: int = 0
     members_index: int = 0
@@ -86,7 +86,7 @@
 
 
 class ReplicaGroup:
-    """A member of one group. Time is an argument; the host does the writes and sends the messages."""
+    """A member of one group. The host passes in the time, performs the writes and sends the messages."""
 
     def __init__(
         self,
@@ -96,17 +96,17 @@
         now: float,
         options: GroupOptions,
     ) -> None:
-        """`random`: source of election timeouts and of the spread of compactions; `now`: in seconds."""
+        """Start from the persistent state. `random` draws election timeouts and compaction jitter."""
         state = identity.state
         self.raft = Raft(identity.member_id, state, random, now, options.raft)
         self.compaction = CompactionSchedule(options.bounds, random, len(state.snapshot.data))
-        self.owned_epoch = 0  # the term in which this replica owns the group; 0: it doesn't
+        self.owned_epoch = 0  # term in which this replica owns the group; 0 if it doesn't
         self._machine = application.machine
         self._listener = application.listener
         self._tombstone_generation = identity.tombstone_generation
         self._proposals = PendingProposals()
         self._reads = PendingReads()
-        # Index applied to the state machine; `raft.last_applied` is the index handed out.
+        # Last index applied to the state machine; `raft.last_applied` is the last one returned by consensus.
         self._machine_applied_index = state.snapshot.index
         self._last_role = self.raft.role
         self._last_membership_progress = MembershipProgress()
@@ -116,16 +116,17 @@
     # ---- inputs
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """Take a consensus message. A member that may not vote doesn't answer a request for its vote."""
+        """Handle a consensus message. A member that may not vote doesn't answer vote requests."""
         if isinstance(message, RequestVote) and not self._may_vote():
             return
         self.raft.receive(now, sender, message)
 
     def _may_vote(self) -> bool:
-        """Whether this member may vote: not while it knows of no members.
+        """Whether this member may vote: it must know the membership.
 
-        Where the state that it voted with before was given up, it may not vote until its log holds a later
-        membership that names it: an older candidate may take it for the member that it was.
+        If its earlier state was removed from this disk, it may only vote once its log contains a later
+        membership that names it. Otherwise it could vote for an outdated candidate that still counts it as
+        the voter that it was before.
         """
         members = self.raft.members
         if self._tombstone_generation is None:
@@ -141,7 +142,7 @@
         return self._reads.add()
 
     def change_members(self, now: float, members: Members) -> bool:
-        """Propose a membership; False where that can't be now. At most one voter is added or removed."""
+        """Propose a membership that adds or removes at most one voter. Returns False if it isn't possible."""
         if not self._is_safe_change(members):
             return False
         return self.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
@@ -156,10 +157,10 @@
         return all(self.caught_up(name) for name in voters - old_voters)
 
     def transfer_leadership(self, now: float, to: str = "") -> bool:
-        """Begin to transfer leadership to a voter that responded recently.
+        """Start to transfer leadership to a voter that responded recently.
 
-        The target is `to`, or where this is empty the voter that has most of the log. Returns whether the
-        transfer started.
+        The target is `to`, or if empty the voter with the most complete log. Returns whether the transfer
+        started.
         """
         target = peer_status.transfer_candidate(self.raft, now, to)
         return target is not None and self.raft.transfer_leadership(now, target)
@@ -168,26 +169,26 @@
 
     @property
     def is_owner(self) -> bool:
-        """Whether this replica leads and has applied all that was committed before."""
+        """Whether this replica leads and has applied all entries committed in earlier terms."""
         return self.raft.has_committed_in_term and self.raft.term == self.owned_epoch
 
     def caught_up(self, member: str) -> bool:
-        """Whether a member lacks little of what is committed; False where this replica doesn't lead."""
+        """Whether a member has almost all committed entries; False if this replica doesn't lead."""
         return peer_status.is_caught_up(self.raft, member)
 
     def unresponsive_for(self, now: float, member: str) -> float:
-        """Seconds since a member last responded; infinite where this replica doesn't lead or know it."""
+        """Seconds since a member last responded; infinite if it is unknown or this replica doesn't lead."""
         return peer_status.unresponsive_for(self.raft, now, member)
 
     def has_active_quorum(self, now: float) -> bool:
-        """Whether a majority responded to this owner so recently that it knows of no other leader."""
+        """Whether this replica owns the group and a majority responded within an election timeout."""
         return self.is_owner and peer_status.has_active_quorum(self.raft, now)
 
     def membership_progressed(self) -> bool:
-        """Whether the membership may be reconciled again.
+        """Whether the membership has to be reconciled again.
 
-        That is: since the last call this replica became owner, or as owner saw a membership committed or a
-        learner catch up.
+        This is the case if, since the last call, this replica became the owner, or if it is the owner and a
+        membership was committed or a learner caught up.
         """
         progress = MembershipProgress()
         if self.is_owner:
@@ -202,7 +203,7 @@
         return progress != previous and self.is_owner
 
     def role_transition(self) -> RoleTransition | None:
-        """How the role of this member changed since the last call; None where it didn't."""
+        """The change of this member's role since the last call; None if there was none."""
         old = self._last_role
         new = self.raft.role
         if old is new:
@@ -213,7 +214,7 @@
     # ---- effects
 
     def flush(self, now: float) -> GroupEffects:
-        """Do all that follows from the inputs so far. Calls the state machine and the listener."""
+        """Process all inputs so far; calls the state machine and the listener."""
         self._propose_queued(now)
         self._start_reads()
         effects = GroupEffects()
@@ -285,7 +286,7 @@
         self._listener.lost_ownership(cause)
 
     def _compact(self) -> bool:
-        """Replace applied entries by a snapshot if due. Returns whether it was."""
+        """Replace applied entries by a snapshot if that is due. Returns whether it did."""
         if not self.compaction.is_due(self._machine_applied_index - self.raft.snapshot.index):
             return False
         data = self._machine.snapshot()
@@ -296,7 +297,7 @@
         return True
 
     def close(self) -> None:
-        """Fail all requests that wait; later inputs have no effect."""
+        """Fail all pending requests. Later inputs have no effect."""
         for proposal in self._proposals.take_queued():
             proposal.result.errback(NotOwnerError())
         self._reads.fail_queued()
--- a/bitternpath/replication/host.py
+++ b/bitternpath/replication/host.py
@@ -1,7 +1,8 @@
-"""Many replica groups in one process: one timer, one journal, inputs of a reactor turn taken together.
+"""Hosts many replica groups in one process, with one timer and one journal.
 
-Inputs mark a group as dirty; dirty groups are flushed once in the next reactor turn, so that the proposals of
-a turn share messages and writes. A group that raises is stopped and logged, the others go on.
+Inputs mark a group as dirty. Dirty groups are flushed once in the next reactor turn, so that the proposals of
+a turn share messages and writes. A group that raises an exception is stopped and logged; other groups are not
+affected.
 """
 
 from __future__ import annotations
@@ -40,13 +41,13 @@
 log = logbook.Logger("replication")
 
 SYSTEM_TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)
-TIMER_GRID_SECONDS = 0.02  # timers of groups fall on multiples of this, so that they fire together
-MIN_TIMER_SECONDS = 0.001  # rounding may put a timer just before its due time: it must not spin
+TIMER_GRID_SECONDS = 0.02  # group timers are rounded up to multiples of this, so that they fire together
+MIN_TIMER_SECONDS = 0.001  # prevents busy looping when rounding sets a timer slightly too early
 
 
 @dataclass(frozen=True, slots=True)
 class HostOptions:
-    """What a host is run with. `random`: source of election timeouts and of the spread of compactions."""
+    """Options of a host. `random` draws election timeouts and compaction jitter."""
 
     random: Random
     timing: RaftTiming = SYSTEM_TIMING
@@ -54,7 +55,7 @@
 
 
 class ReplicaHost:
-    """The groups in which a process takes part, under one member id."""
+    """The groups of which a process is a member, under one member id."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         transport: MessageTransport,
         options: HostOptions,
     ) -> None:
-        """`member_id`: the identity of this process's disk in all of its groups; no group is open yet."""
+        """Start without open groups. `member_id` identifies this process's disk in all its groups."""
         self.member_id = member_id
         self.groups: dict[str, ReplicaGroup] = {}
         self._clock = clock
@@ -72,7 +73,7 @@
         self._transport = transport
         self._random = options.random
         self._bounds = options.bounds
-        rate_limiter = SnapshotRateLimiter()  # of snapshot transfers of all groups
+        rate_limiter = SnapshotRateLimiter()  # for the snapshots of all groups together
         self._group_options = GroupOptions(RaftOptions(options.timing, rate_limiter), options.bounds)
         self._dirty: dict[str, ReplicaGroup] = {}
         self._membership_callbacks: dict[str, Callable[[], None]] = {}
@@ -86,10 +87,10 @@
     def open_group(
         self, group: str, machine: StateMachine, founders: Members | None, listener: GroupListener
     ) -> None:
-        """Take part in a group; raises `GroupAlreadyOpenError`.
+        """Start this process's member of a group. Raises `GroupAlreadyOpenError`.
 
-        It begins with what the journal holds; else as one of the `founders` where they name this member; else
-        as an empty member that only a leader can fill.
+        Its state is read from the journal. Without a stored state, the member starts as one of the `founders`
+        if they include it, otherwise as an empty member that receives its state from a leader.
         """
         if group in self.groups:
             raise GroupAlreadyOpenError(group)
@@ -112,13 +113,13 @@
         self._set_timer()
 
     def has_unopened_state(self, group: str) -> bool:
-        """Whether the disk held something of a group at the start that nobody has opened yet."""
+        """Whether the journal contained state of a group at start that hasn't been opened yet."""
         return group in self._journal.groups()
 
     def close_group(self, group: str, generation: int) -> None:
-        """Stop taking part, and remove the group's state from the disk.
+        """Stop this process's member of a group, and remove the group's state from the disk.
 
-        Only to be called once a membership of this generation that doesn't name this replica is committed.
+        Must only be called once a membership of this generation without this replica is committed.
         """
         closed = self.groups.pop(group, None)
         self._membership_callbacks.pop(group, None)
@@ -134,7 +135,7 @@
             group.compaction.size_bound = min(self._bounds.size, share)
 
     def stop(self) -> None:
-        """Stop taking part in all groups; their state stays."""
+        """Stop all groups. Their state stays on disk."""
         self._stopped = True
         cancel_if_active(self._flush_call)
         cancel_if_active(self._timer)
@@ -147,7 +148,7 @@
     # ---- inputs
 
     def receive(self, group: str, sender: str, body: bytes) -> None:
-        """Take an encoded message of another member; dropped if the group isn't open or it can't be read."""
+        """Handle an encoded message from another member; dropped if malformed or the group isn't open."""
         replica_group = self.groups.get(group)
         if replica_group is None or sender == self.member_id:
             return
@@ -163,7 +164,7 @@
         self._mark_dirty(group, replica_group)
 
     def propose(self, group: str, command: bytes) -> Deferred[object]:
-        """Propose a command; fires with what `StateMachine.apply` returned here once it is committed.
+        """Propose a command; fires with the result of `StateMachine.apply` once it is committed and applied.
 
         Errors: `NotOwnerError` (it was not proposed), `OutcomeUnknownError` (it may or may not be committed).
         """
@@ -176,7 +177,7 @@
     def read_barrier(self, group: str) -> Deferred[None]:
         """Fires once a majority has confirmed, after this call, that this replica leads (read index, T 6.4).
 
-        A read of the state machine then is linearizable. Error: `NotOwnerError`.
+        A subsequent read of the state machine is linearizable. Error: `NotOwnerError`.
         """
         replica_group = self.groups.get(group)
         if replica_group is None:
@@ -185,9 +186,9 @@
         return replica_group.read_barrier()
 
     def change_members(self, group: str, members: Members) -> bool:
-        """Propose a membership; False where that can't be now.
+        """Propose a membership. Returns False if it can't be proposed now.
 
-        Voters change one at a time, and a new voter must have caught up as a learner.
+        Only one voter may change at a time, and a new voter must have caught up as a learner.
         """
         replica_group = self.groups.get(group)
         if replica_group is None:
@@ -196,7 +197,7 @@
         return replica_group.change_members(self._clock.seconds(), members)
 
     def transfer_leadership(self, group: str, to: str = "") -> bool:
-        """Begin to transfer ownership to `to`, or to the voter that has most of the log.
+        """Start to transfer ownership to `to`, or if empty to the voter with the most complete log.
 
         Returns whether the transfer started.
         """
@@ -209,14 +210,14 @@
     # ---- views
 
     def is_owner(self, group: str) -> bool:
-        """Whether this replica leads and has applied all that was committed before."""
+        """Whether this replica leads and has applied all entries committed in earlier terms."""
         replica_group = self.groups.get(group)
         return replica_group is not None and replica_group.is_owner
 
     def has_active_quorum(self, group: str) -> bool:
         """Whether this replica owns the group and a majority responded within an election timeout.
 
-        Responses count from when they came: see `has_leader_lease` for a process that may have been
+        Measured from the arrival of the responses; use `has_leader_lease` where the process may have been
         suspended.
         """
         replica_group = self.groups.get(group)
@@ -236,30 +237,30 @@
         )
 
     def current_term(self, group: str) -> int:
-        """The highest term that this replica knows, as owner or not; 0 for a group not open here."""
+        """The highest term that this replica knows, as owner or not; 0 if the group isn't open."""
         replica_group = self.groups.get(group)
         return replica_group.raft.term if replica_group is not None else 0
 
     def leader(self, group: str) -> str:
-        """The member that leads, as far as is known; else empty."""
+        """The current leader as far as this replica knows; empty if unknown."""
         replica_group = self.groups.get(group)
         return replica_group.raft.leader if replica_group is not None else ""
 
     def on_membership_progress(self, group: str, callback: Callable[[], None]) -> None:
-        """Have `progressed` called whenever the membership of a group may be reconciled again.
+        """Register a callback for when the membership of a group has to be reconciled again.
 
-        That is, in a turn of its own, when this replica became the group's owner, or owns it and a membership
-        was committed or a learner has caught up.
+        It is called in a separate reactor turn after this replica became the group's owner, and, while it is
+        the owner, after a membership was committed or a learner caught up.
         """
         self._membership_callbacks[group] = callback
 
     def members(self, group: str) -> Members:
-        """The last members in the log, committed or not."""
+        """The latest membership in the log, committed or not."""
         replica_group = self.groups.get(group)
         return replica_group.raft.members if replica_group is not None else Members()
 
     def committed_members(self, group: str) -> Members | None:
-        """The members, where this replica owns the group and no change of them is open; else None."""
+        """The membership if this replica owns the group and no change is uncommitted; otherwise None."""
         replica_group = self.groups.get(group)
         return (
             replica_group.raft.members
@@ -268,12 +269,12 @@
         )
 
     def caught_up(self, group: str, member: str) -> bool:
-        """Whether a member lacks little of the log, as this leader sees it; False on other replicas."""
+        """Whether a member has almost all committed entries; False if this replica doesn't lead."""
         replica_group = self.groups.get(group)
         return replica_group is not None and replica_group.caught_up(member)
 
     def unresponsive_for(self, group: str, member: str) -> float:
-        """Seconds since this leader last had a response of a member; infinite on other replicas."""
+        """Seconds since a member last responded; infinite if this replica doesn't lead."""
         replica_group = self.groups.get(group)
         return (
             replica_group.unresponsive_for(self._clock.seconds(), member)
@@ -305,7 +306,7 @@
         except Exception:
             self._stop_group(name, group)
             return
-        if self.groups.get(name) is not group:  # closed by its listener; nothing may be written any more
+        if self.groups.get(name) is not group:  # closed by its listener: its state must not be written again
             return
         self._execute(name, group, effects)
         self._log_role_transition(name, group)
@@ -338,7 +339,7 @@
             self._membership_callbacks[name]()
 
     def _stop_group(self, name: str, group: ReplicaGroup) -> None:
-        """Called in an `except`: consensus or the state machine may be half changed."""
+        """Stop a group whose code raised an exception, since its state may be inconsistent."""
         log.exception("event=group_stopped group={}", name)
         if self.groups.get(name) is group:
             del self.groups[name]
@@ -361,7 +362,7 @@
         next_timeout_at = min(group.raft.next_timeout_at for group in self.groups.values())
         due = math.ceil(next_timeout_at / TIMER_GRID_SECONDS) * TIMER_GRID_SECONDS
         if self._timer is not None and self._timer.active():
-            if self._timer.getTime() <= due + MIN_TIMER_SECONDS:  # set at another reading of the clock
+            if self._timer.getTime() <= due + MIN_TIMER_SECONDS:  # absorbs rounding errors
                 return
             self._timer.cancel()
         delay = max(due - self._clock.seconds(), MIN_TIMER_SECONDS)
--- a/bitternpath/replication/interfaces.py
+++ b/bitternpath/replication/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces a replica group requires of its host program: state machine, journal, listener, transport."""
+"""Interfaces that a replica group requires: state machine, journal, listener, and transport."""
 
 from __future__ import annotations
 
@@ -9,67 +9,67 @@
 from bitternpath.replication.records import PersistentState, RoleChangeCause, StorageWrite
 
 SendMessage = Callable[[str, str, bytes], None]
-"""Sends an encoded message: group, receiver, body. May lose it; keeps the order of those that it doesn't."""
+"""Sends an encoded message (group, receiver, body). Messages may be lost, but are delivered in order."""
 
 
 def _no_op() -> None:
-    """Nothing is to be done after a turn."""
+    """Do nothing at the end of a turn."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageTransport:
-    """Sends consensus messages. `turn_ended` is called once all messages of a reactor turn were sent."""
+    """Sends consensus messages. `turn_ended` is called after all messages of a reactor turn were sent."""
 
     send: SendMessage
     turn_ended: Callable[[], None] = _no_op
 
 
 class StateMachine(Protocol):
-    """The replicated state of a group. The same commands in the same order give the same state."""
+    """The replicated state of a group, determined only by the commands and their order."""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply a committed command; the result goes to whoever proposed it here."""
+        """Apply a committed command. The result is returned to the local proposer, if any."""
 
     def snapshot(self) -> bytes:
         """The state after the last applied command."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
 
 
 class GroupJournal(Protocol):
-    """Persistent state of the groups of a process; implemented by `storage.journal`."""
+    """Persistent state of a process's groups; implemented by `storage.journal`."""
 
     def groups(self) -> tuple[str, ...]:
-        """The groups that the disk held at the start and that nobody has taken yet."""
+        """The groups that were on disk at start and whose state hasn't been taken yet."""
 
     def on_corrupt_snapshot(self, corrupted: Callable[[str], None]) -> None:
-        """Have `corrupted` called with a group whose snapshot was found corrupt on disk."""
+        """Register a callback, called with the name of a group whose snapshot on disk is corrupt."""
 
     def take_persistent_state(self, group: str) -> PersistentState | None:
-        """What the disk held of a group at the start; None if it held none. Given once."""
+        """The state of a group that was on disk at start; None if there was none. Can be taken only once."""
 
     def tombstone_generation(self, group: str) -> int | None:
-        """Generation of the membership at which this disk gave the group up; None where it never did."""
+        """Membership generation at which the group was removed from this disk; None if it never was."""
 
     def bootstrap_group(self, group: str, state: PersistentState) -> None:
-        """Write the state with which a group begins here."""
+        """Write the initial state of a group."""
 
     def write(self, group: str, write: StorageWrite, done: Callable[[], None]) -> None:
-        """Write a batch after those before it; `done` is called once it is synced."""
+        """Write a batch after all earlier ones. `done` is called once it is synced."""
 
     def remove_group(self, group: str, generation: int) -> None:
-        """Remove all that is kept of a group, given up at that generation of its members."""
+        """Remove a group's state; `generation` is the membership generation at which it is removed."""
 
 
 class GroupListener(Protocol):
-    """Is notified of what happens to a group on this replica. Called inside of a flush of the group."""
+    """Receives the events of a group on this replica. Called during a flush of the group."""
 
     def became_owner(self, epoch: int) -> None:
-        """This replica leads and has applied all that was committed before; `epoch` is its term."""
+        """This replica leads and has applied all entries of earlier terms; `epoch` is its term."""
 
     def lost_ownership(self, cause: RoleChangeCause) -> None:
-        """This replica no longer owns the group (also called on close, with `CLOSED`)."""
+        """This replica no longer owns the group. Also called on close, with the cause `CLOSED`."""
 
     def applied(self, index: int, command: bytes, result: object) -> None:
-        """A command was applied; on each replica."""
+        """A command was applied. Called on every replica."""
--- a/bitternpath/replication/leadership.py
+++ b/bitternpath/replication/leadership.py
@@ -1,8 +1,8 @@
 """The leader's side of replication: peers, heartbeat rounds, entries, commitment, leadership transfer.
 
-Replication targets (`replication.replication_targets`) and learners get new entries at once, the other peers
-with the next heartbeat. Responses move a peer's match index; the match indexes of a majority move the commit
-index, and the rounds that a majority has answered confirm reads and the lease.
+Replication targets (`replication.replication_targets`) and learners are sent new entries immediately, other
+peers with the next heartbeat. Responses advance a peer's match index, and the match indexes of a majority
+advance the commit index. Heartbeat rounds answered by a majority confirm reads and the lease.
 """
 
 from __future__ import annotations
@@ -21,18 +21,19 @@
 from bitternpath.replication.replication_targets import choose_replication_targets
 from bitternpath.replication.snapshots import SnapshotInstallation
 
-# Of one message: a larger one would take a peer's disk so long that the peer seems silent.
+# Limits of one AppendEntries message. Writing a larger batch could keep a peer's disk busy for so long that
+# the peer appears unresponsive.
 BATCH_ENTRIES = 64
 BATCH_BYTES = 256 << 10
-ENTRIES_IN_FLIGHT = 256  # sent to a peer beyond its match index
-LEASE_SHARE = 0.95  # of the election timeout, for clocks that run at different rates
-UNRESPONSIVE_HEARTBEATS = 1.5  # heartbeat intervals without a response: noticed at the second heartbeat
+ENTRIES_IN_FLIGHT = 256  # no further batch is sent to a peer with more unconfirmed entries than this
+LEASE_SHARE = 0.95  # of the election timeout; the margin covers clocks that run at different rates
+UNRESPONSIVE_HEARTBEATS = 1.5  # intervals without a response, so that the second heartbeat detects it
 
 
 class Leadership(SnapshotInstallation):
-    """A member as leader."""
+    """The leader's behaviour of a member."""
 
-    # ---- beginning of a term
+    # ---- start of a term
 
     def _become_leader(self) -> None:
         self.role = MemberRole.LEADER
@@ -55,7 +56,7 @@
         self._heartbeat()
 
     def _update_peers(self) -> None:
-        """Make the peers those that the membership names; known ones keep their progress."""
+        """Update the peers to the current membership. Known peers keep their progress."""
         before = self.peers
         self.peers = {}
         for name in self.members.all:
@@ -64,11 +65,11 @@
         self._choose_replication_targets()
 
     def _choose_replication_targets(self) -> None:
-        """Learners are targets, too: they are to catch up.
+        """Select the peers that are sent new entries immediately.
 
-        So are all voters until the first heartbeat after the election: nothing was measured yet, and one of
-        them is the former leader, which perhaps is gone. If it were the only target, nothing would be
-        committed until that heartbeat.
+        Learners are always targets, so that they catch up. All voters are targets until the first heartbeat
+        after the election: no delays have been measured yet, and the former leader, which may have failed,
+        could otherwise be the only target. Nothing would then be committed until that heartbeat.
         """
         targets = frozenset(self.members.voters)
         if self.now >= self.elected_at + self.timing.heartbeat_interval:
@@ -81,7 +82,7 @@
     # ---- heartbeat rounds
 
     def _heartbeat(self) -> None:
-        """Start a round with all peers, unless the quorum is lost."""
+        """Start a heartbeat round with all peers, or step down if the quorum is lost."""
         self._heartbeat_at = self.now + self.timing.heartbeat_interval
         if self.leadership_transfer_target and self.now >= self._leadership_transfer_deadline:
             self.leadership_transfer_target = ""
@@ -94,7 +95,10 @@
         self._start_round(self.peers)
 
     def _step_down_if_quorum_lost(self) -> bool:
-        """Become a follower if no majority responded within an election timeout (T 6.2); whether it did."""
+        """Become a follower if no majority responded within an election timeout (T 6.2).
+
+        Returns whether it stepped down.
+        """
         if self._has_active_quorum:
             return False
         self._become_follower(self.term, RoleChangeCause.QUORUM_LOST)
@@ -110,16 +114,16 @@
         return 2 * responsive > len(voters)
 
     def _start_round(self, recipients: Iterable[str]) -> None:
-        """Ask a majority or more whether this member still leads.
+        """Start a heartbeat round, by which a majority confirms that this member still leads.
 
-        A round that stays unanswered is made up for by the next heartbeat, which asks all peers.
+        If a round isn't confirmed, the next heartbeat replaces it with one that is sent to all peers.
         """
         self.heartbeat_round += 1
         self._unconfirmed_rounds.append(StartedRound(self.heartbeat_round, self.now))
         self.heartbeat_round_requested = False
         for name in recipients:
             peer = self.peers[name]
-            # A silent peer is only asked where its log stands; it rejects if what was sent is lost.
+            # An unresponsive peer is sent an empty request. It rejects that if earlier entries were lost.
             unresponsive = (
                 peer.last_contact < self.now - UNRESPONSIVE_HEARTBEATS * self.timing.heartbeat_interval
             )
@@ -127,7 +131,7 @@
             if peer.outgoing_snapshot is None and (
                 unresponsive or (needs_snapshot and not peer.answered_round)
             ):
-                if needs_snapshot:  # which snapshot it needs is known once it responds
+                if needs_snapshot:  # its response shows whether it needs a snapshot
                     peer.next_index = self.last_index + 1
                 self._send_append(name, peer, ())
             else:
@@ -160,7 +164,7 @@
         return batch
 
     def _send_all_entries(self, name: str, peer: Progress) -> None:
-        """Send all entries that may be in flight, in as many messages as it takes."""
+        """Send all entries that the in-flight limit permits, in as many messages as necessary."""
         sent = 0
         while sent < peer.next_index <= self.last_index:
             sent = peer.next_index
@@ -180,10 +184,10 @@
 
     @property
     def needed_index(self) -> int:
-        """Index of the first entry that a responding peer still needs; one beyond the last where none does.
+        """Index of the first entry that a responsive peer still needs; `last_index` + 1 if there is none.
 
-        Entries behind a snapshot that is being sent are needed, too: else another snapshot would have to
-        follow it, for ever.
+        Entries after a snapshot that is being sent are needed as well. Otherwise each snapshot would have to
+        be followed by another one, and the peer would never catch up.
         """
         needed = self.last_index + 1
         for peer in self.peers.values():
@@ -224,14 +228,14 @@
         if outgoing_snapshot is not None and (
             outgoing_snapshot.snapshot.index <= peer.match_index or self.log.has_entry_after(peer.match_index)
         ):
-            peer.outgoing_snapshot = None  # it has that snapshot, or entries suffice
+            peer.outgoing_snapshot = None  # the peer has the snapshot, or log entries are sufficient
         if self._should_send_now(name, peer):
             self._send_entries(name)
         if name == self.leadership_transfer_target:
             self._send_timeout_now_if_caught_up()
 
     def _should_send_now(self, name: str, peer: Progress) -> bool:
-        """Whether a peer gets entries before the next heartbeat: also one that lacks many."""
+        """Whether to send entries before the next heartbeat: to a target, or a full batch to any peer."""
         missing = self.last_index + 1 - peer.next_index
         is_immediate = name in self.replication_targets or name == self.leadership_transfer_target
         return missing >= BATCH_ENTRIES or (is_immediate and missing > 0)
@@ -239,7 +243,7 @@
     # ---- commitment
 
     def _update_commitment(self) -> None:
-        """Advance the commit index and the confirmed round to what a majority has reached."""
+        """Advance the commit index and the confirmed round to the values that a majority has reached."""
         voters = self.members.voters
         if self.role is not MemberRole.LEADER or not voters:
             return
@@ -259,25 +263,26 @@
     def has_leader_lease(self, now: float) -> bool:
         """Whether no other member can have been elected yet (T 6.4.1).
 
-        A majority has heard this leader since a round began less than an election timeout ago, and gives no
-        vote for so long. A leader that is transferring its leadership has no lease.
+        A majority has answered a heartbeat round that started less than an election timeout ago. These
+        voters grant no vote until an election timeout after they received it. A leader that is transferring
+        its leadership has no lease.
         """
         if self.role is not MemberRole.LEADER or self.leadership_transfer_target:
             return False
         return now < self.confirmed_at + LEASE_SHARE * self.timing.election_timeout
 
     def _commit_upto(self, index: int) -> None:
-        """Commit entries of earlier terms only together with one of this term (fig. 8)."""
+        """Commit up to `index`, but entries of earlier terms only along with one of this term (fig. 8)."""
         if index <= self.commit_index or self.log.term_at(index) != self.term:
             return
         self.commit_index = index
-        # A leader that became a learner steps down, too: nobody else would make it a voter again.
+        # A leader that became a learner steps down, too: only another leader can make it a voter again.
         if self.log.members_index <= index and not self.is_voter:
             self._send_commit_index()
             self._become_follower(self.term, RoleChangeCause.NO_VOTER)
 
     def _send_commit_index(self) -> None:
-        """Tell the peers the commit index before this leader, no voter any more, steps down (T 4.2.2)."""
+        """Send the commit index before this leader, which is no longer a voter, steps down (T 4.2.2)."""
         for name, peer in self.peers.items():
             if not self._needs_snapshot(peer):
                 self._send_append(name, peer, ())
@@ -285,9 +290,9 @@
     # ---- leadership transfer (T 3.10)
 
     def transfer_leadership(self, now: float, to: str) -> bool:
-        """Begin to transfer leadership to another voter; False where this member can't.
+        """Start to transfer leadership to another voter. Returns False if this member can't.
 
-        Nothing is proposed until the transfer has succeeded or an election timeout has passed.
+        Proposals are rejected until the transfer has succeeded or an election timeout has passed.
         """
         self.now = now
         if self.role is not MemberRole.LEADER or to not in self.members.voters or to == self.member_id:
@@ -299,7 +304,7 @@
         return True
 
     def _send_timeout_now_if_caught_up(self) -> None:
-        """Have the target stand for election once it has the whole log."""
+        """Send TimeoutNow to the transfer target once its log matches this one."""
         peer = self.peers.get(self.leadership_transfer_target)
         if peer is not None and peer.match_index == self.last_index:
             self._messages.append((self.leadership_transfer_target, TimeoutNow(self.term)))
--- a/bitternpath/replication/member.py
+++ b/bitternpath/replication/member.py
@@ -1,4 +1,4 @@
-"""State that the parts of a consensus member share: term, role, log, and messages that wait for the disk."""
+"""State shared by the parts of a consensus member: term, role, log, and messages that wait for writes."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     StorageWrite,
 )
 
-NEVER = float("inf")  # of a timer that isn't set
+NEVER = float("inf")  # due time of a timer that isn't set
 
 
 @dataclass(frozen=True, slots=True)
 class RaftOptions:
-    """What a member is run with. `snapshot_rate_limiter` may be shared by the members of many groups."""
+    """Options of a member. The members of several groups may share one `snapshot_rate_limiter`."""
 
     timing: RaftTiming = DEFAULT_TIMING
     snapshot_rate_limiter: SnapshotRateLimiter = field(default_factory=UnlimitedSnapshotRateLimiter)
 
 
 class AwaitingWrite(NamedTuple):
-    """A message that promises something which is not on disk before the write of that number is done."""
+    """A message that must not be sent before the write with this number has completed."""
 
     write_number: int
     receiver: str
@@ -44,26 +44,26 @@
 
 
 class StartedRound(NamedTuple):
-    """A heartbeat round that a majority has not answered yet, and when it was started."""
+    """A heartbeat round that a majority hasn't answered yet, and its start time."""
 
     number: int
     started_at: float
 
 
 class PartialSnapshot:
-    """The chunks of a snapshot that a follower has received so far, in order."""
+    """The chunks of a snapshot that a follower has received so far, concatenated in order."""
 
     def __init__(self, index: int, term: int) -> None:
-        """`index`, `term`: of the last entry that the snapshot includes."""
+        """Start without chunks. `index` and `term` identify the last entry that the snapshot includes."""
         self.index = index
         self.term = term
         self.data = bytearray()
 
 
 class MemberState(ABC):
-    """State of one member, and its outputs until they are taken.
+    """State of one member, and its outputs until the caller collects them.
 
-    The attributes of a leader mean nothing in another role. Times are seconds of the caller's clock.
+    Leader attributes are only valid while the member leads. Times are in seconds of the caller's clock.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
         now: float,
         options: RaftOptions = RaftOptions(),
     ) -> None:
-        """A follower with that persistent state; `random` draws the election timeouts."""
+        """Start as a follower with the given persistent state; `random` draws the election timeouts."""
         self.member_id = member_id
         self.random = random
         self.timing = options.timing
-        self.now = now  # when the input came that is being worked on
+        self.now = now  # time of the input that is being processed
 
         # Persistent state of all members (fig. 2).
         self.term = state.term
@@ -90,10 +90,10 @@
         self.last_applied = state.snapshot.index
         self.role = MemberRole.FOLLOWER
         self.role_cause = RoleChangeCause.STARTED
-        self.leader = ""  # "" where none is known
-        self.last_contact = now - 2 * self.timing.election_timeout  # of a follower: with its leader
+        self.leader = ""  # "" if unknown
+        self.last_contact = now - 2 * self.timing.election_timeout  # of a follower: with the leader
 
-        # Of a candidate or pre-candidate.
+        # State of a candidate or pre-candidate.
         self.votes: set[str] = set()
 
         self._init_leader_state()
@@ -104,51 +104,51 @@
         self._set_election_timer()
 
     def _init_leader_state(self) -> None:
-        """Of a leader: replication, and a transfer of its leadership."""
+        """Initialise a leader's state of replication and leadership transfer."""
         self.peers: dict[str, Progress] = {}
-        self.replication_targets: frozenset[str] = frozenset()  # peers that get new entries at once
-        self.term_start_index = 0  # index of the no-op that it appended when it was elected
+        self.replication_targets: frozenset[str] = frozenset()  # peers that are sent new entries immediately
+        self.term_start_index = 0  # index of the no-op entry of the current term
         self.elected_at = 0.0
-        self.commit_index_at_heartbeat = 0  # at the last heartbeat
-        self.commit_index_at_previous_heartbeat = 0  # at the one before that
-        self.leadership_transfer_target = ""  # the voter to which leadership is being transferred
-        self._leadership_transfer_deadline = 0.0  # when the leader abandons the transfer of leadership
+        self.commit_index_at_heartbeat = 0  # commit index at the last heartbeat
+        self.commit_index_at_previous_heartbeat = 0  # commit index at the heartbeat before it
+        self.leadership_transfer_target = ""  # voter to which leadership is being transferred; "" if none
+        self._leadership_transfer_deadline = 0.0  # when the transfer is abandoned
 
     def _init_heartbeat_rounds(self) -> None:
-        """Of a leader: heartbeat rounds."""
-        self.heartbeat_round = 0  # the last one started
-        self.confirmed_round = 0  # the last one that a majority answered
-        self.confirmed_at = -NEVER  # when that one was started
-        self.heartbeat_round_requested = False  # one is wanted and hasn't started
+        """Initialise a leader's state of heartbeat rounds."""
+        self.heartbeat_round = 0  # number of the last round started
+        self.confirmed_round = 0  # number of the last round that a majority answered
+        self.confirmed_at = -NEVER  # start time of that round
+        self.heartbeat_round_requested = False  # whether a round is requested that hasn't started
         self._unconfirmed_rounds: deque[StartedRound] = deque()
-        self._heartbeat_at = 0.0  # when the next one is due
+        self._heartbeat_at = 0.0  # when the next heartbeat is due
 
     def _init_snapshot_installation(self, rate_limiter: SnapshotRateLimiter) -> None:
-        """Of a leader: the bandwidth for snapshots that it sends; of a follower: the one that it receives."""
+        """Initialise the state of outgoing snapshots (as leader) and of an incoming one (as follower)."""
         self._snapshot_rate_limiter = rate_limiter
-        self._chunk_at = NEVER  # when a snapshot chunk is due that waits for bandwidth
+        self._chunk_at = NEVER  # when the next chunk delayed by the rate limiter is due
         self._partial_snapshot: PartialSnapshot | None = None
 
     def _init_outputs(self) -> None:
-        """Outputs until they are taken."""
-        self._snapshot_to_restore: Snapshot | None = None  # next state of the state machine
+        """Initialise the outputs that the caller hasn't collected yet."""
+        self._snapshot_to_restore: Snapshot | None = None  # to restore the state machine from
         self._messages: list[tuple[str, Message]] = []
-        self._messages_awaiting_next_write: list[tuple[str, Message]] = []  # wait for all changes so far
+        self._messages_awaiting_next_write: list[tuple[str, Message]] = []  # depend on all changes so far
         self.messages_awaiting_write: list[AwaitingWrite] = []
 
     @abstractmethod
     def receive(self, now: float, sender: str, message: Message) -> None:
-        """Take a message from another member. One that is stale or makes no sense is ignored."""
+        """Handle a message from another member. Stale and invalid messages are ignored."""
 
     @abstractmethod
     def _become_leader(self) -> None:
-        """A majority has voted for this member."""
+        """Become the leader: a majority has voted for this member."""
 
     # ---- views
 
     @property
     def members(self) -> Members:
-        """The last membership in the log, committed or not."""
+        """The latest membership in the log, committed or not."""
         return self.log.members
 
     @property
@@ -158,12 +158,12 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The last one, this member's own or a leader's."""
+        """The latest snapshot, taken by this member or received from a leader."""
         return self.log.snapshot
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member's vote and log count."""
+        """Whether this member's vote and log count towards a majority."""
         return self.member_id in self.log.members.voters
 
     # ---- role and term
@@ -194,9 +194,10 @@
     # ---- outputs
 
     def _drop_leader_requests(self) -> None:
-        """Send nothing more for a term that is over: its leader has just been told of a higher one.
+        """Discard queued leader requests: this leader has just learned of a higher term.
 
-        Followers would reject it; but an owner that knows that it was replaced orders nothing any more.
+        Followers would reject them anyway, but an owner that knows that it was replaced must not send further
+        requests.
         """
         self._messages = [
             (receiver, message)
@@ -205,7 +206,7 @@
         ]
 
     def _take_writes(self) -> list[StorageWrite]:
-        """Give out all changes as writes, and hold the messages that wait for them until they are done.
+        """Return all changes as writes, and queue the messages that depend on them until they complete.
 
         Delivering this member's own vote may elect it, which changes the log again; hence the loop.
         """
@@ -225,7 +226,7 @@
         return writes
 
     def _take_committed(self) -> list[Entry]:
-        """Give out the entries committed since the last call."""
+        """Return the entries committed since the last call."""
         if self.commit_index <= self.last_applied:
             return []
         first = self.last_applied + 1
@@ -233,7 +234,7 @@
         return self.log.entries_from(first, self.commit_index - first + 1)
 
     def _release_messages_awaiting_write(self, number: int) -> None:
-        """The writes up to that number are done: send what waited for them."""
+        """Send the messages that waited for writes up to `number`, which have completed."""
         due = [waiting for waiting in self.messages_awaiting_write if waiting.write_number <= number]
         self.messages_awaiting_write = [
             waiting for waiting in self.messages_awaiting_write if waiting.write_number > number
@@ -242,7 +243,7 @@
             self._deliver(waiting.receiver, waiting.message)
 
     def _deliver(self, receiver: str, message: Message) -> None:
-        """Send a message; one for this member itself, its own vote, is received at once."""
+        """Send a message. This member's own vote, which it addresses to itself, is received immediately."""
         if receiver == self.member_id:
             self.receive(self.now, receiver, message)
         else:
--- a/bitternpath/replication/membership_reconciler.py
+++ b/bitternpath/replication/membership_reconciler.py
@@ -1,9 +1,8 @@
 """Reconciles the membership of replica groups with the desired members, one change at a time.
 
-`reconfiguration.next_members` decides what comes next; this module calls it whenever something has happened:
-other members are desired, ownership was gained, a change was committed, a learner has caught up. The program
-also calls `reconcile` from time to time, for conditions that raise no event: that a member has been silent
-for a while.
+`reconfiguration.next_members` decides on the next change. It is called after each relevant event: the desired
+members changed, ownership was acquired, a change was committed, or a learner caught up. The program also
+calls `reconcile` periodically for conditions without an event, such as a member that stops responding.
 """
 
 from __future__ import annotations
@@ -19,38 +18,38 @@
 
 log = logbook.Logger("replication")
 
-UNRESPONSIVE_AFTER_S = 0.5  # an election timeout; heartbeats come more than twice as often
+UNRESPONSIVE_AFTER_S = 0.5  # one election timeout, more than two heartbeat intervals
 
 
 class MembershipReconciler:
-    """Desired members of the groups of one host, and the changes that lead there."""
+    """Changes the members of one host's groups towards the desired ones."""
 
     def __init__(self, host: ReplicaHost, committed: Callable[[str], None] | None = None) -> None:
-        """`committed(group)` is called when this host owns a group and no change of its members is open."""
+        """`committed(group)` is called if this host owns a group whose last change is committed."""
         self._host = host
         self._committed = committed
         self._desired: dict[str, DesiredMembers] = {}
 
     def group_opened(self, group: str) -> None:
-        """The host has opened a group."""
+        """Start to reconcile a group that the host has opened."""
         self._host.on_membership_progress(group, partial(self.reconcile, group))
 
     def set_desired(self, group: str, members: Sequence[str], generation: int) -> None:
-        """A placement of that generation names a group's members."""
+        """Set a group's desired members, from a placement of the given generation."""
         self._desired[group] = DesiredMembers(tuple(members), generation)
         self.reconcile(group)
 
     def generation(self, group: str) -> int:
-        """Generation of the placement that names the group's members here; 0 where none is known."""
+        """Generation of the placement that defines the group's desired members; 0 if none is known."""
         desired = self._desired.get(group)
         return desired.generation if desired is not None else 0
 
     def group_closed(self, group: str) -> None:
-        """The host has closed a group."""
+        """Forget a group that the host has closed."""
         self._desired.pop(group, None)
 
     def reconcile(self, group: str) -> None:
-        """Propose the next change, where this host owns the group and there is one to make."""
+        """Propose the next change if this host owns the group and a change is needed."""
         desired = self._desired.get(group)
         if desired is None or not self._host.is_owner(group):
             return
@@ -70,7 +69,7 @@
         )
 
     def _propose_change(self, group: str, desired: DesiredMembers, new_members: Members) -> None:
-        """An owner that is to leave transfers ownership first, so that the group isn't without an owner."""
+        """Propose a change. An owner to be removed transfers ownership first, to avoid a gap in ownership."""
         removes_owner = self._host.member_id not in new_members.voters
         if removes_owner and any(
             self._host.transfer_leadership(group, successor) for successor in desired.members
--- a/bitternpath/replication/peer_status.py
+++ b/bitternpath/replication/peer_status.py
@@ -1,17 +1,17 @@
-"""What a leader can tell about the other members of its group. Pure; other members know nothing of it."""
+"""A leader's view of the other members of its group. Pure. Not available on followers."""
 
 from __future__ import annotations
 
 from bitternpath.replication.consensus import Raft
 
-CAUGHT_UP_ENTRIES = 64  # a learner that lacks no more than these is close to the leader
+CAUGHT_UP_ENTRIES = 64  # maximum lag of a member that counts as caught up
 
 
 def is_caught_up(raft: Raft, member: str) -> bool:
-    """Whether a member lacks little of what is committed; False where this member doesn't lead.
+    """Whether a member has almost all committed entries; False if this member doesn't lead.
 
-    Caught up means within `CAUGHT_UP_ENTRIES` entries of the commit index, or up to the commit index at the
-    last-but-one heartbeat: under load some entries are always under way (T 4.2.1).
+    A member has caught up if it is within `CAUGHT_UP_ENTRIES` entries of the commit index, or has reached the
+    commit index of the last heartbeat but one: under load, some entries are always in flight (T 4.2.1).
     """
     peer = raft.peers.get(member) if raft.has_committed_in_term else None
     if peer is None or not peer.match_index or peer.outgoing_snapshot is not None:
@@ -21,7 +21,7 @@
 
 
 def unresponsive_for(raft: Raft, now: float, member: str) -> float:
-    """Seconds since a member last responded; infinite where this member doesn't lead or doesn't know it."""
+    """Seconds since a member last responded; infinite if it is unknown or this member doesn't lead."""
     peer = raft.peers.get(member)
     return now - peer.last_contact if peer is not None else float("inf")
 
@@ -35,9 +35,9 @@
 
 
 def transfer_candidate(raft: Raft, now: float, preferred: str) -> str | None:
-    """The voter to which leadership is to be transferred; None where none responded recently.
+    """The voter to transfer leadership to; None if no suitable voter responded recently.
 
-    That is `preferred`, or where this is empty the one with the highest match index.
+    This is `preferred`, or if empty the voter with the highest match index.
     """
     candidates = [
         (peer.match_index, name)
--- a/bitternpath/replication/reconfiguration.py
+++ b/bitternpath/replication/reconfiguration.py
@@ -1,18 +1,18 @@
-"""The next step of a replica group towards its desired members. Pure.
+"""The next membership change of a replica group towards its desired members. Pure.
 
-One voter changes at a time (T 4): a new member is a learner first and becomes a voter once it has caught up.
-An empty disk is another member than the one that was lost, so it counts for nothing before it has caught up.
-Which voter leaves, and when:
+One voter changes at a time (T 4). A new member starts as a learner and becomes a voter once it has caught up.
+A node with an empty disk is a different member from the one that was lost, so it must catch up before it
+counts. Voters are removed by these rules:
 
-- A voter whose disk is known to be lost, because its node is to take part with another disk, leaves at once,
-  in the same change that makes its successor a learner. It contributes to no majority any more, so nothing is
-  given up; but only while there are 2f voters at least where there are to be 2f+1, so that all that is
-  committed has f+1 replicas.
-- A voter that is silent leaves as soon as there are more voters than desired members.
-- Any other voter stays until all desired members vote; the owner leaves last.
+- A voter whose disk is known to be lost, because its node is a desired member with a different disk, is
+  removed immediately, in the same change that adds its successor as a learner. It can't contribute to a
+  majority any more, so its removal loses nothing. At least 2f of the desired 2f+1 voters must remain, so that
+  every committed entry has f+1 replicas.
+- An unresponsive voter is removed as soon as there are more voters than desired members.
+- Any other voter stays until all desired members are voters. The owner is removed last.
 
-Each change carries the generation of the placement that it follows. An owner that knows an older placement
-than that of the last change changes nothing: what a newer placement removed never comes back.
+Each change carries the generation of the placement that it is based on. An owner whose placement is older
+than that of the last change proposes nothing, so members removed by a newer placement are not added again.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredMembers:
-    """The members that a group is to have, and the generation of the placement that names them."""
+    """The desired members of a group, and the generation of the placement that defines them."""
 
     members: tuple[str, ...]
     generation: int = 0
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What the owner of a group knows of its members."""
+    """The state of a group's members as known to its owner."""
 
-    caught_up: Callable[[str], bool]  # lacks little of the log
-    is_unresponsive: Callable[[str], bool] = _never_unresponsive  # hasn't responded for a while
-    owner: str = ""  # the owner's own member id
+    caught_up: Callable[[str], bool]  # whether a member has almost all committed entries
+    is_unresponsive: Callable[[str], bool] = _never_unresponsive  # whether a member fails to respond
+    owner: str = ""  # member id of the owner itself
 
 
 def next_members(current: Members, desired: DesiredMembers, status: MemberStatus) -> Members | None:
-    """The membership after one change; None where there is nothing to change now."""
+    """The membership after the next change; None if no change is possible or necessary now."""
     if desired.generation < current.generation or not current.voters:
         return None
     learners = [name for name in current.learners if name in desired.members]
@@ -67,24 +67,24 @@
 
 
 def node_of(member: str) -> str:
-    """The node of a member; a member id is the node's name and the identity of its disk."""
+    """The node name in a member id, which consists of the node's name and the identity of its disk."""
     return member.partition("/")[0]
 
 
 def disk_is_lost(member: str, desired: Sequence[str]) -> bool:
-    """Whether a member's node is to take part with another disk: the one before is permanently lost."""
+    """Whether a member's node is desired with a different disk, so that this one is permanently lost."""
     return member not in desired and node_of(member) in map(node_of, desired)
 
 
 def _voter_on_lost_disk(voters: Sequence[str], desired: Sequence[str]) -> str | None:
-    """A voter that can leave before its successor votes; None where there is none."""
+    """A voter with a lost disk that can be removed before its successor is a voter; None if there is none."""
     if len(voters) < max(len(desired), 2):
         return None
     return next((name for name in voters if disk_is_lost(name, desired)), None)
 
 
 def _voter_to_remove(voters: Sequence[str], desired: Sequence[str], status: MemberStatus) -> str | None:
-    """The voter that is to leave next; None where none may leave now."""
+    """The next voter to remove; None if none may be removed now."""
     to_remove = [name for name in voters if name not in desired and name != status.owner]
     to_remove += [name for name in voters if name not in desired and name == status.owner]
     if not to_remove or len(voters) < 2:
@@ -97,5 +97,5 @@
 
 
 def _is_unavailable(member: str, desired: Sequence[str], status: MemberStatus) -> bool:
-    """Whether a voter that is to leave contributes to no majority now."""
+    """Whether a voter to be removed can't contribute to a majority now."""
     return disk_is_lost(member, desired) or (member != status.owner and status.is_unresponsive(member))
--- a/bitternpath/replication/replication_targets.py
+++ b/bitternpath/replication/replication_targets.py
@@ -1,10 +1,10 @@
-"""Replication targets: the followers that get new entries at once. Pure.
+"""Selection of replication targets, the followers that are sent new entries immediately. Pure.
 
-Targets are as many followers as a majority needs, the fastest to confirm. The others get entries in
-batches with the heartbeats: an entry costs a message, a sync and a response at each follower that it is sent
-to alone, and only a majority's responses are waited for. A target that becomes slow or silent is replaced at
-the next heartbeat, which is also when entries that still lack a majority reach all followers. Until the first
-heartbeat of a term, when nothing is measured yet, all followers are targets (`leadership`).
+The targets are the fastest followers to confirm entries, as many as a majority requires. The others receive
+entries in batches with the heartbeats, since commitment only waits for a majority and each entry sent by
+itself costs a follower a message, a sync and a response. A slow or unresponsive target is replaced at the
+next heartbeat, which also sends uncommitted entries to all followers. Until the first heartbeat of a term,
+when no delays have been measured, all followers are targets (`leadership`).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from bitternpath.replication.progress import Progress
 
-# Another follower becomes a target only if it is faster by this much: each change costs it its backlog.
+# A follower replaces a target only if it is faster by these margins, since it must first catch up on entries.
 HYSTERESIS_FACTOR = 1.5
 HYSTERESIS_SECONDS = 0.005
 
@@ -25,15 +25,16 @@
     now: float,
     response_timeout: float,
 ) -> frozenset[str]:
-    """The voters to which a leader sends new entries at once.
+    """The voters to which a leader sends new entries immediately.
 
-    `peers`: the leader's progress of the others. `current`: the targets so far. A peer that hasn't been heard
-    for `silence` seconds comes last: the delay of one that never responded isn't known.
+    `peers` is the leader's progress for each peer and `current` the previous targets. A peer that hasn't
+    responded for `response_timeout` seconds ranks last, because a peer that never responded has no known
+    delay.
     """
     candidates = [name for name in voters if name in peers]
-    target_count = len(voters) // 2  # a majority, together with the leader itself
+    target_count = len(voters) // 2  # forms a majority together with the leader
     if len(candidates) == len(voters):
-        target_count += 1  # the leader is not a voter (any more)
+        target_count += 1  # the leader isn't a voter
 
     def sort_key(name: str) -> tuple[bool, float, float]:
         peer = peers[name]
--- a/bitternpath/replication/response_coalescing.py
+++ b/bitternpath/replication/response_coalescing.py
@@ -1,4 +1,4 @@
-"""Fewer messages: of a turn's confirmations to one leader only the last is sent. Pure."""
+"""Coalescing of the confirmations that a reactor turn sends to one leader. Pure."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def coalesce_append_responses(messages: Sequence[tuple[str, Message]]) -> list[tuple[str, Message]]:
-    """Merge consecutive positive responses to one leader in one term: the last covers those before it.
+    """Merge consecutive positive responses to the same leader and term into one.
 
-    Takes and returns receivers with messages, in the order in which they are to be sent.
+    Takes and returns pairs of receiver and message in sending order.
     """
     coalesced: list[tuple[str, Message]] = []
     for receiver, message in messages:
@@ -29,7 +29,7 @@
 
 
 def _merged(first: AppendEntriesResponse, second: AppendEntriesResponse) -> AppendEntriesResponse:
-    """One response that confirms what both do."""
+    """A response that confirms everything that both responses confirm."""
     return AppendEntriesResponse(
         first.term,
         True,
--- a/bitternpath/replication/snapshots.py
+++ b/bitternpath/replication/snapshots.py
@@ -1,8 +1,9 @@
-"""Snapshot transfer in chunks (T 5.3): the leader's side and the follower's.
+"""Installation of snapshots in chunks (T 5.3), on the leader and on the follower.
 
-A peer is sent one chunk at a time; its response names the next one, so a transfer continues where it was
-after a lost chunk or a lost connection. A leader sends the snapshot that it began with to its end, and keeps
-the entries behind it for as long (`Leadership.needed_index`). Chunks wait for a share of the bandwidth.
+The leader sends one chunk at a time, and the follower's response contains the offset of the next one, so that
+sending resumes at the right offset after a lost chunk or connection. A leader completes the snapshot that it
+started to send, and retains the entries after it in the meantime (`Leadership.needed_index`). Chunks are
+subject to the rate limit.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 from bitternpath.replication.progress import OutgoingSnapshot, Progress
 from bitternpath.replication.records import Snapshot
 
-CHUNK_BYTES = 128 << 10  # of a snapshot in one message
+CHUNK_BYTES = 128 << 10  # maximum size of a chunk
 
 
 class SnapshotInstallation(MemberState):
-    """A member as sender and as receiver of snapshots."""
+    """The behaviour of a member as sender and receiver of snapshots."""
 
     @abstractmethod
     def _send_entries(self, name: str, *, heartbeat: bool = False) -> None:
-        """Send a peer the entries that it lacks; a heartbeat is sent even without any."""
+        """Send a peer the entries that it lacks. A heartbeat is sent even without entries."""
 
     # ---- leader
 
     def _needs_snapshot(self, peer: Progress) -> bool:
-        """Whether the entries that a peer lacks are compacted away, or a snapshot is being sent to it."""
+        """Whether entries that a peer lacks are compacted, or a snapshot is already being sent to it."""
         return peer.outgoing_snapshot is not None or not self.log.has_entry_after(peer.next_index - 1)
 
     def _continue_snapshot(self, name: str, peer: Progress, *, heartbeat: bool) -> None:
@@ -39,7 +40,7 @@
             self._send_install_snapshot(name, peer.outgoing_snapshot, b"")
 
     def _schedule_chunk(self, name: str, outgoing_snapshot: OutgoingSnapshot, offset: int) -> None:
-        """Send the chunk at that offset as soon as there is bandwidth."""
+        """Send the chunk at `offset` as soon as the rate limit permits."""
         outgoing_snapshot.offset = offset
         size = min(CHUNK_BYTES, len(outgoing_snapshot.snapshot.data) - offset)
         due = self._snapshot_rate_limiter.reserve(self.now, size)
@@ -69,7 +70,7 @@
         self._send_install_snapshot(name, outgoing_snapshot, chunk)
 
     def _send_install_snapshot(self, name: str, outgoing_snapshot: OutgoingSnapshot, chunk: bytes) -> None:
-        """Send a chunk; an empty one is a heartbeat to a peer that is being sent a snapshot."""
+        """Send a chunk. An empty chunk is a heartbeat."""
         snapshot = outgoing_snapshot.snapshot
         request = InstallSnapshot(
             term=self.term,
@@ -85,15 +86,15 @@
         self._messages.append((name, request))
 
     def _on_install_response(self, name: str, peer: Progress, response: InstallSnapshotResponse) -> None:
-        """A peer tells how much of a snapshot it has.
+        """Handle a peer's progress on a snapshot.
 
-        If it was asked after the last chunk was sent and doesn't have it, that chunk is lost; or all of them,
-        where the peer's process was restarted.
+        If the response answers a request sent after the last chunk and doesn't cover this chunk, the chunk
+        was lost, or all chunks if the peer's process restarted. Sending then resumes at the peer's offset.
         """
         outgoing_snapshot = peer.outgoing_snapshot
         if (
             outgoing_snapshot is None or response.index != outgoing_snapshot.snapshot.index
-        ):  # about an older transfer
+        ):  # for an earlier snapshot
             return
         if response.stored:
             peer.outgoing_snapshot = None
@@ -101,7 +102,7 @@
             peer.next_index = response.index + 1
             self._send_entries(name)
             return
-        if response.offset >= len(outgoing_snapshot.snapshot.data) > 0:  # it has all and is writing it
+        if response.offset >= len(outgoing_snapshot.snapshot.data) > 0:  # received, but not written yet
             return
         chunk_received = response.offset > outgoing_snapshot.offset
         chunk_lost = response.heartbeat_round > outgoing_snapshot.chunk_round
@@ -111,10 +112,10 @@
     # ---- follower
 
     def _on_install_snapshot(self, sender: str, request: InstallSnapshot) -> None:
-        """InstallSnapshot of the paper's fig. 13.
+        """Handle InstallSnapshot (fig. 13 of the paper).
 
-        Chunks that aren't on disk yet are acknowledged at once, since that promises nothing: a slow disk must
-        not be taken for silence.
+        Chunks are acknowledged before they are on disk, since this doesn't confirm the snapshot. Otherwise a
+        follower with a slow disk would appear unresponsive.
         """
         if request.index <= self.commit_index:
             self._acknowledge_known_snapshot(sender, request)
@@ -136,7 +137,7 @@
         self._messages_awaiting_next_write.append((sender, response))
 
     def _acknowledge_known_snapshot(self, sender: str, request: InstallSnapshot) -> None:
-        """All that the snapshot holds is here already, on disk or on its way to it."""
+        """Acknowledge a snapshot whose entries are all committed here, even if they aren't on disk yet."""
         if self.log.stable_index >= self.commit_index:
             response = AppendEntriesResponse(self.term, True, self.commit_index, request.heartbeat_round)
             self._messages_awaiting_next_write.append((sender, response))
--- a/bitternpath/replication/wire.py
+++ b/bitternpath/replication/wire.py
@@ -1,6 +1,6 @@
-"""Encoding of consensus messages: one byte for the kind of message, then Avro (`transport.codec`).
+"""Encoding of consensus messages: one byte for the message type, then Avro (`transport.codec`).
 
-The order of the classes in `MESSAGES` is the numbering on the wire.
+The order of the classes in `MESSAGES` defines the type numbers on the wire.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """The bytes of a consensus message."""
+    """Encode a consensus message."""
     return MESSAGES.encode(message)
 
 
 def decode_message(data: bytes | memoryview) -> Message:
-    """The message that `encode_message` turned into `data`; raises `transport.codec.CodecError`."""
+    """Decode the output of `encode_message`. Raises `transport.errors.CodecError`."""
     message: Message = MESSAGES.decode(data)
     return message
