--- a/bitternpath/configuration/change_evaluation.py
+++ b/bitternpath/configuration/change_evaluation.py
@@ -54,7 +54,7 @@
     try:
         return request.base_version()
     except InvalidBaseVersionError:
-        raise InvalidConfigurationError("If-Match: must be the version that the change is based on") from None
+        raise InvalidConfigurationError("If-Match: must be the version that the change builds on") from None
 
 
 def _version_conflict(state: ConfigurationState, base: int) -> OperatorResult:
--- a/bitternpath/configuration/json_documents.py
+++ b/bitternpath/configuration/json_documents.py
@@ -43,7 +43,7 @@
 
 
 def _reject_constant(name: str) -> float:
-    raise ValueError(f"{name} is not a number")
+    raise ValueError(f"{name} is no number")
 
 
 def _finite_float(text: str) -> float:
--- a/bitternpath/configuration/patches.py
+++ b/bitternpath/configuration/patches.py
@@ -58,5 +58,5 @@
 def _item_name(section: str, item: Mapping[str, Any]) -> str:
     name = item.get("name")
     if not isinstance(name, str):
-        raise InvalidConfigurationError(f"{section}: has items without a name, which a patch can't change")
+        raise InvalidConfigurationError(f"{section}: has items without a name, which a patch can't alter")
     return name
--- a/bitternpath/configuration/validation.py
+++ b/bitternpath/configuration/validation.py
@@ -33,7 +33,7 @@
     """
     version = document.get("version")
     if not isinstance(version, int) or isinstance(version, bool) or version < 1:
-        raise InvalidConfigurationError("version: must be a positive integer")
+        raise InvalidConfigurationError("version: must be a whole number above 0")
     if version > MAX_VERSION:
         raise InvalidConfigurationError(f"version: must be at most {MAX_VERSION}")
     configuration = Configuration(
@@ -98,7 +98,7 @@
     seen: set[str] = set()
     for name in names:
         if not name or name in seen:
-            raise InvalidConfigurationError(f"{section}: the name {name!r} is empty or a duplicate")
+            raise InvalidConfigurationError(f"{section}: the name {name!r} is empty or stands twice")
         seen.add(name)
 
 
@@ -110,19 +110,17 @@
         location = (route.host.lower(), route.path_prefix)
         if location in locations:
             raise InvalidConfigurationError(
-                f"routes {route.name}: another route has the same host and path_prefix"
+                f"routes {route.name}: another route has its host and path_prefix"
             )
         locations.add(location)
 
 
 def _check_route(route: Route, services: set[str]) -> None:
     if route.service not in services:
-        raise InvalidConfigurationError(f"routes {route.name}: service {route.service} does not exist")
+        raise InvalidConfigurationError(f"routes {route.name}: service {route.service} is not known")
     if route.timeout_ms <= 0:
         raise InvalidConfigurationError(f"routes {route.name}: timeout_ms must be above 0")
     if route.max_attempts <= 0 or route.retention_s <= 0:
         raise InvalidConfigurationError(f"routes {route.name}: max_attempts and retention_s must be above 0")
     if not route.path_prefix.startswith("/") or not route.host:
-        raise InvalidConfigurationError(
-            f"routes {route.name}: empty host, or path_prefix does not start with /"
-        )
+        raise InvalidConfigurationError(f"routes {route.name}: host is empty or path_prefix has no leading /")
