--- a/tests/system/configuration/test_change_interleavings.py
+++ b/tests/system/configuration/test_change_interleavings.py
@@ -66,12 +66,12 @@
 class Node:
     """A node with its replica of the state; implements `ConsensusGroup`."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.state = world.build.state(world.build.remembered)
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.state = simulation.build.state(simulation.build.remembered)
         self.applied = 0
         self.owner = False  # as far as it knows
-        self.processor = world.build.processor(self.state, self)
+        self.processor = simulation.build.processor(self.state, self)
         self.open: list[tuple[bytes, Deferred[object]]] = []
         self.barriers: list[Deferred[None]] = []
 
@@ -92,9 +92,9 @@
 
     def catch_up(self) -> None:
         """Apply what is committed."""
-        while self.applied < len(self.world.log):
+        while self.applied < len(self.simulation.log):
             self.applied += 1
-            self.state.apply(self.applied, self.world.log[self.applied - 1])
+            self.state.apply(self.applied, self.simulation.log[self.applied - 1])
 
     def step_down(self) -> None:
         """Stop owning the group, if this node did."""
@@ -109,7 +109,7 @@
 
 
 @dataclass
-class World:
+class Simulation:
     """Two nodes, the committed log, and the results that operators got."""
 
     build: Build
@@ -284,10 +284,10 @@
         self.send(name, self.owner)
         self.settle()
         last = self.results[name][-1:]
-        forgotten = self.build.remembered < 100 and last and last[0].status == 503
-        if took_effect and last[0].status != 200 and not forgotten:
+        may_be_evicted = self.build.remembered < 100 and last and last[0].status == 503
+        if took_effect and last[0].status != 200 and not may_be_evicted:
             self._break(f"{name} is in force and its retry gets {last[0].status}")
-        if not took_effect and last and last[0].status != 412 and not forgotten:
+        if not took_effect and last and last[0].status != 412 and not may_be_evicted:
             self._break(f"{name} isn't in force and gets {last[0].status}")
 
 
@@ -346,27 +346,27 @@
 
     def run(self, played: tuple[str, ...] = ()) -> str:
         """The first sequence that breaks a rule, of those that begin with `played`; or ""."""
-        world = World(self.build)
+        simulation = Simulation(self.build)
         for event in self.scope.beginning + played:
-            world.play(event)
-        next_events = [event for event in self.scope.events if world.changes(event)]
+            simulation.play(event)
+        next_events = [event for event in self.scope.events if simulation.changes(event)]
         self.count += 1
-        rule = world.verdict()
+        rule = simulation.verdict()
         if rule:
             return f"{rule}: {', '.join(self.scope.beginning + played)}"
         if len(played) < self.scope.length:
             for event in next_events:
-                found = self.run((*played, event))
-                if found:
-                    return found
+                violation = self.run((*played, event))
+                if violation:
+                    return violation
         return ""
 
 
 def search(build: type[ChangeProcessor], state: type[ConfigurationState], scope: Scope) -> tuple[int, str]:
     """How many sequences were played, and the first that breaks a rule, or ""."""
     search_run = Search(Build(build, state, scope.remembered), scope)
-    found = search_run.run()
-    return search_run.count, found
+    violation = search_run.run()
+    return search_run.count, violation
 
 
 # ---- broken builds
@@ -394,10 +394,10 @@
     """Changes are evaluated when they come, and the results sent once ownership is confirmed."""
 
     def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
-        early = super()._evaluate(PendingChange(request, request.digest(), Deferred()))
-        if isinstance(early, OperatorResult) and early.decided:
+        result_before_confirmation = super()._evaluate(PendingChange(request, request.digest(), Deferred()))
+        if isinstance(result_before_confirmation, OperatorResult) and result_before_confirmation.decided:
             return self.group.barrier().addCallbacks(
-                lambda _: early, lambda _: operator_result(ResultCode.NOT_OWNER)
+                lambda _: result_before_confirmation, lambda _: operator_result(ResultCode.NOT_OWNER)
             )
         return super().submit(request)
 
@@ -407,8 +407,8 @@
 
     def _propose(self, change: PendingChange, proposed: ProposedChange) -> None:
         change.result.callback(operator_result(ResultCode.ACCEPTED, version=proposed.version))
-        silent = PendingChange(change.request, change.digest, Deferred())
-        super()._propose(silent, proposed)
+        unacknowledged = PendingChange(change.request, change.digest, Deferred())
+        super()._propose(unacknowledged, proposed)
 
 
 class RejectedWhileUnknown(ChangeProcessor):
@@ -452,8 +452,8 @@
     def test_no_sequence_of_events_breaks_a_rule(self) -> None:
         for label, scope in SCOPES.items():
             with self.subTest(label):
-                count, found = search(ChangeProcessor, ConfigurationState, scope)
-                self.assertEqual(found, "")
+                count, violation = search(ChangeProcessor, ConfigurationState, scope)
+                self.assertEqual(violation, "")
                 self.assertEqual(count, SEQUENCES[label])
 
     def assert_found(
--- a/tests/system/configuration/test_feed.py
+++ b/tests/system/configuration/test_feed.py
@@ -136,11 +136,11 @@
         link: FakeLink | None = None,
         with_document: bool = True,
     ) -> None:
-        found = link or self.subscribed_link()
+        used_link = link or self.subscribed_link()
         placement = GROUPS if generation else None
         packed = pack_document(document(version)) if with_document else None
         self.client.update_received(
-            found,  # type: ignore[arg-type]
+            used_link,  # type: ignore[arg-type]
             FeedUpdate(epoch, version, packed, generation, placement, 3),
         )
 
@@ -168,8 +168,8 @@
         """While an owner is being elected, a candidate that was asked too early is not waited for."""
         link = self.subscribed_link()
         refusals = 0
-        until = self.clock.seconds() + 0.3
-        while self.clock.seconds() < until:
+        deadline = self.clock.seconds() + 0.3
+        while self.clock.seconds() < deadline:
             if link is not None and link.open and link.sent:
                 link.sent.clear()
                 self.client.refusal_received(link, FeedRefused("", ()))  # type: ignore[arg-type]
@@ -239,8 +239,8 @@
     def setUp(self) -> None:
         self.clock = Clock()
         self.state = ConfigurationState()
-        self.lease = True
-        self.server = FeedServer(self.clock, self.state, lambda: self.lease)
+        self.has_lease = True
+        self.server = FeedServer(self.clock, self.state, lambda: self.has_lease)
         self.server.begin(7)
 
     def commit(self, version: int) -> None:
@@ -274,14 +274,14 @@
         without_catalogue = self.subscribe(0)
         for serial in (1, 1, 2):
             self.server.publish_catalogue(CatalogueUpdate(7, serial, 10, ()))
-        late = self.subscribe(0, catalogue=True)
+        late_subscriber = self.subscribe(0, catalogue=True)
 
         def catalogues(link: FakeLink) -> list[tuple[int, bool]]:
             updates = [record for record in link.sent if isinstance(record, CatalogueUpdate)]
             return [(update.serial, update.entries is not None) for update in updates]
 
         self.assertEqual(catalogues(with_catalogue), [(1, True), (1, False), (2, True)])
-        self.assertEqual((catalogues(without_catalogue), catalogues(late)), ([], [(2, True)]))
+        self.assertEqual((catalogues(without_catalogue), catalogues(late_subscriber)), ([], [(2, True)]))
 
     def test_subscribers_are_redirected_when_ownership_is_lost(self) -> None:
         link = self.subscribe(0)
--- a/tests/system/configuration/test_feed_catch_up.py
+++ b/tests/system/configuration/test_feed_catch_up.py
@@ -38,10 +38,10 @@
         hub.client = client
         return client, listener, hub
 
-    def first_update(self, wanted: FeedSubscribe) -> FeedUpdate:
+    def first_update(self, subscription: FeedSubscribe) -> FeedUpdate:
         """The first update that a subscriber with these offsets gets."""
         link = FakeLink("x:1")
-        self.server.subscribe(link, wanted)  # type: ignore[arg-type]
+        self.server.subscribe(link, subscription)  # type: ignore[arg-type]
         first = link.sent[0]
         assert isinstance(first, FeedUpdate)
         return first
@@ -63,9 +63,9 @@
         client.start()
         self.clock.pump([0.05] * 10)
         link = hub.links["a:1"]
-        wanted = next(record for record in link.sent if isinstance(record, FeedSubscribe))
-        self.assertEqual((wanted.configuration_version, wanted.placement_generation), (5, 5))
-        client.update_received(link, self.first_update(wanted))  # type: ignore[arg-type]
+        subscription = next(record for record in link.sent if isinstance(record, FeedSubscribe))
+        self.assertEqual((subscription.configuration_version, subscription.placement_generation), (5, 5))
+        client.update_received(link, self.first_update(subscription))  # type: ignore[arg-type]
         client.update_received(link, cached)  # type: ignore[arg-type]
         client.restore(cached)
         self.assertEqual((client.version, client.placement_generation), (VERSIONS, VERSIONS))
--- a/tests/system/configuration/test_feed_owner_search.py
+++ b/tests/system/configuration/test_feed_owner_search.py
@@ -26,7 +26,7 @@
 
 STEP_S = 0.01
 ROUND_TRIP_S = 0.02
-BOUND_S = 3.0  # config_apply_ms of the pages' example
+MAX_CONFIG_APPLY_S = 3.0  # config_apply_ms of the pages' example
 
 
 def document(version: int) -> bytes:
@@ -55,7 +55,7 @@
     epoch: int = 0  # above 0: it believes that it is the owner
     version: int = 0
     hint: str = ""  # the node that it believes to be the owner, if not itself
-    silent: bool = False  # partitioned, or frozen
+    unresponsive: bool = False  # partitioned, or frozen
 
 
 @dataclass
@@ -90,7 +90,7 @@
     def _opened(self, link: Link) -> None:
         if self.links.get(link.address) is not link:
             return
-        if self.members[link.address].silent:
+        if self.members[link.address].unresponsive:
             self.later(self._opened, link)
         else:
             link.open = True
@@ -100,7 +100,7 @@
         member = self.members[link.address]
         if not link.open:
             return
-        if member.silent:
+        if member.unresponsive:
             self.clock.callLater(HEARTBEAT_INTERVAL_S, self.answer, link)
         elif member.epoch:
             content = pack_document(document(member.version))
@@ -146,10 +146,10 @@
 
     def run_until_version(self, version: int, seconds: float) -> float:
         """Seconds until a version is in force here, or infinity."""
-        began = self.clock.seconds()
-        while self.clock.seconds() - began < seconds:
+        started_at = self.clock.seconds()
+        while self.clock.seconds() - started_at < seconds:
             if self.listener.versions[-1:] == [version]:
-                return self.clock.seconds() - began
+                return self.clock.seconds() - started_at
             self.clock.advance(STEP_S)
         return float("inf")
 
@@ -162,12 +162,12 @@
                 members = {name: Member(hint="a:1") for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
                 members["a:1"] = Member(1, 5)
                 self.begin(members, seed)
-                self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
-                members["a:1"].silent = members["b:1"].silent = True
+                self.assertLess(self.run_until_version(5, 5.0), MAX_CONFIG_APPLY_S)
+                members["a:1"].unresponsive = members["b:1"].unresponsive = True
                 self.run_for(1.2)
                 members["c:1"] = Member(2, 7)
                 members["d:1"].hint = members["e:1"].hint = "c:1"
-                self.assertLess(self.run_until_version(7, 5.0), BOUND_S - 1.2)
+                self.assertLess(self.run_until_version(7, 5.0), MAX_CONFIG_APPLY_S - 1.2)
 
     def test_after_a_partition_with_a_minority_the_newest_version_is_in_force_in_time(
         self,
@@ -177,16 +177,16 @@
                 members = {name: Member(hint="a:1") for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
                 members["a:1"] = Member(1, 5)
                 self.begin(members, seed)
-                self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
+                self.assertLess(self.run_until_version(5, 5.0), MAX_CONFIG_APPLY_S)
                 members["a:1"].epoch, members["a:1"].hint = 0, ""  # it has heard from no majority
                 for name in ("c:1", "d:1", "e:1"):
-                    members[name] = Member(hint="e:1", silent=True)
-                members["e:1"] = Member(2, 9, silent=True)
+                    members[name] = Member(hint="e:1", unresponsive=True)
+                members["e:1"] = Member(2, 9, unresponsive=True)
                 self.run_for(20.0)
                 self.assertIsNone(self.client.owner_link())
                 for member in members.values():
-                    member.silent = False
-                self.assertLess(self.run_until_version(9, 5.0), BOUND_S)
+                    member.unresponsive = False
+                self.assertLess(self.run_until_version(9, 5.0), MAX_CONFIG_APPLY_S)
                 self.assertEqual(self.listener.versions, [5, 9])
 
     def test_members_that_hint_at_one_another_are_not_asked_in_a_loop(self) -> None:
@@ -197,15 +197,15 @@
         self.assertEqual({address for _, address in self.network.subscriptions}, set(members))
 
     def test_an_owner_that_was_briefly_silent_is_kept(self) -> None:
-        members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1", silent=True)}
+        members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1", unresponsive=True)}
         self.begin(members)
-        self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
-        members["a:1"].silent = True
+        self.assertLess(self.run_until_version(5, 5.0), MAX_CONFIG_APPLY_S)
+        members["a:1"].unresponsive = True
         self.run_for(OWNER_TIMEOUT_S + 0.3)
         self.assertIsNone(self.client.owner_link())
-        members["a:1"].silent = False
+        members["a:1"].unresponsive = False
         members["a:1"].version = 7
-        self.assertLess(self.run_until_version(7, 5.0), BOUND_S)
+        self.assertLess(self.run_until_version(7, 5.0), MAX_CONFIG_APPLY_S)
         self.assertEqual(self.client.owner_address, "a:1")
         self.run_for(1.0)
         self.assertEqual(set(self.network.links), {"a:1"})  # nobody else is dialled any more
@@ -214,11 +214,11 @@
     def test_an_owner_of_an_older_epoch_is_never_followed_again(self) -> None:
         members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1")}
         self.begin(members)
-        self.assertLess(self.run_until_version(5, 5.0), BOUND_S)
-        members["a:1"].silent = True
+        self.assertLess(self.run_until_version(5, 5.0), MAX_CONFIG_APPLY_S)
+        members["a:1"].unresponsive = True
         members["b:1"] = Member(4, 7)
-        self.assertLess(self.run_until_version(7, 5.0), BOUND_S)
-        members["b:1"].silent = True
+        self.assertLess(self.run_until_version(7, 5.0), MAX_CONFIG_APPLY_S)
+        members["b:1"].unresponsive = True
         members["a:1"] = Member(1, 11)  # thawed, unaware of its successor
         self.run_for(20.0)
         self.assertEqual(self.listener.versions, [5, 7])
@@ -246,10 +246,10 @@
                 network.client = client
                 client.start()
                 clock.pump([STEP_S] * 300)
-                members["a:1"].silent = True
+                members["a:1"].unresponsive = True
                 members["b:1"] = Member(4, 7)
                 clock.pump([STEP_S] * 500)
-                members["b:1"].silent = True
+                members["b:1"].unresponsive = True
                 members["a:1"] = Member(1, 11)
                 clock.pump([STEP_S] * 2000)
                 self.assertEqual(listener.versions, versions)
@@ -262,8 +262,8 @@
         self.clock = Clock()
         self.state = ConfigurationState()
         self.state.apply(1, COMMANDS.encode(ReplaceDocument(0, b"1", document(3))))
-        self.lease = True
-        self.server = FeedServer(self.clock, self.state, lambda: self.lease)
+        self.has_lease = True
+        self.server = FeedServer(self.clock, self.state, lambda: self.has_lease)
         self.server.begin(7)
         self.sent: list[Any] = []
 
@@ -282,12 +282,12 @@
         self.subscribe()
         before = len(self.sent)
         self.assertEqual(before, 1)
-        self.lease = False
+        self.has_lease = False
         self.clock.pump([0.1] * 20)
         self.server.publish_catalogue(CatalogueUpdate(7, 1, 0, ()))
         self.subscribe()
         self.assertEqual(len(self.sent), before)
-        self.lease = True
+        self.has_lease = True
         self.clock.pump([0.1] * 5)
         updates = [record for record in self.sent[before:] if isinstance(record, FeedUpdate)]
         self.assertEqual(sum(update.configuration is not None for update in updates), 1)  # the late one's
--- a/tests/system/configuration/test_invalid_changes.py
+++ b/tests/system/configuration/test_invalid_changes.py
@@ -36,7 +36,7 @@
     return {"version": version, "routes": [route()], "services": [{"name": "s1"}], **changes}
 
 
-def encoded(content: Any) -> bytes:
+def encode(content: Any) -> bytes:
     """JSON."""
     return json.dumps(content).encode()
 
@@ -57,7 +57,7 @@
         return succeed(None)
 
 
-COMPLETE = encoded(document(5))
+COMPLETE = encode(document(5))
 NESTED = b"[" * MAX_NESTING_LEVELS + b"]" * MAX_NESTING_LEVELS
 SECOND = route(name="r2", path_prefix="/b/")
 
@@ -65,15 +65,15 @@
     "cut_short": ("3", COMPLETE[: len(COMPLETE) // 2]),
     "cut_short by one byte": ("3", COMPLETE[:-1]),
     "empty": ("3", b""),
-    "unknown_service": ("3", encoded(document(5, routes=[route(service="none")]))),
-    "same_place": ("3", encoded(document(5, routes=[route(), route(name="r2")]))),
-    "same_place, capitals": ("3", encoded(document(5, routes=[route(), route(name="r2", host="A.EXAMPLE")]))),
-    "same name": ("3", encoded(document(5, routes=[route(), route(path_prefix="/b/")]))),
-    "no_timeout: 0": ("3", encoded(document(5, routes=[route(timeout_ms=0)]))),
-    "no_timeout: missing": ("3", encoded(document(5, routes=[route(timeout_ms=None)]))),
-    "no_timeout: below 1 ms": ("3", encoded(document(5, routes=[route(timeout_ms=0.4)]))),
-    "old_version": ("3", encoded(document(2))),
-    "same_version": ("3", encoded(document(3, limits={"max_body_bytes": 7}))),
+    "unknown_service": ("3", encode(document(5, routes=[route(service="none")]))),
+    "same_place": ("3", encode(document(5, routes=[route(), route(name="r2")]))),
+    "same_place, capitals": ("3", encode(document(5, routes=[route(), route(name="r2", host="A.EXAMPLE")]))),
+    "same name": ("3", encode(document(5, routes=[route(), route(path_prefix="/b/")]))),
+    "no_timeout: 0": ("3", encode(document(5, routes=[route(timeout_ms=0)]))),
+    "no_timeout: missing": ("3", encode(document(5, routes=[route(timeout_ms=None)]))),
+    "no_timeout: below 1 ms": ("3", encode(document(5, routes=[route(timeout_ms=0.4)]))),
+    "old_version": ("3", encode(document(2))),
+    "same_version": ("3", encode(document(3, limits={"max_body_bytes": 7}))),
     "stale_match": ("1", COMPLETE),
     "stale_match: ahead": ("4", COMPLETE),
     "match is no number": ("3x", COMPLETE),
@@ -84,7 +84,7 @@
     "a time-out that is endless": ("3", COMPLETE.replace(b"1000", b"Infinity")),
     "a time-out beyond 64 bits": ("3", COMPLETE.replace(b"1000", b"9" * 30)),
     "a number of 5,000 digits": ("3", COMPLETE.replace(b"1000", b"9" * 5000)),
-    "a version beyond 64 bits": ("3", encoded(document(MAX_VERSION + 1))),
+    "a version beyond 64 bits": ("3", encode(document(MAX_VERSION + 1))),
     "lists without end": ("3", b"[" * 100_000),
     "nested too deep": ("3", b'{"version":5,"x":%b}' % NESTED),
     "objects without end": ("3", b'{"version":5,"x":' + b'{"a":' * 50_000),
@@ -93,17 +93,17 @@
 
 INVALID_PATCHES: dict[str, tuple[str, bytes]] = {
     "cut_short": ("3", b'{"version":5,"upsert":{"routes":['),
-    "unknown_service": ("3", encoded({"version": 5, "upsert": {"routes": [route(service="none")]}})),
-    "same_place": ("3", encoded({"version": 5, "upsert": {"routes": [route(name="r2")]}})),
-    "no_timeout": ("3", encoded({"version": 5, "upsert": {"routes": [route(timeout_ms=0)]}})),
-    "old_version": ("3", encoded({"version": 2})),
-    "same_version": ("3", encoded({"version": 3, "upsert": {"routes": [SECOND]}})),
-    "no version": ("3", encoded({"upsert": {"routes": [SECOND]}})),
-    "stale_match": ("1", encoded({"version": 5})),
-    "removes what is in use": ("3", encoded({"version": 5, "remove": {"services": ["s1"]}})),
-    "removes by no list": ("3", encoded({"version": 5, "remove": {"routes": 7}})),
-    "removes by no names": ("3", encoded({"version": 5, "remove": {"routes": [["r1"]]}})),
-    "alters items whose names are lists": ("3", encoded({"version": 5, "upsert": {"extra": []}})),
+    "unknown_service": ("3", encode({"version": 5, "upsert": {"routes": [route(service="none")]}})),
+    "same_place": ("3", encode({"version": 5, "upsert": {"routes": [route(name="r2")]}})),
+    "no_timeout": ("3", encode({"version": 5, "upsert": {"routes": [route(timeout_ms=0)]}})),
+    "old_version": ("3", encode({"version": 2})),
+    "same_version": ("3", encode({"version": 3, "upsert": {"routes": [SECOND]}})),
+    "no version": ("3", encode({"upsert": {"routes": [SECOND]}})),
+    "stale_match": ("1", encode({"version": 5})),
+    "removes what is in use": ("3", encode({"version": 5, "remove": {"services": ["s1"]}})),
+    "removes by no list": ("3", encode({"version": 5, "remove": {"routes": 7}})),
+    "removes by no names": ("3", encode({"version": 5, "remove": {"routes": [["r1"]]}})),
+    "alters items whose names are lists": ("3", encode({"version": 5, "upsert": {"extra": []}})),
     "a time-out beyond floats": ("3", b'{"version":5,"upsert":{"routes":[{"name":"r","timeout_ms":1e999}]}}'),
 }  # fmt: skip
 
@@ -114,7 +114,7 @@
     def setUp(self) -> None:
         self.state = ConfigurationState()
         self.processor = ChangeProcessor(self.state, Group(self.state))
-        self.assertEqual(self.send("PUT", "0", encoded(document(3, extra=[{"name": ["x"]}]))), 200)
+        self.assertEqual(self.send("PUT", "0", encode(document(3, extra=[{"name": ["x"]}]))), 200)
 
     def send(self, method: str, base: str, body: bytes) -> int:
         results: list[OperatorResult] = []
@@ -145,7 +145,7 @@
         for label, make in cases:
             with self.subTest(label):
                 self.setUp()
-                self.assertEqual(self.send("PUT", "3", encoded(make())), 200)
+                self.assertEqual(self.send("PUT", "3", encode(make())), 200)
                 restored = ConfigurationState()
                 restored.restore(self.state.snapshot())
                 self.assertEqual(restored.version, self.state.version)
--- a/tests/system/configuration/test_retirement.py
+++ b/tests/system/configuration/test_retirement.py
@@ -215,8 +215,10 @@
             self.assertIs(retirement_state(state, "d"), RetireState.DONE)
             self.assertIsNone(next_finished_retirement(state, MembershipReports()))
             members = initial_placement(nodes("dbc"), 1)[0].members
-            back = tuple(replace(group, members=members) for group in state.groups)
-            self.assertFalse(state.apply(10, COMMANDS.encode(SetPlacement(state.placement_generation, back))))
+            reverted = tuple(replace(group, members=members) for group in state.groups)
+            self.assertFalse(
+                state.apply(10, COMMANDS.encode(SetPlacement(state.placement_generation, reverted)))
+            )
             self.assertIs(retirement_state(state, "d"), RetireState.DONE)
             self.assertIs(
                 decide_retirement(state, "d", nodes("abc"), lambda name: 0.0, 1).check, RetireCheck.REPEATED
@@ -234,11 +236,11 @@
 
     def test_another_machine_may_join_under_the_same_name(self) -> None:
         self.finish()
-        newcomer = ids("D")[0]
-        self.assertFalse(self.state.storage.is_retired(newcomer))
+        new_member = ids("D")[0]
+        self.assertFalse(self.state.storage.is_retired(new_member))
         self.assertTrue(self.state.storage.is_retired(ids("d")[0]))
-        self.state.apply(10, COMMANDS.encode(UpdateStorageMembers((newcomer,), ())))
-        self.assertIn(newcomer, self.state.storage.members)
+        self.state.apply(10, COMMANDS.encode(UpdateStorageMembers((new_member,), ())))
+        self.assertIn(new_member, self.state.storage.members)
         decision = decide_retirement(self.state, "d", nodes("abcD"), lambda name: 0.0, 1)
         self.assertIs(decision.check, RetireCheck.ACCEPTABLE)
 
@@ -275,9 +277,9 @@
         self.clock, self.state = Clock(), state
         self.feed = FeedServer(self.clock, state, lambda: 1)
         self.nodes = LiveNodes(self.clock, self.feed)
-        self.owns, self.commits, self.index = True, True, 100
-        self.holds_back = False  # proposals wait until `commit_held`
-        self.held: list[tuple[Deferred[object], bytes]] = []
+        self.is_owning, self.commits_proposals, self.index = True, True, 100
+        self.delays_commits = False  # proposals wait until `commit_held`
+        self.delayed_proposals: list[tuple[Deferred[object], bytes]] = []
         group = cast(Any, self)
         self.placement = ShardPlacement(self.clock, group, state, self.nodes, 1)
         self.retirements = Retirements(group, state, self.nodes, 1)
@@ -303,26 +305,26 @@
         self.retirements.reconcile()
 
     def is_owner(self) -> bool:
-        return self.owns
+        return self.is_owning
 
     def barrier(self) -> Deferred[None]:
-        return succeed(None) if self.owns else fail(NotOwnerError())
+        return succeed(None) if self.is_owning else fail(NotOwnerError())
 
     def propose(self, command: bytes) -> Deferred[object]:
-        if not self.commits:
+        if not self.commits_proposals:
             return fail(OutcomeUnknownError())
-        if self.holds_back:
+        if self.delays_commits:
             waiting: Deferred[object] = Deferred()
-            self.held.append((waiting, command))
+            self.delayed_proposals.append((waiting, command))
             return waiting
         self.index += 1
         return succeed(self.state.apply(self.index, command))
 
-    def commit_held(self) -> None:
+    def commit_delayed(self) -> None:
         """Commit what was proposed, in order."""
-        self.holds_back = False
-        held, self.held = self.held, []
-        for waiting, command in held:
+        self.delays_commits = False
+        delayed_proposals, self.delayed_proposals = self.delayed_proposals, []
+        for waiting, command in delayed_proposals:
             self.index += 1
             waiting.callback(self.state.apply(self.index, command))
 
@@ -376,11 +378,11 @@
     def test_of_two_requests_in_the_first_second_none_is_refused_for_good(self) -> None:
         """Both are valid with "e", which this owner hasn't heard of; the second is decided by the state."""
         owner = Owner(placed_state("abcd"))
-        owner.holds_back = True
+        owner.delays_commits = True
         results: list[OperatorResult] = []
         for node in ("a", "b"):
             owner.retirements.retire(node).addCallback(results.append)
-        owner.commit_held()
+        owner.commit_delayed()
         self.assertEqual([result.status for result in results], [200, 503])
         owner.subscribe("abcde")
         owner.run(FOLLOWERS_KNOWN_AFTER_S)
@@ -404,17 +406,17 @@
 
     def test_an_earlier_owner_gives_503(self) -> None:
         owner = Owner(placed_state("abcd"))
-        owner.owns = False
+        owner.is_owning = False
         for name in ("a", "x"):
             self.assertEqual(owner.retire(name).status, 503)
         self.assertEqual(owner.state_of("a"), "not_owner")
 
     def test_an_unknown_outcome_is_503_and_the_retry_is_acknowledged(self) -> None:
         owner = Owner(placed_state("abcd"))
-        owner.commits = False
+        owner.commits_proposals = False
         self.assertEqual(owner.retire("d").status, 503)
         owner.state.apply(50, COMMANDS.encode(RetireNode(ids("d")[0], ids("abc"), 3)))  # it was committed
-        owner.commits = True
+        owner.commits_proposals = True
         owner.leadership_acquired()
         self.assertIs(owner.retire("d").code, ResultCode.RETIRING)
 
@@ -447,7 +449,7 @@
 class BrokenBuildTest(unittest.TestCase):
     """Shows that the tests above find builds as they were, or might be."""
 
-    def found(self, case: type[unittest.TestCase], name: str) -> bool:
+    def fails_with(self, case: type[unittest.TestCase], name: str) -> bool:
         result = unittest.TestResult()
         case(name).run(result)
         return bool(result.failures) and not result.errors
@@ -458,19 +460,19 @@
             return known is not None and node not in known.nodes
 
         with mock.patch.object(MembershipReports, "_is_without", any_report):
-            self.assertTrue(self.found(FinishTest, "test_a_report_by_an_older_placement_is_ignored"))
+            self.assertTrue(self.fails_with(FinishTest, "test_a_report_by_an_older_placement_is_ignored"))
 
     def test_broken_decided_by_the_nodes_subscribed_now(self) -> None:
         def present_only(_: object, present: list[NodeDescriptor]) -> dict[str, str]:
             return {node.name: member_id(node) for node in present}
 
         with mock.patch.object(retirement, "known_members", present_only):
-            self.assertTrue(self.found(ResultsTest, "test_in_the_first_second_of_an_ownership"))
+            self.assertTrue(self.fails_with(ResultsTest, "test_in_the_first_second_of_an_ownership"))
 
     def test_broken_done_is_volatile(self) -> None:
         with mock.patch.object(StorageMembership, "finish_retirement", lambda *_: True):
             self.assertTrue(
-                self.found(ResultsTest, "test_a_retirement_is_finished_across_owners_and_stays_done")
+                self.fails_with(ResultsTest, "test_a_retirement_is_finished_across_owners_and_stays_done")
             )
 
 
--- a/tests/system/replication/loaded_group.py
+++ b/tests/system/replication/loaded_group.py
@@ -12,29 +12,29 @@
         super().__init__(seed, Plan())
         self.loss, self.calm = 0.0, True
         self.serial = 0
-        self.every = 0.0
+        self.interval = 0.0
 
     def owner(self) -> Process:
         """The process that owns the group; waits for one."""
 
-        def found() -> list[Process]:
+        def owners() -> list[Process]:
             processes = [node.process for node in self.nodes.values() if node.process]
             return [process for process in processes if process.host.is_owner(GROUP)]
 
-        assert found() or self.run_until(lambda: bool(found()), 5)
-        return found()[0]
+        assert owners() or self.run_until(lambda: bool(owners()), 5)
+        return owners()[0]
 
-    def change(self, size: int = 20) -> None:
+    def propose_next(self, size: int = 20) -> None:
         """Propose one command."""
         self.serial += 1
         self.propose(self.owner(), b"%08d" % self.serial + bytes(size))
 
-    def changes(self, every: float) -> None:
+    def propose_periodically(self, interval: float) -> None:
         """Propose a command every so many seconds, until `every` is set to 0."""
-        self.every = every
-        if every:
-            self.change()
-            self.clock.callLater(every, lambda: self.changes(self.every))
+        self.interval = interval
+        if interval:
+            self.propose_next()
+            self.clock.callLater(interval, lambda: self.propose_periodically(self.interval))
 
     def follower(self) -> Node:
         """A node that doesn't lead."""
--- a/tests/system/replication/schedules.py
+++ b/tests/system/replication/schedules.py
@@ -105,7 +105,7 @@
         self.members[name].tick(self.now)
         self.run(name)
 
-    def time_passes_for_heartbeat(self, name: str) -> None:
+    def advance_to_heartbeat(self, name: str) -> None:
         """Let a leader's heartbeat fall due."""
         self.now += self.members[name].timing.heartbeat_interval
         self.members[name].tick(self.now)
--- a/tests/system/replication/scripted_peers.py
+++ b/tests/system/replication/scripted_peers.py
@@ -53,16 +53,16 @@
     """A listener that records its events."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[object, ...]] = []
+        self.events_seen: list[tuple[object, ...]] = []
 
     def became_owner(self, epoch: int) -> None:
-        self.seen.append(("owner", epoch))
+        self.events_seen.append(("owner", epoch))
 
     def lost_ownership(self, cause: RoleChangeCause) -> None:
-        self.seen.append(("lost",))
+        self.events_seen.append(("lost",))
 
     def applied(self, index: int, command: bytes, result: object) -> None:
-        self.seen.append(("applied", index, command, result))
+        self.events_seen.append(("applied", index, command, result))
 
 
 class ScriptedHost:
@@ -115,17 +115,17 @@
                 case RequestVote():
                     self.receive(peer, RequestVoteResponse(message.term, message.pre_vote, True))
                 case AppendEntries():
-                    agrees = message.previous_index + len(message.entries)
+                    match_index = message.previous_index + len(message.entries)
                     self.receive(
-                        peer, AppendEntriesResponse(message.term, True, agrees, message.heartbeat_round)
+                        peer, AppendEntriesResponse(message.term, True, match_index, message.heartbeat_round)
                     )
                 case InstallSnapshot():
-                    there = message.offset + len(message.chunk)
-                    stored = there >= message.size
+                    received = message.offset + len(message.chunk)
+                    stored = received >= message.size
                     self.receive(
                         peer,
                         InstallSnapshotResponse(
-                            message.term, message.index, there, stored, message.heartbeat_round
+                            message.term, message.index, received, stored, message.heartbeat_round
                         ),
                     )
 
@@ -135,6 +135,6 @@
 
 def result_of(deferred: Deferred[object]) -> object:
     """The result of a Deferred, the class of its error, or None while it has neither."""
-    found: list[object] = []
-    deferred.addCallbacks(found.append, lambda failure: found.append(failure.type))
-    return found[0] if found else None
+    results: list[object] = []
+    deferred.addCallbacks(results.append, lambda failure: results.append(failure.type))
+    return results[0] if results else None
--- a/tests/system/replication/test_cluster.py
+++ b/tests/system/replication/test_cluster.py
@@ -16,23 +16,23 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.world = World(1, Plan())
-        self.world.loss = 0.0
+        self.simulation = World(1, Plan())
+        self.simulation.loss = 0.0
 
     def owner(self) -> Process:
-        def found() -> list[Process]:
-            processes = [node.process for node in self.world.nodes.values() if node.process]
+        def owners() -> list[Process]:
+            processes = [node.process for node in self.simulation.nodes.values() if node.process]
             return [process for process in processes if process.host.is_owner(GROUP)]
 
-        self.assertTrue(self.world.run_until(lambda: bool(found()), 5))
-        return found()[0]
+        self.assertTrue(self.simulation.run_until(lambda: bool(owners()), 5))
+        return owners()[0]
 
     def test_a_committed_command_is_applied_on_all(self) -> None:
         owner = self.owner()
         result = owner.host.propose(GROUP, b"x")
-        self.world.run_until(lambda: False, 0.5)
+        self.simulation.run_until(lambda: False, 0.5)
         self.assertEqual(result_of(result), b"x")
-        for node in self.world.nodes.values():
+        for node in self.simulation.nodes.values():
             assert node.process is not None
             self.assertEqual(node.process.register.commands, [b"x"])
             self.assertEqual(node.process.host.leader(GROUP), owner.member)
@@ -42,35 +42,35 @@
         epoch = owner.host.current_term(GROUP)
         self.assertTrue(owner.host.transfer_leadership(GROUP))
         refused = owner.host.propose(GROUP, b"x")
-        self.world.run_until(lambda: False, 0.1)
+        self.simulation.run_until(lambda: False, 0.1)
         self.assertIs(result_of(refused), NotOwnerError)
-        after = self.owner()
-        self.assertNotEqual(after.member, owner.member)
-        self.assertEqual(after.host.current_term(GROUP), epoch + 1)
+        new_owner = self.owner()
+        self.assertNotEqual(new_owner.member, owner.member)
+        self.assertEqual(new_owner.host.current_term(GROUP), epoch + 1)
 
     def test_a_wiped_node_counts_only_after_it_caught_up(self) -> None:
         owner = self.owner()
         for i in range(30):
             owner.host.propose(GROUP, b"%d" % i)
-            self.world.run_until(lambda: False, 0.02)
-        lost = next(node for node in self.world.nodes.values() if node.process is not owner)
-        self.world._end(lost)
-        lost.disk.wipe()
-        lost.wipes += 1
-        self.world._start(lost, self.world.founders)
-        assert lost.process is not None
-        fresh = lost.process
-        self.assertEqual(fresh.host.members(GROUP), Members())
-        self.world._repeat(0.1, self.world._look_at_members)
+            self.simulation.run_until(lambda: False, 0.02)
+        wiped_node = next(node for node in self.simulation.nodes.values() if node.process is not owner)
+        self.simulation._end(wiped_node)
+        wiped_node.disk.wipe()
+        wiped_node.wipes += 1
+        self.simulation._start(wiped_node, self.simulation.founders)
+        assert wiped_node.process is not None
+        wiped_process = wiped_node.process
+        self.assertEqual(wiped_process.host.members(GROUP), Members())
+        self.simulation._repeat(0.1, self.simulation._look_at_members)
 
         def is_voter() -> bool:
-            voter = fresh.member in owner.host.members(GROUP).voters
+            voter = wiped_process.member in owner.host.members(GROUP).voters
             if voter:
-                self.assertTrue(owner.host.caught_up(GROUP, fresh.member))
+                self.assertTrue(owner.host.caught_up(GROUP, wiped_process.member))
             return voter
 
-        self.assertTrue(self.world.run_until(is_voter, 5))
-        self.assertTrue(self.world.run_until(self.world._agrees, 5))
+        self.assertTrue(self.simulation.run_until(is_voter, 5))
+        self.assertTrue(self.simulation.run_until(self.simulation._agrees, 5))
 
 
 if __name__ == "__main__":
--- a/tests/system/replication/test_fault_campaign.py
+++ b/tests/system/replication/test_fault_campaign.py
@@ -36,9 +36,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_CHUNK)
-        small.start()
-        self.addCleanup(small.stop)
+        patched = patch.object(snapshots, "CHUNK_BYTES", SMALL_CHUNK)
+        patched.start()
+        self.addCleanup(patched.stop)
 
     def play(self, plan: Plan, seeds: range | tuple[int, ...]) -> None:
         for seed in seeds:
@@ -75,13 +75,13 @@
         self.fail(f"not caught in {self.MOST_SEEDS} seeds")
 
     def test_acknowledging_before_the_sync(self) -> None:
-        def hasty(self: VirtualTimeJournalWriter, command: JournalCommand) -> None:
+        def without_safeguard(self: VirtualTimeJournalWriter, command: JournalCommand) -> None:
             if command.done is not None:
                 self._clock.callLater(0, command.done)
-            real(self, JournalCommand(command.record, command.snapshot, None))
+            original(self, JournalCommand(command.record, command.snapshot, None))
 
-        real = VirtualTimeJournalWriter.submit
-        with patch.object(VirtualTimeJournalWriter, "submit", hasty):
+        original = VirtualTimeJournalWriter.submit
+        with patch.object(VirtualTimeJournalWriter, "submit", without_safeguard):
             self.assert_caught()
 
     def test_an_empty_disk_that_votes(self) -> None:
@@ -96,33 +96,33 @@
             self.assert_caught()
 
     def test_a_read_that_asks_nobody(self) -> None:
-        def hasty(self: ReplicaGroup) -> None:
+        def without_safeguard(self: ReplicaGroup) -> None:
             if self.is_owner:
                 self._reads.start(lambda: 0)
                 self._reads.confirmed(0)
             else:
                 self._reads.fail_queued()
 
-        with patch.object(ReplicaGroup, "_start_reads", hasty):
+        with patch.object(ReplicaGroup, "_start_reads", without_safeguard):
             self.assert_caught()
 
     def test_a_term_that_is_not_persisted(self) -> None:
-        def forgetful(self: GroupState, record: WriteRecord) -> None:
+        def without_term(self: GroupState, record: WriteRecord) -> None:
             term = self.term
-            real(self, record)
+            original(self, record)
             self.term = term
 
-        real = GroupState.apply
-        with patch.object(GroupState, "apply", forgetful):
+        original = GroupState.apply
+        with patch.object(GroupState, "apply", without_term):
             self.assert_caught()
 
     def test_entries_counted_by_the_leader_before_its_own_sync(self) -> None:
-        def hasty(self: consensus.Raft) -> None:
+        def without_safeguard(self: consensus.Raft) -> None:
             self.log.stable_index = self.log.last_index
-            real(self)
+            original(self)
 
-        real = consensus.Raft._update_commitment
-        with patch.object(consensus.Raft, "_update_commitment", hasty):
+        original = consensus.Raft._update_commitment
+        with patch.object(consensus.Raft, "_update_commitment", without_safeguard):
             self.assert_caught()
 
 
--- a/tests/system/replication/test_host.py
+++ b/tests/system/replication/test_host.py
@@ -88,27 +88,27 @@
 
     def test_the_timer_is_not_reset_in_each_turn(self) -> None:
         host = ScriptedHost("a")
-        seconds, set_anew = host.clock.seconds, host.clock.callLater
-        readings, moved = count(), []
+        seconds, call_later_unpatched = host.clock.seconds, host.clock.callLater
+        readings, timers_set = count(), []
 
         def call_later(delay: float, call: Any, *args: Any) -> Any:
-            moved.append(call)
-            return set_anew(delay, call, *args)
+            timers_set.append(call)
+            return call_later_unpatched(delay, call, *args)
 
-        def moving() -> float:  # as a real clock: later at each reading
+        def advancing_clock() -> float:  # as a real clock: later at each reading
             return seconds() + next(readings) * 1e-8
 
         with (
             patch.object(host.clock, "callLater", call_later),
-            patch.object(host.clock, "seconds", moving),
+            patch.object(host.clock, "seconds", advancing_clock),
         ):
             host.open(TRIO)
             host.lead()
-            moved.clear()
+            timers_set.clear()
             for i in range(20):
                 host.host.propose("g", b"%d" % i)
                 host.run(0.001)
-        self.assertLessEqual(sum(call == host.host._tick for call in moved), 3)
+        self.assertLessEqual(sum(call == host.host._tick for call in timers_set), 3)
 
     def test_more_entries_than_fit_a_message_are_sent_in_the_same_turn(self) -> None:
         host = self.leader()
@@ -159,21 +159,21 @@
         self.assertEqual(host.journal_writer.batches, 2)  # the founding, and all five
 
     def test_only_responses_that_cover_one_another_are_coalesced(self) -> None:
-        yes, older = AppendEntriesResponse(2, True, 5, 3), AppendEntriesResponse(2, True, 4, 4)
+        positive, older = AppendEntriesResponse(2, True, 5, 3), AppendEntriesResponse(2, True, 4, 4)
         table: list[tuple[list[tuple[str, Message]], list[tuple[str, Message]]]] = [
-            ([("a", yes), ("a", older)], [("a", AppendEntriesResponse(2, True, 5, 4))]),
-            ([("a", yes), ("b", older)], [("a", yes), ("b", older)]),
+            ([("a", positive), ("a", older)], [("a", AppendEntriesResponse(2, True, 5, 4))]),
+            ([("a", positive), ("b", older)], [("a", positive), ("b", older)]),
             (
-                [("a", yes), ("a", AppendEntriesResponse(3, True, 6, 1))],
-                [("a", yes), ("a", AppendEntriesResponse(3, True, 6, 1))],
+                [("a", positive), ("a", AppendEntriesResponse(3, True, 6, 1))],
+                [("a", positive), ("a", AppendEntriesResponse(3, True, 6, 1))],
             ),
             (
-                [("a", yes), ("a", AppendEntriesResponse(2, False, 9, 4))],
-                [("a", yes), ("a", AppendEntriesResponse(2, False, 9, 4))],
+                [("a", positive), ("a", AppendEntriesResponse(2, False, 9, 4))],
+                [("a", positive), ("a", AppendEntriesResponse(2, False, 9, 4))],
             ),
             (
-                [("a", RequestVoteResponse(2, False, True)), ("a", yes)],
-                [("a", RequestVoteResponse(2, False, True)), ("a", yes)],
+                [("a", RequestVoteResponse(2, False, True)), ("a", positive)],
+                [("a", RequestVoteResponse(2, False, True)), ("a", positive)],
             ),
         ]
         for messages, expected in table:
@@ -208,8 +208,8 @@
     def test_a_heartbeat_does_not_confirm_a_snapshot_that_is_not_on_disk(self) -> None:
         host = ScriptedHost("b")
         host.open(TRIO)
-        junk = tuple(Entry(index, 1, EntryKind.COMMAND, b"junk") for index in range(1, 10))
-        host.receive("a", AppendEntries(1, 0, 0, junk, 0, 1))
+        conflicting = tuple(Entry(index, 1, EntryKind.COMMAND, b"junk") for index in range(1, 10))
+        host.receive("a", AppendEntries(1, 0, 0, conflicting, 0, 1))
         host.run(0.01)
         host.journal_writer.sync_seconds = 0.3
         state = msgspec.msgpack.encode([b"x"])
@@ -242,21 +242,21 @@
         host.receive("a", RequestVote(1, 0, 0, False))
         self.assertEqual(host.run(0.01), [("a", RequestVoteResponse(1, False, True))])
         host.disk.lose_power(Random(1))
-        again = ScriptedHost("b", host.disk)
-        again.open(TRIO)
-        again.receive("c", RequestVote(1, 0, 0, False))
-        self.assertEqual(again.run(0.01), [("c", RequestVoteResponse(1, False, False))])
+        restarted = ScriptedHost("b", host.disk)
+        restarted.open(TRIO)
+        restarted.receive("c", RequestVote(1, 0, 0, False))
+        self.assertEqual(restarted.run(0.01), [("c", RequestVoteResponse(1, False, False))])
 
     def test_the_journal_takes_precedence_over_the_founders(self) -> None:
         host = ScriptedHost("b")
         host.open(TRIO)
         host.receive("a", AppendEntries(4, 0, 0, (Entry(1, 4, EntryKind.COMMAND, b"x"),), 1, 1))
         host.run(0.01)
-        again = ScriptedHost("b", host.disk)
-        again.open(Members(("b",)))
-        self.assertEqual((again.host.members("g"), again.host.current_term("g")), (TRIO, 4))
-        again.run(2)
-        self.assertFalse(again.host.is_owner("g"))
+        restarted = ScriptedHost("b", host.disk)
+        restarted.open(Members(("b",)))
+        self.assertEqual((restarted.host.members("g"), restarted.host.current_term("g")), (TRIO, 4))
+        restarted.run(2)
+        self.assertFalse(restarted.host.is_owner("g"))
 
     def test_a_member_that_is_no_founder_neither_requests_nor_grants_votes(self) -> None:
         host = ScriptedHost("d")
@@ -276,9 +276,9 @@
         host.open(TRIO)
         self.assertEqual(host.host.members("g"), Members())
         host.run(0.01)
-        again = ScriptedHost("a", host.disk)
-        again.open(TRIO)
-        self.assertEqual(again.host.members("g"), Members())
+        restarted = ScriptedHost("a", host.disk)
+        restarted.open(TRIO)
+        self.assertEqual(restarted.host.members("g"), Members())
 
     def test_a_group_closed_by_its_listener_leaves_nothing_on_disk(self) -> None:
         host = self.leader()
@@ -316,9 +316,9 @@
         host.run(0.01)
         self.assertEqual(host.machine.commands, [b"x"])
         self.assertEqual(host.host.members("g"), Members())
-        again = ScriptedHost("b", host.disk)
-        again.open(TRIO)
-        self.assertEqual(again.host.groups["g"].raft.log.entries, [Entry(1, 1, EntryKind.COMMAND, b"x")])
+        restarted = ScriptedHost("b", host.disk)
+        restarted.open(TRIO)
+        self.assertEqual(restarted.host.groups["g"].raft.log.entries, [Entry(1, 1, EntryKind.COMMAND, b"x")])
 
     def test_only_an_owner_accepts_proposals_and_reads(self) -> None:
         host = ScriptedHost("b")
@@ -338,20 +338,20 @@
         host.turn()
         self.assertIs(result_of(result), NotOwnerError)
         host.lead()
-        self.assertEqual(host.events.seen, [("owner", host.host.current_term("g"))])
+        self.assertEqual(host.events.events_seen, [("owner", host.host.current_term("g"))])
 
     def test_a_leader_without_a_quorum_steps_down_with_outcomes_unknown(self) -> None:
         host = self.leader()
         results: list[Deferred[object]] = [host.host.propose("g", b"x"), host.host.read_barrier("g")]  # type: ignore[list-item]
         host.run(1)
         self.assertEqual([result_of(result) for result in results], [OutcomeUnknownError, NotOwnerError])
-        self.assertEqual(host.events.seen[-1], ("lost",))
+        self.assertEqual(host.events.events_seen[-1], ("lost",))
 
     def test_a_read_waits_for_responses_to_later_requests(self) -> None:
         host = self.leader()
-        beat = host.run(0.15)
+        heartbeat = host.run(0.15)
         barrier = host.host.read_barrier("g")
-        host.answer("b", beat)  # to heartbeats from before
+        host.answer("b", heartbeat)  # to heartbeats from before
         sent = host.turn()
         found: list[object] = []
         barrier.addCallback(found.append)
@@ -386,14 +386,14 @@
 
     def test_members_change_only_safely(self) -> None:
         host = self.leader()
-        wrong = (
+        unsafe = (
             Members(),
             Members(("a",)),  # two at once
             Members(("a", "b", "c", "d")),  # not caught up
             Members(("a", "b", "b")),
             Members(("a", "b", "c"), ("c",)),
         )
-        for members in wrong:
+        for members in unsafe:
             self.assertFalse(host.host.change_members("g", members), members)
         self.assertTrue(host.host.change_members("g", Members(("a", "b", "c"), ("d",))))
         self.assertFalse(host.host.change_members("g", Members(("a", "b"), ("d",))), "one is under way")
@@ -439,10 +439,10 @@
         self.assertLess(len(raft.log.entries), 80)
         self.assertGreaterEqual(raft.snapshot.index - raft.log.compacted_index, 10)
         self.assertLess(host.disk.used, 40_000)
-        again = ScriptedHost("a", host.disk)
-        again.open(TRIO)
-        self.assertEqual(again.machine.commands, host.machine.commands[: len(again.machine.commands)])
-        self.assertGreater(len(again.machine.commands), 300)
+        restarted = ScriptedHost("a", host.disk)
+        restarted.open(TRIO)
+        self.assertEqual(restarted.machine.commands, host.machine.commands[: len(restarted.machine.commands)])
+        self.assertGreater(len(restarted.machine.commands), 300)
 
     def test_groups_share_the_compaction_bound_of_a_host(self) -> None:
         host = ScriptedHost("a", bounds=CompactionBounds(size=100, host_size=300))
--- a/tests/system/replication/test_lagging_voters.py
+++ b/tests/system/replication/test_lagging_voters.py
@@ -19,7 +19,7 @@
 LATENCY_S = 0.003
 SYNC_S = 0.012
 SEEDS = 200
-LONGEST_S = 4 * SYSTEM_TIMING.election_timeout  # of an election, in any of the runs
+MAX_ELECTION_S = 4 * SYSTEM_TIMING.election_timeout  # of an election, in any of the runs
 
 
 class Election:
@@ -54,29 +54,29 @@
             self._collect(name, raft)
 
     def _collect(self, name: str, raft: Raft) -> None:
-        out = raft.take_effects(self.now)
-        for write in out.writes:
+        effects = raft.take_effects(self.now)
+        for write in effects.writes:
             self._later(SYNC_S, name, write.number)
-        for receiver, message in out.messages:
+        for receiver, message in effects.messages:
             if receiver in self.members:
                 self._later(LATENCY_S * (0.8 + 0.4 * self.random.random()), receiver, (name, message))
 
-    def _later(self, seconds: float, name: str, what: object) -> None:
+    def _later(self, seconds: float, name: str, event: object) -> None:
         self.count += 1
-        self.queue.append((self.now + seconds, self.count, name, what))
+        self.queue.append((self.now + seconds, self.count, name, event))
 
     def _next(self) -> None:
-        alarm = min((raft.next_timeout_at, name) for name, raft in self.members.items())
+        timeout = min((raft.next_timeout_at, name) for name, raft in self.members.items())
         self.queue.sort(key=lambda item: item[:2])
-        if self.queue and self.queue[0][0] <= alarm[0]:
-            self.now, _, name, what = self.queue.pop(0)
-            if isinstance(what, tuple):
-                self.members[name].receive(self.now, *what)
+        if self.queue and self.queue[0][0] <= timeout[0]:
+            self.now, _, name, event = self.queue.pop(0)
+            if isinstance(event, tuple):
+                self.members[name].receive(self.now, *event)
             else:
-                self.members[name].write_completed(self.now, what)  # type: ignore[arg-type]
+                self.members[name].write_completed(self.now, event)  # type: ignore[arg-type]
         else:
-            self.now = alarm[0]
-            self.members[alarm[1]].tick(self.now)
+            self.now = timeout[0]
+            self.members[timeout[1]].tick(self.now)
 
 
 class LaggingVotersTest(unittest.TestCase):
@@ -85,7 +85,7 @@
             with self.subTest(seed=seed):
                 seconds, leader = Election(seed, {"b": 100, "c": 99, "d": 40, "e": 40}).run()
                 self.assertIn(leader, ("b", "c"))
-                self.assertLess(seconds, LONGEST_S)
+                self.assertLess(seconds, MAX_ELECTION_S)
 
     def test_a_lost_member_that_sorts_first_delays_nobody_in_a_long_log(self) -> None:
         """A new leader knows nothing of what its followers have, nor of their delays: the lost one once
@@ -95,7 +95,7 @@
             for lagging in ({}, {"d": 300, "e": 300}):
                 with self.subTest(seed=seed, lagging=lagging):
                     seconds, _ = Election(seed, lengths | lagging).run()
-                    self.assertLess(seconds, LONGEST_S)
+                    self.assertLess(seconds, MAX_ELECTION_S)
 
     def test_a_silent_member_is_no_replication_target(self) -> None:
         election = Election(1, dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100))
--- a/tests/system/replication/test_member_changes.py
+++ b/tests/system/replication/test_member_changes.py
@@ -38,23 +38,23 @@
     )
 
     def test_steps(self) -> None:
-        for label, voters, learners, desired, caught_up, silent, then, learning in self.CASES:
+        for label, voters, learners, desired, caught_up, silent, expected, expected_learners in self.CASES:
             with self.subTest(label):
-                found = next_members(
+                actual = next_members(
                     members(voters, learners),
                     DesiredMembers(ids(desired)),
                     MemberStatus(ids(caught_up).__contains__, ids(silent).__contains__, "a/a"),
                 )
-                self.assertEqual(found, None if then is None else members(then, learning))
+                self.assertEqual(actual, None if expected is None else members(expected, expected_learners))
 
     def test_a_group_ends_with_its_desired_members_and_never_with_fewer_than_2f_voters(self) -> None:
         random = Random(37)
         for _ in range(300):
             tolerated = random.choice([1, 2])
-            wanted = 2 * tolerated + 1
+            member_count = 2 * tolerated + 1
             names = "abcdefghij"
-            current = members("".join(random.sample(names, wanted)))
-            chosen = random.sample(names, wanted)
+            current = members("".join(random.sample(names, member_count)))
+            chosen = random.sample(names, member_count)
             desired = ids("".join(name.upper() if random.random() < 0.3 else name for name in chosen))
             for _ in range(100):
                 changed = next_members(
@@ -77,15 +77,15 @@
     def test_an_older_placement_changes_nothing(self) -> None:
         current = members("abd", generation=5)
         for generation, expected in ((4, None), (5, members("abd", "c", 5)), (6, members("abd", "c", 6))):
-            found = next_members(
+            actual = next_members(
                 current, DesiredMembers(ids("abc"), generation), MemberStatus(lambda name: False)
             )
-            self.assertEqual(found, expected)
+            self.assertEqual(actual, expected)
 
     def test_a_newer_generation_is_committed_even_without_a_change_of_members(self) -> None:
         desired = DesiredMembers(ids("abc"), 2)
-        found = next_members(members("abc", generation=1), desired, MemberStatus(lambda name: False))
-        self.assertEqual(found, members("abc", generation=2))
+        actual = next_members(members("abc", generation=1), desired, MemberStatus(lambda name: False))
+        self.assertEqual(actual, members("abc", generation=2))
 
 
 class GenerationFenceTest(unittest.TestCase):
@@ -119,8 +119,8 @@
 
     def __init__(self, current: Members) -> None:
         self.current = current
-        self.open_change = False
-        self.caught: set[str] = set()
+        self.change_uncommitted = False
+        self.caught_up_members: set[str] = set()
         self.transfer_targets: list[str] = []
 
     def is_owner(self, group: str) -> bool:
@@ -130,10 +130,10 @@
         return self.current
 
     def committed_members(self, group: str) -> Members | None:
-        return None if self.open_change else self.current
+        return None if self.change_uncommitted else self.current
 
     def caught_up(self, group: str, member: str) -> bool:
-        return member in self.caught
+        return member in self.caught_up_members
 
     def unresponsive_for(self, group: str, member: str) -> float:
         return 0.0
@@ -143,7 +143,7 @@
         return to == "c/c"
 
     def change_members(self, group: str, named: Members) -> bool:
-        self.current, self.open_change = named, True
+        self.current, self.change_uncommitted = named, True
         return True
 
 
@@ -156,13 +156,13 @@
         changes = MembershipReconciler(cast(Any, host), lambda group: committed.append(host.current))
         changes.set_desired("g", ids("abC"), 2)
         self.assertEqual(host.current, members("ab", "C", 2))
-        host.caught.add("c/C")
+        host.caught_up_members.add("c/C")
         changes.reconcile("g")
         self.assertEqual(host.current, members("ab", "C", 2))  # the one before isn't committed
-        host.open_change = False
+        host.change_uncommitted = False
         changes.reconcile("g")
         self.assertEqual(host.current, members("abC", "", 2))
-        host.open_change = False
+        host.change_uncommitted = False
         committed.clear()
         changes.reconcile("g")
         self.assertEqual(committed, [members("abC", "", 2)])
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -79,8 +79,8 @@
     """What `RefusedTermChecker` says."""
 
     def setUp(self) -> None:
-        self.found: list[str] = []
-        self.checker = RefusedTermChecker(self.found.append)
+        self.violations: list[str] = []
+        self.checker = RefusedTermChecker(self.violations.append)
 
     def test_a_request_of_a_refused_term_is_found(self) -> None:
         requests: list[Message] = [
@@ -90,17 +90,17 @@
         ]
         for request in requests:
             self.checker.sent("a/1", "queue-0", request)
-        self.assertEqual(self.found, [])
+        self.assertEqual(self.violations, [])
         self.checker.received("a/1", "queue-0", AppendEntriesResponse(5, False, 0, 1))
         for request in requests:
             self.checker.sent("a/1", "queue-0", request)
-        self.assertEqual(len(self.found), len(requests))
+        self.assertEqual(len(self.violations), len(requests))
 
     def test_other_members_groups_and_terms_arent_concerned(self) -> None:
         self.checker.received("a/1", "queue-0", AppendEntriesResponse(5, False, 0, 1))
         for member, group, term in (("b/1", "queue-0", 4), ("a/1", "queue-1", 4), ("a/1", "queue-0", 5)):
             self.checker.sent(member, group, AppendEntries(term, 0, 0, (), 0, 1))
-        self.assertEqual(self.found, [])
+        self.assertEqual(self.violations, [])
 
     def test_a_pre_vote_refuses_nothing(self) -> None:
         self.assertEqual(refusing_term(RequestVoteResponse(7, True, True)), 0)
@@ -108,7 +108,7 @@
         self.assertEqual(refusing_term(RequestVoteResponse(7, True, False)), 7)
 
 
-def owners_hand_over_in_turn() -> RunPlan:
+def plan_with_ownership_transfers() -> RunPlan:
     """Each storage machine is asked to end, so that it transfers its shards; messages come meanwhile."""
     faults = [
         Fault(number=number, at=8.0 * number - 6.0, kind=FaultKind.TERM, nodes=(f"s{number}",))
@@ -119,30 +119,32 @@
 
 
 @contextmanager
-def keeps_its_term() -> Iterator[None]:
+def leader_ignores_higher_terms() -> Iterator[None]:
     """A leader that hears of a higher term leads on in its own."""
     become_follower = MemberState._become_follower
 
-    def leads_on(member: Any, term: int, cause: RoleChangeCause, leader: str = "") -> None:
+    def become_follower_unless_leading(
+        member: Any, term: int, cause: RoleChangeCause, leader: str = ""
+    ) -> None:
         if member.role is not MemberRole.LEADER or cause is not RoleChangeCause.HIGHER_TERM:
             become_follower(member, term, cause, leader)
 
-    with patch.object(MemberState, "_become_follower", leads_on):
+    with patch.object(MemberState, "_become_follower", become_follower_unless_leading):
         yield
 
 
-class WholeService(unittest.TestCase):
+class FullSystem(unittest.TestCase):
     """The check in the whole service."""
 
     longest_test_s = 12
 
     def test_a_build_that_keeps_a_refused_term_is_caught(self) -> None:
-        with keeps_its_term():
-            report = play(owners_hand_over_in_turn())
+        with leader_ignores_higher_terms():
+            report = play(plan_with_ownership_transfers())
         self.assertIn("refused term used again", "\n".join(map(str, report.found)))
 
     def test_the_program_passes_the_same_run(self) -> None:
-        report = play(owners_hand_over_in_turn())
+        report = play(plan_with_ownership_transfers())
         self.assertEqual([*map(str, report.found), *report.errors], [])
 
 
--- a/tests/system/replication/test_removed_replicas.py
+++ b/tests/system/replication/test_removed_replicas.py
@@ -108,10 +108,10 @@
             host.receive("b/b", RequestVote(9, 2, 4, False, leadership_transfer=True)),
             [RequestVoteResponse(9, pre_vote=False, granted=True)],
         )
-        again = host.restarted()
-        again.open(None)
+        restarted_host = host.restarted()
+        restarted_host.open(None)
         self.assertEqual(
-            again.receive("d/d", RequestVote(10, 2, 4, False, leadership_transfer=True)),
+            restarted_host.receive("d/d", RequestVote(10, 2, 4, False, leadership_transfer=True)),
             [RequestVoteResponse(10, pre_vote=False, granted=True)],
         )
 
@@ -122,9 +122,9 @@
             entry = Entry(index, 4, 1, bytes(60))
             host.receive("b/b", AppendEntries(4, index - 1, 4 if index > 1 else 0, (entry,), index, 1))
         self.assertFalse(any(name.endswith("segment-00000001.log") for name in host.disk.paths()))
-        again = host.restarted()
-        self.assertEqual(again.journal.tombstone_generation("g"), 2)
-        self.assertEqual(again.journal.groups(), ("g",))
+        restarted_host = host.restarted()
+        self.assertEqual(restarted_host.journal.tombstone_generation("g"), 2)
+        self.assertEqual(restarted_host.journal.groups(), ("g",))
 
     def test_it_is_not_a_founding_member_again(self) -> None:
         host = self.removed().restarted()
--- a/tests/system/replication/test_safety_arguments.py
+++ b/tests/system/replication/test_safety_arguments.py
@@ -61,10 +61,10 @@
     group.elect("a", "bc")
     group.drop_all()
     leader = group.members["a"]
-    place = leader.last_index - 1  # of "x", before the new term's no-op
-    old = leader.log.entries_from(place, 1)
+    index = leader.last_index - 1  # of "x", before the new term's no-op
+    old = leader.log.entries_from(index, 1)
     for follower in "bc":  # a batch that ends before the no-op
-        request = AppendEntries(leader.term, place - 1, leader.log.term_at(place - 1), tuple(old), 0, 1)
+        request = AppendEntries(leader.term, index - 1, leader.log.term_at(index - 1), tuple(old), 0, 1)
         group.send("a", follower, request)
         group.deliver(follower, "a")
     group.drop_all()
@@ -83,8 +83,8 @@
     group = ScheduledGroup("abc")
     group.elect("a", "bc")
     group.exchange("a", "bc")
-    larger = Members(("a", "b", "c", "d"), (), 1)
-    group.members["a"].propose(group.now, EntryKind.MEMBERS, msgspec.msgpack.encode(larger))
+    extended = Members(("a", "b", "c", "d"), (), 1)
+    group.members["a"].propose(group.now, EntryKind.MEMBERS, msgspec.msgpack.encode(extended))
     group.run("a")  # on a alone
     group.drop_all()
     group.elect("b", "c")
@@ -92,7 +92,7 @@
     group.members["b"].propose(group.now, EntryKind.COMMAND, b"y")
     group.run("b")
     for _ in range(3):
-        group.time_passes_for_heartbeat("b")
+        group.advance_to_heartbeat("b")
         group.exchange("b", "ac")
     members = group.members["a"].members
     return [] if members == group.founders else [f"a counts {members.voters}"]
--- a/tests/system/replication/test_snapshot_chunks.py
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -20,9 +20,9 @@
 class SnapshotChunksTest(QuietLogsTestCase):
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "CHUNK_BYTES", 100)
-        small.start()
-        self.addCleanup(small.stop)
+        patched = patch.object(snapshots, "CHUNK_BYTES", 100)
+        patched.start()
+        self.addCleanup(patched.stop)
         self.host = ScriptedHost("a", bounds=CompactionBounds(size=1 << 20, entries=20, entries_to_keep=0))
         self.host.open(TRIO)
         self.host.lead()
@@ -82,18 +82,18 @@
         first = self.follower()
         while self.offset < 300:
             self.play(first, 0.002)
-        again = self.follower()
-        self.play(again, 3)
-        self.assertEqual(again.machine.commands, self.host.machine.commands)
+        restarted = self.follower()
+        self.play(restarted, 3)
+        self.assertEqual(restarted.machine.commands, self.host.machine.commands)
 
     def test_the_snapshot_is_on_disk_before_it_is_confirmed(self) -> None:
         follower = self.follower()
         self.play(follower, 2)
         follower.disk.lose_power(Random(1))
-        again = ScriptedHost("c", follower.disk)
-        again.open(None)
-        self.assertGreater(len(again.machine.commands), 50)
-        self.assertEqual(again.host.members("g"), TRIO)
+        restarted = ScriptedHost("c", follower.disk)
+        restarted.open(None)
+        self.assertGreater(len(restarted.machine.commands), 50)
+        self.assertEqual(restarted.host.members("g"), TRIO)
 
 
 if __name__ == "__main__":
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -29,8 +29,8 @@
 
 TRIO = Members(("a", "b", "c"))
 SMALL_CHUNK = 150  # bytes
-BEFORE = 300  # changes that the returning node lacks
-EVERY = 0.005  # s between changes while it is brought up: a snapshot every 12 of them
+MISSED_CHANGES = 300  # changes that the returning node lacks
+CHANGE_INTERVAL_S = 0.005  # s between changes while it is brought up: a snapshot every 12 of them
 LINK_BYTES_PER_SECOND = 50 << 20
 STATE_BYTES = 8 << 20
 GROUPS = 6
@@ -48,36 +48,36 @@
 
     def return_to_group(self, wiped: bool, seconds: float) -> tuple[bool, int]:
         """Whether it caught up while changes went on, and how many snapshots the leader made meanwhile."""
-        world = LoadedGroup()
-        node = world.follower()
-        world._end(node)
-        for _ in range(BEFORE):
-            world.change()
-            world.run_until(lambda: False, 0.01)
-        raft = world.owner().host.groups[GROUP].raft
-        made: list[int] = []
+        simulation = LoadedGroup()
+        node = simulation.follower()
+        simulation._end(node)
+        for _ in range(MISSED_CHANGES):
+            simulation.propose_next()
+            simulation.run_until(lambda: False, 0.01)
+        raft = simulation.owner().host.groups[GROUP].raft
+        snapshot_indexes: list[int] = []
         real = raft.log.compact
 
         def compact(index: int, data: bytes, keep: int) -> None:
-            made.append(index)
+            snapshot_indexes.append(index)
             real(index, data, keep)
 
         with patch.object(raft.log, "compact", compact):
-            world.changes(EVERY)
+            simulation.propose_periodically(CHANGE_INTERVAL_S)
             if wiped:
                 node.disk.wipe()
                 node.wipes += 1
-                world._repeat(0.1, world._look_at_members)
-            world._start(node, None)
-            caught_up = world.run_until(lambda: world.is_current(node), seconds)
-        return caught_up, len(made)
+                simulation._repeat(0.1, simulation._look_at_members)
+            simulation._start(node, None)
+            caught_up = simulation.run_until(lambda: simulation.is_current(node), seconds)
+        return caught_up, len(snapshot_indexes)
 
     def test_a_transfer_ends_although_newer_snapshots_are_taken(self) -> None:
         for wiped in (False, True):
             with self.subTest(wiped=wiped):
-                caught_up, made = self.return_to_group(wiped, 5.0)
+                caught_up, snapshot_indexes = self.return_to_group(wiped, 5.0)
                 self.assertTrue(caught_up)
-                self.assertGreater(made, 3, "the transfer was not superseded")
+                self.assertGreater(snapshot_indexes, 3, "the transfer was not superseded")
 
     def test_a_build_that_restarts_at_each_snapshot_is_caught(self) -> None:
         """Once a transfer continued with the newest snapshot, whose first chunk the follower lacked."""
@@ -90,9 +90,9 @@
                     peer.outgoing_snapshot.snapshot = self.snapshot
 
         with patch.object(Raft, "compact", compact):
-            caught_up, made = self.return_to_group(False, 20.0)
+            caught_up, snapshot_indexes = self.return_to_group(False, 20.0)
         self.assertFalse(caught_up)
-        self.assertGreater(made, 50)
+        self.assertGreater(snapshot_indexes, 50)
 
     def test_a_build_that_keeps_no_entries_behind_the_snapshot_is_caught(self) -> None:
         with patch.object(Raft, "needed_index", property(lambda self: self.last_index + 1)):
@@ -115,8 +115,8 @@
         self.assertEqual(raft.take_effects(1.0).messages, [("a", InstallSnapshotResponse(2, 9, 3, False, 2))])
 
     def test_a_snapshot_replaces_a_longer_conflicting_log(self) -> None:
-        wrong = [Entry(index, 1, EntryKind.COMMAND, b"wrong") for index in range(1, 40)]
-        raft = self.raft(wrong)
+        conflicting = [Entry(index, 1, EntryKind.COMMAND, b"wrong") for index in range(1, 40)]
+        raft = self.raft(conflicting)
         data = b"state"
         raft.receive(1.0, "a", InstallSnapshot(3, 9, 2, TRIO, len(data), 0, data, crc32(data), 1))
         effects = raft.take_effects(1.0)
@@ -134,10 +134,10 @@
 
     def test_entries_behind_a_snapshot_stay_only_where_the_log_agrees_with_it(self) -> None:
         entries = [Entry(index, 2, EntryKind.COMMAND, b"x") for index in range(1, 20)]
-        for term, left in ((2, 10), (3, 0)):
+        for term, expected_entries in ((2, 10), (3, 0)):
             raft = self.raft(list(entries), term=2)
             raft.receive(1.0, "a", InstallSnapshot(4, 9, term, TRIO, 1, 0, b"s", crc32(b"s"), 1))
-            self.assertEqual(len(raft.log.entries), left)
+            self.assertEqual(len(raft.log.entries), expected_entries)
 
     def test_a_follower_that_writes_a_snapshot_responds_to_heartbeats(self) -> None:
         """Once its responses waited for the disk, and the leader stepped down without them."""
@@ -155,15 +155,15 @@
 
 class SnapshotRateLimiterTest(unittest.TestCase):
     def test_the_rate_holds_after_a_burst(self) -> None:
-        budget = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
-        due = [budget.reserve(50.0, 100) for _ in range(6)]
+        rate_limiter = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
+        due = [rate_limiter.reserve(50.0, 100) for _ in range(6)]
         self.assertEqual([round(at - 50.0, 6) for at in due], [0.0, 0.0, 0.0, 0.1, 0.2, 0.3])
 
     def test_a_pause_allows_one_burst(self) -> None:
-        budget = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
+        rate_limiter = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
         for _ in range(3):
-            budget.reserve(0.0, 100)
-        due = [round(budget.reserve(100.0, 100), 6) for _ in range(4)]
+            rate_limiter.reserve(0.0, 100)
+        due = [round(rate_limiter.reserve(100.0, 100), 6) for _ in range(4)]
         self.assertEqual(due, [100.0, 100.0, 100.0, 100.1])
 
 
@@ -171,9 +171,9 @@
     """Each node sends over one link of a bounded bandwidth. A large state, and how long commits take."""
 
     def __init__(self) -> None:
-        self.free: dict[str, float] = {}  # when a node's link has sent what it was given
+        self.link_free_at: dict[str, float] = {}  # when a node's link has sent what it was given
         self.sent: list[tuple[float, int]] = []  # when, and how many bytes of snapshots
-        self.took: list[float] = []
+        self.commit_seconds: list[float] = []
         super().__init__()
 
     def _send(self, sender_node: str, sender: str, receiver: str, group: str, body: bytes) -> None:
@@ -181,58 +181,60 @@
         message = decode_message(body)
         if isinstance(message, InstallSnapshot):
             self.sent.append((now, len(message.chunk)))
-        free = max(self.free.get(sender_node, 0.0), now) + len(body) / LINK_BYTES_PER_SECOND
-        self.free[sender_node] = free
+        link_free_at = max(self.link_free_at.get(sender_node, 0.0), now) + len(body) / LINK_BYTES_PER_SECOND
+        self.link_free_at[sender_node] = link_free_at
         name = receiver.partition(".")[0]
-        self.clock.callLater(free - now + self.latency, self._deliver, name, sender, receiver, group, body)
+        self.clock.callLater(
+            link_free_at - now + self.latency, self._deliver, name, sender, receiver, group, body
+        )
 
-    def timed_change(self) -> None:
+    def propose_timed(self) -> None:
         """Propose a command, and record how long its commit takes."""
         self.serial += 1
-        began = self.clock.seconds()
+        started_at = self.clock.seconds()
         result = self.owner().host.propose(GROUP, b"%08d" % self.serial)
-        result.addCallback(lambda _: self.took.append(self.clock.seconds() - began))
+        result.addCallback(lambda _: self.commit_seconds.append(self.clock.seconds() - started_at))
 
 
 class SnapshotBandwidthTest(QuietLogsTestCase):
     """One node returns empty under traffic; its snapshot shares the leader's link with the traffic."""
 
-    def bring_up(self, budget: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
+    def catch_up(self, rate_limiter: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
         """Seconds to the end of the transfer, highest bytes in any 0.25 s, the longest time of a commit."""
         bounds = CompactionBounds(size=1 << 20, entries=1 << 20)
         with (
-            patch("bitternpath.replication.host.SnapshotRateLimiter", budget),
+            patch("bitternpath.replication.host.SnapshotRateLimiter", rate_limiter),
             patch.object(replica_group, "BOUNDS", bounds),
         ):
-            world = SharedLinkGroup()
-            node = world.follower()
-            world._end(node)
-            for part in range(STATE_BYTES >> 18):
-                world.propose(world.owner(), b"%08d" % (10**7 + part) + bytes(1 << 18))
-                world.run_until(lambda: False, 0.05)
-            world.run_until(lambda: False, 1.0)
+            simulation = SharedLinkGroup()
+            node = simulation.follower()
+            simulation._end(node)
+            for number in range(STATE_BYTES >> 18):
+                simulation.propose(simulation.owner(), b"%08d" % (10**7 + number) + bytes(1 << 18))
+                simulation.run_until(lambda: False, 0.05)
+            simulation.run_until(lambda: False, 1.0)
             node.disk.wipe()
             node.wipes += 1
-            world._repeat(0.1, world._look_at_members)
-            world._start(node, None)
-            began = world.clock.seconds()
+            simulation._repeat(0.1, simulation._look_at_members)
+            simulation._start(node, None)
+            started_at = simulation.clock.seconds()
             for _ in range(150):
-                world.timed_change()
-                world.run_until(lambda: False, 0.01)
-        sent = [(at, size) for at, size in world.sent if size and at >= began]
-        most = max(sum(size for at, size in sent if start <= at < start + 0.25) for start, _ in sent)
-        return max(at for at, _ in sent) - began, most, max(world.took)
+                simulation.propose_timed()
+                simulation.run_until(lambda: False, 0.01)
+        sent = [(at, size) for at, size in simulation.sent if size and at >= started_at]
+        peak_bytes = max(sum(size for at, size in sent if start <= at < start + 0.25) for start, _ in sent)
+        return max(at for at, _ in sent) - started_at, peak_bytes, max(simulation.commit_seconds)
 
     def test_a_transfer_keeps_to_its_rate_and_commits_stay_fast(self) -> None:
-        seconds, most, slowest = self.bring_up(SnapshotRateLimiter)
-        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedSnapshotRateLimiter)
+        seconds, peak_bytes, slowest = self.catch_up(SnapshotRateLimiter)
+        unlimited_seconds, unlimited_peak, unlimited_slowest = self.catch_up(UnlimitedSnapshotRateLimiter)
         print(
-            f"\nsnapshot of 8 MiB on a link of 50 MiB/s: bounded {seconds:.2f} s, {most / 2**18:.1f} MiB/s "
-            f"at most, slowest commit {slowest * 1000:.1f} ms; unbounded {free_seconds:.2f} s, "
-            f"{free_most / 2**18:.1f} MiB/s, {free_slowest * 1000:.1f} ms"
+            f"\nsnapshot of 8 MiB on a link of 50 MiB/s: bounded {seconds:.2f} s, {peak_bytes / 2**18:.1f} "
+            f"MiB/s at most, slowest commit {slowest * 1000:.1f} ms; unbounded {unlimited_seconds:.2f} s, "
+            f"{unlimited_peak / 2**18:.1f} MiB/s, {unlimited_slowest * 1000:.1f} ms"
         )
         self.assertLess(seconds, 1.5)
-        self.assertLess(most, (16 << 20) * 0.25 + (768 << 10))
+        self.assertLess(peak_bytes, (16 << 20) * 0.25 + (768 << 10))
         self.assertLess(slowest, 0.03)
 
 
@@ -240,56 +242,58 @@
     """A machine was away while the entries of many groups were replaced by snapshots. All of them are owned
     by one process, over whose link the traffic of another group goes, too."""
 
-    def bring_up(self, budget: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
+    def catch_up(self, rate_limiter: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
         """As `SnapshotBandwidthTest.bring_up`."""
         bounds = CompactionBounds(size=1 << 20, entries=1 << 20)
         with (
-            patch("bitternpath.replication.host.SnapshotRateLimiter", budget),
+            patch("bitternpath.replication.host.SnapshotRateLimiter", rate_limiter),
             patch.object(replica_group, "BOUNDS", bounds),
         ):
-            world = SharedLinkGroup()
-            node, owner = world.follower(), world.owner()
+            simulation = SharedLinkGroup()
+            node, owner = simulation.follower(), simulation.owner()
             extra = [f"extra-{number}" for number in range(GROUPS)]
-            for process in [each.process for each in world.nodes.values() if each.process]:
-                self.open(world, process, extra)
+            for process in [each.process for each in simulation.nodes.values() if each.process]:
+                self.open(simulation, process, extra)
             while not all(owner.host.is_owner(group) for group in extra):
-                for each in world.nodes.values():
+                for each in simulation.nodes.values():
                     if each.process is not None and each.process is not owner:
                         for group in extra:
                             each.process.host.transfer_leadership(group, owner.member)
-                world.run_until(lambda: False, 0.2)
-            world._end(node)
+                simulation.run_until(lambda: False, 0.2)
+            simulation._end(node)
             for _ in range(GROUP_BYTES >> 17):
                 for group in extra:
                     owner.host.propose(group, bytes(1 << 17)).addErrback(lambda _: None)
-                world.run_until(lambda: False, 0.1)
-            world.run_until(lambda: False, 1.0)
-            world.sent.clear()
-            world._start(node, None)
+                simulation.run_until(lambda: False, 0.1)
+            simulation.run_until(lambda: False, 1.0)
+            simulation.sent.clear()
+            simulation._start(node, None)
             assert node.process is not None
-            self.open(world, node.process, extra)
-            began = world.clock.seconds()
+            self.open(simulation, node.process, extra)
+            started_at = simulation.clock.seconds()
             for _ in range(250):
-                world.timed_change()
-                world.run_until(lambda: False, 0.01)
-        sent = [(at, size) for at, size in world.sent if size]
+                simulation.propose_timed()
+                simulation.run_until(lambda: False, 0.01)
+        sent = [(at, size) for at, size in simulation.sent if size]
         self.assertGreater(sum(size for _, size in sent), GROUPS * GROUP_BYTES // 2)
-        most = max(sum(size for at, size in sent if start <= at < start + 0.25) for start, _ in sent)
-        return max(at for at, _ in sent) - began, most, max(world.took)
+        peak_bytes = max(sum(size for at, size in sent if start <= at < start + 0.25) for start, _ in sent)
+        return max(at for at, _ in sent) - started_at, peak_bytes, max(simulation.commit_seconds)
 
     @staticmethod
-    def open(world: LoadedGroup, process: Process, groups: list[str]) -> None:
+    def open(simulation: LoadedGroup, process: Process, groups: list[str]) -> None:
         for group in groups:
-            process.host.open_group(group, LastCommands(GROUP_BYTES >> 17), world.founders, SilentListener())
+            process.host.open_group(
+                group, LastCommands(GROUP_BYTES >> 17), simulation.founders, SilentListener()
+            )
 
     def test_many_transfers_share_one_budget(self) -> None:
-        seconds, most, slowest = self.bring_up(SnapshotRateLimiter)
-        free_seconds, free_most, free_slowest = self.bring_up(UnlimitedSnapshotRateLimiter)
+        seconds, peak_bytes, slowest = self.catch_up(SnapshotRateLimiter)
+        unlimited_seconds, unlimited_peak, unlimited_slowest = self.catch_up(UnlimitedSnapshotRateLimiter)
         print(
             f"\n{GROUPS} snapshots of {GROUP_BYTES >> 20} MiB on a link of 50 MiB/s: "
-            f"bounded {seconds:.2f} s, {most / 2**18:.1f} MiB/s at most, "
+            f"bounded {seconds:.2f} s, {peak_bytes / 2**18:.1f} MiB/s at most, "
             f"slowest commit {slowest * 1000:.1f} ms; unbounded "
-            f"{free_seconds:.2f} s, {free_most / 2**18:.1f} MiB/s, {free_slowest * 1000:.1f} ms"
+            f"{unlimited_seconds:.2f} s, {unlimited_peak / 2**18:.1f} MiB/s, {unlimited_slowest * 1000:.1f} ms"
         )
-        self.assertLess(most, (16 << 20) * 0.25 + (768 << 10))
-        self.assertLess(slowest, free_slowest)
+        self.assertLess(peak_bytes, (16 << 20) * 0.25 + (768 << 10))
+        self.assertLess(slowest, unlimited_slowest)
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -16,7 +16,7 @@
 from tests.system.replication.scripted_peers import TRIO, ScriptedHost, result_of
 
 FROZEN_SECONDS = 2.0
-FREEZES = 12
+FREEZE_SEEDS = 12
 
 
 class ShrinkingGroup(LoadedGroup):
@@ -37,54 +37,59 @@
     """A member is removed while it is partitioned, doesn't hear of it, and returns."""
 
     def removed(self) -> tuple[ShrinkingGroup, Node]:
-        world = ShrinkingGroup()
-        world.owner()
-        gone = world.follower()
-        world.nodes["n3"] = Node("n3")
-        world._start(world.nodes["n3"], None)
-        for other in world.nodes:
-            world.blocked |= {(gone.name, other), (other, gone.name)}
-        world.desired = [name for name in world.nodes if name != gone.name]
-        world._repeat(0.1, world._look_at_members)
-        world.changes(0.01)
-        wanted = {world.nodes[name].member for name in world.desired}
-        self.assertTrue(world.run_until(lambda: set(world.owner().host.members(GROUP).voters) == wanted, 10))
-        world.run_until(lambda: False, 1.0)
-        assert gone.process is not None
-        self.assertIn(gone.member, gone.process.host.members(GROUP).voters, "it doesn't know")
-        return world, gone
+        simulation = ShrinkingGroup()
+        simulation.owner()
+        removed_node = simulation.follower()
+        simulation.nodes["n3"] = Node("n3")
+        simulation._start(simulation.nodes["n3"], None)
+        for other in simulation.nodes:
+            simulation.blocked |= {(removed_node.name, other), (other, removed_node.name)}
+        simulation.desired = [name for name in simulation.nodes if name != removed_node.name]
+        simulation._repeat(0.1, simulation._look_at_members)
+        simulation.propose_periodically(0.01)
+        desired_voters = {simulation.nodes[name].member for name in simulation.desired}
+        self.assertTrue(
+            simulation.run_until(
+                lambda: set(simulation.owner().host.members(GROUP).voters) == desired_voters, 10
+            )
+        )
+        simulation.run_until(lambda: False, 1.0)
+        assert removed_node.process is not None
+        self.assertIn(removed_node.member, removed_node.process.host.members(GROUP).voters, "it doesn't know")
+        return simulation, removed_node
 
     def test_it_disrupts_nobody_when_it_returns(self) -> None:
-        world, gone = self.removed()
-        owner, epoch, made = (
-            world.owner(),
-            world.owner().host.current_term(GROUP),
-            len(world.checker.committed),
+        simulation, removed_node = self.removed()
+        owner, epoch, committed_before = (
+            simulation.owner(),
+            simulation.owner().host.current_term(GROUP),
+            len(simulation.checker.committed),
         )
-        world.blocked.clear()
-        world.run_until(lambda: False, 10.0)
-        self.assertIs(world.owner(), owner)
+        simulation.blocked.clear()
+        simulation.run_until(lambda: False, 10.0)
+        self.assertIs(simulation.owner(), owner)
         self.assertEqual(owner.host.current_term(GROUP), epoch)
-        self.assertGreater(len(world.checker.committed), made + 500)
-        assert gone.process is not None
+        self.assertGreater(len(simulation.checker.committed), committed_before + 500)
+        assert removed_node.process is not None
         self.assertEqual(
-            gone.process.host.current_term(GROUP), epoch if gone.process.host.leader(GROUP) else 1
+            removed_node.process.host.current_term(GROUP),
+            epoch if removed_node.process.host.leader(GROUP) else 1,
         )
 
     def test_it_is_not_elected_when_the_owner_ends(self) -> None:
-        world, gone = self.removed()
-        world.blocked.clear()
+        simulation, removed_node = self.removed()
+        simulation.blocked.clear()
         for _ in range(3):
-            owner = world.owner()
+            owner = simulation.owner()
             epoch = owner.host.current_term(GROUP)
-            node = next(node for node in world.nodes.values() if node.process is owner)
-            world._end(node)
+            node = next(node for node in simulation.nodes.values() if node.process is owner)
+            simulation._end(node)
             node.disk.restart()
-            self.assertTrue(world.run_until(lambda owner=owner: world.owner() is not owner, 10))  # type: ignore[misc]
-            self.assertIsNot(world.owner(), gone.process)
-            self.assertLess(world.owner().host.current_term(GROUP), epoch + 4)
-            world._start(node, None)
-            world.run_until(lambda: False, 1.0)
+            self.assertTrue(simulation.run_until(lambda owner=owner: simulation.owner() is not owner, 10))  # type: ignore[misc]
+            self.assertIsNot(simulation.owner(), removed_node.process)
+            self.assertLess(simulation.owner().host.current_term(GROUP), epoch + 4)
+            simulation._start(node, None)
+            simulation.run_until(lambda: False, 1.0)
 
     def test_a_vote_of_a_non_member_does_not_count(self) -> None:
         raft = Raft("a", PersistentState(snapshot=Snapshot(members=Members(("a", "b", "c")))), _Fixed(), 0.0)  # type: ignore[arg-type]
@@ -117,7 +122,7 @@
     """An owner is frozen while responses are in flight. It resumes, receives them, and is asked for a read;
     another member may have led meanwhile."""
 
-    def read_on_waking(self) -> object:
+    def read_after_thaw(self) -> object:
         """State and result of the read before any response that was sent after the thaw."""
         host = ScriptedHost("a")
         host.open(TRIO)
@@ -128,16 +133,16 @@
         host.answer("b", heartbeat)
         barrier = host.host.read_barrier("g")
         host.turn()
-        found = result_of(barrier)  # type: ignore[arg-type]
+        outcome = result_of(barrier)  # type: ignore[arg-type]
         barrier.addErrback(lambda _: None)
-        return (barrier.called, found)
+        return (barrier.called, outcome)
 
     def test_a_read_is_not_confirmed_by_rounds_from_before_the_freeze(self) -> None:
-        self.assertEqual(self.read_on_waking(), (False, None))
+        self.assertEqual(self.read_after_thaw(), (False, None))
 
     def test_a_build_that_counts_earlier_rounds_is_caught(self) -> None:
         with patch.object(Raft, "request_heartbeat_round", lambda self: self.confirmed_round):
-            self.assertEqual(self.read_on_waking(), (True, None))
+            self.assertEqual(self.read_after_thaw(), (True, None))
 
     def test_a_lease_counts_from_when_a_majority_was_asked(self) -> None:
         host = ScriptedHost("a")
@@ -169,28 +174,28 @@
 
     def test_a_frozen_owner_reads_nothing_stale(self) -> None:
         """The checker compares each read with what was acknowledged before it was requested."""
-        for seed in range(FREEZES):
-            world = LoadedGroup(seed)
-            owner = world.owner()
-            world.change()
-            world.run_until(lambda: False, 0.1)
-            world._barrier(owner)
+        for seed in range(FREEZE_SEEDS):
+            simulation = LoadedGroup(seed)
+            owner = simulation.owner()
+            simulation.propose_next()
+            simulation.run_until(lambda: False, 0.1)
+            simulation._barrier(owner)
             owner.clock.freeze()
-            self.assertTrue(world.run_until(lambda w=world, o=owner: bool(self.others(w, o)), 10))  # type: ignore[misc]
+            self.assertTrue(simulation.run_until(lambda w=simulation, o=owner: bool(self.others(w, o)), 10))  # type: ignore[misc]
             for number in range(10):
-                world.propose(self.others(world, owner)[0], b"new %d" % number)
-                world.run_until(lambda: False, 0.05)
-            world.run_until(lambda: False, FROZEN_SECONDS)
-            self.assertGreater(world.checker.acknowledged, 9)
-            world._barrier(owner)
+                simulation.propose(self.others(simulation, owner)[0], b"new %d" % number)
+                simulation.run_until(lambda: False, 0.05)
+            simulation.run_until(lambda: False, FROZEN_SECONDS)
+            self.assertGreater(simulation.checker.acknowledged, 9)
+            simulation._barrier(owner)
             owner.clock.thaw()
-            world._barrier(owner)
-            world.run_until(lambda: False, 2.0)
+            simulation._barrier(owner)
+            simulation.run_until(lambda: False, 2.0)
 
     @staticmethod
-    def others(world: LoadedGroup, owner: Process) -> list[Process]:
+    def others(simulation: LoadedGroup, owner: Process) -> list[Process]:
         """Owners besides the frozen one."""
-        processes = [node.process for node in world.nodes.values() if node.process]
+        processes = [node.process for node in simulation.nodes.values() if node.process]
         return [each for each in processes if each is not owner and each.host.is_owner(GROUP)]
 
 
@@ -211,15 +216,15 @@
     def play(self) -> int:
         """Number of snapshots that are sent to a follower whose disk takes 50 ms a sync, under 200 changes
         a second, of which every 12th makes the owner compact its log."""
-        world = SnapshotCountingGroup()
-        node = world.follower()
+        simulation = SnapshotCountingGroup()
+        node = simulation.follower()
         assert node.process is not None
         node.process.journal_writer.sync_seconds = 0.05
-        world.changes(0.005)
-        world.run_until(lambda: False, 5.0)
-        world.every = 0.0
-        self.assertTrue(world.run_until(world._agrees, 2.0))
-        return world.snapshots_started
+        simulation.propose_periodically(0.005)
+        simulation.run_until(lambda: False, 5.0)
+        simulation.interval = 0.0
+        self.assertTrue(simulation.run_until(simulation._agrees, 2.0))
+        return simulation.snapshots_started
 
     def test_compaction_does_not_outrun_it(self) -> None:
         self.assertEqual(self.play(), 0)
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -118,11 +118,11 @@
         self.assertEqual([reply.status for reply in first + second], [503, 503])
 
     def test_a_forwarded_call_is_not_forwarded_again(self) -> None:
-        decided: list[OperatorResult] = []
+        results: list[OperatorResult] = []
         for member in (None, self.follower):
-            order = OperatorRequest(1, "PUT", "/config", "3", b"{}")
-            self.calls(member, self.link).handle_request(order).addCallback(decided.append)
-        self.assertEqual([each.code for each in decided], [ResultCode.NOT_OWNER] * 2)
+            request = OperatorRequest(1, "PUT", "/config", "3", b"{}")
+            self.calls(member, self.link).handle_request(request).addCallback(results.append)
+        self.assertEqual([each.code for each in results], [ResultCode.NOT_OWNER] * 2)
         self.assertEqual(self.link.sent, [])
 
 
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -42,10 +42,10 @@
         nodes[1] = node(1, NodeKind.STORAGE, "another", "z1")
         repaired = repaired_placement(groups, nodes, frozenset(), 1)
         for before, after in zip(groups, repaired, strict=True):
-            hit = any(each.node == nodes[1].name for each in before.members)
-            self.assertEqual(after.generation, 2 if hit else 1)
+            affected = any(each.node == nodes[1].name for each in before.members)
+            self.assertEqual(after.generation, 2 if affected else 1)
             self.assertEqual([each.node for each in after.members], [each.node for each in before.members])
-            self.assertEqual(hit, any(each.member == member_id(nodes[1]) for each in after.members))
+            self.assertEqual(affected, any(each.member == member_id(nodes[1]) for each in after.members))
 
     def test_nodes_that_are_away_keep_their_place(self) -> None:
         groups = initial_placement(self.storage(4), 1)
@@ -69,12 +69,12 @@
     def test_a_retired_node_is_replaced_where_there_is_another(self) -> None:
         nodes = self.storage(4)
         groups = initial_placement(nodes, 1)
-        gone = frozenset({nodes[0].name})
-        for group in repaired_placement(groups, nodes, gone, 1):
+        replaced = frozenset({nodes[0].name})
+        for group in repaired_placement(groups, nodes, replaced, 1):
             self.assertNotIn(nodes[0].name, [each.node for each in group.members])
             self.assertEqual(len(group.members), 3)
-        stuck = repaired_placement(initial_placement(nodes[:3], 1), nodes[:3], gone, 1)
-        self.assertTrue(all(len(group.members) == 3 for group in stuck))
+        unreplaced = repaired_placement(initial_placement(nodes[:3], 1), nodes[:3], replaced, 1)
+        self.assertTrue(all(len(group.members) == 3 for group in unreplaced))
 
     def test_group_names(self) -> None:
         self.assertEqual([shard_of(shard_group(n)) for n in (0, 7, 255)], [0, 7, 255])
@@ -107,12 +107,12 @@
         def ids(names: str) -> list[str]:
             return [f"{name.lower()}/disk-{name}" for name in names]
 
-        for label, voters, present, away, desired in self.CONFIGURATION:
+        for label, voters, present, down, desired in self.CONFIGURATION:
             with self.subTest(label):
                 nodes = self.nodes(present, NodeKind.EDGE)
-                down_for = dict.fromkeys("abcd", 0.0) | dict.fromkeys(away, 9.0)
-                found = desired_members(Members(tuple(ids(voters))), nodes, down_for.__getitem__, 3)
-                self.assertEqual(sorted(found), sorted(ids(desired)))
+                down_for = dict.fromkeys("abcd", 0.0) | dict.fromkeys(down, 9.0)
+                members = desired_members(Members(tuple(ids(voters))), nodes, down_for.__getitem__, 3)
+                self.assertEqual(sorted(members), sorted(ids(desired)))
 
     def test_which_storage_nodes_are_replaced(self) -> None:
         nodes = self.nodes("abcd", NodeKind.STORAGE)
@@ -126,11 +126,11 @@
             ("away for long, no spare", nodes[1:3], "", {"a": 40.0}, "a"),
             ("retired", nodes, "b", {}, "b"),
         )
-        for label, present, retired, away, expected in cases:
+        for label, present, retired, down, expected in cases:
             with self.subTest(label):
-                down_for = dict.fromkeys("abcd", 0.0) | away
-                gone = nodes_to_replace(groups, present, set(retired), down_for.__getitem__)
-                self.assertEqual(sorted(gone), list(expected))
+                down_for = dict.fromkeys("abcd", 0.0) | down
+                replaced = nodes_to_replace(groups, present, set(retired), down_for.__getitem__)
+                self.assertEqual(sorted(replaced), list(expected))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_replica_garbage_collection.py
+++ b/tests/system/test_replica_garbage_collection.py
@@ -18,12 +18,12 @@
 
     member_id = "c/c"
 
-    def __init__(self, known: Members) -> None:
-        self.known = known
+    def __init__(self, known_members: Members) -> None:
+        self.known_members = known_members
         self.groups = {"g": None}
 
     def members(self, group: str) -> Members:
-        return self.known
+        return self.known_members
 
 
 class ReplicaGarbageCollectionTest(unittest.TestCase):
@@ -40,20 +40,20 @@
     )
 
     def test_cases(self) -> None:
-        for label, placed, generation, known, reported, by, closed in self.CASES:
+        for label, placed, generation, known_members, reported, report_generation, closed in self.CASES:
             with self.subTest(label):
                 addresses = tuple(MemberAddress(f"{n}/{n}", n, f"{n}:1", "z") for n in placed)
                 placements = {"g": GroupPlacement("g", generation, addresses)}
-                done: list[tuple[str, int]] = []
-                closing = ReplicaGarbageCollector(
+                closed_replicas: list[tuple[str, int]] = []
+                collector = ReplicaGarbageCollector(
                     Clock(),
                     cast(Any, None),
-                    cast(Any, ClosingHost(known)),
+                    cast(Any, ClosingHost(known_members)),
                     placements,
-                    lambda group, at: done.append((group, at)),  # noqa: B023
+                    lambda group, at: closed_replicas.append((group, at)),  # noqa: B023
                 )
-                closing.reported(MembershipReport("g", 4, ids(reported), by))
-                self.assertEqual(done, [("g", by)] if closed else [])
+                collector.reported(MembershipReport("g", 4, ids(reported), report_generation))
+                self.assertEqual(closed_replicas, [("g", report_generation)] if closed else [])
 
 
 if __name__ == "__main__":
