--- a/tests/system/configuration/sample_documents.py
+++ b/tests/system/configuration/sample_documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents for tests."""
+"""Valid configuration documents for tests."""
 
 from __future__ import annotations
 
--- a/tests/system/configuration/test_change_interleavings.py
+++ b/tests/system/configuration/test_change_interleavings.py
@@ -1,14 +1,18 @@
-"""Operators' changes: all interleavings of events in small scopes (RULES, "CONFIG"; PROTOCOL).
+"""Exhaustive search over interleavings of operators' changes in small scopes (RULES, "CONFIG"; PROTOCOL).
 
-The world has two nodes that may own the configuration group, one log, and changes that build on version 3 or
-on one another. Events: a change is sent to a node, or to the owner by a node that forwards it (any number of
-times, as responses may be lost); a majority answers the owner's read index; what the owner has proposed is
-committed, whether or not the owner learns of it; the other node becomes owner, with the open proposals kept
-or lost, while the earlier owner doesn't know of it until it is told; the other node is brought up to date by
-a snapshot.
+The simulation has two nodes that may own the configuration group, one log, and changes that are based on
+version 3 or on each other. These are its events:
 
-Every sequence up to a length is played, without events that change nothing; the checker looks at each result
-when it comes, and at all at the end. Broken builds show that the search finds what it is for.
+- A change is sent to a node, or forwarded to the owner, any number of times, since responses may be lost.
+- A majority answers the owner's read index.
+- The owner's proposals are committed, whether or not the owner learns of it.
+- The other node becomes the owner. Uncommitted proposals are kept or lost, and the previous owner only learns
+  of this by a later event.
+- The node that isn't the owner is brought up to date by a snapshot.
+
+The search plays every sequence of events up to a length, except events that change nothing. The checker
+examines each result when it arrives, and all results at the end. Broken builds show that the search detects
+violations.
 """
 
 from __future__ import annotations
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ScopeChange:
-    """A change that is sent in a scope."""
+    """A change that operators send in a scope."""
 
     base: int
     version: int
@@ -45,9 +49,9 @@
 
 CHANGES = {
     "A": ScopeChange(3, 5),
-    "B": ScopeChange(3, 5),  # the same number, other content
+    "B": ScopeChange(3, 5),  # same version, different content
     "P": ScopeChange(3, 5, "PATCH"),
-    "C": ScopeChange(5, 9),  # on top of whichever of these wins
+    "C": ScopeChange(5, 9),  # based on whichever of these is accepted
     "D": ScopeChange(9, 11),
 }
 REQUESTS = {name: change.request(name) for name, change in CHANGES.items()}
@@ -56,7 +60,7 @@
 
 @dataclass
 class Build:
-    """What is played."""
+    """The classes and limits under test."""
 
     processor: type[ChangeProcessor] = ChangeProcessor
     state: type[ConfigurationState] = ConfigurationState
@@ -64,13 +68,13 @@
 
 
 class Node:
-    """A node with its replica of the state; implements `ConsensusGroup`."""
+    """A node with its replica of the state, as a `ConsensusGroup`."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self.state = simulation.build.state(simulation.build.remembered)
         self.applied = 0
-        self.owner = False  # as far as it knows
+        self.owner = False  # whether it believes to be the owner
         self.processor = simulation.build.processor(self.state, self)
         self.open: list[tuple[bytes, Deferred[object]]] = []
         self.barriers: list[Deferred[None]] = []
@@ -91,13 +95,13 @@
         return self.barriers[-1]
 
     def catch_up(self) -> None:
-        """Apply what is committed."""
+        """Apply all committed commands."""
         while self.applied < len(self.simulation.log):
             self.applied += 1
             self.state.apply(self.applied, self.simulation.log[self.applied - 1])
 
     def step_down(self) -> None:
-        """Stop owning the group, if this node did."""
+        """Give up ownership of the group, if this node has it."""
         self.owner = False
         barriers, self.barriers = self.barriers, []
         proposals, self.open = self.open, []
@@ -110,19 +114,19 @@
 
 @dataclass
 class Simulation:
-    """Two nodes, the committed log, and the results that operators got."""
+    """Two nodes, the committed log, and the results received by operators."""
 
     build: Build
     log: list[bytes] = field(default_factory=list)
     results: dict[str, list[OperatorResult]] = field(default_factory=dict)
-    contacts: int = 0  # how often a majority has answered the owner
+    contacts: int = 0  # number of times that a majority has answered the owner
     violation: str = ""
 
     def __post_init__(self) -> None:
         self.nodes = [Node(self), Node(self)]
         self.owner = self.nodes[0]
         self.owner.owner = True
-        self.history = ConfigurationState()  # of the log, for the checker
+        self.history = ConfigurationState()  # state after the complete log, for the checker
         self.owner.processor.submit(FIRST)
         self.settle()
         self.nodes[1].catch_up()
@@ -137,7 +141,7 @@
             barrier.callback(None)
 
     def commit(self) -> None:
-        """What the owner has proposed is committed, and applied there."""
+        """The owner's proposals are committed and applied."""
         owner = self.owner
         proposals, owner.open = owner.open, []
         self.contacts += 1
@@ -153,7 +157,7 @@
     def change_owner(self, *, keeps_proposals: bool) -> None:
         """The other node becomes owner.
 
-        `keeps_proposals`: the open proposals had reached it, and are committed.
+        With `keeps_proposals` it has received the uncommitted proposals, and commits them.
         """
         old, new = self.owner, next(node for node in self.nodes if node is not self.owner)
         new.step_down()
@@ -165,20 +169,20 @@
         self.owner = new
 
     def inform_earlier_owner(self) -> None:
-        """A node that isn't the owner any more learns so."""
+        """The previous owner learns that it has been replaced."""
         for node in self.nodes:
             if node is not self.owner:
                 node.step_down()
 
     def install(self) -> None:
-        """The node that isn't the owner is brought up by a snapshot of the owner's state."""
+        """The node that isn't the owner installs a snapshot of the owner's state."""
         for node in self.nodes:
             if node is not self.owner and not node.owner:
                 node.state.restore(self.owner.state.snapshot())
                 node.applied = self.owner.applied
 
     def send(self, name: str, node: Node) -> None:
-        """An operator sends a change to a node; where that isn't the owner it gets 503 or is forwarded."""
+        """An operator sends a change to a node. A node that isn't the owner responds with 503."""
         contacts = self.contacts
 
         def receive(result: OperatorResult) -> None:
@@ -202,7 +206,7 @@
         node.processor.read().addCallback(receive)
 
     def play(self, event: str) -> None:
-        """One event."""
+        """Play one event."""
         match event:
             case "confirm":
                 self.confirm()
@@ -224,7 +228,7 @@
                     self.send(event[0], node)
 
     def changes(self, event: str) -> bool:
-        """Whether an event would change anything."""
+        """Whether an event would have any effect."""
         other = next(node for node in self.nodes if node is not self.owner)
         match event:
             case "confirm":
@@ -246,7 +250,7 @@
         return self.history.accepted_version_of(REQUESTS[name].digest()) is not None
 
     def _check_result(self, name: str, result: OperatorResult, contacts: int) -> None:
-        """Check a result when it comes."""
+        """Check a result when it arrives."""
         if not result.decided:
             return
         if self.contacts == contacts:
@@ -254,17 +258,17 @@
         if result.status == 200 and not self._took_effect(name):
             self._break(f"{name} was acknowledged and isn't committed")
         if result.status != 200 and self.history.version < CHANGES[name].base:
-            self.results[name].pop()  # its operator had no reason to build on that version yet
+            self.results[name].pop()  # the operator couldn't know the base version yet
 
     def settle(self) -> None:
-        """Bring everything in flight to its end."""
+        """Complete everything in flight."""
         self.inform_earlier_owner()
         while self.owner.barriers or self.owner.open:
             self.confirm()
             self.commit()
 
     def verdict(self) -> str:
-        """The rule that the results break, or ""."""
+        """The rule that the results violate, or ""."""
         self.settle()
         for name, results in self.results.items():
             if self._took_effect(name) and any(400 <= result.status < 500 for result in results):
@@ -293,7 +297,7 @@
 
 @dataclass(frozen=True)
 class Scope:
-    """Which events are played, in sequences of that length, after the `beginning`."""
+    """The events to play in sequences up to `length`, after the fixed `beginning`."""
 
     events: tuple[str, ...]
     length: int
@@ -323,7 +327,7 @@
     ),
 }
 
-SEQUENCES = {  # of each scope: a search that leaves some out is no search of all
+SEQUENCES = {  # number per scope, to verify that the search is exhaustive
     "two operators, one number": 3_754,
     "PUT against PATCH": 3_546,
     "three attempts, a response lost, another version between": 6_443,
@@ -338,14 +342,14 @@
 
 @dataclass
 class Search:
-    """Plays a scope with a build."""
+    """Searches a scope with a build."""
 
     build: Build
     scope: Scope
     count: int = 0
 
     def run(self, played: tuple[str, ...] = ()) -> str:
-        """The first sequence that breaks a rule, of those that begin with `played`; or ""."""
+        """The first sequence beginning with `played` that violates a rule, or ""."""
         simulation = Simulation(self.build)
         for event in self.scope.beginning + played:
             simulation.play(event)
@@ -363,7 +367,7 @@
 
 
 def search(build: type[ChangeProcessor], state: type[ConfigurationState], scope: Scope) -> tuple[int, str]:
-    """How many sequences were played, and the first that breaks a rule, or ""."""
+    """The number of sequences played, and the first that violates a rule, or ""."""
     search_run = Search(Build(build, state, scope.remembered), scope)
     violation = search_run.run()
     return search_run.count, violation
@@ -373,7 +377,7 @@
 
 
 class WithoutConfirmation(ChangeProcessor):
-    """Results are given without contact to a majority."""
+    """Broken build: gives results without contact to a majority."""
 
     def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
         if not self.group.is_owner():
@@ -384,14 +388,14 @@
 
 
 class ReadWithoutConfirmation(ChangeProcessor):
-    """A read is answered from what this node has."""
+    """Broken build: answers a read from local state."""
 
     def read(self) -> Deferred[OperatorResult]:
         return succeed(self._current()) if self.group.is_owner() else super().read()
 
 
 class EvaluatedBefore(ChangeProcessor):
-    """Changes are evaluated when they come, and the results sent once ownership is confirmed."""
+    """Broken build: evaluates changes on arrival instead of after the confirmation of ownership."""
 
     def submit(self, request: ChangeRequest) -> Deferred[OperatorResult]:
         result_before_confirmation = super()._evaluate(PendingChange(request, request.digest(), Deferred()))
@@ -403,7 +407,7 @@
 
 
 class AcknowledgedBeforeCommit(ChangeProcessor):
-    """A change is acknowledged once it is proposed."""
+    """Broken build: acknowledges a change once it is proposed."""
 
     def _propose(self, change: PendingChange, proposed: ProposedChange) -> None:
         change.result.callback(operator_result(ResultCode.ACCEPTED, version=proposed.version))
@@ -412,7 +416,7 @@
 
 
 class RejectedWhileUnknown(ChangeProcessor):
-    """A change whose proposal failed is rejected, though it may be committed still."""
+    """Broken build: rejects a change whose proposal failed, although it may still be committed."""
 
     def _proposal_ended(self, result: OperatorResult, change: PendingChange) -> None:
         if result.code is ResultCode.OUTCOME_UNKNOWN:
@@ -421,14 +425,14 @@
 
 
 class ForgetsAccepted(ConfigurationState):
-    """No accepted change is remembered."""
+    """Broken build: remembers no accepted change."""
 
     def accepted_version_of(self, digest: bytes) -> int | None:
         return None
 
 
 class SnapshotWithoutDigests(ConfigurationState):
-    """Snapshots lack the digests of accepted changes."""
+    """Broken build: snapshots lack the digests of accepted changes."""
 
     def restore(self, data: bytes) -> None:
         codec = RecordCodec(ConfigurationSnapshot)
@@ -438,14 +442,14 @@
 
 
 class RejectsEvicted(ConfigurationState):
-    """Retries of changes that aren't remembered any more are rejected."""
+    """Broken build: rejects retries of changes that aren't remembered any more."""
 
     def may_have_evicted(self, base: int) -> bool:
         return False
 
 
 class InterleavingTest(unittest.TestCase):
-    """The search."""
+    """The search with the actual classes and with broken builds."""
 
     longest_test_s = 55
 
--- a/tests/system/configuration/test_changes.py
+++ b/tests/system/configuration/test_changes.py
@@ -19,7 +19,7 @@
 
 
 class FakeGroup:
-    """A replica group of one member: a proposal commits at once, later, or never."""
+    """A replica group of one member, in which proposals commit immediately, later, or never."""
 
     def __init__(self, state: ConfigurationState) -> None:
         self.state = state
@@ -143,7 +143,7 @@
         self.group.delays_commits = True
         bodies = [json.dumps(document(5, limits={"max_body_bytes": n})).encode() for n in (1, 2)]
         pending = [self.changes.submit(ChangeRequest("PUT", "3", body)) for body in bodies]
-        self.assertEqual(len(self.group.pending), 1)  # the second waits for the first one's outcome
+        self.assertEqual(len(self.group.pending), 1)  # the second waits for the result of the first
         command, proposed = self.group.pending.pop()
         proposed.callback(self.state.apply(2, command))
         self.assertEqual([self.result_of(each).status for each in pending], [200, 412])
--- a/tests/system/configuration/test_changes_in_flight.py
+++ b/tests/system/configuration/test_changes_in_flight.py
@@ -1,8 +1,8 @@
-"""Changes in flight while a fault hits the owner or a link, in the simulated world.
+"""Faults of the owner or of a link while changes are in flight, in the simulation.
 
-`Operator` calls as PROTOCOL describes it: it moves on to another node after a failure, a 5xx or a second
-without a response, and retries the same request, unchanged, until its result is clear. The moment of the
-fault is swept over the time that a change takes.
+`Operator` behaves as described in PROTOCOL: it tries another node after a failure, a 5xx or a second without
+a response, and retries the unchanged request until it has a definite result. The time of the fault is varied
+over the duration of a change.
 """
 
 from __future__ import annotations
@@ -25,18 +25,20 @@
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
-NODE_TIMEOUT_S = 1.0  # after that the operator moves on to another node
+NODE_TIMEOUT_S = 1.0  # after which the operator tries another node
 RETRY_DELAY_S = 0.1
 ACKNOWLEDGED_WITHIN_S = 5.0  # ack_ms
 FAULT_DELAYS_S = [
     step * 0.001 for step in range(0, 26, 2)
-]  # after a request was sent; a change takes about 15 ms
-FINE_FAULT_DELAYS_S = [step * 0.0005 for step in range(32)]  # between proposal and commit are a few ms
+]  # after the request was sent; a change takes about 15 ms
+FINE_FAULT_DELAYS_S = [
+    step * 0.0005 for step in range(32)
+]  # finer, since a proposal is committed within a few ms
 
 
 @dataclass
 class SentChange:
-    """A change, retried until its result is clear."""
+    """A change that is retried until it has a definite result."""
 
     started_at: float
     attempts: list[Answer] = field(default_factory=list)
@@ -45,14 +47,14 @@
 
 
 class Operator:
-    """Retries changes until their result is clear."""
+    """Retries changes until they have a definite result."""
 
     def __init__(self, system: SmallSystem) -> None:
         self.system, self.simulation = system, system.world
         self._random = system.world.random("operator")
 
     def send(self, method: str, body: bytes, base: int, first: SimulatedNode | None = None) -> SentChange:
-        """Begin; by default anywhere."""
+        """Send a change, to a random node by default."""
         change = SentChange(self.simulation.now)
         self._attempt(change, method, body, base, first)
         return change
@@ -60,7 +62,7 @@
     def put(
         self, version: int, base: int, first: SimulatedNode | None = None, timeout_ms: int = 1000
     ) -> SentChange:
-        """A whole configuration."""
+        """Send a complete configuration."""
         return self.send("PUT", json.dumps(configuration(version, timeout_ms)).encode(), base, first)
 
     def _attempt(
@@ -91,7 +93,7 @@
 
 
 class ChangesInFlightTest(unittest.TestCase):
-    """Changes during which a fault happens."""
+    """Changes during which a fault occurs."""
 
     longest_test_s = 15
 
@@ -107,7 +109,7 @@
         self.version = 1
 
     def owner(self) -> SimulatedNode:
-        """The node that owns the configuration now."""
+        """Run until a single node owns the configuration, and return it."""
         for _ in range(100):
             owners = [
                 edge for edge in self.simulation.edges() if edge.state is NodeState.UP and is_owner(edge)
@@ -122,7 +124,7 @@
         return self.simulation.edges()[-1]
 
     def current(self) -> dict[str, Any]:
-        """The configuration as it is read."""
+        """Read the current configuration."""
         for _ in range(10):
             answer = self.system.version(-1)
             self.simulation.run_for(0.9)
@@ -131,7 +133,7 @@
         raise AssertionError("no configuration to be read")
 
     def check_accepted(self, change: SentChange, seconds: float = ACKNOWLEDGED_WITHIN_S) -> None:
-        """It was acknowledged in time; an accepted change is never rejected."""
+        """Check that a change was acknowledged in time and not rejected."""
         while not change.status and self.simulation.now - change.started_at < 3 * ACKNOWLEDGED_WITHIN_S:
             self.simulation.run_for(0.05)
         self.assertEqual(change.status, 200, [each.status for each in change.attempts])
@@ -140,7 +142,7 @@
     def sweep(
         self, fault: Callable[[SimulatedNode], None], settle_s: float, delays: list[float] = FAULT_DELAYS_S
     ) -> None:
-        """A change through another node, and a fault at each moment after it was sent."""
+        """Send a change through another node for each delay, and inject the fault after the delay."""
         for delay in delays:
             with self.subTest(delay=delay):
                 owner, base = self.owner(), self.version
@@ -244,7 +246,7 @@
 
 
 class BrokenBuildsTest(unittest.TestCase):
-    """Each broken build fails a test that is named here."""
+    """Broken builds, each of which must fail the named test."""
 
     def assert_fails(self, name: str) -> None:
         result = unittest.TestResult()
--- a/tests/system/configuration/test_feed.py
+++ b/tests/system/configuration/test_feed.py
@@ -1,4 +1,4 @@
-"""The configuration feed: finding the owner, offsets, epochs, time-outs. Virtual time."""
+"""The configuration feed in virtual time: finding the owner, offsets, epochs, and timeouts."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FakeLink:
-    """One end of a link."""
+    """A link that records sent messages."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -60,7 +60,7 @@
 
 
 class FakeHub:
-    """Opens a link as soon as it is dialled, unless the address is dead."""
+    """Opens a link immediately when it is dialled, unless the address is dead."""
 
     def __init__(self) -> None:
         self.random = Random(1)
@@ -83,7 +83,7 @@
 
 
 class Listener:
-    """Records what the feed brings."""
+    """Records changes from the feed."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -96,11 +96,11 @@
         self.generations.append(generation)
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """Not of interest here."""
+        """Ignore it."""
 
 
 class FeedClientTest(unittest.TestCase):
-    """A node that is subscribed to the feed."""
+    """The client of the feed."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -122,7 +122,7 @@
         return client
 
     def subscribed_link(self) -> FakeLink | None:
-        """The link on which the client has subscribed last."""
+        """The link on which the client last subscribed."""
         self.clock.pump([0.05] * 4)
         link = self.hub.links.get(self.client.owner_address)
         return link if link is not None and link.sent else None
@@ -165,7 +165,7 @@
         self.assertEqual(tried, {"a:1", "b:1", "c:1", "d:1"})
 
     def test_a_refusal_costs_little_time(self) -> None:
-        """While an owner is being elected, a candidate that was asked too early is not waited for."""
+        """The client quickly tries the next candidate while an owner is being elected."""
         link = self.subscribed_link()
         refusals = 0
         deadline = self.clock.seconds() + 0.3
@@ -212,7 +212,7 @@
         self.update(5, epoch=2, link=link)
         self.update(9, epoch=3, generation=4, link=link)
         self.update(7, epoch=3, generation=3, link=link)
-        self.update(11, epoch=2, link=link)  # of an earlier owner
+        self.update(11, epoch=2, link=link)  # from an earlier owner
         self.update(12, epoch=9, link=FakeLink("elsewhere"))  # on a link without a subscription
         self.assertEqual((self.listener.versions, self.listener.generations), ([5, 9], [4]))
 
@@ -234,7 +234,7 @@
 
 
 class FeedServerTest(unittest.TestCase):
-    """The owner's end of the feed."""
+    """The server of the feed."""
 
     def setUp(self) -> None:
         self.clock = Clock()
--- a/tests/system/configuration/test_feed_catch_up.py
+++ b/tests/system/configuration/test_feed_catch_up.py
@@ -1,4 +1,4 @@
-"""Subscribers of the configuration feed that are far behind, also by an old cache."""
+"""Subscribers of the configuration feed that are far behind or start from an old cache."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 class FarBehindTest(unittest.TestCase):
     def setUp(self) -> None:
-        """An owner after hundreds of changes of both kinds."""
+        """Create an owner with hundreds of changes of documents and placements."""
         self.clock = Clock()
         self.state = ConfigurationState()
         self.server = FeedServer(self.clock, self.state, lambda: True)
@@ -39,7 +39,7 @@
         return client, listener, hub
 
     def first_update(self, subscription: FeedSubscribe) -> FeedUpdate:
-        """The first update that a subscriber with these offsets gets."""
+        """The first update for a subscriber with these offsets."""
         link = FakeLink("x:1")
         self.server.subscribe(link, subscription)  # type: ignore[arg-type]
         first = link.sent[0]
@@ -51,10 +51,10 @@
             update = self.first_update(FeedSubscribe(version, version, False))
             self.assertEqual(unpack_document(update.configuration or b""), document(VERSIONS))
             self.assertEqual(update.placement, self.state.groups)
-            self.assertLess(len(update.configuration or b""), 200, "no history")
+            self.assertLess(len(update.configuration or b""), 200, "contains no history")
 
     def test_a_client_restored_from_an_old_cache(self) -> None:
-        """It is up to date after one update, and what it was restored from doesn't come back."""
+        """It is up to date after one update, and never returns to the cached state."""
         client, listener, hub = self.client()
         old = (GroupPlacement("queue-5", 5, ()),)
         cached = FeedUpdate(0, 5, pack_document(document(5)), 5, old, 3)
--- a/tests/system/configuration/test_feed_owner_search.py
+++ b/tests/system/configuration/test_feed_owner_search.py
@@ -1,7 +1,7 @@
-"""How clients of the feed leave a partitioned owner and find its successor. Virtual time.
+"""Feed clients leave a partitioned owner and find its successor, in virtual time.
 
-Simulated nodes answer subscriptions as `ConfigurationMember` does: the owner with an update and heartbeats,
-others with a refusal that may name the node that they believe to be the owner. Links to partitioned nodes
+Simulated nodes respond to subscriptions like `ConfigurationMember`: the owner with an update and heartbeats,
+others with a refusal that may contain the node that they believe to be the owner. Links to partitioned nodes
 never open.
 """
 
@@ -26,7 +26,7 @@
 
 STEP_S = 0.01
 ROUND_TRIP_S = 0.02
-MAX_CONFIG_APPLY_S = 3.0  # config_apply_ms of the pages' example
+MAX_CONFIG_APPLY_S = 3.0  # config_apply_ms in the example of the documentation
 
 
 def document(version: int) -> bytes:
@@ -35,7 +35,7 @@
 
 
 class Link:
-    """A link that the client dialled."""
+    """A link dialled by the client."""
 
     def __init__(self, network: Network, address: str) -> None:
         self.network, self.address = network, address
@@ -50,17 +50,17 @@
 
 @dataclass
 class Member:
-    """A member of the configuration group, as it appears to clients."""
+    """A member of the configuration group, as seen by clients."""
 
-    epoch: int = 0  # above 0: it believes that it is the owner
+    epoch: int = 0  # above 0 if it believes to be the owner
     version: int = 0
-    hint: str = ""  # the node that it believes to be the owner, if not itself
-    unresponsive: bool = False  # partitioned, or frozen
+    hint: str = ""  # the node that it believes to be the owner, if another one
+    unresponsive: bool = False  # partitioned or frozen
 
 
 @dataclass
 class Network:
-    """Implements what the client needs of its hub."""
+    """A fake hub for the client."""
 
     clock: Clock
     members: dict[str, Member]
@@ -96,7 +96,7 @@
             link.open = True
 
     def answer(self, link: Link) -> None:
-        """Respond to a subscription as that member would, and go on with heartbeats."""
+        """Respond to a subscription like the member, and continue with heartbeats."""
         member = self.members[link.address]
         if not link.open:
             return
@@ -112,7 +112,7 @@
 
 
 class Listener:
-    """Records the versions that came into force."""
+    """Records the applied versions."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -121,14 +121,14 @@
         self.versions.append(table.version)
 
     def placement_changed(self, generation: int, groups: Any) -> None:
-        """Not of interest here."""
+        """Ignore it."""
 
     def catalogue_updated(self, update: Any) -> None:
-        """Not of interest here."""
+        """Ignore it."""
 
 
 class SearchTest(unittest.TestCase):
-    """A client among members that are down, frozen or wrong."""
+    """A client among members that are down, frozen, or have outdated information."""
 
     def begin(self, members: dict[str, Member], seed: int = 5) -> None:
         self.clock = Clock()
@@ -145,7 +145,7 @@
         self.client.start()
 
     def run_until_version(self, version: int, seconds: float) -> float:
-        """Seconds until a version is in force here, or infinity."""
+        """Seconds until the client has applied a version, or infinity."""
         started_at = self.clock.seconds()
         while self.clock.seconds() - started_at < seconds:
             if self.listener.versions[-1:] == [version]:
@@ -178,7 +178,7 @@
                 members["a:1"] = Member(1, 5)
                 self.begin(members, seed)
                 self.assertLess(self.run_until_version(5, 5.0), MAX_CONFIG_APPLY_S)
-                members["a:1"].epoch, members["a:1"].hint = 0, ""  # it has heard from no majority
+                members["a:1"].epoch, members["a:1"].hint = 0, ""  # it has no contact to a majority
                 for name in ("c:1", "d:1", "e:1"):
                     members[name] = Member(hint="e:1", unresponsive=True)
                 members["e:1"] = Member(2, 9, unresponsive=True)
@@ -208,7 +208,7 @@
         self.assertLess(self.run_until_version(7, 5.0), MAX_CONFIG_APPLY_S)
         self.assertEqual(self.client.owner_address, "a:1")
         self.run_for(1.0)
-        self.assertEqual(set(self.network.links), {"a:1"})  # nobody else is dialled any more
+        self.assertEqual(set(self.network.links), {"a:1"})  # no other node is dialled any more
         self.assertEqual(sum(address == "a:1" for _, address in self.network.subscriptions), 1)
 
     def test_an_owner_of_an_older_epoch_is_never_followed_again(self) -> None:
@@ -226,7 +226,7 @@
 
 
 class ClientWithoutEpochs(FeedClient):
-    """Broken build: epochs aren't compared."""
+    """Broken build: doesn't compare epochs."""
 
     def update_received(self, link: Any, update: FeedUpdate) -> None:
         self.epoch = 0
@@ -234,7 +234,7 @@
 
 
 class BrokenFeedTest(unittest.TestCase):
-    """Shows that the checks above find a broken build."""
+    """Shows that the checks above detect a broken build."""
 
     def test_broken_client_that_accepts_an_older_epoch(self) -> None:
         for build, versions in ((FeedClient, [5, 7]), (ClientWithoutEpochs, [5, 7, 11])):
@@ -290,7 +290,9 @@
         self.has_lease = True
         self.clock.pump([0.1] * 5)
         updates = [record for record in self.sent[before:] if isinstance(record, FeedUpdate)]
-        self.assertEqual(sum(update.configuration is not None for update in updates), 1)  # the late one's
+        self.assertEqual(
+            sum(update.configuration is not None for update in updates), 1
+        )  # the second subscriber's
         self.assertGreaterEqual(len(updates), 2)
 
     def test_updates_carry_the_epoch_of_the_ownership(self) -> None:
--- a/tests/system/configuration/test_invalid_changes.py
+++ b/tests/system/configuration/test_invalid_changes.py
@@ -1,7 +1,7 @@
-"""Bodies that must be rejected with 4xx, and that never block or break the requests after them.
+"""Request bodies that must be rejected with 4xx and must not block or break later requests.
 
-The kinds of invalid configurations that operators send, and bodies that once raised an exception: the owner
-then processed no change any more, or the replica group of all members stopped.
+Covers the kinds of invalid configurations that operators send, and bodies that once raised an exception,
+after which the owner processed no more changes or the replica group stopped on all members.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 
 
 def encode(content: Any) -> bytes:
-    """JSON."""
+    """Encode as JSON."""
     return json.dumps(content).encode()
 
 
 class Group:
-    """A group of one member that commits at once."""
+    """A group of one member that commits immediately."""
 
     def __init__(self, state: ConfigurationState) -> None:
         self.state = state
--- a/tests/system/configuration/test_owner_search.py
+++ b/tests/system/configuration/test_owner_search.py
@@ -1,4 +1,4 @@
-"""The order in which candidates are asked for the owner of the configuration."""
+"""The order in which candidates are queried for the owner of the configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OwnerSearchTest(unittest.TestCase):
-    """Each candidate is tried once a search."""
+    """Each candidate is tried once per search."""
 
     def setUp(self) -> None:
         self.search = OwnerSearch()
--- a/tests/system/configuration/test_retirement.py
+++ b/tests/system/configuration/test_retirement.py
@@ -1,4 +1,4 @@
-"""Retirement of storage nodes: which may go, when it is done, and the results that a new owner gives."""
+"""Retirement of storage nodes: which nodes may be retired, when it is done, and results of a new owner."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def nodes(names: str) -> list[NodeDescriptor]:
-    """Storage nodes by letter; a capital letter is the same node with another disk."""
+    """Storage nodes by letter. A capital letter is the same node with a different disk."""
     return [
         NodeDescriptor(
             name=name.lower(),
@@ -67,7 +67,7 @@
 
 
 def placed_state(names: str) -> ConfigurationState:
-    """A state with a placement on these nodes, which are also storage members."""
+    """A state with a placement on these nodes, all of which are storage members."""
     state = ConfigurationState()
     state.apply(1, COMMANDS.encode(SetPlacement(0, initial_placement(nodes(names), 1))))
     state.apply(2, COMMANDS.encode(UpdateStorageMembers(ids(names), ())))
@@ -79,7 +79,7 @@
 
 
 def move_away(state: ConfigurationState, name: str, to: str) -> tuple[GroupPlacement, ...]:
-    """Place all shards without a node."""
+    """Move all shards off a node."""
     moved = repaired_placement(state.groups, nodes(to), frozenset(name), 1)
     assert state.apply(0, COMMANDS.encode(SetPlacement(state.placement_generation, moved)))
     return moved
@@ -96,12 +96,12 @@
 
 
 class NodeLivenessTest(unittest.TestCase):
-    """How long nodes have been up or down."""
+    """Uptime and downtime of nodes."""
 
     def test_down_time_counts_from_when_a_node_was_last_heard(self) -> None:
         liveness = NodeLiveness(10.0)
         liveness.update(11.0, {"a": 10.9})
-        liveness.update(12.0, {"a": 11.0})  # its link is open still
+        liveness.update(12.0, {"a": 11.0})  # its link is still open
         liveness.update(13.0, {"b": 13.0})
         liveness.update(14.0, {"b": 14.0})
         self.assertEqual([liveness.down_for(14.0, name) for name in "abc"], [3.0, 0.0, 4.0])
@@ -147,7 +147,7 @@
         self.assertIs(decision.check, RetireCheck.TOO_FEW_LEFT)
 
     def test_two_concurrent_retirements_are_applied_one_after_the_other(self) -> None:
-        """Both were found acceptable before either was committed."""
+        """Both were acceptable when they were proposed."""
         state = placed_state("abcd")
         self.assertTrue(retire(state, "a", "bcd"))
         self.assertFalse(retire(state, "b", "acd"))
@@ -180,11 +180,11 @@
         self.reports.update(replace(report(moved[-1]), members=("a/x", "b/x", "d/x")))
         self.assertIsNone(next_finished_retirement(self.state, self.reports))
         self.reports.update(replace(report(moved[-1], epoch=3), members=("a/x", "b/x", "c/x")))
-        self.reports.update(replace(report(moved[-1]), members=("a/x", "b/x", "d/x")))  # of an earlier owner
+        self.reports.update(replace(report(moved[-1]), members=("a/x", "b/x", "d/x")))  # earlier owner
         self.assertEqual(next_finished_retirement(self.state, self.reports), FinishRetirement("d", 2))
 
     def test_a_report_by_an_older_placement_is_ignored(self) -> None:
-        """The shard had no replica there, then got one that its owner's last report doesn't show."""
+        """The shard got a replica on the node after its owner's last report."""
         slot = next(number for number, each in enumerate(self.state.groups) if nodes_of(each) == set("abc"))
         self.reports.update(report(self.state.groups[slot]))
         move_away(self.state, "a", "abcd")
@@ -207,7 +207,7 @@
         self.assertTrue(self.state.apply(9, COMMANDS.encode(command)))
 
     def test_done_stays_done(self) -> None:
-        """Whoever owns the configuration then, whatever is placed."""
+        """It is independent of the owner and of later placements."""
         self.finish()
         restored = ConfigurationState()
         restored.restore(self.state.snapshot())
@@ -230,7 +230,7 @@
             self.reports.update(report(group))
         command = next_finished_retirement(self.state, self.reports)
         assert command is not None
-        move_away(self.state, "z", "abC")  # the disk of c was lost meanwhile
+        move_away(self.state, "z", "abC")  # the disk of c was lost in the meantime
         self.assertFalse(self.state.apply(9, COMMANDS.encode(command)))
         self.assertIs(retirement_state(self.state, "d"), RetireState.RUNNING)
 
@@ -245,7 +245,7 @@
         self.assertIs(decision.check, RetireCheck.ACCEPTABLE)
 
     def test_no_replica_is_added_to_a_retired_node(self) -> None:
-        """A placement was computed before the retirement was committed, and committed after it."""
+        """The placement was computed before the retirement was committed, but committed after it."""
         state = placed_state("abc")
         state.apply(3, COMMANDS.encode(UpdateStorageMembers(ids("de"), ())))
         moved = repaired_placement(state.groups, nodes("bcd"), frozenset("a"), 1)
@@ -271,14 +271,14 @@
 
 
 class Owner:
-    """The parts of a configuration's owner, with a simulated group."""
+    """The components of a configuration owner with a simulated group."""
 
     def __init__(self, state: ConfigurationState) -> None:
         self.clock, self.state = Clock(), state
         self.feed = FeedServer(self.clock, state, lambda: 1)
         self.nodes = LiveNodes(self.clock, self.feed)
         self.is_owning, self.commits_proposals, self.index = True, True, 100
-        self.delays_commits = False  # proposals wait until `commit_held`
+        self.delays_commits = False  # proposals wait until `commit_delayed`
         self.delayed_proposals: list[tuple[Deferred[object], bytes]] = []
         group = cast(Any, self)
         self.placement = ShardPlacement(self.clock, group, state, self.nodes, 1)
@@ -321,7 +321,7 @@
         return succeed(self.state.apply(self.index, command))
 
     def commit_delayed(self) -> None:
-        """Commit what was proposed, in order."""
+        """Commit the delayed proposals in order."""
         self.delays_commits = False
         delayed_proposals, self.delayed_proposals = self.delayed_proposals, []
         for waiting, command in delayed_proposals:
@@ -343,10 +343,10 @@
 
 
 class ResultsTest(unittest.TestCase):
-    """The results that the operator gets."""
+    """Results returned to the operator."""
 
     def test_in_the_first_second_of_an_ownership(self) -> None:
-        """No subscriber has found the new owner yet. Found by reading: valid requests got 404 and 409."""
+        """No node has subscribed to the new owner yet. Guards against 404 and 409 for valid requests."""
         for node, placed in (("d", "abc"), ("d", "abcd")):
             state = placed_state(placed)
             state.apply(3, COMMANDS.encode(UpdateStorageMembers(ids("abcd"), ())))
@@ -363,7 +363,7 @@
         self.assertEqual(owner.retire("x").status, 404)
 
     def test_too_few_nodes_is_409_only_once_all_nodes_can_have_subscribed(self) -> None:
-        """A final 409 to a valid request: "d" joined in the moment of the take-over and isn't known yet."""
+        """Guards against a final 409 when "d" joins during the change of owner and isn't known yet."""
         owner = Owner(placed_state("abc"))
         self.assertEqual(owner.retire("a").status, 503)
         owner.subscribe("abc")
@@ -376,7 +376,7 @@
         self.assertIs(owner.retire("a").code, ResultCode.RETIRING)
 
     def test_of_two_requests_in_the_first_second_none_is_refused_for_good(self) -> None:
-        """Both are valid with "e", which this owner hasn't heard of; the second is decided by the state."""
+        """Both are valid given "e", which this owner doesn't know yet. The second one fails when applied."""
         owner = Owner(placed_state("abcd"))
         owner.delays_commits = True
         results: list[OperatorResult] = []
@@ -415,7 +415,7 @@
         owner = Owner(placed_state("abcd"))
         owner.commits_proposals = False
         self.assertEqual(owner.retire("d").status, 503)
-        owner.state.apply(50, COMMANDS.encode(RetireNode(ids("d")[0], ids("abc"), 3)))  # it was committed
+        owner.state.apply(50, COMMANDS.encode(RetireNode(ids("d")[0], ids("abc"), 3)))  # the outcome
         owner.commits_proposals = True
         owner.leadership_acquired()
         self.assertIs(owner.retire("d").code, ResultCode.RETIRING)
@@ -440,14 +440,14 @@
         owner.leadership_acquired()
         self.assertEqual(owner.state_of("d"), "done")
         self.assertIs(owner.retire("d").code, ResultCode.RETIRING)
-        owner.subscribe("d")  # its process goes on until the platform removes it
+        owner.subscribe("d")  # its process runs until the platform removes it
         owner.run(1.0)
         self.assertEqual(owner.state_of("d"), "done")
         self.assertNotIn(ids("d")[0], owner.state.storage.members)
 
 
 class BrokenBuildTest(unittest.TestCase):
-    """Shows that the tests above find builds as they were, or might be."""
+    """Shows that the tests above detect broken builds."""
 
     def fails_with(self, case: type[unittest.TestCase], name: str) -> bool:
         result = unittest.TestResult()
--- a/tests/system/replication/loaded_group.py
+++ b/tests/system/replication/loaded_group.py
@@ -1,4 +1,4 @@
-"""A replica group in virtual time with commands at an even rate, for tests that inject their own faults."""
+"""A replica group in virtual time with commands at a constant rate, for tests that inject faults."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LoadedGroup(World):
-    """Commands at an even rate; the only faults are those that a test injects."""
+    """A group with commands at a constant rate and without random faults."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed, Plan())
@@ -15,7 +15,7 @@
         self.interval = 0.0
 
     def owner(self) -> Process:
-        """The process that owns the group; waits for one."""
+        """Run until a process owns the group, and return it."""
 
         def owners() -> list[Process]:
             processes = [node.process for node in self.nodes.values() if node.process]
@@ -30,7 +30,7 @@
         self.propose(self.owner(), b"%08d" % self.serial + bytes(size))
 
     def propose_periodically(self, interval: float) -> None:
-        """Propose a command every so many seconds, until `every` is set to 0."""
+        """Propose a command every `interval` seconds, until the attribute `interval` is set to 0."""
         self.interval = interval
         if interval:
             self.propose_next()
@@ -42,6 +42,6 @@
         return next(node for node in self.nodes.values() if node.process is not owner)
 
     def is_current(self, node: Node) -> bool:
-        """Whether a node has applied all but the commands of the last round trips."""
+        """Whether a node has applied all commands except the most recent ones in flight."""
         process = node.process
         return process is not None and len(process.register.commands) >= len(self.checker.committed) - 12
--- a/tests/system/replication/member_ids.py
+++ b/tests/system/replication/member_ids.py
@@ -1,4 +1,4 @@
-"""Members by letters: `a` is the member a/a, `A` the same node with another disk."""
+"""Member ids from letters: `a` is the member a/a, and `A` is a/A, the same node with a different disk."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def members(voters: str, learners: str = "", generation: int = 0) -> Members:
-    """By letters; a capital letter is the same node with another disk."""
+    """Members by letter. A capital letter is the same node with a different disk."""
     return Members(ids(voters), ids(learners), generation)
 
 
--- a/tests/system/replication/quiet_logs.py
+++ b/tests/system/replication/quiet_logs.py
@@ -1,4 +1,4 @@
-"""A test case in which expected errors are not printed."""
+"""A test case that doesn't print logged errors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class QuietLogsTestCase(unittest.TestCase):
-    """Expected errors of state machines are not printed."""
+    """Discards log records, such as the expected errors of state machines."""
 
     def setUp(self) -> None:
         handler = logbook.NullHandler()
--- a/tests/system/replication/schedules.py
+++ b/tests/system/replication/schedules.py
@@ -1,4 +1,4 @@
-"""A replica group whose messages and restarts a test orders one by one."""
+"""A replica group in which the test controls each message delivery and restart."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class Disk:
-    """What a member has written, as the journal would read it back."""
+    """A member's persistent state, as the journal would read it after a restart."""
 
     def __init__(self, founders: Members) -> None:
         self.state = PersistentState(snapshot=Snapshot(members=founders))
 
     def write(self, write: StorageWrite) -> None:
-        """Do one write."""
+        """Apply one write."""
         entries = [
             entry
             for entry in self.state.entries
@@ -40,28 +40,28 @@
 
 
 class ScheduledGroup:
-    """Members by name; time stands still but for elections that a test begins."""
+    """The members of a group by name. Time only advances when the test triggers a timeout."""
 
     def __init__(self, names: str) -> None:
         self.founders = Members(tuple(names))
         self.disks = {name: Disk(self.founders) for name in names}
         self.now = 0.0
         self.members: dict[str, Raft] = {}
-        self.committed: dict[int, Entry] = {}  # by index, as the first member has applied it
+        self.committed: dict[int, Entry] = {}  # by index, as applied by the first member
         self.contradictions: list[str] = []
         self._sent: dict[tuple[str, str], list[Message]] = defaultdict(list)
         for name in names:
             self.restart(name)
 
     def restart(self, name: str) -> None:
-        """Start a member from its disk; what it had sent is lost."""
+        """Restart a member from its disk. Its undelivered messages are lost."""
         self.members[name] = Raft(name, self.disks[name].state, Random(name), self.now)
         for channel in self._sent:
             if channel[0] == name:
                 self._sent[channel].clear()
 
     def run(self, name: str) -> None:
-        """Do what follows from a member's inputs: writes, messages to be delivered, commits."""
+        """Process a member's effects: perform writes, queue messages, and record committed entries."""
         member = self.members[name]
         while True:
             effects = member.take_effects(self.now)
@@ -76,7 +76,7 @@
                 member.write_completed(self.now, write.number)
 
     def deliver(self, sender: str, *receivers: str) -> None:
-        """Deliver all that a member has sent to some others."""
+        """Deliver all queued messages of a member to the given receivers."""
         for receiver in receivers:
             messages, self._sent[sender, receiver] = self._sent[sender, receiver], []
             for message in messages:
@@ -84,35 +84,35 @@
             self.run(receiver)
 
     def send(self, sender: str, receiver: str, message: Message) -> None:
-        """Deliver a message that the sender could have sent, in place of what it did."""
+        """Replace a sender's queued messages by one that it could have sent, and deliver it."""
         self._sent[sender, receiver] = [message]
         self.deliver(sender, receiver)
 
     def exchange(self, name: str, others: str) -> None:
-        """Deliver between one member and others until nothing is left."""
+        """Deliver messages between a member and others until none are queued."""
         while any(self._sent[channel] for other in others for channel in ((name, other), (other, name))):
             for other in others:
                 self.deliver(name, other)
                 self.deliver(other, name)
 
     def drop_all(self) -> None:
-        """Lose all messages that are under way."""
+        """Drop all queued messages."""
         self._sent.clear()
 
     def time_out(self, name: str) -> None:
-        """Let a member's election timeout pass; it asks for pre-votes."""
+        """Let a member's election timeout expire, so that it requests pre-votes."""
         self.now += 10 * self.members[name].timing.election_timeout
         self.members[name].tick(self.now)
         self.run(name)
 
     def advance_to_heartbeat(self, name: str) -> None:
-        """Let a leader's heartbeat fall due."""
+        """Advance to a leader's next heartbeat."""
         self.now += self.members[name].timing.heartbeat_interval
         self.members[name].tick(self.now)
         self.run(name)
 
     def elect(self, name: str, voters: str) -> None:
-        """Make a member the leader by the votes of others; nothing that it sends as leader is delivered."""
+        """Elect a member by the votes of `voters`. No message that it sends as leader is delivered."""
         self.time_out(name)
         for _ in ("pre-vote", "vote"):
             for voter in voters:
@@ -122,7 +122,7 @@
         assert self.members[name].role is MemberRole.LEADER, (name, self.members[name].role)
 
     def leaders(self, term: int) -> list[str]:
-        """The members that lead in a term."""
+        """The leaders of a term."""
         return [
             name
             for name, member in self.members.items()
--- a/tests/system/replication/scripted_peers.py
+++ b/tests/system/replication/scripted_peers.py
@@ -1,4 +1,4 @@
-"""One replica host whose peers are played by the test."""
+"""A replica host whose peers are scripted by the test."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RecordingMachine:
-    """Collects commands; a command `fail` raises."""
+    """Records commands. The command `fail` raises an exception."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -66,7 +66,7 @@
 
 
 class ScriptedHost:
-    """One host; the test sends the messages of its peers."""
+    """A host to which the test sends the messages of its peers."""
 
     def __init__(
         self, name: str, disk: SimulatedFileSystem | None = None, bounds: CompactionBounds | None = None
@@ -86,14 +86,14 @@
         self.host.open_group("g", self.machine, founders, self.events)
 
     def run(self, seconds: float) -> list[tuple[str, Message]]:
-        """Advance the clock; the messages sent."""
+        """Advance the clock and return the messages sent."""
         before = len(self.sent)
         for _ in range(round(seconds / 0.001)):
             self.clock.advance(0.001)
         return self.sent[before:]
 
     def turn(self) -> list[tuple[str, Message]]:
-        """End the reactor's turn; the messages sent."""
+        """End the reactor turn and return the messages sent."""
         before = len(self.sent)
         self.clock.advance(0)
         return self.sent[before:]
@@ -102,7 +102,7 @@
         self.host.receive("g", sender, encode_message(message))
 
     def lead(self) -> None:
-        """Be elected by `b`, which confirms all entries."""
+        """Run until the host is elected by `b`, which confirms all entries."""
         while not self.host.is_owner("g"):
             self.answer("b", self.run(0.01))
 
@@ -134,7 +134,7 @@
 
 
 def result_of(deferred: Deferred[object]) -> object:
-    """The result of a Deferred, the class of its error, or None while it has neither."""
+    """The result of a Deferred, the class of its error, or None if it hasn't fired."""
     results: list[object] = []
     deferred.addCallbacks(results.append, lambda failure: results.append(failure.type))
     return results[0] if results else None
--- a/tests/system/replication/single_member.py
+++ b/tests/system/replication/single_member.py
@@ -1,4 +1,4 @@
-"""One member of a group of three, "a", by itself: a test answers for the others."""
+"""The member "a" of a group of three, with the test responding for the others."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def follower() -> Raft:
-    """A member that has heard nobody yet, at time 0."""
+    """A member without contact to the others, at time 0."""
     return Raft("a", PersistentState(snapshot=Snapshot(members=FOUNDERS)), Random(1), 0.0)
 
 
 def take_messages(member: Raft, now: float = ELECTED_AT) -> list[Message]:
-    """Do all writes of a member; the messages that it sent."""
+    """Complete all writes of a member and return the messages that it sent."""
     messages: list[Message] = []
     while True:
         effects = member.take_effects(now)
@@ -30,7 +30,7 @@
 
 
 def leader() -> Raft:
-    """A leader by the vote of "b", at `ELECTED_AT`, that has sent all that it had."""
+    """A leader elected by the vote of "b" at `ELECTED_AT`, without queued messages."""
     member = follower()
     member.tick(ELECTED_AT)
     take_messages(member)
@@ -42,7 +42,7 @@
 
 
 def confirm_all(member: Raft, now: float = ELECTED_AT) -> None:
-    """Have both others confirm all entries of a leader."""
+    """Confirm all entries of a leader on behalf of both followers."""
     take_messages(member, now)
     for peer in "bc":
         member.receive(now, peer, AppendEntriesResponse(member.term, True, member.last_index, 1))
--- a/tests/system/replication/stateless_machine.py
+++ b/tests/system/replication/stateless_machine.py
@@ -1,4 +1,4 @@
-"""A state machine and listener for groups of which only the consensus matters."""
+"""A state machine and listener for tests that only concern consensus."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StatelessMachine:
-    """A state machine without a state, and a listener."""
+    """A state machine without state, which is also a listener that ignores events."""
 
     def apply(self, index: int, command: bytes) -> object:
         return None
@@ -15,7 +15,7 @@
         return b"state"
 
     def restore(self, data: bytes) -> None:
-        """There is no state."""
+        """Do nothing, since there is no state."""
 
     def became_owner(self, epoch: int) -> None:
         """Ignored."""
--- a/tests/system/replication/test_cluster.py
+++ b/tests/system/replication/test_cluster.py
@@ -1,4 +1,4 @@
-"""Three hosts in virtual time, without faults."""
+"""Three replica hosts in virtual time, without faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ClusterTest(QuietLogsTestCase):
-    """Without faults."""
+    """Commits, leadership transfer and the replacement of a wiped node."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/system/replication/test_fault_campaign.py
+++ b/tests/system/replication/test_fault_campaign.py
@@ -1,6 +1,6 @@
-"""Seeded runs of a group with all faults, and broken builds that they must find.
+"""Randomised runs of a group with all faults, and broken builds that the checkers must detect.
 
-`REPLICATION_SEEDS` sets how many seeds the campaigns play, for longer hunts.
+The environment variable `REPLICATION_SEEDS` sets the number of seeds, for longer campaigns.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 SEEDS = int(os.environ.get("REPLICATION_SEEDS", "1200"))
 
 
-SMALL_CHUNK = 150  # bytes: snapshots of a simulated node then are several pieces
+SMALL_CHUNK = 150  # bytes; splits the snapshots of a simulated node into several chunks
 
 
 class FaultCampaignTest(QuietLogsTestCase):
-    """Seeded runs with all faults. A seed that failed once is added to `FAILED_ONCE`."""
+    """Randomised runs with all faults. Seeds that once failed are kept in `FAILED_ONCE`."""
 
     longest_test_s = 20
 
     SHORT = Plan(seconds=2.0, fault_every=0.3)
-    FAILED_ONCE = (155, 205, 352)  # a snapshot's receiver was started again in between: stuck for ever
+    FAILED_ONCE = (155, 205, 352)  # installation never completed after a restart of the receiver
 
     def setUp(self) -> None:
         super().setUp()
@@ -61,7 +61,7 @@
 
 
 class BrokenBuildsTest(QuietLogsTestCase):
-    """Builds without one safeguard; the checkers must find each within some seeds."""
+    """Builds that lack one safeguard each, which the checkers must detect within `MOST_SEEDS` seeds."""
 
     MOST_SEEDS = 150
 
--- a/tests/system/replication/test_first_elections.py
+++ b/tests/system/replication/test_first_elections.py
@@ -1,4 +1,4 @@
-"""Owners after a loss of power of all machines, in virtual time: the first votes asked for must arrive."""
+"""Elections after a power loss of all machines, in virtual time: the first vote requests must arrive."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 SEEDS = 6
 DOWN_S = 0.5
 OBSERVED_S = 6.0
-# The first of three members asks after 0.625 s on average. A vote that is asked for while the link is still
-# being made is lost, and the next one comes another election's time later (medians 0.79 and 0.92 s then).
+# The first of three members requests votes after 0.625 s on average. A request that is sent before the link
+# is established is lost and only repeated after another election timeout; the medians were then 0.79 and
+# 0.92 s.
 MAX_MEDIAN_S = 1.4 * SYSTEM_TIMING.election_timeout
 
 
 class FirstElectionsTest(unittest.TestCase):
     def seconds_to_ownership(self, seed: int) -> dict[str, float]:
-        """By group, the seconds from the start of the last process until the group has an owner."""
+        """By group, the seconds from the restart of the processes until the group has an owner."""
         system = SmallSystem(seed)
         simulation = system.world
         system.found()
--- a/tests/system/replication/test_host.py
+++ b/tests/system/replication/test_host.py
@@ -1,4 +1,4 @@
-"""One replica host and its journal; the test plays the other members."""
+"""A replica host with its journal. The test sends the messages of the other members."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         return host
 
     def settled_leader(self) -> ScriptedHost:
-        """A leader that has chosen its targets: its first heartbeat is over, and "b" answered last."""
+        """A leader that has sent its first heartbeat and has "b" as its only replication target."""
         host = self.leader()
         end = host.clock.seconds() + SYSTEM_TIMING.heartbeat_interval
         while host.clock.seconds() <= end:
@@ -61,7 +61,7 @@
         return host
 
     def test_a_lost_follower_delays_nothing_before_the_first_heartbeat(self) -> None:
-        """The former leader, "b", is gone, and isn't measured yet. It was the only target for 0.2 s."""
+        """Guards against the failed former leader "b", whose delay is unknown, being the only target."""
         host = ScriptedHost("a")
         host.open(TRIO)
         while not host.host.is_owner("g"):
@@ -95,7 +95,7 @@
             timers_set.append(call)
             return call_later_unpatched(delay, call, *args)
 
-        def advancing_clock() -> float:  # as a real clock: later at each reading
+        def advancing_clock() -> float:  # advances at each reading, like a real clock
             return seconds() + next(readings) * 1e-8
 
         with (
@@ -156,7 +156,7 @@
             host.receive("a", AppendEntries(1, index - 1, 1 if index > 1 else 0, (entry,), 0, index))
         self.assertEqual(host.turn(), [])
         self.assertEqual(host.run(0.005), [("a", AppendEntriesResponse(1, True, 5, 5))])
-        self.assertEqual(host.journal_writer.batches, 2)  # the founding, and all five
+        self.assertEqual(host.journal_writer.batches, 2)  # the bootstrap, and all five entries
 
     def test_only_responses_that_cover_one_another_are_coalesced(self) -> None:
         positive, older = AppendEntriesResponse(2, True, 5, 3), AppendEntriesResponse(2, True, 4, 4)
@@ -191,7 +191,7 @@
         self.assertEqual(host.run(0.002), [("a", AppendEntriesResponse(1, True, 1, 1))])
 
     def test_a_heartbeat_is_answered_from_what_is_on_disk_while_the_disk_is_slow(self) -> None:
-        """Once such a response was held back behind a long sync, and the leader stepped down."""
+        """Guards against delaying the response until a long sync, which made the leader step down."""
         host = ScriptedHost("b")
         host.open(TRIO)
         host.receive("a", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.COMMAND, b"x"),), 0, 1))
@@ -268,7 +268,7 @@
         self.assertEqual(host.host.members("g"), Members())
 
     def test_a_removed_group_is_not_founded_again(self) -> None:
-        """It may have voted, and its entries may have counted for a commitment."""
+        """The removed state may contain votes, and entries that counted towards a majority."""
         host = ScriptedHost("a")
         host.open(TRIO)
         host.run(0.01)
@@ -307,7 +307,7 @@
         self.assertEqual((result_of(result), other.commands), (b"did x", [b"x"]))
 
     def test_a_conflict_with_a_committed_entry_stops_the_group(self) -> None:
-        """Continuing could only spread the corruption."""
+        """Continuing could spread the corruption."""
         host = ScriptedHost("b")
         host.open(TRIO)
         host.receive("a", AppendEntries(1, 0, 0, (Entry(1, 1, EntryKind.COMMAND, b"x"),), 1, 1))
@@ -351,7 +351,7 @@
         host = self.leader()
         heartbeat = host.run(0.15)
         barrier = host.host.read_barrier("g")
-        host.answer("b", heartbeat)  # to heartbeats from before
+        host.answer("b", heartbeat)  # responses to heartbeats sent before the request
         sent = host.turn()
         found: list[object] = []
         barrier.addCallback(found.append)
@@ -363,7 +363,7 @@
 
     def test_a_process_that_was_frozen_is_no_owner_when_it_resumes(self) -> None:
         host = self.leader()
-        host.clock.rightNow += 5  # timers are late by that
+        host.clock.rightNow += 5  # all timers are late by 5 s
         result = host.host.propose("g", b"x")
         host.clock.advance(0)
         self.assertFalse(host.host.is_owner("g"))
@@ -388,15 +388,15 @@
         host = self.leader()
         unsafe = (
             Members(),
-            Members(("a",)),  # two at once
-            Members(("a", "b", "c", "d")),  # not caught up
+            Members(("a",)),  # removes two voters
+            Members(("a", "b", "c", "d")),  # d hasn't caught up
             Members(("a", "b", "b")),
             Members(("a", "b", "c"), ("c",)),
         )
         for members in unsafe:
             self.assertFalse(host.host.change_members("g", members), members)
         self.assertTrue(host.host.change_members("g", Members(("a", "b", "c"), ("d",))))
-        self.assertFalse(host.host.change_members("g", Members(("a", "b"), ("d",))), "one is under way")
+        self.assertFalse(host.host.change_members("g", Members(("a", "b"), ("d",))), "uncommitted change")
         sent = host.turn()
         host.answer("b", sent)
         host.run(0.005)
@@ -465,7 +465,7 @@
 
 class EmptySnapshotTest(unittest.TestCase):
     def test_a_snapshot_without_data_is_restored(self) -> None:
-        """The state of a state machine may be empty."""
+        """An empty snapshot must not be mistaken for a missing one."""
         disk = SimulatedFileSystem()
         log = SegmentLog(disk, lambda: 1, 1 << 20)
         clock = Clock()
--- a/tests/system/replication/test_lagging_voters.py
+++ b/tests/system/replication/test_lagging_voters.py
@@ -1,7 +1,8 @@
-"""Elections after the loss of a leader whose followers lack different entries, in virtual time.
+"""Elections after the failure of a leader whose followers lack different entries, in virtual time.
 
-A leader sends entries to a majority at once and to the others with its heartbeats, so that in each election
-some members lack entries. Whoever notices the loss first, one that has all of them must soon lead.
+A leader sends entries to a majority immediately and to others with its heartbeats, so some members lack
+entries in every election. A member with all entries must be elected quickly, whichever member first detects
+the failure.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 LATENCY_S = 0.003
 SYNC_S = 0.012
 SEEDS = 200
-MAX_ELECTION_S = 4 * SYSTEM_TIMING.election_timeout  # of an election, in any of the runs
+MAX_ELECTION_S = 4 * SYSTEM_TIMING.election_timeout  # time limit of an election in any run
 
 
 class Election:
-    """Four of five members; the leader `a` is gone. `lengths`: how many entries each has."""
+    """Four of five members after the failure of the leader `a`. `lengths` is the log length of each."""
 
     def __init__(self, seed: int, lengths: dict[str, int]) -> None:
         self.random = Random(seed)
@@ -38,7 +39,7 @@
         self.count = 0
 
     def run(self) -> tuple[float, str]:
-        """When a leader has committed an entry of its own term, and its name; "" after 60 s without one."""
+        """When a leader committed an entry of its own term, and its name; "" if none did within 60 s."""
         while self.now < 60.0:
             for name, raft in self.members.items():
                 self._collect(name, raft)
@@ -48,7 +49,7 @@
         return self.now, ""
 
     def step(self) -> None:
-        """Play the next event, with all that follows from it."""
+        """Process the next event and its effects."""
         self._next()
         for name, raft in self.members.items():
             self._collect(name, raft)
@@ -88,8 +89,8 @@
                 self.assertLess(seconds, MAX_ELECTION_S)
 
     def test_a_lost_member_that_sorts_first_delays_nobody_in_a_long_log(self) -> None:
-        """A new leader knows nothing of what its followers have, nor of their delays: the lost one once
-        stayed a replication target, and the leader's first entry lacked a majority."""
+        """A new leader doesn't know its followers' logs or delays. Guards against a failed follower staying a
+        replication target, which kept the leader's first entry from being committed."""
         lengths = dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100)
         for seed in range(SEEDS):
             for lagging in ({}, {"d": 300, "e": 300}):
--- a/tests/system/replication/test_member_changes.py
+++ b/tests/system/replication/test_member_changes.py
@@ -1,4 +1,4 @@
-"""Steps from the present to the desired members, and who may propose them."""
+"""Membership changes from the current to the desired members, and who may propose them."""
 
 from __future__ import annotations
 
@@ -17,24 +17,51 @@
 
 
 class ReconfigurationStepsTest(unittest.TestCase):
-    """Who leaves and joins, and in which order."""
+    """Which members are removed and added, and in which order."""
 
     CASES = (
-        # current, desired, caught up, silent, next
-        ("a lost disk leaves as its successor learns", "abc", "", "abC", "", "c", "ab", "C"),
-        ("the successor votes once it has caught up", "ab", "C", "abC", "C", "", "abC", ""),
-        ("of two lost disks one leaves first", "abcde", "", "abcDE", "", "", "abce", "DE"),
-        ("the other when four vote would be too few", "abce", "DE", "abcDE", "", "", None, ""),
-        ("the other once there are five again", "abceD", "E", "abcDE", "", "", "abcD", "E"),
-        ("of two lost disks of three none but one leaves", "ab", "BC", "aBC", "", "", None, ""),
-        ("a silent voter stays until another votes", "abc", "", "abd", "", "c", "abc", "d"),
-        ("a silent voter goes first", "abcxy", "", "abd", "", "y", "abcx", "d"),
-        ("a silent voter doesn't wait for a slow learner", "abcxd", "e", "abde", "", "c", "abxd", "e"),
-        ("a voter that is heard waits for all", "abcxd", "e", "abde", "", "", None, ""),
-        ("then it goes", "abcde", "", "abde", "", "", "abde", ""),
-        ("the owner leaves last", "abcd", "", "cd", "", "", "acd", ""),
+        # current voters and learners, desired, caught up, unresponsive, next voters and learners
+        (
+            "a lost disk is removed as its successor learns",
+            "abc",
+            "",
+            "abC",
+            "",
+            "c",
+            "ab",
+            "C",
+        ),
+        ("the successor becomes a voter once it has caught up", "ab", "C", "abC", "C", "", "abC", ""),
+        ("of two lost disks, one is removed first", "abcde", "", "abcDE", "", "", "abce", "DE"),
+        ("the other stays while there are four voters", "abce", "DE", "abcDE", "", "", None, ""),
+        ("the other is removed once there are five", "abceD", "E", "abcDE", "", "", "abcD", "E"),
+        ("of two lost disks of three, only one is removed", "ab", "BC", "aBC", "", "", None, ""),
+        ("an unresponsive voter stays until another votes", "abc", "", "abd", "", "c", "abc", "d"),
+        ("an unresponsive voter is removed first", "abcxy", "", "abd", "", "y", "abcx", "d"),
+        (
+            "a slow learner doesn't delay that removal",
+            "abcxd",
+            "e",
+            "abde",
+            "",
+            "c",
+            "abxd",
+            "e",
+        ),
+        (
+            "a responsive voter stays until all others vote",
+            "abcxd",
+            "e",
+            "abde",
+            "",
+            "",
+            None,
+            "",
+        ),
+        ("then it is removed", "abcde", "", "abde", "", "", "abde", ""),
+        ("the owner is removed last", "abcd", "", "cd", "", "", "acd", ""),
         ("a single voter stays", "a", "", "A", "", "", "a", "A"),
-        ("learners change with voters", "abc", "xy", "abC", "", "", "ab", "C"),
+        ("learners change together with voters", "abc", "xy", "abC", "", "", "ab", "C"),
     )
 
     def test_steps(self) -> None:
@@ -89,7 +116,7 @@
 
 
 class GenerationFenceTest(unittest.TestCase):
-    """The group itself refuses members of an older placement."""
+    """A group rejects members of an older placement."""
 
     def test_generations_never_fall(self) -> None:
         machine = StatelessMachine()
@@ -113,7 +140,7 @@
 
 
 class OwnerHost:
-    """A host that owns a group, as `MembershipReconciler` sees it."""
+    """A fake host for `MembershipReconciler` that owns a group."""
 
     member_id = "a/a"
 
@@ -148,7 +175,7 @@
 
 
 class MemberChangesTest(unittest.TestCase):
-    """Steps follow what has happened."""
+    """Changes follow from events."""
 
     def test_changes_are_made_one_at_a_time_and_as_soon_as_possible(self) -> None:
         host = OwnerHost(members("abc", generation=1))
@@ -158,7 +185,7 @@
         self.assertEqual(host.current, members("ab", "C", 2))
         host.caught_up_members.add("c/C")
         changes.reconcile("g")
-        self.assertEqual(host.current, members("ab", "C", 2))  # the one before isn't committed
+        self.assertEqual(host.current, members("ab", "C", 2))  # the previous change isn't committed
         host.change_uncommitted = False
         changes.reconcile("g")
         self.assertEqual(host.current, members("abC", "", 2))
@@ -178,22 +205,40 @@
         self.assertEqual(DesiredMembers(ids("a"), 3).generation, 3)
         host = OwnerHost(members("abc", generation=7))
         changes = MembershipReconciler(cast(Any, host))
-        changes.set_desired("g", ids("abd"), 6)  # this owner hasn't heard of the newest placement
+        changes.set_desired("g", ids("abd"), 6)  # this owner doesn't know the latest placement
         self.assertEqual(host.current, members("abc", generation=7))
 
 
 class LearnersFirstTest(unittest.TestCase):
-    """One member at a time, learners first."""
+    """Members change one at a time, and start as learners."""
 
     STEPS = (
-        ("nothing to do", Members(("a", "b", "c")), "abc", "", None),
-        ("learner first", Members(("a", "b", "c")), "abd", "", Members(("a", "b", "c"), ("d",))),
-        ("not before it has caught up", Members(("a", "b", "c"), ("d",)), "abd", "", None),
-        ("voter once it has", Members(("a", "b", "c"), ("d",)), "abd", "d", Members(("a", "b", "c", "d"))),
-        ("then the old one goes", Members(("a", "b", "c", "d")), "abd", "", Members(("a", "b", "d"))),
-        ("a learner that isn't wanted goes", Members(("a", "b"), ("x",)), "ab", "x", Members(("a", "b"))),
+        ("no change needed", Members(("a", "b", "c")), "abc", "", None),
+        (
+            "start as a learner",
+            Members(("a", "b", "c")),
+            "abd",
+            "",
+            Members(("a", "b", "c"), ("d",)),
+        ),
+        ("not yet caught up", Members(("a", "b", "c"), ("d",)), "abd", "", None),
+        (
+            "voter once caught up",
+            Members(("a", "b", "c"), ("d",)),
+            "abd",
+            "d",
+            Members(("a", "b", "c", "d")),
+        ),
+        ("then remove the old voter", Members(("a", "b", "c", "d")), "abd", "", Members(("a", "b", "d"))),
+        ("remove an undesired learner", Members(("a", "b"), ("x",)), "ab", "x", Members(("a", "b"))),
         ("the last voter stays", Members(("a",)), "", "", None),
-        ("of two voters one goes, with one desired (f = 0)", Members(("a", "b")), "b", "", Members(("b",))),
+        (
+            "one of two voters is removed (f = 0)",
+            Members(("a", "b")),
+            "b",
+            "",
+            Members(("b",)),
+        ),
     )
 
     def test_steps(self) -> None:
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -1,4 +1,4 @@
-"""A term that was refused in favour of a higher one is never used again (NEWS-24); and the check of it."""
+"""A member never uses a term again after a higher one refused it (NEWS-24), and the checker for that."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 from bitternpath.testing.simulation.runs.play import play
 from tests.system.replication.single_member import ELECTED_AT, FOUNDERS, confirm_all, leader, take_messages
 
-HIGHER = 9  # a term that another member has
+HIGHER = 9  # the term of another member
 
 
 class QueuedRequests(unittest.TestCase):
-    """Requests that a leader has made and not sent yet when it is refused, in the same turn."""
+    """Requests that a leader has queued in the same turn in which it learns of a higher term."""
 
     def test_none_is_sent_after_any_message_of_a_higher_term(self) -> None:
         refusals: list[Message] = [
@@ -64,7 +64,7 @@
         self.assertFalse([message for message in take_messages(member) if isinstance(message, TimeoutNow)])
 
     def test_a_leader_that_is_no_voter_any_more_still_tells_what_is_committed(self) -> None:
-        """It isn't refused: its term goes on without it, and its last word lets the others commit."""
+        """Its term is not refused, and its last request tells the others the commit index."""
         member = leader()
         confirm_all(member)
         take_messages(member)
@@ -76,7 +76,7 @@
 
 
 class Checker(unittest.TestCase):
-    """What `RefusedTermChecker` says."""
+    """Detection by `RefusedTermChecker`."""
 
     def setUp(self) -> None:
         self.violations: list[str] = []
@@ -109,7 +109,7 @@
 
 
 def plan_with_ownership_transfers() -> RunPlan:
-    """Each storage machine is asked to end, so that it transfers its shards; messages come meanwhile."""
+    """Each storage node is told to shut down, so that it transfers its shards while messages arrive."""
     faults = [
         Fault(number=number, at=8.0 * number - 6.0, kind=FaultKind.TERM, nodes=(f"s{number}",))
         for number in (1, 2, 3)
@@ -120,7 +120,7 @@
 
 @contextmanager
 def leader_ignores_higher_terms() -> Iterator[None]:
-    """A leader that hears of a higher term leads on in its own."""
+    """A build whose leaders ignore higher terms."""
     become_follower = MemberState._become_follower
 
     def become_follower_unless_leading(
@@ -134,7 +134,7 @@
 
 
 class FullSystem(unittest.TestCase):
-    """The check in the whole service."""
+    """The checker in simulated runs of the full system."""
 
     longest_test_s = 12
 
--- a/tests/system/replication/test_removed_replicas.py
+++ b/tests/system/replication/test_removed_replicas.py
@@ -1,4 +1,4 @@
-"""A replica that was removed from its group and is to take part again, on the same disk."""
+"""A replica that was removed from its group and joins again with the same disk."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DurableHost:
-    """A replica host `c/c`; its disk survives a restart."""
+    """A replica host `c/c` whose disk survives a restart."""
 
     def __init__(self, disk: SimulatedFileSystem | None = None) -> None:
         self.disk = disk or SimulatedFileSystem()
@@ -46,7 +46,7 @@
         self.host.open_group("g", machine, founders, machine)
 
     def receive(self, sender: str, message: Any) -> list[Any]:
-        """Deliver a message; the responses to its sender."""
+        """Deliver a message and return the responses to its sender."""
         self.sent.clear()
         self.host.receive("g", sender, encode_message(message))
         for _ in range(10):
@@ -63,7 +63,7 @@
 
 
 class RemovedReplicaTest(unittest.TestCase):
-    """A replica that was removed and is to take part again, on the same disk."""
+    """Votes and state of a removed replica that joins again."""
 
     OLD = members("abc", generation=1)
 
@@ -78,11 +78,11 @@
         return host
 
     def votes(self, host: DurableHost) -> list[Any]:
-        """Responses to a candidate that still takes it for a voter, in a leadership transfer."""
+        """Responses to a candidate that still counts it as a voter, in a leadership transfer."""
         return host.receive("a/a", RequestVote(9, 2, 3, False, leadership_transfer=True))
 
     def test_it_grants_no_vote_before_a_membership_names_it_again(self) -> None:
-        """Otherwise `a`, partitioned since `c` was a voter, would lead with `c` while `b` and `d` go on."""
+        """Otherwise `a`, partitioned since `c` was a voter, could lead with `c` while `b` and `d` go on."""
         for restart in (False, True):
             with self.subTest(restart=restart):
                 host = self.removed()
@@ -91,7 +91,7 @@
                 host.open(None)
                 self.assertEqual(self.votes(host), [])
                 host.receive("b/b", AppendEntries(4, 0, 0, (member_entry(1, 3, self.OLD),), 1, 1))
-                self.assertEqual(host.host.members("g"), self.OLD)  # it has begun to catch up
+                self.assertEqual(host.host.members("g"), self.OLD)  # it has started to catch up
                 if restart:
                     host = host.restarted()
                     host.open(None)
--- a/tests/system/replication/test_replica_checker.py
+++ b/tests/system/replication/test_replica_checker.py
@@ -1,4 +1,4 @@
-"""The checker of a replica group finds each kind of violation."""
+"""The checker of a replica group detects each kind of violation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReplicaCheckerTest(unittest.TestCase):
-    """Each finds its kind of fault."""
+    """Detection of each kind of violation."""
 
     def setUp(self) -> None:
         self.checker = Checker()
@@ -24,12 +24,15 @@
 
     def test_violations(self) -> None:
         checks = {
-            "another command in its place": lambda: self.checker.applied("n1", 0, b"y"),
-            "twice": lambda: self.checker.applied("n1", 1, b"x"),
-            "refused after": lambda: self.checker.refuse(b"x"),
+            "another command at the same index": lambda: self.checker.applied("n1", 0, b"y"),
+            "applied twice": lambda: self.checker.applied("n1", 1, b"x"),
+            "applied, then refused": lambda: self.checker.refuse(b"x"),
             "acknowledged, not applied": lambda: self.checker.acknowledge(b"z"),
             "two owners": lambda: (self.checker.owns(1, "n0", 9), self.checker.owns(1, "n1", 9)),
-            "refused before": lambda: (self.checker.refuse(b"y"), self.checker.applied("n1", 1, b"y")),
+            "refused, then applied": lambda: (
+                self.checker.refuse(b"y"),
+                self.checker.applied("n1", 1, b"y"),
+            ),
         }
         for name, check in checks.items():
             with self.subTest(name), self.assertRaises(InvariantViolationError):
--- a/tests/system/replication/test_role_change_causes.py
+++ b/tests/system/replication/test_role_change_causes.py
@@ -1,4 +1,4 @@
-"""Why a member changed its role: what `role_changed` and `ownership_lost` say."""
+"""The causes of role changes, as logged by `role_changed` and `ownership_lost`."""
 
 from __future__ import annotations
 
--- a/tests/system/replication/test_safety_arguments.py
+++ b/tests/system/replication/test_safety_arguments.py
@@ -1,7 +1,7 @@
-"""The schedules by which the Raft paper and thesis argue for a safeguard, and builds without it.
+"""Schedules from the Raft paper and thesis that motivate a safeguard, and builds without it.
 
-Random runs meet these schedules too seldom to be relied on: in 300 seeds of `test_fault_campaign` none found
-the builds `vote_not_on_disk` and `commits_entries_of_earlier_terms`.
+Random runs rarely produce these schedules: none of 300 seeds of `test_fault_campaign` detected the builds
+`vote_not_on_disk` and `commits_entries_of_earlier_terms`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 )
 from tests.system.replication.schedules import ScheduledGroup
 
-Schedule = Callable[[], list[str]]  # what it found broken, in words
+Schedule = Callable[[], list[str]]  # returns descriptions of violations
 
 
 def two_candidates_and_a_voter_that_restarts() -> list[str]:
-    """`a` votes for `b`, restarts, and is asked by `c`, which stands in the same term (P 5.2)."""
+    """`a` votes for `b`, restarts, and gets a vote request of `c` for the same term (paper, section 5.2)."""
     group = ScheduledGroup("abc")
     for candidate in "bc":
         group.time_out(candidate)
         group.deliver(candidate, "a")
-        group.deliver("a", candidate)  # both have their pre-votes, and stand
+        group.deliver("a", candidate)  # both won the pre-vote and started an election
     group.deliver("b", "a")
     group.deliver("a", "b")
     group.restart("a")
@@ -42,7 +42,7 @@
 
 
 def an_entry_of_an_earlier_term_on_a_majority() -> list[str]:
-    """Figure 8 of the paper: a majority has an entry, and it is replaced all the same."""
+    """Figure 8 of the paper: an entry is on a majority and is replaced nevertheless."""
     group = ScheduledGroup("abcde")
     group.elect("a", "bc")
     group.exchange("a", "bcde")
@@ -51,17 +51,17 @@
     group.deliver("a", "b")  # "x" is on a and b
     group.drop_all()
     group.restart("a")
-    group.elect("e", "cd")  # its no-op is at the place of "x", on e alone
+    group.elect("e", "cd")  # its no-op has the index of "x", on e only
     group.drop_all()
     group.restart("e")
     group.time_out("a")
     group.deliver("a", "c")
-    group.deliver("c", "a")  # c has voted in the term of e, which a hears of
+    group.deliver("c", "a")  # a learns of the term of e, in which c has voted
     group.drop_all()
     group.elect("a", "bc")
     group.drop_all()
     leader = group.members["a"]
-    index = leader.last_index - 1  # of "x", before the new term's no-op
+    index = leader.last_index - 1  # index of "x", before the no-op of the new term
     old = leader.log.entries_from(index, 1)
     for follower in "bc":  # a batch that ends before the no-op
         request = AppendEntries(leader.term, index - 1, leader.log.term_at(index - 1), tuple(old), 0, 1)
@@ -79,13 +79,13 @@
 
 
 def a_membership_whose_entry_is_replaced() -> list[str]:
-    """`c` has the entry of a membership that was never committed; the next leader replaces it (T 4.1)."""
+    """`a` has a membership entry that was never committed; the next leader replaces it (T 4.1)."""
     group = ScheduledGroup("abc")
     group.elect("a", "bc")
     group.exchange("a", "bc")
     extended = Members(("a", "b", "c", "d"), (), 1)
     group.members["a"].propose(group.now, EntryKind.MEMBERS, msgspec.msgpack.encode(extended))
-    group.run("a")  # on a alone
+    group.run("a")  # on a only
     group.drop_all()
     group.elect("b", "c")
     group.drop_all()
@@ -99,7 +99,7 @@
 
 
 def a_candidate_that_lacks_what_is_committed() -> list[str]:
-    """`c` missed a committed entry, and asks `b`, which has it, for its vote (P 5.4.1)."""
+    """`c`, which lacks a committed entry, requests the vote of `b`, which has it (paper, section 5.4.1)."""
     group = ScheduledGroup("abc")
     group.elect("a", "bc")
     group.exchange("a", "bc")
@@ -118,7 +118,7 @@
 
 
 class SafetyArguments(unittest.TestCase):
-    """Each schedule, with the program as it is and without the safeguard."""
+    """Each schedule, with and without the safeguard."""
 
     SCHEDULES = (
         (two_candidates_and_a_voter_that_restarts, vote_not_on_disk),
--- a/tests/system/replication/test_snapshot_chunks.py
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -1,4 +1,4 @@
-"""A snapshot in chunks from one host to another: lost chunks, restarts, confirmation."""
+"""Snapshots sent in chunks: lost chunks, restarts, and confirmation."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
             self.host.run(0.003)
 
     def play(self, follower: ScriptedHost, seconds: float, lost: frozenset[int] = frozenset()) -> int:
-        """Exchange messages, but for the chunks numbered in `lost`; how many chunks with data were sent."""
+        """Exchange messages except the chunks numbered in `lost`; returns the number of chunks with data."""
         chunks = 0
         for _ in range(round(seconds / 0.002)):
             sent = self.host.run(0.002)
@@ -57,7 +57,7 @@
 
     @property
     def offset(self) -> int:
-        """Offset of the chunk that was sent last."""
+        """Offset of the last chunk sent."""
         outgoing_snapshot = self.host.host.groups["g"].raft.peers["c"].outgoing_snapshot
         return outgoing_snapshot.offset if outgoing_snapshot is not None else 0
 
@@ -78,7 +78,7 @@
         self.assertEqual(follower.machine.commands, self.host.machine.commands)
 
     def test_a_follower_restarted_during_the_transfer_gets_the_whole_snapshot(self) -> None:
-        """It responds that it has nothing; once the leader went on at the old offset for ever."""
+        """Guards against the leader repeating the old offset forever after the follower lost its chunks."""
         first = self.follower()
         while self.offset < 300:
             self.play(first, 0.002)
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -1,5 +1,4 @@
-"""Snapshot transfers in virtual time: they end while commands go on, resume, are checked, and are bounded in
-bandwidth."""
+"""Installation of snapshots in virtual time: completion under load, checksums, and rate limiting."""
 
 from __future__ import annotations
 
@@ -29,16 +28,16 @@
 
 TRIO = Members(("a", "b", "c"))
 SMALL_CHUNK = 150  # bytes
-MISSED_CHANGES = 300  # changes that the returning node lacks
-CHANGE_INTERVAL_S = 0.005  # s between changes while it is brought up: a snapshot every 12 of them
+MISSED_CHANGES = 300  # changes made while the returning node is down
+CHANGE_INTERVAL_S = 0.005  # while the node catches up; the leader takes a snapshot every 12 changes
 LINK_BYTES_PER_SECOND = 50 << 20
 STATE_BYTES = 8 << 20
 GROUPS = 6
-GROUP_BYTES = 3 << 20  # state of each
+GROUP_BYTES = 3 << 20  # state of each group
 
 
 class SupersededSnapshotTest(QuietLogsTestCase):
-    """A follower returns while commands go on, and snapshots are taken faster than they can be sent."""
+    """A follower returns under load, while the leader takes snapshots faster than it can send them."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -47,7 +46,7 @@
         self.addCleanup(small.stop)
 
     def return_to_group(self, wiped: bool, seconds: float) -> tuple[bool, int]:
-        """Whether it caught up while changes went on, and how many snapshots the leader made meanwhile."""
+        """Whether the node caught up under load, and how many snapshots the leader took in the meantime."""
         simulation = LoadedGroup()
         node = simulation.follower()
         simulation._end(node)
@@ -80,7 +79,7 @@
                 self.assertGreater(snapshot_indexes, 3, "the transfer was not superseded")
 
     def test_a_build_that_restarts_at_each_snapshot_is_caught(self) -> None:
-        """Once a transfer continued with the newest snapshot, whose first chunk the follower lacked."""
+        """Guards against continuing with the newest snapshot, whose first chunks the follower lacks."""
         real = Raft.compact
 
         def compact(self: Raft, index: int, data: bytes, keep: int) -> None:
@@ -101,7 +100,7 @@
 
 
 class FollowerTest(QuietLogsTestCase):
-    """One consensus member; the test sends it messages."""
+    """A single consensus member to which the test sends messages."""
 
     def raft(self, entries: list[Entry] | None = None, term: int = 1) -> Raft:
         state = PersistentState(term, "", Snapshot(members=TRIO), (0, 0), entries or [])
@@ -140,7 +139,7 @@
             self.assertEqual(len(raft.log.entries), expected_entries)
 
     def test_a_follower_that_writes_a_snapshot_responds_to_heartbeats(self) -> None:
-        """Once its responses waited for the disk, and the leader stepped down without them."""
+        """Guards against delaying responses until the disk write, which made the leader step down."""
         raft = self.raft()
         install = InstallSnapshot(2, 9, 2, TRIO, 1, 0, b"s", crc32(b"s"), 1)
         raft.receive(1.0, "a", install)
@@ -168,11 +167,11 @@
 
 
 class SharedLinkGroup(LoadedGroup):
-    """Each node sends over one link of a bounded bandwidth. A large state, and how long commits take."""
+    """A group in which each node has one link with limited bandwidth. Records the duration of commits."""
 
     def __init__(self) -> None:
-        self.link_free_at: dict[str, float] = {}  # when a node's link has sent what it was given
-        self.sent: list[tuple[float, int]] = []  # when, and how many bytes of snapshots
+        self.link_free_at: dict[str, float] = {}  # by node, when its link has sent all queued data
+        self.sent: list[tuple[float, int]] = []  # time and size in bytes of each snapshot chunk
         self.commit_seconds: list[float] = []
         super().__init__()
 
@@ -197,10 +196,10 @@
 
 
 class SnapshotBandwidthTest(QuietLogsTestCase):
-    """One node returns empty under traffic; its snapshot shares the leader's link with the traffic."""
+    """An empty node catches up under load. Its snapshot shares the leader's link with other traffic."""
 
     def catch_up(self, rate_limiter: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
-        """Seconds to the end of the transfer, highest bytes in any 0.25 s, the longest time of a commit."""
+        """Seconds until the snapshot was sent, peak bytes in 0.25 s, and seconds of the slowest commit."""
         bounds = CompactionBounds(size=1 << 20, entries=1 << 20)
         with (
             patch("bitternpath.replication.host.SnapshotRateLimiter", rate_limiter),
@@ -239,8 +238,8 @@
 
 
 class ManySnapshotsTest(QuietLogsTestCase):
-    """A machine was away while the entries of many groups were replaced by snapshots. All of them are owned
-    by one process, over whose link the traffic of another group goes, too."""
+    """A node returns after snapshots have replaced the entries of many groups. All groups are owned by one
+    process, whose link also carries the traffic of another group."""
 
     def catch_up(self, rate_limiter: Callable[[], SnapshotRateLimiter]) -> tuple[float, float, float]:
         """As `SnapshotBandwidthTest.bring_up`."""
@@ -292,8 +291,8 @@
         print(
             f"\n{GROUPS} snapshots of {GROUP_BYTES >> 20} MiB on a link of 50 MiB/s: "
             f"bounded {seconds:.2f} s, {peak_bytes / 2**18:.1f} MiB/s at most, "
-            f"slowest commit {slowest * 1000:.1f} ms; unbounded "
-            f"{unlimited_seconds:.2f} s, {unlimited_peak / 2**18:.1f} MiB/s, {unlimited_slowest * 1000:.1f} ms"
+            f"slowest commit {slowest * 1000:.1f} ms; unbounded {unlimited_seconds:.2f} s, "
+            f"{unlimited_peak / 2**18:.1f} MiB/s, {unlimited_slowest * 1000:.1f} ms"
         )
         self.assertLess(peak_bytes, (16 << 20) * 0.25 + (768 << 10))
         self.assertLess(slowest, unlimited_slowest)
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -1,4 +1,4 @@
-"""Stale members: removed ones that return, owners that were frozen, slow followers."""
+"""Stale members: returning removed members, owners that were frozen, and slow followers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ShrinkingGroup(LoadedGroup):
-    """A group whose desired members are given by name."""
+    """A group whose desired members are set by name."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed)
@@ -34,7 +34,7 @@
 
 
 class RemovedMemberTest(QuietLogsTestCase):
-    """A member is removed while it is partitioned, doesn't hear of it, and returns."""
+    """A member is removed while it is partitioned, and returns without knowing that."""
 
     def removed(self) -> tuple[ShrinkingGroup, Node]:
         simulation = ShrinkingGroup()
@@ -55,7 +55,11 @@
         )
         simulation.run_until(lambda: False, 1.0)
         assert removed_node.process is not None
-        self.assertIn(removed_node.member, removed_node.process.host.members(GROUP).voters, "it doesn't know")
+        self.assertIn(
+            removed_node.member,
+            removed_node.process.host.members(GROUP).voters,
+            "knows of its removal",
+        )
         return simulation, removed_node
 
     def test_it_disrupts_nobody_when_it_returns(self) -> None:
@@ -119,17 +123,17 @@
 
 
 class FrozenOwnerTest(QuietLogsTestCase):
-    """An owner is frozen while responses are in flight. It resumes, receives them, and is asked for a read;
-    another member may have led meanwhile."""
+    """An owner is frozen while responses are in flight. It resumes, receives them, and gets a read request,
+    although another member may have become the leader."""
 
     def read_after_thaw(self) -> object:
-        """State and result of the read before any response that was sent after the thaw."""
+        """State and result of a read before any response that was sent after the owner resumed."""
         host = ScriptedHost("a")
         host.open(TRIO)
         host.lead()
-        heartbeat = host.run(1.5 * SYSTEM_TIMING.heartbeat_interval)  # a heartbeat, whose answers come late
+        heartbeat = host.run(1.5 * SYSTEM_TIMING.heartbeat_interval)  # answered late
         self.assertTrue(heartbeat)
-        host.clock.rightNow += FROZEN_SECONDS  # no timer has run meanwhile
+        host.clock.rightNow += FROZEN_SECONDS  # without running any timer
         host.answer("b", heartbeat)
         barrier = host.host.read_barrier("g")
         host.turn()
@@ -155,7 +159,7 @@
         host.clock.rightNow += FROZEN_SECONDS
         host.answer("b", heartbeat)
         host.turn()
-        self.assertTrue(host.host.has_active_quorum("g"), "by when the answers came")
+        self.assertTrue(host.host.has_active_quorum("g"), "measured from the arrival of the responses")
         self.assertFalse(host.host.has_leader_lease("g"))
 
     def test_a_lease_ends_without_responses_and_with_a_transfer(self) -> None:
@@ -173,7 +177,7 @@
         self.assertFalse(other.host.has_leader_lease("g"))
 
     def test_a_frozen_owner_reads_nothing_stale(self) -> None:
-        """The checker compares each read with what was acknowledged before it was requested."""
+        """The checker compares each read with the commands acknowledged before it was requested."""
         for seed in range(FREEZE_SEEDS):
             simulation = LoadedGroup(seed)
             owner = simulation.owner()
@@ -200,7 +204,7 @@
 
 
 class SnapshotCountingGroup(LoadedGroup):
-    """Counts the snapshot transfers that are started."""
+    """Counts the snapshots that a leader starts to send."""
 
     snapshots_started = 0
 
@@ -214,8 +218,8 @@
 
 class SlowFollowerTest(QuietLogsTestCase):
     def play(self) -> int:
-        """Number of snapshots that are sent to a follower whose disk takes 50 ms a sync, under 200 changes
-        a second, of which every 12th makes the owner compact its log."""
+        """Number of snapshots sent to a follower whose disk needs 50 ms per sync, at 200 changes per second,
+        where the owner compacts its log after every 12th change."""
         simulation = SnapshotCountingGroup()
         node = simulation.follower()
         assert node.process is not None
--- a/tests/system/test_operator_calls.py
+++ b/tests/system/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""How long a call of the operator may take on any node, and its result. Virtual time."""
+"""Duration and results of an operator's calls on each kind of node, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from bitternpath.transport.node_messages import Pong
 from bitternpath.transport.operator_messages import OperatorRequest, OperatorResponse
 
-NODE_TIMEOUT_S = 1.0  # without a response, after which the operator moves on to another node
+NODE_TIMEOUT_S = 1.0  # time without a response after which the operator tries another node
 MIB = 1 << 20
 
 
 class PendingChanges:
-    """A processor whose results the test gives."""
+    """A change processor whose results are set by the test."""
 
     def __init__(self) -> None:
         self.open: list[Deferred[OperatorResult]] = []
@@ -68,7 +68,7 @@
 
 
 class CallTest(unittest.TestCase):
-    """Calls on an owner, on a node that forwards, and on one that knows no owner."""
+    """Calls to the owner, to a forwarding node, and to a node without a known owner."""
 
     def setUp(self) -> None:
         self.clock, self.link = Clock(), Link()
@@ -94,9 +94,7 @@
                 self.assertEqual(replies, [])
                 self.clock.advance(NODE_TIMEOUT_S - 0.7)
                 self.assertEqual([reply.status for reply in replies], [503])
-        self.owner.changes.open[0].callback(
-            operator_result(ResultCode.ACCEPTED, version=5)
-        )  # nobody waits for it
+        self.owner.changes.open[0].callback(operator_result(ResultCode.ACCEPTED, version=5))  # too late
         self.link.open[0].callback(OperatorResponse(1, True, 200, b"{}"))
 
     def test_a_large_body_has_a_longer_time_out(self) -> None:
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of replicas on storage nodes, and replacement of nodes that are gone for good."""
+"""Placement of replicas on storage nodes, and replacement of permanently lost nodes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Where replicas are."""
+    """Initial placement and repairs."""
 
     def storage(self, count: int, zones: int = 3) -> list[NodeDescriptor]:
         return [node(n, NodeKind.STORAGE, f"d{n}", f"z{n % zones}") for n in range(count)]
@@ -52,7 +52,7 @@
         self.assertEqual(repaired_placement(groups, self.storage(2), frozenset(), 1), groups)
 
     def test_shards_of_a_replaced_node_land_on_the_one_in_its_place(self) -> None:
-        """Where they were, so that it is the preferred owner of as many; nobody else's replicas move."""
+        """It takes over the same slots, so the preferred owners stay balanced; no other replicas move."""
         for count, tolerated in ((3, 1), (4, 1), (6, 1), (7, 2)):
             with self.subTest(count=count, tolerated=tolerated):
                 nodes = self.storage(count)
@@ -81,10 +81,10 @@
 
 
 class ReplacementTest(unittest.TestCase):
-    """Nodes that go for good, and those that come in their place."""
+    """Replacement of lost nodes by new ones."""
 
     def nodes(self, names: str, kind: NodeKind) -> list[NodeDescriptor]:
-        """Nodes by letter; a capital letter is the same node with another disk."""
+        """Nodes by letter. A capital letter is the same node with a different disk."""
         zones = "abcdefgh"
         return [
             NodeDescriptor(name.lower(), f"10.0.0.{n}:1", kind, zones[n % 4], True, f"disk-{name}", 1, 0)
@@ -92,14 +92,14 @@
         ]
 
     CONFIGURATION = (
-        # voters, present, away longer than the patience, desired
-        ("all there", "abc", "abc", "", "abc"),
-        ("one away, nobody in its place", "abc", "ab", "c", "abc"),
-        ("another comes", "abc", "abcd", "", "abcd"),
-        ("one away, another in its place", "abc", "abd", "c", "abd"),
-        ("one away a moment only, another there", "abc", "abd", "", "abcd"),
-        ("two away, one in their place", "abc", "ad", "bc", "abcd"),
-        ("an empty disk takes its own place", "abc", "abC", "", "abC"),
+        # voters, present, unresponsive for too long, desired
+        ("all present", "abc", "abc", "", "abc"),
+        ("one down, no replacement", "abc", "ab", "c", "abc"),
+        ("a new node joins", "abc", "abcd", "", "abcd"),
+        ("one down, with a replacement", "abc", "abd", "c", "abd"),
+        ("one briefly down, with a new node", "abc", "abd", "", "abcd"),
+        ("two down, with one replacement", "abc", "ad", "bc", "abcd"),
+        ("an empty disk replaces its earlier member", "abc", "abC", "", "abC"),
         ("an empty disk and a new node", "abc", "abCd", "", "abCd"),
     )
 
@@ -118,12 +118,12 @@
         nodes = self.nodes("abcd", NodeKind.STORAGE)
         groups = initial_placement(nodes[:3], 1)
         cases = (
-            ("all there, a spare too", nodes, "", {}, ""),
-            ("away a moment, a spare there", nodes[1:], "", {"a": 1.0}, ""),
-            ("away, a spare there", nodes[1:], "", {"a": 2.0}, "a"),
-            ("away, the spare too", nodes[1:], "", {"a": 2.0, "d": 1.0}, ""),
-            ("away, no spare", nodes[1:3], "", {"a": 2.0}, ""),
-            ("away for long, no spare", nodes[1:3], "", {"a": 40.0}, "a"),
+            ("all up, with a spare", nodes, "", {}, ""),
+            ("briefly down, with a spare", nodes[1:], "", {"a": 1.0}, ""),
+            ("down, with a spare", nodes[1:], "", {"a": 2.0}, "a"),
+            ("down, and the spare too", nodes[1:], "", {"a": 2.0, "d": 1.0}, ""),
+            ("down, no spare", nodes[1:3], "", {"a": 2.0}, ""),
+            ("down for long, no spare", nodes[1:3], "", {"a": 40.0}, "a"),
             ("retired", nodes, "b", {}, "b"),
         )
         for label, present, retired, down, expected in cases:
--- a/tests/system/test_replica_garbage_collection.py
+++ b/tests/system/test_replica_garbage_collection.py
@@ -1,4 +1,4 @@
-"""When a storage node may close a replica that its group has removed."""
+"""Conditions under which a storage node closes a replica that was removed from its group."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ClosingHost:
-    """A host with replicas, as `ReplicaGarbageCollector` sees it."""
+    """A fake host with one replica for `ReplicaGarbageCollector`."""
 
     member_id = "c/c"
 
@@ -27,16 +27,16 @@
 
 
 class ReplicaGarbageCollectionTest(unittest.TestCase):
-    """When a replica may be closed."""
+    """Whether a replica is closed."""
 
     CASES = (
-        # placement (names, generation), own log's members, report (names, generation), closed
-        ("told so by the placement in force", "abd", 2, members("abc", generation=1), "abd", 2, True),
-        ("told so by a later one", "abd", 2, members("abc", generation=1), "abe", 3, True),
-        ("named by the placement", "abc", 2, members("abc", generation=1), "abd", 2, False),
-        ("a report by an older placement", "abd", 2, members("abc", generation=1), "abd", 1, False),
+        # placement (names, generation), members in the local log, report (names, generation), closed
+        ("report for the current placement", "abd", 2, members("abc", generation=1), "abd", 2, True),
+        ("report for a later placement", "abd", 2, members("abc", generation=1), "abe", 3, True),
+        ("part of the placement", "abc", 2, members("abc", generation=1), "abd", 2, False),
+        ("report for an older placement", "abd", 2, members("abc", generation=1), "abd", 1, False),
         ("still a member", "abd", 2, members("abc", generation=1), "abcd", 2, False),
-        ("its own log knows of a later placement", "abd", 2, members("abc", generation=3), "abd", 2, False),
+        ("local log is of a later placement", "abd", 2, members("abc", generation=3), "abd", 2, False),
     )
 
     def test_cases(self) -> None:
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -1,5 +1,5 @@
-"""Runs of 1,000 changes in virtual time: whatever happens to a node at any moment of them, it catches up, and
-nobody leads with old state."""
+"""Runs of 1,000 changes in virtual time. A node with a fault at any time must catch up and must not lead with
+outdated state."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from tests.system.replication.quiet_logs import QuietLogsTestCase as Quiet
 
 CHANGES = 1000
-CHANGE_INTERVAL_S = 0.004  # s between changes
-FAULT_AFTER_CHANGES = (10, 333, 650, 990)  # after so many changes something happens
-OUTAGES_S = (0.05, 1.2)  # s until the node is back
-CATCH_UP_SECONDS = 3.0  # after the last change
-SMALL_CHUNK = 500  # bytes of a snapshot in one message
-FAR_SECONDS = 0.05  # one way to a node in a far zone
+CHANGE_INTERVAL_S = 0.004  # seconds between changes
+FAULT_AFTER_CHANGES = (10, 333, 650, 990)  # number of changes before the fault
+OUTAGES_S = (0.05, 1.2)  # seconds until the node is restored
+CATCH_UP_SECONDS = 3.0  # time limit after the last change
+SMALL_CHUNK = 500  # bytes of a snapshot chunk
+FAR_SECONDS = 0.05  # one-way latency to a node in a distant zone
 
-Event = Callable[[Loaded, Node], Callable[[], None]]  # what happens; it gives what ends it
+Event = Callable[[Loaded, Node], Callable[[], None]]  # injects a fault and returns a function that ends it
 
 
 def killed(simulation: Loaded, node: Node) -> Callable[[], None]:
-    """The process ends and comes back."""
+    """The process is killed and restarted."""
     simulation._end(node)
     node.disk.restart()
     return partial(simulation._start, node, simulation.founders)
@@ -55,21 +55,21 @@
 
 
 def frozen(simulation: Loaded, node: Node) -> Callable[[], None]:
-    """The process stands still, and goes on."""
+    """The process is frozen and resumes."""
     assert node.process is not None
     node.process.clock.freeze()
     return node.process.clock.thaw
 
 
 def cut_off(simulation: Loaded, node: Node) -> Callable[[], None]:
-    """Nothing comes from the node, or goes there."""
+    """The node is partitioned."""
     for other in simulation.nodes:
         simulation.blocked |= {(node.name, other), (other, node.name)}
     return simulation.blocked.clear
 
 
 def back_as_the_owner_ends(simulation: Loaded, node: Node) -> Callable[[], None]:
-    """The node is cut off, and can stand for election with its old state in the moment of its return."""
+    """The node is partitioned, and the owner is killed when it returns with outdated state."""
     cut_off(simulation, node)
 
     def end() -> None:
@@ -97,7 +97,7 @@
         self.addCleanup(patched.stop)
 
     def play(self, event: Event, fault_after: int, outage_s: float, to_owner: bool) -> Loaded:
-        """One run; raises `InvariantViolationError`."""
+        """Play one run. Raises `InvariantViolationError`."""
         simulation = Loaded(fault_after)
         simulation.owner()
         simulation._repeat(0.1, simulation._look_at_members)
@@ -154,7 +154,7 @@
         self.fail("not caught")
 
     def test_a_build_whose_votes_look_at_no_log_is_caught(self) -> None:
-        """Who leads then may have old state."""
+        """A member with outdated state could then be elected."""
 
         def always_up_to_date(self: MemberState, request: object) -> bool:
             return True
@@ -164,7 +164,7 @@
 
 
 class DistantNodeSimulation(Loaded):
-    """One node is far from the others: what is on its way there is always more than a few entries."""
+    """A group with one distant node, to which many entries are always in flight."""
 
     far = "n2"
 
@@ -178,7 +178,7 @@
     longest_test_s = 25
 
     def become_voter(self) -> bool:
-        """Whether a far node that lost its disk votes again within 5 s of unbroken traffic."""
+        """Whether a distant node that lost its disk becomes a voter again within 5 s under constant load."""
         simulation = DistantNodeSimulation()
         simulation.owner()
         node = simulation.nodes[simulation.far]
@@ -198,7 +198,7 @@
         return simulation.run_until(votes, 5.0)
 
     def test_a_learner_votes_though_traffic_never_rests(self) -> None:
-        """2,000 changes a second over 100 ms there and back: 200 are always on the way."""
+        """With 2,000 changes per second and a round trip of 100 ms, 200 entries are always in flight."""
         self.assertTrue(self.become_voter())
 
     def test_a_build_that_counts_entries_only_is_caught(self) -> None:
@@ -213,7 +213,7 @@
 
 
 class ConfigurationRegister(CommandLogMachine):
-    """The commands, each of which is also an operator's order to the configuration's state machine."""
+    """A command log that also applies each command as a change to the configuration's state machine."""
 
     def __init__(self, node: str, checker: Checker) -> None:
         super().__init__(node, checker)
@@ -238,7 +238,7 @@
 
 
 class _VersionOnly:
-    """In place of a whole configuration: its version."""
+    """A configuration reduced to its version."""
 
     def __init__(self, document: dict[str, int]) -> None:
         self.version = document["version"]
@@ -246,7 +246,7 @@
 
 class Digests(Quiet):
     def digests_survive_snapshot(self) -> bool:
-        """Whether a node that was brought up by a snapshot knows all orders that were accepted before."""
+        """Whether a node that installed a snapshot knows all changes accepted before it."""
         with (
             patch.object(replica_group, "CommandLogMachine", ConfigurationRegister),
             patch.object(snapshots, "CHUNK_BYTES", SMALL_CHUNK),
@@ -281,7 +281,7 @@
 
 class TwoVoterChanges(Quiet):
     def test_a_build_that_changes_two_voters_at_once_is_caught(self) -> None:
-        """The others' majority and the new members' have nobody in common: two owners of different logs."""
+        """The majorities of old and new members are disjoint, which allows two owners with different logs."""
         with self.assertRaises(InvariantViolationError):
             for seed in range(40):
                 self.play_split(seed)
