--- a/tests/system/configuration/test_changes_in_flight.py
+++ b/tests/system/configuration/test_changes_in_flight.py
@@ -28,12 +28,10 @@
 NODE_TIMEOUT_S = 1.0  # after which the operator tries another node
 RETRY_DELAY_S = 0.1
 ACKNOWLEDGED_WITHIN_S = 5.0  # ack_ms
-FAULT_DELAYS_S = [
-    step * 0.001 for step in range(0, 26, 2)
-]  # after the request was sent; a change takes about 15 ms
-FINE_FAULT_DELAYS_S = [
-    step * 0.0005 for step in range(32)
-]  # finer, since a proposal is committed within a few ms
+# Delays of the fault after the request was sent. A change takes about 15 ms, and a few ms pass between its
+# proposal and commit.
+FAULT_DELAYS_S = [step * 0.001 for step in range(0, 26, 2)]
+FINE_FAULT_DELAYS_S = [step * 0.0005 for step in range(32)]
 
 
 @dataclass
@@ -103,7 +101,7 @@
     def begin(self, seed: int, **plan: Any) -> None:
         self.system = SmallSystem(seed, Plan(core_edges=3, other_edges=2, **plan))
         self.simulation = self.system.world
-        self.system.owners()
+        self.system.found()
         self.simulation.run_for(2.0)
         self.operator = Operator(self.system)
         self.version = 1
