--- a/tests/system/configuration/test_feed_owner_search.py
+++ b/tests/system/configuration/test_feed_owner_search.py
@@ -189,14 +189,14 @@
                 self.assertLess(self.run_until_version(9, 5.0), MAX_CONFIG_APPLY_S)
                 self.assertEqual(self.listener.versions, [5, 9])
 
-    def test_members_that_hint_at_one_another_are_not_asked_in_a_loop(self) -> None:
+    def test_members_that_hint_at_one_another_are_not_queried_in_a_loop(self) -> None:
         members = {"a:1": Member(hint="b:1"), "b:1": Member(hint="c:1"), "c:1": Member(hint="a:1")}
         self.begin(members)
         self.run_for(10.0)
         self.assertLess(len(self.network.subscriptions), 10.0 / 0.1)
         self.assertEqual({address for _, address in self.network.subscriptions}, set(members))
 
-    def test_an_owner_that_was_briefly_silent_is_kept(self) -> None:
+    def test_an_owner_that_was_briefly_unresponsive_is_kept(self) -> None:
         members = {"a:1": Member(1, 5), "b:1": Member(hint="a:1", unresponsive=True)}
         self.begin(members)
         self.assertLess(self.run_until_version(5, 5.0), MAX_CONFIG_APPLY_S)
--- a/tests/system/configuration/test_owner_search.py
+++ b/tests/system/configuration/test_owner_search.py
@@ -43,7 +43,7 @@
     def test_without_candidates(self) -> None:
         self.assertEqual(self.search.next_candidate((), (), self.random), "")
 
-    def test_hints_are_followed_unless_the_node_was_just_asked(self) -> None:
+    def test_hints_are_followed_unless_the_node_was_just_queried(self) -> None:
         self.search.record_attempt("a:1", 1.0)
         cases = (("b:1", 1.0, True), ("a:1", 1.0, False), ("a:1", 1.0 + HINT_RETRY_S, True))
         for address, now, expected in cases:
--- a/tests/system/configuration/test_retirement.py
+++ b/tests/system/configuration/test_retirement.py
@@ -98,7 +98,7 @@
 class NodeLivenessTest(unittest.TestCase):
     """Uptime and downtime of nodes."""
 
-    def test_down_time_counts_from_when_a_node_was_last_heard(self) -> None:
+    def test_downtime_counts_from_the_last_contact(self) -> None:
         liveness = NodeLiveness(10.0)
         liveness.update(11.0, {"a": 10.9})
         liveness.update(12.0, {"a": 11.0})  # its link is still open
@@ -106,7 +106,7 @@
         liveness.update(14.0, {"b": 14.0})
         self.assertEqual([liveness.down_for(14.0, name) for name in "abc"], [3.0, 0.0, 4.0])
 
-    def test_after_a_pause_of_the_owner_all_nodes_count_as_heard(self) -> None:
+    def test_after_a_stall_of_the_owner_all_nodes_count_as_contacted(self) -> None:
         liveness = NodeLiveness(10.0)
         liveness.update(10.2, {"a": 10.2})
         liveness.update(13.0, {"a": 10.2})
@@ -125,7 +125,7 @@
     CASES = (
         # node, present, down for, expected
         ("a node of four", "a", "abcd", {}, RetireCheck.ACCEPTABLE),
-        ("no node has found the new owner yet", "a", "", {}, RetireCheck.ACCEPTABLE),
+        ("no node has subscribed to the new owner yet", "a", "", {}, RetireCheck.ACCEPTABLE),
         ("another is down for a moment", "a", "abd", {"c": 5.0}, RetireCheck.ACCEPTABLE),
         ("another is down for good", "a", "abd", {"c": 40.0}, RetireCheck.TOO_FEW_LEFT),
         ("it is itself down for good", "a", "bcd", {"a": 40.0}, RetireCheck.ACCEPTABLE),
@@ -142,7 +142,7 @@
                 self.assertIs(decision.check, expected)
                 self.assertEqual(decision.command is not None, expected is RetireCheck.ACCEPTABLE)
 
-    def test_three_must_stay(self) -> None:
+    def test_three_nodes_must_remain(self) -> None:
         decision = decide_retirement(placed_state("abc"), "a", nodes("abc"), lambda name: 0.0, 1)
         self.assertIs(decision.check, RetireCheck.TOO_FEW_LEFT)
 
@@ -375,7 +375,7 @@
         owner.reconcile()
         self.assertIs(owner.retire("a").code, ResultCode.RETIRING)
 
-    def test_of_two_requests_in_the_first_second_none_is_refused_for_good(self) -> None:
+    def test_of_two_requests_in_the_first_second_none_is_rejected_permanently(self) -> None:
         """Both are valid given "e", which this owner doesn't know yet. The second one fails when applied."""
         owner = Owner(placed_state("abcd"))
         owner.delays_commits = True
--- a/tests/system/configuration/test_validation.py
+++ b/tests/system/configuration/test_validation.py
@@ -79,8 +79,8 @@
         )
         for host, path, expected in cases:
             with self.subTest(host=host, path=path):
-                found = table.match(host, path)
-                self.assertEqual(found.name if found else None, expected)
+                matched = table.match(host, path)
+                self.assertEqual(matched.name if matched else None, expected)
 
     def test_patches_replace_add_and_remove_by_name(self) -> None:
         base = document(routes=[route("r1"), route("r2")])
--- a/tests/system/replication/__init__.py
+++ b/tests/system/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of replication: consensus members alone, hosts with scripted peers, groups in virtual time."""
+"""Tests of replication: single consensus members, hosts with scripted peers, groups in virtual time."""
--- a/tests/system/replication/test_fault_campaign.py
+++ b/tests/system/replication/test_fault_campaign.py
@@ -95,7 +95,7 @@
         with patch("bitternpath.replication.pending_requests.OutcomeUnknownError", NotOwnerError):
             self.assert_caught()
 
-    def test_a_read_that_asks_nobody(self) -> None:
+    def test_a_read_without_confirmation(self) -> None:
         def without_safeguard(self: ReplicaGroup) -> None:
             if self.is_owner:
                 self._reads.start(lambda: 0)
--- a/tests/system/replication/test_first_elections.py
+++ b/tests/system/replication/test_first_elections.py
@@ -13,9 +13,9 @@
 SEEDS = 6
 DOWN_S = 0.5
 OBSERVED_S = 6.0
-# The first of three members requests votes after 0.625 s on average. A request that is sent before the link
-# is established is lost and only repeated after another election timeout; the medians were then 0.79 and
-# 0.92 s.
+# The first of three members requests votes after 0.625 s on average. Requests that are sent before the link
+# is established are lost and only repeated after another election timeout, which raised the medians to 0.79
+# and 0.92 s.
 MAX_MEDIAN_S = 1.4 * SYSTEM_TIMING.election_timeout
 
 
--- a/tests/system/replication/test_host.py
+++ b/tests/system/replication/test_host.py
@@ -298,8 +298,8 @@
         sent = host.turn()
         host.answer("b", sent)
         host.run(0.05)
-        found = [result_of(result) for result in results]
-        self.assertEqual(found, [b"did ok", OutcomeUnknownError, OutcomeUnknownError])
+        outcomes = [result_of(result) for result in results]
+        self.assertEqual(outcomes, [b"did ok", OutcomeUnknownError, OutcomeUnknownError])
         self.assertFalse(host.host.is_owner("g"))
         self.assertIs(result_of(host.host.propose("g", b"more")), NotOwnerError)
         result = host.host.propose("h", b"x")
@@ -353,13 +353,13 @@
         barrier = host.host.read_barrier("g")
         host.answer("b", heartbeat)  # responses to heartbeats sent before the request
         sent = host.turn()
-        found: list[object] = []
-        barrier.addCallback(found.append)
+        outcomes: list[object] = []
+        barrier.addCallback(outcomes.append)
         host.turn()
-        self.assertEqual(found, [])
+        self.assertEqual(outcomes, [])
         host.answer("b", [*sent, *host.run(0.15)])
         host.turn()
-        self.assertEqual(found, [None])
+        self.assertEqual(outcomes, [None])
 
     def test_a_process_that_was_frozen_is_no_owner_when_it_resumes(self) -> None:
         host = self.leader()
@@ -412,7 +412,7 @@
         follower.open(TRIO)
         self.assertFalse(follower.host.change_members("g", TRIO))
 
-    def test_a_silent_peer_gets_no_entries(self) -> None:
+    def test_an_unresponsive_peer_gets_no_entries(self) -> None:
         host = self.leader()
         host.answer("b", host.run(0.3))
         for i in range(100):
@@ -429,7 +429,7 @@
         self.assertLess(host.host.unresponsive_for("g", "b"), 0.2)
         self.assertEqual(host.host.unresponsive_for("g", "x"), float("inf"))
 
-    def test_entries_are_compacted_and_some_are_kept(self) -> None:
+    def test_entries_are_compacted_and_some_are_retained(self) -> None:
         host = self.leader(CompactionBounds(size=1 << 20, entries=50, entries_to_keep=10))
         for i in range(400):
             host.host.propose("g", b"%d" % i)
@@ -453,7 +453,7 @@
             host.host.close_group(name, 1)
         self.assertEqual([group.compaction.size_bound for group in host.host.groups.values()], [100] * 2)
 
-    def test_large_entries_that_are_kept_are_bounded_by_their_bytes(self) -> None:
+    def test_retained_large_entries_are_bounded_by_their_bytes(self) -> None:
         host = self.leader(CompactionBounds(size=10_000, entries=1000, entries_to_keep=256))
         for _ in range(100):
             host.host.propose("g", bytes(500))
--- a/tests/system/replication/test_lagging_voters.py
+++ b/tests/system/replication/test_lagging_voters.py
@@ -88,7 +88,7 @@
                 self.assertIn(leader, ("b", "c"))
                 self.assertLess(seconds, MAX_ELECTION_S)
 
-    def test_a_lost_member_that_sorts_first_delays_nobody_in_a_long_log(self) -> None:
+    def test_a_lost_member_that_sorts_first_delays_no_election_in_a_long_log(self) -> None:
         """A new leader doesn't know its followers' logs or delays. Guards against a failed follower staying a
         replication target, which kept the leader's first entry from being committed."""
         lengths = dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100)
@@ -98,7 +98,7 @@
                     seconds, _ = Election(seed, lengths | lagging).run()
                     self.assertLess(seconds, MAX_ELECTION_S)
 
-    def test_a_silent_member_is_no_replication_target(self) -> None:
+    def test_an_unresponsive_member_is_no_replication_target(self) -> None:
         election = Election(1, dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100))
         _, leader = election.run()
         self.assertTrue(leader)
@@ -107,7 +107,7 @@
             election.step()
         self.assertNotIn("a", election.members[leader].replication_targets)
 
-    def test_a_pre_candidate_that_lacks_entries_makes_others_stand_early(self) -> None:
+    def test_a_pre_candidate_that_lacks_entries_makes_others_start_elections_early(self) -> None:
         times = [Election(seed, {"b": 100, "c": 40, "d": 40, "e": 40}).run()[0] for seed in range(SEEDS)]
         self.assertLess(sum(times) / SEEDS, 1.6 * SYSTEM_TIMING.election_timeout)
 
--- a/tests/system/replication/test_member_changes.py
+++ b/tests/system/replication/test_member_changes.py
@@ -65,12 +65,21 @@
     )
 
     def test_steps(self) -> None:
-        for label, voters, learners, desired, caught_up, silent, expected, expected_learners in self.CASES:
+        for (
+            label,
+            voters,
+            learners,
+            desired,
+            caught_up,
+            unresponsive,
+            expected,
+            expected_learners,
+        ) in self.CASES:
             with self.subTest(label):
                 actual = next_members(
                     members(voters, learners),
                     DesiredMembers(ids(desired)),
-                    MemberStatus(ids(caught_up).__contains__, ids(silent).__contains__, "a/a"),
+                    MemberStatus(ids(caught_up).__contains__, ids(unresponsive).__contains__, "a/a"),
                 )
                 self.assertEqual(actual, None if expected is None else members(expected, expected_learners))
 
@@ -194,7 +203,7 @@
         changes.reconcile("g")
         self.assertEqual(committed, [members("abC", "", 2)])
 
-    def test_an_owner_that_is_to_leave_transfers_ownership_first(self) -> None:
+    def test_an_owner_to_be_removed_transfers_ownership_first(self) -> None:
         host = OwnerHost(members("abcd", generation=1))
         changes = MembershipReconciler(cast(Any, host))
         changes.set_desired("g", ids("bcd"), 2)
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -57,13 +57,13 @@
                     [message for message in take_messages(member) if isinstance(message, LeaderRequest)]
                 )
 
-    def test_a_transfer_that_had_begun_isnt_ordered_any_more(self) -> None:
+    def test_a_started_transfer_sends_no_request_any_more(self) -> None:
         member = leader()
         self.assertTrue(member.transfer_leadership(ELECTED_AT, "b"))
         member.receive(ELECTED_AT, "c", AppendEntriesResponse(HIGHER, False, 0, 1))
         self.assertFalse([message for message in take_messages(member) if isinstance(message, TimeoutNow)])
 
-    def test_a_leader_that_is_no_voter_any_more_still_tells_what_is_committed(self) -> None:
+    def test_a_leader_that_is_no_voter_any_more_still_sends_the_commit_index(self) -> None:
         """Its term is not refused, and its last request tells the others the commit index."""
         member = leader()
         confirm_all(member)
--- a/tests/system/replication/test_safety_arguments.py
+++ b/tests/system/replication/test_safety_arguments.py
@@ -127,7 +127,7 @@
         (a_candidate_that_lacks_what_is_committed, candidate_with_an_older_log),
     )
 
-    def test_the_program_keeps_them(self) -> None:
+    def test_the_program_satisfies_them(self) -> None:
         for schedule, _ in self.SCHEDULES:
             with self.subTest(schedule=schedule.__name__):
                 self.assertEqual(schedule(), [])
--- a/tests/system/replication/test_snapshot_chunks.py
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -77,7 +77,7 @@
         self.assertEqual(chunks, -(-self.size // 100) + 2)
         self.assertEqual(follower.machine.commands, self.host.machine.commands)
 
-    def test_a_follower_restarted_during_the_transfer_gets_the_whole_snapshot(self) -> None:
+    def test_a_follower_restarted_during_installation_gets_the_complete_snapshot(self) -> None:
         """Guards against the leader repeating the old offset forever after the follower lost its chunks."""
         first = self.follower()
         while self.offset < 300:
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -71,7 +71,7 @@
             caught_up = simulation.run_until(lambda: simulation.is_current(node), seconds)
         return caught_up, len(snapshot_indexes)
 
-    def test_a_transfer_ends_although_newer_snapshots_are_taken(self) -> None:
+    def test_a_snapshot_is_completed_although_newer_ones_are_taken(self) -> None:
         for wiped in (False, True):
             with self.subTest(wiped=wiped):
                 caught_up, snapshot_indexes = self.return_to_group(wiped, 5.0)
@@ -93,7 +93,7 @@
         self.assertFalse(caught_up)
         self.assertGreater(snapshot_indexes, 50)
 
-    def test_a_build_that_keeps_no_entries_behind_the_snapshot_is_caught(self) -> None:
+    def test_a_build_that_retains_no_entries_behind_the_snapshot_is_caught(self) -> None:
         with patch.object(Raft, "needed_index", property(lambda self: self.last_index + 1)):
             caught_up, _ = self.return_to_group(False, 20.0)
         self.assertFalse(caught_up)
@@ -158,7 +158,7 @@
         due = [rate_limiter.reserve(50.0, 100) for _ in range(6)]
         self.assertEqual([round(at - 50.0, 6) for at in due], [0.0, 0.0, 0.0, 0.1, 0.2, 0.3])
 
-    def test_a_pause_allows_one_burst(self) -> None:
+    def test_idle_time_allows_one_burst(self) -> None:
         rate_limiter = SnapshotRateLimiter(bytes_per_second=1000.0, burst_bytes=200.0)
         for _ in range(3):
             rate_limiter.reserve(0.0, 100)
@@ -224,7 +224,7 @@
         peak_bytes = max(sum(size for at, size in sent if start <= at < start + 0.25) for start, _ in sent)
         return max(at for at, _ in sent) - started_at, peak_bytes, max(simulation.commit_seconds)
 
-    def test_a_transfer_keeps_to_its_rate_and_commits_stay_fast(self) -> None:
+    def test_a_snapshot_is_rate_limited_and_commits_stay_fast(self) -> None:
         seconds, peak_bytes, slowest = self.catch_up(SnapshotRateLimiter)
         unlimited_seconds, unlimited_peak, unlimited_slowest = self.catch_up(UnlimitedSnapshotRateLimiter)
         print(
@@ -285,7 +285,7 @@
                 group, LastCommands(GROUP_BYTES >> 17), simulation.founders, SilentListener()
             )
 
-    def test_many_transfers_share_one_budget(self) -> None:
+    def test_many_snapshots_share_one_rate_limit(self) -> None:
         seconds, peak_bytes, slowest = self.catch_up(SnapshotRateLimiter)
         unlimited_seconds, unlimited_peak, unlimited_slowest = self.catch_up(UnlimitedSnapshotRateLimiter)
         print(
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -62,7 +62,7 @@
         )
         return simulation, removed_node
 
-    def test_it_disrupts_nobody_when_it_returns(self) -> None:
+    def test_it_disrupts_no_leader_when_it_returns(self) -> None:
         simulation, removed_node = self.removed()
         owner, epoch, committed_before = (
             simulation.owner(),
@@ -148,7 +148,7 @@
         with patch.object(Raft, "request_heartbeat_round", lambda self: self.confirmed_round):
             self.assertEqual(self.read_after_thaw(), (True, None))
 
-    def test_a_lease_counts_from_when_a_majority_was_asked(self) -> None:
+    def test_a_lease_counts_from_when_a_majority_was_contacted(self) -> None:
         host = ScriptedHost("a")
         host.open(TRIO)
         host.lead()
@@ -233,6 +233,6 @@
     def test_compaction_does_not_outrun_it(self) -> None:
         self.assertEqual(self.play(), 0)
 
-    def test_a_build_that_keeps_nothing_for_it_is_caught(self) -> None:
+    def test_a_build_that_retains_no_entries_for_it_is_caught(self) -> None:
         with patch.object(Raft, "needed_index", property(lambda self: self.last_index + 1)):
             self.assertGreater(self.play(), 3)
--- a/tests/system/test_placement.py
+++ b/tests/system/test_placement.py
@@ -47,11 +47,11 @@
             self.assertEqual([each.node for each in after.members], [each.node for each in before.members])
             self.assertEqual(affected, any(each.member == member_id(nodes[1]) for each in after.members))
 
-    def test_nodes_that_are_away_keep_their_place(self) -> None:
+    def test_absent_nodes_keep_their_replicas(self) -> None:
         groups = initial_placement(self.storage(4), 1)
         self.assertEqual(repaired_placement(groups, self.storage(2), frozenset(), 1), groups)
 
-    def test_shards_of_a_replaced_node_land_on_the_one_in_its_place(self) -> None:
+    def test_shards_of_a_replaced_node_move_to_its_successor(self) -> None:
         """It takes over the same slots, so the preferred owners stay balanced; no other replicas move."""
         for count, tolerated in ((3, 1), (4, 1), (6, 1), (7, 2)):
             with self.subTest(count=count, tolerated=tolerated):
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -61,16 +61,16 @@
     return node.process.clock.thaw
 
 
-def cut_off(simulation: Loaded, node: Node) -> Callable[[], None]:
+def partitioned(simulation: Loaded, node: Node) -> Callable[[], None]:
     """The node is partitioned."""
     for other in simulation.nodes:
         simulation.blocked |= {(node.name, other), (other, node.name)}
     return simulation.blocked.clear
 
 
-def back_as_the_owner_ends(simulation: Loaded, node: Node) -> Callable[[], None]:
+def returned_as_the_owner_ends(simulation: Loaded, node: Node) -> Callable[[], None]:
     """The node is partitioned, and the owner is killed when it returns with outdated state."""
-    cut_off(simulation, node)
+    partitioned(simulation, node)
 
     def end() -> None:
         simulation.blocked.clear()
@@ -135,11 +135,11 @@
     def test_a_frozen_process_catches_up(self) -> None:
         self.play_all(frozen)
 
-    def test_a_node_that_was_cut_off_catches_up(self) -> None:
-        self.play_all(cut_off)
+    def test_a_partitioned_node_catches_up(self) -> None:
+        self.play_all(partitioned)
 
-    def test_nobody_leads_with_old_state(self) -> None:
-        self.play_all(back_as_the_owner_ends)
+    def test_no_member_leads_with_outdated_state(self) -> None:
+        self.play_all(returned_as_the_owner_ends)
 
     def test_an_added_node_catches_up(self) -> None:
         self.play_all(joined)
@@ -153,14 +153,14 @@
                     return
         self.fail("not caught")
 
-    def test_a_build_whose_votes_look_at_no_log_is_caught(self) -> None:
+    def test_a_build_whose_votes_ignore_the_log_is_caught(self) -> None:
         """A member with outdated state could then be elected."""
 
         def always_up_to_date(self: MemberState, request: object) -> bool:
             return True
 
         with patch("bitternpath.replication.elections.Elections._is_up_to_date", always_up_to_date):
-            self.assert_caught(back_as_the_owner_ends)
+            self.assert_caught(returned_as_the_owner_ends)
 
 
 class DistantNodeSimulation(Loaded):
@@ -197,7 +197,7 @@
 
         return simulation.run_until(votes, 5.0)
 
-    def test_a_learner_votes_though_traffic_never_rests(self) -> None:
+    def test_a_learner_becomes_a_voter_under_constant_load(self) -> None:
         """With 2,000 changes per second and a round trip of 100 ms, 200 entries are always in flight."""
         self.assertTrue(self.become_voter())
 
@@ -263,7 +263,7 @@
             state, commands = node.process.register.state, node.process.register.commands
             return all(state.accepted_version_of(command[:8]) is not None for command in commands)
 
-    def test_orders_are_remembered_through_an_installed_snapshot(self) -> None:
+    def test_changes_are_remembered_through_an_installed_snapshot(self) -> None:
         self.assertTrue(self.digests_survive_snapshot())
 
     def test_a_build_without_digests_in_the_snapshot_is_caught(self) -> None:
