--- a/bitternpath/configuration/feed_client.py
+++ b/bitternpath/configuration/feed_client.py
@@ -31,7 +31,7 @@
 log = logbook.Logger("feed")
 
 OWNER_TIMEOUT_S = 1.3  # time without an update; about three heartbeat intervals
-CHECK_INTERVAL_S = 0.15  # interval of checks for an owner timeout and for new links to subscribe on
+CHECK_INTERVAL_S = 0.15  # interval of the checks for an owner timeout and for new links
 REFUSAL_RETRY_DELAY_S = 0.03  # short delay before the next candidate is tried; prevents a busy loop
 ATTEMPT_TIMEOUT_S = 0.45  # per candidate; covers a connection and response over a long distance
 MAX_CONCURRENT_CANDIDATES = 3  # tried in parallel, so that unresponsive ones don't delay the search
--- a/bitternpath/replication/compaction.py
+++ b/bitternpath/replication/compaction.py
@@ -7,10 +7,10 @@
 
 from bitternpath.replication.log import ReplicatedLog
 
-COMPACTION_BYTES = 8 << 20  # size of the entries applied since the last snapshot
-HOST_COMPACTION_BYTES = 32 << 20  # the same for all groups together, since entries are also in memory
+COMPACTION_BYTES = 8 << 20  # limit on entries applied since the last snapshot
+HOST_COMPACTION_BYTES = 32 << 20  # limit for all groups together, since entries are also in memory
 DISK_SHARE_DIVISOR = 8  # entries between snapshots use 1/8 of a disk, or `MAX_BOUND_GROWTH` times that
-COMPACTION_ENTRIES = 20_000  # number of entries applied since the last snapshot
+COMPACTION_ENTRIES = 20_000  # limit on the number of entries applied since the last snapshot
 RETAINED_ENTRIES = 256  # entries retained behind a snapshot for followers that lag slightly
 COMPACTION_JITTER = 0.25  # bounds are raised by up to this share, so that replicas don't compact together
 ENTRY_OVERHEAD_BYTES = 64  # approximate size of an entry without its data
--- a/bitternpath/replication/leadership.py
+++ b/bitternpath/replication/leadership.py
@@ -27,7 +27,7 @@
 BATCH_BYTES = 256 << 10
 ENTRIES_IN_FLIGHT = 256  # no further batch is sent to a peer with more unconfirmed entries than this
 LEASE_SHARE = 0.95  # of the election timeout; the margin covers clocks that run at different rates
-UNRESPONSIVE_HEARTBEATS = 1.5  # intervals without a response, so that the second heartbeat detects it
+UNRESPONSIVE_HEARTBEATS = 1.5  # heartbeat intervals without a response; detected at the second heartbeat
 
 
 class Leadership(SnapshotInstallation):
@@ -123,7 +123,7 @@
         self.heartbeat_round_requested = False
         for name in recipients:
             peer = self.peers[name]
-            # An unresponsive peer is sent an empty request. It rejects that if earlier entries were lost.
+            # An unresponsive peer only gets an empty request, which it rejects if entries were lost.
             unresponsive = (
                 peer.last_contact < self.now - UNRESPONSIVE_HEARTBEATS * self.timing.heartbeat_interval
             )
