--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -195,7 +195,7 @@
 def cut_table() -> int:
     """Cut points, lost answers and unsafe duplicates, by scripted peers; the number of faults."""
     import structlog
-    from amqp_cuts import points, tell
+    from amqp_disconnects import disconnect_points, run_scenario
 
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     words = ("lost answers", "unsafe twice", "other")
@@ -203,16 +203,19 @@
     print(f"\n{'class':10}{'SIGTERM':>9}{'cut points':>12}{'runs':>7}{heads}")
     faults = 0
     for key in ("reminder", "lookup"):
-        for ending in (False, True):
-            cuts = list(points(key, ending))
+        for shutdown in (False, True):
+            disconnects = list(disconnect_points(key, shutdown))
             found: Counter[str] = Counter()
-            for cut in cuts:
-                for second in (False, True):
-                    for broken in tell(key, cut, ending, second).broken:
-                        lost = broken.startswith("0 ")
-                        found[words[0] if lost else words[1] if "ran" in broken else words[2]] += 1
+            for disconnect in disconnects:
+                for second_subscriber in (False, True):
+                    for violation in run_scenario(key, disconnect, shutdown, second_subscriber).violations:
+                        lost = violation.startswith("0 ")
+                        found[words[0] if lost else words[1] if "ran" in violation else words[2]] += 1
             faults += sum(found.values())
-            print(f"{key:10}{'yes' if ending else 'no':>9}{len(cuts):12}{2 * len(cuts):7}", end="")
+            print(
+                f"{key:10}{'yes' if shutdown else 'no':>9}{len(disconnects):12}{2 * len(disconnects):7}",
+                end="",
+            )
             print("".join(f"{found[word]:14}" for word in words))
     return faults
 
--- a/bitternpath/balancer/amqp/errors.py
+++ b/bitternpath/balancer/amqp/errors.py
@@ -18,22 +18,22 @@
 NOT_ALLOWED = 530
 NOT_IMPLEMENTED = 540
 
-NAMES = {code: name for name, code in list(globals().items()) if isinstance(code, int)}
-TEXT_LIMIT = 255  # bytes of a short string
+REPLY_CODE_NAMES = {code: name for name, code in list(globals().items()) if isinstance(code, int)}
+MAX_REPLY_TEXT = 255  # bytes of a short string
 
 
 class AmqpError(Exception):
     """A rule of the specification was broken; `method` is the (class, method) that failed, or (0, 0)."""
 
-    def __init__(self, code: int, why: str, method: tuple[int, int] = (0, 0)) -> None:
-        super().__init__(why)
+    def __init__(self, code: int, reason: str, method: tuple[int, int] = (0, 0)) -> None:
+        super().__init__(reason)
         self.code, self.method = code, method
 
     @property
     def text(self) -> str:
         """The reply text: the code's name and why, as long as a short string may be."""
-        full = f"{NAMES[self.code]} - {self}".encode()
-        return full[:TEXT_LIMIT].decode(errors="ignore")
+        text = f"{REPLY_CODE_NAMES[self.code]} - {self}".encode()
+        return text[:MAX_REPLY_TEXT].decode(errors="ignore")
 
 
 class SoftError(AmqpError):
--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -16,11 +16,17 @@
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.amqp import errors as e
-from bitternpath.balancer.amqp.frames import Properties, ids
-from bitternpath.balancer.amqp.machine import Published
+from bitternpath.balancer.amqp.frames import Properties, method_ids
 from bitternpath.balancer.amqp.queues import Channel, Message, Queues
+from bitternpath.balancer.amqp.state_machine import MessagePublished
 from bitternpath.balancer.amqp.subscribers import RESULT_PREFIX, Subscribers
-from bitternpath.balancer.amqp.translation import Untranslatable, budget_from, id_from, key_from, work_from
+from bitternpath.balancer.amqp.translation import (
+    InvalidMessage,
+    budget_from,
+    payload_from,
+    request_id_from,
+    route_key_from,
+)
 from bitternpath.balancer.core.broker import RECENT_ID_MS, Broker
 from bitternpath.balancer.core.requests import AcceptedRequest, parse_call_info
 
@@ -30,7 +36,7 @@
 OUTCOME, RETRY_AFTER, REASON = "x-outcome", "x-retry-after-ms", "x-reason"
 
 
-class Answer:
+class PublisherClient:
     """The client (`core.requests.Client`) of one published message."""
 
     __slots__ = ("channel", "correlation", "id", "number", "publishers", "reply_to")
@@ -42,13 +48,13 @@
         self.reply_to, self.correlation = properties.reply_to, properties.correlation_id
 
     def served(self, result: bytes) -> None:
-        self.publishers.answer(self, "served", result)
+        self.publishers.complete(self, "served", result)
 
     def rejected(self, retry_after: float) -> None:
-        self.publishers.answer(self, "refused", b"", {RETRY_AFTER: math.ceil(max(retry_after, 0.0))})
+        self.publishers.complete(self, "refused", b"", {RETRY_AFTER: math.ceil(max(retry_after, 0.0))})
 
     def failed(self) -> None:
-        self.publishers.answer(self, "failed", b"")
+        self.publishers.complete(self, "failed", b"")
 
     def disconnected(self) -> bool:
         return False  # a publisher is told through a queue, which may outlive its connection
@@ -73,7 +79,7 @@
         self.waiting = 0  # requests that wait for their answers
         self.stopping = False
         self.counts: Counter[str] = Counter()
-        self._made, self._run = 0, os.urandom(6).hex()
+        self._generated_ids, self._run_id = 0, os.urandom(6).hex()
 
     @property
     def full(self) -> bool:
@@ -81,65 +87,67 @@
 
     # ---- what comes
 
-    def publish(self, channel: Channel, told: Published) -> None:
+    def publish(self, channel: Channel, event: MessagePublished) -> None:
         """A message; SoftError or HardError where it may not be published so."""
-        method, properties = told.method, told.properties
+        method, properties = event.method, event.properties
         if method.immediate:
-            raise e.HardError(e.NOT_IMPLEMENTED, "immediate is not implemented", ids(method))
+            raise e.HardError(e.NOT_IMPLEMENTED, "immediate is not implemented", method_ids(method))
         if method.exchange not in EXCHANGES:
-            raise e.SoftError(e.NOT_FOUND, f"no exchange {method.exchange!r:.80}", ids(method))
-        if properties.reply_to == REPLY_TO and channel.reply_tag is None:
+            raise e.SoftError(e.NOT_FOUND, f"no exchange {method.exchange!r:.80}", method_ids(method))
+        if properties.reply_to == REPLY_TO and channel.reply_consumer_tag is None:
             raise e.SoftError(
-                e.PRECONDITION_FAILED, f"no consumer of {REPLY_TO} on this channel", ids(method)
+                e.PRECONDITION_FAILED, f"no consumer of {REPLY_TO} on this channel", method_ids(method)
             )
         number = 0
-        if channel.confirming:
-            channel.published += 1
-            number = channel.published
+        if channel.confirm_mode:
+            channel.publish_count += 1
+            number = channel.publish_count
         key = str(method.routing_key)
         if key in self.classes:
-            self._submit(channel, number, key, properties, told.body)
+            self._submit(channel, number, key, properties, event.body)
         elif method.exchange == "" and key.startswith(RESULT_PREFIX):
-            self.subscribers.result(key[len(RESULT_PREFIX) :], properties.correlation_id, told.body)
+            self.subscribers.result(key[len(RESULT_PREFIX) :], properties.correlation_id, event.body)
             self._confirm(channel, number, True)
         else:
-            self._confirm(channel, number, self._to_queue(channel, method, told, key))
+            self._confirm(channel, number, self._route_to_queue(channel, method, event, key))
 
-    def _to_queue(self, channel: Channel, method: c.Basic.Publish, told: Published, key: str) -> bool:
+    def _route_to_queue(
+        self, channel: Channel, method: c.Basic.Publish, event: MessagePublished, key: str
+    ) -> bool:
         """Into a private queue, or back to the publisher; False where the queue is full."""
         queue = self.queues.find(channel.session.vhost, key) if method.exchange == "" else None
         if queue is not None:
-            kept = queue.put(Message(str(method.exchange), key, told.properties, told.body))
-            self.counts["queues_full"] += not kept
-            return kept
+            accepted = queue.put(Message(str(method.exchange), key, event.properties, event.body))
+            self.counts["queues_full"] += not accepted
+            return accepted
         self.counts["unroutable"] += 1
         if method.mandatory:
-            message = Message(str(method.exchange), key, told.properties, told.body)
-            channel.session.give_back(channel, e.NO_ROUTE, e.NAMES[e.NO_ROUTE], message)
+            message = Message(str(method.exchange), key, event.properties, event.body)
+            channel.session.return_message(channel, e.NO_ROUTE, e.REPLY_CODE_NAMES[e.NO_ROUTE], message)
         return True
 
     def _submit(self, channel: Channel, number: int, name: str, properties: Any, body: bytes) -> None:
         spec, now = self.classes[name], self.clock()
         try:
-            id = id_from(properties)
+            id = request_id_from(properties)
             if id is None:
-                self._made += 1
-                id = f"amqp-{self._run}-{self._made:x}"
-            answer = Answer(self, channel, number, properties, id)
+                self._generated_ids += 1
+                id = f"amqp-{self._run_id}-{self._generated_ids:x}"
+            client = PublisherClient(self, channel, number, properties, id)
             budget = budget_from(properties)
-            work = work_from(name, properties, body)
-        except Untranslatable as error:
+            payload = payload_from(name, properties, body)
+        except InvalidMessage as error:
             self.counts["malformed"] += 1
-            answer = Answer(self, channel, number, properties, properties.message_id or "")
-            self._say(answer, "failed", b"", {REASON: str(error)})
+            client = PublisherClient(self, channel, number, properties, properties.message_id or "")
+            self._send_outcome(client, "failed", b"", {REASON: str(error)})
             return
         if self.broker.has_seen(id):
             # Nothing of this message ran, but the first of that id may: not before that is forgotten.
-            self._refuse(answer, RECENT_ID_MS, "message-id in use")
+            self._refuse(client, RECENT_ID_MS, "message-id in use")
         elif self.stopping or self.full:
-            self._refuse(answer, self.retry_after(name), "draining" if self.stopping else "full")
+            self._refuse(client, self.retry_after(name), "draining" if self.stopping else "full")
         else:
-            info = parse_call_info(work.headers.get(b"x-call-info", b""))
+            info = parse_call_info(payload.headers.get(b"x-call-info", b""))
             self.waiting += 1
             channel.session.waiting += 1
             self.counts["published"] += 1
@@ -148,56 +156,60 @@
                     id,
                     name,
                     now + (spec.max_deadline if budget is None else budget),
-                    answer,
-                    work,
-                    key_from(work.headers),
+                    client,
+                    payload,
+                    route_key_from(payload.headers),
                     info.get("work"),
                     info.get("slots", 1.0),
                     info.get("mem", 0.0),
-                    work.headers.get(b"x-again") == b"1",
+                    payload.headers.get(b"x-again") == b"1",
                 )
             )
 
     # ---- what goes back
 
-    def _refuse(self, answer: Answer, retry_after: float, why: str) -> None:
+    def _refuse(self, client: PublisherClient, retry_after: float, reason: str) -> None:
         self.counts["refused_untaken"] += 1
-        more = {RETRY_AFTER: math.ceil(max(retry_after, 0.0)), REASON: why}
-        self._say(answer, "refused", b"", more)
+        headers = {RETRY_AFTER: math.ceil(max(retry_after, 0.0)), REASON: reason}
+        self._send_outcome(client, "refused", b"", headers)
 
-    def answer(self, answer: Answer, outcome: str, result: bytes, more: dict[str, Any] | None = None) -> None:
+    def complete(
+        self, client: PublisherClient, outcome: str, result: bytes, headers: dict[str, Any] | None = None
+    ) -> None:
         """The one final answer of a request."""
         self.waiting -= 1
-        answer.channel.session.waiting -= 1
-        self._say(answer, outcome, result, more or {})
-        answer.channel.session.changed()
+        client.channel.session.waiting -= 1
+        self._send_outcome(client, outcome, result, headers or {})
+        client.channel.session.on_change()
 
-    def _say(self, answer: Answer, outcome: str, result: bytes, more: dict[str, Any]) -> None:
-        channel = answer.channel
-        if answer.reply_to:
+    def _send_outcome(
+        self, client: PublisherClient, outcome: str, result: bytes, headers: dict[str, Any]
+    ) -> None:
+        channel = client.channel
+        if client.reply_to:
             properties = Properties()
-            properties.headers = {OUTCOME: outcome, **more}
-            properties.correlation_id = answer.correlation
-            properties.message_id = answer.id or None
-            message = Message("", answer.reply_to, properties, result)
-            if not self._reply(channel, message):
+            properties.headers = {OUTCOME: outcome, **headers}
+            properties.correlation_id = client.correlation
+            properties.message_id = client.id or None
+            message = Message("", client.reply_to, properties, result)
+            if not self._send_reply(channel, message):
                 self.counts["answers_dropped"] += 1
         elif not channel.open:
             self.counts["answers_dropped"] += 1
-        self._confirm(channel, answer.number, outcome == "served")
+        self._confirm(channel, client.number, outcome == "served")
 
-    def _reply(self, channel: Channel, message: Message) -> bool:
+    def _send_reply(self, channel: Channel, message: Message) -> bool:
         """Hand an answer to whoever waits for it; False where nobody does."""
         if message.routing_key == REPLY_TO:
-            if not channel.open or channel.reply_tag is None:
+            if not channel.open or channel.reply_consumer_tag is None:
                 return False
-            channel.session.deliver(channel, channel.reply_tag, channel.next_tag(), message)
+            channel.session.deliver(channel, channel.reply_consumer_tag, channel.next_delivery_tag(), message)
             return True
         queue = self.queues.find(channel.session.vhost, message.routing_key)
         return queue is not None and queue.put(message)
 
     @staticmethod
-    def _confirm(channel: Channel, number: int, well: bool) -> None:
+    def _confirm(channel: Channel, number: int, served: bool) -> None:
         if number and channel.open:
-            done: Any = c.Basic.Ack(number, False) if well else c.Basic.Nack(number, False, False)
-            channel.session.say(channel.number, done)
+            confirm: Any = c.Basic.Ack(number, False) if served else c.Basic.Nack(number, False, False)
+            channel.session.send_method(channel.number, confirm)
--- a/bitternpath/balancer/amqp/queues.py
+++ b/bitternpath/balancer/amqp/queues.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-UNACKED_LIMIT = 4096  # deliveries of a channel that wait to be acknowledged
+MAX_UNACKED = 4096  # deliveries of a channel that wait to be acknowledged
 
 
 class Message(Struct):
@@ -35,20 +35,20 @@
 
     def reject(self, requeue: bool) -> None: ...
 
-    def lost(self) -> None:
+    def on_channel_closed(self) -> None:
         """Its channel is gone."""
 
 
-class Consuming(Protocol):
+class Consumer(Protocol):
     """A consumer on a channel, of either kind."""
 
     tag: str
-    out: int  # deliveries not acknowledged
+    unacked_count: int  # deliveries not acknowledged
 
     def stop(self) -> None:
         """Cancelled: nothing new."""
 
-    def gone(self) -> None:
+    def on_channel_closed(self) -> None:
         """Its channel is gone."""
 
 
@@ -56,56 +56,67 @@
     """What a channel has going. `session` is the connection's."""
 
     __slots__ = (
-        "confirming", "consumers", "flowing", "last_queue", "last_tag", "number", "open", "prefetch",
-        "prefetch_all", "published", "reply_tag", "session", "unacked",
+        "channel_prefetch",
+        "confirm_mode",
+        "consumers",
+        "flow_active",
+        "last_declared_queue",
+        "last_delivery_tag",
+        "number",
+        "open",
+        "prefetch",
+        "publish_count",
+        "reply_consumer_tag",
+        "session",
+        "unacked",
     )  # fmt: skip
 
     def __init__(self, session: Any, number: int) -> None:
         self.session, self.number, self.open = session, number, True
-        self.confirming = False
-        self.published = 0  # messages since confirm.select
-        self.last_tag = 0  # delivery tag
+        self.confirm_mode = False
+        self.publish_count = 0  # messages since confirm.select
+        self.last_delivery_tag = 0  # delivery tag
         self.unacked: dict[int, Unacked] = {}
-        self.consumers: dict[str, Consuming] = {}
-        self.prefetch = self.prefetch_all = 0  # of each new consumer, of all together; 0: no limit
-        self.flowing = True  # the peer has not asked for a pause
-        self.reply_tag: str | None = None  # the consumer of amq.rabbitmq.reply-to
-        self.last_queue = ""
+        self.consumers: dict[str, Consumer] = {}
+        self.prefetch = self.channel_prefetch = 0  # of each new consumer, of all together; 0: no limit
+        self.flow_active = True  # the peer has not asked for a pause
+        self.reply_consumer_tag: str | None = None  # the consumer of amq.rabbitmq.reply-to
+        self.last_declared_queue = ""
 
-    def next_tag(self) -> int:
-        self.last_tag += 1
-        return self.last_tag
+    def next_delivery_tag(self) -> int:
+        self.last_delivery_tag += 1
+        return self.last_delivery_tag
 
-    def has_room(self, prefetch: int, out: int) -> bool:
+    def has_capacity(self, prefetch: int, unacked_count: int) -> bool:
         """Whether one more may be delivered to a consumer with that prefetch and so many out."""
-        if not self.open or not self.flowing:
+        if not self.open or not self.flow_active:
             return False
-        if len(self.unacked) >= min(self.prefetch_all or UNACKED_LIMIT, UNACKED_LIMIT):
+        if len(self.unacked) >= min(self.channel_prefetch or MAX_UNACKED, MAX_UNACKED):
             return False
-        return not prefetch or out < prefetch
+        return not prefetch or unacked_count < prefetch
 
 
 class PrivateQueue:
     """Messages for whoever declared the queue."""
 
-    __slots__ = ("bytes", "limit", "messages", "name", "session", "takers")
+    __slots__ = ("bytes", "consumers", "max_bytes", "messages", "name", "session")
 
-    def __init__(self, name: str, session: Any, limit: int) -> None:
-        self.name, self.session, self.limit = name, session, limit
+    def __init__(self, name: str, session: Any, max_bytes: int) -> None:
+        self.name, self.session, self.max_bytes = name, session, max_bytes
         self.messages: deque[Message] = deque()
         self.bytes = 0
-        self.takers: deque[Taker] = deque()  # the next one in turn first
+        self.consumers: deque[QueueConsumer] = deque()  # the next one in turn first
 
     def put(self, message: Message) -> bool:
         """Take a message in; False where the queue is full."""
-        if self.bytes + message.size > self.limit:
+        if self.bytes + message.size > self.max_bytes:
             return False
         self.messages.append(message)
         self.bytes += message.size
-        self.pump()
+        self.deliver_waiting()
         return True
 
-    def put_back(self, message: Message) -> None:
+    def requeue(self, message: Message) -> None:
         """It was delivered before and comes first again. It had its place: the bound does not keep it out."""
         message.redelivered = True
         self.messages.appendleft(message)
@@ -118,82 +129,84 @@
         self.bytes -= message.size
         return message
 
-    def pump(self) -> None:
+    def deliver_waiting(self) -> None:
         """Deliver what there is to those that have room, in turn."""
-        for _ in range(len(self.takers)):
-            while self.messages and self.takers[0].has_room():
+        for _ in range(len(self.consumers)):
+            while self.messages and self.consumers[0].has_capacity():
                 message = self.get()
                 assert message is not None
-                self.takers[0].deliver(message)
+                self.consumers[0].deliver(message)
             if not self.messages:
                 return
-            self.takers.rotate(-1)
+            self.consumers.rotate(-1)
 
     def purge(self) -> int:
-        many = len(self.messages)
+        count = len(self.messages)
         self.messages.clear()
         self.bytes = 0
-        return many
+        return count
 
 
-class Taker:
+class QueueConsumer:
     """A consumer of a private queue."""
 
-    __slots__ = ("channel", "no_ack", "out", "prefetch", "queue", "tag")
+    __slots__ = ("channel", "no_ack", "prefetch", "queue", "tag", "unacked_count")
 
     def __init__(self, channel: Channel, tag: str, queue: PrivateQueue, no_ack: bool) -> None:
         self.channel, self.tag, self.queue, self.no_ack = channel, tag, queue, no_ack
-        self.prefetch, self.out = channel.prefetch, 0
+        self.prefetch, self.unacked_count = channel.prefetch, 0
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         if self.no_ack:
-            return self.channel.open and self.channel.flowing
-        return self.channel.has_room(self.prefetch, self.out)
+            return self.channel.open and self.channel.flow_active
+        return self.channel.has_capacity(self.prefetch, self.unacked_count)
 
     def deliver(self, message: Message) -> None:
-        tag = self.channel.next_tag()
+        tag = self.channel.next_delivery_tag()
         if not self.no_ack:
-            self.out += 1
-            self.channel.unacked[tag] = Kept(self, message)
+            self.unacked_count += 1
+            self.channel.unacked[tag] = UnackedMessage(self, message)
         self.channel.session.deliver(self.channel, self.tag, tag, message)
 
     def stop(self) -> None:
-        if self in self.queue.takers:
-            self.queue.takers.remove(self)
+        if self in self.queue.consumers:
+            self.queue.consumers.remove(self)
 
-    def gone(self) -> None:
+    def on_channel_closed(self) -> None:
         self.stop()
 
 
-class Kept:
+class UnackedMessage:
     """A private message that was delivered and not acknowledged. `taker` is None after basic.get."""
 
-    __slots__ = ("message", "queue", "taker")
+    __slots__ = ("consumer", "message", "queue")
 
-    def __init__(self, taker: Taker | None, message: Message, queue: PrivateQueue | None = None) -> None:
-        self.taker, self.message = taker, message
-        self.queue = taker.queue if taker is not None else queue
+    def __init__(
+        self, consumer: QueueConsumer | None, message: Message, queue: PrivateQueue | None = None
+    ) -> None:
+        self.consumer, self.message = consumer, message
+        self.queue = consumer.queue if consumer is not None else queue
 
-    def _settled(self) -> None:
-        if self.taker is not None:
-            self.taker.out -= 1
+    def _release(self) -> None:
+        if self.consumer is not None:
+            self.consumer.unacked_count -= 1
 
     def ack(self) -> None:
-        self._settled()
+        self._release()
         if self.queue is not None:
-            self.queue.pump()
+            self.queue.deliver_waiting()
 
     def reject(self, requeue: bool) -> None:
-        self._settled()
+        self._release()
         if requeue and self.queue is not None:
-            self.queue.put_back(self.message)
+            self.queue.requeue(self.message)
         if self.queue is not None:
-            self.queue.pump()
+            self.queue.deliver_waiting()
 
-    def lost(self) -> None:
-        self._settled()
+    def on_channel_closed(self) -> None:
+        self._release()
         if self.queue is not None:
-            self.queue.put_back(self.message)
+            self.queue.requeue(self.message)
 
 
 class Queues:
--- a/bitternpath/balancer/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -22,11 +22,11 @@
 from zope.interface import implementer
 
 from bitternpath.balancer.amqp import errors as e
-from bitternpath.balancer.amqp import machine as mc
+from bitternpath.balancer.amqp import state_machine as sm
 from bitternpath.balancer.amqp.frames import HEARTBEAT_FRAME, scan_table
-from bitternpath.balancer.amqp.outbox import Outbox
 from bitternpath.balancer.amqp.publishers import Publishers
-from bitternpath.balancer.amqp.session import Bounds, Session
+from bitternpath.balancer.amqp.send_queue import SendQueue
+from bitternpath.balancer.amqp.session import Session, SessionLimits
 from bitternpath.balancer.amqp.subscribers import Delivery, Subscribers
 from bitternpath.balancer.config.operator import Amqp, User
 from bitternpath.balancer.config.passwords import NOBODY, matches
@@ -35,18 +35,20 @@
 
 log = structlog.get_logger(part="amqp")
 
-TURN = 64  # events of one connection before the others have their turn
-LOGIN_WITHIN = 3000.0  # ms from connecting to an accepted login
-CLOSE_WITHIN = 2000.0  # ms for the answer to our close
-LOOK = 0.25  # s between looks for those that have run out of time, and for heartbeats due
-LOGINS_AT_ONCE = 2  # passwords hashed at a time: each takes 16 MB and a core for some 50 ms
-LOGINS_WAITING = 64  # beyond these a login is refused
-READ_AHEAD = 256 * 1024  # bytes read and not looked at yet
-FIRST_READ_AHEAD = 16 * 1024  # the same of those that have not logged in
-EASED = 0.75  # of a bound that was reached: where publishers are read again
+EVENTS_PER_TURN = 64  # events of one connection before the others have their turn
+LOGIN_TIMEOUT = 3000.0  # ms from connecting to an accepted login
+CLOSE_TIMEOUT = 2000.0  # ms for the answer to our close
+CHECK_INTERVAL = 0.25  # s between looks for those that have run out of time, and for heartbeats due
+MAX_CONCURRENT_LOGINS = 2  # passwords hashed at a time: each takes 16 MB and a core for some 50 ms
+MAX_QUEUED_LOGINS = 64  # beyond these a login is refused
+MAX_UNPROCESSED_BYTES = 256 * 1024  # bytes read and not looked at yet
+MAX_UNPROCESSED_BYTES_BEFORE_LOGIN = 16 * 1024  # the same of those that have not logged in
+RESUME_FRACTION = 0.75  # of a bound that was reached: where publishers are read again
 BACKLOG = 256
-HELD_FOR = 1.0  # s after the signal to end in which subscribers may still get what was taken and not sent
-LOOK_AGAIN = 0.05  # s
+UNSENT_WORK_TIMEOUT = (
+    1.0  # s after the signal to end in which subscribers may still get what was taken and not sent
+)
+UNSENT_WORK_POLL = 0.05  # s
 _LOOPBACK = re.compile(r"127\..*|::1|::ffff:127\..*")
 
 
@@ -76,149 +78,151 @@
 
     def __init__(self, server: AmqpServer, number: int, host: str) -> None:
         self.server, self.host = server, host
-        self.outbox = Outbox()
-        self.machine = mc.Machine(server.limits(), self.outbox)
+        self.send_queue = SendQueue()
+        self.machine = sm.ConnectionStateMachine(server.limits(), self.send_queue)
         self.session = Session(
-            number, self.machine, self.outbox, server.publishers, server.subscribers, server.queues,
-            server.bounds, self._changed,
+            number, self.machine, self.send_queue, server.publishers, server.subscribers, server.queues,
+            server.session_limits, self._schedule_flush,
         )  # fmt: skip
-        self.begun_at = self.heard_at = self.said_at = 0.0
-        self.closing_at = 0.0  # when our close was said
+        self.connected_at = self.last_received_at = self.last_sent_at = 0.0
+        self.closing_since = 0.0  # when our close was said
         self.reading = True
         self.writing = False  # a piece is on its way
         self.blocked = False  # connection.blocked has been told
-        self.up = False
-        self.ended = self.dropped = False
-        self._turning = False
+        self.connected = False
+        self.session_ended = self.aborted = False
+        self._turn_scheduled = False
 
     def connectionMade(self) -> None:
-        self.up = True
+        self.connected = True
         self.transport.setTcpNoDelay(True)
-        self.begun_at = self.heard_at = self.said_at = self.server.clock()
+        self.connected_at = self.last_received_at = self.last_sent_at = self.server.clock()
         self.server.connections[self] = None
 
     # ---- reading
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard_at = self.server.clock()
+        self.last_received_at = self.server.clock()
         self.machine.feed(data)
-        if not self._turning:
-            self.turn()
+        if not self._turn_scheduled:
+            self.process_events()
 
-    def turn(self) -> None:
+    def process_events(self) -> None:
         """Look at what has come, as much as a turn allows."""
-        self._turning = False
-        for _ in range(TURN):
-            if not self.up or self._held_back():
+        self._turn_scheduled = False
+        for _ in range(EVENTS_PER_TURN):
+            if not self.connected or self._is_throttled():
                 break
             event = self.machine.next()
             if event is None:
                 break
-            if isinstance(event, mc.Login):
+            if isinstance(event, sm.LoginRequested):
                 self.server.log_in(self, event)
             else:
                 self.session.handle(event)
         else:
-            self._turn_again()
-        self._settle()
+            self._schedule_turn()
+        self._after_events()
 
-    def _turn_again(self) -> None:
-        if not self._turning:
-            self._turning = True
-            self.server.reactor.callLater(0, self._next_turn)
+    def _schedule_turn(self) -> None:
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
+            self.server.reactor.callLater(0, self._run_scheduled_turn)
 
-    def _next_turn(self) -> None:
-        if self._turning:
-            self.turn()
+    def _run_scheduled_turn(self) -> None:
+        if self._turn_scheduled:
+            self.process_events()
 
-    def _held_back(self) -> bool:
+    def _is_throttled(self) -> bool:
         """Whether nothing more of this publisher is looked at for now."""
         session, publishers = self.session, self.server.publishers
-        if not session.published or session.subscribes:
+        if not session.has_published or session.has_active_work:
             return False
         return session.waiting >= self.server.settings.publisher_waiting or publishers.full
 
-    def _settle(self) -> None:
+    def _after_events(self) -> None:
         """After a turn: end, hold back, or read on."""
         phase = self.machine.phase
-        if phase is mc.Phase.CLOSED or phase is mc.Phase.CLOSING:
+        if phase is sm.Phase.CLOSED or phase is sm.Phase.CLOSING:
             self._end_session()
-            if phase is mc.Phase.CLOSING and not self.closing_at:
-                self.closing_at = self.server.clock()
+            if phase is sm.Phase.CLOSING and not self.closing_since:
+                self.closing_since = self.server.clock()
                 self._log_failure()
-        held = self._held_back()
-        ahead = READ_AHEAD if self.machine.authenticated else FIRST_READ_AHEAD
-        self._read(not held and len(self.machine.buffer) <= ahead)
-        if held and self.server.publishers.full:
-            self._tell_blocked(True)
+        throttled = self._is_throttled()
+        max_unprocessed = (
+            MAX_UNPROCESSED_BYTES if self.machine.authenticated else MAX_UNPROCESSED_BYTES_BEFORE_LOGIN
+        )
+        self._set_reading(not throttled and len(self.machine.buffer) <= max_unprocessed)
+        if throttled and self.server.publishers.full:
+            self._notify_blocked(True)
         self.flush()
 
     def _log_failure(self) -> None:
-        failed = self.machine.failed
-        if failed is not None:
+        error = self.machine.error
+        if error is not None:
             self.server.counts["errors"] += 1
-            log.warning("amqp_error", peer=self.host, code=failed.code, why=str(failed))
+            log.warning("amqp_error", peer=self.host, code=error.code, why=str(error))
 
-    def _read(self, on: bool) -> None:
-        if on != self.reading and self.up:
-            self.reading = on
-            if on:
-                self.server.held.pop(self, None)
+    def _set_reading(self, enabled: bool) -> None:
+        if enabled != self.reading and self.connected:
+            self.reading = enabled
+            if enabled:
+                self.server.paused.pop(self, None)
                 self.transport.resumeProducing()
             else:
-                self.server.held[self] = None
+                self.server.paused[self] = None
                 self.transport.pauseProducing()
 
-    def _tell_blocked(self, on: bool) -> None:
-        if on != self.blocked and self.machine.capabilities.get("connection.blocked"):
-            self.blocked = on
-            told: Any = c.Connection.Blocked("the node is full") if on else c.Connection.Unblocked()
-            if self.machine.phase is mc.Phase.OPEN:
-                self.machine.say(0, told)
+    def _notify_blocked(self, enabled: bool) -> None:
+        if enabled != self.blocked and self.machine.capabilities.get("connection.blocked"):
+            self.blocked = enabled
+            method: Any = c.Connection.Blocked("the node is full") if enabled else c.Connection.Unblocked()
+            if self.machine.phase is sm.Phase.OPEN:
+                self.machine.send_method(0, method)
 
-    def ease(self) -> None:
+    def resume_if_capacity(self) -> None:
         """Answers were given: go on where this connection was held back, if there is room now."""
         settings, publishers = self.server.settings, self.server.publishers
-        if self.reading or publishers.waiting > EASED * publishers.max_waiting:
+        if self.reading or publishers.waiting > RESUME_FRACTION * publishers.max_waiting:
             return
-        if self.session.waiting <= EASED * settings.publisher_waiting:
-            self._tell_blocked(False)
-            self._turn_again()
+        if self.session.waiting <= RESUME_FRACTION * settings.publisher_waiting:
+            self._notify_blocked(False)
+            self._schedule_turn()
 
     # ---- writing
 
-    def _changed(self) -> None:
-        self.server.touched(self)
+    def _schedule_flush(self) -> None:
+        self.server.schedule_flush(self)
 
     def flush(self) -> None:
         """Hand over what waits, one piece at a time, so that it is known what has left."""
-        if not self.up or self.dropped:
+        if not self.connected or self.aborted:
             return
-        if not self.writing and self.outbox.size:
+        if not self.writing and self.send_queue.size:
             self.writing = True
             # As a producer it hears when all that was handed over has been written.
             self.transport.registerProducer(self, False)
-        elif not self.outbox.size and self.machine.phase is mc.Phase.CLOSED:
+        elif not self.send_queue.size and self.machine.phase is sm.Phase.CLOSED:
             self.transport.loseConnection()
-        if self.outbox.size > self.server.settings.unread_bytes:
+        if self.send_queue.size > self.server.settings.unread_bytes:
             self.server.counts["slow_readers"] += 1
             self.abort("reads too slowly")
 
     def resumeProducing(self) -> None:
         """All that was handed over has been written."""
-        for mark in self.outbox.written():
-            if isinstance(mark, Delivery):
-                self.server.subscribers.left(mark)
-        data = self.outbox.take()
+        for context in self.send_queue.chunk_written():
+            if isinstance(context, Delivery):
+                self.server.subscribers.delivery_written(context)
+        data = self.send_queue.next_chunk()
         if data:
-            self.said_at = self.server.clock()
+            self.last_sent_at = self.server.clock()
             self.transport.write(data)
             return
-        if self.outbox.size:  # what waits has been taken back: nothing to write, but to be counted off
-            self.outbox.written()
+        if self.send_queue.size:  # what waits has been taken back: nothing to write, but to be counted off
+            self.send_queue.chunk_written()
         self.writing = False
         self.transport.unregisterProducer()
-        if self.machine.phase is mc.Phase.CLOSED:
+        if self.machine.phase is sm.Phase.CLOSED:
             self.transport.loseConnection()
 
     def stopProducing(self) -> None:
@@ -226,55 +230,55 @@
 
     # ---- time
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Heartbeats (specification 4.2.7), and those that are slow to log in or to close."""
         machine = self.machine
-        if not machine.authenticated and now > self.begun_at + LOGIN_WITHIN:
+        if not machine.authenticated and now > self.connected_at + LOGIN_TIMEOUT:
             self.server.counts["logins_late"] += 1
             self.abort("no login in time")
             return
-        closing = machine.phase in (mc.Phase.CLOSING, mc.Phase.CLOSED)
+        closing = machine.phase in (sm.Phase.CLOSING, sm.Phase.CLOSED)
         if closing:
-            self.closing_at = self.closing_at or now
-            if now > self.closing_at + CLOSE_WITHIN:
+            self.closing_since = self.closing_since or now
+            if now > self.closing_since + CLOSE_TIMEOUT:
                 self.abort("no answer to the close")
             return
-        every = machine.heartbeat * 1000.0
-        if not every or not machine.authenticated:
+        interval = machine.heartbeat * 1000.0
+        if not interval or not machine.authenticated:
             return
         if not self.reading:
-            self.heard_at = now  # it is we who do not listen
-        if now > self.heard_at + 2 * every:
+            self.last_received_at = now  # it is we who do not listen
+        if now > self.last_received_at + 2 * interval:
             self.server.counts["heartbeats_missed"] += 1
             self.abort("two heartbeats missed")
-        elif now > self.said_at + every / 2:
-            self.said_at = now
-            self.outbox.add(HEARTBEAT_FRAME)
+        elif now > self.last_sent_at + interval / 2:
+            self.last_sent_at = now
+            self.send_queue.add(HEARTBEAT_FRAME)
             self.flush()
 
     # ---- the end
 
-    def close(self, code: int, why: str) -> None:
-        self.machine.close(code, f"{e.NAMES[code]} - {why}")
-        self._settle()
+    def close(self, code: int, reason: str) -> None:
+        self.machine.close(code, f"{e.REPLY_CODE_NAMES[code]} - {reason}")
+        self._after_events()
 
-    def abort(self, why: str) -> None:
-        if self.up and not self.dropped:
-            self.dropped = True
-            log.info("amqp_connection_dropped", peer=self.host, why=why)
+    def abort(self, reason: str) -> None:
+        if self.connected and not self.aborted:
+            self.aborted = True
+            log.info("amqp_connection_dropped", peer=self.host, why=reason)
             self._end_session()
             self.transport.abortConnection()
 
     def _end_session(self) -> None:
-        if not self.ended:
-            self.ended = True
+        if not self.session_ended:
+            self.session_ended = True
             self.session.end()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.up = False
+        self.connected = False
         self._end_session()
-        self.machine.phase = mc.Phase.CLOSED
-        self.server.left(self)
+        self.machine.phase = sm.Phase.CLOSED
+        self.server.connection_lost(self)
 
 
 class AmqpServer(Factory):
@@ -290,142 +294,151 @@
         publishers: Publishers,
         subscribers: Subscribers,
         broker: Broker,
-        room: Callable[[], int],
+        request_capacity: Callable[[], int],
     ) -> None:
-        self.reactor, self.clock, self.broker, self.room = reactor, clock, broker, room
+        self.reactor, self.clock, self.broker, self.request_capacity = (
+            reactor,
+            clock,
+            broker,
+            request_capacity,
+        )
         self.publishers, self.subscribers, self.queues = publishers, subscribers, publishers.queues
         self.connections: dict[AmqpConnection, None] = {}
         self.counts = publishers.counts
         self.stopping = False
         self.port: Any = None
-        self._numbers = 0
-        self._touched: dict[AmqpConnection, None] = {}
-        self.held: dict[AmqpConnection, None] = {}  # those that are not read for now
-        self._logins: list[tuple[AmqpConnection, mc.Login]] = []
-        self._logging_in = 0
+        self._last_number = 0
+        self._flush_pending: dict[AmqpConnection, None] = {}
+        self.paused: dict[AmqpConnection, None] = {}  # those that are not read for now
+        self._queued_logins: list[tuple[AmqpConnection, sm.LoginRequested]] = []
+        self._active_logins = 0
         self.apply(settings)
 
     def apply(self, settings: Amqp) -> None:
         """Settings as they are now; limits hold for connections that come from now on."""
         self.settings = settings
-        self.bounds = Bounds(settings.subscribers, settings.reply_queues, settings.reply_queue_bytes)
+        self.session_limits = SessionLimits(
+            settings.subscribers, settings.reply_queues, settings.reply_queue_bytes
+        )
         self.subscribers.prefetch_cap = settings.prefetch_cap
         self.subscribers.requeue_unstarted = frozenset(settings.requeue_unstarted)
         # Other fronts turn away what comes while the core holds `room`: half of it stays theirs.
-        self.publishers.max_waiting = max(min(settings.max_waiting, self.room() // 2), 1)
+        self.publishers.max_waiting = max(min(settings.max_waiting, self.request_capacity() // 2), 1)
 
-    def limits(self) -> mc.Limits:
-        told = self.settings
-        return mc.Limits(told.channel_max, told.frame_max, told.heartbeat, tuple(told.vhosts))
+    def limits(self) -> sm.Limits:
+        settings = self.settings
+        return sm.Limits(settings.channel_max, settings.frame_max, settings.heartbeat, tuple(settings.vhosts))
 
     def listen(self, host: str, port: int) -> None:
         factory: Any = self
         self.port = BurstPort(port, factory, BACKLOG, host, self.reactor)
         self.port.startListening()
         log.info("amqp_listening", address=self.port.address)
-        self.reactor.callLater(LOOK, self._look)
+        self.reactor.callLater(CHECK_INTERVAL, self._check_connections)
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol | None:
         if self.stopping or len(self.connections) >= self.settings.max_connections:
             self.counts["connections_refused"] += 1
             return None
-        self._numbers += 1
-        return AmqpConnection(self, self._numbers, getattr(addr, "host", ""))
+        self._last_number += 1
+        return AmqpConnection(self, self._last_number, getattr(addr, "host", ""))
 
     def report(self) -> dict[str, object]:
         """For the line of counts."""
-        told: dict[str, object] = {"amqp_connections": len(self.connections)}
-        told |= {
+        fields: dict[str, object] = {"amqp_connections": len(self.connections)}
+        fields |= {
             "amqp_waiting": self.publishers.waiting,
             "amqp_subscribers": len(self.subscribers.by_endpoint),
         }
-        return told | {f"amqp_{key}": n for key, n in sorted((self.counts + self.subscribers.counts).items())}
+        return fields | {
+            f"amqp_{key}": n for key, n in sorted((self.counts + self.subscribers.counts).items())
+        }
 
-    def left(self, connection: AmqpConnection) -> None:
+    def connection_lost(self, connection: AmqpConnection) -> None:
         self.connections.pop(connection, None)
-        self._touched.pop(connection, None)
-        self.held.pop(connection, None)
+        self._flush_pending.pop(connection, None)
+        self.paused.pop(connection, None)
 
-    def _look(self) -> None:
-        self.reactor.callLater(LOOK, self._look)
+    def _check_connections(self) -> None:
+        self.reactor.callLater(CHECK_INTERVAL, self._check_connections)
         now = self.clock()
         for connection in list(self.connections):
-            connection.look(now)
+            connection.check_timeouts(now)
 
     # ---- writing in batches
 
-    def touched(self, connection: AmqpConnection) -> None:
+    def schedule_flush(self, connection: AmqpConnection) -> None:
         """It has something to write, or room again: looked at once this batch is done."""
-        if not self._touched:
-            self.reactor.callLater(0, self._flush)
-        self._touched[connection] = None
+        if not self._flush_pending:
+            self.reactor.callLater(0, self._flush_connections)
+        self._flush_pending[connection] = None
 
-    def _flush(self) -> None:
-        touched, self._touched = list(self._touched), {}
-        for connection in touched:
+    def _flush_connections(self) -> None:
+        connections, self._flush_pending = list(self._flush_pending), {}
+        for connection in connections:
             connection.flush()
-        for connection in list(self.held):
-            connection.ease()
+        for connection in list(self.paused):
+            connection.resume_if_capacity()
 
     # ---- logins
 
-    def log_in(self, connection: AmqpConnection, login: mc.Login) -> None:
-        if len(self._logins) >= LOGINS_WAITING:
-            self._refuse(connection)
+    def log_in(self, connection: AmqpConnection, login: sm.LoginRequested) -> None:
+        if len(self._queued_logins) >= MAX_QUEUED_LOGINS:
+            self._refuse_login(connection)
             return
-        self._logins.append((connection, login))
+        self._queued_logins.append((connection, login))
         self._next_login()
 
     def _next_login(self) -> None:
-        while self._logins and self._logging_in < LOGINS_AT_ONCE:
-            connection, login = self._logins.pop(0)
-            if not connection.up:
+        while self._queued_logins and self._active_logins < MAX_CONCURRENT_LOGINS:
+            connection, login = self._queued_logins.pop(0)
+            if not connection.connected:
                 continue
-            told = credentials(login.mechanism, login.response)
+            login_credentials = credentials(login.mechanism, login.response)
             users = self.settings.users
-            if told is None:
-                self._refuse(connection)
+            if login_credentials is None:
+                self._refuse_login(connection)
             elif not users:
-                if told == ("guest", b"guest") and _LOOPBACK.fullmatch(connection.host):
-                    self._admit(connection, tuple(self.settings.vhosts))
+                if login_credentials == ("guest", b"guest") and _LOOPBACK.fullmatch(connection.host):
+                    self._accept_login(connection, tuple(self.settings.vhosts))
                 else:
-                    self._refuse(connection)
+                    self._refuse_login(connection)
             else:
-                self._hash(connection, users.get(told[0]), told[1])
+                self._verify_password(connection, users.get(login_credentials[0]), login_credentials[1])
 
-    def _hash(self, connection: AmqpConnection, user: User | None, password: bytes) -> None:
+    def _verify_password(self, connection: AmqpConnection, user: User | None, password: bytes) -> None:
         """In a thread: the hash is slow on purpose. An unknown user takes as long as a known one."""
-        self._logging_in += 1
+        self._active_logins += 1
         stored = user.password if user is not None else NOBODY
-        done = deferToThread(matches, password, stored)
+        verification = deferToThread(matches, password, stored)
 
-        def hashed(well: bool) -> None:
-            if well and user is not None:
+        def on_verified(matched: bool) -> None:
+            if matched and user is not None:
                 allowed = tuple(v for v in user.vhosts if v in self.settings.vhosts)
-                self._admit(connection, allowed)
+                self._accept_login(connection, allowed)
             else:
-                self._refuse(connection)
+                self._refuse_login(connection)
 
-        def over(result: Any) -> None:
-            self._logging_in -= 1
+        def on_done(result: Any) -> None:
+            self._active_logins -= 1
             if isinstance(result, Failure):
                 log.error("amqp_login_check_failed", why=result.getErrorMessage())
-                self._refuse(connection)
+                self._refuse_login(connection)
             self._next_login()
 
-        done.addCallback(hashed)
-        done.addBoth(over)
+        verification.addCallback(on_verified)
+        verification.addBoth(on_done)
 
-    def _admit(self, connection: AmqpConnection, vhosts: tuple[str, ...]) -> None:
-        if connection.up and connection.machine.phase is mc.Phase.LOGIN:
+    def _accept_login(self, connection: AmqpConnection, vhosts: tuple[str, ...]) -> None:
+        if connection.connected and connection.machine.phase is sm.Phase.LOGIN:
             connection.machine.login(vhosts)
-            connection.turn()
+            connection.process_events()
 
-    def _refuse(self, connection: AmqpConnection) -> None:
+    def _refuse_login(self, connection: AmqpConnection) -> None:
         self.counts["logins_refused"] += 1
-        if connection.up and connection.machine.phase is mc.Phase.LOGIN:
+        if connection.connected and connection.machine.phase is sm.Phase.LOGIN:
             connection.machine.refuse_login()
-            connection.turn()
+            connection.process_events()
 
     # ---- the end
 
@@ -434,12 +447,12 @@
         them."""
         self.stopping = self.publishers.stopping = True
         self.port.stopListening()
-        self._cancel_when_sent(self.clock() + HELD_FOR * 1000.0)
+        self._cancel_subscribers_when_sent(self.clock() + UNSENT_WORK_TIMEOUT * 1000.0)
 
-    def _cancel_when_sent(self, latest: float) -> None:
+    def _cancel_subscribers_when_sent(self, deadline: float) -> None:
         unsent = any(not i.answered and not i.calls for i in self.broker.in_progress.values())
-        if unsent and self.clock() < latest:
-            self.reactor.callLater(LOOK_AGAIN, self._cancel_when_sent, latest)
+        if unsent and self.clock() < deadline:
+            self.reactor.callLater(UNSENT_WORK_POLL, self._cancel_subscribers_when_sent, deadline)
             return
         for connection in list(self.connections):
             connection.session.cancel_subscribers()
--- a/bitternpath/balancer/amqp/session.py
+++ b/bitternpath/balancer/amqp/session.py
@@ -13,25 +13,25 @@
 from pamqp.base import Frame as Method
 
 from bitternpath.balancer.amqp import errors as e
-from bitternpath.balancer.amqp import machine as mc
-from bitternpath.balancer.amqp.frames import content_frames, ids
-from bitternpath.balancer.amqp.outbox import Entry, Outbox
+from bitternpath.balancer.amqp import state_machine as sm
+from bitternpath.balancer.amqp.frames import encode_message, method_ids
 from bitternpath.balancer.amqp.publishers import EXCHANGES, JOBS, REPLY_TO, Publishers
 from bitternpath.balancer.amqp.queues import (
-    UNACKED_LIMIT,
+    MAX_UNACKED,
     Channel,
-    Kept,
     Message,
     PrivateQueue,
+    QueueConsumer,
     Queues,
-    Taker,
+    UnackedMessage,
 )
+from bitternpath.balancer.amqp.send_queue import Entry, SendQueue
 from bitternpath.balancer.amqp.subscribers import Subscriber, Subscribers
 
-_NAME = re.compile(r"[a-zA-Z0-9\-_.:]{1,127}")  # of a queue (specification 1.2 'queue-name')
+_QUEUE_NAME = re.compile(r"[a-zA-Z0-9\-_.:]{1,127}")  # of a queue (specification 1.2 'queue-name')
 
 
-class Bounds:
+class SessionLimits:
     """How much one connection may have, from the operator file."""
 
     __slots__ = ("queue_bytes", "queues", "subscribers")
@@ -47,111 +47,115 @@
     def __init__(
         self,
         number: int,
-        machine: mc.Machine,
-        outbox: Outbox,
+        machine: sm.ConnectionStateMachine,
+        send_queue: SendQueue,
         publishers: Publishers,
         subscribers: Subscribers,
         queues: Queues,
-        bounds: Bounds,
-        changed: Callable[[], None],
+        limits: SessionLimits,
+        on_change: Callable[[], None],
     ) -> None:
-        self.number, self.machine, self.outbox = number, machine, outbox
-        self.publishers, self.subscribers, self.queues, self.bounds = publishers, subscribers, queues, bounds
-        self.changed = changed  # called when something waits to be written, or an answer has been given
+        self.number, self.machine, self.send_queue = number, machine, send_queue
+        self.publishers, self.subscribers, self.queues, self.limits = publishers, subscribers, queues, limits
+        self.on_change = on_change  # called when something waits to be written, or an answer has been given
         self.vhost = ""
         self.waiting = 0  # requests of this connection that wait for their answers
-        self.work = 0  # its consumers of class queues, and the deliveries that are out
-        self.results_held = 0  # bytes of results that came ahead of their acknowledgements
-        self.published = False  # it has published a request
+        self.active_work = 0  # its consumers of class queues, and the deliveries that are out
+        self.pending_result_bytes = 0  # bytes of results that came ahead of their acknowledgements
+        self.has_published = False  # it has published a request
         self.channels: dict[int, Channel] = {}
-        self.own: dict[str, PrivateQueue] = {}  # private queues that it declared
-        self._made = 0
+        self.own_queues: dict[str, PrivateQueue] = {}  # private queues that it declared
+        self._generated_names = 0
 
     @property
-    def subscribes(self) -> bool:
+    def has_active_work(self) -> bool:
         """Whether work is or may be out there: then it must be read, for acknowledgements come that way."""
-        return self.work > 0
+        return self.active_work > 0
 
     # ---- what is said to the peer
 
-    def say(self, channel: int, method: Method) -> None:
+    def send_method(self, channel: int, method: Method) -> None:
         if self.machine.is_open(channel):
-            self.machine.say(channel, method)
-            self.changed()
+            self.machine.send_method(channel, method)
+            self.on_change()
 
-    def deliver(self, channel: Channel, tag: str, number: int, message: Message, mark: Any = None) -> Entry:
+    def deliver(
+        self, channel: Channel, tag: str, number: int, message: Message, context: Any = None
+    ) -> Entry:
         """basic.deliver with its content; the entry tells whether it has left."""
         method = c.Basic.Deliver(tag, number, message.redelivered, message.exchange, message.routing_key)
-        return self._content(channel, method, message, mark)
+        return self._content(channel, method, message, context)
 
-    def give_back(self, channel: Channel, code: int, text: str, message: Message) -> None:
+    def return_message(self, channel: Channel, code: int, text: str, message: Message) -> None:
         """basic.return: a mandatory message that reached nobody."""
         self._content(channel, c.Basic.Return(code, text, message.exchange, message.routing_key), message)
 
-    def _content(self, channel: Channel, method: Method, message: Message, mark: Any = None) -> Entry:
-        data = content_frames(
+    def _content(self, channel: Channel, method: Method, message: Message, context: Any = None) -> Entry:
+        data = encode_message(
             channel.number, method, message.properties, message.body, self.machine.frame_max
         )
-        entry = self.outbox.add(data, mark)
-        self.changed()
+        entry = self.send_queue.add(data, context)
+        self.on_change()
         return entry
 
     # ---- what comes
 
-    def handle(self, event: mc.Event) -> None:
+    def handle(self, event: sm.Event) -> None:
         """One event of the machine."""
-        if isinstance(event, mc.Published):
-            self._guarded(event.channel, event.method, self._publish, event)
-        elif isinstance(event, mc.Command):
-            self._guarded(event.channel, event.method, self._command, event)
-        elif isinstance(event, mc.ChannelOpened):
+        if isinstance(event, sm.MessagePublished):
+            self._handle_with_errors(event.channel, event.method, self._publish, event)
+        elif isinstance(event, sm.MethodReceived):
+            self._handle_with_errors(event.channel, event.method, self._command, event)
+        elif isinstance(event, sm.ChannelOpened):
             self.channels[event.channel] = Channel(self, event.channel)
-        elif isinstance(event, mc.ChannelGone):
-            self._leave(event.channel)
-        elif isinstance(event, mc.Opened):
+        elif isinstance(event, sm.ChannelClosed):
+            self._close_channel(event.channel)
+        elif isinstance(event, sm.ConnectionOpened):
             self.vhost = event.vhost
 
-    def _guarded(self, number: int, method: Method, do: Callable[[Channel, Any], None], event: Any) -> None:
+    def _handle_with_errors(
+        self, number: int, method: Method, handler: Callable[[Channel, Any], None], event: Any
+    ) -> None:
         channel = self.channels[number]
         try:
-            do(channel, event)
+            handler(channel, event)
         except e.SoftError as error:
-            error.method = ids(method)
+            error.method = method_ids(method)
             self.machine.close_channel(number, error)
-            self._leave(number)
+            self._close_channel(number)
         except e.HardError as error:
-            error.method = ids(method)
+            error.method = method_ids(method)
             self.machine.fail(error)
 
-    def _publish(self, channel: Channel, event: mc.Published) -> None:
-        self.published = True
+    def _publish(self, channel: Channel, event: sm.MessagePublished) -> None:
+        self.has_published = True
         self.publishers.publish(channel, event)
 
-    def _command(self, channel: Channel, event: mc.Command) -> None:
+    def _command(self, channel: Channel, event: sm.MethodReceived) -> None:
         HANDLERS[type(event.method)](self, channel, event.method)
 
-    def _leave(self, number: int) -> None:
+    def _close_channel(self, number: int) -> None:
         """A channel is gone: what was out on it is settled, its consumers and endpoints go."""
         channel = self.channels.pop(number, None)
         if channel is None:
             return
         channel.open = False
         for consumer in channel.consumers.values():  # first, so that nothing is sent there again
-            consumer.gone()
+            consumer.on_channel_closed()
         for unacked in reversed(channel.unacked.values()):  # what is put back keeps its order
-            unacked.lost()
+            unacked.on_channel_closed()
         channel.unacked.clear()
         channel.consumers.clear()
-        self.changed()
+        self.on_change()
 
     def end(self) -> None:
         """The connection is gone."""
         for number in list(self.channels):
-            self._leave(number)
-        for queue in self.own.values():
+            self._close_channel(number)
+        for queue in self.own_queues.values():
             queue.purge()
             self.queues.remove(self.vhost, queue)
-        self.own.clear()
+        self.own_queues.clear()
 
     def cancel_subscribers(self) -> None:
         """The node is ending: tell those that can hear it, and send nothing new."""
@@ -159,28 +163,28 @@
             for tag, consumer in list(channel.consumers.items()):
                 if isinstance(consumer, Subscriber):
                     if self.machine.capabilities.get("consumer_cancel_notify"):
-                        self.say(channel.number, c.Basic.Cancel(tag, True))
+                        self.send_method(channel.number, c.Basic.Cancel(tag, True))
                     del channel.consumers[tag]
                     consumer.stop()
 
     # ---- channel, confirm, qos
 
     def _flow(self, channel: Channel, method: c.Channel.Flow) -> None:
-        channel.flowing = bool(method.active)
-        if not channel.flowing:
+        channel.flow_active = bool(method.active)
+        if not channel.flow_active:
             for consumer in channel.consumers.values():
                 if isinstance(consumer, Subscriber):
-                    self.subscribers.recall(consumer)
-        self.say(channel.number, c.Channel.FlowOk(channel.flowing))
-        self._room_changed(channel)
+                    self.subscribers.withdraw_unsent(consumer)
+        self.send_method(channel.number, c.Channel.FlowOk(channel.flow_active))
+        self._capacity_changed(channel)
 
     def _flow_ok(self, channel: Channel, method: c.Channel.FlowOk) -> None:
         """The answer to what we never ask: legal, and nothing to do."""
 
-    def _select(self, channel: Channel, method: c.Confirm.Select) -> None:
-        channel.confirming = True
+    def _confirm_select(self, channel: Channel, method: c.Confirm.Select) -> None:
+        channel.confirm_mode = True
         if not method.nowait:
-            self.say(channel.number, c.Confirm.SelectOk())
+            self.send_method(channel.number, c.Confirm.SelectOk())
 
     def _qos(self, channel: Channel, method: c.Basic.Qos) -> None:
         """As RabbitMQ reads it: `global` is of the channel and at once, else of consumers that start
@@ -188,19 +192,19 @@
         if method.prefetch_size:
             raise e.HardError(e.NOT_IMPLEMENTED, f"prefetch-size {method.prefetch_size}; 0 is allowed")
         if method.global_:
-            channel.prefetch_all = method.prefetch_count or 0
+            channel.channel_prefetch = method.prefetch_count or 0
         else:
             channel.prefetch = method.prefetch_count or 0
-        self.say(channel.number, c.Basic.QosOk())
+        self.send_method(channel.number, c.Basic.QosOk())
         if method.global_:
-            self._room_changed(channel)
+            self._capacity_changed(channel)
 
-    def _room_changed(self, channel: Channel) -> None:
+    def _capacity_changed(self, channel: Channel) -> None:
         for consumer in list(channel.consumers.values()):
             if isinstance(consumer, Subscriber):
-                self.subscribers.changed(consumer)
-            elif isinstance(consumer, Taker):
-                consumer.queue.pump()
+                self.subscribers.update_endpoint(consumer)
+            elif isinstance(consumer, QueueConsumer):
+                consumer.queue.deliver_waiting()
 
     # ---- exchanges and queues
 
@@ -212,154 +216,154 @@
         if not method.passive and method.exchange_type != "direct":
             raise e.SoftError(e.PRECONDITION_FAILED, f"exchange {JOBS!r} is of type direct")
         if not method.nowait:
-            self.say(channel.number, c.Exchange.DeclareOk())
+            self.send_method(channel.number, c.Exchange.DeclareOk())
 
     def _exchange_delete(self, channel: Channel, method: c.Exchange.Delete) -> None:
         if method.exchange in EXCHANGES:
             raise e.SoftError(e.ACCESS_REFUSED, f"exchange {method.exchange!r} cannot be deleted")
         if not method.nowait:
-            self.say(channel.number, c.Exchange.DeleteOk())
+            self.send_method(channel.number, c.Exchange.DeleteOk())
 
     def _queue_declare(self, channel: Channel, method: c.Queue.Declare) -> None:
         name = str(method.queue or "")
         if name in self.publishers.classes:
-            count, consumers = 0, self.subscribers.of_class(name)
+            count, consumers = 0, self.subscribers.count_of_class(name)
         else:
-            queue = self._find(name, any_owner=method.passive) if name else None
+            queue = self._find_queue(name, any_owner=method.passive) if name else None
             if queue is None:
                 if method.passive:
                     raise e.SoftError(e.NOT_FOUND, f"no queue {name!r:.80}")
                 queue = self._make_queue(name, bool(method.exclusive))
-            name, count, consumers = queue.name, len(queue.messages), len(queue.takers)
-        channel.last_queue = name
+            name, count, consumers = queue.name, len(queue.messages), len(queue.consumers)
+        channel.last_declared_queue = name
         if not method.nowait:
-            self.say(channel.number, c.Queue.DeclareOk(name, count, consumers))
+            self.send_method(channel.number, c.Queue.DeclareOk(name, count, consumers))
 
     def _make_queue(self, name: str, exclusive: bool) -> PrivateQueue:
         if not exclusive:
             classes = ", ".join(self.publishers.classes)
             raise e.SoftError(e.ACCESS_REFUSED, f"queues are {classes:.120} and exclusive ones")
-        if name and (name.startswith("amq.") or not _NAME.fullmatch(name)):
+        if name and (name.startswith("amq.") or not _QUEUE_NAME.fullmatch(name)):
             raise e.SoftError(
                 e.ACCESS_REFUSED, "letters, digits and -_.: are allowed, and no name from 'amq.'"
             )
-        if len(self.own) >= self.bounds.queues:
-            raise e.SoftError(e.PRECONDITION_FAILED, f"at most {self.bounds.queues} queues a connection")
+        if len(self.own_queues) >= self.limits.queues:
+            raise e.SoftError(e.PRECONDITION_FAILED, f"at most {self.limits.queues} queues a connection")
         if not name:
-            self._made += 1
-            name = f"amq.gen-{self.number:x}-{self._made:x}"
-        queue = PrivateQueue(name, self, self.bounds.queue_bytes)
-        self.own[name] = queue
+            self._generated_names += 1
+            name = f"amq.gen-{self.number:x}-{self._generated_names:x}"
+        queue = PrivateQueue(name, self, self.limits.queue_bytes)
+        self.own_queues[name] = queue
         self.queues.add(self.vhost, queue)
         return queue
 
-    def _find(self, name: str, any_owner: bool = False) -> PrivateQueue | None:
+    def _find_queue(self, name: str, any_owner: bool = False) -> PrivateQueue | None:
         """A private queue; 405 where it is another connection's."""
         queue = self.queues.find(self.vhost, name)
         if queue is not None and queue.session is not self:
             raise e.SoftError(e.RESOURCE_LOCKED, f"queue {name!r:.80} is exclusive to another connection")
         return queue
 
-    def _named(self, channel: Channel, name: str | None) -> str:
+    def _queue_name(self, channel: Channel, name: str | None) -> str:
         """An empty name is the last queue that the channel declared (specification 1.7.2.3)."""
-        return str(name or channel.last_queue)
+        return str(name or channel.last_declared_queue)
 
     def _queue_bind(self, channel: Channel, method: c.Queue.Bind) -> None:
-        name = self._named(channel, method.queue)
-        self._bound(name, method.exchange, method.routing_key)
+        name = self._queue_name(channel, method.queue)
+        self._check_binding(name, method.exchange, method.routing_key)
         if not method.nowait:
-            self.say(channel.number, c.Queue.BindOk())
+            self.send_method(channel.number, c.Queue.BindOk())
 
     def _queue_unbind(self, channel: Channel, method: c.Queue.Unbind) -> None:
-        name = self._named(channel, method.queue)
+        name = self._queue_name(channel, method.queue)
         if name in self.publishers.classes:
             raise e.SoftError(e.ACCESS_REFUSED, f"queue {name!r} stays bound to {JOBS!r}")
-        self._bound(name, method.exchange, method.routing_key)
-        self.say(channel.number, c.Queue.UnbindOk())
+        self._check_binding(name, method.exchange, method.routing_key)
+        self.send_method(channel.number, c.Queue.UnbindOk())
 
-    def _bound(self, name: str, exchange: str | None, key: str | None) -> None:
+    def _check_binding(self, name: str, exchange: str | None, key: str | None) -> None:
         """Check that such a binding is there: of a class to `jobs` by its name, and no other."""
-        known = name in self.publishers.classes
-        if not known and self._find(name) is None:
+        is_class = name in self.publishers.classes
+        if not is_class and self._find_queue(name) is None:
             raise e.SoftError(e.NOT_FOUND, f"no queue {name!r:.80}")
         if exchange not in EXCHANGES:
             raise e.SoftError(e.NOT_FOUND, f"no exchange {exchange!r:.80}")
-        if not known or exchange != JOBS or key != name:
+        if not is_class or exchange != JOBS or key != name:
             raise e.SoftError(
                 e.ACCESS_REFUSED, f"classes are bound to {JOBS!r} by their names, and nothing else"
             )
 
     def _queue_purge(self, channel: Channel, method: c.Queue.Purge) -> None:
-        queue = self._private(channel, method.queue)
-        many = queue.purge()
+        queue = self._private_queue(channel, method.queue)
+        count = queue.purge()
         if not method.nowait:
-            self.say(channel.number, c.Queue.PurgeOk(many))
+            self.send_method(channel.number, c.Queue.PurgeOk(count))
 
     def _queue_delete(self, channel: Channel, method: c.Queue.Delete) -> None:
-        name, many = self._named(channel, method.queue), 0
+        name, count = self._queue_name(channel, method.queue), 0
         if name in self.publishers.classes:
             raise e.SoftError(e.ACCESS_REFUSED, f"queue {name!r} is a class's")
-        queue = self._find(name)
+        queue = self._find_queue(name)
         if queue is not None:
-            if (method.if_unused and queue.takers) or (method.if_empty and queue.messages):
+            if (method.if_unused and queue.consumers) or (method.if_empty and queue.messages):
                 raise e.SoftError(e.PRECONDITION_FAILED, f"queue {name!r} is in use or not empty")
-            many = queue.purge()
+            count = queue.purge()
             self._delete(queue)
         if not method.nowait:
-            self.say(channel.number, c.Queue.DeleteOk(many))
+            self.send_method(channel.number, c.Queue.DeleteOk(count))
 
     def _delete(self, queue: PrivateQueue) -> None:
-        self.own.pop(queue.name, None)
+        self.own_queues.pop(queue.name, None)
         self.queues.remove(self.vhost, queue)
-        for taker in list(queue.takers):
-            taker.channel.consumers.pop(taker.tag, None)
-            taker.stop()
+        for consumer in list(queue.consumers):
+            consumer.channel.consumers.pop(consumer.tag, None)
+            consumer.stop()
             if self.machine.capabilities.get("consumer_cancel_notify"):
-                self.say(taker.channel.number, c.Basic.Cancel(taker.tag, True))
+                self.send_method(consumer.channel.number, c.Basic.Cancel(consumer.tag, True))
 
-    def _private(self, channel: Channel, name: str | None) -> PrivateQueue:
+    def _private_queue(self, channel: Channel, name: str | None) -> PrivateQueue:
         """A private queue by name; 403 for a class, 404 for none."""
-        found = self._named(channel, name)
-        if found in self.publishers.classes:
+        queue_name = self._queue_name(channel, name)
+        if queue_name in self.publishers.classes:
             raise e.SoftError(
-                e.ACCESS_REFUSED, f"queue {found!r} is a class's: work is handed out by consume"
+                e.ACCESS_REFUSED, f"queue {queue_name!r} is a class's: work is handed out by consume"
             )
-        queue = self._find(found)
+        queue = self._find_queue(queue_name)
         if queue is None:
-            raise e.SoftError(e.NOT_FOUND, f"no queue {found!r:.80}")
+            raise e.SoftError(e.NOT_FOUND, f"no queue {queue_name!r:.80}")
         return queue
 
     # ---- consumers
 
     def _consume(self, channel: Channel, method: c.Basic.Consume) -> None:
-        name, tag = self._named(channel, method.queue), str(method.consumer_tag or "")
+        name, tag = self._queue_name(channel, method.queue), str(method.consumer_tag or "")
         if not tag:
-            self._made += 1
-            tag = f"amq.ctag-{self.number:x}-{self._made:x}"
-        if tag in channel.consumers or tag == channel.reply_tag:
+            self._generated_names += 1
+            tag = f"amq.ctag-{self.number:x}-{self._generated_names:x}"
+        if tag in channel.consumers or tag == channel.reply_consumer_tag:
             raise e.HardError(e.NOT_ALLOWED, f"consumer tag {tag!r:.80} is in use on this channel")
-        if sum(len(ch.consumers) for ch in self.channels.values()) >= self.bounds.subscribers:
+        if sum(len(ch.consumers) for ch in self.channels.values()) >= self.limits.subscribers:
             raise e.SoftError(
-                e.PRECONDITION_FAILED, f"at most {self.bounds.subscribers} consumers a connection"
+                e.PRECONDITION_FAILED, f"at most {self.limits.subscribers} consumers a connection"
             )
         if name == REPLY_TO:
             if not method.no_ack:
                 raise e.SoftError(e.PRECONDITION_FAILED, f"{REPLY_TO} is consumed with no-ack")
-            if channel.reply_tag is not None:
+            if channel.reply_consumer_tag is not None:
                 raise e.SoftError(e.PRECONDITION_FAILED, f"{REPLY_TO} has a consumer on this channel")
-            channel.reply_tag = tag
+            channel.reply_consumer_tag = tag
         elif name in self.publishers.classes:
             self._subscribe(channel, method, name, tag)
         else:
-            queue = self._private(channel, name)
-            taker = Taker(channel, tag, queue, bool(method.no_ack))
-            channel.consumers[tag] = taker
-            queue.takers.append(taker)
+            queue = self._private_queue(channel, name)
+            consumer = QueueConsumer(channel, tag, queue, bool(method.no_ack))
+            channel.consumers[tag] = consumer
+            queue.consumers.append(consumer)
         if not method.nowait:
-            self.say(channel.number, c.Basic.ConsumeOk(tag))
-        found = channel.consumers.get(tag)
-        if isinstance(found, Taker):
-            found.queue.pump()
+            self.send_method(channel.number, c.Basic.ConsumeOk(tag))
+        started = channel.consumers.get(tag)
+        if isinstance(started, QueueConsumer):
+            started.queue.deliver_waiting()
 
     def _subscribe(self, channel: Channel, method: c.Basic.Consume, name: str, tag: str) -> None:
         if method.no_ack:
@@ -375,28 +379,28 @@
 
     def _cancel(self, channel: Channel, method: c.Basic.Cancel) -> None:
         tag = str(method.consumer_tag)
-        if tag == channel.reply_tag:
-            channel.reply_tag = None
+        if tag == channel.reply_consumer_tag:
+            channel.reply_consumer_tag = None
         consumer = channel.consumers.pop(tag, None)
         if consumer is not None:
             consumer.stop()
         if not method.nowait:
-            self.say(channel.number, c.Basic.CancelOk(tag))
+            self.send_method(channel.number, c.Basic.CancelOk(tag))
 
     def _cancel_ok(self, channel: Channel, method: c.Basic.CancelOk) -> None:
         """Some clients answer our cancel though it asks for none."""
 
     def _get(self, channel: Channel, method: c.Basic.Get) -> None:
-        queue = self._private(channel, method.queue)
-        if len(channel.unacked) >= UNACKED_LIMIT:
-            raise e.SoftError(e.PRECONDITION_FAILED, f"at most {UNACKED_LIMIT} unacknowledged on a channel")
+        queue = self._private_queue(channel, method.queue)
+        if len(channel.unacked) >= MAX_UNACKED:
+            raise e.SoftError(e.PRECONDITION_FAILED, f"at most {MAX_UNACKED} unacknowledged on a channel")
         message = queue.get()
         if message is None:
-            self.say(channel.number, c.Basic.GetEmpty())
+            self.send_method(channel.number, c.Basic.GetEmpty())
             return
-        number = channel.next_tag()
+        number = channel.next_delivery_tag()
         if not method.no_ack:
-            channel.unacked[number] = Kept(None, message, queue)
+            channel.unacked[number] = UnackedMessage(None, message, queue)
         ok = c.Basic.GetOk(
             number, message.redelivered, message.exchange, message.routing_key, len(queue.messages)
         )
@@ -405,33 +409,33 @@
     # ---- acknowledgements
 
     def _ack(self, channel: Channel, method: c.Basic.Ack) -> None:
-        for unacked in self._settled(channel, method.delivery_tag, bool(method.multiple)):
+        for unacked in self._take_unacked(channel, method.delivery_tag, bool(method.multiple)):
             unacked.ack()
 
     def _nack(self, channel: Channel, method: c.Basic.Nack) -> None:
-        for unacked in reversed(self._settled(channel, method.delivery_tag, bool(method.multiple))):
+        for unacked in reversed(self._take_unacked(channel, method.delivery_tag, bool(method.multiple))):
             unacked.reject(bool(method.requeue))
 
     def _reject(self, channel: Channel, method: c.Basic.Reject) -> None:
-        for unacked in self._settled(channel, method.delivery_tag, False):
+        for unacked in self._take_unacked(channel, method.delivery_tag, False):
             unacked.reject(bool(method.requeue))
 
-    def _settled(self, channel: Channel, number: int | None, multiple: bool) -> list[Any]:
+    def _take_unacked(self, channel: Channel, number: int | None, multiple: bool) -> list[Any]:
         """What a delivery tag names, and with `multiple` all before it (0: all there is)."""
         number = number or 0
         if not multiple:
-            found = channel.unacked.pop(number, None)
-            if found is None:
+            unacked = channel.unacked.pop(number, None)
+            if unacked is None:
                 raise e.SoftError(e.PRECONDITION_FAILED, f"unknown delivery tag {number}")
-            return [found]
-        if number > channel.last_tag:
+            return [unacked]
+        if number > channel.last_delivery_tag:
             raise e.SoftError(e.PRECONDITION_FAILED, f"unknown delivery tag {number}")
-        upto = [tag for tag in channel.unacked if tag <= number or number == 0]
-        return [channel.unacked.pop(tag) for tag in upto]
+        tags = [tag for tag in channel.unacked if tag <= number or number == 0]
+        return [channel.unacked.pop(tag) for tag in tags]
 
     def _recover(self, channel: Channel, method: c.Basic.Recover) -> None:
         self._requeue_all(channel, method.requeue)
-        self.say(channel.number, c.Basic.RecoverOk())
+        self.send_method(channel.number, c.Basic.RecoverOk())
 
     def _recover_async(self, channel: Channel, method: c.Basic.RecoverAsync) -> None:
         self._requeue_all(channel, method.requeue)
@@ -439,14 +443,14 @@
     def _requeue_all(self, channel: Channel, requeue: bool | None) -> None:
         if not requeue:
             raise e.HardError(e.NOT_IMPLEMENTED, "recover without requeue is not implemented")
-        for unacked in reversed(self._settled(channel, 0, True)):
+        for unacked in reversed(self._take_unacked(channel, 0, True)):
             unacked.reject(True)
 
 
 HANDLERS: dict[type[Method], Callable[[Session, Channel, Any], None]] = {
     c.Channel.Flow: Session._flow,
     c.Channel.FlowOk: Session._flow_ok,
-    c.Confirm.Select: Session._select,
+    c.Confirm.Select: Session._confirm_select,
     c.Basic.Qos: Session._qos,
     c.Exchange.Declare: Session._exchange_declare,
     c.Exchange.Delete: Session._exchange_delete,
--- a/bitternpath/balancer/amqp/machine.py
+++ b/bitternpath/balancer/amqp/state_machine.py
@@ -24,11 +24,13 @@
 
 from bitternpath.balancer.amqp import errors as e
 from bitternpath.balancer.amqp import frames as f
-from bitternpath.balancer.amqp.outbox import Outbox
+from bitternpath.balancer.amqp.send_queue import SendQueue
 from bitternpath.net.buffer import Buffer
 
-BODY_LIMIT = 64 * 1024  # bytes of a message, as on HTTP
-HELD_LIMIT = 1 << 20  # bytes of messages that have come in part, on all channels of a connection together
+MAX_BODY_SIZE = 64 * 1024  # bytes of a message, as on HTTP
+MAX_INCOMPLETE_BYTES = (
+    1 << 20
+)  # bytes of messages that have come in part, on all channels of a connection together
 
 
 class Phase(Enum):
@@ -45,7 +47,7 @@
 
 
 # What may come on channel 0 in which phase, and which phase follows.
-CONNECTION: dict[tuple[Phase, type[Method]], Phase] = {
+CONNECTION_TRANSITIONS: dict[tuple[Phase, type[Method]], Phase] = {
     (Phase.START, c.Connection.StartOk): Phase.LOGIN,
     (Phase.TUNE, c.Connection.TuneOk): Phase.OPENING,
     (Phase.OPENING, c.Connection.Open): Phase.OPEN,
@@ -68,7 +70,7 @@
     CLOSING = "close sent, close-ok awaited"
 
 
-class Kind(Enum):
+class ChannelInput(Enum):
     """What may come on a channel."""
 
     OPEN = "channel.open"
@@ -81,29 +83,29 @@
 
 
 # BODY stays BODY, and HEADER of an empty message leads to OPEN, by what the header says of its length.
-CHANNEL: dict[tuple[ChannelPhase, Kind], ChannelPhase] = {
-    (ChannelPhase.CLOSED, Kind.OPEN): ChannelPhase.OPEN,
-    (ChannelPhase.OPEN, Kind.METHOD): ChannelPhase.OPEN,
-    (ChannelPhase.OPEN, Kind.PUBLISH): ChannelPhase.HEADER,
-    (ChannelPhase.HEADER, Kind.HEADER): ChannelPhase.BODY,
-    (ChannelPhase.BODY, Kind.BODY): ChannelPhase.OPEN,
-    (ChannelPhase.OPEN, Kind.CLOSE): ChannelPhase.CLOSED,
-    (ChannelPhase.CLOSING, Kind.CLOSE): ChannelPhase.CLOSED,
-    (ChannelPhase.CLOSING, Kind.CLOSE_OK): ChannelPhase.CLOSED,
+CHANNEL_TRANSITIONS: dict[tuple[ChannelPhase, ChannelInput], ChannelPhase] = {
+    (ChannelPhase.CLOSED, ChannelInput.OPEN): ChannelPhase.OPEN,
+    (ChannelPhase.OPEN, ChannelInput.METHOD): ChannelPhase.OPEN,
+    (ChannelPhase.OPEN, ChannelInput.PUBLISH): ChannelPhase.HEADER,
+    (ChannelPhase.HEADER, ChannelInput.HEADER): ChannelPhase.BODY,
+    (ChannelPhase.BODY, ChannelInput.BODY): ChannelPhase.OPEN,
+    (ChannelPhase.OPEN, ChannelInput.CLOSE): ChannelPhase.CLOSED,
+    (ChannelPhase.CLOSING, ChannelInput.CLOSE): ChannelPhase.CLOSED,
+    (ChannelPhase.CLOSING, ChannelInput.CLOSE_OK): ChannelPhase.CLOSED,
 }
 # The error for all that is not in the table, by phase; while CLOSING the rest is dropped instead.
-OTHERWISE = {
+PHASE_ERRORS = {
     ChannelPhase.CLOSED: (e.CHANNEL_ERROR, "the channel is not open"),
     ChannelPhase.OPEN: (e.UNEXPECTED_FRAME, "not expected on an open channel"),
     ChannelPhase.HEADER: (e.UNEXPECTED_FRAME, "a content header is awaited"),
     ChannelPhase.BODY: (e.UNEXPECTED_FRAME, "a content body is awaited"),
 }
 
-_KINDS: dict[type[Method], Kind] = {
-    c.Channel.Open: Kind.OPEN,
-    c.Channel.Close: Kind.CLOSE,
-    c.Channel.CloseOk: Kind.CLOSE_OK,
-    c.Basic.Publish: Kind.PUBLISH,
+_METHOD_INPUTS: dict[type[Method], ChannelInput] = {
+    c.Channel.Open: ChannelInput.OPEN,
+    c.Channel.Close: ChannelInput.CLOSE,
+    c.Channel.CloseOk: ChannelInput.CLOSE_OK,
+    c.Basic.Publish: ChannelInput.PUBLISH,
 }
 # What a client may send on a channel; all else is the server's to say (503) or not here (540).
 CLIENT_METHODS = frozenset(
@@ -114,12 +116,12 @@
         c.Basic.Recover, c.Basic.RecoverAsync, c.Confirm.Select,
     )
 )  # fmt: skip
-NOT_HERE = frozenset(
+UNSUPPORTED_METHODS = frozenset(
     (c.Tx.Select, c.Tx.Commit, c.Tx.Rollback, c.Exchange.Bind, c.Exchange.Unbind, c.Connection.UpdateSecret)
 )
 
 
-class Login(Struct):
+class LoginRequested(Struct):
     """Somebody wants in; answer with `Machine.login` or `Machine.refuse_login`."""
 
     mechanism: str
@@ -127,7 +129,7 @@
     properties: dict[str, Any]
 
 
-class Opened(Struct):
+class ConnectionOpened(Struct):
     """The connection is open, on this virtual host (already checked)."""
 
     vhost: str
@@ -137,20 +139,20 @@
     channel: int
 
 
-class ChannelGone(Struct):
+class ChannelClosed(Struct):
     """The channel is closed, by the peer or by an error of its: what was out on it is lost."""
 
     channel: int
 
 
-class Command(Struct):
+class MethodReceived(Struct):
     """A method on an open channel."""
 
     channel: int
     method: Method
 
 
-class Published(Struct):
+class MessagePublished(Struct):
     """A whole message."""
 
     channel: int
@@ -159,26 +161,34 @@
     body: bytes
 
 
-class Over(Struct):
+class ConnectionClosed(Struct):
     """The connection has been closed in order; `why` is what the peer said."""
 
-    why: str
+    reason: str
 
 
-Event = Login | Opened | ChannelOpened | ChannelGone | Command | Published | Over
+Event = (
+    LoginRequested
+    | ConnectionOpened
+    | ChannelOpened
+    | ChannelClosed
+    | MethodReceived
+    | MessagePublished
+    | ConnectionClosed
+)
 
 
 class _Channel:
     """A channel's phase and the message that is coming on it."""
 
-    __slots__ = ("got", "left", "parts", "phase", "properties", "publish")
+    __slots__ = ("chunks", "phase", "properties", "publish", "received", "remaining")
 
     def __init__(self) -> None:
         self.phase = ChannelPhase.OPEN
         self.publish: c.Basic.Publish | None = None
         self.properties: Any = None
-        self.parts: list[bytes] = []
-        self.left = self.got = 0
+        self.chunks: list[bytes] = []
+        self.remaining = self.received = 0
 
 
 class Limits(Struct, frozen=True):
@@ -206,19 +216,19 @@
 MECHANISMS = ("PLAIN", "AMQPLAIN")
 
 
-class Machine:
+class ConnectionStateMachine:
     """One connection, seen from the server."""
 
-    def __init__(self, limits: Limits, out: Outbox) -> None:
-        self.limits, self.phase, self.out = limits, Phase.HEADER, out
+    def __init__(self, limits: Limits, send_queue: SendQueue) -> None:
+        self.limits, self.phase, self.send_queue = limits, Phase.HEADER, send_queue
         self.buffer = Buffer()
         self.reader = f.FrameReader(self.buffer)
         self.channels: dict[int, _Channel] = {}
         self.channel_max, self.heartbeat = limits.channel_max, limits.heartbeat
         self.capabilities: dict[str, Any] = {}  # that the peer says it has
-        self.failed: e.HardError | None = None  # why the machine closed the connection
+        self.error: e.HardError | None = None  # why the machine closed the connection
         self.vhosts = limits.vhosts
-        self._held = 0  # bytes of messages that have come in part
+        self._incomplete_bytes = 0  # bytes of messages that have come in part
 
     @property
     def frame_max(self) -> int:
@@ -229,12 +239,12 @@
         return self.phase not in (Phase.HEADER, Phase.START, Phase.LOGIN)
 
     def feed(self, data: bytes) -> None:
-        if self.phase is not Phase.CLOSED and not self.reader.lost:
+        if self.phase is not Phase.CLOSED and not self.reader.desynchronized:
             self.buffer.append(data)
 
     def next(self) -> Event | None:
         """The next event; None until more is fed, or while a login is being looked at."""
-        while self.phase not in (Phase.LOGIN, Phase.CLOSED) and not self.reader.lost:
+        while self.phase not in (Phase.LOGIN, Phase.CLOSED) and not self.reader.desynchronized:
             try:
                 if self.phase is Phase.HEADER:
                     if not self._protocol_header():
@@ -255,20 +265,20 @@
 
     # ---- what the user of the machine decides
 
-    def say(self, channel: int, method: Method) -> None:
-        self.out.add(f.method_frame(channel, method))
+    def send_method(self, channel: int, method: Method) -> None:
+        self.send_queue.add(f.encode_method(channel, method))
 
     def login(self, vhosts: tuple[str, ...]) -> None:
         """The peer may come in, on these virtual hosts."""
         self.vhosts = vhosts
         self.phase = Phase.TUNE
         offer = self.limits
-        self.say(0, c.Connection.Tune(offer.channel_max, offer.frame_max, offer.heartbeat))
+        self.send_method(0, c.Connection.Tune(offer.channel_max, offer.frame_max, offer.heartbeat))
 
     def refuse_login(self) -> None:
         """Tell those that can hear it (authentication_failure_close); the rest only see the close."""
         if self.capabilities.get("authentication_failure_close"):
-            self.fail(e.HardError(e.ACCESS_REFUSED, "login refused", f.ids(c.Connection.StartOk)))
+            self.fail(e.HardError(e.ACCESS_REFUSED, "login refused", f.method_ids(c.Connection.StartOk)))
         else:
             self.phase = Phase.CLOSED
 
@@ -277,7 +287,7 @@
         if self.phase in (Phase.CLOSING, Phase.CLOSED):
             self.phase = Phase.CLOSED  # an error while closing: there is nothing left to say
             return
-        self.failed = error
+        self.error = error
         if self.phase is Phase.HEADER:
             self.phase = Phase.CLOSED
         else:
@@ -285,17 +295,17 @@
 
     def close(self, code: int, text: str, method: tuple[int, int] = (0, 0)) -> None:
         if self.phase not in (Phase.CLOSING, Phase.CLOSED):
-            self.say(0, c.Connection.Close(code, text, *method))
+            self.send_method(0, c.Connection.Close(code, text, *method))
             self.phase = Phase.CLOSING
             self.channels.clear()
-            self._held = 0
+            self._incomplete_bytes = 0
 
     def close_channel(self, number: int, error: e.SoftError) -> None:
         """Close one channel for an error; its user forgets it at once."""
         channel = self.channels.get(number)
         if channel is not None and channel.phase is not ChannelPhase.CLOSING:
-            self.say(number, c.Channel.Close(error.code, error.text, *error.method))
-            self._drop_content(channel)
+            self.send_method(number, c.Channel.Close(error.code, error.text, *error.method))
+            self._discard_content(channel)
             channel.phase = ChannelPhase.CLOSING
 
     def is_open(self, number: int) -> bool:
@@ -306,20 +316,20 @@
     # ---- what comes
 
     def _protocol_header(self) -> bool:
-        known = min(len(self.buffer), len(f.PROTOCOL))
-        told = self.buffer.peek(known)
-        if told != f.PROTOCOL[:known]:
+        length = min(len(self.buffer), len(f.PROTOCOL_HEADER))
+        received = self.buffer.peek(length)
+        if received != f.PROTOCOL_HEADER[:length]:
             # Specification 4.2.2: answer with the header that is spoken here, and close.
-            self.out.add(f.PROTOCOL)
-            raise e.HardError(e.NOT_IMPLEMENTED, f"protocol header {told!r}; AMQP 0-9-1 is spoken here")
-        if known < len(f.PROTOCOL):
+            self.send_queue.add(f.PROTOCOL_HEADER)
+            raise e.HardError(e.NOT_IMPLEMENTED, f"protocol header {received!r}; AMQP 0-9-1 is spoken here")
+        if length < len(f.PROTOCOL_HEADER):
             return False
-        self.buffer.take(known)
+        self.buffer.take(length)
         self.phase = Phase.START
-        self.say(0, c.Connection.Start(0, 9, SERVER_PROPERTIES, " ".join(MECHANISMS), "en_US"))
+        self.send_method(0, c.Connection.Start(0, 9, SERVER_PROPERTIES, " ".join(MECHANISMS), "en_US"))
         return True
 
-    def _frame(self, raw: f.Raw) -> Event | None:
+    def _frame(self, raw: f.RawFrame) -> Event | None:
         if raw.kind == f.HEARTBEAT:
             if raw.channel:
                 raise e.HardError(e.FRAME_ERROR, f"heartbeat on channel {raw.channel}; 0 is allowed")
@@ -329,7 +339,7 @@
         if raw.channel == 0:
             if raw.kind != f.METHOD:
                 raise e.HardError(e.COMMAND_INVALID, "content on channel 0")
-            return self._on_connection(f.method_from(raw.payload))
+            return self._on_connection(f.parse_method(raw.payload))
         if self.phase is not Phase.OPEN:
             raise e.HardError(e.CHANNEL_ERROR, f"channel {raw.channel} before the connection is open")
         if raw.channel > self.channel_max:
@@ -340,130 +350,141 @@
 
     def _on_connection(self, method: Method) -> Event | None:
         kind = type(method)
-        then = CONNECTION.get((self.phase, kind))
-        if then is None:
+        next_phase = CONNECTION_TRANSITIONS.get((self.phase, kind))
+        if next_phase is None:
             if self.phase is Phase.CLOSING:
                 return None
-            code = e.NOT_IMPLEMENTED if kind in NOT_HERE else e.COMMAND_INVALID
-            raise e.HardError(code, f"{method.name} while {self.phase.value}", f.ids(method))
+            code = e.NOT_IMPLEMENTED if kind in UNSUPPORTED_METHODS else e.COMMAND_INVALID
+            raise e.HardError(code, f"{method.name} while {self.phase.value}", f.method_ids(method))
         if isinstance(method, c.Connection.StartOk):
-            self.phase = then
-            told = method.client_properties or {}
-            found = told.get("capabilities")
-            self.capabilities = found if isinstance(found, dict) else {}
+            self.phase = next_phase
+            properties = method.client_properties or {}
+            capabilities = properties.get("capabilities")
+            self.capabilities = capabilities if isinstance(capabilities, dict) else {}
             response = method.response
             data = (
                 response
                 if isinstance(response, bytes)
                 else str(response or "").encode("utf-8", "surrogateescape")
             )
-            return Login(str(method.mechanism), data, told)
+            return LoginRequested(str(method.mechanism), data, properties)
         if isinstance(method, c.Connection.TuneOk):
-            self._tuned(method)
+            self._apply_tune(method)
         elif isinstance(method, c.Connection.Open):
             if method.virtual_host not in self.vhosts:
-                why = f"no virtual host {method.virtual_host!r} for this user"
-                raise e.HardError(e.NOT_ALLOWED, why, f.ids(method))
-            self.say(0, c.Connection.OpenOk())
-            self.phase = then
-            return Opened(str(method.virtual_host))
+                reason = f"no virtual host {method.virtual_host!r} for this user"
+                raise e.HardError(e.NOT_ALLOWED, reason, f.method_ids(method))
+            self.send_method(0, c.Connection.OpenOk())
+            self.phase = next_phase
+            return ConnectionOpened(str(method.virtual_host))
         elif isinstance(method, c.Connection.Close):
-            self.say(0, c.Connection.CloseOk())
-            self.phase = then
-            return Over(f"{method.reply_code} {method.reply_text}")
-        self.phase = then
-        return Over("closed") if then is Phase.CLOSED else None
+            self.send_method(0, c.Connection.CloseOk())
+            self.phase = next_phase
+            return ConnectionClosed(f"{method.reply_code} {method.reply_text}")
+        self.phase = next_phase
+        return ConnectionClosed("closed") if next_phase is Phase.CLOSED else None
 
-    def _tuned(self, method: c.Connection.TuneOk) -> None:
+    def _apply_tune(self, method: c.Connection.TuneOk) -> None:
         """What the peer chose (specification 1.4.2.6): no more than was offered; 0 is no limit."""
         offer = self.limits
         channels = method.channel_max or offer.channel_max
         size = method.frame_max or offer.frame_max
         if channels > offer.channel_max or not 4096 <= size <= offer.frame_max:
             allowed = f"at most {offer.channel_max} and 4096 to {offer.frame_max} are allowed"
-            why = f"channel-max {channels}, frame-max {size}; {allowed}"
-            raise e.HardError(e.NOT_ALLOWED, why, f.ids(method))
+            reason = f"channel-max {channels}, frame-max {size}; {allowed}"
+            raise e.HardError(e.NOT_ALLOWED, reason, f.method_ids(method))
         self.channel_max, self.reader.frame_max = channels, size
         self.heartbeat = method.heartbeat or 0
 
-    def _on_channel(self, raw: f.Raw) -> Event | None:
+    def _on_channel(self, raw: f.RawFrame) -> Event | None:
         channel = self.channels.get(raw.channel)
         phase = channel.phase if channel is not None else ChannelPhase.CLOSED
         method: Method | None = None
         if raw.kind == f.METHOD:
-            method = f.method_from(raw.payload)
-            kind = _KINDS.get(type(method), Kind.METHOD)
+            method = f.parse_method(raw.payload)
+            kind = _METHOD_INPUTS.get(type(method), ChannelInput.METHOD)
         else:
-            kind = Kind.HEADER if raw.kind == f.HEADER else Kind.BODY
-        then = CHANNEL.get((phase, kind))
-        if then is None:
+            kind = ChannelInput.HEADER if raw.kind == f.HEADER else ChannelInput.BODY
+        next_phase = CHANNEL_TRANSITIONS.get((phase, kind))
+        if next_phase is None:
             if phase is ChannelPhase.CLOSING:
                 return None  # dropped until close-ok comes
-            code, why = OTHERWISE[phase]
+            code, reason = PHASE_ERRORS[phase]
             name = method.name if method is not None else kind.value
             raise e.HardError(
-                code, f"{name} on channel {raw.channel}: {why}", f.ids(method) if method else (0, 0)
+                code, f"{name} on channel {raw.channel}: {reason}", f.method_ids(method) if method else (0, 0)
             )
         if channel is None:
             self.channels[raw.channel] = _Channel()
-            self.say(raw.channel, c.Channel.OpenOk())
+            self.send_method(raw.channel, c.Channel.OpenOk())
             return ChannelOpened(raw.channel)
-        if then is ChannelPhase.CLOSED:
+        if next_phase is ChannelPhase.CLOSED:
             del self.channels[raw.channel]
-            if kind is Kind.CLOSE:
-                self.say(raw.channel, c.Channel.CloseOk())
-            return ChannelGone(raw.channel) if phase is ChannelPhase.OPEN else None
-        if kind is Kind.METHOD:
+            if kind is ChannelInput.CLOSE:
+                self.send_method(raw.channel, c.Channel.CloseOk())
+            return ChannelClosed(raw.channel) if phase is ChannelPhase.OPEN else None
+        if kind is ChannelInput.METHOD:
             assert method is not None
-            if type(method) in NOT_HERE:
-                raise e.HardError(e.NOT_IMPLEMENTED, f"{method.name} is not implemented", f.ids(method))
+            if type(method) in UNSUPPORTED_METHODS:
+                raise e.HardError(
+                    e.NOT_IMPLEMENTED, f"{method.name} is not implemented", f.method_ids(method)
+                )
             if type(method) not in CLIENT_METHODS:
-                raise e.HardError(e.COMMAND_INVALID, f"{method.name} is not for clients", f.ids(method))
-            return Command(raw.channel, method)
-        return self._content(raw, channel, method, then)
+                raise e.HardError(
+                    e.COMMAND_INVALID, f"{method.name} is not for clients", f.method_ids(method)
+                )
+            return MethodReceived(raw.channel, method)
+        return self._content(raw, channel, method, next_phase)
 
     def _content(
-        self, raw: f.Raw, channel: _Channel, method: Method | None, then: ChannelPhase
+        self, raw: f.RawFrame, channel: _Channel, method: Method | None, next_phase: ChannelPhase
     ) -> Event | None:
         """Publish, content header or content body, in the phase that it belongs to."""
         if isinstance(method, c.Basic.Publish):
-            channel.publish, channel.phase = method, then
+            channel.publish, channel.phase = method, next_phase
             return None
         publish = channel.publish
         assert publish is not None
         if raw.kind == f.HEADER:
-            told = f.content_from(raw.payload)
-            if told.class_id != c.Basic.frame_id:
+            content_header = f.parse_content_header(raw.payload)
+            if content_header.class_id != c.Basic.frame_id:
                 raise e.HardError(
-                    e.SYNTAX_ERROR, f"content of class {told.class_id}; 60 is allowed", f.ids(publish)
+                    e.SYNTAX_ERROR,
+                    f"content of class {content_header.class_id}; 60 is allowed",
+                    f.method_ids(publish),
+                )
+            if content_header.size > MAX_BODY_SIZE:
+                reason = f"message of {content_header.size} bytes; at most {MAX_BODY_SIZE} are allowed"
+                self.close_channel(
+                    raw.channel, e.SoftError(e.CONTENT_TOO_LARGE, reason, f.method_ids(publish))
                 )
-            if told.size > BODY_LIMIT:
-                why = f"message of {told.size} bytes; at most {BODY_LIMIT} are allowed"
-                self.close_channel(raw.channel, e.SoftError(e.CONTENT_TOO_LARGE, why, f.ids(publish)))
-                return ChannelGone(raw.channel)
-            channel.properties, channel.left = told.properties, told.size
+                return ChannelClosed(raw.channel)
+            channel.properties, channel.remaining = content_header.properties, content_header.size
         else:
             data = raw.payload
-            if len(data) > channel.left:
-                why = f"body of {channel.got + len(data)} bytes; its header says {channel.got + channel.left}"
-                raise e.HardError(e.UNEXPECTED_FRAME, why, f.ids(publish))
-            channel.parts.append(data)
-            channel.left -= len(data)
-            channel.got += len(data)
-            self._held += len(data)
-            if self._held > HELD_LIMIT:
-                why = f"more than {HELD_LIMIT} bytes of messages that have come in part"
-                raise e.HardError(e.RESOURCE_ERROR, why, f.ids(publish))
-        if channel.left:
+            if len(data) > channel.remaining:
+                reason = (
+                    f"body of {channel.received + len(data)} bytes; "
+                    f"its header says {channel.received + channel.remaining}"
+                )
+                raise e.HardError(e.UNEXPECTED_FRAME, reason, f.method_ids(publish))
+            channel.chunks.append(data)
+            channel.remaining -= len(data)
+            channel.received += len(data)
+            self._incomplete_bytes += len(data)
+            if self._incomplete_bytes > MAX_INCOMPLETE_BYTES:
+                reason = f"more than {MAX_INCOMPLETE_BYTES} bytes of messages that have come in part"
+                raise e.HardError(e.RESOURCE_ERROR, reason, f.method_ids(publish))
+        if channel.remaining:
             channel.phase = ChannelPhase.BODY
             return None
-        parts, properties = channel.parts, channel.properties
-        body = parts[0] if len(parts) == 1 else b"".join(parts)
-        self._drop_content(channel)
+        chunks, properties = channel.chunks, channel.properties
+        body = chunks[0] if len(chunks) == 1 else b"".join(chunks)
+        self._discard_content(channel)
         channel.phase = ChannelPhase.OPEN
-        return Published(raw.channel, publish, properties, body)
+        return MessagePublished(raw.channel, publish, properties, body)
 
-    def _drop_content(self, channel: _Channel) -> None:
-        self._held -= channel.got
+    def _discard_content(self, channel: _Channel) -> None:
+        self._incomplete_bytes -= channel.received
         channel.publish = channel.properties = None
-        channel.parts, channel.left, channel.got = [], 0, 0
+        channel.chunks, channel.remaining, channel.received = [], 0, 0
--- a/bitternpath/balancer/amqp/subscribers.py
+++ b/bitternpath/balancer/amqp/subscribers.py
@@ -14,8 +14,8 @@
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.amqp.errors import PRECONDITION_FAILED, RESOURCE_ERROR, HardError, SoftError
-from bitternpath.balancer.amqp.outbox import Entry
 from bitternpath.balancer.amqp.queues import Channel, Message
+from bitternpath.balancer.amqp.send_queue import Entry
 from bitternpath.balancer.amqp.translation import delivery_properties, text_of
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.endpoint_registry import Endpoint, Listing
@@ -24,8 +24,8 @@
 
 SOURCE = PROTOCOL = "amqp"
 RESULT_PREFIX = "amq.result."  # what subscribers publish there, to the default exchange, is a result
-RESULTS_LIMIT = 8 << 20  # bytes of results that wait for the acks of one connection
-ARGUMENT_LIMIT = 64  # characters of x-site and x-kind
+MAX_PENDING_RESULT_BYTES = 8 << 20  # bytes of results that wait for the acks of one connection
+MAX_ARGUMENT_LENGTH = 64  # characters of x-site and x-kind
 
 
 class Subscriber:
@@ -36,36 +36,42 @@
         "endpoint",
         "job_class",
         "kind",
-        "out",
-        "owner",
         "prefetch",
         "size",
         "state",
+        "subscribers",
         "tag",
+        "unacked_count",
         "up_since",
         "zone",
     )  # fmt: skip
 
-    def __init__(self, owner: Subscribers, channel: Channel, tag: str, job_class: str, endpoint: str) -> None:
-        self.owner, self.channel, self.tag, self.job_class = owner, channel, tag, job_class
+    def __init__(
+        self, subscribers: Subscribers, channel: Channel, tag: str, job_class: str, endpoint: str
+    ) -> None:
+        self.subscribers, self.channel, self.tag, self.job_class = subscribers, channel, tag, job_class
         self.endpoint, self.state = endpoint, m.WorkerState.SERVING
-        self.prefetch, self.out = channel.prefetch, 0
+        self.prefetch, self.unacked_count = channel.prefetch, 0
         self.zone = self.kind = ""
         self.size, self.up_since = 1.0, 0.0
 
     @property
     def slots(self) -> int:
         """Calls that may be out at once."""
-        cap = self.owner.prefetch_cap
-        return min(self.prefetch or cap, self.channel.prefetch_all or cap, cap)
+        cap = self.subscribers.prefetch_cap
+        return min(self.prefetch or cap, self.channel.channel_prefetch or cap, cap)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         serving = self.state is m.WorkerState.SERVING
-        return serving and self.out < self.slots and self.channel.has_room(self.prefetch, self.out)
+        return (
+            serving
+            and self.unacked_count < self.slots
+            and self.channel.has_capacity(self.prefetch, self.unacked_count)
+        )
 
-    def row(self) -> Endpoint:
+    def to_endpoint(self) -> Endpoint:
         state = self.state
-        if state is m.WorkerState.SERVING and not self.channel.flowing:
+        if state is m.WorkerState.SERVING and not self.channel.flow_active:
             state = m.WorkerState.DRAINING  # for as long as its peer wants nothing new
         return Endpoint(
             self.endpoint, "", self.zone, self.kind, 0, state, self.size, self.up_since,
@@ -73,10 +79,10 @@
         )  # fmt: skip
 
     def stop(self) -> None:
-        self.owner.drain(self)
+        self.subscribers.drain(self)
 
-    def gone(self) -> None:
-        self.owner.remove(self)
+    def on_channel_closed(self) -> None:
+        self.subscribers.remove(self)
 
 
 class Delivery:
@@ -90,13 +96,13 @@
         self.entry: Entry | None = None
 
     def ack(self) -> None:
-        self.subscriber.owner.finished(self, m.AttemptOutcome.OK, self.result or b"")
+        self.subscriber.subscribers.finished(self, m.AttemptOutcome.OK, self.result or b"")
 
     def reject(self, requeue: bool) -> None:
-        self.subscriber.owner.rejected(self, requeue)
+        self.subscriber.subscribers.rejected(self, requeue)
 
-    def lost(self) -> None:
-        self.subscriber.owner.lost(self)
+    def on_channel_closed(self) -> None:
+        self.subscriber.subscribers.on_channel_closed(self)
 
 
 class Subscribers:
@@ -107,44 +113,46 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        take: Callable[[Listing], object],
+        apply_listing: Callable[[Listing], object],
         prefetch_cap: int,
         requeue_unstarted: frozenset[str],
     ) -> None:
-        self.clock, self.take, self.prefetch_cap = clock, take, prefetch_cap
+        self.clock, self.apply_listing, self.prefetch_cap = clock, apply_listing, prefetch_cap
         self.requeue_unstarted = requeue_unstarted
         self.by_endpoint: dict[str, Subscriber] = {}
         self.counts: Counter[str] = Counter()
         self._by_token: dict[str, Delivery] = {}
-        self._made = 0
+        self._subscriber_count = 0
 
-    def of_class(self, job_class: str) -> int:
+    def count_of_class(self, job_class: str) -> int:
         return sum(s.job_class == job_class for s in self.by_endpoint.values())
 
     # ---- the source
 
     def add(self, channel: Channel, tag: str, job_class: str, arguments: dict[str, Any]) -> Subscriber:
         """A new subscriber; SoftError 406 where its arguments are wrong."""
-        self._made += 1
-        made = Subscriber(self, channel, tag, job_class, f"amqp-{self._made}")
-        made.zone = self._name(arguments, "x-site")
-        made.kind = self._name(arguments, "x-kind")
-        made.size = self._number(arguments, "x-size", 1.0)
-        made.up_since = self._number(arguments, "x-up-since-ms", 0.0)
-        self.by_endpoint[made.endpoint] = made
-        channel.session.work += 1
-        self.changed(made)
-        return made
+        self._subscriber_count += 1
+        subscriber = Subscriber(self, channel, tag, job_class, f"amqp-{self._subscriber_count}")
+        subscriber.zone = self._text_argument(arguments, "x-site")
+        subscriber.kind = self._text_argument(arguments, "x-kind")
+        subscriber.size = self._number_argument(arguments, "x-size", 1.0)
+        subscriber.up_since = self._number_argument(arguments, "x-up-since-ms", 0.0)
+        self.by_endpoint[subscriber.endpoint] = subscriber
+        channel.session.active_work += 1
+        self.update_endpoint(subscriber)
+        return subscriber
 
     @staticmethod
-    def _name(arguments: dict[str, Any], key: str) -> str:
+    def _text_argument(arguments: dict[str, Any], key: str) -> str:
         value = text_of(arguments.get(key) or "")
-        if len(value) > ARGUMENT_LIMIT:
-            raise SoftError(PRECONDITION_FAILED, f"{key}: at most {ARGUMENT_LIMIT} characters are allowed")
+        if len(value) > MAX_ARGUMENT_LENGTH:
+            raise SoftError(
+                PRECONDITION_FAILED, f"{key}: at most {MAX_ARGUMENT_LENGTH} characters are allowed"
+            )
         return value
 
     @staticmethod
-    def _number(arguments: dict[str, Any], key: str, default: float) -> float:
+    def _number_argument(arguments: dict[str, Any], key: str, default: float) -> float:
         value = arguments.get(key, default)
         try:
             number = float(value)
@@ -154,36 +162,36 @@
             raise SoftError(PRECONDITION_FAILED, f"{key} = {value!r:.40}: a number above 0 is allowed")
         return number
 
-    def changed(self, subscriber: Subscriber) -> None:
+    def update_endpoint(self, subscriber: Subscriber) -> None:
         """Tell the registry how things are with a subscriber."""
-        self.take(Listing(0, False, (subscriber.row(),), SOURCE))
+        self.apply_listing(Listing(0, False, (subscriber.to_endpoint(),), SOURCE))
 
     def drain(self, subscriber: Subscriber) -> None:
         """Nothing new for it; what it has may still be acknowledged."""
         if subscriber.state is not m.WorkerState.SERVING:
             return
         subscriber.state = m.WorkerState.DRAINING
-        self.changed(subscriber)
-        self.recall(subscriber)
-        self._leave_if_done(subscriber)
+        self.update_endpoint(subscriber)
+        self.withdraw_unsent(subscriber)
+        self._remove_if_drained(subscriber)
 
-    def recall(self, subscriber: Subscriber) -> None:
+    def withdraw_unsent(self, subscriber: Subscriber) -> None:
         """What has not left for it is taken back: as if it had never been sent."""
         unacked = list(subscriber.channel.unacked.values())
         for delivery in [d for d in unacked if isinstance(d, Delivery) and d.subscriber is subscriber]:
-            if self._take_back(delivery):
+            if self._withdraw(delivery):
                 self.broker.call_ended(delivery.call, m.AttemptOutcome.NO_CONNECTION)
 
     def remove(self, subscriber: Subscriber) -> None:
         """Its channel is gone, and with it what was out there (see `lost`)."""
         if subscriber.state is not m.WorkerState.GONE:
             subscriber.state = m.WorkerState.GONE
-            subscriber.channel.session.work -= 1
+            subscriber.channel.session.active_work -= 1
             self.by_endpoint.pop(subscriber.endpoint, None)
-            self.changed(subscriber)
+            self.update_endpoint(subscriber)
 
-    def _leave_if_done(self, subscriber: Subscriber) -> None:
-        if subscriber.state is m.WorkerState.DRAINING and not subscriber.out:
+    def _remove_if_drained(self, subscriber: Subscriber) -> None:
+        if subscriber.state is m.WorkerState.DRAINING and not subscriber.unacked_count:
             self.remove(subscriber)
 
     # ---- the upstream client
@@ -193,25 +201,25 @@
         if subscriber is None:
             self.broker.call_ended(call, m.AttemptOutcome.NO_CONNECTION)
             return
-        if not subscriber.has_room():  # the module's word was older than the last change there
+        if not subscriber.has_capacity():  # the module's word was older than the last change there
             self.counts["no_room_at_subscriber"] += 1
             self.broker.call_ended(call, m.AttemptOutcome.FULL)
             return
-        channel, number = subscriber.channel, subscriber.channel.next_tag()
+        channel, number = subscriber.channel, subscriber.channel.next_delivery_tag()
         token = os.urandom(12).hex()  # not to be guessed by others that may publish here
         delivery = Delivery(call, subscriber, number, token)
         call.transport_state = delivery
         request = call.request
-        left = call.expires - self.clock()
+        remaining = call.expires - self.clock()
         properties = delivery_properties(
-            request.payload, call.id, subscriber.job_class, left, RESULT_PREFIX + token
+            request.payload, call.id, subscriber.job_class, remaining, RESULT_PREFIX + token
         )
-        again = any(earlier.may_have_run for earlier in request.calls[: call.number])
-        message = Message("", subscriber.job_class, properties, request.payload.body, again)
+        redelivered = any(earlier.may_have_run for earlier in request.calls[: call.number])
+        message = Message("", subscriber.job_class, properties, request.payload.body, redelivered)
         delivery.entry = channel.session.deliver(channel, subscriber.tag, number, message, delivery)
         channel.unacked[number] = delivery
-        subscriber.out += 1
-        channel.session.work += 1
+        subscriber.unacked_count += 1
+        channel.session.active_work += 1
         self._by_token[token] = delivery
         self.counts["deliveries"] += 1
 
@@ -219,27 +227,27 @@
         """What has left cannot be called back: its place stays taken until it is acknowledged."""
         delivery = call.transport_state
         if isinstance(delivery, Delivery) and self._by_token.get(delivery.token) is delivery:
-            self._take_back(delivery)
+            self._withdraw(delivery)
 
-    def _take_back(self, delivery: Delivery) -> bool:
+    def _withdraw(self, delivery: Delivery) -> bool:
         """Take a delivery out of the outbox, if it is still there: then it never ran."""
         subscriber, entry = delivery.subscriber, delivery.entry
-        if entry is None or not subscriber.channel.session.outbox.withdraw(entry):
+        if entry is None or not subscriber.channel.session.send_queue.withdraw(entry):
             return False
         subscriber.channel.unacked.pop(delivery.number, None)
-        self._free(delivery)
+        self._release(delivery)
         return True
 
-    def _free(self, delivery: Delivery) -> None:
+    def _release(self, delivery: Delivery) -> None:
         """Its place is free again, and nothing more is taken for it."""
         if self._by_token.pop(delivery.token, None) is not None:
-            delivery.subscriber.out -= 1
-            delivery.subscriber.channel.session.work -= 1
-            delivery.subscriber.channel.session.results_held -= len(delivery.result or b"")
+            delivery.subscriber.unacked_count -= 1
+            delivery.subscriber.channel.session.active_work -= 1
+            delivery.subscriber.channel.session.pending_result_bytes -= len(delivery.result or b"")
 
     # ---- what comes back
 
-    def left(self, delivery: Delivery) -> None:
+    def delivery_written(self, delivery: Delivery) -> None:
         """Its last byte has gone to the system: within the prefetch, it counts as begun."""
         self.broker.statistics.count(BACKEND_CALLS)
         self.broker.call_started(delivery.call)
@@ -247,24 +255,26 @@
     def result(self, token: str, correlation: str | None, body: bytes) -> bool:
         """A result has been published; False where nobody waits for it."""
         delivery = self._by_token.get(token)
-        wrong = delivery is None or delivery.call.finished or delivery.result is not None
-        if wrong or (correlation and correlation != delivery.call.id):  # type: ignore[union-attr]
+        unexpected = delivery is None or delivery.call.finished or delivery.result is not None
+        if unexpected or (correlation and correlation != delivery.call.id):  # type: ignore[union-attr]
             self.counts["results_dropped"] += 1
             return False
         assert delivery is not None
-        holder = delivery.subscriber.channel.session
-        if holder.results_held + len(body) > RESULTS_LIMIT:
-            raise HardError(RESOURCE_ERROR, f"more than {RESULTS_LIMIT} bytes of results without their acks")
-        holder.results_held += len(body)
+        session = delivery.subscriber.channel.session
+        if session.pending_result_bytes + len(body) > MAX_PENDING_RESULT_BYTES:
+            raise HardError(
+                RESOURCE_ERROR, f"more than {MAX_PENDING_RESULT_BYTES} bytes of results without their acks"
+            )
+        session.pending_result_bytes += len(body)
         delivery.result = body
         return True
 
-    def finished(self, delivery: Delivery, how: m.AttemptOutcome, result: bytes = b"") -> None:
-        self._free(delivery)
+    def finished(self, delivery: Delivery, outcome: m.AttemptOutcome, result: bytes = b"") -> None:
+        self._release(delivery)
         if delivery.call.finished:
             self.counts["late_acks"] += 1
-        self.broker.call_ended(delivery.call, how, result)
-        self._leave_if_done(delivery.subscriber)
+        self.broker.call_ended(delivery.call, outcome, result)
+        self._remove_if_drained(delivery.subscriber)
 
     def rejected(self, delivery: Delivery, requeue: bool) -> None:
         unstarted = delivery.subscriber.job_class in self.requeue_unstarted and delivery.result is None
@@ -273,10 +283,10 @@
         else:
             self.finished(delivery, m.AttemptOutcome.FULL if unstarted else m.AttemptOutcome.RESET)
 
-    def lost(self, delivery: Delivery) -> None:
+    def on_channel_closed(self, delivery: Delivery) -> None:
         """The channel or the connection is gone."""
         entry = delivery.entry
-        if entry is not None and delivery.subscriber.channel.session.outbox.withdraw(entry):
+        if entry is not None and delivery.subscriber.channel.session.send_queue.withdraw(entry):
             self.finished(delivery, m.AttemptOutcome.NO_CONNECTION)  # no byte of it was handed to the system
         elif delivery.result is not None:
             self.finished(delivery, m.AttemptOutcome.OK, delivery.result)
--- a/bitternpath/balancer/amqp/translation.py
+++ b/bitternpath/balancer/amqp/translation.py
@@ -21,21 +21,21 @@
 from bitternpath.balancer.amqp.frames import Properties
 from bitternpath.balancer.core.requests import MAX_ID_LENGTH, Payload, RequestPayload
 
-CARRIED = ("x-route-hash", "x-again", "x-call-info")
+FORWARDED_HEADERS = ("x-route-hash", "x-again", "x-call-info")
 _ID = re.compile(rf"[\x21-\x7e]{{1,{MAX_ID_LENGTH}}}")
 _BUDGET = re.compile(r"[0-9]{1,9}")
-_KEY = re.compile(r"[0-9A-Fa-f]{1,16}")
+_ROUTE_KEY = re.compile(r"[0-9A-Fa-f]{1,16}")
 _VALUE = re.compile(r"[\t\x20-\x7e]*")
 _TARGET = re.compile(r"/[\x21\x22\x24-\x7e]*")
 
 
-class AmqpWork(RequestPayload):
+class AmqpPayload(RequestPayload):
     """A payload that a publisher gave, with the properties as they came."""
 
     properties: Any = None
 
 
-class Untranslatable(ValueError):
+class InvalidMessage(ValueError):
     """What a publisher gave cannot become a request; the text says why."""
 
 
@@ -48,35 +48,35 @@
     return str(value)
 
 
-def work_from(job_class: str, properties: Any, body: bytes) -> AmqpWork:
+def payload_from(job_class: str, properties: Any, body: bytes) -> AmqpPayload:
     """The payload of a published message."""
     headers: dict[bytes, bytes] = {b"x-call-class": job_class.encode()}
-    told = properties.headers or {}
-    for name in CARRIED:
-        if told.get(name) is not None:
-            headers[name.encode()] = _checked(name, text_of(told[name]))
+    published_headers = properties.headers or {}
+    for name in FORWARDED_HEADERS:
+        if published_headers.get(name) is not None:
+            headers[name.encode()] = _validated(name, text_of(published_headers[name]))
     if properties.content_type:
-        headers[b"content-type"] = _checked("content-type", properties.content_type)
+        headers[b"content-type"] = _validated("content-type", properties.content_type)
     target = f"/{job_class}"
-    if told.get("x-target") is not None:
-        target = text_of(told["x-target"])
+    if published_headers.get("x-target") is not None:
+        target = text_of(published_headers["x-target"])
         if not _TARGET.fullmatch(target) or target.split("?")[0].split("/")[1] != job_class:
-            raise Untranslatable(f"x-target: a path under /{job_class} is allowed")
-    return AmqpWork(b"POST", target.encode(), headers, body, properties)
+            raise InvalidMessage(f"x-target: a path under /{job_class} is allowed")
+    return AmqpPayload(b"POST", target.encode(), headers, body, properties)
 
 
-def _checked(name: str, value: str) -> bytes:
+def _validated(name: str, value: str) -> bytes:
     if not _VALUE.fullmatch(value):
-        raise Untranslatable(f"{name}: printable ASCII is allowed")
+        raise InvalidMessage(f"{name}: printable ASCII is allowed")
     return value.encode()
 
 
-def id_from(properties: Any) -> str | None:
+def request_id_from(properties: Any) -> str | None:
     """The message-id, None where there is none."""
     if not properties.message_id:
         return None
     if not _ID.fullmatch(properties.message_id):
-        raise Untranslatable(f"message-id: 1 to {MAX_ID_LENGTH} visible ASCII characters are allowed")
+        raise InvalidMessage(f"message-id: 1 to {MAX_ID_LENGTH} visible ASCII characters are allowed")
     return str(properties.message_id)
 
 
@@ -85,36 +85,39 @@
     if not properties.expiration:
         return None
     if not _BUDGET.fullmatch(properties.expiration):
-        raise Untranslatable("expiration: 1 to 9 digits are allowed")
+        raise InvalidMessage("expiration: 1 to 9 digits are allowed")
     return float(properties.expiration)
 
 
-def key_from(headers: dict[bytes, bytes]) -> int | None:
+def route_key_from(headers: dict[bytes, bytes]) -> int | None:
     """The route key that a payload's headers carry."""
     key = headers.get(b"x-route-hash", b"").decode()
-    return int(key, 16) % 2**53 if _KEY.fullmatch(key) else None
+    return int(key, 16) % 2**53 if _ROUTE_KEY.fullmatch(key) else None
 
 
-def delivery_properties(payload: Payload, id: str, job_class: str, left: float, reply_to: str) -> Any:
+def delivery_properties(payload: Payload, id: str, job_class: str, remaining_ms: float, reply_to: str) -> Any:
     """What a subscriber is told beside the body; `left` is in ms."""
     headers: dict[str, Any] = {}
-    made = Properties()
-    if isinstance(payload, AmqpWork):
-        given = payload.properties
-        if given.headers:
-            headers.update(given.headers)
-        made.content_encoding, made.message_type = given.content_encoding, given.message_type
-        made.app_id, made.priority = given.app_id, given.priority
-    for name in CARRIED:
+    properties = Properties()
+    if isinstance(payload, AmqpPayload):
+        published = payload.properties
+        if published.headers:
+            headers.update(published.headers)
+        properties.content_encoding, properties.message_type = (
+            published.content_encoding,
+            published.message_type,
+        )
+        properties.app_id, properties.priority = published.app_id, published.priority
+    for name in FORWARDED_HEADERS:
         value = payload.headers.get(name.encode())
         if value is not None:
             headers[name] = value.decode("latin-1")
     if payload.target != b"/" + job_class.encode():
         headers["x-target"] = payload.target.decode("latin-1")
     content_type = payload.headers.get(b"content-type")
-    made.content_type = content_type.decode("latin-1")[:255] if content_type else None
-    made.headers = headers or None
-    made.message_id = made.correlation_id = id
-    made.reply_to = reply_to
-    made.expiration = str(max(int(left), 1))
-    return made
+    properties.content_type = content_type.decode("latin-1")[:255] if content_type else None
+    properties.headers = headers or None
+    properties.message_id = properties.correlation_id = id
+    properties.reply_to = reply_to
+    properties.expiration = str(max(int(remaining_ms), 1))
+    return properties
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -42,14 +42,14 @@
 
     def __init__(self, rig: AmqpRig, peer: Peer) -> None:
         self.rig, self.peer = rig, peer
-        self.out_left: float = float("inf")
-        self.in_left: float = float("inf")
-        self.out_seen = self.in_seen = 0
+        self.out_limit: float = float("inf")
+        self.in_limit: float = float("inf")
+        self.bytes_out = self.bytes_in = 0
         self.protocol: AmqpConnection = rig.server.buildProtocol(SimpleNamespace(host="127.0.0.1"))  # type: ignore
         self.pending = bytearray()
-        self.queued: deque[bytes] = deque()  # from the peer
+        self.incoming: deque[bytes] = deque()  # from the peer
         self.producer: Any = None
-        self.up, self.paused, self.closing, self.stalled = True, False, False, False
+        self.connected, self.paused, self.closing, self.stalled = True, False, False, False
         self.protocol.makeConnection(self)  # type: ignore[arg-type]
 
     # what the protocol calls
@@ -77,53 +77,53 @@
         self.closing = True
 
     def abortConnection(self) -> None:
-        self.cut(ConnectionLost())
+        self.disconnect(ConnectionLost())
 
     # what the rig does
 
-    def carry(self) -> bool:
+    def transfer(self) -> bool:
         """Pass on what there is, both ways; whether anything moved."""
-        if not self.up:
+        if not self.connected:
             return False
-        moved = False
+        progressed = False
         if self.pending and not self.stalled:
             data, self.pending = bytes(self.pending), bytearray()
-            passed = data[: int(min(self.out_left, len(data)))]
-            self.out_left -= len(passed)
-            self.out_seen += len(passed)
-            self.peer.feed(passed)
-            if len(passed) < len(data) or self.out_left == 0:
-                self.cut(ConnectionLost())
+            delivered = data[: int(min(self.out_limit, len(data)))]
+            self.out_limit -= len(delivered)
+            self.bytes_out += len(delivered)
+            self.peer.feed(delivered)
+            if len(delivered) < len(data) or self.out_limit == 0:
+                self.disconnect(ConnectionLost())
                 return True
-            moved = True
-        if self.up and not self.pending and self.producer is not None and not self.stalled:
+            progressed = True
+        if self.connected and not self.pending and self.producer is not None and not self.stalled:
             self.producer.resumeProducing()
-            moved = True
-        while self.up and self.queued and not self.paused:
-            data = self.queued.popleft()
-            passed = data[: int(min(self.in_left, len(data)))]
-            self.in_left -= len(passed)
-            self.in_seen += len(passed)
-            if passed:
-                self.protocol.dataReceived(passed)
-            if len(passed) < len(data) or self.in_left == 0:
-                self.cut(ConnectionLost())
+            progressed = True
+        while self.connected and self.incoming and not self.paused:
+            data = self.incoming.popleft()
+            delivered = data[: int(min(self.in_limit, len(data)))]
+            self.in_limit -= len(delivered)
+            self.bytes_in += len(delivered)
+            if delivered:
+                self.protocol.dataReceived(delivered)
+            if len(delivered) < len(data) or self.in_limit == 0:
+                self.disconnect(ConnectionLost())
                 return True
-            moved = True
-        if self.up and self.closing and not self.pending and self.producer is None:
-            self.cut(ConnectionDone())
-            moved = True
-        return moved
-
-    def cut(self, why: Exception) -> None:
-        if self.up:
-            self.up = False
+            progressed = True
+        if self.connected and self.closing and not self.pending and self.producer is None:
+            self.disconnect(ConnectionDone())
+            progressed = True
+        return progressed
+
+    def disconnect(self, reason: Exception) -> None:
+        if self.connected:
+            self.connected = False
             self.pending.clear()
-            self.queued.clear()
-            self.protocol.connectionLost(Failure(why))
+            self.incoming.clear()
+            self.protocol.connectionLost(Failure(reason))
 
 
-class Got:
+class ReceivedMessage:
     """What a peer was sent: a method, with its content where it has one."""
 
     def __init__(self, channel: int, method: Any) -> None:
@@ -141,14 +141,16 @@
 class Peer:
     """A scripted client."""
 
-    def __init__(self, rig: AmqpRig, capabilities: dict[str, Any] | None = None, whole: bool = True) -> None:
-        self.rig, self.whole = rig, whole
+    def __init__(
+        self, rig: AmqpRig, capabilities: dict[str, Any] | None = None, unsplit: bool = True
+    ) -> None:
+        self.rig, self.unsplit = rig, unsplit
         self.capabilities = CAPABILITIES if capabilities is None else capabilities
-        self.got: list[Got] = []
-        self.beats = 0
-        self.on: dict[type, Callable[[Got], None]] = {}
+        self.received: list[ReceivedMessage] = []
+        self.heartbeats = 0
+        self.handlers: dict[type, Callable[[ReceivedMessage], None]] = {}
         self._buffer = b""
-        self._content: Got | None = None
+        self._content: ReceivedMessage | None = None
         self.tune: Any = None
         self.wire = Wire(rig, self)
         rig.peers.append(self)
@@ -156,17 +158,19 @@
     # sending
 
     def raw(self, data: bytes) -> None:
-        if self.wire.up:
-            pieces = [data] if self.whole else [data[k : k + 1] for k in range(len(data))]
-            self.wire.queued.extend(pieces)
+        if self.wire.connected:
+            chunks = [data] if self.unsplit else [data[k : k + 1] for k in range(len(data))]
+            self.wire.incoming.extend(chunks)
 
     def send(self, method: Any, channel: int = 1) -> None:
         self.raw(frame.marshal(method, channel))
 
-    def publish(self, key: str, data: bytes = b"", channel: int = 1, exchange: str = "", **more: Any) -> None:
-        mandatory = more.pop("mandatory", False)
+    def publish(
+        self, key: str, data: bytes = b"", channel: int = 1, exchange: str = "", **options: Any
+    ) -> None:
+        mandatory = options.pop("mandatory", False)
         self.send(c.Basic.Publish(0, exchange, key, mandatory), channel)
-        self.raw(frame.marshal(header.ContentHeader(0, len(data), c.Basic.Properties(**more)), channel))
+        self.raw(frame.marshal(header.ContentHeader(0, len(data), c.Basic.Properties(**options)), channel))
         if data:
             self.raw(frame.marshal(body.ContentBody(data), channel))
 
@@ -174,13 +178,13 @@
         """Log in and open channels."""
         self.raw(header.ProtocolHeader().marshal())
         self.send(c.Connection.StartOk({"capabilities": self.capabilities}, mechanism, response), 0)
-        self.rig.settle()
+        self.rig.run_until_idle()
         if self.tune is not None:
             self.send(c.Connection.TuneOk(self.tune.channel_max, self.tune.frame_max, self.tune.heartbeat), 0)
             self.send(c.Connection.Open(vhost), 0)
         for channel in channels:
             self.send(c.Channel.Open(), channel)
-        self.rig.settle()
+        self.rig.run_until_idle()
         return self
 
     def subscribe(
@@ -188,7 +192,7 @@
     ) -> Peer:
         self.send(c.Basic.Qos(0, prefetch, False), channel)
         self.send(c.Basic.Consume(queue=queue, consumer_tag=tag, arguments=arguments), channel)
-        self.rig.settle()
+        self.rig.run_until_idle()
         return self
 
     # receiving
@@ -197,112 +201,120 @@
         self._buffer += data
         while len(self._buffer) >= 8:
             if self._buffer.startswith(b"AMQP"):
-                self.got.append(Got(0, header.ProtocolHeader()))
+                self.received.append(ReceivedMessage(0, header.ProtocolHeader()))
                 self._buffer = self._buffer[8:]
                 continue
             _, _, size = frame.frame_parts(self._buffer)
             if len(self._buffer) < (size or 0) + 8:
                 return
-            used, channel, told = frame.unmarshal(self._buffer)
-            self._buffer = self._buffer[used:]
-            self._take(channel, told)
-
-    def _take(self, channel: int, told: Any) -> None:
-        if isinstance(told, Heartbeat):
-            self.beats += 1
-        elif isinstance(told, header.ContentHeader):
+            frame_size, channel, received_frame = frame.unmarshal(self._buffer)
+            self._buffer = self._buffer[frame_size:]
+            self._receive(channel, received_frame)
+
+    def _receive(self, channel: int, received_frame: Any) -> None:
+        if isinstance(received_frame, Heartbeat):
+            self.heartbeats += 1
+        elif isinstance(received_frame, header.ContentHeader):
             assert self._content is not None
-            self._content.properties, self._content.size = told.properties, told.body_size
-            self._whole()
-        elif isinstance(told, body.ContentBody):
+            self._content.properties, self._content.size = received_frame.properties, received_frame.body_size
+            self._finish_content()
+        elif isinstance(received_frame, body.ContentBody):
             assert self._content is not None
-            self._content.body += told.value or b""
-            self._whole()
+            self._content.body += received_frame.value or b""
+            self._finish_content()
         else:
-            got = Got(channel, told)
-            if isinstance(told, c.Basic.Deliver | c.Basic.Return | c.Basic.GetOk):
-                self._content = got
+            message = ReceivedMessage(channel, received_frame)
+            if isinstance(received_frame, c.Basic.Deliver | c.Basic.Return | c.Basic.GetOk):
+                self._content = message
             else:
-                self._arrived(got)
+                self._complete(message)
 
-    def _whole(self) -> None:
-        got = self._content
-        if got is not None and len(got.body) == got.size:
+    def _finish_content(self) -> None:
+        message = self._content
+        if message is not None and len(message.body) == message.size:
             self._content = None
-            self._arrived(got)
+            self._complete(message)
 
-    def _arrived(self, got: Got) -> None:
-        self.got.append(got)
-        if isinstance(got.method, c.Connection.Tune):
-            self.tune = got.method
-        if isinstance(got.method, c.Connection.Close):
+    def _complete(self, message: ReceivedMessage) -> None:
+        self.received.append(message)
+        if isinstance(message.method, c.Connection.Tune):
+            self.tune = message.method
+        if isinstance(message.method, c.Connection.Close):
             self.send(c.Connection.CloseOk(), 0)
-        handler = self.on.get(type(got.method))
+        handler = self.handlers.get(type(message.method))
         if handler is not None:
-            handler(got)
+            handler(message)
 
     def all(self, kind: type) -> list[Any]:
-        return [got for got in self.got if isinstance(got.method, kind)]
+        return [message for message in self.received if isinstance(message.method, kind)]
 
     def methods(self, kind: type) -> list[Any]:
-        return [got.method for got in self.all(kind)]
+        return [message.method for message in self.all(kind)]
 
     def answers(self) -> list[tuple[Any, ...]]:
         """Outcome, correlation and body of each answer."""
         return [
-            got.outcome for got in self.all(c.Basic.Deliver) if "x-outcome" in (got.properties.headers or {})
+            message.outcome
+            for message in self.all(c.Basic.Deliver)
+            if "x-outcome" in (message.properties.headers or {})
         ]
 
     def confirms(self) -> list[tuple[str, int]]:
-        found = []
-        for got in self.got:
-            if isinstance(got.method, c.Basic.Ack | c.Basic.Nack):
-                found.append((got.method.name.lower().split(".")[1], got.method.delivery_tag))
-        return found
+        confirmations = []
+        for message in self.received:
+            if isinstance(message.method, c.Basic.Ack | c.Basic.Nack):
+                confirmations.append((message.method.name.lower().split(".")[1], message.method.delivery_tag))
+        return confirmations
 
-    def deliveries(self) -> list[Got]:
+    def deliveries(self) -> list[ReceivedMessage]:
         """Jobs that were handed out to it."""
-        return [got for got in self.all(c.Basic.Deliver) if "x-outcome" not in (got.properties.headers or {})]
+        return [
+            message
+            for message in self.all(c.Basic.Deliver)
+            if "x-outcome" not in (message.properties.headers or {})
+        ]
 
 
-def works(peer: Peer, ledger: Counter[str], how: str = "ack") -> None:
+def run_jobs(peer: Peer, run_counts: Counter[str], action: str = "ack") -> None:
     """Make the peer run what it is handed: publish a result, then acknowledge. `ledger` counts runs by id."""
 
-    def run(got: Got) -> None:
-        told = got.properties
-        if "x-outcome" in (told.headers or {}):
+    def run(message: ReceivedMessage) -> None:
+        properties = message.properties
+        if "x-outcome" in (properties.headers or {}):
             return  # an answer, not a job
-        ledger[told.message_id] += 1
-        if how in ("ack", "result"):
-            peer.publish(told.reply_to, b"ran", got.channel, correlation_id=told.correlation_id)
-        if how == "ack":
-            peer.send(c.Basic.Ack(got.method.delivery_tag), got.channel)
-        elif how in ("nack", "requeue"):
-            peer.send(c.Basic.Nack(got.method.delivery_tag, False, how == "requeue"), got.channel)
+        run_counts[properties.message_id] += 1
+        if action in ("ack", "result"):
+            peer.publish(
+                properties.reply_to, b"ran", message.channel, correlation_id=properties.correlation_id
+            )
+        if action == "ack":
+            peer.send(c.Basic.Ack(message.method.delivery_tag), message.channel)
+        elif action in ("nack", "requeue"):
+            peer.send(c.Basic.Nack(message.method.delivery_tag, False, action == "requeue"), message.channel)
 
-    peer.on[c.Basic.Deliver] = run
+    peer.handlers[c.Basic.Deliver] = run
 
 
-class Http:
+class RecordingHttpClient:
     """An upstream client of the other protocol: records calls, and answers as a test says."""
 
     def __init__(self) -> None:
         self.calls: list[UpstreamCall] = []
-        self.given_up: list[UpstreamCall] = []
+        self.cancelled: list[UpstreamCall] = []
 
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         self.calls.append(call)
 
     def cancel(self, call: UpstreamCall) -> None:
-        self.given_up.append(call)
+        self.cancelled.append(call)
 
 
-class Caller:
+class RecordingCaller:
     """A consumer of another front."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[Any, ...]] = []
-        self.left = False
+        self.disconnected_early = False
 
     def served(self, result: bytes) -> None:
         self.answers.append(("served", result))
@@ -314,7 +326,7 @@
         self.answers.append(("failed",))
 
     def disconnected(self) -> bool:
-        return self.left
+        return self.disconnected_early
 
 
 class AmqpRig:
@@ -332,7 +344,7 @@
             m.JobClass("lookup", m.Effect.SAFE, 5000.0, 9000.0, late_value_share=0.5),
             m.JobClass("reminder", m.Effect.UNSAFE, 5000.0, 9000.0, late_value_share=0.5),
         )
-        told = m.Settings(
+        module_settings = m.Settings(
             self.classes,
             second_copies=True,
             try_limit=6,
@@ -340,9 +352,9 @@
             max_retry_after=2000.0,
             tick=2.0,
         )
-        self.module = Dispatcher(told, 1, self.now())
+        self.module = Dispatcher(module_settings, 1, self.now())
         self.registry = EndpointRegistry(listing)
-        self.http = Http()
+        self.http = RecordingHttpClient()
         upstream_clients: dict[str, Any] = {"http": self.http}
         later: Any = self.reactor
         self.broker = Broker(later, self.now, self.registry, upstream_clients, self.module.handle)
@@ -361,56 +373,56 @@
             self.reactor, self.now, amqp, self.publishers, self.subscribers, self.broker, lambda: 100_000
         )
         self.server.port = SimpleNamespace(stopListening=lambda: None)
-        self.server._look()
+        self.server._check_connections()
         self.broker.endpoints_changed(listing, at_start=True)
-        self.settle()
+        self.run_until_idle()
 
     def now(self) -> float:
         return float(self.reactor.seconds() * 1000.0 + 1e6)
 
-    def settle(self) -> None:
+    def run_until_idle(self) -> None:
         """Let everything happen that needs no time."""
         for _ in range(10_000):
-            moved = False
+            progressed = False
             due = [
                 call for call in self.reactor.getDelayedCalls() if call.getTime() <= self.reactor.seconds()
             ]
             if due:
                 self.reactor.advance(0)
-                moved = True
+                progressed = True
             for peer in list(self.peers):
-                moved = peer.wire.carry() or moved
-            if not moved:
+                progressed = peer.wire.transfer() or progressed
+            if not progressed:
                 return
         raise AssertionError("it never came to rest")
 
-    def pass_time(self, ms: float, step: float = 5.0) -> None:
+    def advance(self, ms: float, step: float = 5.0) -> None:
         """Time passes in steps."""
-        self.settle()
+        self.run_until_idle()
         for _ in range(int(ms / step)):
             self.reactor.advance(step / 1000.0)
-            self.settle()
+            self.run_until_idle()
 
-    def peer(self, *channels: int, **more: Any) -> Peer:
-        return Peer(self, **more).open(*(channels or (1,)))
+    def peer(self, *channels: int, **options: Any) -> Peer:
+        return Peer(self, **options).open(*(channels or (1,)))
 
-    def publisher(self, **more: Any) -> Peer:
+    def publisher(self, **options: Any) -> Peer:
         """A peer that confirms and listens for direct replies."""
-        peer = self.peer(**more)
+        peer = self.peer(**options)
         peer.send(c.Confirm.Select())
         peer.send(c.Basic.Consume(queue="amq.rabbitmq.reply-to", consumer_tag="replies", no_ack=True))
-        self.settle()
+        self.run_until_idle()
         return peer
 
-    def ask(self, peer: Peer, id: str, key: str = "reminder", **more: Any) -> None:
-        given = {"reply_to": "amq.rabbitmq.reply-to", "message_id": id, "correlation_id": "c-" + id}
-        peer.publish(key, b"body of " + id.encode(), **(given | more))
+    def publish_request(self, peer: Peer, id: str, key: str = "reminder", **options: Any) -> None:
+        properties = {"reply_to": "amq.rabbitmq.reply-to", "message_id": id, "correlation_id": "c-" + id}
+        peer.publish(key, b"body of " + id.encode(), **(properties | options))
 
-    def submit(self, id: str, job_class: str = "reminder", budget: float = 9000.0) -> Caller:
+    def submit(self, id: str, job_class: str = "reminder", budget: float = 9000.0) -> RecordingCaller:
         """A request of another front."""
         from bitternpath.balancer.core.requests import RequestPayload
 
-        caller = Caller()
+        caller = RecordingCaller()
         headers = {
             b"x-call-class": job_class.encode(),
             b"x-route-hash": b"7f",
@@ -420,6 +432,6 @@
         self.broker.submit(AcceptedRequest(id, job_class, self.now() + budget, caller, work))
         return caller
 
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Nobody waits for anything any more."""
         return not self.broker.in_progress and not self.broker.unanswered and not self.publishers.waiting
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -6,31 +6,31 @@
 from typing import Any
 
 import pytest
-from amqp_rig import AmqpRig, Got, Peer, c, works
+from amqp_rig import AmqpRig, Peer, ReceivedMessage, c, run_jobs
 from pamqp import frame
 
 from bitternpath.balancer import messages as m
 
 
 def rig_with(
-    how: str = "ack", subscribers: int = 1, **settings: Any
+    action: str = "ack", subscribers: int = 1, **settings: Any
 ) -> tuple[AmqpRig, Peer, list[Peer], Counter[str]]:
-    rig, ledger = AmqpRig(**settings), Counter[str]()
+    rig, run_counts = AmqpRig(**settings), Counter[str]()
     workers = []
     for _ in range(subscribers):
         peer = rig.peer()
-        works(peer, ledger, how)
+        run_jobs(peer, run_counts, action)
         peer.subscribe("reminder")
         peer.subscribe("lookup", tag="l")
         workers.append(peer)
-    return rig, rig.publisher(), workers, ledger
+    return rig, rig.publisher(), workers, run_counts
 
 
 # ---- the ways an attempt may end
 
 
 @pytest.mark.parametrize(
-    ("how", "key", "outcome", "confirm"),
+    ("action", "key", "outcome", "confirm"),
     [
         ("ack", "reminder", ("served", "c-a", b"ran"), "ack"),
         ("ack", "lookup", ("served", "c-a", b"ran"), "ack"),
@@ -38,44 +38,46 @@
         ("requeue", "reminder", ("failed", "c-a", b""), "nack"),
     ],
 )
-def test_both_answers_say_the_same_once(how: str, key: str, outcome: tuple[Any, ...], confirm: str) -> None:
-    rig, publisher, _, ledger = rig_with(how)
-    rig.ask(publisher, "a", key)
-    rig.settle()
+def test_both_answers_say_the_same_once(
+    action: str, key: str, outcome: tuple[Any, ...], confirm: str
+) -> None:
+    rig, publisher, _, run_counts = rig_with(action)
+    rig.publish_request(publisher, "a", key)
+    rig.run_until_idle()
     assert publisher.answers() == [outcome] and publisher.confirms() == [(confirm, 1)]
-    assert ledger == {"a": 1} and rig.at_rest()
+    assert run_counts == {"a": 1} and rig.is_idle()
     reply = publisher.all(c.Basic.Deliver)[0]
     assert reply.properties.message_id == "a" and reply.method.consumer_tag == "replies"
 
 
 def test_an_ack_without_a_result_is_served_with_nothing() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
-    rig.ask(publisher, "a")
-    rig.settle()
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
-    rig.settle()
+    rig.run_until_idle()
     assert publisher.answers() == [("served", "c-a", b"")]
 
 
 @pytest.mark.parametrize("key", ["reminder", "lookup"])
 def test_a_requeue_proves_nothing_ran_only_where_operators_say_so(key: str) -> None:
-    rig, publisher, _, ledger = rig_with("requeue", 2, requeue_unstarted=["reminder"])
-    rig.ask(publisher, "a", key)
-    rig.pass_time(9000)
+    rig, publisher, _, run_counts = rig_with("requeue", 2, requeue_unstarted=["reminder"])
+    rig.publish_request(publisher, "a", key)
+    rig.advance(9000)
     # The first: tried elsewhere and at last refused, for it never ran. The second: a safe class may go again.
-    assert sum(ledger.values()) >= 2
-    assert publisher.answers()[0][0] == "refused" and rig.at_rest()
-    told = publisher.all(c.Basic.Deliver)[0].properties.headers
-    assert 0 < told["x-retry-after-ms"] <= 2000
-    again = [d.method.redelivered for w in rig.peers for d in w.deliveries()]
-    assert again.count(False) == (len(again) if key == "reminder" else 1)
+    assert sum(run_counts.values()) >= 2
+    assert publisher.answers()[0][0] == "refused" and rig.is_idle()
+    headers = publisher.all(c.Basic.Deliver)[0].properties.headers
+    assert 0 < headers["x-retry-after-ms"] <= 2000
+    redelivered = [d.method.redelivered for w in rig.peers for d in w.deliveries()]
+    assert redelivered.count(False) == (len(redelivered) if key == "reminder" else 1)
 
 
 def test_a_refusal_comes_from_the_module_at_once_with_its_retry_after() -> None:
     rig = AmqpRig()
     publisher = rig.publisher()
-    rig.ask(publisher, "a", expiration="20")  # nobody serves it, and there is next to no time
-    rig.pass_time(20)
+    rig.publish_request(publisher, "a", expiration="20")  # nobody serves it, and there is next to no time
+    rig.advance(20)
     (
         outcome,
         *_,
@@ -85,27 +87,27 @@
 
 
 def test_an_answer_comes_before_the_deadline_where_a_subscriber_is_silent() -> None:
-    rig, publisher, (worker,), ledger = rig_with("silent")
-    rig.ask(publisher, "a", expiration="1000")
-    rig.pass_time(980)
-    assert publisher.answers() == [] and ledger["a"] == 1
-    rig.pass_time(20)
+    rig, publisher, (worker,), run_counts = rig_with("silent")
+    rig.publish_request(publisher, "a", expiration="1000")
+    rig.advance(980)
+    assert publisher.answers() == [] and run_counts["a"] == 1
+    rig.advance(20)
     assert publisher.answers() == [("failed", "c-a", b"")] and publisher.confirms() == [("nack", 1)]
     # An ack after the time limit is legal and changes nothing; its place is free again.
     (subscriber,) = [s for s in rig.subscribers.by_endpoint.values() if s.job_class == "reminder"]
-    assert subscriber.out == 1
+    assert subscriber.unacked_count == 1
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
-    rig.settle()
-    assert subscriber.out == 0 and rig.subscribers.counts["late_acks"] == 1
-    assert len(publisher.answers()) == 1 and worker.wire.up and not worker.methods(c.Channel.Close)
+    rig.run_until_idle()
+    assert subscriber.unacked_count == 0 and rig.subscribers.counts["late_acks"] == 1
+    assert len(publisher.answers()) == 1 and worker.wire.connected and not worker.methods(c.Channel.Close)
 
 
 def test_of_two_subscribers_one_silent_the_other_serves_what_is_safe() -> None:
-    rig, publisher, (silent, good), ledger = rig_with("ack", 2)
-    works(silent, ledger, "silent")
+    rig, publisher, (silent, good), run_counts = rig_with("ack", 2)
+    run_jobs(silent, run_counts, "silent")
     for k in range(30):
-        rig.ask(publisher, f"a{k}", "lookup")
-        rig.pass_time(50)
+        rig.publish_request(publisher, f"a{k}", "lookup")
+        rig.advance(50)
     outcomes = Counter(outcome for outcome, *_ in publisher.answers())
     assert outcomes["served"] >= 26  # the silent one holds no more than its four places
     assert len(silent.deliveries()) <= 4 and len(good.deliveries()) >= 26
@@ -115,116 +117,116 @@
 
 
 def test_a_reminder_delivered_but_not_acknowledged_does_not_run_again() -> None:
-    rig, publisher, (first, second), ledger = rig_with("hold", 2)
-    rig.ask(publisher, "a")
-    rig.settle()
+    rig, publisher, (first, second), run_counts = rig_with("hold", 2)
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     holder = next(w for w in (first, second) if w.deliveries())
-    holder.wire.cut(ConnectionError())
-    rig.pass_time(9000)
-    assert ledger == {"a": 1} and publisher.answers() == [("failed", "c-a", b"")]
-    assert publisher.confirms() == [("nack", 1)] and rig.at_rest()
+    holder.wire.disconnect(ConnectionError())
+    rig.advance(9000)
+    assert run_counts == {"a": 1} and publisher.answers() == [("failed", "c-a", b"")]
+    assert publisher.confirms() == [("nack", 1)] and rig.is_idle()
 
 
 def test_a_lookup_goes_elsewhere_and_says_redelivered() -> None:
-    rig, publisher, workers, ledger = rig_with("hold", 2)
-    rig.ask(publisher, "a", "lookup")
-    rig.settle()
+    rig, publisher, workers, run_counts = rig_with("hold", 2)
+    rig.publish_request(publisher, "a", "lookup")
+    rig.run_until_idle()
     holder, other = sorted(workers, key=lambda w: -len(w.deliveries()))
-    works(other, ledger)
-    holder.wire.cut(ConnectionError())
-    rig.pass_time(500)
-    assert ledger == {"a": 2} and publisher.answers() == [("served", "c-a", b"ran")]
+    run_jobs(other, run_counts)
+    holder.wire.disconnect(ConnectionError())
+    rig.advance(500)
+    assert run_counts == {"a": 2} and publisher.answers() == [("served", "c-a", b"ran")]
     assert not holder.deliveries()[0].method.redelivered and other.deliveries()[0].method.redelivered
 
 
-@pytest.mark.parametrize("lose", ["connection", "channel", "heartbeats"])
-def test_a_result_published_before_the_loss_is_served(lose: str) -> None:
-    rig, publisher, (worker,), ledger = rig_with("result", heartbeat=2)
-    rig.ask(publisher, "a")
-    rig.settle()
+@pytest.mark.parametrize("loss", ["connection", "channel", "heartbeats"])
+def test_a_result_published_before_the_loss_is_served(loss: str) -> None:
+    rig, publisher, (worker,), run_counts = rig_with("result", heartbeat=2)
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     assert publisher.answers() == []
-    if lose == "connection":
-        worker.wire.cut(ConnectionError())
-    elif lose == "channel":
+    if loss == "connection":
+        worker.wire.disconnect(ConnectionError())
+    elif loss == "channel":
         worker.send(c.Channel.Close(200, "bye", 0, 0))
-    rig.pass_time(5000 if lose == "heartbeats" else 0)
-    rig.settle()
-    if lose != "heartbeats":
+    rig.advance(5000 if loss == "heartbeats" else 0)
+    rig.run_until_idle()
+    if loss != "heartbeats":
         assert publisher.answers() == [("served", "c-a", b"ran")] and publisher.confirms() == [("ack", 1)]
-    assert rig.at_rest() and ledger == {"a": 1}
+    assert rig.is_idle() and run_counts == {"a": 1}
 
 
 def test_heartbeats_that_stop_while_a_job_runs_lose_the_connection() -> None:
     rig = AmqpRig(heartbeat=2)
-    ledger = Counter[str]()
+    run_counts = Counter[str]()
     worker = rig.peer()
-    works(worker, ledger, "hold")
+    run_jobs(worker, run_counts, "hold")
     worker.subscribe("reminder")
     caller = rig.submit("a")
-    rig.pass_time(3500)
-    assert worker.beats >= 3 and caller.answers == [] and worker.wire.up
-    rig.pass_time(1000)  # two intervals without a byte from it
-    assert not worker.wire.up and caller.answers == [("failed",)] and ledger == {"a": 1}
+    rig.advance(3500)
+    assert worker.heartbeats >= 3 and caller.answers == [] and worker.wire.connected
+    rig.advance(1000)  # two intervals without a byte from it
+    assert not worker.wire.connected and caller.answers == [("failed",)] and run_counts == {"a": 1}
 
 
 def test_what_never_left_the_node_never_ran() -> None:
     # Guards: a delivery that waits behind a stalled socket goes elsewhere when the connection breaks.
-    rig, publisher, workers, ledger = rig_with("hold", 2)
+    rig, publisher, workers, run_counts = rig_with("hold", 2)
     for worker in workers:
         worker.wire.stalled = True  # its window is full
-    rig.ask(publisher, "a")
-    rig.settle()
-    held = [w for w in workers if w.wire.pending]
-    assert len(held) == 1 and ledger == {}
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
+    with_pending_data = [w for w in workers if w.wire.pending]
+    assert len(with_pending_data) == 1 and run_counts == {}
     # The first piece was handed to the system; what waits behind it was not.
-    rig.ask(publisher, "b")
-    rig.ask(publisher, "d")
-    rig.settle()
+    rig.publish_request(publisher, "b")
+    rig.publish_request(publisher, "d")
+    rig.run_until_idle()
     for worker in workers:
-        works(worker, ledger)
+        run_jobs(worker, run_counts)
     waiting = {
         u.call.id
         for w in workers
         for u in w.wire.protocol.session.channels[1].unacked.values()
-        if not u.entry.handed  # type: ignore[attr-defined]
+        if not u.entry.submitted  # type: ignore[attr-defined]
     }
     assert waiting  # of three, at most two were the first of their wires
-    stuck, other = workers
+    stalled, other = workers
     other.wire.stalled = False
-    stuck.wire.cut(ConnectionError())
-    rig.pass_time(9000)
+    stalled.wire.disconnect(ConnectionError())
+    rig.advance(9000)
     outcomes = {id[2:]: outcome for outcome, id, _ in publisher.answers()}
-    assert len(outcomes) == 3 and all(ledger[id] <= 1 for id in "abd")
+    assert len(outcomes) == 3 and all(run_counts[id] <= 1 for id in "abd")
     assert all(outcomes[id] == "served" for id in waiting)
 
 
 def test_prefetch_lowered_with_deliveries_out_holds_at_once() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
     for k in range(3):
-        rig.ask(publisher, f"a{k}")
-    rig.settle()
+        rig.publish_request(publisher, f"a{k}")
+    rig.run_until_idle()
     assert len(worker.deliveries()) == 3
     worker.send(c.Basic.Qos(0, 2, True))
-    rig.settle()
-    rig.ask(publisher, "b")
-    rig.pass_time(100)
+    rig.run_until_idle()
+    rig.publish_request(publisher, "b")
+    rig.advance(100)
     assert len(worker.deliveries()) == 3
-    for got in worker.deliveries()[:2]:
-        worker.send(c.Basic.Ack(got.method.delivery_tag))
-    rig.pass_time(200)
-    assert [got.properties.message_id for got in worker.deliveries()] == ["a0", "a1", "a2", "b"]
+    for message in worker.deliveries()[:2]:
+        worker.send(c.Basic.Ack(message.method.delivery_tag))
+    rig.advance(200)
+    assert [message.properties.message_id for message in worker.deliveries()] == ["a0", "a1", "a2", "b"]
 
 
 def test_channel_flow_holds_deliveries_until_it_is_lifted() -> None:
     rig, publisher, (worker,), _ = rig_with("ack")
     worker.send(c.Channel.Flow(False))
-    rig.settle()
+    rig.run_until_idle()
     assert [ok.active for ok in worker.methods(c.Channel.FlowOk)] == [False]
-    rig.ask(publisher, "a")
-    rig.pass_time(100)
+    rig.publish_request(publisher, "a")
+    rig.advance(100)
     assert worker.deliveries() == []
     worker.send(c.Channel.Flow(True))
-    rig.pass_time(1000)
+    rig.advance(1000)
     assert publisher.answers() == [("served", "c-a", b"ran")]
 
 
@@ -233,89 +235,89 @@
 
 def test_cancel_drains_and_what_is_out_may_still_be_acknowledged() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
-    rig.ask(publisher, "a")
-    rig.settle()
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     worker.send(c.Basic.Cancel("t"))
-    rig.settle()
-    rig.ask(publisher, "b", expiration="300")
-    rig.pass_time(300)
+    rig.run_until_idle()
+    rig.publish_request(publisher, "b", expiration="300")
+    rig.advance(300)
     assert len(worker.deliveries()) == 1 and worker.methods(c.Basic.CancelOk)
     assert publisher.answers() == [("refused", "c-b", b"")]
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
-    rig.settle()
+    rig.run_until_idle()
     assert publisher.answers()[1] == ("served", "c-a", b"")
     assert [s.job_class for s in rig.subscribers.by_endpoint.values()] == ["lookup"]
 
 
-@pytest.mark.parametrize("hears", [True, False])
-def test_when_the_node_ends_subscribers_are_cancelled_and_all_is_answered(hears: bool) -> None:
+@pytest.mark.parametrize("supports_cancel", [True, False])
+def test_when_the_node_ends_subscribers_are_cancelled_and_all_is_answered(supports_cancel: bool) -> None:
     rig = AmqpRig()
-    ledger = Counter[str]()
-    worker = rig.peer(capabilities=None if hears else {})
-    works(worker, ledger, "hold")
+    run_counts = Counter[str]()
+    worker = rig.peer(capabilities=None if supports_cancel else {})
+    run_jobs(worker, run_counts, "hold")
     worker.subscribe("reminder")
     publisher = rig.publisher()
-    rig.ask(publisher, "a")
-    rig.settle()
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     rig.server.stop()
-    rig.settle()
-    assert [x.consumer_tag for x in worker.methods(c.Basic.Cancel)] == (["t"] if hears else [])
-    rig.ask(publisher, "late")  # refused at once: it was not taken
-    rig.settle()
+    rig.run_until_idle()
+    assert [x.consumer_tag for x in worker.methods(c.Basic.Cancel)] == (["t"] if supports_cancel else [])
+    rig.publish_request(publisher, "late")  # refused at once: it was not taken
+    rig.run_until_idle()
     assert publisher.answers() == [("refused", "c-late", b"")]
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
-    rig.settle()
-    assert publisher.answers()[1] == ("served", "c-a", b"") and rig.at_rest()
+    rig.run_until_idle()
+    assert publisher.answers()[1] == ("served", "c-a", b"") and rig.is_idle()
     rig.server.close()
-    rig.settle()
+    rig.run_until_idle()
     for peer in (worker, publisher):
-        assert [x.reply_code for x in peer.methods(c.Connection.Close)] == [320] and not peer.wire.up
+        assert [x.reply_code for x in peer.methods(c.Connection.Close)] == [320] and not peer.wire.connected
 
 
 def test_a_channel_that_closes_while_the_node_drains_costs_one_answer() -> None:
-    rig, publisher, (worker,), ledger = rig_with("hold")
-    rig.ask(publisher, "a")
-    rig.ask(publisher, "b", "lookup")
-    rig.settle()
+    rig, publisher, (worker,), run_counts = rig_with("hold")
+    rig.publish_request(publisher, "a")
+    rig.publish_request(publisher, "b", "lookup")
+    rig.run_until_idle()
     rig.server.stop()
-    rig.settle()
+    rig.run_until_idle()
     worker.send(c.Channel.Close(200, "bye", 0, 0))
-    rig.pass_time(9000)
-    assert ledger == {"a": 1, "b": 1} and rig.at_rest()
+    rig.advance(9000)
+    assert run_counts == {"a": 1, "b": 1} and rig.is_idle()
     assert {id: outcome for outcome, id, _ in publisher.answers()}["c-a"] == "failed"
     assert len(publisher.answers()) == 2 and sorted(publisher.confirms()) == [("nack", 1), ("nack", 2)]
 
 
 def test_work_that_was_taken_and_not_sent_still_goes_out_while_the_node_drains() -> None:
-    rig, publisher, (worker,), ledger = rig_with("hold")
+    rig, publisher, (worker,), run_counts = rig_with("hold")
     for k in range(5):  # one more than there are places
-        rig.ask(publisher, f"a{k}")
-    rig.settle()
+        rig.publish_request(publisher, f"a{k}")
+    rig.run_until_idle()
     rig.server.stop()
-    rig.settle()
+    rig.run_until_idle()
     assert not worker.methods(c.Basic.Cancel)
-    works(worker, ledger)
-    for got in worker.deliveries()[:4]:
-        worker.send(c.Basic.Ack(got.method.delivery_tag))
-    rig.pass_time(500)
+    run_jobs(worker, run_counts)
+    for message in worker.deliveries()[:4]:
+        worker.send(c.Basic.Ack(message.method.delivery_tag))
+    rig.advance(500)
     assert Counter(outcome for outcome, *_ in publisher.answers()) == {"served": 5}
     assert len(worker.methods(c.Basic.Cancel)) == 2
 
 
-@pytest.mark.parametrize("how", ["close", "error", "cut", "hard"])
-def test_a_subscriber_whose_channel_is_gone_is_no_endpoint_any_more(how: str) -> None:
+@pytest.mark.parametrize("action", ["close", "error", "cut", "hard"])
+def test_a_subscriber_whose_channel_is_gone_is_no_endpoint_any_more(action: str) -> None:
     # Guards: the module would go on sending to a consumer that nobody can reach.
     rig, _, (worker,), _ = rig_with("hold")
     assert len([p for p in rig.registry.endpoints.values() if p.source == "amqp"]) == 2
-    if how == "close":
+    if action == "close":
         worker.send(c.Channel.Close(200, "", 0, 0))
-    elif how == "error":
+    elif action == "error":
         worker.send(c.Basic.Get(queue="nowhere"))
-    elif how == "hard":
+    elif action == "hard":
         worker.send(c.Tx.Select())
     else:
-        worker.wire.cut(ConnectionError())
-    rig.settle()
+        worker.wire.disconnect(ConnectionError())
+    rig.run_until_idle()
     assert not rig.registry.endpoints and not rig.module.workers and not rig.subscribers.by_endpoint
 
 
@@ -324,50 +326,53 @@
 
 def test_what_one_peer_sends_at_once_is_looked_at_in_turns() -> None:
     # Guards: a peer's thousand messages that came in one piece would hold up all other sockets.
-    from bitternpath.balancer.amqp.server import TURN
+    from bitternpath.balancer.amqp.server import EVENTS_PER_TURN
 
     rig = AmqpRig()
     busy = rig.publisher()
-    data = b"".join(frame.marshal(c.Basic.Qos(0, k, False), 1) for k in range(10 * TURN))
+    data = b"".join(frame.marshal(c.Basic.Qos(0, k, False), 1) for k in range(10 * EVENTS_PER_TURN))
     busy.wire.protocol.dataReceived(data)
     channel = busy.wire.protocol.session.channels[1]
-    assert channel.prefetch == TURN - 1
-    rig.settle()
-    assert channel.prefetch == 10 * TURN - 1 and len(busy.methods(c.Basic.QosOk)) == 10 * TURN
+    assert channel.prefetch == EVENTS_PER_TURN - 1
+    rig.run_until_idle()
+    assert (
+        channel.prefetch == 10 * EVENTS_PER_TURN - 1
+        and len(busy.methods(c.Basic.QosOk)) == 10 * EVENTS_PER_TURN
+    )
 
 
 def test_a_publisher_that_goes_away_has_handed_its_work_over() -> None:
-    rig, publisher, (worker,), ledger = rig_with("hold")
-    rig.ask(publisher, "a")
-    rig.settle()
-    publisher.wire.cut(ConnectionError())
-    rig.settle()
-    works(worker, ledger)
+    rig, publisher, (worker,), run_counts = rig_with("hold")
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
+    publisher.wire.disconnect(ConnectionError())
+    rig.run_until_idle()
+    run_jobs(worker, run_counts)
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
-    rig.settle()
+    rig.run_until_idle()
     assert (
-        rig.broker.counts["served"] == 1 and rig.publishers.counts["answers_dropped"] == 1 and rig.at_rest()
+        rig.broker.counts["served"] == 1 and rig.publishers.counts["answers_dropped"] == 1 and rig.is_idle()
     )
 
 
 def test_the_same_message_id_from_two_publishers_is_refused_to_the_second() -> None:
-    rig, one, (worker,), ledger = rig_with("hold")
-    two = rig.publisher()
-    rig.ask(one, "a")
-    rig.settle()
-    rig.ask(two, "a")
-    rig.settle()
-    assert two.answers() == [("refused", "c-a", b"")] and two.confirms() == [("nack", 1)]
-    told = two.all(c.Basic.Deliver)[0].properties.headers
-    assert told["x-reason"] == "message-id in use" and told["x-retry-after-ms"] == 10_000
-    assert ledger == {"a": 1} and one.answers() == []
+    rig, first, (worker,), run_counts = rig_with("hold")
+    second = rig.publisher()
+    rig.publish_request(first, "a")
+    rig.run_until_idle()
+    rig.publish_request(second, "a")
+    rig.run_until_idle()
+    assert second.answers() == [("refused", "c-a", b"")] and second.confirms() == [("nack", 1)]
+    headers = second.all(c.Basic.Deliver)[0].properties.headers
+    assert headers["x-reason"] == "message-id in use" and headers["x-retry-after-ms"] == 10_000
+    assert run_counts == {"a": 1} and first.answers() == []
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
-    rig.settle()
-    assert one.answers() == [("served", "c-a", b"")] and len(two.answers()) == 1
+    rig.run_until_idle()
+    assert first.answers() == [("served", "c-a", b"")] and len(second.answers()) == 1
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid",
     [
         {"message_id": "é"},
         {"message_id": "x" * 201},
@@ -378,11 +383,11 @@
         {"content_type": "é"},
     ],
 )
-def test_what_cannot_become_an_request_fails_and_says_why(wrong: dict[str, Any]) -> None:
+def test_what_cannot_become_an_request_fails_and_says_why(invalid: dict[str, Any]) -> None:
     rig, publisher, (worker,), _ = rig_with()
-    rig.ask(publisher, "a", **wrong)
-    rig.ask(publisher, "b")
-    rig.settle()
+    rig.publish_request(publisher, "a", **invalid)
+    rig.publish_request(publisher, "b")
+    rig.run_until_idle()
     assert [outcome for outcome, *_ in publisher.answers()] == ["failed", "served"]
     assert "allowed" in publisher.all(c.Basic.Deliver)[0].properties.headers["x-reason"]
     assert len(worker.deliveries()) == 1
@@ -393,52 +398,54 @@
     publisher = rig.publisher()
     publisher.publish("nowhere", b"x", mandatory=True)
     publisher.publish("nowhere", b"x")
-    rig.settle()
-    (back,) = publisher.all(c.Basic.Return)
-    assert (back.method.reply_code, back.method.routing_key, back.body) == (312, "nowhere", b"x")
+    rig.run_until_idle()
+    (returned,) = publisher.all(c.Basic.Return)
+    assert (returned.method.reply_code, returned.method.routing_key, returned.body) == (312, "nowhere", b"x")
     assert publisher.confirms() == [("ack", 1), ("ack", 2)]
     kinds = [
-        type(got.method) for got in publisher.got if isinstance(got.method, c.Basic.Return | c.Basic.Ack)
+        type(message.method)
+        for message in publisher.received
+        if isinstance(message.method, c.Basic.Return | c.Basic.Ack)
     ]
     assert kinds[0] is c.Basic.Return  # the return comes before its confirm
 
 
 def test_a_flood_of_one_publisher_leaves_the_others_their_turn() -> None:
     rig = AmqpRig(publisher_waiting=50, max_waiting=1000)
-    ledger = Counter[str]()
+    run_counts = Counter[str]()
     worker = rig.peer()
-    works(worker, ledger, "hold")
+    run_jobs(worker, run_counts, "hold")
     worker.subscribe("reminder", prefetch=2)
     flood, other = rig.publisher(), rig.publisher()
     for k in range(500):
-        rig.ask(flood, f"f{k}")
-    rig.ask(other, "one")
-    rig.settle()
+        rig.publish_request(flood, f"f{k}")
+    rig.publish_request(other, "one")
+    rig.run_until_idle()
     assert flood.wire.protocol.session.waiting == 50 and flood.wire.paused  # read no further
     assert rig.broker.has_seen("one") and not other.wire.paused
-    works(worker, ledger)
-    for got in worker.deliveries():
-        worker.send(c.Basic.Ack(got.method.delivery_tag))
-    rig.pass_time(3000)
+    run_jobs(worker, run_counts)
+    for message in worker.deliveries():
+        worker.send(c.Basic.Ack(message.method.delivery_tag))
+    rig.advance(3000)
     assert Counter(outcome for outcome, *_ in flood.answers()) == {"served": 500}
-    assert [outcome for outcome, *_ in other.answers()] == ["served"] and rig.at_rest()
+    assert [outcome for outcome, *_ in other.answers()] == ["served"] and rig.is_idle()
 
 
 def test_while_the_core_is_full_publishers_are_blocked_and_told_so() -> None:
     rig = AmqpRig(publisher_waiting=1000, max_waiting=10)
-    ledger = Counter[str]()
+    run_counts = Counter[str]()
     worker = rig.peer()
-    works(worker, ledger, "hold")
+    run_jobs(worker, run_counts, "hold")
     worker.subscribe("reminder", prefetch=2)
     flood = rig.publisher()
     for k in range(40):
-        rig.ask(flood, f"f{k}")
-    rig.settle()
+        rig.publish_request(flood, f"f{k}")
+    rig.run_until_idle()
     assert rig.publishers.waiting == 10 and len(flood.methods(c.Connection.Blocked)) == 1
-    works(worker, ledger)
-    for got in worker.deliveries():
-        worker.send(c.Basic.Ack(got.method.delivery_tag))
-    rig.pass_time(1000)
+    run_jobs(worker, run_counts)
+    for message in worker.deliveries():
+        worker.send(c.Basic.Ack(message.method.delivery_tag))
+    rig.advance(1000)
     assert flood.methods(c.Connection.Unblocked) and not flood.wire.paused
     assert Counter(outcome for outcome, *_ in flood.answers()) == {"served": 40}
 
@@ -449,15 +456,15 @@
     both = rig.publisher()
     both.subscribe("reminder")
     for k in range(10):
-        rig.ask(both, f"a{k}")
-    rig.settle()
+        rig.publish_request(both, f"a{k}")
+    rig.run_until_idle()
     assert not both.wire.paused
     assert Counter(outcome for outcome, *_ in both.answers()) == {"refused": 6}
-    works(both, Counter())
-    for got in both.deliveries():
-        both.send(c.Basic.Ack(got.method.delivery_tag))
-    rig.settle()
-    assert Counter(outcome for outcome, *_ in both.answers()) == {"refused": 6, "served": 4} and rig.at_rest()
+    run_jobs(both, Counter())
+    for message in both.deliveries():
+        both.send(c.Basic.Ack(message.method.delivery_tag))
+    rig.run_until_idle()
+    assert Counter(outcome for outcome, *_ in both.answers()) == {"refused": 6, "served": 4} and rig.is_idle()
 
 
 # ---- both protocols
@@ -466,29 +473,33 @@
 def test_an_http_request_runs_at_an_amqp_subscriber() -> None:
     rig = AmqpRig()
     worker = rig.peer()
-    works(worker, Counter())
+    run_jobs(worker, Counter())
     worker.subscribe("reminder")
     caller = rig.submit("h1")
-    rig.settle()
-    (got,) = worker.deliveries()
-    told = got.properties
-    assert caller.answers == [("served", b"ran")] and got.body == b"by http"
-    assert (told.message_id, told.correlation_id, told.content_type) == ("h1", "h1", "text/plain")
-    assert told.headers == {"x-route-hash": "7f", "x-target": "/reminder/x?y=1"}
-    assert got.method.routing_key == "reminder" and 8000 < int(told.expiration) < 9000
+    rig.run_until_idle()
+    (message,) = worker.deliveries()
+    properties = message.properties
+    assert caller.answers == [("served", b"ran")] and message.body == b"by http"
+    assert (properties.message_id, properties.correlation_id, properties.content_type) == (
+        "h1",
+        "h1",
+        "text/plain",
+    )
+    assert properties.headers == {"x-route-hash": "7f", "x-target": "/reminder/x?y=1"}
+    assert message.method.routing_key == "reminder" and 8000 < int(properties.expiration) < 9000
 
 
 def test_an_http_request_at_a_subscriber_whose_channel_dies_fails_once() -> None:
     rig = AmqpRig()
     worker = rig.peer()
-    works(worker, ledger := Counter[str](), "hold")
+    run_jobs(worker, run_counts := Counter[str](), "hold")
     worker.subscribe("reminder")
     caller = rig.submit("h1")
-    rig.settle()
+    rig.run_until_idle()
     worker.publish("lookup", exchange="nowhere")  # a soft error
-    rig.pass_time(9000)
+    rig.advance(9000)
     assert [x.reply_code for x in worker.methods(c.Channel.Close)] == [404]
-    assert caller.answers == [("failed",)] and ledger == {"h1": 1} and rig.at_rest()
+    assert caller.answers == [("failed",)] and run_counts == {"h1": 1} and rig.is_idle()
 
 
 def test_an_amqp_request_runs_at_an_http_endpoint() -> None:
@@ -500,8 +511,8 @@
         "x-call-info": "work=3.5,slots=2",
         "x-target": "/lookup/q?a=1",
     }
-    rig.ask(publisher, "a", "lookup", expiration="700", headers=headers, content_type="text/html")
-    rig.settle()
+    rig.publish_request(publisher, "a", "lookup", expiration="700", headers=headers, content_type="text/html")
+    rig.run_until_idle()
     (call,) = rig.http.calls
     request, work = call.request, call.request.payload
     assert (work.method, work.target, work.body) == (b"POST", b"/lookup/q?a=1", b"body of a")
@@ -512,23 +523,23 @@
     assert (request.key, request.hint, request.slots, request.repeat) == (0x7F, 3.5, 2.0, True)
     assert 600 < request.deadline - rig.now() <= 700
     rig.broker.call_ended(call, m.AttemptOutcome.OK, b"by http")
-    rig.settle()
+    rig.run_until_idle()
     assert publisher.answers() == [("served", "c-a", b"by http")] and publisher.confirms() == [("ack", 1)]
 
 
 def test_what_a_publisher_adds_reaches_subscribers_unchanged() -> None:
     rig, publisher, (worker,), _ = rig_with()
-    more: dict[str, Any] = {
+    extra: dict[str, Any] = {
         "content_encoding": "gzip",
         "app_id": "app",
         "message_type": "kind",
         "priority": 3,
     }
-    rig.ask(publisher, "a", headers={"own": {"deep": [1, "x", True]}, "x-again": "1"}, **more)
-    rig.settle()
-    told = worker.deliveries()[0].properties
-    assert told.headers == {"own": {"deep": [1, "x", True]}, "x-again": "1"}
-    assert {key: getattr(told, key) for key in more} == more
+    rig.publish_request(publisher, "a", headers={"own": {"deep": [1, "x", True]}, "x-again": "1"}, **extra)
+    rig.run_until_idle()
+    properties = worker.deliveries()[0].properties
+    assert properties.headers == {"own": {"deep": [1, "x", True]}, "x-again": "1"}
+    assert {key: getattr(properties, key) for key in extra} == extra
 
 
 def test_a_whole_list_of_discovery_leaves_subscribers_alone() -> None:
@@ -539,17 +550,17 @@
     row = Endpoint("s9", "h:9", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0)
     rig.registry.apply(Listing(7, True, (row,)))
     rig.registry.apply(Listing(8, True, ()))
-    rig.settle()
-    rig.ask(publisher, "a")
-    rig.settle()
+    rig.run_until_idle()
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     assert publisher.answers() == [("served", "c-a", b"ran")]
     # An endpoint of discovery's that bears the name of a subscriber does not take its place.
     name = next(iter(rig.subscribers.by_endpoint))
     rig.registry.apply(
         Listing(9, True, (Endpoint(name, "h:9", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
     )
-    found = rig.registry.serving(name)
-    assert found is not None and found.protocol == "amqp"
+    endpoint = rig.registry.serving(name)
+    assert endpoint is not None and endpoint.protocol == "amqp"
 
 
 def test_call_backs_over_http_say_nothing_of_calls_at_subscribers() -> None:
@@ -557,26 +568,26 @@
     from bitternpath.balancer.core.requests import CallReport, CallState
 
     rig, publisher, _, _ = rig_with("hold")
-    rig.ask(publisher, "a")
-    rig.settle()
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
     for endpoint in list(rig.subscribers.by_endpoint):
         rig.broker.call_reported(CallReport("a", endpoint, CallState.RETURNED, None, b""))
         rig.broker.call_reported(CallReport("a", endpoint, CallState.DONE, None, b"forged"))
-    rig.settle()
+    rig.run_until_idle()
     assert publisher.answers() == []
 
 
 def test_a_subscriber_serves_its_class_only() -> None:
     rig = AmqpRig()
     worker = rig.peer()
-    works(worker, Counter())
+    run_jobs(worker, Counter())
     worker.subscribe(
         "reminder", **{"x-site": "suva", "x-kind": "standard", "x-size": 2.0, "x-up-since-ms": 0}
     )
     publisher = rig.publisher()
-    rig.ask(publisher, "a", "lookup", expiration="200")
-    rig.ask(publisher, "b", "reminder", expiration="200")
-    rig.pass_time(200)
+    rig.publish_request(publisher, "a", "lookup", expiration="200")
+    rig.publish_request(publisher, "b", "reminder", expiration="200")
+    rig.advance(200)
     assert {id: outcome for outcome, id, _ in publisher.answers()} == {
         "c-a": "refused",
         "c-b": "served",
@@ -587,46 +598,46 @@
 
 def test_a_result_counts_once_for_its_own_delivery_only() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
-    rig.ask(publisher, "a")
-    rig.settle()
-    (got,) = worker.deliveries()
-    to = got.properties.reply_to
+    rig.publish_request(publisher, "a")
+    rig.run_until_idle()
+    (message,) = worker.deliveries()
+    reply_to = message.properties.reply_to
     worker.publish("amq.result.00", b"guessed", correlation_id="a")
-    worker.publish(to, b"for another", correlation_id="zzz")
-    worker.publish(to, b"first", correlation_id="a")
-    worker.publish(to, b"second", correlation_id="a")
-    worker.send(c.Basic.Ack(got.method.delivery_tag))
-    worker.publish(to, b"late", correlation_id="a")
-    rig.settle()
+    worker.publish(reply_to, b"for another", correlation_id="zzz")
+    worker.publish(reply_to, b"first", correlation_id="a")
+    worker.publish(reply_to, b"second", correlation_id="a")
+    worker.send(c.Basic.Ack(message.method.delivery_tag))
+    worker.publish(reply_to, b"late", correlation_id="a")
+    rig.run_until_idle()
     assert (
         publisher.answers() == [("served", "c-a", b"first")]
         and rig.subscribers.counts["results_dropped"] == 4
     )
-    assert worker.wire.protocol.session.results_held == 0
+    assert worker.wire.protocol.session.pending_result_bytes == 0
 
 
 def test_private_queues_carry_answers_too() -> None:
     rig, _, _, _ = rig_with()
     peer = rig.peer()
     peer.send(c.Queue.Declare(queue="", exclusive=True))
-    rig.settle()
+    rig.run_until_idle()
     (ok,) = peer.methods(c.Queue.DeclareOk)
     assert ok.queue.startswith("amq.gen-")
-    rig.ask(peer, "a", reply_to=ok.queue)
-    rig.settle()
+    rig.publish_request(peer, "a", reply_to=ok.queue)
+    rig.run_until_idle()
     assert peer.answers() == []
     peer.send(c.Basic.Get(queue=ok.queue))
     peer.send(c.Basic.Get(queue=ok.queue))
-    rig.settle()
-    (got,) = peer.all(c.Basic.GetOk)
-    assert got.outcome == ("served", "c-a", b"ran") and len(peer.methods(c.Basic.GetEmpty)) == 1
-    peer.send(c.Basic.Nack(got.method.delivery_tag, False, True))
+    rig.run_until_idle()
+    (message,) = peer.all(c.Basic.GetOk)
+    assert message.outcome == ("served", "c-a", b"ran") and len(peer.methods(c.Basic.GetEmpty)) == 1
+    peer.send(c.Basic.Nack(message.method.delivery_tag, False, True))
     peer.send(c.Basic.Consume(queue=ok.queue, consumer_tag="q"))
-    rig.settle()
+    rig.run_until_idle()
     (again,) = peer.all(c.Basic.Deliver)
     assert again.method.redelivered and again.outcome == ("served", "c-a", b"ran")
-    rig.ask(peer, "b", reply_to="amq.gen-unknown")
-    rig.settle()
+    rig.publish_request(peer, "b", reply_to="amq.gen-unknown")
+    rig.run_until_idle()
     assert rig.publishers.counts["answers_dropped"] == 1
 
 
@@ -637,35 +648,35 @@
     peer.send(c.Queue.Declare(queue="mine", exclusive=True))
     for _ in range(5):
         peer.publish("mine", b"x" * 20_000)
-    rig.settle()
-    assert [word for word, _ in peer.confirms()] == ["ack", "ack", "ack", "nack", "nack"]
+    rig.run_until_idle()
+    assert [kind for kind, _ in peer.confirms()] == ["ack", "ack", "ack", "nack", "nack"]
     assert rig.publishers.counts["queues_full"] == 2
 
 
 def test_a_peer_that_does_not_read_is_closed_before_it_costs_much() -> None:
     rig, publisher, _, _ = rig_with(unread_bytes=262144)
-    rig.settle()
+    rig.run_until_idle()
     publisher.wire.stalled = True
     for k in range(9000):
-        rig.ask(publisher, f"a{k}")
+        rig.publish_request(publisher, f"a{k}")
         if k % 200 == 0:
-            rig.settle()
-    rig.settle()
-    assert not publisher.wire.up and rig.publishers.counts["slow_readers"] == 1
+            rig.run_until_idle()
+    rig.run_until_idle()
+    assert not publisher.wire.connected and rig.publishers.counts["slow_readers"] == 1
 
 
 def test_held_results_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     from bitternpath.balancer.amqp import subscribers
 
-    monkeypatch.setattr(subscribers, "RESULTS_LIMIT", 100)
+    monkeypatch.setattr(subscribers, "MAX_PENDING_RESULT_BYTES", 100)
     rig, publisher, (worker,), _ = rig_with("hold")
 
-    def answer(got: Got) -> None:
-        worker.publish(got.properties.reply_to, b"x" * 60)
+    def publish_result(message: ReceivedMessage) -> None:
+        worker.publish(message.properties.reply_to, b"x" * 60)
 
-    worker.on[c.Basic.Deliver] = answer
-    rig.ask(publisher, "a")
-    rig.ask(publisher, "b")
-    rig.pass_time(10)
+    worker.handlers[c.Basic.Deliver] = publish_result
+    rig.publish_request(publisher, "a")
+    rig.publish_request(publisher, "b")
+    rig.advance(10)
     assert [x.reply_code for x in worker.methods(c.Connection.Close)] == [506]
     assert sorted(outcome for outcome, *_ in publisher.answers()) == ["failed", "served"]
