--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -8,56 +8,56 @@
 from typing import Any
 
 import pytest
-from amqp_rig import GUEST, AmqpRig, Peer, c, works
+from amqp_rig import GUEST, AmqpRig, Peer, c, run_jobs
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from pamqp import body, frame, header
 
 from bitternpath.balancer.amqp import errors as e
 from bitternpath.balancer.amqp import frames as f
-from bitternpath.balancer.amqp import machine as mc
-from bitternpath.balancer.amqp.outbox import PIECE, Outbox
+from bitternpath.balancer.amqp import state_machine as sm
+from bitternpath.balancer.amqp.send_queue import MAX_CHUNK_SIZE, SendQueue
 from bitternpath.balancer.amqp.server import credentials
 from bitternpath.net.buffer import Buffer
 
 START = header.ProtocolHeader().marshal()
 
 
-def machine(**limits: Any) -> mc.Machine:
-    return mc.Machine(mc.Limits(**limits), Outbox())
+def new_machine(**limits: Any) -> sm.ConnectionStateMachine:
+    return sm.ConnectionStateMachine(sm.Limits(**limits), SendQueue())
 
 
-def opened(*channels: int, **limits: Any) -> mc.Machine:
-    made = machine(**limits)
-    made.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
-    assert isinstance(made.next(), mc.Login)
-    made.login(("/",))
-    made.feed(frame.marshal(c.Connection.TuneOk(0, 0, 0), 0) + frame.marshal(c.Connection.Open("/"), 0))
-    assert made.next() == mc.Opened("/")
+def opened(*channels: int, **limits: Any) -> sm.ConnectionStateMachine:
+    machine = new_machine(**limits)
+    machine.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
+    assert isinstance(machine.next(), sm.LoginRequested)
+    machine.login(("/",))
+    machine.feed(frame.marshal(c.Connection.TuneOk(0, 0, 0), 0) + frame.marshal(c.Connection.Open("/"), 0))
+    assert machine.next() == sm.ConnectionOpened("/")
     for channel in channels:
-        made.feed(frame.marshal(c.Channel.Open(), channel))
-        assert made.next() == mc.ChannelOpened(channel)
-    said(made)
-    return made
+        machine.feed(frame.marshal(c.Channel.Open(), channel))
+        assert machine.next() == sm.ChannelOpened(channel)
+    sent_frames(machine)
+    return machine
 
 
-def said(made: mc.Machine) -> list[tuple[int, Any]]:
+def sent_frames(machine: sm.ConnectionStateMachine) -> list[tuple[int, Any]]:
     """What the machine had to say since the last look."""
-    data, found = b"", []
-    while piece := made.out.take():
+    data, frames = b"", []
+    while piece := machine.send_queue.next_chunk():
         data += piece
     while data:
-        used, channel, told = frame.unmarshal(data)
-        found.append((channel, told))
+        used, channel, received_frame = frame.unmarshal(data)
+        frames.append((channel, received_frame))
         data = data[used:]
-    return found
+    return frames
 
 
-def events(made: mc.Machine) -> list[mc.Event]:
-    found = []
-    while (event := made.next()) is not None:
-        found.append(event)
-    return found
+def events(machine: sm.ConnectionStateMachine) -> list[sm.Event]:
+    received = []
+    while (event := machine.next()) is not None:
+        received.append(event)
+    return received
 
 
 def message(channel: int, data: bytes, piece: int = 4088, **properties: Any) -> bytes:
@@ -84,62 +84,68 @@
 
 
 def test_every_pair_of_the_channel_table_and_no_other_is_taken() -> None:
-    bytes_of = {
-        mc.Kind.OPEN: frame.marshal(c.Channel.Open(), 1),
-        mc.Kind.CLOSE: frame.marshal(c.Channel.Close(200, "", 0, 0), 1),
-        mc.Kind.CLOSE_OK: frame.marshal(c.Channel.CloseOk(), 1),
-        mc.Kind.PUBLISH: frame.marshal(c.Basic.Publish(), 1),
-        mc.Kind.METHOD: frame.marshal(c.Confirm.Select(), 1),
-        mc.Kind.HEADER: frame.marshal(header.ContentHeader(0, 3), 1),
-        mc.Kind.BODY: frame.marshal(body.ContentBody(b"abc"), 1),
+    frames_by_input = {
+        sm.ChannelInput.OPEN: frame.marshal(c.Channel.Open(), 1),
+        sm.ChannelInput.CLOSE: frame.marshal(c.Channel.Close(200, "", 0, 0), 1),
+        sm.ChannelInput.CLOSE_OK: frame.marshal(c.Channel.CloseOk(), 1),
+        sm.ChannelInput.PUBLISH: frame.marshal(c.Basic.Publish(), 1),
+        sm.ChannelInput.METHOD: frame.marshal(c.Confirm.Select(), 1),
+        sm.ChannelInput.HEADER: frame.marshal(header.ContentHeader(0, 3), 1),
+        sm.ChannelInput.BODY: frame.marshal(body.ContentBody(b"abc"), 1),
     }
     before = {
-        mc.ChannelPhase.CLOSED: b"",
-        mc.ChannelPhase.OPEN: bytes_of[mc.Kind.OPEN],
-        mc.ChannelPhase.HEADER: bytes_of[mc.Kind.OPEN] + bytes_of[mc.Kind.PUBLISH],
-        mc.ChannelPhase.BODY: bytes_of[mc.Kind.OPEN] + bytes_of[mc.Kind.PUBLISH] + bytes_of[mc.Kind.HEADER],
-        mc.ChannelPhase.CLOSING: bytes_of[mc.Kind.OPEN],
+        sm.ChannelPhase.CLOSED: b"",
+        sm.ChannelPhase.OPEN: frames_by_input[sm.ChannelInput.OPEN],
+        sm.ChannelPhase.HEADER: frames_by_input[sm.ChannelInput.OPEN]
+        + frames_by_input[sm.ChannelInput.PUBLISH],
+        sm.ChannelPhase.BODY: frames_by_input[sm.ChannelInput.OPEN]
+        + frames_by_input[sm.ChannelInput.PUBLISH]
+        + frames_by_input[sm.ChannelInput.HEADER],
+        sm.ChannelPhase.CLOSING: frames_by_input[sm.ChannelInput.OPEN],
     }
-    for phase in mc.ChannelPhase:
-        for kind in mc.Kind:
-            made = opened()
-            made.feed(before[phase])
-            events(made)
-            if phase is mc.ChannelPhase.CLOSING:
-                made.close_channel(1, e.SoftError(e.NOT_FOUND, "x"))
-            made.feed(bytes_of[kind])
-            events(made)
-            then = mc.CHANNEL.get((phase, kind))
-            channel = made.channels.get(1)
-            now = channel.phase if channel is not None else mc.ChannelPhase.CLOSED
-            if then is not None:
-                assert now is then and made.failed is None, (phase, kind)
-            elif phase is mc.ChannelPhase.CLOSING:
-                assert now is phase and made.failed is None, (phase, kind)
+    for phase in sm.ChannelPhase:
+        for kind in sm.ChannelInput:
+            machine = opened()
+            machine.feed(before[phase])
+            events(machine)
+            if phase is sm.ChannelPhase.CLOSING:
+                machine.close_channel(1, e.SoftError(e.NOT_FOUND, "x"))
+            machine.feed(frames_by_input[kind])
+            events(machine)
+            next_phase = sm.CHANNEL_TRANSITIONS.get((phase, kind))
+            channel = machine.channels.get(1)
+            now = channel.phase if channel is not None else sm.ChannelPhase.CLOSED
+            if next_phase is not None:
+                assert now is next_phase and machine.error is None, (phase, kind)
+            elif phase is sm.ChannelPhase.CLOSING:
+                assert now is phase and machine.error is None, (phase, kind)
             else:
-                assert made.failed is not None and made.failed.code == mc.OTHERWISE[phase][0], (phase, kind)
+                assert machine.error is not None and machine.error.code == sm.PHASE_ERRORS[phase][0], (
+                    phase,
+                    kind,
+                )
 
 
 @pytest.mark.parametrize("method", [c.Connection.StartOk(), c.Connection.TuneOk(), c.Connection.Open("/")])
 def test_negotiation_comes_in_its_order_only(method: Any) -> None:
     order = [c.Connection.StartOk, c.Connection.TuneOk, c.Connection.Open]
     for done in range(4):
-        made = machine() if done == 0 else opened()
+        machine = new_machine() if done == 0 else opened()
         if done == 0:
-            made.feed(START)
+            machine.feed(START)
         elif done < 3:
-            made = machine()
-            made.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
-            made.next()
-            made.login(("/",))
+            machine = new_machine()
+            machine.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
+            machine.next()
+            machine.login(("/",))
             if done == 2:
-                made.feed(frame.marshal(c.Connection.TuneOk(0, 0, 0), 0))
-        made.feed(frame.marshal(method, 0))
-        events(made)
-        right = done < 3 and type(method) is order[done]
-        assert (made.failed is None) is right, (done, method.name)
-        if not right:
-            assert made.failed is not None and made.failed.code == e.COMMAND_INVALID
+                machine.feed(frame.marshal(c.Connection.TuneOk(0, 0, 0), 0))
+        machine.feed(frame.marshal(method, 0))
+        events(machine)
+        expected_order = done < 3 and type(method) is order[done]
+        assert (machine.error is None) is expected_order, (done, method.name)
+        if not expected_order:
+            assert machine.error is not None and machine.error.code == e.COMMAND_INVALID
 
 
 # ---- framing
@@ -147,25 +153,27 @@
 
 @pytest.mark.parametrize("step", [1, 2, 7, 64, 10_000])
 def test_frames_come_whole_in_any_pieces(step: int) -> None:
-    made = opened(1, 2)
+    machine = opened(1, 2)
     # Two channels interleaved, frame by frame.
-    one, two = message(1, b"a" * 9000), message(2, b"b" * 5000)
+    first, second = message(1, b"a" * 9000), message(2, b"b" * 5000)
     frames: list[list[bytes]] = [[], []]
-    for which, data in enumerate((one, two)):
+    for index, data in enumerate((first, second)):
         while data:
             used = frame.unmarshal(data)[0]
-            frames[which].append(data[:used])
+            frames[index].append(data[:used])
             data = data[used:]
-    mixed = b"".join(x for pair in zip(frames[0], [*frames[1], b"", b"", b""], strict=False) for x in pair)
+    interleaved = b"".join(
+        x for pair in zip(frames[0], [*frames[1], b"", b"", b""], strict=False) for x in pair
+    )
     got = []
-    for k in range(0, len(mixed), step):
-        made.feed(mixed[k : k + step])
-        got += events(made)
-    assert [(g.channel, g.body) for g in got if isinstance(g, mc.Published)] == [
+    for k in range(0, len(interleaved), step):
+        machine.feed(interleaved[k : k + step])
+        got += events(machine)
+    assert [(g.channel, g.body) for g in got if isinstance(g, sm.MessagePublished)] == [
         (2, b"b" * 5000),
         (1, b"a" * 9000),
     ]
-    assert made.failed is None and made._held == 0
+    assert machine.error is None and machine._incomplete_bytes == 0
 
 
 @pytest.mark.parametrize(
@@ -218,30 +226,34 @@
 )  # fmt: skip
 def test_what_breaks_a_rule_of_the_wire_closes_the_connection_with_its_code(data: bytes, code: int) -> None:
     for pieces in ([data], [data[k : k + 1] for k in range(len(data))]):
-        made = opened(1)
+        machine = opened(1)
         for piece in pieces:
-            made.feed(piece)
-            events(made)
-        assert made.failed is not None and made.failed.code == code
-        ((channel, close),) = said(made)
-        assert channel == 0 and close.reply_code == code and close.reply_text.startswith(e.NAMES[code])
+            machine.feed(piece)
+            events(machine)
+        assert machine.error is not None and machine.error.code == code
+        ((channel, close),) = sent_frames(machine)
+        assert (
+            channel == 0
+            and close.reply_code == code
+            and close.reply_text.startswith(e.REPLY_CODE_NAMES[code])
+        )
         # While it closes nothing else counts, until close-ok comes.
-        made.feed(frame.marshal(c.Channel.Open(), 2) + raw(1, 1, b"\x00\x3c\x00\x0a"))
-        assert events(made) == [] and said(made) == [] and made.phase is mc.Phase.CLOSING
-        made.feed(frame.marshal(c.Connection.CloseOk(), 0))
-        over = [type(event) for event in events(made)]
+        machine.feed(frame.marshal(c.Channel.Open(), 2) + raw(1, 1, b"\x00\x3c\x00\x0a"))
+        assert events(machine) == [] and sent_frames(machine) == [] and machine.phase is sm.Phase.CLOSING
+        machine.feed(frame.marshal(c.Connection.CloseOk(), 0))
+        closing_events = [type(event) for event in events(machine)]
         # Where the framing is lost nothing more can be read, and time ends it.
-        assert over == ([] if made.reader.lost else [mc.Over])
-        assert made.phase is (mc.Phase.CLOSING if made.reader.lost else mc.Phase.CLOSED)
+        assert closing_events == ([] if machine.reader.desynchronized else [sm.ConnectionClosed])
+        assert machine.phase is (sm.Phase.CLOSING if machine.reader.desynchronized else sm.Phase.CLOSED)
 
 
-@pytest.mark.parametrize("depth", [f.TABLE_DEPTH - 2, 400])
+@pytest.mark.parametrize("depth", [f.MAX_TABLE_DEPTH - 2, 400])
 def test_deep_tables_are_refused_before_anything_is_built(depth: int) -> None:
     nested = b""
     for _ in range(depth):
         nested = b"\x01kF" + table(nested)
     data = table(nested)
-    if depth < f.TABLE_DEPTH:
+    if depth < f.MAX_TABLE_DEPTH:
         assert f.scan_table(data, 0, len(data)) == len(data)
     else:
         with pytest.raises(ValueError, match="deep"):
@@ -251,7 +263,7 @@
 def test_full_tables_are_refused_before_anything_is_built() -> None:
     # Guards: pamqp copies the rest of a table for each entry; 8 KiB of them would take it some 10 ms a frame.
     for entry in (b"\x01kV", b"\x00t\x01"):
-        data = table(entry * (f.TABLE_ENTRIES + 1))
+        data = table(entry * (f.MAX_TABLE_ENTRIES + 1))
         with pytest.raises(ValueError, match="entries"):
             f.scan_table(data, 0, len(data))
     array = table(b"\x01kA" + table(b"V" * 300))
@@ -260,56 +272,62 @@
 
 
 def test_a_message_beyond_the_bound_is_a_soft_error_and_the_rest_of_it_is_dropped() -> None:
-    made = opened(1, 2)
-    made.feed(message(1, b"x" * (mc.BODY_LIMIT + 1), piece=100_000))
-    assert events(made) == [mc.ChannelGone(1)]
-    ((channel, close),) = said(made)
+    machine = opened(1, 2)
+    machine.feed(message(1, b"x" * (sm.MAX_BODY_SIZE + 1), piece=100_000))
+    assert events(machine) == [sm.ChannelClosed(1)]
+    ((channel, close),) = sent_frames(machine)
     assert (channel, close.reply_code, close.class_id, close.method_id) == (1, 311, 60, 40)
-    made.feed(message(2, b"y" * mc.BODY_LIMIT, piece=100_000))
-    (event,) = events(made)
-    assert isinstance(event, mc.Published) and len(event.body) == mc.BODY_LIMIT
-    made.feed(message(1, b"dropped") + frame.marshal(c.Channel.CloseOk(), 1))
-    made.feed(frame.marshal(c.Channel.Open(), 1) + message(1, b"again"))
-    assert [type(event) for event in events(made)] == [mc.ChannelOpened, mc.Published]
+    machine.feed(message(2, b"y" * sm.MAX_BODY_SIZE, piece=100_000))
+    (event,) = events(machine)
+    assert isinstance(event, sm.MessagePublished) and len(event.body) == sm.MAX_BODY_SIZE
+    machine.feed(message(1, b"dropped") + frame.marshal(c.Channel.CloseOk(), 1))
+    machine.feed(frame.marshal(c.Channel.Open(), 1) + message(1, b"again"))
+    assert [type(event) for event in events(machine)] == [sm.ChannelOpened, sm.MessagePublished]
 
 
 def test_messages_that_come_in_part_on_many_channels_are_bounded_together() -> None:
-    made = opened(*range(1, 33))
+    machine = opened(*range(1, 33))
     for channel in range(1, 33):
-        made.feed(message(channel, b"x" * mc.BODY_LIMIT, piece=60_000)[:-5544])  # the last piece is missing
-        events(made)
-    assert made.failed is not None and made.failed.code == e.RESOURCE_ERROR
+        machine.feed(
+            message(channel, b"x" * sm.MAX_BODY_SIZE, piece=60_000)[:-5544]
+        )  # the last piece is missing
+        events(machine)
+    assert machine.error is not None and machine.error.code == e.RESOURCE_ERROR
 
 
 @pytest.mark.parametrize(
     "data", [b"AMQP\x00\x00\x09\x00", b"AMQP\x01\x01\x00\x09", b"GET / HTTP", b"A\x00", b"\x16\x03\x01"]
 )
 def test_another_protocol_is_told_ours_and_closed(data: bytes) -> None:
-    made = machine()
-    made.feed(data)
-    assert events(made) == [] and made.out.take() == START and made.phase is mc.Phase.CLOSED
+    machine = new_machine()
+    machine.feed(data)
+    assert (
+        events(machine) == []
+        and machine.send_queue.next_chunk() == START
+        and machine.phase is sm.Phase.CLOSED
+    )
 
 
 @pytest.mark.parametrize(
-    ("told", "taken"),
+    ("chosen", "expected"),
     [((0, 0, 0), (64, 131072, 0)), ((7, 4096, 9), (7, 4096, 9)), ((65, 0, 0), None), ((0, 4095, 0), None),
      ((0, 131073, 0), None)],
 )  # fmt: skip
-def test_a_peer_may_choose_less_than_was_offered_but_not_more(told: Any, taken: Any) -> None:
-    made = machine()
-    made.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
-    made.next()
-    made.login(("/",))
-    made.feed(frame.marshal(c.Connection.TuneOk(*told), 0))
-    made.next()
-    if taken is None:
-        assert made.failed is not None and made.failed.code == e.NOT_ALLOWED
+def test_a_peer_may_choose_less_than_was_offered_but_not_more(chosen: Any, expected: Any) -> None:
+    machine = new_machine()
+    machine.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
+    machine.next()
+    machine.login(("/",))
+    machine.feed(frame.marshal(c.Connection.TuneOk(*chosen), 0))
+    machine.next()
+    if expected is None:
+        assert machine.error is not None and machine.error.code == e.NOT_ALLOWED
     else:
-        assert (made.channel_max, made.frame_max, made.heartbeat) == taken
+        assert (machine.channel_max, machine.frame_max, machine.heartbeat) == expected
 
 
 def test_bodies_go_out_in_frames_of_the_agreed_size() -> None:
-    data = f.content_frames(1, c.Basic.Return(312, "x", "", "k"), c.Basic.Properties(), b"x" * 10_000, 4096)
+    data = f.encode_message(1, c.Basic.Return(312, "x", "", "k"), c.Basic.Properties(), b"x" * 10_000, 4096)
     reader = f.FrameReader(Buffer())
     reader.frame_max = 4096
     reader.buffer.append(data)
@@ -320,12 +338,21 @@
 
 
 def test_the_outbox_knows_what_has_left() -> None:
-    out = Outbox()
-    entries = [out.add(b"x" * 40_000, mark=k) for k in range(3)]
-    assert len(out.take()) == 40_000 <= PIECE and entries[0].handed and not entries[1].handed
-    assert not out.withdraw(entries[0]) and out.withdraw(entries[1])
-    assert out.size == 80_000 and out.written() == [0] and out.size == 40_000
-    assert len(out.take()) == 40_000 and out.written() == [2] and out.size == 0 and out.take() == b""
+    queue = SendQueue()
+    entries = [queue.add(b"x" * 40_000, context=k) for k in range(3)]
+    assert (
+        len(queue.next_chunk()) == 40_000 <= MAX_CHUNK_SIZE
+        and entries[0].submitted
+        and not entries[1].submitted
+    )
+    assert not queue.withdraw(entries[0]) and queue.withdraw(entries[1])
+    assert queue.size == 80_000 and queue.chunk_written() == [0] and queue.size == 40_000
+    assert (
+        len(queue.next_chunk()) == 40_000
+        and queue.chunk_written() == [2]
+        and queue.size == 0
+        and queue.next_chunk() == b""
+    )
 
 
 # ---- logins
@@ -351,34 +378,34 @@
 @pytest.mark.parametrize(
     ("mechanism", "response"), [("PLAIN", "\x00guest\x00wrong"), ("PLAIN", "\x00root\x00guest"), ("X", "")]
 )
-@pytest.mark.parametrize("hears", [True, False])
+@pytest.mark.parametrize("supports_close", [True, False])
 def test_a_refused_login_is_told_to_those_that_can_hear_it(
-    mechanism: str, response: str, hears: bool
+    mechanism: str, response: str, supports_close: bool
 ) -> None:
     rig = AmqpRig()
-    peer = Peer(rig, None if hears else {}).open(1, mechanism=mechanism, response=response)
-    assert [x.reply_code for x in peer.methods(c.Connection.Close)] == ([403] if hears else [])
-    assert not peer.wire.up and rig.publishers.counts["logins_refused"] == 1
+    peer = Peer(rig, None if supports_close else {}).open(1, mechanism=mechanism, response=response)
+    assert [x.reply_code for x in peer.methods(c.Connection.Close)] == ([403] if supports_close else [])
+    assert not peer.wire.connected and rig.publishers.counts["logins_refused"] == 1
 
 
 def test_amqplain_and_guest_from_loopback_only() -> None:
     rig = AmqpRig()
     response = "\x05LOGINS\x00\x00\x00\x05guest\x08PASSWORDS\x00\x00\x00\x05guest"
     assert Peer(rig).open(1, mechanism="AMQPLAIN", response=response).methods(c.Connection.OpenOk)
-    far = Peer(rig)
-    far.wire.protocol.host = "10.1.2.3"
-    assert not far.open(1).methods(c.Connection.OpenOk) and not far.wire.up
+    remote = Peer(rig)
+    remote.wire.protocol.host = "10.1.2.3"
+    assert not remote.open(1).methods(c.Connection.OpenOk) and not remote.wire.connected
 
 
-@pytest.mark.parametrize("sends", [b"", START, START + frame.marshal(c.Connection.StartOk(), 0)[:-1]])
-def test_who_does_not_log_in_within_3_s_is_closed(sends: bytes) -> None:
+@pytest.mark.parametrize("sent", [b"", START, START + frame.marshal(c.Connection.StartOk(), 0)[:-1]])
+def test_who_does_not_log_in_within_3_s_is_closed(sent: bytes) -> None:
     rig = AmqpRig()
     peer = Peer(rig)
-    peer.raw(sends)
-    rig.pass_time(2900)
-    assert peer.wire.up
-    rig.pass_time(400)
-    assert not peer.wire.up and rig.publishers.counts["logins_late"] == 1
+    peer.raw(sent)
+    rig.advance(2900)
+    assert peer.wire.connected
+    rig.advance(400)
+    assert not peer.wire.connected and rig.publishers.counts["logins_late"] == 1
 
 
 def test_before_the_login_little_is_kept() -> None:
@@ -389,35 +416,39 @@
     peer.raw(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
     for _ in range(100):
         peer.raw(message(1, b"x" * 4000))
-        rig.settle()
+        rig.run_until_idle()
     assert peer.wire.paused and len(peer.wire.protocol.machine.buffer) < 32_000
 
 
 def test_an_unknown_vhost_is_refused() -> None:
     rig = AmqpRig()
     peer = Peer(rig).open(vhost="/other")
-    assert [x.reply_code for x in peer.methods(c.Connection.Close)] == [530] and not peer.wire.up
+    assert [x.reply_code for x in peer.methods(c.Connection.Close)] == [530] and not peer.wire.connected
 
 
 def test_heartbeats_go_both_ways() -> None:
     rig = AmqpRig(heartbeat=2)
-    quiet, lively, without = rig.peer(), rig.peer(), Peer(rig)
+    silent, sending, without = rig.peer(), rig.peer(), Peer(rig)
     without.raw(START)
     without.send(c.Connection.StartOk({}, "PLAIN", GUEST), 0)
-    rig.settle()
+    rig.run_until_idle()
     without.send(c.Connection.TuneOk(0, 0, 0), 0)  # no heartbeats
     without.send(c.Connection.Open(), 0)
     for _ in range(6):
-        lively.raw(f.HEARTBEAT_FRAME)
-        rig.pass_time(1000)
-    assert not quiet.wire.up and lively.wire.up and without.wire.up
-    assert lively.beats >= 5 and without.beats == 0 and rig.publishers.counts["heartbeats_missed"] == 1
+        sending.raw(f.HEARTBEAT_FRAME)
+        rig.advance(1000)
+    assert not silent.wire.connected and sending.wire.connected and without.wire.connected
+    assert (
+        sending.heartbeats >= 5
+        and without.heartbeats == 0
+        and rig.publishers.counts["heartbeats_missed"] == 1
+    )
 
 
 # ---- methods
 
 
-SOFT: list[tuple[Any, int]] = [
+SOFT_ERRORS: list[tuple[Any, int]] = [
     (c.Exchange.Declare(exchange="mine"), 403),
     (c.Exchange.Declare(exchange="mine", passive=True), 404),
     (c.Exchange.Declare(exchange=""), 403),
@@ -450,7 +481,9 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "code"), SOFT, ids=lambda x: x.name if hasattr(x, "name") else str(x))
+@pytest.mark.parametrize(
+    ("method", "code"), SOFT_ERRORS, ids=lambda x: x.name if hasattr(x, "name") else str(x)
+)
 def test_a_soft_error_names_its_method_and_costs_the_channel_alone(method: Any, code: int) -> None:
     rig = AmqpRig()
     peer = rig.peer(1, 2)
@@ -460,10 +493,10 @@
     peer.send(c.Channel.CloseOk(), 1)
     peer.send(c.Channel.Open(), 1)
     peer.send(c.Queue.Declare(queue="reminder", durable=True, auto_delete=True), 2)
-    rig.settle()
+    rig.run_until_idle()
     (close,) = peer.methods(c.Channel.Close)
-    assert close.reply_code == code and (close.class_id, close.method_id) == f.ids(method)
-    assert close.reply_text.startswith(e.NAMES[code]) and not peer.methods(c.Confirm.SelectOk)
+    assert close.reply_code == code and (close.class_id, close.method_id) == f.method_ids(method)
+    assert close.reply_text.startswith(e.REPLY_CODE_NAMES[code]) and not peer.methods(c.Confirm.SelectOk)
     assert len(peer.methods(c.Channel.OpenOk)) == 3 and peer.methods(c.Queue.DeclareOk)[0].queue == "reminder"
 
 
@@ -481,10 +514,10 @@
     other, peer = rig.peer(), rig.peer()
     for method in methods:
         peer.send(method)
-    rig.settle()
+    rig.run_until_idle()
     (close,) = peer.methods(c.Connection.Close)
-    assert (close.reply_code, close.class_id, close.method_id) == (code, *f.ids(methods[0]))
-    assert not peer.wire.up and other.wire.up
+    assert (close.reply_code, close.class_id, close.method_id) == (code, *f.method_ids(methods[0]))
+    assert not peer.wire.connected and other.wire.connected
 
 
 def test_what_always_succeeds_does() -> None:
@@ -508,8 +541,8 @@
         c.Channel.FlowOk(True),
     ):
         peer.send(method)
-    rig.settle()
-    names = [got.method.name for got in peer.got if got.channel == 1]
+    rig.run_until_idle()
+    names = [got.method.name for got in peer.received if got.channel == 1]
     assert names == [
         "Channel.OpenOk", "Queue.DeclareOk", "Queue.DeclareOk", "Queue.BindOk", "Exchange.DeclareOk",
         "Exchange.DeclareOk", "Exchange.DeleteOk", "Queue.DeleteOk", "Basic.CancelOk", "Basic.RecoverOk",
@@ -519,22 +552,22 @@
 
 def test_an_exclusive_queue_is_locked_to_others_and_goes_with_its_connection() -> None:
     rig = AmqpRig(reply_queues=2)
-    one, two = rig.peer(), rig.peer()
-    one.send(c.Queue.Declare(queue="mine", exclusive=True))
-    rig.settle()
-    two.send(c.Basic.Consume(queue="mine"))
-    rig.settle()
-    assert [x.reply_code for x in two.methods(c.Channel.Close)] == [405]
-    two.send(c.Channel.CloseOk())
-    one.send(c.Queue.Declare(queue="mine2", exclusive=True))
-    one.send(c.Queue.Declare(queue="mine3", exclusive=True))  # one too many
-    rig.settle()
-    assert [x.reply_code for x in one.methods(c.Channel.Close)] == [406]
-    one.wire.cut(ConnectionError())
-    two.send(c.Channel.Open())
-    two.send(c.Queue.Declare(queue="mine", exclusive=True))
-    rig.settle()
-    assert [x.queue for x in two.methods(c.Queue.DeclareOk)] == ["mine"]
+    first, second = rig.peer(), rig.peer()
+    first.send(c.Queue.Declare(queue="mine", exclusive=True))
+    rig.run_until_idle()
+    second.send(c.Basic.Consume(queue="mine"))
+    rig.run_until_idle()
+    assert [x.reply_code for x in second.methods(c.Channel.Close)] == [405]
+    second.send(c.Channel.CloseOk())
+    first.send(c.Queue.Declare(queue="mine2", exclusive=True))
+    first.send(c.Queue.Declare(queue="mine3", exclusive=True))  # one too many
+    rig.run_until_idle()
+    assert [x.reply_code for x in first.methods(c.Channel.Close)] == [406]
+    first.wire.disconnect(ConnectionError())
+    second.send(c.Channel.Open())
+    second.send(c.Queue.Declare(queue="mine", exclusive=True))
+    rig.run_until_idle()
+    assert [x.queue for x in second.methods(c.Queue.DeclareOk)] == ["mine"]
 
 
 def test_a_deleted_queue_tells_its_consumers() -> None:
@@ -543,7 +576,7 @@
     peer.send(c.Queue.Declare(queue="mine", exclusive=True))
     peer.send(c.Basic.Consume(queue="mine", consumer_tag="t"))
     peer.send(c.Queue.Delete(queue="mine"))
-    rig.settle()
+    rig.run_until_idle()
     assert [x.consumer_tag for x in peer.methods(c.Basic.Cancel)] == ["t"]
 
 
@@ -551,14 +584,14 @@
     rig = AmqpRig(max_connections=2)
     peers = [rig.peer(), rig.peer()]
     assert rig.server.buildProtocol(None) is None and rig.publishers.counts["connections_refused"] == 1
-    peers[0].wire.cut(ConnectionError())
+    peers[0].wire.disconnect(ConnectionError())
     assert rig.server.buildProtocol(None) is not None
 
 
 # ---- anything at all
 
 
-frames_ = st.one_of(
+inputs = st.one_of(
     st.binary(max_size=40),
     st.builds(raw, st.sampled_from([1, 2, 3, 8, 9]), st.integers(0, 3), st.binary(max_size=60)),
     st.builds(
@@ -582,33 +615,36 @@
 )  # fmt: skip
 
 
-MORE = int(os.environ.get("FUZZ_EXAMPLES", "0"))  # `make fuzz`: so many, new ones each time
+FUZZ_EXAMPLES = int(os.environ.get("FUZZ_EXAMPLES", "0"))  # `make fuzz`: so many, new ones each time
 
 
 @settings(
-    max_examples=MORE or 150, deadline=None, derandomize=not MORE, suppress_health_check=list(HealthCheck)
+    max_examples=FUZZ_EXAMPLES or 150,
+    deadline=None,
+    derandomize=not FUZZ_EXAMPLES,
+    suppress_health_check=list(HealthCheck),
 )
-@given(st.lists(frames_, max_size=25), st.integers(1, 4096))
+@given(st.lists(inputs, max_size=25), st.integers(1, 4096))
 def test_no_input_hurts_anybody_else(sent: list[bytes], step: int) -> None:
     # Guards: whatever a peer sends, the node goes on, others are served, and nothing stays owed.
     rig = AmqpRig()
-    ledger = Counter[str]()
+    run_counts = Counter[str]()
     worker = rig.peer()
-    works(worker, ledger)
+    run_jobs(worker, run_counts)
     worker.subscribe("reminder")
     publisher = rig.publisher()
-    bad = rig.peer(1)
+    faulty = rig.peer(1)
     data = b"".join(sent)
     for k in range(0, len(data), step):
-        bad.raw(data[k : k + step])
-    rig.settle()
-    rig.ask(publisher, "good", expiration="3000")
-    rig.pass_time(100, 20.0)
-    bad.wire.cut(ConnectionError())
-    rig.pass_time(3200, 50.0)
+        faulty.raw(data[k : k + step])
+    rig.run_until_idle()
+    rig.publish_request(publisher, "good", expiration="3000")
+    rig.advance(100, 20.0)
+    faulty.wire.disconnect(ConnectionError())
+    rig.advance(3200, 50.0)
     outcomes = [outcome for outcome, *_ in publisher.answers()]
     # The peer may have subscribed and dropped the job: then it failed, once.
-    assert outcomes in (["served"], ["failed"], ["refused"]) and ledger["good"] <= 1
-    assert rig.broker.counts["exceptions"] == 0 and worker.wire.up and publisher.wire.up
-    rig.pass_time(9000, 250.0)
-    assert rig.at_rest()
+    assert outcomes in (["served"], ["failed"], ["refused"]) and run_counts["good"] <= 1
+    assert rig.broker.counts["exceptions"] == 0 and worker.wire.connected and publisher.wire.connected
+    rig.advance(9000, 250.0)
+    assert rig.is_idle()
