--- a/benchmarks/repairs.py
+++ b/benchmarks/repairs.py
@@ -43,14 +43,14 @@
 
 def wiped(world: RepairWorld) -> None:
     """Power lost and the disk with it; the machine comes back at its address."""
-    world.stop("s0", says_so=False, wipe=True)
+    world.stop("s0", graceful=False, wipe=True)
     world.run(AWAY_S)
     world.start("s0")
 
 
 def replaced(world: RepairWorld) -> None:
     """Power lost for good; an empty machine comes at another address."""
-    world.stop("s0", says_so=False)
+    world.stop("s0", graceful=False)
     world.run(AWAY_S)
     world.add_machine("t0", world.machines["s0"].zone)
     world.start("t0")
@@ -58,9 +58,9 @@
 
 def replaced_after_sigterm(world: RepairWorld) -> None:
     """As `replaced`, but the process was told to end."""
-    world.leave("s0")
+    world.drain("s0")
     world.run(0.5)
-    world.stop("s0", says_so=True)
+    world.stop("s0", graceful=True)
     world.run(AWAY_S)
     world.add_machine("t0", world.machines["s0"].zone)
     world.start("t0")
--- a/benchmarks/takeovers.py
+++ b/benchmarks/takeovers.py
@@ -35,7 +35,7 @@
     "kill": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.KILL, lasts=4.0),
     "silence": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.POWER, lasts=4.0),
     "freeze": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.FREEZE, lasts=4.0),
-    "cut": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.CUT, lasts=4.0),
+    "cut": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.PARTITION, lasts=4.0),
     "slow disk": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.STALL, lasts=4.0),
     "SIGTERM": Fault(number=1, at=FAULT_AT_S, kind=FaultKind.TERM),
     RETIREMENT: None,
@@ -85,7 +85,7 @@
     plan = plan_of(case)
     run = Run(plan)
     _set_delays(run, case)
-    assert run._create_system(), run.report.found
+    assert run._create_system(), run.report.findings
     run._play_events()  # not to the end of all messages: they come faster than the endpoint's rate allows
     assert not run.report.errors, run.report.errors
     began = next(send.at for send in run.history.sends.values()) - plan.events[0].at
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -73,9 +73,9 @@
 
     report = run_seed(seed)
     summary = describe(report)
-    if not report.kept:
+    if not report.passed:
         summary = f"{summary}\n  shrunk: {shrink_and_save(report)}"
-    return Outcome(report.kept, summary, report.coverage)
+    return Outcome(report.passed, summary, report.coverage)
 
 
 def one_day(seed: int, faults: int) -> int:
--- a/bitternpath/testing/simulation/__init__.py
+++ b/bitternpath/testing/simulation/__init__.py
@@ -36,15 +36,18 @@
     world.kill(name, down_s=0.5)         the process ends, peers are reset, it starts again after `down_s`
     world.lose_power(name, down_s=1.0)   silence for the peers, unsynced writes present, missing or torn
     world.wipe(name, down_s=1.0)         as a loss of power, with an empty disk afterwards
-    world.freeze(name), world.thaw(name)   time goes on, nothing runs; due calls run at the thaw
-    world.slow(name, factor)             delays of links and disk of that node, 1.0 is usual
-    world.cut(a, b, both=True), world.join(a, b)   nodes or hosts (names or ips); bytes wait or are lost
-    world.cut_off(name, others=None), world.rejoin(name)
-    world.reset(a, b)                          all connections between two hosts, with the bytes in flight
-    world.squeeze(a, b, bytes_per_s)           a link's bandwidth; None for the usual one
-    world.lossy(a, b, share)                   datagrams lost, packets of connections late
+    world.freeze(name), world.thaw(name)       time goes on, no code runs; due calls run at the thaw
+    world.slow(name, factor)                   multiplies delays of the node's links and disk; 1.0 is normal
+    world.partition(a, b, both=True)           between nodes or hosts (names or IPs)
+    world.heal_partition(a, b)                 retransmits packets that the partition held back
+    world.isolate(name, others=None)           a partition from `others`, by default from all hosts
+    world.heal_host(name)                      heals all partitions of a host
+    world.reset(a, b)                          all connections between two hosts; bytes in flight are lost
+    world.limit_bandwidth(a, b, bytes_per_s)   of a link, in each direction; None: no limit
+    world.set_packet_loss(a, b, share)         datagrams are lost, packets of connections retransmitted
     world.step_clock(name, milliseconds)       the time of day jumps
-    world.stall_disk(name, seconds), world.bound_disk(name, free_bytes)
+    world.stall_disk(name, seconds)
+    world.limit_disk(name, free_bytes)
     world.terminate(name)                      SIGTERM; starts again after `down_s` unless it was removed
     world.reload(name, **settings)             other settings in its file, then SIGHUP
     world.disk(name)                           its `SimulatedFileSystem`
--- a/bitternpath/testing/simulation/actors/clients.py
+++ b/bitternpath/testing/simulation/actors/clients.py
@@ -46,7 +46,7 @@
         self._in_flight = InFlight(run.failed)
 
     @property
-    def open(self) -> int:
+    def in_flight(self) -> int:
         """How many messages, probes and reads are in flight."""
         return self._in_flight.count
 
@@ -96,14 +96,14 @@
         self._history.sends[request_id] = Send(
             request_id, sent_at, node.name, Kind.LISTED, path, PROBE_BODY, outcome=SendOutcome.UNCLEAR
         )
-        life = self._directory.life(node.name)
+        incarnation = self._directory.incarnation(node.name)
         headers = {"Host": host, "X-Request-Id": request_id, "X-Deadline-Ms": str(DEADLINE_MS)}
         call = Call("POST", path, headers, PROBE_BODY)
         answer = await send_call(self._reactor, node.address(Port.FRONT), call, DEADLINE_MS / 1000)
         status = answer.status if isinstance(answer, Reply) else 0
-        if life == self._directory.life(node.name):
+        if incarnation == self._directory.incarnation(node.name):
             self._history.probes.append(
-                RouteProbe(request_id, node.name, life, sent_at, self._world.now, host, path, status)
+                RouteProbe(request_id, node.name, incarnation, sent_at, self._world.now, host, path, status)
             )
 
     def _prefixes(self) -> list[str]:
--- a/bitternpath/testing/simulation/actors/machine_faults.py
+++ b/bitternpath/testing/simulation/actors/machine_faults.py
@@ -18,7 +18,7 @@
 GRACE_S = 6.0  # `grace_s`: after a SIGTERM
 RESTART_WITHIN_S = 1.0  # after a process has ended
 SLOW_FACTOR = 20.0
-LOST_SHARE = 0.05  # of packets on lossy links
+PACKET_LOSS = 0.05  # of packets on lossy links
 SHORTEST_DOWN_S = 0.3
 
 
@@ -30,15 +30,15 @@
         self._history = history
         self._directory = directory
         self._lossy: set[str] = set()  # names of machines
-        self._plays: dict[FaultKind, Callable[[Fault, str], None]] = {
+        self._injectors: dict[FaultKind, Callable[[Fault, str], None]] = {
             FaultKind.KILL: self._kill,
             FaultKind.POWER: self._power,
             FaultKind.WIPE: self._wipe,
             FaultKind.FREEZE: self._freeze,
-            FaultKind.CUT: self._cut,
-            FaultKind.CUT_IN: self._cut_one_way,
-            FaultKind.CUT_OUT: self._cut_one_way,
-            FaultKind.CUT_SEEDS: self._cut_with_seeds,
+            FaultKind.PARTITION: self._partition,
+            FaultKind.PARTITION_INBOUND: self._partition_one_way,
+            FaultKind.PARTITION_OUTBOUND: self._partition_one_way,
+            FaultKind.PARTITION_WITH_SEEDS: self._partition_with_seeds,
             FaultKind.SLOW: self._slow,
             FaultKind.STALL: self._stall,
             FaultKind.RESET: self._reset,
@@ -67,7 +67,7 @@
             if planned in fault.wiped:
                 self._wipe(fault, name)
             else:
-                self._plays[fault.kind](fault, name)
+                self._injectors[fault.kind](fault, name)
 
     def retired(self, planned: str) -> None:
         """Remove a machine whose retirement is reported as done, with its disk."""
@@ -79,7 +79,7 @@
         """End all faults that still last."""
         for node in list(self._world.nodes.values()):
             self._world.thaw(node.name)
-            self._world.rejoin(node.name)
+            self._world.heal_host(node.name)
             if node.name in self._lossy:
                 self._restore_links(node.name)
             if node.factor != 1.0:
@@ -88,67 +88,67 @@
     # ---- each kind
 
     def _kill(self, fault: Fault, name: str) -> None:
-        self._world.kill(name, self._down(fault))
-        self._note(DisruptionKind.DOWN, name, self._down(fault))
+        self._world.kill(name, self._down_s(fault))
+        self._record_outage(DisruptionKind.DOWN, name, self._down_s(fault))
 
     def _power(self, fault: Fault, name: str) -> None:
-        self._world.lose_power(name, self._down(fault))
-        self._note(DisruptionKind.DOWN, name, self._down(fault))
+        self._world.lose_power(name, self._down_s(fault))
+        self._record_outage(DisruptionKind.DOWN, name, self._down_s(fault))
 
     def _wipe(self, fault: Fault, name: str) -> None:
-        self._world.wipe(name, self._down(fault))
-        self._note(DisruptionKind.DOWN, name, self._down(fault))
+        self._world.wipe(name, self._down_s(fault))
+        self._record_outage(DisruptionKind.DOWN, name, self._down_s(fault))
 
     def _freeze(self, fault: Fault, name: str) -> None:
         self._world.freeze(name)
         self._later(fault.lasts, self._world.thaw, name)
-        self._note(DisruptionKind.FROZEN, name, fault.lasts)
+        self._record_outage(DisruptionKind.FROZEN, name, fault.lasts)
 
-    def _cut(self, fault: Fault, name: str) -> None:
-        self._world.cut_off(name, self._others(name))
-        self._later(fault.lasts, self._world.rejoin, name)
-        self._note(DisruptionKind.CUT, name, fault.lasts)
+    def _partition(self, fault: Fault, name: str) -> None:
+        self._world.isolate(name, self._others(name))
+        self._later(fault.lasts, self._world.heal_host, name)
+        self._record_outage(DisruptionKind.PARTITION, name, fault.lasts)
 
-    def _cut_one_way(self, fault: Fault, name: str) -> None:
+    def _partition_one_way(self, fault: Fault, name: str) -> None:
         for other in self._others(name):
-            if fault.kind is FaultKind.CUT_OUT:
-                self._world.cut(name, other, both=False)
+            if fault.kind is FaultKind.PARTITION_OUTBOUND:
+                self._world.partition(name, other, both=False)
             else:
-                self._world.cut(other, name, both=False)
-        self._later(fault.lasts, self._world.rejoin, name)
-        self._note(DisruptionKind.CUT, name, fault.lasts)
+                self._world.partition(other, name, both=False)
+        self._later(fault.lasts, self._world.heal_host, name)
+        self._record_outage(DisruptionKind.PARTITION, name, fault.lasts)
 
-    def _cut_with_seeds(self, fault: Fault, name: str) -> None:
+    def _partition_with_seeds(self, fault: Fault, name: str) -> None:
         node = self._world.nodes[name]
         own = node.control or self._world.edges()[0].control
         self._world.reload(name, seeds=[own])
-        self._cut(fault, name)
+        self._partition(fault, name)
         self._later(fault.lasts, self._world.write_seeds)
 
     def _slow(self, fault: Fault, name: str) -> None:
         self._world.slow(name, SLOW_FACTOR)
         self._later(fault.lasts, self._restore_speed, name)
-        self._note(DisruptionKind.SLOWED, name, fault.lasts)
+        self._record_outage(DisruptionKind.SLOWED, name, fault.lasts)
 
     def _stall(self, fault: Fault, name: str) -> None:
         self._world.stall_disk(name, fault.lasts)
-        self._note(DisruptionKind.SLOWED, name, fault.lasts)
+        self._record_outage(DisruptionKind.SLOWED, name, fault.lasts)
 
     def _reset(self, fault: Fault, name: str) -> None:
         for other in self._others(name):
             self._world.reset(name, other)
-        self._note(DisruptionKind.CUT, name, 0.0)
+        self._record_outage(DisruptionKind.PARTITION, name, 0.0)
 
     def _replace(self, fault: Fault, name: str) -> None:
         successor = self._world.replace(name)
         self._directory.replaced(fault.nodes[0], successor.name)
-        self._note(DisruptionKind.DOWN, name, 0.0)
-        self._note(DisruptionKind.NEW, successor.name, 0.0)
+        self._record_outage(DisruptionKind.DOWN, name, 0.0)
+        self._record_outage(DisruptionKind.NEW, successor.name, 0.0)
 
     def _add(self, fault: Fault, role: str) -> None:
         added = self._world.add_node(role)
         self._directory.changed()
-        self._note(DisruptionKind.NEW, added.name, 0.0)
+        self._record_outage(DisruptionKind.NEW, added.name, 0.0)
 
     def _terminate(self, fault: Fault, name: str) -> None:
         self._world.terminate(name)
@@ -158,19 +158,19 @@
 
     def _step_clock(self, fault: Fault, name: str) -> None:
         self._world.step_clock(name, fault.step_ms)
-        self._note(DisruptionKind.CLOCK, name, 0.0)
+        self._record_outage(DisruptionKind.CLOCK, name, 0.0)
 
     def _lose_packets(self, fault: Fault, name: str) -> None:
         self._lossy.add(name)
         for other in self._others(name):
-            self._world.lossy(name, other, LOST_SHARE)
+            self._world.set_packet_loss(name, other, PACKET_LOSS)
         self._later(fault.lasts, self._restore_links, name)
-        self._note(DisruptionKind.LOSSY, name, fault.lasts)
+        self._record_outage(DisruptionKind.LOSSY, name, fault.lasts)
 
     def _restore_links(self, name: str) -> None:
         self._lossy.discard(name)
         for other in self._others(name):
-            self._world.lossy(name, other, 0.0)
+            self._world.set_packet_loss(name, other, 0.0)
 
     def _partition_halves(self, fault: Fault) -> None:
         """Cut `fault.nodes` from the other machines that count; all others reach both halves (NEWS-22)."""
@@ -179,10 +179,10 @@
         for name in half:
             for other in counted:
                 if other not in half:
-                    self._world.cut(name, other)
-                    self._world.at(self._world.now + fault.lasts, self._world.join, name, other)
+                    self._world.partition(name, other)
+                    self._world.at(self._world.now + fault.lasts, self._world.heal_partition, name, other)
         for name in counted:
-            self._note(DisruptionKind.CUT, name, fault.lasts)
+            self._record_outage(DisruptionKind.PARTITION, name, fault.lasts)
 
     def _power_chain(self, fault: Fault) -> None:
         """Each machine loses power `gap_s` after the one before, while those before may still be off."""
@@ -205,13 +205,13 @@
         return [other.name for other in (*self._world.edges(), *self._world.storages()) if other.name != name]
 
     @staticmethod
-    def _down(fault: Fault) -> float:
+    def _down_s(fault: Fault) -> float:
         return max(fault.lasts, SHORTEST_DOWN_S)
 
     def _later(self, seconds: float, call: Callable[..., object], *arguments: str) -> None:
         self._world.at(self._world.now + seconds, call, *arguments)
 
-    def _note(self, kind: DisruptionKind, name: str, lasts: float) -> None:
+    def _record_outage(self, kind: DisruptionKind, name: str, lasts: float) -> None:
         now = self._world.now
         self._history.outages.append(Outage(name, now, now + lasts, planned=False))
         self._disrupt(kind, name, lasts)
--- a/bitternpath/testing/simulation/actors/node_directory.py
+++ b/bitternpath/testing/simulation/actors/node_directory.py
@@ -39,21 +39,21 @@
         self._world = world
         self._lag_s = lag_s
         self.edges: list[NodeAddress] = []
-        self._before: list[tuple[float, tuple[NodeAddress, ...]]] = []
-        self._names = {f"e{place}": node.name for place, node in enumerate(world.edges(), 1)}
-        self._names.update({f"s{place}": node.name for place, node in enumerate(world.storages(), 1)})
+        self._edge_lists: list[tuple[float, tuple[NodeAddress, ...]]] = []
+        self._names = {f"e{position}": node.name for position, node in enumerate(world.edges(), 1)}
+        self._names.update({f"s{position}": node.name for position, node in enumerate(world.storages(), 1)})
         self.changed()
 
     def changed(self) -> None:
         """Note that machines were added or removed."""
         self.edges[:] = [_address(node) for node in self._world.edges()]
-        self._before.append((self._world.now, tuple(self.edges)))
+        self._edge_lists.append((self._world.now, tuple(self.edges)))
 
     def lagging(self) -> Sequence[NodeAddress]:
         """The list that operators have now: that of `lag_s` ago."""
         then = self._world.now - self._lag_s
-        known = [edges for at, edges in self._before if at <= then]
-        return known[-1] if known else self._before[0][1]
+        known = [edges for at, edges in self._edge_lists if at <= then]
+        return known[-1] if known else self._edge_lists[0][1]
 
     def name(self, planned: str) -> str:
         """The present name of a machine of the plan."""
@@ -64,9 +64,9 @@
         self._names[planned] = successor
         self.changed()
 
-    def life(self, name: str) -> int:
+    def incarnation(self, name: str) -> int:
         """How often a node's process has been started."""
-        return self._world.nodes[name].lives
+        return self._world.nodes[name].incarnations
 
 
 def _address(node: SimulatedNode) -> NodeAddress:
--- a/bitternpath/testing/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -74,7 +74,7 @@
         self.on_retired: Callable[[str], object] = _ignore_retirement
 
     @property
-    def open(self) -> int:
+    def in_flight(self) -> int:
         """How many calls are in flight."""
         return self._in_flight.count
 
@@ -151,7 +151,7 @@
             )
         )
         if result.outcome is OrderOutcome.ACKNOWLEDGED:
-            self._note_newest(change.document)
+            self._update_newest(change.document)
         return result.outcome
 
     # ---- reads
@@ -178,10 +178,10 @@
             return None
         document: dict[str, Any] = json.loads(answer.body)
         self._history.reads.append(ConfigRead(node.name, sent_at, self._world.now, document))
-        self._note_newest(document)
+        self._update_newest(document)
         return document
 
-    def _note_newest(self, document: dict[str, Any]) -> None:
+    def _update_newest(self, document: dict[str, Any]) -> None:
         if document.get("version", 0) > self.newest["version"]:
             self.newest = document
 
@@ -223,22 +223,22 @@
         return False
 
     async def _call_retire(self, calls: ControlCalls, kind: RetireCall, machine: str) -> Reply | None:
-        node, sent_at, proper = calls.choose(), self._world.now, self._is_proper(machine)
+        node, sent_at, valid = calls.choose(), self._world.now, self._is_valid(machine)
         body = json.dumps({"duration_s": 10}).encode() if kind is RetireCall.ORDER else b""
         headers = {"Content-Type": "application/json"} if body else {}
         answer = await calls.send(node, Call(kind.value, f"/retire/{machine}", headers, body))
         if answer is not None:
             state = json.loads(answer.body).get("state", "") if answer.status == 200 and answer.body else ""
             self._history.retirements.append(
-                Retirement(kind, machine, node.name, sent_at, self._world.now, answer.status, state, proper)
+                Retirement(kind, machine, node.name, sent_at, self._world.now, answer.status, state, valid)
             )
         return answer
 
-    def _is_proper(self, machine: str) -> bool:
+    def _is_valid(self, machine: str) -> bool:
         """Whether the machine runs, and enough others do."""
         running = [node.name for node in self._world.storages() if node.state.value == "up"]
-        wanted = 2 * self._plan.layout.tolerated + 1
-        return machine in running and len(running) - 1 >= wanted
+        required = 2 * self._plan.layout.tolerated + 1
+        return machine in running and len(running) - 1 >= required
 
     def _calls(self, random: Random) -> ControlCalls:
         own = Random(random.getrandbits(64))
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -27,7 +27,7 @@
 from bitternpath.testing.fault_injection.pulling_worker import PullingWorker
 from bitternpath.testing.fault_injection.records import Answer, Kind
 from bitternpath.testing.simulation.checks.history import Drain, SystemHistory
-from bitternpath.testing.simulation.events import RunPlan, WorkerFault, WorkerFaultKind, WorkerLeaves
+from bitternpath.testing.simulation.events import RunPlan, WorkerDeparture, WorkerFault, WorkerFaultKind
 from bitternpath.testing.simulation.settings import PLATFORM_IP, PLATFORM_PORT
 
 if TYPE_CHECKING:
@@ -41,13 +41,13 @@
 LONG_PULLED_WORK_S = (1.2, 2.4)  # of one puller: it must extend its leases
 WORKER_PORT = 8080
 LISTED_NETWORK, ENDPOINT_IP, PULLER_NETWORK = "10.98.0", "10.97.0.1", "10.96.0"
-MOST_LAG_S = 0.8  # of the platform's list
-SERVES_ON_S = 4.5  # after it was shown as draining: `drain_ms` and somewhat longer
-LISTED_AFTER_S = 1.0  # after its end a worker still stands on the list for so long
-REUSED_AFTER_S = 2.5  # over `reuse_after_s`: then another incarnation has the address
+MAX_LIST_LAG_S = 0.8  # of the platform's list
+DRAIN_S = 4.5  # after it was shown as draining: `drain_ms` and somewhat longer
+UNLIST_DELAY_S = 1.0  # after its end a worker still stands on the list for so long
+ADDRESS_REUSE_DELAY_S = 2.5  # over `reuse_after_s`: then another incarnation has the address
 OTHER_ID = "f" * 16
 JUNK = b"\x00\x7fHTPT/1.1 2oo \r\n\x01\x02\r\n"
-ENDLESS_HEAD = (
+SHORT_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nContent-Length: 4096\r\nX-Request-Id: %s\r\nX-Server-Stamp: %s\r\n\r\nhalf"
 )
 
@@ -84,7 +84,7 @@
     def _answer_faulty(self, fault: WorkerFaultKind, job: Job) -> bool:
         """Answer as the fault demands; False if it leaves answers as they are."""
         transport, stamp = job.connection.transport, self._behavior.stamp(self.instance)
-        if fault is WorkerFaultKind.SILENT:
+        if fault is WorkerFaultKind.NO_ANSWER:
             return True
         if fault is WorkerFaultKind.DROPPING:
             transport.abortConnection()
@@ -92,7 +92,7 @@
             transport.write(JUNK)
             transport.loseConnection()
         elif fault is WorkerFaultKind.SHORT:
-            transport.write(ENDLESS_HEAD % (job.request_id.encode(), stamp.encode()))
+            transport.write(SHORT_RESPONSE % (job.request_id.encode(), stamp.encode()))
             transport.loseConnection()
         elif fault is WorkerFaultKind.OTHER_ID:
             job.answer.callback(Reply(200, {**self._named(OTHER_ID), "X-Server-Stamp": stamp}, b"ok"))
@@ -120,7 +120,7 @@
         self._incarnations = [0] * LISTED_WORKERS
         self._entries: dict[str, dict[str, Any]] = {}
         self._lag = Random(f"{plan.seed}/list")
-        self.listed = [self._start(place) for place in range(LISTED_WORKERS)]
+        self.listed = [self._start(index) for index in range(LISTED_WORKERS)]
         self.platform.publish(list(self._entries.values()))
         service = SERVICES[Kind.ENDPOINT]
         self.endpoint = FaultyEndpoint(
@@ -138,7 +138,7 @@
         worker = self.endpoint if event.worker < 0 else self.listed[event.worker]
         worker.begin_fault(self._world, event.fault, event.lasts)
 
-    def leave(self, event: WorkerLeaves) -> None:
+    def drain(self, event: WorkerDeparture) -> None:
         """Show a worker as draining, end it, and let a new incarnation have its address."""
         worker = self.listed[event.worker]
         entry = self._entries.get(worker.instance)
@@ -146,25 +146,25 @@
             return
         self._entries[worker.instance] = {**entry, "state": "draining"}
         self._publish(worker.instance)
-        self._world.at(self._world.now + SERVES_ON_S, self._end, event.worker, worker)
+        self._world.at(self._world.now + DRAIN_S, self._end, event.worker, worker)
 
-    def _end(self, place: int, worker: FaultyWorker) -> None:
+    def _end(self, index: int, worker: FaultyWorker) -> None:
         worker.close()
-        self._world.at(self._world.now + LISTED_AFTER_S, self._unlist, worker.instance)
-        self._world.at(self._world.now + REUSED_AFTER_S, self._start_again, place)
+        self._world.at(self._world.now + UNLIST_DELAY_S, self._unlist, worker.instance)
+        self._world.at(self._world.now + ADDRESS_REUSE_DELAY_S, self._start_again, index)
 
     def _unlist(self, instance: str) -> None:
         del self._entries[instance]
         self._publish()
 
-    def _start_again(self, place: int) -> None:
-        self.listed[place] = self._start(place)
+    def _start_again(self, index: int) -> None:
+        self.listed[index] = self._start(index)
         self._publish()
 
-    def _start(self, place: int) -> FaultyWorker:
-        self._incarnations[place] += 1
-        instance = f"i-{place}-{self._incarnations[place]}"
-        ip = f"{LISTED_NETWORK}.{place + 1}"
+    def _start(self, index: int) -> FaultyWorker:
+        self._incarnations[index] += 1
+        instance = f"i-{index}-{self._incarnations[index]}"
+        ip = f"{LISTED_NETWORK}.{index + 1}"
         worker = FaultyWorker(
             self._context(ip),
             self._behavior(instance, LISTED_WORK_S),
@@ -179,18 +179,20 @@
     def _record_read(self, answer: Answer, sender: str) -> None:
         """An answer counts as read only if its sender runs all the time that it takes to come."""
         node = next(node for node in self._world.nodes.values() if node.ip == sender)
-        life = node.lives
+        incarnation = node.incarnations
         answer.read = _runs(node)
 
         def check_again() -> None:
-            answer.read = answer.read and _runs(node) and node.lives == life
+            answer.read = answer.read and _runs(node) and node.incarnations == incarnation
 
         self._world.at(self._world.now + READ_MARGIN_AFTER_ANSWER_S, check_again)
 
     def _publish(self, draining: str = "") -> None:
         """The list shows its entries as they are now, a while later."""
         entries = list(self._entries.values())
-        self._world.at(self._world.now + self._lag.uniform(0.0, MOST_LAG_S), self._show, entries, draining)
+        self._world.at(
+            self._world.now + self._lag.uniform(0.0, MAX_LIST_LAG_S), self._show, entries, draining
+        )
 
     def _show(self, entries: list[dict[str, Any]], draining: str) -> None:
         self.platform.publish(entries)
--- a/bitternpath/testing/simulation/checks/configuration.py
+++ b/bitternpath/testing/simulation/checks/configuration.py
@@ -12,7 +12,7 @@
 from bitternpath.testing.simulation.checks.history import RouteProbe, SystemHistory, SystemRuleParameters
 
 NO_ROUTE = 404
-NOT_FOUNDED = 0  # the version before the first configuration
+NO_VERSION = 0  # the version before the first configuration
 
 
 def check_older_read(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
@@ -27,39 +27,39 @@
 def check_read_content(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
     """What is read under a number is what was sent under it, and was neither refused nor invalid."""
     for read in history.reads:
-        if read.version == NOT_FOUNDED:
+        if read.version == NO_VERSION:
             continue
-        under = [order for order in history.orders if order.version == read.version]
-        same = [order for order in under if order.document == read.document]
-        if not same:
+        same_version = [order for order in history.orders if order.version == read.version]
+        matching = [order for order in same_version if order.document == read.document]
+        if not matching:
             text = f"{read.node} read back {read.version} at {read.ended_at:.3f}, which nobody sent so"
             yield Violation(Rule.CONFIG, "", text)
-        elif not any(order.valid for order in same):
+        elif not any(order.valid for order in matching):
             yield Violation(Rule.CONFIG, "", f"the invalid version {read.version} is in force")
-        elif all(_refused(order) for order in same):
+        elif all(_refused(order) for order in matching):
             text = f"version {read.version} is in force at {read.ended_at:.3f}, and was refused"
-            yield Violation(Rule.CONFIG, "", f"{text} with {same[0].status}")
+            yield Violation(Rule.CONFIG, "", f"{text} with {matching[0].status}")
 
 
 def check_one_chain(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
     """Acknowledged changes follow one another: none is built on a version below one that went before."""
-    taken: dict[tuple[int, int, str], OrderSent] = {}
+    distinct: dict[tuple[int, int, str], OrderSent] = {}
     for order in _acknowledged(history):
-        taken.setdefault((order.version, order.base, repr(order.document)), order)
-    chain = sorted(taken.values(), key=lambda order: (order.version, order.base))
-    for before, after in pairwise(chain):
-        if after.base < before.version:
-            text = f"{before.version} on {before.base} and {after.version} on {after.base} acknowledged"
+        distinct.setdefault((order.version, order.base, repr(order.document)), order)
+    chain = sorted(distinct.values(), key=lambda order: (order.version, order.base))
+    for earlier, later in pairwise(chain):
+        if later.base < earlier.version:
+            text = f"{earlier.version} on {earlier.base} and {later.version} on {later.base} acknowledged"
             yield Violation(Rule.CONFIG, "", text)
 
 
 def check_base_in_force(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
     """An acknowledged change is built on a version that was not refused."""
     for order in _acknowledged(history):
-        under = [other for other in history.orders if other.version == order.base]
-        if under and all(_refused(other) for other in under):
+        same_version = [other for other in history.orders if other.version == order.base]
+        if same_version and all(_refused(other) for other in same_version):
             text = f"{order.version} was acknowledged on top of {order.base}, which was refused"
-            yield Violation(Rule.CONFIG, "", f"{text} with {under[0].status}")
+            yield Violation(Rule.CONFIG, "", f"{text} with {same_version[0].status}")
 
 
 def check_applied(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
@@ -69,7 +69,7 @@
         if not _answered(probe) or not connectivity.connected([probe.node], probe.sent_at, probe.ended_at):
             continue
         due = _acknowledged(history, probe.sent_at - parameters.config_apply_s)
-        least = max((order.version for order in due), default=NOT_FOUNDED)
+        least = max((order.version for order in due), default=NO_VERSION)
         allowed = [version for version in _versions(history, probe) if version[0] >= least]
         if allowed and not any(_fits(probe, document) for _, document in allowed):
             text = f"{probe.node} answered {probe.status} to {probe.path} sent at {probe.sent_at:.3f}"
@@ -82,9 +82,9 @@
     for probe in sorted(history.probes, key=lambda probe: probe.ended_at):
         if not _answered(probe):
             continue
-        seen = floors.setdefault((probe.node, probe.life), [])
+        seen = floors.setdefault((probe.node, probe.incarnation), [])
         before = probe.sent_at - parameters.downgrade_slack_s
-        floor = max((version for at, version in seen if at <= before), default=NOT_FOUNDED)
+        floor = max((version for at, version in seen if at <= before), default=NO_VERSION)
         possible = [
             version
             for version, document in _versions(history, probe)
@@ -117,7 +117,7 @@
 def _versions(history: SystemHistory, probe: RouteProbe) -> list[tuple[int, Any]]:
     """Versions, with their documents, that may have been in force when the probe was answered."""
     sent = [(order.version, order.document) for order in history.possible_orders(probe.ended_at)]
-    return [(NOT_FOUNDED, {"routes": []}), *sent]
+    return [(NO_VERSION, {"routes": []}), *sent]
 
 
 def _fits(probe: RouteProbe, document: Any) -> bool:
--- a/bitternpath/testing/simulation/checks/connectivity.py
+++ b/bitternpath/testing/simulation/checks/connectivity.py
@@ -14,7 +14,7 @@
     SystemRuleParameters,
 )
 
-LINK_DISRUPTIONS = frozenset((DisruptionKind.CUT, DisruptionKind.SLOWED, DisruptionKind.LOSSY))
+LINK_DISRUPTIONS = frozenset((DisruptionKind.PARTITION, DisruptionKind.SLOWED, DisruptionKind.LOSSY))
 
 
 class Connectivity:
--- a/bitternpath/testing/simulation/checks/control.py
+++ b/bitternpath/testing/simulation/checks/control.py
@@ -17,28 +17,28 @@
 
 def check_retirement_refused(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
     """A valid order to retire a machine isn't refused, except as in progress when it is repeated."""
-    ordered: dict[str, float] = {}
-    for asked in history.retirements:
-        if asked.call is not RetireCall.ORDER or not asked.proper:
+    first_sent_at: dict[str, float] = {}
+    for order in history.retirements:
+        if order.call is not RetireCall.ORDER or not order.valid:
             continue
-        repeated = ordered.setdefault(asked.machine, asked.sent_at) < asked.sent_at
+        repeated = first_sent_at.setdefault(order.machine, order.sent_at) < order.sent_at
         allowed = (409,) if repeated else ()
-        if 400 <= asked.status < 500 and asked.status not in (408, 429, *allowed):
-            text = f"{asked.asked_of} refused to empty {asked.machine} with {asked.status}"
-            yield Violation(SystemRule.RETIRE, "", f"{text} at {asked.ended_at:.3f}")
+        if 400 <= order.status < 500 and order.status not in (408, 429, *allowed):
+            text = f"{order.node} refused to empty {order.machine} with {order.status}"
+            yield Violation(SystemRule.RETIRE, "", f"{text} at {order.ended_at:.3f}")
 
 
 def check_retirement_done(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
     """A retirement that was reported as done stays done."""
     done: dict[str, float] = {}
-    for read in sorted(history.retirements, key=lambda read: read.ended_at):
-        if read.call is not RetireCall.READ or read.status != 200:
+    for poll in sorted(history.retirements, key=lambda poll: poll.ended_at):
+        if poll.call is not RetireCall.READ or poll.status != 200:
             continue
-        if read.state == "done":
-            done.setdefault(read.machine, read.ended_at)
-        elif done.get(read.machine, read.sent_at) < read.sent_at:
-            text = f"{read.machine} was done at {done[read.machine]:.3f}"
-            yield Violation(SystemRule.RETIRE, "", f"{text}, and {read.state!r} at {read.ended_at:.3f}")
+        if poll.state == "done":
+            done.setdefault(poll.machine, poll.ended_at)
+        elif done.get(poll.machine, poll.sent_at) < poll.sent_at:
+            text = f"{poll.machine} was done at {done[poll.machine]:.3f}"
+            yield Violation(SystemRule.RETIRE, "", f"{text}, and {poll.state!r} at {poll.ended_at:.3f}")
 
 
 def check_acknowledged_in_time(
--- a/bitternpath/testing/simulation/checks/history.py
+++ b/bitternpath/testing/simulation/checks/history.py
@@ -47,7 +47,7 @@
 
     request_id: str
     node: str
-    life: int  # of the node's process
+    incarnation: int  # of the node's process
     sent_at: float
     ended_at: float
     host: str
@@ -82,12 +82,12 @@
 
     call: RetireCall
     machine: str
-    asked_of: str
+    node: str
     sent_at: float
     ended_at: float
     status: int
     state: str = ""
-    proper: bool = True  # the machine was there, and enough others stayed
+    valid: bool = True  # the machine was there, and enough others stayed
 
 
 class DisruptionKind(Enum):
@@ -96,7 +96,7 @@
     DOWN = "down"  # killed or without power, until it was started again
     LEAVING = "leaving"  # SIGTERM: planned work
     FROZEN = "frozen"
-    CUT = "cut"  # from all or some others, in one direction or both
+    PARTITION = "cut"  # from all or some others, in one direction or both
     SLOWED = "slowed"
     NEW = "new"  # started on an empty machine
     CLOCK = "clock"  # its time of day was stepped
--- a/bitternpath/testing/simulation/checks/messages.py
+++ b/bitternpath/testing/simulation/checks/messages.py
@@ -17,8 +17,8 @@
     SystemRuleParameters,
 )
 
-GONE = (404, 410)
-ENDED = ("done", "dead_letter")
+UNKNOWN_STATUSES = (404, 410)
+FINAL_STATES = ("done", "dead_letter")
 REJECTED_RUNS = 3  # answers of 422, after which a message must not come again
 BUDGET_FACTOR = 3  # likewise, times `max_attempts`, answers of 500
 
@@ -73,11 +73,11 @@
     ended = ended_times(history, parameters)
     for read in history.state_reads:
         send = history.sends.get(read.request_id)
-        if send is None or read.status not in GONE or send.status != 202:
+        if send is None or read.status not in UNKNOWN_STATUSES or send.status != 202:
             continue
         known = read.sent_at > send.ended_at + parameters.state_known_s
-        kept = read.ended_at < ended[read.request_id] + parameters.status_s
-        if known and kept and connectivity.connected([read.node], read.sent_at, read.ended_at):
+        retained = read.ended_at < ended[read.request_id] + parameters.status_s
+        if known and retained and connectivity.connected([read.node], read.sent_at, read.ended_at):
             text = (
                 f"{read.node} answered {read.status} at {read.ended_at:.3f}, accepted at {send.ended_at:.3f}"
             )
@@ -105,7 +105,7 @@
             text = f"said to be {state!r} at {at:.3f}, and {read.state!r} at {read.ended_at:.3f}"
             yield Violation(Rule.MIXED, read.request_id, text)
         yield from _check_final_state(read, stamps[read.request_id], ended.get(read.request_id, inf))
-        if read.state in ENDED:
+        if read.state in FINAL_STATES:
             final.setdefault(read.request_id, (read.ended_at, read.state, read.stamp))
 
 
--- a/bitternpath/testing/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -23,8 +23,8 @@
         self._last_arrival = 0.0
         self._generation = 0
         self._stopped = False  # the sender sends nothing again
-        self._held: deque[tuple[Packet, bytes]] = deque()
-        self._held_since = 0.0
+        self._undelivered: deque[tuple[Packet, bytes]] = deque()
+        self._undelivered_since = 0.0
 
     def send(self, packet: Packet, data: bytes) -> None:
         """Send a packet in this direction."""
@@ -32,8 +32,8 @@
             self.stop()
         elif self._stopped:
             return
-        if self._held:
-            self._held.append((packet, data))
+        if self._undelivered:
+            self._undelivered.append((packet, data))
             return
         scheduler = self._network.scheduler
         arrival = self.path.arrival(scheduler.now, len(data))
@@ -43,16 +43,16 @@
     def stop(self) -> None:
         """Drop held packets, and retransmit nothing."""
         self._stopped = True
-        self._held.clear()
-        self.path.holding.pop(self, None)
+        self._undelivered.clear()
+        self.path.blocked_directions.pop(self, None)
 
     def lose_packets_in_flight(self) -> None:
         """Drop all packets that haven't arrived."""
         self._generation += 1
-        self._held.clear()
-        self.path.holding.pop(self, None)
+        self._undelivered.clear()
+        self.path.blocked_directions.pop(self, None)
 
-    def send_again(self) -> None:
+    def retransmit(self) -> None:
         """Retransmit held packets: the path may be open again."""
         delay = self.path.retry_delay()
         self._network.scheduler.push(self._network.scheduler.now + delay, self._retry, self._generation)
@@ -60,53 +60,53 @@
     def _arrive(self, packet: Packet, data: bytes, generation: int) -> None:
         if generation != self._generation:
             return
-        if self._held or not self._is_open():
-            self._hold(packet, data)
+        if self._undelivered or not self._is_open():
+            self._defer(packet, data)
         else:
             self._deliver(packet, data)
 
     def _is_open(self) -> bool:
-        return not self.path.cut and self.receiver.reactor.host.powered
+        return not self.path.partitioned and self.receiver.reactor.host.powered
 
-    def _hold(self, packet: Packet, data: bytes) -> None:
+    def _defer(self, packet: Packet, data: bytes) -> None:
         if self._stopped:
             return
-        if not self._held:
-            now = self._held_since = self._network.scheduler.now
-            self.path.holding[self] = None
+        if not self._undelivered:
+            now = self._undelivered_since = self._network.scheduler.now
+            self.path.blocked_directions[self] = None
             if self.sender.user_timeout_s:
                 due = now + self.sender.user_timeout_s
-                self._network.scheduler.push(due, self._give_up_held, now)
-        self._held.append((packet, data))
+                self._network.scheduler.push(due, self._time_out_undelivered, now)
+        self._undelivered.append((packet, data))
 
     def _retry(self, generation: int) -> None:
         if generation != self._generation or not self._is_open():
             return
-        self.path.holding.pop(self, None)
-        held = self._held
-        self._held = deque()
-        for packet, data in held:
+        self.path.blocked_directions.pop(self, None)
+        packets = self._undelivered
+        self._undelivered = deque()
+        for packet, data in packets:
             self._deliver(packet, data)
 
     def _deliver(self, packet: Packet, data: bytes) -> None:
         network = self._network
         if packet is Packet.DATA:
             network.recorder.arrival(self._connection.name, "", data)
-        if self.sender.user_timeout_s and self._connection.way_back(self).cut:
+        if self.sender.user_timeout_s and self._connection.reverse_path(self).partitioned:
             due = network.scheduler.now + self.sender.user_timeout_s
-            network.scheduler.push(due, self._give_up_unacknowledged, network.scheduler.now)
+            network.scheduler.push(due, self._time_out_unacknowledged, network.scheduler.now)
         if packet is Packet.ESTABLISHED:
             self._connection.established()
         else:
             self.receiver.arrived(packet, data)
 
-    def _give_up_held(self, since: float) -> None:
-        if self._held and self._held_since == since:
+    def _time_out_undelivered(self, since: float) -> None:
+        if self._undelivered and self._undelivered_since == since:
             self.sender.fail(timed_out())
 
-    def _give_up_unacknowledged(self, since: float) -> None:
-        back = self._connection.way_back(self)
-        if back.cut and back.cut_since <= since:
+    def _time_out_unacknowledged(self, since: float) -> None:
+        back = self._connection.reverse_path(self)
+        if back.partitioned and back.partitioned_since <= since:
             self.sender.fail(timed_out())
 
 
@@ -126,23 +126,26 @@
         self.server = Stream(self, server, ends[1], ends[0])
         self.client.peer = self.server
         self.server.peer = self.client
-        there, back = network.path(ends[0][0], ends[1][0]), network.path(ends[1][0], ends[0][0])
-        self._there = Direction(self, self.client, self.server, there)
-        self._back = Direction(self, self.server, self.client, back)
+        forward_path, reverse_path = (
+            network.path(ends[0][0], ends[1][0]),
+            network.path(ends[1][0], ends[0][0]),
+        )
+        self._forward = Direction(self, self.client, self.server, forward_path)
+        self._reverse = Direction(self, self.server, self.client, reverse_path)
         self._port: Acceptor | None = None
         network.connections[self] = None
 
     def send(self, sender: Stream, packet: Packet, data: bytes = b"") -> None:
         """Send a packet to the other end."""
-        (self._there if sender is self.client else self._back).send(packet, data)
+        (self._forward if sender is self.client else self._reverse).send(packet, data)
 
     def stop_sending(self, sender: Stream) -> None:
         """Retransmit nothing from that end, and drop what it holds."""
-        (self._there if sender is self.client else self._back).stop()
+        (self._forward if sender is self.client else self._reverse).stop()
 
-    def way_back(self, direction: Direction) -> Path:
+    def reverse_path(self, direction: Direction) -> Path:
         """The path of the other direction."""
-        return (self._back if direction is self._there else self._there).path
+        return (self._reverse if direction is self._forward else self._forward).path
 
     def open(self, port: Acceptor) -> None:
         """The connecting end has an answer of the port; the other end is notified."""
@@ -156,7 +159,7 @@
 
     def reset(self) -> None:
         """Reset both ends; bytes in flight are lost."""
-        for direction, end in ((self._there, self.server), (self._back, self.client)):
+        for direction, end in ((self._forward, self.server), (self._reverse, self.client)):
             direction.lose_packets_in_flight()
             direction.stop()
             if not end.closed:
--- a/bitternpath/testing/simulation/connector.py
+++ b/bitternpath/testing/simulation/connector.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 from bitternpath.testing.simulation.connections import Connection
-from bitternpath.testing.simulation.errors import failure, given_up, refused, timed_out
+from bitternpath.testing.simulation.errors import connect_cancelled, failure, refused, timed_out
 from bitternpath.testing.simulation.interfaces import Address
 from bitternpath.testing.simulation.paths import Path
 from bitternpath.testing.simulation.ports import TcpPort
@@ -54,7 +54,7 @@
         """Dial no more."""
         if self.state != "connecting":
             raise RuntimeError("not connecting")
-        self._failed(given_up())
+        self._failed(connect_cancelled())
 
     def getDestination(self) -> IPv4Address:
         """What is dialled."""
@@ -80,7 +80,7 @@
     def _opening_arrives(self, path: Path, attempt: int) -> None:
         host = self._network.hosts.get(self.target[0])
         back = self._network.path(self.target[0], self.reactor.host.ip)
-        if host is None or not host.powered or path.cut or back.cut:
+        if host is None or not host.powered or path.partitioned or back.partitioned:
             return
         arrival = back.arrival(self._network.scheduler.now, 0)
         answer = self._refused if self.target[1] not in host.ports else self._answered
@@ -103,7 +103,7 @@
     def _connected(self, port: TcpPort) -> None:
         self._stop_timer()
         self.state = "connected"
-        local = self.reactor.host.ip, self.reactor.host.own_port()
+        local = self.reactor.host.ip, self.reactor.host.ephemeral_port()
         connection = Connection(self._network, self.reactor, port.reactor, (local, self.target))
         connection.open(port)
         protocol = self.factory.buildProtocol(self.getDestination())
@@ -111,7 +111,7 @@
         self.transport.connector = self
         if protocol is None:
             self.transport.killed(False)
-            self.connectionLost(failure(given_up()))
+            self.connectionLost(failure(connect_cancelled()))
         else:
             self.transport.start(protocol)
 
--- a/bitternpath/testing/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -18,9 +18,9 @@
 
 IDENTITY_BITS = 32
 SALT_BITS = 32
-SET_ASIDE = "damaged-1"
+QUARANTINE_FOLDER = "damaged-1"
 DOCUMENT_SYNCS = 2  # of the file and of its folder, each of which takes a sync's time
-MAX_STEPS_OF_DOCUMENT = 5  # operations that change something, while one is written
+MAX_DOCUMENT_STEPS = 5  # operations that change something, while one is written
 
 
 class SimulatedNodeDisk:
@@ -35,8 +35,8 @@
         self._logs = logs
         self._sync_seconds = sync_seconds
         self._journal_writer: VirtualTimeJournalWriter | None = None
-        self._works: dict[int, Callable[[], object]] = {}
-        self._last_work = 0
+        self._pending_work: dict[int, Callable[[], object]] = {}
+        self._last_work_number = 0
 
     # ---- NodeDisk
 
@@ -69,15 +69,15 @@
 
     def was_quarantined(self) -> bool:
         """Whether a damaged content was moved away at some time."""
-        return any(path.startswith(SET_ASIDE) for path in self._disk.paths())
+        return any(path.startswith(QUARANTINE_FOLDER) for path in self._disk.paths())
 
     def quarantine_content(self, max_bytes: int | None) -> str:
         """What was damaged is gone at once; the folder's name is kept."""
         self._disk.wipe()
-        self._disk.write_at(f"{SET_ASIDE}/empty", 0, b"")
-        self._disk.sync(f"{SET_ASIDE}/empty")
-        self._disk.sync_directory(SET_ASIDE)
-        return SET_ASIDE
+        self._disk.write_at(f"{QUARANTINE_FOLDER}/empty", 0, b"")
+        self._disk.sync(f"{QUARANTINE_FOLDER}/empty")
+        self._disk.sync_directory(QUARANTINE_FOLDER)
+        return QUARANTINE_FOLDER
 
     # ---- time and ends
 
@@ -89,27 +89,27 @@
 
     def work(self, work: Callable[[], object]) -> None:
         """Work of another thread that writes a document: done when its syncs are over."""
-        self._last_work += 1
-        self._works[self._last_work] = work
-        self._reactor.callLater(DOCUMENT_SYNCS * self._sync_seconds, self._do, self._last_work)
+        self._last_work_number += 1
+        self._pending_work[self._last_work_number] = work
+        self._reactor.callLater(DOCUMENT_SYNCS * self._sync_seconds, self._run_work, self._last_work_number)
 
     def end(self) -> None:
         """The process ends: inside whatever it is writing."""
         if self._journal_writer is not None:
             self._journal_writer.crash_during_batch(self._random)
-        if self._stall_left() > 0:
-            self._works.clear()
-        for number in list(self._works):
-            self._disk.crash_at = self._disk.steps + self._random.randint(1, MAX_STEPS_OF_DOCUMENT + 1)
+        if self._remaining_stall() > 0:
+            self._pending_work.clear()
+        for number in list(self._pending_work):
+            self._disk.crash_at = self._disk.steps + self._random.randint(1, MAX_DOCUMENT_STEPS + 1)
             with suppress(SimulatedCrashError):
-                self._works.pop(number)()
+                self._pending_work.pop(number)()
         self._disk.restart()
 
-    def _do(self, number: int) -> None:
-        if self._stall_left() > 0:
-            self._reactor.callLater(self._stall_left(), self._do, number)
+    def _run_work(self, number: int) -> None:
+        if self._remaining_stall() > 0:
+            self._reactor.callLater(self._remaining_stall(), self._run_work, number)
         else:
-            self._works.pop(number)()
+            self._pending_work.pop(number)()
 
-    def _stall_left(self) -> float:
+    def _remaining_stall(self) -> float:
         return self._disk.stalled_until - float(self._reactor.seconds())
--- a/bitternpath/testing/simulation/errors.py
+++ b/bitternpath/testing/simulation/errors.py
@@ -12,36 +12,36 @@
 _failure: Any = Failure
 _timed_out: Any = error.TimeoutError
 _refused: Any = error.ConnectionRefusedError
-_given_up: Any = error.UserError
+_connect_cancelled: Any = error.UserError
 _cannot_listen: Any = error.CannotListenError
 
 
 def failure(reason: BaseException | None = None) -> Failure:
     """A failure of `reason`, or of the exception that is handled now."""
-    made: Failure = _failure(reason)
-    return made
+    result: Failure = _failure(reason)
+    return result
 
 
 def timed_out() -> Exception:
     """Nobody answered."""
-    made: Exception = _timed_out()
-    return made
+    result: Exception = _timed_out()
+    return result
 
 
 def refused() -> Exception:
     """No process listens there."""
-    made: Exception = _refused()
-    return made
+    result: Exception = _refused()
+    return result
 
 
-def given_up() -> Exception:
+def connect_cancelled() -> Exception:
     """The caller doesn't want the connection any more."""
-    made: Exception = _given_up()
-    return made
+    result: Exception = _connect_cancelled()
+    return result
 
 
-def port_taken(interface: str, port: int) -> Exception:
+def port_in_use(interface: str, port: int) -> Exception:
     """Another process listens there."""
     cause = OSError(errno.EADDRINUSE, os.strerror(errno.EADDRINUSE))
-    made: Exception = _cannot_listen(interface, port, cause)
-    return made
+    result: Exception = _cannot_listen(interface, port, cause)
+    return result
--- a/bitternpath/testing/simulation/events.py
+++ b/bitternpath/testing/simulation/events.py
@@ -23,10 +23,10 @@
     POWER = "power"
     WIPE = "wipe"  # starts again with an empty disk
     FREEZE = "freeze"
-    CUT = "cut"  # from all other nodes, both ways
-    CUT_IN = "cut_in"  # nothing reaches it
-    CUT_OUT = "cut_out"  # nothing of it reaches others
-    CUT_SEEDS = "cut_seeds"  # cut off, and its settings name only itself
+    PARTITION = "cut"  # from all other nodes, both ways
+    PARTITION_INBOUND = "cut_in"  # nothing reaches it
+    PARTITION_OUTBOUND = "cut_out"  # nothing of it reaches others
+    PARTITION_WITH_SEEDS = "cut_seeds"  # cut off, and its settings name only itself
     SLOW = "slow"
     STALL = "stall"  # its disk
     RESET = "reset"  # all its connections to other nodes
@@ -116,7 +116,7 @@
 
     FAILING = "failing"  # 500
     REFUSING = "refusing"  # 503 with `X-Not-Executed`
-    SILENT = "silent"  # runs, never answers
+    NO_ANSWER = "silent"  # runs, never answers
     DROPPING = "dropping"  # runs, closes without an answer
     JUNK = "junk"  # answers bytes that are no answer
     OTHER_ID = "other_id"  # answers a success that names another message
@@ -134,7 +134,7 @@
     lasts: float
 
 
-class WorkerLeaves(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="worker_leaves"):
+class WorkerDeparture(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="worker_leaves"):
     """A listed worker is shown as draining and ends; a new incarnation takes its place."""
 
     number: int
@@ -142,7 +142,7 @@
     worker: int
 
 
-Event = Fault | Order | Retire | Message | Probe | ReadConfiguration | WorkerFault | WorkerLeaves
+Event = Fault | Order | Retire | Message | Probe | ReadConfiguration | WorkerFault | WorkerDeparture
 
 
 class Layout(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
--- a/bitternpath/testing/simulation/faults.py
+++ b/bitternpath/testing/simulation/faults.py
@@ -93,44 +93,44 @@
 
     # ---- links
 
-    def cut(self, a: str, b: str, both: bool = True) -> None:
+    def partition(self, a: str, b: str, both: bool = True) -> None:
         """Partition: nothing gets from a to b, nor back if `both`. Bytes wait at their sender."""
         self.recorder.event("cut", f"{a} {b} both={both}")
-        self._cut(a, b, both)
+        self._partition(a, b, both)
 
-    def join(self, a: str, b: str) -> None:
+    def heal_partition(self, a: str, b: str) -> None:
         """Heal a partition, in both directions."""
         self.recorder.event("join", f"{a} {b}")
-        self._join(self.ip(a), self.ip(b))
+        self._heal(self.ip(a), self.ip(b))
 
-    def cut_off(self, name: str, others: Iterable[str] | None = None, both: bool = True) -> None:
+    def isolate(self, name: str, others: Iterable[str] | None = None, both: bool = True) -> None:
         """Partition a node from `others`, by default from all hosts."""
         chosen = list(others) if others is not None else list(self.network.hosts)
         self.recorder.event("cut_off", f"{name} from={'all' if others is None else ','.join(chosen)}")
         for other in chosen:
             if self.ip(other) != self.ip(name):
-                self._cut(name, other, both)
+                self._partition(name, other, both)
 
-    def rejoin(self, name: str) -> None:
+    def heal_host(self, name: str) -> None:
         """Heal all partitions of a host."""
         self.recorder.event("rejoin", name)
         ip = self.ip(name)
-        for source, target in self.network.cut_pairs():
+        for source, target in self.network.partitioned_pairs():
             if ip in (source, target):
-                self.network.join(source, target)
+                self.network.heal(source, target)
 
     def reset(self, a: str, b: str) -> None:
         """Reset all connections between two hosts; bytes in flight are lost."""
         self.recorder.event("reset", f"{a} {b}")
         self.network.reset(self.ip(a), self.ip(b))
 
-    def squeeze(self, a: str, b: str, bytes_per_s: float | None) -> None:
+    def limit_bandwidth(self, a: str, b: str, bytes_per_s: float | None) -> None:
         """Limit the bandwidth between two hosts in each direction; None: no limit."""
         self.recorder.event("squeeze", f"{a} {b} {bytes_per_s}")
         for source, target in ((a, b), (b, a)):
             self.network.path(self.ip(source), self.ip(target)).bytes_per_s = bytes_per_s
 
-    def lossy(self, a: str, b: str, share: float) -> None:
+    def set_packet_loss(self, a: str, b: str, share: float) -> None:
         """Lose a share of the packets between two hosts; those of streams are retransmitted."""
         self.recorder.event("lossy", f"{a} {b} {share}")
         for source, target in ((a, b), (b, a)):
@@ -148,7 +148,7 @@
         self.recorder.event("stall", f"{name} {seconds}")
         self.nodes[name].disk.stalled_until = self.scheduler.now + seconds
 
-    def bound_disk(self, name: str, free_bytes: int | None) -> None:
+    def limit_disk(self, name: str, free_bytes: int | None) -> None:
         """Leave `free_bytes` on a disk; None: no limit."""
         self.recorder.event("room", f"{name} {free_bytes}")
         disk = self.nodes[name].disk
@@ -174,11 +174,11 @@
         if seconds is not None:
             self.nodes[name].start_after(seconds)
 
-    def _cut(self, a: str, b: str, both: bool) -> None:
-        self.network.cut(self.ip(a), self.ip(b))
+    def _partition(self, a: str, b: str, both: bool) -> None:
+        self.network.partition(self.ip(a), self.ip(b))
         if both:
-            self.network.cut(self.ip(b), self.ip(a))
+            self.network.partition(self.ip(b), self.ip(a))
 
-    def _join(self, a: str, b: str) -> None:
-        self.network.join(a, b)
-        self.network.join(b, a)
+    def _heal(self, a: str, b: str) -> None:
+        self.network.heal(a, b)
+        self.network.heal(b, a)
--- a/bitternpath/testing/simulation/file_system.py
+++ b/bitternpath/testing/simulation/file_system.py
@@ -43,7 +43,7 @@
 class _File:
     """A file's content as a process sees it, as it is synced, and the changes between the two."""
 
-    born_as: str  # path under which it was made
+    created_as: str  # path under which it was made
     current: bytearray = field(default_factory=bytearray)
     synced: bytearray = field(default_factory=bytearray)
     unsynced: list[_Change] = field(default_factory=list)
@@ -168,22 +168,22 @@
 
     def write_at(self, path: str, offset: int, data: bytes) -> None:
         """See `FileSystem`. A disk that gets full takes as much as fits."""
-        crashes = self._step()
+        crash = self._step()
         file = self._file(path)
-        fitting = len(data)
+        writable = len(data)
         if self.capacity is not None:
-            fitting = max(self.capacity - self.used + max(len(file.current) - offset, 0), 0)
-        file.change(_Change(offset, data[:fitting]))
-        if crashes:
+            writable = max(self.capacity - self.used + max(len(file.current) - offset, 0), 0)
+        file.change(_Change(offset, data[:writable]))
+        if crash:
             raise SimulatedCrashError
-        if fitting < len(data):
+        if writable < len(data):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def truncate(self, path: str, size: int) -> None:
         """See `FileSystem`."""
-        crashes = self._step()
+        crash = self._step()
         self._file(path).change(_Change(size, None))
-        if crashes:
+        if crash:
             raise SimulatedCrashError
 
     def sync(self, path: str) -> None:
@@ -196,7 +196,7 @@
             file.unsynced.clear()
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         file.sync()
-        if self._fsync_persists_name and file.born_as == path:
+        if self._fsync_persists_name and file.created_as == path:
             self._durable[path] = file
 
     def sync_directory(self, directory: str) -> None:
@@ -204,8 +204,8 @@
         if self._step():
             raise SimulatedCrashError
         start = f"{directory}/" if directory else ""
-        inside = {path for path in self._names.keys() | self._durable.keys() if path.startswith(start)}
-        for path in inside:
+        affected = {path for path in self._names.keys() | self._durable.keys() if path.startswith(start)}
+        for path in affected:
             if path in self._names:
                 self._durable[path] = self._names[path]
             else:
@@ -213,16 +213,16 @@
 
     def rename(self, old: str, new: str) -> None:
         """See `FileSystem`."""
-        crashes = self._step()
+        crash = self._step()
         self._names[new] = self._names.pop(old)
-        if crashes:
+        if crash:
             raise SimulatedCrashError
 
     def remove(self, path: str) -> None:
         """See `FileSystem`."""
-        crashes = self._step()
+        crash = self._step()
         self._names.pop(path, None)
-        if crashes:
+        if crash:
             raise SimulatedCrashError
 
     def close(self) -> None:
--- a/bitternpath/testing/simulation/group_invariants.py
+++ b/bitternpath/testing/simulation/group_invariants.py
@@ -54,10 +54,10 @@
         change_members = host.change_members
 
         def observed(group: str, members: Members) -> bool:
-            before = host.members(group)
+            previous = host.members(group)
             proposed = change_members(group, members)
             if proposed:
-                self.recorder.membership_change(before, members)
+                self.recorder.membership_change(previous, members)
             return proposed
 
         host.change_members = observed  # type: ignore[method-assign]
@@ -65,15 +65,15 @@
     def became_owner(self, node: str, group: str, epoch: int) -> None:
         """A replica owns its group."""
         self.recorder.ownership(node, group, epoch, True)
-        before = self._owners.setdefault((group, epoch), node)
-        if before != node:
-            self._broken("one owner an epoch", f"{group} epoch {epoch}: {before} and {node}")
+        previous = self._owners.setdefault((group, epoch), node)
+        if previous != node:
+            self._broken("one owner an epoch", f"{group} epoch {epoch}: {previous} and {node}")
 
     def applied(self, node: str, group: str, index: int, command: bytes) -> None:
         """A replica has applied a committed command."""
-        known = self._applied.setdefault(group, {})
+        checksums = self._applied.setdefault(group, {})
         checksum = zlib.crc32(command)
-        if known.setdefault(index, checksum) != checksum:
+        if checksums.setdefault(index, checksum) != checksum:
             self._broken("committed never lost", f"{group} entry {index}: {node} applied another command")
 
     def _broken(self, rule: str, text: str) -> None:
--- a/bitternpath/testing/simulation/interfaces.py
+++ b/bitternpath/testing/simulation/interfaces.py
@@ -27,7 +27,7 @@
     RESET = "reset"
 
 
-class StreamCarrier(Protocol):
+class StreamConnection(Protocol):
     """What an end of a connection needs of the connection."""
 
     def send(self, sender: Any, packet: Packet, data: bytes = b"") -> None:
@@ -86,5 +86,5 @@
     def network(self) -> SimulatedNetwork:
         """Where it is."""
 
-    def own_port(self) -> int:
+    def ephemeral_port(self) -> int:
         """A port for a connection out."""
--- a/bitternpath/testing/simulation/journal_writer.py
+++ b/bitternpath/testing/simulation/journal_writer.py
@@ -12,7 +12,7 @@
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
 
-MAX_STEPS_OF_CRASH = 8  # operations that a process which ends within a batch still does, at most
+MAX_CRASH_STEPS = 8  # operations that a process which ends within a batch still does, at most
 
 
 class VirtualTimeJournalWriter:
@@ -71,8 +71,8 @@
 
     def crash_during_batch(self, random: Random) -> None:
         """End the process, in the middle of a batch if there is one; a stalled disk did nothing of it."""
-        if self._writing and not self._ended and not self._stall_left():
-            self._disk.crash_at = self._disk.steps + random.randint(1, MAX_STEPS_OF_CRASH)
+        if self._writing and not self._ended and not self._remaining_stall():
+            self._disk.crash_at = self._disk.steps + random.randint(1, MAX_CRASH_STEPS)
             with suppress(SimulatedCrashError, OSError):
                 self._write(self._writing)
         self._ended = True
@@ -81,15 +81,17 @@
         self._writing = self._waiting
         self._waiting = []
         if self._writing:
-            self._clock.callLater(self._stall_left() + self.sync_seconds, self._finish_batch, self._writing)
+            self._clock.callLater(
+                self._remaining_stall() + self.sync_seconds, self._finish_batch, self._writing
+            )
 
-    def _stall_left(self) -> float:
+    def _remaining_stall(self) -> float:
         return max(self._disk.stalled_until - self._clock.seconds(), 0.0)
 
     def _finish_batch(self, commands: Sequence[JournalCommand]) -> None:
         if self._ended:
             return
-        if stall := self._stall_left():
+        if stall := self._remaining_stall():
             self._clock.callLater(stall, self._finish_batch, commands)
             return
         try:
--- a/bitternpath/testing/simulation/network.py
+++ b/bitternpath/testing/simulation/network.py
@@ -7,7 +7,7 @@
 
 from bitternpath.testing.simulation.connections import Connection
 from bitternpath.testing.simulation.connector import Connector
-from bitternpath.testing.simulation.errors import port_taken
+from bitternpath.testing.simulation.errors import port_in_use
 from bitternpath.testing.simulation.interfaces import Address
 from bitternpath.testing.simulation.paths import Path
 from bitternpath.testing.simulation.ports import DatagramPort, TcpPort
@@ -15,8 +15,8 @@
 from bitternpath.testing.simulation.recorder import Recorder
 from bitternpath.testing.simulation.scheduler import Scheduler
 
-FIRST_OWN_PORT = 32_768  # of connections out
-DELAY_SAME_HOST_S, DELAY_SAME_ZONE_S, DELAY_ZONES_S = 0.00005, 0.0003, 0.0012
+FIRST_EPHEMERAL_PORT = 32_768  # of connections out
+DELAY_SAME_HOST_S, DELAY_SAME_ZONE_S, DELAY_CROSS_ZONE_S = 0.00005, 0.0003, 0.0012
 DATAGRAM_LOSS = 0.005
 
 
@@ -31,24 +31,24 @@
         self.factor = 1.0  # of its delays
         self.ports: dict[int, TcpPort] = {}
         self.datagram_ports: dict[int, DatagramPort] = {}
-        self._last_port = FIRST_OWN_PORT - 1
+        self._last_port = FIRST_EPHEMERAL_PORT - 1
 
-    def own_port(self) -> int:
+    def ephemeral_port(self) -> int:
         """A port for a connection out."""
         self._last_port += 1
         return self._last_port
 
     def close_sockets(self, reactor: VirtualReactor, random: Random) -> None:
         """A process has ended: peers receive the end of the stream, or a reset."""
-        for thing in list(reactor.sockets):
-            thing.killed(random.random() < 0.5)
+        for open_socket in list(reactor.sockets):
+            open_socket.killed(random.random() < 0.5)
         reactor.sockets.clear()
 
     def lose_power(self, reactor: VirtualReactor) -> None:
         """Close all sockets without notifying peers."""
         self.powered = False
-        for thing in list(reactor.sockets):
-            thing.lost_power()
+        for open_socket in list(reactor.sockets):
+            open_socket.lost_power()
         reactor.sockets.clear()
 
 
@@ -70,38 +70,38 @@
 
     def path(self, source: str, target: str) -> Path:
         """The way from one host to another."""
-        found = self._paths.get((source, target))
-        if found is None:
-            found = Path(self._random, self._delay(source, target), DATAGRAM_LOSS)
-            self._paths[source, target] = found
-            self._set_factor(source, target, found)
-        return found
+        path = self._paths.get((source, target))
+        if path is None:
+            path = Path(self._random, self._delay(source, target), DATAGRAM_LOSS)
+            self._paths[source, target] = path
+            self._set_factor(source, target, path)
+        return path
 
     # ---- faults
 
-    def cut(self, source: str, target: str) -> None:
+    def partition(self, source: str, target: str) -> None:
         """Nothing gets through in that direction."""
         path = self.path(source, target)
-        if not path.cut:
-            path.cut = True
-            path.cut_since = self.scheduler.now
+        if not path.partitioned:
+            path.partitioned = True
+            path.partitioned_since = self.scheduler.now
 
-    def join(self, source: str, target: str) -> None:
+    def heal(self, source: str, target: str) -> None:
         """The direction is open again; what was held is sent again."""
         path = self.path(source, target)
-        path.cut = False
-        self._send_again(path)
+        path.partitioned = False
+        self._retransmit(path)
 
-    def cut_pairs(self) -> list[tuple[str, str]]:
+    def partitioned_pairs(self) -> list[tuple[str, str]]:
         """All directions that are cut."""
-        return [pair for pair, path in self._paths.items() if path.cut]
+        return [pair for pair, path in self._paths.items() if path.partitioned]
 
     def power_on(self, host: Host) -> None:
         """The host has power again, and knows nothing of the connections that it had."""
         host.powered = True
         for (_, target), path in list(self._paths.items()):
             if target == host.ip:
-                self._send_again(path)
+                self._retransmit(path)
 
     def reset(self, a: str, b: str) -> None:
         """Reset all connections between two hosts."""
@@ -119,16 +119,16 @@
         ends = [self.hosts[ip].factor for ip in (source, target) if ip in self.hosts]
         path.factor = max(ends, default=1.0)
 
-    def _send_again(self, path: Path) -> None:
-        for held in list(path.holding):
-            held.send_again()
+    def _retransmit(self, path: Path) -> None:
+        for direction in list(path.blocked_directions):
+            direction.retransmit()
 
     def _delay(self, source: str, target: str) -> float:
         if source == target:
             return DELAY_SAME_HOST_S
         hosts = self.hosts.get(source), self.hosts.get(target)
         zones = {host.zone for host in hosts if host is not None}
-        return DELAY_SAME_ZONE_S if len(zones) == 1 else DELAY_ZONES_S
+        return DELAY_SAME_ZONE_S if len(zones) == 1 else DELAY_CROSS_ZONE_S
 
     # ---- sockets
 
@@ -136,12 +136,12 @@
         """A listening port; raises `CannotListenError`."""
         host = reactor.host
         if port in host.ports:
-            raise port_taken(interface, port)
-        made = TcpPort(reactor, port or host.own_port(), factory)
-        host.ports[made.port] = made
-        reactor.sockets[made] = None
+            raise port_in_use(interface, port)
+        listener = TcpPort(reactor, port or host.ephemeral_port(), factory)
+        host.ports[listener.port] = listener
+        reactor.sockets[listener] = None
         factory.doStart()
-        return made
+        return listener
 
     def connect(
         self, reactor: VirtualReactor, host: str, port: int, factory: Any, timeout: float | None
@@ -157,16 +157,16 @@
         """A port for datagrams; raises `CannotListenError`."""
         host = reactor.host
         if port in host.datagram_ports:
-            raise port_taken(interface, port)
-        made = host.datagram_ports[port] = DatagramPort(reactor, port, protocol)
-        reactor.sockets[made] = None
-        protocol.makeConnection(made)
-        return made
+            raise port_in_use(interface, port)
+        listener = host.datagram_ports[port] = DatagramPort(reactor, port, protocol)
+        reactor.sockets[listener] = None
+        protocol.makeConnection(listener)
+        return listener
 
     def datagram_arrives(self, path: Path, datagram: bytes, sender: Address, target: Address) -> None:
         """Called by the scheduler."""
         host = self.hosts.get(target[0])
-        if host is None or not host.powered or path.cut:
+        if host is None or not host.powered or path.partitioned:
             return
         port = host.datagram_ports.get(target[1])
         if port is not None:
--- a/bitternpath/testing/simulation/ports.py
+++ b/bitternpath/testing/simulation/ports.py
@@ -11,7 +11,7 @@
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.streams import Stream
 
-HELD_DATAGRAMS = 64  # that wait for a frozen process
+MAX_PENDING_DATAGRAMS = 64  # that wait for a frozen process
 
 
 class TcpPort:
@@ -79,7 +79,7 @@
         self.protocol = protocol
         self._network = reactor.network
         self._open = True
-        self._held = 0
+        self._pending = 0
 
     def getHost(self) -> IPv4Address:
         """Where it listens."""
@@ -99,10 +99,10 @@
     def received(self, datagram: bytes, sender: Address) -> None:
         """A datagram has arrived, perhaps while the process is frozen."""
         if self.reactor.frozen:
-            if self._held >= HELD_DATAGRAMS:
+            if self._pending >= MAX_PENDING_DATAGRAMS:
                 return
-            self._held += 1
-        self.reactor.read(lambda: self._hand_on(datagram, sender))
+            self._pending += 1
+        self.reactor.read(lambda: self._deliver(datagram, sender))
 
     def stopListening(self) -> Deferred[None]:
         """Close it."""
@@ -121,8 +121,8 @@
         """The host has no power."""
         self._close()
 
-    def _hand_on(self, datagram: bytes, sender: Address) -> None:
-        self._held = max(self._held - 1, 0)
+    def _deliver(self, datagram: bytes, sender: Address) -> None:
+        self._pending = max(self._pending - 1, 0)
         if self._open:
             self.reactor.run(self.protocol.datagramReceived, datagram, sender)
 
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -21,7 +21,7 @@
 from bitternpath.testing.simulation.network import Host, Network
 from bitternpath.testing.simulation.reactor import Suspension, VirtualReactor
 from bitternpath.testing.simulation.scheduler import Scheduler
-from bitternpath.testing.simulation.settings import LogSizes, Place
+from bitternpath.testing.simulation.settings import LogSizes, MachineSpec
 
 START_WALL_MS = 1_765_000_000_000  # time of day when a run begins
 RESTART_DELAY_S = 0.4  # after a process that ended by itself
@@ -64,10 +64,10 @@
     def disk(self, data_dir: Path) -> SimulatedNodeDisk:
         """The machine's disk, opened by this process; it has one folder."""
         if self.node_disk is None:
-            chance = Random(self._random.getrandbits(64))
+            random = Random(self._random.getrandbits(64))
             seconds = self._node.sync_seconds * self._node.factor
             self.node_disk = SimulatedNodeDisk(
-                self._node.disk, self._reactor, chance, seconds, self._node.logs
+                self._node.disk, self._reactor, random, seconds, self._node.logs
             )
             self._reactor.thread_work = self.node_disk.work
         return self.node_disk
@@ -81,7 +81,7 @@
 class NodeSetup:
     """A machine's place, its settings document, the error of its clock, and the sizes of its logs."""
 
-    place: Place
+    spec: MachineSpec
     document: dict[str, Any]
     skew_ms: int
     logs: LogSizes
@@ -114,16 +114,16 @@
     def __init__(
         self, network: Network, invariants: GroupInvariantChecker, setup: NodeSetup, random: Random
     ) -> None:
-        place = setup.place
+        spec = setup.spec
         document = setup.document
-        self.place = place
+        self.spec = spec
         self.document = document
-        self.name = place.name
-        self.role = place.role
-        self.ip = place.ip
-        self.zone = place.zone
-        self.counted = place.counted
-        self.has_disk = place.has_disk
+        self.name = spec.name
+        self.role = spec.role
+        self.ip = spec.ip
+        self.zone = spec.zone
+        self.counted = spec.counted
+        self.has_disk = spec.has_disk
         listen = document["listen"]
         self.front: str = listen.get("front", "")
         self.readiness: str = listen.get("readiness", "")
@@ -134,15 +134,15 @@
         self.factor = 1.0  # of its links' delays and its disk's times
         self.disk = SimulatedFileSystem(fsync_persists_name=False)
         self.sync_seconds = random.uniform(MIN_SYNC_S, MAX_SYNC_S)
-        self.host: Host = network.add_host(place.ip, place.zone)
-        self.lives = 0
+        self.host: Host = network.add_host(spec.ip, spec.zone)
+        self.incarnations = 0
         self.exit_codes: list[int] = []
         self._network = network
         self._invariants = invariants
         self._random = random
         self._reactor: VirtualReactor | None = None
-        self._machine: SimulatedEnvironment | None = None
-        self._life: RoleLifecycle | None = None
+        self._environment: SimulatedEnvironment | None = None
+        self._lifecycle: RoleLifecycle | None = None
         self._restart_timer: Any = None  # timer
         self._quota: ProcessorQuota | None = None
         if setup.processor_share < 1.0:
@@ -151,7 +151,7 @@
     @property
     def process(self) -> Any:
         """The role that runs (`EdgeProcess` or `StorageProcess`), None where there is none."""
-        return self._life.role if self._life is not None else None
+        return self._lifecycle.role if self._lifecycle is not None else None
 
     # ---- start
 
@@ -162,15 +162,15 @@
         self._cancel_restart()
         if not self.host.powered:
             self._network.power_on(self.host)
-        self.lives += 1
+        self.incarnations += 1
         self.state = NodeState.UP
-        self._network.recorder.event("start", f"{self.name} life={self.lives}")
-        if self.lives > 1:
+        self._network.recorder.event("start", f"{self.name} life={self.incarnations}")
+        if self.incarnations > 1:
             self.document["bootstrap"] = False  # true only at the first start of the whole system (DEPLOY)
         reactor = self._reactor = VirtualReactor(self.host, self.name)
-        self._machine = SimulatedEnvironment(self, reactor, Random(self._random.getrandbits(64)))
-        reactor.stopped = self._stopped
-        reactor.run(self._build, reactor, self._machine)
+        self._environment = SimulatedEnvironment(self, reactor, Random(self._random.getrandbits(64)))
+        reactor.on_stop = self._process_stopped
+        reactor.run(self._build, reactor, self._environment)
         if self._quota is not None:
             self._quota.apply(reactor)
         self.document["bootstrap"] = False  # it is true at the first start only
@@ -180,18 +180,18 @@
         self._cancel_restart()
         self._restart_timer = self._network.scheduler.at(self._network.scheduler.now + seconds, self.start)
 
-    def _build(self, reactor: VirtualReactor, machine: SimulatedEnvironment) -> None:
+    def _build(self, reactor: VirtualReactor, environment: SimulatedEnvironment) -> None:
         try:
-            role = build_role(self.role, reactor, machine.load_settings(), machine)
+            role = build_role(self.role, reactor, environment.load_settings(), environment)
         except (SettingsError, OSError, CorruptJournalError, CorruptDocumentError) as error:
             self._network.recorder.failed(failure(error))
-            reactor.callLater(0, self._ended, -1)
+            reactor.callLater(0, self._process_ended, -1)
             return
         base = role.node.base  # type: ignore[attr-defined]
         if base.host is not None:
             self._invariants.observe(self.name, base.host)
-        self._life = RoleLifecycle(reactor, role)
-        self._life.begin()
+        self._lifecycle = RoleLifecycle(reactor, role)
+        self._lifecycle.begin()
 
     # ---- end
 
@@ -224,23 +224,23 @@
             self.state = NodeState.REMOVED
 
     def _end(self, close: Callable[[VirtualReactor], None]) -> None:
-        reactor, machine = self._reactor, self._machine
-        self._reactor = self._machine = self._life = None
+        reactor, environment = self._reactor, self._environment
+        self._reactor = self._environment = self._lifecycle = None
         self.state = NodeState.DOWN
         if reactor is None:
             return
         reactor.end()
-        if machine is not None and machine.node_disk is not None:
-            machine.node_disk.end()
+        if environment is not None and environment.node_disk is not None:
+            environment.node_disk.end()
         close(reactor)
 
-    def _stopped(self) -> None:
+    def _process_stopped(self) -> None:
         """The process ends by itself: record its exit code and start it again."""
-        code = int(self._life.exit_code) if self._life is not None else -1
+        code = int(self._lifecycle.exit_code) if self._lifecycle is not None else -1
         assert self._reactor is not None
-        self._reactor.callLater(0, self._ended, code)
+        self._reactor.callLater(0, self._process_ended, code)
 
-    def _ended(self, code: int) -> None:
+    def _process_ended(self, code: int) -> None:
         self.exit_codes.append(code)
         self._network.recorder.event("exit", f"{self.name} code={code}")
         self._end(lambda reactor: self.host.close_sockets(reactor, self._random))
@@ -269,20 +269,20 @@
 
     def terminate(self) -> None:
         """SIGTERM."""
-        if self._life is not None and self._reactor is not None:
+        if self._lifecycle is not None and self._reactor is not None:
             self._network.recorder.event("terminate", self.name)
-            self._reactor.callFromThread(self._life.stop)
+            self._reactor.callFromThread(self._lifecycle.stop)
 
     def reload(self) -> None:
         """SIGHUP."""
-        if self._life is not None and self._reactor is not None:
+        if self._lifecycle is not None and self._reactor is not None:
             self._network.recorder.event("reload", self.name)
-            self._reactor.callFromThread(self._life.reload)
+            self._reactor.callFromThread(self._lifecycle.reload)
 
     def set_factor(self, factor: float) -> None:
         """Make links and disk slower by that factor."""
         self._network.recorder.event("slow", f"{self.name} factor={factor}")
         self.factor = factor
         self._network.set_factor(self.host, factor)
-        if self._machine is not None and self._machine.node_disk is not None:
-            self._machine.node_disk.set_sync_seconds(self.sync_seconds * factor)
+        if self._environment is not None and self._environment.node_disk is not None:
+            self._environment.node_disk.set_sync_seconds(self.sync_seconds * factor)
--- a/bitternpath/testing/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -36,7 +36,7 @@
     THROTTLED = "throttled"  # its processor quota is spent
 
 
-THREAD_SECONDS = 0.002  # that work in another thread takes, where its caller doesn't say
+THREAD_WORK_S = 0.002  # that work in another thread takes, where its caller doesn't say
 
 
 @implementer(IDelayedCall)
@@ -91,7 +91,7 @@
         if self._time > self._reactor.scheduler.now:
             self._reactor.scheduler.push(self._time, self.due)
         elif self._reactor.frozen:
-            self._reactor.held.append(self.due)
+            self._reactor.due_timers.append(self.due)
         else:
             call = self._call
             self._call = None
@@ -133,7 +133,7 @@
 
 
 @implementer(IHostnameResolver)
-class _Addresses:
+class _NumericAddressResolver:
     """The name resolver: there are only addresses by number."""
 
     def resolveHostName(
@@ -165,13 +165,13 @@
         self._recorder = host.network.recorder
         self.frozen = self.ended = False
         self._suspended_by: set[Suspension] = set()
-        self.held: list[Call] = []  # timers that fell due while it was frozen
-        self.readable: list[Call] = []  # sockets with something to read, likewise
+        self.due_timers: list[Call] = []  # timers that fell due while it was frozen
+        self.pending_reads: list[Call] = []  # sockets with something to read, likewise
         self.sockets: dict[Any, None] = {}  # ports and connections that are open, in their order
-        self.stopped: Callable[[], None] = _nothing
+        self.on_stop: Callable[[], None] = _nothing
         self.thread_work: Callable[[Call], object] = self._thread_work
-        self.nameResolver = _Addresses()
-        self.raises = False  # whether a callback's exception ends the run: for actors
+        self.nameResolver = _NumericAddressResolver()
+        self.propagates_errors = False  # whether a callback's exception ends the run: for actors
 
     # ---- time
 
@@ -222,16 +222,16 @@
 
     def installNameResolver(self, resolver: Any) -> Any:
         """Use another one; the one before."""
-        before = self.nameResolver
+        previous = self.nameResolver
         self.nameResolver = resolver
-        return before
+        return previous
 
     def stop(self) -> None:
         """The process ends by itself."""
-        self.stopped()
+        self.on_stop()
 
     def _thread_work(self, work: Call) -> None:
-        self.callLater(THREAD_SECONDS, work)
+        self.callLater(THREAD_WORK_S, work)
 
     # ---- sockets
 
@@ -256,23 +256,23 @@
         if self.ended:
             return False
         recorder = self._recorder
-        before = recorder.current
+        previous = recorder.current
         recorder.current = self.name
         try:
             call(*arguments, **keywords)
         except Exception:
-            if self.raises:
+            if self.propagates_errors:
                 raise
             recorder.failed(failure())
             return False
         finally:
-            recorder.current = before
+            recorder.current = previous
         return True
 
     def read(self, call: Call) -> None:
         """Call because a socket is readable: now, or when a frozen process is thawed."""
         if self.frozen:
-            self.readable.append(call)
+            self.pending_reads.append(call)
         else:
             call()
 
@@ -289,21 +289,21 @@
         if not self.frozen or self._suspended_by:
             return
         self.frozen = False
-        held = self.held
-        self.held = []
-        for call in held:
+        due_timers = self.due_timers
+        self.due_timers = []
+        for call in due_timers:
             self.scheduler.push(self.scheduler.now, call)
-        readable = self.readable
-        self.readable = []
-        for call in readable:
+        pending_reads = self.pending_reads
+        self.pending_reads = []
+        for call in pending_reads:
             self.scheduler.push(self.scheduler.now, call)
 
     def end(self) -> None:
         """Run no code of the process any more. The network closes its sockets."""
         self.ended = True
         self.frozen = False
-        self.held.clear()
-        self.readable.clear()
+        self.due_timers.clear()
+        self.pending_reads.clear()
 
 
 def _nothing() -> None:
--- a/bitternpath/testing/simulation/recorder.py
+++ b/bitternpath/testing/simulation/recorder.py
@@ -51,7 +51,7 @@
         self.membership_changes: list[Transition] = []  # when they were proposed
         self._checksum = 0
         self._observer = cast("ILogObserver", self._observe)
-        self._handlers = _LogHandler(self), _Silence(logbook.INFO if keep_log else logbook.ERROR)
+        self._handlers = _LogHandler(self), _LevelFilter(logbook.INFO if keep_log else logbook.ERROR)
 
     # ---- events of hosts and links
 
@@ -130,7 +130,7 @@
         self._recorder.logged(record)
 
 
-class _Silence(logbook.Handler):  # type: ignore[misc]
+class _LevelFilter(logbook.Handler):  # type: ignore[misc]
     """Ends the way of lines below a level before anything is done for them."""
 
     blackhole = True
--- a/bitternpath/testing/simulation/refused_terms.py
+++ b/bitternpath/testing/simulation/refused_terms.py
@@ -42,7 +42,7 @@
     def __init__(self, broken: Callable[[str], object]) -> None:
         """`broken` receives a text for each request of a refused term."""
         self._broken = broken
-        self._refused_upto: dict[tuple[str, str], int] = {}  # terms below, by member and group
+        self._highest_refusing: dict[tuple[str, str], int] = {}  # terms below, by member and group
 
     def observe(self, member: str, name: str, group: ReplicaGroup) -> None:
         """Watch what an open group receives and sends from now on."""
@@ -65,11 +65,11 @@
     def received(self, member: str, group: str, message: Message) -> None:
         """A member gets a message of a group in which it takes part."""
         key = member, group
-        self._refused_upto[key] = max(self._refused_upto.get(key, 0), refusing_term(message))
+        self._highest_refusing[key] = max(self._highest_refusing.get(key, 0), refusing_term(message))
 
     def sent(self, member: str, group: str, message: Message) -> None:
         """A member sends a message."""
-        refused = self._refused_upto.get((member, group), 0)
+        refused = self._highest_refusing.get((member, group), 0)
         if isinstance(message, LeaderRequest) and message.term < refused:
             kind = type(message).__name__
             self._broken(
--- a/bitternpath/testing/simulation/repair_controller.py
+++ b/bitternpath/testing/simulation/repair_controller.py
@@ -17,76 +17,80 @@
 COMMIT_S = 2 * LATENCY_S + SYNC_S  # of a command of the configuration group
 
 
-class PlacedWorld(Protocol):
+class ControllerEnvironment(Protocol):
     """What is around the configuration's owner."""
 
     clock: EventClock
 
-    def heard_at(self, node: NodeDescriptor) -> float:
+    def last_contact_at(self, node: NodeDescriptor) -> float:
         """When the configuration's owner heard a node last."""
 
-    def placement_heard(self, name: str, groups: tuple[GroupPlacement, ...]) -> None:
+    def placement_received(self, name: str, groups: tuple[GroupPlacement, ...]) -> None:
         """The feed has brought a placement to a machine."""
 
 
 class Controller:
     """Plays the configuration's owner: keeps the placement, and tells it to all processes."""
 
-    def __init__(self, world: PlacedWorld, tolerated: int) -> None:
+    def __init__(self, world: ControllerEnvironment, tolerated: int) -> None:
         self.world = world
         self._tolerated = tolerated
-        self.present: dict[str, NodeDescriptor] = {}
-        self._planned = False
-        self.presence = NodeLiveness(0.0)
+        self.connected: dict[str, NodeDescriptor] = {}
+        self._evaluation_scheduled = False
+        self.liveness = NodeLiveness(0.0)
         self.groups: tuple[GroupPlacement, ...] = ()
         self.retired: set[str] = set()
-        self._placing = False
+        self._placement_pending = False
 
     def subscribed(self, node: NodeDescriptor) -> None:
         """A process follows the feed."""
-        self.present[node.name] = node
-        self._tell([node.name])
-        self._look_soon()
+        self.connected[node.name] = node
+        self._notify([node.name])
+        self._schedule_evaluation()
 
-    def gone(self, node: NodeDescriptor) -> None:
+    def link_lost(self, node: NodeDescriptor) -> None:
         """Its link has ended."""
-        if self.present.get(node.name) == node:
-            del self.present[node.name]
-            self._look_soon()
+        if self.connected.get(node.name) == node:
+            del self.connected[node.name]
+            self._schedule_evaluation()
 
     def retire(self, name: str) -> None:
         """The operator's order is committed."""
         self.retired.add(name)
-        self._look_soon()
+        self._schedule_evaluation()
 
-    def _look_soon(self) -> None:
-        if not self._planned:
-            self._planned = True
-            self.world.clock.callLater(0.0, self.look)
+    def _schedule_evaluation(self) -> None:
+        if not self._evaluation_scheduled:
+            self._evaluation_scheduled = True
+            self.world.clock.callLater(0.0, self.evaluate_placement)
 
-    def look(self) -> None:
+    def evaluate_placement(self) -> None:
         """Compare the placement with who is there."""
-        self._planned = False
+        self._evaluation_scheduled = False
         now = self.world.clock.seconds()
-        heard = {node.name: self.world.heard_at(node) for node in self.present.values() if not node.draining}
-        self.presence.update(now, heard)
-        if self._placing or not self.groups:
+        contact_at = {
+            node.name: self.world.last_contact_at(node)
+            for node in self.connected.values()
+            if not node.draining
+        }
+        self.liveness.update(now, contact_at)
+        if self._placement_pending or not self.groups:
             return
-        down_for = partial(self.presence.down_for, now)
-        here = [node for node in self.present.values() if not down_for(node.name)]
-        up_for = partial(self.presence.up_for, now)
-        gone = nodes_to_replace(self.groups, here, self.retired, down_for, up_for)
-        groups = repaired_placement(self.groups, here, gone, self._tolerated)
+        down_for = partial(self.liveness.down_for, now)
+        reachable = [node for node in self.connected.values() if not down_for(node.name)]
+        up_for = partial(self.liveness.up_for, now)
+        departed = nodes_to_replace(self.groups, reachable, self.retired, down_for, up_for)
+        groups = repaired_placement(self.groups, reachable, departed, self._tolerated)
         if groups != self.groups:
-            self._placing = True
+            self._placement_pending = True
             self.world.clock.callLater(COMMIT_S, self._placed, groups)
 
     def _placed(self, groups: tuple[GroupPlacement, ...]) -> None:
-        self._placing = False
+        self._placement_pending = False
         self.groups = groups
-        self._tell(self.present)
-        self._look_soon()
+        self._notify(self.connected)
+        self._schedule_evaluation()
 
-    def _tell(self, names: Iterable[str]) -> None:
+    def _notify(self, names: Iterable[str]) -> None:
         for name in list(names):
-            self.world.clock.callLater(LATENCY_S, self.world.placement_heard, name, self.groups)
+            self.world.clock.callLater(LATENCY_S, self.world.placement_received, name, self.groups)
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -42,12 +42,12 @@
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
-GREETING_S = 0.1  # from the start of a process until the configuration's owner has its subscription
+SUBSCRIPTION_DELAY_S = 0.1  # from the start of a process until the configuration's owner has its subscription
 POWER_LOSS_DETECTION_S = (
     1.6  # until a link to a machine without power is given up (`transport.link_liveness`)
 )
-LOOK_S = 0.25  # between looks at what no event tells
-SAMPLE_S = 0.005  # between looks of the measurement
+RECONCILE_INTERVAL_S = 0.25  # between looks at what no event tells
+SAMPLE_INTERVAL_S = 0.005  # between looks of the measurement
 CHUNK_BYTES = 32 << 10  # of the commands that fill a group before the repair
 ZONES = 3
 
@@ -60,7 +60,7 @@
     clock: ProcessClock
     journal_writer: VirtualTimeJournalWriter
     host: ReplicaHost
-    changes: MembershipReconciler
+    reconciler: MembershipReconciler
     placements: dict[str, GroupPlacement] = field(default_factory=dict)
 
 
@@ -72,16 +72,16 @@
     zone: str
     disk: SimulatedFileSystem = field(default_factory=SimulatedFileSystem)
     disks: int = 1  # how many it has had
-    lives: int = 0
+    incarnations: int = 0
     process: Process | None = None
-    busy_until: float = 0.0  # of its link, outwards
+    sends_until: float = 0.0  # of its link, outwards
     receives_until: float = 0.0  # inwards
 
     def descriptor(self) -> NodeDescriptor:
         """What its present process tells of itself."""
         disk = f"d{self.disks}"
         return NodeDescriptor(
-            self.name, f"{self.name}:1", NodeKind.STORAGE, self.zone, True, disk, self.lives, 0
+            self.name, f"{self.name}:1", NodeKind.STORAGE, self.zone, True, disk, self.incarnations, 0
         )
 
 
@@ -126,15 +126,15 @@
         self.error: BaseException | None = None
         self._serial = count(1)
         self._measured_from: float | None = None
-        wanted = plan.machines or 2 * plan.tolerated + 1
-        for n in range(wanted):
+        machine_count = plan.machines or 2 * plan.tolerated + 1
+        for n in range(machine_count):
             self.add_machine(f"s{n}", f"z{n % ZONES}")
         nodes = [machine.descriptor() for machine in self.machines.values()]
         self.controller.groups = _placement(nodes, plan)
         self.checkers = {group.group: Checker() for group in self.controller.groups}
         for name in list(self.machines):
             self.start(name)
-        self._repeat_look()
+        self._reconcile_repeatedly()
 
     # ---- machines
 
@@ -146,7 +146,7 @@
     def start(self, name: str) -> None:
         """Start a machine's process."""
         machine = self.machines[name]
-        machine.lives += 1
+        machine.incarnations += 1
         descriptor = machine.descriptor()
         clock = ProcessClock(self.clock)
         salts = count(self.random.getrandbits(31))
@@ -158,30 +158,30 @@
         host = ReplicaHost(clock, member, Journal(log, journal_writer), MessageTransport(send), options)
         machine.process = Process(descriptor, clock, journal_writer, host, MembershipReconciler(host))
         self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
-        self.clock.callLater(GREETING_S, self._greet, name, machine.process)
+        self.clock.callLater(SUBSCRIPTION_DELAY_S, self._subscribe, name, machine.process)
 
-    def _greet(self, name: str, process: Process) -> None:
+    def _subscribe(self, name: str, process: Process) -> None:
         if self.machines[name].process is process:
             self.controller.subscribed(process.descriptor)
 
-    def heard_at(self, node: NodeDescriptor) -> float:
+    def last_contact_at(self, node: NodeDescriptor) -> float:
         """When the configuration's owner heard a node last."""
         process = self.machines[node.name].process
         alive = process is not None and process.descriptor.incarnation == node.incarnation
         return self.clock.seconds() if alive else self.ended_at.get((node.name, node.incarnation), 0.0)
 
-    def stop(self, name: str, *, says_so: bool, wipe: bool = False) -> None:
+    def stop(self, name: str, *, graceful: bool, wipe: bool = False) -> None:
         """End a process: after a SIGTERM (`says_so`) or by a loss of power."""
         machine = self.machines[name]
         process = machine.process
         machine.process = None
         assert process is not None
-        if says_so:
+        if graceful:
             process.journal_writer.stop()
-            self.clock.callLater(LATENCY_S, self.controller.gone, process.descriptor)
+            self.clock.callLater(LATENCY_S, self.controller.link_lost, process.descriptor)
         else:
             process.journal_writer.crash_during_batch(self.random)
-            self.clock.callLater(POWER_LOSS_DETECTION_S, self.controller.gone, process.descriptor)
+            self.clock.callLater(POWER_LOSS_DETECTION_S, self.controller.link_lost, process.descriptor)
         process.clock.end()
         self.ended_at[name, process.descriptor.incarnation] = self.clock.seconds()
         if wipe:
@@ -190,7 +190,7 @@
         else:
             machine.disk.lose_power(self.random)
 
-    def leave(self, name: str) -> None:
+    def drain(self, name: str) -> None:
         """SIGTERM: say so, pass on what it owns."""
         process = self.machines[name].process
         assert process is not None
@@ -203,55 +203,57 @@
 
     # ---- groups
 
-    def placement_heard(self, name: str, groups: tuple[GroupPlacement, ...]) -> None:
+    def placement_received(self, name: str, groups: tuple[GroupPlacement, ...]) -> None:
         """The feed has brought a placement."""
         process = self.machines[name].process
         if process is not None:
             process.clock.run(partial(self._open_groups, process, groups))
 
     def _open_groups(self, process: Process, groups: Sequence[GroupPlacement]) -> None:
-        me = process.host.member_id
+        own_id = process.host.member_id
         for placement in groups:
             process.placements[placement.group] = placement
-            named = any(member.member == me for member in placement.members)
-            wanted = named or process.host.has_unopened_state(placement.group)
-            if wanted and placement.group not in process.host.groups:
+            named = any(member.member == own_id for member in placement.members)
+            required = named or process.host.has_unopened_state(placement.group)
+            if required and placement.group not in process.host.groups:
                 self._open_group(process, placement)
             members = [member.member for member in placement.members]
-            process.changes.set_desired(placement.group, members, placement.generation)
+            process.reconciler.set_desired(placement.group, members, placement.generation)
 
     def _open_group(self, process: Process, placement: GroupPlacement) -> None:
         founders = None
         if placement.generation == 1:
             founders = Members(tuple(member.member for member in placement.members), (), 1)
-        me, checker = process.host.member_id, self.checkers[placement.group]
-        register = self.registers[me, placement.group] = CommandLogMachine(me, checker)
-        process.host.open_group(placement.group, register, founders, Listener(me, checker, register))
-        process.changes.group_opened(placement.group)
+        own_id, checker = process.host.member_id, self.checkers[placement.group]
+        register = self.registers[own_id, placement.group] = CommandLogMachine(own_id, checker)
+        process.host.open_group(placement.group, register, founders, Listener(own_id, checker, register))
+        process.reconciler.group_opened(placement.group)
 
     @staticmethod
     def _step(process: Process) -> None:
         for group in process.placements:
-            process.changes.reconcile(group)
+            process.reconciler.reconcile(group)
 
-    def _repeat_look(self) -> None:
-        self.clock.callLater(LOOK_S, self._repeat_look)
-        self.controller.look()
+    def _reconcile_repeatedly(self) -> None:
+        self.clock.callLater(RECONCILE_INTERVAL_S, self._reconcile_repeatedly)
+        self.controller.evaluate_placement()
         for machine in self.machines.values():
             if machine.process is not None:
                 process = machine.process
-                delay = self.random.uniform(0.0, LOOK_S)  # processes don't look all at once
+                delay = self.random.uniform(0.0, RECONCILE_INTERVAL_S)  # processes don't look all at once
                 self.clock.callLater(delay, process.clock.run, partial(self._step, process))
 
     def _send(self, sender: Machine, member: str, group: str, receiver: str, body: bytes) -> None:
         self.bytes_sent += len(body)
-        now, takes = self.clock.seconds(), len(body) / self.plan.link_bytes_per_s
-        sender.busy_until = max(sender.busy_until, now) + takes
-        arrives = sender.busy_until + LATENCY_S
-        receiving = self.machines.get(node_of(receiver))
-        if receiving is not None:
-            arrives = receiving.receives_until = max(receiving.receives_until + takes, arrives)
-        self.clock.callLater(arrives - now, self._deliver, member, group, receiver, body)
+        now, transfer_s = self.clock.seconds(), len(body) / self.plan.link_bytes_per_s
+        sender.sends_until = max(sender.sends_until, now) + transfer_s
+        arrives_at = sender.sends_until + LATENCY_S
+        target_machine = self.machines.get(node_of(receiver))
+        if target_machine is not None:
+            arrives_at = target_machine.receives_until = max(
+                target_machine.receives_until + transfer_s, arrives_at
+            )
+        self.clock.callLater(arrives_at - now, self._deliver, member, group, receiver, body)
 
     def _deliver(self, sender: str, group: str, receiver: str, body: bytes) -> None:
         if {node_of(sender), node_of(receiver)} & self.isolated:
@@ -283,12 +285,12 @@
         def committed(_: object) -> None:
             checker.acknowledge(command)
 
-        def note(failure: Any) -> None:
+        def record_error(failure: Any) -> None:
             self.error = self.error or failure.value
 
         def call() -> None:
             proposed = process.host.propose(group, command)
-            proposed.addCallbacks(committed, lambda _: None).addErrback(note)
+            proposed.addCallbacks(committed, lambda _: None).addErrback(record_error)
 
         process.clock.run(call)
         return True
@@ -296,11 +298,11 @@
     def fill(self) -> None:
         """Bring all groups to their size of state."""
         self.run_until(lambda: all(self.owner(group) is not None for group in self.checkers), 10.0)
-        left = dict.fromkeys(self.checkers, -(-self.plan.state_bytes // CHUNK_BYTES))
-        while any(left.values()):
-            for group in left:
-                if left[group] and self.propose(group, CHUNK_BYTES):
-                    left[group] -= 1
+        remaining = dict.fromkeys(self.checkers, -(-self.plan.state_bytes // CHUNK_BYTES))
+        while any(remaining.values()):
+            for group in remaining:
+                if remaining[group] and self.propose(group, CHUNK_BYTES):
+                    remaining[group] -= 1
             self.run(0.02)
         self.run(1.0)
 
@@ -311,8 +313,8 @@
 
     def _next_command(self, group: str) -> None:
         self.propose(group, self.plan.command_bytes)
-        pause = self.random.expovariate(self.plan.commands_per_s)
-        self.clock.callLater(pause, self._next_command, group)
+        interval = self.random.expovariate(self.plan.commands_per_s)
+        self.clock.callLater(interval, self._next_command, group)
 
     # ---- measuring
 
@@ -323,13 +325,13 @@
         self._sample()
 
     def _sample(self) -> None:
-        self.clock.callLater(SAMPLE_S, self._sample)
+        self.clock.callLater(SAMPLE_INTERVAL_S, self._sample)
         for placement in self.controller.groups:
             self._sample_group(placement, self.times[placement.group])
 
     def _sample_group(self, placement: GroupPlacement, times: GroupTimes) -> None:
         if self.slack(placement.group) <= 0:
-            times.exposed_s += SAMPLE_S
+            times.exposed_s += SAMPLE_INTERVAL_S
         owner = self.owner(placement.group)
         if owner is None or times.complete_at is not None or placement.generation == 1:
             return
@@ -366,21 +368,21 @@
         """Play events for so long."""
         self.run_until(lambda: False, seconds)
 
-    def run_until(self, holds: Callable[[], bool], seconds: float) -> bool:
+    def run_until(self, condition: Callable[[], bool], seconds: float) -> bool:
         """Play events until something holds, for so long at most. Raises `InvariantViolationError`."""
         end = self.clock.seconds() + seconds
-        look = self.clock.seconds()
+        next_check_at = self.clock.seconds()
         while self.clock.step(end):
             for checker in self.checkers.values():
                 if checker.violation is not None:
                     raise checker.violation
             if self.error is not None:
                 raise self.error
-            if self.clock.seconds() >= look:
-                look = self.clock.seconds() + SAMPLE_S
-                if holds():
+            if self.clock.seconds() >= next_check_at:
+                next_check_at = self.clock.seconds() + SAMPLE_INTERVAL_S
+                if condition():
                     return True
-        return holds()
+        return condition()
 
     def repaired(self) -> bool:
         """Whether the placement has changed, and all groups that it changed have the members it names."""
@@ -393,8 +395,8 @@
             owner = self.owner(group)
             if owner is None:
                 raise InvariantViolationError(f"{group} has no owner")
-            has = self.registers[owner.host.member_id, group].commands
-            if has[: checker.acknowledged] != checker.committed[: checker.acknowledged]:
+            commands = self.registers[owner.host.member_id, group].commands
+            if commands[: checker.acknowledged] != checker.committed[: checker.acknowledged]:
                 raise InvariantViolationError(f"{group}: the owner lacks what was acknowledged")
 
 
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -35,13 +35,13 @@
 from bitternpath.testing.simulation.virtual_time import EventClock, ProcessClock
 
 GROUP = "shard-1"
-TIMES = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)  # long heartbeats: fewer messages to play
+TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)  # long heartbeats: fewer messages to play
 BOUNDS = CompactionBounds(size=600, entries=12, entries_to_keep=3)  # small, so that snapshots are sent often
 CHECKPOINT_BYTES, SEGMENT_BYTES = 3_000, 1_000
-CLIENT_SECONDS = 0.06  # between requests
-MEMBERSHIP_SECONDS = 0.15  # between looks of an owner at its members
-POWER_LOSS_AFTER_ANSWER = 0.01  # share of acknowledgements after which all nodes lose power at once
-LOOK_SECONDS = 0.02
+REQUEST_INTERVAL_S = 0.06  # between requests
+MEMBERSHIP_INTERVAL_S = 0.15  # between looks of an owner at its members
+POWER_LOSS_AFTER_ACK_SHARE = 0.01  # share of acknowledgements after which all nodes lose power at once
+CHECK_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
     nodes: int = 3
     seconds: float = 4.0
     fault_every: float = 0.5
-    settle_seconds: float = 20.0  # after the last fault; by then all must agree
+    agreement_timeout_s: float = 20.0  # after the last fault; by then all must agree
     wipes: bool = True
     empty_disk_keeps_identity: bool = False  # a broken build: a wiped node counts as before
 
@@ -95,7 +95,7 @@
         self.blocked: set[tuple[str, str]] = set()
         self.loss = self.random.choice([0.0, 0.02, 0.1])
         self.latency = 0.002
-        self.calm = False
+        self.faults_stopped = False
         self._serial = count(1)
         self.faults = 0
         self._error: BaseException | None = None  # in a callback
@@ -115,7 +115,7 @@
         def send(group: str, receiver: str, body: bytes) -> None:
             self._send(node.name, member, receiver, group, body)
 
-        options = HostOptions(Random(self.random.random()), TIMES, BOUNDS)
+        options = HostOptions(Random(self.random.random()), TIMING, BOUNDS)
         host = ReplicaHost(clock, member, journal, MessageTransport(send), options)
         register = CommandLogMachine(node.name, self.checker)
         node.process = Process(member, clock, journal_writer, host, register)
@@ -165,7 +165,7 @@
             if result != command:
                 self.checker.fail(f"{command!r} was answered with {result!r}")
             self.checker.acknowledge(command)
-            if not self.calm and self.random.random() < POWER_LOSS_AFTER_ANSWER:
+            if not self.faults_stopped and self.random.random() < POWER_LOSS_AFTER_ACK_SHARE:
                 self.clock.callLater(0.0, self._lose_power_everywhere)
 
         def failed(failure: Failure) -> None:
@@ -174,25 +174,25 @@
 
         deferred = process.host.propose(GROUP, command)
         deferred.addCallbacks(committed, failed)
-        deferred.addErrback(self._note)
+        deferred.addErrback(self._record_error)
 
     def _barrier(self, process: Process) -> None:
-        floor = self.checker.acknowledged
+        acknowledged = self.checker.acknowledged
 
         def confirmed(_: None) -> None:
-            if len(process.register.commands) < floor:
+            if len(process.register.commands) < acknowledged:
                 self.checker.fail(f"{process.member} read a state older than what was acknowledged before")
 
         deferred = process.host.read_barrier(GROUP)
         deferred.addCallbacks(confirmed, lambda failure: failure.trap(NotOwnerError))
-        deferred.addErrback(self._note)
+        deferred.addErrback(self._record_error)
 
-    def _note(self, failure: Failure) -> None:
+    def _record_error(self, failure: Failure) -> None:
         self._error = self._error or failure.value
 
     # ---- membership
 
-    def _look_at_members(self) -> None:
+    def _reconcile_members(self) -> None:
         """An owner takes the next step towards the nodes' present members."""
         desired = [node.member for node in self.nodes.values()]
         for node in self.nodes.values():
@@ -219,15 +219,15 @@
             if process is not None and process.host.is_owner(GROUP):
                 host = process.host
                 raft = host.groups[GROUP].raft
-                settled = set(raft.members.voters) == desired and not raft.members.learners
-                settled = settled and raft.log.members_index <= raft.commit_index
+                stable = set(raft.members.voters) == desired and not raft.members.learners
+                stable = stable and raft.log.members_index <= raft.commit_index
                 others = desired - {process.member}
-                return settled and all(host.caught_up(GROUP, member) for member in others)
+                return stable and all(host.caught_up(GROUP, member) for member in others)
         return False
 
     # ---- faults
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         self.faults += 1
         kinds: list[Callable[[Node], None]] = [
             self._kill,
@@ -236,15 +236,15 @@
             self._isolate,
             self._hand_over,
             self._isolate_in_hand_over,
-            self._fill,
-            self._slow,
+            self._fill_disk,
+            self._slow_disk,
         ]
         if self.plan.wipes:
             kinds.append(self._wipe)
         node = self.random.choice(list(self.nodes.values()))
         kind = self.random.choice(kinds)
-        everybody = kind in (self._kill, self._lose_power) and self.random.random() < 0.3
-        for each in list(self.nodes.values()) if everybody else [node]:
+        all_nodes = kind in (self._kill, self._lose_power) and self.random.random() < 0.3
+        for each in list(self.nodes.values()) if all_nodes else [node]:
             if each.process is not None:
                 kind(each)
 
@@ -303,15 +303,15 @@
                 self.blocked.update((other, each.name) for other in self.nodes)
                 self._later(self.blocked.clear)
 
-    def _fill(self, node: Node) -> None:
+    def _fill_disk(self, node: Node) -> None:
         node.disk.capacity = node.disk.used + self.random.randint(0, 300)
-        self._later(self._drain, node)
+        self._later(self._remove_disk_limit, node)
 
     @staticmethod
-    def _drain(node: Node) -> None:
+    def _remove_disk_limit(node: Node) -> None:
         node.disk.capacity = None
 
-    def _slow(self, node: Node) -> None:
+    def _slow_disk(self, node: Node) -> None:
         assert node.process is not None
         node.process.journal_writer.sync_seconds = self.random.choice([0.05, 0.3])
         self._later(setattr, node.process.journal_writer, "sync_seconds", 0.001)
@@ -320,27 +320,27 @@
 
     def play(self) -> Checker:
         """Faults, then calm until all agree. Raises `InvariantViolationError`."""
-        self._repeat(CLIENT_SECONDS, self._request)
-        self._repeat(MEMBERSHIP_SECONDS, self._look_at_members)
-        self._repeat(self.plan.fault_every, self._fault)
+        self._repeat(REQUEST_INTERVAL_S, self._request)
+        self._repeat(MEMBERSHIP_INTERVAL_S, self._reconcile_members)
+        self._repeat(self.plan.fault_every, self._inject_fault)
         self.run_until(lambda: False, self.plan.seconds)
-        self._calm_down()
-        if not self.run_until(self._agrees, self.plan.settle_seconds):
+        self._stop_faults()
+        if not self.run_until(self._agrees, self.plan.agreement_timeout_s):
             raise InvariantViolationError(
-                f"no agreement after {self.plan.settle_seconds} s of calm: {self._describe()}"
+                f"no agreement after {self.plan.agreement_timeout_s} s of calm: {self._describe()}"
             )
         return self.checker
 
     def _repeat(self, mean: float, call: Callable[[], object]) -> None:
-        def again() -> None:
-            if not self.calm or call == self._look_at_members:
+        def call_and_repeat() -> None:
+            if not self.faults_stopped or call == self._reconcile_members:
                 call()
                 self._repeat(mean, call)
 
-        self.clock.callLater(mean * self.random.uniform(0.5, 1.5), again)
+        self.clock.callLater(mean * self.random.uniform(0.5, 1.5), call_and_repeat)
 
-    def _calm_down(self) -> None:
-        self.calm = True
+    def _stop_faults(self) -> None:
+        self.faults_stopped = True
         self.loss = 0.0
         self.blocked.clear()
         for node in self.nodes.values():
@@ -356,28 +356,28 @@
                 return False
         return any(node.process and node.process.host.is_owner(GROUP) for node in self.nodes.values())
 
-    def run_until(self, holds: Callable[[], bool], seconds: float) -> bool:
+    def run_until(self, condition: Callable[[], bool], seconds: float) -> bool:
         """Play events until something holds, looked at every `LOOK_SECONDS`, for so long at most."""
         end = self.clock.seconds() + seconds
-        look = self.clock.seconds() + LOOK_SECONDS
+        next_check_at = self.clock.seconds() + CHECK_INTERVAL_S
         while self.clock.step(end):
             if error := self.checker.violation or self._error:
                 raise error
-            if self.clock.seconds() >= look:
-                look = self.clock.seconds() + LOOK_SECONDS
-                if holds():
+            if self.clock.seconds() >= next_check_at:
+                next_check_at = self.clock.seconds() + CHECK_INTERVAL_S
+                if condition():
                     return True
-        return holds()
+        return condition()
 
     def _describe(self) -> str:
-        parts = []
+        descriptions = []
         for node in self.nodes.values():
             if node.process is None:
-                parts.append(f"{node.name} down")
+                descriptions.append(f"{node.name} down")
             else:
                 host = node.process.host
-                parts.append(
+                descriptions.append(
                     f"{node.member} epoch {host.current_term(GROUP)} leader {host.leader(GROUP)!r} "
                     f"members {host.members(GROUP)} applied {len(node.process.register.commands)}"
                 )
-        return f"committed {len(self.checker.committed)}; " + "; ".join(parts)
+        return f"committed {len(self.checker.committed)}; " + "; ".join(descriptions)
--- a/bitternpath/testing/simulation/runs/coverage.py
+++ b/bitternpath/testing/simulation/runs/coverage.py
@@ -44,13 +44,13 @@
         yield f"coverage of {self.runs} runs"
         for kind in FaultKind:
             crossed = {other: self._crossed(kind, other) for other in FaultKind}
-            met = ", ".join(f"{other.value} {count}" for other, count in crossed.items() if count)
-            yield f"  {kind.value} crossed: {met or 'nothing'}"
+            crossed_text = ", ".join(f"{other.value} {count}" for other, count in crossed.items() if count)
+            yield f"  {kind.value} crossed: {crossed_text or 'nothing'}"
             missed = ", ".join(other.value for other, count in crossed.items() if not count)
             yield f"    never: {missed or '-'}"
         for transition in TransitionKind:
-            met_by, of = self.crashes[transition], self.transitions[transition]
-            yield f"  {transition.value}: {of}, a crash fell into {met_by}"
+            crash_count, of = self.crashes[transition], self.transitions[transition]
+            yield f"  {transition.value}: {of}, a crash fell into {crash_count}"
 
     def never_crossed(self) -> list[Pair]:
         """Pairs of kinds that no run had at one time."""
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -24,16 +24,16 @@
     ReadConfiguration,
     Retire,
     RunPlan,
+    WorkerDeparture,
     WorkerFault,
     WorkerFaultKind,
-    WorkerLeaves,
 )
 from bitternpath.testing.simulation.settings import Plan
 
 CATCH_UP_S = BOUNDS["catch_up_s"]
 GRACE_S = BOUNDS["grace_s"]
-AT_ONCE_S = 0.2  # after the earliest moment that is allowed
-SHARE_AT_ONCE = 0.6  # of faults that come as early as is allowed
+EARLY_GAP_S = 0.2  # after the earliest moment that is allowed
+EARLY_SHARE = 0.6  # of faults that come as early as is allowed
 LONGEST_GAP_S = 3.0
 FIRST_FAULT_S = 1.0
 ORDER_KEYS = 5
@@ -49,10 +49,10 @@
     FaultKind.POWER: (0.3, 4.0),
     FaultKind.WIPE: (0.3, 3.0),
     FaultKind.FREEZE: (0.3, 6.0),
-    FaultKind.CUT: (0.5, 10.0),
-    FaultKind.CUT_IN: (0.5, 6.0),
-    FaultKind.CUT_OUT: (0.5, 6.0),
-    FaultKind.CUT_SEEDS: (0.5, 10.0),
+    FaultKind.PARTITION: (0.5, 10.0),
+    FaultKind.PARTITION_INBOUND: (0.5, 6.0),
+    FaultKind.PARTITION_OUTBOUND: (0.5, 6.0),
+    FaultKind.PARTITION_WITH_SEEDS: (0.5, 10.0),
     FaultKind.SLOW: (0.5, 4.0),
     FaultKind.STALL: (0.3, 3.0),
     FaultKind.ALL_KILLED: (0.2, 0.9),
@@ -62,7 +62,7 @@
     FaultKind.POWER_CHAIN: (0.3, 4.0),
     FaultKind.LOSSY: (0.5, 6.0),
 }
-EDGE_KINDS = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.CUT, FaultKind.RESET, FaultKind.TERM)
+EDGE_KINDS = (FaultKind.KILL, FaultKind.FREEZE, FaultKind.PARTITION, FaultKind.RESET, FaultKind.TERM)
 MASS_KINDS = (
     FaultKind.ALL_KILLED,
     FaultKind.ALL_POWER,
@@ -102,17 +102,33 @@
     if kind not in (FaultKind.ADD, FaultKind.CLOCK_STEP, FaultKind.LOSSY, *MASS_KINDS)
 }
 _ALL |= {FaultKind.ADD: 0.3, FaultKind.ALL_KILLED: 0.4, FaultKind.ALL_POWER: 0.4}
-_CUTS = (FaultKind.CUT, FaultKind.CUT_IN, FaultKind.CUT_OUT, FaultKind.CUT_SEEDS, FaultKind.FREEZE)
+_PARTITIONS = (
+    FaultKind.PARTITION,
+    FaultKind.PARTITION_INBOUND,
+    FaultKind.PARTITION_OUTBOUND,
+    FaultKind.PARTITION_WITH_SEEDS,
+    FaultKind.FREEZE,
+)
 _LOSSES = (FaultKind.WIPE, FaultKind.REPLACE, FaultKind.POWER, FaultKind.ALL_POWER)
 _CRASHES = (FaultKind.KILL, FaultKind.ALL_KILLED, FaultKind.ALL_POWER, FaultKind.POWER)
-_SNAPSHOTS = {**dict.fromkeys(_LOSSES, 1.0), FaultKind.KILL: 1.0, FaultKind.CUT: 2.0, FaultKind.SLOW: 1.0}
+_SNAPSHOTS = {
+    **dict.fromkeys(_LOSSES, 1.0),
+    FaultKind.KILL: 1.0,
+    FaultKind.PARTITION: 2.0,
+    FaultKind.SLOW: 1.0,
+}
 _OVERLAPS = {
     FaultKind.POWER_CHAIN: 2.0,
     FaultKind.WIPE: 1.0,
     FaultKind.REPLACE: 0.5,
     FaultKind.ALL_POWER: 0.5,
 }
-_HERDS = {FaultKind.HERD_KILLED: 2.0, FaultKind.ALL_KILLED: 1.0, FaultKind.WIPE: 0.5, FaultKind.STALL: 0.5}
+_HERD_KILLS = {
+    FaultKind.HERD_KILLED: 2.0,
+    FaultKind.ALL_KILLED: 1.0,
+    FaultKind.WIPE: 0.5,
+    FaultKind.STALL: 0.5,
+}
 _CLOCKS = {FaultKind.CLOCK_STEP: 3.0, FaultKind.KILL: 1.0, FaultKind.FREEZE: 0.5, FaultKind.POWER: 0.5}
 _QUOTA = {FaultKind.KILL: 1.0, FaultKind.TERM: 1.0, FaultKind.POWER: 0.5, FaultKind.WIPE: 0.5}
 _WIDE = Layout(core_edges=5, other_edges=1, storages=5, tolerated=2)
@@ -121,7 +137,7 @@
     scenario.name: scenario
     for scenario in (
         Scenario("mixed", _ALL),
-        Scenario("cuts", dict.fromkeys(_CUTS, 1.0), core_share=0.8, orders=1.5),
+        Scenario("cuts", dict.fromkeys(_PARTITIONS, 1.0), core_share=0.8, orders=1.5),
         Scenario("losses", dict.fromkeys(_LOSSES, 1.0), seconds=20.0, messages=4.0),
         Scenario("crashes", dict.fromkeys(_CRASHES, 1.0), final=0.6),
         Scenario("retire", _ALL, core_share=0.3, layout=Layout(storages=5), retirements=2, seconds=16.0),
@@ -131,9 +147,9 @@
         Scenario("snapshots", _SNAPSHOTS, layout=Layout(small_logs=True), orders=3.0, messages=6.0),
         Scenario("halves", {FaultKind.HALVES: 2.0, FaultKind.KILL: 0.5, FaultKind.RESET: 0.5}, orders=2.0),
         Scenario("overlaps", _OVERLAPS, layout=Layout(small_logs=True), seconds=20.0, orders=2.0, final=0.5),
-        Scenario("herds", _HERDS, layout=Layout(other_edges=3), orders=2.0, final=0.6),
+        Scenario("herds", _HERD_KILLS, layout=Layout(other_edges=3), orders=2.0, final=0.6),
         Scenario("clocks", _CLOCKS, orders=2.0),
-        Scenario("lossy", {FaultKind.LOSSY: 3.0, FaultKind.KILL: 0.5, FaultKind.CUT: 0.5}, orders=2.0),
+        Scenario("lossy", {FaultKind.LOSSY: 3.0, FaultKind.KILL: 0.5, FaultKind.PARTITION: 0.5}, orders=2.0),
         Scenario(
             "quota",
             _QUOTA,
@@ -201,8 +217,8 @@
         lost = sorted(until for until in self._lost_until.values() if until > at)
         free = len(lost) < self._scenario.layout.tolerated
         allowed = at if free else lost[len(lost) - self._scenario.layout.tolerated]
-        at_once = self._random.random() < SHARE_AT_ONCE
-        gap = self._random.uniform(0.0, AT_ONCE_S if at_once else LONGEST_GAP_S)
+        is_early = self._random.random() < EARLY_SHARE
+        gap = self._random.uniform(0.0, EARLY_GAP_S if is_early else LONGEST_GAP_S)
         return max(allowed, self._all_until) + gap
 
     def _fault(self, at: float) -> Fault:
@@ -216,8 +232,8 @@
             return Fault(number=0, at=at, kind=kind, nodes=("storage",))
         free = [name for name in self._candidates() if self._lost_until.get(name, 0.0) <= at]
         name = self._random.choice(free)
-        back = GRACE_S + 1.0 if kind is FaultKind.TERM else lasts
-        self._lost_until[name] = at + back + CATCH_UP_S
+        outage_s = GRACE_S + 1.0 if kind is FaultKind.TERM else lasts
+        self._lost_until[name] = at + outage_s + CATCH_UP_S
         step_ms = self._random.choice(STEPS_MS) if kind is FaultKind.CLOCK_STEP else 0
         return Fault(number=0, at=at, kind=kind, nodes=(name,), lasts=lasts, step_ms=step_ms)
 
@@ -297,17 +313,20 @@
     for at in _times(random, scenario.messages, scenario.seconds):
         kind = random.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
         key = f"key-{random.randrange(ORDER_KEYS)}" if kind is Kind.ENDPOINT else ""
-        delayed, asked = random.random() < DELAYED_SHARE and not key, random.random() < STATE_READ_SHARE
+        is_delayed, reads_state = (
+            random.random() < DELAYED_SHARE and not key,
+            random.random() < STATE_READ_SHARE,
+        )
         messages.append(
             Message(
                 number=0,
                 at=at,
                 kind=kind,
                 key=key,
-                delay_s=round(random.uniform(0.2, MAX_DELAY_S), 3) if delayed else 0.0,
+                delay_s=round(random.uniform(0.2, MAX_DELAY_S), 3) if is_delayed else 0.0,
                 zone=random.choice(zones),
                 size=random.choice(SIZES),
-                ask_after=round(random.uniform(0.1, MAX_STATE_READ_DELAY_S), 3) if asked else 0.0,
+                ask_after=round(random.uniform(0.1, MAX_STATE_READ_DELAY_S), 3) if reads_state else 0.0,
             )
         )
     return messages
@@ -342,7 +361,7 @@
     for at in _times(random, scenario.worker_faults, scenario.seconds):
         worker = random.randrange(-1, 3)
         if worker >= 0 and random.random() < 0.25:
-            events.append(WorkerLeaves(number=0, at=at, worker=worker))
+            events.append(WorkerDeparture(number=0, at=at, worker=worker))
         else:
             fault = random.choice(list(WorkerFaultKind))
             lasts = round(random.uniform(0.5, 3.0), 3)
--- a/bitternpath/testing/simulation/runs/play.py
+++ b/bitternpath/testing/simulation/runs/play.py
@@ -40,8 +40,8 @@
     ReadConfiguration,
     Retire,
     RunPlan,
+    WorkerDeparture,
     WorkerFault,
-    WorkerLeaves,
 )
 from bitternpath.testing.simulation.runs.coverage import Coverage, coverage_of
 from bitternpath.testing.simulation.settings import SMALL_LOGS, LogSizes, Plan
@@ -51,7 +51,9 @@
 READY_TIMEOUT_S = 30.0  # after the start
 POLL_INTERVAL_S = 0.25
 FINISH_TIMEOUT_S = 30.0  # after the last event, for all that was accepted
-SETTLE_S = 5.0  # after the last event, before the first check whether all is done: `catch_up_s` and more
+STABILIZATION_S = (
+    5.0  # after the last event, before the first check whether all is done: `catch_up_s` and more
+)
 READ_BACK_S = 4.0  # `contact_ms`
 STATE_READS_TIMEOUT_S = 60.0  # for the states of all messages at the end
 
@@ -61,7 +63,7 @@
     """The result of a run. `errors` are of the actors themselves and make it void."""
 
     plan: RunPlan
-    found: list[Finding] = field(default_factory=list)
+    findings: list[Finding] = field(default_factory=list)
     errors: list[str] = field(default_factory=list)
     digest: str = ""
     seconds: float = 0.0  # of virtual time
@@ -71,14 +73,14 @@
     coverage: Coverage = field(default_factory=Coverage)
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule was broken."""
-        return not self.found and not self.errors
+        return not self.findings and not self.errors
 
     @property
     def checkers(self) -> list[str]:
         """Of the violations, each once, in their order."""
-        return list(dict.fromkeys(found.checker for found in self.found))
+        return list(dict.fromkeys(finding.checker for finding in self.findings))
 
 
 class Run:
@@ -109,13 +111,13 @@
         if self._create_system():
             self._play_events()
             self._finish()
-            self._judge()
+            self._check_history()
         self._add_internal_violations()
         report = self.report
         report.coverage = coverage_of(self.plan, self.world.recorder, self.history)
         report.digest = self.world.digest()
         report.seconds = self.world.now
-        report.events = self.world.scheduler.played
+        report.events = self.world.scheduler.events_run
         report.accepted = sum(1 for _ in self.history.accepted())
         report.acknowledged = sum(order.outcome.value == "acknowledged" for order in self.history.orders)
         return report
@@ -176,36 +178,36 @@
                 self.operators.read_configuration(event)
             case WorkerFault():
                 self.workers.inject(event)
-            case WorkerLeaves():
-                self.workers.leave(event)
+            case WorkerDeparture():
+                self.workers.drain(event)
 
     def _finish(self) -> None:
         """Wait until accepted messages have ended; read all states and the configuration."""
-        self.world.run_until(self.world.now + SETTLE_S)
+        self.world.run_until(self.world.now + STABILIZATION_S)
         self._until(FINISH_TIMEOUT_S, self._all_ended)
         self.history.finished = self.world.now
         readers = StateReaders(self._context(CLIENT_IP), self.balancer)
         done: list[object] = []
         self._start(readers.read_all(list(self.history.accepted())), done)
         self.operators.read_back(READ_BACK_S)
-        self._until(STATE_READS_TIMEOUT_S, lambda: bool(done) and not self.operators.open)
+        self._until(STATE_READS_TIMEOUT_S, lambda: bool(done) and not self.operators.in_flight)
         for puller in self.workers.pullers:
             puller.stop()
         self.balancer.stop()
 
     def _all_ended(self) -> bool:
-        if self.operators.open or self.clients.open:
+        if self.operators.in_flight or self.clients.in_flight:
             return False
         ended = ended_times(self.history, self.parameters)
-        delivered = {got.request_id for got in self.history.callbacks if got.taken}
+        delivered = {notification.request_id for notification in self.history.callbacks if notification.taken}
         return all(
             ended[send.request_id] <= self.world.now
             and (not send.wants_callback or send.request_id in delivered)
             for send in self.history.accepted()
         )
 
-    def _judge(self) -> None:
-        self.report.found += check_run(self.history, self.parameters)
+    def _check_history(self) -> None:
+        self.report.findings += check_run(self.history, self.parameters)
 
     def _add_internal_violations(self) -> None:
         """Add what the world itself found: broken invariants, errors in nodes, processes that ended."""
@@ -243,7 +245,7 @@
         self.report.errors.append(failure.getTraceback())
 
     def _add(self, rule: SystemRule, text: str) -> None:
-        self.report.found.append(Finding(rule.value.lower(), Violation(rule, "", text)))
+        self.report.findings.append(Finding(rule.value.lower(), Violation(rule, "", text)))
 
 
 def play(plan: RunPlan) -> RunReport:
--- a/bitternpath/testing/simulation/runs/single_run.py
+++ b/bitternpath/testing/simulation/runs/single_run.py
@@ -11,7 +11,7 @@
 from bitternpath.testing.simulation.runs.play import RunReport, play
 from bitternpath.testing.simulation.runs.shrink import shrink
 
-FOUND_FOLDER = Path("found")  # not in the repository
+FAILING_PLANS_FOLDER = Path("found")  # not in the repository
 MAX_VIOLATIONS_SHOWN = 3  # of a run
 
 
@@ -29,18 +29,18 @@
 def describe(report: RunReport) -> str:
     """One line, and one more for each of the first violations."""
     plan = report.plan
-    head = f"seed {plan.seed} {plan.scenario}"
-    if report.kept:
-        return f"{head}: rules kept, {report.accepted} messages, {report.acknowledged} orders"
-    lines = [f"{head}: {len(report.found)} violations, {len(report.errors)} errors of actors"]
-    lines += [f"  {found}" for found in report.found[:MAX_VIOLATIONS_SHOWN]]
+    summary = f"seed {plan.seed} {plan.scenario}"
+    if report.passed:
+        return f"{summary}: rules kept, {report.accepted} messages, {report.acknowledged} orders"
+    lines = [f"{summary}: {len(report.findings)} violations, {len(report.errors)} errors of actors"]
+    lines += [f"  {finding}" for finding in report.findings[:MAX_VIOLATIONS_SHOWN]]
     lines += [f"  {error}" for error in report.errors[:1]]
     return "\n".join(lines)
 
 
-def shrink_and_save(report: RunReport, folder: Path = FOUND_FOLDER) -> str:
+def shrink_and_save(report: RunReport, folder: Path = FAILING_PLANS_FOLDER) -> str:
     """Shrink a failing run and save its plan; a text that names the file."""
-    if not report.found:
+    if not report.findings:
         return "the actors themselves failed: nothing to shrink"
     shrunk = shrink(report.plan, report.checkers[0])
     folder.mkdir(parents=True, exist_ok=True)
--- a/bitternpath/testing/simulation/scheduler.py
+++ b/bitternpath/testing/simulation/scheduler.py
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.played = 0  # events so far
-        self._made = 0
+        self.events_run = 0  # events so far
+        self._last_serial = 0
         self._events: list[tuple[float, int, Call, tuple[Any, ...]]] = []
 
     def push(self, time: float, call: Call, *arguments: Any) -> None:
         """Call at that time, not before events that were pushed for it earlier."""
-        self._made += 1
-        heappush(self._events, (time if time > self.now else self.now, self._made, call, arguments))
+        self._last_serial += 1
+        heappush(self._events, (time if time > self.now else self.now, self._last_serial, call, arguments))
 
     def at(self, time: float, call: Call, *arguments: Any) -> Timer:
         """As `push`; can be cancelled."""
@@ -54,6 +54,6 @@
         events = self._events
         while events and events[0][0] <= end:
             self.now, _, call, arguments = heappop(events)
-            self.played += 1
+            self.events_run += 1
             call(*arguments)
         self.now = max(self.now, end)
--- a/bitternpath/testing/simulation/settings.py
+++ b/bitternpath/testing/simulation/settings.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class MachineSpec:
     """A machine: what is written about it into its settings file."""
 
     name: str
@@ -61,23 +61,23 @@
     has_disk: bool
 
 
-def settings_document(plan: Plan, place: Place, seeds: list[str], bootstrap: bool) -> dict[str, Any]:
+def settings_document(plan: Plan, spec: MachineSpec, seeds: list[str], bootstrap: bool) -> dict[str, Any]:
     """The settings file of a node."""
-    edge = place.role == "edge"
+    edge = spec.role == "edge"
     return {
-        "node_name": place.name,
-        "role": place.role,
-        "machine_class": place.role,
+        "node_name": spec.name,
+        "role": spec.role,
+        "machine_class": spec.role,
         "serves": ["edge", "control_plane"] if edge else ["storage"],
-        "ip": place.ip,
-        "zone": place.zone,
+        "ip": spec.ip,
+        "zone": spec.zone,
         "region": "viti-levu",
         "internal_port_range": INTERNAL_PORTS,
         "seeds": list(seeds),
         "bootstrap": bootstrap,
-        "counts_for_quorum": place.counted,
-        "data_dir": f"/data/{place.name}" if place.has_disk else "",
-        "listen": _listen(place.ip) if edge else {},
+        "counts_for_quorum": spec.counted,
+        "data_dir": f"/data/{spec.name}" if spec.has_disk else "",
+        "listen": _listen(spec.ip) if edge else {},
         "limits": {"memory_mb": 300, "max_fds": plan.max_fds, "disk_mb": plan.disk_mb},
         "fault_tolerance": {"machines": plan.tolerated_machines, "zones": 0, "regions": 0},
         "bounds": dict(plan.bounds),
--- a/bitternpath/testing/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -19,7 +19,7 @@
 from zope.interface import implementer
 
 from bitternpath.testing.simulation.errors import failure
-from bitternpath.testing.simulation.interfaces import Packet, StreamCarrier
+from bitternpath.testing.simulation.interfaces import Packet, StreamConnection
 from bitternpath.testing.simulation.reactor import VirtualReactor
 
 WINDOW_BYTES = 256 << 10  # in flight or unread, before a writer has to wait
@@ -44,9 +44,9 @@
             raise OSError(errno.EBADF, os.strerror(errno.EBADF))
         if stream.incoming:
             return stream.incoming[0][:size]
-        if stream.reset_came:
+        if stream.reset_received:
             raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
-        if stream.end_came:
+        if stream.end_received:
             return b""
         raise BlockingIOError(errno.EAGAIN, os.strerror(errno.EAGAIN))
 
@@ -55,7 +55,9 @@
 class Stream:
     """The transport of one end."""
 
-    def __init__(self, connection: StreamCarrier, reactor: VirtualReactor, local: Any, remote: Any) -> None:
+    def __init__(
+        self, connection: StreamConnection, reactor: VirtualReactor, local: Any, remote: Any
+    ) -> None:
         self.connection = connection
         self.reactor = reactor
         self.local = local
@@ -65,12 +67,12 @@
         self.peer: Stream = self  # the other end; set by the connection
         self.connected = False
         self.closed = False  # it was connected, or gave up to be
-        self.silent = False  # its host lost power: nothing is said until a peer asks
+        self.power_lost = False  # its host lost power: nothing is said until a peer asks
         self.disconnecting = False
         self.incoming: deque[bytes] = deque()
-        self.end_came = self.reset_came = False
+        self.end_received = self.reset_received = False
         self.user_timeout_s = 0.0
-        self._paused = self._aborting = self._read_end_told = False
+        self._paused = self._aborting = self._read_end_reported = False
         self._write_closing = self._write_closed = False
         self._backlog: list[bytes] = []
         self._backlog_bytes = self._unread = 0
@@ -190,9 +192,9 @@
         if packet is Packet.DATA:
             self.incoming.append(data)
         elif packet is Packet.END:
-            self.end_came = True
+            self.end_received = True
         elif packet is Packet.RESET:
-            self.reset_came = True
+            self.reset_received = True
             self.connection.stop_sending(self)
         if self.protocol is not None and not self._read_planned:
             self._read_planned = True
@@ -220,13 +222,13 @@
     def lost_power(self) -> None:
         """The host has no power: nothing is said to the peer."""
         self._shut()
-        self.silent = True
+        self.power_lost = True
         self.connection.stop_sending(self)
 
     # ---- reading
 
     def _plan_read(self) -> None:
-        if not self._read_planned and (self.incoming or self.end_came or self.reset_came):
+        if not self._read_planned and (self.incoming or self.end_received or self.reset_received):
             self._read_planned = True
             self.reactor.scheduler.push(self.reactor.scheduler.now, self.reactor.read, self._read)
 
@@ -240,15 +242,15 @@
                 self._lose(ConnectionLost("dataReceived raised"))
         if not self.connected or self._aborting:
             return
-        if self.reset_came and not self.incoming:
+        if self.reset_received and not self.incoming:
             self._lose(ConnectionLost("reset by peer"))
-        elif self.end_came and not (self.incoming or self._paused or self.disconnecting):
+        elif self.end_received and not (self.incoming or self._paused or self.disconnecting):
             self._read_end()
 
     def _read_end(self) -> None:
-        if self._read_end_told:
+        if self._read_end_reported:
             return
-        self._read_end_told = True
+        self._read_end_reported = True
         half: Any = IHalfCloseableProtocol(self.protocol, None)
         if half is None or self._write_closed:
             self._lose(ConnectionDone())
@@ -326,5 +328,5 @@
 
     def _refuse(self, packet: Packet) -> None:
         """A packet for a connection that this host doesn't have any more is answered by a reset."""
-        if packet in (Packet.DATA, Packet.ESTABLISHED) or (self.silent and packet is Packet.END):
+        if packet in (Packet.DATA, Packet.ESTABLISHED) or (self.power_lost and packet is Packet.END):
             self.connection.send(self, Packet.RESET)
--- a/bitternpath/testing/simulation/world.py
+++ b/bitternpath/testing/simulation/world.py
@@ -16,7 +16,7 @@
     PLATFORM_IP,
     PLATFORM_PORT,
     SMALL_LOGS,
-    Place,
+    MachineSpec,
     Plan,
     settings_document,
 )
@@ -42,7 +42,7 @@
         self.invariants = GroupInvariantChecker(self.recorder, lambda: self.scheduler.now)
         self.nodes: dict[str, SimulatedNode] = {}
         self._actors: dict[str, VirtualReactor] = {}
-        self._places_made: dict[tuple[str, str], int] = {}
+        self._machine_counts: dict[tuple[str, str], int] = {}
         self.seeds: list[str] = []
         self._make_nodes()
 
@@ -79,12 +79,12 @@
 
     def host(self, ip: str) -> VirtualReactor:
         """The reactor of an actor's host, which is created if there is none."""
-        found = self._actors.get(ip)
-        if found is None:
-            found = VirtualReactor(self.network.add_host(ip, ""), ip)
-            found.raises = True
-            self._actors[ip] = found
-        return found
+        reactor = self._actors.get(ip)
+        if reactor is None:
+            reactor = VirtualReactor(self.network.add_host(ip, ""), ip)
+            reactor.propagates_errors = True
+            self._actors[ip] = reactor
+        return reactor
 
     def start(self) -> None:
         """Start all nodes within 0.3 s, in the seed's order."""
@@ -105,13 +105,13 @@
     ) -> SimulatedNode:
         """An empty machine joins; its process starts at once."""
         storage = role == "storage"
-        place = self._place(
+        spec = self._machine_spec(
             role,
             zone or self.plan.zones[0],
             storage if counted is None else counted,
             storage if has_disk is None else has_disk,
         )
-        node = self._add(place, bootstrap=False)
+        node = self._add(spec, bootstrap=False)
         self.recorder.event("add", node.name)
         node.start()
         return node
@@ -156,33 +156,33 @@
     def _make_nodes(self) -> None:
         plan = self.plan
         for number in range(plan.core_edges):
-            self._new_place("edge", number, True, True)
+            self._add_initial_machine("edge", number, True, True)
         for number in range(plan.other_edges):
-            self._new_place("edge", number, False, False)
+            self._add_initial_machine("edge", number, False, False)
         for number in range(plan.storages):
-            self._new_place("storage", number, True, True)
+            self._add_initial_machine("storage", number, True, True)
         self.seeds = self.current_seeds()
         for node in self.nodes.values():
             node.document["seeds"] = list(self.seeds)
 
-    def _new_place(self, role: str, number: int, counted: bool, has_disk: bool) -> None:
+    def _add_initial_machine(self, role: str, number: int, counted: bool, has_disk: bool) -> None:
         zone = self.plan.zones[number % len(self.plan.zones)]
-        self._add(self._place(role, zone, counted, has_disk), bootstrap=True)
+        self._add(self._machine_spec(role, zone, counted, has_disk), bootstrap=True)
 
-    def _place(self, role: str, zone: str, counted: bool, has_disk: bool) -> Place:
-        number = self._places_made.get((role, zone), 0) + 1
-        self._places_made[role, zone] = number
+    def _machine_spec(self, role: str, zone: str, counted: bool, has_disk: bool) -> MachineSpec:
+        number = self._machine_counts.get((role, zone), 0) + 1
+        self._machine_counts[role, zone] = number
         network = 1 + self.plan.zones.index(zone)
         ip = f"10.{network}.{0 if role == 'edge' else 1}.{30 + number}"
-        return Place(f"{role}-{zone}-{number}", role, ip, zone, counted, has_disk)
+        return MachineSpec(f"{role}-{zone}-{number}", role, ip, zone, counted, has_disk)
 
-    def _add(self, place: Place, bootstrap: bool) -> SimulatedNode:
-        random = self.random(place.name)
-        document = settings_document(self.plan, place, self.current_seeds(), bootstrap)
+    def _add(self, spec: MachineSpec, bootstrap: bool) -> SimulatedNode:
+        random = self.random(spec.name)
+        document = settings_document(self.plan, spec, self.current_seeds(), bootstrap)
         skew_ms = random.randint(-self.plan.skew_ms, self.plan.skew_ms)
-        setup = NodeSetup(place, document, skew_ms, self.plan.logs, self.plan.processor_share)
+        setup = NodeSetup(spec, document, skew_ms, self.plan.logs, self.plan.processor_share)
         node = SimulatedNode(self.network, self.invariants, setup, random)
-        self.nodes[place.name] = node
+        self.nodes[spec.name] = node
         return node
 
     def _of_role(self, role: str) -> list[SimulatedNode]:
--- a/tests/system/configuration/test_changes_in_flight.py
+++ b/tests/system/configuration/test_changes_in_flight.py
@@ -97,7 +97,7 @@
     def begin(self, seed: int, **plan: Any) -> None:
         self.system = SmallSystem(seed, Plan(core_edges=3, other_edges=2, **plan))
         self.world = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         self.world.run_for(2.0)
         self.operator = Operator(self.system)
         self.version = 1
@@ -174,8 +174,8 @@
         def fault(owner: SimulatedNode) -> None:
             for edge in self.world.edges():
                 if edge.counted and edge is not owner:
-                    self.world.cut(edge.name, owner.name, both=False)
-            self.world.at(self.world.now + 4.0, self.world.rejoin, owner.name)
+                    self.world.partition(edge.name, owner.name, both=False)
+            self.world.at(self.world.now + 4.0, self.world.heal_host, owner.name)
 
         self.sweep(fault, 6.0)
 
--- a/tests/system/membership/test_bootstrap_faults.py
+++ b/tests/system/membership/test_bootstrap_faults.py
@@ -123,7 +123,7 @@
                 other_side = [name for name in simulation.nodes if name not in coordinator_side]
                 for name in other_side:
                     for other in coordinator_side:
-                        simulation.cut(name, other)
+                        simulation.partition(name, other)
                 simulation.run_until(1.0)
                 for name in other_side:  # a later settings file may name the node's own side only
                     seeds = [
@@ -140,7 +140,7 @@
                 opened = [member_of(core).is_open for core in cores if core.counted]
                 self.assertEqual(opened, [False] * len(opened))
                 for name in other_side:  # unaware of the others: only the file can name them
-                    simulation.rejoin(name)
+                    simulation.heal_host(name)
                     simulation.reload(name, seeds=simulation.current_seeds())
                 self.accept_first_configuration(system, simulation.now)
                 self.check(system)
@@ -153,19 +153,19 @@
                 absent = next(
                     edge for edge in simulation.edges() if edge is not coordinator(system) and edge.counted
                 )
-                simulation.at(1.5, simulation.cut_off, absent.name)
+                simulation.at(1.5, simulation.isolate, absent.name)
                 simulation.run_until(3.5)
                 self.accept_first_configuration(system, simulation.now)
                 simulation.kill(absent.name)
                 simulation.kill(coordinator(system).name, 8.0)
-                simulation.at(simulation.now + 1.0, simulation.rejoin, absent.name)
+                simulation.at(simulation.now + 1.0, simulation.heal_host, absent.name)
                 simulation.run_for(8.0)
                 self.check(system)
 
     def test_a_member_that_is_no_founder_becomes_a_voter_in_its_first_incarnation(self) -> None:
         system = SmallSystem(2, Plan(core_edges=8, other_edges=0))
         simulation = system.world
-        system.found()
+        system.bootstrap()
         simulation.run_for(2.0)
         before = voters(system)
         learner = next(member for member in members(system) if member.host.member_id not in before)
--- a/tests/system/pinned/write_runs.py
+++ b/tests/system/pinned/write_runs.py
@@ -51,7 +51,7 @@
         "events": report.events,
         "accepted": report.accepted,
         "acknowledged": report.acknowledged,
-        "found": len(report.found),
+        "found": len(report.findings),
         "errors": len(report.errors),
     }
 
--- a/tests/system/replication/loaded_group.py
+++ b/tests/system/replication/loaded_group.py
@@ -10,7 +10,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed, Plan())
-        self.loss, self.calm = 0.0, True
+        self.loss, self.faults_stopped = 0.0, True
         self.serial = 0
         self.every = 0.0
 
--- a/tests/system/replication/test_cluster.py
+++ b/tests/system/replication/test_cluster.py
@@ -61,7 +61,7 @@
         assert lost.process is not None
         fresh = lost.process
         self.assertEqual(fresh.host.members(GROUP), Members())
-        self.world._repeat(0.1, self.world._look_at_members)
+        self.world._repeat(0.1, self.world._reconcile_members)
 
         def is_voter() -> bool:
             voter = fresh.member in owner.host.members(GROUP).voters
--- a/tests/system/replication/test_fault_campaign.py
+++ b/tests/system/replication/test_fault_campaign.py
@@ -85,7 +85,7 @@
             self.assert_caught()
 
     def test_an_empty_disk_that_votes(self) -> None:
-        self.assert_caught(Plan(empty_disk_keeps_identity=True, settle_seconds=3.0))
+        self.assert_caught(Plan(empty_disk_keeps_identity=True, agreement_timeout_s=3.0))
 
     def test_a_learner_that_counts_before_it_caught_up(self) -> None:
         with patch.object(ReplicaGroup, "caught_up", lambda self, member: True):
--- a/tests/system/replication/test_first_elections.py
+++ b/tests/system/replication/test_first_elections.py
@@ -23,7 +23,7 @@
         """By group, the seconds from the start of the last process until the group has an owner."""
         system = SmallSystem(seed)
         world = system.world
-        system.found()
+        system.bootstrap()
         world.run_for(3.0)
         before = len(world.ownerships)
         for name in world.nodes:
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -139,11 +139,11 @@
     def test_a_build_that_keeps_a_refused_term_is_caught(self) -> None:
         with keeps_its_term():
             report = play(owners_hand_over_in_turn())
-        self.assertIn("refused term used again", "\n".join(map(str, report.found)))
+        self.assertIn("refused term used again", "\n".join(map(str, report.findings)))
 
     def test_the_program_passes_the_same_run(self) -> None:
         report = play(owners_hand_over_in_turn())
-        self.assertEqual([*map(str, report.found), *report.errors], [])
+        self.assertEqual([*map(str, report.findings), *report.errors], [])
 
 
 if __name__ == "__main__":
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -67,7 +67,7 @@
             if wiped:
                 node.disk.wipe()
                 node.wipes += 1
-                world._repeat(0.1, world._look_at_members)
+                world._repeat(0.1, world._reconcile_members)
             world._start(node, None)
             caught_up = world.run_until(lambda: world.is_current(node), seconds)
         return caught_up, len(made)
@@ -213,7 +213,7 @@
             world.run_until(lambda: False, 1.0)
             node.disk.wipe()
             node.wipes += 1
-            world._repeat(0.1, world._look_at_members)
+            world._repeat(0.1, world._reconcile_members)
             world._start(node, None)
             began = world.clock.seconds()
             for _ in range(150):
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -26,7 +26,7 @@
         super().__init__(seed)
         self.desired = list(self.nodes)
 
-    def _look_at_members(self) -> None:
+    def _reconcile_members(self) -> None:
         members = [self.nodes[name].member for name in self.desired]
         for node in self.nodes.values():
             if node.process is not None:
@@ -45,7 +45,7 @@
         for other in world.nodes:
             world.blocked |= {(gone.name, other), (other, gone.name)}
         world.desired = [name for name in world.nodes if name != gone.name]
-        world._repeat(0.1, world._look_at_members)
+        world._repeat(0.1, world._reconcile_members)
         world.changes(0.01)
         wanted = {world.nodes[name].member for name in world.desired}
         self.assertTrue(world.run_until(lambda: set(world.owner().host.members(GROUP).voters) == wanted, 10))
--- a/tests/system/small_actors.py
+++ b/tests/system/small_actors.py
@@ -240,7 +240,7 @@
         name = answer.headers.get("X-Message-Id", request_id)
         return self.caller.call("GET", self.world.edges()[edge].front, f"/message/{name}", Host=HOST)
 
-    def found(self) -> None:
+    def bootstrap(self) -> None:
         """Run until the first configuration is accepted."""
         self.world.run_until(4.0)
         while True:
--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -163,7 +163,7 @@
             for plan in family():
                 with self.subTest(family=family.__name__, events=plan.events[-2:]):
                     report = play(plan)
-                    self.assertEqual([str(found) for found in report.found], [])
+                    self.assertEqual([str(finding) for finding in report.findings], [])
                     self.assertEqual(report.errors, [])
 
     def test_each_build_has_a_family(self) -> None:
--- a/tests/system/test_campaign_command.py
+++ b/tests/system/test_campaign_command.py
@@ -49,7 +49,7 @@
 
     def test_coverage_of_all_runs_is_printed(self) -> None:
         def covers(seed: int, faults: int) -> campaign.Outcome:
-            pairs = Counter({(FaultKind.KILL, FaultKind.CUT): 2})
+            pairs = Counter({(FaultKind.KILL, FaultKind.PARTITION): 2})
             return campaign.Outcome(True, f"seed {seed}", Coverage(pairs, runs=1))
 
         with (
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -49,7 +49,7 @@
     late: list[str] = field(default_factory=list)
     wrong: list[str] = field(default_factory=list)
     in_force: dict[str, int] = field(default_factory=dict)
-    lives: dict[str, int] = field(default_factory=dict)
+    incarnations: dict[str, int] = field(default_factory=dict)
     alone: set[str] = field(default_factory=set)  # nodes that reach no majority
     alone_since: float = 0.0
 
@@ -69,8 +69,8 @@
             self._look_at_force(edge)
 
     def _look_at_force(self, edge: SimulatedNode) -> None:
-        if self.lives.setdefault(edge.name, edge.lives) != edge.lives:
-            self.lives[edge.name] = edge.lives
+        if self.incarnations.setdefault(edge.name, edge.incarnations) != edge.incarnations:
+            self.incarnations[edge.name] = edge.incarnations
             self.in_force.pop(edge.name, None)  # a new life may begin from nothing
         version = version_at(edge)
         if version < self.in_force.get(edge.name, 0):
@@ -144,12 +144,12 @@
     def begin(system: SmallSystem, owner: SimulatedNode) -> None:
         for ip in names(system, owner):
             if out:
-                system.world.cut(owner.name, ip, both=False)
+                system.world.partition(owner.name, ip, both=False)
             if into:
-                system.world.cut(ip, owner.name, both=False)
+                system.world.partition(ip, owner.name, both=False)
 
     def end(system: SmallSystem, owner: SimulatedNode) -> None:
-        system.world.rejoin(owner.name)
+        system.world.heal_host(owner.name)
 
     return Course(begin, end)
 
@@ -176,7 +176,7 @@
 
     def begin(self, seed: int) -> tuple[SmallSystem, Watch, int]:
         system = SmallSystem(seed, Plan(core_edges=3, other_edges=2))
-        system.found()
+        system.bootstrap()
         watch = Watch(system)
         watch.acknowledged.append(Acknowledged(1, system.world.now))
         watch.start()
@@ -236,7 +236,7 @@
                 )
                 for node in (owner, outer):  # both are on the smaller side, with each other
                     near = (owner.ip, outer.ip, CALLER_IP)
-                    world.cut_off(node.name, [ip for ip in node_ips(system, node) if ip not in near])
+                    world.isolate(node.name, [ip for ip in node_ips(system, node) if ip not in near])
                 watch.leave_alone(owner.name, outer.name)
                 for node in (owner, outer):
                     world.change_settings(node.name, seeds=[owner.control, outer.control])
@@ -247,8 +247,8 @@
                 world.run_for(CUT_S - ELECTION_S)
                 self.assertEqual([accepted.status, *(answer.status for answer in lost)], [200, 503, 503])
                 watch.leave_alone()
-                world.rejoin(owner.name)
-                world.rejoin(outer.name)
+                world.heal_host(owner.name)
+                world.heal_host(outer.name)
                 joined = world.now
                 while any(version_at(edge) != 3 for edge in world.edges()) and world.now < joined + 10:
                     world.run_for(0.1)
@@ -266,7 +266,7 @@
                 outer = [edge for edge in world.edges() if not edge.counted]
                 near = [CALLER_IP, *(edge.ip for edge in outer)]
                 for edge in outer:  # restarted, they know of nobody but each other
-                    world.cut_off(edge.name, [ip for ip in node_ips(system, edge) if ip not in near])
+                    world.isolate(edge.name, [ip for ip in node_ips(system, edge) if ip not in near])
                     world.change_settings(edge.name, seeds=[each.control for each in outer])
                     world.kill(edge.name)
                 watch.leave_alone(*(edge.name for edge in outer))
@@ -276,7 +276,7 @@
                 self.assertEqual(accepted.status, 200)
                 watch.leave_alone()
                 for edge in outer:
-                    world.rejoin(edge.name)
+                    world.heal_host(edge.name)
                 joined = world.now
                 while any(version_at(edge) != 3 for edge in world.edges()) and world.now < joined + 20:
                     world.run_for(0.1)
--- a/tests/system/test_repairs.py
+++ b/tests/system/test_repairs.py
@@ -22,7 +22,7 @@
     names = sorted(world.machines)
     for number in range(rounds):
         name = names[(number * 2) % len(names)]
-        world.stop(name, says_so=False, wipe=True)
+        world.stop(name, graceful=False, wipe=True)
         world.run(AWAY_S)
         world.start(name)
         world.run(CATCH_UP_S)
@@ -47,7 +47,7 @@
         world = self.world(4, RepairPlan(groups=3, tolerated=2))
         for first, second in (("s0", "s1"), ("s2", "s3"), ("s4", "s0")):
             for name in (first, second):
-                world.stop(name, says_so=False, wipe=True)
+                world.stop(name, graceful=False, wipe=True)
             world.run(AWAY_S)
             for name in (first, second):
                 world.start(name)
@@ -56,11 +56,11 @@
 
     def test_machines_replaced_in_turn(self) -> None:
         """Each by an empty one at another address; then the next one goes."""
-        for says_so in (False, True):
-            with self.subTest(says_so=says_so):
+        for graceful in (False, True):
+            with self.subTest(graceful=graceful):
                 world = self.world(5, RepairPlan(groups=6))
                 for number in range(4):
-                    world.stop(f"s{number}", says_so=says_so)
+                    world.stop(f"s{number}", graceful=graceful)
                     world.run(AWAY_S)
                     world.add_machine(f"s{number + 3}", world.machines[f"s{number}"].zone)
                     world.start(f"s{number + 3}")
@@ -73,7 +73,7 @@
             with self.subTest(tolerated=tolerated, groups=groups):
                 plan = RepairPlan(groups=groups, tolerated=tolerated, state_bytes=state, commands_per_s=50)
                 world = self.world(6, plan)
-                world.stop("s1", says_so=False, wipe=True)
+                world.stop("s1", graceful=False, wipe=True)
                 world.run(AWAY_S)
                 world.start("s1")
                 world.measure()
@@ -81,7 +81,7 @@
 
     def test_a_wiped_machine_leaves_no_group_exposed_for_a_second(self) -> None:
         world = self.world(7, RepairPlan(groups=10, state_bytes=MB))
-        world.stop("s2", says_so=False, wipe=True)
+        world.stop("s2", graceful=False, wipe=True)
         world.run(AWAY_S)
         world.start("s2")
         world.measure()
@@ -94,7 +94,7 @@
         for seed in range(3):
             world = self.world(seed, plan)
             world.run(0.5)
-            world.stop("s0", says_so=False, wipe=True)
+            world.stop("s0", graceful=False, wipe=True)
             world.run(1.0)
             world.start("s0")
             world.measure()
@@ -135,11 +135,11 @@
     world.isolated.add("s3")  # it hears of the placement, and nothing of the groups
     world.controller.retire("s0")
     world.run(0.5)
-    world.stop("s0", says_so=False)
+    world.stop("s0", graceful=False)
     world.run(0.3)
     world.start("s0")
     world.run(CATCH_UP_S)
-    world.stop("s1", says_so=False)
+    world.stop("s1", graceful=False)
     world.run(3.0)
     world.check_nothing_lost()
     still_serves(world)
@@ -150,7 +150,7 @@
     world = RepairWorld(seed, RepairPlan(groups=3, state_bytes=MB // 4))
     world.fill()
     world.traffic()
-    world.stop("s0", says_so=False)
+    world.stop("s0", graceful=False)
     world.run(AWAY_S)
     world.add_machine("t0", "z0")
     world.start("t0")
@@ -159,7 +159,7 @@
     still_serves(world)
     world.isolated.clear()
     world.run(CATCH_UP_S)
-    world.stop("s1", says_so=False)
+    world.stop("s1", graceful=False)
     world.run(2.0)
     world.check_nothing_lost()
     still_serves(world)
--- a/tests/system/test_simulation_answers.py
+++ b/tests/system/test_simulation_answers.py
@@ -29,7 +29,7 @@
     def play(self, seed: int, fault: Callable[[], None]) -> None:
         self.system = SmallSystem(f"answers-{seed}")
         self.world = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         self.world.run_for(2.0)
         self.sent: list[tuple[str, Answer]] = []
         self.asked: list[tuple[str, Answer]] = []
@@ -84,10 +84,10 @@
             name = self.owned()
             others = [other for other in self.world.nodes if other != name and other.startswith("storage")]
             for other in others:
-                self.world.cut(name, other)
+                self.world.partition(name, other)
             steps(self.system, 3.0, self.step)
             for other in others:
-                self.world.join(name, other)
+                self.world.heal_partition(name, other)
 
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -100,11 +100,11 @@
         others = [other for other in self.world.nodes if other.startswith("storage") and other not in names]
         for name in names:
             for other in others:
-                self.world.cut(name, other)
+                self.world.partition(name, other)
         steps(self.system, 3.0, self.step)
         for name in names:
             for other in others:
-                self.world.join(name, other)
+                self.world.heal_partition(name, other)
 
     def test_owner_partitioned_together_with_an_edge_node(self) -> None:
         for seed in SEEDS:
@@ -139,7 +139,7 @@
     def begin(self, seed: int) -> None:
         self.system = SmallSystem(f"jobs-{seed}")
         self.world = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         document = configuration(2)
         document["services"][0]["pull_mode"] = True
         address = self.world.edges()[0].control
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -27,7 +27,7 @@
 def started(seed: int, plan: Plan | None = None) -> SmallSystem:
     """A system at rest, with the first configuration."""
     system = SmallSystem(f"broken-{seed}", plan)
-    system.found()
+    system.bootstrap()
     system.world.run_for(1.5)
     return system
 
@@ -72,7 +72,7 @@
     if owner_of_configuration(system) != owner:
         return []
     for other in others:
-        world.cut(edges[owner].name, other.name, both=False)
+        world.partition(edges[owner].name, other.name, both=False)
     accepted_at = 0.0
     reads: list[Answer] = []
     orders: list[Answer] = []
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -73,8 +73,8 @@
             world.freeze(name)
             world.at(back, world.thaw, name)
         case 4:
-            world.cut_off(name, both=random.random() < 0.5)
-            world.at(back, world.rejoin, name)
+            world.isolate(name, both=random.random() < 0.5)
+            world.at(back, world.heal_host, name)
         case 5:
             world.replace(name)
         case 6:
@@ -90,7 +90,7 @@
             with self.subTest(seed=seed):
                 system = SmallSystem(f"changes-{seed}", Plan(storages=4, logs=SMALL_LOGS))
                 world = system.world
-                system.found()
+                system.bootstrap()
                 orders = Orders(system)
                 orders.begin()
                 world.at(world.now + 2.0, one_loss, system, orders)
@@ -129,10 +129,10 @@
         """Seconds from a wiped member's start until it votes and its former self doesn't."""
         system = SmallSystem(f"transfer-{seed}", Plan(logs=logs))
         world = system.world
-        system.found()
+        system.bootstrap()
         nodes = world.edges() + world.storages()
         for first, second in combinations(nodes, 2):
-            world.squeeze(first.name, second.name, LINK_BYTES_PER_S)
+            world.limit_bandwidth(first.name, second.name, LINK_BYTES_PER_S)
         stop = world.now + ORDERS_S
         self._order(system, 2, stop)
         world.run_for(3.0)
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -73,14 +73,14 @@
     return ConfigRead("edge-1", at, at + 0.1, content)
 
 
-def probe(status: int, at: float, path: str = "/extra/x", life: int = 0) -> RouteProbe:
+def probe(status: int, at: float, path: str = "/extra/x", incarnation: int = 0) -> RouteProbe:
     """A message on a route that comes and goes."""
-    return RouteProbe(f"p{at}", "edge-1", life, at, at + 0.1, HOST, path, status)
+    return RouteProbe(f"p{at}", "edge-1", incarnation, at, at + 0.1, HOST, path, status)
 
 
-def retirement(call: RetireCall, at: float, status: int, state: str = "", proper: bool = True) -> Retirement:
+def retirement(call: RetireCall, at: float, status: int, state: str = "", valid: bool = True) -> Retirement:
     """An answer about storage-1."""
-    return Retirement(call, "storage-1", "edge-1", at, at + 0.1, status, state, proper)
+    return Retirement(call, "storage-1", "edge-1", at, at + 0.1, status, state, valid)
 
 
 def state(at: float, status: int, told: str = "", stamp: str = "", body: bytes | None = None) -> StateRead:
@@ -180,14 +180,14 @@
         Rule.CONFIG,
         "goes back",
         history(orders=[FIRST, ADDING], probes=[probe(202, 2.2), probe(404, 2.6)]),
-        history(orders=[FIRST, ADDING], probes=[probe(202, 2.2), probe(404, 2.6, life=1)]),
+        history(orders=[FIRST, ADDING], probes=[probe(202, 2.2), probe(404, 2.6, incarnation=1)]),
     ),
     (
         control.check_retirement_refused,
         SystemRule.RETIRE,
         "a proper order refused",
         history(retirements=[retirement(ORDER, 5.0, 409)]),
-        history(retirements=[retirement(ORDER, 5.0, 409, proper=False)]),
+        history(retirements=[retirement(ORDER, 5.0, 409, valid=False)]),
     ),
     (
         control.check_retirement_refused,
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -54,7 +54,7 @@
         """The answers of one node that is cut off, in one direction or both."""
         system = SmallSystem(f"cut-off-{kind}-{way}-{after_s}", Plan(storages=4))
         world = system.world
-        system.found()
+        system.bootstrap()
         world.run_for(2.0)
         owner = owner_of_configuration(system)
         chosen = {
@@ -64,9 +64,9 @@
         }[kind]
         for name in world.nodes:
             if name != chosen.name and way != "in":
-                world.cut(chosen.name, name, both=False)
+                world.partition(chosen.name, name, both=False)
             if name != chosen.name and way != "out":
-                world.cut(name, chosen.name, both=False)
+                world.partition(name, chosen.name, both=False)
         world.run_for(after_s)
         random, answers = world.random("calls"), list[Answer]()
         end = world.now + CALLS_S
@@ -101,7 +101,7 @@
             with self.subTest(seed=seed):
                 system = SmallSystem(f"frozen-{seed}", Plan(storages=4))
                 world = system.world
-                system.found()
+                system.bootstrap()
                 world.run_for(2.0)
                 owner = owner_of_configuration(system)
                 others = [place for place, edge in enumerate(world.edges()) if edge is not owner]
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -23,7 +23,7 @@
     def setUp(self) -> None:
         self.system = SmallSystem(11)
         self.world = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         self.world.run_for(2.0)
         self.accepted: list[tuple[str, Answer]] = []
 
@@ -79,7 +79,7 @@
         for name in list(self.world.nodes):
             self.world.kill(name)
         self.check_well()
-        self.assertTrue(all(node.lives == 2 for node in self.world.nodes.values()))
+        self.assertTrue(all(node.incarnations == 2 for node in self.world.nodes.values()))
 
     def test_simultaneous_power_loss(self) -> None:
         self.send(1)
@@ -106,7 +106,7 @@
         name = self.world.edges()[0].name
         self.during(lambda: self.world.terminate(name))
         self.assertEqual(self.world.nodes[name].exit_codes, [0])
-        self.assertEqual(self.world.nodes[name].lives, 2)
+        self.assertEqual(self.world.nodes[name].incarnations, 2)
 
     def test_reload(self) -> None:
         name = self.world.edges()[1].name
@@ -135,24 +135,24 @@
 class LinkFaults(FaultCase):
     def test_partitioned_configuration_owner(self) -> None:
         name = self.owner("configuration")
-        self.world.cut_off(name)
+        self.world.isolate(name)
         self.world.run_for(3.0)
         self.assertNotEqual(self.owner("configuration"), name)
-        self.world.rejoin(name)
+        self.world.heal_host(name)
         self.check_well()
 
     def test_one_way_partition(self) -> None:
         name = self.owner("queue-2")
-        self.world.cut_off(name, both=False)
+        self.world.isolate(name, both=False)
         self.world.run_for(3.0)
-        self.world.rejoin(name)
+        self.world.heal_host(name)
         self.check_well()
 
     def test_partition_between_two_nodes(self) -> None:
         first, second = [node.name for node in self.world.storages()][:2]
-        self.world.cut(first, second)
+        self.world.partition(first, second)
         self.world.run_for(3.0)
-        self.world.join(first, second)
+        self.world.heal_partition(first, second)
         self.check_well()
 
     def test_resets(self) -> None:
@@ -165,9 +165,9 @@
 
     def test_limited_bandwidth(self) -> None:
         first, second = [node.name for node in self.world.storages()][:2]
-        self.world.squeeze(first, second, 30_000.0)
+        self.world.limit_bandwidth(first, second, 30_000.0)
         self.world.run_for(2.0)
-        self.world.squeeze(first, second, None)
+        self.world.limit_bandwidth(first, second, None)
         self.check_well()
 
 
@@ -177,10 +177,10 @@
 
     def test_full(self) -> None:
         name = self.owner("queue-0")
-        self.world.bound_disk(name, 100)
+        self.world.limit_disk(name, 100)
         self.send(0)
         self.world.run_for(2.0)
-        self.world.bound_disk(name, None)
+        self.world.limit_disk(name, None)
         self.check_well()
 
     def test_damaged_disk_is_quarantined(self) -> None:
@@ -198,7 +198,7 @@
     """A run with traffic and many faults."""
     system = SmallSystem(seed, Plan(storages=4))
     world = system.world
-    system.found()
+    system.bootstrap()
     random = world.random("faults")
     for step in range(12):
         name = random.choice([node.name for node in world.edges() + world.storages()])
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -26,8 +26,8 @@
             world.freeze(name)
             world.at(back, world.thaw, name)
         case 4:
-            world.cut_off(name, both=random.random() < 0.5)
-            world.at(back, world.rejoin, name)
+            world.isolate(name, both=random.random() < 0.5)
+            world.at(back, world.heal_host, name)
 
 
 class LossesDuringBootstrap(unittest.TestCase):
@@ -83,14 +83,14 @@
         system = SmallSystem(f"seeds-{seed}", Plan(keep_log=True))
         world = system.world
         random = world.random("losses")
-        system.found()
+        system.bootstrap()
         world.run_for(1.0)
         node = random.choice([node for node in world.nodes.values() if node.has_disk])
         spare = next(edge for edge in world.edges() if not edge.counted)
         side = [node.name] if node.role == "edge" and random.random() < 0.5 else [node.name, spare.name]
         rest = [name for name in world.nodes if name not in side]
         for name in side:
-            world.cut_off(name, others=rest)
+            world.isolate(name, others=rest)
             world.change_settings(name, seeds=[world.nodes[name].control or spare.control])
         random.choice([world.kill, world.wipe, world.lose_power])(node.name, 0.5)
         if random.random() < 0.5:
@@ -100,7 +100,7 @@
         world.run_for(2.0)
         self.assertEqual(order.status, 200, order)
         for name in side:
-            world.rejoin(name)
+            world.heal_host(name)
         world.run_for(APPLY_S)
         versions = {node.process.node.base.feed.version for node in world.nodes.values()}
         systems = {line.partition(FOUNDED)[2].split()[0] for line in world.log if FOUNDED in line}
--- a/tests/system/test_simulation_mass_faults.py
+++ b/tests/system/test_simulation_mass_faults.py
@@ -26,7 +26,7 @@
     def setUp(self) -> None:
         self.system = SmallSystem("quota", Plan(processor_share=SHARE))
         self.world = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         self.world.run_for(2.0)
 
     def test_a_process_runs_in_a_tenth_of_the_time(self) -> None:
@@ -74,7 +74,7 @@
     """A run with these faults and nothing else."""
     run = Run(RunPlan(seed=5, scenario="named", seconds=12.0, layout=layout or Layout(), events=faults))
     report = run.play()
-    assert report.kept, [*map(str, report.found), *report.errors]
+    assert report.passed, [*map(str, report.findings), *report.errors]
     return run
 
 
@@ -144,11 +144,11 @@
 
     def test_faults_at_one_time_are_pairs(self) -> None:
         kill = Fault(number=1, at=1.0, kind=FaultKind.KILL, nodes=("s1",), lasts=0.5)
-        cut = Fault(number=2, at=1.2, kind=FaultKind.CUT, nodes=("e1",), lasts=0.5)
+        cut = Fault(number=2, at=1.2, kind=FaultKind.PARTITION, nodes=("e1",), lasts=0.5)
         late = Fault(number=3, at=11.0, kind=FaultKind.RESET, nodes=("e1",))
         run = Run(RunPlan(seed=1, scenario="named", seconds=12.0, events=(cut, kill, late)))
         coverage = coverage_of(run.plan, run.world.recorder, run.history)
-        self.assertEqual(dict(coverage.pairs), {(FaultKind.KILL, FaultKind.CUT): 1})
+        self.assertEqual(dict(coverage.pairs), {(FaultKind.KILL, FaultKind.PARTITION): 1})
 
     def test_a_crash_that_falls_into_a_change_is_counted(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.REPLACE, nodes=("s1",))
--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -112,15 +112,15 @@
         self.b.listenTCP(PORT, ServerFactory())
 
     def test_connecting_to_an_unknown_or_partitioned_host_times_out(self) -> None:
-        self.world.cut(A, B, both=False)
+        self.world.partition(A, B, both=False)
         _, factory = self.dial(timeout=0.5, run_s=0.4)
         self.assertEqual(factory.failed, "")
         self.world.run_for(0.2)
         self.assertEqual(factory.failed, "TimeoutError")
 
     def test_lost_syn_is_retransmitted_after_a_second(self) -> None:
-        self.world.cut(B, A, both=False)
-        self.world.at(0.5, self.world.join, A, B)
+        self.world.partition(B, A, both=False)
+        self.world.at(0.5, self.world.heal_partition, A, B)
         end, _ = self.dial(timeout=3.0, run_s=0.9)
         self.assertFalse(end.made)
         self.world.run_for(0.2)
@@ -142,18 +142,18 @@
 
     def test_bytes_held_by_a_partition_arrive_in_order_after_it(self) -> None:
         near, far = self.pair()
-        self.world.cut(A, B)
+        self.world.partition(A, B)
         near.transport.write(b"first ")
         self.world.run_for(5.0)
         self.assertEqual((far.data, near.lost), (b"", ""))
-        self.world.join(A, B)
+        self.world.heal_partition(A, B)
         near.transport.write(b"second")
         self.world.run_for(1.0)
         self.assertEqual(far.data, b"first second")
 
     def test_one_way_partition_holds_one_direction(self) -> None:
         near, far = self.pair()
-        self.world.cut(A, B, both=False)
+        self.world.partition(A, B, both=False)
         near.transport.write(b"held")
         far.transport.write(b"heard")
         self.world.run_for(1.0)
@@ -162,13 +162,13 @@
     def test_user_timeout_ends_only_the_writing_side(self) -> None:
         near, far = self.pair()
         self.set_user_timeout(near, 2_000)
-        self.world.cut(A, B)
+        self.world.partition(A, B)
         near.transport.write(b"held")
         self.world.run_for(1.9)
         self.assertEqual(near.lost, "")
         self.world.run_for(0.2)
         self.assertEqual((near.lost, far.lost), ("TimeoutError", ""))
-        self.world.join(A, B)
+        self.world.heal_partition(A, B)
         self.world.run_for(1.0)
         self.assertEqual((far.data, far.lost), (b"", ""))  # what the sender gave up is lost: half-open
         far.transport.write(b"any")
@@ -178,7 +178,7 @@
     def test_user_timeout_where_only_acknowledgements_are_lost(self) -> None:
         near, far = self.pair()
         self.set_user_timeout(near, 2_000)
-        self.world.cut(B, A, both=False)
+        self.world.partition(B, A, both=False)
         near.transport.write(b"heard")
         self.world.run_for(2.5)
         self.assertEqual((far.data, near.lost, far.lost), (b"heard", "TimeoutError", ""))
@@ -186,21 +186,21 @@
     def test_short_partition_does_not_trigger_the_user_timeout(self) -> None:
         near, far = self.pair()
         self.set_user_timeout(near, 2_000)
-        self.world.cut(A, B)
+        self.world.partition(A, B)
         near.transport.write(b"held")
         self.world.run_for(1.0)
-        self.world.join(A, B)
+        self.world.heal_partition(A, B)
         self.world.run_for(5.0)
         self.assertEqual((far.data, near.lost), (b"held", ""))
 
     def test_reset_during_a_partition_is_lost_with_the_bytes_before_it(self) -> None:
         near, far = self.pair()
-        self.world.cut(A, B)
+        self.world.partition(A, B)
         near.transport.write(b"held")
         self.world.run_for(0.1)
         near.transport.abortConnection()
         self.world.run_for(0.1)
-        self.world.join(A, B)
+        self.world.heal_partition(A, B)
         self.world.run_for(5.0)
         self.assertEqual((near.lost, far.data, far.lost), ("ConnectionAborted", b"", ""))
 
@@ -247,7 +247,7 @@
 
     def test_limited_bandwidth_delays_bytes(self) -> None:
         near, far = self.pair()
-        self.world.squeeze(A, B, 100_000.0)
+        self.world.limit_bandwidth(A, B, 100_000.0)
         for _ in range(10):
             near.transport.write(b"x" * 10_000)
         self.world.run_for(0.5)
@@ -293,17 +293,17 @@
         world.host(A).listenUDP(PORT, sender)
         world.host(B).listenUDP(PORT, Receiver())
         transport: Any = sender.transport
-        world.lossy(A, B, 0.0)
+        world.set_packet_loss(A, B, 0.0)
         transport.write(b"one", (B, PORT))
         transport.write(b"nowhere", (B, PORT + 1))
         world.run_for(0.1)
-        world.cut(A, B)
+        world.partition(A, B)
         transport.write(b"two", (B, PORT))
         world.run_for(0.1)
-        world.join(A, B)
+        world.heal_partition(A, B)
         world.run_for(1.0)
         self.assertEqual(got, [b"one"])
-        world.lossy(A, B, 0.5)
+        world.set_packet_loss(A, B, 0.5)
         for _ in range(100):
             transport.write(b"x", (B, PORT))
         world.run_for(1.0)
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -121,7 +121,7 @@
         for seed in range(len(SCENARIOS)):
             with self.subTest(seed=seed, scenario=scenario_of(seed)):
                 report = run_seed(seed)
-                self.assertEqual([str(found) for found in report.found], [])
+                self.assertEqual([str(finding) for finding in report.findings], [])
                 self.assertEqual(report.errors, [])
                 self.assertGreater(report.accepted, 0)
                 self.assertGreater(report.acknowledged, 1)
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -23,7 +23,7 @@
     def make(self, seed: int, **plan: int) -> None:
         self.system = SmallSystem(seed, Plan(**plan))  # type: ignore[arg-type]
         self.world = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         self.world.run_for(2.0)
         self.accepted: list[tuple[str, Answer]] = []
         self.versions = 1
--- a/tests/system/test_simulation_runs.py
+++ b/tests/system/test_simulation_runs.py
@@ -18,7 +18,7 @@
 def replay(test: unittest.TestCase, name: str) -> None:
     """Play a file's plan and say what it broke."""
     report = play(load_plan(RUNS / f"{name}.json"))
-    test.assertEqual([str(found) for found in report.found], [])
+    test.assertEqual([str(finding) for finding in report.findings], [])
     test.assertEqual(report.errors, [])
 
 
--- a/tests/system/test_simulation_take_over_calls.py
+++ b/tests/system/test_simulation_take_over_calls.py
@@ -36,7 +36,7 @@
         """Ask one of the nodes that are left each tenth of a second until the request is taken."""
         system = SmallSystem(f"take-over-{joined_before_s}")
         world = system.world
-        system.found()
+        system.bootstrap()
         world.run_for(2.0)
         retired = world.storages()[0].name
         world.add_node("storage")
--- a/tests/system/test_simulation_world.py
+++ b/tests/system/test_simulation_world.py
@@ -11,7 +11,7 @@
 class WholeService(unittest.TestCase):
     def test_bootstrap_configuration_and_delivery(self) -> None:
         system = SmallSystem(1)
-        system.found()
+        system.bootstrap()
         system.world.run_for(2.0)
         request_id, accepted = system.send(edge=1)
         system.world.run_for(1.0)
@@ -28,7 +28,7 @@
         for seed in range(5):
             with self.subTest(seed=seed):
                 system = SmallSystem(seed, Plan(core_edges=3, other_edges=0))
-                system.found()
+                system.bootstrap()
                 versions = [system.version(edge) for edge in range(3)]
                 system.world.run_for(1.0)
                 self.assertEqual([answer.json()["version"] for answer in versions], [1, 1, 1])
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -100,7 +100,7 @@
         """One run; raises `InvariantViolationError`."""
         world = Loaded(moment)
         world.owner()
-        world._repeat(0.1, world._look_at_members)
+        world._repeat(0.1, world._reconcile_members)
         world.changes(EVERY)
         world.run_until(lambda: world.serial >= moment, 60)
         leads = world.owner()
@@ -184,7 +184,7 @@
             assert node.process is not None
             node.process.host.transfer_leadership(GROUP)
             world.run_until(lambda: world.owner() is not node.process, 2)
-        world._repeat(0.1, world._look_at_members)
+        world._repeat(0.1, world._reconcile_members)
         world.changes(0.0005)
         world.run_until(lambda: False, 0.5)
         wiped(world, node)()
