--- a/tests/system/configuration/test_changes_in_flight.py
+++ b/tests/system/configuration/test_changes_in_flight.py
@@ -101,7 +101,7 @@
     def begin(self, seed: int, **plan: Any) -> None:
         self.system = SmallSystem(seed, Plan(core_edges=3, other_edges=2, **plan))
         self.simulation = self.system.world
-        self.system.found()
+        self.system.bootstrap()
         self.simulation.run_for(2.0)
         self.operator = Operator(self.system)
         self.version = 1
@@ -180,8 +180,8 @@
         def fault(owner: SimulatedNode) -> None:
             for edge in self.simulation.edges():
                 if edge.counted and edge is not owner:
-                    self.simulation.cut(edge.name, owner.name, both=False)
-            self.simulation.at(self.simulation.now + 4.0, self.simulation.rejoin, owner.name)
+                    self.simulation.partition(edge.name, owner.name, both=False)
+            self.simulation.at(self.simulation.now + 4.0, self.simulation.heal_host, owner.name)
 
         self.sweep(fault, 6.0)
 
--- a/tests/system/replication/test_cluster.py
+++ b/tests/system/replication/test_cluster.py
@@ -61,7 +61,7 @@
         assert wiped_node.process is not None
         wiped_process = wiped_node.process
         self.assertEqual(wiped_process.host.members(GROUP), Members())
-        self.simulation._repeat(0.1, self.simulation._look_at_members)
+        self.simulation._repeat(0.1, self.simulation._reconcile_members)
 
         def is_voter() -> bool:
             voter = wiped_process.member in owner.host.members(GROUP).voters
--- a/tests/system/replication/test_first_elections.py
+++ b/tests/system/replication/test_first_elections.py
@@ -24,7 +24,7 @@
         """By group, the seconds from the restart of the processes until the group has an owner."""
         system = SmallSystem(seed)
         simulation = system.world
-        system.found()
+        system.bootstrap()
         simulation.run_for(3.0)
         before = len(simulation.ownerships)
         for name in simulation.nodes:
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -141,11 +141,11 @@
     def test_a_build_that_keeps_a_refused_term_is_caught(self) -> None:
         with leader_ignores_higher_terms():
             report = play(plan_with_ownership_transfers())
-        self.assertIn("refused term used again", "\n".join(map(str, report.found)))
+        self.assertIn("refused term used again", "\n".join(map(str, report.findings)))
 
     def test_the_program_passes_the_same_run(self) -> None:
         report = play(plan_with_ownership_transfers())
-        self.assertEqual([*map(str, report.found), *report.errors], [])
+        self.assertEqual([*map(str, report.findings), *report.errors], [])
 
 
 if __name__ == "__main__":
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -66,7 +66,7 @@
             if wiped:
                 node.disk.wipe()
                 node.wipes += 1
-                simulation._repeat(0.1, simulation._look_at_members)
+                simulation._repeat(0.1, simulation._reconcile_members)
             simulation._start(node, None)
             caught_up = simulation.run_until(lambda: simulation.is_current(node), seconds)
         return caught_up, len(snapshot_indexes)
@@ -214,7 +214,7 @@
             simulation.run_until(lambda: False, 1.0)
             node.disk.wipe()
             node.wipes += 1
-            simulation._repeat(0.1, simulation._look_at_members)
+            simulation._repeat(0.1, simulation._reconcile_members)
             simulation._start(node, None)
             started_at = simulation.clock.seconds()
             for _ in range(150):
--- a/tests/system/replication/test_stale_members.py
+++ b/tests/system/replication/test_stale_members.py
@@ -26,7 +26,7 @@
         super().__init__(seed)
         self.desired = list(self.nodes)
 
-    def _look_at_members(self) -> None:
+    def _reconcile_members(self) -> None:
         members = [self.nodes[name].member for name in self.desired]
         for node in self.nodes.values():
             if node.process is not None:
@@ -45,7 +45,7 @@
         for other in simulation.nodes:
             simulation.blocked |= {(removed_node.name, other), (other, removed_node.name)}
         simulation.desired = [name for name in simulation.nodes if name != removed_node.name]
-        simulation._repeat(0.1, simulation._look_at_members)
+        simulation._repeat(0.1, simulation._reconcile_members)
         simulation.propose_periodically(0.01)
         desired_voters = {simulation.nodes[name].member for name in simulation.desired}
         self.assertTrue(
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -100,7 +100,7 @@
         """Play one run. Raises `InvariantViolationError`."""
         simulation = Loaded(fault_after)
         simulation.owner()
-        simulation._repeat(0.1, simulation._look_at_members)
+        simulation._repeat(0.1, simulation._reconcile_members)
         simulation.propose_periodically(CHANGE_INTERVAL_S)
         simulation.run_until(lambda: simulation.serial >= fault_after, 60)
         owner = simulation.owner()
@@ -186,7 +186,7 @@
             assert node.process is not None
             node.process.host.transfer_leadership(GROUP)
             simulation.run_until(lambda: simulation.owner() is not node.process, 2)
-        simulation._repeat(0.1, simulation._look_at_members)
+        simulation._repeat(0.1, simulation._reconcile_members)
         simulation.propose_periodically(0.0005)
         simulation.run_until(lambda: False, 0.5)
         wiped(simulation, node)()
