--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -204,16 +204,16 @@
     faults = 0
     for key in ("reminder", "lookup"):
         for shutdown in (False, True):
-            disconnects = list(disconnect_points(key, shutdown))
+            points = list(disconnect_points(key, shutdown))
             found: Counter[str] = Counter()
-            for disconnect in disconnects:
+            for point in points:
                 for second_subscriber in (False, True):
-                    for violation in run_scenario(key, disconnect, shutdown, second_subscriber).violations:
+                    for violation in run_scenario(key, point, shutdown, second_subscriber).violations:
                         lost = violation.startswith("0 ")
                         found[words[0] if lost else words[1] if "ran" in violation else words[2]] += 1
             faults += sum(found.values())
             print(
-                f"{key:10}{'yes' if shutdown else 'no':>9}{len(disconnects):12}{2 * len(disconnects):7}",
+                f"{key:10}{'yes' if shutdown else 'no':>9}{len(points):12}{2 * len(points):7}",
                 end="",
             )
             print("".join(f"{found[word]:14}" for word in words))
--- a/bitternpath/balancer/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -27,12 +27,12 @@
 from bitternpath.balancer.handover.messages import (
     VERSION,
     Acknowledged,
+    CallbackRelayed,
     Declined,
     Hello,
     Message,
-    Passed,
     Ready,
-    Taken,
+    RequestAccepted,
     Welcome,
 )
 from bitternpath.net.sockets import Sockets
@@ -43,7 +43,7 @@
 
 WELCOME_TIMEOUT = 1.5  # s: one under load answers within milliseconds; without an answer the node is alone
 ACKNOWLEDGE_TIMEOUT = 1.0  # s for the other process to acknowledge a call-back, else the endpoint retries
-DESCRIPTORS = 4  # the upgrade socket, a link each way, the folder
+RESERVED_DESCRIPTORS = 4  # the upgrade socket, a link each way, the folder
 
 
 class Handover:
@@ -66,13 +66,13 @@
         self.links: dict[Link, None] = {}  # that were greeted
         self.listen = ""  # the address that both share
         self.listener: Callable[[], Any] = lambda: None  # the listening socket
-        self._older: Link | None = None
-        self._newer: Link | None = None
-        self._joining: Deferred[int | None] | None = None
-        self._learned: LearnedWeights | None = None
+        self._predecessor: Link | None = None
+        self._successor: Link | None = None
+        self._join_result: Deferred[int | None] | None = None
+        self._learned_weights: LearnedWeights | None = None
         self._timer: Any = None
-        self._passed: dict[int, tuple[set[Link], Callable[[bool], None], Any]] = {}
-        self._number = 0
+        self._pending_relays: dict[int, tuple[set[Link], Callable[[bool], None], Any]] = {}
+        self._last_relay_number = 0
 
     # ---- the newer process
 
@@ -80,182 +80,188 @@
         """Ask the process that serves for its work; fires with the listening descriptor, or with None where
         this process is alone."""
         self.listen = listen
-        self._joining = Deferred()
-        self._timer = self.reactor.callLater(WELCOME_TIMEOUT, self._alone, "no answer")
+        self._join_result = Deferred()
+        self._timer = self.reactor.callLater(WELCOME_TIMEOUT, self._start_without_predecessor, "no answer")
         try:
             endpoint = unix_client(
                 self.reactor, self.upgrade_socket.address(self.upgrade_socket.path.name), WELCOME_TIMEOUT
             )
         except OSError as error:
-            joining = self._joining
-            self._alone(str(error))
-            return joining
-        dialled = connect(endpoint, Link(self._received, self._lost))
-        dialled.addCallbacks(self._greet, lambda failure: self._alone(failure.getErrorMessage()))
-        return self._joining
+            join_result = self._join_result
+            self._start_without_predecessor(str(error))
+            return join_result
+        connecting = connect(endpoint, Link(self._on_message, self._on_link_lost))
+        connecting.addCallbacks(
+            self._send_hello, lambda failure: self._start_without_predecessor(failure.getErrorMessage())
+        )
+        return self._join_result
 
-    def _greet(self, link: Link) -> None:
-        if self._joining is None:
+    def _send_hello(self, link: Link) -> None:
+        if self._join_result is None:
             link.close()
             return
-        self._older = link
+        self._predecessor = link
         link.send(Hello(VERSION, self.listen))
 
-    def _alone(self, why: str) -> None:
-        if self._joining is None:
+    def _start_without_predecessor(self, reason: str) -> None:
+        if self._join_result is None:
             return
-        log.info("predecessor_not_found", why=why)
-        link, self._older = self._older, None
+        log.info("predecessor_not_found", why=reason)
+        link, self._predecessor = self._predecessor, None
         if link is not None:
             link.close()
-        self._joined(None)
+        self._finish_join(None)
 
-    def _joined(self, descriptor: int | None) -> None:
-        joining, self._joining = self._joining, None
+    def _finish_join(self, descriptor: int | None) -> None:
+        join_result, self._join_result = self._join_result, None
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        if joining is not None:
-            joining.callback(descriptor)
+        if join_result is not None:
+            join_result.callback(descriptor)
 
-    def _welcomed(self, link: Link, message: Welcome) -> None:
+    def _on_welcome(self, link: Link, message: Welcome) -> None:
         descriptor = link.take_descriptor()
-        if self._joining is None or link is not self._older or descriptor is None:
+        if self._join_result is None or link is not self._predecessor or descriptor is None:
             link.close()
             return
         os.set_inheritable(descriptor, False)
         if message.listing.revision >= self.registry.revision:
             self.registry.set_initial(message.listing)
-        for id in message.taken:
+        for id in message.request_ids:
             self.broker.record_request_id(id)
-        self._learned = message.learned
-        self._add(link)
-        log.info("predecessor_joined", revision=message.listing.revision, taken=len(message.taken))
-        self._joined(descriptor)
+        self._learned_weights = message.learned
+        self._add_link(link)
+        log.info("predecessor_joined", revision=message.listing.revision, taken=len(message.request_ids))
+        self._finish_join(descriptor)
 
     def restore_learned_weights(self) -> None:
         """Give the module what the older process has learned; the module must have its list by now."""
-        if self._learned is not None:
-            left_out = restore_learned_weights(self.module, self._learned)
+        if self._learned_weights is not None:
+            left_out = restore_learned_weights(self.module, self._learned_weights)
             log.info(
-                "learned_weights_restored", workers=len(self._learned.workers), left_out=",".join(left_out)
+                "learned_weights_restored",
+                workers=len(self._learned_weights.workers),
+                left_out=",".join(left_out),
             )
-            self._learned = None
+            self._learned_weights = None
 
     def ready(self) -> None:
         """This process serves: the older one may leave the accepting to it, and the next one finds it."""
-        if self._older is not None:
-            self._older.send(Ready())
+        if self._predecessor is not None:
+            self._predecessor.send(Ready())
         self._open_upgrade_socket()
 
     def _open_upgrade_socket(self) -> None:
         try:
-            self.upgrade_socket.open(lambda: Link(self._received, self._lost))
+            self.upgrade_socket.open(lambda: Link(self._on_message, self._on_link_lost))
         except (OSError, CannotListenError) as error:
             log.warning("upgrade_socket_not_opened", path=str(self.upgrade_socket.path), why=error)
 
     # ---- the older process
 
-    def _greeted(self, link: Link, message: Hello) -> None:
+    def _on_hello(self, link: Link, message: Hello) -> None:
         listening: socket.socket | None = self.listener()
-        why = ""
+        reason = ""
         if message.version != VERSION:
-            why = f"version {message.version}, ours is {VERSION}"
+            reason = f"version {message.version}, ours is {VERSION}"
         elif message.listen != self.listen:
-            why = f"another address, ours is {self.listen}"
-        elif listening is None or self._newer is not None:
-            why = "not listening" if listening is None else "another process has joined"
-        if why or listening is None:
-            log.warning("successor_declined", why=why)
-            link.send(Declined(why))
+            reason = f"another address, ours is {self.listen}"
+        elif listening is None or self._successor is not None:
+            reason = "not listening" if listening is None else "another process has joined"
+        if reason or listening is None:
+            log.warning("successor_declined", why=reason)
+            link.send(Declined(reason))
             link.close()
             return
-        self._newer = link
-        taken = self.broker.recent_request_ids()
-        welcome = Welcome(self.registry.discovery_listing(), taken, learned_weights_of(self.module))
+        self._successor = link
+        request_ids = self.broker.recent_request_ids()
+        welcome = Welcome(self.registry.discovery_listing(), request_ids, learned_weights_of(self.module))
         link.send(welcome, listening.fileno())
-        self._add(link)
-        log.info("successor_joined", taken=len(taken))
+        self._add_link(link)
+        log.info("successor_joined", taken=len(request_ids))
 
     # ---- both
 
-    def _add(self, link: Link) -> None:
+    def _add_link(self, link: Link) -> None:
         self.links[link] = None
-        self._share()
+        self._update_capacity_share()
 
-    def _share(self) -> None:
+    def _update_capacity_share(self) -> None:
         """While others live each has a part of what the node may hold and send, the one left the whole."""
-        part = 1.0 / (1 + len(self.links))
-        self.sockets.share(part)
-        self.module.capacity_share = part
+        share = 1.0 / (1 + len(self.links))
+        self.sockets.share(share)
+        self.module.capacity_share = share
         self.broker.on_accepted = self._request_accepted if self.links else None
 
     def _request_accepted(self, id: str) -> None:
         for link in self.links:
-            link.send(Taken(id))
+            link.send(RequestAccepted(id))
 
-    def _received(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         match message:
             case Hello():
-                self._greeted(link, message)
+                self._on_hello(link, message)
             case Welcome():
-                self._welcomed(link, message)
-            case Declined(why):
-                self._alone(f"declined: {why}")
+                self._on_welcome(link, message)
+            case Declined(reason):
+                self._start_without_predecessor(f"declined: {reason}")
             case Ready():
-                if link is self._newer and self.lifecycle.apply(LifecycleEvent.SUCCESSOR_READY):
+                if link is self._successor and self.lifecycle.apply(LifecycleEvent.SUCCESSOR_READY):
                     log.info("successor_ready")
-            case Taken(id):
+            case RequestAccepted(id):
                 self.broker.record_request_id(id)
             case Acknowledged(number):
-                self._acknowledged(number, link)
-            case Passed(number, report):
-                if self.broker.call_reported(report) or not self._pass(
+                self._on_acknowledged(number, link)
+            case CallbackRelayed(number, report):
+                if self.broker.call_reported(report) or not self._relay(
                     report, lambda ok: link.send(Acknowledged(number)) if ok else None, link
                 ):
                     link.send(Acknowledged(number))
 
-    def _lost(self, link: Link) -> None:
+    def _on_link_lost(self, link: Link) -> None:
         self.links.pop(link, None)
-        for number in list(self._passed):
-            self._acknowledged(number, link)  # its jobs have died with it
-        if link is self._older:
-            self._older = None
-            self._alone("the link broke")
-        if link is self._newer:
-            self._newer = None
+        for number in list(self._pending_relays):
+            self._on_acknowledged(number, link)  # its jobs have died with it
+        if link is self._predecessor:
+            self._predecessor = None
+            self._start_without_predecessor("the link broke")
+        if link is self._successor:
+            self._successor = None
             if self.lifecycle.apply(LifecycleEvent.SUCCESSOR_LOST):
                 log.warning("successor_lost")
                 self._open_upgrade_socket()  # it had put its own in place
-        self._share()
+        self._update_capacity_share()
 
     # ---- call-backs
 
-    def relay(self, report: CallReport, then: Callable[[bool], None]) -> bool:
+    def relay(self, report: CallReport, on_result: Callable[[bool], None]) -> bool:
         """Pass a call-back on to the other processes, of which one may know the job; `then` hears whether all
         have it. False: there is none."""
-        return self._pass(report, then, None)
+        return self._relay(report, on_result, None)
 
-    def _pass(self, report: CallReport, then: Callable[[bool], None], source: Link | None) -> bool:
+    def _relay(self, report: CallReport, on_result: Callable[[bool], None], source: Link | None) -> bool:
         links = {link for link in self.links if link is not source and link.open}
         if not links:
             return False
-        self._number += 1
-        timer = self.reactor.callLater(ACKNOWLEDGE_TIMEOUT, self._acknowledgement_timed_out, self._number)
-        self._passed[self._number] = links, then, timer
+        self._last_relay_number += 1
+        timer = self.reactor.callLater(
+            ACKNOWLEDGE_TIMEOUT, self._acknowledgement_timed_out, self._last_relay_number
+        )
+        self._pending_relays[self._last_relay_number] = links, on_result, timer
         for link in links:
-            link.send(Passed(self._number, report))
+            link.send(CallbackRelayed(self._last_relay_number, report))
         return True
 
-    def _acknowledged(self, number: int, link: Link) -> None:
-        if number not in self._passed:
+    def _on_acknowledged(self, number: int, link: Link) -> None:
+        if number not in self._pending_relays:
             return  # too late
-        waits, then, timer = self._passed[number]
-        waits.discard(link)
-        if not waits:
-            del self._passed[number]
+        pending_links, on_result, timer = self._pending_relays[number]
+        pending_links.discard(link)
+        if not pending_links:
+            del self._pending_relays[number]
             timer.cancel()
-            then(True)
+            on_result(True)
 
     def _acknowledgement_timed_out(self, number: int) -> None:
-        _, then, _ = self._passed.pop(number)
-        then(False)
+        _, on_result, _ = self._pending_relays.pop(number)
+        on_result(False)
--- a/bitternpath/balancer/handover/learned_weights.py
+++ b/bitternpath/balancer/handover/learned_weights.py
@@ -49,38 +49,47 @@
 def learned_weights_of(module: Dispatcher) -> LearnedWeights:
     """The learned state of a module, as it is now."""
     workers = []
-    for w in module.workers.values():
-        out = [t for t in module.in_flight.values() if t.worker is w and not t.lost]
+    for worker in module.workers.values():
+        in_flight = [
+            attempt for attempt in module.in_flight.values() if attempt.worker is worker and not attempt.lost
+        ]
         ends = [
-            (t.started_at or t.sent_at + w.queue_wait) + t.job.class_state.mean_run_time * t.job.size
-            for t in out
+            (attempt.started_at or attempt.sent_at + worker.queue_wait)
+            + attempt.job.class_state.mean_run_time * attempt.job.size
+            for attempt in in_flight
         ]
         times = (
-            w.last_report_at,
-            w.suspended_until,
-            w.full_until,
-            w.unsafe_suspended_until,
-            w.newest_started_send,
+            worker.last_report_at,
+            worker.suspended_until,
+            worker.full_until,
+            worker.unsafe_suspended_until,
+            worker.newest_started_send,
         )
         workers.append(
             LearnedWorker(
-                w.name, w.up_since, w.suspensions, times, (w.last_cold_send_at, w.last_cold_work),
-                (w.queue_wait, w.queue_wait_seen_at), dict(w.faults),
-                w.cancelled_job_ends + ends,
+                worker.name, worker.up_since, worker.suspensions, times,
+                (worker.last_cold_send_at, worker.last_cold_work),
+                (worker.queue_wait, worker.queue_wait_seen_at), dict(worker.faults),
+                worker.cancelled_job_ends + ends,
             )
         )  # fmt: skip
     classes = []
-    for line in module.class_states.values():
-        net = line.network
+    for class_state in module.class_states.values():
+        network = class_state.network
         neurons = {
-            w.name: (net.plus[k] + net.plus_all, net.minus[k] + net.minus_all, net.q[k])
-            for k, w in enumerate(net.neurons)
+            worker.name: (
+                network.plus[k] + network.plus_all,
+                network.minus[k] + network.minus_all,
+                network.q[k],
+            )
+            for k, worker in enumerate(network.neurons)
         }
         classes.append(
             LearnedClass(
-                line.spec.name, line.spec.effect.value,
-                (line.mean_hint, line.mean_run_time, line.unloaded_run_time, line.longest_remaining),
-                line.ended_jobs, dict(line.run_time_by_kind), net.threshold, neurons,
+                class_state.spec.name, class_state.spec.effect.value,
+                (class_state.mean_hint, class_state.mean_run_time, class_state.unloaded_run_time,
+                 class_state.longest_remaining),
+                class_state.ended_jobs, dict(class_state.run_time_by_kind), network.threshold, neurons,
             )
         )  # fmt: skip
     return LearnedWeights((module.mean_wait, module.mean_run, module.last_start_at), classes, workers)
@@ -94,9 +103,9 @@
     for worker in learned.workers:
         if not _restore_worker(module, worker):
             left_out.append(worker.name)
-    for known in learned.classes:
-        if not _restore_class(module, known):
-            left_out.append(known.name)
+    for learned_class in learned.classes:
+        if not _restore_class(module, learned_class):
+            left_out.append(learned_class.name)
     return left_out
 
 
@@ -105,41 +114,52 @@
 
 
 def _restore_worker(module: Dispatcher, learned: LearnedWorker) -> bool:
-    w = module.workers.get(learned.name)
+    worker = module.workers.get(learned.name)
     values = (*learned.times, *learned.cold, *learned.wait, *learned.ends, learned.strikes)
     values += tuple(v for fault in learned.faults.values() for v in fault)
-    if w is None or w.up_since != learned.up or not _finite(values):
+    if worker is None or worker.up_since != learned.up or not _finite(values):
         return False
-    w.suspensions = learned.strikes
-    w.last_report_at, w.suspended_until, w.full_until, w.unsafe_suspended_until, w.newest_started_send = (
-        learned.times
-    )
-    w.last_cold_send_at, w.last_cold_work = learned.cold
-    w.queue_wait, w.queue_wait_seen_at = learned.wait
-    w.faults = dict(learned.faults)
-    w.cancelled_job_ends = list(learned.ends)
+    worker.suspensions = learned.strikes
+    (
+        worker.last_report_at,
+        worker.suspended_until,
+        worker.full_until,
+        worker.unsafe_suspended_until,
+        worker.newest_started_send,
+    ) = learned.times
+    worker.last_cold_send_at, worker.last_cold_work = learned.cold
+    worker.queue_wait, worker.queue_wait_seen_at = learned.wait
+    worker.faults = dict(learned.faults)
+    worker.cancelled_job_ends = list(learned.ends)
     return True
 
 
 def _restore_class(module: Dispatcher, learned: LearnedClass) -> bool:
-    line = module.class_states.get(learned.name)
+    class_state = module.class_states.get(learned.name)
     numbers = (*learned.means, learned.ended, learned.threshold, *learned.pace.values())
-    if line is None or line.spec.effect.value != learned.effect or not _finite(numbers):
+    if class_state is None or class_state.spec.effect.value != learned.effect or not _finite(numbers):
         return False
-    line.mean_hint, line.mean_run_time, line.unloaded_run_time, line.longest_remaining = learned.means
-    line.ended_jobs, line.run_time_by_kind = learned.ended, dict(learned.pace)
+    (
+        class_state.mean_hint,
+        class_state.mean_run_time,
+        class_state.unloaded_run_time,
+        class_state.longest_remaining,
+    ) = learned.means
+    class_state.ended_jobs, class_state.run_time_by_kind = learned.ended, dict(learned.pace)
     if all(_finite(n) and n[0] + n[1] > 0.0 and n[2] <= 1.0 for n in learned.neurons.values()):
-        _restore_network(line.network, learned)
+        _restore_network(class_state.network, learned)
     return True
 
 
-def _restore_network(net: Network[Worker], learned: LearnedClass) -> None:
-    known = [learned.neurons[w.name] for w in net.neurons if w.name in learned.neurons]
-    if not known:
+def _restore_network(network: Network[Worker], learned: LearnedClass) -> None:
+    rows_by_name = [
+        learned.neurons[worker.name] for worker in network.neurons if worker.name in learned.neurons
+    ]
+    if not rows_by_name:
         return
-    mean = tuple(sum(column) / len(known) for column in zip(*known, strict=True))
-    rows = [learned.neurons.get(w.name, mean) for w in net.neurons]
-    net.plus, net.minus, net.q = ([row[k] for row in rows] for k in range(3))
-    net.plus_all = net.minus_all = 0.0
-    net.total, net.threshold = sum(net.plus) + sum(net.minus), learned.threshold
-    net.solve_q()
+    mean = tuple(sum(column) / len(rows_by_name) for column in zip(*rows_by_name, strict=True))
+    rows = [learned.neurons.get(worker.name, mean) for worker in network.neurons]
+    network.plus, network.minus, network.q = ([row[k] for row in rows] for k in range(3))
+    network.plus_all = network.minus_all = 0.0
+    network.total, network.threshold = sum(network.plus) + sum(network.minus), learned.threshold
+    network.solve_q()
--- a/bitternpath/balancer/handover/link.py
+++ b/bitternpath/balancer/handover/link.py
@@ -15,11 +15,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from bitternpath.balancer.handover.messages import Lines, LinkError, Message, line
+from bitternpath.balancer.handover.messages import LinkError, Message, MessageDecoder, encode_message
 
 log = structlog.get_logger(part="handover")
 
-PATH_LIMIT = 100  # bytes that the system takes for the address of a Unix socket, with some to spare
+MAX_SOCKET_PATH = 100  # bytes that the system takes for the address of a Unix socket, with some to spare
 
 
 @implementer(IFileDescriptorReceiver)
@@ -28,10 +28,10 @@
 
     transport: Any
 
-    def __init__(self, receive: Callable[[Link, Message], None], lost: Callable[[Link], None]) -> None:
-        self.receive = receive
-        self.lost = lost
-        self.lines = Lines()
+    def __init__(self, on_message: Callable[[Link, Message], None], on_lost: Callable[[Link], None]) -> None:
+        self.on_message = on_message
+        self.on_lost = on_lost
+        self.decoder = MessageDecoder()
         self.descriptor: int | None = None  # that came and is not taken yet
         self.open = False
 
@@ -44,9 +44,9 @@
 
     def dataReceived(self, data: bytes) -> None:
         try:
-            for message in self.lines.feed(data):
+            for message in self.decoder.feed(data):
                 if self.open:
-                    self.receive(self, message)
+                    self.on_message(self, message)
         except LinkError as error:
             log.warning("handover_link_failed", why=error)
             self.open = False  # whatever else has come by now
@@ -56,7 +56,7 @@
         if self.open:
             if descriptor is not None:
                 self.transport.sendFileDescriptor(descriptor)
-            self.transport.write(line(message))
+            self.transport.write(encode_message(message))
 
     def take_descriptor(self) -> int | None:
         descriptor, self.descriptor = self.descriptor, None
@@ -73,17 +73,17 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.open = False
         self._close_descriptor()
-        self.lost(self)
+        self.on_lost(self)
 
 
 class LinkFactory(Factory):
     noisy = False
 
-    def __init__(self, make: Callable[[], Link]) -> None:
-        self.make = make
+    def __init__(self, create_link: Callable[[], Link]) -> None:
+        self.create_link = create_link
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
-        return self.make()
+        return self.create_link()
 
 
 class UpgradePort(Port):
@@ -102,23 +102,29 @@
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
         self.reactor, self.path = reactor, folder / name
         self._port: Any = None
-        self._folder: int | None = None  # an open descriptor, where the path is too long for the system
+        self._directory_descriptor: int | None = (
+            None  # an open descriptor, where the path is too long for the system
+        )
 
     def address(self, name: str) -> str:
         path = str(self.path.with_name(name))
-        if len(os.fsencode(path)) <= PATH_LIMIT:
+        if len(os.fsencode(path)) <= MAX_SOCKET_PATH:
             return path
-        if self._folder is None:
-            self._folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        return f"/proc/self/fd/{self._folder}/{name}"
+        if self._directory_descriptor is None:
+            self._directory_descriptor = os.open(
+                self.path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC
+            )
+        return f"/proc/self/fd/{self._directory_descriptor}/{name}"
 
-    def open(self, make: Callable[[], Link]) -> None:
+    def open(self, create_link: Callable[[], Link]) -> None:
         """Listen, in place of the process before. Raises OSError or CannotListenError."""
         if self._port is not None:
             self._port.stopListening()
-        draft = f"{self.path.name}.{os.getpid()}"
-        self.path.with_name(draft).unlink(missing_ok=True)
-        factory: Any = LinkFactory(make)
-        self._port = UpgradePort(os.fsencode(self.address(draft)), factory, mode=0o600, reactor=self.reactor)
+        temporary_name = f"{self.path.name}.{os.getpid()}"
+        self.path.with_name(temporary_name).unlink(missing_ok=True)
+        factory: Any = LinkFactory(create_link)
+        self._port = UpgradePort(
+            os.fsencode(self.address(temporary_name)), factory, mode=0o600, reactor=self.reactor
+        )
         self._port.startListening()
-        os.replace(self.path.with_name(draft), self.path)
+        os.replace(self.path.with_name(temporary_name), self.path)
--- a/bitternpath/balancer/handover/messages.py
+++ b/bitternpath/balancer/handover/messages.py
@@ -15,7 +15,7 @@
 from bitternpath.balancer.handover.learned_weights import LearnedWeights
 
 VERSION = 1  # of these messages; two processes that differ in it serve side by side without a link
-LINE_LIMIT = (
+MAX_LINE_SIZE = (
     16 << 20
 )  # bytes: a welcome tells of the whole list and of what was learned, a KB or two a worker
 
@@ -31,23 +31,23 @@
 
 class Welcome(Struct, tag="welcome"):
     listing: Listing
-    taken: list[str]  # ids of requests that are under way or were of late
+    request_ids: list[str] = field(name="taken")  # ids of requests that are under way or were of late
     learned: LearnedWeights
 
 
 class Declined(Struct, tag="declined"):
-    why: str
+    reason: str = field(name="why")
 
 
 class Ready(Struct, tag="ready"):
     """The newer process serves."""
 
 
-class Taken(Struct, tag="taken"):
+class RequestAccepted(Struct, tag="taken"):
     id: str
 
 
-class Passed(Struct, tag="passed"):
+class CallbackRelayed(Struct, tag="passed"):
     """A call-back for a request that the sender does not know."""
 
     number: int
@@ -60,30 +60,30 @@
     number: int
 
 
-Message = Hello | Welcome | Declined | Ready | Taken | Passed | Acknowledged
+Message = Hello | Welcome | Declined | Ready | RequestAccepted | CallbackRelayed | Acknowledged
 
 _encoder = msgspec.json.Encoder()
 _decoder = msgspec.json.Decoder(Message)
 
 
-def line(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     return _encoder.encode(message) + b"\n"
 
 
-class Lines:
+class MessageDecoder:
     """Takes messages out of the bytes of one direction."""
 
     def __init__(self) -> None:
-        self._data = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
         """The messages that are whole now; LinkError where one cannot be read."""
-        self._data += data
-        *whole, rest = self._data.split(b"\n")
-        self._data = rest
-        if len(rest) > LINE_LIMIT:
-            raise LinkError(f"a line of more than {LINE_LIMIT} bytes")
+        self._buffer += data
+        *complete, incomplete = self._buffer.split(b"\n")
+        self._buffer = incomplete
+        if len(incomplete) > MAX_LINE_SIZE:
+            raise LinkError(f"a line of more than {MAX_LINE_SIZE} bytes")
         try:
-            return [_decoder.decode(part) for part in whole]
+            return [_decoder.decode(encoded) for encoded in complete]
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             raise LinkError(f"not a message of the link: {error}") from error
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -45,13 +45,13 @@
 
 log = structlog.get_logger(part="node")
 
-REPORT_EVERY = 10.0  # s between log lines `counts`
+REPORT_INTERVAL = 10.0  # s between log lines `counts`
 AT_START_ONLY = ("listen", "console", "name")  # the listeners are made from these
 AMQP_CLOSE_DELAY = 0.2  # s for the answers to connection.close
 RELOAD_COUNTERS = {True: "reconfig_ok", False: "reconfig_failed"}  # by whether the files were valid
 # s for which the start waits for the first message of discovery, which an agent sends at once: its list
 # counts as known from the start on, and the list handed over by the process before lags.
-FIRST_MESSAGE_WAIT = 0.5
+FIRST_MESSAGE_TIMEOUT = 0.5
 
 
 class Node:
@@ -79,12 +79,12 @@
             (BACKEND_CALLS, *RELOAD_COUNTERS.values()), {"inflight": lambda: self.broker.unanswered}
         )
         # Where the list has to be asked for, the module decides when; else the node's own agent tells it.
-        asks = config.settings.list_on_request
-        failed = self.broker.subscription_failed if asks else None
+        subscribes_on_request = config.settings.list_on_request
+        on_failure = self.broker.subscription_failed if subscribes_on_request else None
         self.subscription = DiscoverySubscription(
-            reactor, self.registry, config.discovery, Random(config.seed ^ 0x5EED), failed
+            reactor, self.registry, config.discovery, Random(config.seed ^ 0x5EED), on_failure
         )
-        if asks:
+        if subscribes_on_request:
             self.broker.subscribe = self.subscription.start
         self.handler = RequestHandler(
             self.broker,
@@ -133,25 +133,32 @@
             lambda: self.sockets.requests,
         )
 
-    def _set_up_console(self, name: str, where: Address) -> None:
+    def _set_up_console(self, name: str, console_address: Address) -> None:
         """The console, the hand-over and manual ejections. Imported here: what is off costs nothing."""
-        from bitternpath.balancer.handover.handover import DESCRIPTORS, Handover
+        from bitternpath.balancer.handover.handover import RESERVED_DESCRIPTORS, Handover
         from bitternpath.balancer.http.console import CALLERS, Console
         from bitternpath.balancer.http.operations import Operations
         from bitternpath.balancer.store.ejection_files import EjectionFiles
         from bitternpath.balancer.store.manual_ejections import ManualEjections
 
-        self.sockets.reserve(CALLERS + DESCRIPTORS)
-        folder, name = Path(tempfile.gettempdir()), quote(name, safe="")
+        self.sockets.reserve(CALLERS + RESERVED_DESCRIPTORS)
+        directory, name = Path(tempfile.gettempdir()), quote(name, safe="")
         manual_ejections = self.manual_ejections = ManualEjections(
-            self.reactor, self.clock, self.registry, EjectionFiles(folder / f"bitternpath-{name}-out")
+            self.reactor, self.clock, self.registry, EjectionFiles(directory / f"bitternpath-{name}-out")
         )
         operations = Operations(
             self.broker, self.registry, self.clock, self.module, self._is_serving, manual_ejections
         )
-        self.console = Console(self.reactor, where, operations.routes())
+        self.console = Console(self.reactor, console_address, operations.routes())
         handover = self.handover = Handover(
-            self.reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
+            self.reactor,
+            directory,
+            name,
+            self.broker,
+            self.registry,
+            self.module,
+            self.sockets,
+            self.lifecycle,
         )
         handover.listener = lambda: self.listener.port and self.listener.port.socket
         self.handler.relay = handover.relay
@@ -184,7 +191,7 @@
             return str(error)
         return ""
 
-    def _overlaid(self, loaded: Loaded) -> Loaded:
+    def _overlay_plan(self, loaded: Loaded) -> Loaded:
         """The configuration with the fleet's plan on top; ConfigError where the two conflict, now or soon."""
         if self.record_client is None:
             return loaded
@@ -192,10 +199,10 @@
         from bitternpath.balancer.fleet.plan_settings import with_plan
 
         try:
-            now, *_ = [with_plan(loaded.platform, plan) for plan in self.record_client.holder.current_plans]
+            new, *_ = [with_plan(loaded.platform, plan) for plan in self.record_client.holder.current_plans]
         except (PlanError, ValueError) as error:
             raise ConfigError(f"at odds with what the fleet has agreed: {error}") from error
-        return Loaded(now, loaded.operator)
+        return Loaded(new, loaded.operator)
 
     def _is_serving(self) -> bool:
         """Whether this process listens, has an endpoint list, and is not told to stop."""
@@ -214,8 +221,8 @@
 
     def begin(self) -> None:
         """Start, as soon as an older process of this node has handed its work over or there is none."""
-        joined: Any = maybeDeferred(self._join)
-        joined.addCallback(self.start).addErrback(self._failed)
+        joining: Any = maybeDeferred(self._join)
+        joining.addCallback(self.start).addErrback(self._on_start_failure)
 
     def _join(self) -> Deferred[int | None] | None:
         if self.console is None or self.handover is None:
@@ -224,12 +231,12 @@
         host, port = self.loaded.platform.listen
         return self.handover.join(f"{host}:{port}")
 
-    def _failed(self, failure: Failure) -> None:
+    def _on_start_failure(self, failure: Failure) -> None:
         """The node cannot start: log why, and end the process with 1."""
-        known = isinstance(failure.value, CannotListenError)
-        log.error("start_failed", why=failure.getErrorMessage() if known else failure.getTraceback())
+        expected = isinstance(failure.value, CannotListenError)
+        log.error("start_failed", why=failure.getErrorMessage() if expected else failure.getTraceback())
         self.exit_code = 1
-        self.reactor.callWhenRunning(self._stopped)
+        self.reactor.callWhenRunning(self._finish)
 
     def start(self, descriptor: int | None = None) -> None:
         """Serve; on the listening socket `descriptor`, where an older process has handed it over."""
@@ -237,16 +244,16 @@
             return
         if self.manual_ejections is not None:
             self.manual_ejections.run()
-        known = Listing(self.registry.revision, True, tuple(self.registry.endpoints.values()))
-        self.upstream_client.listed(known)
-        self.broker.endpoints_changed(known, at_start=True)
+        listing = Listing(self.registry.revision, True, tuple(self.registry.endpoints.values()))
+        self.upstream_client.listed(listing)
+        self.broker.endpoints_changed(listing, at_start=True)
         if self.handover is not None:
             self.broker.process_batch()  # so that the module knows the workers whose learned weights follow
             self.handover.restore_learned_weights()
         if self.loaded.platform.settings.list_on_request:
             self._serve(descriptor)
             return
-        listen = self.reactor.callLater(FIRST_MESSAGE_WAIT, self._serve, descriptor)
+        listen = self.reactor.callLater(FIRST_MESSAGE_TIMEOUT, self._serve, descriptor)
         self.subscription.on_first_message = lambda: listen.active() and listen.reset(0)
         self.subscription.start()
 
@@ -257,11 +264,11 @@
         try:
             self._listen(descriptor)
         except Exception:
-            self._failed(Failure())  # type: ignore[no-untyped-call]
+            self._on_start_failure(Failure())  # type: ignore[no-untyped-call]
 
     def _listen(self, descriptor: int | None) -> None:
-        shared = self.handover is not None
-        self.listener.listen(*self.loaded.platform.listen, shared, descriptor)
+        reuses_port = self.handover is not None
+        self.listener.listen(*self.loaded.platform.listen, reuses_port, descriptor)
         self.lifecycle.apply(LifecycleEvent.LISTENS)
         if self.handover is not None:
             self.handover.listen = self.listener.port.address
@@ -271,34 +278,37 @@
         self.upstream_client.run()
         if self.record_client is not None:
             self.record_client.start()
-        self.reactor.callLater(REPORT_EVERY, self._report)
-        kv: dict[str, object] = {
+        self.reactor.callLater(REPORT_INTERVAL, self._report)
+        fields: dict[str, object] = {
             "name": self.loaded.platform.name,
             "address": self.listener.port.address,
             "providers": len(self.registry.endpoints),
         }
         if self.console is not None:
-            kv["console"] = self.console.port.address
-        log.info("listening", **kv)
+            fields["console"] = self.console.port.address
+        log.info("listening", **fields)
 
     def _report(self) -> None:
-        self.reactor.callLater(REPORT_EVERY, self._report)
-        kv: dict[str, object] = {"waiting": self.broker.unanswered, "calls_out": len(self.broker.in_progress)}
-        kv |= {"consumers": self.sockets.clients, "providers": self.sockets.endpoints}
-        kv |= {
+        self.reactor.callLater(REPORT_INTERVAL, self._report)
+        fields: dict[str, object] = {
+            "waiting": self.broker.unanswered,
+            "calls_out": len(self.broker.in_progress),
+        }
+        fields |= {"consumers": self.sockets.clients, "providers": self.sockets.endpoints}
+        fields |= {
             key.replace(" ", "_"): n
             for key, n in sorted((self.broker.counts + self.upstream_client.counts).items())
         }
         if self.amqp is not None:
-            kv |= self.amqp.report()
-        log.info("counts", **kv)
+            fields |= self.amqp.report()
+        log.info("counts", **fields)
 
     def reload(self, read: Callable[[Loaded], Loaded]) -> None:
         """Apply the configuration as it is in the files now, all of it or nothing."""
         statistics = self.broker.statistics
         try:
             file_configuration = read(self.file_configuration)
-            self._overlaid(file_configuration)
+            self._overlay_plan(file_configuration)
         except ConfigError as error:
             statistics.count(RELOAD_COUNTERS[False])
             log.error("reload_failed", why=error, kept="the configuration in use")
@@ -309,25 +319,25 @@
     def _apply_configuration(self, file_configuration: Loaded) -> dict[str, object]:
         """Run with these files and the fleet's plan on top; returns fields for the log."""
         before = self.loaded.platform
-        loaded = self._overlaid(file_configuration)
+        loaded = self._overlay_plan(file_configuration)
         self.file_configuration = file_configuration
-        now = loaded.platform
-        self.sockets.resize(now.sockets)
-        self.upstream_client.set_times(now.dial_timeout, now.idle_timeout)
-        self.subscription.move(now.discovery)
-        if now.settings != before.settings:
-            self._apply_settings(now.settings)
-        kv: dict[str, object] = {"discovery": f"{now.discovery[0]}:{now.discovery[1]}"}
-        changed = [key for key in AT_START_ONLY if getattr(before, key) != getattr(now, key)]
+        new = loaded.platform
+        self.sockets.resize(new.sockets)
+        self.upstream_client.set_times(new.dial_timeout, new.idle_timeout)
+        self.subscription.move(new.discovery)
+        if new.settings != before.settings:
+            self._apply_settings(new.settings)
+        fields: dict[str, object] = {"discovery": f"{new.discovery[0]}:{new.discovery[1]}"}
+        changed = [key for key in AT_START_ONLY if getattr(before, key) != getattr(new, key)]
         # What was asked for stays different from what runs: say so again after the next reload.
-        config: Config = replace(now, **{key: getattr(before, key) for key in changed})
+        config: Config = replace(new, **{key: getattr(before, key) for key in changed})
         changed += changed_at_start_only(self.startup_settings, loaded.operator.settings)
         if self.amqp is not None:
             self.amqp.apply(loaded.operator.settings.amqp)
         if changed:
-            kv["needs_restart"] = ",".join(changed)
+            fields["needs_restart"] = ",".join(changed)
         self.loaded = Loaded(config, loaded.operator)
-        return kv
+        return fields
 
     def _apply_settings(self, settings: m.Settings) -> None:
         """Change servers, statistics and module in one step, for all requests from now on."""
@@ -348,7 +358,7 @@
         self.lifecycle.apply(LifecycleEvent.STOP)
         log.info("stopping", waiting=self.broker.unanswered, phase=self.lifecycle.phase.value)
         if self.lifecycle.phase is Phase.GONE:  # it has not served yet
-            self._stopped()
+            self._finish()
             return
         self.listener.stop()
         if self.record_client is not None:
@@ -363,28 +373,28 @@
         self.subscription.stop()
         if self.amqp is not None:
             self.amqp.close()
-            self.reactor.callLater(AMQP_CLOSE_DELAY, self._stopped)
+            self.reactor.callLater(AMQP_CLOSE_DELAY, self._finish)
         else:
-            self._stopped()
+            self._finish()
 
-    def _stopped(self) -> None:
+    def _finish(self) -> None:
         self.lifecycle.apply(LifecycleEvent.ENDED)
         log.info("stopped")
         self.reactor.stop()
 
 
-def serve(loaded: Loaded, read_again: Callable[[Loaded], Loaded]) -> int:
+def serve(loaded: Loaded, reload_files: Callable[[Loaded], Loaded]) -> int:
     """Run a node until it ends; returns the exit code. `read_again` reads the files anew at SIGHUP."""
-    from twisted.internet import reactor as installed
+    from twisted.internet import reactor as installed_reactor
 
-    reactor: Any = installed
+    reactor: Any = installed_reactor
     node = Node(loaded, reactor)
 
     def on_signal(number: int, frame: object) -> None:
         reactor.callFromThread(node.stop)
 
     def on_hangup(number: int, frame: object) -> None:
-        reactor.callFromThread(node.reload, read_again)
+        reactor.callFromThread(node.reload, reload_files)
 
     signal.signal(signal.SIGHUP, on_hangup)
     signal.signal(signal.SIGTERM, on_signal)
--- a/tests/system/pinned/program.py
+++ b/tests/system/pinned/program.py
@@ -74,8 +74,8 @@
 FleetFrames = fleet_messages.FrameDecoder
 fleet_item_bytes = fleet_plan.encode_item
 fleet_item_from = fleet_plan.decode_item
-handover_line = handover_messages.line
-HandoverLines = handover_messages.Lines
+handover_line = handover_messages.encode_message
+HandoverLines = handover_messages.MessageDecoder
 
 # The journal: the record classes in the order of their kinds' numbers, 1 to 3.
 JOURNAL_RECORDS: tuple[type, ...] = (
--- a/tests/test_amqp_clients.py
+++ b/tests/test_amqp_clients.py
@@ -56,11 +56,18 @@
         assert properties.correlation_id not in self.answers
         self.answers[properties.correlation_id] = properties.headers["x-outcome"], body
 
-    def publish(self, id: str, key: str = "reminder", exchange: str = "", **more: Any) -> str:
+    def publish(self, id: str, key: str = "reminder", exchange: str = "", **extra: Any) -> str:
         """The confirm, which comes with the final answer: served or not."""
-        given = {"message_id": id, "correlation_id": id, "reply_to": REPLY_TO, "expiration": "8000"} | more
+        properties = {
+            "message_id": id,
+            "correlation_id": id,
+            "reply_to": REPLY_TO,
+            "expiration": "8000",
+        } | extra
         try:
-            self.channel.basic_publish(exchange, key, b"work", pika.BasicProperties(**given), mandatory=True)
+            self.channel.basic_publish(
+                exchange, key, b"work", pika.BasicProperties(**properties), mandatory=True
+            )
         except NackError:
             return "nack"
         return "ack"
@@ -76,9 +83,9 @@
 class Subscriber(threading.Thread):
     """Consumes in a thread of its own; `does` runs a job and says how it ended."""
 
-    def __init__(self, rig: Rig, key: str = "reminder", does: str = "ack", prefetch: int = 2) -> None:
+    def __init__(self, rig: Rig, key: str = "reminder", action: str = "ack", prefetch: int = 2) -> None:
         super().__init__(daemon=True)
-        self.does, self.ran = does, list[str]()
+        self.action, self.ran = action, list[str]()
         self.cancelled = threading.Event()
         self.closed: tuple[int, str] | None = None
         self.connection = pika.BlockingConnection(parameters(rig))
@@ -87,13 +94,13 @@
         self.channel.queue_declare(key, durable=True)
         self.channel.add_on_cancel_callback(lambda frame: self.cancelled.set())
         self.tag = self.channel.basic_consume(key, self._run)
-        self.held: list[int] = []
+        self.unacked_tags: list[int] = []
         self.start()
 
     def _run(self, channel: Any, method: Any, properties: Any, body: bytes) -> None:
         self.ran.append(properties.message_id)
-        if self.does == "hold":
-            self.held.append(method.delivery_tag)
+        if self.action == "hold":
+            self.unacked_tags.append(method.delivery_tag)
             return
         channel.basic_publish(
             "",
@@ -112,15 +119,15 @@
         except AMQPConnectionError:
             pass
 
-    def tell(self, what: Any) -> None:
+    def run_on_connection_thread(self, callback: Any) -> None:
         """Have something done on the connection's own thread."""
-        self.connection.add_callback_threadsafe(what)
+        self.connection.add_callback_threadsafe(callback)
 
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    with running(tmp_path, flags=FLAGS) as made:
-        yield made
+    with running(tmp_path, flags=FLAGS) as node:
+        yield node
 
 
 def test_publish_confirm_and_rpc_between_two_clients(rig: Rig) -> None:
@@ -136,81 +143,81 @@
 
 
 def test_prefetch_cancel_and_consume_again(rig: Rig) -> None:
-    worker = Subscriber(rig, does="hold", prefetch=2)
+    worker = Subscriber(rig, action="hold", prefetch=2)
     publishers = [Publisher(rig) for _ in range(3)]
     threads = [
         threading.Thread(target=p.publish, args=(f"m{k}",), daemon=True) for k, p in enumerate(publishers)
     ]
     for thread in threads:
         thread.start()
-    until(lambda: len(worker.held) == 2)
+    until(lambda: len(worker.unacked_tags) == 2)
     time.sleep(0.1)
     assert len(worker.ran) == 2  # the third waits at the node
     second = Subscriber(rig)
-    worker.tell(lambda: worker.channel.basic_cancel(worker.tag))
+    worker.run_on_connection_thread(lambda: worker.channel.basic_cancel(worker.tag))
     until(lambda: len(second.ran) == 1)
-    for tag in worker.held:
-        worker.tell(lambda tag=tag: worker.channel.basic_ack(tag))
+    for tag in worker.unacked_tags:
+        worker.run_on_connection_thread(lambda tag=tag: worker.channel.basic_ack(tag))
     for thread in threads:
         thread.join(20)
     assert sorted(publisher.answer(f"m{k}")[0] for k, publisher in enumerate(publishers)) == ["served"] * 3
     until(lambda: not worker.channel.consumer_tags)
-    worker.tell(lambda: worker.channel.basic_consume("reminder", worker._run))
-    second.tell(second.connection.close)
+    worker.run_on_connection_thread(lambda: worker.channel.basic_consume("reminder", worker._run))
+    second.run_on_connection_thread(second.connection.close)
     until(lambda: rig.logged("source=amqp") and len(rig.logged("source=amqp")) >= 5)
-    worker.does = "ack"
+    worker.action = "ack"
     assert publishers[0].publish("again") == "ack" and worker.ran[-1] == "again"
 
 
-def test_a_client_that_reconnects_goes_on(rig: Rig) -> None:
+def test_clients_can_reconnect_repeatedly(rig: Rig) -> None:
     for k in range(5):
         worker, publisher = Subscriber(rig), Publisher(rig)
         assert publisher.publish(f"m{k}") == "ack"
         publisher.connection.close()
-        worker.tell(worker.connection.close)
+        worker.run_on_connection_thread(worker.connection.close)
         worker.join(20)
     until(lambda: rig.logged("source=amqp"))
     assert not rig.logged("level=error")
 
 
-def _holder(port: int, told: Any) -> None:
+def _consume_without_ack(port: int, pipe: Any) -> None:
     """A subscriber as a process of its own that takes a job and never ends it."""
     connection = pika.BlockingConnection(pika.ConnectionParameters("127.0.0.1", port))
     channel = connection.channel()
-    channel.basic_consume("reminder", lambda ch, method, properties, body: told.send(properties.message_id))
-    told.send("ready")
+    channel.basic_consume("reminder", lambda ch, method, properties, body: pipe.send(properties.message_id))
+    pipe.send("ready")
     channel.start_consuming()
 
 
-def test_a_subscriber_that_is_killed_with_a_reminder_costs_it_one_answer_and_no_second_run(rig: Rig) -> None:
+def test_killing_a_subscriber_fails_its_unsafe_request_without_a_second_run(rig: Rig) -> None:
     ours, theirs = multiprocessing.Pipe()
     context = multiprocessing.get_context("spawn")
-    process = context.Process(target=_holder, args=(parameters(rig).port, theirs), daemon=True)
+    process = context.Process(target=_consume_without_ack, args=(parameters(rig).port, theirs), daemon=True)
     process.start()
     assert ours.poll(30) and ours.recv() == "ready"
     publisher = Publisher(rig)
-    found: list[str] = []
-    thread = threading.Thread(target=lambda: found.append(publisher.publish("m")), daemon=True)
+    confirms: list[str] = []
+    thread = threading.Thread(target=lambda: confirms.append(publisher.publish("m")), daemon=True)
     thread.start()
     assert ours.poll(20) and ours.recv() == "m"
     other = Subscriber(rig)  # ready to take it, were it sent again
     assert process.pid is not None
     os.kill(process.pid, signal.SIGKILL)
     thread.join(20)
-    assert found == ["nack"] and publisher.answer("m") == ("failed", b"") and other.ran == []
+    assert confirms == ["nack"] and publisher.answer("m") == ("failed", b"") and other.ran == []
 
 
-def test_sigterm_cancels_answers_closes_with_320_and_ends_with_0(rig: Rig) -> None:
-    worker, publisher = Subscriber(rig, does="hold"), Publisher(rig)
-    found: list[str] = []
-    thread = threading.Thread(target=lambda: found.append(publisher.publish("m")), daemon=True)
+def test_sigterm_cancels_consumers_closes_with_320_and_exits_with_0(rig: Rig) -> None:
+    worker, publisher = Subscriber(rig, action="hold"), Publisher(rig)
+    confirms: list[str] = []
+    thread = threading.Thread(target=lambda: confirms.append(publisher.publish("m")), daemon=True)
     thread.start()
-    until(lambda: worker.held)
+    until(lambda: worker.unacked_tags)
     rig.terminate()
     assert worker.cancelled.wait(20)
-    worker.tell(lambda: worker.channel.basic_ack(worker.held[0]))
+    worker.run_on_connection_thread(lambda: worker.channel.basic_ack(worker.unacked_tags[0]))
     thread.join(20)
-    assert found == ["ack"]
+    assert confirms == ["ack"]
     worker.join(20)
     assert worker.closed is not None and worker.closed[0] == 320
     assert rig.process.wait(20) == 0
@@ -245,7 +252,7 @@
         assert rig.endpoints[0].got == [("POST", "/reminder", b"work")]
 
 
-def test_a_publisher_that_disconnects_does_not_take_its_work_back(tmp_path: Path) -> None:
+def test_requests_of_a_disconnected_publisher_still_run(tmp_path: Path) -> None:
     with running(tmp_path, accept, flags=FLAGS) as rig:
         connection = pika.BlockingConnection(parameters(rig))
         connection.channel().basic_publish("", "reminder", b"x", pika.BasicProperties(message_id="m"))
@@ -258,7 +265,7 @@
         assert not any(method == "DELETE" for method, _, _ in rig.endpoints[0].got)
 
 
-def test_a_flood_over_amqp_leaves_http_its_room(tmp_path: Path) -> None:
+def test_an_amqp_flood_leaves_capacity_for_http(tmp_path: Path) -> None:
     # Guards: the core takes so many at once; a publisher alone could have filled it and HTTP was turned away.
     with running(tmp_path, accept, flags=FLAGS) as rig:
         connection = pika.BlockingConnection(parameters(rig))
@@ -279,29 +286,29 @@
 
 def test_soft_errors_reach_the_client_with_their_codes(rig: Rig) -> None:
     connection = pika.BlockingConnection(parameters(rig))
-    for do, code in (
+    for operation, code in (
         (lambda ch: ch.queue_declare("mine", durable=True), 403),
         (lambda ch: ch.queue_declare("mine", passive=True), 404),
         (lambda ch: ch.exchange_declare("mine", passive=True), 404),
         (lambda ch: ch.basic_get("reminder"), 403),
     ):
         with pytest.raises(ChannelClosedByBroker) as closed:
-            do(connection.channel())
+            operation(connection.channel())
         assert closed.value.reply_code == code
-    with pytest.raises(ConnectionClosedByBroker) as over:
+    with pytest.raises(ConnectionClosedByBroker) as closed_connection:
         connection.channel().tx_select()
-    assert over.value.reply_code == 540
+    assert closed_connection.value.reply_code == 540
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_disabled_features_are_not_imported() -> None:
     heavy = ("pamqp", "bitternpath.balancer.amqp", "click", "tomllib")
-    found = f"[m for m in sys.modules if m.startswith({heavy})]"
-    look = f"import sys, bitternpath.cli.run, bitternpath.balancer.node; print({found})"
-    run = subprocess.run(
-        [sys.executable, "-c", look],
+    expression = f"[m for m in sys.modules if m.startswith({heavy})]"
+    script = f"import sys, bitternpath.cli.run, bitternpath.balancer.node; print({expression})"
+    result = subprocess.run(
+        [sys.executable, "-c", script],
         cwd=Path(__file__).parent.parent,
         capture_output=True,
         text=True,
         check=True,
     )
-    assert run.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -38,7 +38,7 @@
         ("requeue", "reminder", ("failed", "c-a", b""), "nack"),
     ],
 )
-def test_both_answers_say_the_same_once(
+def test_reply_and_confirm_agree_and_are_sent_once(
     action: str, key: str, outcome: tuple[Any, ...], confirm: str
 ) -> None:
     rig, publisher, _, run_counts = rig_with(action)
@@ -50,7 +50,7 @@
     assert reply.properties.message_id == "a" and reply.method.consumer_tag == "replies"
 
 
-def test_an_ack_without_a_result_is_served_with_nothing() -> None:
+def test_an_ack_without_a_result_is_served_with_an_empty_body() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("key", ["reminder", "lookup"])
-def test_a_requeue_proves_nothing_ran_only_where_operators_say_so(key: str) -> None:
+def test_a_requeue_counts_as_unstarted_only_for_configured_classes(key: str) -> None:
     rig, publisher, _, run_counts = rig_with("requeue", 2, requeue_unstarted=["reminder"])
     rig.publish_request(publisher, "a", key)
     rig.advance(9000)
@@ -73,7 +73,7 @@
     assert redelivered.count(False) == (len(redelivered) if key == "reminder" else 1)
 
 
-def test_a_refusal_comes_from_the_module_at_once_with_its_retry_after() -> None:
+def test_a_refusal_is_sent_at_once_with_the_retry_after_of_the_module() -> None:
     rig = AmqpRig()
     publisher = rig.publisher()
     rig.publish_request(publisher, "a", expiration="20")  # nobody serves it, and there is next to no time
@@ -86,7 +86,7 @@
     assert publisher.all(c.Basic.Deliver)[0].properties.headers["x-retry-after-ms"] > 0
 
 
-def test_an_answer_comes_before_the_deadline_where_a_subscriber_is_silent() -> None:
+def test_a_request_is_answered_by_its_deadline_if_the_subscriber_never_acks() -> None:
     rig, publisher, (worker,), run_counts = rig_with("silent")
     rig.publish_request(publisher, "a", expiration="1000")
     rig.advance(980)
@@ -102,7 +102,7 @@
     assert len(publisher.answers()) == 1 and worker.wire.connected and not worker.methods(c.Channel.Close)
 
 
-def test_of_two_subscribers_one_silent_the_other_serves_what_is_safe() -> None:
+def test_safe_requests_are_served_by_the_other_subscriber_if_one_never_acks() -> None:
     rig, publisher, (silent, good), run_counts = rig_with("ack", 2)
     run_jobs(silent, run_counts, "silent")
     for k in range(30):
@@ -127,7 +127,7 @@
     assert publisher.confirms() == [("nack", 1)] and rig.is_idle()
 
 
-def test_a_lookup_goes_elsewhere_and_says_redelivered() -> None:
+def test_a_lookup_is_redelivered_to_another_subscriber() -> None:
     rig, publisher, workers, run_counts = rig_with("hold", 2)
     rig.publish_request(publisher, "a", "lookup")
     rig.run_until_idle()
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("loss", ["connection", "channel", "heartbeats"])
-def test_a_result_published_before_the_loss_is_served(loss: str) -> None:
+def test_a_result_published_before_the_connection_is_lost_is_served(loss: str) -> None:
     rig, publisher, (worker,), run_counts = rig_with("result", heartbeat=2)
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
@@ -156,7 +156,7 @@
     assert rig.is_idle() and run_counts == {"a": 1}
 
 
-def test_heartbeats_that_stop_while_a_job_runs_lose_the_connection() -> None:
+def test_missed_heartbeats_while_a_job_runs_close_the_connection() -> None:
     rig = AmqpRig(heartbeat=2)
     run_counts = Counter[str]()
     worker = rig.peer()
@@ -169,7 +169,7 @@
     assert not worker.wire.connected and caller.answers == [("failed",)] and run_counts == {"a": 1}
 
 
-def test_what_never_left_the_node_never_ran() -> None:
+def test_an_unsent_delivery_is_sent_to_another_subscriber() -> None:
     # Guards: a delivery that waits behind a stalled socket goes elsewhere when the connection breaks.
     rig, publisher, workers, run_counts = rig_with("hold", 2)
     for worker in workers:
@@ -200,7 +200,7 @@
     assert all(outcomes[id] == "served" for id in waiting)
 
 
-def test_prefetch_lowered_with_deliveries_out_holds_at_once() -> None:
+def test_a_lowered_prefetch_applies_to_unacked_deliveries_at_once() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
     for k in range(3):
         rig.publish_request(publisher, f"a{k}")
@@ -217,7 +217,7 @@
     assert [message.properties.message_id for message in worker.deliveries()] == ["a0", "a1", "a2", "b"]
 
 
-def test_channel_flow_holds_deliveries_until_it_is_lifted() -> None:
+def test_channel_flow_pauses_deliveries_until_it_is_active_again() -> None:
     rig, publisher, (worker,), _ = rig_with("ack")
     worker.send(c.Channel.Flow(False))
     rig.run_until_idle()
@@ -233,7 +233,7 @@
 # ---- draining
 
 
-def test_cancel_drains_and_what_is_out_may_still_be_acknowledged() -> None:
+def test_cancel_drains_and_unacked_deliveries_may_still_be_acknowledged() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("supports_cancel", [True, False])
-def test_when_the_node_ends_subscribers_are_cancelled_and_all_is_answered(supports_cancel: bool) -> None:
+def test_shutdown_cancels_subscribers_and_answers_all_requests(supports_cancel: bool) -> None:
     rig = AmqpRig()
     run_counts = Counter[str]()
     worker = rig.peer(capabilities=None if supports_cancel else {})
@@ -274,7 +274,7 @@
         assert [x.reply_code for x in peer.methods(c.Connection.Close)] == [320] and not peer.wire.connected
 
 
-def test_a_channel_that_closes_while_the_node_drains_costs_one_answer() -> None:
+def test_a_channel_closed_during_shutdown_fails_only_its_own_request() -> None:
     rig, publisher, (worker,), run_counts = rig_with("hold")
     rig.publish_request(publisher, "a")
     rig.publish_request(publisher, "b", "lookup")
@@ -288,7 +288,7 @@
     assert len(publisher.answers()) == 2 and sorted(publisher.confirms()) == [("nack", 1), ("nack", 2)]
 
 
-def test_work_that_was_taken_and_not_sent_still_goes_out_while_the_node_drains() -> None:
+def test_accepted_requests_are_still_delivered_during_shutdown() -> None:
     rig, publisher, (worker,), run_counts = rig_with("hold")
     for k in range(5):  # one more than there are places
         rig.publish_request(publisher, f"a{k}")
@@ -305,7 +305,7 @@
 
 
 @pytest.mark.parametrize("action", ["close", "error", "cut", "hard"])
-def test_a_subscriber_whose_channel_is_gone_is_no_endpoint_any_more(action: str) -> None:
+def test_a_subscriber_is_no_endpoint_after_its_channel_closed(action: str) -> None:
     # Guards: the module would go on sending to a consumer that nobody can reach.
     rig, _, (worker,), _ = rig_with("hold")
     assert len([p for p in rig.registry.endpoints.values() if p.source == "amqp"]) == 2
@@ -324,7 +324,7 @@
 # ---- who publishes
 
 
-def test_what_one_peer_sends_at_once_is_looked_at_in_turns() -> None:
+def test_input_of_one_peer_is_processed_in_bounded_turns() -> None:
     # Guards: a peer's thousand messages that came in one piece would hold up all other sockets.
     from bitternpath.balancer.amqp.server import EVENTS_PER_TURN
 
@@ -341,7 +341,7 @@
     )
 
 
-def test_a_publisher_that_goes_away_has_handed_its_work_over() -> None:
+def test_requests_of_a_disconnected_publisher_still_run() -> None:
     rig, publisher, (worker,), run_counts = rig_with("hold")
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
@@ -355,7 +355,7 @@
     )
 
 
-def test_the_same_message_id_from_two_publishers_is_refused_to_the_second() -> None:
+def test_a_message_id_in_use_is_refused_to_a_second_publisher() -> None:
     rig, first, (worker,), run_counts = rig_with("hold")
     second = rig.publisher()
     rig.publish_request(first, "a")
@@ -383,7 +383,7 @@
         {"content_type": "é"},
     ],
 )
-def test_what_cannot_become_an_request_fails_and_says_why(invalid: dict[str, Any]) -> None:
+def test_an_invalid_message_fails_with_a_reason(invalid: dict[str, Any]) -> None:
     rig, publisher, (worker,), _ = rig_with()
     rig.publish_request(publisher, "a", **invalid)
     rig.publish_request(publisher, "b")
@@ -393,7 +393,7 @@
     assert len(worker.deliveries()) == 1
 
 
-def test_mandatory_is_honoured_and_confirmed() -> None:
+def test_an_unroutable_mandatory_message_is_returned_and_confirmed() -> None:
     rig = AmqpRig()
     publisher = rig.publisher()
     publisher.publish("nowhere", b"x", mandatory=True)
@@ -410,7 +410,7 @@
     assert kinds[0] is c.Basic.Return  # the return comes before its confirm
 
 
-def test_a_flood_of_one_publisher_leaves_the_others_their_turn() -> None:
+def test_a_flood_of_one_publisher_does_not_delay_others() -> None:
     rig = AmqpRig(publisher_waiting=50, max_waiting=1000)
     run_counts = Counter[str]()
     worker = rig.peer()
@@ -431,7 +431,7 @@
     assert [outcome for outcome, *_ in other.answers()] == ["served"] and rig.is_idle()
 
 
-def test_while_the_core_is_full_publishers_are_blocked_and_told_so() -> None:
+def test_publishers_are_blocked_and_notified_while_the_core_is_full() -> None:
     rig = AmqpRig(publisher_waiting=1000, max_waiting=10)
     run_counts = Counter[str]()
     worker = rig.peer()
@@ -450,7 +450,7 @@
     assert Counter(outcome for outcome, *_ in flood.answers()) == {"served": 40}
 
 
-def test_a_connection_with_work_out_is_read_even_when_it_floods() -> None:
+def test_a_connection_with_unacked_deliveries_is_always_read() -> None:
     # Guards: its acks come the same way; not to read it would hold up everybody's answers until the deadline.
     rig = AmqpRig(max_waiting=4)
     both = rig.publisher()
@@ -489,7 +489,7 @@
     assert message.method.routing_key == "reminder" and 8000 < int(properties.expiration) < 9000
 
 
-def test_an_http_request_at_a_subscriber_whose_channel_dies_fails_once() -> None:
+def test_an_http_request_fails_once_if_the_channel_of_its_subscriber_closes() -> None:
     rig = AmqpRig()
     worker = rig.peer()
     run_jobs(worker, run_counts := Counter[str](), "hold")
@@ -527,7 +527,7 @@
     assert publisher.answers() == [("served", "c-a", b"by http")] and publisher.confirms() == [("ack", 1)]
 
 
-def test_what_a_publisher_adds_reaches_subscribers_unchanged() -> None:
+def test_further_properties_reach_subscribers_unchanged() -> None:
     rig, publisher, (worker,), _ = rig_with()
     extra: dict[str, Any] = {
         "content_encoding": "gzip",
@@ -542,7 +542,7 @@
     assert {key: getattr(properties, key) for key in extra} == extra
 
 
-def test_a_whole_list_of_discovery_leaves_subscribers_alone() -> None:
+def test_a_complete_list_of_discovery_does_not_affect_subscribers() -> None:
     # Guards: discovery's whole list names its own endpoints only, and the module takes it for all there are.
     rig, publisher, _, _ = rig_with()
     from bitternpath.balancer.core.endpoint_registry import Endpoint, Listing
@@ -563,7 +563,7 @@
     assert endpoint is not None and endpoint.protocol == "amqp"
 
 
-def test_call_backs_over_http_say_nothing_of_calls_at_subscribers() -> None:
+def test_http_callbacks_do_not_affect_calls_at_subscribers() -> None:
     # Guards: anybody who reaches the HTTP listener could end a subscriber's job as 'returned'.
     from bitternpath.balancer.core.requests import CallReport, CallState
 
@@ -596,7 +596,7 @@
     assert (row.zone, row.kind, row.size, row.slots) == ("suva", "standard", 2.0, 4)
 
 
-def test_a_result_counts_once_for_its_own_delivery_only() -> None:
+def test_a_result_is_accepted_once_and_for_its_own_delivery_only() -> None:
     rig, publisher, (worker,), _ = rig_with("hold")
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
@@ -616,7 +616,7 @@
     assert worker.wire.protocol.session.pending_result_bytes == 0
 
 
-def test_private_queues_carry_answers_too() -> None:
+def test_answers_are_sent_to_private_queues() -> None:
     rig, _, _, _ = rig_with()
     peer = rig.peer()
     peer.send(c.Queue.Declare(queue="", exclusive=True))
@@ -641,7 +641,7 @@
     assert rig.publishers.counts["answers_dropped"] == 1
 
 
-def test_a_full_private_queue_drops_what_comes_and_counts_it() -> None:
+def test_a_full_private_queue_drops_and_counts_messages() -> None:
     rig = AmqpRig(reply_queue_bytes=65536)
     peer = rig.peer()
     peer.send(c.Confirm.Select())
@@ -653,7 +653,7 @@
     assert rig.publishers.counts["queues_full"] == 2
 
 
-def test_a_peer_that_does_not_read_is_closed_before_it_costs_much() -> None:
+def test_a_peer_that_does_not_read_is_disconnected() -> None:
     rig, publisher, _, _ = rig_with(unread_bytes=262144)
     rig.run_until_idle()
     publisher.wire.stalled = True
@@ -665,7 +665,7 @@
     assert not publisher.wire.connected and rig.publishers.counts["slow_readers"] == 1
 
 
-def test_held_results_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_results_without_acks_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     from bitternpath.balancer.amqp import subscribers
 
     monkeypatch.setattr(subscribers, "MAX_PENDING_RESULT_BYTES", 100)
--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -83,7 +83,7 @@
 # ---- the tables
 
 
-def test_every_pair_of_the_channel_table_and_no_other_is_taken() -> None:
+def test_channels_accept_exactly_the_transitions_of_the_table() -> None:
     frames_by_input = {
         sm.ChannelInput.OPEN: frame.marshal(c.Channel.Open(), 1),
         sm.ChannelInput.CLOSE: frame.marshal(c.Channel.Close(200, "", 0, 0), 1),
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("method", [c.Connection.StartOk(), c.Connection.TuneOk(), c.Connection.Open("/")])
-def test_negotiation_comes_in_its_order_only(method: Any) -> None:
+def test_negotiation_methods_are_accepted_in_order_only(method: Any) -> None:
     order = [c.Connection.StartOk, c.Connection.TuneOk, c.Connection.Open]
     for done in range(4):
         machine = new_machine() if done == 0 else opened()
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 64, 10_000])
-def test_frames_come_whole_in_any_pieces(step: int) -> None:
+def test_messages_are_assembled_from_chunks_of_any_size(step: int) -> None:
     machine = opened(1, 2)
     # Two channels interleaved, frame by frame.
     first, second = message(1, b"a" * 9000), message(2, b"b" * 5000)
@@ -224,7 +224,7 @@
         ),
     ],
 )  # fmt: skip
-def test_what_breaks_a_rule_of_the_wire_closes_the_connection_with_its_code(data: bytes, code: int) -> None:
+def test_a_protocol_violation_closes_the_connection_with_its_code(data: bytes, code: int) -> None:
     for pieces in ([data], [data[k : k + 1] for k in range(len(data))]):
         machine = opened(1)
         for piece in pieces:
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("depth", [f.MAX_TABLE_DEPTH - 2, 400])
-def test_deep_tables_are_refused_before_anything_is_built(depth: int) -> None:
+def test_deeply_nested_tables_are_rejected_before_decoding(depth: int) -> None:
     nested = b""
     for _ in range(depth):
         nested = b"\x01kF" + table(nested)
@@ -260,7 +260,7 @@
             f.scan_table(data, 0, len(data))
 
 
-def test_full_tables_are_refused_before_anything_is_built() -> None:
+def test_tables_with_many_entries_are_rejected_before_decoding() -> None:
     # Guards: pamqp copies the rest of a table for each entry; 8 KiB of them would take it some 10 ms a frame.
     for entry in (b"\x01kV", b"\x00t\x01"):
         data = table(entry * (f.MAX_TABLE_ENTRIES + 1))
@@ -271,7 +271,7 @@
         f.scan_table(array, 0, len(array))
 
 
-def test_a_message_beyond_the_bound_is_a_soft_error_and_the_rest_of_it_is_dropped() -> None:
+def test_a_message_over_the_size_limit_is_a_soft_error_and_its_rest_is_dropped() -> None:
     machine = opened(1, 2)
     machine.feed(message(1, b"x" * (sm.MAX_BODY_SIZE + 1), piece=100_000))
     assert events(machine) == [sm.ChannelClosed(1)]
@@ -285,7 +285,7 @@
     assert [type(event) for event in events(machine)] == [sm.ChannelOpened, sm.MessagePublished]
 
 
-def test_messages_that_come_in_part_on_many_channels_are_bounded_together() -> None:
+def test_incomplete_messages_on_all_channels_share_one_limit() -> None:
     machine = opened(*range(1, 33))
     for channel in range(1, 33):
         machine.feed(
@@ -298,7 +298,7 @@
 @pytest.mark.parametrize(
     "data", [b"AMQP\x00\x00\x09\x00", b"AMQP\x01\x01\x00\x09", b"GET / HTTP", b"A\x00", b"\x16\x03\x01"]
 )
-def test_another_protocol_is_told_ours_and_closed(data: bytes) -> None:
+def test_an_unknown_protocol_header_is_answered_with_ours_and_closed(data: bytes) -> None:
     machine = new_machine()
     machine.feed(data)
     assert (
@@ -313,7 +313,7 @@
     [((0, 0, 0), (64, 131072, 0)), ((7, 4096, 9), (7, 4096, 9)), ((65, 0, 0), None), ((0, 4095, 0), None),
      ((0, 131073, 0), None)],
 )  # fmt: skip
-def test_a_peer_may_choose_less_than_was_offered_but_not_more(chosen: Any, expected: Any) -> None:
+def test_tune_ok_may_lower_the_offered_limits_but_not_raise_them(chosen: Any, expected: Any) -> None:
     machine = new_machine()
     machine.feed(START + frame.marshal(c.Connection.StartOk({}, "PLAIN", GUEST), 0))
     machine.next()
@@ -326,7 +326,7 @@
         assert (machine.channel_max, machine.frame_max, machine.heartbeat) == expected
 
 
-def test_bodies_go_out_in_frames_of_the_agreed_size() -> None:
+def test_bodies_are_split_into_frames_of_the_negotiated_size() -> None:
     data = f.encode_message(1, c.Basic.Return(312, "x", "", "k"), c.Basic.Properties(), b"x" * 10_000, 4096)
     reader = f.FrameReader(Buffer())
     reader.frame_max = 4096
@@ -337,7 +337,7 @@
     assert kinds[2:] == [(3, 4088), (3, 4088), (3, 1824)]
 
 
-def test_the_outbox_knows_what_has_left() -> None:
+def test_the_send_queue_reports_what_was_written() -> None:
     queue = SendQueue()
     entries = [queue.add(b"x" * 40_000, context=k) for k in range(3)]
     assert (
@@ -379,7 +379,7 @@
     ("mechanism", "response"), [("PLAIN", "\x00guest\x00wrong"), ("PLAIN", "\x00root\x00guest"), ("X", "")]
 )
 @pytest.mark.parametrize("supports_close", [True, False])
-def test_a_refused_login_is_told_to_those_that_can_hear_it(
+def test_a_refused_login_is_reported_to_clients_that_support_it(
     mechanism: str, response: str, supports_close: bool
 ) -> None:
     rig = AmqpRig()
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", START, START + frame.marshal(c.Connection.StartOk(), 0)[:-1]])
-def test_who_does_not_log_in_within_3_s_is_closed(sent: bytes) -> None:
+def test_a_connection_without_a_login_is_closed_after_3_s(sent: bytes) -> None:
     rig = AmqpRig()
     peer = Peer(rig)
     peer.raw(sent)
@@ -408,7 +408,7 @@
     assert not peer.wire.connected and rig.publishers.counts["logins_late"] == 1
 
 
-def test_before_the_login_little_is_kept() -> None:
+def test_little_is_buffered_before_the_login() -> None:
     # Guards: a stranger could make the node keep what it likes while its password is being looked at.
     rig = AmqpRig()
     peer = Peer(rig)
@@ -426,7 +426,7 @@
     assert [x.reply_code for x in peer.methods(c.Connection.Close)] == [530] and not peer.wire.connected
 
 
-def test_heartbeats_go_both_ways() -> None:
+def test_heartbeats_are_sent_and_expected() -> None:
     rig = AmqpRig(heartbeat=2)
     silent, sending, without = rig.peer(), rig.peer(), Peer(rig)
     without.raw(START)
@@ -484,7 +484,7 @@
 @pytest.mark.parametrize(
     ("method", "code"), SOFT_ERRORS, ids=lambda x: x.name if hasattr(x, "name") else str(x)
 )
-def test_a_soft_error_names_its_method_and_costs_the_channel_alone(method: Any, code: int) -> None:
+def test_a_soft_error_names_its_method_and_closes_its_channel_only(method: Any, code: int) -> None:
     rig = AmqpRig()
     peer = rig.peer(1, 2)
     peer.send(method, 1)
@@ -509,7 +509,7 @@
         ([c.Exchange.Bind(destination="jobs", source="jobs")], 540),
     ],
 )
-def test_a_hard_error_costs_the_connection_alone(methods: list[Any], code: int) -> None:
+def test_a_hard_error_closes_its_connection_only(methods: list[Any], code: int) -> None:
     rig = AmqpRig()
     other, peer = rig.peer(), rig.peer()
     for method in methods:
@@ -520,7 +520,7 @@
     assert not peer.wire.connected and other.wire.connected
 
 
-def test_what_always_succeeds_does() -> None:
+def test_methods_that_always_succeed() -> None:
     rig = AmqpRig()
     peer = rig.peer()
     for method in (
@@ -550,7 +550,7 @@
     ]  # fmt: skip
 
 
-def test_an_exclusive_queue_is_locked_to_others_and_goes_with_its_connection() -> None:
+def test_an_exclusive_queue_is_locked_and_deleted_with_its_connection() -> None:
     rig = AmqpRig(reply_queues=2)
     first, second = rig.peer(), rig.peer()
     first.send(c.Queue.Declare(queue="mine", exclusive=True))
@@ -570,7 +570,7 @@
     assert [x.queue for x in second.methods(c.Queue.DeclareOk)] == ["mine"]
 
 
-def test_a_deleted_queue_tells_its_consumers() -> None:
+def test_deleting_a_queue_cancels_its_consumers() -> None:
     rig = AmqpRig()
     peer = rig.peer()
     peer.send(c.Queue.Declare(queue="mine", exclusive=True))
@@ -580,7 +580,7 @@
     assert [x.consumer_tag for x in peer.methods(c.Basic.Cancel)] == ["t"]
 
 
-def test_more_connections_than_allowed_are_not_taken() -> None:
+def test_connections_over_the_limit_are_refused() -> None:
     rig = AmqpRig(max_connections=2)
     peers = [rig.peer(), rig.peer()]
     assert rig.server.buildProtocol(None) is None and rig.publishers.counts["connections_refused"] == 1
@@ -625,7 +625,7 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(st.lists(inputs, max_size=25), st.integers(1, 4096))
-def test_no_input_hurts_anybody_else(sent: list[bytes], step: int) -> None:
+def test_no_input_affects_other_connections(sent: list[bytes], step: int) -> None:
     # Guards: whatever a peer sends, the node goes on, others are served, and nothing stays owed.
     rig = AmqpRig()
     run_counts = Counter[str]()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,17 +23,17 @@
     learned_weights_of,
     restore_learned_weights,
 )
-from bitternpath.balancer.handover.link import PATH_LIMIT, Link, UpgradeSocket
+from bitternpath.balancer.handover.link import MAX_SOCKET_PATH, Link, UpgradeSocket
 from bitternpath.balancer.handover.messages import (
     Acknowledged,
+    CallbackRelayed,
     Hello,
-    Lines,
     LinkError,
-    Passed,
+    MessageDecoder,
     Ready,
-    Taken,
+    RequestAccepted,
     Welcome,
-    line,
+    encode_message,
 )
 from bitternpath.net.sockets import Sockets
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "phase"),
+    ("events", "phase"),
     [
         ("listens", P.READY),
         ("listens stop", P.DRAINING),
@@ -62,14 +62,14 @@
         ("listens stop stop stop", P.DRAINING),
     ],
 )
-def test_what_leads_from_one_state_to_another(words: str, phase: Phase) -> None:
+def test_lifecycle_transitions(events: str, phase: Phase) -> None:
     lifecycle = Lifecycle()
-    for word in words.split():
-        lifecycle.apply(LifecycleEvent[word.upper()])
+    for event in events.split():
+        lifecycle.apply(LifecycleEvent[event.upper()])
     assert lifecycle.phase is phase
 
 
-def test_no_state_is_left_out_and_from_each_the_end_can_be_reached() -> None:
+def test_every_phase_is_defined_and_reachable() -> None:
     assert set(BEHAVIOR) == set(Phase)
     reached = {P.STARTING}
     for _ in Phase:
@@ -85,23 +85,24 @@
 # ---- messages
 
 
-def test_messages_come_out_as_they_went_in_whatever_the_pieces() -> None:
+def test_messages_round_trip_in_chunks_of_any_size() -> None:
     endpoint = Endpoint("s", "h:1", "z", "k", 2, m.WorkerState.DRAINING, 1.5, 7.0, serves=frozenset({"a"}))
     harness = DispatcherHarness(workers=2)
-    said = [
+    messages = [
         Hello(1, "h:1"),
         Welcome(Listing(3, True, (endpoint,)), ["x"], learned_weights_of(harness.dispatcher)), Ready(),
-        Taken("é\n"), Passed(1, CallReport("x", "s", CallState.DONE, None, bytes(range(256)))),
+        RequestAccepted("é\n"),
+        CallbackRelayed(1, CallReport("x", "s", CallState.DONE, None, bytes(range(256)))),
         Acknowledged(1),
     ]  # fmt: skip
-    data = b"".join(line(one) for one in said)
+    data = b"".join(encode_message(message) for message in messages)
     for seed in range(20):
-        random, lines, got, at = Random(seed), Lines(), [], 0
-        while at < len(data):
+        random, decoder, decoded, offset = Random(seed), MessageDecoder(), [], 0
+        while offset < len(data):
             size = random.choice((1, 7, 100, 5000))
-            got += lines.feed(data[at : at + size])
-            at += size
-        assert got == said
+            decoded += decoder.feed(data[offset : offset + size])
+            offset += size
+        assert decoded == messages
 
 
 @pytest.mark.parametrize(
@@ -112,9 +113,9 @@
         b'{"type":"heard","number":NaN}\n',
     ],
 )  # fmt: skip
-def test_what_is_no_message_ends_the_link_and_nothing_else(data: bytes) -> None:
+def test_an_invalid_message_raises_link_error(data: bytes) -> None:
     with pytest.raises(LinkError):
-        Lines().feed(data)
+        MessageDecoder().feed(data)
 
 
 # ---- what was learned
@@ -133,37 +134,37 @@
     return harness
 
 
-def test_a_newer_module_picks_as_the_older_one_did() -> None:
+def test_a_restored_module_prefers_the_same_workers() -> None:
     old = trained(1)
     new = DispatcherHarness(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
     new.now = old.now
     assert restore_learned_weights(new.dispatcher, learned_weights_of(old.dispatcher)) == []
     for name in "ab":
-        mine, theirs = new.dispatcher.class_states[name], old.dispatcher.class_states[name]
-        assert (mine.mean_run_time, mine.run_time_by_kind, mine.ended_jobs) == (
-            theirs.mean_run_time,
-            theirs.run_time_by_kind,
-            theirs.ended_jobs,
+        restored, original = new.dispatcher.class_states[name], old.dispatcher.class_states[name]
+        assert (restored.mean_run_time, restored.run_time_by_kind, restored.ended_jobs) == (
+            original.mean_run_time,
+            original.run_time_by_kind,
+            original.ended_jobs,
         )
-        want = dict(zip((w.name for w in theirs.network.neurons), theirs.network.q, strict=True))
-        got = dict(zip((w.name for w in mine.network.neurons), mine.network.q, strict=True))
-        assert max(want, key=want.__getitem__) == max(got, key=got.__getitem__)
-        assert got["w1"] < min(got[w] for w in ("w0", "w2", "w3"))
-        assert got == pytest.approx(want, abs=0.05)
-
-
-def test_what_does_not_fit_is_left_out_and_the_rest_is_taken() -> None:
-    told = learned_weights_of(trained(1).dispatcher)
-    told.classes[0].effect = "unsafe"
-    told.workers[0].up = 5.0
-    told.workers[1].times = (float("nan"), 0.0, 0.0, 0.0, 0.0)
+        expected = dict(zip((w.name for w in original.network.neurons), original.network.q, strict=True))
+        actual = dict(zip((w.name for w in restored.network.neurons), restored.network.q, strict=True))
+        assert max(expected, key=expected.__getitem__) == max(actual, key=actual.__getitem__)
+        assert actual["w1"] < min(actual[w] for w in ("w0", "w2", "w3"))
+        assert actual == pytest.approx(expected, abs=0.05)
+
+
+def test_weights_that_do_not_match_are_left_out() -> None:
+    weights = learned_weights_of(trained(1).dispatcher)
+    weights.classes[0].effect = "unsafe"
+    weights.workers[0].up = 5.0
+    weights.workers[1].times = (float("nan"), 0.0, 0.0, 0.0, 0.0)
     fewer = DispatcherHarness(job_class("a"), job_class("b"), workers=3, seed=2)
-    assert restore_learned_weights(fewer.dispatcher, told) == ["w0", "w1", "w3", "a"]
+    assert restore_learned_weights(fewer.dispatcher, weights) == ["w0", "w1", "w3", "a"]
     assert fewer.dispatcher.class_states["a"].ended_jobs == 0 < fewer.dispatcher.class_states["b"].ended_jobs
     assert len(sends(fewer.request("x", "b"))) == 1
 
 
-def test_jobs_of_the_older_process_weigh_on_their_workers_until_they_should_have_ended() -> None:
+def test_open_jobs_of_the_older_process_count_as_load_until_their_expected_end() -> None:
     old = trained(1)
     (send,) = sends(old.request("open", "a"))
     new = DispatcherHarness(job_class("a"), job_class("b"), workers=4, seed=9, reports_start=True)
@@ -174,16 +175,21 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_any_figures_at_all_leave_a_module_that_works(seed: int) -> None:
-    random, told = Random(seed), learned_weights_of(trained(1).dispatcher)
-    odd = (-1.0, 0.0, 1e300, float("inf"), float("nan"), 0.5)
-    for known in told.classes:
-        known.threshold = random.choice(odd)
-        known.neurons = {
-            w: (random.choice(odd), random.choice(odd), random.choice(odd)) for w in known.neurons
+def test_extreme_weights_leave_a_working_module(seed: int) -> None:
+    random, weights = Random(seed), learned_weights_of(trained(1).dispatcher)
+    invalid_or_extreme = (-1.0, 0.0, 1e300, float("inf"), float("nan"), 0.5)
+    for learned_class in weights.classes:
+        learned_class.threshold = random.choice(invalid_or_extreme)
+        learned_class.neurons = {
+            w: (
+                random.choice(invalid_or_extreme),
+                random.choice(invalid_or_extreme),
+                random.choice(invalid_or_extreme),
+            )
+            for w in learned_class.neurons
         }
     fresh = DispatcherHarness(job_class("a"), job_class("b"), workers=4, seed=2)
-    restore_learned_weights(fresh.dispatcher, told)
+    restore_learned_weights(fresh.dispatcher, weights)
     for k in range(30):
         for send in sends(fresh.request(f"x{k}", "a")):
             fresh.end_attempt(f"x{k}", send.worker, m.AttemptOutcome.OK)
@@ -193,7 +199,7 @@
 # ---- the link, between two sides on a clock
 
 
-class Side:
+class ProcessHarness:
     """A process with its end of the link, on a clock and without sockets."""
 
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
@@ -205,95 +211,99 @@
             reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
         )
 
-    def end(self) -> Link:
-        link = Link(self.handover._received, self.handover._lost)
+    def connect(self) -> Link:
+        link = Link(self.handover._on_message, self.handover._on_link_lost)
         link.makeConnection(StringTransport())
-        self.handover._add(link)
+        self.handover._add_link(link)
         return link
 
 
-def test_both_have_half_while_both_live_and_the_one_left_has_the_whole(tmp_path: Path) -> None:
-    side = Side(Reactor(), tmp_path, "n")
-    whole = side.sockets.total
-    link = side.end()
-    assert side.sockets.total < whole / 2 + 1 and side.module.capacity_share == 0.5
+def test_two_processes_share_the_capacity_equally(tmp_path: Path) -> None:
+    process = ProcessHarness(Reactor(), tmp_path, "n")
+    total = process.sockets.total
+    link = process.connect()
+    assert process.sockets.total < total / 2 + 1 and process.module.capacity_share == 0.5
     link.connectionLost()
     assert (
-        side.sockets.total == whole and side.module.capacity_share == 1.0 and side.broker.on_accepted is None
+        process.sockets.total == total
+        and process.module.capacity_share == 1.0
+        and process.broker.on_accepted is None
     )
 
 
-@pytest.mark.parametrize("how", ["heard", "lost", "silence"])
-def test_a_call_back_that_was_passed_on_is_answered_when_it_was_taken_or_nobody_can(
-    tmp_path: Path, how: str
+@pytest.mark.parametrize("event", ["heard", "lost", "silence"])
+def test_a_relayed_callback_is_answered_once_acknowledged_or_undeliverable(
+    tmp_path: Path, event: str
 ) -> None:
     reactor = Reactor()
-    side = Side(reactor, tmp_path, "n")
-    report, told = CallReport("x", "s", CallState.DONE, None, b"r"), list[bool]()
-    assert not side.handover.relay(report, told.append)  # nobody is there
-    link = side.end()
+    process = ProcessHarness(reactor, tmp_path, "n")
+    report, results = CallReport("x", "s", CallState.DONE, None, b"r"), list[bool]()
+    assert not process.handover.relay(report, results.append)  # nobody is there
+    link = process.connect()
     transport: Any = link.transport
-    assert side.handover.relay(report, told.append) and not told
-    (said,) = Lines().feed(transport.value())
-    assert isinstance(said, Passed) and said.report.result == b"r"
-    if how == "heard":
-        link.dataReceived(line(Acknowledged(said.number)))
-    elif how == "lost":
+    assert process.handover.relay(report, results.append) and not results
+    (message,) = MessageDecoder().feed(transport.value())
+    assert isinstance(message, CallbackRelayed) and message.report.result == b"r"
+    if event == "heard":
+        link.dataReceived(encode_message(Acknowledged(message.number)))
+    elif event == "lost":
         link.connectionLost()
     reactor.advance(ACKNOWLEDGE_TIMEOUT)
-    link.dataReceived(line(Acknowledged(said.number)))  # too late, and so nothing
-    assert told == [how != "silence"]
+    link.dataReceived(encode_message(Acknowledged(message.number)))  # too late, and so nothing
+    assert results == [event != "silence"]
 
 
-def test_a_process_between_two_others_asks_both_of_a_job_that_it_does_not_know(tmp_path: Path) -> None:
+def test_a_callback_for_an_unknown_job_is_relayed_to_all_other_processes(tmp_path: Path) -> None:
     # Guards: only the older one was asked, and its word that it has the news counted for the newer one's job.
-    side, told = Side(Reactor(), tmp_path, "n"), list[bool]()
-    links = [side.end(), side.end()]
-    assert side.handover.relay(CallReport("x", "s", CallState.DONE, None, b"r"), told.append)
+    process, results = ProcessHarness(Reactor(), tmp_path, "n"), list[bool]()
+    links = [process.connect(), process.connect()]
+    assert process.handover.relay(CallReport("x", "s", CallState.DONE, None, b"r"), results.append)
     for link in links:
         transport: Any = link.transport
-        (said,) = Lines().feed(transport.value())
-        assert isinstance(said, Passed) and not told
-        link.dataReceived(line(Acknowledged(said.number)))
-    assert told == [True] and side.module.capacity_share == pytest.approx(1 / 3)
-
-
-def test_news_goes_on_to_a_third_process_but_never_back(tmp_path: Path) -> None:
-    side = Side(Reactor(), tmp_path, "n")
-    passed = Passed(5, CallReport("x", "s", CallState.DONE, None, b"r"))
-    only = side.end()
-    only.dataReceived(line(passed))
-    transport: Any = only.transport
-    assert Lines().feed(transport.value()) == [Acknowledged(5)]
-    further = side.end()
+        (message,) = MessageDecoder().feed(transport.value())
+        assert isinstance(message, CallbackRelayed) and not results
+        link.dataReceived(encode_message(Acknowledged(message.number)))
+    assert results == [True] and process.module.capacity_share == pytest.approx(1 / 3)
+
+
+def test_a_relayed_callback_is_forwarded_but_never_returned_to_its_sender(tmp_path: Path) -> None:
+    process = ProcessHarness(Reactor(), tmp_path, "n")
+    relayed = CallbackRelayed(5, CallReport("x", "s", CallState.DONE, None, b"r"))
+    first_link = process.connect()
+    first_link.dataReceived(encode_message(relayed))
+    transport: Any = first_link.transport
+    assert MessageDecoder().feed(transport.value()) == [Acknowledged(5)]
+    second_link = process.connect()
     transport.clear()
-    only.dataReceived(line(passed))
-    there: Any = further.transport
-    (on,) = Lines().feed(there.value())
-    assert isinstance(on, Passed) and not transport.value()
-    further.dataReceived(line(Acknowledged(on.number)))
-    assert Lines().feed(transport.value()) == [Acknowledged(5)]
+    first_link.dataReceived(encode_message(relayed))
+    second_transport: Any = second_link.transport
+    (forwarded,) = MessageDecoder().feed(second_transport.value())
+    assert isinstance(forwarded, CallbackRelayed) and not transport.value()
+    second_link.dataReceived(encode_message(Acknowledged(forwarded.number)))
+    assert MessageDecoder().feed(transport.value()) == [Acknowledged(5)]
 
 
-def test_ids_taken_elsewhere_are_known_here(tmp_path: Path) -> None:
-    side = Side(Reactor(), tmp_path, "n")
-    side.end().dataReceived(line(Taken("x")))
+def test_ids_accepted_by_another_process_are_in_use(tmp_path: Path) -> None:
+    process = ProcessHarness(Reactor(), tmp_path, "n")
+    process.connect().dataReceived(encode_message(RequestAccepted("x")))
     assert (
-        side.broker.has_seen("x") and side.broker.recent_request_ids() == ["x"] and not side.broker.unanswered
+        process.broker.has_seen("x")
+        and process.broker.recent_request_ids() == ["x"]
+        and not process.broker.unanswered
     )
 
 
-def test_a_path_too_long_for_the_system_is_reached_by_its_folder(tmp_path: Path) -> None:
+def test_a_socket_path_over_the_limit_is_addressed_by_its_directory(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 120)
     folder.mkdir()
     upgrade_socket = UpgradeSocket(Reactor(), folder, "name.sock")
     address = upgrade_socket.address("name.sock")
-    assert len(os.fsencode(address)) <= PATH_LIMIT
+    assert len(os.fsencode(address)) <= MAX_SOCKET_PATH
     (folder / "name.sock").write_text("here")
     assert Path(address).read_text() == "here"
 
 
-def test_learned_of_nothing_is_nothing(tmp_path: Path) -> None:
+def test_empty_weights_restore_nothing(tmp_path: Path) -> None:
     assert (
         restore_learned_weights(
             DispatcherHarness(workers=2).dispatcher, LearnedWeights((0.0, 0.0, 0.0), [], [])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -19,27 +19,27 @@
 JOB = b"POST /lookup HTTP/1.1\r\nX-Call-Id: x\r\n"
 
 
-def test_rule_1_what_was_taken_is_answered_once_before_its_deadline(tmp_path: Path) -> None:
+def test_rule_1_an_accepted_request_is_answered_once_before_its_deadline(tmp_path: Path) -> None:
     with running(tmp_path, silent) as rig:
         status, body, _ = rig.submit("a", "/reminder", budget=600)
         assert (status, body) == (500, b"")
         assert rig.endpoints[0].posts == 1
 
 
-def test_rule_2_what_may_have_run_is_not_sent_again(tmp_path: Path) -> None:
+def test_rule_2_a_call_that_may_have_run_is_not_retried(tmp_path: Path) -> None:
     with running(tmp_path, reset, reset, reset) as rig:
         assert rig.submit("a", "/reminder")[0] == 500
         assert sum(p.posts for p in rig.endpoints) == 1
 
 
-def test_rule_2_what_never_ran_goes_to_another_endpoint(tmp_path: Path) -> None:
+def test_rule_2_a_call_that_never_ran_is_retried_at_another_endpoint(tmp_path: Path) -> None:
     with running(tmp_path, reject, reject, reject, done) as rig:
         for k in range(6):
             assert rig.submit(f"a{k}", "/reminder")[:2] == (200, b"made by s-3")
         assert sum(p.posts for p in rig.endpoints) > 6
 
 
-def test_rule_3_nothing_new_goes_to_an_endpoint_told_to_drain(tmp_path: Path) -> None:
+def test_rule_3_a_draining_endpoint_gets_no_new_calls(tmp_path: Path) -> None:
     with running(tmp_path, done, done) as rig:
         draining = rig.endpoints[0]
         rig.change(draining, "draining")
@@ -49,13 +49,13 @@
         assert draining.posts == before
 
 
-def test_rule_4_an_endpoint_that_just_came_up_is_not_pushed_over(tmp_path: Path) -> None:
+def test_rule_4_an_endpoint_that_just_started_is_not_overloaded(tmp_path: Path) -> None:
     with running(tmp_path, done, done, (done, time.time() * 1000)) as rig, ThreadPoolExecutor(8) as pool:
         assert {r[0] for r in pool.map(rig.submit, [f"a{k}" for k in range(40)])} == {200}
         assert rig.endpoints[2].posts <= 1  # its first gaps are minutes long with these figures
 
 
-def test_sigterm_answers_what_was_taken_and_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_answers_accepted_requests_and_exits_with_0(tmp_path: Path) -> None:
     with running(tmp_path, accept) as rig, ThreadPoolExecutor(4) as pool:
         endpoint = rig.endpoints[0]
         first = pool.submit(rig.submit, "first")
@@ -72,7 +72,7 @@
         assert rig.process.wait(20) == 0
 
 
-def test_a_half_sent_request_does_not_hold_up_the_end(tmp_path: Path) -> None:
+def test_a_partially_sent_request_does_not_delay_shutdown(tmp_path: Path) -> None:
     # Guards: the node waited 30 s for the rest of it, and would have been killed meanwhile.
     with running(tmp_path, done) as rig:
         connection = rig.open()
@@ -83,7 +83,7 @@
         connection.close()
 
 
-def test_call_backs_may_come_early_again_or_for_nothing(tmp_path: Path) -> None:
+def test_callbacks_may_be_early_repeated_or_for_unknown_calls(tmp_path: Path) -> None:
     def early(endpoint: Endpoint, handler: object, id: str) -> None:
         for state in ("started", "running", "done", "done", "failed"):
             endpoint.tell(id, state, share=0.5, result="first")
@@ -96,14 +96,14 @@
         assert rig.endpoints[0].posts == 3
 
 
-def test_what_a_client_sends_reaches_the_endpoint_unaltered(tmp_path: Path) -> None:
+def test_target_and_body_reach_the_endpoint_unaltered(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig:
         body = bytes(range(256)) * 256
         assert rig.submit("a", "/lookup/x%20y?b=%2F&c", body=body)[0] == 200
         assert rig.endpoints[0].got == [("POST", "/lookup/x%20y?b=%2F&c", body)]
 
 
-def test_end_to_end_headers_reach_the_endpoint_and_those_of_a_connection_do_not(tmp_path: Path) -> None:
+def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(tmp_path: Path) -> None:
     # Guards: an endpoint that drops repeats by a key of the client's (Idempotency-Key) never saw the key.
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
         rig.endpoints[0].server = peer  # type: ignore[assignment]
@@ -121,7 +121,7 @@
         assert len(names) == len({*names}) and got.endswith(b"\r\n\r\nbody")
 
 
-def test_the_id_of_an_open_request_is_refused_to_others_and_the_first_is_not_disturbed(
+def test_a_repeated_id_is_refused_and_does_not_affect_the_first_request(
     tmp_path: Path,
 ) -> None:
     with running(tmp_path, accept) as rig, ThreadPoolExecutor(1) as pool:
@@ -133,7 +133,7 @@
         assert rig.submit("a", "/reminder")[0] == 409 and len(rig.endpoints[0].got) == 1
 
 
-def test_a_job_whose_client_has_gone_is_given_up(tmp_path: Path) -> None:
+def test_a_job_is_cancelled_when_its_client_disconnects(tmp_path: Path) -> None:
     with running(tmp_path, accept) as rig:
         connection = rig.open()
         connection.request("POST", "/lookup", b"", {"X-Call-Id": "a", "X-Budget-Ms": "9000"})
@@ -144,7 +144,7 @@
         assert rig.endpoints[0].got[-1][:2] == ("DELETE", "/jobs/a")
 
 
-def test_an_endpoint_that_cannot_be_reached_costs_nothing_but_time(tmp_path: Path) -> None:
+def test_calls_to_an_unreachable_endpoint_are_retried_elsewhere(tmp_path: Path) -> None:
     with running(tmp_path, done, done) as rig:
         rig.endpoints[0].server.http.shutdown()
         rig.endpoints[0].server.http.server_close()
@@ -152,7 +152,7 @@
             assert rig.submit(f"a{k}", "/reminder")[:2] == (200, b"made by s-1")
 
 
-def test_a_broken_watch_is_opened_again_from_where_it_was(tmp_path: Path) -> None:
+def test_a_broken_watch_resumes_from_its_last_index(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig:
         assert rig.discovery.watched.get(timeout=20).endswith("index=1")
         rig.revision = 7
@@ -240,7 +240,7 @@
     assert shared.raw(data).startswith(b"HTTP/1.1 %d " % status)
 
 
-def test_more_connections_than_sockets_do_no_harm(tmp_path: Path) -> None:
+def test_calls_succeed_with_more_client_connections_than_sockets(tmp_path: Path) -> None:
     # Guards: at the limit idle connections go and accepting waits, so that calls still find sockets.
     with running(tmp_path, done, sockets=64) as rig, contextlib.ExitStack() as stack:
         for _ in range(100):
@@ -252,7 +252,7 @@
         assert len(list(fds.iterdir())) <= 64
 
 
-def test_a_crowd_that_asks_once_and_stays_leaves_room_for_the_next(tmp_path: Path) -> None:
+def test_idle_connections_are_closed_for_new_ones(tmp_path: Path) -> None:
     # Guards: at most 80 connections a second made room, so that where more came requests were not taken.
     with running(tmp_path, done, sockets=64) as rig, contextlib.ExitStack() as stack:
         for k in range(400):
@@ -263,14 +263,14 @@
                 assert rig.submit(f"a{k}")[0] == 200
 
 
-def test_who_says_nothing_of_use_is_answered_or_closed_but_one_answered_may_rest(shared: Rig) -> None:
+def test_silent_and_slow_connections_time_out_but_idle_keep_alive_ones_stay(shared: Rig) -> None:
     # Guards: silent connections had no timer, half-sent requests had 30 s, and trickling must renew nothing.
     with contextlib.ExitStack() as stack:
-        silent, half, trickling, rested = (stack.enter_context(shared.socket()) for _ in range(4))
-        for sock in (half, trickling):
+        silent, partial, trickling, idle = (stack.enter_context(shared.socket()) for _ in range(4))
+        for sock in (partial, trickling):
             sock.sendall(JOB)
-        rested.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert rested.recv(4096).startswith(b"HTTP/1.1 200 ")
+        idle.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert idle.recv(4096).startswith(b"HTTP/1.1 200 ")
         got = b""
         while not got:
             with contextlib.suppress(TimeoutError, OSError):
@@ -278,13 +278,13 @@
                 trickling.settimeout(0.1)
                 got = trickling.recv(4096)
         assert got.startswith(b"HTTP/1.1 408 ")
-        assert half.recv(4096).startswith(b"HTTP/1.1 408 ") and half.recv(1) == b""
+        assert partial.recv(4096).startswith(b"HTTP/1.1 408 ") and partial.recv(1) == b""
         assert silent.recv(1) == b""
-        rested.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
-        assert rested.recv(4096).startswith(b"HTTP/1.1 200 ")
+        idle.sendall(b"GET /ready HTTP/1.1\r\n\r\n")
+        assert idle.recv(4096).startswith(b"HTTP/1.1 200 ")
 
 
-def test_an_error_reaches_one_that_sends_on_without_reading(shared: Rig) -> None:
+def test_an_error_response_reaches_a_client_that_keeps_sending(shared: Rig) -> None:
     # Guards: closed with unread input the connection was reset, and the answer lost; nothing after an error
     # may be taken for a request, and what is dropped must not be held in memory.
     memory = Path(f"/proc/{shared.process.pid}/status")
@@ -302,31 +302,31 @@
     assert int(peak.split()[1]) < 60_000  # kB, of which the interpreter has some 25,000
 
 
-def test_more_requests_than_sockets_leave_room_for_the_call_backs(tmp_path: Path) -> None:
+def test_waiting_requests_leave_sockets_for_callbacks(tmp_path: Path) -> None:
     # Guards: waiting requests held every socket of the listener, so that no call-back could end one.
     with running(tmp_path, accept, sockets=64) as rig, ThreadPoolExecutor(60) as pool:
-        room = Sockets(64).requests
-        asked = [pool.submit(rig.submit, f"a{k}", body=b"a%d" % k) for k in range(60)]
-        until(lambda: sum(answer.done() for answer in asked) >= 60 - room)
-        rejected = [answer.result()[2] for answer in asked if answer.done()]
+        capacity = Sockets(64).requests
+        requests = [pool.submit(rig.submit, f"a{k}", body=b"a%d" % k) for k in range(60)]
+        until(lambda: sum(answer.done() for answer in requests) >= 60 - capacity)
+        rejected = [answer.result()[2] for answer in requests if answer.done()]
         assert {(r.status, r.getheader("Connection")) for r in rejected} == {(503, "close")}
         assert all(0 < float(r.getheader("Retry-After") or 0) <= 2 for r in rejected)
-        told: set[bytes] = set()
-        while not all(answer.done() for answer in asked):
+        reported: set[bytes] = set()
+        while not all(answer.done() for answer in requests):
             for _, _, id in rig.endpoints[0].got:
-                if id not in told:
-                    told.add(id)
+                if id not in reported:
+                    reported.add(id)
                     assert rig.endpoints[0].tell(id.decode(), "done", result="r") == 204
-        assert sum(answer.result()[:2] == (200, b"r") for answer in asked) == room == len(told)
+        assert sum(answer.result()[:2] == (200, b"r") for answer in requests) == capacity == len(reported)
 
 
-def test_requests_back_to_back_are_answered_in_turn(tmp_path: Path) -> None:
+def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig:
         sock = rig.open()
         sock.connect()
-        one = JOB.replace(b": x", b": %d") + b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
+        request = JOB.replace(b": x", b": %d") + b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
         assert sock.sock is not None
-        sock.sock.sendall(b"".join(one % k for k in range(3)) + b"GET /ready HTTP/1.1\r\n\r\n")
+        sock.sock.sendall(b"".join(request % k for k in range(3)) + b"GET /ready HTTP/1.1\r\n\r\n")
         data = b""
         while data.count(b"HTTP/1.1 200") < 4:
             got = sock.sock.recv(4096)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -38,24 +38,26 @@
         yield rig
 
 
-def test_a_word_to_read_the_configuration_does_not_end_a_process_that_starts(starting: Rig) -> None:
+def test_sighup_during_the_start_does_not_end_the_process(starting: Rig) -> None:
     # Guards: a SIGHUP to all nodes while some were starting was the end of those.
-    text, later = json.dumps(starting.conf), starting.file.with_suffix(".later")
-    later.write_text(text)
+    text, replacement = json.dumps(starting.conf), starting.file.with_suffix(".later")
+    replacement.write_text(text)
     with starting.file.open("w") as pipe:  # opens as soon as the process reads
-        later.rename(starting.file)
+        replacement.rename(starting.file)
         starting.process.send_signal(signal.SIGHUP)
         pipe.write(text)
     assert starting.process.stderr is not None
-    told = ""
+    log_text = ""
     for line in starting.process.stderr:
-        told += line
-        if "event=reloaded" in told and "event=listening" in told:  # and nothing that was told is lost
+        log_text += line
+        if (
+            "event=reloaded" in log_text and "event=listening" in log_text
+        ):  # and nothing that was told is lost
             return
-    raise AssertionError(told)
+    raise AssertionError(log_text)
 
 
-def test_a_word_to_stop_ends_a_process_that_starts_in_good_order(starting: Rig) -> None:
+def test_sigterm_during_the_start_ends_the_process_cleanly(starting: Rig) -> None:
     with starting.file.open("w") as pipe:
         starting.process.send_signal(signal.SIGTERM)
         starting.process.send_signal(signal.SIGTERM)
@@ -64,24 +66,24 @@
 
 
 @pytest.mark.parametrize("longest", [400.0, 1000.0, 3000.0, 8000.0])
-def test_all_that_arrives_in_the_end_is_answered_before_the_process_may_be_killed(longest: float) -> None:
+def test_late_requests_are_answered_before_the_process_may_be_killed(longest: float) -> None:
     # Guards: with short deadlines the kill comes earlier than 3.7 s, and found answers still owed.
     classes = [
         {**c, "giveUp": min(longest, 400.0) if k else longest} for k, c in enumerate(SETTINGS["classes"])
     ]
-    settings, broker, nothing = settings_from({**SETTINGS, "classes": classes}), Any, Any
+    settings, broker, unused = settings_from({**SETTINGS, "classes": classes}), Any, Any
     reactor = Reactor()
     checks = NodeChecks(lambda: True, lambda name: 0.0)
     lifecycle = Lifecycle()
-    handler = RequestHandler(broker, nothing, settings.classes, checks, lifecycle)
-    listener = Listener(reactor, lambda: 5e6, nothing, lifecycle, handler)  # type: ignore[arg-type]
+    handler = RequestHandler(broker, unused, settings.classes, checks, lifecycle)
+    listener = Listener(reactor, lambda: 5e6, unused, lifecycle, handler)  # type: ignore[arg-type]
     listener.stop()
-    killed = min(longest, 3000.0) + 700.0  # PROTOCOL, 'Figures'
-    assert broker.answer_deadline == 5e6 + answer_time_after_stop(longest) == 5e6 + killed - 200.0
+    kill_time = min(longest, 3000.0) + 700.0  # PROTOCOL, 'Figures'
+    assert broker.answer_deadline == 5e6 + answer_time_after_stop(longest) == 5e6 + kill_time - 200.0
     assert idle_connection_time_after_stop(longest) < answer_time_after_stop(longest)
 
 
-def test_a_request_that_becomes_whole_late_in_the_end_is_answered_by_its_last_moment(tmp_path: Path) -> None:
+def test_a_request_completed_late_in_the_shutdown_is_answered_in_time(tmp_path: Path) -> None:
     # Guards: as above, on real connections; its own deadline is far later. It was answered after 3.5 s.
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
         classes = [{**c, "giveUp": 300.0} for c in SETTINGS["classes"]]
@@ -91,17 +93,17 @@
         head = b"POST /lookup HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 60000\r\nContent-Length: 1\r\n\r\n"
         sock.sendall(head)
         until(lambda: rig.submit("b", "/nothing")[0] == 404)
-        told_at = time.monotonic()
+        stop_sent_at = time.monotonic()
         rig.terminate()
         rig.says("event=stopping")
         sock.sendall(b"b")
         assert b"X-Call-Id: a" in peer.asked()[1]  # and is never answered
         assert message(sock).startswith(b"HTTP/1.1 500 ")
-        assert time.monotonic() - told_at < 3.0  # due after 0.8 s
+        assert time.monotonic() - stop_sent_at < 3.0  # due after 0.8 s
         assert rig.process.wait(20) == 0
 
 
-def test_a_node_that_cannot_reach_discovery_ends_in_good_order(tmp_path: Path) -> None:
+def test_a_node_that_cannot_reach_discovery_shuts_down_cleanly(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig, Peer() as peer:
         rig.reload(json.dumps(rig.conf | {"discovery": peer.address}))
         peer.accept()  # and says nothing
@@ -112,9 +114,7 @@
 
 
 @pytest.mark.parametrize("turn", range(3))
-def test_a_request_that_crosses_the_close_of_its_connection_is_answered_or_not_sent_on(
-    tmp_path: Path, turn: int
-) -> None:
+def test_a_request_that_crosses_the_close_is_answered_or_not_forwarded(tmp_path: Path, turn: int) -> None:
     # Both are right; to send it on and end the connection without an answer loses it.
     with running(tmp_path, done) as rig, rig.socket() as sock:
         sock.sendall(b"POST /lookup HTTP/1.1\r\nX-Call-Id: a\r\nContent-Length: 0\r\n\r\n")
