--- a/tests/test_fleet_consensus_servers.py
+++ b/tests/test_fleet_consensus_servers.py
@@ -174,7 +174,7 @@
         full = fleet.servers["S3"]
         full.kill()
         blocks = (full.folder / "data.mdb").stat().st_size // 1024
-        full.start(limit=f"-f {blocks + 8}")
+        full.start(ulimit=f"-f {blocks + 8}")
         for k in range(300):
             fleet.change(f"c{k}", p.SetClass("lookup", {"aim": 1.0 + k}))
             if full.process.poll() is not None:
