--- a/bitternpath/balancer/fleet/consensus_server.py
+++ b/bitternpath/balancer/fleet/consensus_server.py
@@ -105,7 +105,7 @@
     def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
         if isinstance(message, m.Hello):
             if message.role != "steward" or message.name.partition(".")[0] != self.name:
-                connection.abort(f"is not the server {self.name}")
+                connection.abort(f"peer is not the server {self.name}")
                 return
             self.connection, self.backoff = connection, FIRST_BACKOFF
             self.server.identify_member(message.name)
--- a/bitternpath/balancer/fleet/plan.py
+++ b/bitternpath/balancer/fleet/plan.py
@@ -266,9 +266,8 @@
     changes: list[AgreedVersion] = []  # retained released ones, then unreleased ones
     release_times: dict[int, float] = {}  # version: Unix s
     holders: dict[str, Holder] = {}
-    change_versions: dict[str, int] = msgspec.field(
-        default_factory=dict, name="ids"
-    )  # of changes: their version
+    # change id: the version it was committed as
+    change_versions: dict[str, int] = msgspec.field(default_factory=dict, name="ids")
     # by process (node#boot)
     process_audits: dict[str, ProcessAudit] = msgspec.field(default_factory=dict, name="accounts")
 
@@ -327,7 +326,7 @@
             case LeaseEnded(node, boot, fencing_token, reason, time):
                 ended_holder = self.holders.get(f"{node}#{boot}")
                 if ended_holder is None or ended_holder.fencing_token != fencing_token:
-                    return f"{node} does not hold fence {fencing_token}"
+                    return f"{node} does not hold fencing token {fencing_token}"
                 del self.holders[ended_holder.key]
                 self.process_audits.setdefault(ended_holder.key, ProcessAudit(node, boot)).end_lease(
                     fencing_token, time, reason
@@ -345,7 +344,7 @@
         for key, process_audit in list(self.process_audits.items()):
             if process_audit.entries and process_audit.entries[0].at < oldest:
                 process_audit.drop_entries_before(oldest)
-            # Retained even without entries: the missing entries of an ended lease are reported by it.
+            # The audit of an ended lease without entries is retained, so that they are reported as missing.
             last_lease_end = process_audit.ended_leases[-1][1] if process_audit.ended_leases else 0.0
             if not process_audit.entries and key not in self.holders and last_lease_end < oldest:
                 del self.process_audits[key]
@@ -383,7 +382,7 @@
             try:
                 plan = plan.with_version(replaced)
             except PlanError as error:
-                return f"version {agreed.version} rests on it: {error}"
+                return f"version {agreed.version} depends on it: {error}"
             changes.append(replaced)
         self.latest, self.changes = plan, changes
         return ""
--- a/bitternpath/cli/fleet_members.py
+++ b/bitternpath/cli/fleet_members.py
@@ -20,9 +20,9 @@
     status, no_majority = fleet.query()
     print_no_majority(status, no_majority)
     for member_id in status["voters"]:
-        click.echo(f"{member_id} votes" + (", leads" if member_id == status["leader"] else ""))
+        click.echo(f"{member_id} voter" + (", leader" if member_id == status["leader"] else ""))
     for member_id in status["learners"]:
-        click.echo(f"{member_id} learns")
+        click.echo(f"{member_id} learner")
 
 
 @members.command()
--- a/bitternpath/cli/fleet_reports.py
+++ b/bitternpath/cli/fleet_reports.py
@@ -35,9 +35,9 @@
             f"{record['released']} released, {record['latest']} agreed, {record['in_effect']} applied by all"
         )
         for member_id in record["voters"]:
-            click.echo(f"server {member_id}" + (" (leads)" if member_id == record["leader"] else ""))
+            click.echo(f"server {member_id}" + (" (leader)" if member_id == record["leader"] else ""))
         for member_id in record["learners"]:
-            click.echo(f"server {member_id} (learns, does not vote yet)")
+            click.echo(f"server {member_id} (learner, does not vote yet)")
         rows = [
             (
                 h["node"], h["boot"], h["site"], ".".join(map(str, h["release"])), h["fence"],
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -279,7 +279,7 @@
     record = p.Record()
     commit_change(record, 1, p.EjectWorker("w1"))
     commit_change(record, 2, p.ReinstateWorker("w1"))
-    assert "version 2 rests on it" in record.apply(3, p.WithdrawVersion(1, "ana", ""))
+    assert "version 2 depends on it" in record.apply(3, p.WithdrawVersion(1, "ana", ""))
     assert len(record.unreleased) == 2 and record.changes[0].change == p.EjectWorker("w1")
 
 
