--- a/bitternpath/testing/__init__.py
+++ b/bitternpath/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Test worlds: the balancer's emulator, the service in virtual time, real processes with injected faults."""
+"""Test harnesses: the balancer's emulator, the service in virtual time, real processes under faults."""
--- a/bitternpath/testing/simulation/actors/__init__.py
+++ b/bitternpath/testing/simulation/actors/__init__.py
@@ -1,1 +1,1 @@
-"""Actors of a simulated run: operators, senders, workers, the platform, call-back receivers, faults."""
+"""Actors of a simulated run: operators, clients, workers, the platform, and the injection of faults."""
--- a/bitternpath/testing/simulation/actors/clients.py
+++ b/bitternpath/testing/simulation/actors/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a simulated run: messages, reads of their states, and probes of routes that come and go."""
+"""Clients of a simulated run: messages, reads of their states, and probes of routes that change."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 CLIENT_IP = "10.95.0.1"
 PROBE_BODY = b"probe"
-PROBED_DOCUMENTS = 3  # the newest ones that were sent, whose routes are probed
+PROBED_DOCUMENTS = 3  # number of the newest documents sent whose routes are probed
 UNKNOWN_PREFIX = "/never/"
 
 
@@ -47,11 +47,11 @@
 
     @property
     def in_flight(self) -> int:
-        """How many messages, probes and reads are in flight."""
+        """The number of messages, probes and reads in flight."""
         return self._in_flight.count
 
     def message(self, event: Message) -> None:
-        """Send a message, and read its state later."""
+        """Send a message and read its state later."""
         self._in_flight.begin(self._message(event))
 
     def probe(self, event: Probe) -> None:
@@ -107,7 +107,7 @@
             )
 
     def _prefixes(self) -> list[str]:
-        """Prefixes of routes that the newest documents have or had, and one that no document had."""
+        """Prefixes of routes of the newest documents, and one that no document ever had."""
         prefixes = [UNKNOWN_PREFIX]
         for document in self._operators.documents[-PROBED_DOCUMENTS:]:
             prefixes += [route["path_prefix"] for route in document["routes"][len(Kind) :]]
@@ -115,5 +115,5 @@
 
 
 def seeded(plan: RunPlan, purpose: str) -> Random:
-    """A generator of the run's seed for one actor."""
+    """A random generator for one actor, derived from the run's seed."""
     return Random(f"{plan.seed}/{purpose}")
--- a/bitternpath/testing/simulation/actors/in_flight.py
+++ b/bitternpath/testing/simulation/actors/in_flight.py
@@ -1,4 +1,4 @@
-"""Coroutines in flight of an actor."""
+"""Tracking of an actor's coroutines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class InFlight:
-    """Counts coroutines in flight; `failed` receives the failure of one that raises."""
+    """Counts coroutines in flight; `failed` receives the failure of a coroutine that raises."""
 
     def __init__(self, failed: Callable[[Any], object]) -> None:
         self._failed = failed
         self.count = 0
 
     def begin(self, work: Any) -> None:
-        """Run a coroutine."""
+        """Start a coroutine."""
         self.count += 1
         Deferred.fromCoroutine(work).addBoth(self._ended).addErrback(self._failed)
 
--- a/bitternpath/testing/simulation/actors/machine_faults.py
+++ b/bitternpath/testing/simulation/actors/machine_faults.py
@@ -1,4 +1,4 @@
-"""Injects a plan's faults of machines into a world, and records which machines were disrupted when."""
+"""Injects a plan's faults of machines into a world, and records the disruptions."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 if TYPE_CHECKING:
     from bitternpath.testing.simulation.world import World
 
-GRACE_S = 6.0  # `grace_s`: after a SIGTERM
-RESTART_WITHIN_S = 1.0  # after a process has ended
+GRACE_S = 6.0  # `grace_s`: maximum time from SIGTERM to the end of a process
+RESTART_WITHIN_S = 1.0  # maximum time from the end of a process to its restart
 SLOW_FACTOR = 20.0
-PACKET_LOSS = 0.05  # of packets on lossy links
+PACKET_LOSS = 0.05  # share of packets lost on lossy links
 SHORTEST_DOWN_S = 0.3
 
 
 class MachineFaults:
-    """Injects faults of machines; those that last end by themselves."""
+    """Injects faults of machines, which end after their duration."""
 
     def __init__(self, world: World, history: SystemHistory, directory: NodeDirectory) -> None:
         self._world = world
         self._history = history
         self._directory = directory
-        self._lossy: set[str] = set()  # names of machines
+        self._lossy: set[str] = set()  # names of machines with lossy links
         self._injectors: dict[FaultKind, Callable[[Fault, str], None]] = {
             FaultKind.KILL: self._kill,
             FaultKind.POWER: self._power,
@@ -53,7 +53,7 @@
         }
 
     def play(self, fault: Fault) -> None:
-        """Inject a fault now; the later parts of one that comes in steps follow by themselves."""
+        """Inject a fault now and schedule its later steps."""
         if fault.kind is FaultKind.HALVES:
             self._partition_halves(fault)
         elif fault.kind is FaultKind.POWER_CHAIN:
@@ -70,13 +70,13 @@
                 self._injectors[fault.kind](fault, name)
 
     def retired(self, planned: str) -> None:
-        """Remove a machine whose retirement is reported as done, with its disk."""
+        """Remove a machine whose retirement is reported as done, together with its disk."""
         name = self._directory.name(planned)
         self._world.remove(name)
         self._directory.changed()
 
     def heal(self) -> None:
-        """End all faults that still last."""
+        """End all faults in progress."""
         for node in list(self._world.nodes.values()):
             self._world.thaw(node.name)
             self._world.heal_host(node.name)
@@ -85,7 +85,7 @@
             if node.factor != 1.0:
                 self._world.slow(node.name, 1.0)
 
-    # ---- each kind
+    # ---- kinds of faults
 
     def _kill(self, fault: Fault, name: str) -> None:
         self._world.kill(name, self._down_s(fault))
@@ -173,7 +173,7 @@
             self._world.set_packet_loss(name, other, 0.0)
 
     def _partition_halves(self, fault: Fault) -> None:
-        """Cut `fault.nodes` from the other machines that count; all others reach both halves (NEWS-22)."""
+        """Partition `fault.nodes` from the other counted machines; all others reach both halves (NEWS-22)."""
         half = {self._directory.name(planned) for planned in fault.nodes}
         counted = [node.name for node in (*self._world.edges(), *self._world.storages()) if node.counted]
         for name in half:
@@ -185,7 +185,7 @@
             self._record_outage(DisruptionKind.PARTITION, name, fault.lasts)
 
     def _power_chain(self, fault: Fault) -> None:
-        """Each machine loses power `gap_s` after the one before, while those before may still be off."""
+        """Let each machine lose power `gap_s` after its predecessor, while others may still be off."""
         for position, planned in enumerate(fault.nodes):
             link = msgspec.structs.replace(
                 fault,
@@ -195,13 +195,13 @@
             )
             self._world.at(self._world.now + position * fault.gap_s, self._inject, link)
 
-    # ---- parts
+    # ---- helpers
 
     def _restore_speed(self, name: str) -> None:
         self._world.slow(name, 1.0)
 
     def _others(self, name: str) -> list[str]:
-        """All other machines of the system; operators, clients and workers reach either side."""
+        """All other machines of the system; operators, clients and workers are not partitioned from it."""
         return [other.name for other in (*self._world.edges(), *self._world.storages()) if other.name != name]
 
     @staticmethod
--- a/bitternpath/testing/simulation/actors/node_directory.py
+++ b/bitternpath/testing/simulation/actors/node_directory.py
@@ -1,4 +1,4 @@
-"""The nodes that actors know of: the load balancer at once, operators by a list that lags."""
+"""The nodes that actors know: the load balancer has the current list, operators have a delayed one."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     control: str
 
     def address(self, port: Port) -> str:
-        """Where it listens."""
+        """The address of one of its ports."""
         return {Port.FRONT: self.front, Port.READINESS: self.readiness, Port.CONTROL: self.control}[port]
 
 
 class NodeDirectory:
-    """The edge nodes of a world, now and a while ago, and the names that a plan uses.
+    """The current and former lists of a world's edge nodes, and the names that a plan uses.
 
-    Plans call machines `e1`, `e2` ... (edge) and `s1`, `s2` ... (storage), in the world's order; a successor
-    is called as its predecessor was.
+    Plans name machines `e1`, `e2` ... (edge) and `s1`, `s2` ... (storage), in the world's order; a successor
+    inherits the name of its predecessor.
     """
 
     def __init__(self, world: World, lag_s: float) -> None:
@@ -45,27 +45,27 @@
         self.changed()
 
     def changed(self) -> None:
-        """Note that machines were added or removed."""
+        """Update the list after machines were added or removed."""
         self.edges[:] = [_address(node) for node in self._world.edges()]
         self._edge_lists.append((self._world.now, tuple(self.edges)))
 
     def lagging(self) -> Sequence[NodeAddress]:
-        """The list that operators have now: that of `lag_s` ago."""
+        """The list that operators have: the one from `lag_s` ago."""
         then = self._world.now - self._lag_s
         known = [edges for at, edges in self._edge_lists if at <= then]
         return known[-1] if known else self._edge_lists[0][1]
 
     def name(self, planned: str) -> str:
-        """The present name of a machine of the plan."""
+        """The current node name of a machine of the plan."""
         return self._names[planned]
 
     def replaced(self, planned: str, successor: str) -> None:
-        """Note that a successor has replaced a machine."""
+        """Assign a machine's name in the plan to its successor."""
         self._names[planned] = successor
         self.changed()
 
     def incarnation(self, name: str) -> int:
-        """How often a node's process has been started."""
+        """The incarnation of a node's process."""
         return self._world.nodes[name].incarnations
 
 
--- a/bitternpath/testing/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -34,19 +34,19 @@
 from bitternpath.testing.simulation.events import Order, OrderStyle, ReadConfiguration, Retire
 
 OPERATOR_IP = "10.99.0.1"
-ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
+ORDER_RETRY_FOR_S = 8.0  # longer than `ack_ms`, to record how late an acknowledgement is
 FIRST_ORDER_RETRY_FOR_S = 25.0
-RETIRE_RETRY_FOR_S = 5.0  # `ack_ms`: for so long an order to retire is sent again
+RETIRE_RETRY_FOR_S = 5.0  # `ack_ms`: how long an order to retire is repeated
 RETIRE_POLL_INTERVAL_S = 0.3
-RETIRE_TIMEOUT_S = 25.0  # then it is given up
+RETIRE_TIMEOUT_S = 25.0  # for a retirement to be reported as done
 POLLS_AFTER_DONE = 6
-RIVAL_NUMBERS = 10_000  # between the numbers of rivals' changes
+RIVAL_NUMBERS = 10_000  # distance between the numbers of rival changes
 MAX_READ_ATTEMPTS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """A change to be sent: its call, the version on which it is based, and the document that it makes.
+    """A change to send: its call, the version on which it is based, and the resulting document.
 
     The first `lost_answers` answers don't reach the operator; the call is repeated for `retry_for_s` at most.
     """
@@ -60,7 +60,7 @@
 
 
 class Operators:
-    """All operators. `newest`: the newest document that any of them knows to be in force."""
+    """All operators. `newest`: the newest document that any operator knows to be in force."""
 
     def __init__(self, run: RunContext) -> None:
         self._world = run.world
@@ -69,13 +69,13 @@
         self._directory = run.directory
         self._reactor: Any = run.world.host(OPERATOR_IP)
         self.newest: dict[str, Any] = {"version": 0, "routes": []}
-        self.documents: list[dict[str, Any]] = []  # that were sent, in order
+        self.documents: list[dict[str, Any]] = []  # valid documents that were sent, in order
         self._in_flight = InFlight(run.failed)
         self.on_retired: Callable[[str], object] = _ignore_retirement
 
     @property
     def in_flight(self) -> int:
-        """How many calls are in flight."""
+        """The number of orders, reads and retirements in flight."""
         return self._in_flight.count
 
     def create_configuration(self, document: dict[str, Any]) -> None:
@@ -93,11 +93,11 @@
         self._in_flight.begin(self._read_until_answered(self._calls(self._plan.random(event)), attempts=1))
 
     def retire(self, event: Retire) -> None:
-        """Retire a machine, and remove it once that is done."""
+        """Retire a machine, and report it to `on_retired` once that is done."""
         self._in_flight.begin(self._retire(event))
 
     def read_back(self, seconds: float) -> None:
-        """Read the configuration repeatedly for `seconds`; the last answer counts."""
+        """Read the configuration repeatedly for `seconds` and record the last answer."""
         self._in_flight.begin(self._read_back(seconds))
 
     # ---- changes
@@ -119,7 +119,7 @@
         if event.twice:
             sent.append(self._send(self._calls(random), change))
         for rival in range(1, event.rivals + 1):
-            number = 2 * (event.number + rival * RIVAL_NUMBERS) + 1  # odd: it adds a route of its own
+            number = 2 * (event.number + rival * RIVAL_NUMBERS) + 1  # odd numbers add a route of their own
             other = changed_document(before, number, version)
             rival_change = ConfigurationChange(put_call(base, other), base, other)
             sent.append(self._send(self._calls(random), rival_change))
@@ -130,7 +130,7 @@
             await self._read_until_answered(calls, MAX_READ_ATTEMPTS)
 
     async def _send(self, calls: ControlCalls, change: ConfigurationChange) -> OrderOutcome:
-        """Send a change until its outcome is clear, and record it."""
+        """Send a change until its outcome is decided, and record it."""
         sent_at = self._world.now
         if change.valid:
             self.documents.append(change.document)
@@ -197,7 +197,7 @@
                 await self._call_retire(calls, RetireCall.READ, machine)
 
     async def _order_retirement(self, calls: ControlCalls, machine: str) -> bool:
-        """Order the retirement; whether it was accepted."""
+        """Order the retirement; returns whether it was accepted."""
         give_up_at = self._world.now + RETIRE_RETRY_FOR_S
         backoff_s, refusals, attempts = MIN_BACKOFF_S, 0, 0
         while self._world.now < give_up_at:
@@ -235,7 +235,7 @@
         return answer
 
     def _is_valid(self, machine: str) -> bool:
-        """Whether the machine runs, and enough others do."""
+        """Whether the machine runs and enough others run."""
         running = [node.name for node in self._world.storages() if node.state.value == "up"]
         required = 2 * self._plan.layout.tolerated + 1
         return machine in running and len(running) - 1 >= required
@@ -249,4 +249,4 @@
 
 
 def _ignore_retirement(_planned: str) -> None:
-    """Nobody removes the machine."""
+    """Default of `Operators.on_retired`."""
--- a/bitternpath/testing/simulation/actors/run_context.py
+++ b/bitternpath/testing/simulation/actors/run_context.py
@@ -1,4 +1,4 @@
-"""What the actors of a simulated run share."""
+"""The state that actors of a simulated run share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunContext:
-    """The world, its plan, the history that actors write to, and the names of nodes.
+    """The world, its plan, the history that actors record, and the directory of nodes.
 
     `failed` receives the failure of an actor's coroutine, which makes the run void.
     """
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -1,7 +1,7 @@
-"""Workers of a simulated run: listed ones with incarnations, one endpoint, and those that pull.
+"""Workers of a simulated run: listed workers with incarnations, one endpoint, and pulling workers.
 
-Those that are called have moods: they fail, refuse, fall silent, drop what they run, or hand out bytes that
-are no answer. A run that was answered so hasn't ended.
+Called workers can be faulty: they fail, refuse, don't answer, drop connections or send malformed answers. A
+run that is answered in such a way doesn't count as ended.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
 LISTED_WORKERS, LISTED_SLOTS, LISTED_WORK_S = 3, 4, (0.02, 0.12)
 ENDPOINT_SLOTS, ENDPOINT_WORK_S = 8, (0.02, 0.1)
 PULLERS, PULLED_WORK_S = 4, (0.05, 0.3)
-LONG_PULLED_WORK_S = (1.2, 2.4)  # of one puller: it must extend its leases
+LONG_PULLED_WORK_S = (1.2, 2.4)  # for one puller, which has to extend its leases
 WORKER_PORT = 8080
 LISTED_NETWORK, ENDPOINT_IP, PULLER_NETWORK = "10.98.0", "10.97.0.1", "10.96.0"
-MAX_LIST_LAG_S = 0.8  # of the platform's list
-DRAIN_S = 4.5  # after it was shown as draining: `drain_ms` and somewhat longer
-UNLIST_DELAY_S = 1.0  # after its end a worker still stands on the list for so long
-ADDRESS_REUSE_DELAY_S = 2.5  # over `reuse_after_s`: then another incarnation has the address
+MAX_LIST_LAG_S = 0.8  # maximum delay of a change in the platform's list
+DRAIN_S = 4.5  # time from the start of draining to the end of a worker; over `drain_ms`
+UNLIST_DELAY_S = 1.0  # time from the end of a worker to its removal from the list
+ADDRESS_REUSE_DELAY_S = 2.5  # time until a new incarnation reuses the address; over `reuse_after_s`
 OTHER_ID = "f" * 16
 JUNK = b"\x00\x7fHTPT/1.1 2oo \r\n\x01\x02\r\n"
 SHORT_RESPONSE = (
@@ -53,10 +53,10 @@
 
 
 class FaultyWorker(HttpWorker):
-    """A worker that is called and can be faulty for a while."""
+    """A called worker with injected faults."""
 
     fault: WorkerFaultKind | None = None
-    on_answer: Callable[[Answer, str], object]  # receives each answer and the address to which it goes
+    on_answer: Callable[[Answer, str], object]  # receives each answer and the address of its receiver
 
     def begin_fault(self, world: World, fault: WorkerFaultKind, lasts: float) -> None:
         """Be faulty for `lasts` seconds."""
@@ -82,7 +82,7 @@
         self.on_answer(answer, connection.transport.getPeer().host)
 
     def _answer_faulty(self, fault: WorkerFaultKind, job: Job) -> bool:
-        """Answer as the fault demands; False if it leaves answers as they are."""
+        """Answer according to the fault; returns False if the fault doesn't change answers."""
         transport, stamp = job.connection.transport, self._behavior.stamp(self.instance)
         if fault is WorkerFaultKind.NO_ANSWER:
             return True
@@ -104,7 +104,7 @@
 
 
 class FaultyEndpoint(Endpoint, FaultyWorker):
-    """The endpoint, which can be faulty for a while."""
+    """The endpoint with injected faults."""
 
 
 class Workers:
@@ -139,7 +139,7 @@
         worker.begin_fault(self._world, event.fault, event.lasts)
 
     def drain(self, event: WorkerDeparture) -> None:
-        """Show a worker as draining, end it, and let a new incarnation have its address."""
+        """Show a worker as draining, end it, and start a new incarnation at its address."""
         worker = self.listed[event.worker]
         entry = self._entries.get(worker.instance)
         if entry is None or entry["state"] == "draining":
@@ -177,7 +177,7 @@
         return worker
 
     def _record_read(self, answer: Answer, sender: str) -> None:
-        """An answer counts as read only if its sender runs all the time that it takes to come."""
+        """Mark an answer as read if its receiver keeps running for as long as it may be in flight."""
         node = next(node for node in self._world.nodes.values() if node.ip == sender)
         incarnation = node.incarnations
         answer.read = _runs(node)
@@ -188,7 +188,7 @@
         self._world.at(self._world.now + READ_MARGIN_AFTER_ANSWER_S, check_again)
 
     def _publish(self, draining: str = "") -> None:
-        """The list shows its entries as they are now, a while later."""
+        """Show the current entries in the platform's list after a random delay."""
         entries = list(self._entries.values())
         self._world.at(
             self._world.now + self._lag.uniform(0.0, MAX_LIST_LAG_S), self._show, entries, draining
--- a/bitternpath/testing/simulation/checks/__init__.py
+++ b/bitternpath/testing/simulation/checks/__init__.py
@@ -1,1 +1,1 @@
-"""What actors of a simulated run saw, and pure checkers named after RULES that read nothing else."""
+"""Observations of the actors of a simulated run, and checkers of the rules (RULES) that read nothing else."""
--- a/bitternpath/testing/simulation/checks/configuration.py
+++ b/bitternpath/testing/simulation/checks/configuration.py
@@ -1,4 +1,4 @@
-"""CONFIG and LOST, of configurations (RULES, "Configuration"; PROTOCOL, "The operator's API"). Pure."""
+"""Rules of the configuration (RULES, "Configuration"; PROTOCOL, "The operator's API"). Pure functions."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def check_read_content(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """What is read under a number is what was sent under it, and was neither refused nor invalid."""
+    """A document that is read was sent with that version, and was neither refused nor invalid."""
     for read in history.reads:
         if read.version == NO_VERSION:
             continue
         same_version = [order for order in history.orders if order.version == read.version]
         matching = [order for order in same_version if order.document == read.document]
         if not matching:
-            text = f"{read.node} read back {read.version} at {read.ended_at:.3f}, which nobody sent so"
+            text = f"{read.node} read back {read.version} at {read.ended_at:.3f}, which was never sent so"
             yield Violation(Rule.CONFIG, "", text)
         elif not any(order.valid for order in matching):
             yield Violation(Rule.CONFIG, "", f"the invalid version {read.version} is in force")
@@ -42,7 +42,7 @@
 
 
 def check_one_chain(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """Acknowledged changes follow one another: none is built on a version below one that went before."""
+    """Acknowledged changes form a chain: none is based on a version older than its predecessor's."""
     distinct: dict[tuple[int, int, str], OrderSent] = {}
     for order in _acknowledged(history):
         distinct.setdefault((order.version, order.base, repr(order.document)), order)
@@ -54,7 +54,7 @@
 
 
 def check_base_in_force(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """An acknowledged change is built on a version that was not refused."""
+    """An acknowledged change is based on a version that was not refused."""
     for order in _acknowledged(history):
         same_version = [other for other in history.orders if other.version == order.base]
         if same_version and all(_refused(other) for other in same_version):
@@ -63,7 +63,7 @@
 
 
 def check_applied(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """Machines in touch handle requests by an acknowledged version from `config_apply_ms` on."""
+    """Connected machines apply an acknowledged version within `config_apply_ms`."""
     connectivity = Connectivity(history, parameters)
     for probe in history.probes:
         if not _answered(probe) or not connectivity.connected([probe.node], probe.sent_at, probe.ended_at):
@@ -73,11 +73,11 @@
         allowed = [version for version in _versions(history, probe) if version[0] >= least]
         if allowed and not any(_fits(probe, document) for _, document in allowed):
             text = f"{probe.node} answered {probe.status} to {probe.path} sent at {probe.sent_at:.3f}"
-            yield Violation(Rule.CONFIG, probe.request_id, f"{text}, as only versions below {least} say")
+            yield Violation(Rule.CONFIG, probe.request_id, f"{text}, as in versions below {least} only")
 
 
 def check_goes_back(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """Within one life, a machine never handles a request as only an older version says."""
+    """Within one incarnation, a machine never goes back to an older version."""
     floors: dict[tuple[str, int], list[tuple[float, int]]] = {}
     for probe in sorted(history.probes, key=lambda probe: probe.ended_at):
         if not _answered(probe):
@@ -110,7 +110,7 @@
 
 
 def _answered(probe: RouteProbe) -> bool:
-    """Whether the answer says which routes the node knows."""
+    """Whether the answer shows if the node knows the route."""
     return probe.status in (202, NO_ROUTE)
 
 
--- a/bitternpath/testing/simulation/checks/connectivity.py
+++ b/bitternpath/testing/simulation/checks/connectivity.py
@@ -1,5 +1,5 @@
-"""When machines are in touch and the core is stable (RULES, "In touch"). Stricter counts are left out: a
-moment that isn't surely in touch is taken as out of touch.
+"""When machines are connected and the core is stable (RULES, "In touch"). Conservative: a time at which a
+machine isn't certainly connected counts as disconnected.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Connectivity:
-    """Which machines were connected, stable or free of faults, by the disruptions of a history."""
+    """Connected machines, stable and fault-free intervals, from the disruptions of a history."""
 
     def __init__(self, history: SystemHistory, parameters: SystemRuleParameters) -> None:
         self._disruptions = history.disruptions
@@ -54,7 +54,7 @@
         return not any(_overlaps(disruption, begin, end) for disruption in self._disruptions)
 
     def longest_fault_free_s(self, begin: float, end: float) -> float:
-        """The longest interval between the two without a disruption, in seconds."""
+        """The longest interval without a disruption between `begin` and `end`, in seconds."""
         edges = sorted(
             [(max(disruption.at, begin), min(disruption.until, end)) for disruption in self._disruptions]
         )
--- a/bitternpath/testing/simulation/checks/history.py
+++ b/bitternpath/testing/simulation/checks/history.py
@@ -1,6 +1,6 @@
 """Observations of a simulated run: those of `fault_injection.records`, and of operators, probes and faults.
 
-Times are seconds of virtual time. Nothing here comes from inside the system.
+Times are seconds of virtual time. All observations are made from outside of the system.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class SystemRule(Enum):
-    """Rules that can be broken, besides `fault_injection.checker.Rule`."""
+    """Rules that can be violated, besides those of `fault_injection.checker.Rule`."""
 
     ROUTE = "ROUTE"
     DRAIN = "DRAIN"
     BUDGET = "BUDGET"
     RETIRE = "RETIRE"
     ACKS = "ACKS"
-    GROUP_INVARIANT = "INSIDE"  # of replica groups, see `group_invariants`; the value stands in saved plans
+    GROUP_INVARIANT = "INSIDE"  # an invariant of `group_invariants`; saved plans contain the value
     FOUNDING = "FOUNDING"  # no first configuration, or nodes that don't become ready
-    FAULT = "FAULT"  # an error inside a node, or a process that ended by itself
+    FAULT = "FAULT"  # an error inside a node, or a process that exited by itself
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,18 +36,18 @@
 
     @property
     def version(self) -> int:
-        """The version that was read; 0 where there is none."""
+        """The version that was read; 0 if the document has none."""
         version = self.document.get("version", 0) if isinstance(self.document, dict) else 0
         return version if isinstance(version, int) else 0
 
 
 @dataclass(frozen=True, slots=True)
 class RouteProbe:
-    """A message sent directly to one node, on a route that may have come or gone."""
+    """A message sent directly to one node, on a route that may have been added or removed."""
 
     request_id: str
     node: str
-    incarnation: int  # of the node's process
+    incarnation: int  # incarnation of the node's process
     sent_at: float
     ended_at: float
     host: str
@@ -70,7 +70,7 @@
 
 
 class RetireCall(Enum):
-    """What was asked of `/retire/NODE`."""
+    """Methods of `/retire/NODE`."""
 
     ORDER = "POST"
     READ = "GET"
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Retirement:
-    """An answer to a call of `/retire/NODE`."""
+    """An answer to a call of `/retire/NODE`; `node` gave it."""
 
     call: RetireCall
     machine: str
@@ -87,25 +87,25 @@
     ended_at: float
     status: int
     state: str = ""
-    valid: bool = True  # the machine was there, and enough others stayed
+    valid: bool = True  # whether the machine ran and enough others remained
 
 
 class DisruptionKind(Enum):
-    """The kind of a fault of machines."""
+    """Kinds of disruptions of machines."""
 
-    DOWN = "down"  # killed or without power, until it was started again
-    LEAVING = "leaving"  # SIGTERM: planned work
+    DOWN = "down"  # killed or without power, until its restart
+    LEAVING = "leaving"  # planned shutdown by SIGTERM
     FROZEN = "frozen"
     PARTITION = "cut"  # from all or some others, in one direction or both
     SLOWED = "slowed"
     NEW = "new"  # started on an empty machine
-    CLOCK = "clock"  # its time of day was stepped
-    LOSSY = "lossy"  # its links lose packets
+    CLOCK = "clock"  # a step of the wall clock
+    LOSSY = "lossy"  # links lose packets
 
 
 @dataclass(frozen=True, slots=True)
 class Disruption:
-    """A fault of machines that lasted from `at` to `until`."""
+    """A disruption of machines from `at` to `until`."""
 
     kind: DisruptionKind
     nodes: frozenset[str]
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A listed worker was shown as draining, or gone, by an answer of the platform's list."""
+    """The platform's list showed a worker as draining, or no longer contained it."""
 
     instance: str
     shown_at: float
@@ -133,7 +133,7 @@
     drains: list[Drain] = field(default_factory=list)
 
     def possible_orders(self, sent_before: float) -> list[OrderSent]:
-        """Valid orders that may have been in force at that time."""
+        """Valid orders that may have been in force at the time `sent_before`."""
         return [
             order
             for order in self.orders
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SystemRuleParameters(RuleParameters):
-    """Parameters of the rules by which a simulated run is judged (RULES; DEPLOY, `bounds`)."""
+    """Parameters of the rules of a simulated run (RULES; DEPLOY, `bounds`)."""
 
     core: frozenset[str] = frozenset()  # machines with a disk that serve `control_plane`
     stores: frozenset[str] = frozenset()
@@ -154,4 +154,4 @@
     list_lag_s: float = 0.8
     ack_s: float = 5.0
     status_s: float = 120.0
-    state_known_s: float = 2.0  # after the accept, a state is never answered with 404
+    state_known_s: float = 2.0  # time from the acceptance after which no read of a state is answered with 404
--- a/bitternpath/testing/simulation/checks/messages.py
+++ b/bitternpath/testing/simulation/checks/messages.py
@@ -1,4 +1,4 @@
-"""Rules of messages that `fault_injection.checker` doesn't have: ROUTE, DRAIN, BUDGET, states. Pure."""
+"""Rules of messages that `fault_injection.checker` lacks: ROUTE, DRAIN, BUDGET, states. Pure functions."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 UNKNOWN_STATUSES = (404, 410)
 FINAL_STATES = ("done", "dead_letter")
-REJECTED_RUNS = 3  # answers of 422, after which a message must not come again
-BUDGET_FACTOR = 3  # likewise, times `max_attempts`, answers of 500
+REJECTED_RUNS = 3  # number of 422 answers after which a message must not run again
+BUDGET_FACTOR = 3  # a message must not run again after this factor times `max_attempts` 500 answers
 
 
 def check_route(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A service runs only what some configuration that was sent lets it run."""
+    """A service runs a message only if some configuration that was sent routes the message to it."""
     documents = [order.document for order in history.orders if order.valid]
     for run in history.runs:
         send = history.sends.get(run.request_id)
@@ -39,7 +39,7 @@
 
 
 def check_drain(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A worker that is shown as draining gets nothing more, `drain_ms` later, from machines in touch."""
+    """Connected machines send nothing to a worker from `drain_ms` after it is shown as draining."""
     connectivity = Connectivity(history, parameters)
     shown = {drain.instance: drain.shown_at for drain in reversed(history.drains)}
     for run in history.runs:
@@ -50,7 +50,7 @@
 
 
 def check_budget(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A message that always fails stops coming."""
+    """A message that always fails is not run without limit."""
     events = sorted(
         [(answer.at, 0, answer.request_id, answer.status) for answer in history.answers]
         + [(run.at, 1, run.request_id, 0) for run in history.runs]
@@ -68,7 +68,7 @@
 
 
 def check_state_known(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """From 2 s after the accept on, a machine in touch doesn't say that there is no such message."""
+    """From 2 s after a message was accepted, connected machines never answer that it doesn't exist."""
     connectivity = Connectivity(history, parameters)
     ended = ended_times(history, parameters)
     for read in history.state_reads:
@@ -85,7 +85,7 @@
 
 
 def check_states(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A final state has the stamp of a run, isn't reported before the end, and doesn't change any more."""
+    """A final state has the stamp of a run, isn't reported before the message's end, and never changes."""
     stamps: dict[str, set[str]] = defaultdict(set)
     for answer in history.answers:
         if answer.stamp:
@@ -102,7 +102,7 @@
             continue
         at, state, stamp = final.get(read.request_id, (inf, "", ""))
         if at < read.sent_at and (state, stamp) != (read.state, read.stamp):
-            text = f"said to be {state!r} at {at:.3f}, and {read.state!r} at {read.ended_at:.3f}"
+            text = f"reported as {state!r} at {at:.3f}, and as {read.state!r} at {read.ended_at:.3f}"
             yield Violation(Rule.MIXED, read.request_id, text)
         yield from _check_final_state(read, stamps[read.request_id], ended.get(read.request_id, inf))
         if read.state in FINAL_STATES:
@@ -110,29 +110,29 @@
 
 
 def _check_final_state(read: StateRead, stamps: set[str], ended_at: float) -> Iterator[Violation]:
-    """`stamps`: of the message's runs. `ended_at`: when it had certainly ended."""
+    """Check one read; `stamps` are those of the message's runs, `ended_at` is when it had certainly ended."""
     if read.state == "done" and read.stamp not in stamps:
-        text = f"{read.node} said that it is done, with the stamp {read.stamp!r} of no run"
+        text = f"{read.node} reported it as done, with the stamp {read.stamp!r} of no run"
         yield Violation(Rule.MIXED, read.request_id, text)
     if read.state == "dead_letter" and ended_at > read.ended_at:
-        text = f"{read.node} said that it is dead at {read.ended_at:.3f}, before its end"
+        text = f"{read.node} reported it as dead at {read.ended_at:.3f}, before its end"
         yield Violation(Rule.MIXED, read.request_id, text)
 
 
 def check_one_holder(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A lease is handed to one worker, for one message."""
+    """A lease belongs to one worker and one message."""
     holders: dict[str, tuple[str, str]] = {}
     for run in history.runs:
         if not run.lease_id:
             continue
         holder = (run.request_id, run.instance)
         if holders.setdefault(run.lease_id, holder) != holder:
-            text = f"lease {run.lease_id} was handed to {holders[run.lease_id]} and {holder}"
+            text = f"lease {run.lease_id} was granted to {holders[run.lease_id]} and {holder}"
             yield Violation(Rule.MIXED, run.request_id, text)
 
 
 def check_order_key(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
-    """A message runs with the order key that its sender gave."""
+    """A message runs with the order key that its sender set."""
     for run in history.runs:
         send = history.sends.get(run.request_id)
         if send is not None and run.order_key is not None and run.order_key != send.order_key:
@@ -141,7 +141,7 @@
 
 
 def _service(document: Any, host: str, target: str) -> str:
-    """The service of the longest prefix that fits; "" where there is none."""
+    """The service of the route with the longest matching prefix; "" if no route matches."""
     fitting = [
         route
         for route in document["routes"]
--- a/bitternpath/testing/simulation/connections.py
+++ b/bitternpath/testing/simulation/connections.py
@@ -1,4 +1,4 @@
-"""A simulated TCP connection: two streams and two directions (see `streams`)."""
+"""A simulated TCP connection: two `Stream` ends and two directions between them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Direction:
-    """One direction of a connection, which holds packets while its path is cut."""
+    """One direction of a connection; holds packets back while they can't be delivered."""
 
     def __init__(self, connection: Connection, sender: Stream, receiver: Stream, path: Path) -> None:
         self._connection = connection
@@ -22,7 +22,7 @@
         self._network = connection.network
         self._last_arrival = 0.0
         self._generation = 0
-        self._stopped = False  # the sender sends nothing again
+        self._stopped = False  # the sender no longer retransmits
         self._undelivered: deque[tuple[Packet, bytes]] = deque()
         self._undelivered_since = 0.0
 
@@ -41,19 +41,19 @@
         scheduler.push(arrival, self._arrive, packet, data, self._generation)
 
     def stop(self) -> None:
-        """Drop held packets, and retransmit nothing."""
+        """Drop undelivered packets and stop retransmission."""
         self._stopped = True
         self._undelivered.clear()
         self.path.blocked_directions.pop(self, None)
 
     def lose_packets_in_flight(self) -> None:
-        """Drop all packets that haven't arrived."""
+        """Drop all packets that haven't been delivered."""
         self._generation += 1
         self._undelivered.clear()
         self.path.blocked_directions.pop(self, None)
 
     def retransmit(self) -> None:
-        """Retransmit held packets: the path may be open again."""
+        """Schedule a retransmission, since the path may be open again."""
         delay = self.path.retry_delay()
         self._network.scheduler.push(self._network.scheduler.now + delay, self._retry, self._generation)
 
@@ -111,7 +111,7 @@
 
 
 class Connection:
-    """Two ends and two directions."""
+    """A connection between a client and a server end, with one `Direction` each way."""
 
     def __init__(
         self,
@@ -140,7 +140,7 @@
         (self._forward if sender is self.client else self._reverse).send(packet, data)
 
     def stop_sending(self, sender: Stream) -> None:
-        """Retransmit nothing from that end, and drop what it holds."""
+        """Stop retransmission from that end and drop its undelivered packets."""
         (self._forward if sender is self.client else self._reverse).stop()
 
     def reverse_path(self, direction: Direction) -> Path:
@@ -148,12 +148,12 @@
         return (self._reverse if direction is self._forward else self._forward).path
 
     def open(self, port: Acceptor) -> None:
-        """The connecting end has an answer of the port; the other end is notified."""
+        """Notify the listening end that the connecting end has received the port's answer."""
         self._port = port
         self.send(self.client, Packet.ESTABLISHED)
 
     def established(self) -> None:
-        """The listening end has a new connection."""
+        """Pass the connection to the listening port."""
         assert self._port is not None
         self._port.accept(self.server)
 
@@ -166,6 +166,6 @@
                 end.arrived(Packet.RESET, b"")
 
     def end_closed(self) -> None:
-        """One end has closed; the connection is forgotten when both have."""
+        """Remove the connection from the network once both ends have closed."""
         if self.client.closed and self.server.closed:
             self.network.connections.pop(self, None)
--- a/bitternpath/testing/simulation/connector.py
+++ b/bitternpath/testing/simulation/connector.py
@@ -1,4 +1,4 @@
-"""Dialling over the simulated network."""
+"""Outgoing connections over the simulated network."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.streams import Stream
 
-OPENING_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # after a lost opening packet
+OPENING_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # delays of the retransmissions of a SYN, in seconds
 
 
 class Connector:
-    """A connection out, from the first packet on (`IConnector`)."""
+    """An outgoing connection, from its first packet on (`IConnector`)."""
 
     def __init__(self, reactor: VirtualReactor, target: Address, factory: Any, timeout: float | None) -> None:
         self.reactor = reactor
@@ -33,7 +33,7 @@
         self._timer: Any = None
 
     def connect(self) -> None:
-        """Dial."""
+        """Start to connect."""
         self.state = "connecting"
         self._attempt += 1
         self.factory.doStart()
@@ -44,31 +44,31 @@
             self._open(self._attempt, 0)
 
     def disconnect(self) -> None:
-        """Give up, whatever it does."""
+        """Stop connecting, or close the connection."""
         if self.state == "connecting":
             self.stopConnecting()
         elif self.state == "connected" and self.transport is not None:
             self.transport.loseConnection()
 
     def stopConnecting(self) -> None:
-        """Dial no more."""
+        """Cancel the attempt; raises `RuntimeError` if there is none."""
         if self.state != "connecting":
             raise RuntimeError("not connecting")
         self._failed(connect_cancelled())
 
     def getDestination(self) -> IPv4Address:
-        """What is dialled."""
+        """The address to which it connects."""
         return IPv4Address("TCP", *self.target)
 
     def connectionLost(self, reason: Failure) -> None:
-        """The connection has ended."""
+        """Notify the factory of the end of the connection."""
         self.state = "disconnected"
         self.factory.clientConnectionLost(self, reason)
         if self.state == "disconnected":
             self.factory.doStop()
 
     def _open(self, attempt: int, tries: int) -> None:
-        """Send the opening packet; where it is lost, again after a while."""
+        """Send a SYN and schedule its retransmission."""
         if not self._is_current(attempt) or not self.reactor.host.powered:
             return
         scheduler = self._network.scheduler
--- a/bitternpath/testing/simulation/disk.py
+++ b/bitternpath/testing/simulation/disk.py
@@ -19,12 +19,12 @@
 IDENTITY_BITS = 32
 SALT_BITS = 32
 QUARANTINE_FOLDER = "damaged-1"
-DOCUMENT_SYNCS = 2  # of the file and of its folder, each of which takes a sync's time
-MAX_DOCUMENT_STEPS = 5  # operations that change something, while one is written
+DOCUMENT_SYNCS = 2  # syncs for one document: of the file and of its folder
+MAX_DOCUMENT_STEPS = 5  # disk operations for one document, at most
 
 
 class SimulatedNodeDisk:
-    """`storage.node_disk.NodeDisk` for one life of a process. What is on it outlives the process."""
+    """`storage.node_disk.NodeDisk` for one incarnation of a process; its content outlives the process."""
 
     def __init__(
         self, disk: SimulatedFileSystem, reactor: Any, random: Random, sync_seconds: float, logs: LogSizes
@@ -41,11 +41,11 @@
     # ---- NodeDisk
 
     def load_identity(self) -> str:
-        """The disk's identity; an empty disk gets a new one."""
+        """Load the disk's identity; an empty disk gets a new one."""
         return load_identity(Path(), self._disk, lambda: f"{self._random.getrandbits(IDENTITY_BITS):08x}")
 
     def open_journal(self, reactor: Any, checkpoint_bytes: int) -> Journal:
-        """The journal, read from the disk; its writes take virtual time."""
+        """Open the journal and read it from the disk; writes take virtual time."""
         log = SegmentLog(
             self._disk,
             lambda: self._random.getrandbits(SALT_BITS),
@@ -56,45 +56,45 @@
         return Journal(log, self._journal_writer)
 
     def read_document(self, name: str) -> bytes | None:
-        """A document's content; None where there is none. Raises `CorruptDocumentError`."""
+        """Read a document; None if it doesn't exist. Raises `CorruptDocumentError`."""
         return load_document(self._disk, name)
 
     def write_document(self, name: str, content: bytes) -> None:
-        """Replace a document, durably."""
+        """Replace a document durably."""
         store_document(self._disk, name, content)
 
     def remove_document(self, name: str) -> None:
-        """Remove a document, durably; no error where there is none."""
+        """Remove a document durably; no error if it doesn't exist."""
         remove_document(self._disk, name)
 
     def was_quarantined(self) -> bool:
-        """Whether a damaged content was moved away at some time."""
+        """Whether damaged content was ever moved to quarantine."""
         return any(path.startswith(QUARANTINE_FOLDER) for path in self._disk.paths())
 
     def quarantine_content(self, max_bytes: int | None) -> str:
-        """What was damaged is gone at once; the folder's name is kept."""
+        """Delete the damaged content and create the quarantine folder, whose name is returned."""
         self._disk.wipe()
         self._disk.write_at(f"{QUARANTINE_FOLDER}/empty", 0, b"")
         self._disk.sync(f"{QUARANTINE_FOLDER}/empty")
         self._disk.sync_directory(QUARANTINE_FOLDER)
         return QUARANTINE_FOLDER
 
-    # ---- time and ends
+    # ---- virtual time and the end of the process
 
     def set_sync_seconds(self, seconds: float) -> None:
-        """How long a sync takes from now on."""
+        """Set the duration of a sync."""
         self._sync_seconds = seconds
         if self._journal_writer is not None:
             self._journal_writer.sync_seconds = seconds
 
     def work(self, work: Callable[[], object]) -> None:
-        """Work of another thread that writes a document: done when its syncs are over."""
+        """Run another thread's work, which writes a document, after the time of its syncs."""
         self._last_work_number += 1
         self._pending_work[self._last_work_number] = work
         self._reactor.callLater(DOCUMENT_SYNCS * self._sync_seconds, self._run_work, self._last_work_number)
 
     def end(self) -> None:
-        """The process ends: inside whatever it is writing."""
+        """End the process in the middle of its pending writes."""
         if self._journal_writer is not None:
             self._journal_writer.crash_during_batch(self._random)
         if self._remaining_stall() > 0:
--- a/bitternpath/testing/simulation/errors.py
+++ b/bitternpath/testing/simulation/errors.py
@@ -1,4 +1,4 @@
-"""Twisted's errors and failures, made with types."""
+"""Typed constructors for Twisted's errors and failures."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 
 
 def failure(reason: BaseException | None = None) -> Failure:
-    """A failure of `reason`, or of the exception that is handled now."""
+    """A failure of `reason`, or of the exception that is being handled."""
     result: Failure = _failure(reason)
     return result
 
 
 def timed_out() -> Exception:
-    """Nobody answered."""
+    """The peer did not answer in time."""
     result: Exception = _timed_out()
     return result
 
 
 def refused() -> Exception:
-    """No process listens there."""
+    """No process listens on the port."""
     result: Exception = _refused()
     return result
 
 
 def connect_cancelled() -> Exception:
-    """The caller doesn't want the connection any more."""
+    """The caller cancelled the connection attempt."""
     result: Exception = _connect_cancelled()
     return result
 
 
 def port_in_use(interface: str, port: int) -> Exception:
-    """Another process listens there."""
+    """Another process listens on the port."""
     cause = OSError(errno.EADDRINUSE, os.strerror(errno.EADDRINUSE))
     result: Exception = _cannot_listen(interface, port, cause)
     return result
--- a/bitternpath/testing/simulation/events.py
+++ b/bitternpath/testing/simulation/events.py
@@ -1,7 +1,8 @@
-"""The plan of a run: a layout, and a list of events. It says all that isn't drawn while the run is played.
+"""The plan of a run: a layout and a list of events, which determine it together with the seed.
 
-Each event has a number of its own and draws what it needs from the run's seed and that number, so that
-leaving out one event doesn't change the others. Times are seconds after all nodes have become ready.
+Each event has a unique number and draws its random values from the run's seed and that number, so that
+removing one event doesn't change the others. Times are seconds after all nodes have become ready. Plans are
+saved as JSON: names of fields and values of enums are part of the format.
 """
 
 from __future__ import annotations
@@ -17,46 +18,46 @@
 
 
 class FaultKind(Enum):
-    """Kinds of faults of machines."""
+    """Kinds of faults of machines. `nodes` are the affected machines."""
 
     KILL = "kill"
     POWER = "power"
-    WIPE = "wipe"  # starts again with an empty disk
+    WIPE = "wipe"  # loss of power and of the disk's content
     FREEZE = "freeze"
-    PARTITION = "cut"  # from all other nodes, both ways
-    PARTITION_INBOUND = "cut_in"  # nothing reaches it
-    PARTITION_OUTBOUND = "cut_out"  # nothing of it reaches others
-    PARTITION_WITH_SEEDS = "cut_seeds"  # cut off, and its settings name only itself
+    PARTITION = "cut"  # from all other nodes, in both directions
+    PARTITION_INBOUND = "cut_in"  # only packets to the machine are dropped
+    PARTITION_OUTBOUND = "cut_out"  # only packets from the machine are dropped
+    PARTITION_WITH_SEEDS = "cut_seeds"  # a partition with settings that name the machine itself as only seed
     SLOW = "slow"
-    STALL = "stall"  # its disk
-    RESET = "reset"  # all its connections to other nodes
+    STALL = "stall"  # the disk completes no write
+    RESET = "reset"  # resets all connections to other nodes
     REPLACE = "replace"
     ADD = "add"
     TERM = "term"
     ALL_KILLED = "all_killed"
     ALL_POWER = "all_power"
-    HALVES = "halves"  # `nodes` are cut off from the other machines that count
-    HERD_KILLED = "herd_killed"  # the processes of `nodes` at the same moment
-    POWER_CHAIN = "power_chain"  # `nodes` lose power one after the other, more than may be lost at one time
-    CLOCK_STEP = "clock_step"  # of the time of day
-    LOSSY = "lossy"  # its links lose packets
+    HALVES = "halves"  # a partition between `nodes` and the other machines that count for the quorum
+    HERD_KILLED = "herd_killed"  # kills the processes of `nodes` at the same time
+    POWER_CHAIN = "power_chain"  # `nodes` lose power one after the other, more than are tolerated at one time
+    CLOCK_STEP = "clock_step"  # a step of the wall clock
+    LOSSY = "lossy"  # links lose packets
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="fault"):
-    """A fault of machines; `nodes` are their names at the beginning of the run, which successors keep."""
+    """A fault of machines. `nodes` are names of the plan, which a successor inherits from its predecessor."""
 
     number: int
     at: float
     kind: FaultKind
     nodes: tuple[str, ...] = ()
-    lasts: float = 0.0
-    wiped: tuple[str, ...] = ()  # of those that lose power together: these lose their disks too
-    gap_s: float = 0.0  # POWER_CHAIN: between one machine and the next
+    lasts: float = 0.0  # duration in seconds
+    wiped: tuple[str, ...] = ()  # the machines of `nodes` that lose their disks in a loss of power
+    gap_s: float = 0.0  # POWER_CHAIN: time between the losses of two machines
     step_ms: int = 0  # CLOCK_STEP
 
 
 class OrderStyle(Enum):
-    """The way in which a change is sent."""
+    """How a change is sent."""
 
     PUT = "put"
     PATCH = "patch"
@@ -64,20 +65,20 @@
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="order"):
-    """A change of the configuration, on top of the newest version that operators know of."""
+    """A change of the configuration, based on the newest version that operators know."""
 
     number: int
     at: float
     style: OrderStyle = OrderStyle.PUT
-    step: int = 1  # of the version
-    lost_answers: int = 0  # so many first answers never reach the operator
-    again: bool = False  # sent once more after its acknowledgement
-    twice: bool = False  # another operator sends the very same at once
-    rivals: int = 0  # so many others send different changes under the same number at once
+    step: int = 1  # increment of the version
+    lost_answers: int = 0  # number of first answers that never reach the operator
+    again: bool = False  # resent after its acknowledgement
+    twice: bool = False  # another operator sends the same change concurrently
+    rivals: int = 0  # number of operators that concurrently send other changes with the same version
 
 
 class Retire(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="retire"):
-    """A storage machine is emptied, and removed as soon as that is said to be done."""
+    """Retirement of a storage machine, which is removed once the retirement is reported as done."""
 
     number: int
     at: float
@@ -85,7 +86,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="message"):
-    """A client's message. `ask_after`: its state is read so many seconds later; 0: it isn't read."""
+    """A client's message. `ask_after`: seconds until its state is read; 0: it isn't read."""
 
     number: int
     at: float
@@ -98,7 +99,7 @@
 
 
 class Probe(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="probe"):
-    """A message sent directly to one node, on a route that may have come or gone, or never was."""
+    """A message sent directly to one node, on a route that may have been added, removed, or never existed."""
 
     number: int
     at: float
@@ -125,7 +126,7 @@
 
 
 class WorkerFault(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="worker"):
-    """A worker that is called is faulty for `lasts` seconds. `worker`: its index; -1 is the endpoint."""
+    """A called worker is faulty for `lasts` seconds. `worker`: its index; -1 is the endpoint."""
 
     number: int
     at: float
@@ -135,7 +136,7 @@
 
 
 class WorkerDeparture(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="worker_leaves"):
-    """A listed worker is shown as draining and ends; a new incarnation takes its place."""
+    """A listed worker is shown as draining and ends; a new incarnation replaces it."""
 
     number: int
     at: float
@@ -151,28 +152,28 @@
     core_edges: int = 3
     other_edges: int = 1
     storages: int = 3
-    tolerated: int = 1  # machines that may be lost at one time
-    small_logs: bool = False  # shortened every few entries; the usual sizes are never reached in a short run
-    processor_share: float = 1.0  # of each tenth of a second that a process may run, at full speed
+    tolerated: int = 1  # number of machines that may be lost at one time
+    small_logs: bool = False  # compact every few entries; a short run never reaches the default sizes
+    processor_share: float = 1.0  # share of each 0.1 s in which a process may run
 
 
 class RunPlan(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One run. `checker`: the one that a shrunk plan is known to fail."""
+    """The plan of one run. `checker`: the checker that a shrunk plan fails."""
 
     seed: int
     scenario: str
-    seconds: float  # of traffic and faults
+    seconds: float  # duration of traffic and faults
     layout: Layout = Layout()
     events: tuple[Event, ...] = ()
     checker: str = ""
 
     def random(self, event: Event) -> Random:
-        """The generator of one event."""
+        """The random generator of one event."""
         return Random(f"{self.seed}/{event.number}")
 
 
 def save_plan(plan: RunPlan, path: Path) -> None:
-    """Write a plan as JSON, one event a line."""
+    """Write a plan as JSON, with one event per line."""
     events = ",\n  ".join(msgspec.json.encode(event).decode() for event in plan.events)
     head = msgspec.to_builtins(msgspec.structs.replace(plan, events=()))
     path.write_text(f'{json.dumps(head)[:-1]}, "events": [\n  {events}\n]}}\n')
--- a/bitternpath/testing/simulation/faults.py
+++ b/bitternpath/testing/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a world, which take effect at once. Links also take addresses of actors' hosts as names."""
+"""Faults of a world, which take effect at once. Faults of links also accept addresses of actors' hosts."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from bitternpath.testing.simulation.scheduler import Scheduler
 
-RESTART_DELAY_S = 0.5  # until a killed process runs again
-POWER_OFF_S = 1.0  # until a machine that lost power runs again
+RESTART_DELAY_S = 0.5  # between the kill of a process and its restart
+POWER_OFF_S = 1.0  # between the loss of a machine's power and its restart
 
 
 class Faults:
@@ -28,7 +28,7 @@
     # ---- processes and machines
 
     def kill(self, name: str, down_s: float | None = RESTART_DELAY_S) -> None:
-        """Kill the process; it starts again after `down_s` seconds, with None not by itself."""
+        """Kill the process; it is restarted after `down_s` seconds, or not at all if that is None."""
         self.nodes[name].kill()
         self._start_after(name, down_s)
 
@@ -43,11 +43,11 @@
         self._start_after(name, down_s)
 
     def freeze(self, name: str) -> None:
-        """Stop running the process; its machine's kernel goes on."""
+        """Suspend the process; the kernel of its machine goes on."""
         self.nodes[name].freeze()
 
     def thaw(self, name: str) -> None:
-        """Run a frozen process again; due timers and unread bytes are handled at once."""
+        """Resume a frozen process; due timers and unread bytes are handled at once."""
         self.nodes[name].thaw()
 
     def slow(self, name: str, factor: float) -> None:
@@ -55,7 +55,7 @@
         self.nodes[name].set_factor(factor)
 
     def terminate(self, name: str) -> None:
-        """Send SIGTERM; the process starts again after its end."""
+        """Send SIGTERM; the process is restarted after its end."""
         self.nodes[name].terminate()
 
     def reload(self, name: str, **settings: Any) -> None:
@@ -73,12 +73,12 @@
         self.nodes[name].document.update(settings)
 
     def remove(self, name: str) -> None:
-        """Remove the machine for good; settings files name seeds of the remaining machines."""
+        """Remove the machine permanently and update the seeds in all settings files."""
         self.nodes[name].remove()
         self.write_seeds()
 
     def replace(self, name: str, zone: str = "") -> SimulatedNode:
-        """Remove the machine for good; an empty one at another address replaces it."""
+        """Remove the machine permanently; an empty one at another address replaces it."""
         old = self.nodes[name]
         self.remove(name)
         new = self.add_node(old.role, zone or old.zone, old.counted, old.has_disk)
@@ -86,7 +86,7 @@
         return new
 
     def write_seeds(self, seeds: Iterable[str] | None = None) -> None:
-        """Write these seeds into all settings files, or those of the operator's list as it stands."""
+        """Write seeds into all settings files, by default those of the current machines."""
         wanted = self.current_seeds() if seeds is None else list(seeds)
         for node in self.nodes.values():
             node.document["seeds"] = list(wanted)
@@ -94,7 +94,7 @@
     # ---- links
 
     def partition(self, a: str, b: str, both: bool = True) -> None:
-        """Partition: nothing gets from a to b, nor back if `both`. Bytes wait at their sender."""
+        """Drop packets from a to b, and back if `both`; bytes of connections wait at their sender."""
         self.recorder.event("cut", f"{a} {b} both={both}")
         self._partition(a, b, both)
 
@@ -131,7 +131,7 @@
             self.network.path(self.ip(source), self.ip(target)).bytes_per_s = bytes_per_s
 
     def set_packet_loss(self, a: str, b: str, share: float) -> None:
-        """Lose a share of the packets between two hosts; those of streams are retransmitted."""
+        """Lose a share of the packets between two hosts; those of connections are retransmitted."""
         self.recorder.event("lossy", f"{a} {b} {share}")
         for source, target in ((a, b), (b, a)):
             path = self.network.path(self.ip(source), self.ip(target))
@@ -140,7 +140,7 @@
     # ---- disks
 
     def disk(self, name: str) -> SimulatedFileSystem:
-        """A node's disk."""
+        """The disk of a node."""
         return self.nodes[name].disk
 
     def stall_disk(self, name: str, seconds: float) -> None:
@@ -163,11 +163,11 @@
         raise NotImplementedError
 
     def current_seeds(self) -> list[str]:
-        """Control addresses of the operator's list as it stands."""
+        """Control addresses of the current machines that serve as seeds."""
         raise NotImplementedError
 
     def ip(self, name: str) -> str:
-        """Address of a node, or of a host that is named by it."""
+        """The address of a node; the address of an actor's host is returned as it is."""
         return self.nodes[name].ip if name in self.nodes else name
 
     def _start_after(self, name: str, seconds: float | None) -> None:
--- a/bitternpath/testing/simulation/file_system.py
+++ b/bitternpath/testing/simulation/file_system.py
@@ -1,9 +1,9 @@
-"""File system in memory that loses power at any operation, tears writes, and refuses them.
+"""File system in memory with loss of power at any operation, torn writes, full disks and failing syncs.
 
 After a loss of power (DEPLOY, "Disk") a file holds what its last sync covered, and each later write is
-present, missing or torn; at some losses all of them are missing. Names that were added, renamed or removed
-are durable once their directory has been synced; until then each is kept or lost by itself. Whether a sync
-of a new file makes its name durable, too, is `fsync_persists_name`: the pages say both.
+present, missing or torn; in some losses all of them are missing. Names that were added, renamed or removed
+are durable once their directory has been synced; until then each is kept or lost independently. The
+specification allows both for the name of a new file whose content is synced: `fsync_persists_name`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-ALL_LOST_SHARE = 0.3  # of power losses: nothing unsynced is left
-LOST_SHARE = 0.5  # of unsynced writes and names, at the other power losses
-TORN_SHARE = 0.3  # of unsynced writes that aren't lost: only a part is present
+ALL_LOST_SHARE = 0.3  # share of power losses that lose everything unsynced
+LOST_SHARE = 0.5  # share of unsynced writes and names that other power losses lose
+TORN_SHARE = 0.3  # share of the remaining unsynced writes of which only a fragment is present
 
 
 class SimulatedCrashError(Exception):
-    """The process ends inside this operation, which may have been done or not."""
+    """The process ends during this operation, which may have taken effect or not."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 class _File:
     """A file's content as a process sees it, as it is synced, and the changes between the two."""
 
-    created_as: str  # path under which it was made
+    created_as: str  # path under which it was created
     current: bytearray = field(default_factory=bytearray)
     synced: bytearray = field(default_factory=bytearray)
     unsynced: list[_Change] = field(default_factory=list)
@@ -74,15 +74,15 @@
     """`storage.files.FileSystem` in memory. It outlives the processes that use it.
 
     Attributes:
-        steps: operations that changed something, so far.
-        crash_at: value of `steps` at which the process ends (`SimulatedCrashError`); None: it doesn't.
-        capacity: bytes of all files at which the disk is full; None: never.
-        stalled_until: nothing is written before this time of the writer's clock, in seconds.
-        failing_syncs: how many of the next syncs fail, and lose what they were to cover.
+        steps: number of operations that changed something.
+        crash_at: value of `steps` at which the process ends (`SimulatedCrashError`); None: it doesn't end.
+        capacity: total size of all files at which the disk is full, in bytes; None: unlimited.
+        stalled_until: time of the writer's clock before which no write completes, in seconds.
+        failing_syncs: number of following syncs that fail and lose the writes they would have covered.
     """
 
     def __init__(self, fsync_persists_name: bool = True) -> None:
-        """Begin without a file; `fsync_persists_name` as in the module's description."""
+        """Create an empty file system; the module's docstring describes `fsync_persists_name`."""
         self._fsync_persists_name = fsync_persists_name
         self._names: dict[str, _File] = {}
         self._durable: dict[str, _File] = {}
@@ -95,7 +95,7 @@
     # ---- faults
 
     def lose_power(self, random: Random) -> None:
-        """Leave only what the next process would see after a loss of power."""
+        """Reduce the content to what the next process sees after a loss of power."""
         all_lost = random.random() < ALL_LOST_SHARE
         names = dict(self._durable)
         for path in sorted(self._names.keys() | self._durable.keys()):
@@ -113,11 +113,11 @@
         self.restart()
 
     def restart(self) -> None:
-        """Let another process go on with the files as they are."""
+        """Cancel a planned crash; the next process uses the files as they are."""
         self.crash_at = None
 
     def wipe(self) -> None:
-        """Put another, empty disk in the place of this one."""
+        """Replace the disk by an empty one."""
         self._names.clear()
         self._durable.clear()
         self.restart()
@@ -131,7 +131,7 @@
 
     @property
     def used(self) -> int:
-        """Bytes of all files."""
+        """Total size of all files in bytes."""
         return sum(len(file.current) for file in self._names.values())
 
     def paths(self) -> list[str]:
@@ -139,14 +139,14 @@
         return sorted(self._names)
 
     def _step(self) -> bool:
-        """Count an operation; whether the process ends in it."""
+        """Count an operation; returns whether the process ends during it."""
         self.steps += 1
         return self.crash_at is not None and self.steps >= self.crash_at
 
     # ---- FileSystem
 
     def make_directory(self, directory: str) -> None:
-        """Do nothing: directories need not be made."""
+        """Do nothing: directories exist implicitly."""
 
     def list_names(self, directory: str) -> list[str]:
         """See `FileSystem`."""
@@ -167,7 +167,7 @@
         return len(self._existing(path).current)
 
     def write_at(self, path: str, offset: int, data: bytes) -> None:
-        """See `FileSystem`. A disk that gets full takes as much as fits."""
+        """See `FileSystem`. A disk that becomes full stores as much as fits."""
         crash = self._step()
         file = self._file(path)
         writable = len(data)
@@ -187,7 +187,7 @@
             raise SimulatedCrashError
 
     def sync(self, path: str) -> None:
-        """See `FileSystem`. A sync that fails loses what was written since the one before."""
+        """See `FileSystem`. A failing sync loses the writes since the previous sync."""
         if self._step():
             raise SimulatedCrashError
         file = self._file(path)
--- a/bitternpath/testing/simulation/group_invariants.py
+++ b/bitternpath/testing/simulation/group_invariants.py
@@ -1,5 +1,5 @@
 """Invariants of replica groups: at most one owner for each epoch, no committed entry is lost or changed, and
-no fence is used again that was refused.
+no refused term is used again as a fencing token.
 
 The checker observes what each replica applies, through its `GroupListener`.
 """
@@ -63,14 +63,14 @@
         host.change_members = observed  # type: ignore[method-assign]
 
     def became_owner(self, node: str, group: str, epoch: int) -> None:
-        """A replica owns its group."""
+        """Record that a replica became the owner of its group, and check that it is the only one."""
         self.recorder.ownership(node, group, epoch, True)
         previous = self._owners.setdefault((group, epoch), node)
         if previous != node:
             self._broken("one owner an epoch", f"{group} epoch {epoch}: {previous} and {node}")
 
     def applied(self, node: str, group: str, index: int, command: bytes) -> None:
-        """A replica has applied a committed command."""
+        """Check a command that a replica applied against those of the others."""
         checksums = self._applied.setdefault(group, {})
         checksum = zlib.crc32(command)
         if checksums.setdefault(index, checksum) != checksum:
--- a/bitternpath/testing/simulation/interfaces.py
+++ b/bitternpath/testing/simulation/interfaces.py
@@ -1,8 +1,8 @@
-"""What the parts of the simulated network need of one another: interfaces, below all of them.
+"""Interfaces between the modules of the simulated network, which avoid import cycles.
 
-`Network` and `Host` (`network.py`) are the `SimulatedNetwork` and `SimulatedHost`, `Connection`
-(`connections.py`) a `StreamCarrier`, `TcpPort` (`ports.py`) an `Acceptor`. Sockets and reactors go through
-here untyped: their types stand above.
+`Network` and `Host` (`network.py`) implement `SimulatedNetwork` and `SimulatedHost`, `Connection`
+(`connections.py`) implements `StreamConnection`, `TcpPort` (`ports.py`) implements `Acceptor`. Sockets and
+reactors are untyped here, since the modules that define them import this one.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Packet(Enum):
-    """What goes over a connection."""
+    """Kinds of packets of a connection."""
 
     ESTABLISHED = "established"
     DATA = "data"
@@ -28,27 +28,27 @@
 
 
 class StreamConnection(Protocol):
-    """What an end of a connection needs of the connection."""
+    """A connection, as its ends use it."""
 
     def send(self, sender: Any, packet: Packet, data: bytes = b"") -> None:
-        """A packet to the other end."""
+        """Send a packet to the other end."""
 
     def stop_sending(self, sender: Any) -> None:
-        """That end sends nothing again, and holds nothing."""
+        """Stop retransmission from that end and drop its undelivered packets."""
 
     def end_closed(self) -> None:
-        """One end has closed."""
+        """Notify the connection that one end has closed."""
 
 
 class Acceptor(Protocol):
-    """What a connection needs of the port that it is made to."""
+    """A listening port, as connections use it."""
 
     def accept(self, stream: Any) -> None:
-        """A new connection, by its end here."""
+        """Accept a connection; `stream` is its end at the port."""
 
 
 class SimulatedNetwork(Protocol):
-    """All hosts of a run, as their sockets and reactors know them."""
+    """The network, as sockets and reactors use it."""
 
     scheduler: Scheduler
     recorder: Recorder
@@ -56,35 +56,35 @@
 
     @property
     def hosts(self) -> Mapping[str, SimulatedHost]:
-        """By address."""
+        """All hosts, by address."""
 
     def path(self, source: str, target: str) -> Path:
-        """The way from one host to another."""
+        """The path from one host to another."""
 
     def listen(self, reactor: Any, port: int, factory: Any, interface: str) -> Any:
-        """A listening port; raises `CannotListenError`."""
+        """Open a listening port; raises `CannotListenError`."""
 
     def connect(self, reactor: Any, host: str, port: int, factory: Any, timeout: float | None) -> Any:
-        """Dial; the connector."""
+        """Start an outgoing connection; returns its connector."""
 
     def listen_datagrams(self, reactor: Any, port: int, protocol: Any, interface: str) -> Any:
-        """A port for datagrams; raises `CannotListenError`."""
+        """Open a datagram port; raises `CannotListenError`."""
 
     def datagram_arrives(self, path: Path, datagram: bytes, sender: Address, target: Address) -> None:
-        """Called by the scheduler."""
+        """Deliver a datagram to its port; called by the scheduler."""
 
 
 class SimulatedHost(Protocol):
-    """A machine, as the sockets and reactors of its processes know it."""
+    """A machine, as the sockets and reactors of its processes use it."""
 
     ip: str
     powered: bool
-    ports: dict[int, Any]  # listening, TCP
+    ports: dict[int, Any]  # listening TCP ports
     datagram_ports: dict[int, Any]
 
     @property
     def network(self) -> SimulatedNetwork:
-        """Where it is."""
+        """The network of the host."""
 
     def ephemeral_port(self) -> int:
-        """A port for a connection out."""
+        """The next unused local port for an outgoing connection."""
--- a/bitternpath/testing/simulation/journal_writer.py
+++ b/bitternpath/testing/simulation/journal_writer.py
@@ -1,4 +1,4 @@
-"""Journal writer in virtual time: a batch takes a sync's time of the simulation's clock."""
+"""Journal writer in virtual time: each batch takes the duration of a sync on the simulation's clock."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
 
-MAX_CRASH_STEPS = 8  # operations that a process which ends within a batch still does, at most
+MAX_CRASH_STEPS = 8  # disk operations of a batch before the process ends, at most
 
 
 class VirtualTimeJournalWriter:
     """`storage.journal_writer.JournalWriter` on a clock.
 
     Attributes:
-        sync_seconds: how long a batch takes; may be changed at any time.
+        sync_seconds: duration of a batch; may be changed at any time.
         failing: as in `JournalWriter`.
-        batches: how many were written so far.
+        batches: number of written batches.
     """
 
     _log: SegmentLog
@@ -29,7 +29,7 @@
     _snapshot_corrupted: CorruptSnapshotCallback
 
     def __init__(self, clock: Clock, disk: SimulatedFileSystem, sync_seconds: float) -> None:
-        """Make a writer that takes its time from `clock`; a batch takes `sync_seconds`."""
+        """Create a writer on `clock`; a batch takes `sync_seconds`."""
         self._clock = clock
         self._disk = disk
         self.sync_seconds = sync_seconds
@@ -48,7 +48,7 @@
         self._snapshot_corrupted = snapshot_corrupted
 
     def scrub(self, steps: int) -> None:
-        """Read that many chunks, as the thread does while it has nothing to write."""
+        """Verify `steps` chunks of stored data, as the writer's thread does while it is idle."""
         for _ in range(steps):
             if group := self._log.scrub_step():
                 self._snapshot_corrupted(group)
@@ -62,7 +62,7 @@
             self._begin_batch()
 
     def stop(self) -> bool:
-        """Write what waits, at once."""
+        """Write all waiting commands at once."""
         commands = self._writing + self._waiting
         if commands and not self._ended:
             self._log.write(batch_of(commands))
@@ -70,7 +70,7 @@
         return True
 
     def crash_during_batch(self, random: Random) -> None:
-        """End the process, in the middle of a batch if there is one; a stalled disk did nothing of it."""
+        """End the process in the middle of a pending batch; a stalled disk has written nothing of it."""
         if self._writing and not self._ended and not self._remaining_stall():
             self._disk.crash_at = self._disk.steps + random.randint(1, MAX_CRASH_STEPS)
             with suppress(SimulatedCrashError, OSError):
@@ -108,5 +108,5 @@
     def _write(self, commands: Sequence[JournalCommand]) -> None:
         self._log.write(batch_of(commands))
         if self._log.wants_checkpoint:
-            with suppress(OSError):  # it is tried again after the next batch
+            with suppress(OSError):  # retried after the next batch
                 self._log.checkpoint_step()
--- a/bitternpath/testing/simulation/network.py
+++ b/bitternpath/testing/simulation/network.py
@@ -1,4 +1,4 @@
-"""Hosts, the ways between them, and what is open on them."""
+"""Simulated hosts, the network paths between them, and their sockets."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from bitternpath.testing.simulation.recorder import Recorder
 from bitternpath.testing.simulation.scheduler import Scheduler
 
-FIRST_EPHEMERAL_PORT = 32_768  # of connections out
+FIRST_EPHEMERAL_PORT = 32_768  # lowest local port of outgoing connections
 DELAY_SAME_HOST_S, DELAY_SAME_ZONE_S, DELAY_CROSS_ZONE_S = 0.00005, 0.0003, 0.0012
 DATAGRAM_LOSS = 0.005
 
 
 class Host:
-    """A machine of the simulated network: an address, power, and what its processes have open."""
+    """A machine of the simulated network: address, power state and open ports."""
 
     def __init__(self, network: Network, ip: str, zone: str) -> None:
         self.network = network
         self.ip = ip
         self.zone = zone
         self.powered = True
-        self.factor = 1.0  # of its delays
+        self.factor = 1.0  # multiplies the delays of its paths
         self.ports: dict[int, TcpPort] = {}
         self.datagram_ports: dict[int, DatagramPort] = {}
         self._last_port = FIRST_EPHEMERAL_PORT - 1
 
     def ephemeral_port(self) -> int:
-        """A port for a connection out."""
+        """The next unused local port for an outgoing connection."""
         self._last_port += 1
         return self._last_port
 
     def close_sockets(self, reactor: VirtualReactor, random: Random) -> None:
-        """A process has ended: peers receive the end of the stream, or a reset."""
+        """Close the sockets of an ended process; each peer receives the end of the stream or a reset."""
         for open_socket in list(reactor.sockets):
             open_socket.killed(random.random() < 0.5)
         reactor.sockets.clear()
@@ -64,12 +64,12 @@
         self._paths: dict[tuple[str, str], Path] = {}
 
     def add_host(self, ip: str, zone: str) -> Host:
-        """A host with power."""
+        """Add a host that is powered on."""
         host = self.hosts[ip] = Host(self, ip, zone)
         return host
 
     def path(self, source: str, target: str) -> Path:
-        """The way from one host to another."""
+        """The path from one host to another, created on first use."""
         path = self._paths.get((source, target))
         if path is None:
             path = Path(self._random, self._delay(source, target), DATAGRAM_LOSS)
@@ -80,24 +80,24 @@
     # ---- faults
 
     def partition(self, source: str, target: str) -> None:
-        """Nothing gets through in that direction."""
+        """Let no packet through in that direction."""
         path = self.path(source, target)
         if not path.partitioned:
             path.partitioned = True
             path.partitioned_since = self.scheduler.now
 
     def heal(self, source: str, target: str) -> None:
-        """The direction is open again; what was held is sent again."""
+        """Open the direction again and retransmit the packets that were held back."""
         path = self.path(source, target)
         path.partitioned = False
         self._retransmit(path)
 
     def partitioned_pairs(self) -> list[tuple[str, str]]:
-        """All directions that are cut."""
+        """All partitioned directions, as (source, target)."""
         return [pair for pair, path in self._paths.items() if path.partitioned]
 
     def power_on(self, host: Host) -> None:
-        """The host has power again, and knows nothing of the connections that it had."""
+        """Power a host on; its former connections are unknown to it."""
         host.powered = True
         for (_, target), path in list(self._paths.items()):
             if target == host.ip:
@@ -110,7 +110,7 @@
                 connection.reset()
 
     def set_factor(self, host: Host, factor: float) -> None:
-        """Make all delays from and to a host longer."""
+        """Multiply all delays from and to a host by `factor`."""
         host.factor = factor
         for (source, target), path in self._paths.items():
             self._set_factor(source, target, path)
@@ -133,7 +133,7 @@
     # ---- sockets
 
     def listen(self, reactor: VirtualReactor, port: int, factory: Any, interface: str) -> TcpPort:
-        """A listening port; raises `CannotListenError`."""
+        """Open a listening port; raises `CannotListenError`."""
         host = reactor.host
         if port in host.ports:
             raise port_in_use(interface, port)
@@ -146,7 +146,7 @@
     def connect(
         self, reactor: VirtualReactor, host: str, port: int, factory: Any, timeout: float | None
     ) -> Connector:
-        """Dial."""
+        """Start an outgoing connection."""
         connector = Connector(reactor, (host, port), factory, timeout)
         connector.connect()
         return connector
@@ -154,7 +154,7 @@
     def listen_datagrams(
         self, reactor: VirtualReactor, port: int, protocol: Any, interface: str
     ) -> DatagramPort:
-        """A port for datagrams; raises `CannotListenError`."""
+        """Open a datagram port; raises `CannotListenError`."""
         host = reactor.host
         if port in host.datagram_ports:
             raise port_in_use(interface, port)
@@ -164,7 +164,7 @@
         return listener
 
     def datagram_arrives(self, path: Path, datagram: bytes, sender: Address, target: Address) -> None:
-        """Called by the scheduler."""
+        """Deliver a datagram to its port; called by the scheduler."""
         host = self.hosts.get(target[0])
         if host is None or not host.powered or path.partitioned:
             return
--- a/bitternpath/testing/simulation/paths.py
+++ b/bitternpath/testing/simulation/paths.py
@@ -1,25 +1,25 @@
-"""The way of packets from one host to another: delay, loss, bandwidth, cuts. One direction each."""
+"""Network paths from one host to another, in one direction: delay, loss, bandwidth, partitions."""
 
 from __future__ import annotations
 
 from random import Random
 from typing import Protocol
 
-JITTER = 0.5  # of the delay, at most, added to each packet
-PACKET_BYTES = 1_500  # below that a packet's size adds nothing to its time
-MIN_RETRANSMISSION_S, MAX_RETRANSMISSION_S = 0.2, 0.4  # until a packet that was lost on an open way comes
-MIN_RETRY_S, MAX_RETRY_S = 0.02, 0.4  # until a held packet is sent again once its way is open
+JITTER = 0.5  # maximum jitter of a packet, as a share of the delay
+PACKET_BYTES = 1_500  # smaller packets take as much transmission time as one of this size
+MIN_RETRANSMISSION_S, MAX_RETRANSMISSION_S = 0.2, 0.4  # added delay of a lost packet of a connection
+MIN_RETRY_S, MAX_RETRY_S = 0.02, 0.4  # between the healing of a path and a retransmission
 
 
 class BlockedDirection(Protocol):
-    """A connection's direction with packets that don't get through."""
+    """A direction of a connection with undelivered packets."""
 
     def retransmit(self) -> None:
-        """The way is open again."""
+        """Schedule a retransmission; called when the path is open again."""
 
 
 class Path:
-    """From one host to another."""
+    """The path of packets from one host to another."""
 
     __slots__ = (
         "_free_at",
@@ -38,16 +38,16 @@
         self._random = random
         self.delay = delay
         self.factor = 1.0
-        self.loss = loss  # share of datagrams
-        self.stream_loss = 0.0  # share of packets of connections, which are sent again after a while
+        self.loss = loss  # share of datagrams that are lost
+        self.stream_loss = 0.0  # share of packets of connections that are lost and retransmitted
         self.partitioned = False
         self.partitioned_since = 0.0
-        self.bytes_per_s: float | None = None  # None: more than the run needs
+        self.bytes_per_s: float | None = None  # None: unlimited
         self.blocked_directions: dict[BlockedDirection, None] = {}
         self._free_at = 0.0
 
     def arrival(self, now: float, size: int) -> float:
-        """When a packet that is sent now arrives."""
+        """The arrival time of a packet that is sent now."""
         transit_s = self.delay * self.factor * (1 + JITTER * self._random.random())
         if self.stream_loss and self._random.random() < self.stream_loss:
             transit_s += self._random.uniform(MIN_RETRANSMISSION_S, MAX_RETRANSMISSION_S)
@@ -61,5 +61,5 @@
         return self.partitioned or (self.loss > 0 and self._random.random() < self.loss)
 
     def retry_delay(self) -> float:
-        """How long after the way has opened a held packet is sent again."""
+        """The time from the healing of the path to a retransmission."""
         return self._random.uniform(MIN_RETRY_S, MAX_RETRY_S)
--- a/bitternpath/testing/simulation/ports.py
+++ b/bitternpath/testing/simulation/ports.py
@@ -11,7 +11,7 @@
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.streams import Stream
 
-MAX_PENDING_DATAGRAMS = 64  # that wait for a frozen process
+MAX_PENDING_DATAGRAMS = 64  # receive buffer of a frozen process; further datagrams are dropped
 
 
 class TcpPort:
@@ -24,11 +24,11 @@
         self.open = True
 
     def getHost(self) -> IPv4Address:
-        """Where it listens."""
+        """The address on which it listens."""
         return IPv4Address("TCP", self.reactor.host.ip, self.port)
 
     def stopListening(self) -> Deferred[None]:
-        """Close it; open connections stay."""
+        """Close the port; its connections stay open."""
         if self.open:
             self._close()
             self.factory.doStop()
@@ -37,18 +37,18 @@
     loseConnection = stopListening
 
     def accept(self, stream: Stream) -> None:
-        """A new connection, perhaps while the process is frozen."""
+        """Accept a connection; a frozen process does so after its thaw."""
         if not self.open:
             stream.killed(True)
             return
         self.reactor.read(lambda: self._accept(stream))
 
     def killed(self, resets: bool) -> None:
-        """The process has ended."""
+        """Close because the process has ended."""
         self._close()
 
     def lost_power(self) -> None:
-        """The host has no power."""
+        """Close because the host lost power."""
         self._close()
 
     def _close(self) -> None:
@@ -71,7 +71,7 @@
 
 
 class DatagramPort:
-    """A port for datagrams (`IUDPTransport`)."""
+    """A datagram port (`IUDPTransport`)."""
 
     def __init__(self, reactor: VirtualReactor, port: int, protocol: Any) -> None:
         self.reactor = reactor
@@ -82,11 +82,11 @@
         self._pending = 0
 
     def getHost(self) -> IPv4Address:
-        """Where it listens."""
+        """The address on which it listens."""
         return IPv4Address("UDP", self.reactor.host.ip, self.port)
 
     def write(self, datagram: bytes, addr: Address | None = None) -> None:
-        """Send; it may be lost."""
+        """Send a datagram, which may be lost."""
         if not self._open or addr is None:
             return
         network, ip = self._network, self.reactor.host.ip
@@ -97,7 +97,7 @@
         network.scheduler.push(arrival, network.datagram_arrives, path, datagram, (ip, self.port), addr)
 
     def received(self, datagram: bytes, sender: Address) -> None:
-        """A datagram has arrived, perhaps while the process is frozen."""
+        """Receive a datagram; a frozen process handles it after its thaw."""
         if self.reactor.frozen:
             if self._pending >= MAX_PENDING_DATAGRAMS:
                 return
@@ -105,7 +105,7 @@
         self.reactor.read(lambda: self._deliver(datagram, sender))
 
     def stopListening(self) -> Deferred[None]:
-        """Close it."""
+        """Close the port."""
         if self._open:
             self._close()
             self.protocol.doStop()
@@ -114,11 +114,11 @@
     loseConnection = stopListening
 
     def killed(self, resets: bool) -> None:
-        """The process has ended."""
+        """Close because the process has ended."""
         self._close()
 
     def lost_power(self) -> None:
-        """The host has no power."""
+        """Close because the host lost power."""
         self._close()
 
     def _deliver(self, datagram: bytes, sender: Address) -> None:
--- a/bitternpath/testing/simulation/processes.py
+++ b/bitternpath/testing/simulation/processes.py
@@ -1,4 +1,4 @@
-"""Simulated machines and the processes on them: starting, ending, starting again."""
+"""Simulated machines and their processes: start, end, restart, suspension."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 from bitternpath.testing.simulation.scheduler import Scheduler
 from bitternpath.testing.simulation.settings import LogSizes, MachineSpec
 
-START_WALL_MS = 1_765_000_000_000  # time of day when a run begins
-RESTART_DELAY_S = 0.4  # after a process that ended by itself
+START_WALL_MS = 1_765_000_000_000  # wall clock at the beginning of a run, in milliseconds since the epoch
+RESTART_DELAY_S = 0.4  # between the exit of a process by itself and its restart
 MIN_SYNC_S = 0.001
 MAX_SYNC_S = 0.005
-QUOTA_PERIOD_S = 0.1  # DEPLOY (NEWS-24): full speed until the share is spent, then nothing for the rest of it
+# DEPLOY (NEWS-24): a process runs at full speed until its share is spent, then not until the next period.
+QUOTA_PERIOD_S = 0.1
 
 
 class NodeState(Enum):
@@ -50,19 +51,19 @@
 
     @property
     def random(self) -> Random:
-        """The source of all that the process draws."""
+        """The process's random generator."""
         return self._random
 
     def compaction(self, disk_bytes: int) -> CompactionBounds:
-        """When logs are shortened: as the run has it, whatever the disk's size."""
+        """The run's compaction thresholds, regardless of the disk's size."""
         return self._node.logs.compaction
 
     def wall_ms(self) -> int:
-        """The machine's time of day."""
+        """The machine's wall clock."""
         return START_WALL_MS + int(self._reactor.seconds() * 1000) + self._node.skew_ms
 
     def disk(self, data_dir: Path) -> SimulatedNodeDisk:
-        """The machine's disk, opened by this process; it has one folder."""
+        """The machine's disk, opened by this process; `data_dir` is ignored, there is one folder."""
         if self.node_disk is None:
             random = Random(self._random.getrandbits(64))
             seconds = self._node.sync_seconds * self._node.factor
@@ -73,13 +74,13 @@
         return self.node_disk
 
     def load_settings(self) -> Settings:
-        """The settings file, as it is now."""
+        """Read the current settings file."""
         return read_settings(self._node.document)
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSetup:
-    """A machine's place, its settings document, the error of its clock, and the sizes of its logs."""
+    """A machine's spec and settings document, the offset of its wall clock, log sizes and processor share."""
 
     spec: MachineSpec
     document: dict[str, Any]
@@ -89,9 +90,10 @@
 
 
 class ProcessorQuota:
-    """A share of the processor as a quota: a process runs in the first part of each period only.
+    """A processor quota: a process runs only in the first part of each period.
 
-    The share counts as spent whatever the process does: virtual time doesn't pass while code runs.
+    The share is spent whether or not the process does anything, since virtual time stands still while code
+    runs.
     """
 
     def __init__(self, scheduler: Scheduler, share: float) -> None:
@@ -99,7 +101,7 @@
         self._run_s = QUOTA_PERIOD_S * share
 
     def apply(self, reactor: VirtualReactor) -> None:
-        """Throttle a process from now until its end; its first period begins now."""
+        """Throttle a process until it ends; its first period begins now."""
         if reactor.ended:
             return
         reactor.thaw(Suspension.THROTTLED)
@@ -109,7 +111,7 @@
 
 
 class SimulatedNode:
-    """A machine of the system with the process of its role."""
+    """A machine of the system and the process of its role."""
 
     def __init__(
         self, network: Network, invariants: GroupInvariantChecker, setup: NodeSetup, random: Random
@@ -131,7 +133,7 @@
         self.state = NodeState.DOWN
         self.skew_ms = setup.skew_ms
         self.logs = setup.logs
-        self.factor = 1.0  # of its links' delays and its disk's times
+        self.factor = 1.0  # multiplies the delays of its links and the sync time of its disk
         self.disk = SimulatedFileSystem(fsync_persists_name=False)
         self.sync_seconds = random.uniform(MIN_SYNC_S, MAX_SYNC_S)
         self.host: Host = network.add_host(spec.ip, spec.zone)
@@ -143,20 +145,20 @@
         self._reactor: VirtualReactor | None = None
         self._environment: SimulatedEnvironment | None = None
         self._lifecycle: RoleLifecycle | None = None
-        self._restart_timer: Any = None  # timer
+        self._restart_timer: Any = None
         self._quota: ProcessorQuota | None = None
         if setup.processor_share < 1.0:
             self._quota = ProcessorQuota(network.scheduler, setup.processor_share)
 
     @property
     def process(self) -> Any:
-        """The role that runs (`EdgeProcess` or `StorageProcess`), None where there is none."""
+        """The running role (`EdgeProcess` or `StorageProcess`); None if no process runs."""
         return self._lifecycle.role if self._lifecycle is not None else None
 
     # ---- start
 
     def start(self) -> None:
-        """Start the process, unless there is one."""
+        """Start the process unless it already runs."""
         if self.state is not NodeState.DOWN:
             return
         self._cancel_restart()
@@ -166,17 +168,17 @@
         self.state = NodeState.UP
         self._network.recorder.event("start", f"{self.name} life={self.incarnations}")
         if self.incarnations > 1:
-            self.document["bootstrap"] = False  # true only at the first start of the whole system (DEPLOY)
+            self.document["bootstrap"] = False  # DEPLOY: true only at the first start of the whole system
         reactor = self._reactor = VirtualReactor(self.host, self.name)
         self._environment = SimulatedEnvironment(self, reactor, Random(self._random.getrandbits(64)))
         reactor.on_stop = self._process_stopped
         reactor.run(self._build, reactor, self._environment)
         if self._quota is not None:
             self._quota.apply(reactor)
-        self.document["bootstrap"] = False  # it is true at the first start only
+        self.document["bootstrap"] = False
 
     def start_after(self, seconds: float) -> None:
-        """Start the process later."""
+        """Start the process after `seconds`."""
         self._cancel_restart()
         self._restart_timer = self._network.scheduler.at(self._network.scheduler.now + seconds, self.start)
 
@@ -202,7 +204,7 @@
             self._end(lambda reactor: self.host.close_sockets(reactor, self._random))
 
     def lose_power(self, wiped: bool = False) -> None:
-        """Stop the machine at once; peers receive nothing, and the disk keeps what was synced."""
+        """Stop the machine at once: peers receive nothing, unsynced writes may be lost."""
         if self.state is NodeState.REMOVED:
             return
         self._network.recorder.event("wipe" if wiped else "power_loss", self.name)
@@ -215,7 +217,7 @@
             self.disk.lose_power(self._random)
 
     def remove(self) -> None:
-        """Stop the machine for good."""
+        """Stop the machine permanently."""
         if self.state is not NodeState.REMOVED:
             self._network.recorder.event("remove", self.name)
             self._cancel_restart()
@@ -235,7 +237,7 @@
         close(reactor)
 
     def _process_stopped(self) -> None:
-        """The process ends by itself: record its exit code and start it again."""
+        """The process exits by itself: record its exit code and restart it."""
         code = int(self._lifecycle.exit_code) if self._lifecycle is not None else -1
         assert self._reactor is not None
         self._reactor.callLater(0, self._process_ended, code)
@@ -254,33 +256,33 @@
     # ---- while it runs
 
     def freeze(self) -> None:
-        """Stop running the process's code; time goes on."""
+        """Suspend the process; time goes on."""
         if self.state is NodeState.UP and self._reactor is not None:
             self._network.recorder.event("freeze", self.name)
             self.state = NodeState.FROZEN
             self._reactor.freeze()
 
     def thaw(self) -> None:
-        """Run a frozen process again."""
+        """Resume a frozen process."""
         if self.state is NodeState.FROZEN and self._reactor is not None:
             self._network.recorder.event("thaw", self.name)
             self.state = NodeState.UP
             self._reactor.thaw()
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Send SIGTERM."""
         if self._lifecycle is not None and self._reactor is not None:
             self._network.recorder.event("terminate", self.name)
             self._reactor.callFromThread(self._lifecycle.stop)
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Send SIGHUP."""
         if self._lifecycle is not None and self._reactor is not None:
             self._network.recorder.event("reload", self.name)
             self._reactor.callFromThread(self._lifecycle.reload)
 
     def set_factor(self, factor: float) -> None:
-        """Make links and disk slower by that factor."""
+        """Slow links and disk down by that factor."""
         self._network.recorder.event("slow", f"{self.name} factor={factor}")
         self.factor = factor
         self._network.set_factor(self.host, factor)
--- a/bitternpath/testing/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -1,8 +1,8 @@
 """The reactor of one process on a simulated host.
 
-It has its own timers and sockets and shares the run's clock. While the process is frozen nothing of it runs:
-timers that fall due and bytes that arrive wait, and at the thaw the timers come first, as they do in a real
-reactor that wakes up late. Once it has ended nothing of it runs any more.
+It has its own timers and sockets and shares the run's clock. While the process is frozen, due timers and
+received bytes wait; at the thaw the timers run first, as in a real reactor that wakes up late. After the end
+of the process no callback runs.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 
 
 class Suspension(Enum):
-    """Why no code of a process runs."""
+    """Why a process is suspended."""
 
-    FROZEN = "frozen"  # a fault
-    THROTTLED = "throttled"  # its processor quota is spent
+    FROZEN = "frozen"  # by an injected fault
+    THROTTLED = "throttled"  # by its processor quota
 
 
-THREAD_WORK_S = 0.002  # that work in another thread takes, where its caller doesn't say
+THREAD_WORK_S = 0.002  # default duration of work in a thread, in seconds
 
 
 @implementer(IDelayedCall)
 class VirtualCall:
-    """A call that a reactor owes."""
+    """A delayed call of a virtual reactor."""
 
     __slots__ = ("_arguments", "_call", "_keywords", "_reactor", "_time")
 
@@ -55,37 +55,37 @@
         self._keywords = keywords
 
     def getTime(self) -> float:
-        """When it is due."""
+        """The time at which it is due."""
         return self._time
 
     def active(self) -> bool:
-        """Whether it is still to come."""
+        """Whether it has neither run nor been cancelled."""
         return self._call is not None
 
     def cancel(self) -> None:
-        """It doesn't come; an error where it has come or was cancelled."""
+        """Cancel it; raises `AlreadyCalled` or `AlreadyCancelled`."""
         self._check()
         self._call = None
         self._arguments = ()
-        self._keywords = None  # None: cancelled
+        self._keywords = None  # marks it as cancelled
 
     def reset(self, secondsFromNow: float) -> None:
-        """Due so much from now, instead of before."""
+        """Reschedule it to `secondsFromNow` from now."""
         self._move(self._reactor.seconds() + secondsFromNow)
 
     def delay(self, secondsLater: float) -> None:
-        """Due so much later."""
+        """Postpone it by `secondsLater`."""
         self._move(self._time + secondsLater)
 
     def _move(self, time: float) -> None:
         self._check()
         earlier = time < self._time
         self._time = time
-        if earlier:  # an event for a later time is in the queue already
+        if earlier:  # for a later time, the event already queued reschedules itself
             self._reactor.scheduler.push(time, self.due)
 
     def due(self) -> None:
-        """Called by the scheduler, perhaps more than once."""
+        """Run the call if it is due; the scheduler may call this more than once."""
         if self._call is None or self._reactor.ended:
             return
         if self._time > self._reactor.scheduler.now:
@@ -103,19 +103,19 @@
 
 
 class _ThreadPool:
-    """`deferToThreadPool` without threads: the work is done at once, after a while of virtual time."""
+    """A thread pool without threads: work runs in the reactor after a delay in virtual time."""
 
     def __init__(self, reactor: VirtualReactor) -> None:
         self._reactor = reactor
 
     def callInThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """Do it, later, in virtual time."""
+        """Schedule work."""
         self.callInThreadWithCallback(None, call, *arguments, **keywords)
 
     def callInThreadWithCallback(
         self, done: Callable[[bool, Any], object] | None, call: Call, *arguments: Any, **keywords: Any
     ) -> None:
-        """Do it, later; `done` receives whether it succeeded, and its result or failure."""
+        """Schedule work; `done` receives whether it succeeded, and its result or failure."""
         self._reactor.thread_work(lambda: self._work(done, call, arguments, keywords))
 
     @staticmethod
@@ -134,7 +134,7 @@
 
 @implementer(IHostnameResolver)
 class _NumericAddressResolver:
-    """The name resolver: there are only addresses by number."""
+    """A name resolver for numeric addresses only."""
 
     def resolveHostName(
         self,
@@ -150,7 +150,7 @@
         return resolutionReceiver
 
     def cancel(self) -> None:
-        """Nothing is in flight."""
+        """Do nothing: resolution is immediate."""
 
 
 @implementer(IReactorTime, IReactorTCP, IReactorUDP, IReactorFromThreads, IReactorPluggableNameResolver)
@@ -165,13 +165,13 @@
         self._recorder = host.network.recorder
         self.frozen = self.ended = False
         self._suspended_by: set[Suspension] = set()
-        self.due_timers: list[Call] = []  # timers that fell due while it was frozen
-        self.pending_reads: list[Call] = []  # sockets with something to read, likewise
-        self.sockets: dict[Any, None] = {}  # ports and connections that are open, in their order
+        self.due_timers: list[Call] = []  # timers that fell due while the process was frozen
+        self.pending_reads: list[Call] = []  # reads of sockets that became readable in that time
+        self.sockets: dict[Any, None] = {}  # open ports and connections, in order of creation
         self.on_stop: Callable[[], None] = _nothing
         self.thread_work: Callable[[Call], object] = self._thread_work
         self.nameResolver = _NumericAddressResolver()
-        self.propagates_errors = False  # whether a callback's exception ends the run: for actors
+        self.propagates_errors = False  # whether a callback's exception ends the run; set for actors
 
     # ---- time
 
@@ -189,45 +189,45 @@
         return timer
 
     def getDelayedCalls(self) -> tuple[VirtualCall, ...]:
-        """Not kept."""
+        """An empty tuple: the scheduler keeps the calls."""
         return ()
 
     # ---- core and threads
 
     def callWhenRunning(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """Call in the next turn: the reactor always runs."""
+        """Call in the next turn; the reactor always runs."""
         self.callLater(0, call, *arguments, **keywords)
 
     def callFromThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """In the reactor's next turn."""
+        """Call in the reactor's next turn."""
         self.callLater(0, call, *arguments, **keywords)
 
     def callInThread(self, call: Call, *arguments: Any, **keywords: Any) -> None:
-        """As work of the thread pool."""
+        """Call as work of the thread pool."""
         self.getThreadPool().callInThread(call, *arguments, **keywords)
 
     def getThreadPool(self) -> _ThreadPool:
-        """There are no threads: work is done in virtual time."""
+        """The pool that runs work in virtual time."""
         return _ThreadPool(self)
 
     def suggestThreadPoolSize(self, size: int) -> None:
-        """There are no threads."""
+        """Do nothing: there are no threads."""
 
     def addSystemEventTrigger(self, phase: str, event: str, call: Call, *arguments: Any) -> object:
-        """The reactor has no events of its own."""
+        """Ignored: the reactor has no system events."""
         return object()
 
     def removeSystemEventTrigger(self, trigger: object) -> None:
         """See `addSystemEventTrigger`."""
 
     def installNameResolver(self, resolver: Any) -> Any:
-        """Use another one; the one before."""
+        """Set the name resolver; returns the previous one."""
         previous = self.nameResolver
         self.nameResolver = resolver
         return previous
 
     def stop(self) -> None:
-        """The process ends by itself."""
+        """End the process by its own decision."""
         self.on_stop()
 
     def _thread_work(self, work: Call) -> None:
@@ -236,23 +236,23 @@
     # ---- sockets
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
-        """Raises `CannotListenError` where the port is taken."""
+        """Open a listening port; raises `CannotListenError` if it is in use."""
         return self.network.listen(self, port, factory, interface)
 
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30, bindAddress: Any = None
     ) -> Any:
-        """A connector; `factory` receives the events of the connection."""
+        """Start a connection; `factory` receives its events."""
         return self.network.connect(self, host, port, factory, timeout)
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192) -> Any:
-        """Raises `CannotListenError` where the port is taken."""
+        """Open a datagram port; raises `CannotListenError` if it is in use."""
         return self.network.listen_datagrams(self, port, protocol, interface)
 
     # ---- running code of this process
 
     def run(self, call: Call, *arguments: Any, **keywords: Any) -> bool:
-        """Call code of this process; False where it raised, which is recorded, as a reactor logs it."""
+        """Call code of this process; returns False if it raised, after recording the exception."""
         if self.ended:
             return False
         recorder = self._recorder
@@ -270,7 +270,7 @@
         return True
 
     def read(self, call: Call) -> None:
-        """Call because a socket is readable: now, or when a frozen process is thawed."""
+        """Handle a readable socket now, or at the thaw of a frozen process."""
         if self.frozen:
             self.pending_reads.append(call)
         else:
@@ -279,12 +279,12 @@
     # ---- state of the process
 
     def freeze(self, cause: Suspension = Suspension.FROZEN) -> None:
-        """Run no code of the process until `thaw` with the same cause."""
+        """Suspend the process until `thaw` with the same cause."""
         self._suspended_by.add(cause)
         self.frozen = True
 
     def thaw(self, cause: Suspension = Suspension.FROZEN) -> None:
-        """Run the process again unless there is another cause: due timers first, then unread sockets."""
+        """Resume the process unless another cause remains: due timers run first, then reads of sockets."""
         self._suspended_by.discard(cause)
         if not self.frozen or self._suspended_by:
             return
@@ -299,7 +299,7 @@
             self.scheduler.push(self.scheduler.now, call)
 
     def end(self) -> None:
-        """Run no code of the process any more. The network closes its sockets."""
+        """End the process: no callback runs any more. The network closes its sockets."""
         self.ended = True
         self.frozen = False
         self.due_timers.clear()
@@ -307,4 +307,4 @@
 
 
 def _nothing() -> None:
-    """Nobody waits for this reactor to stop."""
+    """Default of `VirtualReactor.on_stop`."""
--- a/bitternpath/testing/simulation/recorder.py
+++ b/bitternpath/testing/simulation/recorder.py
@@ -1,4 +1,4 @@
-"""Records a run: the trace, failures inside hosts, log lines, and ownerships of groups."""
+"""Records of a run: the trace, failures inside hosts, log lines, and ownerships of groups."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from bitternpath.testing.simulation.scheduler import Scheduler
 from bitternpath.testing.simulation.transitions import Transition, membership_changes
 
-OUTSIDE = "-"  # where no host's code runs
+OUTSIDE = "-"  # name of the current host while no host's code runs
 
 
 @dataclass(frozen=True, slots=True)
 class HostFailure:
-    """An exception that nobody caught, or an error that was logged with a traceback."""
+    """An unhandled exception, or an error that was logged with a traceback."""
 
     at: float
     host: str
@@ -48,7 +48,7 @@
         self.log: list[str] = []
         self.failures: list[HostFailure] = []
         self.ownerships: list[Ownership] = []
-        self.membership_changes: list[Transition] = []  # when they were proposed
+        self.membership_changes: list[Transition] = []  # by the time of their proposal
         self._checksum = 0
         self._observer = cast("ILogObserver", self._observe)
         self._handlers = _LogHandler(self), _LevelFilter(logbook.INFO if keep_log else logbook.ERROR)
@@ -62,45 +62,45 @@
         self._checksum = zlib.crc32(line.encode(), self._checksum)
 
     def arrival(self, source: str, target: str, data: bytes) -> None:
-        """Bytes that arrived, which only the digest covers."""
+        """Record received bytes, in the digest only."""
         head = f"{self._scheduler.now:.6f} {source} {target}"
         self._checksum = zlib.crc32(data, zlib.crc32(head.encode(), self._checksum))
 
     def failed(self, failure: Failure) -> None:
-        """Code of the current host raised."""
+        """Record an exception of the current host's code."""
         self._add_failure(failure.getTraceback())
 
     def ownership(self, node: str, group: str, epoch: int, gained: bool) -> None:
-        """A replica became the owner of its group, or isn't any more."""
+        """Record that a replica gained or lost the ownership of its group."""
         self.ownerships.append(Ownership(self._scheduler.now, node, group, epoch, gained))
         self.event("owner" if gained else "not_owner", f"{node} {group} epoch={epoch}")
 
     def membership_change(self, before: Members, after: Members) -> None:
-        """An owner proposed a membership of its group. Not in the trace: its entry is among the bytes."""
+        """Record a proposed membership; not in the trace, since the digest covers the entry's bytes."""
         now = self._scheduler.now
         self.membership_changes += [Transition(now, kind) for kind in membership_changes(before, after)]
 
     @property
     def digest(self) -> str:
-        """Covers the trace and every byte that arrived, in their order."""
+        """A checksum of the trace and all received bytes, in order."""
         return f"{len(self.trace)}-{self._checksum:08x}"
 
     # ---- logs of the code that runs
 
     def attach(self) -> None:
-        """Record logbook and Twisted's log from now on."""
+        """Start to record logbook's and Twisted's logs."""
         for handler in self._handlers:
             handler.push_application()
         globalLogPublisher.addObserver(self._observer)
 
     def detach(self) -> None:
-        """Record the logs no more."""
+        """Stop recording logs."""
         for handler in reversed(self._handlers):
             handler.pop_application()
         globalLogPublisher.removeObserver(self._observer)
 
     def logged(self, record: Any) -> None:
-        """A line of logbook."""
+        """Record a line of logbook."""
         if record.exc_info:
             self._add_failure(f"{record.message}\n{record.formatted_exception}")
         if self._keep_log:
@@ -120,7 +120,7 @@
 
 
 class _LogHandler(logbook.Handler):  # type: ignore[misc]
-    """Hands lines of logbook to the recorder."""
+    """Passes log records of logbook to the recorder."""
 
     def __init__(self, recorder: Recorder) -> None:
         super().__init__(level=logbook.DEBUG, bubble=False)
@@ -131,7 +131,7 @@
 
 
 class _LevelFilter(logbook.Handler):  # type: ignore[misc]
-    """Ends the way of lines below a level before anything is done for them."""
+    """Drops records below a level before they are formatted."""
 
     blackhole = True
 
--- a/bitternpath/testing/simulation/refused_terms.py
+++ b/bitternpath/testing/simulation/refused_terms.py
@@ -1,8 +1,8 @@
-"""A fence that was refused is never used again (NEWS-24, "Duty").
+"""Checks that a refused fencing token is never used again (NEWS-24, "Duty").
 
-The term of a group is the fencing token of its owner: what an owner orders are the requests of a leader.
-Once a member has been told of a higher term by a message that makes it step down, it sends no such request of
-a lower term any more: not from a queue, by a timer, or after a restart from the same disk.
+The term of a group is the fencing token of its owner, and the requests of a leader are the orders that carry
+it. After a member has received a higher term in a message that makes it step down, it sends no leader request
+of a lower term: not from a queue, by a timer, or after a restart from the same disk.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 def refusing_term(message: Message) -> int:
-    """The term in whose favour a message makes a member of a lower term step down; 0 where it never does.
+    """The term of a message that makes members of lower terms step down; 0 if the message never does.
 
-    Requests for votes don't count: a member that hears its leader, or is it, ignores them.
+    Requests for votes don't count: a leader, or a member in contact with its leader, ignores them.
     """
     match message:
         case RequestVoteResponse(term=term, pre_vote=pre_vote, granted=granted):
@@ -37,15 +37,15 @@
 
 
 class RefusedTermChecker:
-    """Watches the consensus messages of all members; a member is known by the identity of its disk."""
+    """Observes the consensus messages of all members; a member is identified by its disk."""
 
     def __init__(self, broken: Callable[[str], object]) -> None:
-        """`broken` receives a text for each request of a refused term."""
+        """Create a checker that passes a description of each request of a refused term to `broken`."""
         self._broken = broken
-        self._highest_refusing: dict[tuple[str, str], int] = {}  # terms below, by member and group
+        self._highest_refusing: dict[tuple[str, str], int] = {}  # by member and group
 
     def observe(self, member: str, name: str, group: ReplicaGroup) -> None:
-        """Watch what an open group receives and sends from now on."""
+        """Observe the messages that an open group receives and sends."""
         receive = group.receive
         flush = group.flush
 
@@ -63,15 +63,15 @@
         group.flush = flushed  # type: ignore[method-assign]
 
     def received(self, member: str, group: str, message: Message) -> None:
-        """A member gets a message of a group in which it takes part."""
+        """Record a message that a member received."""
         key = member, group
         self._highest_refusing[key] = max(self._highest_refusing.get(key, 0), refusing_term(message))
 
     def sent(self, member: str, group: str, message: Message) -> None:
-        """A member sends a message."""
+        """Check a message that a member sends."""
         refused = self._highest_refusing.get((member, group), 0)
         if isinstance(message, LeaderRequest) and message.term < refused:
             kind = type(message).__name__
             self._broken(
-                f"{group}: {member} sent {kind} of term {message.term} after it had heard of {refused}"
+                f"{group}: {member} sent {kind} of term {message.term} after it received term {refused}"
             )
--- a/bitternpath/testing/simulation/repair_controller.py
+++ b/bitternpath/testing/simulation/repair_controller.py
@@ -1,4 +1,4 @@
-"""The configuration's owner in runs of `simulation.repairs`: the real placement, notified over links."""
+"""The owner of the configuration in runs of `simulation.repairs`: real placement code, simulated links."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from bitternpath.transport.group_messages import GroupPlacement
 from bitternpath.transport.node_messages import NodeDescriptor
 
-LATENCY_S = 0.002  # of a message, one way
-SYNC_S = 0.005  # of a batch of the journal
-COMMIT_S = 2 * LATENCY_S + SYNC_S  # of a command of the configuration group
+LATENCY_S = 0.002  # one-way delay of a message
+SYNC_S = 0.005  # duration of a journal batch
+COMMIT_S = 2 * LATENCY_S + SYNC_S  # time to commit a command of the configuration group
 
 
 class ControllerEnvironment(Protocol):
-    """What is around the configuration's owner."""
+    """The environment of the configuration's owner."""
 
     clock: EventClock
 
     def last_contact_at(self, node: NodeDescriptor) -> float:
-        """When the configuration's owner heard a node last."""
+        """The time of the last contact between the configuration's owner and a node."""
 
     def placement_received(self, name: str, groups: tuple[GroupPlacement, ...]) -> None:
-        """The feed has brought a placement to a machine."""
+        """Deliver a placement of the feed to a machine."""
 
 
 class Controller:
-    """Plays the configuration's owner: keeps the placement, and tells it to all processes."""
+    """Simulates the configuration's owner: maintains the placement and sends it to all processes."""
 
     def __init__(self, world: ControllerEnvironment, tolerated: int) -> None:
         self.world = world
@@ -43,19 +43,19 @@
         self._placement_pending = False
 
     def subscribed(self, node: NodeDescriptor) -> None:
-        """A process follows the feed."""
+        """Add a process that subscribed to the feed."""
         self.connected[node.name] = node
         self._notify([node.name])
         self._schedule_evaluation()
 
     def link_lost(self, node: NodeDescriptor) -> None:
-        """Its link has ended."""
+        """Remove a process whose link has ended."""
         if self.connected.get(node.name) == node:
             del self.connected[node.name]
             self._schedule_evaluation()
 
     def retire(self, name: str) -> None:
-        """The operator's order is committed."""
+        """Apply a committed order to retire a machine."""
         self.retired.add(name)
         self._schedule_evaluation()
 
@@ -65,7 +65,7 @@
             self.world.clock.callLater(0.0, self.evaluate_placement)
 
     def evaluate_placement(self) -> None:
-        """Compare the placement with who is there."""
+        """Compute a new placement from the connected nodes, and commit it if it differs."""
         self._evaluation_scheduled = False
         now = self.world.clock.seconds()
         contact_at = {
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -1,9 +1,9 @@
-"""Repairs of many replica groups in virtual time: how long each leaves a group one loss from no majority.
+"""Repairs of many replica groups in virtual time, and how long each group is one loss away from no majority.
 
-Machines have a simulated disk, a link of bounded bandwidth and one replica host with all the groups that the
-placement gives them. Consensus, the journal, the placement and the steps of members are the real code; the
-configuration's owner is played by `Controller`, which receives events of machines as links would report them.
-For tests and for `benchmarks/repairs.py`.
+Machines have a simulated disk, a link of limited bandwidth and one replica host with all groups that the
+placement assigns to them. Consensus, journal, placement and member changes are the real code; `Controller`
+simulates the configuration's owner, which receives events of machines as links would report them. For tests
+and for `benchmarks/repairs.py`.
 """
 
 from __future__ import annotations
@@ -17,9 +17,7 @@
 
 from msgspec.structs import replace
 
-from bitternpath.configuration.placement import (
-    initial_placement,
-)
+from bitternpath.configuration.placement import initial_placement
 from bitternpath.membership.bootstrap import member_id
 from bitternpath.replication.host import HostOptions, ReplicaHost
 from bitternpath.replication.interfaces import MessageTransport
@@ -42,19 +40,17 @@
 from bitternpath.transport.node_messages import NodeDescriptor, NodeKind
 
 LINK_BYTES_PER_S = 125e6  # 1000 Mbit/s
-SUBSCRIPTION_DELAY_S = 0.1  # from the start of a process until the configuration's owner has its subscription
-POWER_LOSS_DETECTION_S = (
-    1.6  # until a link to a machine without power is given up (`transport.link_liveness`)
-)
-RECONCILE_INTERVAL_S = 0.25  # between looks at what no event tells
-SAMPLE_INTERVAL_S = 0.005  # between looks of the measurement
-CHUNK_BYTES = 32 << 10  # of the commands that fill a group before the repair
+SUBSCRIPTION_DELAY_S = 0.1  # from the start of a process to its subscription at the configuration's owner
+POWER_LOSS_DETECTION_S = 1.6  # time-out of a link to a machine without power (`transport.link_liveness`)
+RECONCILE_INTERVAL_S = 0.25  # between evaluations of state that no event reports
+SAMPLE_INTERVAL_S = 0.005  # between samples of the measurement
+CHUNK_BYTES = 32 << 10  # size of the commands that fill a group before the repair
 ZONES = 3
 
 
 @dataclass(slots=True)
 class Process:
-    """One life of a machine's process."""
+    """One incarnation of a machine's process."""
 
     descriptor: NodeDescriptor
     clock: ProcessClock
@@ -66,19 +62,19 @@
 
 @dataclass(slots=True)
 class Machine:
-    """A machine with its disk, under a name that stays."""
+    """A machine with its disk, under a permanent name."""
 
     name: str
     zone: str
     disk: SimulatedFileSystem = field(default_factory=SimulatedFileSystem)
-    disks: int = 1  # how many it has had
+    disks: int = 1  # number of disks so far; a wipe counts as a new disk
     incarnations: int = 0
     process: Process | None = None
-    sends_until: float = 0.0  # of its link, outwards
-    receives_until: float = 0.0  # inwards
+    sends_until: float = 0.0  # when its link has sent all queued messages
+    receives_until: float = 0.0  # when its link has received all messages in flight
 
     def descriptor(self) -> NodeDescriptor:
-        """What its present process tells of itself."""
+        """The descriptor that its current process announces."""
         disk = f"d{self.disks}"
         return NodeDescriptor(
             self.name, f"{self.name}:1", NodeKind.STORAGE, self.zone, True, disk, self.incarnations, 0
@@ -87,20 +83,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RepairPlan:
-    """What is there before the repair. `state_bytes` is of each group."""
+    """The cluster before the repair. `state_bytes` is the size of each group's state."""
 
     groups: int = 1
     tolerated: int = 1
     machines: int = 0  # 0: as many as a group has members
     state_bytes: int = 0
-    commands_per_s: float = 20.0  # of each group, while it is measured
+    commands_per_s: float = 20.0  # rate for each group during the measurement
     command_bytes: int = 200
-    link_bytes_per_s: float = LINK_BYTES_PER_S  # of each machine, each way
+    link_bytes_per_s: float = LINK_BYTES_PER_S  # bandwidth of each machine, in each direction
 
 
 @dataclass(slots=True)
 class GroupTimes:
-    """When a group got how far; seconds of virtual time. `exposed_s`: one loss from no majority, in all."""
+    """Times at which a group's repair reached its stages, in seconds of virtual time.
+
+    `exposed_s`: total time in which one more loss would have cost the majority.
+    """
 
     learner_at: float | None = None
     voter_at: float | None = None
@@ -109,7 +108,7 @@
 
 
 class RepairWorld:
-    """One run."""
+    """One run of a cluster under repair."""
 
     def __init__(self, seed: int, plan: RepairPlan) -> None:
         self.plan = plan
@@ -120,8 +119,8 @@
         self.registers: dict[tuple[str, str], CommandLogMachine] = {}  # by member and group
         self.controller = Controller(self, plan.tolerated)
         self.times: dict[str, GroupTimes] = {}
-        self.ended_at: dict[tuple[str, int], float] = {}  # by name and life
-        self.isolated: set[str] = set()  # machines whose members neither receive from nor reach others
+        self.ended_at: dict[tuple[str, int], float] = {}  # by name and incarnation
+        self.isolated: set[str] = set()  # machines whose members exchange no messages with others
         self.bytes_sent = 0
         self.error: BaseException | None = None
         self._serial = count(1)
@@ -139,7 +138,7 @@
     # ---- machines
 
     def add_machine(self, name: str, zone: str) -> Machine:
-        """A machine with an empty disk, not started."""
+        """Add a machine with an empty disk, without starting it."""
         machine = self.machines[name] = Machine(name, zone)
         return machine
 
@@ -157,7 +156,7 @@
         options = HostOptions(Random(self.random.random()))
         host = ReplicaHost(clock, member, Journal(log, journal_writer), MessageTransport(send), options)
         machine.process = Process(descriptor, clock, journal_writer, host, MembershipReconciler(host))
-        self._open_groups(machine.process, self.controller.groups)  # as from the feed's cache
+        self._open_groups(machine.process, self.controller.groups)  # stands for the feed's cache
         self.clock.callLater(SUBSCRIPTION_DELAY_S, self._subscribe, name, machine.process)
 
     def _subscribe(self, name: str, process: Process) -> None:
@@ -165,13 +164,13 @@
             self.controller.subscribed(process.descriptor)
 
     def last_contact_at(self, node: NodeDescriptor) -> float:
-        """When the configuration's owner heard a node last."""
+        """The time of the last contact between the configuration's owner and a node."""
         process = self.machines[node.name].process
         alive = process is not None and process.descriptor.incarnation == node.incarnation
         return self.clock.seconds() if alive else self.ended_at.get((node.name, node.incarnation), 0.0)
 
     def stop(self, name: str, *, graceful: bool, wipe: bool = False) -> None:
-        """End a process: after a SIGTERM (`says_so`) or by a loss of power."""
+        """End a process: after a SIGTERM (`graceful`) or by a loss of power."""
         machine = self.machines[name]
         process = machine.process
         machine.process = None
@@ -191,7 +190,7 @@
             machine.disk.lose_power(self.random)
 
     def drain(self, name: str) -> None:
-        """SIGTERM: say so, pass on what it owns."""
+        """Handle SIGTERM: announce the draining and transfer ownership of all groups."""
         process = self.machines[name].process
         assert process is not None
         draining = replace(process.descriptor, draining=True)
@@ -204,7 +203,7 @@
     # ---- groups
 
     def placement_received(self, name: str, groups: tuple[GroupPlacement, ...]) -> None:
-        """The feed has brought a placement."""
+        """Deliver a placement of the feed to a machine."""
         process = self.machines[name].process
         if process is not None:
             process.clock.run(partial(self._open_groups, process, groups))
@@ -240,7 +239,7 @@
         for machine in self.machines.values():
             if machine.process is not None:
                 process = machine.process
-                delay = self.random.uniform(0.0, RECONCILE_INTERVAL_S)  # processes don't look all at once
+                delay = self.random.uniform(0.0, RECONCILE_INTERVAL_S)  # processes are not synchronized
                 self.clock.callLater(delay, process.clock.run, partial(self._step, process))
 
     def _send(self, sender: Machine, member: str, group: str, receiver: str, body: bytes) -> None:
@@ -264,7 +263,7 @@
             process.clock.run(lambda: process.host.receive(group, sender, body))
 
     def owner(self, group: str) -> Process | None:
-        """The process that owns a group, of the highest epoch."""
+        """The process that owns a group in the highest epoch."""
         owners = [
             machine.process
             for machine in self.machines.values()
@@ -275,7 +274,7 @@
     # ---- clients
 
     def propose(self, group: str, size: int) -> bool:
-        """A client's command; False where nobody owns the group."""
+        """Propose a client's command; False if the group has no owner."""
         process = self.owner(group)
         if process is None:
             return False
@@ -296,7 +295,7 @@
         return True
 
     def fill(self) -> None:
-        """Bring all groups to their size of state."""
+        """Fill all groups up to the planned size of their state."""
         self.run_until(lambda: all(self.owner(group) is not None for group in self.checkers), 10.0)
         remaining = dict.fromkeys(self.checkers, -(-self.plan.state_bytes // CHUNK_BYTES))
         while any(remaining.values()):
@@ -307,7 +306,7 @@
         self.run(1.0)
 
     def traffic(self) -> None:
-        """Begin to send each group its commands."""
+        """Start the traffic of commands to all groups."""
         for group in self.checkers:
             self._next_command(group)
 
@@ -319,7 +318,7 @@
     # ---- measuring
 
     def measure(self) -> None:
-        """Begin to note how far each group's repair is."""
+        """Start to record the progress of each group's repair."""
         self.times = {group: GroupTimes() for group in self.checkers}
         self.bytes_sent = 0
         self._sample()
@@ -350,7 +349,7 @@
         return owner.host.members(group), owner.host.committed_members(group) is not None
 
     def slack(self, group: str) -> int:
-        """How many more voters a group could lose and have a majority still; -1 without any."""
+        """How many more voters a group could lose without losing its majority; -1 without an owner."""
         owner = self.owner(group)
         if owner is None:
             return -1
@@ -362,14 +361,14 @@
         }
         return sum(voter in up for voter in voters) - (len(voters) // 2 + 1)
 
-    # ---- play
+    # ---- running
 
     def run(self, seconds: float) -> None:
-        """Play events for so long."""
+        """Play events for `seconds`."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Play events until something holds, for so long at most. Raises `InvariantViolationError`."""
+        """Play events until a condition holds, for `seconds` at most. Raises `InvariantViolationError`."""
         end = self.clock.seconds() + seconds
         next_check_at = self.clock.seconds()
         while self.clock.step(end):
@@ -385,22 +384,22 @@
         return condition()
 
     def repaired(self) -> bool:
-        """Whether the placement has changed, and all groups that it changed have the members it names."""
+        """Whether the placement has changed and all changed groups have the members that it names."""
         changed = [placement.group for placement in self.controller.groups if placement.generation > 1]
         return bool(changed) and all(self.times[group].complete_at is not None for group in changed)
 
     def check_nothing_lost(self) -> None:
-        """Each group's owner has all that was acknowledged. Raises `InvariantViolationError`."""
+        """Check that each owner has all acknowledged commands. Raises `InvariantViolationError`."""
         for group, checker in self.checkers.items():
             owner = self.owner(group)
             if owner is None:
                 raise InvariantViolationError(f"{group} has no owner")
             commands = self.registers[owner.host.member_id, group].commands
             if commands[: checker.acknowledged] != checker.committed[: checker.acknowledged]:
-                raise InvariantViolationError(f"{group}: the owner lacks what was acknowledged")
+                raise InvariantViolationError(f"{group}: the owner lacks acknowledged commands")
 
 
 def _placement(nodes: Sequence[NodeDescriptor], plan: RepairPlan) -> tuple[GroupPlacement, ...]:
-    """As many groups as the plan says, spread as `initial_placement` spreads them."""
+    """The placement of the planned number of groups, distributed like those of `initial_placement`."""
     base = initial_placement(nodes, plan.tolerated)
     return tuple(replace(base[number % len(base)], group=f"queue-{number}") for number in range(plan.groups))
--- a/bitternpath/testing/simulation/replica_checker.py
+++ b/bitternpath/testing/simulation/replica_checker.py
@@ -1,4 +1,4 @@
-"""Invariants of all replicas of a group together, with the state machine and listener that feed them.
+"""Invariants across all replicas of a group, and the state machine and listener that report to them.
 
 The invariants: replicas apply the same commands in the same order, each once; a command that was acknowledged
 to a client is applied, one that was refused never is; an epoch has one owner, which has applied all that was
@@ -15,29 +15,29 @@
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant is violated: the program under test is at fault."""
+    """The program under test violated an invariant."""
 
 
 class Checker:
-    """Invariants of all replicas of one group together. Raises `InvariantViolationError`."""
+    """Invariants across all replicas of one group. Raises `InvariantViolationError`."""
 
     def __init__(self) -> None:
         self.committed: list[bytes] = []
         self.refused: set[bytes] = set()
-        self.acknowledged = 0  # length of the prefix of `committed` that a client may know of
+        self.acknowledged = 0  # length of the prefix of `committed` that clients may know
         self._positions: dict[bytes, int] = {}
         self._owners: dict[int, str] = {}
-        # The first; a host may have caught the exception.
+        # The first violation, kept because a host may catch the exception.
         self.violation: InvariantViolationError | None = None
 
     def fail(self, text: str) -> NoReturn:
-        """Report a violation, and raise it."""
+        """Record a violation and raise it."""
         error = InvariantViolationError(text)
         self.violation = self.violation or error
         raise error
 
     def applied(self, node: str, position: int, command: bytes) -> None:
-        """A node applied a command, its `position`-th, from 0 on."""
+        """Check a command that a node applied at `position`, counted from 0."""
         if position < len(self.committed):
             if self.committed[position] != command:
                 self.fail(f"{node} applied {command!r} where {self.committed[position]!r} was committed")
@@ -50,19 +50,19 @@
         self.committed.append(command)
 
     def acknowledge(self, command: bytes) -> None:
-        """A client received that its command is committed."""
+        """Check the acknowledgement of a command to a client."""
         if command not in self._positions:
             self.fail(f"{command!r} was acknowledged and not applied")
         self.acknowledged = max(self.acknowledged, self._positions[command] + 1)
 
     def refuse(self, command: bytes) -> None:
-        """A client received that its command was not proposed."""
+        """Check the answer to a client that its command was not proposed."""
         if command in self._positions:
             self.fail(f"{command!r} was applied, and refused as not proposed")
         self.refused.add(command)
 
     def owns(self, epoch: int, node: str, applied: int) -> None:
-        """A node became owner of an epoch, with so many commands applied."""
+        """Check the owner of a new epoch, which has applied `applied` commands."""
         if self._owners.setdefault(epoch, node) != node:
             self.fail(f"{node} and {self._owners[epoch]} own epoch {epoch}")
         if epoch == max(self._owners) and applied < self.acknowledged:
@@ -88,7 +88,7 @@
         return msgspec.msgpack.encode(self.commands)
 
     def restore(self, data: bytes) -> None:
-        """Replace the list by that of a snapshot."""
+        """Replace the list by the content of a snapshot."""
         self.commands = msgspec.msgpack.decode(data, type=list[bytes])
         if self.commands != self.checker.committed[: len(self.commands)]:
             self.checker.fail(f"{self.node} got a snapshot of what was not committed")
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -1,8 +1,8 @@
-"""A cluster of replica hosts in virtual time, played from one seed, with checkers. For tests.
+"""A cluster of replica hosts in virtual time, determined by a seed, with checkers. For tests.
 
-Each node has a simulated disk, a journal and a host with one group. Faults: messages lost, repeated,
-reordered and cut off; processes killed, frozen; power lost; disks wiped, full and slow; ownership handed
-over. A wiped node comes back under another member id, as the identity of its disk is another one.
+Each node has a simulated disk, a journal and a host with one group. Faults: lost, duplicated and reordered
+messages, partitions, killed and frozen processes, loss of power, wiped, full and slow disks, transfers of
+ownership. A wiped node returns with a new member id, since the identity of its disk is new.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 from bitternpath.testing.simulation.virtual_time import EventClock, ProcessClock
 
 GROUP = "shard-1"
-TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)  # long heartbeats: fewer messages to play
-BOUNDS = CompactionBounds(size=600, entries=12, entries_to_keep=3)  # small, so that snapshots are sent often
+TIMING = RaftTiming(election_timeout=0.5, heartbeat_interval=0.2)  # a long interval saves messages to play
+BOUNDS = CompactionBounds(size=600, entries=12, entries_to_keep=3)  # small, so that snapshots are frequent
 CHECKPOINT_BYTES, SEGMENT_BYTES = 3_000, 1_000
-REQUEST_INTERVAL_S = 0.06  # between requests
-MEMBERSHIP_INTERVAL_S = 0.15  # between looks of an owner at its members
+REQUEST_INTERVAL_S = 0.06  # mean time between client requests
+MEMBERSHIP_INTERVAL_S = 0.15  # mean time between evaluations of the membership by an owner
 POWER_LOSS_AFTER_ACK_SHARE = 0.01  # share of acknowledgements after which all nodes lose power at once
-CHECK_INTERVAL_S = 0.02
+CHECK_INTERVAL_S = 0.02  # between evaluations of the condition in `run_until`
 
 
 @dataclass(slots=True)
 class Process:
-    """One life of a node."""
+    """One incarnation of a node's process."""
 
     member: str
     clock: ProcessClock
@@ -66,24 +66,24 @@
 
     @property
     def member(self) -> str:
-        """The id of the member that its disk is."""
+        """The member id, which belongs to the disk."""
         return f"{self.name}.{self.wipes}"
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is played."""
+    """The parameters of a run."""
 
     nodes: int = 3
     seconds: float = 4.0
     fault_every: float = 0.5
-    agreement_timeout_s: float = 20.0  # after the last fault; by then all must agree
+    agreement_timeout_s: float = 20.0  # after the last fault, for all replicas to agree
     wipes: bool = True
-    empty_disk_keeps_identity: bool = False  # a broken build: a wiped node counts as before
+    empty_disk_keeps_identity: bool = False  # deliberately broken: a wiped node keeps its member id
 
 
 class World:
-    """One run."""
+    """One run of a cluster."""
 
     def __init__(self, seed: int, plan: Plan = Plan()) -> None:
         self.plan = plan
@@ -98,7 +98,7 @@
         self.faults_stopped = False
         self._serial = count(1)
         self.faults = 0
-        self._error: BaseException | None = None  # in a callback
+        self._error: BaseException | None = None  # raised in a callback
         for node in self.nodes.values():
             self._start(node, self.founders)
 
@@ -159,7 +159,7 @@
                 process.clock.run(partial(self.propose, process, command))
 
     def propose(self, process: Process, command: bytes) -> None:
-        """Propose a command, and tell the checker what came of it."""
+        """Propose a command and report its outcome to the checker."""
 
         def committed(result: object) -> None:
             if result != command:
@@ -193,7 +193,7 @@
     # ---- membership
 
     def _reconcile_members(self) -> None:
-        """An owner takes the next step towards the nodes' present members."""
+        """Let the owner take the next step towards the current members of all nodes."""
         desired = [node.member for node in self.nodes.values()]
         for node in self.nodes.values():
             if node.process is not None:
@@ -210,8 +210,8 @@
                 host.change_members(GROUP, members)
 
     def _may_wipe(self) -> bool:
-        """One disk at a time may be lost: an owner's members must be the nodes' present ones, that must be
-        committed, and all must have caught up.
+        """Whether another disk may be lost: an owner's committed members are those of all nodes, and all of
+        them have caught up.
         """
         desired = {node.member for node in self.nodes.values()}
         for node in self.nodes.values():
@@ -297,7 +297,7 @@
                 process.clock.run(partial(process.host.transfer_leadership, GROUP))
 
     def _isolate_in_hand_over(self, node: Node) -> None:
-        """The heir is elected at once, and the former owner doesn't learn of it."""
+        """Transfer ownership while the former owner receives nothing, so that it misses the election."""
         for each in self.nodes.values():
             if each.process is not None and each.process.host.transfer_leadership(GROUP):
                 self.blocked.update((other, each.name) for other in self.nodes)
@@ -316,10 +316,10 @@
         node.process.journal_writer.sync_seconds = self.random.choice([0.05, 0.3])
         self._later(setattr, node.process.journal_writer, "sync_seconds", 0.001)
 
-    # ---- play
+    # ---- running
 
     def play(self) -> Checker:
-        """Faults, then calm until all agree. Raises `InvariantViolationError`."""
+        """Inject faults, then run without faults until all agree. Raises `InvariantViolationError`."""
         self._repeat(REQUEST_INTERVAL_S, self._request)
         self._repeat(MEMBERSHIP_INTERVAL_S, self._reconcile_members)
         self._repeat(self.plan.fault_every, self._inject_fault)
@@ -327,7 +327,7 @@
         self._stop_faults()
         if not self.run_until(self._agrees, self.plan.agreement_timeout_s):
             raise InvariantViolationError(
-                f"no agreement after {self.plan.agreement_timeout_s} s of calm: {self._describe()}"
+                f"no agreement after {self.plan.agreement_timeout_s} s without faults: {self._describe()}"
             )
         return self.checker
 
@@ -347,7 +347,7 @@
             node.disk.capacity = None
 
     def _agrees(self) -> bool:
-        """All nodes are voters, up, and have applied all that was committed."""
+        """Whether all nodes run, are voters and have applied all committed commands."""
         for node in self.nodes.values():
             if node.process is None or node.process.register.commands != self.checker.committed:
                 return False
@@ -357,7 +357,7 @@
         return any(node.process and node.process.host.is_owner(GROUP) for node in self.nodes.values())
 
     def run_until(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Play events until something holds, looked at every `LOOK_SECONDS`, for so long at most."""
+        """Play events until a condition holds, checked every `CHECK_INTERVAL_S`, for `seconds` at most."""
         end = self.clock.seconds() + seconds
         next_check_at = self.clock.seconds() + CHECK_INTERVAL_S
         while self.clock.step(end):
--- a/bitternpath/testing/simulation/runs/__init__.py
+++ b/bitternpath/testing/simulation/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated runs: plans drawn from a seed, playing them, and reducing those that fail."""
+"""Simulated runs: generation of plans from a seed, execution, and reduction of failing plans."""
--- a/bitternpath/testing/simulation/runs/coverage.py
+++ b/bitternpath/testing/simulation/runs/coverage.py
@@ -1,6 +1,6 @@
-"""What the faults of runs met: pairs of faults at one time, and changes of the system that a crash fell into.
+"""Coverage of runs: pairs of concurrent faults, and state transitions during which a machine crashed.
 
-A campaign adds up the coverage of its runs. What was never met has to be drawn on purpose.
+A campaign adds up the coverage of its runs. Combinations that never occurred need scenarios of their own.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from bitternpath.testing.simulation.runs.draw import CATCH_UP_S
 from bitternpath.testing.simulation.transitions import Transition, TransitionKind
 
-NEAR_S = 0.3  # a crash at most so long before or after a change falls into it
-CRASH_EVENTS = frozenset(("kill", "power_loss", "wipe", "remove", "exit"))  # of the trace
+NEAR_S = 0.3  # maximum time between a crash and a transition that count as concurrent
+CRASH_EVENTS = frozenset(("kill", "power_loss", "wipe", "remove", "exit"))  # events of the trace
 
 
 Pair = tuple[FaultKind, FaultKind]
@@ -25,10 +25,10 @@
 
 @dataclass
 class Coverage:
-    """Counts over runs. Pairs are in the order in which `FaultKind` lists their members."""
+    """Counts over runs. The members of a pair are in the order of `FaultKind`."""
 
     pairs: Counter[Pair] = field(default_factory=Counter)
-    crashes: Counter[TransitionKind] = field(default_factory=Counter)  # that fell into a change
+    crashes: Counter[TransitionKind] = field(default_factory=Counter)  # transitions with a concurrent crash
     transitions: Counter[TransitionKind] = field(default_factory=Counter)
     runs: int = 0
 
@@ -40,7 +40,7 @@
         self.runs += other.runs
 
     def lines(self) -> Iterator[str]:
-        """A report: each kind of fault with those that it crossed and never crossed, each transition."""
+        """A report: for each kind of fault the kinds that overlapped it or never did, and each transition."""
         yield f"coverage of {self.runs} runs"
         for kind in FaultKind:
             crossed = {other: self._crossed(kind, other) for other in FaultKind}
@@ -53,7 +53,7 @@
             yield f"  {transition.value}: {of}, a crash fell into {crash_count}"
 
     def never_crossed(self) -> list[Pair]:
-        """Pairs of kinds that no run had at one time."""
+        """Pairs of kinds of faults that never overlapped."""
         return [pair for pair in combinations_with_replacement(FaultKind, 2) if not self.pairs[pair]]
 
     def _crossed(self, kind: FaultKind, other: FaultKind) -> int:
@@ -61,7 +61,7 @@
 
 
 def coverage_of(plan: RunPlan, recorder: Recorder, history: SystemHistory) -> Coverage:
-    """The coverage of one run, by its plan, what the world recorded and what operators saw."""
+    """The coverage of one run, from its plan, the world's records and the operators' observations."""
     coverage = Coverage(runs=1)
     coverage.pairs.update(_crossed_pairs(plan))
     crashes = [at for at, event in _trace_events(recorder) if event in CRASH_EVENTS]
@@ -84,7 +84,7 @@
 
 
 def _until(fault: Fault) -> float:
-    """When the machines of a fault have caught up."""
+    """The time by which the machines of a fault have caught up."""
     return fault.at + fault.lasts + fault.gap_s * len(fault.nodes) + CATCH_UP_S
 
 
@@ -112,7 +112,7 @@
 
 
 def _retirements(calls: Sequence[Retirement]) -> Iterator[Transition]:
-    """The first call of each kind that succeeded, by machine."""
+    """Transitions of retirements: the first successful order and the first report of completion."""
     seen: set[tuple[str, TransitionKind]] = set()
     for call in calls:
         if call.status != 200 or (call.call is RetireCall.READ and call.state != "done"):
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -1,7 +1,7 @@
-"""Plans drawn from a seed: traffic, orders, and faults within `fault_tolerance` (DEPLOY, "Losses").
+"""Generation of plans from a seed: traffic, orders, and faults within `fault_tolerance` (DEPLOY, "Losses").
 
-A machine that counts is lost from its fault until `catch_up_s` after it is back, or after its successor's
-start. At most `tolerated` are lost at one time, but that all may be killed, or lose power, together.
+A counted machine is lost from its fault until `catch_up_s` after its return or its successor's start. At most
+`tolerated` machines are lost at one time, except that all may be killed, or lose power, together.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 CATCH_UP_S = BOUNDS["catch_up_s"]
 GRACE_S = BOUNDS["grace_s"]
-EARLY_GAP_S = 0.2  # after the earliest moment that is allowed
-EARLY_SHARE = 0.6  # of faults that come as early as is allowed
-LONGEST_GAP_S = 3.0
+EARLY_GAP_S = 0.2  # maximum time between the earliest permitted time and an early fault
+EARLY_SHARE = 0.6  # share of early faults
+LONGEST_GAP_S = 3.0  # maximum time between the earliest permitted time and any other fault
 FIRST_FAULT_S = 1.0
 ORDER_KEYS = 5
 KIND_WEIGHTS = {Kind.LISTED: 4, Kind.ENDPOINT: 3, Kind.PULLED: 3}
@@ -70,19 +70,19 @@
     FaultKind.HERD_KILLED,
     FaultKind.POWER_CHAIN,
 )
-HERD_SHARES = (0.4, 0.7, 1.0)  # of all machines
+HERD_SHARES = (0.4, 0.7, 1.0)  # shares of all machines
 SHORTEST_CHAIN_GAP_S, LONGEST_CHAIN_GAP_S = 0.1, 1.5
 STEPS_MS = (-6_000, -1_500, -100, 100, 1_500, 6_000)
-QUOTA_SHARE = 0.1  # of each tenth of a second
+QUOTA_SHARE = 0.1  # processor share, see `Layout.processor_share`
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """The mix of a kind of run. Rates are per second; weights needn't add up to one."""
+    """A mix of events. Rates are per second; weights needn't add up to one."""
 
     name: str
     faults: dict[FaultKind, float]
-    core_share: float = 0.5  # of faults of one machine, that hit the core and not a storage machine
+    core_share: float = 0.5  # share of single-machine faults that hit the core instead of a storage machine
     layout: Layout = field(default_factory=Layout)
     seconds: float = 14.0
     messages: float = 5.0
@@ -92,10 +92,10 @@
     worker_faults: float = 0.15
     edge_faults: float = 0.1
     retirements: int = 0
-    final: float = 0.2  # share of runs that end with the loss of all machines
+    final: float = 0.2  # share of runs that end with a loss of power of all counted machines
 
 
-# Not the kinds with scenarios of their own: `mixed` and the others keep what their seeds draw.
+# Kinds that have scenarios of their own are left out, so that seeds of older scenarios give the same plans.
 _ALL: dict[FaultKind, float] = {
     kind: 1.0
     for kind in FaultKind
@@ -163,7 +163,7 @@
 
 
 def draw(seed: int, scenario: Scenario) -> RunPlan:
-    """The plan of a seed."""
+    """Generate the plan of a seed."""
     random = Random(f"{seed}/{scenario.name}")
     events = [
         *_messages(random, scenario),
@@ -184,7 +184,7 @@
 
 
 class _FaultDrawer:
-    """Draws faults of machines in order of time; keeps until when each machine counts as lost."""
+    """Draws faults of machines in order of time and tracks until when each machine counts as lost."""
 
     def __init__(self, random: Random, scenario: Scenario) -> None:
         self._random = random
@@ -213,7 +213,7 @@
         return events + self._retirements()
 
     def _next_time(self, at: float) -> float:
-        """The time of the next fault: not before one more machine may be lost and no fault affects all."""
+        """The time of the next fault: when one more machine may be lost and no mass fault is in progress."""
         lost = sorted(until for until in self._lost_until.values() if until > at)
         free = len(lost) < self._scenario.layout.tolerated
         allowed = at if free else lost[len(lost) - self._scenario.layout.tolerated]
@@ -242,7 +242,7 @@
         return self._core if self._random.random() < self._scenario.core_share else stores
 
     def _mass_fault(self, at: float, kind: FaultKind, lasts: float) -> Fault:
-        """A fault of more machines than may be lost at one time; no more disks than that are lost in it."""
+        """A fault of more machines than are tolerated; at most the tolerated number of disks is lost."""
         nodes = self._mass_nodes(kind)
         at = max([at, *self._lost_until.values()])
         self._all_until = at + lasts + CATCH_UP_S
@@ -254,7 +254,7 @@
         return Fault(number=0, at=at, kind=kind, nodes=tuple(nodes), lasts=lasts, gap_s=gap_s, wiped=wiped)
 
     def _mass_nodes(self, kind: FaultKind) -> list[str]:
-        """The machines of a mass fault: all that count, or a part of them."""
+        """The machines of a mass fault: all counted ones, or a subset."""
         counted = [*self._core, *self._stores]
         match kind:
             case FaultKind.ALL_KILLED:
@@ -271,13 +271,13 @@
         return counted
 
     def _wiped(self, nodes: Sequence[str]) -> tuple[str, ...]:
-        """Those that lose their disks in a mass fault: as many as may be lost at one time, or none."""
+        """The machines that lose their disks in a mass fault: as many as are tolerated, or none."""
         if self._random.random() < 0.5:
             return ()
         return tuple(self._random.sample(nodes, min(self._scenario.layout.tolerated, len(nodes))))
 
     def _final(self) -> Fault:
-        """All machines that count lose power at once, as many as are tolerated with their disks."""
+        """A loss of power of all counted machines; as many disks as are tolerated may be lost."""
         at = max([self._scenario.seconds - 0.5, self._all_until, *self._lost_until.values()])
         nodes = [*self._core, *self._stores]
         wiped: Sequence[str] = ()
@@ -370,7 +370,7 @@
 
 
 def _times(random: Random, rate: float, seconds: float) -> list[float]:
-    """Times of a Poisson process, in seconds."""
+    """Event times of a Poisson process, in seconds."""
     times: list[float] = []
     at = random.expovariate(rate) if rate else seconds
     while at < seconds:
--- a/bitternpath/testing/simulation/runs/play.py
+++ b/bitternpath/testing/simulation/runs/play.py
@@ -1,4 +1,4 @@
-"""Plays a plan in a world with all its actors, and checks what they observed."""
+"""Plays a plan in a world with all actors, and checks their observations."""
 
 from __future__ import annotations
 
@@ -48,38 +48,36 @@
 from bitternpath.testing.simulation.world import World
 
 ENTRY_IP, CALLBACK_IP = "10.94.0.1", "10.93.0.1"
-READY_TIMEOUT_S = 30.0  # after the start
+READY_TIMEOUT_S = 30.0  # from the start until all nodes are ready
 POLL_INTERVAL_S = 0.25
-FINISH_TIMEOUT_S = 30.0  # after the last event, for all that was accepted
-STABILIZATION_S = (
-    5.0  # after the last event, before the first check whether all is done: `catch_up_s` and more
-)
+FINISH_TIMEOUT_S = 30.0  # for all accepted messages to end, after `STABILIZATION_S`
+STABILIZATION_S = 5.0  # between the last event and the first check for completion; over `catch_up_s`
 READ_BACK_S = 4.0  # `contact_ms`
-STATE_READS_TIMEOUT_S = 60.0  # for the states of all messages at the end
+STATE_READS_TIMEOUT_S = 60.0  # for reading the states of all messages at the end
 
 
 @dataclass(slots=True)
 class RunReport:
-    """The result of a run. `errors` are of the actors themselves and make it void."""
+    """The result of a run. `errors`: tracebacks of the actors themselves, which make the run void."""
 
     plan: RunPlan
     findings: list[Finding] = field(default_factory=list)
     errors: list[str] = field(default_factory=list)
     digest: str = ""
-    seconds: float = 0.0  # of virtual time
-    events: int = 0  # of the world
+    seconds: float = 0.0  # duration in virtual time
+    events: int = 0  # number of scheduler events
     accepted: int = 0
     acknowledged: int = 0
     coverage: Coverage = field(default_factory=Coverage)
 
     @property
     def passed(self) -> bool:
-        """Whether no rule was broken."""
+        """Whether no rule was violated and no actor failed."""
         return not self.findings and not self.errors
 
     @property
     def checkers(self) -> list[str]:
-        """Of the violations, each once, in their order."""
+        """The distinct checkers that reported violations, in order."""
         return list(dict.fromkeys(finding.checker for finding in self.findings))
 
 
@@ -137,7 +135,7 @@
         self.operators.on_retired = self.machine_faults.retired
 
     def _create_system(self) -> bool:
-        """Start all nodes and create the configuration; False if nodes don't become ready in time."""
+        """Start all nodes and create the configuration; returns False if nodes don't become ready in time."""
         self.world.start()
         self.balancer.start()
         self.operators.create_configuration(first_document(self.workers.endpoint.address))
@@ -210,7 +208,7 @@
         self.report.findings += check_run(self.history, self.parameters)
 
     def _add_internal_violations(self) -> None:
-        """Add what the world itself found: broken invariants, errors in nodes, processes that ended."""
+        """Add violations that the world recorded: broken invariants, errors in nodes, exits of processes."""
         for violation in self.world.violations:
             self._add(SystemRule.GROUP_INVARIANT, f"{violation.rule} at {violation.at:.3f}: {violation.text}")
         for failure in self.world.failures:
@@ -219,7 +217,7 @@
             if any(node.exit_codes):
                 self._add(SystemRule.FAULT, f"{node.name} ended with {node.exit_codes}")
 
-    # ---- parts
+    # ---- helpers
 
     def _now(self) -> float:
         return self.world.now
@@ -228,7 +226,7 @@
         return ActorContext(self.world.host(ip), self._now, self.history)
 
     def _until(self, seconds: float, done: Callable[[], bool]) -> bool:
-        """Play until `done()`, for `seconds` at most; whether it became true."""
+        """Play until `done()`, for `seconds` at most; returns whether it became true."""
         give_up_at = self.world.now + seconds
         while not done():
             if self.world.now >= give_up_at:
@@ -254,7 +252,7 @@
 
 
 def first_document(endpoint: str) -> dict[str, Any]:
-    """The document of the first order."""
+    """The first configuration document."""
     return {
         "version": 1,
         "routes": [route_document(kind, TIMEOUT_MS) for kind in Kind],
--- a/bitternpath/testing/simulation/runs/shrink.py
+++ b/bitternpath/testing/simulation/runs/shrink.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Shrunk:
-    """The shortest failing plan, its report, and how many runs it took to find it."""
+    """The shortest failing plan, its report, and the number of runs that the reduction took."""
 
     plan: RunPlan
     report: RunReport
@@ -26,7 +26,7 @@
 def shrink(
     plan: RunPlan, checker: str, max_runs: int = MAX_RUNS, played: Callable[[RunPlan], RunReport] = play
 ) -> Shrunk:
-    """Leave out events as long as `checker` still finds a violation, in `max_runs` runs at most."""
+    """Remove events as long as `checker` still reports a violation, in `max_runs` runs at most."""
     return _Shrinking(plan, checker, max_runs, played).shrink()
 
 
@@ -57,7 +57,7 @@
         return Shrunk(self._with(events), self._report, self._runs)
 
     def _without_kinds(self, events: list[Event]) -> list[Event]:
-        """Leave out all events of a kind at once, which saves most."""
+        """Try to remove all events of a kind at once, which saves the most runs."""
         for kind in dict.fromkeys(type(event) for event in events):
             shorter = [event for event in events if type(event) is not kind]
             if len(shorter) < len(events) and self._fails(shorter):
--- a/bitternpath/testing/simulation/runs/single_run.py
+++ b/bitternpath/testing/simulation/runs/single_run.py
@@ -11,23 +11,23 @@
 from bitternpath.testing.simulation.runs.play import RunReport, play
 from bitternpath.testing.simulation.runs.shrink import shrink
 
-FAILING_PLANS_FOLDER = Path("found")  # not in the repository
-MAX_VIOLATIONS_SHOWN = 3  # of a run
+FAILING_PLANS_FOLDER = Path("found")  # ignored by git
+MAX_VIOLATIONS_SHOWN = 3  # violations of a run in its description
 
 
 def scenario_of(seed: int) -> str:
-    """The scenario of a seed: they take turns."""
+    """The scenario of a seed; consecutive seeds cycle through all scenarios."""
     names = list(SCENARIOS)
     return names[seed % len(names)]
 
 
 def run_seed(seed: int, scenario: str = "") -> RunReport:
-    """Play the plan of a seed; without a scenario, the one whose turn it is."""
+    """Play the plan of a seed, by default in the scenario of `scenario_of`."""
     return play(draw(seed, SCENARIOS[scenario or scenario_of(seed)]))
 
 
 def describe(report: RunReport) -> str:
-    """One line, and one more for each of the first violations."""
+    """A summary line, and a line for each of the first violations."""
     plan = report.plan
     summary = f"seed {plan.seed} {plan.scenario}"
     if report.passed:
@@ -39,7 +39,7 @@
 
 
 def shrink_and_save(report: RunReport, folder: Path = FAILING_PLANS_FOLDER) -> str:
-    """Shrink a failing run and save its plan; a text that names the file."""
+    """Shrink a failing run and save its plan; returns a description with the file's path."""
     if not report.findings:
         return "the actors themselves failed: nothing to shrink"
     shrunk = shrink(report.plan, report.checkers[0])
@@ -50,5 +50,5 @@
 
 
 def event_lines(plan: RunPlan) -> str:
-    """The events of a plan, one a line."""
+    """The events of a plan, one per line."""
     return "\n".join(f"    {msgspec.json.encode(event).decode()}" for event in plan.events)
--- a/bitternpath/testing/simulation/scheduler.py
+++ b/bitternpath/testing/simulation/scheduler.py
@@ -1,4 +1,4 @@
-"""Virtual time: one queue of events for all hosts of a run, in the order of time, then of their making."""
+"""Virtual time: one event queue for all hosts of a run, ordered by time, then by insertion."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Timer:
-    """A call to come that can be cancelled, outside of all hosts."""
+    """A scheduled call outside of all hosts that can be cancelled."""
 
     __slots__ = ("_call",)
 
@@ -18,11 +18,11 @@
         self._call: Call | None = call
 
     def cancel(self) -> None:
-        """It doesn't come; no error where it was."""
+        """Cancel the call; no error if it has run."""
         self._call = None
 
     def fire(self, *arguments: Any) -> None:
-        """Called by the scheduler."""
+        """Run the call unless it was cancelled; called by the scheduler."""
         call = self._call
         self._call = None
         if call is not None:
@@ -30,27 +30,27 @@
 
 
 class Scheduler:
-    """The clock and the events to come. Nothing happens outside of `run_until`."""
+    """The clock and the pending events, which run within `run_until` only."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.events_run = 0  # events so far
+        self.events_run = 0
         self._last_serial = 0
         self._events: list[tuple[float, int, Call, tuple[Any, ...]]] = []
 
     def push(self, time: float, call: Call, *arguments: Any) -> None:
-        """Call at that time, not before events that were pushed for it earlier."""
+        """Schedule a call, behind earlier ones for the same time; a time in the past counts as now."""
         self._last_serial += 1
         heappush(self._events, (time if time > self.now else self.now, self._last_serial, call, arguments))
 
     def at(self, time: float, call: Call, *arguments: Any) -> Timer:
-        """As `push`; can be cancelled."""
+        """Schedule a call that can be cancelled."""
         timer = Timer(call)
         self.push(time, timer.fire, *arguments)
         return timer
 
     def run_until(self, end: float) -> None:
-        """Play all events up to that time, which it then is."""
+        """Run all events up to `end` and advance the clock to it."""
         events = self._events
         while events and events[0][0] <= end:
             self.now, _, call, arguments = heappop(events)
--- a/bitternpath/testing/simulation/settings.py
+++ b/bitternpath/testing/simulation/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of simulated nodes (DEPLOY, "Settings of a process"), as documents already parsed."""
+"""Settings of simulated nodes (DEPLOY, "Settings of a process"), as parsed documents."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSizes:
-    """When logs are shortened; the usual sizes are never reached in a short run."""
+    """Thresholds for compaction; a short run never reaches the default ones."""
 
     compaction: CompactionBounds = field(default_factory=CompactionBounds)
     segment_bytes: int = SEGMENT_BYTES
-    checkpoint_bytes: int = 0  # 0: as the role wants it
+    checkpoint_bytes: int = 0  # 0: the role's default
 
 
 SMALL_LOGS = LogSizes(
@@ -32,26 +32,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a world is made of."""
+    """The layout and settings of a world."""
 
-    core_edges: int = 3  # edge machines with a disk, counted
-    other_edges: int = 1  # edge machines without one
+    core_edges: int = 3  # edge machines with a disk that count for the quorum
+    other_edges: int = 1  # edge machines without a disk
     storages: int = 3
     zones: tuple[str, ...] = ("suva-hall", "lautoka-hall", "nadi-hall")
     tolerated_machines: int = 1
     disk_mb: float = 64
     max_fds: int = 4100
     platform_rate_per_s: float = 44.0
-    skew_ms: int = 50  # at most, between a machine's time of day and the true one
+    skew_ms: int = 50  # maximum offset of a machine's wall clock
     keep_log: bool = False
     logs: LogSizes = field(default_factory=LogSizes)
-    processor_share: float = 1.0  # below 1: a quota, see `processes.ProcessorQuota`
+    processor_share: float = 1.0  # below 1.0, a quota applies (`processes.ProcessorQuota`)
     bounds: dict[str, float] = field(default_factory=lambda: dict(BOUNDS))
 
 
 @dataclass(frozen=True, slots=True)
 class MachineSpec:
-    """A machine: what is written about it into its settings file."""
+    """The properties of a machine that its settings file contains."""
 
     name: str
     role: str
@@ -62,7 +62,7 @@
 
 
 def settings_document(plan: Plan, spec: MachineSpec, seeds: list[str], bootstrap: bool) -> dict[str, Any]:
-    """The settings file of a node."""
+    """The content of a node's settings file."""
     edge = spec.role == "edge"
     return {
         "node_name": spec.name,
--- a/bitternpath/testing/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -1,8 +1,8 @@
-"""One end of a simulated TCP connection, as Twisted's protocols see it: a transport.
+"""One end of a simulated TCP connection: the transport of a Twisted protocol.
 
-The two ends share a `Connection`, which has a `Direction` for each way. What a direction carries arrives in
-order or waits: where the way is cut or the receiver has no power it is held, and sent again once the way is
-open. A sender that resets or loses power holds nothing any more.
+The two ends share a `Connection`, which has a `Direction` each way. Packets are delivered in order. While the
+path is partitioned or the receiver has no power, they are held back; they are retransmitted once the path is
+open. A sender that resets the connection or loses power drops its undelivered packets.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 from bitternpath.testing.simulation.interfaces import Packet, StreamConnection
 from bitternpath.testing.simulation.reactor import VirtualReactor
 
-WINDOW_BYTES = 256 << 10  # in flight or unread, before a writer has to wait
-BUFFER_BYTES = 64 << 10  # that wait at the writer, before its producer is paused
+WINDOW_BYTES = 256 << 10  # limit of bytes in flight or unread by the peer
+BUFFER_BYTES = 64 << 10  # size of the send buffer above which the producer is paused
 
 
 class VirtualSocket:
-    """What code asks of a connection's socket: options, and what waits to be read."""
+    """The socket operations that code under test uses: options, and peeking at unread bytes."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
-        """Only the kernel's time-out for bytes that nobody acknowledges means anything here."""
+        """Set TCP_USER_TIMEOUT; other options have no effect."""
         if level == socket.IPPROTO_TCP and option == socket.TCP_USER_TIMEOUT:
             self._stream.user_timeout_s = value / 1000
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Only with MSG_PEEK."""
+        """Peek at unread bytes, as with MSG_PEEK; nothing is consumed."""
         stream = self._stream
         if not stream.connected:
             raise OSError(errno.EBADF, os.strerror(errno.EBADF))
@@ -53,7 +53,7 @@
 
 @implementer(ITCPTransport, IPushProducer, IConsumer)
 class Stream:
-    """The transport of one end."""
+    """The transport at one end of a connection."""
 
     def __init__(
         self, connection: StreamConnection, reactor: VirtualReactor, local: Any, remote: Any
@@ -63,11 +63,11 @@
         self.local = local
         self.remote = remote
         self.protocol: Any = None
-        self.connector: Any = None  # of the dialling end
+        self.connector: Any = None  # set at the client end only
         self.peer: Stream = self  # the other end; set by the connection
         self.connected = False
-        self.closed = False  # it was connected, or gave up to be
-        self.power_lost = False  # its host lost power: nothing is said until a peer asks
+        self.closed = False  # it was connected, or was closed before that
+        self.power_lost = False  # its host lost power: packets of the peer are answered by resets
         self.disconnecting = False
         self.incoming: deque[bytes] = deque()
         self.end_received = self.reset_received = False
@@ -83,7 +83,7 @@
     # ---- ITransport
 
     def write(self, data: bytes) -> None:
-        """Send, or keep until the peer has read more."""
+        """Send, or buffer until the peer has read more."""
         if not self.connected or self._write_closed or self._aborting or not data:
             return
         self._backlog.append(bytes(data))
@@ -94,29 +94,29 @@
             self._producer.pauseProducing()
 
     def writeSequence(self, data: Any) -> None:
-        """Send all."""
+        """Write the concatenation of several byte strings."""
         self.write(b"".join(data))
 
     def loseConnection(self) -> None:
-        """Close once all is sent; nothing is read any more."""
+        """Close after the buffer has been sent; read nothing more."""
         if self.connected and not self.disconnecting and not self._aborting:
             self.disconnecting = True
             self.reactor.callLater(0, self._close_when_sent)
 
     def abortConnection(self) -> None:
-        """Reset."""
+        """Reset the connection."""
         if self.connected and not self._aborting:
             self._aborting = True
             self.reactor.callLater(0, self._lose, ConnectionAborted())
 
     def loseWriteConnection(self) -> None:
-        """Send the end of the stream once all is sent; go on reading."""
+        """Send the end of the stream after the buffer; reading continues."""
         if self.connected and not self._write_closing:
             self._write_closing = True
             self.reactor.callLater(0, self._close_writing)
 
     def getHandle(self) -> VirtualSocket:
-        """The socket."""
+        """The virtual socket of this end."""
         return VirtualSocket(self)
 
     def getPeer(self) -> IPv4Address:
@@ -144,7 +144,7 @@
     # ---- producers
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
-        """It is paused while too much waits to be sent."""
+        """Register a producer, which is paused while the send buffer is over its limit."""
         if self._producer is not None:
             raise RuntimeError("a producer is registered already")
         if self.closed:
@@ -157,27 +157,27 @@
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:
-        """It will write no more."""
+        """Remove the producer."""
         self._producer = None
 
     def pauseProducing(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._paused = True
 
     def resumeProducing(self) -> None:
-        """Read again."""
+        """Continue reading."""
         if self._paused:
             self._paused = False
             self._plan_read()
 
     def stopProducing(self) -> None:
-        """Close."""
+        """Close the connection."""
         self.loseConnection()
 
-    # ---- the connection's life
+    # ---- events of the connection
 
     def start(self, protocol: Any) -> None:
-        """The connection is up, in a turn of the reactor."""
+        """Attach the protocol of an established connection; called in a turn of the reactor."""
         self.protocol = protocol
         self.connected = True
         self.reactor.sockets[self] = None
@@ -185,7 +185,7 @@
         self._plan_read()
 
     def arrived(self, packet: Packet, data: bytes) -> None:
-        """The host's kernel has got a packet, in order."""
+        """Receive a packet, as the host's kernel does; packets come in order."""
         if self.closed or self.reactor.ended:
             self._refuse(packet)
             return
@@ -201,26 +201,26 @@
             self.reactor.read(self._read)
 
     def consumed(self, size: int) -> None:
-        """The peer's process has read so many bytes."""
+        """Open the send window after the peer's process has read `size` bytes."""
         self._unread -= size
         if self._backlog and self.connected:
             self._send_backlog()
 
     def fail(self, reason: Exception) -> None:
-        """The kernel gives the connection up by itself."""
+        """Close the connection because of a time-out in the kernel."""
         if self.connected:
             self.connection.stop_sending(self)
             self.reactor.read(lambda: self._lose(reason))
 
     def killed(self, resets: bool) -> None:
-        """The process has ended; the kernel closes its socket."""
+        """Close the socket of an ended process, with a reset if `resets` is set or bytes are unread."""
         if not self.closed:
             resets = resets or bool(self.incoming)
             self._shut()
             self.connection.send(self, Packet.RESET if resets else Packet.END)
 
     def lost_power(self) -> None:
-        """The host has no power: nothing is said to the peer."""
+        """Close because the host lost power; the peer receives nothing."""
         self._shut()
         self.power_lost = True
         self.connection.stop_sending(self)
@@ -300,7 +300,7 @@
             half.writeConnectionLost()
 
     def _lose(self, reason: Exception) -> None:
-        """Close the socket, then tell the protocol."""
+        """Close the socket, then notify the protocol."""
         if not self.connected:
             return
         aborted = isinstance(reason, ConnectionAborted) or bool(self.incoming)
@@ -327,6 +327,6 @@
         self.connection.end_closed()
 
     def _refuse(self, packet: Packet) -> None:
-        """A packet for a connection that this host doesn't have any more is answered by a reset."""
+        """Answer a packet for a closed connection by a reset."""
         if packet in (Packet.DATA, Packet.ESTABLISHED) or (self.power_lost and packet is Packet.END):
             self.connection.send(self, Packet.RESET)
--- a/bitternpath/testing/simulation/transitions.py
+++ b/bitternpath/testing/simulation/transitions.py
@@ -1,4 +1,4 @@
-"""Changes of the system's own state that the world of a run can see: what a fault may fall into."""
+"""State transitions of the system that a run records, to measure which of them faults coincide with."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TransitionKind(Enum):
-    """What changed."""
+    """Kinds of transitions."""
 
     BOOTSTRAP = "bootstrap"  # the first owner of a group
     OWNER_GAINED = "owner gained"
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """A change at a moment, in seconds of virtual time."""
+    """A transition; `at` in seconds of virtual time."""
 
     at: float
     kind: TransitionKind
 
 
 def membership_changes(before: Members, after: Members) -> Iterator[TransitionKind]:
-    """What a proposed membership changes, a kind for each member."""
+    """The kinds of changes in a proposed membership, one for each changed member."""
     for name in {*before.voters, *before.learners, *after.voters, *after.learners}:
         if name not in (*after.voters, *after.learners):
             yield TransitionKind.MEMBER_REMOVED
--- a/bitternpath/testing/simulation/virtual_time.py
+++ b/bitternpath/testing/simulation/virtual_time.py
@@ -19,7 +19,7 @@
         self._call: Callable[..., object] | None = call
 
     def getTime(self) -> float:
-        """When it is due."""
+        """The time at which it is due."""
         return self._time
 
     def active(self) -> bool:
@@ -27,11 +27,11 @@
         return self._call is not None
 
     def cancel(self) -> None:
-        """Keep it from firing."""
+        """Cancel the call."""
         self._call = None
 
     def fire(self) -> None:
-        """Call, unless it was cancelled."""
+        """Make the call unless it was cancelled."""
         call = self._call
         self._call = None
         if call is not None:
@@ -39,7 +39,7 @@
 
 
 class EventClock:
-    """Virtual time with a heap of timers; in long runs cheaper than `twisted.internet.task.Clock`."""
+    """Virtual time with a heap of timers; cheaper than `twisted.internet.task.Clock` in long runs."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -57,7 +57,7 @@
         return timer
 
     def step(self, end: float) -> bool:
-        """Fire the next timer; False where none is due until `end`, which it then is."""
+        """Fire the next timer; if none is due by `end`, advance the clock to it and return False."""
         if not self._timers or self._timers[0][0] > end:
             self._now = end
             return False
@@ -67,7 +67,7 @@
 
 
 class ProcessClock:
-    """The reactor of one process: nothing happens while it is frozen, and nothing more once it has ended."""
+    """The reactor of one process: defers calls while the process is frozen, drops them after its end."""
 
     def __init__(self, clock: EventClock) -> None:
         self._clock = clock
@@ -84,7 +84,7 @@
         return self._clock.callLater(delay, self.run, lambda: call(*arguments))
 
     def run(self, call: Callable[[], object]) -> None:
-        """Call now, or when the process is thawed; never once it has ended."""
+        """Call now, or when the process is thawed; do nothing after its end."""
         if self._frozen:
             self._deferred.append(call)
         elif not self._ended:
@@ -95,7 +95,7 @@
         self._frozen = True
 
     def thaw(self) -> None:
-        """Make the deferred calls, and go on."""
+        """Make the deferred calls and resume."""
         self._frozen = False
         deferred = self._deferred
         self._deferred = []
@@ -103,7 +103,7 @@
             self.run(call)
 
     def end(self) -> None:
-        """Make no further call."""
+        """Drop deferred and future calls."""
         self._ended = True
         self._frozen = False
         self._deferred.clear()
--- a/bitternpath/testing/simulation/world.py
+++ b/bitternpath/testing/simulation/world.py
@@ -1,4 +1,4 @@
-"""One run of the whole service in virtual time (see the package's docstring)."""
+"""One simulated run of the service in virtual time (see the package's docstring)."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     settings_document,
 )
 
-START_SPREAD_S = 0.3  # all machines start within this
+START_SPREAD_S = 0.3  # interval in which all machines start, in seconds
 MAX_SEEDS = 3
 
 __all__ = ["PLATFORM_IP", "PLATFORM_PORT", "SMALL_LOGS", "NodeState", "Plan", "SimulatedNode", "World"]
 
 
 class World(Faults):
-    """Hosts, nodes, links and disks of one run; its seed decides all that happens."""
+    """Hosts, nodes, links and disks of one run, which is determined by its seed."""
 
     platform_address = f"{PLATFORM_IP}:{PLATFORM_PORT}"
 
@@ -54,7 +54,7 @@
         return self.scheduler.now
 
     def run_until(self, seconds: float) -> None:
-        """Play all events up to that moment; raises what actors raise."""
+        """Play all events up to that time; raises exceptions of actors."""
         self.recorder.attach()
         try:
             self.scheduler.run_until(seconds)
@@ -62,15 +62,15 @@
             self.recorder.detach()
 
     def run_for(self, seconds: float) -> None:
-        """Play all events of so many seconds."""
+        """Play all events of the next `seconds` seconds."""
         self.run_until(self.now + seconds)
 
     def at(self, seconds: float, call: Call, *arguments: Any) -> Timer:
-        """Call at that moment, outside of all hosts."""
+        """Schedule a call outside of all hosts."""
         return self.scheduler.at(seconds, call, *arguments)
 
     def random(self, name: str) -> Random:
-        """The run's random generator for one purpose."""
+        """The random generator for one purpose, derived from the run's seed."""
         if name not in self._randoms:
             self._randoms[name] = Random(f"{self.seed}/{name}")
         return self._randoms[name]
@@ -78,7 +78,7 @@
     # ---- hosts and nodes
 
     def host(self, ip: str) -> VirtualReactor:
-        """The reactor of an actor's host, which is created if there is none."""
+        """The reactor of an actor's host, created on first use."""
         reactor = self._actors.get(ip)
         if reactor is None:
             reactor = VirtualReactor(self.network.add_host(ip, ""), ip)
@@ -87,7 +87,7 @@
         return reactor
 
     def start(self) -> None:
-        """Start all nodes within 0.3 s, in the seed's order."""
+        """Start all nodes within 0.3 s, in an order drawn from the seed."""
         random = self.random("start")
         for node in self.nodes.values():
             node.start_after(random.uniform(0, START_SPREAD_S))
@@ -103,7 +103,7 @@
     def add_node(
         self, role: str, zone: str = "", counted: bool | None = None, has_disk: bool | None = None
     ) -> SimulatedNode:
-        """An empty machine joins; its process starts at once."""
+        """Add an empty machine and start its process."""
         storage = role == "storage"
         spec = self._machine_spec(
             role,
@@ -117,24 +117,24 @@
         return node
 
     def current_seeds(self) -> list[str]:
-        """Control addresses of three machines of the operator's list as it stands."""
+        """Control addresses of the first three edge machines, as operators would list them now."""
         return [node.control for node in self.edges()][:MAX_SEEDS]
 
-    # ---- what happened
+    # ---- records of the run
 
     @property
     def trace(self) -> list[str]:
-        """One line an event."""
+        """One line for each event."""
         return self.recorder.trace
 
     @property
     def log(self) -> list[str]:
-        """Log lines of the nodes, where `Plan.keep_log` is set."""
+        """Log lines of the nodes; empty unless `Plan.keep_log` is set."""
         return self.recorder.log
 
     @property
     def failures(self) -> list[HostFailure]:
-        """Errors that nodes logged with a traceback, or that nobody caught."""
+        """Errors that nodes logged with a traceback, and unhandled exceptions."""
         return self.recorder.failures
 
     @property
@@ -148,10 +148,10 @@
         return self.invariants.violations
 
     def digest(self) -> str:
-        """Equal for equal runs: of the trace and every byte that arrived."""
+        """A checksum of the trace and of every byte received; equal runs have equal digests."""
         return self.recorder.digest
 
-    # ---- making
+    # ---- creation of nodes
 
     def _make_nodes(self) -> None:
         plan = self.plan
