--- a/tests/system/configuration/test_feed.py
+++ b/tests/system/configuration/test_feed.py
@@ -1,4 +1,4 @@
-"""The configuration feed: finding the owner, offsets, epochs, time-outs. Virtual time."""
+"""The configuration feed in virtual time: finding the owner, offsets, epochs, and timeouts."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FakeLink:
-    """One end of a link."""
+    """A link that records sent messages."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -60,7 +60,7 @@
 
 
 class FakeHub:
-    """Opens a link as soon as it is dialled, unless the address is dead."""
+    """Opens a link immediately when it is dialled, unless the address is dead."""
 
     def __init__(self) -> None:
         self.random = Random(1)
@@ -83,7 +83,7 @@
 
 
 class Listener:
-    """Records what the feed brings."""
+    """Records changes from the feed."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -96,11 +96,11 @@
         self.generations.append(generation)
 
     def catalogue_updated(self, update: CatalogueUpdate) -> None:
-        """Not of interest here."""
+        """Ignore it."""
 
 
 class FeedClientTest(unittest.TestCase):
-    """A node that is subscribed to the feed."""
+    """The client of the feed."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -122,7 +122,7 @@
         return client
 
     def subscribed_link(self) -> FakeLink | None:
-        """The link on which the client has subscribed last."""
+        """The link on which the client last subscribed."""
         self.clock.pump([0.05] * 4)
         link = self.hub.links.get(self.client.owner_address)
         return link if link is not None and link.sent else None
@@ -136,11 +136,11 @@
         link: FakeLink | None = None,
         with_document: bool = True,
     ) -> None:
-        found = link or self.subscribed_link()
+        used_link = link or self.subscribed_link()
         placement = GROUPS if generation else None
         packed = pack_document(document(version)) if with_document else None
         self.client.update_received(
-            found,  # type: ignore[arg-type]
+            used_link,  # type: ignore[arg-type]
             FeedUpdate(epoch, version, packed, generation, placement, 3),
         )
 
@@ -165,11 +165,11 @@
         self.assertEqual(tried, {"a:1", "b:1", "c:1", "d:1"})
 
     def test_a_refusal_costs_little_time(self) -> None:
-        """While an owner is being elected, a candidate that was asked too early is not waited for."""
+        """The client quickly tries the next candidate while an owner is being elected."""
         link = self.subscribed_link()
         refusals = 0
-        until = self.clock.seconds() + 0.3
-        while self.clock.seconds() < until:
+        deadline = self.clock.seconds() + 0.3
+        while self.clock.seconds() < deadline:
             if link is not None and link.open and link.sent:
                 link.sent.clear()
                 self.client.refusal_received(link, FeedRefused("", ()))  # type: ignore[arg-type]
@@ -212,7 +212,7 @@
         self.update(5, epoch=2, link=link)
         self.update(9, epoch=3, generation=4, link=link)
         self.update(7, epoch=3, generation=3, link=link)
-        self.update(11, epoch=2, link=link)  # of an earlier owner
+        self.update(11, epoch=2, link=link)  # from an earlier owner
         self.update(12, epoch=9, link=FakeLink("elsewhere"))  # on a link without a subscription
         self.assertEqual((self.listener.versions, self.listener.generations), ([5, 9], [4]))
 
@@ -234,13 +234,13 @@
 
 
 class FeedServerTest(unittest.TestCase):
-    """The owner's end of the feed."""
+    """The server of the feed."""
 
     def setUp(self) -> None:
         self.clock = Clock()
         self.state = ConfigurationState()
-        self.lease = True
-        self.server = FeedServer(self.clock, self.state, lambda: self.lease)
+        self.has_lease = True
+        self.server = FeedServer(self.clock, self.state, lambda: self.has_lease)
         self.server.begin(7)
 
     def commit(self, version: int) -> None:
@@ -274,14 +274,14 @@
         without_catalogue = self.subscribe(0)
         for serial in (1, 1, 2):
             self.server.publish_catalogue(CatalogueUpdate(7, serial, 10, ()))
-        late = self.subscribe(0, catalogue=True)
+        late_subscriber = self.subscribe(0, catalogue=True)
 
         def catalogues(link: FakeLink) -> list[tuple[int, bool]]:
             updates = [record for record in link.sent if isinstance(record, CatalogueUpdate)]
             return [(update.serial, update.entries is not None) for update in updates]
 
         self.assertEqual(catalogues(with_catalogue), [(1, True), (1, False), (2, True)])
-        self.assertEqual((catalogues(without_catalogue), catalogues(late)), ([], [(2, True)]))
+        self.assertEqual((catalogues(without_catalogue), catalogues(late_subscriber)), ([], [(2, True)]))
 
     def test_subscribers_are_redirected_when_ownership_is_lost(self) -> None:
         link = self.subscribe(0)
--- a/tests/system/replication/loaded_group.py
+++ b/tests/system/replication/loaded_group.py
@@ -1,4 +1,4 @@
-"""A replica group in virtual time with commands at an even rate, for tests that inject their own faults."""
+"""A replica group in virtual time with commands at a constant rate, for tests that inject faults."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 
 class LoadedGroup(World):
-    """Commands at an even rate; the only faults are those that a test injects."""
+    """A group with commands at a constant rate and without random faults."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed, Plan())
         self.loss, self.faults_stopped = 0.0, True
         self.serial = 0
-        self.every = 0.0
+        self.interval = 0.0
 
     def owner(self) -> Process:
-        """The process that owns the group; waits for one."""
+        """Run until a process owns the group, and return it."""
 
-        def found() -> list[Process]:
+        def owners() -> list[Process]:
             processes = [node.process for node in self.nodes.values() if node.process]
             return [process for process in processes if process.host.is_owner(GROUP)]
 
-        assert found() or self.run_until(lambda: bool(found()), 5)
-        return found()[0]
+        assert owners() or self.run_until(lambda: bool(owners()), 5)
+        return owners()[0]
 
-    def change(self, size: int = 20) -> None:
+    def propose_next(self, size: int = 20) -> None:
         """Propose one command."""
         self.serial += 1
         self.propose(self.owner(), b"%08d" % self.serial + bytes(size))
 
-    def changes(self, every: float) -> None:
-        """Propose a command every so many seconds, until `every` is set to 0."""
-        self.every = every
-        if every:
-            self.change()
-            self.clock.callLater(every, lambda: self.changes(self.every))
+    def propose_periodically(self, interval: float) -> None:
+        """Propose a command every `interval` seconds, until the attribute `interval` is set to 0."""
+        self.interval = interval
+        if interval:
+            self.propose_next()
+            self.clock.callLater(interval, lambda: self.propose_periodically(self.interval))
 
     def follower(self) -> Node:
         """A node that doesn't lead."""
@@ -42,6 +42,6 @@
         return next(node for node in self.nodes.values() if node.process is not owner)
 
     def is_current(self, node: Node) -> bool:
-        """Whether a node has applied all but the commands of the last round trips."""
+        """Whether a node has applied all commands except the most recent ones in flight."""
         process = node.process
         return process is not None and len(process.register.commands) >= len(self.checker.committed) - 12
--- a/tests/system/replication/test_fault_campaign.py
+++ b/tests/system/replication/test_fault_campaign.py
@@ -1,6 +1,6 @@
-"""Seeded runs of a group with all faults, and broken builds that they must find.
+"""Randomised runs of a group with all faults, and broken builds that the checkers must detect.
 
-`REPLICATION_SEEDS` sets how many seeds the campaigns play, for longer hunts.
+The environment variable `REPLICATION_SEEDS` sets the number of seeds, for longer campaigns.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 SEEDS = int(os.environ.get("REPLICATION_SEEDS", "1200"))
 
 
-SMALL_CHUNK = 150  # bytes: snapshots of a simulated node then are several pieces
+SMALL_CHUNK = 150  # bytes; splits the snapshots of a simulated node into several chunks
 
 
 class FaultCampaignTest(QuietLogsTestCase):
-    """Seeded runs with all faults. A seed that failed once is added to `FAILED_ONCE`."""
+    """Randomised runs with all faults. Seeds that once failed are kept in `FAILED_ONCE`."""
 
     longest_test_s = 20
 
     SHORT = Plan(seconds=2.0, fault_every=0.3)
-    FAILED_ONCE = (155, 205, 352)  # a snapshot's receiver was started again in between: stuck for ever
+    FAILED_ONCE = (155, 205, 352)  # installation never completed after a restart of the receiver
 
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "CHUNK_BYTES", SMALL_CHUNK)
-        small.start()
-        self.addCleanup(small.stop)
+        patched = patch.object(snapshots, "CHUNK_BYTES", SMALL_CHUNK)
+        patched.start()
+        self.addCleanup(patched.stop)
 
     def play(self, plan: Plan, seeds: range | tuple[int, ...]) -> None:
         for seed in seeds:
@@ -61,7 +61,7 @@
 
 
 class BrokenBuildsTest(QuietLogsTestCase):
-    """Builds without one safeguard; the checkers must find each within some seeds."""
+    """Builds that lack one safeguard each, which the checkers must detect within `MOST_SEEDS` seeds."""
 
     MOST_SEEDS = 150
 
@@ -75,13 +75,13 @@
         self.fail(f"not caught in {self.MOST_SEEDS} seeds")
 
     def test_acknowledging_before_the_sync(self) -> None:
-        def hasty(self: VirtualTimeJournalWriter, command: JournalCommand) -> None:
+        def without_safeguard(self: VirtualTimeJournalWriter, command: JournalCommand) -> None:
             if command.done is not None:
                 self._clock.callLater(0, command.done)
-            real(self, JournalCommand(command.record, command.snapshot, None))
+            original(self, JournalCommand(command.record, command.snapshot, None))
 
-        real = VirtualTimeJournalWriter.submit
-        with patch.object(VirtualTimeJournalWriter, "submit", hasty):
+        original = VirtualTimeJournalWriter.submit
+        with patch.object(VirtualTimeJournalWriter, "submit", without_safeguard):
             self.assert_caught()
 
     def test_an_empty_disk_that_votes(self) -> None:
@@ -95,34 +95,34 @@
         with patch("bitternpath.replication.pending_requests.OutcomeUnknownError", NotOwnerError):
             self.assert_caught()
 
-    def test_a_read_that_asks_nobody(self) -> None:
-        def hasty(self: ReplicaGroup) -> None:
+    def test_a_read_without_confirmation(self) -> None:
+        def without_safeguard(self: ReplicaGroup) -> None:
             if self.is_owner:
                 self._reads.start(lambda: 0)
                 self._reads.confirmed(0)
             else:
                 self._reads.fail_queued()
 
-        with patch.object(ReplicaGroup, "_start_reads", hasty):
+        with patch.object(ReplicaGroup, "_start_reads", without_safeguard):
             self.assert_caught()
 
     def test_a_term_that_is_not_persisted(self) -> None:
-        def forgetful(self: GroupState, record: WriteRecord) -> None:
+        def without_term(self: GroupState, record: WriteRecord) -> None:
             term = self.term
-            real(self, record)
+            original(self, record)
             self.term = term
 
-        real = GroupState.apply
-        with patch.object(GroupState, "apply", forgetful):
+        original = GroupState.apply
+        with patch.object(GroupState, "apply", without_term):
             self.assert_caught()
 
     def test_entries_counted_by_the_leader_before_its_own_sync(self) -> None:
-        def hasty(self: consensus.Raft) -> None:
+        def without_safeguard(self: consensus.Raft) -> None:
             self.log.stable_index = self.log.last_index
-            real(self)
+            original(self)
 
-        real = consensus.Raft._update_commitment
-        with patch.object(consensus.Raft, "_update_commitment", hasty):
+        original = consensus.Raft._update_commitment
+        with patch.object(consensus.Raft, "_update_commitment", without_safeguard):
             self.assert_caught()
 
 
--- a/tests/system/replication/test_lagging_voters.py
+++ b/tests/system/replication/test_lagging_voters.py
@@ -1,7 +1,8 @@
-"""Elections after the loss of a leader whose followers lack different entries, in virtual time.
+"""Elections after the failure of a leader whose followers lack different entries, in virtual time.
 
-A leader sends entries to a majority at once and to the others with its heartbeats, so that in each election
-some members lack entries. Whoever notices the loss first, one that has all of them must soon lead.
+A leader sends entries to a majority immediately and to others with its heartbeats, so some members lack
+entries in every election. A member with all entries must be elected quickly, whichever member first detects
+the failure.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 LATENCY_S = 0.003
 SYNC_S = 0.012
 SEEDS = 200
-LONGEST_S = 4 * SYSTEM_TIMING.election_timeout  # of an election, in any of the runs
+MAX_ELECTION_S = 4 * SYSTEM_TIMING.election_timeout  # time limit of an election in any run
 
 
 class Election:
-    """Four of five members; the leader `a` is gone. `lengths`: how many entries each has."""
+    """Four of five members after the failure of the leader `a`. `lengths` is the log length of each."""
 
     def __init__(self, seed: int, lengths: dict[str, int]) -> None:
         self.random = Random(seed)
@@ -38,7 +39,7 @@
         self.count = 0
 
     def run(self) -> tuple[float, str]:
-        """When a leader has committed an entry of its own term, and its name; "" after 60 s without one."""
+        """When a leader committed an entry of its own term, and its name; "" if none did within 60 s."""
         while self.now < 60.0:
             for name, raft in self.members.items():
                 self._collect(name, raft)
@@ -48,35 +49,35 @@
         return self.now, ""
 
     def step(self) -> None:
-        """Play the next event, with all that follows from it."""
+        """Process the next event and its effects."""
         self._next()
         for name, raft in self.members.items():
             self._collect(name, raft)
 
     def _collect(self, name: str, raft: Raft) -> None:
-        out = raft.take_effects(self.now)
-        for write in out.writes:
+        effects = raft.take_effects(self.now)
+        for write in effects.writes:
             self._later(SYNC_S, name, write.number)
-        for receiver, message in out.messages:
+        for receiver, message in effects.messages:
             if receiver in self.members:
                 self._later(LATENCY_S * (0.8 + 0.4 * self.random.random()), receiver, (name, message))
 
-    def _later(self, seconds: float, name: str, what: object) -> None:
+    def _later(self, seconds: float, name: str, event: object) -> None:
         self.count += 1
-        self.queue.append((self.now + seconds, self.count, name, what))
+        self.queue.append((self.now + seconds, self.count, name, event))
 
     def _next(self) -> None:
-        alarm = min((raft.next_timeout_at, name) for name, raft in self.members.items())
+        timeout = min((raft.next_timeout_at, name) for name, raft in self.members.items())
         self.queue.sort(key=lambda item: item[:2])
-        if self.queue and self.queue[0][0] <= alarm[0]:
-            self.now, _, name, what = self.queue.pop(0)
-            if isinstance(what, tuple):
-                self.members[name].receive(self.now, *what)
+        if self.queue and self.queue[0][0] <= timeout[0]:
+            self.now, _, name, event = self.queue.pop(0)
+            if isinstance(event, tuple):
+                self.members[name].receive(self.now, *event)
             else:
-                self.members[name].write_completed(self.now, what)  # type: ignore[arg-type]
+                self.members[name].write_completed(self.now, event)  # type: ignore[arg-type]
         else:
-            self.now = alarm[0]
-            self.members[alarm[1]].tick(self.now)
+            self.now = timeout[0]
+            self.members[timeout[1]].tick(self.now)
 
 
 class LaggingVotersTest(unittest.TestCase):
@@ -85,19 +86,19 @@
             with self.subTest(seed=seed):
                 seconds, leader = Election(seed, {"b": 100, "c": 99, "d": 40, "e": 40}).run()
                 self.assertIn(leader, ("b", "c"))
-                self.assertLess(seconds, LONGEST_S)
+                self.assertLess(seconds, MAX_ELECTION_S)
 
-    def test_a_lost_member_that_sorts_first_delays_nobody_in_a_long_log(self) -> None:
-        """A new leader knows nothing of what its followers have, nor of their delays: the lost one once
-        stayed a replication target, and the leader's first entry lacked a majority."""
+    def test_a_lost_member_that_sorts_first_delays_no_election_in_a_long_log(self) -> None:
+        """A new leader doesn't know its followers' logs or delays. Guards against a failed follower staying a
+        replication target, which kept the leader's first entry from being committed."""
         lengths = dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100)
         for seed in range(SEEDS):
             for lagging in ({}, {"d": 300, "e": 300}):
                 with self.subTest(seed=seed, lagging=lagging):
                     seconds, _ = Election(seed, lengths | lagging).run()
-                    self.assertLess(seconds, LONGEST_S)
+                    self.assertLess(seconds, MAX_ELECTION_S)
 
-    def test_a_silent_member_is_no_replication_target(self) -> None:
+    def test_an_unresponsive_member_is_no_replication_target(self) -> None:
         election = Election(1, dict.fromkeys("bcde", leadership.ENTRIES_IN_FLIGHT + 100))
         _, leader = election.run()
         self.assertTrue(leader)
@@ -106,7 +107,7 @@
             election.step()
         self.assertNotIn("a", election.members[leader].replication_targets)
 
-    def test_a_pre_candidate_that_lacks_entries_makes_others_stand_early(self) -> None:
+    def test_a_pre_candidate_that_lacks_entries_makes_others_start_elections_early(self) -> None:
         times = [Election(seed, {"b": 100, "c": 40, "d": 40, "e": 40}).run()[0] for seed in range(SEEDS)]
         self.assertLess(sum(times) / SEEDS, 1.6 * SYSTEM_TIMING.election_timeout)
 
--- a/tests/system/replication/test_member_changes.py
+++ b/tests/system/replication/test_member_changes.py
@@ -1,4 +1,4 @@
-"""Steps from the present to the desired members, and who may propose them."""
+"""Membership changes from the current to the desired members, and who may propose them."""
 
 from __future__ import annotations
 
@@ -17,44 +17,80 @@
 
 
 class ReconfigurationStepsTest(unittest.TestCase):
-    """Who leaves and joins, and in which order."""
+    """Which members are removed and added, and in which order."""
 
     CASES = (
-        # current, desired, caught up, silent, next
-        ("a lost disk leaves as its successor learns", "abc", "", "abC", "", "c", "ab", "C"),
-        ("the successor votes once it has caught up", "ab", "C", "abC", "C", "", "abC", ""),
-        ("of two lost disks one leaves first", "abcde", "", "abcDE", "", "", "abce", "DE"),
-        ("the other when four vote would be too few", "abce", "DE", "abcDE", "", "", None, ""),
-        ("the other once there are five again", "abceD", "E", "abcDE", "", "", "abcD", "E"),
-        ("of two lost disks of three none but one leaves", "ab", "BC", "aBC", "", "", None, ""),
-        ("a silent voter stays until another votes", "abc", "", "abd", "", "c", "abc", "d"),
-        ("a silent voter goes first", "abcxy", "", "abd", "", "y", "abcx", "d"),
-        ("a silent voter doesn't wait for a slow learner", "abcxd", "e", "abde", "", "c", "abxd", "e"),
-        ("a voter that is heard waits for all", "abcxd", "e", "abde", "", "", None, ""),
-        ("then it goes", "abcde", "", "abde", "", "", "abde", ""),
-        ("the owner leaves last", "abcd", "", "cd", "", "", "acd", ""),
+        # current voters and learners, desired, caught up, unresponsive, next voters and learners
+        (
+            "a lost disk is removed as its successor learns",
+            "abc",
+            "",
+            "abC",
+            "",
+            "c",
+            "ab",
+            "C",
+        ),
+        ("the successor becomes a voter once it has caught up", "ab", "C", "abC", "C", "", "abC", ""),
+        ("of two lost disks, one is removed first", "abcde", "", "abcDE", "", "", "abce", "DE"),
+        ("the other stays while there are four voters", "abce", "DE", "abcDE", "", "", None, ""),
+        ("the other is removed once there are five", "abceD", "E", "abcDE", "", "", "abcD", "E"),
+        ("of two lost disks of three, only one is removed", "ab", "BC", "aBC", "", "", None, ""),
+        ("an unresponsive voter stays until another votes", "abc", "", "abd", "", "c", "abc", "d"),
+        ("an unresponsive voter is removed first", "abcxy", "", "abd", "", "y", "abcx", "d"),
+        (
+            "a slow learner doesn't delay that removal",
+            "abcxd",
+            "e",
+            "abde",
+            "",
+            "c",
+            "abxd",
+            "e",
+        ),
+        (
+            "a responsive voter stays until all others vote",
+            "abcxd",
+            "e",
+            "abde",
+            "",
+            "",
+            None,
+            "",
+        ),
+        ("then it is removed", "abcde", "", "abde", "", "", "abde", ""),
+        ("the owner is removed last", "abcd", "", "cd", "", "", "acd", ""),
         ("a single voter stays", "a", "", "A", "", "", "a", "A"),
-        ("learners change with voters", "abc", "xy", "abC", "", "", "ab", "C"),
+        ("learners change together with voters", "abc", "xy", "abC", "", "", "ab", "C"),
     )
 
     def test_steps(self) -> None:
-        for label, voters, learners, desired, caught_up, silent, then, learning in self.CASES:
+        for (
+            label,
+            voters,
+            learners,
+            desired,
+            caught_up,
+            unresponsive,
+            expected,
+            expected_learners,
+        ) in self.CASES:
             with self.subTest(label):
-                found = next_members(
+                actual = next_members(
                     members(voters, learners),
                     DesiredMembers(ids(desired)),
-                    MemberStatus(ids(caught_up).__contains__, ids(silent).__contains__, "a/a"),
+                    MemberStatus(ids(caught_up).__contains__, ids(unresponsive).__contains__, "a/a"),
                 )
-                self.assertEqual(found, None if then is None else members(then, learning))
+                self.assertEqual(actual, None if expected is None else members(expected, expected_learners))
 
     def test_a_group_ends_with_its_desired_members_and_never_with_fewer_than_2f_voters(self) -> None:
         random = Random(37)
         for _ in range(300):
             tolerated = random.choice([1, 2])
-            wanted = 2 * tolerated + 1
+            member_count = 2 * tolerated + 1
             names = "abcdefghij"
-            current = members("".join(random.sample(names, wanted)))
-            chosen = random.sample(names, wanted)
+            current = members("".join(random.sample(names, member_count)))
+            chosen = random.sample(names, member_count)
             desired = ids("".join(name.upper() if random.random() < 0.3 else name for name in chosen))
             for _ in range(100):
                 changed = next_members(
@@ -77,19 +113,19 @@
     def test_an_older_placement_changes_nothing(self) -> None:
         current = members("abd", generation=5)
         for generation, expected in ((4, None), (5, members("abd", "c", 5)), (6, members("abd", "c", 6))):
-            found = next_members(
+            actual = next_members(
                 current, DesiredMembers(ids("abc"), generation), MemberStatus(lambda name: False)
             )
-            self.assertEqual(found, expected)
+            self.assertEqual(actual, expected)
 
     def test_a_newer_generation_is_committed_even_without_a_change_of_members(self) -> None:
         desired = DesiredMembers(ids("abc"), 2)
-        found = next_members(members("abc", generation=1), desired, MemberStatus(lambda name: False))
-        self.assertEqual(found, members("abc", generation=2))
+        actual = next_members(members("abc", generation=1), desired, MemberStatus(lambda name: False))
+        self.assertEqual(actual, members("abc", generation=2))
 
 
 class GenerationFenceTest(unittest.TestCase):
-    """The group itself refuses members of an older placement."""
+    """A group rejects members of an older placement."""
 
     def test_generations_never_fall(self) -> None:
         machine = StatelessMachine()
@@ -113,14 +149,14 @@
 
 
 class OwnerHost:
-    """A host that owns a group, as `MembershipReconciler` sees it."""
+    """A fake host for `MembershipReconciler` that owns a group."""
 
     member_id = "a/a"
 
     def __init__(self, current: Members) -> None:
         self.current = current
-        self.open_change = False
-        self.caught: set[str] = set()
+        self.change_uncommitted = False
+        self.caught_up_members: set[str] = set()
         self.transfer_targets: list[str] = []
 
     def is_owner(self, group: str) -> bool:
@@ -130,10 +166,10 @@
         return self.current
 
     def committed_members(self, group: str) -> Members | None:
-        return None if self.open_change else self.current
+        return None if self.change_uncommitted else self.current
 
     def caught_up(self, group: str, member: str) -> bool:
-        return member in self.caught
+        return member in self.caught_up_members
 
     def unresponsive_for(self, group: str, member: str) -> float:
         return 0.0
@@ -143,12 +179,12 @@
         return to == "c/c"
 
     def change_members(self, group: str, named: Members) -> bool:
-        self.current, self.open_change = named, True
+        self.current, self.change_uncommitted = named, True
         return True
 
 
 class MemberChangesTest(unittest.TestCase):
-    """Steps follow what has happened."""
+    """Changes follow from events."""
 
     def test_changes_are_made_one_at_a_time_and_as_soon_as_possible(self) -> None:
         host = OwnerHost(members("abc", generation=1))
@@ -156,18 +192,18 @@
         changes = MembershipReconciler(cast(Any, host), lambda group: committed.append(host.current))
         changes.set_desired("g", ids("abC"), 2)
         self.assertEqual(host.current, members("ab", "C", 2))
-        host.caught.add("c/C")
+        host.caught_up_members.add("c/C")
         changes.reconcile("g")
-        self.assertEqual(host.current, members("ab", "C", 2))  # the one before isn't committed
-        host.open_change = False
+        self.assertEqual(host.current, members("ab", "C", 2))  # the previous change isn't committed
+        host.change_uncommitted = False
         changes.reconcile("g")
         self.assertEqual(host.current, members("abC", "", 2))
-        host.open_change = False
+        host.change_uncommitted = False
         committed.clear()
         changes.reconcile("g")
         self.assertEqual(committed, [members("abC", "", 2)])
 
-    def test_an_owner_that_is_to_leave_transfers_ownership_first(self) -> None:
+    def test_an_owner_to_be_removed_transfers_ownership_first(self) -> None:
         host = OwnerHost(members("abcd", generation=1))
         changes = MembershipReconciler(cast(Any, host))
         changes.set_desired("g", ids("bcd"), 2)
@@ -178,22 +214,40 @@
         self.assertEqual(DesiredMembers(ids("a"), 3).generation, 3)
         host = OwnerHost(members("abc", generation=7))
         changes = MembershipReconciler(cast(Any, host))
-        changes.set_desired("g", ids("abd"), 6)  # this owner hasn't heard of the newest placement
+        changes.set_desired("g", ids("abd"), 6)  # this owner doesn't know the latest placement
         self.assertEqual(host.current, members("abc", generation=7))
 
 
 class LearnersFirstTest(unittest.TestCase):
-    """One member at a time, learners first."""
+    """Members change one at a time, and start as learners."""
 
     STEPS = (
-        ("nothing to do", Members(("a", "b", "c")), "abc", "", None),
-        ("learner first", Members(("a", "b", "c")), "abd", "", Members(("a", "b", "c"), ("d",))),
-        ("not before it has caught up", Members(("a", "b", "c"), ("d",)), "abd", "", None),
-        ("voter once it has", Members(("a", "b", "c"), ("d",)), "abd", "d", Members(("a", "b", "c", "d"))),
-        ("then the old one goes", Members(("a", "b", "c", "d")), "abd", "", Members(("a", "b", "d"))),
-        ("a learner that isn't wanted goes", Members(("a", "b"), ("x",)), "ab", "x", Members(("a", "b"))),
+        ("no change needed", Members(("a", "b", "c")), "abc", "", None),
+        (
+            "start as a learner",
+            Members(("a", "b", "c")),
+            "abd",
+            "",
+            Members(("a", "b", "c"), ("d",)),
+        ),
+        ("not yet caught up", Members(("a", "b", "c"), ("d",)), "abd", "", None),
+        (
+            "voter once caught up",
+            Members(("a", "b", "c"), ("d",)),
+            "abd",
+            "d",
+            Members(("a", "b", "c", "d")),
+        ),
+        ("then remove the old voter", Members(("a", "b", "c", "d")), "abd", "", Members(("a", "b", "d"))),
+        ("remove an undesired learner", Members(("a", "b"), ("x",)), "ab", "x", Members(("a", "b"))),
         ("the last voter stays", Members(("a",)), "", "", None),
-        ("of two voters one goes, with one desired (f = 0)", Members(("a", "b")), "b", "", Members(("b",))),
+        (
+            "one of two voters is removed (f = 0)",
+            Members(("a", "b")),
+            "b",
+            "",
+            Members(("b",)),
+        ),
     )
 
     def test_steps(self) -> None:
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -1,4 +1,4 @@
-"""A term that was refused in favour of a higher one is never used again (NEWS-24); and the check of it."""
+"""A member never uses a term again after a higher one refused it (NEWS-24), and the checker for that."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 from bitternpath.testing.simulation.runs.play import play
 from tests.system.replication.single_member import ELECTED_AT, FOUNDERS, confirm_all, leader, take_messages
 
-HIGHER = 9  # a term that another member has
+HIGHER = 9  # the term of another member
 
 
 class QueuedRequests(unittest.TestCase):
-    """Requests that a leader has made and not sent yet when it is refused, in the same turn."""
+    """Requests that a leader has queued in the same turn in which it learns of a higher term."""
 
     def test_none_is_sent_after_any_message_of_a_higher_term(self) -> None:
         refusals: list[Message] = [
@@ -57,14 +57,14 @@
                     [message for message in take_messages(member) if isinstance(message, LeaderRequest)]
                 )
 
-    def test_a_transfer_that_had_begun_isnt_ordered_any_more(self) -> None:
+    def test_a_started_transfer_sends_no_request_any_more(self) -> None:
         member = leader()
         self.assertTrue(member.transfer_leadership(ELECTED_AT, "b"))
         member.receive(ELECTED_AT, "c", AppendEntriesResponse(HIGHER, False, 0, 1))
         self.assertFalse([message for message in take_messages(member) if isinstance(message, TimeoutNow)])
 
-    def test_a_leader_that_is_no_voter_any_more_still_tells_what_is_committed(self) -> None:
-        """It isn't refused: its term goes on without it, and its last word lets the others commit."""
+    def test_a_leader_that_is_no_voter_any_more_still_sends_the_commit_index(self) -> None:
+        """Its term is not refused, and its last request tells the others the commit index."""
         member = leader()
         confirm_all(member)
         take_messages(member)
@@ -76,11 +76,11 @@
 
 
 class Checker(unittest.TestCase):
-    """What `RefusedTermChecker` says."""
+    """Detection by `RefusedTermChecker`."""
 
     def setUp(self) -> None:
-        self.found: list[str] = []
-        self.checker = RefusedTermChecker(self.found.append)
+        self.violations: list[str] = []
+        self.checker = RefusedTermChecker(self.violations.append)
 
     def test_a_request_of_a_refused_term_is_found(self) -> None:
         requests: list[Message] = [
@@ -90,17 +90,17 @@
         ]
         for request in requests:
             self.checker.sent("a/1", "queue-0", request)
-        self.assertEqual(self.found, [])
+        self.assertEqual(self.violations, [])
         self.checker.received("a/1", "queue-0", AppendEntriesResponse(5, False, 0, 1))
         for request in requests:
             self.checker.sent("a/1", "queue-0", request)
-        self.assertEqual(len(self.found), len(requests))
+        self.assertEqual(len(self.violations), len(requests))
 
     def test_other_members_groups_and_terms_arent_concerned(self) -> None:
         self.checker.received("a/1", "queue-0", AppendEntriesResponse(5, False, 0, 1))
         for member, group, term in (("b/1", "queue-0", 4), ("a/1", "queue-1", 4), ("a/1", "queue-0", 5)):
             self.checker.sent(member, group, AppendEntries(term, 0, 0, (), 0, 1))
-        self.assertEqual(self.found, [])
+        self.assertEqual(self.violations, [])
 
     def test_a_pre_vote_refuses_nothing(self) -> None:
         self.assertEqual(refusing_term(RequestVoteResponse(7, True, True)), 0)
@@ -108,8 +108,8 @@
         self.assertEqual(refusing_term(RequestVoteResponse(7, True, False)), 7)
 
 
-def owners_hand_over_in_turn() -> RunPlan:
-    """Each storage machine is asked to end, so that it transfers its shards; messages come meanwhile."""
+def plan_with_ownership_transfers() -> RunPlan:
+    """Each storage node is told to shut down, so that it transfers its shards while messages arrive."""
     faults = [
         Fault(number=number, at=8.0 * number - 6.0, kind=FaultKind.TERM, nodes=(f"s{number}",))
         for number in (1, 2, 3)
@@ -119,30 +119,32 @@
 
 
 @contextmanager
-def keeps_its_term() -> Iterator[None]:
-    """A leader that hears of a higher term leads on in its own."""
+def leader_ignores_higher_terms() -> Iterator[None]:
+    """A build whose leaders ignore higher terms."""
     become_follower = MemberState._become_follower
 
-    def leads_on(member: Any, term: int, cause: RoleChangeCause, leader: str = "") -> None:
+    def become_follower_unless_leading(
+        member: Any, term: int, cause: RoleChangeCause, leader: str = ""
+    ) -> None:
         if member.role is not MemberRole.LEADER or cause is not RoleChangeCause.HIGHER_TERM:
             become_follower(member, term, cause, leader)
 
-    with patch.object(MemberState, "_become_follower", leads_on):
+    with patch.object(MemberState, "_become_follower", become_follower_unless_leading):
         yield
 
 
-class WholeService(unittest.TestCase):
-    """The check in the whole service."""
+class FullSystem(unittest.TestCase):
+    """The checker in simulated runs of the full system."""
 
     longest_test_s = 12
 
     def test_a_build_that_keeps_a_refused_term_is_caught(self) -> None:
-        with keeps_its_term():
-            report = play(owners_hand_over_in_turn())
+        with leader_ignores_higher_terms():
+            report = play(plan_with_ownership_transfers())
         self.assertIn("refused term used again", "\n".join(map(str, report.findings)))
 
     def test_the_program_passes_the_same_run(self) -> None:
-        report = play(owners_hand_over_in_turn())
+        report = play(plan_with_ownership_transfers())
         self.assertEqual([*map(str, report.findings), *report.errors], [])
 
 
--- a/tests/system/replication/test_removed_replicas.py
+++ b/tests/system/replication/test_removed_replicas.py
@@ -1,4 +1,4 @@
-"""A replica that was removed from its group and is to take part again, on the same disk."""
+"""A replica that was removed from its group and joins again with the same disk."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DurableHost:
-    """A replica host `c/c`; its disk survives a restart."""
+    """A replica host `c/c` whose disk survives a restart."""
 
     def __init__(self, disk: SimulatedFileSystem | None = None) -> None:
         self.disk = disk or SimulatedFileSystem()
@@ -46,7 +46,7 @@
         self.host.open_group("g", machine, founders, machine)
 
     def receive(self, sender: str, message: Any) -> list[Any]:
-        """Deliver a message; the responses to its sender."""
+        """Deliver a message and return the responses to its sender."""
         self.sent.clear()
         self.host.receive("g", sender, encode_message(message))
         for _ in range(10):
@@ -63,7 +63,7 @@
 
 
 class RemovedReplicaTest(unittest.TestCase):
-    """A replica that was removed and is to take part again, on the same disk."""
+    """Votes and state of a removed replica that joins again."""
 
     OLD = members("abc", generation=1)
 
@@ -78,11 +78,11 @@
         return host
 
     def votes(self, host: DurableHost) -> list[Any]:
-        """Responses to a candidate that still takes it for a voter, in a leadership transfer."""
+        """Responses to a candidate that still counts it as a voter, in a leadership transfer."""
         return host.receive("a/a", RequestVote(9, 2, 3, False, leadership_transfer=True))
 
     def test_it_grants_no_vote_before_a_membership_names_it_again(self) -> None:
-        """Otherwise `a`, partitioned since `c` was a voter, would lead with `c` while `b` and `d` go on."""
+        """Otherwise `a`, partitioned since `c` was a voter, could lead with `c` while `b` and `d` go on."""
         for restart in (False, True):
             with self.subTest(restart=restart):
                 host = self.removed()
@@ -91,7 +91,7 @@
                 host.open(None)
                 self.assertEqual(self.votes(host), [])
                 host.receive("b/b", AppendEntries(4, 0, 0, (member_entry(1, 3, self.OLD),), 1, 1))
-                self.assertEqual(host.host.members("g"), self.OLD)  # it has begun to catch up
+                self.assertEqual(host.host.members("g"), self.OLD)  # it has started to catch up
                 if restart:
                     host = host.restarted()
                     host.open(None)
@@ -108,10 +108,10 @@
             host.receive("b/b", RequestVote(9, 2, 4, False, leadership_transfer=True)),
             [RequestVoteResponse(9, pre_vote=False, granted=True)],
         )
-        again = host.restarted()
-        again.open(None)
+        restarted_host = host.restarted()
+        restarted_host.open(None)
         self.assertEqual(
-            again.receive("d/d", RequestVote(10, 2, 4, False, leadership_transfer=True)),
+            restarted_host.receive("d/d", RequestVote(10, 2, 4, False, leadership_transfer=True)),
             [RequestVoteResponse(10, pre_vote=False, granted=True)],
         )
 
@@ -122,9 +122,9 @@
             entry = Entry(index, 4, 1, bytes(60))
             host.receive("b/b", AppendEntries(4, index - 1, 4 if index > 1 else 0, (entry,), index, 1))
         self.assertFalse(any(name.endswith("segment-00000001.log") for name in host.disk.paths()))
-        again = host.restarted()
-        self.assertEqual(again.journal.tombstone_generation("g"), 2)
-        self.assertEqual(again.journal.groups(), ("g",))
+        restarted_host = host.restarted()
+        self.assertEqual(restarted_host.journal.tombstone_generation("g"), 2)
+        self.assertEqual(restarted_host.journal.groups(), ("g",))
 
     def test_it_is_not_a_founding_member_again(self) -> None:
         host = self.removed().restarted()
--- a/tests/system/replication/test_snapshot_chunks.py
+++ b/tests/system/replication/test_snapshot_chunks.py
@@ -1,4 +1,4 @@
-"""A snapshot in chunks from one host to another: lost chunks, restarts, confirmation."""
+"""Snapshots sent in chunks: lost chunks, restarts, and confirmation."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 class SnapshotChunksTest(QuietLogsTestCase):
     def setUp(self) -> None:
         super().setUp()
-        small = patch.object(snapshots, "CHUNK_BYTES", 100)
-        small.start()
-        self.addCleanup(small.stop)
+        patched = patch.object(snapshots, "CHUNK_BYTES", 100)
+        patched.start()
+        self.addCleanup(patched.stop)
         self.host = ScriptedHost("a", bounds=CompactionBounds(size=1 << 20, entries=20, entries_to_keep=0))
         self.host.open(TRIO)
         self.host.lead()
@@ -32,7 +32,7 @@
             self.host.run(0.003)
 
     def play(self, follower: ScriptedHost, seconds: float, lost: frozenset[int] = frozenset()) -> int:
-        """Exchange messages, but for the chunks numbered in `lost`; how many chunks with data were sent."""
+        """Exchange messages except the chunks numbered in `lost`; returns the number of chunks with data."""
         chunks = 0
         for _ in range(round(seconds / 0.002)):
             sent = self.host.run(0.002)
@@ -57,7 +57,7 @@
 
     @property
     def offset(self) -> int:
-        """Offset of the chunk that was sent last."""
+        """Offset of the last chunk sent."""
         outgoing_snapshot = self.host.host.groups["g"].raft.peers["c"].outgoing_snapshot
         return outgoing_snapshot.offset if outgoing_snapshot is not None else 0
 
@@ -77,23 +77,23 @@
         self.assertEqual(chunks, -(-self.size // 100) + 2)
         self.assertEqual(follower.machine.commands, self.host.machine.commands)
 
-    def test_a_follower_restarted_during_the_transfer_gets_the_whole_snapshot(self) -> None:
-        """It responds that it has nothing; once the leader went on at the old offset for ever."""
+    def test_a_follower_restarted_during_installation_gets_the_complete_snapshot(self) -> None:
+        """Guards against the leader repeating the old offset forever after the follower lost its chunks."""
         first = self.follower()
         while self.offset < 300:
             self.play(first, 0.002)
-        again = self.follower()
-        self.play(again, 3)
-        self.assertEqual(again.machine.commands, self.host.machine.commands)
+        restarted = self.follower()
+        self.play(restarted, 3)
+        self.assertEqual(restarted.machine.commands, self.host.machine.commands)
 
     def test_the_snapshot_is_on_disk_before_it_is_confirmed(self) -> None:
         follower = self.follower()
         self.play(follower, 2)
         follower.disk.lose_power(Random(1))
-        again = ScriptedHost("c", follower.disk)
-        again.open(None)
-        self.assertGreater(len(again.machine.commands), 50)
-        self.assertEqual(again.host.members("g"), TRIO)
+        restarted = ScriptedHost("c", follower.disk)
+        restarted.open(None)
+        self.assertGreater(len(restarted.machine.commands), 50)
+        self.assertEqual(restarted.host.members("g"), TRIO)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_replica_garbage_collection.py
+++ b/tests/system/test_replica_garbage_collection.py
@@ -1,4 +1,4 @@
-"""When a storage node may close a replica that its group has removed."""
+"""Conditions under which a storage node closes a replica that was removed from its group."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 
 
 class ClosingHost:
-    """A host with replicas, as `ReplicaGarbageCollector` sees it."""
+    """A fake host with one replica for `ReplicaGarbageCollector`."""
 
     member_id = "c/c"
 
-    def __init__(self, known: Members) -> None:
-        self.known = known
+    def __init__(self, known_members: Members) -> None:
+        self.known_members = known_members
         self.groups = {"g": None}
 
     def members(self, group: str) -> Members:
-        return self.known
+        return self.known_members
 
 
 class ReplicaGarbageCollectionTest(unittest.TestCase):
-    """When a replica may be closed."""
+    """Whether a replica is closed."""
 
     CASES = (
-        # placement (names, generation), own log's members, report (names, generation), closed
-        ("told so by the placement in force", "abd", 2, members("abc", generation=1), "abd", 2, True),
-        ("told so by a later one", "abd", 2, members("abc", generation=1), "abe", 3, True),
-        ("named by the placement", "abc", 2, members("abc", generation=1), "abd", 2, False),
-        ("a report by an older placement", "abd", 2, members("abc", generation=1), "abd", 1, False),
+        # placement (names, generation), members in the local log, report (names, generation), closed
+        ("report for the current placement", "abd", 2, members("abc", generation=1), "abd", 2, True),
+        ("report for a later placement", "abd", 2, members("abc", generation=1), "abe", 3, True),
+        ("part of the placement", "abc", 2, members("abc", generation=1), "abd", 2, False),
+        ("report for an older placement", "abd", 2, members("abc", generation=1), "abd", 1, False),
         ("still a member", "abd", 2, members("abc", generation=1), "abcd", 2, False),
-        ("its own log knows of a later placement", "abd", 2, members("abc", generation=3), "abd", 2, False),
+        ("local log is of a later placement", "abd", 2, members("abc", generation=3), "abd", 2, False),
     )
 
     def test_cases(self) -> None:
-        for label, placed, generation, known, reported, by, closed in self.CASES:
+        for label, placed, generation, known_members, reported, report_generation, closed in self.CASES:
             with self.subTest(label):
                 addresses = tuple(MemberAddress(f"{n}/{n}", n, f"{n}:1", "z") for n in placed)
                 placements = {"g": GroupPlacement("g", generation, addresses)}
-                done: list[tuple[str, int]] = []
-                closing = ReplicaGarbageCollector(
+                closed_replicas: list[tuple[str, int]] = []
+                collector = ReplicaGarbageCollector(
                     Clock(),
                     cast(Any, None),
-                    cast(Any, ClosingHost(known)),
+                    cast(Any, ClosingHost(known_members)),
                     placements,
-                    lambda group, at: done.append((group, at)),  # noqa: B023
+                    lambda group, at: closed_replicas.append((group, at)),  # noqa: B023
                 )
-                closing.reported(MembershipReport("g", 4, ids(reported), by))
-                self.assertEqual(done, [("g", by)] if closed else [])
+                collector.reported(MembershipReport("g", 4, ids(reported), report_generation))
+                self.assertEqual(closed_replicas, [("g", report_generation)] if closed else [])
 
 
 if __name__ == "__main__":
