--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -26,7 +26,7 @@
 sys.path.insert(0, str(ROOT))
 structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 
-from bitternpath.testing.emulator.scenario_file import load, made_from  # noqa: E402
+from bitternpath.testing.emulator.scenario_file import load, scenario_from  # noqa: E402
 from bitternpath.testing.emulator.world import Result, World, play  # noqa: E402
 
 SCENARIOS = ROOT / "scenarios"
@@ -99,7 +99,7 @@
     }  # fmt: skip
     policies = ("module", "least", "oracle")
     work = [
-        (made_from(base | {"name": name, "troubles": told}, name), seed, policy)
+        (scenario_from(base | {"name": name, "troubles": told}, name), seed, policy)
         for name, told in single.items()
         for policy in policies
         for seed in range(1, seeds + 1)
@@ -162,7 +162,7 @@
         told = base | {"sites": sites, "seconds": seconds, "clients": {"load": 0.5}}
         spent = {}
         for policy in ("module", "random"):
-            world = World(made_from(told, "speed"), 1, policy, traced=False)
+            world = World(scenario_from(told, "speed"), 1, policy, traced=False)
             begun = time.perf_counter()
             result = world.run()
             spent[policy] = (time.perf_counter() - begun) / max(result.requests, 1) * 1e6
@@ -237,7 +237,7 @@
         "front_notice_s": day["front_notice"] / 1e6,
         "troubles": told,
     }  # fmt: skip
-    return made_from(made, "day"), day
+    return scenario_from(made, "day"), day
 
 
 def _play_day(given: tuple[str, str]) -> float:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -48,10 +48,10 @@
 def settled_world(nodes: int, seed: int = 1) -> FleetWorld:
     world = FleetWorld(seed, 3, nodes, p.LeaseTerms(), 0.02)
     world.start()
-    while world.later.now < 60.0 and (world.later.now < 4.0 or world.settled()):
-        world.later.run(world.later.now + 0.5)
-    if world.settled():
-        raise SystemExit(f"{nodes} nodes: {world.settled()}")
+    while world.scheduler.now < 60.0 and (world.scheduler.now < 4.0 or world.unsettled_reason()):
+        world.scheduler.run(world.scheduler.now + 0.5)
+    if world.unsettled_reason():
+        raise SystemExit(f"{nodes} nodes: {world.unsettled_reason()}")
     return world
 
 
@@ -59,15 +59,15 @@
     for nodes in (6, 200):
         for loss in (0.0, 0.1):
             world = settled_world(nodes)
-            world.everywhere.loss = loss
+            world.all_links.loss = loss
             took = []
             for k in range(CHANGES):
-                begun = world.later.now
-                world.operator.type(m.Propose(f"c{k}", "a", "b", p.SetClass("lookup", {"aim": 1.0 + k})))
+                begun = world.scheduler.now
+                world.operator.submit(m.Propose(f"c{k}", "a", "b", p.SetClass("lookup", {"aim": 1.0 + k})))
                 while any(n.holder.plan.version < k + 1 for n in world.nodes.values()):
-                    world.later.run(world.later.now + 0.001)
-                took.append(world.later.now - begun)
-                world.later.run(world.later.now + 0.5)
+                    world.scheduler.run(world.scheduler.now + 0.001)
+                took.append(world.scheduler.now - begun)
+                world.scheduler.run(world.scheduler.now + 0.5)
             print(f"change to in effect, {nodes} nodes, {loss:.0%} of messages lost: {shown(took)}")
 
 
@@ -76,24 +76,24 @@
     for seed in range(ROUNDS):
         world = settled_world(6, seed)
         node = world.nodes["n3"]
-        begun = world.later.now
+        begun = world.scheduler.now
         node.stall()
         while any(h.node == "n3" for h in world.leader().desk.record.holders.values()):  # type: ignore[union-attr]
-            world.later.run(world.later.now + 0.01)
-        gone.append(world.later.now - begun)
-        world.operator.type(m.Propose("c", "a", "b", p.EjectWorker("w1")))
-        world.later.run(world.later.now + 5.0)
-        begun = world.later.now
+            world.scheduler.run(world.scheduler.now + 0.01)
+        gone.append(world.scheduler.now - begun)
+        world.operator.submit(m.Propose("c", "a", "b", p.EjectWorker("w1")))
+        world.scheduler.run(world.scheduler.now + 5.0)
+        begun = world.scheduler.now
         node.resume()
         while not (node.holder.fencing_token and node.holder.plan.version == 1):
-            world.later.run(world.later.now + 0.01)
-        back.append(world.later.now - begun)
+            world.scheduler.run(world.scheduler.now + 0.01)
+        back.append(world.scheduler.now - begun)
         node.holder.validate = lambda plan: "it cannot"
-        begun = world.later.now
-        world.operator.type(m.Propose("d", "a", "b", p.EjectWorker("w2")))
+        begun = world.scheduler.now
+        world.operator.submit(m.Propose("d", "a", "b", p.EjectWorker("w2")))
         while world.leader().desk.record.released.version < 2:  # type: ignore[union-attr]
-            world.later.run(world.later.now + 0.01)
-        lag.append(world.later.now - begun)
+            world.scheduler.run(world.scheduler.now + 0.01)
+        lag.append(world.scheduler.now - begun)
     print(f"stalled until shut out (lease 4 s): {shown(gone, 1, 's')}")
     print(f"awake until it acts on what it missed: {shown(back)}")
     print(f"a change that one of six refuses, until the others have it (catch up 5 s): {shown(lag, 1, 's')}")
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -26,7 +26,7 @@
 from earlier import earlier_dispatcher  # noqa: E402
 
 from bitternpath.testing.emulator.policies import POLICIES  # noqa: E402
-from bitternpath.testing.emulator.scenario_file import load, made_from  # noqa: E402
+from bitternpath.testing.emulator.scenario_file import load, scenario_from  # noqa: E402
 from bitternpath.testing.emulator.world import World  # noqa: E402
 
 UNTOUCHED = "4194b88"  # before any change for the large fleet
@@ -36,7 +36,7 @@
 def calm(workers: int, nodes: int, seconds: float) -> Any:
     base = msgspec.to_builtins(load(ROOT / "scenarios" / "calm.toml"))
     sites = [{"name": "a", "workers": workers, "nodes": nodes, "traffic": 1.0}]
-    return made_from(base | {"sites": sites, "seconds": seconds, "clients": {"load": 0.5}}, "calm")
+    return scenario_from(base | {"sites": sites, "seconds": seconds, "clients": {"load": 0.5}}, "calm")
 
 
 def cpu_a_job(scenario: Any, policy: str) -> float:
@@ -95,7 +95,10 @@
         run = world.run()
         calls, nodes = sum(run.counts["attempts"].values()), len(world.nodes)
         dials = sum(node.dials for node in world.nodes.values()) / calls
-        asked, heard = sum(world.directory.asked.values()) / nodes, len(world.directory.granted) / nodes
+        asked, heard = (
+            sum(world.directory.subscribe_calls.values()) / nodes,
+            len(world.directory.subscribe_successes) / nodes,
+        )
         whole = statistics.mean(
             World(told, s, policy, traced=False).run().figures["service"] for s in (3, 4, 5)
         )
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -36,16 +36,16 @@
 
 
 def _run(seed: int, faults: int) -> Outcome:
-    from bitternpath.testing.emulator.fleet.campaign import play
+    from bitternpath.testing.emulator.fleet.campaign import run_seed
 
-    outcome = play(seed, faults)
-    return Outcome(outcome.kept, str(outcome))
+    outcome = run_seed(seed, faults)
+    return Outcome(outcome.passed, str(outcome))
 
 
 def _walk(seed: int, _: int) -> Outcome:
-    from bitternpath.testing.emulator.fleet.random_schedule import walk
+    from bitternpath.testing.emulator.fleet.random_schedule import run_schedule
 
-    broken = walk(seed).broken
+    broken = run_schedule(seed).violations
     return Outcome(not broken, f"seed {seed}: {broken[0] if broken else 'rules kept'}")
 
 
@@ -58,13 +58,13 @@
 
 def _search(number: int, most: int) -> Outcome:
     from bitternpath.testing.emulator.fleet.search.explore import search
-    from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, begun
+    from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, initial_state
 
-    found = search(begun(SCOPES[number]), most, deque.pop)
-    summary = f"{found.broken}, after {'; '.join(found.trail)}" if found.broken else "rules kept"
-    coverage = "all" if found.whole else "the first"
+    found = search(initial_state(SCOPES[number]), most, deque.pop)
+    summary = f"{found.violation}, after {'; '.join(found.trace)}" if found.violation else "rules kept"
+    coverage = "all" if found.complete else "the first"
     searched = f"{coverage} {found.states} states, {found.moves} moves"
-    return Outcome(not found.broken, f"{SCOPES[number]}: {summary} in {searched}")
+    return Outcome(not found.violation, f"{SCOPES[number]}: {summary} in {searched}")
 
 
 def _system(seed: int, _: int) -> Outcome:
@@ -82,11 +82,11 @@
     """Play one day with real processes and say in one line what came of it."""
     import structlog
 
-    from bitternpath.testing.emulator.fleet.days import day
+    from bitternpath.testing.emulator.fleet.days import scenario_for_seed
     from bitternpath.testing.emulator.sockets.play import VoidError, play_on_sockets
 
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
-    scenario = day(seed, faults)
+    scenario = scenario_for_seed(seed, faults)
     kinds = ", ".join(f"{t.kind} {t.at:.1f}+{t.lasts:.1f}" for t in scenario.troubles[1:])
     try:
         result = play_on_sockets(scenario, seed)
@@ -95,7 +95,7 @@
         return 0
     summary = "; ".join(result.violations[:3]) or f"rules kept, {result.requests} requests"
     print(f"{summary} ({kinds})")
-    return 0 if result.kept else 1
+    return 0 if result.passed else 1
 
 
 def _report_coverage(coverages: list[Coverage]) -> None:
--- a/bitternpath/cli/demo.py
+++ b/bitternpath/cli/demo.py
@@ -88,6 +88,6 @@
     Needs no file, no flag and no root. Ends with 0 where the rules were kept, with 1 where one was broken.
     """
     from bitternpath.cli.on_sockets import run
-    from bitternpath.testing.emulator.scenario_file import made_from
+    from bitternpath.testing.emulator.scenario_file import scenario_from
 
-    click.get_current_context().exit(run(made_from(FLEET if fleet else DEMO, "demo"), seed, file))
+    click.get_current_context().exit(run(scenario_from(FLEET if fleet else DEMO, "demo"), seed, file))
--- a/bitternpath/cli/emulate.py
+++ b/bitternpath/cli/emulate.py
@@ -76,4 +76,4 @@
         console.print(f"mean of {len(results)}: {means}")
     if file is not None:
         file.write_bytes(to_json(results))
-    click.get_current_context().exit(0 if all(result.kept for result in results) else 1)
+    click.get_current_context().exit(0 if all(result.passed for result in results) else 1)
--- a/bitternpath/cli/on_sockets.py
+++ b/bitternpath/cli/on_sockets.py
@@ -20,21 +20,21 @@
 def _row(world: SocketWorld) -> dict[str, str]:
     """The last second that is over."""
     second = int(world.now()) - 1
-    counts = world.tally.counts
-    asked = sum(worth for key, worth in world.tally.asked.items() if key[0] == second)
-    got = sum(worth for key, worth in world.tally.got.items() if key[0] == second)
+    counts = world.metrics.counts
+    asked = sum(worth for key, worth in world.metrics.offered_value.items() if key[0] == second)
+    got = sum(worth for key, worth in world.metrics.earned_value.items() if key[0] == second)
     now = world.now()
-    troubles = [a.kind for a in world.active if a.at <= now < a.at + a.lasts]
-    fleet = world.fleet.row() if world.fleet is not None else {}
+    troubles = [a.kind for a in world.active_faults if a.at <= now < a.at + a.lasts]
+    fleet = world.fleet.table_row() if world.fleet is not None else {}
     return {
         "s": str(max(second, 0)),
         "asked": f"{asked:.0f}",
         "so far": f"{got / asked:.0%}" if asked else "-",
         "refused": str(counts[second, "refused"]),
         "failed": str(counts[second, "failed"]),
-        "waiting": str(world.clients.open),
-        "up": str(sum(w.up and w.reachable for w in world.workers.values())),
-        "nodes": str(sum(len(nodes) for nodes in world.front.admitted.values())),
+        "waiting": str(world.clients.unfinished),
+        "up": str(sum(w.alive and w.reachable for w in world.workers.values())),
+        "nodes": str(sum(len(nodes) for nodes in world.load_balancer.admitted.values())),
         **fleet,
         "trouble": ", ".join(troubles) or "-",
     }
@@ -81,4 +81,4 @@
     show(result, console)
     if file is not None:
         file.write_bytes(to_json([result]))
-    return 0 if result.kept else 1
+    return 0 if result.passed else 1
--- a/bitternpath/testing/emulator/clients.py
+++ b/bitternpath/testing/emulator/clients.py
@@ -10,10 +10,10 @@
 from typing import Any, Protocol
 
 from bitternpath.testing.emulator.checker import Checker
-from bitternpath.testing.emulator.scenario import JobClass, Scenario, drawn
-from bitternpath.testing.emulator.service import Ask, Tally
+from bitternpath.testing.emulator.scenario import JobClass, Scenario, sample
+from bitternpath.testing.emulator.service import Operation, ServiceMetrics
 
-WAVE = 20.0  # s of a swing
+LOAD_WAVE_PERIOD = 20.0  # s of a swing
 
 
 class Target(Protocol):
@@ -22,28 +22,35 @@
     name: str
     site: str
 
-    def request(self, told: Try) -> bool:
+    def request(self, request: ClientRequest) -> bool:
         """A request has arrived; False where nobody listens."""
 
-    def gone(self, told: Try) -> None:
+    def client_disconnected(self, request: ClientRequest) -> None:
         """The client has closed the connection."""
 
 
-class Try:
+class ClientRequest:
     """One request of a client. Times in s."""
 
-    __slots__ = ("ask", "budget", "done", "honours", "id", "key", "number", "sent", "target")
+    __slots__ = ("budget", "done", "honors_retry_after", "id", "key", "number", "operation", "sent", "target")
 
     def __init__(
-        self, ask: Ask, id: str, number: int, sent: float, budget: float, honours: bool, key: int | None
+        self,
+        operation: Operation,
+        id: str,
+        number: int,
+        sent: float,
+        budget: float,
+        honors_retry_after: bool,
+        key: int | None,
     ) -> None:
-        self.ask, self.id, self.number, self.sent, self.budget = ask, id, number, sent, budget
-        self.honours, self.key = honours, key
+        self.operation, self.id, self.number, self.sent, self.budget = operation, id, number, sent, budget
+        self.honors_retry_after, self.key = honors_retry_after, key
         self.done = False
         self.target: Any = None
 
 
-class Front:
+class LoadBalancer:
     """Spreads clients over the nodes of their site; hears late that one has died."""
 
     def __init__(self, random: Random) -> None:
@@ -70,35 +77,44 @@
     """All of them: an open stream of first tries, and what follows from each."""
 
     def __init__(
-        self, scenario: Scenario, rate: float, later: Any, random: Random, front: Front, tally: Tally,
-        checker: Checker, delay: Callable[[str, str], float], trace: Callable[..., None],
+        self, scenario: Scenario, rate: float, scheduler: Any, random: Random,
+        load_balancer: LoadBalancer, metrics: ServiceMetrics, checker: Checker,
+        delay: Callable[[str, str], float], trace: Callable[..., None],
     ) -> None:  # fmt: skip
-        self.scenario, self.habits, self.rate, self.later, self.random = (
+        self.scenario, self.behavior, self.rate, self.scheduler, self.random = (
             scenario,
             scenario.clients,
             rate,
-            later,
+            scheduler,
             random,
         )
-        self.front, self.tally, self.checker, self.delay, self.trace = front, tally, checker, delay, trace
+        self.load_balancer, self.metrics, self.checker, self.delay, self.trace = (
+            load_balancer,
+            metrics,
+            checker,
+            delay,
+            trace,
+        )
         self.burst = 1.0  # times the usual rate
         self.site_burst: dict[str, float] = {}
         # Drawn apart from what follows, so that every policy meets the same first tries.
         self.arrivals = Random(random.getrandbits(64))
-        self.phase = random.random() * 2 * math.pi
+        self.wave_phase = random.random() * 2 * math.pi
         self.sites = [site.name for site in scenario.sites]
         self._site_shares = [site.traffic for site in scenario.sites]
         self._classes = scenario.classes
         self._by_class = list(accumulate(c.share for c in scenario.classes))
-        self.mean_work = {c.name: drawn(random, c.work) / 1000.0 for c in scenario.classes}  # s
-        self.open = 0  # asks that have no end yet
-        self._made = 0
+        self.mean_work = {c.name: sample(random, c.work) / 1000.0 for c in scenario.classes}  # s
+        self.unfinished = 0  # asks that have no end yet
+        self._sequence = 0
 
     def start(self) -> None:
         self._next()
 
     def _rate_now(self) -> float:
-        wave = 1.0 + self.habits.swing * math.sin(2 * math.pi * self.later.seconds() / WAVE + self.phase)
+        wave = 1.0 + self.behavior.swing * math.sin(
+            2 * math.pi * self.scheduler.seconds() / LOAD_WAVE_PERIOD + self.wave_phase
+        )
         shares = [
             s * self.site_burst.get(name, 1.0) for name, s in zip(self.sites, self._site_shares, strict=True)
         ]
@@ -107,8 +123,8 @@
 
     def _next(self) -> None:
         wait = self.arrivals.expovariate(1.0) / max(self._rate_now(), 1e-6)
-        if self.later.seconds() + wait < self.scenario.seconds:
-            self.later.callLater(wait, self._arrive)
+        if self.scheduler.seconds() + wait < self.scenario.seconds:
+            self.scheduler.callLater(wait, self._arrive)
 
     def _work(self, spec: JobClass) -> float:
         mean = self.mean_work[spec.name]
@@ -124,83 +140,98 @@
         by_class, by_site, rand = self._by_class, self._by_site, self.arrivals.random
         spec = self._classes[bisect_right(by_class, rand() * by_class[-1])]
         site = self.sites[bisect_right(by_site, rand() * by_site[-1])]
-        now = self.later.seconds()
-        ask = Ask(spec, site, self._work(spec), now)
-        self.tally.first(ask)
-        self.open += 1
-        honours = rand() < self.habits.honour
-        key = int(rand() * self.habits.keys) if self.habits.keys else None
-        self._made += 1
-        self._try(ask, f"{self._made:x}", 0, honours, key)
-
-    def _try(self, ask: Ask, name: str, number: int, honours: bool, key: int | None) -> None:
-        now = self.later.seconds()
-        budget = max(ask.arrived + ask.job_class.give_up / 1000.0 - now, 0.0)
-        told = Try(ask, f"{name}-{number}", number, now, budget, honours, key)
-        self.later.callLater(budget, self._give_up, told)
-        if self.habits.leave and self.random.random() < self.habits.leave:
-            self.later.callLater(self.random.random() * budget, self._leave, told)
-        node = told.target = self.front.pick(ask.site)
+        now = self.scheduler.seconds()
+        operation = Operation(spec, site, self._work(spec), now)
+        self.metrics.record_arrival(operation)
+        self.unfinished += 1
+        honors_retry_after = rand() < self.behavior.honour
+        key = int(rand() * self.behavior.keys) if self.behavior.keys else None
+        self._sequence += 1
+        self._send_request(operation, f"{self._sequence:x}", 0, honors_retry_after, key)
+
+    def _send_request(
+        self, operation: Operation, name: str, number: int, honors_retry_after: bool, key: int | None
+    ) -> None:
+        now = self.scheduler.seconds()
+        budget = max(operation.arrived + operation.job_class.give_up / 1000.0 - now, 0.0)
+        request = ClientRequest(operation, f"{name}-{number}", number, now, budget, honors_retry_after, key)
+        self.scheduler.callLater(budget, self._give_up, request)
+        if self.behavior.leave and self.random.random() < self.behavior.leave:
+            self.scheduler.callLater(self.random.random() * budget, self._leave, request)
+        node = request.target = self.load_balancer.pick(operation.site)
         if node is None:
-            self.later.callLater(0.001, self.answer, told, "unreachable", 0.0, b"")
+            self.scheduler.callLater(0.001, self.answer, request, "unreachable", 0.0, b"")
             return
-        self.later.callLater(self.delay(ask.site, node.site), self._reach, told)
-
-    def _reach(self, told: Try) -> None:
-        if not told.done and not told.target.request(told):
-            self.later.callLater(
-                self.delay(told.ask.site, told.target.site), self.answer, told, "unreachable", 0.0, b""
+        self.scheduler.callLater(self.delay(operation.site, node.site), self._deliver, request)
+
+    def _deliver(self, request: ClientRequest) -> None:
+        if not request.done and not request.target.request(request):
+            self.scheduler.callLater(
+                self.delay(request.operation.site, request.target.site),
+                self.answer,
+                request,
+                "unreachable",
+                0.0,
+                b"",
             )
 
-    def answer(self, told: Try, what: str, retry_after: float, result: bytes) -> None:
+    def answer(self, request: ClientRequest, outcome: str, retry_after: float, result: bytes) -> None:
         """What a try came to: served, refused, failed, reset or unreachable; `retry_after` in ms."""
-        if told.done:
+        if request.done:
             return
-        told.done = True
-        ask, now = told.ask, self.later.seconds()
-        self.trace("client", told.id, what)
-        if what == "served":
-            ask.over = True
-            self.open -= 1
-            self.tally.served(ask, now)
+        request.done = True
+        operation, now = request.operation, self.scheduler.seconds()
+        self.trace("client", request.id, outcome)
+        if outcome == "served":
+            operation.finished = True
+            self.unfinished -= 1
+            self.metrics.record_success(operation, now)
             return
-        self.tally.count(now, what)
-        habits = self.habits
-        again = what in ("refused", "unreachable") or ask.job_class.safe
-        wait = habits.backoff_ms / 1000.0 * 2**told.number * (0.5 + self.random.random())
-        if what == "refused" and told.honours:
-            wait = max(wait, min(retry_after, habits.longest_retry_after_ms) / 1000.0)
+        self.metrics.increment(now, outcome)
+        behavior = self.behavior
+        retryable = outcome in ("refused", "unreachable") or operation.job_class.safe
+        wait = behavior.backoff_ms / 1000.0 * 2**request.number * (0.5 + self.random.random())
+        if outcome == "refused" and request.honors_retry_after:
+            wait = max(wait, min(retry_after, behavior.longest_retry_after_ms) / 1000.0)
         if (
-            again
-            and told.number < habits.retries
-            and now + wait < ask.arrived + ask.job_class.give_up / 1000.0
+            retryable
+            and request.number < behavior.retries
+            and now + wait < operation.arrived + operation.job_class.give_up / 1000.0
         ):
-            self.tally.count(now, "retried")
-            name = told.id.rpartition("-")[0]
-            self.later.callLater(wait, self._try, ask, name, told.number + 1, told.honours, told.key)
+            self.metrics.increment(now, "retried")
+            name = request.id.rpartition("-")[0]
+            self.scheduler.callLater(
+                wait,
+                self._send_request,
+                operation,
+                name,
+                request.number + 1,
+                request.honors_retry_after,
+                request.key,
+            )
         else:
-            self._fail(ask)
+            self._fail(operation)
 
-    def _give_up(self, told: Try) -> None:
+    def _give_up(self, request: ClientRequest) -> None:
         """The client's time is up."""
-        if not told.done:
-            told.done = True
-            self.tally.count(self.later.seconds(), "given up")
-            if told.target is not None:
-                told.target.gone(told)
-            self._fail(told.ask)
-
-    def _leave(self, told: Try) -> None:
+        if not request.done:
+            request.done = True
+            self.metrics.increment(self.scheduler.seconds(), "given up")
+            if request.target is not None:
+                request.target.client_disconnected(request)
+            self._fail(request.operation)
+
+    def _leave(self, request: ClientRequest) -> None:
         """The client goes away before its time."""
-        if not told.done:
-            told.done = True
-            self.checker.left(told.id)
-            if told.target is not None:
-                told.target.gone(told)
-            self._fail(told.ask)
-
-    def _fail(self, ask: Ask) -> None:
-        if not ask.over:
-            ask.over = True
-            self.open -= 1
-            self.tally.failed(ask, self.later.seconds())
+        if not request.done:
+            request.done = True
+            self.checker.abandoned(request.id)
+            if request.target is not None:
+                request.target.client_disconnected(request)
+            self._fail(request.operation)
+
+    def _fail(self, operation: Operation) -> None:
+        if not operation.finished:
+            operation.finished = True
+            self.unfinished -= 1
+            self.metrics.record_failure(operation, self.scheduler.seconds())
--- a/bitternpath/testing/emulator/clock.py
+++ b/bitternpath/testing/emulator/clock.py
@@ -12,27 +12,27 @@
 from heapq import heappop, heappush
 from typing import Any
 
-AT_ONCE = 1_000_000  # events at one time
+MAX_EVENTS_PER_INSTANT = 1_000_000  # events at one time
 
 
 class StuckError(Exception):
     """Time does not pass any more."""
 
 
-class Due:
+class ScheduledCall:
     """Something that is to happen; a timer as Twisted's reactor gives it."""
 
-    __slots__ = ("args", "do", "time")
+    __slots__ = ("args", "callback", "time")
 
-    def __init__(self, time: float, do: Callable[..., object], args: tuple[Any, ...]) -> None:
+    def __init__(self, time: float, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
         self.time, self.args = time, args
-        self.do: Callable[..., object] | None = do
+        self.callback: Callable[..., object] | None = callback
 
     def cancel(self) -> None:
-        self.do, self.args = None, ()
+        self.callback, self.args = None, ()
 
     def active(self) -> bool:
-        return self.do is not None
+        return self.callback is not None
 
 
 class Scheduler:
@@ -40,45 +40,47 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.done = 0  # events that have happened
-        self._heap: list[tuple[float, int, Due]] = []
-        self._soon: deque[tuple[int, Due]] = deque()  # asked for without delay
-        self._made = 0
+        self.events_processed = 0  # events that have happened
+        self._heap: list[tuple[float, int, ScheduledCall]] = []
+        self._immediate: deque[tuple[int, ScheduledCall]] = deque()  # asked for without delay
+        self._sequence = 0
 
-    def callLater(self, delay: float, do: Callable[..., object], *args: Any) -> Due:
+    def callLater(self, delay: float, callback: Callable[..., object], *args: Any) -> ScheduledCall:
         """As Twisted's reactor: seconds from now."""
-        self._made += 1
+        self._sequence += 1
         if delay <= 0.0:
-            due = Due(self.now, do, args)
-            self._soon.append((self._made, due))
+            call = ScheduledCall(self.now, callback, args)
+            self._immediate.append((self._sequence, call))
         else:
-            due = Due(self.now + delay, do, args)
-            heappush(self._heap, (due.time, self._made, due))
-        return due
+            call = ScheduledCall(self.now + delay, callback, args)
+            heappush(self._heap, (call.time, self._sequence, call))
+        return call
 
     def seconds(self) -> float:
         return self.now
 
     def run(self, until: float) -> None:
         """Let everything happen that is due by then."""
-        heap, soon, at_once = self._heap, self._soon, 0
+        heap, immediate, events_now = self._heap, self._immediate, 0
         while True:
             # What was asked for without delay is due now, after what was asked for before it.
-            if soon and not (heap and heap[0][0] <= self.now and heap[0][1] < soon[0][0]):
-                due = soon.popleft()[1]
+            if immediate and not (heap and heap[0][0] <= self.now and heap[0][1] < immediate[0][0]):
+                call = immediate.popleft()[1]
             elif heap and heap[0][0] <= until:
-                due = heappop(heap)[2]
+                call = heappop(heap)[2]
             else:
                 break
-            do = due.do
-            if do is None:
+            callback = call.callback
+            if callback is None:
                 continue
-            if due.time > self.now:
-                self.now, at_once = due.time, 0
-            at_once += 1
-            if at_once > AT_ONCE:
-                raise StuckError(f"more than {AT_ONCE} events at {self.now:.6f} s: a loop without delay")
-            due.do = None
-            self.done += 1
-            do(*due.args)
+            if call.time > self.now:
+                self.now, events_now = call.time, 0
+            events_now += 1
+            if events_now > MAX_EVENTS_PER_INSTANT:
+                raise StuckError(
+                    f"more than {MAX_EVENTS_PER_INSTANT} events at {self.now:.6f} s: a loop without delay"
+                )
+            call.callback = None
+            self.events_processed += 1
+            callback(*call.args)
         self.now = max(self.now, until)
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -20,168 +20,172 @@
 Build = Callable[[ExitStack], None]
 
 
-def _put(stack: ExitStack, where: Any, name: str, what: Any) -> None:
-    stack.enter_context(patch.object(where, name, what))
+def _patch(stack: ExitStack, target: Any, name: str, what: Any) -> None:
+    stack.enter_context(patch.object(target, name, what))
 
 
 def vote_not_on_disk(stack: ExitStack) -> None:
     """A steward that comes back does not know for whom it voted."""
-    keep = world.keep
+    apply_write = world.apply_write
 
-    def forgetful(kept: PersistentState, write: StorageWrite) -> None:
-        keep(kept, write)
-        kept.vote = ""
+    def forget_vote(state: PersistentState, write: StorageWrite) -> None:
+        apply_write(state, write)
+        state.vote = ""
 
-    _put(stack, world, "keep", forgetful)
+    _patch(stack, world, "apply_write", forget_vote)
 
 
 def yes_before_the_disk(stack: ExitStack) -> None:
     """A follower says yes to entries that are not on its disk yet."""
-    add = consensus.Raft._on_append_entries
+    on_append_entries = consensus.Raft._on_append_entries
 
-    def hasty(self: Any, sender: str, told: AppendEntries) -> None:
+    def apply_early(self: Any, sender: str, message: AppendEntries) -> None:
         before, self._messages_awaiting_next_write = self._messages_awaiting_next_write, []
-        add(self, sender, told)
+        on_append_entries(self, sender, message)
         self._messages += self._messages_awaiting_next_write
         self._messages_awaiting_next_write = before
 
-    _put(stack, consensus.Raft, "_on_append_entries", hasty)
+    _patch(stack, consensus.Raft, "_on_append_entries", apply_early)
 
 
 def other_terms_counted(stack: ExitStack) -> None:
     """A leader takes entries of earlier leaders for agreed by counting them (fig. 8 of the paper)."""
-    _put(stack, leadership, "BATCH_ENTRIES", 1)  # else the leader's own first entry comes with them
-    count = consensus.Raft._update_commitment
+    _patch(stack, leadership, "BATCH_ENTRIES", 1)  # else the leader's own first entry comes with them
+    update_commitment = consensus.Raft._update_commitment
 
-    def counted(self: Any) -> None:
-        count(self)
+    def commit_by_count(self: Any) -> None:
+        update_commitment(self)
         voters = self.members.voters
         if self.role is MemberRole.LEADER and voters:
-            mine = [self.log.stable_index] * (self.member_id in voters)
+            own_index = [self.log.stable_index] * (self.member_id in voters)
             matches = sorted(
-                [self.peers[v].match_index for v in voters if v != self.member_id] + mine, reverse=True
+                [self.peers[v].match_index for v in voters if v != self.member_id] + own_index, reverse=True
             )
             self.commit_index = max(self.commit_index, matches[len(voters) // 2])
 
-    _put(stack, consensus.Raft, "_update_commitment", counted)
+    _patch(stack, consensus.Raft, "_update_commitment", commit_by_count)
 
 
 def no_wait_for_leases(stack: ExitStack) -> None:
     """A new leader takes all leases of the one before for over."""
 
-    class Hasty(Leadership):
+    class ImpatientLeadership(Leadership):
         def __init__(self, term: int, since: float) -> None:
             super().__init__(term, since - 1000.0)
 
-    _put(stack, record_replica, "Leadership", Hasty)
+    _patch(stack, record_replica, "Leadership", ImpatientLeadership)
 
 
 def drift_forgotten(stack: ExitStack) -> None:
     """The leader takes a lease for over when its own clock says so."""
-    _put(stack, p.LeaseTerms, "max_duration", property(lambda self: self.lease))
+    _patch(stack, p.LeaseTerms, "max_duration", property(lambda self: self.lease))
 
 
 def no_round(stack: ExitStack) -> None:
     """A leader renews leases without asking whether it leads."""
     renew = record_replica.RecordReplica._renew
 
-    def at_once(self: Any, now: float, leadership: Any, state: Any, route: Any, said: m.RenewLease) -> None:
+    def grant_at_once(
+        self: Any, now: float, leadership: Any, state: Any, route: Any, said: m.RenewLease
+    ) -> None:
         renew(self, now, leadership, state, route, said)
         for pending in leadership.awaiting_round:
             if isinstance(pending.request, m.RenewLease):
                 self._grant(now, leadership, pending)
 
-    _put(stack, record_replica.RecordReplica, "_renew", at_once)
+    _patch(stack, record_replica.RecordReplica, "_renew", grant_at_once)
 
 
 def two_versions_off(stack: ExitStack) -> None:
     """A version is released as soon as it is agreed."""
 
-    def hasty(self: Any, now: float, leadership: Any) -> None:
+    def apply_early(self: Any, now: float, leadership: Any) -> None:
         released = self.record.released.version
         if self.record.latest.version > released and leadership.release_index <= self.applied_index:
             item = p.Release(released + 1, self.wall_clock())
             leadership.release_index = self.raft.propose(now, EntryKind.COMMAND, p.encode_item(item)) or 0
 
-    _put(stack, record_replica.RecordReplica, "_release_next", hasty)
+    _patch(stack, record_replica.RecordReplica, "_release_next", apply_early)
 
 
 def lease_from_arrival(stack: ExitStack) -> None:
     """A node's lease runs from when the answer came."""
     lease = lease_holder.LeaseHolder._handle_lease
 
-    def late(self: Any, now: float, told: m.Lease) -> None:
-        lease(self, now, m.Lease(now, told.length, told.fencing_token, told.released, told.digest))
+    def lease_from_now(self: Any, now: float, message: m.Lease) -> None:
+        lease(
+            self, now, m.Lease(now, message.length, message.fencing_token, message.released, message.digest)
+        )
 
-    _put(stack, lease_holder.LeaseHolder, "_handle_lease", late)
+    _patch(stack, lease_holder.LeaseHolder, "_handle_lease", lease_from_now)
 
 
 def lease_by_timer(stack: ExitStack) -> None:
     """A node takes its lease for good until a timer has rung."""
     tick, holds = lease_holder.LeaseHolder.tick, lease_holder.LeaseHolder.holds_lease
-    ringing: list[bool] = []
+    in_tick: list[bool] = []
 
-    def ring(self: Any, now: float) -> None:
-        ringing.append(True)
+    def tick_marked(self: Any, now: float) -> None:
+        in_tick.append(True)
         try:
             tick(self, now)
         finally:
-            ringing.pop()
+            in_tick.pop()
 
-    _put(stack, lease_holder.LeaseHolder, "tick", ring)
+    _patch(stack, lease_holder.LeaseHolder, "tick", tick_marked)
 
-    def while_ringing(self: Any, now: float) -> bool:
-        return bool(holds(self, now) if ringing else self.fencing_token)
+    def holds_during_tick(self: Any, now: float) -> bool:
+        return bool(holds(self, now) if in_tick else self.fencing_token)
 
-    _put(stack, lease_holder.LeaseHolder, "holds_lease", while_ringing)
+    _patch(stack, lease_holder.LeaseHolder, "holds_lease", holds_during_tick)
 
 
 def lease_not_looked_at(stack: ExitStack) -> None:
     """A node takes a lease for good."""
 
-    def for_good(self: Any, now: float) -> bool:
+    def holds_forever(self: Any, now: float) -> bool:
         self.expires_at = max(self.expires_at, now + 1.0)
         return bool(self.fencing_token)
 
-    _put(stack, lease_holder.LeaseHolder, "holds_lease", for_good)
+    _patch(stack, lease_holder.LeaseHolder, "holds_lease", holds_forever)
 
 
 def fence_ignored(stack: ExitStack) -> None:
     """A node takes any lease that names it, of whatever fence."""
     lease = lease_holder.LeaseHolder._handle_lease
 
-    def any_fence(self: Any, now: float, told: m.Lease) -> None:
-        if self.fencing_token and told.fencing_token < self.fencing_token:
-            self.fencing_token = told.fencing_token
-        lease(self, now, told)
+    def accept_any_token(self: Any, now: float, message: m.Lease) -> None:
+        if self.fencing_token and message.fencing_token < self.fencing_token:
+            self.fencing_token = message.fencing_token
+        lease(self, now, message)
 
-    _put(stack, lease_holder.LeaseHolder, "_handle_lease", any_fence)
+    _patch(stack, lease_holder.LeaseHolder, "_handle_lease", accept_any_token)
 
 
 def digest_ignored(stack: ExitStack) -> None:
     """A node acts on a version by its number, whatever it holds under it."""
 
-    def by_number(self: Any, lease: m.Lease) -> bool:
+    def advance_by_number(self: Any, lease: m.Lease) -> bool:
         for plan in [plan for plan in self._pending_plans if plan.version <= lease.released]:
             self.plan = plan
             self._pending_plans.remove(plan)
         return bool(self.plan.version == lease.released)
 
-    _put(stack, lease_holder.LeaseHolder, "_apply_released_version", by_number)
+    _patch(stack, lease_holder.LeaseHolder, "_apply_released_version", advance_by_number)
 
 
 def told_before_written(stack: ExitStack) -> None:
     """A node tells the stewards of lines that its own file may come to lack."""
 
-    def all_of_them(self: audit.AuditLog) -> tuple[audit.AuditEntry, ...]:
+    def all_lines(self: audit.AuditLog) -> tuple[audit.AuditEntry, ...]:
         return tuple(islice(self.unacknowledged, audit.ENTRIES_PER_MESSAGE))
 
-    _put(stack, audit.AuditLog, "next_batch", property(all_of_them))
+    _patch(stack, audit.AuditLog, "next_batch", property(all_lines))
 
 
 BUILDS: dict[str, Build] = {
-    made.__name__: made
-    for made in (
+    build.__name__: build
+    for build in (
         vote_not_on_disk, yes_before_the_disk, other_terms_counted, no_wait_for_leases, drift_forgotten,
         no_round, two_versions_off, lease_from_arrival, lease_by_timer, fence_ignored, digest_ignored,
         told_before_written, lease_not_looked_at,
@@ -190,7 +194,7 @@
 
 
 @contextmanager
-def broken(name: str) -> Iterator[None]:
+def broken_build(name: str) -> Iterator[None]:
     """That build, as long as it is entered."""
     with ExitStack() as stack:
         BUILDS[name](stack)
--- a/bitternpath/testing/emulator/fleet/days.py
+++ b/bitternpath/testing/emulator/fleet/days.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from bitternpath.testing.emulator.scenario import Scenario
-from bitternpath.testing.emulator.scenario_file import made_from
+from bitternpath.testing.emulator.scenario_file import scenario_from
 
 FAULTS = (
     "kill-stewards", "kill-leader", "stall-stewards", "stall-leader", "cut-fleet-links", "slow-fleet-links",
     "reset-fleet-links", "half-open-fleet-links", "cut-fleet-site", "kill-nodes", "stop-nodes", "fleet-ban",
 )  # fmt: skip
-BEGIN, LASTS = (1.5, 9.0), (0.5, 5.0)  # s
+FAULT_START, FAULT_DURATION = (1.5, 9.0), (0.5, 5.0)  # s
 
-DAY: dict[str, Any] = {
+BASE_SCENARIO: dict[str, Any] = {
     "seconds": 15.0,
     "front_notice_s": 0.5,
     "sites": [{"name": name, "workers": 3, "nodes": 2} for name in ("suva", "lautoka", "labasa")],
@@ -28,27 +28,32 @@
 }
 
 
-def day(seed: int, faults: int = 5) -> Scenario:
+def scenario_for_seed(seed: int, faults: int = 5) -> Scenario:
     """The scenario of that seed: changes all the while, and so many faults."""
     random = Random(f"{seed} day")
     troubles: list[dict[str, Any]] = [{"kind": "fleet-changes", "at": 0.5, "lasts": 12.0, "size": 0.7}]
     for _ in range(faults):
         kind = random.choice(FAULTS)
-        told = {"kind": kind, "at": random.uniform(*BEGIN), "lasts": random.uniform(*LASTS), "part": 0.2}
+        spec = {
+            "kind": kind,
+            "at": random.uniform(*FAULT_START),
+            "lasts": random.uniform(*FAULT_DURATION),
+            "part": 0.2,
+        }
         if kind == "slow-fleet-links":
-            told |= {
+            spec |= {
                 "size": random.choice([0.05, 0.4, 1.5]),
                 "extra": random.choice([0.0, 2000.0]),
                 "part": 0.4,
             }
-        troubles.append(told)
-    return made_from(DAY | {"name": f"day-{seed}", "troubles": troubles}, f"day {seed}")
+        troubles.append(spec)
+    return scenario_from(BASE_SCENARIO | {"name": f"day-{seed}", "troubles": troubles}, f"day {seed}")
 
 
-def lagging(seed: int) -> Scenario:
+def lagging_scenario(seed: int) -> Scenario:
     """Nodes are cut off with their site while versions go on without them: broken builds show there."""
     troubles = [
         {"kind": "fleet-changes", "at": 0.5, "lasts": 12.0, "size": 0.3},
         {"kind": "cut-fleet-site", "at": 3.0, "lasts": 6.0, "site": "labasa"},
     ]
-    return made_from(DAY | {"name": f"lagging-{seed}", "troubles": troubles}, f"lagging {seed}")
+    return scenario_from(BASE_SCENARIO | {"name": f"lagging-{seed}", "troubles": troubles}, f"lagging {seed}")
--- a/bitternpath/testing/emulator/fleet/operator_request.py
+++ b/bitternpath/testing/emulator/fleet/operator_request.py
@@ -9,8 +9,8 @@
 from bitternpath.balancer.fleet.connection import FleetConnection
 from bitternpath.net.sockets import dial
 
-ANSWER_WITHIN = 1.0  # s that a process is waited for before another is asked
-AGAIN_AFTER = 0.1  # s before the next one is
+REPLY_TIMEOUT = 1.0  # s that a process is waited for before another is asked
+RETRY_DELAY = 0.1  # s before the next one is
 OPERATOR = "operator"
 
 
@@ -18,45 +18,50 @@
     """One command, asked of one steward after the other until there is an answer."""
 
     def __init__(
-        self, reactor: Any, command: m.Command, then: Callable[[m.CommandReply], None], ports: list[int]
+        self, reactor: Any, command: m.Command, on_reply: Callable[[m.CommandReply], None], ports: list[int]
     ) -> None:
-        self.reactor, self.command, self.then, self.ports = reactor, command, then, ports
-        self.wire: FleetConnection | None = None
-        self.over = False
-        self.tries = 0
-        self._alarm: Any = None
-        self._ask()
-
-    def _ask(self) -> None:
-        self.tries += 1
-        wire = self.wire = FleetConnection(
-            self.reactor, m.Hello(m.PROTOCOL_VERSION, "", "command", OPERATOR), self._receive, self._lost
+        self.reactor, self.command, self.on_reply, self.ports = reactor, command, on_reply, ports
+        self.connection: FleetConnection | None = None
+        self.finished = False
+        self.attempts = 0
+        self._timeout: Any = None
+        self._send()
+
+    def _send(self) -> None:
+        self.attempts += 1
+        connection = self.connection = FleetConnection(
+            self.reactor,
+            m.Hello(m.PROTOCOL_VERSION, "", "command", OPERATOR),
+            self._receive,
+            self._connection_lost,
+        )
+        dialing = dial(
+            self.reactor, "127.0.0.1", self.ports[self.attempts % len(self.ports)], REPLY_TIMEOUT, connection
         )
-        made = dial(self.reactor, "127.0.0.1", self.ports[self.tries % len(self.ports)], ANSWER_WITHIN, wire)
-        made.addErrback(lambda failure: self._lost(wire))
-        self._alarm = self.reactor.callLater(ANSWER_WITHIN, self._lost, wire)
+        dialing.addErrback(lambda failure: self._connection_lost(connection))
+        self._timeout = self.reactor.callLater(REPLY_TIMEOUT, self._connection_lost, connection)
 
-    def _receive(self, wire: FleetConnection, said: m.FleetMessage) -> None:
-        if wire is not self.wire:
+    def _receive(self, connection: FleetConnection, message: m.FleetMessage) -> None:
+        if connection is not self.connection:
             return
-        if isinstance(said, m.Hello):
-            wire.send(m.CommandRequest(1, self.command))
-        elif isinstance(said, m.CommandReply):
-            if not said.ok and ("leader" in said.text or "again" in said.text):
-                self._lost(wire)
+        if isinstance(message, m.Hello):
+            connection.send(m.CommandRequest(1, self.command))
+        elif isinstance(message, m.CommandReply):
+            if not message.ok and ("leader" in message.text or "again" in message.text):
+                self._connection_lost(connection)
                 return
-            self.over = True
-            self._let_go()
-            self.then(said)
-
-    def _let_go(self) -> None:
-        if self._alarm.active():
-            self._alarm.cancel()
-        wire, self.wire = self.wire, None
-        if wire is not None:
-            wire.close()
-
-    def _lost(self, wire: FleetConnection) -> None:
-        if wire is self.wire and not self.over:
-            self._let_go()
-            self.reactor.callLater(AGAIN_AFTER, self._ask)
+            self.finished = True
+            self._close()
+            self.on_reply(message)
+
+    def _close(self) -> None:
+        if self._timeout.active():
+            self._timeout.cancel()
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.close()
+
+    def _connection_lost(self, connection: FleetConnection) -> None:
+        if connection is self.connection and not self.finished:
+            self._close()
+            self.reactor.callLater(RETRY_DELAY, self._send)
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -27,51 +27,55 @@
 from bitternpath.testing.emulator.fleet.operator_request import OPERATOR, OperatorRequest
 from bitternpath.testing.emulator.fleet.relay import Relay
 from bitternpath.testing.emulator.fleet.surroundings import FleetWorld
-from bitternpath.testing.emulator.ports import HeldPort
+from bitternpath.testing.emulator.ports import ReservedPort
 
-LOOK_EVERY = 0.25  # s between looks at what all stewards know
-RIGHT_WITHIN = 40.0  # s after the last fault by which all must be in order
-LAST_WORDS = 6.0  # s for nodes to end
+POLL_INTERVAL = 0.25  # s between looks at what all stewards know
+RECOVERY_LIMIT = 40.0  # s after the last fault by which all must be in order
+SHUTDOWN_LIMIT = 6.0  # s for nodes to end
 BUILD = ""  # of `broken.py`, in place of the sound one: for tests of the checkers
-AS_BUILT = """
+BROKEN_BUILD_PROGRAM = """
 import sys
-from bitternpath.testing.emulator.fleet.broken import broken
+from bitternpath.testing.emulator.fleet.broken import broken_build
 from bitternpath.cli import main
-with broken(sys.argv[1]):
+with broken_build(sys.argv[1]):
     sys.exit(main(sys.argv[2:]))
 """
 
 
 def program() -> list[str]:
     """What runs a process of the fleet."""
-    return [sys.executable, "-c", AS_BUILT, BUILD] if BUILD else [sys.executable, "-m", "bitternpath"]
+    return (
+        [sys.executable, "-c", BROKEN_BUILD_PROGRAM, BUILD]
+        if BUILD
+        else [sys.executable, "-m", "bitternpath"]
+    )
 
 
-class StewardOnSockets:
+class ServerProcess:
     """A `steward` process that is started, killed, stopped and started again."""
 
-    def __init__(self, fleet: FleetOnSockets, name: str, site: str) -> None:
+    def __init__(self, fleet: FleetProcesses, name: str, site: str) -> None:
         self.fleet, self.name, self.site = fleet, name, site
-        self.held = HeldPort()
+        self.reserved_port = ReservedPort()
         self.folder = fleet.world.folder / f"steward-{name}"
         self.log = fleet.world.folder / f"{name}.log"
         self.process: Any = None
-        self.known: dict[str, Any] = {}  # what it last told the checker
+        self.status: dict[str, Any] = {}  # what it last told the checker
 
     @property
-    def up(self) -> bool:
+    def alive(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
     def start(self, found: bool = False) -> None:
-        told, fleet = self.fleet.world.scenario.fleet, self.fleet
+        fleet_settings, fleet = self.fleet.world.scenario.fleet, self.fleet
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BITTERNPATH_"))}
-        env |= fleet.environ(self.name) | {
+        env |= fleet.environment(self.name) | {
             "BITTERNPATH_FLEET_NAME": self.name,
-            "BITTERNPATH_FLEET_LISTEN": f"127.0.0.1:{self.held.number}",
+            "BITTERNPATH_FLEET_LISTEN": f"127.0.0.1:{self.reserved_port.number}",
             "BITTERNPATH_FLEET_FOLDER": str(self.folder),
-            "BITTERNPATH_FLEET_LEASE": str(told.lease),
-            "BITTERNPATH_FLEET_CATCH_UP": str(told.catch_up),
-            "BITTERNPATH_FLEET_DRIFT": str(told.drift),
+            "BITTERNPATH_FLEET_LEASE": str(fleet_settings.lease),
+            "BITTERNPATH_FLEET_CATCH_UP": str(fleet_settings.catch_up),
+            "BITTERNPATH_FLEET_DRIFT": str(fleet_settings.drift),
         }
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
@@ -83,46 +87,48 @@
             )
 
     def kill(self) -> None:
-        if self.up:
+        if self.alive:
             self.process.kill()
-            self.process.wait()
+            self.process.await_recovery()
 
     def stop(self) -> None:
-        if self.up:
+        if self.alive:
             self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        if self.up:
+        if self.alive:
             self.process.send_signal(signal.SIGCONT)
 
     def end(self) -> None:
         self.resume()
         self.kill()
-        self.held.close()
+        self.reserved_port.close()
 
 
-class FleetOnSockets:
+class FleetProcesses:
     """The stewards of a world, the links to them, and an operator."""
 
     def __init__(self, world: FleetWorld) -> None:
         self.world = world
         sites = [site.name for site in world.scenario.sites]
-        many = world.scenario.fleet.stewards
-        self.stewards = {
-            f"S{k + 1}": StewardOnSockets(self, f"S{k + 1}", sites[k % len(sites)]) for k in range(many)
+        server_count = world.scenario.fleet.stewards
+        self.servers = {
+            f"S{k + 1}": ServerProcess(self, f"S{k + 1}", sites[k % len(sites)]) for k in range(server_count)
         }  # fmt: skip
         self.relays: dict[tuple[str, str], Relay] = {}
         self.random = Random(f"{world.seed} fleet")
-        self.promised: dict[str, int] = {}  # change id: the version that was answered
-        self.bans: dict[str, int] = {}  # worker: the version that banned it, while it is asked for
+        self.acknowledged: dict[str, int] = {}  # change id: the version that was answered
+        self.ejections: dict[str, int] = {}  # worker: the version that banned it, while it is asked for
         self.changes = 0
         self.members = 1
-        self.faults: list[str] = []  # of rules, found at the end
+        self.violations: list[str] = []  # of rules, found at the end
         self.finished = False
-        self.figures: dict[str, Any] = {}
-        self._asked_at: dict[int, float] = {}  # version: when it was answered for, until it is in effect
-        self.effect: list[float] = []  # s from an answer to in effect
-        self.leaderless = 0.0  # s for which no steward said that it leads
+        self.statistics: dict[str, Any] = {}
+        self._acknowledged_at: dict[
+            int, float
+        ] = {}  # version: when it was answered for, until it is in effect
+        self.effect_delays: list[float] = []  # s from an answer to in effect
+        self.leaderless_s = 0.0  # s for which no steward said that it leads
 
     def program(self) -> list[str]:
         """What runs a process of the fleet."""
@@ -130,194 +136,198 @@
 
     # ---- the ways
 
-    def relay(self, sender: str, steward: str) -> Relay:
-        found = self.relays.get((sender, steward))
+    def relay(self, sender: str, server: str) -> Relay:
+        found = self.relays.get((sender, server))
         if found is None:
-            held = self.stewards[steward].held
-            found = self.relays[sender, steward] = Relay(self.world.reactor, lambda: held.number)
+            reserved_port = self.servers[server].reserved_port
+            found = self.relays[sender, server] = Relay(self.world.reactor, lambda: reserved_port.number)
         return found
 
-    def environ(self, name: str) -> dict[str, str]:
+    def environment(self, name: str) -> dict[str, str]:
         """What tells a process of the stewards: each at a relay of its own."""
-        at = [f"{s}=127.0.0.1:{self.relay(name, s).number}" for s in self.stewards]
-        told = {"BITTERNPATH_FLEET_STEWARDS": ",".join(at)}
-        if name not in self.stewards:
-            told["BITTERNPATH_FLEET_FOLDER"] = str(self.world.folder / f"{name}.acts")
-            told["BITTERNPATH_FLEET_ALONE"] = self.world.scenario.fleet.alone
-        return told
+        at = [f"{s}=127.0.0.1:{self.relay(name, s).number}" for s in self.servers]
+        fleet_settings = {"BITTERNPATH_FLEET_STEWARDS": ",".join(at)}
+        if name not in self.servers:
+            fleet_settings["BITTERNPATH_FLEET_FOLDER"] = str(self.world.folder / f"{name}.acts")
+            fleet_settings["BITTERNPATH_FLEET_ALONE"] = self.world.scenario.fleet.alone
+        return fleet_settings
 
     def site_of(self, name: str) -> str:
-        return (self.stewards.get(name) or self.world.nodes[name]).site
+        return (self.servers.get(name) or self.world.nodes[name]).site
 
     # ---- the operator
 
-    def ask(self, command: m.Command, then: Callable[[m.CommandReply], None] = lambda answer: None) -> None:
-        ports = [self.relay(OPERATOR, name).number for name in self.stewards]
+    def request(
+        self, command: m.Command, on_reply: Callable[[m.CommandReply], None] = lambda answer: None
+    ) -> None:
+        ports = [self.relay(OPERATOR, name).number for name in self.servers]
         self.random.shuffle(ports)
-        OperatorRequest(self.world.reactor, command, then, ports)
+        OperatorRequest(self.world.reactor, command, on_reply, ports)
 
-    def change(self, change: Any, then: Callable[[int], None] = lambda version: None) -> None:
+    def change(self, change: Any, on_version: Callable[[int], None] = lambda version: None) -> None:
         """Propose it, and remember what was answered."""
         self.changes += 1
         id = f"c{self.changes}"
 
-        def heard(answer: m.CommandReply) -> None:
+        def on_reply(answer: m.CommandReply) -> None:
             if answer.ok:
                 version = int(msgspec.msgpack.decode(answer.data)["version"])
-                self.promised[id] = version
-                self._asked_at[version] = self.world.reactor.seconds()
-                then(version)
+                self.acknowledged[id] = version
+                self._acknowledged_at[version] = self.world.reactor.seconds()
+                on_version(version)
 
-        self.ask(m.Propose(id, OPERATOR, "a scenario", change), heard)
+        self.request(m.Propose(id, OPERATOR, "a scenario", change), on_reply)
 
     # ---- a run
 
     def start(self) -> None:
         """Found the fleet and add the others, one by one."""
-        for k, steward in enumerate(self.stewards.values()):
-            steward.start(found=k == 0)
-        self._add(list(self.stewards)[1:])
-        self._look()
+        for k, server in enumerate(self.servers.values()):
+            server.start(found=k == 0)
+        self._add(list(self.servers)[1:])
+        self._poll_status()
 
     def _add(self, names: list[str]) -> None:
         if not names:
             return
 
-        def heard(answer: m.CommandReply) -> None:
+        def on_reply(answer: m.CommandReply) -> None:
             if answer.ok:
                 self.members += 1
                 self._add(names[1:])
             else:
                 self.world.reactor.callLater(0.2, self._add, names)
 
-        self.ask(m.ChangeMembers(add=names[0]), heard)
+        self.request(m.ChangeMembers(add=names[0]), on_reply)
 
-    def _look(self) -> None:
+    def _poll_status(self) -> None:
         """What does each steward know? For the table, for bans that are in effect, and for the end."""
         if self.finished:
             return
-        for steward in self.stewards.values():
-            if steward.up:
-                self._ask_alone(steward)
-        found = self.leads()
+        for server in self.servers.values():
+            if server.alive:
+                self._query_status(server)
+        found = self.leader_status()
         if found is None:
-            self.leaderless += LOOK_EVERY
+            self.leaderless_s += POLL_INTERVAL
         else:
-            self._effects(found)
-        self.world.reactor.callLater(LOOK_EVERY, self._look)
+            self._record_effects(found)
+        self.world.reactor.callLater(POLL_INTERVAL, self._poll_status)
 
-    def _ask_alone(self, steward: StewardOnSockets) -> None:
+    def _query_status(self, server: ServerProcess) -> None:
         reactor = self.world.reactor
 
-        def receive(wire: FleetConnection, said: m.FleetMessage) -> None:
-            if isinstance(said, m.Hello):
-                wire.send(m.CommandRequest(1, m.Query("status", stale=True)))
-            elif isinstance(said, m.CommandReply):
-                steward.known = dict(msgspec.msgpack.decode(said.data)) | {"at": reactor.seconds()}
-                wire.close()
+        def receive(connection: FleetConnection, message: m.FleetMessage) -> None:
+            if isinstance(message, m.Hello):
+                connection.send(m.CommandRequest(1, m.Query("status", stale=True)))
+            elif isinstance(message, m.CommandReply):
+                server.status = dict(msgspec.msgpack.decode(message.data)) | {"at": reactor.seconds()}
+                connection.close()
 
-        wire = FleetConnection(
-            reactor, m.Hello(m.PROTOCOL_VERSION, "", "command", "checker"), receive, lambda wire: None
+        connection = FleetConnection(
+            reactor, m.Hello(m.PROTOCOL_VERSION, "", "command", "checker"), receive, lambda connection: None
+        )
+        dial(reactor, "127.0.0.1", server.reserved_port.number, 1.0, connection).addErrback(
+            lambda failure: None
         )
-        dial(reactor, "127.0.0.1", steward.held.number, 1.0, wire).addErrback(lambda failure: None)
 
-    def leads(self) -> dict[str, Any] | None:
+    def leader_status(self) -> dict[str, Any] | None:
         """What the leader knows, where one has said lately that it leads."""
-        lately = self.world.reactor.seconds() - 4 * LOOK_EVERY
+        oldest = self.world.reactor.seconds() - 4 * POLL_INTERVAL
         found = [
-            s.known for s in self.stewards.values()
-            if s.known and s.known["at"] > lately and s.known["leader"] == s.known["steward"]
+            s.status for s in self.servers.values()
+            if s.status and s.status["at"] > oldest and s.status["leader"] == s.status["steward"]
         ]  # fmt: skip
-        return max(found, key=lambda known: int(known["term"]), default=None)
+        return max(found, key=lambda status: int(status["term"]), default=None)
 
-    def _effects(self, known: dict[str, Any]) -> None:
-        world, holders = self.world, known["holders"]
+    def _record_effects(self, status: dict[str, Any]) -> None:
+        world, holders = self.world, status["holders"]
         acting = min((h.get("acting", -1) for h in holders), default=-1)
-        for version in [v for v in self._asked_at if v <= acting]:
-            self.effect.append(world.reactor.seconds() - self._asked_at.pop(version))
-        for worker, version in self.bans.items():
+        for version in [v for v in self._acknowledged_at if v <= acting]:
+            self.effect_delays.append(world.reactor.seconds() - self._acknowledged_at.pop(version))
+        for worker, version in self.ejections.items():
             if acting >= version:
                 for holder in holders:
-                    world.checker.out_by_hand(world.now(), holder["node"], worker)
+                    world.checker.worker_ejected(world.now(), holder["node"], worker)
 
-    def unsettled(self) -> str:
+    def unsettled_reason(self) -> str:
         """What is not in order yet; empty: all is."""
-        known = self.leads()
-        if known is None:
+        status = self.leader_status()
+        if status is None:
             return "no leader"
-        if len(known["voters"]) < len(self.stewards):
-            return f"{len(known['voters'])} of {len(self.stewards)} stewards vote"
-        holders = {h["node"]: h for h in known["holders"]}
+        if len(status["voters"]) < len(self.servers):
+            return f"{len(status['voters'])} of {len(self.servers)} stewards vote"
+        holders = {h["node"]: h for h in status["holders"]}
         for node in self.world.nodes.values():
             holder = holders.get(node.name)
-            if not node.up:
+            if not node.alive:
                 continue
-            if holder is None or holder.get("acting", -1) < known["latest"]:
-                why = f"acts on {holder.get('acting')}" if holder else "no lease"
-                return f"{node.name}: {why}, {known['latest']} is agreed"
+            if holder is None or holder.get("acting", -1) < status["latest"]:
+                reason = f"acts on {holder.get('acting')}" if holder else "no lease"
+                return f"{node.name}: {reason}, {status['latest']} is agreed"
         return ""
 
-    def row(self) -> dict[str, str]:
+    def table_row(self) -> dict[str, str]:
         """For the live table."""
-        known = self.leads()
-        if known is None:
+        status = self.leader_status()
+        if status is None:
             return {"leader": "-", "version": "-", "leases": "-", "on it": "-"}
-        acting = [h.get("acting", -1) for h in known["holders"]]
+        acting = [h.get("acting", -1) for h in status["holders"]]
         return {
-            "leader": str(known["leader"]).partition(".")[0],
-            "version": f"{known['released']}/{known['latest']}",
+            "leader": str(status["leader"]).partition(".")[0],
+            "version": f"{status['released']}/{status['latest']}",
             "leases": str(len(acting)),
-            "on it": str(sum(version >= known["released"] for version in acting)),
+            "on it": str(sum(version >= status["released"] for version in acting)),
         }
 
     # ---- the end
 
-    def finish(self, over: Callable[[], None]) -> None:
+    def finish(self, on_finished: Callable[[], None]) -> None:
         """Wait until all is in order, have the nodes end, reckon."""
-        until = time.monotonic() + RIGHT_WITHIN
+        until = time.monotonic() + RECOVERY_LIMIT
         for relay in self.relays.values():
-            relay.mend()
+            relay.repair()
 
-        def wait() -> None:
-            why = self.unsettled()
-            if why and time.monotonic() < until:
-                self.world.reactor.callLater(LOOK_EVERY, wait)
+        def await_recovery() -> None:
+            reason = self.unsettled_reason()
+            if reason and time.monotonic() < until:
+                self.world.reactor.callLater(POLL_INTERVAL, await_recovery)
                 return
-            if why:
-                self.faults.append(f"stuck: {why}, {RIGHT_WITHIN:.0f} s after the last fault")
+            if reason:
+                self.violations.append(f"stuck: {reason}, {RECOVERY_LIMIT:.0f} s after the last fault")
             for node in self.world.nodes.values():
-                node.say_stop()
-            ends(time.monotonic() + LAST_WORDS)
+                node.request_stop()
+            await_nodes(time.monotonic() + SHUTDOWN_LIMIT)
 
-        def ends(by: float) -> None:
-            running = any(node.up and node.process.poll() is None for node in self.world.nodes.values())
-            if running and time.monotonic() < by:
-                self.world.reactor.callLater(0.1, ends, by)
+        def await_nodes(deadline: float) -> None:
+            running = any(node.alive and node.process.poll() is None for node in self.world.nodes.values())
+            if running and time.monotonic() < deadline:
+                self.world.reactor.callLater(0.1, await_nodes, deadline)
             else:
-                self.world.reactor.callLater(1.0, self._reckon, over)
+                self.world.reactor.callLater(1.0, self._collect_records, on_finished)
 
-        wait()
+        await_recovery()
 
-    def _reckon(self, over: Callable[[], None]) -> None:
+    def _collect_records(self, on_finished: Callable[[], None]) -> None:
         """Ask each steward for all that it knows, then hold it against what happened."""
         self.finished = True
         found: dict[str, dict[str, Any]] = {}
-        names = [name for name, steward in self.stewards.items() if steward.up]
+        names = [name for name, server in self.servers.items() if server.alive]
 
-        def heard(name: str, answer: m.CommandReply) -> None:
+        def on_reply(name: str, answer: m.CommandReply) -> None:
             found[name] = dict(msgspec.msgpack.decode(answer.data))
             if len(found) == len(names):
-                self._hold_against(found)
-                over()
+                self._check_records(found)
+                on_finished()
 
         for name in names:
-            port = self.stewards[name].held.number
-            OperatorRequest(self.world.reactor, m.Query("audit", stale=True), partial(heard, name), [port])
+            port = self.servers[name].reserved_port.number
+            OperatorRequest(self.world.reactor, m.Query("audit", stale=True), partial(on_reply, name), [port])
 
-    def _hold_against(self, records: dict[str, dict[str, Any]]) -> None:
+    def _check_records(self, records: dict[str, dict[str, Any]]) -> None:
         newest = max(records.values(), key=lambda record: int(record["applied"]))
         accounts = {f"{a['node']}#{a['boot']}": a for a in newest["accounts"]}
-        spans: list[final_checks.Served] = []
+        spans: list[final_checks.ServedSpan] = []
         for node in self.world.nodes.values():
             for file in sorted((self.world.folder / f"{node.name}.acts").glob("acts-*")):
                 process = f"{node.name}#{file.name.removeprefix('acts-')}"
@@ -325,23 +335,23 @@
                     msgspec.json.decode(text, type=audit.AuditEntry)
                     for text in file.read_bytes().splitlines()
                 ]
-                spans += final_checks.served(process, lines)
-                self.faults += final_checks.fences(process, lines)
-                self.faults += final_checks.heard(process, lines, accounts.get(process))
-        self.faults += final_checks.apart(spans)
-        self.faults += final_checks.over(spans, accounts)
-        self.faults += final_checks.kept(records, self.promised)
-        self.figures = {
-            "versions": newest["released"], "promised": len(self.promised), "spans": len(spans),
-            "effect": sorted(self.effect), "leaderless": self.leaderless,
+                spans += final_checks.served_spans(process, lines)
+                self.violations += final_checks.check_fencing_tokens(process, lines)
+                self.violations += final_checks.check_audit(process, lines, accounts.get(process))
+        self.violations += final_checks.check_versions_apart(spans)
+        self.violations += final_checks.check_ended_leases(spans, accounts)
+        self.violations += final_checks.check_changes(records, self.acknowledged)
+        self.statistics = {
+            "versions": newest["released"], "promised": len(self.acknowledged), "spans": len(spans),
+            "effect": sorted(self.effect_delays), "leaderless": self.leaderless_s,
             "lines": sum(len(a["lines"]) for a in accounts.values()),
         }  # fmt: skip
 
     def close(self) -> None:
-        for steward in self.stewards.values():
-            steward.end()
+        for server in self.servers.values():
+            server.end()
         for relay in self.relays.values():
             relay.close()
 
 
-__all__ = ["FleetOnSockets"]
+__all__ = ["FleetProcesses"]
--- a/bitternpath/testing/emulator/fleet/random_schedule.py
+++ b/bitternpath/testing/emulator/fleet/random_schedule.py
@@ -26,167 +26,172 @@
     StorageWrite,
 )
 from bitternpath.testing.emulator.fleet import world
-from bitternpath.testing.emulator.fleet.checker import Broken, FleetChecker
+from bitternpath.testing.emulator.fleet.checker import FleetChecker, FleetViolation
 
-JUMP = 10.0  # s that pass for a steward whose timer rings
-IN_FLIGHT = 40  # messages at once; the oldest are lost
+TIMER_ADVANCE = 10.0  # s that pass for a steward whose timer rings
+MAX_IN_FLIGHT = 40  # messages at once; the oldest are lost
 # How often each thing happens, of all steps.
 WEIGHTS = {
-    "deliver": 70, "lose": 3, "twice": 4, "disk": 16, "ring": 4, "crash": 5, "change": 6, "renew": 6,
+    "deliver": 70, "drop": 3, "duplicate": 4, "disk": 16, "timer": 4, "crash": 5, "change": 6, "renew": 6,
 }  # fmt: skip
 
 
-class Flying(Struct):
+class InFlightMessage(Struct):
     sender: str
     to: str
-    said: m.Consensus | m.ForwardedRequest | m.ForwardedReply
+    message: m.Consensus | m.ForwardedRequest | m.ForwardedReply
 
 
-class One:
+class ScheduledServer:
     """A steward in the scheduler's hands."""
 
-    def __init__(self, name: str, kept: PersistentState) -> None:
-        self.name, self.disk, self.now = name, kept, 0.0
-        self.writing: list[StorageWrite] = []
-        self.lives = 0
+    def __init__(self, name: str, state: PersistentState) -> None:
+        self.name, self.disk, self.now = name, state, 0.0
+        self.pending_writes: list[StorageWrite] = []
+        self.incarnation = 0
         self.replica: RecordReplica
 
 
-class Walk:
+class RandomSchedule:
     """One walk; `steps` taken so far are in `done`."""
 
-    def __init__(self, seed: int, stewards: int = 3) -> None:
+    def __init__(self, seed: int, server_count: int = 3) -> None:
         self.random = Random(seed)
         self.checker = FleetChecker()
-        self.flying: list[Flying] = []
+        self.in_flight: list[InFlightMessage] = []
         self.step = 0
         self.elected: dict[int, int] = {}  # term: the step in which its leader was chosen
-        self.asked: dict[float, int] = {}  # a request's `sent`: the step in which it came to its steward
+        self.received_in_step: dict[
+            float, int
+        ] = {}  # a request's `sent`: the step in which it came to its steward
         self.sequence = 0
-        names = [f"S{k}" for k in range(stewards)]
+        names = [f"S{k}" for k in range(server_count)]
         members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
-        found = Entry(2, 1, EntryKind.COMMAND, p.encode_item(p.Bootstrap(p.LeaseTerms(), "f")))
-        self.all = {name: One(name, PersistentState(term=1, entries=[members, found])) for name in names}
-        for one in self.all.values():
-            self._start(one)
-
-    def _start(self, one: One) -> None:
-        one.lives += 1
-        one.writing = []
-        kept = world.kept_copy(one.disk)
+        bootstrap = Entry(2, 1, EntryKind.COMMAND, p.encode_item(p.Bootstrap(p.LeaseTerms(), "f")))
+        self.servers = {
+            name: ScheduledServer(name, PersistentState(term=1, entries=[members, bootstrap]))
+            for name in names
+        }
+        for server in self.servers.values():
+            self._start(server)
+
+    def _start(self, server: ScheduledServer) -> None:
+        server.incarnation += 1
+        server.pending_writes = []
+        state = world.copy_state(server.disk)
         random = Random(self.random.random())
-        one.replica = RecordReplica(one.name, kept, random, one.now, lambda: 0.0, RaftTiming())
-        self._settle(one)
+        server.replica = RecordReplica(server.name, state, random, server.now, lambda: 0.0, RaftTiming())
+        self._apply_effects(server)
 
     def run(self, steps: int) -> FleetChecker:
         kinds, weights = list(WEIGHTS), list(WEIGHTS.values())
         for _ in range(steps):
             self.step += 1
             getattr(self, f"_{self.random.choices(kinds, weights)[0]}")()
-            if self.checker.broken:
+            if self.checker.violations:
                 break
         return self.checker
 
     # ---- what may happen
 
-    def _any(self) -> One:
-        return self.random.choice(list(self.all.values()))
+    def _random_server(self) -> ScheduledServer:
+        return self.random.choice(list(self.servers.values()))
 
-    def _take(self) -> Flying | None:
-        return self.flying.pop(self.random.randrange(len(self.flying))) if self.flying else None
+    def _pop_message(self) -> InFlightMessage | None:
+        return self.in_flight.pop(self.random.randrange(len(self.in_flight))) if self.in_flight else None
 
     def _deliver(self) -> None:
-        flying = self._take()
-        if flying is not None:
-            one = self.all[flying.to]
-            one.replica.receive(one.now, flying.sender, flying.said)
-            self._settle(one)
+        in_flight = self._pop_message()
+        if in_flight is not None:
+            server = self.servers[in_flight.to]
+            server.replica.receive(server.now, in_flight.sender, in_flight.message)
+            self._apply_effects(server)
 
-    def _lose(self) -> None:
-        self._take()
+    def _drop(self) -> None:
+        self._pop_message()
 
-    def _twice(self) -> None:
-        if self.flying:
-            self.flying.append(self.random.choice(self.flying))
+    def _duplicate(self) -> None:
+        if self.in_flight:
+            self.in_flight.append(self.random.choice(self.in_flight))
 
     def _disk(self) -> None:
-        one = self._any()
-        if one.writing:
-            write = one.writing.pop(0)
-            world.keep(one.disk, write)
-            one.replica.write_completed(one.now, write.number)
-            self._settle(one)
-
-    def _ring(self) -> None:
-        one = self._any()
-        if one.replica.raft.role is MemberRole.LEADER and self.random.random() < 0.8:
-            one.now = one.replica.next_timeout_at  # a heartbeat
+        server = self._random_server()
+        if server.pending_writes:
+            write = server.pending_writes.pop(0)
+            world.apply_write(server.disk, write)
+            server.replica.write_completed(server.now, write.number)
+            self._apply_effects(server)
+
+    def _timer(self) -> None:
+        server = self._random_server()
+        if server.replica.raft.role is MemberRole.LEADER and self.random.random() < 0.8:
+            server.now = server.replica.next_timeout_at  # a heartbeat
         else:
-            one.now += JUMP
-        one.replica.tick(one.now)
-        self._settle(one)
+            server.now += TIMER_ADVANCE
+        server.replica.tick(server.now)
+        self._apply_effects(server)
 
     def _crash(self) -> None:
-        self._start(self._any())
+        self._start(self._random_server())
 
     def _change(self) -> None:
-        one = self._any()
+        server = self._random_server()
         self.sequence += 1
         change = p.SetClass("lookup", {"aim": 1.0 + self.sequence})
-        said = m.CommandRequest(self.sequence, m.Propose(f"c{self.sequence}", "a", "b", change))
-        one.replica.receive_request(one.now, 1, said)
-        self._settle(one)
+        message = m.CommandRequest(self.sequence, m.Propose(f"c{self.sequence}", "a", "b", change))
+        server.replica.receive_request(server.now, 1, message)
+        self._apply_effects(server)
 
     def _renew(self) -> None:
-        one = self._any()
+        server = self._random_server()
         self.sequence += 1
         node = self.random.choice("xy")
-        record = one.replica.record
+        record = server.replica.record
         holder = record.holders.get(f"{node}#b")
-        self.asked[float(self.sequence)] = self.step
-        said = m.RenewLease(
+        self.received_in_step[float(self.sequence)] = self.step
+        message = m.RenewLease(
             node, "b", "site", (1,), "serve", float(self.sequence), holder.fencing_token if holder else 0,
             record.released.version, record.latest.version, record.latest.digest,
         )  # fmt: skip
-        one.replica.receive_request(one.now, 2, said)
-        self._settle(one)
+        server.replica.receive_request(server.now, 2, message)
+        self._apply_effects(server)
 
     # ---- what follows
 
-    def _settle(self, one: One) -> None:
-        replica, step = one.replica, float(self.step)
-        effects = replica.take_effects(one.now)
+    def _apply_effects(self, server: ScheduledServer) -> None:
+        replica, step = server.replica, float(self.step)
+        effects = replica.take_effects(server.now)
         for index, term, data in effects.committed:
-            self.checker.applied(step, one.name, index, term, data)
+            self.checker.applied(step, server.name, index, term, data)
         for index, item in effects.items:
-            self.checker.agreed(step, replica.record, index, item)
+            self.checker.committed(step, replica.record, index, item)
         if replica.raft.role is MemberRole.LEADER:
-            self.checker.leads(step, one.name, replica.raft.term)
+            self.checker.leader_seen(step, server.name, replica.raft.term)
             self.elected.setdefault(replica.raft.term, self.step)
-        one.writing += effects.writes
-        for to, said in effects.messages:
-            if isinstance(said, m.ForwardedReply) and isinstance(said.reply, m.Lease):
-                self._granted(one, said.reply)
-            self.flying.append(Flying(one.name, to, said))
+        server.pending_writes += effects.writes
+        for to, message in effects.messages:
+            if isinstance(message, m.ForwardedReply) and isinstance(message.reply, m.Lease):
+                self._check_grant(server, message.reply)
+            self.in_flight.append(InFlightMessage(server.name, to, message))
         for _, answer in effects.replies:
             if isinstance(answer, m.Lease) and replica.raft.role is MemberRole.LEADER:
-                self._granted(one, answer)
-        del self.flying[:-IN_FLIGHT]
+                self._check_grant(server, answer)
+        del self.in_flight[:-MAX_IN_FLIGHT]
 
-    def _granted(self, one: One, lease: m.Lease) -> None:
+    def _check_grant(self, server: ScheduledServer, lease: m.Lease) -> None:
         """A later leader takes all leases for granted by its election; was this one asked for before?"""
-        came, term = self.asked[lease.sent], one.replica.raft.term
-        for later, chosen in self.elected.items():
-            if later > term and chosen < came:
-                self.checker.broken.append(
-                    Broken(
+        received_step, term = self.received_in_step[lease.sent], server.replica.raft.term
+        for later_term, elected_step in self.elected.items():
+            if later_term > term and elected_step < received_step:
+                self.checker.violations.append(
+                    FleetViolation(
                         "granted", float(self.step),
-                        f"{one.name}, leader of term {term}, renews what was asked for in step {came}; "
-                        f"term {later} had its leader from step {chosen} on",
+                        f"{server.name}, leader of term {term}, renews what was asked for in step "
+                        f"{received_step}; term {later_term} had its leader from step {elected_step} on",
                     )
                 )  # fmt: skip
 
 
-def walk(seed: int, steps: int = 1500, stewards: int = 3) -> FleetChecker:
+def run_schedule(seed: int, steps: int = 1500, server_count: int = 3) -> FleetChecker:
     """One walk from that seed."""
-    return Walk(seed, stewards).run(steps)
+    return RandomSchedule(seed, server_count).run(steps)
--- a/bitternpath/testing/emulator/fleet/relay.py
+++ b/bitternpath/testing/emulator/fleet/relay.py
@@ -16,68 +16,68 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-DIAL_WITHIN = 3  # s
-PIECES = 0.05  # s between pieces where a direction is slowed
+DIAL_TIMEOUT = 3  # s
+CHUNK_INTERVAL = 0.05  # s between pieces where a direction is slowed
 
 
 class Direction(Struct):
     """What happens to bytes on the way; nothing, unless told."""
 
-    cut: bool = False
+    blocked: bool = False
     delay: float = 0.0  # s
     rate: float = 0.0  # bytes a second; 0: as they come
 
 
-class _End(Protocol):
+class _RelayedConnection(Protocol):
     """One end of a relayed connection."""
 
     transport: Any
 
-    def __init__(self, relay: Relay, way: Direction) -> None:
-        self.relay, self.way = relay, way  # the direction of what is read here
-        self.other: _End | None = None
-        self._waiting: list[bytes] = []
-        self._busy = False
+    def __init__(self, relay: Relay, direction: Direction) -> None:
+        self.relay, self.direction = relay, direction  # the direction of what is read here
+        self.peer: _RelayedConnection | None = None
+        self._pending: list[bytes] = []
+        self._delaying = False
         self.lost = False
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.relay.ends.add(self)
+        self.relay.connections.add(self)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.way.cut:
+        if self.direction.blocked:
             return  # and with a piece lost the rest of it is of no use either
-        self._waiting.append(data)
-        self._pump()
+        self._pending.append(data)
+        self._forward_next()
 
-    def _pump(self) -> None:
-        if self._busy or not self._waiting or self.other is None:
+    def _forward_next(self) -> None:
+        if self._delaying or not self._pending or self.peer is None:
             return
-        data = self._waiting.pop(0)
-        wait = self.way.delay
-        if self.way.rate:
-            most = max(int(self.way.rate * PIECES), 1)
-            if len(data) > most:
-                self._waiting.insert(0, data[most:])
-                data = data[:most]
-            wait += len(data) / self.way.rate
+        data = self._pending.pop(0)
+        wait = self.direction.delay
+        if self.direction.rate:
+            chunk_size = max(int(self.direction.rate * CHUNK_INTERVAL), 1)
+            if len(data) > chunk_size:
+                self._pending.insert(0, data[chunk_size:])
+                data = data[:chunk_size]
+            wait += len(data) / self.direction.rate
         if wait:
-            self._busy = True
-            self.relay.reactor.callLater(wait, self._pass, data)
+            self._delaying = True
+            self.relay.reactor.callLater(wait, self._forward, data)
         else:
-            self._pass(data)
+            self._forward(data)
 
-    def _pass(self, data: bytes) -> None:
-        self._busy = False
-        if self.other is not None and not self.other.lost and not self.way.cut:
-            self.other.transport.write(data)
-        self._pump()
+    def _forward(self, data: bytes) -> None:
+        self._delaying = False
+        if self.peer is not None and not self.peer.lost and not self.direction.blocked:
+            self.peer.transport.write(data)
+        self._forward_next()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.lost = True
-        self.relay.ends.discard(self)
-        if self.other is not None and not self.other.lost and not self.way.cut:
-            self.other.transport.loseConnection()
+        self.relay.connections.discard(self)
+        if self.peer is not None and not self.peer.lost and not self.direction.blocked:
+            self.peer.transport.loseConnection()
 
 
 class Relay:
@@ -85,54 +85,57 @@
 
     def __init__(self, reactor: Any, target: Callable[[], int]) -> None:
         self.reactor, self.target = reactor, target
-        self.there, self.back = Direction(), Direction()
+        self.forward, self.backward = Direction(), Direction()
         self.half_open = False
-        self.ends: set[_End] = set()
-        factory: Any = _Accepting(self)
+        self.connections: set[_RelayedConnection] = set()
+        factory: Any = _ListenerFactory(self)
         self.port: Any = reactor.listenTCP(0, factory, 64, "127.0.0.1")
         self.number: int = self.port.getHost().port
 
     def accept(self) -> Protocol:
-        near, far = _End(self, self.there), _End(self, self.back)
+        client_side, server_side = (
+            _RelayedConnection(self, self.forward),
+            _RelayedConnection(self, self.backward),
+        )
 
-        def dialled(_: object) -> None:
-            near.other, far.other = far, near
-            if near.lost:
-                far.transport.loseConnection()
-            near._pump()
+        def connected(_: object) -> None:
+            client_side.peer, server_side.peer = server_side, client_side
+            if client_side.lost:
+                server_side.transport.loseConnection()
+            client_side._forward_next()
 
         def refused(_: object) -> None:
-            if not near.lost:
-                near.transport.abortConnection()
+            if not client_side.lost:
+                client_side.transport.abortConnection()
 
-        if not self.half_open and not self.there.cut:
-            endpoint: Any = TCP4ClientEndpoint(self.reactor, "127.0.0.1", self.target(), DIAL_WITHIN)
-            endpoint.connect(_Dialled(far)).addCallbacks(dialled, refused)
-        return near
+        if not self.half_open and not self.forward.blocked:
+            endpoint: Any = TCP4ClientEndpoint(self.reactor, "127.0.0.1", self.target(), DIAL_TIMEOUT)
+            endpoint.connect(_DialFactory(server_side)).addCallbacks(connected, refused)
+        return client_side
 
-    def cut(self, there: bool, back: bool) -> None:
+    def block(self, forward: bool, backward: bool) -> None:
         """Silently, in one direction or both; what is open stays open and dead."""
-        self.there.cut, self.back.cut = there, back
+        self.forward.blocked, self.backward.blocked = forward, backward
 
-    def mend(self) -> None:
+    def repair(self) -> None:
         """All is well again; connections that lost bytes are reset, as their ends will find out."""
-        was = self.there.cut or self.back.cut or self.half_open
-        for way in (self.there, self.back):
-            way.cut, way.delay, way.rate = False, 0.0, 0.0
+        had_fault = self.forward.blocked or self.backward.blocked or self.half_open
+        for direction in (self.forward, self.backward):
+            direction.blocked, direction.delay, direction.rate = False, 0.0, 0.0
         self.half_open = False
-        if was:
+        if had_fault:
             self.reset()
 
     def reset(self) -> None:
-        for end in list(self.ends):
-            end.transport.abortConnection()
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
 
     def close(self) -> None:
         self.port.stopListening()
         self.reset()
 
 
-class _Accepting(Factory):
+class _ListenerFactory(Factory):
     noisy = False
 
     def __init__(self, relay: Relay) -> None:
@@ -142,11 +145,11 @@
         return self.relay.accept()
 
 
-class _Dialled(Factory):
+class _DialFactory(Factory):
     noisy = False
 
-    def __init__(self, end: _End) -> None:
-        self.end = end
+    def __init__(self, connection: _RelayedConnection) -> None:
+        self.connection = connection
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
-        return self.end
+        return self.connection
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -21,7 +21,7 @@
 )
 from bitternpath.testing.emulator.fleet import world
 from bitternpath.testing.emulator.fleet.search.explore import Move
-from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copied, cut
+from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copy_process, lose_channel
 
 
 class Scope(Struct, frozen=True):
@@ -38,15 +38,15 @@
 class Member:
     """A steward's consensus, its disk, and the writes under way."""
 
-    def __init__(self, raft: Raft, disk: PersistentState, writing: list[StorageWrite]) -> None:
-        self.raft, self.disk, self.writing = raft, disk, writing
+    def __init__(self, raft: Raft, disk: PersistentState, pending_writes: list[StorageWrite]) -> None:
+        self.raft, self.disk, self.pending_writes = raft, disk, pending_writes
 
     def copy(self) -> Member:
-        return Member(copied(self.raft), world.kept_copy(self.disk), self.writing[:])
+        return Member(copy_process(self.raft), world.copy_state(self.disk), self.pending_writes[:])
 
     def key(self) -> Hashable:
-        raft, disk, done = self.raft, self.disk, self.raft.log.last_write_completed
-        age = raft.now - raft.last_contact < raft.timing.election_timeout
+        raft, disk, completed = self.raft, self.disk, self.raft.log.last_write_completed
+        contact_is_recent = raft.now - raft.last_contact < raft.timing.election_timeout
         peers = tuple(
             (
                 name,
@@ -61,12 +61,12 @@
         return (
             raft.term, raft.vote, raft.role.value, raft.leader, tuple(raft.log.entries), raft.commit_index,
             raft.last_applied, raft.log.stable_index, frozenset(raft.votes), raft.heartbeat_round,
-            raft.confirmed_round, raft.term_start_index, age, peers,
+            raft.confirmed_round, raft.term_start_index, contact_is_recent, peers,
             raft.heartbeat_round_requested, raft.log.truncate_from,
-            tuple((n - done, upto) for n, upto in raft.log.unfinished_writes),
-            tuple((n - done, to, said) for n, to, said in raft.messages_awaiting_write),
+            tuple((n - completed, upto) for n, upto in raft.log.unfinished_writes),
+            tuple((n - completed, to, message) for n, to, message in raft.messages_awaiting_write),
             disk.term, disk.vote, tuple(disk.entries),
-            tuple((w.term, w.vote, w.truncate_from, w.entries) for w in self.writing),
+            tuple((w.term, w.vote, w.truncate_from, w.entries) for w in self.pending_writes),
         )  # fmt: skip
 
 
@@ -78,101 +78,110 @@
     def __init__(self, scope: Scope) -> None:
         members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(self.NAMES)))
         self.scope = scope
-        self.left = {"ring": scope.rings, "change": scope.changes, "crash": scope.crashes}
-        self.left["cut"] = scope.cuts
+        self.remaining = {"ring": scope.rings, "change": scope.changes, "crash": scope.crashes}
+        self.remaining["cut"] = scope.cuts
         self.members: dict[str, Member] = {}
         self.channels = Channels()
         self.leaders: dict[int, str] = {}  # term: who led in it
-        self.agreed: dict[int, Entry] = {}
-        self.broken = ""
+        self.committed: dict[int, Entry] = {}
+        self.violation = ""
         for name in self.NAMES:
             disk = PersistentState(term=1, entries=[members])
-            self.members[name] = self._started(name, disk, 0.0)
+            self.members[name] = self._start_member(name, disk, 0.0)
 
     @staticmethod
-    def _started(name: str, disk: PersistentState, now: float) -> Member:
-        fixed: Any = FixedRandom()
-        return Member(Raft(name, world.kept_copy(disk), fixed, now), disk, [])
+    def _start_member(name: str, disk: PersistentState, now: float) -> Member:
+        fixed_random: Any = FixedRandom()
+        return Member(Raft(name, world.copy_state(disk), fixed_random, now), disk, [])
 
     def copy(self) -> Consensus:
-        twin = copy(self)
-        twin.left, twin.leaders, twin.agreed = dict(self.left), dict(self.leaders), dict(self.agreed)
-        twin.members = {name: member.copy() for name, member in self.members.items()}
-        return twin
+        clone = copy(self)
+        clone.remaining, clone.leaders, clone.committed = (
+            dict(self.remaining),
+            dict(self.leaders),
+            dict(self.committed),
+        )
+        clone.members = {name: member.copy() for name, member in self.members.items()}
+        return clone
 
     def key(self) -> Hashable:
         return (
-            tuple(self.left.values()),
+            tuple(self.remaining.values()),
             tuple(member.key() for member in self.members.values()),
             self.channels.key(self.scope.shuffled),
             tuple(self.leaders.items()),
-            tuple(self.agreed),
+            tuple(self.committed),
         )
 
     def moves(self) -> Iterator[Move]:
-        for sender, to, said, rest in self.channels.deliverable(self.scope.shuffled):
-            yield f"{sender} to {to}: {said}", partial(_deliver, sender=sender, to=to, said=said, rest=rest)
-        if self.left["cut"]:
-            for sender, to, rest in self.channels.cut():
-                yield f"{sender} to {to}: cut", partial(cut, rest=rest)
+        for sender, to, message, next_channels in self.channels.deliverable(self.scope.shuffled):
+            yield (
+                f"{sender} to {to}: {message}",
+                partial(_deliver, sender=sender, to=to, message=message, next_channels=next_channels),
+            )
+        if self.remaining["cut"]:
+            for sender, to, next_channels in self.channels.losses():
+                yield f"{sender} to {to}: cut", partial(lose_channel, next_channels=next_channels)
         for name, member in self.members.items():
-            if member.writing:
+            if member.pending_writes:
                 yield f"{name}: on disk", partial(_stored, name=name)
-            if self.left["ring"] and name != self.NAMES[-1]:
-                yield f"{name}: its timer rings", partial(_ring, name=name)
-            if self.left["crash"] and member.raft.term > 1:
+            if self.remaining["ring"] and name != self.NAMES[-1]:
+                yield f"{name}: its timer rings", partial(_timer, name=name)
+            if self.remaining["crash"] and member.raft.term > 1:
                 yield f"{name}: ends and comes back", partial(_crash, name=name)
-            if self.left["change"] and member.raft.role is MemberRole.LEADER:
+            if self.remaining["change"] and member.raft.role is MemberRole.LEADER:
                 yield f"{name}: a change", partial(_change, name=name)
 
-    def settle(self, name: str) -> None:
+    def apply_effects(self, name: str) -> None:
         """What follows, held against the rules."""
         member = self.members[name]
         raft = member.raft
-        out = raft.take_effects(raft.now)
-        member.writing += out.writes
-        for to, said in out.messages:
-            self.channels = self.channels.with_message(name, to, said)
+        effects = raft.take_effects(raft.now)
+        member.pending_writes += effects.writes
+        for to, message in effects.messages:
+            self.channels = self.channels.with_message(name, to, message)
         if raft.role is MemberRole.LEADER and self.leaders.setdefault(raft.term, name) != name:
-            self.broken = f"{name} and {self.leaders[raft.term]} lead in term {raft.term}"
-        for entry in out.committed:
-            if self.agreed.setdefault(entry.index, entry) != entry:
-                self.broken = f"entry {entry.index} is {self.agreed[entry.index]}, and {entry} for {name}"
-        if member.writing and not self.scope.slow_disks:
+            self.violation = f"{name} and {self.leaders[raft.term]} lead in term {raft.term}"
+        for entry in effects.committed:
+            if self.committed.setdefault(entry.index, entry) != entry:
+                self.violation = (
+                    f"entry {entry.index} is {self.committed[entry.index]}, and {entry} for {name}"
+                )
+        if member.pending_writes and not self.scope.slow_disks:
             _stored(self, name)
 
 
-def _deliver(state: Consensus, sender: str, to: str, said: Any, rest: Channels) -> None:
-    state.channels = rest
+def _deliver(state: Consensus, sender: str, to: str, message: Any, next_channels: Channels) -> None:
+    state.channels = next_channels
     raft = state.members[to].raft
-    raft.receive(raft.now, sender, said)
-    state.settle(to)
+    raft.receive(raft.now, sender, message)
+    state.apply_effects(to)
 
 
 def _stored(state: Consensus, name: str) -> None:
     member = state.members[name]
-    write = member.writing.pop(0)
-    world.keep(member.disk, write)
+    write = member.pending_writes.pop(0)
+    world.apply_write(member.disk, write)
     member.raft.write_completed(member.raft.now, write.number)
-    state.settle(name)
+    state.apply_effects(name)
 
 
-def _ring(state: Consensus, name: str) -> None:
-    state.left["ring"] -= 1
+def _timer(state: Consensus, name: str) -> None:
+    state.remaining["ring"] -= 1
     raft = state.members[name].raft
     raft.tick(raft.next_timeout_at)
-    state.settle(name)
+    state.apply_effects(name)
 
 
 def _crash(state: Consensus, name: str) -> None:
-    state.left["crash"] -= 1
+    state.remaining["crash"] -= 1
     member = state.members[name]
-    state.members[name] = state._started(name, member.disk, member.raft.now)
-    state.settle(name)
+    state.members[name] = state._start_member(name, member.disk, member.raft.now)
+    state.apply_effects(name)
 
 
 def _change(state: Consensus, name: str) -> None:
-    state.left["change"] -= 1
+    state.remaining["change"] -= 1
     raft = state.members[name].raft
-    raft.propose(raft.now, EntryKind.COMMAND, bytes([state.left["change"]]))
-    state.settle(name)
+    raft.propose(raft.now, EntryKind.COMMAND, bytes([state.remaining["change"]]))
+    state.apply_effects(name)
--- a/bitternpath/testing/emulator/fleet/search/explore.py
+++ b/bitternpath/testing/emulator/fleet/search/explore.py
@@ -14,7 +14,7 @@
 class State(Protocol):
     """A state of what is searched; `broken` says which rule does not hold in it, empty where all do."""
 
-    broken: str
+    violation: str
 
     def copy(self) -> Self: ...
     def key(self) -> Hashable: ...
@@ -22,50 +22,52 @@
 
 
 Step = tuple[int, int, State]  # its number, by how many moves it was reached, and itself
-Waiting = deque[Step]
+Frontier = deque[Step]
 
 
-class Found(Struct, frozen=True):
+class SearchResult(Struct, frozen=True):
     """What came of a search."""
 
     states: int
     moves: int
     depth: int
-    whole: bool  # nothing within the scope was left out
-    broken: str = ""
-    trail: tuple[str, ...] = ()  # the moves that lead there
+    complete: bool  # nothing within the scope was left out
+    violation: str = ""
+    trace: tuple[str, ...] = ()  # the moves that lead there
 
 
-def search(begin: State, most: int, next_: Callable[[Waiting], Step] = deque.popleft) -> Found:
+def search(initial: State, max_states: int, pop: Callable[[Frontier], Step] = deque.popleft) -> SearchResult:
     """All states that can be reached, at most so many; ends at the first broken one.
 
     Breadth-first, so that its trail is a shortest one; with `deque.pop` depth-first, and fewer are held."""
-    seen = {hash(begin.key())}  # of 64 bits: two states of a million taken for one at 3 in 100 million
-    came: list[tuple[int, str]] = [(-1, "")]  # per state: from which, by which move
-    waiting: Waiting = deque([(0, 0, begin)])
-    moves = deepest = 0
-    while waiting:
-        at, depth, state = next_(waiting)
-        deepest = max(deepest, depth)
-        for name, do in state.moves():
-            after = state.copy()
-            do(after)
+    seen = {hash(initial.key())}  # of 64 bits: two states of a million taken for one at 3 in 100 million
+    origins: list[tuple[int, str]] = [(-1, "")]  # per state: from which, by which move
+    frontier: Frontier = deque([(0, 0, initial)])
+    moves = max_depth = 0
+    while frontier:
+        number, depth, state = pop(frontier)
+        max_depth = max(max_depth, depth)
+        for name, apply in state.moves():
+            successor = state.copy()
+            apply(successor)
             moves += 1
-            if after.broken:
-                return Found(len(seen), moves, depth + 1, False, after.broken, _trail(came, at, name))
-            key = hash(after.key())
+            if successor.violation:
+                return SearchResult(
+                    len(seen), moves, depth + 1, False, successor.violation, _trace(origins, number, name)
+                )
+            key = hash(successor.key())
             if key not in seen:
-                if len(seen) >= most:
-                    return Found(len(seen), moves, deepest, False)
+                if len(seen) >= max_states:
+                    return SearchResult(len(seen), moves, max_depth, False)
                 seen.add(key)
-                came.append((at, name))
-                waiting.append((len(came) - 1, depth + 1, after))
-    return Found(len(seen), moves, deepest, True)
+                origins.append((number, name))
+                frontier.append((len(origins) - 1, depth + 1, successor))
+    return SearchResult(len(seen), moves, max_depth, True)
 
 
-def _trail(came: list[tuple[int, str]], at: int, last: str) -> tuple[str, ...]:
-    names = [last]
-    while at > 0:
-        at, name = came[at]
+def _trace(origins: list[tuple[int, str]], number: int, last_move: str) -> tuple[str, ...]:
+    names = [last_move]
+    while number > 0:
+        number, name = origins[number]
         names.append(name)
     return tuple(reversed(names))
--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -19,7 +19,13 @@
 from bitternpath.replication.records import RaftTiming
 from bitternpath.testing.emulator.fleet import world
 from bitternpath.testing.emulator.fleet.search.explore import Move
-from bitternpath.testing.emulator.fleet.search.states import Channels, FixedRandom, copied, cut, encoded
+from bitternpath.testing.emulator.fleet.search.states import (
+    Channels,
+    FixedRandom,
+    copy_process,
+    encoded,
+    lose_channel,
+)
 
 
 class LeaseScope(Struct, frozen=True):
@@ -32,7 +38,7 @@
 
 
 TERMS = p.LeaseTerms(lease=1.0, drift=0.1, catch_up=1.0)
-STEP = 0.6  # s: a lease is over after two, whoever's clock is asked
+TIME_STEP = 0.6  # s: a lease is over after two, whoever's clock is asked
 RATES = (0.9, 1.1)  # the clocks of the nodes
 
 
@@ -41,59 +47,61 @@
 
     def __init__(self, scope: LeaseScope) -> None:
         self.scope = scope
-        self.left = {"time": scope.steps, "change": scope.changes, "crash": scope.crashes}
-        self.left["cut"] = scope.cuts
+        self.remaining = {"time": scope.steps, "change": scope.changes, "crash": scope.crashes}
+        self.remaining["cut"] = scope.cuts
         self.now = 0
         self.disk = bootstrap_state("S", TERMS, "f")
         self.channels = Channels()
         self.versions = 0
-        self.broken = ""
-        self.begun = 0.0  # when the steward led, by its clock
+        self.violation = ""
+        self.leader_since = 0.0  # when the steward led, by its clock
         self.nodes: dict[str, LeaseHolder] = {}
         self.replica = self._new_replica()
         while self.catching_up:  # until it leads, and nothing is on the way
             self.replica.tick(self.replica.next_timeout_at)
-            self.settle()
-        self.begun = self.replica.raft.now
-        fixed: Any = FixedRandom()
+            self.apply_effects()
+        self.leader_since = self.replica.raft.now
+        fixed_random: Any = FixedRandom()
         for k in range(scope.nodes):
-            who = ProcessIdentity(f"n{k}", "b", "site", (1,))
-            holder = LeaseHolder(who, ["S"], fixed, self.clock(k), lambda: 0.0, lambda plan: "")
-            self.nodes[who.node] = holder
+            identity = ProcessIdentity(f"n{k}", "b", "site", (1,))
+            holder = LeaseHolder(
+                identity, ["S"], fixed_random, self.node_clock(k), lambda: 0.0, lambda plan: ""
+            )
+            self.nodes[identity.node] = holder
             holder.server_to_dial = None
-            holder.connection_made(self.clock(k), "S")
-            self.said(who.node)
+            holder.connection_made(self.node_clock(k), "S")
+            self.apply_node_effects(identity.node)
 
     def _new_replica(self) -> RecordReplica:
-        fixed: Any = FixedRandom()
-        kept, now = world.kept_copy(self.disk), self.steward_clock()
-        return RecordReplica("S", kept, fixed, now, lambda: 0.0, RaftTiming())
+        fixed_random: Any = FixedRandom()
+        state, now = world.copy_state(self.disk), self.server_clock()
+        return RecordReplica("S", state, fixed_random, now, lambda: 0.0, RaftTiming())
 
-    def clock(self, node: int) -> float:
-        return 100.0 * (node + 1) + RATES[node % len(RATES)] * STEP * self.now
+    def node_clock(self, node: int) -> float:
+        return 100.0 * (node + 1) + RATES[node % len(RATES)] * TIME_STEP * self.now
 
-    def steward_clock(self) -> float:
-        return self.begun + STEP * self.now
+    def server_clock(self) -> float:
+        return self.leader_since + TIME_STEP * self.now
 
     def copy(self) -> Leases:
         """Shares its processes until one is to change: see `own` and `own_node`."""
-        twin = copy(self)
-        twin.left, twin.nodes = dict(self.left), dict(self.nodes)
-        return twin
+        clone = copy(self)
+        clone.remaining, clone.nodes = dict(self.remaining), dict(self.nodes)
+        return clone
 
-    def own(self) -> RecordReplica:
+    def mutable_server(self) -> RecordReplica:
         """The steward, as one that this state may change."""
-        self.disk = world.kept_copy(self.disk)
-        replica: RecordReplica = copied(self.replica)
+        self.disk = world.copy_state(self.disk)
+        replica: RecordReplica = copy_process(self.replica)
         self.replica = replica
-        replica.raft = copied(replica.raft)
+        replica.raft = copy_process(replica.raft)
         replica.record = p.decode_record(p.encode_record(replica.record))
         if replica.leadership is not None:
-            replica.leadership = copied(replica.leadership)
+            replica.leadership = copy_process(replica.leadership)
         return replica
 
-    def own_node(self, name: str) -> LeaseHolder:
-        holder: LeaseHolder = copied(self.nodes[name])
+    def mutable_node(self, name: str) -> LeaseHolder:
+        holder: LeaseHolder = copy_process(self.nodes[name])
         self.nodes[name] = holder
         holder.audit_log = audit.AuditLog("b")  # what it writes down decides nothing
         return holder
@@ -104,91 +112,101 @@
         holders = tuple(
             (
                 key,
-                w.expires_at,
-                w.applied_version,
-                w.validated_version,
-                w.digest,
-                w.last_sent_at,
-                w.behind_since,
-                w.end_proposed,
+                held_lease.expires_at,
+                held_lease.applied_version,
+                held_lease.validated_version,
+                held_lease.digest,
+                held_lease.last_sent_at,
+                held_lease.behind_since,
+                held_lease.end_proposed,
             )
-            for key, w in (leadership.holders.items() if leadership is not None else ())
+            for key, held_lease in (leadership.holders.items() if leadership is not None else ())
         )
         pending: list[PendingRequest] = []
-        own: tuple[Hashable, ...] = ()
+        leadership_state: tuple[Hashable, ...] = ()
         if leadership is not None:
             pending = [*leadership.awaiting_round, *leadership.awaiting_entry.values()]
-            own = (leadership.ready, leadership.release_index, tuple(leadership.proposed_starts.items()))
-        waiting = tuple((each.awaited, each.received_at, encoded(each.request)) for each in pending)
+            leadership_state = (
+                leadership.ready,
+                leadership.release_index,
+                tuple(leadership.proposed_starts.items()),
+            )
+        pending_requests = tuple(
+            (pending_request.awaited, pending_request.received_at, encoded(pending_request.request))
+            for pending_request in pending
+        )
         nodes = tuple(
-            (a.fencing_token, a._last_expired_token, a.expires_at, a.plan.version, a.plan.digest,
-             a.validated_plan.version, a.validated_plan.digest, a.connected_server, a.latest_version,
-             a._renew_at, a._reply_due_at, a._dial_at,
-             tuple((n.version, n.digest) for n in a._pending_plans))
-            for a in self.nodes.values()
+            (node.fencing_token, node._last_expired_token, node.expires_at, node.plan.version,
+             node.plan.digest, node.validated_plan.version, node.validated_plan.digest,
+             node.connected_server, node.latest_version, node._renew_at, node._reply_due_at, node._dial_at,
+             tuple((n.version, n.digest) for n in node._pending_plans))
+            for node in self.nodes.values()
         )  # fmt: skip
         return (
-            self.now, tuple(self.left.values()), tuple(e.data for e in raft.log.entries), raft.term,
+            self.now, tuple(self.remaining.values()), tuple(e.data for e in raft.log.entries), raft.term,
             raft.role.value, raft.commit_index, raft.log.stable_index, raft.last_index, raft.heartbeat_round,
-            raft.confirmed_round, holders, waiting, nodes,
+            raft.confirmed_round, holders, pending_requests, nodes,
             self.channels.key(self.scope.shuffled),
-            own,
+            leadership_state,
         )  # fmt: skip
 
     def moves(self) -> Iterator[Move]:
-        for sender, to, said, rest in self.channels.deliverable(self.scope.shuffled):
-            yield f"{sender} to {to}: {said}", partial(_pass, sender=sender, to=to, said=said, rest=rest)
-        if self.left["cut"]:
-            for sender, to, rest in self.channels.cut():
-                yield f"{sender} to {to}: cut", partial(cut, rest=rest)
-        if self.left["time"]:
+        for sender, to, message, next_channels in self.channels.deliverable(self.scope.shuffled):
+            yield (
+                f"{sender} to {to}: {message}",
+                partial(_deliver, sender=sender, to=to, message=message, next_channels=next_channels),
+            )
+        if self.remaining["cut"]:
+            for sender, to, next_channels in self.channels.losses():
+                yield f"{sender} to {to}: cut", partial(lose_channel, next_channels=next_channels)
+        if self.remaining["time"]:
             yield "time passes", _time_passes
-        if self.left["change"]:
-            yield "a change", _agreed
-        if self.left["crash"]:
-            yield "S: ends and comes back", _steward_crash
-        if self.replica.next_timeout_at <= self.steward_clock():
-            yield "S: its timer rings", _steward_ring
+        if self.remaining["change"]:
+            yield "a change", _propose_change
+        if self.remaining["crash"]:
+            yield "S: ends and comes back", _server_crash
+        if self.replica.next_timeout_at <= self.server_clock():
+            yield "S: its timer rings", _server_timer
         for k, (name, holder) in enumerate(self.nodes.items()):
-            if holder.next_timeout_at <= self.clock(k) or holder.server_to_dial is not None:
-                yield f"{name}: its timer rings", partial(_node_ring, name=name)
+            if holder.next_timeout_at <= self.node_clock(k) or holder.server_to_dial is not None:
+                yield f"{name}: its timer rings", partial(_node_timer, name=name)
 
-    def settle(self) -> None:
+    def apply_effects(self) -> None:
         """The steward's effects, and what must hold in every state."""
         while True:
-            effects = self.replica.take_effects(self.steward_clock())
-            for token, said in effects.replies:
+            effects = self.replica.take_effects(self.server_clock())
+            for token, message in effects.replies:
                 if token >= 0:
-                    self.channels = self.channels.with_message("S", f"n{token}", said)
+                    self.channels = self.channels.with_message("S", f"n{token}", message)
             if not effects.writes:
                 break
             for write in effects.writes:
-                world.keep(self.disk, write)
-                self.replica.write_completed(self.steward_clock(), write.number)
-        self.check()
+                world.apply_write(self.disk, write)
+                self.replica.write_completed(self.server_clock(), write.number)
+        self.check_invariants()
 
-    def said(self, name: str) -> None:
+    def apply_node_effects(self, name: str) -> None:
         """A node's effects."""
         holder = self.nodes[name]
         sends, holder.outgoing = holder.outgoing, []
         holder.events.clear()
         holder.audit_log = audit.AuditLog("b")
-        for said in sends:
-            if not isinstance(said, m.AuditEntries):
-                self.channels = self.channels.with_message(name, "S", said)
-        self.check()
+        for message in sends:
+            if not isinstance(message, m.AuditEntries):
+                self.channels = self.channels.with_message(name, "S", message)
+        self.check_invariants()
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """By true time: who could act now, on which version, and does the record still count it in?"""
         holders = {h.node: h.fencing_token for h in self.replica.record.holders.values()}
         acting = {}
         for k, (name, holder) in enumerate(self.nodes.items()):
-            if holder.fencing_token and self.clock(k) < holder.expires_at:
+            if holder.fencing_token and self.node_clock(k) < holder.expires_at:
                 acting[name] = holder.plan.version
                 if holders.get(name, 0) < holder.fencing_token and not self.catching_up:
-                    self.broken = f"{name} may act under fence {holder.fencing_token}, which is let go of"
+                    self.violation = f"{name} may act under fence {holder.fencing_token}, which is let go of"
         if acting and max(acting.values()) - min(acting.values()) > 1:
-            self.broken = f"two versions apart: {acting}"
+            self.violation = f"two versions apart: {acting}"
 
     @property
     def catching_up(self) -> bool:
@@ -196,55 +214,55 @@
         return self.replica.leadership is None or not self.replica.leadership.ready
 
 
-def _pass(state: Leases, sender: str, to: str, said: Any, rest: Channels) -> None:
-    state.channels = rest
+def _deliver(state: Leases, sender: str, to: str, message: Any, next_channels: Channels) -> None:
+    state.channels = next_channels
     if to == "S":
-        state.own().receive_request(state.steward_clock(), int(sender[1:]), said)
-        state.settle()
+        state.mutable_server().receive_request(state.server_clock(), int(sender[1:]), message)
+        state.apply_effects()
         return
-    holder, k = state.own_node(to), int(to[1:])
+    holder, k = state.mutable_node(to), int(to[1:])
     if holder.connected_server:
-        holder.receive(state.clock(k), said)
-        state.said(to)
+        holder.receive(state.node_clock(k), message)
+        state.apply_node_effects(to)
 
 
 def _time_passes(state: Leases) -> None:
-    state.left["time"] -= 1
+    state.remaining["time"] -= 1
     state.now += 1
-    state.check()
+    state.check_invariants()
 
 
-def _agreed(state: Leases) -> None:
+def _propose_change(state: Leases) -> None:
     """An operator's command comes to the steward."""
-    state.left["change"] -= 1
+    state.remaining["change"] -= 1
     state.versions += 1
     change = p.SetClass("lookup", {"aim": float(state.versions)})
-    state.own().receive_request(
-        state.steward_clock(),
+    state.mutable_server().receive_request(
+        state.server_clock(),
         -1,
         m.CommandRequest(state.versions, m.Propose(f"c{state.versions}", "a", "b", change)),
     )
-    state.settle()
+    state.apply_effects()
 
 
-def _steward_crash(state: Leases) -> None:
-    state.left["crash"] -= 1
-    state.disk = world.kept_copy(state.disk)
+def _server_crash(state: Leases) -> None:
+    state.remaining["crash"] -= 1
+    state.disk = world.copy_state(state.disk)
     state.replica = state._new_replica()
     state.replica.tick(state.replica.next_timeout_at)  # alone, it may stand at once
-    state.settle()
+    state.apply_effects()
 
 
-def _steward_ring(state: Leases) -> None:
-    state.own().tick(state.steward_clock())
-    state.settle()
+def _server_timer(state: Leases) -> None:
+    state.mutable_server().tick(state.server_clock())
+    state.apply_effects()
 
 
-def _node_ring(state: Leases, name: str) -> None:
-    holder, k = state.own_node(name), int(name[1:])
+def _node_timer(state: Leases, name: str) -> None:
+    holder, k = state.mutable_node(name), int(name[1:])
     if holder.server_to_dial is not None:
         holder.server_to_dial, holder.disconnect = None, False
-        holder.connection_made(state.clock(k), "S")
+        holder.connection_made(state.node_clock(k), "S")
     else:
-        holder.tick(state.clock(k))
-    state.said(name)
+        holder.tick(state.node_clock(k))
+    state.apply_node_effects(name)
--- a/bitternpath/testing/emulator/fleet/search/scopes.py
+++ b/bitternpath/testing/emulator/fleet/search/scopes.py
@@ -24,6 +24,6 @@
 )
 
 
-def begun(scope: Scope | LeaseScope) -> State:
+def initial_state(scope: Scope | LeaseScope) -> State:
     """The first state of that scope."""
     return Leases(scope) if isinstance(scope, LeaseScope) else Consensus(scope)
--- a/bitternpath/testing/emulator/fleet/search/states.py
+++ b/bitternpath/testing/emulator/fleet/search/states.py
@@ -26,25 +26,25 @@
         """As they are."""
 
 
-def _copied(value: Any) -> Any:
+def _copy_value(value: Any) -> Any:
     """One level deeper than `copy`: processes change lists, sets, dicts and objects of theirs in place."""
     match value:
         case list():
-            return [_copied(v) if isinstance(v, list) else v for v in value]
+            return [_copy_value(v) if isinstance(v, list) else v for v in value]
         case dict():
             return {k: copy(v) for k, v in value.items()}
         case set():
             return set(value)
         case ReplicatedLog():
-            return copied(value)
+            return copy_process(value)
     return value
 
 
-def copied(thing: Any) -> Any:
+def copy_process(process: Any) -> Any:
     """Another process in the same state."""
-    twin = copy(thing)
-    twin.__dict__.update({name: _copied(value) for name, value in thing.__dict__.items()})
-    return twin
+    clone = copy(process)
+    clone.__dict__.update({name: _copy_value(value) for name, value in process.__dict__.items()})
+    return clone
 
 
 class Channels(Struct, frozen=True):
@@ -52,37 +52,42 @@
 
     queues: tuple[tuple[tuple[str, str], tuple[tuple[bytes, Any], ...]], ...] = ()
 
-    def with_message(self, sender: str, to: str, said: Any) -> Channels:
-        all_ = dict(self.queues)
-        all_[sender, to] = (*all_.get((sender, to), ()), (encoded(said), said))
-        return Channels(tuple(sorted(all_.items(), key=lambda pair: pair[0])))
+    def with_message(self, sender: str, to: str, message: Any) -> Channels:
+        queues_by_pair = dict(self.queues)
+        queues_by_pair[sender, to] = (*queues_by_pair.get((sender, to), ()), (encoded(message), message))
+        return Channels(tuple(sorted(queues_by_pair.items(), key=lambda pair: pair[0])))
 
     def deliverable(self, shuffled: bool) -> Iterator[tuple[str, str, Any, Channels]]:
         """What may come next: from whom, to whom, what; and what is on the way after that."""
-        for at, ((sender, to), queue) in enumerate(self.queues):
-            for k, (_, said) in enumerate(queue if shuffled else queue[:1]):
-                rest = queue[:k] + queue[k + 1 :]
-                kept = (((sender, to), rest),) if rest else ()
-                yield sender, to, said, Channels(self.queues[:at] + kept + self.queues[at + 1 :])
-
-    def cut(self) -> Iterator[tuple[str, str, Channels]]:
+        for position, ((sender, to), queue) in enumerate(self.queues):
+            for k, (_, message) in enumerate(queue if shuffled else queue[:1]):
+                undelivered = queue[:k] + queue[k + 1 :]
+                kept_channel = (((sender, to), undelivered),) if undelivered else ()
+                yield (
+                    sender,
+                    to,
+                    message,
+                    Channels(self.queues[:position] + kept_channel + self.queues[position + 1 :]),
+                )
+
+    def losses(self) -> Iterator[tuple[str, str, Channels]]:
         """All that is on one way is lost: which, and what is left."""
-        for at, ((sender, to), _) in enumerate(self.queues):
-            yield sender, to, Channels(self.queues[:at] + self.queues[at + 1 :])
+        for position, ((sender, to), _) in enumerate(self.queues):
+            yield sender, to, Channels(self.queues[:position] + self.queues[position + 1 :])
 
     def key(self, shuffled: bool) -> Hashable:
-        told = ((pair, [content for content, _ in queue]) for pair, queue in self.queues)
-        return tuple((pair, tuple(sorted(queue) if shuffled else queue)) for pair, queue in told)
+        contents = ((pair, [content for content, _ in queue]) for pair, queue in self.queues)
+        return tuple((pair, tuple(sorted(queue) if shuffled else queue)) for pair, queue in contents)
 
 
-class Connected(Protocol):
+class SearchedState(Protocol):
     """A state with messages on the way, and a number of moves of each kind that are left."""
 
-    left: dict[str, int]
+    remaining: dict[str, int]
     channels: Channels
 
 
-def cut(state: Connected, rest: Channels) -> None:
+def lose_channel(state: SearchedState, next_channels: Channels) -> None:
     """All that is on one way is lost."""
-    state.left["cut"] -= 1
-    state.channels = rest
+    state.remaining["cut"] -= 1
+    state.channels = next_channels
--- a/bitternpath/testing/emulator/fleet/surroundings.py
+++ b/bitternpath/testing/emulator/fleet/surroundings.py
@@ -15,10 +15,10 @@
 
     name: str
     site: str
-    up: bool
+    alive: bool
     process: Any  # subprocess.Popen
 
-    def say_stop(self) -> None:
+    def request_stop(self) -> None:
         """Have it end by itself."""
 
 
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -26,27 +26,30 @@
 from bitternpath.testing.emulator.clock import Scheduler
 from bitternpath.testing.emulator.fleet.checker import FleetChecker
 
-QUICK = 0.0002, 0.003  # s on the way, usually
-SYNC = 0.001, 0.01  # s that a disk takes
-WRITE, HELD_UP = (0.0002, 0.003), (0.05, 1.5)  # s that a node's disk takes, mostly and often
-ACT_EVERY = 0.25  # s between acts of a node
+LINK_DELAY = 0.0002, 0.003  # s on the way, usually
+DISK_SYNC_TIME = 0.001, 0.01  # s that a disk takes
+FILE_WRITE_TIME, FILE_WRITE_STALL = (
+    (0.0002, 0.003),
+    (0.05, 1.5),
+)  # s that a node's disk takes, mostly and often
+ACT_INTERVAL = 0.25  # s between acts of a node
 RELEASE = (1, 0, 0)
 
 
-class Local:
+class LocalClock:
     """A clock of one process's own: it runs at a rate, from any value."""
 
-    def __init__(self, later: Scheduler, random: Random, drift: float) -> None:
-        self.later = later
+    def __init__(self, scheduler: Scheduler, random: Random, drift: float) -> None:
+        self.scheduler = scheduler
         self.rate = 1.0 + drift * random.uniform(-1.0, 1.0)
         self.base = random.uniform(0.0, 1e6)
 
     def __call__(self) -> float:
-        return self.base + self.rate * self.later.now
+        return self.base + self.rate * self.scheduler.now
 
-    def real(self, span: float) -> float:
+    def to_world_time(self, local_span: float) -> float:
         """How much of the world's time such a span takes."""
-        return span / self.rate
+        return local_span / self.rate
 
 
 class Host:
@@ -54,22 +57,22 @@
 
     def __init__(self, world: FleetWorld, name: str) -> None:
         self.world, self.name = world, name
-        self.clock = Local(world.later, world.random, world.drift)
-        self.life = 0
-        self.up = self.stalled = False
-        self.asleep: list[Callable[[], None]] = []
+        self.clock = LocalClock(world.scheduler, world.random, world.drift)
+        self.incarnation = 0
+        self.alive = self.stalled = False
+        self.deferred: list[Callable[[], None]] = []
         self._alarm: Any = None
         self._alarm_at = float("inf")
 
-    def do(self, life: int, what: Callable[[], None]) -> None:
+    def deliver(self, incarnation: int, action: Callable[[], None]) -> None:
         """Something comes to this process: at once, when it goes on, or never."""
-        if not self.up or life != self.life:
+        if not self.alive or incarnation != self.incarnation:
             return
         if self.stalled:
-            self.asleep.append(what)
+            self.deferred.append(action)
         else:
-            what()
-            self.settle()
+            action()
+            self.apply_effects()
 
     def stall(self) -> None:
         self.stalled = True
@@ -78,43 +81,43 @@
         if not self.stalled:
             return
         self.stalled = False
-        asleep, self.asleep = self.asleep, []
+        deferred, self.deferred = self.deferred, []
         # What waits in its sockets may be read before its timers ring.
         if self.world.random.random() < 0.5:
-            asleep.sort(key=lambda what: what == self.tick)
-        for what in asleep:
-            if self.up:
-                what()
-                self.settle()
+            deferred.sort(key=lambda action: action == self.tick)
+        for action in deferred:
+            if self.alive:
+                action()
+                self.apply_effects()
 
     def kill(self) -> None:
-        self.up = self.stalled = False
-        self.life += 1
-        self.asleep.clear()
+        self.alive = self.stalled = False
+        self.incarnation += 1
+        self.deferred.clear()
 
-    def settle(self) -> None:
+    def apply_effects(self) -> None:
         """Carry out what follows; then be called at the next alarm."""
         raise NotImplementedError
 
-    def _ring_at(self, alarm: float) -> None:
+    def _set_alarm(self, alarm: float) -> None:
         """Be ticked when the own clock shows that."""
         if alarm != self._alarm_at or self._alarm is None or not self._alarm.active():
             if self._alarm is not None:
                 self._alarm.cancel()
             self._alarm_at, self._alarm = alarm, None
             if alarm != float("inf"):
-                wait = max(self.clock.real(alarm - self.clock()), 1e-6)
-                self._alarm = self.world.later.callLater(wait, self.do, self.life, self.tick)
+                wait = max(self.clock.to_world_time(alarm - self.clock()), 1e-6)
+                self._alarm = self.world.scheduler.callLater(wait, self.deliver, self.incarnation, self.tick)
 
     def tick(self) -> None:
         raise NotImplementedError
 
 
-class StewardHost(Host):
-    def __init__(self, world: FleetWorld, name: str, kept: PersistentState) -> None:
+class ServerHost(Host):
+    def __init__(self, world: FleetWorld, name: str, state: PersistentState) -> None:
         super().__init__(world, name)
-        self.disk = kept  # what is synced
-        self.slow_disk = 0.0  # s added to each write
+        self.disk = state  # what is synced
+        self.disk_delay = 0.0  # s added to each write
         self._writing: list[StorageWrite] = []
         self.replica: Any = None
         self.connections: dict[
@@ -122,71 +125,89 @@
         ] = {}  # token: who is at the other end, and in which life
 
     def start(self) -> None:
-        self.up = True
+        self.alive = True
         self._writing = []
         self.connections.clear()
         self.replica = RecordReplica(
-            self.name, kept_copy(self.disk), Random(self.world.random.random()), self.clock(),
-            lambda: self.world.later.now, self.world.times,
+            self.name, copy_state(self.disk), Random(self.world.random.random()), self.clock(),
+            lambda: self.world.scheduler.now, self.world.times,
         )  # fmt: skip
-        for name in self.world.stewards:
+        for name in self.world.servers:
             self.replica.identify_member(name)
-        self.settle()
+        self.apply_effects()
 
     def kill(self) -> None:
         super().kill()
-        for host, life in self.connections.values():
-            self.world.send(self.name, host.name, partial(host.do, life, partial(host.cut_off, self.name)))  # type: ignore[attr-defined]
+        for host, incarnation in self.connections.values():
+            self.world.send(
+                self.name, host.name,
+                partial(
+                    host.deliver, incarnation,
+                    partial(host.connection_lost, self.name),  # type: ignore[attr-defined]
+                ),
+            )  # fmt: skip
         self.connections.clear()
 
     def tick(self) -> None:
         self.replica.tick(self.clock())
 
-    def receive(self, sender: str, said: m.Consensus | m.ForwardedRequest | m.ForwardedReply) -> None:
-        self.replica.receive(self.clock(), sender, said)
+    def receive(self, sender: str, message: m.Consensus | m.ForwardedRequest | m.ForwardedReply) -> None:
+        self.replica.receive(self.clock(), sender, message)
 
-    def receive_request(self, host: Host, token: int, life: int, said: m.ForwardableRequest) -> None:
-        self.connections[token] = host, life
-        self.replica.receive_request(self.clock(), token, said)
+    def receive_request(
+        self, host: Host, token: int, incarnation: int, message: m.ForwardableRequest
+    ) -> None:
+        self.connections[token] = host, incarnation
+        self.replica.receive_request(self.clock(), token, message)
 
     def _stored(self) -> None:
         write = self._writing.pop(0)
-        keep(self.disk, write)
+        apply_write(self.disk, write)
         if self._writing:
             self._write()
         self.replica.write_completed(self.clock(), write.number)
 
     def _write(self) -> None:
-        wait = self.world.random.uniform(*SYNC) + self.slow_disk
-        self.world.later.callLater(wait, self.do, self.life, self._stored)
+        wait = self.world.random.uniform(*DISK_SYNC_TIME) + self.disk_delay
+        self.world.scheduler.callLater(wait, self.deliver, self.incarnation, self._stored)
 
-    def settle(self) -> None:
+    def apply_effects(self) -> None:
         world, replica = self.world, self.replica
         effects = replica.take_effects(self.clock())
         for index, term, data in effects.committed:
-            world.checker.applied(world.later.now, self.name, index, term, data)
+            world.checker.applied(world.scheduler.now, self.name, index, term, data)
         for index, item in effects.items:
-            world.checker.agreed(world.later.now, replica.record, index, item)
+            world.checker.committed(world.scheduler.now, replica.record, index, item)
         if replica.raft.role is MemberRole.LEADER:
-            world.checker.leads(world.later.now, self.name, replica.raft.term)
+            world.checker.leader_seen(world.scheduler.now, self.name, replica.raft.term)
         if effects.writes:
             idle = not self._writing
             self._writing += effects.writes
             if idle:
                 self._write()
-        for to, said in effects.messages:
-            other = world.stewards.get(to)
-            if other is not None:
+        for to, message in effects.messages:
+            destination = world.servers.get(to)
+            if destination is not None:
                 world.send(
-                    self.name, to, partial(other.do, other.life, partial(other.receive, self.name, said))
+                    self.name,
+                    to,
+                    partial(
+                        destination.deliver,
+                        destination.incarnation,
+                        partial(destination.receive, self.name, message),
+                    ),
                 )
         for token, answer in effects.replies:
             if token in self.connections:
-                host, life = self.connections[token]
+                host, incarnation = self.connections[token]
                 world.send(
-                    self.name, host.name, partial(host.do, life, partial(host.receive, token, answer))  # type: ignore[attr-defined]
+                    self.name, host.name,
+                    partial(
+                        host.deliver, incarnation,
+                        partial(host.receive, token, answer),  # type: ignore[attr-defined]
+                    ),
                 )  # fmt: skip
-        self._ring_at(replica.next_timeout_at)
+        self._set_alarm(replica.next_timeout_at)
 
 
 class NodeHost(Host):
@@ -195,121 +216,134 @@
     def __init__(self, world: FleetWorld, name: str, site: str) -> None:
         super().__init__(world, name)
         self.site = site
-        self.keeps = int(name[1:]) % 2 == 1  # whether it has a folder that lasts
-        self.folder: dict[str, list[audit.AuditEntry]] = {}
-        self.disk_free = 0.0  # when its disk has done all that it was given
+        self.has_folder = int(name[1:]) % 2 == 1  # whether it has a folder that lasts
+        self.audit_files: dict[str, list[audit.AuditEntry]] = {}
+        self.disk_idle_at = 0.0  # when its disk has done all that it was given
         self.holder: Any = None
         self.token = 0
-        self.steward = ""
+        self.server = ""
 
     def start(self) -> None:
-        self.up = True
-        self.steward = ""
-        who = ProcessIdentity(self.name, f"b{self.life}", self.site, RELEASE)
+        self.alive = True
+        self.server = ""
+        identity = ProcessIdentity(self.name, f"b{self.incarnation}", self.site, RELEASE)
         self.holder = LeaseHolder(
-            who, list(self.world.stewards), Random(self.world.random.random()), self.clock(),
-            lambda: self.world.later.now, self.world.check,
+            identity, list(self.world.servers), Random(self.world.random.random()), self.clock(),
+            lambda: self.world.scheduler.now, self.world.check,
         )  # fmt: skip
-        for boot, lines in self.folder.items():
-            audit_log, why = audit.restore_audit_log(boot, lines)
-            assert not why
+        for boot, lines in self.audit_files.items():
+            audit_log, problem = audit.restore_audit_log(boot, lines)
+            assert not problem
             self.holder.earlier_audit_logs.append(audit_log)
-        if self.keeps:
+        if self.has_folder:
             self.holder.audit_log.written_upto = 0
-        self.settle()
-        self._act(self.life)
+        self.apply_effects()
+        self._schedule_act(self.incarnation)
 
     @property
     def process(self) -> str:
-        return f"{self.name}#b{self.life}"
+        return f"{self.name}#b{self.incarnation}"
 
-    def _act(self, life: int) -> None:
+    def _schedule_act(self, incarnation: int) -> None:
         """Something that the fleet's word is needed for, every so often; after a stall, at once and often."""
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
-        self.world.later.callLater(ACT_EVERY * self.world.random.uniform(0.5, 1.5), self._act, life)
-        self.do(life, self.act)
+        self.world.scheduler.callLater(
+            ACT_INTERVAL * self.world.random.uniform(0.5, 1.5), self._schedule_act, incarnation
+        )
+        self.deliver(incarnation, self.act)
 
     def act(self) -> None:
         if self.holder.holds_lease(self.clock()):
-            now, holder = self.world.later.now, self.holder
-            self.world.checker.act(now, self.process, holder.plan, holder.fencing_token)
-            self.world.look()
+            now, holder = self.world.scheduler.now, self.holder
+            self.world.checker.record_act(now, self.process, holder.plan, holder.fencing_token)
+            self.world.check_versions()
 
     def tick(self) -> None:
         self.holder.tick(self.clock())
 
-    def receive(self, token: int, said: m.ForwardableReply) -> None:
+    def receive(self, token: int, message: m.ForwardableReply) -> None:
         if token == self.token:
-            self.holder.receive(self.clock(), said)
+            self.holder.receive(self.clock(), message)
 
-    def cut_off(self, steward: str) -> None:
-        if steward == self.steward:
-            self.steward = ""
+    def connection_lost(self, server: str) -> None:
+        if server == self.server:
+            self.server = ""
             self.holder.connection_lost(self.clock())
 
-    def _connect(self, steward: str) -> None:
+    def _connect(self, server: str) -> None:
         """The handshake goes there and back."""
-        self.world.tokens += 1
-        token, life, other = self.world.tokens, self.life, self.world.stewards[steward]
+        self.world.last_token += 1
+        token, incarnation, destination = self.world.last_token, self.incarnation, self.world.servers[server]
 
         def arrived() -> None:
-            if other.up:
-                self.world.send(steward, self.name, partial(self.do, life, partial(self._up, steward, token)))
+            if destination.alive:
+                self.world.send(
+                    server,
+                    self.name,
+                    partial(self.deliver, incarnation, partial(self._connected, server, token)),
+                )
 
         self.token = token
-        self.world.send(self.name, steward, arrived)
+        self.world.send(self.name, server, arrived)
         # Nobody may be there, or nothing come back: it is tried elsewhere.
-        self.world.later.callLater(1.0, self.do, life, partial(self._dialled_in_vain, token))
+        self.world.scheduler.callLater(1.0, self.deliver, incarnation, partial(self._dial_timed_out, token))
 
-    def _up(self, steward: str, token: int) -> None:
-        if token == self.token and not self.steward:
-            self.steward = steward
-            self.holder.connection_made(self.clock(), steward)
+    def _connected(self, server: str, token: int) -> None:
+        if token == self.token and not self.server:
+            self.server = server
+            self.holder.connection_made(self.clock(), server)
 
-    def _dialled_in_vain(self, token: int) -> None:
-        if token == self.token and not self.steward:
+    def _dial_timed_out(self, token: int) -> None:
+        if token == self.token and not self.server:
             self.holder.connection_lost(self.clock())
 
-    def _wrote(self, lines: list[audit.AuditEntry]) -> None:
-        kept = self.folder.setdefault(self.holder.identity.boot, [])
-        kept += lines
-        self.holder.audit_written(self.clock(), len(kept))
+    def _lines_written(self, lines: list[audit.AuditEntry]) -> None:
+        stored = self.audit_files.setdefault(self.holder.identity.boot, [])
+        stored += lines
+        self.holder.audit_written(self.clock(), len(stored))
 
-    def settle(self) -> None:
+    def apply_effects(self) -> None:
         holder, world = self.holder, self.world
         sends, holder.outgoing = holder.outgoing, []
-        if sends and self.steward:
-            other = world.stewards[self.steward]
-            for said in sends:
+        if sends and self.server:
+            destination = world.servers[self.server]
+            for message in sends:
                 world.send(
-                    self.name, self.steward,
+                    self.name, self.server,
                     partial(
-                        other.do, other.life,
-                        partial(other.receive_request, self, self.token, self.life, said),
+                        destination.deliver, destination.incarnation,
+                        partial(destination.receive_request, self, self.token, self.incarnation, message),
                     ),
                 )  # fmt: skip
         if not holder.connected_server:
-            self.steward = ""
+            self.server = ""
         if holder.server_to_dial is not None:
             dial, holder.server_to_dial = holder.server_to_dial, None
             self._connect(dial)
         if holder.audit_log.fresh:
             lines, holder.audit_log.fresh = holder.audit_log.fresh, []
-            if self.keeps:
-                takes = world.random.uniform(*(WRITE if world.random.random() < 0.6 else HELD_UP))
-                self.disk_free = max(self.disk_free, world.later.now) + takes
-                world.later.callLater(
-                    self.disk_free - world.later.now, self.do, self.life, partial(self._wrote, lines)
+            if self.has_folder:
+                write_time = world.random.uniform(
+                    *(FILE_WRITE_TIME if world.random.random() < 0.6 else FILE_WRITE_STALL)
+                )
+                self.disk_idle_at = max(self.disk_idle_at, world.scheduler.now) + write_time
+                world.scheduler.callLater(
+                    self.disk_idle_at - world.scheduler.now,
+                    self.deliver,
+                    self.incarnation,
+                    partial(self._lines_written, lines),
                 )
         if holder.events:
             acts, holder.events = holder.events, []
             for act in acts:
-                world.checker.did(self.process, act.kind, act.version, act.fencing_token)
+                world.checker.record_audited_act(self.process, act.kind, act.version, act.fencing_token)
                 if act.kind in ("joined", "acts"):
-                    world.checker.act(world.later.now, self.process, holder.plan, act.fencing_token)
-            world.look()
-        self._ring_at(holder.next_timeout_at)
+                    world.checker.record_act(
+                        world.scheduler.now, self.process, holder.plan, act.fencing_token
+                    )
+            world.check_versions()
+        self._set_alarm(holder.next_timeout_at)
 
 
 class OperatorHost(Host):
@@ -317,73 +351,73 @@
 
     def __init__(self, world: FleetWorld, name: str) -> None:
         super().__init__(world, name)
-        self.up = True
-        self.open: dict[int, m.Command] = {}
+        self.alive = True
+        self.unanswered: dict[int, m.Command] = {}
         self.answers: list[tuple[m.Command, m.CommandReply]] = []
-        self.numbers = 0
+        self.last_number = 0
 
-    def type(self, command: m.Command) -> int:
-        self.numbers += 1
-        self.open[self.numbers] = command
-        self._ask(self.numbers)
-        return self.numbers
+    def submit(self, command: m.Command) -> int:
+        self.last_number += 1
+        self.unanswered[self.last_number] = command
+        self._send_request(self.last_number)
+        return self.last_number
 
-    def _ask(self, number: int) -> None:
-        command = self.open.get(number)
+    def _send_request(self, number: int) -> None:
+        command = self.unanswered.get(number)
         if command is None:
             return
         world = self.world
-        steward = world.random.choice(list(world.stewards.values()))
-        world.tokens += 1
-        said = m.CommandRequest(number, command)
-        ask = partial(steward.receive_request, self, world.tokens, 0, said)
-        world.send(self.name, steward.name, partial(steward.do, steward.life, ask))
-        world.later.callLater(0.7, self._ask, number)
+        server = world.random.choice(list(world.servers.values()))
+        world.last_token += 1
+        message = m.CommandRequest(number, command)
+        ask = partial(server.receive_request, self, world.last_token, 0, message)
+        world.send(self.name, server.name, partial(server.deliver, server.incarnation, ask))
+        world.scheduler.callLater(0.7, self._send_request, number)
 
     def receive(self, token: int, answer: m.CommandReply) -> None:
-        command = self.open.get(answer.number)
+        command = self.unanswered.get(answer.number)
         if command is None:
             return
         if not answer.ok and ("again" in answer.text or "leader" in answer.text):
             return
-        del self.open[answer.number]
+        del self.unanswered[answer.number]
         self.answers.append((command, answer))
         if answer.ok and isinstance(command, m.Propose):
             data = msgspec.msgpack.decode(answer.data)
-            self.world.checker.answered(self.world.later.now, command.id, data["version"])
+            self.world.checker.change_acknowledged(self.world.scheduler.now, command.id, data["version"])
 
-    def cut_off(self, steward: str) -> None:
+    def connection_lost(self, server: str) -> None:
         """Its question is asked again in time."""
 
-    def settle(self) -> None:
+    def apply_effects(self) -> None:
         pass
 
 
 class Link(Struct):
     """What goes wrong on the way from one process to another."""
 
-    cut: bool = False
+    blocked: bool = False
     loss: float = 0.0
-    twice: float = 0.0
-    late: float = 0.0  # s, drawn up to it
+    duplication: float = 0.0
+    max_delay: float = 0.0  # s, drawn up to it
 
 
 class FleetWorld:
     """So many stewards and nodes, and what happens to them."""
 
-    def __init__(self, seed: int, stewards: int, nodes: int, terms: p.LeaseTerms, drift: float) -> None:
+    def __init__(self, seed: int, server_count: int, nodes: int, terms: p.LeaseTerms, drift: float) -> None:
         self.random = Random(seed)
-        self.later = Scheduler()
+        self.scheduler = Scheduler()
         self.drift, self.terms, self.times = drift, terms, RaftTiming()
         self.checker = FleetChecker()
         self.links: dict[tuple[str, str], Link] = {}
-        self.everywhere = Link()
+        self.all_links = Link()
         self.trace = xxhash.xxh3_64()  # of all that was on the way
-        self.tokens = 0
+        self.last_token = 0
         self.check: Callable[[p.Plan], str] = lambda plan: ""
-        names = [f"S{k}" for k in range(stewards)]
-        self.stewards = {
-            name: StewardHost(
+        names = [f"S{k}" for k in range(server_count)]
+        self.servers = {
+            name: ServerHost(
                 self, name, bootstrap_state(name, terms, "f") if name == "S0" else PersistentState()
             )
             for name in names
@@ -393,54 +427,58 @@
 
     @property
     def hosts(self) -> list[Host]:
-        return [*self.stewards.values(), *self.nodes.values()]
+        return [*self.servers.values(), *self.nodes.values()]
 
     # ---- the way
 
     def link(self, sender: str, to: str) -> Link:
         return self.links.setdefault((sender, to), Link())
 
-    def send(self, sender: str, to: str, arrive: Callable[[], None]) -> None:
-        random, any_, link = self.random, self.everywhere, self.links.get((sender, to))
-        self.trace.update(f"{self.later.now!r} {sender} {to}\n".encode())
-        if link is not None and link.cut:
+    def send(self, sender: str, to: str, on_arrival: Callable[[], None]) -> None:
+        random, defaults, link = self.random, self.all_links, self.links.get((sender, to))
+        self.trace.update(f"{self.scheduler.now!r} {sender} {to}\n".encode())
+        if link is not None and link.blocked:
             return
-        loss, twice, late = any_.loss, any_.twice, any_.late
+        loss, duplication, max_delay = defaults.loss, defaults.duplication, defaults.max_delay
         if link is not None:
-            loss, twice, late = max(loss, link.loss), max(twice, link.twice), max(late, link.late)
+            loss, duplication, max_delay = (
+                max(loss, link.loss),
+                max(duplication, link.duplication),
+                max(max_delay, link.max_delay),
+            )
         if loss and random.random() < loss:
             return
-        for _ in range(2 if twice and random.random() < twice else 1):
-            wait = random.uniform(*QUICK) + (random.random() * late if late else 0.0)
-            self.later.callLater(wait, arrive)
+        for _ in range(2 if duplication and random.random() < duplication else 1):
+            wait = random.uniform(*LINK_DELAY) + (random.random() * max_delay if max_delay else 0.0)
+            self.scheduler.callLater(wait, on_arrival)
 
     # ---- a run
 
     def start(self) -> None:
         """Found the fleet, and add its other stewards one by one."""
-        for steward in self.stewards.values():
-            steward.start()
+        for server in self.servers.values():
+            server.start()
         for node in self.nodes.values():
             node.start()
         wait = 0.5
-        for name in list(self.stewards)[1:]:
-            self.later.callLater(wait, self.operator.type, m.ChangeMembers(add=name))
+        for name in list(self.servers)[1:]:
+            self.scheduler.callLater(wait, self.operator.submit, m.ChangeMembers(add=name))
             wait += 0.5
 
-    def leader(self) -> StewardHost | None:
-        leads = [s for s in self.stewards.values() if s.up and s.replica.raft.role is MemberRole.LEADER]
-        return max(leads, key=lambda s: int(s.replica.raft.term), default=None)
+    def leader(self) -> ServerHost | None:
+        leaders = [s for s in self.servers.values() if s.alive and s.replica.raft.role is MemberRole.LEADER]
+        return max(leaders, key=lambda s: int(s.replica.raft.term), default=None)
 
-    def look(self) -> None:
+    def check_versions(self) -> None:
         """Who could act now, and on what."""
-        holding: dict[str, int] = {}
+        versions: dict[str, int] = {}
         for node in self.nodes.values():
             holder = node.holder
-            if node.up and holder.fencing_token and node.clock() < holder.expires_at:
-                holding[node.process] = holder.plan.version
-        self.checker.hold(self.later.now, holding)
+            if node.alive and holder.fencing_token and node.clock() < holder.expires_at:
+                versions[node.process] = holder.plan.version
+        self.checker.check_versions_apart(self.scheduler.now, versions)
 
-    def settled(self) -> str:
+    def unsettled_reason(self) -> str:
         """Empty where all that lives is in order; else what is not."""
         leader = self.leader()
         if leader is None or not leader.replica.raft.has_committed_in_term:
@@ -451,38 +489,40 @@
         for node in self.nodes.values():
             holder = node.holder
             if (
-                node.up
+                node.alive
                 and not node.stalled
                 and not (holder.fencing_token and node.clock() < holder.expires_at)
             ):
                 return f"{node.name} has no lease: {holder.refusal}"
-            if node.up and holder.plan.version != record.released.version:
+            if node.alive and holder.plan.version != record.released.version:
                 return f"{node.name} acts on {holder.plan.version} of {record.released.version}"
             if (
-                node.up
+                node.alive
                 and not node.stalled
                 and (holder.audit_log.unacknowledged or holder.earlier_audit_logs)
             ):
                 return f"{node.name}: lines of its audit are not heard of"
-        alive = {node.process for node in self.nodes.values() if node.up}
+        alive = {node.process for node in self.nodes.values() if node.alive}
         if dead := record.holders.keys() - alive:
             return f"{sorted(dead)[0]} has ended, and its lease is not over yet"
-        if self.operator.open:
-            return f"unanswered: {self.operator.open}"
+        if self.operator.unanswered:
+            return f"unanswered: {self.operator.unanswered}"
         return ""
 
 
-def kept_copy(kept: PersistentState) -> PersistentState:
-    return PersistentState(kept.term, kept.vote, kept.snapshot, kept.compacted_through, list(kept.entries))
+def copy_state(state: PersistentState) -> PersistentState:
+    return PersistentState(
+        state.term, state.vote, state.snapshot, state.compacted_through, list(state.entries)
+    )
 
 
-def keep(kept: PersistentState, write: StorageWrite) -> None:
+def apply_write(state: PersistentState, write: StorageWrite) -> None:
     """Do a write, as a disk does."""
-    kept.term, kept.vote = write.term, write.vote
+    state.term, state.vote = write.term, write.vote
     if write.snapshot is not None:
-        kept.snapshot = write.snapshot
+        state.snapshot = write.snapshot
     if write.truncate_from is not None:
-        kept.entries = [entry for entry in kept.entries if entry.index < write.truncate_from]
-    kept.entries += write.entries
-    kept.compacted_through = write.compacted_through
-    kept.entries = [entry for entry in kept.entries if entry.index > write.compacted_through[0]]
+        state.entries = [entry for entry in state.entries if entry.index < write.truncate_from]
+    state.entries += write.entries
+    state.compacted_through = write.compacted_through
+    state.entries = [entry for entry in state.entries if entry.index > write.compacted_through[0]]
--- a/bitternpath/testing/emulator/network.py
+++ b/bitternpath/testing/emulator/network.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from bitternpath.testing.emulator.scenario import Net, drawn
+from bitternpath.testing.emulator.scenario import Net, sample
 
 
 class Network:
@@ -12,24 +12,31 @@
 
     def __init__(self, net: Net, random: Random) -> None:
         self.random, self.jitter = random, net.jitter
-        self.same, self.cross = drawn(random, net.same_ms) / 1000.0, drawn(random, net.cross_ms) / 1000.0
-        self.client = drawn(random, net.client_ms) / 1000.0
-        self._cut: set[tuple[str, str]] = set()
-        self.slower: dict[tuple[str, str], float] = {}
-
-    def delay(self, start: str, end: str) -> float:
-        base = self.same if start == end else self.cross * self.slower.get((start, end), 1.0)
+        self.same_site, self.cross_site = (
+            sample(random, net.same_ms) / 1000.0,
+            sample(random, net.cross_ms) / 1000.0,
+        )
+        self.client_delay = sample(random, net.client_ms) / 1000.0
+        self._partitions: set[tuple[str, str]] = set()
+        self.delay_factors: dict[tuple[str, str], float] = {}
+
+    def delay(self, source: str, destination: str) -> float:
+        base = (
+            self.same_site
+            if source == destination
+            else self.cross_site * self.delay_factors.get((source, destination), 1.0)
+        )
         return base * (1.0 + self.jitter * self.random.random())
 
     def to_client(self) -> float:
-        return self.client * (1.0 + self.jitter * self.random.random())
+        return self.client_delay * (1.0 + self.jitter * self.random.random())
 
-    def cut(self, start: str, end: str) -> None:
+    def partition(self, source: str, destination: str) -> None:
         """What is sent that way does not arrive any more."""
-        self._cut.add((start, end))
+        self._partitions.add((source, destination))
 
-    def mend(self, start: str, end: str) -> None:
-        self._cut.discard((start, end))
+    def heal(self, source: str, destination: str) -> None:
+        self._partitions.discard((source, destination))
 
-    def passes(self, start: str, end: str) -> bool:
-        return (start, end) not in self._cut
+    def delivers(self, source: str, destination: str) -> bool:
+        return (source, destination) not in self._partitions
--- a/bitternpath/testing/emulator/ports.py
+++ b/bitternpath/testing/emulator/ports.py
@@ -5,7 +5,7 @@
 import socket
 
 
-class HeldPort:
+class ReservedPort:
     """A port of loopback that the system gives to nobody else while it is held, though nobody listens there.
 
     A port that is only looked up and let go may be given to another process before its own one listens:
--- a/bitternpath/testing/emulator/report.py
+++ b/bitternpath/testing/emulator/report.py
@@ -53,7 +53,7 @@
     console.print(f"{result.requests} first tries; {words}; lost with their nodes {lost}", soft_wrap=True)
     for violation in result.violations[:10]:
         console.print(f"BROKEN {violation}", highlight=False, markup=False, soft_wrap=True)
-    console.print("rules kept" if result.kept else f"{len(result.violations)} rules broken")
+    console.print("rules kept" if result.passed else f"{len(result.violations)} rules broken")
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
--- a/bitternpath/testing/emulator/scenario.py
+++ b/bitternpath/testing/emulator/scenario.py
@@ -13,11 +13,11 @@
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
-Least0 = Annotated[float, Meta(ge=0.0)]
+NonNegative = Annotated[float, Meta(ge=0.0)]
 Range = float | tuple[float, float]
 
-LONGEST = 3600.0  # s of a scenario
-MOST_REQUESTS = 5_000_000  # first tries that a scenario may ask for
+MAX_SECONDS = 3600.0  # s of a scenario
+MAX_REQUESTS = 5_000_000  # first tries that a scenario may ask for
 
 
 class ScenarioError(Exception):
@@ -28,7 +28,7 @@
     """A site, with the shares of traffic, workers and nodes that are there (in proportion)."""
 
     name: str
-    traffic: Least0 = 1.0
+    traffic: NonNegative = 1.0
     workers: Annotated[int, Meta(ge=0, le=100_000)] = 4
     nodes: Annotated[int, Meta(ge=0, le=10_000)] = 1
 
@@ -42,8 +42,8 @@
     slots: Annotated[int, Meta(ge=1, le=1024)] = 2  # jobs in work at once; beyond the cores they share them
     speed: Range = 1.0  # of a core; 1 is the yardstick
     queue: Annotated[int, Meta(ge=0, le=100_000)] = 30  # jobs that wait
-    crowded: Least0 = 16.0  # jobs held beyond which each one more costs `strain` of the efficiency
-    strain: Least0 = 0.03
+    crowded: NonNegative = 16.0  # jobs held beyond which each one more costs `strain` of the efficiency
+    strain: NonNegative = 0.03
     cold_share: Range = 0.25  # of the capacity right after a start
     cold_s: Range = 16.0  # s until it is warm
     errors: Share = 0.0  # of jobs
@@ -58,9 +58,9 @@
     share: Positive
     work: Range
     spread: Literal["fixed", "exp", "lognormal"] = "lognormal"
-    cv: Least0 = 0.5  # of the work, where lognormal
+    cv: NonNegative = 0.5  # of the work, where lognormal
     aim: Positive = 100.0
-    stretch: Least0 = 2.0  # the aim grows by this multiple of the job's own work
+    stretch: NonNegative = 2.0  # the aim grows by this multiple of the job's own work
     give_up: Positive = 5000.0
     worth: Positive = 1.0
     late_worth: Share = 0.25  # of the worth, for an answer after the aim
@@ -70,13 +70,13 @@
 class Clients(Struct, frozen=True, forbid_unknown_fields=True):
     """How clients behave."""
 
-    rate: Least0 = 0.0  # first tries a second; 0: by `load`
+    rate: NonNegative = 0.0  # first tries a second; 0: by `load`
     load: Annotated[float, Meta(ge=0.0, le=20.0)] = 0.6  # of the warm fleet's capacity
     swing: Share = 0.1  # of the rate, as a wave over the day
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
     backoff_ms: Positive = 15.0  # doubled for each retry, drawn from half to one and a half
     honour: Share = 0.35  # of the clients heed Retry-After
-    longest_retry_after_ms: Least0 = 2000.0
+    longest_retry_after_ms: NonNegative = 2000.0
     marks_retry: bool = True
     leave: Share = 0.0  # of the clients go away early
     keys: Annotated[int, Meta(ge=0)] = 0  # route keys; 0: none
@@ -90,8 +90,8 @@
     client_ms: Range = 0.6
     jitter: Share = 0.2
     dial_timeout_ms: Positive = 250.0
-    handshake_rtts: Least0 = 2.5
-    handshake_work_ms: Least0 = 1.5  # of a worker's core for each new connection
+    handshake_rtts: NonNegative = 2.5
+    handshake_work_ms: NonNegative = 1.5  # of a worker's core for each new connection
     idle_s: Positive = 10.0
 
 
@@ -101,9 +101,9 @@
     notice_s: Range = 1.0  # until an end is told
     silent_notice_s: Range = 8.0  # until silence is told
     add_s: Range = 0.7  # until a start is told
-    spread_s: Least0 = 0.1  # between the first node that hears and the last
+    spread_s: NonNegative = 0.1  # between the first node that hears and the last
     # Calls a second that one service answers in turn for all nodes; 0: it tells each node by itself.
-    calls_per_s: Least0 = 0.0
+    calls_per_s: NonNegative = 0.0
     call_waits_s: Positive = (
         2.0  # a call fails when it has waited so long, and costs the service all the same
     )
@@ -113,27 +113,27 @@
 class Rules(Struct, frozen=True, forbid_unknown_fields=True):
     """What binds the nodes."""
 
-    drain_grace_ms: Least0 = 2000.0
-    answer_grace_ms: Least0 = 8.0
+    drain_grace_ms: NonNegative = 2000.0
+    answer_grace_ms: NonNegative = 8.0
     fall_multiple: Positive = 4.0
     fall_ms: Positive = 1000.0
     stated_cold_share: Share = 0.15
     stated_warm_ms: Positive = 23_000.0
     try_limit: Annotated[int, Meta(ge=1, le=100)] = 6
     second_copies: bool = True
-    progress_ms: Least0 = 1000.0
+    progress_ms: NonNegative = 1000.0
     tells_start: bool = True
 
 
 class Prices(Struct, frozen=True, forbid_unknown_fields=True):
     """Taken off the service, each times its share."""
 
-    waste: Least0 = 0.10
-    late_fail: Least0 = 0.072
-    cross_site: Least0 = 0.03
+    waste: NonNegative = 0.10
+    late_fail: NonNegative = 0.072
+    cross_site: NonNegative = 0.03
 
 
-class FleetOf(Struct, frozen=True, forbid_unknown_fields=True):
+class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Stewards, and nodes under their word; on sockets alone."""
 
     stewards: Annotated[int, Meta(ge=0, le=9)] = 0  # one a site in turn; 0: none
@@ -143,7 +143,7 @@
     alone: Literal["serve", "leave"] = "serve"
 
 
-class Trouble(Struct, frozen=True, forbid_unknown_fields=True):
+class Fault(Struct, frozen=True, forbid_unknown_fields=True):
     """Something that goes wrong, see `troubles/`. What the fields mean is the trouble's to say."""
 
     kind: str
@@ -168,18 +168,18 @@
         default_factory=lambda: [Kind("standard")]
     )
     says: str = ""  # what it shows, in one line
-    seconds: Annotated[float, Meta(gt=0.0, le=LONGEST)] = 45.0
+    seconds: Annotated[float, Meta(gt=0.0, le=MAX_SECONDS)] = 45.0
     clients: Clients = Clients()
     net: Net = Net()
     discovery: Discovery = Discovery()
     rules: Rules = Rules()
     prices: Prices = Prices()
-    fleet: FleetOf = FleetOf()
+    fleet: FleetSettings = FleetSettings()
     front_notice_s: Range = 2.0  # until the front knows that a node has died
-    start_spread_s: Least0 = 0.8  # between the first node's start and the last's
-    troubles: list[Trouble] = msgspec.field(default_factory=list)
+    start_spread_s: NonNegative = 0.8  # between the first node's start and the last's
+    troubles: list[Fault] = msgspec.field(default_factory=list)
 
 
-def drawn(random: Random, value: Range) -> float:
+def sample(random: Random, value: Range) -> float:
     """A value, or one out of its range."""
     return value if isinstance(value, int | float) else random.uniform(*value)
--- a/bitternpath/testing/emulator/scenario_file.py
+++ b/bitternpath/testing/emulator/scenario_file.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from bitternpath.testing.emulator.scenario import MOST_REQUESTS, Scenario, ScenarioError
-from bitternpath.testing.emulator.troubles.fleet import FLEET
+from bitternpath.testing.emulator.scenario import MAX_REQUESTS, Scenario, ScenarioError
+from bitternpath.testing.emulator.troubles.fleet import FLEET_KINDS
 from bitternpath.testing.emulator.troubles.register import KINDS
 
 
@@ -21,10 +21,10 @@
         raise ScenarioError(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise ScenarioError(f"{path}: not TOML: {' '.join(str(error).split())}") from error
-    return made_from(told, str(path))
+    return scenario_from(told, str(path))
 
 
-def made_from(told: dict[str, Any], where: str) -> Scenario:
+def scenario_from(told: dict[str, Any], where: str) -> Scenario:
     """A scenario from plain values, checked as a whole."""
     try:
         scenario = msgspec.convert(told, Scenario)
@@ -38,7 +38,7 @@
             raise ScenarioError(
                 f"{where}: troubles: kind {trouble.kind!r}; allowed are {', '.join(sorted(KINDS))}"
             )
-        if trouble.kind in FLEET and not scenario.fleet.stewards:
+        if trouble.kind in FLEET_KINDS and not scenario.fleet.stewards:
             raise ScenarioError(f"{where}: troubles: kind {trouble.kind!r} needs fleet.stewards")
         for site in (trouble.site, trouble.other):
             if site and site not in names:
@@ -47,6 +47,6 @@
         raise ScenarioError(f"{where}: sites: no workers")
     if not sum(site.nodes for site in scenario.sites):
         raise ScenarioError(f"{where}: sites: no nodes")
-    if scenario.clients.rate * scenario.seconds > MOST_REQUESTS:
-        raise ScenarioError(f"{where}: clients.rate: at most {MOST_REQUESTS} first tries are allowed")
+    if scenario.clients.rate * scenario.seconds > MAX_REQUESTS:
+        raise ScenarioError(f"{where}: clients.rate: at most {MAX_REQUESTS} first tries are allowed")
     return scenario
--- a/bitternpath/testing/emulator/sockets/feed.py
+++ b/bitternpath/testing/emulator/sockets/feed.py
@@ -13,8 +13,8 @@
 from bitternpath.testing.emulator.sockets.servers import Server, ServerConnection
 
 PHASES = {m.WorkerState.SERVING: "up", m.WorkerState.DRAINING: "draining", m.WorkerState.GONE: "removed"}
-HEARTBEAT = 2.0  # s between empty lines on a watch
-MOVED_CLOSES_AFTER = 1.5  # s for which the address before a move still answers
+HEARTBEAT_INTERVAL = 2.0  # s between empty lines on a watch
+OLD_ADDRESS_CLOSE_DELAY = 1.5  # s for which the address before a move still answers
 
 
 class DiscoveryFeed:
@@ -31,8 +31,8 @@
 
     def move(self) -> None:
         """Listen at another address; the one before closes a little later."""
-        before, self.server = self.server, Server(self.world.reactor, self._watch)
-        self.world.reactor.callLater(MOVED_CLOSES_AFTER, before.close)
+        old_server, self.server = self.server, Server(self.world.reactor, self._watch)
+        self.world.reactor.callLater(OLD_ADDRESS_CLOSE_DELAY, old_server.close)
 
     def message(self, listing: Listing) -> dict[str, Any]:
         """A listing in the platform's words, with the addresses at which this node reaches the workers."""
@@ -47,13 +47,15 @@
             ],
         }  # fmt: skip
 
-    def hear(self, name: str, listing: Listing) -> None:
+    def publish(self, name: str, listing: Listing) -> None:
         """Discovery's word goes out on the watches."""
         now = self.world.now()
         for endpoint in listing.members:
-            self.world.checker.told(now, self.node, endpoint.id, endpoint.state is m.WorkerState.SERVING)
+            self.world.checker.discovery_notified(
+                now, self.node, endpoint.id, endpoint.state is m.WorkerState.SERVING
+            )
             if endpoint.up_since:
-                self.world.informed.setdefault(endpoint.id, {})[self.node] = endpoint.up_since
+                self.world.known_starts.setdefault(endpoint.id, {})[self.node] = endpoint.up_since
         for connection in list(self.watches):
             if connection.transport.connected:
                 self._write(connection, listing)
@@ -61,16 +63,16 @@
     def _watch(self, connection: ServerConnection, request: http1.Request) -> None:
         connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches.add(connection)
-        self._write(connection, self.world.directory.whole())
-        self._beat(connection)
+        self._write(connection, self.world.directory.full_listing())
+        self._send_heartbeat(connection)
 
     def _write(self, connection: ServerConnection, listing: Listing) -> None:
         data = ujson.dumps(self.message(listing)).encode() + b"\n"
         connection.transport.write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def _beat(self, connection: ServerConnection) -> None:
+    def _send_heartbeat(self, connection: ServerConnection) -> None:
         if connection.transport.connected:
             connection.transport.write(b"1\r\n\n\r\n")
-            self.world.reactor.callLater(HEARTBEAT, self._beat, connection)
+            self.world.reactor.callLater(HEARTBEAT_INTERVAL, self._send_heartbeat, connection)
         else:
             self.watches.discard(connection)
--- a/bitternpath/testing/emulator/sockets/play.py
+++ b/bitternpath/testing/emulator/sockets/play.py
@@ -13,14 +13,14 @@
 from bitternpath.testing.emulator.sockets.world import SocketWorld
 from bitternpath.testing.emulator.world import Result
 
-VOID_BEYOND = 0.050  # s of the world's own lateness at p99 above which a run is void
+MAX_LATENESS = 0.050  # s of the world's own lateness at p99 above which a run is void
 
 
 class VoidError(Exception):
     """The machine was too busy for the run to mean anything."""
 
 
-def _in_virtual_time_only(scenario: Scenario) -> str:
+def _unsupported_on_sockets(scenario: Scenario) -> str:
     """What of the scenario the sockets can't show; empty where they show all."""
     if scenario.discovery.calls_per_s:
         return "discovery.calls_per_s"
@@ -36,18 +36,18 @@
 
     What the fleet's processes wrote down themselves breaks a rule however busy the machine was.
     """
-    only = _in_virtual_time_only(scenario)
-    if only:
-        raise ScenarioError(f"{scenario.name}: {only}: in virtual time only, leave out --sockets")
-    from twisted.internet import reactor as installed
+    unsupported = _unsupported_on_sockets(scenario)
+    if unsupported:
+        raise ScenarioError(f"{scenario.name}: {unsupported}: in virtual time only, leave out --sockets")
+    from twisted.internet import reactor as installed_reactor
 
-    reactor: Any = installed
+    reactor: Any = installed_reactor
     with tempfile.TemporaryDirectory(prefix="bitternpath-") as folder:
         world = SocketWorld(scenario, seed, reactor, Path(folder))
-        begun = time.perf_counter()
+        started = time.perf_counter()
         interrupted: list[bool] = []
 
-        def over() -> None:
+        def on_finished() -> None:
             reactor.callLater(0.1, reactor.stop)
 
         def on_interrupt(number: int, frame: object) -> None:
@@ -59,24 +59,26 @@
                 each_second(world)
             reactor.callLater(1.0, tick)
 
-        before = {number: signal.signal(number, on_interrupt) for number in (signal.SIGINT, signal.SIGTERM)}
-        reactor.callWhenRunning(world.play, over)
+        previous_handlers = {
+            number: signal.signal(number, on_interrupt) for number in (signal.SIGINT, signal.SIGTERM)
+        }
+        reactor.callWhenRunning(world.play, on_finished)
         reactor.callLater(1.0, tick)
         try:
             reactor.run(installSignalHandlers=False)
         finally:
             world.close()
-            for number, handler in before.items():
+            for number, handler in previous_handlers.items():
                 signal.signal(number, handler)
         if interrupted:
             raise KeyboardInterrupt
-        result = world.finished(time.perf_counter() - begun)
-        if world.fleet is not None and world.fleet.faults:
+        result = world.final_result(time.perf_counter() - started)
+        if world.fleet is not None and world.fleet.violations:
             return result
-        if world.own_lateness > VOID_BEYOND:
-            late = f"{world.own_lateness * 1000:.0f} ms"
+        if world.lateness_p99 > MAX_LATENESS:
+            lateness = f"{world.lateness_p99 * 1000:.0f} ms"
             raise VoidError(
-                f"void: the emulator itself was {late} late at p99, {VOID_BEYOND * 1000:.0f} ms allowed"
+                f"void: the emulator itself was {lateness} late at p99, {MAX_LATENESS * 1000:.0f} ms allowed"
             )
         if world.processor_waits.excused:
             raise VoidError(f"void: the machine was too busy: {world.processor_waits.excused[0]}")
--- a/bitternpath/testing/emulator/sockets/pool.py
+++ b/bitternpath/testing/emulator/sockets/pool.py
@@ -11,7 +11,7 @@
 
 from bitternpath.net import http1
 
-DIAL_WITHIN = 3  # s
+DIAL_TIMEOUT = 3  # s
 
 
 class ClientConnection(Protocol):
@@ -22,13 +22,13 @@
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.reader = http1.ResponseReader()
-        self.heard: Callable[[http1.Response | None], None] | None = None
+        self.on_response: Callable[[http1.Response | None], None] | None = None
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
 
-    def ask(self, data: bytes, heard: Callable[[http1.Response | None], None]) -> None:
-        self.heard = heard
+    def send(self, data: bytes, on_response: Callable[[http1.Response | None], None]) -> None:
+        self.on_response = on_response
         self.transport.write(data)
 
     def dataReceived(self, data: bytes) -> None:
@@ -38,20 +38,20 @@
         except http1.HttpError:
             self.transport.abortConnection()
             return
-        if isinstance(message, http1.Response) and self.heard is not None:
-            heard, self.heard = self.heard, None
+        if isinstance(message, http1.Response) and self.on_response is not None:
+            on_response, self.on_response = self.on_response, None
             if message.keep_alive:
                 self.pool.idle.append(self)
             else:
                 self.transport.loseConnection()
-            heard(message)
+            on_response(message)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self in self.pool.idle:
             self.pool.idle.remove(self)
-        heard, self.heard = self.heard, None
-        if heard is not None:
-            heard(None)
+        on_response, self.on_response = self.on_response, None
+        if on_response is not None:
+            on_response(None)
 
 
 class ConnectionPool:
@@ -61,24 +61,24 @@
         self.reactor, self.port = reactor, port
         self.idle: list[ClientConnection] = []
 
-    def ask(
-        self, data: bytes, heard: Callable[[http1.Response | None], None], refused: Callable[[], None],
-        sent: Callable[[ClientConnection], None],
+    def send(
+        self, data: bytes, on_response: Callable[[http1.Response | None], None],
+        on_refused: Callable[[], None], on_connected: Callable[[ClientConnection], None],
     ) -> None:  # fmt: skip
         if self.idle:
             connection = self.idle.pop()
-            sent(connection)
-            connection.ask(data, heard)
+            on_connected(connection)
+            connection.send(data, on_response)
             return
         factory: Any = Factory.forProtocol(lambda: ClientConnection(self))
         factory.noisy = False
-        dialled = TCP4ClientEndpoint(self.reactor, "127.0.0.1", self.port(), DIAL_WITHIN).connect(factory)
+        dialing = TCP4ClientEndpoint(self.reactor, "127.0.0.1", self.port(), DIAL_TIMEOUT).connect(factory)
 
-        def up(connection: Any) -> None:
-            sent(connection)
-            connection.ask(data, heard)
+        def connected(connection: Any) -> None:
+            on_connected(connection)
+            connection.send(data, on_response)
 
-        dialled.addCallbacks(up, lambda failure: refused())
+        dialing.addCallbacks(connected, lambda failure: on_refused())
 
     def close(self) -> None:
         for connection in list(self.idle):
--- a/bitternpath/testing/emulator/sockets/requests.py
+++ b/bitternpath/testing/emulator/sockets/requests.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from bitternpath.net import http1
-from bitternpath.testing.emulator.clients import Try
+from bitternpath.testing.emulator.clients import ClientRequest
 from bitternpath.testing.emulator.sockets.pool import ClientConnection, ConnectionPool
 from bitternpath.testing.emulator.sockets.run import Run, RunningNode
 
 # s for which a client's connection is read on once its time is up: an answer that is late, but within the
 # rules' grace, would else go unread, and one that is later still would not show how late.
-READ_ON = 1.0
+LATE_READ_TIME = 1.0
 
 
 class ClientRequests:
@@ -19,74 +19,87 @@
         self.world, self.node = world, node
         self.pool = ConnectionPool(world.reactor, lambda: node.port)
 
-    def send(self, told: Try) -> None:
+    def send(self, client_request: ClientRequest) -> None:
         """Send a request on a kept connection or a new one."""
-        world, ask, id = self.world, told.ask, told.id
-        world.asks[id] = told
-
-        def sent(connection: ClientConnection) -> None:
-            world.checker.took(world.now(), id, self.node.name, told.sent + told.budget, ask.job_class.safe)
+        world, operation, id = self.world, client_request.operation, client_request.id
+        world.client_requests[id] = client_request
+
+        def on_connected(connection: ClientConnection) -> None:
+            world.checker.accepted(
+                world.now(),
+                id,
+                self.node.name,
+                client_request.sent + client_request.budget,
+                operation.job_class.safe,
+            )
             world.connections[id] = connection
-            if told.done:  # it gave up or left before there was a connection
-                world.checker.left(id)
-                world.later.callLater(0.0, self._hang_up, told)
-
-        def refused() -> None:
-            world.later.callLater(0.0, world.clients.answer, told, "unreachable", 0.0, b"")
-
-        self.pool.ask(self._bytes(told), lambda answer: self._heard(told, answer), refused, sent)
-
-    def _bytes(self, told: Try) -> bytes:
-        job_class = told.ask.job_class.name.encode()
-        left = max(int((told.sent + told.budget - self.world.now()) * 1000), 1)
+            if client_request.done:  # it gave up or left before there was a connection
+                world.checker.abandoned(id)
+                world.scheduler.callLater(0.0, self._hang_up, client_request)
+
+        def on_refused() -> None:
+            world.scheduler.callLater(0.0, world.clients.answer, client_request, "unreachable", 0.0, b"")
+
+        self.pool.send(
+            self._bytes(client_request),
+            lambda answer: self._on_response(client_request, answer),
+            on_refused,
+            on_connected,
+        )
+
+    def _bytes(self, client_request: ClientRequest) -> bytes:
+        job_class = client_request.operation.job_class.name.encode()
+        remaining_ms = max(int((client_request.sent + client_request.budget - self.world.now()) * 1000), 1)
         headers = [
-            (b"Host", b"backend.local"), (b"X-Call-Id", told.id.encode()),
-            (b"X-Call-Class", job_class), (b"X-Budget-Ms", b"%d" % left),
+            (b"Host", b"backend.local"), (b"X-Call-Id", client_request.id.encode()),
+            (b"X-Call-Class", job_class), (b"X-Budget-Ms", b"%d" % remaining_ms),
         ]  # fmt: skip
-        if told.number and self.world.scenario.clients.marks_retry:
+        if client_request.number and self.world.scenario.clients.marks_retry:
             headers.append((b"X-Again", b"1"))
         return http1.request(b"POST", b"/" + job_class, headers, b"work")
 
-    def _heard(self, told: Try, answer: http1.Response | None) -> None:
-        self.world.connections.pop(told.id, None)
+    def _on_response(self, client_request: ClientRequest, answer: http1.Response | None) -> None:
+        self.world.connections.pop(client_request.id, None)
         if answer is None:
-            self._answered(told, "reset", 0.0, b"")
+            self._record_answer(client_request, "reset", 0.0, b"")
         elif answer.status == 200:
-            self._answered(told, "served", 0.0, answer.body)
+            self._record_answer(client_request, "served", 0.0, answer.body)
         elif answer.status in (429, 503):
-            advice = answer.headers.get(b"retry-after", b"0")
-            self._answered(told, "refused", float(advice) * 1000.0, b"")
+            retry_after_header = answer.headers.get(b"retry-after", b"0")
+            self._record_answer(client_request, "refused", float(retry_after_header) * 1000.0, b"")
         else:
-            self._answered(told, "failed", 0.0, b"")
+            self._record_answer(client_request, "failed", 0.0, b"")
 
-    def _answered(self, told: Try, what: str, retry_after: float, result: bytes) -> None:
+    def _record_answer(
+        self, client_request: ClientRequest, outcome: str, retry_after: float, result: bytes
+    ) -> None:
         """What a client reads."""
         world, node, now = self.world, self.node, self.world.now()
-        world.excuse(now, node, told)
-        if what == "reset":
-            if node.up and node.process.poll() is None and not told.done:
-                world.checker.answered(now, told.id, "closed")  # a whole answer was owed
-                world.faults.append(f"{node.name} closed on request {told.id} without an answer")
+        world.excuse_delay(now, node, client_request)
+        if outcome == "reset":
+            if node.alive and node.process.poll() is None and not client_request.done:
+                world.checker.answered(now, client_request.id, "closed")  # a whole answer was owed
+                world.failures.append(f"{node.name} closed on request {client_request.id} without an answer")
         else:
-            world.checker.answered(now, told.id, what, result)
-        delay = world.to_client(told.ask.site, node.site)
-        world.later.callLater(delay, world.clients.answer, told, what, retry_after, result)
+            world.checker.answered(now, client_request.id, outcome, result)
+        delay = world.to_client(client_request.operation.site, node.site)
+        world.scheduler.callLater(delay, world.clients.answer, client_request, outcome, retry_after, result)
 
-    def leave(self, told: Try) -> None:
+    def leave(self, client_request: ClientRequest) -> None:
         """The client waits no longer. One whose time is up reads on for a while: what the node answered in
         time may lie unread, or be on its way."""
-        if self.world.now() < told.sent + told.budget:
-            self._hang_up(told)
+        if self.world.now() < client_request.sent + client_request.budget:
+            self._hang_up(client_request)
         else:
-            self.world.later.callLater(READ_ON, self._hang_up, told)
+            self.world.scheduler.callLater(LATE_READ_TIME, self._hang_up, client_request)
 
-    def _hang_up(self, told: Try) -> None:
-        connection = self.world.connections.pop(told.id, None)
+    def _hang_up(self, client_request: ClientRequest) -> None:
+        connection = self.world.connections.pop(client_request.id, None)
         if connection is not None:
-            connection.heard = None
+            connection.on_response = None
             connection.transport.abortConnection()
-            if self.world.now() < self.world.checker.due(told.id):
-                self.world.checker.left(told.id)
+            if self.world.now() < self.world.checker.deadline(client_request.id):
+                self.world.checker.abandoned(client_request.id)
 
     def close(self) -> None:
         self.pool.close()
--- a/bitternpath/testing/emulator/sockets/run.py
+++ b/bitternpath/testing/emulator/sockets/run.py
@@ -12,11 +12,11 @@
 from typing import Any, Protocol
 
 from bitternpath.testing.emulator.checker import Checker
-from bitternpath.testing.emulator.clients import Clients, Front, Try
+from bitternpath.testing.emulator.clients import ClientRequest, Clients, LoadBalancer
 from bitternpath.testing.emulator.discovery import Directory
 from bitternpath.testing.emulator.network import Network
 from bitternpath.testing.emulator.scenario import Scenario
-from bitternpath.testing.emulator.service import Tally
+from bitternpath.testing.emulator.service import ServiceMetrics
 from bitternpath.testing.emulator.sockets.pool import ClientConnection, ConnectionPool
 from bitternpath.testing.emulator.worker import Worker
 
@@ -27,15 +27,15 @@
     name: str
     site: str
     port: int
-    up: bool
+    alive: bool
     process: Any  # subprocess.Popen
-    news: ConnectionPool  # call-backs of workers
+    call_back_pool: ConnectionPool  # call-backs of workers
 
 
 class RunningFleet(Protocol):
     """The processes that keep the fleet's record."""
 
-    def environ(self, name: str) -> dict[str, str]:
+    def environment(self, name: str) -> dict[str, str]:
         """What tells a process of them, as environment variables."""
 
     def program(self) -> list[str]:
@@ -55,23 +55,23 @@
     scenario: Scenario
     reactor: Any
     folder: Path  # for the nodes' files and logs
-    later: Any  # the run's clock
+    scheduler: Any  # the run's clock
     random: Random
     net: Network
-    tally: Tally
+    metrics: ServiceMetrics
     checker: Checker
     directory: Directory
-    front: Front
-    front_notice: float  # s until the front notices that a node is gone
+    load_balancer: LoadBalancer
+    failure_detection_s: float  # s until the front notices that a node is gone
     clients: Clients
     workers: dict[str, Worker]
-    asks: dict[str, Try]  # by request
+    client_requests: dict[str, ClientRequest]  # by request
     connections: dict[str, ClientConnection]  # by request
-    informed: dict[str, dict[str, float]]  # by worker and node: the worker's start as the node knows it
-    losing: set[str]  # workers whose call-backs are lost
-    call_backs_twice: float  # share of them
-    operated: bool  # whether nodes need a console
-    faults: list[str]
+    known_starts: dict[str, dict[str, float]]  # by worker and node: the worker's start as the node knows it
+    blocked_call_backs: set[str]  # workers whose call-backs are lost
+    duplicate_call_backs: float  # share of them
+    needs_console: bool  # whether nodes need a console
+    failures: list[str]
 
     @property
     def nodes(self) -> Mapping[str, RunningNode]:
@@ -91,5 +91,5 @@
     def to_client(self, client_site: str, node_site: str) -> float:
         """Delay in s of an answer from a node to a client."""
 
-    def excuse(self, now: float, node: RunningNode, told: Try) -> None:
+    def excuse_delay(self, now: float, node: RunningNode, client_request: ClientRequest) -> None:
         """Note where the machine held an answer up, and not the node."""
--- a/bitternpath/testing/emulator/sockets/servers.py
+++ b/bitternpath/testing/emulator/sockets/servers.py
@@ -19,17 +19,17 @@
 
     transport: Any
 
-    def __init__(self, serve: Serve, open_: set[ServerConnection]) -> None:
-        self.serve, self.open = serve, open_
+    def __init__(self, serve: Serve, connections: set[ServerConnection]) -> None:
+        self.serve, self.open = serve, connections
         self.reader = http1.RequestReader()
-        self.deaf = False  # its machine is silent
+        self.unresponsive = False  # its machine is silent
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.open.add(self)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.deaf:
+        if self.unresponsive:
             return
         self.reader.feed(data)
         try:
@@ -39,7 +39,7 @@
             self.transport.abortConnection()
 
     def answer(self, status: int, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
-        if self.transport.connected and not self.deaf:
+        if self.transport.connected and not self.unresponsive:
             self.transport.write(http1.response(status, b"", headers))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -58,7 +58,7 @@
         self.serve = serve
         self.connections: set[ServerConnection] = set()
         self.reactor = reactor
-        self.filling: list[socket.socket] = []
+        self.backlog_fillers: list[socket.socket] = []
         self.port: Any = reactor.listenTCP(0, self, BACKLOG, "127.0.0.1")
         self.number: int = self.port.getHost().port
 
@@ -76,12 +76,12 @@
     def open(self) -> None:
         if self.port is None:
             self.port = self.reactor.listenTCP(self.number, self, BACKLOG, "127.0.0.1")
-        self.hear()
+        self.restore()
 
-    def silence(self) -> None:
+    def go_silent(self) -> None:
         """The machine is gone from the network: connections stay open and silent, new ones never come up."""
         for connection in self.connections:
-            connection.deaf = True
+            connection.unresponsive = True
         if self.port is not None:
             self.port.stopReading()
             self.port.socket.listen(0)  # what the kernel would accept is filled: it drops the next ones
@@ -89,16 +89,16 @@
                 sock = socket.socket()
                 sock.setblocking(False)
                 sock.connect_ex(("127.0.0.1", self.number))
-                self.filling.append(sock)
+                self.backlog_fillers.append(sock)
 
-    def hear(self) -> None:
+    def restore(self) -> None:
         """Back again: what was open is reset."""
-        if self.filling and self.port is not None:
-            for sock in self.filling:
+        if self.backlog_fillers and self.port is not None:
+            for sock in self.backlog_fillers:
                 sock.close()
-            self.filling.clear()
+            self.backlog_fillers.clear()
             self.port.socket.listen(BACKLOG)
             self.port.startReading()
         for connection in list(self.connections):
-            if connection.deaf:
+            if connection.unresponsive:
                 connection.transport.abortConnection()
