--- a/bitternpath/testing/emulator/troubles/fleet.py
+++ b/bitternpath/testing/emulator/troubles/fleet.py
@@ -6,184 +6,184 @@
 from typing import Any
 
 from bitternpath.balancer.fleet import plan as p
-from bitternpath.testing.emulator.troubles.register import Active, trouble
+from bitternpath.testing.emulator.troubles.register import ActiveFault, register_fault
 
 
-@trouble("fleet-changes")
-def fleet_changes(world: Any, active: Active, random: Random) -> None:
+@register_fault("fleet-changes")
+def fleet_changes(world: Any, fault: ActiveFault, random: Random) -> None:
     """The operator changes something every `size` s."""
-    over: list[bool] = []
-    number = [0]
+    stopped: list[bool] = []
+    changes_submitted = [0]
 
-    def again() -> None:
-        if over:
+    def submit_change() -> None:
+        if stopped:
             return
-        number[0] += 1
+        changes_submitted[0] += 1
         name = random.choice([spec.name for spec in world.scenario.classes])
         aim = next(spec.aim for spec in world.scenario.classes if spec.name == name)
         changes = [
-            p.SetClass(name, {"aim": aim + number[0]}),
-            p.SetRule("allowed", "tryLimit", float(4 + number[0] % 3)),
+            p.SetClass(name, {"aim": aim + changes_submitted[0]}),
+            p.SetRule("allowed", "tryLimit", float(4 + changes_submitted[0] % 3)),
         ]
         world.fleet.change(random.choice(changes))
-        world.later.callLater(max(active.size, 0.1), again)
+        world.scheduler.callLater(max(fault.size, 0.1), submit_change)
 
-    again()
-    active.undo = lambda: over.append(True)
+    submit_change()
+    fault.undo = lambda: stopped.append(True)
 
 
-@trouble("fleet-ban")
-def fleet_ban(world: Any, active: Active, random: Random) -> None:
+@register_fault("fleet-ban")
+def fleet_ban(world: Any, fault: ActiveFault, random: Random) -> None:
     """A calendar worker is banned at all nodes, and called back at the end."""
     worker = random.choice(sorted(world.workers))
-    active.on = [worker]
-    banned: list[int] = []
+    fault.targets = [worker]
+    versions: list[int] = []
 
-    def known(version: int) -> None:
-        banned.append(version)
-        world.fleet.bans[worker] = version
+    def accepted(version: int) -> None:
+        versions.append(version)
+        world.fleet.ejections[worker] = version
 
     def undo() -> None:
-        world.fleet.bans.pop(worker, None)
+        world.fleet.ejections.pop(worker, None)
         for node in world.nodes:
-            world.checker.called_back(node, worker)
-        if banned:
+            world.checker.worker_reinstated(node, worker)
+        if versions:
             world.fleet.change(p.ReinstateWorker(worker))
 
-    world.fleet.change(p.EjectWorker(worker), known)
-    active.undo = undo
+    world.fleet.change(p.EjectWorker(worker), accepted)
+    fault.undo = undo
 
 
-def _stewards(world: Any, active: Active, random: Random) -> list[Any]:
+def _pick_servers(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
     """`part` of those that run, one at least."""
-    up = sorted(name for name, steward in world.fleet.stewards.items() if steward.up)
-    active.on = sorted(random.sample(up, min(max(round(active.part * len(up)), 1), len(up))))
-    return [world.fleet.stewards[name] for name in active.on]
+    up = sorted(name for name, server in world.fleet.servers.items() if server.alive)
+    fault.targets = sorted(random.sample(up, min(max(round(fault.part * len(up)), 1), len(up))))
+    return [world.fleet.servers[name] for name in fault.targets]
 
 
-def _leader(world: Any, active: Active) -> list[Any]:
-    known = world.fleet.leads()
-    if known is None:
+def _pick_leader(world: Any, fault: ActiveFault) -> list[Any]:
+    status = world.fleet.leader_status()
+    if status is None:
         return []
-    active.on = [str(known["leader"]).partition(".")[0]]
-    return [world.fleet.stewards[name] for name in active.on]
+    fault.targets = [str(status["leader"]).partition(".")[0]]
+    return [world.fleet.servers[name] for name in fault.targets]
 
 
-def _killed(active: Active, stewards: list[Any]) -> None:
-    for steward in stewards:
-        steward.kill()
+def _kill_until_end(fault: ActiveFault, servers: list[Any]) -> None:
+    for server in servers:
+        server.kill()
 
     def undo() -> None:
-        for steward in stewards:
-            if not steward.up:
-                steward.start()
+        for server in servers:
+            if not server.alive:
+                server.start()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-def _stalled(active: Active, stewards: list[Any]) -> None:
-    for steward in stewards:
-        steward.stop()
+def _stall_until_end(fault: ActiveFault, servers: list[Any]) -> None:
+    for server in servers:
+        server.stop()
 
     def undo() -> None:
-        for steward in stewards:
-            steward.resume()
+        for server in servers:
+            server.resume()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("kill-stewards")
-def kill_stewards(world: Any, active: Active, random: Random) -> None:
+@register_fault("kill-stewards")
+def kill_servers(world: Any, fault: ActiveFault, random: Random) -> None:
     """A part of them is killed, and started again at the end."""
-    _killed(active, _stewards(world, active, random))
+    _kill_until_end(fault, _pick_servers(world, fault, random))
 
 
-@trouble("kill-leader")
-def kill_leader(world: Any, active: Active, random: Random) -> None:
+@register_fault("kill-leader")
+def kill_leader(world: Any, fault: ActiveFault, random: Random) -> None:
     """The one that leads now."""
-    _killed(active, _leader(world, active))
+    _kill_until_end(fault, _pick_leader(world, fault))
 
 
-@trouble("stall-stewards")
-def stall_stewards(world: Any, active: Active, random: Random) -> None:
+@register_fault("stall-stewards")
+def stall_servers(world: Any, fault: ActiveFault, random: Random) -> None:
     """A part of them is stopped (SIGSTOP), and goes on at the end."""
-    _stalled(active, _stewards(world, active, random))
+    _stall_until_end(fault, _pick_servers(world, fault, random))
 
 
-@trouble("stall-leader")
-def stall_leader(world: Any, active: Active, random: Random) -> None:
+@register_fault("stall-leader")
+def stall_leader(world: Any, fault: ActiveFault, random: Random) -> None:
     """The one that leads now."""
-    _stalled(active, _leader(world, active))
+    _stall_until_end(fault, _pick_leader(world, fault))
 
 
-def _some_relays(world: Any, active: Active, random: Random) -> list[Any]:
+def _pick_relays(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
     """`part` of the links to stewards, one at least."""
     pairs = sorted(world.fleet.relays)
-    chosen = random.sample(pairs, min(max(round(active.part * len(pairs)), 1), len(pairs)))
-    active.on = [f"{one} to {other}" for one, other in sorted(chosen)]
+    chosen = random.sample(pairs, min(max(round(fault.part * len(pairs)), 1), len(pairs)))
+    fault.targets = [f"{sender} to {server}" for sender, server in sorted(chosen)]
     return [world.fleet.relays[pair] for pair in chosen]
 
 
-def _mended(active: Active, relays: list[Any]) -> None:
+def _repair_at_end(fault: ActiveFault, relays: list[Any]) -> None:
     def undo() -> None:
         for relay in relays:
-            relay.mend()
+            relay.repair()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("cut-fleet-links")
-def cut_fleet_links(world: Any, active: Active, random: Random) -> None:
+@register_fault("cut-fleet-links")
+def cut_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
     """Silently, one way or both."""
-    relays = _some_relays(world, active, random)
+    relays = _pick_relays(world, fault, random)
     for relay in relays:
-        way = random.random()
-        relay.cut(there=way < 0.67, back=way > 0.33)
-    _mended(active, relays)
+        link = random.random()
+        relay.block(forward=link < 0.67, backward=link > 0.33)
+    _repair_at_end(fault, relays)
 
 
-@trouble("slow-fleet-links")
-def slow_fleet_links(world: Any, active: Active, random: Random) -> None:
+@register_fault("slow-fleet-links")
+def slow_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
     """`size` s late each way, and `extra` bytes a second where that is not 0."""
-    relays = _some_relays(world, active, random)
+    relays = _pick_relays(world, fault, random)
     for relay in relays:
-        for way in (relay.there, relay.back):
-            way.delay, way.rate = active.size, active.extra
-    _mended(active, relays)
+        for link in (relay.forward, relay.backward):
+            link.delay, link.rate = fault.size, fault.extra
+    _repair_at_end(fault, relays)
 
 
-@trouble("reset-fleet-links")
-def reset_fleet_links(world: Any, active: Active, random: Random) -> None:
+@register_fault("reset-fleet-links")
+def reset_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
     """Connections are reset, and come up again."""
-    for relay in _some_relays(world, active, random):
+    for relay in _pick_relays(world, fault, random):
         relay.reset()
 
 
-@trouble("half-open-fleet-links")
-def half_open_fleet_links(world: Any, active: Active, random: Random) -> None:
+@register_fault("half-open-fleet-links")
+def half_open_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
     """New connections are accepted and lead nowhere."""
-    relays = _some_relays(world, active, random)
+    relays = _pick_relays(world, fault, random)
     for relay in relays:
         relay.half_open = True
         relay.reset()
-    _mended(active, relays)
+    _repair_at_end(fault, relays)
 
 
-@trouble("cut-fleet-site")
-def cut_fleet_site(world: Any, active: Active, random: Random) -> None:
+@register_fault("cut-fleet-site")
+def cut_fleet_site(world: Any, fault: ActiveFault, random: Random) -> None:
     """A site's processes reach no steward of another site, nor those theirs."""
     fleet = world.fleet
     relays = []
-    for (sender, steward), relay in fleet.relays.items():
-        at = active.site if sender == "operator" else fleet.site_of(sender)
-        if sender != "operator" and (at == active.site) != (fleet.site_of(steward) == active.site):
-            relay.cut(there=True, back=True)
+    for (sender, server), relay in fleet.relays.items():
+        at = fault.site if sender == "operator" else fleet.site_of(sender)
+        if sender != "operator" and (at == fault.site) != (fleet.site_of(server) == fault.site):
+            relay.block(forward=True, backward=True)
             relays.append(relay)
-    active.on = [active.site]
-    _mended(active, relays)
+    fault.targets = [fault.site]
+    _repair_at_end(fault, relays)
 
 
-FLEET = {
+FLEET_KINDS = {
     "fleet-changes", "fleet-ban", "kill-stewards", "kill-leader", "stall-stewards", "stall-leader",
     "cut-fleet-links", "slow-fleet-links", "reset-fleet-links", "half-open-fleet-links", "cut-fleet-site",
 }  # fmt: skip
--- a/bitternpath/testing/emulator/troubles/platform.py
+++ b/bitternpath/testing/emulator/troubles/platform.py
@@ -5,65 +5,70 @@
 from random import Random
 from typing import Any
 
-from bitternpath.testing.emulator.troubles.register import Active, each_node, some_nodes, trouble
+from bitternpath.testing.emulator.troubles.register import (
+    ActiveFault,
+    pick_nodes,
+    register_fault,
+    stagger_over_nodes,
+)
 
 
-@trouble("discovery-down")
-def discovery_down(world: Any, active: Active, random: Random) -> None:
+@register_fault("discovery-down")
+def discovery_down(world: Any, fault: ActiveFault, random: Random) -> None:
     world.directory.down = True
-    active.undo = world.directory.back
+    fault.undo = world.directory.recover
 
 
-@trouble("discovery-lossy")
-def discovery_lossy(world: Any, active: Active, random: Random) -> None:
+@register_fault("discovery-lossy")
+def discovery_lossy(world: Any, fault: ActiveFault, random: Random) -> None:
     """A `part` of the changes reaches a node only with the next one, and all take `size` times as long."""
     directory = world.directory
-    directory.dropped, directory.slower = active.part, max(active.size, 1.0)
+    directory.drop_rate, directory.delay_factor = fault.part, max(fault.size, 1.0)
 
     def undo() -> None:
-        directory.dropped, directory.slower = 0.0, 1.0
-        directory.back()
+        directory.drop_rate, directory.delay_factor = 0.0, 1.0
+        directory.recover()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("kill-nodes")
-def kill_nodes(world: Any, active: Active, random: Random) -> None:
+@register_fault("kill-nodes")
+def kill_nodes(world: Any, fault: ActiveFault, random: Random) -> None:
     """A part of the nodes is killed and starts from nothing at the end."""
-    nodes = some_nodes(world, active, random)
+    nodes = pick_nodes(world, fault, random)
     for node in nodes:
         node.kill()
 
     def undo() -> None:
         for node in nodes:
-            if not node.up:
+            if not node.alive:
                 node.start()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("stop-nodes")
-def stop_nodes(world: Any, active: Active, random: Random) -> None:
+@register_fault("stop-nodes")
+def stop_nodes(world: Any, fault: ActiveFault, random: Random) -> None:
     """A part of the nodes is stopped (SIGSTOP) and goes on at the end."""
-    nodes = some_nodes(world, active, random)
+    nodes = pick_nodes(world, fault, random)
     for node in nodes:
         node.stop()
 
     def undo() -> None:
         for node in nodes:
-            if node.up:
+            if node.alive:
                 node.resume()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("rolling-restarts")
-def rolling_restarts(world: Any, active: Active, random: Random) -> None:
+@register_fault("rolling-restarts")
+def rolling_restarts(world: Any, fault: ActiveFault, random: Random) -> None:
     """All nodes restart, one after the other, `size` s down each."""
-    each_node(world, active, lambda node: node.restart(max(active.size, 0.1)))
+    stagger_over_nodes(world, fault, lambda node: node.restart(max(fault.size, 0.1)))
 
 
-@trouble("reload-nodes")
-def reload_nodes(world: Any, active: Active, random: Random) -> None:
+@register_fault("reload-nodes")
+def reload_nodes(world: Any, fault: ActiveFault, random: Random) -> None:
     """All nodes read their configuration again, one after the other; discovery has moved in it."""
-    each_node(world, active, lambda node: node.reload())
+    stagger_over_nodes(world, fault, lambda node: node.reload())
--- a/bitternpath/testing/emulator/troubles/register.py
+++ b/bitternpath/testing/emulator/troubles/register.py
@@ -10,85 +10,91 @@
 from random import Random
 from typing import Any
 
-from bitternpath.testing.emulator.scenario import Trouble, drawn
+from bitternpath.testing.emulator.scenario import Fault, sample
 
 
-class Active:
+class ActiveFault:
     """A trouble with its figures drawn."""
 
     def __init__(
-        self, kind: str, at: float, lasts: float, part: float, size: float, extra: float, trouble: Trouble
+        self, kind: str, at: float, lasts: float, part: float, size: float, extra: float, spec: Fault
     ) -> None:
         self.kind, self.at, self.lasts, self.part, self.size, self.extra = kind, at, lasts, part, size, extra
-        self.site, self.other = trouble.site, trouble.other
-        self.silent, self.nodes = trouble.silent, trouble.nodes
-        self.on: list[str] = []  # whom it took
+        self.site, self.other = spec.site, spec.other
+        self.silent, self.nodes = spec.silent, spec.nodes
+        self.targets: list[str] = []  # whom it took
         self.undo: Callable[[], None] = lambda: None
 
-    def told(self) -> dict[str, Any]:
-        return {"kind": self.kind, "at": self.at, "lasts": self.lasts, "on": list(self.on), "size": self.size}
+    def to_dict(self) -> dict[str, Any]:
+        return {
+            "kind": self.kind,
+            "at": self.at,
+            "lasts": self.lasts,
+            "on": list(self.targets),
+            "size": self.size,
+        }
 
 
-Do = Callable[[Any, Active, Random], None]
-KINDS: dict[str, Do] = {}
+Injector = Callable[[Any, ActiveFault, Random], None]
+KINDS: dict[str, Injector] = {}
 
 
-def trouble(kind: str) -> Callable[[Do], Do]:
+def register_fault(kind: str) -> Callable[[Injector], Injector]:
     """Registers a trouble."""
 
-    def register(do: Do) -> Do:
-        KINDS[kind] = do
-        return do
+    def register(injector: Injector) -> Injector:
+        KINDS[kind] = injector
+        return injector
 
     return register
 
 
-def begin(world: Any, told: Trouble, random: Random) -> None:
+def schedule_fault(world: Any, spec: Fault, random: Random) -> None:
     """Draw a trouble's figures and schedule its begin and end."""
-    active = Active(
-        told.kind,
-        drawn(random, told.at),
-        drawn(random, told.lasts),
-        drawn(random, told.part),
-        drawn(random, told.size),
-        drawn(random, told.extra),
-        told,
+    fault = ActiveFault(
+        spec.kind,
+        sample(random, spec.at),
+        sample(random, spec.lasts),
+        sample(random, spec.part),
+        sample(random, spec.size),
+        sample(random, spec.extra),
+        spec,
     )
-    if not active.site:
-        active.site = random.choice([site.name for site in world.scenario.sites])
-    world.active.append(active)
-    own = Random(random.getrandbits(64))
+    if not fault.site:
+        fault.site = random.choice([site.name for site in world.scenario.sites])
+    world.active_faults.append(fault)
+    fault_random = Random(random.getrandbits(64))
 
     def start() -> None:
-        world.trace("trouble", active.kind)
-        KINDS[active.kind](world, active, own)
-        world.later.callLater(active.lasts, end)
+        world.trace("trouble", fault.kind)
+        KINDS[fault.kind](world, fault, fault_random)
+        world.scheduler.callLater(fault.lasts, end)
 
     def end() -> None:
-        world.trace("trouble over", active.kind)
-        active.undo()
+        world.trace("trouble over", fault.kind)
+        fault.undo()
 
-    world.later.callLater(active.at, start)
+    world.scheduler.callLater(fault.at, start)
 
 
-def some_workers(world: Any, active: Active, random: Random) -> list[Any]:
+def pick_workers(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
     """A part of the workers, one at least; noted in `active.on`."""
     names = sorted(world.workers)
-    many = max(round(active.part * len(names)), 1)
-    active.on = sorted(random.sample(names, min(many, len(names))))
-    return [world.workers[name] for name in active.on]
+    count = max(round(fault.part * len(names)), 1)
+    fault.targets = sorted(random.sample(names, min(count, len(names))))
+    return [world.workers[name] for name in fault.targets]
 
 
-def some_nodes(world: Any, active: Active, random: Random) -> list[Any]:
+def pick_nodes(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
     """A part of the nodes that are up, one at least; noted in `active.on`."""
-    names = sorted(name for name, node in world.nodes.items() if node.up)
-    active.on = sorted(random.sample(names, min(max(round(active.part * len(names)), 1), len(names))))
-    return [world.nodes[name] for name in active.on]
+    names = sorted(name for name, node in world.nodes.items() if node.alive)
+    fault.targets = sorted(random.sample(names, min(max(round(fault.part * len(names)), 1), len(names))))
+    return [world.nodes[name] for name in fault.targets]
 
 
-def each_node(world: Any, active: Active, do: Callable[[Any], object]) -> None:
+def stagger_over_nodes(world: Any, fault: ActiveFault, injector: Callable[[Any], object]) -> None:
     """All nodes, one after the other, over the time that the trouble lasts; noted in `active.on`."""
     nodes = list(world.nodes.values())
-    for k, node in enumerate(nodes):
-        world.later.callLater(active.lasts * k / len(nodes), do, node)
-    active.on = [node.name for node in nodes]
+    for index, node in enumerate(nodes):
+        world.scheduler.callLater(fault.lasts * index / len(nodes), injector, node)
+    fault.targets = [node.name for node in nodes]
--- a/bitternpath/testing/emulator/troubles/sites.py
+++ b/bitternpath/testing/emulator/troubles/sites.py
@@ -5,64 +5,64 @@
 from random import Random
 from typing import Any
 
-from bitternpath.testing.emulator.troubles.register import Active, trouble
+from bitternpath.testing.emulator.troubles.register import ActiveFault, register_fault
 
 
-@trouble("site-loss")
-def site_loss(world: Any, active: Active, random: Random) -> None:
+@register_fault("site-loss")
+def site_loss(world: Any, fault: ActiveFault, random: Random) -> None:
     """All workers of a site go, silently or as processes that die, and come back cold; `nodes` takes those
     along."""
-    workers = [w for w in world.workers.values() if w.site == active.site and w.up]
-    nodes = [n for n in world.nodes.values() if n.site == active.site and n.up] if active.nodes else []
-    active.on = [active.site]
+    workers = [w for w in world.workers.values() if w.site == fault.site and w.alive]
+    nodes = [n for n in world.nodes.values() if n.site == fault.site and n.alive] if fault.nodes else []
+    fault.targets = [fault.site]
     for worker in workers:
-        world.end_process(worker, active.silent)
+        world.end_process(worker, fault.silent)
     for node in nodes:
         node.kill()
 
     def undo() -> None:
-        stale = world.directory.whole()
+        stale = world.directory.full_listing()
         for worker in workers:
-            if not worker.up:
+            if not worker.alive:
                 world.start_process(worker)
         for node in nodes:
             node.start(stale)
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("link-cut")
-def link_cut(world: Any, active: Active, random: Random) -> None:
+@register_fault("link-cut")
+def link_cut(world: Any, fault: ActiveFault, random: Random) -> None:
     """From `site` nothing reaches `other` (drawn where it is empty); with `size` of 2 nor the other way."""
-    others = [site.name for site in world.scenario.sites if site.name != active.site]
+    others = [site.name for site in world.scenario.sites if site.name != fault.site]
     if not others:
         return
-    active.other = active.other or random.choice(others)
-    active.on = [active.site, active.other]
-    ways = [(active.site, active.other), (active.other, active.site)][: 2 if active.size >= 2 else 1]
-    for way in ways:
-        world.net.cut(*way)
+    fault.other = fault.other or random.choice(others)
+    fault.targets = [fault.site, fault.other]
+    links = [(fault.site, fault.other), (fault.other, fault.site)][: 2 if fault.size >= 2 else 1]
+    for link in links:
+        world.net.partition(*link)
 
     def undo() -> None:
-        for way in ways:
-            world.net.mend(*way)
+        for link in links:
+            world.net.heal(*link)
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("slow-link")
-def slow_link(world: Any, active: Active, random: Random) -> None:
+@register_fault("slow-link")
+def slow_link(world: Any, fault: ActiveFault, random: Random) -> None:
     """Between `site` and all others messages take `size` times as long."""
-    ways = []
+    links = []
     for site in world.scenario.sites:
-        if site.name != active.site:
-            ways += [(active.site, site.name), (site.name, active.site)]
-    active.on = [active.site]
-    for way in ways:
-        world.net.slower[way] = active.size
+        if site.name != fault.site:
+            links += [(fault.site, site.name), (site.name, fault.site)]
+    fault.targets = [fault.site]
+    for link in links:
+        world.net.delay_factors[link] = fault.size
 
     def undo() -> None:
-        for way in ways:
-            world.net.slower.pop(way, None)
+        for link in links:
+            world.net.delay_factors.pop(link, None)
 
-    active.undo = undo
+    fault.undo = undo
--- a/bitternpath/testing/emulator/troubles/traffic.py
+++ b/bitternpath/testing/emulator/troubles/traffic.py
@@ -6,56 +6,56 @@
 from random import Random
 from typing import Any
 
-from bitternpath.testing.emulator.troubles.register import Active, trouble
+from bitternpath.testing.emulator.troubles.register import ActiveFault, register_fault
 
 
-@trouble("burst")
-def burst(world: Any, active: Active, random: Random) -> None:
-    world.clients.burst *= active.size
+@register_fault("burst")
+def burst(world: Any, fault: ActiveFault, random: Random) -> None:
+    world.clients.burst *= fault.size
 
     def undo() -> None:
-        world.clients.burst /= active.size
+        world.clients.burst /= fault.size
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("site-burst")
-def site_burst(world: Any, active: Active, random: Random) -> None:
+@register_fault("site-burst")
+def site_burst(world: Any, fault: ActiveFault, random: Random) -> None:
     """The same for one site."""
     bursts = world.clients.site_burst
-    bursts[active.site] = bursts.get(active.site, 1.0) * active.size
+    bursts[fault.site] = bursts.get(fault.site, 1.0) * fault.size
 
     def undo() -> None:
-        bursts[active.site] /= active.size
+        bursts[fault.site] /= fault.size
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("rude")
-def rude(world: Any, active: Active, random: Random) -> None:
+@register_fault("rude")
+def rude(world: Any, fault: ActiveFault, random: Random) -> None:
     """Clients come back the moment they are turned away, whatever they are told."""
     import msgspec
 
-    before = world.clients.habits
-    world.clients.habits = msgspec.structs.replace(
-        before, honour=0.0, backoff_ms=1.0, retries=max(before.retries, round(active.size))
+    previous = world.clients.behavior
+    world.clients.behavior = msgspec.structs.replace(
+        previous, honour=0.0, backoff_ms=1.0, retries=max(previous.retries, round(fault.size))
     )
 
     def undo() -> None:
-        world.clients.habits = before
+        world.clients.behavior = previous
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("leave")
-def leave(world: Any, active: Active, random: Random) -> None:
+@register_fault("leave")
+def leave(world: Any, fault: ActiveFault, random: Random) -> None:
     """A part of the clients goes away before its time."""
     import msgspec
 
-    before = world.clients.habits
-    world.clients.habits = msgspec.structs.replace(before, leave=active.part)
+    previous = world.clients.behavior
+    world.clients.behavior = msgspec.structs.replace(previous, leave=fault.part)
 
     def undo() -> None:
-        world.clients.habits = before
+        world.clients.behavior = previous
 
-    active.undo = undo
+    fault.undo = undo
--- a/bitternpath/testing/emulator/troubles/workers.py
+++ b/bitternpath/testing/emulator/troubles/workers.py
@@ -5,133 +5,133 @@
 from random import Random
 from typing import Any
 
-from bitternpath.testing.emulator.troubles.register import Active, some_workers, trouble
+from bitternpath.testing.emulator.troubles.register import ActiveFault, pick_workers, register_fault
 
 
-@trouble("slow")
-def slow(world: Any, active: Active, random: Random) -> None:
+@register_fault("slow")
+def slow(world: Any, fault: ActiveFault, random: Random) -> None:
     """`size` times slower."""
-    workers = some_workers(world, active, random)
+    workers = pick_workers(world, fault, random)
     for worker in workers:
-        worker.slowed *= active.size
-        worker.changed()
+        worker.slowdown *= fault.size
+        worker.reschedule()
 
     def undo() -> None:
         for worker in workers:
-            worker.slowed /= active.size
-            worker.changed()
+            worker.slowdown /= fault.size
+            worker.reschedule()
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("pauses")
-def pauses(world: Any, active: Active, random: Random) -> None:
+@register_fault("pauses")
+def pauses(world: Any, fault: ActiveFault, random: Random) -> None:
     """They stand still for `size` ms every `extra` s."""
-    workers = some_workers(world, active, random)
-    over = [False]
+    workers = pick_workers(world, fault, random)
+    stopped = [False]
 
-    def stand(worker: Any) -> None:
-        if not over[0]:
+    def pause(worker: Any) -> None:
+        if not stopped[0]:
             worker.paused = True
-            worker.changed()
-            world.later.callLater(active.size / 1000.0, go, worker)
+            worker.reschedule()
+            world.scheduler.callLater(fault.size / 1000.0, resume, worker)
 
-    def go(worker: Any) -> None:
+    def resume(worker: Any) -> None:
         worker.paused = False
-        worker.changed()
-        world.later.callLater(max(active.extra, 0.1) * (0.5 + random.random()), stand, worker)
+        worker.reschedule()
+        world.scheduler.callLater(max(fault.extra, 0.1) * (0.5 + random.random()), pause, worker)
 
     for worker in workers:
-        world.later.callLater(random.random() * max(active.extra, 0.1), stand, worker)
+        world.scheduler.callLater(random.random() * max(fault.extra, 0.1), pause, worker)
 
     def undo() -> None:
-        over[0] = True
+        stopped[0] = True
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("neighbour")
-def neighbour(world: Any, active: Active, random: Random) -> None:
+@register_fault("neighbour")
+def neighbour(world: Any, fault: ActiveFault, random: Random) -> None:
     """Another program takes `size` of the machine, on and off for `extra` s each."""
-    workers = some_workers(world, active, random)
-    over = [False]
+    workers = pick_workers(world, fault, random)
+    stopped = [False]
 
-    def turn(worker: Any, on: bool) -> None:
-        worker.taken = active.size if on and not over[0] else 0.0
-        worker.changed()
-        if not over[0]:
-            world.later.callLater(max(active.extra, 0.1) * (0.5 + random.random()), turn, worker, not on)
+    def toggle(worker: Any, on: bool) -> None:
+        worker.stolen_share = fault.size if on and not stopped[0] else 0.0
+        worker.reschedule()
+        if not stopped[0]:
+            world.scheduler.callLater(max(fault.extra, 0.1) * (0.5 + random.random()), toggle, worker, not on)
 
     for worker in workers:
-        turn(worker, random.random() < 0.5)
+        toggle(worker, random.random() < 0.5)
 
     def undo() -> None:
-        over[0] = True
+        stopped[0] = True
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("errors")
-def errors(world: Any, active: Active, random: Random) -> None:
+@register_fault("errors")
+def errors(world: Any, fault: ActiveFault, random: Random) -> None:
     """`size` of their jobs end as errors."""
-    workers = some_workers(world, active, random)
+    workers = pick_workers(world, fault, random)
     for worker in workers:
-        worker.erring += active.size
+        worker.extra_error_rate += fault.size
 
     def undo() -> None:
         for worker in workers:
-            worker.erring -= active.size
+            worker.extra_error_rate -= fault.size
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("vanish")
-def vanish(world: Any, active: Active, random: Random) -> None:
+@register_fault("vanish")
+def vanish(world: Any, fault: ActiveFault, random: Random) -> None:
     """Machines go silent and come back cold; with `silent` off their processes die instead."""
-    workers = [w for w in some_workers(world, active, random) if w.up]
+    workers = [w for w in pick_workers(world, fault, random) if w.alive]
     for worker in workers:
-        world.end_process(worker, active.silent)
+        world.end_process(worker, fault.silent)
 
     def undo() -> None:
         for worker in workers:
-            if not worker.up:
+            if not worker.alive:
                 world.start_process(worker)
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("drain")
-def drain(world: Any, active: Active, random: Random) -> None:
+@register_fault("drain")
+def drain(world: Any, fault: ActiveFault, random: Random) -> None:
     """Workers drain, are told so, finish what they have, and start anew at the end."""
-    workers = [w for w in some_workers(world, active, random) if w.up]
+    workers = [w for w in pick_workers(world, fault, random) if w.alive]
     for worker in workers:
-        world.directory.draining(worker)
+        world.directory.process_draining(worker)
 
     def undo() -> None:
         for worker in workers:
             world.end_process(worker, False)
-            world.later.callLater(1.0, world.start_process, worker)
+            world.scheduler.callLater(1.0, world.start_process, worker)
 
-    active.undo = undo
+    fault.undo = undo
 
 
-@trouble("replace")
-def replace(world: Any, active: Active, random: Random) -> None:
+@register_fault("replace")
+def replace(world: Any, fault: ActiveFault, random: Random) -> None:
     """They are replaced by new machines with new names, one after the other."""
-    workers = [w for w in some_workers(world, active, random) if w.up]
-    for k, worker in enumerate(workers):
-        world.later.callLater(active.lasts * k / len(workers), world.replace, worker, random)
+    workers = [w for w in pick_workers(world, fault, random) if w.alive]
+    for index, worker in enumerate(workers):
+        world.scheduler.callLater(fault.lasts * index / len(workers), world.replace, worker, random)
 
 
-@trouble("call-backs")
-def call_backs(world: Any, active: Active, random: Random) -> None:
+@register_fault("call-backs")
+def call_backs(world: Any, fault: ActiveFault, random: Random) -> None:
     """`size` of the call-backs come twice; those of a `part` of the workers are held up until the end."""
-    workers = some_workers(world, active, random) if active.part else []
-    world.call_backs_twice = active.size
-    world.losing.update(worker.id for worker in workers)
+    workers = pick_workers(world, fault, random) if fault.part else []
+    world.duplicate_call_backs = fault.size
+    world.blocked_call_backs.update(worker.id for worker in workers)
 
     def undo() -> None:
-        world.call_backs_twice = 0.0
-        world.losing.difference_update(worker.id for worker in workers)
+        world.duplicate_call_backs = 0.0
+        world.blocked_call_backs.difference_update(worker.id for worker in workers)
 
-    active.undo = undo
+    fault.undo = undo
--- a/bitternpath/testing/emulator/worker.py
+++ b/bitternpath/testing/emulator/worker.py
@@ -14,78 +14,78 @@
 from random import Random
 from typing import Any
 
-from bitternpath.testing.emulator.scenario import Kind, drawn
+from bitternpath.testing.emulator.scenario import Kind, sample
 
-WARMING = 0.25  # s between looks at a cold worker's capacity
+WARM_UP_INTERVAL = 0.25  # s between looks at a cold worker's capacity
 
 
 class Attempt:
     """A job that has been sent to a worker. `work` is in s on a core of speed 1."""
 
     __slots__ = (
-        "begun",
         "deadline",
         "ended",
         "id",
-        "informed",
         "job_class",
         "node",
+        "notify",
         "progress",
+        "sender_knew_start",
         "slots",
-        "tell",
+        "started_at",
         "work",
     )
 
     def __init__(
         self, id: str, job_class: str, work: float, slots: int, deadline: float, node: Any,
-        tell: Callable[[Attempt, str], None],
+        notify: Callable[[Attempt, str], None],
     ) -> None:  # fmt: skip
         self.id, self.job_class, self.work, self.slots, self.deadline = id, job_class, work, slots, deadline
-        self.node, self.tell = (
+        self.node, self.notify = (
             node,
-            tell,
+            notify,
         )  # who sent it, and how it hears: started, running, done, failed, lost
-        self.begun = -1.0
+        self.started_at = -1.0
         self.ended = False
-        self.informed = True  # its node had been told that the worker is cold
+        self.sender_knew_start = True  # its node had been told that the worker is cold
         self.progress: Any = None
 
 
 class Worker:
     """One worker. Times in s."""
 
-    def __init__(self, id: str, site: str, kind: Kind, cell: int, later: Any, random: Random) -> None:
-        self.id, self.site, self.kind, self.cell, self.later, self.random = (
+    def __init__(self, id: str, site: str, kind: Kind, cell: int, scheduler: Any, random: Random) -> None:
+        self.id, self.site, self.kind, self.cell, self.scheduler, self.random = (
             id,
             site,
             kind,
             cell,
-            later,
+            scheduler,
             random,
         )
-        self.speed = drawn(random, kind.speed)
-        self.cold_share, self.cold_s = drawn(random, kind.cold_share), drawn(random, kind.cold_s)
-        self.up, self.reachable = True, True  # the process runs; the machine can be reached
+        self.speed = sample(random, kind.speed)
+        self.cold_share, self.cold_s = sample(random, kind.cold_share), sample(random, kind.cold_s)
+        self.alive, self.reachable = True, True  # the process runs; the machine can be reached
         self.up_since = 0.0  # 0: long ago
-        self.slowed = 1.0  # times slower
-        self.taken = 0.0  # of the machine, by another program
+        self.slowdown = 1.0  # times slower
+        self.stolen_share = 0.0  # of the machine, by another program
         self.paused = False
-        self.erring = 0.0  # of its jobs end as errors, beside its kind's
-        self.fallen = False
+        self.extra_error_rate = 0.0  # of its jobs end as errors, beside its kind's
+        self.collapsed = False
         self.queue: deque[Attempt] = deque()
         self.running: list[tuple[float, int, Attempt]] = []  # by the `v` at which they end
-        self.used = 0  # slots
+        self.used_slots = 0  # slots
         self.connections = 0  # held by all nodes, where their number is limited
         self.done_work = 0.0  # s of core time that ended well
-        self.pressure: deque[tuple[float, float, bool]] = (
+        self.recent_arrivals: deque[tuple[float, float, bool]] = (
             deque()
         )  # arrivals of late: when, work, told of the start
-        self.on_fall: Callable[[Worker, float], None] = lambda worker, informed: None
-        self._v = self._at = 0.0
+        self.on_collapse: Callable[[Worker, float], None] = lambda worker, informed: None
+        self._virtual_time = self._updated_at = 0.0
         self._rate = 0.0
-        self._next: Any = None
-        self._made = 0
-        self._warming: Any = None
+        self._next_completion: Any = None
+        self._sequence = 0
+        self._warming_up: Any = None
 
     # ---- capacity
 
@@ -96,135 +96,141 @@
         return self.cold_share + (1.0 - self.cold_share) * min((now - self.up_since) / self.cold_s, 1.0)
 
     @property
-    def held(self) -> int:
+    def job_count(self) -> int:
         return len(self.queue) + len(self.running)
 
     def core_rate(self, now: float) -> float:
         """How much work of speed 1 one core does in a second."""
-        if self.paused or not self.up:
+        if self.paused or not self.alive:
             return 0.0
-        over = max(self.held - self.kind.crowded, 0.0)
+        excess = max(self.job_count - self.kind.crowded, 0.0)
         return (
-            self.speed * self.warmth(now) * (1.0 - self.taken) / self.slowed / (1.0 + self.kind.strain * over)
+            self.speed
+            * self.warmth(now)
+            * (1.0 - self.stolen_share)
+            / self.slowdown
+            / (1.0 + self.kind.strain * excess)
         )
 
     def capacity(self, now: float) -> float:
         """Work of speed 1 that it does in a second at most, strain apart."""
         return self.speed * self.warmth(now) * self.kind.cores
 
-    def _settle(self) -> None:
+    def _advance(self) -> None:
         """Bring `v` up to now."""
-        now = self.later.seconds()
-        self._v += (now - self._at) * self._rate
-        self._at = now
+        now = self.scheduler.seconds()
+        self._virtual_time += (now - self._updated_at) * self._rate
+        self._updated_at = now
 
-    def changed(self) -> None:
+    def reschedule(self) -> None:
         """Something has changed its rate, or which job ends next."""
-        self._settle()
-        many = (
-            sum(attempt.slots for _, _, attempt in self.running) if self.used > self.kind.cores else self.used
+        self._advance()
+        busy_slots = (
+            sum(attempt.slots for _, _, attempt in self.running)
+            if self.used_slots > self.kind.cores
+            else self.used_slots
         )
-        share = min(1.0, self.kind.cores / many) if many else 1.0
-        self._rate = self.core_rate(self._at) * share
-        if self._next is not None:
-            self._next.cancel()
-            self._next = None
+        share = min(1.0, self.kind.cores / busy_slots) if busy_slots else 1.0
+        self._rate = self.core_rate(self._updated_at) * share
+        if self._next_completion is not None:
+            self._next_completion.cancel()
+            self._next_completion = None
         if self.running and self._rate > 0.0:
-            wait = max(self.running[0][0] - self._v, 0.0) / self._rate
-            self._next = self.later.callLater(wait, self._ended)
+            wait = max(self.running[0][0] - self._virtual_time, 0.0) / self._rate
+            self._next_completion = self.scheduler.callLater(wait, self._complete_next)
 
     # ---- jobs
 
     def arrive(self, attempt: Attempt) -> bool:
         """A job has come; False where it is turned away."""
-        self._press(self.later.seconds(), attempt)
-        if len(self.queue) >= self.kind.queue or self.fallen:
+        self._record_arrival(self.scheduler.seconds(), attempt)
+        if len(self.queue) >= self.kind.queue or self.collapsed:
             return False
         self.queue.append(attempt)
-        self._begin()
+        self._start_jobs()
         return True
 
-    def _press(self, now: float, attempt: Attempt) -> None:
+    def _record_arrival(self, now: float, attempt: Attempt) -> None:
         """What is sent to a cold worker, also what it turns away, may push it over."""
-        if self.up_since <= 0.0 or now >= self.up_since + self.cold_s or self.fallen:
+        if self.up_since <= 0.0 or now >= self.up_since + self.cold_s or self.collapsed:
             return
-        pressure, span = self.pressure, self.fall_span
-        pressure.append((now, attempt.work, attempt.informed))
-        while pressure and pressure[0][0] < now - span:
-            pressure.popleft()
-        sent = sum(work for _, work, _ in pressure)
+        recent_arrivals, span = self.recent_arrivals, self.fall_span
+        recent_arrivals.append((now, attempt.work, attempt.sender_knew_start))
+        while recent_arrivals and recent_arrivals[0][0] < now - span:
+            recent_arrivals.popleft()
+        sent = sum(work for _, work, _ in recent_arrivals)
         # A little slack for chance: two mean jobs.
-        if sent > self.fall_multiple * self.capacity(now) * span + 2.0 * sent / len(pressure):
-            informed = sum(work for _, work, told in pressure if told) / sent
-            self.fall(informed)
+        if sent > self.fall_multiple * self.capacity(now) * span + 2.0 * sent / len(recent_arrivals):
+            informed = sum(work for _, work, knew in recent_arrivals if knew) / sent
+            self.collapse(informed)
 
     fall_multiple, fall_span = 4.0, 1.0
 
-    def fall(self, informed: float) -> None:
-        self.fallen = True
-        self.on_fall(self, informed)
+    def collapse(self, informed: float) -> None:
+        self.collapsed = True
+        self.on_collapse(self, informed)
         self.stop()
 
-    def _begin(self) -> None:
+    def _start_jobs(self) -> None:
         """Start waiting jobs in order; the first waits until it fits."""
-        self._settle()
-        now, begun = self._at, False
-        while self.queue and self.used + self.queue[0].slots <= self.kind.slots:
+        self._advance()
+        now, started_any = self._updated_at, False
+        while self.queue and self.used_slots + self.queue[0].slots <= self.kind.slots:
             attempt = self.queue.popleft()
             if self.kind.drops_expired and attempt.deadline <= now:
                 attempt.ended = True
-                attempt.tell(attempt, "dropped")
+                attempt.notify(attempt, "dropped")
                 continue
-            self.used += attempt.slots
-            self._made += 1
-            attempt.begun = now
-            heappush(self.running, (self._v + attempt.work, self._made, attempt))
-            attempt.tell(attempt, "started")
-            begun = True
-        if begun or self.held > self.kind.crowded:
-            self.changed()
-
-    def _ended(self) -> None:
-        self._next = None
-        self._settle()
+            self.used_slots += attempt.slots
+            self._sequence += 1
+            attempt.started_at = now
+            heappush(self.running, (self._virtual_time + attempt.work, self._sequence, attempt))
+            attempt.notify(attempt, "started")
+            started_any = True
+        if started_any or self.job_count > self.kind.crowded:
+            self.reschedule()
+
+    def _complete_next(self) -> None:
+        self._next_completion = None
+        self._advance()
         if self.running:
             _, _, attempt = heappop(self.running)
-            self.used -= attempt.slots
+            self.used_slots -= attempt.slots
             attempt.ended = True
-            failed = self.random.random() < self.kind.errors + self.erring
+            failed = self.random.random() < self.kind.errors + self.extra_error_rate
             if not failed:
                 self.done_work += attempt.work
-            attempt.tell(attempt, "failed" if failed else "done")
-        self._begin()
-        self.changed()
+            attempt.notify(attempt, "failed" if failed else "done")
+        self._start_jobs()
+        self.reschedule()
 
     # ---- the process and the machine
 
     def stop(self) -> list[Attempt]:
         """The process is gone, with all it had; what that was."""
-        self._settle()
-        had = [attempt for _, _, attempt in self.running] + list(self.queue)
+        self._advance()
+        lost_jobs = [attempt for _, _, attempt in self.running] + list(self.queue)
         self.running.clear()
         self.queue.clear()
-        self.used = 0
-        self.up = False
-        for attempt in had:
+        self.used_slots = 0
+        self.alive = False
+        for attempt in lost_jobs:
             attempt.ended = True
-        self.changed()
-        return had
+        self.reschedule()
+        return lost_jobs
 
     def start(self, cold: bool = True) -> None:
         """The process starts anew."""
-        now = self.later.seconds()
-        self._at = now
-        self.up, self.fallen = True, False
+        now = self.scheduler.seconds()
+        self._updated_at = now
+        self.alive, self.collapsed = True, False
         self.up_since = now if cold else 0.0
-        self.pressure.clear()
-        self.changed()
+        self.recent_arrivals.clear()
+        self.reschedule()
         if cold:
-            self._warm()
+            self._warm_up()
 
-    def _warm(self) -> None:
-        if self.up and self.later.seconds() < self.up_since + self.cold_s + WARMING:
-            self.changed()
-            self.later.callLater(WARMING, self._warm)
+    def _warm_up(self) -> None:
+        if self.alive and self.scheduler.seconds() < self.up_since + self.cold_s + WARM_UP_INTERVAL:
+            self.reschedule()
+            self.scheduler.callLater(WARM_UP_INTERVAL, self._warm_up)
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -16,7 +16,7 @@
 
 from bitternpath.balancer.fleet import client
 from bitternpath.balancer.fleet import messages as m
-from bitternpath.testing.emulator.ports import HeldPort
+from bitternpath.testing.emulator.ports import ReservedPort
 
 ROOT = Path(__file__).parent.parent
 TIMEOUT = 30.0  # s to wait for an expected condition
@@ -37,7 +37,7 @@
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
-        self.held_port = HeldPort()
+        self.held_port = ReservedPort()
         self.folder = fleet.folder / name
         self.log = fleet.folder / f"{name}.log"
         self.process: Any = None
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,14 +21,14 @@
 from bitternpath.balancer.core.endpoint_registry import EndpointRegistry
 from bitternpath.testing.emulator import policies
 from bitternpath.testing.emulator.checker import Checker
-from bitternpath.testing.emulator.clock import AT_ONCE, Scheduler, StuckError
-from bitternpath.testing.emulator.policies import POLICIES, Plain, RandomPolicy
-from bitternpath.testing.emulator.ports import HeldPort
+from bitternpath.testing.emulator.clock import MAX_EVENTS_PER_INSTANT, Scheduler, StuckError
+from bitternpath.testing.emulator.policies import POLICIES, BasicPolicy, RandomPolicy
+from bitternpath.testing.emulator.ports import ReservedPort
 from bitternpath.testing.emulator.scenario import JobClass, Kind, Prices, ScenarioError
-from bitternpath.testing.emulator.scenario_file import load, made_from
-from bitternpath.testing.emulator.service import Ask, Tally
+from bitternpath.testing.emulator.scenario_file import load, scenario_from
+from bitternpath.testing.emulator.service import Operation, ServiceMetrics
 from bitternpath.testing.emulator.sockets.processor_waits import ProcessorWaits
-from bitternpath.testing.emulator.troubles.fleet import FLEET
+from bitternpath.testing.emulator.troubles.fleet import FLEET_KINDS
 from bitternpath.testing.emulator.troubles.register import KINDS
 from bitternpath.testing.emulator.worker import Attempt, Worker
 from bitternpath.testing.emulator.world import Result, play
@@ -52,7 +52,7 @@
 
 
 def small(**more: Any) -> Any:
-    return made_from(SMALL | more, "test")
+    return scenario_from(SMALL | more, "test")
 
 
 # ---- time
@@ -71,7 +71,7 @@
 
 
 def test_a_loop_without_delay_is_ended_with_a_plain_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("bitternpath.testing.emulator.clock.AT_ONCE", 1000)
+    monkeypatch.setattr("bitternpath.testing.emulator.clock.MAX_EVENTS_PER_INSTANT", 1000)
     clock = Scheduler()
 
     def again() -> None:
@@ -80,7 +80,7 @@
     clock.callLater(3.0, again)
     with pytest.raises(StuckError, match=r"3\.000000 s"):
         clock.run(10.0)
-    assert AT_ONCE > 1000
+    assert MAX_EVENTS_PER_INSTANT > 1000
 
 
 # ---- workers
@@ -151,14 +151,14 @@
     bench = Bench()
     bench.send("a", 2.0)
     bench.clock.run(1.0)
-    bench.worker.slowed = 2.0
-    bench.worker.changed()
+    bench.worker.slowdown = 2.0
+    bench.worker.reschedule()
     bench.clock.run(2.0)
     bench.worker.paused = True
-    bench.worker.changed()
+    bench.worker.reschedule()
     bench.clock.run(5.0)
-    bench.worker.paused, bench.worker.slowed = False, 1.0
-    bench.worker.changed()
+    bench.worker.paused, bench.worker.slowdown = False, 1.0
+    bench.worker.reschedule()
     bench.clock.run(9.0)
     assert bench.ends() == {"a": 5.5}  # 1 s whole, 1 s at half, 3 s none, and the half that was left
 
@@ -166,7 +166,7 @@
 def test_a_cold_worker_warms_up_and_falls_over_when_pushed() -> None:
     bench = Bench(queue=100)
     worker, falls = bench.worker, []
-    worker.on_fall = lambda worker, informed: falls.append(informed)
+    worker.on_collapse = lambda worker, informed: falls.append(informed)
     bench.clock.run(1.0)
     worker.start()
     assert worker.warmth(1.0) == 0.2 and round(worker.warmth(6.0), 3) == 0.6 and worker.warmth(11.0) == 1.0
@@ -176,7 +176,7 @@
     assert falls == [] or len(falls) == 1
     for k in range(9):
         bench.send(f"more{k}", 0.3)
-    assert falls == [1.0] and not worker.up and worker.fallen
+    assert falls == [1.0] and not worker.alive and worker.collapsed
     worker.start()
     bench.clock.run(12.5)
     for k in range(18):
@@ -198,16 +198,16 @@
 
 def test_service_is_worth_in_time_over_worth_asked() -> None:
     spec = JobClass("c", 1.0, 100.0, aim=100.0, stretch=2.0, give_up=5000.0, worth=4.0, late_worth=0.25)
-    tally = Tally([spec], Prices(0.1, 0.072, 0.03))
+    metrics = ServiceMetrics([spec], Prices(0.1, 0.072, 0.03))
     for k, at in enumerate((0.2, 0.5, None, None)):  # in time by 0.1 + 2 x 0.1
-        ask = Ask(spec, "a", 0.1, float(k))
-        tally.first(ask)
+        ask = Operation(spec, "a", 0.1, float(k))
+        metrics.record_arrival(ask)
         if at is None:
-            tally.failed(ask, k + (0.1 if k == 2 else 4.0))
+            metrics.record_failure(ask, k + (0.1 if k == 2 else 4.0))
         else:
-            tally.served(ask, k + at)
-    tally.crossings, tally.spent = 2, 0.3
-    told = tally.figures()
+            metrics.record_success(ask, k + at)
+    metrics.crossings, metrics.spent_work = 2, 0.3
+    told = metrics.statistics()
     assert told["whole"] == (4 + 1) / 16 and told["late_fail"] == 0.25 and told["crossings"] == 0.5
     assert told["waste"] == pytest.approx(0.1 / 0.4)
     parts = 0.55 * 5 / 16 + 0.15 * 5 / 16 + 0.30 * 5 / 16
@@ -287,7 +287,7 @@
 # ---- the checker against broken nodes
 
 
-class Mute(Plain):
+class Mute(BasicPolicy):
     """Answers nothing and sends nothing."""
 
     def _request(self, event: m.Request) -> list[m.Action]:
@@ -297,27 +297,27 @@
 class Resends(RandomPolicy):
     """Sends again whatever may have run."""
 
-    def _outcome(self, event: m.AttemptEnded) -> list[m.Action]:
+    def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
         if event.id in self.jobs and not event.final:
             self.jobs[event.id]["ran"] = False
-            acts = super()._outcome(
+            acts = super()._attempt_ended(
                 m.AttemptEnded(
                     event.id, event.attempt, event.worker, m.AttemptOutcome.FULL, event.elapsed, False
                 )
             )
             return acts
-        return super()._outcome(event)
+        return super()._attempt_ended(event)
 
 
 class Refuses(RandomPolicy):
     """Refuses what may have run."""
 
-    def _outcome(self, event: m.AttemptEnded) -> list[m.Action]:
+    def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
         job = self.jobs.get(event.id)
         if job is not None and not event.final and event.outcome not in m.NOT_EXECUTED:
             self._close(event.id)
             return [m.Refuse(event.id)]
-        return super()._outcome(event)
+        return super()._attempt_ended(event)
 
 
 class Newest(RandomPolicy):
@@ -349,30 +349,33 @@
 def test_a_late_answer_and_one_for_nothing_are_caught() -> None:
     checker = Checker(2.0, 0.008)
     for id, answered in (("in time", 3.007), ("late", 3.009)):
-        checker.took(1.0, id, "n0", 3.0, True)
+        checker.accepted(1.0, id, "n0", 3.0, True)
         checker.answered(answered, id, "failed")
     checker.answered(4.0, "never asked", "refused")
-    assert [(v.rule, v.request) for v in checker.broken] == [("lost", "late"), ("invented", "never asked")]
-    assert "9 ms late" in str(checker.broken[0]) and "taken by n0" in str(checker.broken[0])
+    assert [(v.rule, v.request) for v in checker.violations] == [
+        ("lost", "late"),
+        ("invented", "never asked"),
+    ]
+    assert "9 ms late" in str(checker.violations[0]) and "taken by n0" in str(checker.violations[0])
 
 
 def test_a_stopped_node_is_not_blamed_for_what_fell_due_meanwhile() -> None:
     checker = Checker(2.0, 0.008)
     for id, deadline in (("due", 3.0), ("not yet", 9.0)):
-        checker.took(1.0, id, "n0", deadline, True)
-    checker.held_up(5.0, "n0")
-    checker.end(20.0)
-    assert [v.request for v in checker.broken] == ["not yet"] and checker.lost_by_death == 1
+        checker.accepted(1.0, id, "n0", deadline, True)
+    checker.node_resumed(5.0, "n0")
+    checker.finish(20.0)
+    assert [v.request for v in checker.violations] == ["not yet"] and checker.lost_by_death == 1
 
 
 def test_a_request_in_the_buffers_of_a_stopped_node_counts_from_when_it_is_read() -> None:
     checker = Checker(2.0, 0.008)
     for id, at, answered in (("before", 1.0, 9.009), ("in time", 3.0, 11.007), ("late", 3.0, 11.009)):
-        checker.took(at, id, "n0", 9.0, True)
+        checker.accepted(at, id, "n0", 9.0, True)
         if id != "before":
-            checker.held_up(5.0, "n0", since=2.0)
+            checker.node_resumed(5.0, "n0", since=2.0)
         checker.answered(answered, id, "failed")
-    assert [v.request for v in checker.broken] == ["before", "late"]
+    assert [v.request for v in checker.violations] == ["before", "late"]
 
 
 def test_a_node_that_answers_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -390,7 +393,7 @@
 def test_a_node_that_sends_again_what_may_have_run_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     found = broken_run(monkeypatch, Resends, troubles=VANISH)
     assert "duplicate" in rules_of(found)
-    assert play(small(troubles=VANISH), 3, "random").kept  # and one that does not is not blamed
+    assert play(small(troubles=VANISH), 3, "random").passed  # and one that does not is not blamed
 
 
 def test_a_node_that_refuses_what_may_have_run_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -430,13 +433,13 @@
 
 def test_what_dies_with_its_node_is_no_fault_of_the_node() -> None:
     checker = Checker(2.0, 0.008)
-    checker.took(1.0, "a", "n0", 3.0, False)
-    checker.took(1.0, "b", "n1", 3.0, False)
-    checker.died(2.0, "n0")
-    checker.end(9.0)
-    assert checker.lost_by_death == 1 and [v.request for v in checker.broken] == ["b"]
+    checker.accepted(1.0, "a", "n0", 3.0, False)
+    checker.accepted(1.0, "b", "n1", 3.0, False)
+    checker.node_killed(2.0, "n0")
+    checker.finish(9.0)
+    assert checker.lost_by_death == 1 and [v.request for v in checker.violations] == ["b"]
     run = play(small(troubles=[{"kind": "kill-nodes", "at": 4.0, "lasts": 2.0, "part": 0.5}]), 5)
-    assert run.kept and run.lost_by_death > 0 and run.counts["reset"]
+    assert run.passed and run.lost_by_death > 0 and run.counts["reset"]
 
 
 # ---- end to end
@@ -445,23 +448,23 @@
 @pytest.mark.parametrize("name", ["site-loss-with-nodes", "rolling", "errors"])
 def test_the_node_keeps_the_rules_and_serves_through_what_goes_wrong(name: str) -> None:
     run = play(load(ROOT / "scenarios" / f"{name}.toml"), 2)
-    assert run.kept, run.violations[:3]
+    assert run.passed, run.violations[:3]
     assert run.figures["service"] > 0.7 and run.requests > 1000
 
 
 def test_a_node_that_sends_to_what_is_out_by_hand_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     out = [{"kind": "out-by-hand", "at": 2.0, "lasts": 8.0, "part": 0.5}]
-    assert play(small(troubles=out), 3, "random").kept
+    assert play(small(troubles=out), 3, "random").passed
     monkeypatch.setattr(EndpointRegistry, "eject", lambda self, id, since: None)
     found = broken_run(monkeypatch, RandomPolicy, troubles=out)
     assert rules_of(found) == {"drain"} and "taken out by hand" in found.violations[0]
 
 
-@pytest.mark.parametrize("kind", sorted(set(KINDS) - FLEET - {"upgrades"}))
+@pytest.mark.parametrize("kind", sorted(set(KINDS) - FLEET_KINDS - {"upgrades"}))
 def test_every_trouble_begins_ends_and_breaks_no_rule(kind: str) -> None:
     trouble = {"kind": kind, "at": 2.0, "lasts": 4.0, "part": 0.3, "size": 1.5, "extra": 1.0}
     run = play(small(troubles=[trouble], clients={"load": 0.4}), 6)
-    assert run.kept, (kind, run.violations[:2])
+    assert run.passed, (kind, run.violations[:2])
     calm = play(small(clients={"load": 0.4}), 6)
     assert run.troubles[0]["kind"] == kind
     assert run.trace != calm.trace
@@ -473,7 +476,7 @@
         {"kind": "kill-nodes", "at": 4.0, "lasts": 0.5, "part": 0.5},
         {"kind": "vanish", "at": 6.0, "lasts": 2.0, "part": 0.3},
     ]
-    assert play(small(troubles=troubles), 8).kept
+    assert play(small(troubles=troubles), 8).passed
 
 
 def test_the_command_plays_a_scenario_and_writes_all_of_it(tmp_path: Path) -> None:
@@ -555,7 +558,7 @@
     code = (
         "from bitternpath.testing.emulator.sockets import play;"
         "from bitternpath.testing.emulator.scenario_file import made_from;"
-        "play.VOID_BEYOND = -1.0;"
+        "play.MAX_LATENESS = -1.0;"
         "s = made_from({'name': 's', 'seconds': 0.3, 'sites': [{'name': 'a', 'workers': 1}],"
         " 'classes': [{'name': 'x', 'share': 1.0, 'work': 5.0, 'give_up': 300.0}]}, 's');"
         "play.play_on_sockets(s, 1)"
@@ -614,16 +617,16 @@
     waits.record(5.03, "", 0.02)
     waits.record(3.0, "n1", 9.0)  # neither near the arrival nor near the end
     waits.record(5.0, "n2", 9.0)  # another node
-    assert waits.excuses(0.055, "n1", 1.0, 5.0, 5.05)
-    assert not waits.excuses(0.065, "n1", 1.0, 5.0, 5.05)
-    assert not waits.excuses(0.021, "n3", 1.0, 5.0, 5.05)
+    assert waits.explains(0.055, "n1", 1.0, 5.0, 5.05)
+    assert not waits.explains(0.065, "n1", 1.0, 5.0, 5.05)
+    assert not waits.explains(0.021, "n3", 1.0, 5.0, 5.05)
     waits.record(1.05, "n3", 0.03)  # when the request came
-    assert waits.excuses(0.045, "n3", 1.0, 5.0, 5.05)
+    assert waits.explains(0.045, "n3", 1.0, 5.0, 5.05)
 
 
 def test_a_held_port_is_given_to_nobody_else_and_can_be_listened_on_again_and_again() -> None:
-    held = HeldPort()
-    others = [HeldPort() for _ in range(200)]
+    held = ReservedPort()
+    others = [ReservedPort() for _ in range(200)]
     assert len({port.number for port in [held, *others]}) == 201
     for _ in range(2):
         with socket.create_server(("127.0.0.1", held.number)) as server:
--- a/tests/test_fleet_record.py
+++ b/tests/test_fleet_record.py
@@ -22,13 +22,13 @@
     RequestVoteResponse,
 )
 from bitternpath.replication.records import Entry, EntryKind, MemberRole, Members, PersistentState, Snapshot
-from bitternpath.testing.emulator.fleet.broken import BUILDS, broken
-from bitternpath.testing.emulator.fleet.campaign import play
-from bitternpath.testing.emulator.fleet.random_schedule import Walk, walk
+from bitternpath.testing.emulator.fleet.broken import BUILDS, broken_build
+from bitternpath.testing.emulator.fleet.campaign import run_seed
+from bitternpath.testing.emulator.fleet.random_schedule import RandomSchedule, run_schedule
 from bitternpath.testing.emulator.fleet.search.consensus import Scope
 from bitternpath.testing.emulator.fleet.search.explore import search
 from bitternpath.testing.emulator.fleet.search.leases import LeaseScope
-from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, begun
+from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, initial_state
 
 ROOT = Path(__file__).parent.parent
 
@@ -40,21 +40,24 @@
 
 @pytest.mark.parametrize("seed", FIXED_SEEDS)
 def test_fixed_seeds_keep_the_rules(seed: int) -> None:
-    assert play(seed).kept, str(play(seed))
+    assert run_seed(seed).passed, str(run_seed(seed))
 
 
 @pytest.mark.parametrize("first", range(0, 80, 10))
 def test_the_rules_hold_and_the_fleet_recovers_under_faults(first: int) -> None:
-    outcomes = [play(seed) for seed in range(first, first + 10)]
-    assert not [str(outcome) for outcome in outcomes if not outcome.kept]
+    outcomes = [run_seed(seed) for seed in range(first, first + 10)]
+    assert not [str(outcome) for outcome in outcomes if not outcome.passed]
     assert sum(outcome.versions for outcome in outcomes) > 60 and all(o.acts > 100 for o in outcomes)
 
 
 def test_random_schedules_do_not_break_the_record() -> None:
-    walks = [Walk(seed) for seed in range(250)]
-    outcomes = [(seed, walk.run(1500).broken) for seed, walk in enumerate(walks)]
+    walks = [RandomSchedule(seed) for seed in range(250)]
+    outcomes = [(seed, walk.run(1500).violations) for seed, walk in enumerate(walks)]
     assert not [found for found in outcomes if found[1]]
-    assert sum(len(walk.elected) for walk in walks) > 1000 and sum(walk.checker.last for walk in walks) > 2000
+    assert (
+        sum(len(walk.elected) for walk in walks) > 1000
+        and sum(walk.checker.last_index for walk in walks) > 2000
+    )
 
 
 # How each broken build was detected: the kind of run, and the seed that is tried first.
@@ -78,7 +81,7 @@
 
 def breaks_rule(way: str, seed: int) -> object:
     try:
-        return walk(seed).broken if way == "walk" else play(seed).broken
+        return run_schedule(seed).violations if way == "walk" else run_seed(seed).violations
     except AssertionError as error:  # an assertion in the build itself
         return error
 
@@ -87,14 +90,14 @@
 def test_a_build_without_a_safeguard_is_detected(name: str) -> None:
     way, first = FIRST_SEEDS[name]
     assert not breaks_rule(way, first)
-    with broken(name):
+    with broken_build(name):
         assert any(breaks_rule(way, seed) for seed in [first, *range(MAX_SEEDS[way])])
 
 
 @pytest.mark.parametrize("scope", SCOPES[:4], ids=str)
 def test_no_order_of_events_within_a_small_scope_breaks_a_rule(scope: Scope | LeaseScope) -> None:
-    result = search(begun(scope), 100_000)
-    assert result.whole and not result.broken and result.states > 2000
+    result = search(initial_state(scope), 100_000)
+    assert result.complete and not result.violation and result.states > 2000
 
 
 @pytest.mark.parametrize(
@@ -110,9 +113,9 @@
 def test_the_search_finds_the_shortest_trail_to_a_fault(
     name: str, scope: Scope | LeaseScope, moves: int
 ) -> None:
-    with broken(name):
-        found = search(begun(scope), 20_000)
-    assert found.broken and len(found.trail) == moves, found
+    with broken_build(name):
+        found = search(initial_state(scope), 20_000)
+    assert found.violation and len(found.trace) == moves, found
 
 
 def test_two_requests_to_join_leave_a_node_the_later_lease() -> None:
@@ -140,7 +143,7 @@
 
 
 def test_a_seed_determines_the_run() -> None:
-    code = "from bitternpath.testing.emulator.fleet.campaign import play; print(play(5).trace)"
+    code = "from bitternpath.testing.emulator.fleet.campaign import run_seed; print(run_seed(5).trace)"
     traces = {
         subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True).stdout
         for _ in range(2)
--- a/tests/test_large_fleet_days.py
+++ b/tests/test_large_fleet_days.py
@@ -36,12 +36,12 @@
     service below that of two plain policies which have a list that discovery pushes."""
     world = World(short(), 3, "module", traced=False)
     run = world.run()
-    assert run.kept, run.violations
-    killed = next(len(t.on) for t in world.active if t.kind == "kill-nodes")
+    assert run.passed, run.violations
+    killed = next(len(t.targets) for t in world.active_faults if t.kind == "kill-nodes")
     directory, nodes = world.directory, len(world.nodes)
-    assert len(directory.granted) == nodes
-    assert sum(directory.asked.values()) < 1.5 * (nodes + killed)
-    new = [w for w in world.workers.values() if w.up and w.up_since > 0.0]
+    assert len(directory.subscribe_successes) == nodes
+    assert sum(directory.subscribe_calls.values()) < 1.5 * (nodes + killed)
+    new = [w for w in world.workers.values() if w.alive and w.up_since > 0.0]
     assert len(new) > 30 and all(w.done_work > 0.0 for w in new)
     attempts = sum(run.counts["attempts"].values())
     assert sum(node.dials for node in world.nodes.values()) < 0.45 * attempts
@@ -57,7 +57,7 @@
     directory = Directory(told, clock, Random(1))
 
     def ask(name: str) -> None:
-        directory.ask(
+        directory.subscribe(
             name,
             lambda: said.append((name, "granted", clock.now)),
             lambda: said.append((name, "failed", clock.now)),
@@ -88,7 +88,7 @@
 
     def look() -> None:
         most[0] = max([most[0], *(worker.connections for worker in world.workers.values())])
-        world.later.callLater(0.01, look)
+        world.scheduler.callLater(0.01, look)
 
     look()
     run = world.run()
