--- a/bitternpath/testing/emulator/clients.py
+++ b/bitternpath/testing/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Clients: what they ask, for how long they wait, and when they try again. Pure."""
+"""Clients: what they request, how long they wait and when they retry. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from bitternpath.testing.emulator.scenario import JobClass, Scenario, sample
 from bitternpath.testing.emulator.service import Operation, ServiceMetrics
 
-LOAD_WAVE_PERIOD = 20.0  # s of a swing
+LOAD_WAVE_PERIOD = 20.0  # s of one period of the load wave
 
 
 class Target(Protocol):
@@ -23,10 +23,10 @@
     site: str
 
     def request(self, request: ClientRequest) -> bool:
-        """A request has arrived; False where nobody listens."""
+        """Delivers a request; False if the connection is refused."""
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """The client has closed the connection."""
+        """The client has closed its connection."""
 
 
 class ClientRequest:
@@ -51,7 +51,7 @@
 
 
 class LoadBalancer:
-    """Spreads clients over the nodes of their site; hears late that one has died."""
+    """Spreads clients over the nodes of their site; learns with a delay that a node has died."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
@@ -68,13 +68,13 @@
             nodes.remove(node)
 
     def pick(self, site: str) -> Any:
-        """A node of the site, else of any other; None where there is none."""
+        """A node of the site, or of any other site if it has none; None if there are no nodes."""
         nodes = self.admitted.get(site) or [n for ns in self.admitted.values() for n in ns]
         return nodes[int(self.random.random() * len(nodes))] if nodes else None
 
 
 class Clients:
-    """All of them: an open stream of first tries, and what follows from each."""
+    """All clients: an open-loop stream of operations and their retries."""
 
     def __init__(
         self, scenario: Scenario, rate: float, scheduler: Any, random: Random,
@@ -95,9 +95,9 @@
             delay,
             trace,
         )
-        self.burst = 1.0  # times the usual rate
+        self.burst = 1.0  # factor on the usual rate
         self.site_burst: dict[str, float] = {}
-        # Drawn apart from what follows, so that every policy meets the same first tries.
+        # Separate random sources: every policy sees the same stream of first requests.
         self.arrivals = Random(random.getrandbits(64))
         self.wave_phase = random.random() * 2 * math.pi
         self.sites = [site.name for site in scenario.sites]
@@ -105,7 +105,7 @@
         self._classes = scenario.classes
         self._by_class = list(accumulate(c.share for c in scenario.classes))
         self.mean_work = {c.name: sample(random, c.work) / 1000.0 for c in scenario.classes}  # s
-        self.unfinished = 0  # asks that have no end yet
+        self.unfinished = 0  # operations without a final outcome
         self._sequence = 0
 
     def start(self) -> None:
@@ -176,7 +176,7 @@
             )
 
     def answer(self, request: ClientRequest, outcome: str, retry_after: float, result: bytes) -> None:
-        """What a try came to: served, refused, failed, reset or unreachable; `retry_after` in ms."""
+        """Handles a request's outcome (served, refused, failed, reset or unreachable); `retry_after` in ms."""
         if request.done:
             return
         request.done = True
@@ -213,7 +213,7 @@
             self._fail(operation)
 
     def _give_up(self, request: ClientRequest) -> None:
-        """The client's time is up."""
+        """The client's timeout has expired."""
         if not request.done:
             request.done = True
             self.metrics.increment(self.scheduler.seconds(), "given up")
@@ -222,7 +222,7 @@
             self._fail(request.operation)
 
     def _leave(self, request: ClientRequest) -> None:
-        """The client goes away before its time."""
+        """The client disconnects before its timeout."""
         if not request.done:
             request.done = True
             self.checker.abandoned(request.id)
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes in virtual time: the real core (registry, broker, decision module) without sockets."""
+"""Nodes in virtual time: the real core (endpoint registry, broker, decision module) without sockets."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 from bitternpath.testing.emulator.discovery import EPOCH
 from bitternpath.testing.emulator.worker import Attempt, Worker
 
-CALL_BACK_TRIES, CALL_BACK_RETRY_DELAY = 10, 1.0  # tries of a call-back, and s between them
-IDLE_REUSE_SHARE = 0.6  # of the time after which workers close idle connections: ours are used no longer
+CALL_BACK_TRIES, CALL_BACK_RETRY_DELAY = 10, 1.0  # attempts to deliver a call-back, s between them
+# Share of the workers' idle timeout after which a node no longer reuses an idle connection.
+IDLE_REUSE_SHARE = 0.6
 
 
 class NodeTimer:
-    """A node's own timers: dead with it, and waiting while it is stopped."""
+    """The timers of one incarnation of a node: void after it ends, deferred while the process is stopped."""
 
     __slots__ = ("node", "scheduler")
 
@@ -34,7 +35,7 @@
     def _due(self, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
         node = self.node
         if node.timer is not self:
-            return  # of an earlier life
+            return  # timer of an earlier incarnation
         if node.stopped:
             node.deferred.append(partial(callback, *args))
         else:
@@ -42,7 +43,7 @@
 
 
 class VirtualClient:
-    """The client of one request."""
+    """The client side of one accepted request, as the broker sees it."""
 
     __slots__ = ("client_request", "node")
 
@@ -59,11 +60,11 @@
         self.node.answer(self.client_request, "failed", 0.0, b"")
 
     def disconnected(self) -> bool:
-        return False  # virtual time knows no moment between a close and the word of it
+        return False  # in virtual time the broker learns of a disconnect at once
 
 
 class VirtualNode:
-    """One node, through its lives."""
+    """One node across its incarnations (process starts)."""
 
     def __init__(self, world: Any, name: str, site: str, number: int, random: Random) -> None:
         self.world, self.name, self.site, self.number, self.random = world, name, site, number, random
@@ -72,16 +73,18 @@
         self.timer: Any = None
         self.broker: Any = None
         self.requests: dict[str, AcceptedRequest] = {}
-        self.idle_connections: dict[str, list[float]] = {}  # worker: idle connections, by when they were used
-        self.open_connections: Counter[str] = Counter()  # worker: connections, where their number is limited
+        self.idle_connections: dict[str, list[float]] = {}  # worker: last-used times of idle connections
+        # worker: open connections, where the worker limits them
+        self.open_connections: Counter[str] = Counter()
         self.dials = 0
-        self.last_listing: Listing | None = None  # the list of the life before
-        self.ejected: dict[str, float] = {}  # workers out by hand, and since when: they outlast a life
+        self.last_listing: Listing | None = None  # the list that the previous incarnation had
+        # manually ejected workers and the time of ejection; kept across restarts
+        self.ejected: dict[str, float] = {}
 
     # ---- its lives
 
     def start(self, initial_listing: Listing | None = None) -> None:
-        """Start from nothing, with the list as last had, which may be stale."""
+        """Starts a process without state, with the list it last had, which may be stale."""
         world = self.world
         self.alive, self.stopped = True, False
         self.timer = NodeTimer(self, world.scheduler)
@@ -100,7 +103,8 @@
         self.broker.endpoints_changed(
             Listing(listing.revision, True, tuple(self.registry.endpoints.values())), at_start=True
         )
-        # What the module asked for at its start comes with its first event's actions, as on sockets.
+        # Actions that the module requests at start are carried out with those of its first event, as on
+        # sockets.
         if must_subscribe:
             self.broker.subscribe = partial(self._ask, self.timer)
         else:
@@ -112,7 +116,7 @@
             world.scheduler.callLater(0.05, self.apply_listing, self.name, current)
 
     def _ask(self, incarnation: NodeTimer) -> None:
-        """Discovery is asked for a watch; whatever it says is for this life alone."""
+        """Subscribes to discovery; the reply counts for this incarnation only."""
 
         def granted() -> None:
             if self.timer is incarnation and self.alive:
@@ -129,7 +133,7 @@
         return float(EPOCH + self.world.scheduler.now * 1000.0)
 
     def apply_listing(self, name: str, listing: Listing) -> None:
-        """Discovery's word."""
+        """Applies an update from discovery."""
         if not self.alive:
             return
         world = self.world
@@ -150,7 +154,7 @@
             self.registry.apply(listing)
 
     def kill(self) -> None:
-        """Killed: what it held is gone, its clients see a reset."""
+        """Kills the process: its requests are lost and their clients see a connection reset."""
         if not self.alive:
             return
         world = self.world
@@ -181,7 +185,7 @@
             self.world.load_balancer.drop(self)
 
     def stop(self) -> None:
-        """Stopped (SIGSTOP): it says and does nothing, but lives."""
+        """Stops the process (SIGSTOP): it neither sends nor handles anything, but keeps its state."""
         self.stopped = True
 
     def resume(self) -> None:
@@ -192,10 +196,10 @@
             callback()
 
     def reload(self) -> None:
-        """SIGHUP: nothing changes here, for the core reads no file."""
+        """SIGHUP. Does nothing here: the core reads no file."""
 
     def eject(self, worker: str) -> None:
-        """Staff take a worker out by hand; a node that is down is told by what is on its disk."""
+        """Ejects a worker by hand; a node that is down reads the ejection from its disk at the next start."""
         self.ejected[worker] = self.clock()
         self.world.checker.worker_ejected(self.world.scheduler.now, self.name, worker)
         self._run_when_resumed(lambda: self.registry.eject(worker, self.ejected.get(worker, self.clock())))
@@ -212,7 +216,7 @@
             callback()
 
     def restart(self, down: float) -> None:
-        """A planned restart: no new clients, then out and in again."""
+        """A planned restart: the load balancer drops the node first and admits it again after the start."""
         self.world.load_balancer.drop(self)
         self.world.scheduler.callLater(4.0, self._restarted, down)
 
@@ -223,7 +227,7 @@
     # ---- the front
 
     def request(self, client_request: ClientRequest) -> bool:
-        """A client's request has arrived whole."""
+        """Handles a client's complete request; False if the process is down."""
         if not self.alive:
             return False
         world, operation = self.world, client_request.operation
@@ -246,7 +250,7 @@
         return True
 
     def client_disconnected(self, client_request: ClientRequest) -> None:
-        """The client has closed its connection; the node hears a moment later."""
+        """The client has closed its connection; the node notices after the network delay."""
         self.world.scheduler.callLater(
             self.world.to_client(client_request.operation.site, self.site), self._withdraw, client_request
         )
@@ -259,7 +263,7 @@
     def answer(self, client_request: ClientRequest, event: str, retry_after: float, result: bytes) -> None:
         world = self.world
         if self.requests.pop(client_request.id, None) is None and client_request.done:
-            return  # its client has gone: nothing is owed, and nothing seen
+            return  # the client has gone: no answer is owed and none is seen
         world.checker.answered(world.scheduler.now, client_request.id, event, result)
         world.trace("answer", client_request.id, event)
         world.scheduler.callLater(
@@ -326,7 +330,7 @@
         if world.policy == "oracle":
             world.reserved[worker.id] -= 1
         if not worker.reachable or not world.net.delivers(self.site, worker.site):
-            return  # nothing is heard of it
+            return  # the request is lost without a reset
         back = world.net.delay(worker.site, self.site)
         if not worker.alive:
             if timer is self.timer:
@@ -354,8 +358,8 @@
             self.timer.callLater(world.scenario.net.idle_s * IDLE_REUSE_SHARE, self._close_idle, worker)
 
     def _close_idle(self, worker: str) -> None:
-        """Connections that have been idle for long enough are closed."""
-        # A timer of just that length may fire a rounding error too early.
+        """Closes connections that have been idle for too long."""
+        # The tolerance covers rounding: a timer of exactly that length can fire slightly early.
         cutoff = self.world.scheduler.now - self.world.scenario.net.idle_s * IDLE_REUSE_SHARE + 1e-9
         idle = self.idle_connections.get(worker) or []
         while idle and idle[0] <= cutoff:
@@ -365,10 +369,10 @@
                 self.world.workers[worker].connections -= 1
 
     def cancel(self, call: UpstreamCall) -> None:
-        """Workers finish what they have."""
+        """Does nothing: workers finish the jobs that they have accepted."""
 
     def _job_update(self, worker: Worker, number: int, attempt: Attempt, event: str) -> None:
-        """A worker has something to say of an attempt."""
+        """Reports a state change of an attempt from its worker to the node."""
         world, now = self.world, self.world.scheduler.now
         state, share, result = CallState.STARTED, None, b""
         if event == "started":
@@ -391,7 +395,7 @@
         elif event == "lost":
             state = CallState.LOST
         else:
-            return  # dropped unbegun: nobody hears of it
+            return  # dropped before it started: the worker reports nothing
         self._call_back(worker, attempt.id, state, share, result, 0)
 
     def _progress(self, worker: Worker, attempt: Attempt) -> None:
@@ -405,7 +409,8 @@
     def _call_back(
         self, worker: Worker, id: str, state: CallState, share: float | None, result: bytes, tries: int
     ) -> None:
-        """Tried until it is answered, ten times at most; it may reach a node that has started anew."""
+        """Sends a call-back until it arrives, with at most `CALL_BACK_TRIES` retries; the node that receives
+        it may have restarted since."""
         world = self.world
         if (
             worker.reachable
@@ -436,7 +441,7 @@
 
 
 class VirtualUpstreamClient:
-    """The node's upstream client, as the broker wants it."""
+    """The broker's upstream client in virtual time."""
 
     __slots__ = ("node",)
 
--- a/bitternpath/testing/emulator/policies.py
+++ b/bitternpath/testing/emulator/policies.py
@@ -1,8 +1,8 @@
-"""Reference policies behind the decision module's own seam: events in, actions out.
+"""Reference policies with the interface of the decision module: events in, actions out.
 
-They are yardsticks and live here, never in `policy`: random, round robin, least own jobs in flight, the
-better of two, the least EWMA of latency, and an oracle that sees the true state of every worker, which
-no node can.
+They serve as baselines for comparison and are not part of the balancer: random, round robin, least own
+jobs in flight, two random choices, least EWMA of latency, and an oracle that sees the true state of every
+worker, which no node can.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.dispatch.dispatcher import Dispatcher
 
-EWMA_WEIGHT = 0.2  # of the last job in an EWMA
-FAILURE_PENALTY = 3.0  # by which a failure counts as longer
+EWMA_WEIGHT = 0.2  # weight of the latest job in an EWMA
+FAILURE_PENALTY = 3.0  # factor on the latency of a failed job
 
 
 class BasicPolicy:
-    """What they share: one try at once, another where nothing ran or a repeat is harmless, no holding."""
+    """Common behavior: send at once, retry if nothing ran or a repeat is safe, never hold a request back."""
 
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
         self.settings, self.random, self.now = settings, Random(seed), now
         self.classes = {spec.name: spec for spec in settings.classes}
         self.workers: dict[str, m.WorkerEntry] = {}
-        self.in_flight: dict[str, int] = {}  # own jobs in flight
+        self.in_flight: dict[str, int] = {}  # worker: own jobs in flight
         self.jobs: dict[str, dict[str, Any]] = {}
         self.retry_delay = settings.tick
 
@@ -94,7 +94,7 @@
         raise NotImplementedError
 
     def observe(self, worker: str, event: m.AttemptEnded) -> None:
-        """An attempt there has ended."""
+        """Called when an attempt on that worker has ended."""
 
     def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
         self.observe(event.worker, event)
@@ -146,7 +146,7 @@
 
 
 class Ewma(BasicPolicy):
-    """The least mean latency of late, times own jobs in flight and one (as peak EWMA in Finagle)."""
+    """The least product of mean latency and own jobs in flight plus one (as peak EWMA in Finagle)."""
 
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
@@ -174,15 +174,15 @@
 
 
 class Oracle(BasicPolicy):
-    """Sees the true state: sends each job where it will end first, as soon as that is free, what earns
-    most for its time first; what can't be served any more it gives up at once."""
+    """Knows the true state of every worker: sends each job to the free worker where it ends first, the most
+    valuable per second of work first, and refuses at once what can no longer be served."""
 
     estimate: Callable[
         [str, str, str], tuple[float, bool]
-    ]  # s until it would end there, whether it would begin at once
+    ]  # s until a job would end there, whether it would start at once
     value_of: Callable[
         [str], tuple[float, float, float]
-    ]  # of a request: worth per s of work, in time by, late worth
+    ]  # request id: value per s of work, target deadline (Unix ms), share of the value after it
 
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
@@ -208,7 +208,7 @@
     def _place_waiting(self) -> list[m.Action]:
         actions: list[m.Action] = []
         if not self.any_free() and self.now < self._next_full_check:
-            return actions  # no place anywhere: what has become hopeless is looked at a little later
+            return actions  # no worker is free: look for hopeless requests less often
         self._next_full_check = self.now + FULL_RECHECK_INTERVAL
         rank = {}
         for id in self.waiting:
@@ -230,7 +230,7 @@
             best = min((x for x in candidates), default=None)
             if best is None or best[0] * 1000.0 >= job["deadline"] - self.now:
                 if not any(x[0] < float("inf") for x in candidates) and self.now + 100.0 < job["deadline"]:
-                    self.waiting.append(id)  # nobody is there now
+                    self.waiting.append(id)  # no worker is reachable now
                     continue
                 self._close(id)
                 actions.append(m.Refuse(id, self.retry_after(self.now, job["class"])))
@@ -246,14 +246,14 @@
             actions.append(m.Send(id, best_free[2]))
         return actions
 
-    reserve: Callable[[str], None]  # tells the world that a place there is taken
-    any_free: Callable[[], bool]  # whether any worker would begin a job at once
+    reserve: Callable[[str], None]  # reserves a core of the worker for a job on its way
+    any_free: Callable[[], bool]  # whether any worker would start a job at once
 
 
 RECHECK_INTERVAL, FULL_RECHECK_INTERVAL = (
     4.0,
     50.0,
-)  # ms between looks at what is held, and where no worker is free
+)  # ms between checks of waiting requests: usually, and while no worker is free
 
 
 POLICIES: dict[str, Any] = {
--- a/bitternpath/testing/emulator/service.py
+++ b/bitternpath/testing/emulator/service.py
@@ -1,7 +1,8 @@
-"""How well clients were served: worth in time over worth asked, as the operators count it. Pure.
+"""Service quality: earned value over offered value, by the operators' formula. Pure.
 
-Whole run 55%, worst 10 s 15%, worst class 30%; off come prices for wasted work, for worth that failed
-only after its wanted time, and for crossing sites. A client's retries count with its first try.
+The service is 55% of the ratio over the whole run, 15% of that in the worst 10 s and 30% of that of the
+worst class, less prices for wasted work, for operations that failed after their target time, and for
+crossing sites. A client's retries count with its first request.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Operation:
-    """What a client wants, through all of its tries. Times in s."""
+    """What a client wants done, across all its requests (the first one and retries). Times in s."""
 
     __slots__ = ("arrived", "done_at", "finished", "job_class", "late", "site", "target_deadline", "work")
 
@@ -29,34 +30,34 @@
 
 
 class ServiceMetrics:
-    """Counts as it goes, by second and class."""
+    """Counters by second and class, updated during a run."""
 
     def __init__(self, classes: list[JobClass], prices: Prices) -> None:
         self.prices = prices
         self.classes = {c.name: c for c in classes}
         self.offered_value: dict[tuple[int, str, str], float] = defaultdict(
             float
-        )  # second, class, site: worth
+        )  # (second, class, site): value
         self.earned_value: dict[tuple[int, str, str], float] = defaultdict(float)
-        self.counts: dict[tuple[int, str], int] = defaultdict(int)  # second, what
+        self.counts: dict[tuple[int, str], int] = defaultdict(int)  # (second, event): count
         self.first_requests = self.crossings = 0
-        self.late_failed_value = 0.0  # worth
-        self.offered_work = self.useful_work = self.spent_work = 0.0  # work, s of a core of speed 1
-        self.work_done: dict[int, float] = defaultdict(float)  # by second
-        self.latencies: dict[str, list[float]] = defaultdict(list)  # ms of served asks by class
+        self.late_failed_value = 0.0  # sum of values
+        self.offered_work = self.useful_work = self.spent_work = 0.0  # s of work on a core of speed 1
+        self.work_done: dict[int, float] = defaultdict(float)  # second: s of work on a core of speed 1
+        self.latencies: dict[str, list[float]] = defaultdict(list)  # class: ms of each successful operation
 
     def increment(self, now: float, event: str) -> None:
         self.counts[int(now), event] += 1
 
     def record_attempt(self, now: float, crossing: bool) -> None:
-        """A node has sent something to a worker."""
+        """Counts a call from a node to a worker."""
         self.increment(now, "attempts")
         if crossing:
             self.crossings += 1
             self.increment(now, "crossings")
 
     def record_work(self, now: float, work: float) -> None:
-        """A worker has ended a job, in s of a core of speed 1."""
+        """Counts a finished job, in s of work on a core of speed 1."""
         self.spent_work += work
         self.work_done[int(now)] += work
 
@@ -88,7 +89,7 @@
         return earned_value / offered_value if offered_value else 1.0
 
     def value_by(self, position: int) -> dict[Any, float]:
-        """Service by second (0), class (1) or site (2)."""
+        """Earned over offered value, by second (0), class (1) or site (2)."""
         offered_value: dict[Any, float] = defaultdict(float)
         earned_value: dict[Any, float] = defaultdict(float)
         for key, value in self.offered_value.items():
@@ -98,7 +99,7 @@
         return {key: self.ratio(earned_value[key], offered_value[key]) for key in sorted(offered_value)}
 
     def worst_window(self) -> float:
-        """The poorest 10 s."""
+        """The ratio of the worst `WINDOW_S` seconds."""
         offered_value: dict[int, float] = defaultdict(float)
         earned_value: dict[int, float] = defaultdict(float)
         for key, value in self.offered_value.items():
@@ -115,7 +116,7 @@
         return min(windows, default=1.0)
 
     def statistics(self) -> dict[str, float]:
-        """Service and its parts, each a share."""
+        """The service and its components, each a share."""
         offered_value, earned_value = sum(self.offered_value.values()), sum(self.earned_value.values())
         overall, worst_window_share = self.ratio(earned_value, offered_value), self.worst_window()
         worst_class = min(self.value_by(1).values(), default=1.0)
--- a/bitternpath/testing/emulator/worker.py
+++ b/bitternpath/testing/emulator/worker.py
@@ -1,9 +1,9 @@
-"""A worker: cores, slots, a waiting room in order, cold starts, falling over. Pure, on a clock that it is
-handed.
+"""A worker model: cores, slots, a FIFO queue, cold starts and collapse under overload. Pure; the clock is
+passed in.
 
-Jobs in work share the cores evenly. With `v` as the service that each job in work has had since the
-start, a job ends when `v` has grown by its work, so that only the next end has to be waited for,
-however many jobs there are.
+Running jobs share the cores evenly (processor sharing). The virtual time `v` is the service that each
+running job has received since the start; a job ends when `v` has grown by its work. Only the next
+completion needs a timer, however many jobs run.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 from bitternpath.testing.emulator.scenario import Kind, sample
 
-WARM_UP_INTERVAL = 0.25  # s between looks at a cold worker's capacity
+WARM_UP_INTERVAL = 0.25  # s between updates of a cold worker's capacity
 
 
 class Attempt:
-    """A job that has been sent to a worker. `work` is in s on a core of speed 1."""
+    """A job sent to a worker. `work` is in s on a core of speed 1."""
 
     __slots__ = (
         "deadline",
@@ -44,15 +44,15 @@
         self.node, self.notify = (
             node,
             notify,
-        )  # who sent it, and how it hears: started, running, done, failed, lost
+        )  # `notify` is called with started, running, done, failed, lost or dropped.
         self.started_at = -1.0
         self.ended = False
-        self.sender_knew_start = True  # its node had been told that the worker is cold
+        self.sender_knew_start = True  # whether discovery had told the sending node that the worker is cold
         self.progress: Any = None
 
 
 class Worker:
-    """One worker. Times in s."""
+    """A worker. Times in s."""
 
     def __init__(self, id: str, site: str, kind: Kind, cell: int, scheduler: Any, random: Random) -> None:
         self.id, self.site, self.kind, self.cell, self.scheduler, self.random = (
@@ -65,21 +65,21 @@
         )
         self.speed = sample(random, kind.speed)
         self.cold_share, self.cold_s = sample(random, kind.cold_share), sample(random, kind.cold_s)
-        self.alive, self.reachable = True, True  # the process runs; the machine can be reached
-        self.up_since = 0.0  # 0: long ago
-        self.slowdown = 1.0  # times slower
-        self.stolen_share = 0.0  # of the machine, by another program
+        self.alive, self.reachable = True, True  # the process runs; the machine is reachable
+        self.up_since = 0.0  # s; 0 means long ago
+        self.slowdown = 1.0  # factor by which jobs take longer
+        self.stolen_share = 0.0  # share of the machine that another program uses
         self.paused = False
-        self.extra_error_rate = 0.0  # of its jobs end as errors, beside its kind's
+        self.extra_error_rate = 0.0  # share of jobs that fail, added to that of the worker's kind
         self.collapsed = False
         self.queue: deque[Attempt] = deque()
-        self.running: list[tuple[float, int, Attempt]] = []  # by the `v` at which they end
-        self.used_slots = 0  # slots
-        self.connections = 0  # held by all nodes, where their number is limited
-        self.done_work = 0.0  # s of core time that ended well
+        self.running: list[tuple[float, int, Attempt]] = []  # ordered by the `v` at which they end
+        self.used_slots = 0
+        self.connections = 0  # from all nodes, counted only where the kind limits them
+        self.done_work = 0.0  # s of core time of successful jobs
         self.recent_arrivals: deque[tuple[float, float, bool]] = (
             deque()
-        )  # arrivals of late: when, work, told of the start
+        )  # within `fall_span`: time, work, whether the sender knew of the start
         self.on_collapse: Callable[[Worker, float], None] = lambda worker, informed: None
         self._virtual_time = self._updated_at = 0.0
         self._rate = 0.0
@@ -90,7 +90,7 @@
     # ---- capacity
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that a worker has since its start."""
+        """Share of its full capacity that the worker has at `now`, growing linearly after a cold start."""
         if self.up_since <= 0.0:
             return 1.0
         return self.cold_share + (1.0 - self.cold_share) * min((now - self.up_since) / self.cold_s, 1.0)
@@ -100,7 +100,7 @@
         return len(self.queue) + len(self.running)
 
     def core_rate(self, now: float) -> float:
-        """How much work of speed 1 one core does in a second."""
+        """Work (s at speed 1) that one core does per second."""
         if self.paused or not self.alive:
             return 0.0
         excess = max(self.job_count - self.kind.crowded, 0.0)
@@ -113,17 +113,17 @@
         )
 
     def capacity(self, now: float) -> float:
-        """Work of speed 1 that it does in a second at most, strain apart."""
+        """Work (s at speed 1) that the worker can do per second, without the strain of crowding."""
         return self.speed * self.warmth(now) * self.kind.cores
 
     def _advance(self) -> None:
-        """Bring `v` up to now."""
+        """Advances `v` to the current time."""
         now = self.scheduler.seconds()
         self._virtual_time += (now - self._updated_at) * self._rate
         self._updated_at = now
 
     def reschedule(self) -> None:
-        """Something has changed its rate, or which job ends next."""
+        """Recomputes the rate and the timer of the next completion after a change to either."""
         self._advance()
         busy_slots = (
             sum(attempt.slots for _, _, attempt in self.running)
@@ -142,7 +142,7 @@
     # ---- jobs
 
     def arrive(self, attempt: Attempt) -> bool:
-        """A job has come; False where it is turned away."""
+        """Accepts a job; False if it is rejected."""
         self._record_arrival(self.scheduler.seconds(), attempt)
         if len(self.queue) >= self.kind.queue or self.collapsed:
             return False
@@ -151,7 +151,8 @@
         return True
 
     def _record_arrival(self, now: float, attempt: Attempt) -> None:
-        """What is sent to a cold worker, also what it turns away, may push it over."""
+        """Records work sent to a cold worker, rejected work included; too much of it makes the worker
+        collapse."""
         if self.up_since <= 0.0 or now >= self.up_since + self.cold_s or self.collapsed:
             return
         recent_arrivals, span = self.recent_arrivals, self.fall_span
@@ -159,7 +160,7 @@
         while recent_arrivals and recent_arrivals[0][0] < now - span:
             recent_arrivals.popleft()
         sent = sum(work for _, work, _ in recent_arrivals)
-        # A little slack for chance: two mean jobs.
+        # The slack of two mean jobs allows for chance.
         if sent > self.fall_multiple * self.capacity(now) * span + 2.0 * sent / len(recent_arrivals):
             informed = sum(work for _, work, knew in recent_arrivals if knew) / sent
             self.collapse(informed)
@@ -172,7 +173,7 @@
         self.stop()
 
     def _start_jobs(self) -> None:
-        """Start waiting jobs in order; the first waits until it fits."""
+        """Starts queued jobs in order; the first one blocks the others until it fits."""
         self._advance()
         now, started_any = self._updated_at, False
         while self.queue and self.used_slots + self.queue[0].slots <= self.kind.slots:
@@ -207,7 +208,7 @@
     # ---- the process and the machine
 
     def stop(self) -> list[Attempt]:
-        """The process is gone, with all it had; what that was."""
+        """Ends the process; returns the jobs that it had."""
         self._advance()
         lost_jobs = [attempt for _, _, attempt in self.running] + list(self.queue)
         self.running.clear()
@@ -220,7 +221,7 @@
         return lost_jobs
 
     def start(self, cold: bool = True) -> None:
-        """The process starts anew."""
+        """Starts a new process."""
         now = self.scheduler.seconds()
         self._updated_at = now
         self.alive, self.collapsed = True, False
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -1,4 +1,4 @@
-"""The world in virtual time: all parts of a scenario put together, and a run of it."""
+"""The emulated world in virtual time: builds all parts of a scenario and runs it."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from bitternpath.testing.emulator.troubles.register import ActiveFault, schedule_fault
 from bitternpath.testing.emulator.worker import Worker
 
-WORKERS_PER_CELL = 4  # workers that share a cell
-TRAILING_TIME = 2.0  # s after the last deadline
-REPLACEMENT_OVERLAP = 3.0  # s that a machine which is replaced still drains
+WORKERS_PER_CELL = 4  # workers per cell
+TRAILING_TIME = 2.0  # s that a run continues after the last deadline
+REPLACEMENT_OVERLAP = 3.0  # s that a replaced machine drains before it ends
 
 
 class Result(Struct):
-    """What came of a run."""
+    """The outcome of a run, written as JSON under these field names."""
 
     scenario: str
     seed: int
@@ -37,9 +37,9 @@
     by_class: dict[str, float]
     by_site: dict[str, float]
     by_second: dict[int, float]
-    counts: dict[str, dict[int, int]]  # what: by second
-    work_by_second: dict[int, float]  # s of a core of speed 1
-    percentiles: dict[str, dict[str, float]]  # class: ms
+    counts: dict[str, dict[int, int]]  # event name: second: count
+    work_by_second: dict[int, float]  # s of work on a core of speed 1
+    percentiles: dict[str, dict[str, float]]  # class: percentile name: ms
     requests: int
     violations: list[str]
     lost_by_death: int
@@ -54,7 +54,7 @@
 
 
 def node_settings(scenario: Scenario, site: str, number: int, nodes: int) -> m.Settings:
-    """What a node is told, in the module's words."""
+    """The decision module's settings for one node of the scenario."""
     rules, prices = scenario.rules, scenario.prices
     return m.Settings(
         classes=tuple(
@@ -97,17 +97,17 @@
 
 
 def worker_name(random: Random, site: str) -> str:
-    """A machine's name; sorted, names tell nothing of age or kind, nor of the site that is written behind."""
+    """A machine name that sorts independently of age, kind and site (the site is only a suffix)."""
     return f"{random.getrandbits(32):08x}-{site}"
 
 
 class World:
-    """A scenario with a seed and a policy."""
+    """One scenario with a seed and a policy."""
 
     def __init__(self, scenario: Scenario, seed: int, policy: str = "module", traced: bool = True) -> None:
         self.scenario, self.seed, self.policy = scenario, seed, policy
         self.scheduler = Scheduler()
-        # A source of its own for each part, so that one part's draws do not move another's.
+        # Each part has its own random source, so that draws in one part do not shift those of another.
         self.random = Random(f"{seed} world")
         self.net = Network(scenario.net, Random(f"{seed} net"))
         self.dial_timeout = scenario.net.dial_timeout_ms / 1000.0
@@ -115,9 +115,10 @@
         rules = scenario.rules
         self.metrics = ServiceMetrics(scenario.classes, scenario.prices)
         self.checker = Checker(rules.drain_grace_ms / 1000.0, rules.answer_grace_ms / 1000.0)
-        self.known_starts: dict[str, dict[str, float]] = {}  # worker: node: start that it was told of
+        # worker: node: start time that discovery reported to the node
+        self.known_starts: dict[str, dict[str, float]] = {}
         self.duplicate_call_backs = 0.0
-        self.blocked_call_backs: set[str] = set()  # workers whose call-backs are lost
+        self.blocked_call_backs: set[str] = set()  # ids of workers whose call-backs don't get through
         self._hash = xxhash.xxh3_128() if traced else None
         self.workers = self._workers(Random(f"{seed} workers"))
         self.directory = Directory(scenario.discovery, self.scheduler, Random(f"{seed} discovery"))
@@ -141,8 +142,9 @@
             raise ScenarioError(f"{scenario.name}: clients.load: {count}; at most {MAX_REQUESTS} in all")
         self.nodes = self._nodes()
         self.active_faults: list[ActiveFault] = []
-        self._operations: dict[str, Any] = {}  # request: what is asked, for the oracle alone
-        self.reserved: dict[str, int] = {}  # worker: jobs of the oracle's that have not come to it yet
+        self._operations: dict[str, Any] = {}  # request id: its operation, read by the oracle only
+        # worker: jobs that the oracle has sent and that have not arrived yet
+        self.reserved: dict[str, int] = {}
 
     # ---- its parts
 
@@ -171,14 +173,14 @@
         return made
 
     def capacity(self) -> float:
-        """First tries a second that fill all cores of the warm fleet."""
+        """First requests per second that occupy all cores of the warm fleet."""
         classes = self.scenario.classes
         shares = sum(c.share for c in classes)
         mean = sum(c.share * self.clients.mean_work[c.name] for c in classes) / shares
         return sum(w.speed * w.kind.cores for w in self.workers.values()) / mean
 
     def make_policy(self, node: VirtualNode) -> Any:
-        """The decisions of one life of a node."""
+        """Creates the decision module for one incarnation of a node."""
         settings = node_settings(self.scenario, node.site, node.number, len(self.nodes))
         made = POLICIES[self.policy](settings, node.random.getrandbits(48), node.clock())
         if self.policy == "oracle":
@@ -188,7 +190,7 @@
                 self._oracle_reserve,
             )
             made.any_free = self._oracle_any_free
-        for action in getattr(made, "acts", ()):  # asked for before any event
+        for action in getattr(made, "acts", ()):  # actions requested before the first event
             if isinstance(action, m.StartTimer):
                 node.timer.callLater(
                     action.delay / 1000.0, self._timer_expired, node, action.label, node.timer
@@ -205,8 +207,8 @@
             node.broker._append(TimerExpired(label))
 
     def _oracle_estimate(self, name: str, request: str, zone: str) -> tuple[float, bool]:
-        """For the oracle: s until a job would end there, from the true state, and whether it would begin
-        at once."""
+        """For the oracle: seconds until a job would end on that worker, by its true state, and whether it
+        would start at once."""
         worker, now = self.workers[name], self.scheduler.now
         unavailable = float("inf"), False
         if (
@@ -260,7 +262,7 @@
             self._hash.update(f"{self.scheduler.now:.6f} {event}\n".encode())
 
     def to_client(self, client_site: str, node_site: str) -> float:
-        """One way between a client and a node, s."""
+        """One-way delay between a client and a node, in s."""
         transfer = self.net.delay(client_site, node_site) if client_site != node_site else 0.0
         return self.net.to_client() + transfer
 
@@ -273,7 +275,7 @@
         self.scheduler.callLater(0.0, self.end_process, worker, False)
 
     def end_process(self, worker: Worker, silent: bool) -> None:
-        """A worker's process ends, or its machine can't be reached any more (`silent`)."""
+        """Ends a worker's process, or makes its machine unreachable (`silent`)."""
         self.trace("worker ends", worker.id, silent)
         lost_jobs = worker.stop()
         if silent:
@@ -283,7 +285,7 @@
                 node.idle_connections.pop(worker.id, None)
                 node.open_connections.pop(worker.id, None)
             worker.connections = 0
-            for attempt in lost_jobs:  # the machine's agent saw the process die
+            for attempt in lost_jobs:  # the machine's supervisor reports the jobs of the dead process
                 attempt.notify(attempt, "lost")
         self.directory.process_ended(worker, silent)
 
@@ -298,7 +300,7 @@
         self.directory.process_started(worker)
 
     def replace(self, old: Worker, random: Random) -> None:
-        """A machine gives way to a new one: it drains and ends, the other starts cold under a new name."""
+        """Replaces a machine: the old one drains and ends, the new one starts cold under a new name."""
         self.directory.process_draining(old)
         self.scheduler.callLater(REPLACEMENT_OVERLAP, self.end_process, old, False)
         name = worker_name(random, old.site)
@@ -356,7 +358,7 @@
 
 
 def percentiles(latencies: list[float]) -> dict[str, float]:
-    """p50, p90, p99 and the longest, by HdrHistogram (3 digits, 0.1 ms to 60 s)."""
+    """p50, p90, p99 and maximum in ms, by HdrHistogram (3 significant digits, 0.1 ms to 60 s)."""
     from hdrh.histogram import HdrHistogram
 
     histogram = HdrHistogram(1, 600_000, 3)
@@ -368,7 +370,7 @@
 
 
 def play(scenario: Scenario, seed: int, policy: str = "module", traced: bool = True) -> Result:
-    """One run."""
+    """Runs a scenario once in virtual time."""
     return World(scenario, seed, policy, traced).run()
 
 
