--- a/bitternpath/testing/emulator/checker.py
+++ b/bitternpath/testing/emulator/checker.py
@@ -1,8 +1,9 @@
-"""The rules, held against what the world saw; the node's own word is not asked. Pure.
+"""Checks the rules that nodes must keep, from what the emulated world observed; a node's own reports don't
+count. Pure.
 
-What the world sees: requests that a node took and what it answered, attempts as they were sent and as
-they came to a worker, what the worker did with them, and when each node was told what of whom. A
-violation names the request, the worker, the time and the events that led there.
+Observed are the requests that a node accepted and their answers, the attempts as they were sent and as
+they reached a worker, what the worker did with them, and when each node was told of which endpoint change.
+A violation names the request, the worker, the time and the preceding events.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 
 from msgspec import Struct
 
-SOCKET_SLACK = 0.05  # s by which each limit in time is longer on sockets; 0 in virtual time
-RESUME_ALLOWANCE = 0.1  # s after it goes on in which a stopped node may still be late
-MAX_EVENTS_SHOWN = 12  # events told with a violation
+SOCKET_SLACK = 0.05  # s added to each time limit on sockets; virtual time needs none
+RESUME_ALLOWANCE = 0.1  # s after a resume during which a stopped node may still be late
+MAX_EVENTS_SHOWN = 12  # latest events listed with a violation
 
 
 class Violation(Struct):
-    """A rule that was broken."""
+    """A violation of a rule."""
 
     rule: str  # lost, duplicate, drain, cold, invented, refused
     time: float
@@ -33,34 +34,34 @@
 
 
 class TrackedRequest:
-    """A request that a node took."""
+    """A request that a node accepted."""
 
     __slots__ = ("abandoned", "answer", "at", "attempts", "deadline", "events", "may_run", "node", "safe")
 
     def __init__(self, node: str, at: float, deadline: float, safe: bool) -> None:
         self.node, self.at, self.deadline, self.safe = node, at, deadline, safe
         self.answer = ""
-        self.abandoned = False  # its client has gone away, or its node has died: nothing is owed
-        self.attempts: set[int] = set()  # attempts that may yet run or are running
-        self.may_run = False  # an attempt may have run, or may yet
+        self.abandoned = False  # its client left or its node died: no answer is owed
+        self.attempts: set[int] = set()  # attempts that run or may still start
+        self.may_run = False  # whether any attempt ran, runs or may still start
         self.events: list[str] = []
 
 
 class Checker:
-    """Hears of everything and remembers what it needs."""
+    """Follows all events of a run and records violations."""
 
     def __init__(self, drain_grace: float, answer_grace: float, slack: float = 0.0) -> None:
         self.drain_grace, self.answer_grace, self.slack = drain_grace, answer_grace, slack
         self.requests: dict[str, TrackedRequest] = {}
         self.violations: list[Violation] = []
-        self.lost_by_death = 0  # requests whose node died: no fault of its
+        self.lost_by_death = 0  # requests whose node was killed: no violation
         self._unavailable_since: dict[
             tuple[str, str], float
-        ] = {}  # node, worker: since when it knows of its drain or end
+        ] = {}  # (node, worker): when the node learned that the worker drains or has ended
         self._ejected_since: dict[
             tuple[str, str], float
-        ] = {}  # node, worker: since when it is out by hand there
-        self._results: dict[str, set[bytes]] = {}  # request: results that workers made for it
+        ] = {}  # (node, worker): when staff ejected the worker at that node
+        self._results: dict[str, set[bytes]] = {}  # request: results that workers returned for it
         self._due: deque[tuple[float, str]] = deque()
 
     def _report(self, rule: str, now: float, request: str, worker: str, message: str) -> None:
@@ -82,7 +83,7 @@
         tracked.events.append(f"{now:.3f} taken by {node}, deadline {deadline:.3f}")
 
     def answered(self, now: float, request: str, answer: str, result: bytes = b"") -> None:
-        """`answer`: served, refused or failed."""
+        """Records a node's answer: served, refused or failed."""
         tracked = self._record_event(request, now, f"answered {answer}")
         if tracked is None:
             self._report("invented", now, request, "", f"answered {answer} though it was never taken")
@@ -99,22 +100,22 @@
             self._report("refused", now, request, "", "refused though it may have run")
 
     def awaits_answer(self, request: str) -> bool:
-        """Whether an answer to it is still to come."""
+        """Whether an answer to the request is still owed."""
         tracked = self.requests.get(request)
         return tracked is not None and not tracked.answer and not tracked.abandoned
 
     def deadline(self, request: str) -> float:
-        """When its answer must be there; never, for one that nobody waits for."""
+        """When its answer is due; infinite for a request that no node accepted."""
         tracked = self.requests.get(request)
         return tracked.deadline if tracked is not None else float("inf")
 
     def abandoned(self, request: str) -> None:
-        """Its client has gone away."""
+        """Its client has disconnected."""
         if request in self.requests:
             self.requests[request].abandoned = True
 
     def node_killed(self, now: float, node: str) -> None:
-        """A node was killed: what it held is lost by that, and by no fault of its."""
+        """A node was killed: its open requests are lost, which is no violation."""
         for request, tracked in self.requests.items():
             if tracked.node == node and not tracked.answer and not tracked.abandoned:
                 tracked.abandoned = True
@@ -125,9 +126,11 @@
         }
 
     def node_resumed(self, now: float, node: str, since: float = float("inf")) -> None:
-        """A node goes on after it was stopped from outside: what fell due meanwhile is no fault of its.
+        """A node runs again after it was stopped from outside: requests that fell due meanwhile are no
+        violation.
 
-        What was sent to it after `since` it reads only now, and counts its time from then."""
+        Requests sent to it after `since` are read only now, so their budget counts from now.
+        """
         for request, tracked in self.requests.items():
             deadline = tracked.deadline + self.answer_grace + self.slack
             if (
@@ -156,7 +159,8 @@
     # ---- what staff say
 
     def worker_ejected(self, now: float, node: str, worker: str) -> None:
-        """The node has said yes: from now on nothing new, whatever discovery says, also in its next life."""
+        """The node has confirmed the ejection: it must send nothing more there, whatever discovery says, also
+        after a restart."""
         self._ejected_since.setdefault((node, worker), now)
 
     def worker_reinstated(self, node: str, worker: str) -> None:
@@ -176,7 +180,7 @@
             )
 
     def arrived(self, now: float, request: str, worker: str, attempt: int) -> None:
-        """The last byte has come to the worker."""
+        """The attempt has reached the worker completely."""
         tracked = self._record_event(request, now, f"arrived at {worker}")
         if tracked is None:
             self._report("invented", now, request, worker, "an attempt for a request that nobody made")
@@ -207,7 +211,7 @@
     # ---- the end
 
     def finish(self, now: float) -> None:
-        """Whatever is unanswered past its deadline has been lost."""
+        """Reports every request that is unanswered past its deadline as lost."""
         for request, tracked in self.requests.items():
             if (
                 not tracked.answer
@@ -217,6 +221,6 @@
                 self._report("lost", now, request, "", "never answered")
 
     def forget(self, request: str) -> None:
-        """Free what is kept of a request that is over and long past."""
+        """Frees the records of a request that ended long ago."""
         self.requests.pop(request, None)
         self._results.pop(request, None)
--- a/bitternpath/testing/emulator/clients.py
+++ b/bitternpath/testing/emulator/clients.py
@@ -176,7 +176,7 @@
             )
 
     def answer(self, request: ClientRequest, outcome: str, retry_after: float, result: bytes) -> None:
-        """Handles a request's outcome (served, refused, failed, reset or unreachable); `retry_after` in ms."""
+        """Handles a request's outcome: served, refused, failed, reset or unreachable; `retry_after` in ms."""
         if request.done:
             return
         request.done = True
--- a/bitternpath/testing/emulator/clock.py
+++ b/bitternpath/testing/emulator/clock.py
@@ -1,8 +1,8 @@
-"""Virtual time: a heap of what is due. Pure.
+"""Virtual time: a scheduler on a heap of calls. Pure.
 
-Order is defined: by time, and what is due at the same time in the order in which it was asked for. A
-loop without delay would never let time pass; after AT_ONCE events at one time it is ended with an error
-that names the time.
+The order is defined: by time, and calls due at the same time in the order of scheduling. A loop without
+delay would keep time from advancing; after `MAX_EVENTS_PER_INSTANT` events at one time it is ended with an
+error that names the time.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from heapq import heappop, heappush
 from typing import Any
 
-MAX_EVENTS_PER_INSTANT = 1_000_000  # events at one time
+MAX_EVENTS_PER_INSTANT = 1_000_000  # events at one virtual time before a run is aborted
 
 
 class StuckError(Exception):
-    """Time does not pass any more."""
+    """Virtual time does not advance any more."""
 
 
 class ScheduledCall:
-    """Something that is to happen; a timer as Twisted's reactor gives it."""
+    """A scheduled call, with the interface of Twisted's IDelayedCall."""
 
     __slots__ = ("args", "callback", "time")
 
@@ -40,13 +40,13 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.events_processed = 0  # events that have happened
+        self.events_processed = 0
         self._heap: list[tuple[float, int, ScheduledCall]] = []
-        self._immediate: deque[tuple[int, ScheduledCall]] = deque()  # asked for without delay
+        self._immediate: deque[tuple[int, ScheduledCall]] = deque()  # scheduled without delay
         self._sequence = 0
 
     def callLater(self, delay: float, callback: Callable[..., object], *args: Any) -> ScheduledCall:
-        """As Twisted's reactor: seconds from now."""
+        """Schedules a call in `delay` s, like Twisted's reactor."""
         self._sequence += 1
         if delay <= 0.0:
             call = ScheduledCall(self.now, callback, args)
@@ -60,10 +60,10 @@
         return self.now
 
     def run(self, until: float) -> None:
-        """Let everything happen that is due by then."""
+        """Runs all calls that are due by `until`."""
         heap, immediate, events_now = self._heap, self._immediate, 0
         while True:
-            # What was asked for without delay is due now, after what was asked for before it.
+            # A call without delay is due now, after calls that were scheduled before it for the same time.
             if immediate and not (heap and heap[0][0] <= self.now and heap[0][1] < immediate[0][0]):
                 call = immediate.popleft()[1]
             elif heap and heap[0][0] <= until:
--- a/bitternpath/testing/emulator/discovery.py
+++ b/bitternpath/testing/emulator/discovery.py
@@ -1,5 +1,5 @@
-"""Discovery as the world has it: late, knows whether a process runs, and tells each node at its own time.
-Pure."""
+"""The discovery service: reports late, knows only whether a process runs, and informs each node after a delay
+of its own. Pure."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from bitternpath.testing.emulator.scenario import Discovery, sample
 from bitternpath.testing.emulator.worker import Worker
 
-EPOCH = 1_700_000_000_000.0  # Unix ms at the start of a run, so that a start is never 0, which means long ago
+EPOCH = 1_700_000_000_000.0  # Unix ms at the start of a run; not 0, since a start time of 0 means long ago.
 
-ListingCallback = Callable[[str, Listing], None]  # node, what it is told
+ListingCallback = Callable[[str, Listing], None]  # node name, update
 
 
 class Directory:
-    """The list, and who has been told of which version of it."""
+    """The list of endpoints and its subscribers."""
 
     def __init__(self, settings: Discovery, scheduler: Any, random: Random) -> None:
         self.settings, self.scheduler, self.random = settings, scheduler, random
@@ -32,10 +32,10 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.revision = 1
         self.subscribers: dict[str, ListingCallback] = {}
-        self.down = False  # it says nothing
-        self.subscribe_calls, self.subscribe_successes = Counter[str](), Counter[str]()  # calls, by node
-        self._busy_until = 0.0  # where it has to be asked
-        self.drop_rate = 0.0  # share of changes that a node is told later, with the next one
+        self.down = False  # whether it is silent
+        self.subscribe_calls, self.subscribe_successes = Counter[str](), Counter[str]()  # by node
+        self._busy_until = 0.0  # s at which the current queue of subscribe calls is served
+        self.drop_rate = 0.0  # share of updates that a node gets only with the next one
         self.delay_factor = 1.0
         self._lags: dict[str, float] = {}
         self._missed: dict[str, set[str]] = {}
@@ -47,7 +47,7 @@
         )
 
     def load(self, workers: list[Worker]) -> None:
-        """What is there at the start."""
+        """Sets the endpoints that exist at the start."""
         self.endpoints = {worker.id: self.endpoint_for(worker) for worker in workers}
 
     def full_listing(self) -> Listing:
@@ -56,14 +56,15 @@
     # ---- where nodes have to ask
 
     def subscribe(self, name: str, granted: Callable[[], None], failed: Callable[[], None]) -> None:
-        """One call. Calls are served in turn; one that has waited too long has failed, but is served."""
+        """One subscribe call. Calls are served one at a time; a call that waits too long fails for the caller
+        but still takes up its time slot."""
         self.subscribe_calls[name] += 1
         settings, now = self.settings, self.scheduler.now
         if self.down:
             self.scheduler.callLater(settings.call_waits_s, failed)
             return
         finished_at = max(self._busy_until, now) + 1.0 / settings.calls_per_s
-        if finished_at - now > 2 * settings.call_waits_s:  # no more wait than it could ever serve
+        if finished_at - now > 2 * settings.call_waits_s:  # the queue is longer than it can ever serve
             self.scheduler.callLater(0.0, failed)
             return
         self._busy_until = finished_at
@@ -105,7 +106,7 @@
             self.endpoints[endpoint.id] = endpoint
         self.revision += 1
         for name in list(self.subscribers):
-            # Each node hears at a lag of its own, so that what it hears stays in order.
+            # Each node has a constant lag, so that its updates stay in order.
             lag = self._lags.setdefault(name, self.random.random() * self.settings.spread_s)
             self.scheduler.callLater(lag, self._notify, name, endpoint, self.revision)
 
@@ -116,13 +117,13 @@
         if self.down or self.random.random() < self.drop_rate:
             self._missed.setdefault(name, set()).add(endpoint.id)
             return
-        if self._missed.pop(name, None):  # after a gap the whole list comes
+        if self._missed.pop(name, None):  # after a lost update the full list is sent
             callback(name, self.full_listing())
         else:
             callback(name, Listing(revision, False, (endpoint,)))
 
     def recover(self) -> None:
-        """It speaks again."""
+        """Ends an outage: sends the full list to every node that missed an update."""
         self.down = False
         for name in list(self._missed):
             if name in self.subscribers:
--- a/bitternpath/testing/emulator/fleet/__init__.py
+++ b/bitternpath/testing/emulator/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""Stewards and nodes' agents in virtual time, with faults, and the checkers of the fleet's rules.
+"""The fleet in virtual time: consensus servers and lease holders under faults, with checkers of the fleet's
+rules.
 
-One seed is one run: the same one gives the same run, byte for byte.
+A seed determines a run completely: the same seed gives the same trace, byte for byte.
 """
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -1,4 +1,4 @@
-"""Builds of the fleet with one safeguard taken out: the checkers must find each of them."""
+"""Builds of the fleet with one safeguard removed; the checkers must detect each of them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def vote_not_on_disk(stack: ExitStack) -> None:
-    """A steward that comes back does not know for whom it voted."""
+    """A restarted server has forgotten its vote."""
     apply_write = world.apply_write
 
     def forget_vote(state: PersistentState, write: StorageWrite) -> None:
@@ -36,7 +36,7 @@
 
 
 def yes_before_the_disk(stack: ExitStack) -> None:
-    """A follower says yes to entries that are not on its disk yet."""
+    """A follower acknowledges entries before they are on its disk."""
     on_append_entries = consensus.Raft._on_append_entries
 
     def apply_early(self: Any, sender: str, message: AppendEntries) -> None:
@@ -49,8 +49,9 @@
 
 
 def other_terms_counted(stack: ExitStack) -> None:
-    """A leader takes entries of earlier leaders for agreed by counting them (fig. 8 of the paper)."""
-    _patch(stack, leadership, "BATCH_ENTRIES", 1)  # else the leader's own first entry comes with them
+    """A leader commits entries of earlier terms by counting replicas (figure 8 of the Raft paper)."""
+    # otherwise the entry that starts the leader's own term is sent in the same message
+    _patch(stack, leadership, "BATCH_ENTRIES", 1)
     update_commitment = consensus.Raft._update_commitment
 
     def commit_by_count(self: Any) -> None:
@@ -67,7 +68,7 @@
 
 
 def no_wait_for_leases(stack: ExitStack) -> None:
-    """A new leader takes all leases of the one before for over."""
+    """A new leader assumes that all leases of its predecessor have ended."""
 
     class ImpatientLeadership(Leadership):
         def __init__(self, term: int, since: float) -> None:
@@ -77,12 +78,12 @@
 
 
 def drift_forgotten(stack: ExitStack) -> None:
-    """The leader takes a lease for over when its own clock says so."""
+    """The leader considers a lease ended by its own clock, without allowing for clock drift."""
     _patch(stack, p.LeaseTerms, "max_duration", property(lambda self: self.lease))
 
 
 def no_round(stack: ExitStack) -> None:
-    """A leader renews leases without asking whether it leads."""
+    """A leader renews leases without confirming by a heartbeat round that it still leads."""
     renew = record_replica.RecordReplica._renew
 
     def grant_at_once(
@@ -97,7 +98,7 @@
 
 
 def two_versions_off(stack: ExitStack) -> None:
-    """A version is released as soon as it is agreed."""
+    """A version is released as soon as it is committed."""
 
     def apply_early(self: Any, now: float, leadership: Any) -> None:
         released = self.record.released.version
@@ -109,7 +110,7 @@
 
 
 def lease_from_arrival(stack: ExitStack) -> None:
-    """A node's lease runs from when the answer came."""
+    """A node's lease counts from the arrival of the grant rather than from the request."""
     lease = lease_holder.LeaseHolder._handle_lease
 
     def lease_from_now(self: Any, now: float, message: m.Lease) -> None:
@@ -121,7 +122,7 @@
 
 
 def lease_by_timer(stack: ExitStack) -> None:
-    """A node takes its lease for good until a timer has rung."""
+    """A node considers its lease valid until a timer has fired."""
     tick, holds = lease_holder.LeaseHolder.tick, lease_holder.LeaseHolder.holds_lease
     in_tick: list[bool] = []
 
@@ -141,7 +142,7 @@
 
 
 def lease_not_looked_at(stack: ExitStack) -> None:
-    """A node takes a lease for good."""
+    """A node considers a lease valid forever."""
 
     def holds_forever(self: Any, now: float) -> bool:
         self.expires_at = max(self.expires_at, now + 1.0)
@@ -151,7 +152,7 @@
 
 
 def fence_ignored(stack: ExitStack) -> None:
-    """A node takes any lease that names it, of whatever fence."""
+    """A node accepts any lease in its name, whatever its fencing token."""
     lease = lease_holder.LeaseHolder._handle_lease
 
     def accept_any_token(self: Any, now: float, message: m.Lease) -> None:
@@ -163,7 +164,7 @@
 
 
 def digest_ignored(stack: ExitStack) -> None:
-    """A node acts on a version by its number, whatever it holds under it."""
+    """A node applies a version by its number without comparing the digest."""
 
     def advance_by_number(self: Any, lease: m.Lease) -> bool:
         for plan in [plan for plan in self._pending_plans if plan.version <= lease.released]:
@@ -175,7 +176,7 @@
 
 
 def told_before_written(stack: ExitStack) -> None:
-    """A node tells the stewards of lines that its own file may come to lack."""
+    """A node reports audit entries to the servers before they are in its own file."""
 
     def all_lines(self: audit.AuditLog) -> tuple[audit.AuditEntry, ...]:
         return tuple(islice(self.unacknowledged, audit.ENTRIES_PER_MESSAGE))
--- a/bitternpath/testing/emulator/fleet/campaign.py
+++ b/bitternpath/testing/emulator/fleet/campaign.py
@@ -1,4 +1,4 @@
-"""Runs of the fleet by seed: faults and changes, then a while without any in which all must come right."""
+"""Runs of the fleet by seed: faults and changes, then a phase without faults in which it must recover."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from bitternpath.testing.emulator.fleet.faults import FAULTS, random_change
 from bitternpath.testing.emulator.fleet.world import FleetWorld
 
-FAULTS_START = 4.0  # s: by then the fleet is founded
-FAULTS_WINDOW = 40.0  # s in which faults begin
-FAULT_DURATION = 0.3, 9.0  # s that one lasts
+FAULTS_START = 4.0  # s; the fleet is bootstrapped by then
+FAULTS_WINDOW = 40.0  # s during which faults start
+FAULT_DURATION = 0.3, 9.0  # s, shortest and longest
 CHANGE_INTERVAL = 2.5
 RECOVERY_LIMIT = 90.0  # s after the last fault
 TERMS = p.LeaseTerms(lease=3.0, drift=0.02, catch_up=4.0)
@@ -22,7 +22,7 @@
 class Outcome(Struct, frozen=True):
     seed: int
     violations: tuple[str, ...]
-    stuck: str  # what had not come right; empty: all had
+    stuck: str  # what had not recovered; empty if everything had
     versions: int
     acts: int
     faults: tuple[str, ...]
@@ -40,7 +40,7 @@
 def run_seed(
     seed: int, faults: int = 20, server_count: int = 0, nodes: int = 6, world: type[FleetWorld] = FleetWorld
 ) -> Outcome:
-    """One run; with 3 stewards, or 5 for each third seed, where their number is not given."""
+    """One run; by default with 3 servers, or 5 for every third seed."""
     random = Random(f"{seed} faults")
     fleet = world(seed, server_count or (3 if seed % 3 else 5), nodes, TERMS, TERMS.drift)
     scheduler, schedule = fleet.scheduler, []
--- a/bitternpath/testing/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -1,11 +1,11 @@
-"""The fleet's rules, held against what happened: entries applied, answers read, leases let go, acts. Pure.
+"""Checks the fleet's rules against events: entries applied, commands answered, leases ended, acts. Pure.
 
-1. A version, once agreed, is never lost nor changed.
-2. No two processes with a lease act more than one version apart.
-3. No act under a lease that is over, nor with a fence lower than one already used by that process.
-4. For each act that happened the audit has a line or names it as missing; for each line there was an act.
+1. A committed version is never lost or changed.
+2. No two processes with a lease act on versions that are more than one apart.
+3. No process acts under an ended lease, or with a fencing token lower than one that it used before.
+4. The audit has an entry for each act or reports it as missing, and an act for each entry.
 
-Times are the world's own, which nobody in it can read.
+Times are true times, which no process can read.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from bitternpath.balancer.fleet import audit
 from bitternpath.balancer.fleet import plan as p
 
-MAX_VERSIONS_APART = 1  # versions that two processes may be apart
+MAX_VERSIONS_APART = 1  # largest difference between the versions that two processes act on
 
 
 class FleetViolation(Struct, frozen=True):
-    rule: str  # lost, changed, apart, over, fence, split
+    rule: str  # lost, changed, apart, over, fence, split, granted, audit
     at: float
     message: str
 
@@ -28,7 +28,7 @@
 
 
 class LastAct(Struct):
-    """What is known of a process by its acts."""
+    """The last act of a process under a lease."""
 
     fencing_token: int
     version: int
@@ -38,18 +38,18 @@
 class FleetChecker:
     def __init__(self) -> None:
         self.violations: list[FleetViolation] = []
-        self.entries: dict[int, tuple[int, bytes]] = {}  # index: term and content, as first applied
-        self.digests: dict[int, bytes] = {}  # released version: its digest
-        self.acknowledged: dict[str, int] = {}  # change id: the version that was answered
+        self.entries: dict[int, tuple[int, bytes]] = {}  # index: term and content when first applied
+        self.digests: dict[int, bytes] = {}  # released version: digest
+        self.acknowledged: dict[str, int] = {}  # change id: the version in its answer
         self.ended_leases: dict[
             tuple[str, int], float
-        ] = {}  # process and fence: when the record let go of it
-        self.current_tokens: dict[str, int] = {}  # process: its fence, as the record has it
+        ] = {}  # (process, fencing token): when the record ended the lease
+        self.current_tokens: dict[str, int] = {}  # process: fencing token in the record
         self.last_acts: dict[str, LastAct] = {}  # process: its last act under a lease
-        self.last_index = 0  # the highest index applied anywhere
-        self.leaders: dict[int, str] = {}  # term: who led it
+        self.last_index = 0  # the highest index applied by any server
+        self.leaders: dict[int, str] = {}  # term: leader
         self.acts = 0
-        self.audited_acts: dict[str, list[tuple[str, int, int]]] = {}  # process: what it did, in order
+        self.audited_acts: dict[str, list[tuple[str, int, int]]] = {}  # process: its audited acts in order
 
     def _report(self, rule: str, at: float, message: str) -> None:
         self.violations.append(FleetViolation(rule, at, message))
@@ -61,13 +61,13 @@
             self._report("split", at, f"{server} and {self.leaders[term]} both lead term {term}")
 
     def applied(self, at: float, server: str, index: int, term: int, data: bytes) -> None:
-        """A steward takes an entry for agreed."""
+        """A server has applied a committed entry."""
         if self.entries.setdefault(index, (term, data)) != (term, data):
             self._report("changed", at, f"{server} has another entry {index} than was agreed before")
         self.last_index = max(self.last_index, index)
 
     def committed(self, at: float, record: p.Record, index: int, item: p.Item) -> None:
-        """An entry has changed the record, at any steward; the first to say so counts."""
+        """An entry has changed the record of a server; the first server to apply it counts."""
         match item:
             case p.Release(version, _):
                 digest = record.digest_of(version) or b""
@@ -80,7 +80,7 @@
                 self.ended_leases.setdefault((f"{node}#{boot}", fencing_token), at)
 
     def change_acknowledged(self, at: float, id: str, version: int) -> None:
-        """A command was told that its change is that version."""
+        """An operator was told that the change became that version."""
         if self.acknowledged.setdefault(id, version) != version:
             self._report(
                 "changed", at, f"change {id} was version {self.acknowledged[id]} and now is {version}"
@@ -107,11 +107,11 @@
         self.last_acts[process] = LastAct(fencing_token, plan.version, at)
 
     def record_audited_act(self, process: str, what: str, version: int, fencing_token: int) -> None:
-        """Something that the audit must have a line of."""
+        """Records an act that the audit must contain."""
         self.audited_acts.setdefault(process, []).append((what, version, fencing_token))
 
     def check_versions_apart(self, at: float, versions: dict[str, int]) -> None:
-        """Who could act under a lease in this moment, and on which version."""
+        """Compares the versions on which processes may act under a lease now."""
         if versions and max(versions.values()) - min(versions.values()) > MAX_VERSIONS_APART:
             low, high = min(versions, key=versions.__getitem__), max(versions, key=versions.__getitem__)
             self._report("apart", at, f"{low} acts on {versions[low]} and {high} on {versions[high]}")
@@ -119,7 +119,7 @@
     # ---- the end
 
     def finish(self, at: float, record: p.Record) -> None:
-        """The record of the leader at the end has all that was ever answered for."""
+        """Checks that the final leader's record has everything that was acknowledged."""
         for id, version in self.acknowledged.items():
             if record.change_versions.get(id) != version:
                 self._report("lost", at, f"change {id} was answered as version {version} and is not there")
--- a/bitternpath/testing/emulator/fleet/days.py
+++ b/bitternpath/testing/emulator/fleet/days.py
@@ -1,4 +1,4 @@
-"""Runs with real processes, drawn from a seed: three stewards, six nodes, their clients, and some faults."""
+"""Scenarios for real processes, drawn from a seed: three consensus servers, six nodes, clients and faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     "kill-stewards", "kill-leader", "stall-stewards", "stall-leader", "cut-fleet-links", "slow-fleet-links",
     "reset-fleet-links", "half-open-fleet-links", "cut-fleet-site", "kill-nodes", "stop-nodes", "fleet-ban",
 )  # fmt: skip
-FAULT_START, FAULT_DURATION = (1.5, 9.0), (0.5, 5.0)  # s
+FAULT_START, FAULT_DURATION = (1.5, 9.0), (0.5, 5.0)  # s, earliest and latest
 
 BASE_SCENARIO: dict[str, Any] = {
     "seconds": 15.0,
@@ -29,7 +29,7 @@
 
 
 def scenario_for_seed(seed: int, faults: int = 5) -> Scenario:
-    """The scenario of that seed: changes all the while, and so many faults."""
+    """The scenario of a seed: continuous changes and `faults` random faults."""
     random = Random(f"{seed} day")
     troubles: list[dict[str, Any]] = [{"kind": "fleet-changes", "at": 0.5, "lasts": 12.0, "size": 0.7}]
     for _ in range(faults):
@@ -51,7 +51,7 @@
 
 
 def lagging_scenario(seed: int) -> Scenario:
-    """Nodes are cut off with their site while versions go on without them: broken builds show there."""
+    """A site is cut off while versions advance without it, which exposes broken builds."""
     troubles = [
         {"kind": "fleet-changes", "at": 0.5, "lasts": 12.0, "size": 0.3},
         {"kind": "cut-fleet-site", "at": 3.0, "lasts": 6.0, "site": "labasa"},
--- a/bitternpath/testing/emulator/fleet/faults.py
+++ b/bitternpath/testing/emulator/fleet/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run of the fleet, drawn from its seed; each fault is over after a while."""
+"""Faults of a run of the fleet in virtual time, drawn from its seed; each one ends after a while."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def isolate(world: FleetWorld, random: Random) -> Undo:
-    """One process reaches nobody, or nobody reaches it."""
+    """Cuts one process off from all others, in one direction or both."""
     name = _pick(random, world.hosts).name
     others = [host.name for host in world.hosts if host.name != name] + ["operator"]
     draw = random.random()
@@ -96,7 +96,7 @@
 
 
 def split(world: FleetWorld, random: Random) -> Undo:
-    """The fleet in two halves."""
+    """Partitions the fleet into two groups."""
     names = [host.name for host in world.hosts]
     half = set(random.sample(names, random.randint(1, len(names) - 1)))
     return _block(world, [(a, b) for a in names for b in names if (a in half) != (b in half)])
@@ -125,7 +125,7 @@
 
 
 def late_link(world: FleetWorld, random: Random) -> Undo:
-    """One direction of one pair is seconds late, and so out of order."""
+    """Delays messages of one pair of processes by seconds in one direction, which also reorders them."""
     sender, receiver = random.sample([host.name for host in world.hosts], 2)
     link: Link = world.link(sender, receiver)
     link.max_delay, link.duplication = random.uniform(0.5, 6.0), 0.3
@@ -147,7 +147,7 @@
 
 
 def flap(world: FleetWorld, random: Random) -> Undo:
-    """Stewards end and come back within milliseconds, again and again."""
+    """Servers crash and restart within milliseconds, over and over."""
     stopped: list[bool] = []
 
     def repeat() -> None:
@@ -168,7 +168,7 @@
 
 
 def withdraw(world: FleetWorld, random: Random) -> Undo:
-    """Somebody takes back what is agreed and not released, whenever there is such a thing."""
+    """An operator withdraws committed but unreleased changes whenever there are any."""
     stopped: list[bool] = []
 
     def repeat() -> None:
@@ -190,7 +190,7 @@
 
 
 def remove_and_add(world: FleetWorld, random: Random) -> Undo:
-    """A steward is taken away while it runs, and added again later."""
+    """Removes a server from the group while it runs and adds it again at the end."""
     name = random.choice(list(world.servers))
     world.operator.submit(m.ChangeMembers(remove=name))
 
@@ -201,7 +201,7 @@
 
 
 def refuse(world: FleetWorld, random: Random) -> Undo:
-    """Nodes cannot take what comes now."""
+    """A node can't apply new versions."""
     name = random.choice(list(world.nodes))
     holder = world.nodes[name].holder
     holder.validate = lambda plan: "its own file is at odds with it"
@@ -224,7 +224,7 @@
 
 
 def random_change(random: Random, number: int) -> p.Change:
-    """Something that an operator might want."""
+    """A random operator change."""
     options: list[p.Change] = [
         p.SetClass("lookup", {"aim": float(50 + number)}),
         p.SetRule("allowed", "tryLimit", float(1 + number % 4)),
--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -1,7 +1,7 @@
-"""The fleet's rules, held against the processes' own records after a run on sockets. Pure.
+"""Checks the fleet's rules against the processes' own records after a run on sockets. Pure.
 
-What counts is what happened: lines that processes wrote before they acted, answers that commands got, and
-what the stewards' records say at the end. All processes of a run share one machine's wall clock.
+The inputs are the entries that processes wrote before they acted, the answers to commands, and the
+servers' records at the end. All processes of a run share one machine's wall clock.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from bitternpath.balancer.fleet import audit
 
-CLOCK_TOLERANCE = 0.005  # s within which two clock readings of one machine may be out of order
+CLOCK_TOLERANCE = 0.005  # s by which two clock readings on one machine may be out of order
 
 
 class ServedSpan(Struct, frozen=True):
-    """Invocations taken by a process under one version and fence. Times in Unix s."""
+    """Invocations that a process accepted under one version and fencing token. Times in Unix s."""
 
     process: str
     version: int
@@ -36,7 +36,7 @@
 
 
 def check_versions_apart(spans: list[ServedSpan]) -> list[str]:
-    """Rule 2: no two processes with a lease act more than one version apart."""
+    """Rule 2: no two processes with a lease act on versions that are more than one apart."""
     violations = []
     for index, first_span in enumerate(spans):
         for second_span in spans[index + 1 :]:
@@ -55,7 +55,7 @@
 
 
 def check_ended_leases(spans: list[ServedSpan], accounts: dict[str, dict[str, Any]]) -> list[str]:
-    """Rule 3: no act under a lease that the stewards had let go of."""
+    """Rule 3: no process acts under a lease that the servers had ended."""
     violations = []
     for span in spans:
         for fencing_token, at, reason in accounts.get(span.process, {}).get("let_go", ()):
@@ -72,7 +72,7 @@
 
 
 def check_fencing_tokens(process: str, lines: list[audit.AuditEntry]) -> list[str]:
-    """Rule 3: nor with a lower fence after a higher one."""
+    """Rule 3: no process acts with a lower fencing token after a higher one."""
     tokens = [
         line.fencing_token for line in lines if line.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
     ]
@@ -82,7 +82,7 @@
 
 
 def check_audit(process: str, lines: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
-    """Rule 4: each line that was written is in the audit, or named as missing; none else is there."""
+    """Rule 4: each entry that was written is in the audit or reported as missing, and there are no others."""
     told = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
     written = {line.number: line for line in lines}
     violations = [
@@ -101,7 +101,7 @@
 
 
 def check_changes(records: dict[str, dict[str, Any]], acknowledged: dict[str, int]) -> list[str]:
-    """Rule 1: what was answered for is there, and all stewards have the same versions."""
+    """Rule 1: every acknowledged change is there, and all servers have the same versions."""
     violations = []
     newest = max(records.values(), key=lambda record: int(record["applied"]), default=None)
     if newest is None:
--- a/bitternpath/testing/emulator/fleet/operator_request.py
+++ b/bitternpath/testing/emulator/fleet/operator_request.py
@@ -1,4 +1,4 @@
-"""A command of the operator to the processes that keep the fleet's record, over loopback sockets."""
+"""An operator's command to the consensus servers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from bitternpath.balancer.fleet.connection import FleetConnection
 from bitternpath.net.sockets import dial
 
-REPLY_TIMEOUT = 1.0  # s that a process is waited for before another is asked
-RETRY_DELAY = 0.1  # s before the next one is
+REPLY_TIMEOUT = 1.0  # s to wait for a server before another is asked
+RETRY_DELAY = 0.1  # s before the next server is asked
 OPERATOR = "operator"
 
 
 class OperatorRequest:
-    """One command, asked of one steward after the other until there is an answer."""
+    """One command, sent to one server after the other until one replies."""
 
     def __init__(
         self, reactor: Any, command: m.Command, on_reply: Callable[[m.CommandReply], None], ports: list[int]
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -1,7 +1,7 @@
-"""Stewards as real processes beside a world on sockets, with a relay from each process to each steward.
+"""Consensus servers as real processes next to emulated nodes, with a relay from each process to each server.
 
-The world's operator types commands, its troubles take stewards and links, and at the end the processes' own
-records are reckoned with (`final_checks.py`). What the checker asks of a steward goes past the relays.
+Operator commands are issued here, faults affect servers and links, and at the end the processes' own
+records are checked (`final_checks.py`). The checker's queries to a server bypass the relays.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 from bitternpath.testing.emulator.fleet.surroundings import FleetWorld
 from bitternpath.testing.emulator.ports import ReservedPort
 
-POLL_INTERVAL = 0.25  # s between looks at what all stewards know
-RECOVERY_LIMIT = 40.0  # s after the last fault by which all must be in order
-SHUTDOWN_LIMIT = 6.0  # s for nodes to end
-BUILD = ""  # of `broken.py`, in place of the sound one: for tests of the checkers
+POLL_INTERVAL = 0.25  # s between polls of all servers' status
+RECOVERY_LIMIT = 40.0  # s after the last fault within which the fleet must recover
+SHUTDOWN_LIMIT = 6.0  # s for the nodes to end
+BUILD = ""  # name of a broken build (`broken.py`) to run instead of the sound one, for tests of the checkers
 BROKEN_BUILD_PROGRAM = """
 import sys
 from bitternpath.testing.emulator.fleet.broken import broken_build
@@ -43,7 +43,7 @@
 
 
 def program() -> list[str]:
-    """What runs a process of the fleet."""
+    """The command that runs a process of the fleet, without its arguments."""
     return (
         [sys.executable, "-c", BROKEN_BUILD_PROGRAM, BUILD]
         if BUILD
@@ -52,7 +52,7 @@
 
 
 class ServerProcess:
-    """A `steward` process that is started, killed, stopped and started again."""
+    """A `consensus-server` process that is started, killed, stopped and resumed."""
 
     def __init__(self, fleet: FleetProcesses, name: str, site: str) -> None:
         self.fleet, self.name, self.site = fleet, name, site
@@ -60,7 +60,7 @@
         self.folder = fleet.world.folder / f"steward-{name}"
         self.log = fleet.world.folder / f"{name}.log"
         self.process: Any = None
-        self.status: dict[str, Any] = {}  # what it last told the checker
+        self.status: dict[str, Any] = {}  # its last reply to a status query
 
     @property
     def alive(self) -> bool:
@@ -106,7 +106,7 @@
 
 
 class FleetProcesses:
-    """The stewards of a world, the links to them, and an operator."""
+    """The consensus servers of a run, the links to them, and an operator."""
 
     def __init__(self, world: FleetWorld) -> None:
         self.world = world
@@ -117,21 +117,19 @@
         }  # fmt: skip
         self.relays: dict[tuple[str, str], Relay] = {}
         self.random = Random(f"{world.seed} fleet")
-        self.acknowledged: dict[str, int] = {}  # change id: the version that was answered
-        self.ejections: dict[str, int] = {}  # worker: the version that banned it, while it is asked for
+        self.acknowledged: dict[str, int] = {}  # change id: the version in its answer
+        self.ejections: dict[str, int] = {}  # worker: the version that ejected it, while the ejection lasts
         self.changes = 0
         self.members = 1
-        self.violations: list[str] = []  # of rules, found at the end
+        self.violations: list[str] = []  # found at the end of the run
         self.finished = False
         self.statistics: dict[str, Any] = {}
-        self._acknowledged_at: dict[
-            int, float
-        ] = {}  # version: when it was answered for, until it is in effect
-        self.effect_delays: list[float] = []  # s from an answer to in effect
-        self.leaderless_s = 0.0  # s for which no steward said that it leads
+        self._acknowledged_at: dict[int, float] = {}  # version: time of its answer, until it is in effect
+        self.effect_delays: list[float] = []  # s from the answer until in effect
+        self.leaderless_s = 0.0  # s during which no server claimed to lead
 
     def program(self) -> list[str]:
-        """What runs a process of the fleet."""
+        """The command that runs a process of the fleet, without its arguments."""
         return program()
 
     # ---- the ways
@@ -144,7 +142,8 @@
         return found
 
     def environment(self, name: str) -> dict[str, str]:
-        """What tells a process of the stewards: each at a relay of its own."""
+        """The environment variables that give a process the servers' addresses, each through its own
+        relay."""
         at = [f"{s}=127.0.0.1:{self.relay(name, s).number}" for s in self.servers]
         fleet_settings = {"BITTERNPATH_FLEET_STEWARDS": ",".join(at)}
         if name not in self.servers:
@@ -165,7 +164,7 @@
         OperatorRequest(self.world.reactor, command, on_reply, ports)
 
     def change(self, change: Any, on_version: Callable[[int], None] = lambda version: None) -> None:
-        """Propose it, and remember what was answered."""
+        """Proposes a change and records the version in the answer."""
         self.changes += 1
         id = f"c{self.changes}"
 
@@ -181,7 +180,7 @@
     # ---- a run
 
     def start(self) -> None:
-        """Found the fleet and add the others, one by one."""
+        """Bootstraps the fleet and adds the other servers one by one."""
         for k, server in enumerate(self.servers.values()):
             server.start(found=k == 0)
         self._add(list(self.servers)[1:])
@@ -201,7 +200,7 @@
         self.request(m.ChangeMembers(add=names[0]), on_reply)
 
     def _poll_status(self) -> None:
-        """What does each steward know? For the table, for bans that are in effect, and for the end."""
+        """Queries the status of each server, for the live table, ejections in effect and the final checks."""
         if self.finished:
             return
         for server in self.servers.values():
@@ -232,7 +231,7 @@
         )
 
     def leader_status(self) -> dict[str, Any] | None:
-        """What the leader knows, where one has said lately that it leads."""
+        """The leader's status, if a server has claimed recently to lead."""
         oldest = self.world.reactor.seconds() - 4 * POLL_INTERVAL
         found = [
             s.status for s in self.servers.values()
@@ -251,7 +250,7 @@
                     world.checker.worker_ejected(world.now(), holder["node"], worker)
 
     def unsettled_reason(self) -> str:
-        """What is not in order yet; empty: all is."""
+        """What has not settled yet; empty if everything has."""
         status = self.leader_status()
         if status is None:
             return "no leader"
@@ -268,7 +267,7 @@
         return ""
 
     def table_row(self) -> dict[str, str]:
-        """For the live table."""
+        """The fleet's columns of the live table."""
         status = self.leader_status()
         if status is None:
             return {"leader": "-", "version": "-", "leases": "-", "on it": "-"}
@@ -283,7 +282,7 @@
     # ---- the end
 
     def finish(self, on_finished: Callable[[], None]) -> None:
-        """Wait until all is in order, have the nodes end, reckon."""
+        """Waits until the fleet has settled, stops the nodes, and checks the records."""
         until = time.monotonic() + RECOVERY_LIMIT
         for relay in self.relays.values():
             relay.repair()
@@ -309,7 +308,7 @@
         await_recovery()
 
     def _collect_records(self, on_finished: Callable[[], None]) -> None:
-        """Ask each steward for all that it knows, then hold it against what happened."""
+        """Fetches each server's complete record and checks it against what happened."""
         self.finished = True
         found: dict[str, dict[str, Any]] = {}
         names = [name for name, server in self.servers.items() if server.alive]
--- a/bitternpath/testing/emulator/fleet/random_schedule.py
+++ b/bitternpath/testing/emulator/fleet/random_schedule.py
@@ -1,9 +1,9 @@
-"""Stewards under a scheduler that does its worst: any message may come next, again, or never; any timer may
-ring; any disk may be done or not; any steward may end and come back with what was synced.
+"""Consensus servers under a random scheduler: any message may be delivered next, again, or never; any timer
+may fire; any disk write may complete; any server may crash and restart with what was synced.
 
-No time passes here but where a timer rings, so that a walk of some hundred steps meets what a day of virtual
-time meets once. Besides the rules of the record it holds two proofs against what happened: no two leaders of
-a term, and no lease granted to a request that came after a later leader had been chosen.
+Time passes only when a timer fires, so that some hundred steps meet what happens once in a day of virtual
+time. Besides the rules of the record, two properties are checked: no two leaders in a term, and no lease
+granted to a request that arrived after a later leader had been elected.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 from bitternpath.testing.emulator.fleet import world
 from bitternpath.testing.emulator.fleet.checker import FleetChecker, FleetViolation
 
-TIMER_ADVANCE = 10.0  # s that pass for a steward whose timer rings
-MAX_IN_FLIGHT = 40  # messages at once; the oldest are lost
-# How often each thing happens, of all steps.
+TIMER_ADVANCE = 10.0  # s that pass for a server when its timer fires
+MAX_IN_FLIGHT = 40  # messages in flight; beyond this the oldest are lost
+# Relative frequency of each kind of step.
 WEIGHTS = {
     "deliver": 70, "drop": 3, "duplicate": 4, "disk": 16, "timer": 4, "crash": 5, "change": 6, "renew": 6,
 }  # fmt: skip
@@ -43,7 +43,7 @@
 
 
 class ScheduledServer:
-    """A steward in the scheduler's hands."""
+    """A server under the control of the scheduler."""
 
     def __init__(self, name: str, state: PersistentState) -> None:
         self.name, self.disk, self.now = name, state, 0.0
@@ -53,17 +53,17 @@
 
 
 class RandomSchedule:
-    """One walk; `steps` taken so far are in `done`."""
+    """One random schedule, and the checks of its steps."""
 
     def __init__(self, seed: int, server_count: int = 3) -> None:
         self.random = Random(seed)
         self.checker = FleetChecker()
         self.in_flight: list[InFlightMessage] = []
         self.step = 0
-        self.elected: dict[int, int] = {}  # term: the step in which its leader was chosen
+        self.elected: dict[int, int] = {}  # term: the step in which its leader was elected
         self.received_in_step: dict[
             float, int
-        ] = {}  # a request's `sent`: the step in which it came to its steward
+        ] = {}  # a request's `sent`: the step in which it reached its server
         self.sequence = 0
         names = [f"S{k}" for k in range(server_count)]
         members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
@@ -125,7 +125,7 @@
     def _timer(self) -> None:
         server = self._random_server()
         if server.replica.raft.role is MemberRole.LEADER and self.random.random() < 0.8:
-            server.now = server.replica.next_timeout_at  # a heartbeat
+            server.now = server.replica.next_timeout_at  # usually a heartbeat
         else:
             server.now += TIMER_ADVANCE
         server.replica.tick(server.now)
@@ -179,7 +179,8 @@
         del self.in_flight[:-MAX_IN_FLIGHT]
 
     def _check_grant(self, server: ScheduledServer, lease: m.Lease) -> None:
-        """A later leader takes all leases for granted by its election; was this one asked for before?"""
+        """A later leader assumes that all leases granted before its election have ended: reports a grant to a
+        request that arrived after it."""
         received_step, term = self.received_in_step[lease.sent], server.replica.raft.term
         for later_term, elected_step in self.elected.items():
             if later_term > term and elected_step < received_step:
@@ -193,5 +194,5 @@
 
 
 def run_schedule(seed: int, steps: int = 1500, server_count: int = 3) -> FleetChecker:
-    """One walk from that seed."""
+    """Runs one schedule from a seed."""
     return RandomSchedule(seed, server_count).run(steps)
--- a/bitternpath/testing/emulator/fleet/relay.py
+++ b/bitternpath/testing/emulator/fleet/relay.py
@@ -1,8 +1,8 @@
-"""The way from one process to another, through which a scenario can do what networks do (Twisted).
+"""A TCP relay between two processes that emulates network faults (Twisted).
 
-A relay listens on a port of its own and dials the process behind it. Each direction of it can be cut silently
-(what is sent is lost, and nobody is told), delayed, or slowed to some bytes a second; connections can be
-reset, and new ones held half open.
+A relay listens on its own port and dials the process behind it. Each direction can be blocked silently
+(data is lost without a reset), delayed, or limited in rate; connections can be reset, and new ones left
+half open.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from twisted.python.failure import Failure
 
 DIAL_TIMEOUT = 3  # s
-CHUNK_INTERVAL = 0.05  # s between pieces where a direction is slowed
+CHUNK_INTERVAL = 0.05  # s between chunks while a rate limit is set
 
 
 class Direction(Struct):
-    """What happens to bytes on the way; nothing, unless told."""
+    """The fault state of one direction; by default data passes unchanged."""
 
     blocked: bool = False
     delay: float = 0.0  # s
-    rate: float = 0.0  # bytes a second; 0: as they come
+    rate: float = 0.0  # bytes per second; 0: no limit
 
 
 class _RelayedConnection(Protocol):
-    """One end of a relayed connection."""
+    """One side of a relayed connection."""
 
     transport: Any
 
     def __init__(self, relay: Relay, direction: Direction) -> None:
-        self.relay, self.direction = relay, direction  # the direction of what is read here
+        self.relay, self.direction = relay, direction  # `direction` applies to data read on this side
         self.peer: _RelayedConnection | None = None
         self._pending: list[bytes] = []
         self._delaying = False
@@ -46,7 +46,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         if self.direction.blocked:
-            return  # and with a piece lost the rest of it is of no use either
+            return  # after lost bytes the rest of the stream is useless as well
         self._pending.append(data)
         self._forward_next()
 
@@ -81,7 +81,7 @@
 
 
 class Relay:
-    """From one process to the port of another."""
+    """A relay to the port of one process."""
 
     def __init__(self, reactor: Any, target: Callable[[], int]) -> None:
         self.reactor, self.target = reactor, target
@@ -114,11 +114,11 @@
         return client_side
 
     def block(self, forward: bool, backward: bool) -> None:
-        """Silently, in one direction or both; what is open stays open and dead."""
+        """Blocks one direction or both silently; open connections stay open without data."""
         self.forward.blocked, self.backward.blocked = forward, backward
 
     def repair(self) -> None:
-        """All is well again; connections that lost bytes are reset, as their ends will find out."""
+        """Ends all faults; resets the connections if bytes may have been lost."""
         had_fault = self.forward.blocked or self.backward.blocked or self.half_open
         for direction in (self.forward, self.backward):
             direction.blocked, direction.delay, direction.rate = False, 0.0, 0.0
--- a/bitternpath/testing/emulator/fleet/search/__init__.py
+++ b/bitternpath/testing/emulator/fleet/search/__init__.py
@@ -1,15 +1,16 @@
-"""Every order of events within a small scope: the pure parts of the fleet, state after state.
+"""Exhaustive search of event orders within a small scope, over the pure parts of the fleet.
 
-Where runs and walks draw one order out of many, this tries all that fit a scope: how often timers ring, how
-many changes, crashes and cuts. A state is what the processes are, what their disks hold and what is on the
-way. What one process sends another comes in its order, as a connection has it, at any time or never; a cut
-loses all that is on one way. With `shuffled` it comes in any order, and any of it may be lost. Two scopes,
-because one of all would not end:
+Random runs and schedules draw one order of many; the search covers every order that fits a scope, which
+bounds how often timers fire, changes are made, servers crash and channels lose data. A state consists of
+the processes, their disks and the messages in transit. Messages between two processes arrive in order, as
+on a connection, at any time or never; a cut loses all messages of one channel. With `shuffled`, messages
+arrive in any order and any of them may be lost. There are two scopes because a combined one would be too
+large to finish:
 
-- `Consensus`: three stewards, of which two stand for election; the record is a log of entries.
-- `Leases`: one steward that may end and come back, and two nodes whose clocks run apart by the drift
-  stated; time passes in steps, whoever has been told of it or not.
+- `Consensus`: three servers, of which two stand for election; the record is a log of entries.
+- `Leases`: one server that may crash and restart, and two nodes whose clocks differ by the configured
+  drift; time passes in steps, whether or not a process has noticed.
 
-Each state is checked by what is true in it, not by what a process thinks. (The small-scope idea: Jackson,
+Invariants are checked on the true state, not on what a process believes. (Small-scope hypothesis: Jackson,
 Software Abstractions, 2006.)
 """
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -1,4 +1,4 @@
-"""Three stewards' consensus, of which two stand for election; the record is a log of entries."""
+"""Search states of the consensus of three servers, of which two stand for election."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 
 class Scope(Struct, frozen=True):
-    """How often each may happen."""
+    """How often each kind of event may occur."""
 
-    rings: int = 2  # timers of those that stand
+    rings: int = 2  # election and heartbeat timeouts of the servers that stand for election
     changes: int = 1
     crashes: int = 1
     cuts: int = 0
-    slow_disks: bool = False  # else what is written is on disk at once
+    slow_disks: bool = False  # otherwise each write completes at once
     shuffled: bool = False
 
 
 class Member:
-    """A steward's consensus, its disk, and the writes under way."""
+    """A server's consensus state, its disk, and its pending writes."""
 
     def __init__(self, raft: Raft, disk: PersistentState, pending_writes: list[StorageWrite]) -> None:
         self.raft, self.disk, self.pending_writes = raft, disk, pending_writes
@@ -71,7 +71,7 @@
 
 
 class Consensus:
-    """Three members; the first two stand for election when their timers ring."""
+    """Three members; only the first two stand for election."""
 
     NAMES = ("a", "b", "c")
 
@@ -82,7 +82,7 @@
         self.remaining["cut"] = scope.cuts
         self.members: dict[str, Member] = {}
         self.channels = Channels()
-        self.leaders: dict[int, str] = {}  # term: who led in it
+        self.leaders: dict[int, str] = {}  # term: leader
         self.committed: dict[int, Entry] = {}
         self.violation = ""
         for name in self.NAMES:
@@ -133,7 +133,7 @@
                 yield f"{name}: a change", partial(_change, name=name)
 
     def apply_effects(self, name: str) -> None:
-        """What follows, held against the rules."""
+        """Carries out a member's effects and checks the rules."""
         member = self.members[name]
         raft = member.raft
         effects = raft.take_effects(raft.now)
--- a/bitternpath/testing/emulator/fleet/search/explore.py
+++ b/bitternpath/testing/emulator/fleet/search/explore.py
@@ -1,4 +1,4 @@
-"""Exploring all states that can be reached from one, by all moves of each."""
+"""Exploration of all states reachable from an initial one."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from msgspec import Struct
 
-Move = tuple[str, Callable[[Any], None]]  # its name, and what it does to a state
+Move = tuple[str, Callable[[Any], None]]  # description, and the change that it makes to a state
 
 
 class State(Protocol):
-    """A state of what is searched; `broken` says which rule does not hold in it, empty where all do."""
+    """A search state; `violation` names the rule that it breaks, empty if it breaks none."""
 
     violation: str
 
@@ -21,27 +21,30 @@
     def moves(self) -> Iterator[Move]: ...
 
 
-Step = tuple[int, int, State]  # its number, by how many moves it was reached, and itself
+Step = tuple[int, int, State]  # number, depth in moves, state
 Frontier = deque[Step]
 
 
 class SearchResult(Struct, frozen=True):
-    """What came of a search."""
+    """The outcome of a search."""
 
     states: int
     moves: int
     depth: int
-    complete: bool  # nothing within the scope was left out
+    complete: bool  # whether everything within the scope was covered
     violation: str = ""
-    trace: tuple[str, ...] = ()  # the moves that lead there
+    trace: tuple[str, ...] = ()  # the moves that lead to the violation
 
 
 def search(initial: State, max_states: int, pop: Callable[[Frontier], Step] = deque.popleft) -> SearchResult:
-    """All states that can be reached, at most so many; ends at the first broken one.
-
-    Breadth-first, so that its trail is a shortest one; with `deque.pop` depth-first, and fewer are held."""
-    seen = {hash(initial.key())}  # of 64 bits: two states of a million taken for one at 3 in 100 million
-    origins: list[tuple[int, str]] = [(-1, "")]  # per state: from which, by which move
+    """Visits the reachable states, at most `max_states`; stops at the first violation.
+
+    Breadth-first, so that a trace is a shortest one. With `deque.pop` the search is depth-first and holds
+    fewer states in memory.
+    """
+    # 64-bit hashes: the probability that two of a million states collide is 3 in 100 million
+    seen = {hash(initial.key())}
+    origins: list[tuple[int, str]] = [(-1, "")]  # state number: the previous state and the move from it
     frontier: Frontier = deque([(0, 0, initial)])
     moves = max_depth = 0
     while frontier:
--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -1,4 +1,4 @@
-"""One steward that may end and come back, and two nodes whose clocks run apart by the drift stated."""
+"""Search states of leases: one server that may crash and restart, and nodes whose clocks drift apart."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 class LeaseScope(Struct, frozen=True):
-    steps: int = 3  # of time
+    steps: int = 3  # steps of time
     changes: int = 2
-    crashes: int = 1  # of the steward
+    crashes: int = 1  # of the server
     cuts: int = 0
     nodes: int = 2
     shuffled: bool = False
 
 
 TERMS = p.LeaseTerms(lease=1.0, drift=0.1, catch_up=1.0)
-TIME_STEP = 0.6  # s: a lease is over after two, whoever's clock is asked
-RATES = (0.9, 1.1)  # the clocks of the nodes
+TIME_STEP = 0.6  # s: a lease ends within two steps by any of the clocks
+RATES = (0.9, 1.1)  # rates of the nodes' clocks
 
 
 class Leases:
-    """A steward that leads from the start, and nodes that speak to it; its disk is quick."""
+    """A server that leads from the start, and nodes connected to it; disk writes complete at once."""
 
     def __init__(self, scope: LeaseScope) -> None:
         self.scope = scope
@@ -54,10 +54,10 @@
         self.channels = Channels()
         self.versions = 0
         self.violation = ""
-        self.leader_since = 0.0  # when the steward led, by its clock
+        self.leader_since = 0.0  # s by the server's clock
         self.nodes: dict[str, LeaseHolder] = {}
         self.replica = self._new_replica()
-        while self.catching_up:  # until it leads, and nothing is on the way
+        while self.catching_up:  # until the server leads and no message is in transit
             self.replica.tick(self.replica.next_timeout_at)
             self.apply_effects()
         self.leader_since = self.replica.raft.now
@@ -84,13 +84,13 @@
         return self.leader_since + TIME_STEP * self.now
 
     def copy(self) -> Leases:
-        """Shares its processes until one is to change: see `own` and `own_node`."""
+        """A copy that shares its processes; `mutable_server` and `mutable_node` copy them before a change."""
         clone = copy(self)
         clone.remaining, clone.nodes = dict(self.remaining), dict(self.nodes)
         return clone
 
     def mutable_server(self) -> RecordReplica:
-        """The steward, as one that this state may change."""
+        """Copies the server, so that this state may change it."""
         self.disk = world.copy_state(self.disk)
         replica: RecordReplica = copy_process(self.replica)
         self.replica = replica
@@ -103,7 +103,8 @@
     def mutable_node(self, name: str) -> LeaseHolder:
         holder: LeaseHolder = copy_process(self.nodes[name])
         self.nodes[name] = holder
-        holder.audit_log = audit.AuditLog("b")  # what it writes down decides nothing
+        # the audit log has no effect on leases, so an empty one keeps the states comparable
+        holder.audit_log = audit.AuditLog("b")
         return holder
 
     def key(self) -> Hashable:
@@ -172,7 +173,7 @@
                 yield f"{name}: its timer rings", partial(_node_timer, name=name)
 
     def apply_effects(self) -> None:
-        """The steward's effects, and what must hold in every state."""
+        """Carries out the server's effects and checks the invariants."""
         while True:
             effects = self.replica.take_effects(self.server_clock())
             for token, message in effects.replies:
@@ -186,7 +187,7 @@
         self.check_invariants()
 
     def apply_node_effects(self, name: str) -> None:
-        """A node's effects."""
+        """Carries out a node's effects and checks the invariants."""
         holder = self.nodes[name]
         sends, holder.outgoing = holder.outgoing, []
         holder.events.clear()
@@ -197,7 +198,8 @@
         self.check_invariants()
 
     def check_invariants(self) -> None:
-        """By true time: who could act now, on which version, and does the record still count it in?"""
+        """Checks by true time which nodes may act, on which versions, and that the record still has their
+        leases."""
         holders = {h.node: h.fencing_token for h in self.replica.record.holders.values()}
         acting = {}
         for k, (name, holder) in enumerate(self.nodes.items()):
@@ -210,7 +212,8 @@
 
     @property
     def catching_up(self) -> bool:
-        """A steward that has come back does not know its own record before it leads again."""
+        """Whether the server has restarted and doesn't lead again yet; until then it doesn't know its own
+        record."""
         return self.replica.leadership is None or not self.replica.leadership.ready
 
 
@@ -233,7 +236,7 @@
 
 
 def _propose_change(state: Leases) -> None:
-    """An operator's command comes to the steward."""
+    """An operator's change reaches the server."""
     state.remaining["change"] -= 1
     state.versions += 1
     change = p.SetClass("lookup", {"aim": float(state.versions)})
@@ -249,7 +252,7 @@
     state.remaining["crash"] -= 1
     state.disk = world.copy_state(state.disk)
     state.replica = state._new_replica()
-    state.replica.tick(state.replica.next_timeout_at)  # alone, it may stand at once
+    state.replica.tick(state.replica.next_timeout_at)  # as the only voter it may stand for election at once
     state.apply_effects()
 
 
--- a/bitternpath/testing/emulator/fleet/search/scopes.py
+++ b/bitternpath/testing/emulator/fleet/search/scopes.py
@@ -1,4 +1,4 @@
-"""The scopes that are searched, and the first state of each."""
+"""The scopes that are searched, and their initial states."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from bitternpath.testing.emulator.fleet.search.explore import State
 from bitternpath.testing.emulator.fleet.search.leases import Leases, LeaseScope
 
-# From the smallest on. What each of the last ones costs stands in docs/results/fleet.md.
+# In increasing size. The cost of the last ones is listed in docs/results/fleet.md.
 SCOPES: tuple[Scope | LeaseScope, ...] = (
     Scope(rings=1, changes=1, crashes=1),
     LeaseScope(steps=2, changes=0, crashes=1),
@@ -25,5 +25,5 @@
 
 
 def initial_state(scope: Scope | LeaseScope) -> State:
-    """The first state of that scope."""
+    """The initial state of a scope."""
     return Leases(scope) if isinstance(scope, LeaseScope) else Consensus(scope)
--- a/bitternpath/testing/emulator/fleet/search/states.py
+++ b/bitternpath/testing/emulator/fleet/search/states.py
@@ -1,4 +1,4 @@
-"""What the searched states are made of: copies of processes, and what is on the way between them."""
+"""Building blocks of search states: copies of processes, and messages in transit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FixedRandom:
-    """A random source that always says the same: what it would draw is a move of the search."""
+    """A random source with constant results: what it would decide is a move of the search instead."""
 
     @staticmethod
     def random() -> float:
@@ -23,11 +23,12 @@
 
     @staticmethod
     def shuffle(values: list[Any]) -> None:
-        """As they are."""
+        """Leaves the order unchanged."""
 
 
 def _copy_value(value: Any) -> Any:
-    """One level deeper than `copy`: processes change lists, sets, dicts and objects of theirs in place."""
+    """Copies one level deeper than `copy`, since processes change their lists, sets, dicts and logs in
+    place."""
     match value:
         case list():
             return [_copy_value(v) if isinstance(v, list) else v for v in value]
@@ -41,14 +42,14 @@
 
 
 def copy_process(process: Any) -> Any:
-    """Another process in the same state."""
+    """A copy of a process in the same state."""
     clone = copy(process)
     clone.__dict__.update({name: _copy_value(value) for name, value in process.__dict__.items()})
     return clone
 
 
 class Channels(Struct, frozen=True):
-    """What is on the way from one process to another."""
+    """Messages in transit, by sender and receiver."""
 
     queues: tuple[tuple[tuple[str, str], tuple[tuple[bytes, Any], ...]], ...] = ()
 
@@ -58,7 +59,8 @@
         return Channels(tuple(sorted(queues_by_pair.items(), key=lambda pair: pair[0])))
 
     def deliverable(self, shuffled: bool) -> Iterator[tuple[str, str, Any, Channels]]:
-        """What may come next: from whom, to whom, what; and what is on the way after that."""
+        """Yields each message that may arrive next, as sender, receiver, message and the channels after
+        it."""
         for position, ((sender, to), queue) in enumerate(self.queues):
             for k, (_, message) in enumerate(queue if shuffled else queue[:1]):
                 undelivered = queue[:k] + queue[k + 1 :]
@@ -71,7 +73,7 @@
                 )
 
     def losses(self) -> Iterator[tuple[str, str, Channels]]:
-        """All that is on one way is lost: which, and what is left."""
+        """Yields each channel that may lose its messages, and the channels after that."""
         for position, ((sender, to), _) in enumerate(self.queues):
             yield sender, to, Channels(self.queues[:position] + self.queues[position + 1 :])
 
@@ -81,13 +83,13 @@
 
 
 class SearchedState(Protocol):
-    """A state with messages on the way, and a number of moves of each kind that are left."""
+    """A state with messages in transit and a remaining budget for each kind of move."""
 
     remaining: dict[str, int]
     channels: Channels
 
 
 def lose_channel(state: SearchedState, next_channels: Channels) -> None:
-    """All that is on one way is lost."""
+    """Loses all messages of one channel."""
     state.remaining["cut"] -= 1
     state.channels = next_channels
--- a/bitternpath/testing/emulator/fleet/surroundings.py
+++ b/bitternpath/testing/emulator/fleet/surroundings.py
@@ -1,4 +1,4 @@
-"""What the fleet's processes need of the world round them."""
+"""Interfaces that the fleet's processes need from the rest of the emulator."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FleetNode(Protocol):
-    """A node whose part in the fleet is looked at."""
+    """A node of the fleet, as the fleet's checks need it."""
 
     name: str
     site: str
@@ -19,11 +19,11 @@
     process: Any  # subprocess.Popen
 
     def request_stop(self) -> None:
-        """Have it end by itself."""
+        """Asks the process to end (SIGTERM)."""
 
 
 class FleetWorld(Protocol):
-    """What the fleet needs of the world beside it; `emulator/sockets/world.py` has one."""
+    """The emulated environment of a fleet; implemented by `emulator/sockets/world.py`."""
 
     scenario: Scenario
     seed: int
@@ -36,4 +36,4 @@
         """All nodes by name."""
 
     def now(self) -> float:
-        """s of the run."""
+        """s since the start of the run."""
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -1,8 +1,8 @@
-"""Stewards, agents and operators in virtual time: own clocks, links that fail, disks that are slow.
+"""Consensus servers, lease holders and operators in virtual time: separate clocks, failing links, slow disks.
 
-The parts under test are the real ones (`fleet/record_replica.py` with what it rests on,
-`fleet/lease_holder.py`); only sockets and disks are played. A process that is stalled hears nothing and does
-nothing until it goes on; one that crashes comes back with what its disk had synced.
+The components under test are the real ones (`fleet/record_replica.py` and its dependencies,
+`fleet/lease_holder.py`); only sockets and disks are emulated. A stalled process handles nothing until it
+resumes; a crashed one restarts with what its disk had synced.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from bitternpath.testing.emulator.clock import Scheduler
 from bitternpath.testing.emulator.fleet.checker import FleetChecker
 
-LINK_DELAY = 0.0002, 0.003  # s on the way, usually
-DISK_SYNC_TIME = 0.001, 0.01  # s that a disk takes
+LINK_DELAY = 0.0002, 0.003  # s, usual range of the delay on a link
+DISK_SYNC_TIME = 0.001, 0.01  # s, range of the time that a disk takes to sync
 FILE_WRITE_TIME, FILE_WRITE_STALL = (
     (0.0002, 0.003),
     (0.05, 1.5),
-)  # s that a node's disk takes, mostly and often
+)  # s, ranges of the time that a node's disk takes: usual, and in 40% of the writes
 ACT_INTERVAL = 0.25  # s between acts of a node
 RELEASE = (1, 0, 0)
 
 
 class LocalClock:
-    """A clock of one process's own: it runs at a rate, from any value."""
+    """A process's own clock, with an arbitrary origin and a constant drift."""
 
     def __init__(self, scheduler: Scheduler, random: Random, drift: float) -> None:
         self.scheduler = scheduler
@@ -48,7 +48,7 @@
         return self.base + self.rate * self.scheduler.now
 
     def to_world_time(self, local_span: float) -> float:
-        """How much of the world's time such a span takes."""
+        """Converts a span of local time to true time."""
         return local_span / self.rate
 
 
@@ -65,7 +65,7 @@
         self._alarm_at = float("inf")
 
     def deliver(self, incarnation: int, action: Callable[[], None]) -> None:
-        """Something comes to this process: at once, when it goes on, or never."""
+        """Runs an action in the process: now, after a stall, or never if that incarnation has ended."""
         if not self.alive or incarnation != self.incarnation:
             return
         if self.stalled:
@@ -82,7 +82,7 @@
             return
         self.stalled = False
         deferred, self.deferred = self.deferred, []
-        # What waits in its sockets may be read before its timers ring.
+        # After a stall, data waiting in its sockets may be read before its timers fire.
         if self.world.random.random() < 0.5:
             deferred.sort(key=lambda action: action == self.tick)
         for action in deferred:
@@ -96,11 +96,11 @@
         self.deferred.clear()
 
     def apply_effects(self) -> None:
-        """Carry out what follows; then be called at the next alarm."""
+        """Carries out pending effects and sets the next alarm."""
         raise NotImplementedError
 
     def _set_alarm(self, alarm: float) -> None:
-        """Be ticked when the own clock shows that."""
+        """Schedules a tick for when the local clock shows `alarm`."""
         if alarm != self._alarm_at or self._alarm is None or not self._alarm.active():
             if self._alarm is not None:
                 self._alarm.cancel()
@@ -116,13 +116,13 @@
 class ServerHost(Host):
     def __init__(self, world: FleetWorld, name: str, state: PersistentState) -> None:
         super().__init__(world, name)
-        self.disk = state  # what is synced
+        self.disk = state  # synced state
         self.disk_delay = 0.0  # s added to each write
         self._writing: list[StorageWrite] = []
         self.replica: Any = None
         self.connections: dict[
             int, tuple[Host, int]
-        ] = {}  # token: who is at the other end, and in which life
+        ] = {}  # token: the host at the other end and its incarnation
 
     def start(self) -> None:
         self.alive = True
@@ -211,14 +211,14 @@
 
 
 class NodeHost(Host):
-    """A process of a node; every other one has a folder in which its audit lasts."""
+    """A node's process; every second node has a folder in which its audit log is kept."""
 
     def __init__(self, world: FleetWorld, name: str, site: str) -> None:
         super().__init__(world, name)
         self.site = site
-        self.has_folder = int(name[1:]) % 2 == 1  # whether it has a folder that lasts
+        self.has_folder = int(name[1:]) % 2 == 1  # whether its audit log is kept on disk
         self.audit_files: dict[str, list[audit.AuditEntry]] = {}
-        self.disk_idle_at = 0.0  # when its disk has done all that it was given
+        self.disk_idle_at = 0.0  # s of the run at which its disk has finished all writes
         self.holder: Any = None
         self.token = 0
         self.server = ""
@@ -245,7 +245,7 @@
         return f"{self.name}#b{self.incarnation}"
 
     def _schedule_act(self, incarnation: int) -> None:
-        """Something that the fleet's word is needed for, every so often; after a stall, at once and often."""
+        """Acts about every `ACT_INTERVAL`; acts that were due during a stall follow at once after it."""
         if incarnation != self.incarnation:
             return
         self.world.scheduler.callLater(
@@ -272,7 +272,7 @@
             self.holder.connection_lost(self.clock())
 
     def _connect(self, server: str) -> None:
-        """The handshake goes there and back."""
+        """Connects to a server; the handshake takes a round trip."""
         self.world.last_token += 1
         token, incarnation, destination = self.world.last_token, self.incarnation, self.world.servers[server]
 
@@ -286,7 +286,7 @@
 
         self.token = token
         self.world.send(self.name, server, arrived)
-        # Nobody may be there, or nothing come back: it is tried elsewhere.
+        # A connection without a reply is given up, and another server is tried.
         self.world.scheduler.callLater(1.0, self.deliver, incarnation, partial(self._dial_timed_out, token))
 
     def _connected(self, server: str, token: int) -> None:
@@ -347,7 +347,7 @@
 
 
 class OperatorHost(Host):
-    """Somebody who types changes, and asks again with the same id until there is an answer."""
+    """An operator who submits changes and repeats each one with the same id until it is answered."""
 
     def __init__(self, world: FleetWorld, name: str) -> None:
         super().__init__(world, name)
@@ -387,23 +387,23 @@
             self.world.checker.change_acknowledged(self.world.scheduler.now, command.id, data["version"])
 
     def connection_lost(self, server: str) -> None:
-        """Its question is asked again in time."""
+        """The request is repeated by its timer."""
 
     def apply_effects(self) -> None:
         pass
 
 
 class Link(Struct):
-    """What goes wrong on the way from one process to another."""
+    """The faults of one direction of a link."""
 
     blocked: bool = False
     loss: float = 0.0
     duplication: float = 0.0
-    max_delay: float = 0.0  # s, drawn up to it
+    max_delay: float = 0.0  # s; the extra delay is drawn up to this value
 
 
 class FleetWorld:
-    """So many stewards and nodes, and what happens to them."""
+    """Servers, nodes and an operator, with the links between them."""
 
     def __init__(self, seed: int, server_count: int, nodes: int, terms: p.LeaseTerms, drift: float) -> None:
         self.random = Random(seed)
@@ -412,7 +412,7 @@
         self.checker = FleetChecker()
         self.links: dict[tuple[str, str], Link] = {}
         self.all_links = Link()
-        self.trace = xxhash.xxh3_64()  # of all that was on the way
+        self.trace = xxhash.xxh3_64()  # of all messages sent
         self.last_token = 0
         self.check: Callable[[p.Plan], str] = lambda plan: ""
         names = [f"S{k}" for k in range(server_count)]
@@ -455,7 +455,7 @@
     # ---- a run
 
     def start(self) -> None:
-        """Found the fleet, and add its other stewards one by one."""
+        """Bootstraps the fleet and adds the other servers one by one."""
         for server in self.servers.values():
             server.start()
         for node in self.nodes.values():
@@ -470,7 +470,7 @@
         return max(leaders, key=lambda s: int(s.replica.raft.term), default=None)
 
     def check_versions(self) -> None:
-        """Who could act now, and on what."""
+        """Passes the versions on which processes may act now to the checker."""
         versions: dict[str, int] = {}
         for node in self.nodes.values():
             holder = node.holder
@@ -479,7 +479,7 @@
         self.checker.check_versions_apart(self.scheduler.now, versions)
 
     def unsettled_reason(self) -> str:
-        """Empty where all that lives is in order; else what is not."""
+        """What has not settled yet; empty if everything has."""
         leader = self.leader()
         if leader is None or not leader.replica.raft.has_committed_in_term:
             return "no leader"
@@ -517,7 +517,7 @@
 
 
 def apply_write(state: PersistentState, write: StorageWrite) -> None:
-    """Do a write, as a disk does."""
+    """Applies a write to the persistent state, as a disk does."""
     state.term, state.vote = write.term, write.vote
     if write.snapshot is not None:
         state.snapshot = write.snapshot
--- a/bitternpath/testing/emulator/network.py
+++ b/bitternpath/testing/emulator/network.py
@@ -1,4 +1,4 @@
-"""Sites and the links between them: delays, and cuts in one direction. Pure."""
+"""Delays between sites, and one-way partitions. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Network:
-    """One-way delays in s, drawn for each message."""
+    """Draws a one-way delay in s for each message."""
 
     def __init__(self, net: Net, random: Random) -> None:
         self.random, self.jitter = random, net.jitter
@@ -32,7 +32,7 @@
         return self.client_delay * (1.0 + self.jitter * self.random.random())
 
     def partition(self, source: str, destination: str) -> None:
-        """What is sent that way does not arrive any more."""
+        """From now on messages in that direction are lost."""
         self._partitions.add((source, destination))
 
     def heal(self, source: str, destination: str) -> None:
--- a/bitternpath/testing/emulator/ports.py
+++ b/bitternpath/testing/emulator/ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that are started later, and again."""
+"""Ports for processes that are started later and restarted."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 class ReservedPort:
-    """A port of loopback that the system gives to nobody else while it is held, though nobody listens there.
+    """A loopback port that the system assigns to nobody else while it is reserved, though nobody listens on
+    it.
 
-    A port that is only looked up and let go may be given to another process before its own one listens:
-    to another run beside this one, or as the near end of any connection. A bound socket that does not
-    listen keeps it, and leaves it to whoever binds that very port with SO_REUSEADDR (Linux, socket(7))."""
+    A port that is only looked up and released can be assigned to another process before the intended one
+    listens: to a concurrent run, or as the local end of any connection. A bound socket that does not
+    listen keeps it, and still lets a process bind that very port with SO_REUSEADDR (Linux, socket(7)).
+    """
 
     def __init__(self) -> None:
         self._socket = socket.socket()
--- a/bitternpath/testing/emulator/report.py
+++ b/bitternpath/testing/emulator/report.py
@@ -1,4 +1,4 @@
-"""What a run came to, in words: plain lines, or tables where there is a terminal (rich)."""
+"""Prints the result of a run: plain lines, or tables on a terminal (rich)."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def to_json(results: list[Result]) -> bytes:
-    """All there is, for machines."""
+    """All results as JSON."""
     return msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n"
 
 
 def spark(values: list[float]) -> str:
-    """Shares as a line of bars."""
+    """Shares between 0 and 1 as a bar chart of one line."""
     return "".join(BARS[round(max(min(v, 1.0), 0.0) * (len(BARS) - 1))] for v in values)
 
 
 def show(result: Result, console: Console) -> None:
-    """Service by class and second, refusals, latencies, and whether the rules were kept."""
+    """Prints service by class and second, event counts, latencies and violations."""
     figures = result.figures
     console.print(
         f"{result.scenario}, seed {result.seed}, {result.policy}: service {figures['service']:.3f} "
@@ -57,6 +57,6 @@
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
-    """Means over runs."""
+    """Mean of each statistic over the runs."""
     keys = results[0].figures
     return {key: sum(r.figures[key] for r in results) / len(results) for key in keys}
--- a/bitternpath/testing/emulator/scenario.py
+++ b/bitternpath/testing/emulator/scenario.py
@@ -1,6 +1,6 @@
-"""What a scenario says: a world and what goes wrong in it, typed and bounded (`scenario_file.py` reads it).
+"""The types of a scenario file: an environment and its faults, with bounds (read by `scenario_file.py`).
 
-Ranges (`[low, high]`) are drawn anew for each seed, so that one file gives many days.
+Ranges (`[low, high]`) are drawn for each seed, so that one file gives many different runs.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 NonNegative = Annotated[float, Meta(ge=0.0)]
 Range = float | tuple[float, float]
 
-MAX_SECONDS = 3600.0  # s of a scenario
-MAX_REQUESTS = 5_000_000  # first tries that a scenario may ask for
+MAX_SECONDS = 3600.0  # longest run, in s
+MAX_REQUESTS = 5_000_000  # largest number of first requests in a run
 
 
 class ScenarioError(Exception):
-    """The scenario cannot be used; the text says why, in one line."""
+    """The scenario is invalid; the message says why in one line."""
 
 
 class Site(Struct, frozen=True, forbid_unknown_fields=True):
-    """A site, with the shares of traffic, workers and nodes that are there (in proportion)."""
+    """A site; traffic is split over the sites in proportion to `traffic`."""
 
     name: str
     traffic: NonNegative = 1.0
@@ -39,16 +39,18 @@
     name: str
     share: Positive = 1.0
     cores: Annotated[int, Meta(ge=1, le=256)] = 2
-    slots: Annotated[int, Meta(ge=1, le=1024)] = 2  # jobs in work at once; beyond the cores they share them
-    speed: Range = 1.0  # of a core; 1 is the yardstick
-    queue: Annotated[int, Meta(ge=0, le=100_000)] = 30  # jobs that wait
-    crowded: NonNegative = 16.0  # jobs held beyond which each one more costs `strain` of the efficiency
+    # jobs that run at once; beyond `cores` they share the cores
+    slots: Annotated[int, Meta(ge=1, le=1024)] = 2
+    speed: Range = 1.0  # speed of a core; 1 is the reference
+    queue: Annotated[int, Meta(ge=0, le=100_000)] = 30  # jobs that can wait
+    crowded: NonNegative = 16.0  # jobs on the worker beyond which each one costs `strain` of its efficiency
     strain: NonNegative = 0.03
-    cold_share: Range = 0.25  # of the capacity right after a start
-    cold_s: Range = 16.0  # s until it is warm
-    errors: Share = 0.0  # of jobs
-    drops_expired: bool = False  # a job whose time is up is not begun
-    connections: Annotated[int, Meta(ge=0)] = 0  # that a worker holds at once, idle ones too; 0: any number
+    cold_share: Range = 0.25  # share of its capacity that a worker has right after a start
+    cold_s: Range = 16.0  # s until a started worker is warm
+    errors: Share = 0.0  # share of jobs that fail
+    drops_expired: bool = False  # whether a job past its deadline is dropped before it starts
+    # limit of connections per worker, idle ones included; 0: no limit
+    connections: Annotated[int, Meta(ge=0)] = 0
 
 
 class JobClass(Struct, frozen=True, forbid_unknown_fields=True):
@@ -58,28 +60,28 @@
     share: Positive
     work: Range
     spread: Literal["fixed", "exp", "lognormal"] = "lognormal"
-    cv: NonNegative = 0.5  # of the work, where lognormal
+    cv: NonNegative = 0.5  # coefficient of variation of the work, for lognormal
     aim: Positive = 100.0
-    stretch: NonNegative = 2.0  # the aim grows by this multiple of the job's own work
+    stretch: NonNegative = 2.0  # multiple of the job's own work that is added to `aim`
     give_up: Positive = 5000.0
     worth: Positive = 1.0
-    late_worth: Share = 0.25  # of the worth, for an answer after the aim
+    late_worth: Share = 0.25  # share of `worth` that an answer after the target time earns
     safe: bool = False
 
 
 class Clients(Struct, frozen=True, forbid_unknown_fields=True):
-    """How clients behave."""
+    """Client behavior."""
 
-    rate: NonNegative = 0.0  # first tries a second; 0: by `load`
-    load: Annotated[float, Meta(ge=0.0, le=20.0)] = 0.6  # of the warm fleet's capacity
-    swing: Share = 0.1  # of the rate, as a wave over the day
+    rate: NonNegative = 0.0  # first requests per second; 0: set by `load`
+    load: Annotated[float, Meta(ge=0.0, le=20.0)] = 0.6  # share of the warm fleet's capacity
+    swing: Share = 0.1  # amplitude of the load wave, as a share of the rate
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
-    backoff_ms: Positive = 15.0  # doubled for each retry, drawn from half to one and a half
-    honour: Share = 0.35  # of the clients heed Retry-After
+    backoff_ms: Positive = 15.0  # doubled for each retry, times a factor drawn from 0.5 to 1.5
+    honour: Share = 0.35  # share of clients that obey Retry-After
     longest_retry_after_ms: NonNegative = 2000.0
     marks_retry: bool = True
-    leave: Share = 0.0  # of the clients go away early
-    keys: Annotated[int, Meta(ge=0)] = 0  # route keys; 0: none
+    leave: Share = 0.0  # share of clients that disconnect before their timeout
+    keys: Annotated[int, Meta(ge=0)] = 0  # number of route keys; 0: none
 
 
 class Net(Struct, frozen=True, forbid_unknown_fields=True):
@@ -91,27 +93,26 @@
     jitter: Share = 0.2
     dial_timeout_ms: Positive = 250.0
     handshake_rtts: NonNegative = 2.5
-    handshake_work_ms: NonNegative = 1.5  # of a worker's core for each new connection
+    handshake_work_ms: NonNegative = 1.5  # work on a worker's core for each new connection
     idle_s: Positive = 10.0
 
 
 class Discovery(Struct, frozen=True, forbid_unknown_fields=True):
-    """Late, and knows only whether a process runs. In s."""
-
-    notice_s: Range = 1.0  # until an end is told
-    silent_notice_s: Range = 8.0  # until silence is told
-    add_s: Range = 0.7  # until a start is told
-    spread_s: NonNegative = 0.1  # between the first node that hears and the last
-    # Calls a second that one service answers in turn for all nodes; 0: it tells each node by itself.
+    """Discovery reports late, and only whether a process runs. Delays in s."""
+
+    notice_s: Range = 1.0  # until the end of a process is reported
+    silent_notice_s: Range = 8.0  # until an unreachable machine is reported
+    add_s: Range = 0.7  # until the start of a process is reported
+    spread_s: NonNegative = 0.1  # between the first node that gets an update and the last
+    # Subscribe calls per second that the service handles, one at a time, for all nodes; 0: it pushes updates
+    # without calls.
     calls_per_s: NonNegative = 0.0
-    call_waits_s: Positive = (
-        2.0  # a call fails when it has waited so long, and costs the service all the same
-    )
-    must_ask_s: Positive = 10.0  # within which a node has to ask, as it is told
+    call_waits_s: Positive = 2.0  # a call that waits longer fails, and still costs the service its time
+    must_ask_s: Positive = 10.0  # interval within which a node has to subscribe, by its settings
 
 
 class Rules(Struct, frozen=True, forbid_unknown_fields=True):
-    """What binds the nodes."""
+    """The limits that nodes must keep."""
 
     drain_grace_ms: NonNegative = 2000.0
     answer_grace_ms: NonNegative = 8.0
@@ -126,7 +127,7 @@
 
 
 class Prices(Struct, frozen=True, forbid_unknown_fields=True):
-    """Taken off the service, each times its share."""
+    """Deductions from the service, each a factor on a share."""
 
     waste: NonNegative = 0.10
     late_fail: NonNegative = 0.072
@@ -134,9 +135,10 @@
 
 
 class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Stewards, and nodes under their word; on sockets alone."""
+    """Consensus servers, and nodes that hold leases from them; on sockets only."""
 
-    stewards: Annotated[int, Meta(ge=0, le=9)] = 0  # one a site in turn; 0: none
+    # number of consensus servers, spread over the sites in turn; 0: no fleet
+    stewards: Annotated[int, Meta(ge=0, le=9)] = 0
     lease: Annotated[float, Meta(ge=1.0, le=60.0)] = 2.0
     catch_up: Annotated[float, Meta(ge=1.0, le=600.0)] = 3.0
     drift: Annotated[float, Meta(ge=0.0, le=0.2)] = 0.02
@@ -144,22 +146,23 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """Something that goes wrong, see `troubles/`. What the fields mean is the trouble's to say."""
+    """A fault of a run, see `troubles/`. The meaning of its fields depends on its kind."""
 
     kind: str
-    at: Range  # s
+    at: Range  # s of the run
     lasts: Range = 10.0  # s
-    part: Range = 0.2  # of the workers, or of whatever it takes
+    part: Range = 0.2  # share of the workers, nodes or links that it affects
     size: Range = 1.0
     extra: Range = 0.0
-    site: str = ""  # "": drawn
+    site: str = ""  # empty: drawn
     other: str = ""  # the other end of a link
-    silent: bool = True  # says nothing; else connections are reset
-    nodes: bool = False  # takes its nodes along
+    # whether machines become unreachable; otherwise processes die and connections are reset
+    silent: bool = True
+    nodes: bool = False  # whether the nodes of the site are killed as well
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole one."""
+    """A complete scenario."""
 
     name: str
     sites: Annotated[list[Site], Meta(min_length=1)]
@@ -175,11 +178,11 @@
     rules: Rules = Rules()
     prices: Prices = Prices()
     fleet: FleetSettings = FleetSettings()
-    front_notice_s: Range = 2.0  # until the front knows that a node has died
-    start_spread_s: NonNegative = 0.8  # between the first node's start and the last's
+    front_notice_s: Range = 2.0  # s until the load balancer notices that a node has died
+    start_spread_s: NonNegative = 0.8  # s between the first node's start and the last's
     troubles: list[Fault] = msgspec.field(default_factory=list)
 
 
 def sample(random: Random, value: Range) -> float:
-    """A value, or one out of its range."""
+    """The value itself, or a uniform draw from the range."""
     return value if isinstance(value, int | float) else random.uniform(*value)
--- a/bitternpath/testing/emulator/scenario_file.py
+++ b/bitternpath/testing/emulator/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reading scenarios: TOML, typed, bounded and checked as a whole like the operators' file."""
+"""Reads scenario files: TOML, validated against types, bounds and cross-references."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def load(path: str | Path) -> Scenario:
-    """Read a scenario; ScenarioError names the file, the key and what is allowed."""
+    """Reads a scenario; ScenarioError names the file, the key and the allowed values."""
     try:
         told = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -25,7 +25,7 @@
 
 
 def scenario_from(told: dict[str, Any], where: str) -> Scenario:
-    """A scenario from plain values, checked as a whole."""
+    """Converts plain values to a validated scenario."""
     try:
         scenario = msgspec.convert(told, Scenario)
     except msgspec.ValidationError as error:
--- a/bitternpath/testing/emulator/sockets/feed.py
+++ b/bitternpath/testing/emulator/sockets/feed.py
@@ -1,4 +1,4 @@
-"""Discovery as one node reaches it: watches, each a chunked answer with a line for every change."""
+"""The discovery service as one node reaches it: watches, each a chunked response with one line per update."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 PHASES = {m.WorkerState.SERVING: "up", m.WorkerState.DRAINING: "draining", m.WorkerState.GONE: "removed"}
 HEARTBEAT_INTERVAL = 2.0  # s between empty lines on a watch
-OLD_ADDRESS_CLOSE_DELAY = 1.5  # s for which the address before a move still answers
+OLD_ADDRESS_CLOSE_DELAY = 1.5  # s during which the previous address still answers after a move
 
 
 class DiscoveryFeed:
-    """The server of one node's watches."""
+    """Serves the watches of one node."""
 
     def __init__(self, world: Run, node: str) -> None:
         self.world, self.node = world, node
@@ -30,12 +30,12 @@
         return f"127.0.0.1:{self.server.number}"
 
     def move(self) -> None:
-        """Listen at another address; the one before closes a little later."""
+        """Moves to another address; the previous one closes after a delay."""
         old_server, self.server = self.server, Server(self.world.reactor, self._watch)
         self.world.reactor.callLater(OLD_ADDRESS_CLOSE_DELAY, old_server.close)
 
     def message(self, listing: Listing) -> dict[str, Any]:
-        """A listing in the platform's words, with the addresses at which this node reaches the workers."""
+        """A listing in the platform's format, with the addresses at which this node reaches the workers."""
         return {
             "revision": listing.revision,
             "complete": listing.complete,
@@ -48,7 +48,7 @@
         }  # fmt: skip
 
     def publish(self, name: str, listing: Listing) -> None:
-        """Discovery's word goes out on the watches."""
+        """Sends an update on all watches."""
         now = self.world.now()
         for endpoint in listing.members:
             self.world.checker.discovery_notified(
--- a/bitternpath/testing/emulator/sockets/node.py
+++ b/bitternpath/testing/emulator/sockets/node.py
@@ -24,39 +24,39 @@
 from bitternpath.testing.emulator.sockets.run import Run
 
 ROOT = Path(__file__).parents[4]
-READY_TIMEOUT = 30.0  # s for a node to come up
-PREDECESSOR_EXIT_TIMEOUT = 3.7  # s after SIGTERM at which a process may be killed
+READY_TIMEOUT = 30.0  # s within which a node must become ready
+PREDECESSOR_EXIT_TIMEOUT = 3.7  # s after SIGTERM after which a replaced process is killed
 MAX_SOCKETS = 1024
-POLL_INTERVAL = 0.05  # s between looks at a process that is to end or to get ready
+POLL_INTERVAL = 0.05  # s between checks of a process that is ending or starting
 
 
 class SocketNode:
-    """One node of the world, with the process that is its present life."""
+    """One node, with its current process."""
 
     def __init__(self, world: Run, name: str, site: str, number: int) -> None:
         self.world, self.name, self.site, self.number = world, name, site, number
         self.alive = False
-        self.stopped_at = float("inf")  # s of the run; infinite while it is not
+        self.stopped_at = float("inf")  # s of the run; infinite while the process is not stopped
         self.process: Any = None
         self.reserved_port = ReservedPort()
         self.port = self.reserved_port.number
         self.requests = ClientRequests(world, self)
-        self.call_back_pool = ConnectionPool(world.reactor, lambda: self.port)  # call-backs of workers
+        self.call_back_pool = ConnectionPool(world.reactor, lambda: self.port)  # for call-backs of workers
         self.feed = DiscoveryFeed(world, name)
         self.log = world.folder / f"{name}.log"
         self.file = world.folder / f"{name}.json"
         self.incarnation = 0
         self.ending = False
-        self.console_port = 0  # its port, where the scenario has operators
+        self.console_port = 0  # set where the scenario has operators
         self.console_ports: list[ReservedPort] = []
-        self.predecessors: list[Any] = []  # processes that a newer one has taken over from
+        self.predecessors: list[Any] = []  # processes that a newer one has replaced
         self.temp_folder = world.folder / f"{name}.tmp"
         self.temp_folder.mkdir()
 
     # ---- clients
 
     def request(self, client_request: ClientRequest) -> bool:
-        """A client's request has arrived; somebody listens, or it is refused later."""
+        """Sends a client's request; a refused connection is reported later."""
         self.requests.send(client_request)
         return True
 
@@ -74,7 +74,7 @@
         self._poll_ready(self.incarnation, time.monotonic())
 
     def _spawn(self, listing: Listing) -> Any:
-        """Start a process of the node."""
+        """Starts a process of the node."""
         self.file.write_text(json.dumps(self._configuration(listing)))
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BITTERNPATH_"))}
         env |= {"PROXY_CONFIG": str(self.file), "TMPDIR": str(self.temp_folder)}
@@ -106,7 +106,7 @@
         return self.world.fleet.program()
 
     def _poll_ready(self, incarnation: int, since: float) -> None:
-        """The front admits a node once `/ready` has answered 200."""
+        """Polls `/ready`; on status 200 the load balancer admits the node."""
         if not self.alive or incarnation != self.incarnation:
             return
 
@@ -139,7 +139,7 @@
             self.world.load_balancer.drop(self)
 
     def stop(self) -> None:
-        """SIGSTOP, as on a machine that stands still."""
+        """SIGSTOP, as on a machine that hangs."""
         self.stopped_at = min(self.stopped_at, self.world.now())
         self.process.send_signal(signal.SIGSTOP)
 
@@ -149,7 +149,7 @@
         self.process.send_signal(signal.SIGCONT)
 
     def reload(self) -> None:
-        """Discovery moves: a new configuration and SIGHUP."""
+        """Moves discovery to a new address: rewrites the configuration file and sends SIGHUP."""
         self.feed.move()
         client_request = json.loads(self.file.read_text())
         client_request["discovery"] = self.feed.address
@@ -157,7 +157,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     def restart(self, down: float) -> None:
-        """A planned restart, by SIGTERM; the front has been told."""
+        """A planned restart by SIGTERM; the load balancer drops the node first."""
         self.world.load_balancer.drop(self)
         self.process.send_signal(signal.SIGTERM)
         self._await_end(down)
@@ -174,14 +174,14 @@
         self.world.reactor.callLater(down, self.start)
 
     def request_stop(self) -> None:
-        """Have it end by itself."""
+        """Asks the process to end (SIGTERM), also if it is stopped."""
         if self.alive and self.process.poll() is None:
             self.ending = True
             self.process.send_signal(signal.SIGCONT)
             self.process.send_signal(signal.SIGTERM)
 
     def end(self) -> None:
-        """At the end of a run."""
+        """Kills all processes at the end of a run."""
         for process in (self.process, *self.predecessors):
             if process is not None and process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -196,13 +196,13 @@
         return self.alive and ended is not None and not (self.ending and ended == 0)
 
     def core_wait_s(self) -> float:
-        """For how long (s) its process has had work and no core, since its start."""
+        """s that its process has been ready to run without a core since its start."""
         return waited_for_processor(self.process.pid)
 
     # ---- upgrades
 
     def upgrade(self) -> None:
-        """A newer process beside the older one, which is told to stop once the newer one can serve."""
+        """Starts a newer process next to the current one, which is told to stop once the newer is ready."""
         if not self.alive:
             return
         predecessor, self.process = self.process, self._spawn(self.world.directory.full_listing())
@@ -236,7 +236,7 @@
     def call_console(
         self, method: bytes, path: bytes, body: bytes, on_response: Callable[[int], None]
     ) -> None:
-        """One call to the console; `heard` gets the status, or 0 where there was no answer."""
+        """One call to the console; `on_response` gets the status, or 0 if there was no answer."""
         console_pool = ConnectionPool(self.world.reactor, lambda: self.console_port)
         data = http1.request(method, path, [(b"Host", b"console")], body)
         console_pool.send(
--- a/bitternpath/testing/emulator/sockets/platform_settings.py
+++ b/bitternpath/testing/emulator/sockets/platform_settings.py
@@ -1,4 +1,4 @@
-"""What a node is told of the scenario, in the words of the platform's configuration file."""
+"""A scenario's settings of a node, in the format of the platform's configuration file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def settings_json(scenario: Scenario, site: str, number: int, nodes: int) -> dict[str, Any]:
-    """The section `settings` of the file of node `number`, at a site, one of so many nodes."""
+    """The `settings` section of the configuration file of node `number`, at `site`, one of `nodes` nodes."""
     rules, prices, classes = scenario.rules, scenario.prices, scenario.classes
     return {
         "allowed": {
--- a/bitternpath/testing/emulator/sockets/play.py
+++ b/bitternpath/testing/emulator/sockets/play.py
@@ -1,4 +1,4 @@
-"""One run of a scenario with real nodes, on the installed reactor."""
+"""Runs a scenario once with real nodes, on the installed reactor."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from bitternpath.testing.emulator.sockets.world import SocketWorld
 from bitternpath.testing.emulator.world import Result
 
-MAX_LATENESS = 0.050  # s of the world's own lateness at p99 above which a run is void
+MAX_LATENESS = 0.050  # p99 of the emulator's own lateness (s) above which a run is void
 
 
 class VoidError(Exception):
-    """The machine was too busy for the run to mean anything."""
+    """The machine was too busy for a meaningful run."""
 
 
 def _unsupported_on_sockets(scenario: Scenario) -> str:
-    """What of the scenario the sockets can't show; empty where they show all."""
+    """The setting that real nodes can't emulate; empty if there is none."""
     if scenario.discovery.calls_per_s:
         return "discovery.calls_per_s"
     if any(kind.connections for kind in scenario.kinds):
@@ -32,9 +32,9 @@
 def play_on_sockets(
     scenario: Scenario, seed: int, each_second: Callable[[SocketWorld], None] | None = None
 ) -> Result:
-    """One run with real nodes; VoidError where the machine was too busy to tell.
+    """Runs a scenario once with real nodes; VoidError if the machine was too busy to judge.
 
-    What the fleet's processes wrote down themselves breaks a rule however busy the machine was.
+    Violations found in the records of the fleet's processes count however busy the machine was.
     """
     unsupported = _unsupported_on_sockets(scenario)
     if unsupported:
--- a/bitternpath/testing/emulator/sockets/pool.py
+++ b/bitternpath/testing/emulator/sockets/pool.py
@@ -1,4 +1,4 @@
-"""Connections of the world's to a node, kept and used again, with one request at a time on each."""
+"""Reused connections from the emulator to a node, with one request at a time on each."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClientConnection(Protocol):
-    """A connection of the world's to a node: one request at a time."""
+    """A connection to a node: one request at a time."""
 
     transport: Any
 
@@ -55,7 +55,7 @@
 
 
 class ConnectionPool:
-    """Connections to one node, kept and used again."""
+    """Reused connections to one node."""
 
     def __init__(self, reactor: Any, port: Callable[[], int]) -> None:
         self.reactor, self.port = reactor, port
--- a/bitternpath/testing/emulator/sockets/requests.py
+++ b/bitternpath/testing/emulator/sockets/requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests to one node, and what is read of its answers."""
+"""Clients' requests to one node, and their answers."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from bitternpath.testing.emulator.sockets.pool import ClientConnection, ConnectionPool
 from bitternpath.testing.emulator.sockets.run import Run, RunningNode
 
-# s for which a client's connection is read on once its time is up: an answer that is late, but within the
-# rules' grace, would else go unread, and one that is later still would not show how late.
+# s for which a client's connection is still read after its timeout: an answer that is late but within the
+# allowed grace would otherwise go unread, and a later one would not show how late it is.
 LATE_READ_TIME = 1.0
 
 
 class ClientRequests:
-    """Requests on the connections of one node's clients."""
+    """Requests of one node's clients."""
 
     def __init__(self, world: Run, node: RunningNode) -> None:
         self.world, self.node = world, node
         self.pool = ConnectionPool(world.reactor, lambda: node.port)
 
     def send(self, client_request: ClientRequest) -> None:
-        """Send a request on a kept connection or a new one."""
+        """Sends a request on an idle connection or a new one."""
         world, operation, id = self.world, client_request.operation, client_request.id
         world.client_requests[id] = client_request
 
@@ -33,7 +33,7 @@
                 operation.job_class.safe,
             )
             world.connections[id] = connection
-            if client_request.done:  # it gave up or left before there was a connection
+            if client_request.done:  # it timed out or left before there was a connection
                 world.checker.abandoned(id)
                 world.scheduler.callLater(0.0, self._hang_up, client_request)
 
@@ -73,12 +73,12 @@
     def _record_answer(
         self, client_request: ClientRequest, outcome: str, retry_after: float, result: bytes
     ) -> None:
-        """What a client reads."""
+        """Checks the outcome of a request and passes it to the client after the network delay."""
         world, node, now = self.world, self.node, self.world.now()
         world.excuse_delay(now, node, client_request)
         if outcome == "reset":
             if node.alive and node.process.poll() is None and not client_request.done:
-                world.checker.answered(now, client_request.id, "closed")  # a whole answer was owed
+                world.checker.answered(now, client_request.id, "closed")  # a complete answer was owed
                 world.failures.append(f"{node.name} closed on request {client_request.id} without an answer")
         else:
             world.checker.answered(now, client_request.id, outcome, result)
@@ -86,8 +86,8 @@
         world.scheduler.callLater(delay, world.clients.answer, client_request, outcome, retry_after, result)
 
     def leave(self, client_request: ClientRequest) -> None:
-        """The client waits no longer. One whose time is up reads on for a while: what the node answered in
-        time may lie unread, or be on its way."""
+        """The client stops waiting. After a timeout its connection is still read for a while, since an answer
+        that the node sent in time may be unread or on its way."""
         if self.world.now() < client_request.sent + client_request.budget:
             self._hang_up(client_request)
         else:
--- a/bitternpath/testing/emulator/sockets/run.py
+++ b/bitternpath/testing/emulator/sockets/run.py
@@ -1,7 +1,7 @@
-"""What the parts of a run on sockets need of one another: interfaces, below all of them.
+"""Interfaces between the parts of a run on sockets, without dependencies on the implementations.
 
-`SocketWorld` (`world.py`) is the `Run`, `SocketNode` (`node.py`) a `RunningNode`, `FleetOnSockets`
-(`emulator/fleet/processes.py`) the `RunningFleet`.
+`SocketWorld` (`world.py`) implements `Run`, `SocketNode` (`node.py`) `RunningNode`, and `FleetProcesses`
+(`emulator/fleet/processes.py`) `RunningFleet`.
 """
 
 from __future__ import annotations
@@ -22,54 +22,55 @@
 
 
 class RunningNode(Protocol):
-    """One node, whichever process is its present life."""
+    """One node, whichever process currently runs."""
 
     name: str
     site: str
     port: int
     alive: bool
     process: Any  # subprocess.Popen
-    call_back_pool: ConnectionPool  # call-backs of workers
+    call_back_pool: ConnectionPool  # for call-backs of workers
 
 
 class RunningFleet(Protocol):
-    """The processes that keep the fleet's record."""
+    """The consensus servers that keep the fleet's record."""
 
     def environment(self, name: str) -> dict[str, str]:
-        """What tells a process of them, as environment variables."""
+        """The environment variables that give a process of the fleet the servers' addresses."""
 
     def program(self) -> list[str]:
         """The command that runs a process of the fleet, without its arguments."""
 
 
 class WorkerAddresses(Protocol):
-    """Where workers are reached."""
+    """The addresses of the workers' servers."""
 
     def address(self, node: str, worker: str) -> str:
         """The `ip:port` at which that node reaches that worker."""
 
 
 class Run(Protocol):
-    """A scenario that is being played; times are seconds of the run."""
+    """A run of a scenario; times are seconds of the run."""
 
     scenario: Scenario
     reactor: Any
     folder: Path  # for the nodes' files and logs
-    scheduler: Any  # the run's clock
+    scheduler: Any  # the run's clock, with `callLater`
     random: Random
     net: Network
     metrics: ServiceMetrics
     checker: Checker
     directory: Directory
     load_balancer: LoadBalancer
-    failure_detection_s: float  # s until the front notices that a node is gone
+    failure_detection_s: float  # s until the load balancer notices that a node has died
     clients: Clients
     workers: dict[str, Worker]
-    client_requests: dict[str, ClientRequest]  # by request
-    connections: dict[str, ClientConnection]  # by request
-    known_starts: dict[str, dict[str, float]]  # by worker and node: the worker's start as the node knows it
-    blocked_call_backs: set[str]  # workers whose call-backs are lost
-    duplicate_call_backs: float  # share of them
+    client_requests: dict[str, ClientRequest]  # by request id
+    connections: dict[str, ClientConnection]  # by request id
+    # worker: node: the worker's start time as reported to that node
+    known_starts: dict[str, dict[str, float]]
+    blocked_call_backs: set[str]  # workers whose call-backs don't get through
+    duplicate_call_backs: float  # share of call-backs that are delivered twice
     needs_console: bool  # whether nodes need a console
     failures: list[str]
 
@@ -79,17 +80,17 @@
 
     @property
     def fleet(self) -> RunningFleet | None:
-        """The fleet, where the scenario has one."""
+        """The fleet, if the scenario has one."""
 
     @property
     def worker_servers(self) -> WorkerAddresses:
-        """The workers' listeners."""
+        """The workers' servers."""
 
     def now(self) -> float:
-        """s of the run."""
+        """s since the start of the run."""
 
     def to_client(self, client_site: str, node_site: str) -> float:
         """Delay in s of an answer from a node to a client."""
 
     def excuse_delay(self, now: float, node: RunningNode, client_request: ClientRequest) -> None:
-        """Note where the machine held an answer up, and not the node."""
+        """Records an answer whose delay is due to the machine rather than to the node."""
--- a/bitternpath/testing/emulator/sockets/servers.py
+++ b/bitternpath/testing/emulator/sockets/servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers of the world's on loopback: of workers and of discovery, with the ways in which they fail."""
+"""The emulator's HTTP servers on loopback, for workers and discovery, with their failure modes."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from bitternpath.net import http1
 
-BACKLOG = 64  # connections that wait to be accepted
+BACKLOG = 64  # connections waiting to be accepted
 
 
 class ServerConnection(Protocol):
-    """A connection to one of the world's servers: whole requests in, answers out."""
+    """A server-side connection: reads complete requests, writes responses."""
 
     transport: Any
 
     def __init__(self, serve: Serve, connections: set[ServerConnection]) -> None:
         self.serve, self.open = serve, connections
         self.reader = http1.RequestReader()
-        self.unresponsive = False  # its machine is silent
+        self.unresponsive = False  # whether its machine is unreachable
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -50,7 +50,7 @@
 
 
 class Server(Factory):
-    """A server of the world's on a port of the system's choosing."""
+    """A server on a port that the system chooses."""
 
     noisy = False
 
@@ -66,7 +66,7 @@
         return ServerConnection(self.serve, self.connections)
 
     def close(self) -> None:
-        """The process dies: connections are reset, new ones refused."""
+        """The process dies: open connections are reset and new ones refused."""
         if self.port is not None:
             self.port.stopListening()
             self.port = None
@@ -79,12 +79,13 @@
         self.restore()
 
     def go_silent(self) -> None:
-        """The machine is gone from the network: connections stay open and silent, new ones never come up."""
+        """The machine becomes unreachable: open connections stay silent, new ones are never established."""
         for connection in self.connections:
             connection.unresponsive = True
         if self.port is not None:
             self.port.stopReading()
-            self.port.socket.listen(0)  # what the kernel would accept is filled: it drops the next ones
+            # with its backlog filled, the kernel drops further connection attempts
+            self.port.socket.listen(0)
             for _ in range(2):
                 sock = socket.socket()
                 sock.setblocking(False)
@@ -92,7 +93,7 @@
                 self.backlog_fillers.append(sock)
 
     def restore(self) -> None:
-        """Back again: what was open is reset."""
+        """The machine is reachable again: connections from before are reset."""
         if self.backlog_fillers and self.port is not None:
             for sock in self.backlog_fillers:
                 sock.close()
--- a/bitternpath/testing/emulator/sockets/workers.py
+++ b/bitternpath/testing/emulator/sockets/workers.py
@@ -1,4 +1,4 @@
-"""Workers on sockets: requests of the nodes come in, news of the jobs go back as call-backs."""
+"""Workers on sockets: they receive the nodes' requests and report job states by call-backs."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 CALL_BACK_TRIES = 10
 CALL_BACK_RETRY_DELAY = 1.0  # s
-PROGRESS_SHARE = 0.5  # the share that every note of progress tells
+PROGRESS_SHARE = 0.5  # the share done in every progress report
 
 
 class WorkerServers:
-    """A server for each pair of node and worker, so that a worker knows who sends."""
+    """One server for each pair of node and worker, so that a worker knows the sender."""
 
     def __init__(self, world: Run) -> None:
         self.world = world
-        self.attempts: dict[tuple[str, str], Attempt] = {}  # by request and worker
-        self.servers: dict[tuple[str, str], Server] = {}  # by node and worker
+        self.attempts: dict[tuple[str, str], Attempt] = {}  # (request id, worker): attempt
+        self.servers: dict[tuple[str, str], Server] = {}  # (node, worker): server
         for node in world.nodes.values():
             for worker in world.workers.values():
                 self.servers[node.name, worker.id] = Server(world.reactor, partial(self._serve, worker, node))
 
     def address(self, node: str, worker: str) -> str:
-        """Where the node reaches the worker."""
+        """The address at which the node reaches the worker."""
         return f"127.0.0.1:{self.servers[node, worker].number}"
 
     def _servers_of(self, worker: Worker) -> list[Server]:
@@ -41,12 +41,12 @@
             server.open()
 
     def close(self, worker: Worker) -> None:
-        """Its process has died: connections are reset."""
+        """The worker's process has died: connections are reset."""
         for server in self._servers_of(worker):
             server.close()
 
     def go_silent(self, worker: Worker) -> None:
-        """Its machine can't be reached any more."""
+        """The worker's machine becomes unreachable."""
         for server in self._servers_of(worker):
             server.go_silent()
 
@@ -57,7 +57,7 @@
     def _serve(
         self, worker: Worker, node: RunningNode, connection: ServerConnection, request: http1.Request
     ) -> None:
-        """A request of a node's has come whole; it takes the way between the sites first."""
+        """Handles a node's complete request after the delay between the sites."""
         scheduler, net = self.world.scheduler, self.world.net
         if request.method == b"DELETE":
             scheduler.callLater(net.delay(node.site, worker.site), connection.answer, 200)
@@ -107,7 +107,7 @@
                 world.scheduler.callLater(back, connection.answer, 503, ((b"X-Rejected", b"1"),))
 
     def _job_update(self, worker: Worker, attempt: Attempt, event: str) -> None:
-        """The model says what became of an attempt."""
+        """Reports a state change of an attempt by call-back."""
         world = self.world
         update: dict[str, Any] = {"id": attempt.id, "from": worker.id}
         if event == "started":
@@ -143,7 +143,7 @@
             self._schedule_progress(worker, attempt)
 
     def _call_back(self, worker: Worker, node: RunningNode, body: bytes, tries: int) -> None:
-        """Tried until it is answered, some times at most."""
+        """Sends a call-back until it is answered, with at most `CALL_BACK_TRIES` retries."""
         world = self.world
 
         def retry() -> None:
--- a/bitternpath/testing/emulator/sockets/world.py
+++ b/bitternpath/testing/emulator/sockets/world.py
@@ -1,4 +1,4 @@
-"""A scenario on sockets: the model's workers, clients and discovery round real nodes."""
+"""A scenario on sockets: emulated workers, clients and discovery around real nodes."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 if TYPE_CHECKING:
     from bitternpath.testing.emulator.fleet.processes import FleetProcesses
 
-LATENESS_INTERVAL = 0.01  # s between looks at the world's own lateness
-SAMPLES_PER_CORE_CHECK = 5  # of these looks, one asks how long each node has waited for a core
-TRAILING_TIME = 1.0  # s after the last answer that can come, for what is still on its way
-CONSOLE_FAULTS = ("out-by-hand", "upgrades")  # troubles for which nodes need a console
+LATENESS_INTERVAL = 0.01  # s between samples of the emulator's own lateness
+SAMPLES_PER_CORE_CHECK = 5  # every so many samples, the nodes' waits for a core are read as well
+TRAILING_TIME = 1.0  # s after the last possible answer, for data still in transit
+CONSOLE_FAULTS = ("out-by-hand", "upgrades")  # kinds of faults for which nodes need a console
 
 
 class RunClock:
-    """The reactor's clock from the start of a run, as the model's parts want it."""
+    """The reactor's clock relative to the start of the run, with the interface of `Scheduler`."""
 
     def __init__(self, reactor: Any) -> None:
         self.reactor, self.started_at = reactor, reactor.seconds()
         self.callLater = reactor.callLater
-        self.events_processed = 0  # events are not counted here
+        self.events_processed = 0  # not counted here
 
     def seconds(self) -> float:
         return float(self.reactor.seconds() - self.started_at)
@@ -51,7 +51,7 @@
 
 
 class SocketWorld(World):
-    """A scenario with a seed, on Twisted's reactor; `folder` takes the nodes' files and logs."""
+    """One scenario with a seed, on Twisted's reactor; `folder` takes the nodes' files and logs."""
 
     nodes: dict[str, SocketNode]  # type: ignore[assignment]
 
@@ -80,11 +80,11 @@
         self.clients.rate = scenario.clients.rate or scenario.clients.load * self.capacity()
         self.active: list[ActiveFault] = []
         self.client_requests: dict[str, ClientRequest] = {}
-        self.connections: dict[str, ClientConnection] = {}  # by request
+        self.connections: dict[str, ClientConnection] = {}  # by request id
         self.failures: list[str] = []
         self.lateness: list[float] = []
         self.processor_waits = ProcessorWaits()
-        self._core_waits_seen: dict[int, float] = {}  # process: s it had waited for a core at the last look
+        self._core_waits_seen: dict[int, float] = {}  # pid: s waited for a core up to the previous sample
         self.needs_console = any(t.kind in CONSOLE_FAULTS for t in scenario.troubles)
         self.fleet = self._fleet() if scenario.fleet.stewards else None
         self.nodes = self._socket_nodes()
@@ -104,13 +104,13 @@
         return made
 
     def now(self) -> float:
-        """s of the run."""
+        """s since the start of the run."""
         return float(self.scheduler.now)
 
     # ---- workers
 
     def end_process(self, worker: Worker, silent: bool) -> None:
-        """A worker's process ends, or its machine can't be reached any more (`silent`)."""
+        """Ends a worker's process, or makes its machine unreachable (`silent`)."""
         lost_jobs = worker.stop()
         if silent:
             self.worker_servers.go_silent(worker)
@@ -130,7 +130,7 @@
     # ---- a busy machine
 
     def excuse_delay(self, now: float, node: RunningNode, client_request: ClientRequest) -> None:
-        """An answer that the machine, not the node, held up says nothing of the rules; the run is void."""
+        """Excuses a late answer that the machine rather than the node delayed; it makes the run void."""
         due = self.checker.deadline(client_request.id)
         overrun = now - due - self.checker.answer_grace - self.checker.slack
         if overrun <= 0.0 or not self.checker.awaits_answer(client_request.id):
@@ -165,14 +165,14 @@
 
     @property
     def lateness_p99(self) -> float:
-        """Its p99 in s."""
+        """p99 of the emulator's own lateness, in s."""
         ordered = sorted(self.lateness)
         return ordered[int(len(ordered) * 0.99)] if ordered else 0.0
 
     # ---- a run
 
     def play(self, overrun: Callable[[], None]) -> None:
-        """Start the nodes; once all are ready, the clients and what goes wrong; `over` is called at the
+        """Starts the nodes, and once all are ready the clients and faults; `on_finished` is called at the
         end."""
         self._sample_lateness(self.reactor.seconds())
         if self.fleet is not None:
@@ -212,7 +212,7 @@
             overrun()
 
     def close(self) -> None:
-        """Stop all that was started."""
+        """Stops everything that was started."""
         for node in self.nodes.values():
             if node.crashed():
                 last = node.log.read_text(errors="replace").splitlines()[-1:]
@@ -224,7 +224,7 @@
             self.fleet.close()
 
     def final_result(self, wall_s: float) -> Result:
-        """What came of the run, which took `wall` s."""
+        """The result of the run, which took `wall_s` s."""
         result = self.result(wall_s)
         result.violations += self.failures
         if self.fleet is not None:
--- a/bitternpath/testing/emulator/troubles/__init__.py
+++ b/bitternpath/testing/emulator/troubles/__init__.py
@@ -1,4 +1,4 @@
-"""What goes wrong. Each module here registers some kinds of trouble; a scenario names them."""
+"""Faults. Each module registers some kinds, which a scenario lists under `troubles`."""
 
 from bitternpath.testing.emulator.troubles import fleet, operators, platform, sites, traffic, workers
 from bitternpath.testing.emulator.troubles.register import KINDS, ActiveFault, schedule_fault
--- a/bitternpath/testing/emulator/troubles/fleet.py
+++ b/bitternpath/testing/emulator/troubles/fleet.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a fleet's stewards and the links to them, and what its operator types; on sockets."""
+"""Faults of the consensus servers and of the links to them, and operator commands; on sockets only."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @register_fault("fleet-changes")
 def fleet_changes(world: Any, fault: ActiveFault, random: Random) -> None:
-    """The operator changes something every `size` s."""
+    """Proposes a change every `size` s."""
     stopped: list[bool] = []
     changes_submitted = [0]
 
@@ -34,7 +34,7 @@
 
 @register_fault("fleet-ban")
 def fleet_ban(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A calendar worker is banned at all nodes, and called back at the end."""
+    """Ejects a calendar worker at all nodes and reinstates it at the end."""
     worker = random.choice(sorted(world.workers))
     fault.targets = [worker]
     versions: list[int] = []
@@ -55,7 +55,7 @@
 
 
 def _pick_servers(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
-    """`part` of those that run, one at least."""
+    """A random share (`part`) of the running servers, at least one."""
     up = sorted(name for name, server in world.fleet.servers.items() if server.alive)
     fault.targets = sorted(random.sample(up, min(max(round(fault.part * len(up)), 1), len(up))))
     return [world.fleet.servers[name] for name in fault.targets]
@@ -94,30 +94,30 @@
 
 @register_fault("kill-stewards")
 def kill_servers(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A part of them is killed, and started again at the end."""
+    """Kills a share of the servers and starts them again at the end."""
     _kill_until_end(fault, _pick_servers(world, fault, random))
 
 
 @register_fault("kill-leader")
 def kill_leader(world: Any, fault: ActiveFault, random: Random) -> None:
-    """The one that leads now."""
+    """Kills the current leader and starts it again at the end."""
     _kill_until_end(fault, _pick_leader(world, fault))
 
 
 @register_fault("stall-stewards")
 def stall_servers(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A part of them is stopped (SIGSTOP), and goes on at the end."""
+    """Stops a share of the servers (SIGSTOP) and resumes them at the end."""
     _stall_until_end(fault, _pick_servers(world, fault, random))
 
 
 @register_fault("stall-leader")
 def stall_leader(world: Any, fault: ActiveFault, random: Random) -> None:
-    """The one that leads now."""
+    """Stops the current leader (SIGSTOP) and resumes it at the end."""
     _stall_until_end(fault, _pick_leader(world, fault))
 
 
 def _pick_relays(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
-    """`part` of the links to stewards, one at least."""
+    """A random share (`part`) of the links to servers, at least one."""
     pairs = sorted(world.fleet.relays)
     chosen = random.sample(pairs, min(max(round(fault.part * len(pairs)), 1), len(pairs)))
     fault.targets = [f"{sender} to {server}" for sender, server in sorted(chosen)]
@@ -134,7 +134,7 @@
 
 @register_fault("cut-fleet-links")
 def cut_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Silently, one way or both."""
+    """Drops all data silently, in one direction or both."""
     relays = _pick_relays(world, fault, random)
     for relay in relays:
         link = random.random()
@@ -144,7 +144,7 @@
 
 @register_fault("slow-fleet-links")
 def slow_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
-    """`size` s late each way, and `extra` bytes a second where that is not 0."""
+    """Delays both directions by `size` s and limits them to `extra` bytes per second (0: no limit)."""
     relays = _pick_relays(world, fault, random)
     for relay in relays:
         for link in (relay.forward, relay.backward):
@@ -154,14 +154,14 @@
 
 @register_fault("reset-fleet-links")
 def reset_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Connections are reset, and come up again."""
+    """Resets open connections; new ones work."""
     for relay in _pick_relays(world, fault, random):
         relay.reset()
 
 
 @register_fault("half-open-fleet-links")
 def half_open_fleet_links(world: Any, fault: ActiveFault, random: Random) -> None:
-    """New connections are accepted and lead nowhere."""
+    """New connections are accepted and carry no data."""
     relays = _pick_relays(world, fault, random)
     for relay in relays:
         relay.half_open = True
@@ -171,7 +171,7 @@
 
 @register_fault("cut-fleet-site")
 def cut_fleet_site(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A site's processes reach no steward of another site, nor those theirs."""
+    """Cuts the links between processes of the site and servers of other sites, and the reverse."""
     fleet = world.fleet
     relays = []
     for (sender, server), relay in fleet.relays.items():
--- a/bitternpath/testing/emulator/troubles/operators.py
+++ b/bitternpath/testing/emulator/troubles/operators.py
@@ -1,4 +1,4 @@
-"""What operators do day by day: workers taken out by hand and started anew, new versions of nodes."""
+"""Routine operations: ejecting workers by hand and restarting them, upgrading nodes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     stagger_over_nodes,
 )
 
-RESTARTED_AFTER = 0.3  # of the time for which a worker is out: by then it has done what it had
-BACK_AFTER = 0.6  # of that time: its process runs again, cold
+RESTARTED_AFTER = 0.3  # share of the ejection after which a worker restarts: it has finished its jobs by then
+BACK_AFTER = 0.6  # share of the ejection after which its process runs again, cold
 
 
 @register_fault("out-by-hand")
 def out_by_hand(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Staff take a part of the workers out at every node, start them anew, and call them back at the end."""
+    """Ejects a share of the workers at every node, restarts them, and reinstates them at the end."""
     workers = pick_workers(world, fault, random)
     for worker in workers:
         for node in world.nodes.values():
@@ -36,5 +36,5 @@
 
 @register_fault("upgrades")
 def upgrades(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Every node is upgraded under load, one after the other: a newer process beside the older one."""
+    """Upgrades every node under load, one after the other: a new process takes over from the old one."""
     stagger_over_nodes(world, fault, lambda node: node.upgrade())
--- a/bitternpath/testing/emulator/troubles/platform.py
+++ b/bitternpath/testing/emulator/troubles/platform.py
@@ -1,4 +1,4 @@
-"""Discovery that is silent, lossy or slow; nodes that are killed, stopped, reloaded or restarted."""
+"""Outages, losses and delays of discovery; nodes that are killed, stopped, reloaded or restarted."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 @register_fault("discovery-lossy")
 def discovery_lossy(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A `part` of the changes reaches a node only with the next one, and all take `size` times as long."""
+    """A share (`part`) of the updates reaches a node only with the next one, and all take `size` times as
+    long."""
     directory = world.directory
     directory.drop_rate, directory.delay_factor = fault.part, max(fault.size, 1.0)
 
@@ -34,7 +35,7 @@
 
 @register_fault("kill-nodes")
 def kill_nodes(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A part of the nodes is killed and starts from nothing at the end."""
+    """Kills a share of the nodes and starts them without state at the end."""
     nodes = pick_nodes(world, fault, random)
     for node in nodes:
         node.kill()
@@ -49,7 +50,7 @@
 
 @register_fault("stop-nodes")
 def stop_nodes(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A part of the nodes is stopped (SIGSTOP) and goes on at the end."""
+    """Stops a share of the nodes (SIGSTOP) and resumes them at the end."""
     nodes = pick_nodes(world, fault, random)
     for node in nodes:
         node.stop()
@@ -64,11 +65,11 @@
 
 @register_fault("rolling-restarts")
 def rolling_restarts(world: Any, fault: ActiveFault, random: Random) -> None:
-    """All nodes restart, one after the other, `size` s down each."""
+    """Restarts all nodes, one after the other, each down for `size` s."""
     stagger_over_nodes(world, fault, lambda node: node.restart(max(fault.size, 0.1)))
 
 
 @register_fault("reload-nodes")
 def reload_nodes(world: Any, fault: ActiveFault, random: Random) -> None:
-    """All nodes read their configuration again, one after the other; discovery has moved in it."""
+    """Reloads all nodes' configuration, one after the other, with a new address of discovery."""
     stagger_over_nodes(world, fault, lambda node: node.reload())
--- a/bitternpath/testing/emulator/troubles/register.py
+++ b/bitternpath/testing/emulator/troubles/register.py
@@ -1,7 +1,7 @@
-"""Register of what can go wrong, and what its entries share.
+"""The registry of faults and their common helpers.
 
-A trouble is a function `(world, trouble, random, active)`: it does something at once, and gives
-`active.undo` what is to be done at its end. `trouble` has the scenario's words, already drawn.
+A fault is a function `(world, fault, random)`. It takes effect at once and sets `fault.undo` to what ends
+it. The `ActiveFault` has the values of the scenario with all ranges drawn.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ActiveFault:
-    """A trouble with its figures drawn."""
+    """A fault of one run, with its ranges drawn."""
 
     def __init__(
         self, kind: str, at: float, lasts: float, part: float, size: float, extra: float, spec: Fault
@@ -22,7 +22,7 @@
         self.kind, self.at, self.lasts, self.part, self.size, self.extra = kind, at, lasts, part, size, extra
         self.site, self.other = spec.site, spec.other
         self.silent, self.nodes = spec.silent, spec.nodes
-        self.targets: list[str] = []  # whom it took
+        self.targets: list[str] = []  # names of what it affects
         self.undo: Callable[[], None] = lambda: None
 
     def to_dict(self) -> dict[str, Any]:
@@ -40,7 +40,7 @@
 
 
 def register_fault(kind: str) -> Callable[[Injector], Injector]:
-    """Registers a trouble."""
+    """Registers a fault under the kind that scenarios use."""
 
     def register(injector: Injector) -> Injector:
         KINDS[kind] = injector
@@ -50,7 +50,7 @@
 
 
 def schedule_fault(world: Any, spec: Fault, random: Random) -> None:
-    """Draw a trouble's figures and schedule its begin and end."""
+    """Draws the values of a fault and schedules its start and end."""
     fault = ActiveFault(
         spec.kind,
         sample(random, spec.at),
@@ -78,7 +78,7 @@
 
 
 def pick_workers(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
-    """A part of the workers, one at least; noted in `active.on`."""
+    """A random share (`part`) of the workers, at least one; noted in `fault.targets`."""
     names = sorted(world.workers)
     count = max(round(fault.part * len(names)), 1)
     fault.targets = sorted(random.sample(names, min(count, len(names))))
@@ -86,14 +86,15 @@
 
 
 def pick_nodes(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
-    """A part of the nodes that are up, one at least; noted in `active.on`."""
+    """A random share (`part`) of the running nodes, at least one; noted in `fault.targets`."""
     names = sorted(name for name, node in world.nodes.items() if node.alive)
     fault.targets = sorted(random.sample(names, min(max(round(fault.part * len(names)), 1), len(names))))
     return [world.nodes[name] for name in fault.targets]
 
 
 def stagger_over_nodes(world: Any, fault: ActiveFault, injector: Callable[[Any], object]) -> None:
-    """All nodes, one after the other, over the time that the trouble lasts; noted in `active.on`."""
+    """Calls `injector` with each node, spread evenly over the duration of the fault; noted in
+    `fault.targets`."""
     nodes = list(world.nodes.values())
     for index, node in enumerate(nodes):
         world.scheduler.callLater(fault.lasts * index / len(nodes), injector, node)
--- a/bitternpath/testing/emulator/troubles/sites.py
+++ b/bitternpath/testing/emulator/troubles/sites.py
@@ -1,4 +1,4 @@
-"""A whole site lost, with or without its nodes; links cut one way or both."""
+"""Loss of a whole site, with or without its nodes; partitions in one direction or both; slow links."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 @register_fault("site-loss")
 def site_loss(world: Any, fault: ActiveFault, random: Random) -> None:
-    """All workers of a site go, silently or as processes that die, and come back cold; `nodes` takes those
-    along."""
+    """All workers of a site become unreachable or die (`silent`) and come back cold; with `nodes` the site's
+    nodes are killed as well."""
     workers = [w for w in world.workers.values() if w.site == fault.site and w.alive]
     nodes = [n for n in world.nodes.values() if n.site == fault.site and n.alive] if fault.nodes else []
     fault.targets = [fault.site]
@@ -33,7 +33,8 @@
 
 @register_fault("link-cut")
 def link_cut(world: Any, fault: ActiveFault, random: Random) -> None:
-    """From `site` nothing reaches `other` (drawn where it is empty); with `size` of 2 nor the other way."""
+    """Messages from `site` to `other` (drawn if empty) are lost; with a `size` of 2 also in the other
+    direction."""
     others = [site.name for site in world.scenario.sites if site.name != fault.site]
     if not others:
         return
@@ -52,7 +53,7 @@
 
 @register_fault("slow-link")
 def slow_link(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Between `site` and all others messages take `size` times as long."""
+    """Messages between `site` and all others take `size` times as long."""
     links = []
     for site in world.scenario.sites:
         if site.name != fault.site:
--- a/bitternpath/testing/emulator/troubles/traffic.py
+++ b/bitternpath/testing/emulator/troubles/traffic.py
@@ -1,5 +1,4 @@
-"""burst: traffic jumps to `size` times the usual, of one site where `site` is given; rude: clients that
-never wait."""
+"""Load bursts (`burst`, `site-burst`: the rate times `size`) and badly behaved clients (`rude`, `leave`)."""
 
 from __future__ import annotations
 
@@ -21,7 +20,7 @@
 
 @register_fault("site-burst")
 def site_burst(world: Any, fault: ActiveFault, random: Random) -> None:
-    """The same for one site."""
+    """Like `burst`, for one site."""
     bursts = world.clients.site_burst
     bursts[fault.site] = bursts.get(fault.site, 1.0) * fault.size
 
@@ -33,7 +32,7 @@
 
 @register_fault("rude")
 def rude(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Clients come back the moment they are turned away, whatever they are told."""
+    """Clients retry at once when refused and ignore Retry-After."""
     import msgspec
 
     previous = world.clients.behavior
@@ -49,7 +48,7 @@
 
 @register_fault("leave")
 def leave(world: Any, fault: ActiveFault, random: Random) -> None:
-    """A part of the clients goes away before its time."""
+    """A share (`part`) of the clients disconnects before the timeout."""
     import msgspec
 
     previous = world.clients.behavior
--- a/bitternpath/testing/emulator/troubles/workers.py
+++ b/bitternpath/testing/emulator/troubles/workers.py
@@ -1,4 +1,4 @@
-"""Workers that are slow, pause, share their machine, err, are replaced, or vanish and come back cold."""
+"""Workers that slow down, pause, share their machine, fail jobs, get replaced, or vanish and return cold."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @register_fault("slow")
 def slow(world: Any, fault: ActiveFault, random: Random) -> None:
-    """`size` times slower."""
+    """Jobs take `size` times as long."""
     workers = pick_workers(world, fault, random)
     for worker in workers:
         worker.slowdown *= fault.size
@@ -26,7 +26,7 @@
 
 @register_fault("pauses")
 def pauses(world: Any, fault: ActiveFault, random: Random) -> None:
-    """They stand still for `size` ms every `extra` s."""
+    """Workers pause for `size` ms about every `extra` s."""
     workers = pick_workers(world, fault, random)
     stopped = [False]
 
@@ -52,7 +52,7 @@
 
 @register_fault("neighbour")
 def neighbour(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Another program takes `size` of the machine, on and off for `extra` s each."""
+    """Another program uses the share `size` of the machine, alternately on and off for about `extra` s."""
     workers = pick_workers(world, fault, random)
     stopped = [False]
 
@@ -73,7 +73,7 @@
 
 @register_fault("errors")
 def errors(world: Any, fault: ActiveFault, random: Random) -> None:
-    """`size` of their jobs end as errors."""
+    """A share (`size`) of the jobs fails."""
     workers = pick_workers(world, fault, random)
     for worker in workers:
         worker.extra_error_rate += fault.size
@@ -87,7 +87,7 @@
 
 @register_fault("vanish")
 def vanish(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Machines go silent and come back cold; with `silent` off their processes die instead."""
+    """Machines become unreachable and come back cold; without `silent` their processes die instead."""
     workers = [w for w in pick_workers(world, fault, random) if w.alive]
     for worker in workers:
         world.end_process(worker, fault.silent)
@@ -102,7 +102,7 @@
 
 @register_fault("drain")
 def drain(world: Any, fault: ActiveFault, random: Random) -> None:
-    """Workers drain, are told so, finish what they have, and start anew at the end."""
+    """Workers drain, finish their jobs, and restart at the end."""
     workers = [w for w in pick_workers(world, fault, random) if w.alive]
     for worker in workers:
         world.directory.process_draining(worker)
@@ -117,7 +117,7 @@
 
 @register_fault("replace")
 def replace(world: Any, fault: ActiveFault, random: Random) -> None:
-    """They are replaced by new machines with new names, one after the other."""
+    """Replaces workers by new machines with new names, one after the other."""
     workers = [w for w in pick_workers(world, fault, random) if w.alive]
     for index, worker in enumerate(workers):
         world.scheduler.callLater(fault.lasts * index / len(workers), world.replace, worker, random)
@@ -125,7 +125,8 @@
 
 @register_fault("call-backs")
 def call_backs(world: Any, fault: ActiveFault, random: Random) -> None:
-    """`size` of the call-backs come twice; those of a `part` of the workers are held up until the end."""
+    """Delivers a share (`size`) of the call-backs twice; holds back those of a share (`part`) of the workers
+    until the end."""
     workers = pick_workers(world, fault, random) if fault.part else []
     world.duplicate_call_backs = fault.size
     world.blocked_call_backs.update(worker.id for worker in workers)
