--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -70,7 +70,7 @@
         wall = json.loads(file.read_bytes())[0]
         virtual = play(load(SCENARIOS / f"{name}.toml"), 1)
         one, two = virtual.figures["service"], wall["figures"]["service"]
-        kept = "kept" if virtual.kept and not wall["violations"] else str(wall["violations"][:2])
+        kept = "kept" if virtual.passed and not wall["violations"] else str(wall["violations"][:2])
         rows.append([name, f"{one:.3f}", f"{two:.3f}", f"{two - one:+.3f}", kept])
         file.unlink()
     print(table(["scenario", "virtual", "sockets", "difference", "rules"], rows))
@@ -125,7 +125,7 @@
             both = [[r.by_second.get(s, 1.0) for r in found[name, p]] for p in ("oracle", "module")]
             seconds[s] = statistics.mean(both[0]) - statistics.mean(both[1])
         worst_second = max(seconds, key=lambda s: seconds[s])
-        broken = sum(not r.kept for r in found[name, "module"])
+        broken = sum(not r.passed for r in found[name, "module"])
         rows.append(
             [name, *(f"{mean(name, p):.3f}" for p in policies), f"{gap:.3f}",
              f"{worst} ({classes[worst]:.3f})",
--- a/bitternpath/testing/emulator/fleet/broken.py
+++ b/bitternpath/testing/emulator/fleet/broken.py
@@ -20,8 +20,8 @@
 Build = Callable[[ExitStack], None]
 
 
-def _patch(stack: ExitStack, target: Any, name: str, what: Any) -> None:
-    stack.enter_context(patch.object(target, name, what))
+def _patch(stack: ExitStack, target: Any, name: str, replacement: Any) -> None:
+    stack.enter_context(patch.object(target, name, replacement))
 
 
 def vote_not_on_disk(stack: ExitStack) -> None:
@@ -87,9 +87,9 @@
     renew = record_replica.RecordReplica._renew
 
     def grant_at_once(
-        self: Any, now: float, leadership: Any, state: Any, route: Any, said: m.RenewLease
+        self: Any, now: float, leadership: Any, state: Any, route: Any, request: m.RenewLease
     ) -> None:
-        renew(self, now, leadership, state, route, said)
+        renew(self, now, leadership, state, route, request)
         for pending in leadership.awaiting_round:
             if isinstance(pending.request, m.RenewLease):
                 self._grant(now, leadership, pending)
--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -30,8 +30,10 @@
     spans = []
     for line in lines:
         if line.what == audit.INVOCATIONS_SERVED and line.fencing_token:
-            told = msgspec.json.decode(line.detail)
-            spans.append(ServedSpan(process, line.version, line.fencing_token, told["first"], told["last"]))
+            detail = msgspec.json.decode(line.detail)
+            spans.append(
+                ServedSpan(process, line.version, line.fencing_token, detail["first"], detail["last"])
+            )
     return spans
 
 
@@ -83,16 +85,16 @@
 
 def check_audit(process: str, lines: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
     """Rule 4: each entry that was written is in the audit or reported as missing, and there are no others."""
-    told = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
+    audited = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
     written = {line.number: line for line in lines}
     violations = [
         f"audit: {process}: line {line.number} is in the audit and was never written"
-        for line in told
+        for line in audited
         if written.get(line.number) != line
     ]
     if account and account["faults"]:
         violations.append(f"audit: {process}: {account['faults'][0]}, though nobody changed it")
-    audited_numbers = {line.number for line in told}
+    audited_numbers = {line.number for line in audited}
     missing = [number for number in written if number not in audited_numbers]
     dropped = account["dropped"] if account else 0
     if missing and not dropped and not (account and account["unheard"]):
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -66,7 +66,7 @@
     def alive(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def start(self, found: bool = False) -> None:
+    def start(self, bootstrap: bool = False) -> None:
         fleet_settings, fleet = self.fleet.world.scenario.fleet, self.fleet
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BITTERNPATH_"))}
         env |= fleet.environment(self.name) | {
@@ -79,7 +79,7 @@
         }
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [*program(), "consensus-server", *["--found"] * found],
+                [*program(), "consensus-server", *["--found"] * bootstrap],
                 env=env,
                 cwd=Path(__file__).parents[4],
                 stderr=log,
@@ -135,11 +135,11 @@
     # ---- the ways
 
     def relay(self, sender: str, server: str) -> Relay:
-        found = self.relays.get((sender, server))
-        if found is None:
+        relay = self.relays.get((sender, server))
+        if relay is None:
             reserved_port = self.servers[server].reserved_port
-            found = self.relays[sender, server] = Relay(self.world.reactor, lambda: reserved_port.number)
-        return found
+            relay = self.relays[sender, server] = Relay(self.world.reactor, lambda: reserved_port.number)
+        return relay
 
     def environment(self, name: str) -> dict[str, str]:
         """The environment variables that give a process the servers' addresses, each through its own
@@ -182,7 +182,7 @@
     def start(self) -> None:
         """Bootstraps the fleet and adds the other servers one by one."""
         for k, server in enumerate(self.servers.values()):
-            server.start(found=k == 0)
+            server.start(bootstrap=k == 0)
         self._add(list(self.servers)[1:])
         self._poll_status()
 
@@ -206,11 +206,11 @@
         for server in self.servers.values():
             if server.alive:
                 self._query_status(server)
-        found = self.leader_status()
-        if found is None:
+        status = self.leader_status()
+        if status is None:
             self.leaderless_s += POLL_INTERVAL
         else:
-            self._record_effects(found)
+            self._record_effects(status)
         self.world.reactor.callLater(POLL_INTERVAL, self._poll_status)
 
     def _query_status(self, server: ServerProcess) -> None:
@@ -233,11 +233,11 @@
     def leader_status(self) -> dict[str, Any] | None:
         """The leader's status, if a server has claimed recently to lead."""
         oldest = self.world.reactor.seconds() - 4 * POLL_INTERVAL
-        found = [
+        claims = [
             s.status for s in self.servers.values()
             if s.status and s.status["at"] > oldest and s.status["leader"] == s.status["steward"]
         ]  # fmt: skip
-        return max(found, key=lambda status: int(status["term"]), default=None)
+        return max(claims, key=lambda status: int(status["term"]), default=None)
 
     def _record_effects(self, status: dict[str, Any]) -> None:
         world, holders = self.world, status["holders"]
@@ -310,13 +310,13 @@
     def _collect_records(self, on_finished: Callable[[], None]) -> None:
         """Fetches each server's complete record and checks it against what happened."""
         self.finished = True
-        found: dict[str, dict[str, Any]] = {}
+        records: dict[str, dict[str, Any]] = {}
         names = [name for name, server in self.servers.items() if server.alive]
 
         def on_reply(name: str, answer: m.CommandReply) -> None:
-            found[name] = dict(msgspec.msgpack.decode(answer.data))
-            if len(found) == len(names):
-                self._check_records(found)
+            records[name] = dict(msgspec.msgpack.decode(answer.data))
+            if len(records) == len(names):
+                self._check_records(records)
                 on_finished()
 
         for name in names:
--- a/bitternpath/testing/emulator/fleet/search/states.py
+++ b/bitternpath/testing/emulator/fleet/search/states.py
@@ -33,7 +33,7 @@
         case list():
             return [_copy_value(v) if isinstance(v, list) else v for v in value]
         case dict():
-            return {k: copy(v) for k, v in value.items()}
+            return {position_in_queue: copy(v) for position_in_queue, v in value.items()}
         case set():
             return set(value)
         case ReplicatedLog():
@@ -62,8 +62,8 @@
         """Yields each message that may arrive next, as sender, receiver, message and the channels after
         it."""
         for position, ((sender, to), queue) in enumerate(self.queues):
-            for k, (_, message) in enumerate(queue if shuffled else queue[:1]):
-                undelivered = queue[:k] + queue[k + 1 :]
+            for position_in_queue, (_, message) in enumerate(queue if shuffled else queue[:1]):
+                undelivered = queue[:position_in_queue] + queue[position_in_queue + 1 :]
                 kept_channel = (((sender, to), undelivered),) if undelivered else ()
                 yield (
                     sender,
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -370,8 +370,8 @@
         server = world.random.choice(list(world.servers.values()))
         world.last_token += 1
         message = m.CommandRequest(number, command)
-        ask = partial(server.receive_request, self, world.last_token, 0, message)
-        world.send(self.name, server.name, partial(server.deliver, server.incarnation, ask))
+        request = partial(server.receive_request, self, world.last_token, 0, message)
+        world.send(self.name, server.name, partial(server.deliver, server.incarnation, request))
         world.scheduler.callLater(0.7, self._send_request, number)
 
     def receive(self, token: int, answer: m.CommandReply) -> None:
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -106,7 +106,7 @@
         # Actions that the module requests at start are carried out with those of its first event, as on
         # sockets.
         if must_subscribe:
-            self.broker.subscribe = partial(self._ask, self.timer)
+            self.broker.subscribe = partial(self._subscribe, self.timer)
         else:
             world.directory.subscribers[self.name] = self.apply_listing
         self.idle_connections.clear()
@@ -115,7 +115,7 @@
         if initial_listing is not None and not must_subscribe:
             world.scheduler.callLater(0.05, self.apply_listing, self.name, current)
 
-    def _ask(self, incarnation: NodeTimer) -> None:
+    def _subscribe(self, incarnation: NodeTimer) -> None:
         """Subscribes to discovery; the reply counts for this incarnation only."""
 
         def granted() -> None:
@@ -161,8 +161,8 @@
         self.alive = False
         self.timer = None
         self.last_listing = Listing(self.registry.revision, True, tuple(self.registry.endpoints.values()))
-        for name, many in self.open_connections.items():
-            world.workers[name].connections -= many
+        for name, count in self.open_connections.items():
+            world.workers[name].connections -= count
         self.open_connections.clear()
         self.deferred.clear()
         world.directory.subscribers.pop(self.name, None)
@@ -407,7 +407,7 @@
         attempt.progress = self.world.scheduler.callLater(every, self._progress, worker, attempt)
 
     def _call_back(
-        self, worker: Worker, id: str, state: CallState, share: float | None, result: bytes, tries: int
+        self, worker: Worker, id: str, state: CallState, share: float | None, result: bytes, retries: int
     ) -> None:
         """Sends a call-back until it arrives, with at most `CALL_BACK_TRIES` retries; the node that receives
         it may have restarted since."""
@@ -423,9 +423,9 @@
                 world.scheduler.callLater(
                     2 * delay, self._receive_update, worker.id, id, state, share, result
                 )
-        elif tries < CALL_BACK_TRIES:
+        elif retries < CALL_BACK_TRIES:
             world.scheduler.callLater(
-                CALL_BACK_RETRY_DELAY, self._call_back, worker, id, state, share, result, tries + 1
+                CALL_BACK_RETRY_DELAY, self._call_back, worker, id, state, share, result, retries + 1
             )
 
     def _receive_update(
--- a/bitternpath/testing/emulator/policies.py
+++ b/bitternpath/testing/emulator/policies.py
@@ -56,7 +56,7 @@
 
     def _request(self, event: m.Request) -> list[m.Action]:
         self.jobs[event.id] = {
-            "class": event.job_class, "deadline": self.now + event.remaining, "tries": 0, "ran": False,
+            "class": event.job_class, "deadline": self.now + event.remaining, "attempts": 0, "ran": False,
             "in_flight": {}, "excluded": set(), "open": True, "request": event,
         }  # fmt: skip
         return self._send(event.id)
@@ -75,7 +75,7 @@
         if (
             not usable
             or unsafe_to_repeat
-            or job["tries"] >= self.settings.try_limit
+            or job["attempts"] >= self.settings.try_limit
             or self.now >= job["deadline"]
         ):
             refuse = not unsafe_to_repeat
@@ -85,8 +85,8 @@
         if worker is None:
             self._close(id)
             return [m.Refuse(id, self.retry_after(self.now, job["class"]))]
-        job["in_flight"][job["tries"]] = worker
-        job["tries"] += 1
+        job["in_flight"][job["attempts"]] = worker
+        job["attempts"] += 1
         self.in_flight[worker] += 1
         return [m.Send(id, worker)]
 
@@ -236,11 +236,11 @@
                 actions.append(m.Refuse(id, self.retry_after(self.now, job["class"])))
                 continue
             best_free = min((x for x in candidates if x[1]), default=None)
-            if best_free is None or job["tries"] >= self.settings.try_limit:
+            if best_free is None or job["attempts"] >= self.settings.try_limit:
                 self.waiting.append(id)
                 continue
-            job["in_flight"][job["tries"]] = best_free[2]
-            job["tries"] += 1
+            job["in_flight"][job["attempts"]] = best_free[2]
+            job["attempts"] += 1
             self.in_flight[best_free[2]] += 1
             self.reserve(best_free[2])
             actions.append(m.Send(id, best_free[2]))
--- a/bitternpath/testing/emulator/report.py
+++ b/bitternpath/testing/emulator/report.py
@@ -37,20 +37,20 @@
     for head in ("class", "service", "p50 ms", "p90 ms", "p99 ms", "longest ms"):
         table.add_column(head, justify="left" if head == "class" else "right")
     for name, share in result.by_class.items():
-        took = result.percentiles.get(name, {})
-        cells = [f"{took[key]:.0f}" if key in took else "-" for key in ("p50", "p90", "p99", "max")]
+        latencies = result.percentiles.get(name, {})
+        cells = [f"{latencies[key]:.0f}" if key in latencies else "-" for key in ("p50", "p90", "p99", "max")]
         table.add_row(name, f"{share:.3f}", *cells)
     console.print(table)
     seconds = [result.by_second.get(k, 1.0) for k in range(max(result.by_second, default=0) + 1)]
     console.print(f"service by second  {spark(seconds)}", soft_wrap=True)
-    for trouble in result.troubles:
-        on = ", ".join(trouble["on"]) or "all"
-        begin, end = trouble["at"], trouble["at"] + trouble["lasts"]
-        console.print(f"  {trouble['kind']} from {begin:.1f} to {end:.1f} s on {on}", highlight=False)
-    totals = {what: sum(by.values()) for what, by in result.counts.items()}
-    words = ", ".join(f"{what} {many}" for what, many in sorted(totals.items()))
+    for fault in result.troubles:
+        targets = ", ".join(fault["on"]) or "all"
+        begin, end = fault["at"], fault["at"] + fault["lasts"]
+        console.print(f"  {fault['kind']} from {begin:.1f} to {end:.1f} s on {targets}", highlight=False)
+    totals = {event: sum(by.values()) for event, by in result.counts.items()}
+    counts = ", ".join(f"{event} {count}" for event, count in sorted(totals.items()))
     lost = result.lost_by_death
-    console.print(f"{result.requests} first tries; {words}; lost with their nodes {lost}", soft_wrap=True)
+    console.print(f"{result.requests} first tries; {counts}; lost with their nodes {lost}", soft_wrap=True)
     for violation in result.violations[:10]:
         console.print(f"BROKEN {violation}", highlight=False, markup=False, soft_wrap=True)
     console.print("rules kept" if result.passed else f"{len(result.violations)} rules broken")
--- a/bitternpath/testing/emulator/scenario_file.py
+++ b/bitternpath/testing/emulator/scenario_file.py
@@ -16,37 +16,37 @@
 def load(path: str | Path) -> Scenario:
     """Reads a scenario; ScenarioError names the file, the key and the allowed values."""
     try:
-        told = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+        values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise ScenarioError(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise ScenarioError(f"{path}: not TOML: {' '.join(str(error).split())}") from error
-    return scenario_from(told, str(path))
+    return scenario_from(values, str(path))
 
 
-def scenario_from(told: dict[str, Any], where: str) -> Scenario:
+def scenario_from(values: dict[str, Any], source: str) -> Scenario:
     """Converts plain values to a validated scenario."""
     try:
-        scenario = msgspec.convert(told, Scenario)
+        scenario = msgspec.convert(values, Scenario)
     except msgspec.ValidationError as error:
         raise ScenarioError(
-            f"{where}: {str(error).replace(' - at `$.', ', at `').replace('`$`', 'the top')}"
+            f"{source}: {str(error).replace(' - at `$.', ', at `').replace('`$`', 'the top')}"
         ) from error
     names = [site.name for site in scenario.sites]
-    for trouble in scenario.troubles:
-        if trouble.kind not in KINDS:
+    for fault in scenario.troubles:
+        if fault.kind not in KINDS:
             raise ScenarioError(
-                f"{where}: troubles: kind {trouble.kind!r}; allowed are {', '.join(sorted(KINDS))}"
+                f"{source}: troubles: kind {fault.kind!r}; allowed are {', '.join(sorted(KINDS))}"
             )
-        if trouble.kind in FLEET_KINDS and not scenario.fleet.stewards:
-            raise ScenarioError(f"{where}: troubles: kind {trouble.kind!r} needs fleet.stewards")
-        for site in (trouble.site, trouble.other):
+        if fault.kind in FLEET_KINDS and not scenario.fleet.stewards:
+            raise ScenarioError(f"{source}: troubles: kind {fault.kind!r} needs fleet.stewards")
+        for site in (fault.site, fault.other):
             if site and site not in names:
-                raise ScenarioError(f"{where}: troubles: site {site!r}; allowed are {', '.join(names)}")
+                raise ScenarioError(f"{source}: troubles: site {site!r}; allowed are {', '.join(names)}")
     if not sum(site.workers for site in scenario.sites):
-        raise ScenarioError(f"{where}: sites: no workers")
+        raise ScenarioError(f"{source}: sites: no workers")
     if not sum(site.nodes for site in scenario.sites):
-        raise ScenarioError(f"{where}: sites: no nodes")
+        raise ScenarioError(f"{source}: sites: no nodes")
     if scenario.clients.rate * scenario.seconds > MAX_REQUESTS:
-        raise ScenarioError(f"{where}: clients.rate: at most {MAX_REQUESTS} first tries are allowed")
+        raise ScenarioError(f"{source}: clients.rate: at most {MAX_REQUESTS} first tries are allowed")
     return scenario
--- a/bitternpath/testing/emulator/sockets/workers.py
+++ b/bitternpath/testing/emulator/sockets/workers.py
@@ -142,14 +142,14 @@
                 self._call_back(worker, attempt.node, ujson.dumps(update).encode(), 0)
             self._schedule_progress(worker, attempt)
 
-    def _call_back(self, worker: Worker, node: RunningNode, body: bytes, tries: int) -> None:
+    def _call_back(self, worker: Worker, node: RunningNode, body: bytes, retries: int) -> None:
         """Sends a call-back until it is answered, with at most `CALL_BACK_TRIES` retries."""
         world = self.world
 
         def retry() -> None:
-            if tries < CALL_BACK_TRIES:
+            if retries < CALL_BACK_TRIES:
                 world.scheduler.callLater(
-                    CALL_BACK_RETRY_DELAY, self._call_back, worker, node, body, tries + 1
+                    CALL_BACK_RETRY_DELAY, self._call_back, worker, node, body, retries + 1
                 )
 
         delivers = world.net.delivers(worker.site, node.site)
--- a/bitternpath/testing/emulator/sockets/world.py
+++ b/bitternpath/testing/emulator/sockets/world.py
@@ -96,12 +96,12 @@
         return FleetProcesses(self)
 
     def _socket_nodes(self) -> dict[str, SocketNode]:
-        made: dict[str, SocketNode] = {}
+        nodes: dict[str, SocketNode] = {}
         for site in self.scenario.sites:
             for _ in range(site.nodes):
-                name = f"n{len(made)}"
-                made[name] = SocketNode(self, name, site.name, len(made))
-        return made
+                name = f"n{len(nodes)}"
+                nodes[name] = SocketNode(self, name, site.name, len(nodes))
+        return nodes
 
     def now(self) -> float:
         """s since the start of the run."""
@@ -171,7 +171,7 @@
 
     # ---- a run
 
-    def play(self, overrun: Callable[[], None]) -> None:
+    def play(self, on_finished: Callable[[], None]) -> None:
         """Starts the nodes, and once all are ready the clients and faults; `on_finished` is called at the
         end."""
         self._sample_lateness(self.reactor.seconds())
@@ -179,37 +179,37 @@
             self.fleet.start()
         for node in self.nodes.values():
             node.start()
-        self._await_ready(overrun, time.monotonic())
+        self._await_ready(on_finished, time.monotonic())
 
-    def _await_ready(self, overrun: Callable[[], None], since: float) -> None:
+    def _await_ready(self, on_finished: Callable[[], None], since: float) -> None:
         admitted = sum(len(nodes) for nodes in self.load_balancer.admitted.values())
         waiting = admitted < len(self.nodes) or (self.fleet is not None and self.fleet.unsettled_reason())
         if waiting and time.monotonic() < since + READY_TIMEOUT:
-            self.reactor.callLater(0.02, self._await_ready, overrun, since)
+            self.reactor.callLater(0.02, self._await_ready, on_finished, since)
             return
         self.scheduler.started_at = self.reactor.seconds()
         self.directory.epoch = time.time() * 1000.0
         self.lateness.clear()
-        troubles = Random(f"{self.seed} troubles")
-        for trouble in self.scenario.troubles:
-            schedule_fault(self, trouble, troubles)
+        fault_random = Random(f"{self.seed} troubles")
+        for spec in self.scenario.troubles:
+            schedule_fault(self, spec, fault_random)
         self.clients.start()
-        self._await_end(overrun)
+        self._await_end(on_finished)
 
-    def _await_end(self, overrun: Callable[[], None]) -> None:
+    def _await_end(self, on_finished: Callable[[], None]) -> None:
         longest_timeout = max(c.give_up for c in self.scenario.classes) / 1000.0
         ended = self.now() > self.scenario.seconds and not self.clients.unfinished and not self.connections
         if (
             not ended
             and self.now() <= self.scenario.seconds + longest_timeout + LATE_READ_TIME + TRAILING_TIME
         ):
-            self.reactor.callLater(0.05, self._await_end, overrun)
+            self.reactor.callLater(0.05, self._await_end, on_finished)
             return
         self.checker.finish(self.now())
         if self.fleet is not None:
-            self.fleet.finish(overrun)
+            self.fleet.finish(on_finished)
         else:
-            overrun()
+            on_finished()
 
     def close(self) -> None:
         """Stops everything that was started."""
--- a/bitternpath/testing/emulator/troubles/fleet.py
+++ b/bitternpath/testing/emulator/troubles/fleet.py
@@ -56,8 +56,10 @@
 
 def _pick_servers(world: Any, fault: ActiveFault, random: Random) -> list[Any]:
     """A random share (`part`) of the running servers, at least one."""
-    up = sorted(name for name, server in world.fleet.servers.items() if server.alive)
-    fault.targets = sorted(random.sample(up, min(max(round(fault.part * len(up)), 1), len(up))))
+    running = sorted(name for name, server in world.fleet.servers.items() if server.alive)
+    fault.targets = sorted(
+        random.sample(running, min(max(round(fault.part * len(running)), 1), len(running)))
+    )
     return [world.fleet.servers[name] for name in fault.targets]
 
 
--- a/bitternpath/testing/emulator/troubles/register.py
+++ b/bitternpath/testing/emulator/troubles/register.py
@@ -92,10 +92,10 @@
     return [world.nodes[name] for name in fault.targets]
 
 
-def stagger_over_nodes(world: Any, fault: ActiveFault, injector: Callable[[Any], object]) -> None:
+def stagger_over_nodes(world: Any, fault: ActiveFault, action: Callable[[Any], object]) -> None:
     """Calls `injector` with each node, spread evenly over the duration of the fault; noted in
     `fault.targets`."""
     nodes = list(world.nodes.values())
     for index, node in enumerate(nodes):
-        world.scheduler.callLater(fault.lasts * index / len(nodes), injector, node)
+        world.scheduler.callLater(fault.lasts * index / len(nodes), action, node)
     fault.targets = [node.name for node in nodes]
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -138,8 +138,8 @@
         )
         self.clients.rate = scenario.clients.rate or scenario.clients.load * self.capacity()
         if self.clients.rate * scenario.seconds > MAX_REQUESTS:
-            count = f"{self.clients.rate:.0f} first tries a second for {scenario.seconds:.0f} s"
-            raise ScenarioError(f"{scenario.name}: clients.load: {count}; at most {MAX_REQUESTS} in all")
+            load = f"{self.clients.rate:.0f} first tries a second for {scenario.seconds:.0f} s"
+            raise ScenarioError(f"{scenario.name}: clients.load: {load}; at most {MAX_REQUESTS} in all")
         self.nodes = self._nodes()
         self.active_faults: list[ActiveFault] = []
         self._operations: dict[str, Any] = {}  # request id: its operation, read by the oracle only
@@ -150,13 +150,13 @@
 
     def _workers(self, random: Random) -> dict[str, Worker]:
         kinds, names = self.scenario.kinds, Random(f"{self.seed} names")
-        made: dict[str, Worker] = {}
+        workers: dict[str, Worker] = {}
         for site in self.scenario.sites:
             for _ in range(site.workers):
                 kind: Kind = random.choices(kinds, [kind.share for kind in kinds])[0]
                 name = worker_name(names, site.name)
-                made[name] = self._worker(name, site.name, kind, len(made) // WORKERS_PER_CELL, random)
-        return made
+                workers[name] = self._worker(name, site.name, kind, len(workers) // WORKERS_PER_CELL, random)
+        return workers
 
     def _worker(self, name: str, site: str, kind: Kind, cell: int, random: Random) -> Worker:
         worker, rules = Worker(name, site, kind, cell, self.scheduler, random), self.scenario.rules
@@ -165,12 +165,12 @@
         return worker
 
     def _nodes(self) -> dict[str, VirtualNode]:
-        made: dict[str, VirtualNode] = {}
+        nodes: dict[str, VirtualNode] = {}
         for site in self.scenario.sites:
             for _ in range(site.nodes):
-                name = f"n{len(made)}"
-                made[name] = VirtualNode(self, name, site.name, len(made), Random(f"{self.seed} {name}"))
-        return made
+                name = f"n{len(nodes)}"
+                nodes[name] = VirtualNode(self, name, site.name, len(nodes), Random(f"{self.seed} {name}"))
+        return nodes
 
     def capacity(self) -> float:
         """First requests per second that occupy all cores of the warm fleet."""
@@ -182,22 +182,22 @@
     def make_policy(self, node: VirtualNode) -> Any:
         """Creates the decision module for one incarnation of a node."""
         settings = node_settings(self.scenario, node.site, node.number, len(self.nodes))
-        made = POLICIES[self.policy](settings, node.random.getrandbits(48), node.clock())
+        policy = POLICIES[self.policy](settings, node.random.getrandbits(48), node.clock())
         if self.policy == "oracle":
-            made.estimate, made.value_of, made.reserve = (
+            policy.estimate, policy.value_of, policy.reserve = (
                 self._oracle_estimate,
                 self._oracle_value,
                 self._oracle_reserve,
             )
-            made.any_free = self._oracle_any_free
-        for action in getattr(made, "acts", ()):  # actions requested before the first event
+            policy.any_free = self._oracle_any_free
+        for action in getattr(policy, "acts", ()):  # actions requested before the first event
             if isinstance(action, m.StartTimer):
                 node.timer.callLater(
                     action.delay / 1000.0, self._timer_expired, node, action.label, node.timer
                 )
-        if hasattr(made, "acts"):
-            made.acts = []
-        return made
+        if hasattr(policy, "acts"):
+            policy.acts = []
+        return policy
 
     @staticmethod
     def _timer_expired(node: VirtualNode, label: str, timer: Any) -> None:
@@ -243,8 +243,8 @@
         if operation is None:
             return 0.0, 0.0, 0.0
         late = operation.job_class.late_worth
-        by = operation.in_time_by - operation.work / 0.8
-        return operation.job_class.worth / operation.work, EPOCH + by * 1000.0, late
+        latest_start = operation.target_deadline - operation.work / 0.8
+        return operation.job_class.worth / operation.work, EPOCH + latest_start * 1000.0, late
 
     def _oracle_any_free(self) -> bool:
         reserved = self.reserved
@@ -312,16 +312,16 @@
 
     def run(self) -> Result:
         started = time.perf_counter()
-        if any(trouble.kind == "upgrades" for trouble in self.scenario.troubles):
+        if any(spec.kind == "upgrades" for spec in self.scenario.troubles):
             raise ScenarioError(f"{self.scenario.name}: troubles: upgrades: on sockets only, give --sockets")
         if self.scenario.fleet.stewards:
             raise ScenarioError(f"{self.scenario.name}: fleet.stewards: on sockets only, give --sockets")
         start_offsets = Random(f"{self.seed} starts")
         for node in self.nodes.values():
             self.scheduler.callLater(start_offsets.random() * self.scenario.start_spread_s, node.start)
-        troubles = Random(f"{self.seed} troubles")
-        for trouble in self.scenario.troubles:
-            schedule_fault(self, trouble, troubles)
+        fault_random = Random(f"{self.seed} troubles")
+        for spec in self.scenario.troubles:
+            schedule_fault(self, spec, fault_random)
         self.clients.start()
         longest_timeout = max(c.give_up for c in self.scenario.classes) / 1000.0
         end = self.scenario.seconds + longest_timeout + TRAILING_TIME
