--- a/bitternpath/testing/emulator/checker.py
+++ b/bitternpath/testing/emulator/checker.py
@@ -76,17 +76,17 @@
             tracked.events.append(f"{now:.3f} {event}")
         return tracked
 
-    # ---- what clients see
+    # ---- clients
 
     def accepted(self, now: float, request: str, node: str, deadline: float, safe: bool) -> None:
         tracked = self.requests[request] = TrackedRequest(node, now, deadline, safe)
-        tracked.events.append(f"{now:.3f} taken by {node}, deadline {deadline:.3f}")
+        tracked.events.append(f"{now:.3f} accepted by {node}, deadline {deadline:.3f}")
 
     def answered(self, now: float, request: str, answer: str, result: bytes = b"") -> None:
         """Records a node's answer: served, refused or failed."""
         tracked = self._record_event(request, now, f"answered {answer}")
         if tracked is None:
-            self._report("invented", now, request, "", f"answered {answer} though it was never taken")
+            self._report("invented", now, request, "", f"answered {answer} though no node accepted it")
             return
         if tracked.answer:
             self._report("lost", now, request, "", f"answered again: {answer} after {tracked.answer}")
@@ -95,7 +95,7 @@
         if not tracked.abandoned and now > tracked.deadline + self.answer_grace + self.slack:
             self._report("lost", now, request, "", f"answered {(now - tracked.deadline) * 1000:.0f} ms late")
         if answer == "served" and result not in self._results.get(request, ()):
-            self._report("invented", now, request, "", "served with what no worker made for it")
+            self._report("invented", now, request, "", "served with a result that no worker returned for it")
         if answer == "refused" and tracked.may_run and not tracked.safe:
             self._report("refused", now, request, "", "refused though it may have run")
 
@@ -144,11 +144,9 @@
                 self._record_event(request, now, "its node had been stopped")
             elif tracked.node == node and not tracked.answer and tracked.at >= since:
                 tracked.deadline += now - tracked.at
-                self._record_event(
-                    request, now, f"read by its node, that had been stopped: due {tracked.deadline:.3f}"
-                )
+                self._record_event(request, now, f"read by its node after a stop: due {tracked.deadline:.3f}")
 
-    # ---- what discovery says
+    # ---- discovery
 
     def discovery_notified(self, now: float, node: str, worker: str, serving: bool) -> None:
         if serving:
@@ -156,7 +154,7 @@
         else:
             self._unavailable_since.setdefault((node, worker), now)
 
-    # ---- what staff say
+    # ---- manual ejections
 
     def worker_ejected(self, now: float, node: str, worker: str) -> None:
         """The node has confirmed the ejection: it must send nothing more there, whatever discovery says, also
@@ -172,18 +170,24 @@
         since = self._unavailable_since.get((node, worker))
         self._record_event(request, now, f"sent to {worker}")
         if since is not None and now > since + self.drain_grace + self.slack:
-            self._report("drain", now, request, worker, f"sent {now - since:.2f} s after its end was told")
+            self._report(
+                "drain",
+                now,
+                request,
+                worker,
+                f"sent {now - since:.2f} s after the node was told that it drains or has ended",
+            )
         since = self._ejected_since.get((node, worker))
         if since is not None and now > since + self.drain_grace + self.slack:
             self._report(
-                "drain", now, request, worker, f"sent {now - since:.2f} s after it was taken out by hand"
+                "drain", now, request, worker, f"sent {now - since:.2f} s after it was ejected by hand"
             )
 
     def arrived(self, now: float, request: str, worker: str, attempt: int) -> None:
         """The attempt has reached the worker completely."""
         tracked = self._record_event(request, now, f"arrived at {worker}")
         if tracked is None:
-            self._report("invented", now, request, worker, "an attempt for a request that nobody made")
+            self._report("invented", now, request, worker, "an attempt for a request that no client sent")
             return
         if tracked.may_run and not tracked.safe:
             self._report("duplicate", now, request, worker, "sent again though an attempt may have run")
@@ -191,7 +195,7 @@
         tracked.attempts.add(attempt)
 
     def rejected(self, now: float, request: str, worker: str, attempt: int) -> None:
-        tracked = self._record_event(request, now, f"turned away by {worker}")
+        tracked = self._record_event(request, now, f"rejected by {worker}")
         if tracked is not None:
             tracked.attempts.discard(attempt)
             if not tracked.attempts:
@@ -205,10 +209,14 @@
     def worker_collapsed(self, now: float, worker: str, informed: float) -> None:
         if informed >= 2.0 / 3.0:
             self._report(
-                "cold", now, "", worker, f"pushed over, {informed:.0%} of it by nodes that knew it is cold"
+                "cold",
+                now,
+                "",
+                worker,
+                f"collapsed while cold, {informed:.0%} of the load from nodes that knew of its start",
             )
 
-    # ---- the end
+    # ---- end of a run
 
     def finish(self, now: float) -> None:
         """Reports every request that is unanswered past its deadline as lost."""
--- a/bitternpath/testing/emulator/discovery.py
+++ b/bitternpath/testing/emulator/discovery.py
@@ -53,7 +53,7 @@
     def full_listing(self) -> Listing:
         return Listing(self.revision, True, tuple(self.endpoints.values()))
 
-    # ---- where nodes have to ask
+    # ---- subscribe calls
 
     def subscribe(self, name: str, granted: Callable[[], None], failed: Callable[[], None]) -> None:
         """One subscribe call. Calls are served one at a time; a call that waits too long fails for the caller
@@ -74,7 +74,7 @@
             self.subscribe_successes[name] += 1
             self.scheduler.callLater(finished_at - now, granted)
 
-    # ---- what happens to workers
+    # ---- changes of workers
 
     def process_started(self, worker: Worker) -> None:
         self.scheduler.callLater(
--- a/bitternpath/testing/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -54,7 +54,7 @@
     def _report(self, rule: str, at: float, message: str) -> None:
         self.violations.append(FleetViolation(rule, at, message))
 
-    # ---- stewards
+    # ---- servers
 
     def leader_seen(self, at: float, server: str, term: int) -> None:
         if self.leaders.setdefault(term, server) != server:
@@ -63,7 +63,7 @@
     def applied(self, at: float, server: str, index: int, term: int, data: bytes) -> None:
         """A server has applied a committed entry."""
         if self.entries.setdefault(index, (term, data)) != (term, data):
-            self._report("changed", at, f"{server} has another entry {index} than was agreed before")
+            self._report("changed", at, f"{server} has another entry {index} than was committed before")
         self.last_index = max(self.last_index, index)
 
     def committed(self, at: float, record: p.Record, index: int, item: p.Item) -> None:
@@ -72,7 +72,7 @@
             case p.Release(version, _):
                 digest = record.digest_of(version) or b""
                 if self.digests.setdefault(version, digest) != digest:
-                    self._report("changed", at, f"version {version} is another one than was released before")
+                    self._report("changed", at, f"version {version} differs from the one released before")
             case p.LeaseStarted(node, boot):
                 self.current_tokens.setdefault(f"{node}#{boot}", index)
                 self.current_tokens[f"{node}#{boot}"] = max(self.current_tokens[f"{node}#{boot}"], index)
@@ -94,16 +94,24 @@
         previous = self.last_acts.get(process)
         if previous is not None and fencing_token < previous.fencing_token:
             self._report(
-                "fence", at, f"{process} acts with fence {fencing_token} after {previous.fencing_token}"
+                "fence",
+                at,
+                f"{process} acts with fencing token {fencing_token} after {previous.fencing_token}",
             )
         since = self.ended_leases.get((process, fencing_token))
         if since is not None:
             self._report(
-                "over", at, f"{process} acts under fence {fencing_token}, let go of at {since:.3f} s"
+                "over",
+                at,
+                f"{process} acts under fencing token {fencing_token}, which ended at {since:.3f} s",
             )
         digest = self.digests.get(plan.version, b"")
         if plan.digest != digest:
-            self._report("changed", at, f"{process} acts on another version {plan.version} than was released")
+            self._report(
+                "changed",
+                at,
+                f"{process} acts on a version {plan.version} that differs from the released one",
+            )
         self.last_acts[process] = LastAct(fencing_token, plan.version, at)
 
     def record_audited_act(self, process: str, what: str, version: int, fencing_token: int) -> None:
@@ -116,18 +124,18 @@
             low, high = min(versions, key=versions.__getitem__), max(versions, key=versions.__getitem__)
             self._report("apart", at, f"{low} acts on {versions[low]} and {high} on {versions[high]}")
 
-    # ---- the end
+    # ---- end of a run
 
     def finish(self, at: float, record: p.Record) -> None:
         """Checks that the final leader's record has everything that was acknowledged."""
         for id, version in self.acknowledged.items():
             if record.change_versions.get(id) != version:
-                self._report("lost", at, f"change {id} was answered as version {version} and is not there")
+                self._report("lost", at, f"change {id} was answered as version {version} and is missing")
         self._check_audit(at, record)
         for version, digest in self.digests.items():
             digest_found = record.digest_of(version)
             if version > record.released.version or (digest_found is not None and digest_found != digest):
-                self._report("lost", at, f"version {version} was released and is not there")
+                self._report("lost", at, f"version {version} was released and is missing")
 
     def _check_audit(self, at: float, record: p.Record) -> None:
         audited_kinds = (audit.LEASE_STARTED, audit.VERSION_APPLIED, *audit.LEASE_END_KINDS)
@@ -136,11 +144,15 @@
             lines = [line for line in account.entries if line.what in audited_kinds]
             recorded = [(line.what, line.version, line.fencing_token) for line in lines]
             if account.faults:
-                self._report("audit", at, f"{process}: {account.faults[0]}, though nobody changed it")
+                self._report("audit", at, f"{process}: {account.faults[0]}, though no entry was altered")
             if recorded != acts[: len(recorded)] and not account.missing and not account.dropped:
                 self._report("audit", at, f"{process} did {acts}, and the audit has {recorded}")
             if len(recorded) < len(acts) and not account.missing_entries(process in record.holders):
-                self._report("audit", at, f"{process} did {acts[len(recorded) :]}, of which nothing is said")
+                self._report(
+                    "audit",
+                    at,
+                    f"{process} did {acts[len(recorded) :]}, neither in the audit nor reported missing",
+                )
         for process, acts in self.audited_acts.items():
             if acts and process not in record.process_audits:
                 self._report("audit", at, f"{process} did {acts}, and is not in the audit")
--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -49,7 +49,7 @@
                 and abs(first_span.version - second_span.version) > 1
             ):
                 violations.append(
-                    f"apart: {first_span.process} took jobs under version {first_span.version} and "
+                    f"apart: {first_span.process} accepted jobs under version {first_span.version} and "
                     f"{second_span.process} under {second_span.version}, "
                     f"both for {overlap:.3f} s from {max(first_span.first, second_span.first):.3f} on"
                 )
@@ -67,8 +67,8 @@
                 and span.last > at + CLOCK_TOLERANCE
             ):
                 violations.append(
-                    f"over: {span.process} took a job at {span.last:.3f} under fence "
-                    f"{fencing_token}, which was let go of at {at:.3f}"
+                    f"over: {span.process} accepted a job at {span.last:.3f} under fencing token "
+                    f"{fencing_token}, which ended at {at:.3f}"
                 )
     return violations
 
@@ -79,7 +79,7 @@
         line.fencing_token for line in lines if line.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
     ]
     if tokens != sorted(tokens):
-        return [f"fence: {process} acted under fences {tokens}"]
+        return [f"fence: {process} acted under fencing tokens {tokens}"]
     return []
 
 
@@ -88,17 +88,17 @@
     audited = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
     written = {line.number: line for line in lines}
     violations = [
-        f"audit: {process}: line {line.number} is in the audit and was never written"
+        f"audit: {process}: entry {line.number} is in the audit but was never written"
         for line in audited
         if written.get(line.number) != line
     ]
     if account and account["faults"]:
-        violations.append(f"audit: {process}: {account['faults'][0]}, though nobody changed it")
+        violations.append(f"audit: {process}: {account['faults'][0]}, though no entry was altered")
     audited_numbers = {line.number for line in audited}
     missing = [number for number in written if number not in audited_numbers]
     dropped = account["dropped"] if account else 0
     if missing and not dropped and not (account and account["unheard"]):
-        violations.append(f"audit: {process}: line {missing[0]} is not in the audit, and nothing says so")
+        violations.append(f"audit: {process}: entry {missing[0]} is not in the audit nor reported as missing")
     return violations
 
 
@@ -107,7 +107,7 @@
     violations = []
     newest = max(records.values(), key=lambda record: int(record["applied"]), default=None)
     if newest is None:
-        return ["lost: no steward is left to ask"]
+        return ["lost: no consensus server is left to query"]
     for id, version in acknowledged.items():
         if newest["ids"].get(id) != version:
             violations.append(
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -132,7 +132,7 @@
         """The command that runs a process of the fleet, without its arguments."""
         return program()
 
-    # ---- the ways
+    # ---- links
 
     def relay(self, sender: str, server: str) -> Relay:
         relay = self.relays.get((sender, server))
@@ -177,7 +177,7 @@
 
         self.request(m.Propose(id, OPERATOR, "a scenario", change), on_reply)
 
-    # ---- a run
+    # ---- running
 
     def start(self) -> None:
         """Bootstraps the fleet and adds the other servers one by one."""
@@ -255,7 +255,7 @@
         if status is None:
             return "no leader"
         if len(status["voters"]) < len(self.servers):
-            return f"{len(status['voters'])} of {len(self.servers)} stewards vote"
+            return f"{len(status['voters'])} of {len(self.servers)} consensus servers vote"
         holders = {h["node"]: h for h in status["holders"]}
         for node in self.world.nodes.values():
             holder = holders.get(node.name)
@@ -263,23 +263,23 @@
                 continue
             if holder is None or holder.get("acting", -1) < status["latest"]:
                 reason = f"acts on {holder.get('acting')}" if holder else "no lease"
-                return f"{node.name}: {reason}, {status['latest']} is agreed"
+                return f"{node.name}: {reason}, {status['latest']} is committed"
         return ""
 
     def table_row(self) -> dict[str, str]:
         """The fleet's columns of the live table."""
         status = self.leader_status()
         if status is None:
-            return {"leader": "-", "version": "-", "leases": "-", "on it": "-"}
+            return {"leader": "-", "version": "-", "leases": "-", "up to date": "-"}
         acting = [h.get("acting", -1) for h in status["holders"]]
         return {
             "leader": str(status["leader"]).partition(".")[0],
             "version": f"{status['released']}/{status['latest']}",
             "leases": str(len(acting)),
-            "on it": str(sum(version >= status["released"] for version in acting)),
+            "up to date": str(sum(version >= status["released"] for version in acting)),
         }
 
-    # ---- the end
+    # ---- end of a run
 
     def finish(self, on_finished: Callable[[], None]) -> None:
         """Waits until the fleet has settled, stops the nodes, and checks the records."""
--- a/bitternpath/testing/emulator/fleet/random_schedule.py
+++ b/bitternpath/testing/emulator/fleet/random_schedule.py
@@ -92,7 +92,7 @@
                 break
         return self.checker
 
-    # ---- what may happen
+    # ---- steps
 
     def _random_server(self) -> ScheduledServer:
         return self.random.choice(list(self.servers.values()))
@@ -156,7 +156,7 @@
         server.replica.receive_request(server.now, 2, message)
         self._apply_effects(server)
 
-    # ---- what follows
+    # ---- effects
 
     def _apply_effects(self, server: ScheduledServer) -> None:
         replica, step = server.replica, float(self.step)
@@ -187,8 +187,8 @@
                 self.checker.violations.append(
                     FleetViolation(
                         "granted", float(self.step),
-                        f"{server.name}, leader of term {term}, renews what was asked for in step "
-                        f"{received_step}; term {later_term} had its leader from step {elected_step} on",
+                        f"{server.name}, leader of term {term}, renews a lease requested in step "
+                        f"{received_step}; term {later_term} had a leader from step {elected_step} on",
                     )
                 )  # fmt: skip
 
--- a/bitternpath/testing/emulator/fleet/search/consensus.py
+++ b/bitternpath/testing/emulator/fleet/search/consensus.py
@@ -121,16 +121,16 @@
             )
         if self.remaining["cut"]:
             for sender, to, next_channels in self.channels.losses():
-                yield f"{sender} to {to}: cut", partial(lose_channel, next_channels=next_channels)
+                yield f"{sender} to {to}: messages lost", partial(lose_channel, next_channels=next_channels)
         for name, member in self.members.items():
             if member.pending_writes:
-                yield f"{name}: on disk", partial(_stored, name=name)
+                yield f"{name}: write completed", partial(_stored, name=name)
             if self.remaining["ring"] and name != self.NAMES[-1]:
-                yield f"{name}: its timer rings", partial(_timer, name=name)
+                yield f"{name}: timer fires", partial(_timer, name=name)
             if self.remaining["crash"] and member.raft.term > 1:
-                yield f"{name}: ends and comes back", partial(_crash, name=name)
+                yield f"{name}: crashes and restarts", partial(_crash, name=name)
             if self.remaining["change"] and member.raft.role is MemberRole.LEADER:
-                yield f"{name}: a change", partial(_change, name=name)
+                yield f"{name}: change proposed", partial(_change, name=name)
 
     def apply_effects(self, name: str) -> None:
         """Carries out a member's effects and checks the rules."""
--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -159,18 +159,18 @@
             )
         if self.remaining["cut"]:
             for sender, to, next_channels in self.channels.losses():
-                yield f"{sender} to {to}: cut", partial(lose_channel, next_channels=next_channels)
+                yield f"{sender} to {to}: messages lost", partial(lose_channel, next_channels=next_channels)
         if self.remaining["time"]:
             yield "time passes", _time_passes
         if self.remaining["change"]:
-            yield "a change", _propose_change
+            yield "change proposed", _propose_change
         if self.remaining["crash"]:
-            yield "S: ends and comes back", _server_crash
+            yield "S: crashes and restarts", _server_crash
         if self.replica.next_timeout_at <= self.server_clock():
-            yield "S: its timer rings", _server_timer
+            yield "S: timer fires", _server_timer
         for k, (name, holder) in enumerate(self.nodes.items()):
             if holder.next_timeout_at <= self.node_clock(k) or holder.server_to_dial is not None:
-                yield f"{name}: its timer rings", partial(_node_timer, name=name)
+                yield f"{name}: timer fires", partial(_node_timer, name=name)
 
     def apply_effects(self) -> None:
         """Carries out the server's effects and checks the invariants."""
@@ -206,7 +206,9 @@
             if holder.fencing_token and self.node_clock(k) < holder.expires_at:
                 acting[name] = holder.plan.version
                 if holders.get(name, 0) < holder.fencing_token and not self.catching_up:
-                    self.violation = f"{name} may act under fence {holder.fencing_token}, which is let go of"
+                    self.violation = (
+                        f"{name} may act under fencing token {holder.fencing_token}, which has ended"
+                    )
         if acting and max(acting.values()) - min(acting.values()) > 1:
             self.violation = f"two versions apart: {acting}"
 
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -429,7 +429,7 @@
     def hosts(self) -> list[Host]:
         return [*self.servers.values(), *self.nodes.values()]
 
-    # ---- the way
+    # ---- links
 
     def link(self, sender: str, to: str) -> Link:
         return self.links.setdefault((sender, to), Link())
@@ -452,7 +452,7 @@
             wait = random.uniform(*LINK_DELAY) + (random.random() * max_delay if max_delay else 0.0)
             self.scheduler.callLater(wait, on_arrival)
 
-    # ---- a run
+    # ---- running
 
     def start(self) -> None:
         """Bootstraps the fleet and adds the other servers one by one."""
@@ -485,7 +485,7 @@
             return "no leader"
         record = leader.replica.record
         if record.latest.version != record.released.version:
-            return f"version {record.latest.version} is agreed, {record.released.version} released"
+            return f"version {record.latest.version} is committed, {record.released.version} released"
         for node in self.nodes.values():
             holder = node.holder
             if (
@@ -501,10 +501,10 @@
                 and not node.stalled
                 and (holder.audit_log.unacknowledged or holder.earlier_audit_logs)
             ):
-                return f"{node.name}: lines of its audit are not heard of"
+                return f"{node.name}: audit entries are not acknowledged"
         alive = {node.process for node in self.nodes.values() if node.alive}
         if dead := record.holders.keys() - alive:
-            return f"{sorted(dead)[0]} has ended, and its lease is not over yet"
+            return f"{sorted(dead)[0]} has ended, but its lease has not"
         if self.operator.unanswered:
             return f"unanswered: {self.operator.unanswered}"
         return ""
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -81,7 +81,7 @@
         # manually ejected workers and the time of ejection; kept across restarts
         self.ejected: dict[str, float] = {}
 
-    # ---- its lives
+    # ---- process
 
     def start(self, initial_listing: Listing | None = None) -> None:
         """Starts a process without state, with the list it last had, which may be stale."""
@@ -224,7 +224,7 @@
         self.kill()
         self.world.scheduler.callLater(down, self.start)
 
-    # ---- the front
+    # ---- clients
 
     def request(self, client_request: ClientRequest) -> bool:
         """Handles a client's complete request; False if the process is down."""
@@ -275,7 +275,7 @@
             result,
         )
 
-    # ---- the upstream client
+    # ---- calls to workers
 
     def start_call(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         world = self.world
--- a/bitternpath/testing/emulator/report.py
+++ b/bitternpath/testing/emulator/report.py
@@ -50,7 +50,7 @@
     totals = {event: sum(by.values()) for event, by in result.counts.items()}
     counts = ", ".join(f"{event} {count}" for event, count in sorted(totals.items()))
     lost = result.lost_by_death
-    console.print(f"{result.requests} first tries; {counts}; lost with their nodes {lost}", soft_wrap=True)
+    console.print(f"{result.requests} first requests; {counts}; lost with their nodes {lost}", soft_wrap=True)
     for violation in result.violations[:10]:
         console.print(f"BROKEN {violation}", highlight=False, markup=False, soft_wrap=True)
     console.print("rules kept" if result.passed else f"{len(result.violations)} rules broken")
--- a/bitternpath/testing/emulator/scenario_file.py
+++ b/bitternpath/testing/emulator/scenario_file.py
@@ -48,5 +48,5 @@
     if not sum(site.nodes for site in scenario.sites):
         raise ScenarioError(f"{source}: sites: no nodes")
     if scenario.clients.rate * scenario.seconds > MAX_REQUESTS:
-        raise ScenarioError(f"{source}: clients.rate: at most {MAX_REQUESTS} first tries are allowed")
+        raise ScenarioError(f"{source}: clients.rate: at most {MAX_REQUESTS} first requests are allowed")
     return scenario
--- a/bitternpath/testing/emulator/service.py
+++ b/bitternpath/testing/emulator/service.py
@@ -82,7 +82,7 @@
             self.late_failed_value += operation.job_class.worth
         self.increment(operation.arrived, "failed")
 
-    # ---- the figures
+    # ---- statistics
 
     @staticmethod
     def ratio(earned_value: float, offered_value: float) -> float:
--- a/bitternpath/testing/emulator/sockets/node.py
+++ b/bitternpath/testing/emulator/sockets/node.py
@@ -215,7 +215,7 @@
                 predecessor.send_signal(signal.SIGTERM)
                 self._await_predecessor(predecessor, time.monotonic())
             elif time.monotonic() > since + READY_TIMEOUT or successor.poll() is not None:
-                self.world.failures.append(f"{self.name}: a newer process never got ready")
+                self.world.failures.append(f"{self.name}: the new process did not become ready")
             else:
                 self.world.reactor.callLater(
                     POLL_INTERVAL, self._await_successor, predecessor, successor, since
@@ -229,9 +229,11 @@
         elif predecessor.poll() is None:
             predecessor.kill()
         elif predecessor.returncode:
-            self.world.failures.append(f"{self.name}: the older process ended with {predecessor.returncode}")
+            self.world.failures.append(
+                f"{self.name}: the replaced process ended with {predecessor.returncode}"
+            )
 
-    # ---- its console
+    # ---- console
 
     def call_console(
         self, method: bytes, path: bytes, body: bytes, on_response: Callable[[int], None]
@@ -251,7 +253,7 @@
             if status == 200:
                 self.world.checker.worker_ejected(self.world.now(), self.name, worker)
             elif self.alive:
-                self.world.failures.append(f"{self.name} said {status} to taking {worker} out")
+                self.world.failures.append(f"{self.name} answered {status} to the ejection of {worker}")
 
         self.call_console(b"POST", b"/ops/calendar-workers/down", worker.encode(), on_response)
 
--- a/bitternpath/testing/emulator/sockets/world.py
+++ b/bitternpath/testing/emulator/sockets/world.py
@@ -127,7 +127,7 @@
         worker.start(cold)
         self.directory.process_started(worker)
 
-    # ---- a busy machine
+    # ---- lateness of the machine
 
     def excuse_delay(self, now: float, node: RunningNode, client_request: ClientRequest) -> None:
         """Excuses a late answer that the machine rather than the node delayed; it makes the run void."""
@@ -169,7 +169,7 @@
         ordered = sorted(self.lateness)
         return ordered[int(len(ordered) * 0.99)] if ordered else 0.0
 
-    # ---- a run
+    # ---- running
 
     def play(self, on_finished: Callable[[], None]) -> None:
         """Starts the nodes, and once all are ready the clients and faults; `on_finished` is called at the
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -138,7 +138,7 @@
         )
         self.clients.rate = scenario.clients.rate or scenario.clients.load * self.capacity()
         if self.clients.rate * scenario.seconds > MAX_REQUESTS:
-            load = f"{self.clients.rate:.0f} first tries a second for {scenario.seconds:.0f} s"
+            load = f"{self.clients.rate:.0f} first requests per second for {scenario.seconds:.0f} s"
             raise ScenarioError(f"{scenario.name}: clients.load: {load}; at most {MAX_REQUESTS} in all")
         self.nodes = self._nodes()
         self.active_faults: list[ActiveFault] = []
@@ -146,7 +146,7 @@
         # worker: jobs that the oracle has sent and that have not arrived yet
         self.reserved: dict[str, int] = {}
 
-    # ---- its parts
+    # ---- construction
 
     def _workers(self, random: Random) -> dict[str, Worker]:
         kinds, names = self.scenario.kinds, Random(f"{self.seed} names")
@@ -255,7 +255,7 @@
     def _oracle_reserve(self, name: str) -> None:
         self.reserved[name] = self.reserved.get(name, 0) + 1
 
-    # ---- what happens
+    # ---- events
 
     def trace(self, *event: Any) -> None:
         if self._hash is not None:
@@ -308,7 +308,7 @@
         new.alive = False
         self.start_process(new)
 
-    # ---- a run
+    # ---- running
 
     def run(self) -> Result:
         started = time.perf_counter()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -226,7 +226,7 @@
         ({"sites": []}, "sites"),
         ({"sites": [{"name": "a", "workers": 0}]}, "no workers"),
         ({"sites": [{"name": "a", "nodes": 0}]}, "no nodes"),
-        ({"clients": {"rate": 1e9}}, "first tries are allowed"),
+        ({"clients": {"rate": 1e9}}, "first requests are allowed"),
         ({"troubles": [{"kind": "flood", "at": 1}]}, "allowed are burst"),
         ({"troubles": [{"kind": "burst", "at": 1, "site": "z"}]}, "allowed are a, b"),
         ({"classes": [{"name": "x", "share": 1.0, "work": 5.0, "aim": -1.0}]}, "aim"),
@@ -343,7 +343,7 @@
     monkeypatch.setattr(Broker, "_answer_without_module", lambda self, request: None)
     found = broken_run(monkeypatch, Mute)
     assert rules_of(found) == {"lost"} and "never answered" in found.violations[0]
-    assert "taken by n" in found.violations[0]  # the events that led there
+    assert "accepted by n" in found.violations[0]  # the events that led there
 
 
 def test_a_late_answer_and_one_for_nothing_are_caught() -> None:
@@ -356,7 +356,7 @@
         ("lost", "late"),
         ("invented", "never asked"),
     ]
-    assert "9 ms late" in str(checker.violations[0]) and "taken by n0" in str(checker.violations[0])
+    assert "9 ms late" in str(checker.violations[0]) and "accepted by n0" in str(checker.violations[0])
 
 
 def test_a_stopped_node_is_not_blamed_for_what_fell_due_meanwhile() -> None:
@@ -418,7 +418,7 @@
     found = broken_run(
         monkeypatch, Newest, clients={"load": 0.9}, troubles=[VANISH[0] | {"lasts": 2.0, "part": 0.2}]
     )
-    assert "cold" in rules_of(found) and "pushed over" in "".join(found.violations)
+    assert "cold" in rules_of(found) and "collapsed while cold" in "".join(found.violations)
 
 
 def test_a_node_that_makes_answers_up_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -457,7 +457,7 @@
     assert play(small(troubles=out), 3, "random").passed
     monkeypatch.setattr(EndpointRegistry, "eject", lambda self, id, since: None)
     found = broken_run(monkeypatch, RandomPolicy, troubles=out)
-    assert rules_of(found) == {"drain"} and "taken out by hand" in found.violations[0]
+    assert rules_of(found) == {"drain"} and "ejected by hand" in found.violations[0]
 
 
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - FLEET_KINDS - {"upgrades"}))
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -141,7 +141,7 @@
         [span("a", 3, 0, 5), span("b", 4, 2, 9), span("b", 5, 5.1, 9)]
     )
     assert (
-        "a took jobs under version 3 and b under 5"
+        "a accepted jobs under version 3 and b under 5"
         in final_checks.check_versions_apart([span("a", 3, 0, 5), span("b", 5, 4, 9)])[0]
     )
     assert not final_checks.check_versions_apart([span("a", 3, 0, 5), span("a", 5, 4, 9)])
@@ -153,7 +153,7 @@
         [span("a", 3, 0, 3.9), span("a", 3, 6, 9, fencing_token=8)], let_go
     )
     assert (
-        "under fence 7, which was let go of at 4.000"
+        "under fencing token 7, which ended at 4.000"
         in final_checks.check_ended_leases([span("a", 3, 0, 4.2)], let_go)[0]
     )
     assert not final_checks.check_ended_leases(
@@ -171,12 +171,12 @@
 def test_lines_that_the_audit_lacks_or_made_up_are_found() -> None:
     lines = written(("joined", 1, 4, ""), ("acts", 2, 4, ""), ("lost", 2, 4, ""))
     assert not final_checks.check_audit("a", lines, account(lines))
-    assert "line 3 is not in the audit" in final_checks.check_audit("a", lines, account(lines[:2]))[0]
+    assert "entry 3 is not in the audit" in final_checks.check_audit("a", lines, account(lines[:2]))[0]
     assert not final_checks.check_audit("a", lines, account(lines[:2], unheard=["nothing heard after act 2"]))
     assert "was never written" in final_checks.check_audit("a", lines[:1], account(lines[:2]))[0]
     other = written(("joined", 1, 4, ""), ("acts", 8, 4, ""))
     assert "was never written" in final_checks.check_audit("a", lines, account(other))[0]
-    assert "line 1 is not in the audit" in final_checks.check_audit("a", lines, None)[0]
+    assert "entry 1 is not in the audit" in final_checks.check_audit("a", lines, None)[0]
 
 
 def test_versions_that_are_lost_or_differ_are_found() -> None:
@@ -191,4 +191,4 @@
     ]
     both["S2"] = record(8, {"c": 1}, b"y")
     assert final_checks.check_changes(both, {"c": 1}) == ["changed: version 1 differs between S1 and S2"]
-    assert final_checks.check_changes({}, {}) == ["lost: no steward is left to ask"]
+    assert final_checks.check_changes({}, {}) == ["lost: no consensus server is left to query"]
