--- a/bitternpath/testing/emulator/clients.py
+++ b/bitternpath/testing/emulator/clients.py
@@ -150,11 +150,13 @@
         self._send_request(operation, f"{self._sequence:x}", 0, honors_retry_after, key)
 
     def _send_request(
-        self, operation: Operation, name: str, number: int, honors_retry_after: bool, key: int | None
+        self, operation: Operation, operation_id: str, number: int, honors_retry_after: bool, key: int | None
     ) -> None:
         now = self.scheduler.seconds()
         budget = max(operation.arrived + operation.job_class.give_up / 1000.0 - now, 0.0)
-        request = ClientRequest(operation, f"{name}-{number}", number, now, budget, honors_retry_after, key)
+        request = ClientRequest(
+            operation, f"{operation_id}-{number}", number, now, budget, honors_retry_after, key
+        )
         self.scheduler.callLater(budget, self._give_up, request)
         if self.behavior.leave and self.random.random() < self.behavior.leave:
             self.scheduler.callLater(self.random.random() * budget, self._leave, request)
@@ -199,12 +201,12 @@
             and now + wait < operation.arrived + operation.job_class.give_up / 1000.0
         ):
             self.metrics.increment(now, "retried")
-            name = request.id.rpartition("-")[0]
+            operation_id = request.id.rpartition("-")[0]
             self.scheduler.callLater(
                 wait,
                 self._send_request,
                 operation,
-                name,
+                operation_id,
                 request.number + 1,
                 request.honors_retry_after,
                 request.key,
--- a/bitternpath/testing/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -114,9 +114,9 @@
             )
         self.last_acts[process] = LastAct(fencing_token, plan.version, at)
 
-    def record_audited_act(self, process: str, what: str, version: int, fencing_token: int) -> None:
+    def record_audited_act(self, process: str, kind: str, version: int, fencing_token: int) -> None:
         """Records an act that the audit must contain."""
-        self.audited_acts.setdefault(process, []).append((what, version, fencing_token))
+        self.audited_acts.setdefault(process, []).append((kind, version, fencing_token))
 
     def check_versions_apart(self, at: float, versions: dict[str, int]) -> None:
         """Compares the versions on which processes may act under a lease now."""
@@ -141,8 +141,8 @@
         audited_kinds = (audit.LEASE_STARTED, audit.VERSION_APPLIED, *audit.LEASE_END_KINDS)
         for process, account in record.process_audits.items():
             acts = self.audited_acts.get(process, [])
-            lines = [line for line in account.entries if line.what in audited_kinds]
-            recorded = [(line.what, line.version, line.fencing_token) for line in lines]
+            entries = [entry for entry in account.entries if entry.what in audited_kinds]
+            recorded = [(entry.what, entry.version, entry.fencing_token) for entry in entries]
             if account.faults:
                 self._report("audit", at, f"{process}: {account.faults[0]}, though no entry was altered")
             if recorded != acts[: len(recorded)] and not account.missing and not account.dropped:
--- a/bitternpath/testing/emulator/fleet/faults.py
+++ b/bitternpath/testing/emulator/fleet/faults.py
@@ -102,12 +102,12 @@
     return _block(world, [(a, b) for a in names for b in names if (a in half) != (b in half)])
 
 
-def _set_on_all_links(world: FleetWorld, **what: float) -> Undo:
+def _set_on_all_links(world: FleetWorld, **faults: float) -> Undo:
     def undo() -> None:
-        for name in what:
+        for name in faults:
             setattr(world.all_links, name, 0.0)
 
-    for name, value in what.items():
+    for name, value in faults.items():
         setattr(world.all_links, name, value)
     return undo
 
@@ -207,7 +207,7 @@
     holder.validate = lambda plan: "its own file is at odds with it"
 
     def undo() -> None:
-        holder.validate = world.check
+        holder.validate = world.validate
         holder.rejection = ""
 
     return undo
--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -26,13 +26,13 @@
     last: float
 
 
-def served_spans(process: str, lines: list[audit.AuditEntry]) -> list[ServedSpan]:
+def served_spans(process: str, entries: list[audit.AuditEntry]) -> list[ServedSpan]:
     spans = []
-    for line in lines:
-        if line.what == audit.INVOCATIONS_SERVED and line.fencing_token:
-            detail = msgspec.json.decode(line.detail)
+    for entry in entries:
+        if entry.what == audit.INVOCATIONS_SERVED and entry.fencing_token:
+            detail = msgspec.json.decode(entry.detail)
             spans.append(
-                ServedSpan(process, line.version, line.fencing_token, detail["first"], detail["last"])
+                ServedSpan(process, entry.version, entry.fencing_token, detail["first"], detail["last"])
             )
     return spans
 
@@ -73,28 +73,28 @@
     return violations
 
 
-def check_fencing_tokens(process: str, lines: list[audit.AuditEntry]) -> list[str]:
+def check_fencing_tokens(process: str, entries: list[audit.AuditEntry]) -> list[str]:
     """Rule 3: no process acts with a lower fencing token after a higher one."""
     tokens = [
-        line.fencing_token for line in lines if line.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
+        entry.fencing_token for entry in entries if entry.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
     ]
     if tokens != sorted(tokens):
         return [f"fence: {process} acted under fencing tokens {tokens}"]
     return []
 
 
-def check_audit(process: str, lines: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
+def check_audit(process: str, entries: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
     """Rule 4: each entry that was written is in the audit or reported as missing, and there are no others."""
-    audited = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
-    written = {line.number: line for line in lines}
+    audited = [msgspec.convert(entry, audit.AuditEntry) for entry in account["lines"]] if account else []
+    written = {entry.number: entry for entry in entries}
     violations = [
-        f"audit: {process}: entry {line.number} is in the audit but was never written"
-        for line in audited
-        if written.get(line.number) != line
+        f"audit: {process}: entry {entry.number} is in the audit but was never written"
+        for entry in audited
+        if written.get(entry.number) != entry
     ]
     if account and account["faults"]:
         violations.append(f"audit: {process}: {account['faults'][0]}, though no entry was altered")
-    audited_numbers = {line.number for line in audited}
+    audited_numbers = {entry.number for entry in audited}
     missing = [number for number in written if number not in audited_numbers]
     dropped = account["dropped"] if account else 0
     if missing and not dropped and not (account and account["unheard"]):
--- a/bitternpath/testing/emulator/fleet/processes.py
+++ b/bitternpath/testing/emulator/fleet/processes.py
@@ -89,7 +89,7 @@
     def kill(self) -> None:
         if self.alive:
             self.process.kill()
-            self.process.await_recovery()
+            self.process.wait()
 
     def stop(self) -> None:
         if self.alive:
@@ -330,13 +330,13 @@
         for node in self.world.nodes.values():
             for file in sorted((self.world.folder / f"{node.name}.acts").glob("acts-*")):
                 process = f"{node.name}#{file.name.removeprefix('acts-')}"
-                lines = [
+                entries = [
                     msgspec.json.decode(text, type=audit.AuditEntry)
                     for text in file.read_bytes().splitlines()
                 ]
-                spans += final_checks.served_spans(process, lines)
-                self.violations += final_checks.check_fencing_tokens(process, lines)
-                self.violations += final_checks.check_audit(process, lines, accounts.get(process))
+                spans += final_checks.served_spans(process, entries)
+                self.violations += final_checks.check_fencing_tokens(process, entries)
+                self.violations += final_checks.check_audit(process, entries, accounts.get(process))
         self.violations += final_checks.check_versions_apart(spans)
         self.violations += final_checks.check_ended_leases(spans, accounts)
         self.violations += final_checks.check_changes(records, self.acknowledged)
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -118,7 +118,7 @@
         super().__init__(world, name)
         self.disk = state  # synced state
         self.disk_delay = 0.0  # s added to each write
-        self._writing: list[StorageWrite] = []
+        self._pending_writes: list[StorageWrite] = []
         self.replica: Any = None
         self.connections: dict[
             int, tuple[Host, int]
@@ -126,7 +126,7 @@
 
     def start(self) -> None:
         self.alive = True
-        self._writing = []
+        self._pending_writes = []
         self.connections.clear()
         self.replica = RecordReplica(
             self.name, copy_state(self.disk), Random(self.world.random.random()), self.clock(),
@@ -161,9 +161,9 @@
         self.replica.receive_request(self.clock(), token, message)
 
     def _stored(self) -> None:
-        write = self._writing.pop(0)
+        write = self._pending_writes.pop(0)
         apply_write(self.disk, write)
-        if self._writing:
+        if self._pending_writes:
             self._write()
         self.replica.write_completed(self.clock(), write.number)
 
@@ -181,8 +181,8 @@
         if replica.raft.role is MemberRole.LEADER:
             world.checker.leader_seen(world.scheduler.now, self.name, replica.raft.term)
         if effects.writes:
-            idle = not self._writing
-            self._writing += effects.writes
+            idle = not self._pending_writes
+            self._pending_writes += effects.writes
             if idle:
                 self._write()
         for to, message in effects.messages:
@@ -229,10 +229,10 @@
         identity = ProcessIdentity(self.name, f"b{self.incarnation}", self.site, RELEASE)
         self.holder = LeaseHolder(
             identity, list(self.world.servers), Random(self.world.random.random()), self.clock(),
-            lambda: self.world.scheduler.now, self.world.check,
+            lambda: self.world.scheduler.now, self.world.validate,
         )  # fmt: skip
-        for boot, lines in self.audit_files.items():
-            audit_log, problem = audit.restore_audit_log(boot, lines)
+        for boot, entries in self.audit_files.items():
+            audit_log, problem = audit.restore_audit_log(boot, entries)
             assert not problem
             self.holder.earlier_audit_logs.append(audit_log)
         if self.has_folder:
@@ -298,17 +298,17 @@
         if token == self.token and not self.server:
             self.holder.connection_lost(self.clock())
 
-    def _lines_written(self, lines: list[audit.AuditEntry]) -> None:
+    def _entries_written(self, entries: list[audit.AuditEntry]) -> None:
         stored = self.audit_files.setdefault(self.holder.identity.boot, [])
-        stored += lines
+        stored += entries
         self.holder.audit_written(self.clock(), len(stored))
 
     def apply_effects(self) -> None:
         holder, world = self.holder, self.world
-        sends, holder.outgoing = holder.outgoing, []
-        if sends and self.server:
+        outgoing, holder.outgoing = holder.outgoing, []
+        if outgoing and self.server:
             destination = world.servers[self.server]
-            for message in sends:
+            for message in outgoing:
                 world.send(
                     self.name, self.server,
                     partial(
@@ -322,7 +322,7 @@
             dial, holder.server_to_dial = holder.server_to_dial, None
             self._connect(dial)
         if holder.audit_log.fresh:
-            lines, holder.audit_log.fresh = holder.audit_log.fresh, []
+            entries, holder.audit_log.fresh = holder.audit_log.fresh, []
             if self.has_folder:
                 write_time = world.random.uniform(
                     *(FILE_WRITE_TIME if world.random.random() < 0.6 else FILE_WRITE_STALL)
@@ -332,7 +332,7 @@
                     self.disk_idle_at - world.scheduler.now,
                     self.deliver,
                     self.incarnation,
-                    partial(self._lines_written, lines),
+                    partial(self._entries_written, entries),
                 )
         if holder.events:
             acts, holder.events = holder.events, []
@@ -414,7 +414,7 @@
         self.all_links = Link()
         self.trace = xxhash.xxh3_64()  # of all messages sent
         self.last_token = 0
-        self.check: Callable[[p.Plan], str] = lambda plan: ""
+        self.validate: Callable[[p.Plan], str] = lambda plan: ""
         names = [f"S{k}" for k in range(server_count)]
         self.servers = {
             name: ServerHost(
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -16,7 +16,7 @@
 from bitternpath.testing.emulator.discovery import EPOCH
 from bitternpath.testing.emulator.worker import Attempt, Worker
 
-CALL_BACK_TRIES, CALL_BACK_RETRY_DELAY = 10, 1.0  # attempts to deliver a call-back, s between them
+CALL_BACK_RETRIES, CALL_BACK_RETRY_DELAY = 10, 1.0  # attempts to deliver a call-back, s between them
 # Share of the workers' idle timeout after which a node no longer reuses an idle connection.
 IDLE_REUSE_SHARE = 0.6
 
@@ -202,14 +202,14 @@
         """Ejects a worker by hand; a node that is down reads the ejection from its disk at the next start."""
         self.ejected[worker] = self.clock()
         self.world.checker.worker_ejected(self.world.scheduler.now, self.name, worker)
-        self._run_when_resumed(lambda: self.registry.eject(worker, self.ejected.get(worker, self.clock())))
+        self._run_or_defer(lambda: self.registry.eject(worker, self.ejected.get(worker, self.clock())))
 
     def reinstate(self, worker: str) -> None:
         self.ejected.pop(worker, None)
         self.world.checker.worker_reinstated(self.name, worker)
-        self._run_when_resumed(lambda: self.registry.reinstate(worker, self.clock()))
+        self._run_or_defer(lambda: self.registry.reinstate(worker, self.clock()))
 
-    def _run_when_resumed(self, callback: Callable[[], None]) -> None:
+    def _run_or_defer(self, callback: Callable[[], None]) -> None:
         if self.stopped:
             self.deferred.append(callback)
         elif self.alive:
@@ -260,17 +260,17 @@
         if request is not None and self.alive:
             self.broker.withdraw(request)
 
-    def answer(self, client_request: ClientRequest, event: str, retry_after: float, result: bytes) -> None:
+    def answer(self, client_request: ClientRequest, outcome: str, retry_after: float, result: bytes) -> None:
         world = self.world
         if self.requests.pop(client_request.id, None) is None and client_request.done:
             return  # the client has gone: no answer is owed and none is seen
-        world.checker.answered(world.scheduler.now, client_request.id, event, result)
-        world.trace("answer", client_request.id, event)
+        world.checker.answered(world.scheduler.now, client_request.id, outcome, result)
+        world.trace("answer", client_request.id, outcome)
         world.scheduler.callLater(
             world.to_client(client_request.operation.site, self.site),
             world.clients.answer,
             client_request,
-            event,
+            outcome,
             retry_after,
             result,
         )
@@ -423,7 +423,7 @@
                 world.scheduler.callLater(
                     2 * delay, self._receive_update, worker.id, id, state, share, result
                 )
-        elif retries < CALL_BACK_TRIES:
+        elif retries < CALL_BACK_RETRIES:
             world.scheduler.callLater(
                 CALL_BACK_RETRY_DELAY, self._call_back, worker, id, state, share, result, retries + 1
             )
--- a/bitternpath/testing/emulator/policies.py
+++ b/bitternpath/testing/emulator/policies.py
@@ -212,10 +212,10 @@
         self._next_full_check = self.now + FULL_RECHECK_INTERVAL
         rank = {}
         for id in self.waiting:
-            value_rate, target_deadline, late_share = self.value_of(id)
+            value_rate, latest_start, late_share = self.value_of(id)
             rank[id] = (
-                value_rate if self.now < target_deadline else value_rate * late_share,
-                -target_deadline,
+                value_rate if self.now < latest_start else value_rate * late_share,
+                -latest_start,
             )
         waiting, self.waiting = sorted(self.waiting, key=lambda id: rank[id], reverse=True), []
         for id in waiting:
--- a/bitternpath/testing/emulator/sockets/node.py
+++ b/bitternpath/testing/emulator/sockets/node.py
@@ -86,7 +86,7 @@
 
     def _configuration(self, listing: Listing) -> dict[str, Any]:
         world, sites = self.world, self.world.scenario.sites
-        client_request: dict[str, Any] = {
+        configuration: dict[str, Any] = {
             "name": self.name, "listen": f"127.0.0.1:{self.port}",
             "discovery": self.feed.address, "seed": f"{world.random.getrandbits(48):x}",
             "limits": {"sockets": MAX_SOCKETS}, "known": self.feed.message(listing),
@@ -97,8 +97,8 @@
         if world.needs_console:
             self.console_ports.append(ReservedPort())
             self.console_port = self.console_ports[-1].number
-            client_request["console"] = f"127.0.0.1:{self.console_port}"
-        return client_request
+            configuration["console"] = f"127.0.0.1:{self.console_port}"
+        return configuration
 
     def _program(self) -> list[str]:
         if self.world.fleet is None:
--- a/bitternpath/testing/emulator/sockets/workers.py
+++ b/bitternpath/testing/emulator/sockets/workers.py
@@ -13,7 +13,7 @@
 from bitternpath.testing.emulator.sockets.servers import Server, ServerConnection
 from bitternpath.testing.emulator.worker import Attempt, Worker
 
-CALL_BACK_TRIES = 10
+CALL_BACK_RETRIES = 10
 CALL_BACK_RETRY_DELAY = 1.0  # s
 PROGRESS_SHARE = 0.5  # the share done in every progress report
 
@@ -96,14 +96,14 @@
         world.checker.sent(now, id, node.name, worker.id)
         world.checker.arrived(now, id, worker.id, number)
         back = world.net.delay(worker.site, node.site)
-        delivers = world.net.delivers(worker.site, node.site)
+        reachable = world.net.delivers(worker.site, node.site)
         if worker.arrive(attempt):
             self.attempts[id, worker.id] = attempt
-            if delivers:
+            if reachable:
                 world.scheduler.callLater(back, connection.answer, 202)
         else:
             world.checker.rejected(now, id, worker.id, number)
-            if delivers:
+            if reachable:
                 world.scheduler.callLater(back, connection.answer, 503, ((b"X-Rejected", b"1"),))
 
     def _job_update(self, worker: Worker, attempt: Attempt, event: str) -> None:
@@ -147,13 +147,13 @@
         world = self.world
 
         def retry() -> None:
-            if retries < CALL_BACK_TRIES:
+            if retries < CALL_BACK_RETRIES:
                 world.scheduler.callLater(
                     CALL_BACK_RETRY_DELAY, self._call_back, worker, node, body, retries + 1
                 )
 
-        delivers = world.net.delivers(worker.site, node.site)
-        if not worker.reachable or not delivers or worker.id in world.blocked_call_backs:
+        reachable = world.net.delivers(worker.site, node.site)
+        if not worker.reachable or not reachable or worker.id in world.blocked_call_backs:
             retry()
             return
         send = partial(self._send, node, body, retry)
--- a/bitternpath/testing/emulator/sockets/world.py
+++ b/bitternpath/testing/emulator/sockets/world.py
@@ -78,7 +78,7 @@
             self.checker, self.to_client, self.trace,
         )  # fmt: skip
         self.clients.rate = scenario.clients.rate or scenario.clients.load * self.capacity()
-        self.active: list[ActiveFault] = []
+        self.active_faults: list[ActiveFault] = []
         self.client_requests: dict[str, ClientRequest] = {}
         self.connections: dict[str, ClientConnection] = {}  # by request id
         self.failures: list[str] = []
--- a/bitternpath/testing/emulator/world.py
+++ b/bitternpath/testing/emulator/world.py
@@ -231,10 +231,10 @@
             ):
                 return unavailable
         job_count, cores = worker.job_count + reserved, worker.kind.cores
-        left = sum(max(end - worker._virtual_time, 0.0) for end, _, _ in worker.running) + sum(
+        remaining_work = sum(max(end - worker._virtual_time, 0.0) for end, _, _ in worker.running) + sum(
             a.work for a in worker.queue
         )
-        wait = 0.0 if job_count < cores else (left + reserved * operation.work) / cores / rate
+        wait = 0.0 if job_count < cores else (remaining_work + reserved * operation.work) / cores / rate
         transfer = 2 * self.net.cross_site if zone != worker.site else 0.0
         return wait + operation.work / rate + transfer, job_count < cores
 
