--- a/bitternpath/testing/emulator/checker.py
+++ b/bitternpath/testing/emulator/checker.py
@@ -55,12 +55,10 @@
         self.requests: dict[str, TrackedRequest] = {}
         self.violations: list[Violation] = []
         self.lost_by_death = 0  # requests whose node was killed: no violation
-        self._unavailable_since: dict[
-            tuple[str, str], float
-        ] = {}  # (node, worker): when the node learned that the worker drains or has ended
-        self._ejected_since: dict[
-            tuple[str, str], float
-        ] = {}  # (node, worker): when staff ejected the worker at that node
+        # (node, worker): when the node learned that the worker drains or has ended
+        self._unavailable_since: dict[tuple[str, str], float] = {}
+        # (node, worker): when staff ejected the worker at that node
+        self._ejected_since: dict[tuple[str, str], float] = {}
         self._results: dict[str, set[bytes]] = {}  # request: results that workers returned for it
         self._due: deque[tuple[float, str]] = deque()
 
--- a/bitternpath/testing/emulator/fleet/checker.py
+++ b/bitternpath/testing/emulator/fleet/checker.py
@@ -41,9 +41,8 @@
         self.entries: dict[int, tuple[int, bytes]] = {}  # index: term and content when first applied
         self.digests: dict[int, bytes] = {}  # released version: digest
         self.acknowledged: dict[str, int] = {}  # change id: the version in its answer
-        self.ended_leases: dict[
-            tuple[str, int], float
-        ] = {}  # (process, fencing token): when the record ended the lease
+        # (process, fencing token): when the record ended the lease
+        self.ended_leases: dict[tuple[str, int], float] = {}
         self.current_tokens: dict[str, int] = {}  # process: fencing token in the record
         self.last_acts: dict[str, LastAct] = {}  # process: its last act under a lease
         self.last_index = 0  # the highest index applied by any server
--- a/bitternpath/testing/emulator/fleet/random_schedule.py
+++ b/bitternpath/testing/emulator/fleet/random_schedule.py
@@ -61,9 +61,8 @@
         self.in_flight: list[InFlightMessage] = []
         self.step = 0
         self.elected: dict[int, int] = {}  # term: the step in which its leader was elected
-        self.received_in_step: dict[
-            float, int
-        ] = {}  # a request's `sent`: the step in which it reached its server
+        # `sent` of a request: the step in which it reached its server
+        self.received_in_step: dict[float, int] = {}
         self.sequence = 0
         names = [f"S{k}" for k in range(server_count)]
         members = Entry(1, 1, EntryKind.MEMBERS, msgspec.msgpack.encode(Members(tuple(names))))
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -28,10 +28,8 @@
 
 LINK_DELAY = 0.0002, 0.003  # s, usual range of the delay on a link
 DISK_SYNC_TIME = 0.001, 0.01  # s, range of the time that a disk takes to sync
-FILE_WRITE_TIME, FILE_WRITE_STALL = (
-    (0.0002, 0.003),
-    (0.05, 1.5),
-)  # s, ranges of the time that a node's disk takes: usual, and in 40% of the writes
+# s, ranges of the time that a node's disk takes: usual, and in 40% of the writes
+FILE_WRITE_TIME, FILE_WRITE_STALL = (0.0002, 0.003), (0.05, 1.5)
 ACT_INTERVAL = 0.25  # s between acts of a node
 RELEASE = (1, 0, 0)
 
@@ -120,9 +118,8 @@
         self.disk_delay = 0.0  # s added to each write
         self._pending_writes: list[StorageWrite] = []
         self.replica: Any = None
-        self.connections: dict[
-            int, tuple[Host, int]
-        ] = {}  # token: the host at the other end and its incarnation
+        # token: the host at the other end and its incarnation
+        self.connections: dict[int, tuple[Host, int]] = {}
 
     def start(self) -> None:
         self.alive = True
--- a/bitternpath/testing/emulator/nodes.py
+++ b/bitternpath/testing/emulator/nodes.py
@@ -16,7 +16,7 @@
 from bitternpath.testing.emulator.discovery import EPOCH
 from bitternpath.testing.emulator.worker import Attempt, Worker
 
-CALL_BACK_RETRIES, CALL_BACK_RETRY_DELAY = 10, 1.0  # attempts to deliver a call-back, s between them
+CALL_BACK_RETRIES, CALL_BACK_RETRY_DELAY = 10, 1.0  # of a call-back; s between them
 # Share of the workers' idle timeout after which a node no longer reuses an idle connection.
 IDLE_REUSE_SHARE = 0.6
 
--- a/bitternpath/testing/emulator/policies.py
+++ b/bitternpath/testing/emulator/policies.py
@@ -177,12 +177,10 @@
     """Knows the true state of every worker: sends each job to the free worker where it ends first, the most
     valuable per second of work first, and refuses at once what can no longer be served."""
 
-    estimate: Callable[
-        [str, str, str], tuple[float, bool]
-    ]  # s until a job would end there, whether it would start at once
-    value_of: Callable[
-        [str], tuple[float, float, float]
-    ]  # request id: value per s of work, target deadline (Unix ms), share of the value after it
+    # worker, request id, zone: s until the job would end there, whether it would start at once
+    estimate: Callable[[str, str, str], tuple[float, bool]]
+    # request id: value per s of work, latest start that meets the target (Unix ms), share of the value later
+    value_of: Callable[[str], tuple[float, float, float]]
 
     def __init__(self, settings: m.Settings, seed: int, now: float) -> None:
         super().__init__(settings, seed, now)
@@ -250,10 +248,8 @@
     any_free: Callable[[], bool]  # whether any worker would start a job at once
 
 
-RECHECK_INTERVAL, FULL_RECHECK_INTERVAL = (
-    4.0,
-    50.0,
-)  # ms between checks of waiting requests: usually, and while no worker is free
+# ms between checks of waiting requests: usually, and while no worker is free
+RECHECK_INTERVAL, FULL_RECHECK_INTERVAL = 4.0, 50.0
 
 
 POLICIES: dict[str, Any] = {
--- a/bitternpath/testing/emulator/service.py
+++ b/bitternpath/testing/emulator/service.py
@@ -35,9 +35,8 @@
     def __init__(self, classes: list[JobClass], prices: Prices) -> None:
         self.prices = prices
         self.classes = {c.name: c for c in classes}
-        self.offered_value: dict[tuple[int, str, str], float] = defaultdict(
-            float
-        )  # (second, class, site): value
+        # (second, class, site): value
+        self.offered_value: dict[tuple[int, str, str], float] = defaultdict(float)
         self.earned_value: dict[tuple[int, str, str], float] = defaultdict(float)
         self.counts: dict[tuple[int, str], int] = defaultdict(int)  # (second, event): count
         self.first_requests = self.crossings = 0
--- a/bitternpath/testing/emulator/worker.py
+++ b/bitternpath/testing/emulator/worker.py
@@ -41,10 +41,7 @@
         notify: Callable[[Attempt, str], None],
     ) -> None:  # fmt: skip
         self.id, self.job_class, self.work, self.slots, self.deadline = id, job_class, work, slots, deadline
-        self.node, self.notify = (
-            node,
-            notify,
-        )  # `notify` is called with started, running, done, failed, lost or dropped.
+        self.node, self.notify = node, notify  # called with started, done, failed, lost or dropped
         self.started_at = -1.0
         self.ended = False
         self.sender_knew_start = True  # whether discovery had told the sending node that the worker is cold
@@ -77,9 +74,8 @@
         self.used_slots = 0
         self.connections = 0  # from all nodes, counted only where the kind limits them
         self.done_work = 0.0  # s of core time of successful jobs
-        self.recent_arrivals: deque[tuple[float, float, bool]] = (
-            deque()
-        )  # within `fall_span`: time, work, whether the sender knew of the start
+        # arrivals within `fall_span`: time, work, whether the sender knew of the start
+        self.recent_arrivals: deque[tuple[float, float, bool]] = deque()
         self.on_collapse: Callable[[Worker, float], None] = lambda worker, informed: None
         self._virtual_time = self._updated_at = 0.0
         self._rate = 0.0
@@ -165,7 +161,7 @@
             informed = sum(work for _, work, knew in recent_arrivals if knew) / sent
             self.collapse(informed)
 
-    fall_multiple, fall_span = 4.0, 1.0
+    fall_multiple, fall_span = 4.0, 1.0  # multiple of the capacity, s; set by the scenario's rules
 
     def collapse(self, informed: float) -> None:
         self.collapsed = True
