--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -47,37 +47,37 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> None:
+def silence_logging() -> None:
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 
 
-def small(**more: Any) -> Any:
-    return scenario_from(SMALL | more, "test")
+def small_scenario(**overrides: Any) -> Any:
+    return scenario_from(SMALL | overrides, "test")
 
 
 # ---- time
 
 
-def test_what_is_due_at_the_same_time_happens_in_the_order_asked_for() -> None:
+def test_calls_due_at_the_same_time_run_in_scheduling_order() -> None:
     clock, seen = Scheduler(), []
     for name in "ab":
         clock.callLater(1.0, seen.append, name)
     clock.callLater(0.5, lambda: clock.callLater(0.5, seen.append, "c"))
-    gone = clock.callLater(1.0, seen.append, "never")
-    gone.cancel()
+    cancelled = clock.callLater(1.0, seen.append, "never")
+    cancelled.cancel()
     clock.callLater(1.0, lambda: clock.callLater(0.0, seen.append, "last"))
     clock.run(2.0)
-    assert seen == ["a", "b", "c", "last"] and clock.now == 2.0 and not gone.active()
+    assert seen == ["a", "b", "c", "last"] and clock.now == 2.0 and not cancelled.active()
 
 
-def test_a_loop_without_delay_is_ended_with_a_plain_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_zero_delay_loop_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("bitternpath.testing.emulator.clock.MAX_EVENTS_PER_INSTANT", 1000)
     clock = Scheduler()
 
-    def again() -> None:
-        clock.callLater(0.0, again)
+    def reschedule() -> None:
+        clock.callLater(0.0, reschedule)
 
-    clock.callLater(3.0, again)
+    clock.callLater(3.0, reschedule)
     with pytest.raises(StuckError, match=r"3\.000000 s"):
         clock.run(10.0)
     assert MAX_EVENTS_PER_INSTANT > 1000
@@ -86,12 +86,12 @@
 # ---- workers
 
 
-class Bench:
+class WorkerHarness:
     """One worker and what it said."""
 
     def __init__(self, **kind: Any) -> None:
-        self.clock, self.said = Scheduler(), list[tuple[str, str, float]]()
-        given = {
+        self.clock, self.notifications = Scheduler(), list[tuple[str, str, float]]()
+        defaults = {
             "name": "k",
             "cores": 2,
             "slots": 2,
@@ -100,16 +100,16 @@
             "cold_s": 10.0,
             "cold_share": 0.2,
         }
-        self.worker = Worker("w", "a", Kind(**(given | kind)), 0, self.clock, Random(1))
+        self.worker = Worker("w", "a", Kind(**(defaults | kind)), 0, self.clock, Random(1))
 
     def send(self, id: str, work: float = 1.0, slots: int = 1, deadline: float = 99.0) -> bool:
-        def tell(attempt: Attempt, what: str) -> None:
-            self.said.append((attempt.id, what, round(self.clock.now, 3)))
+        def notify(attempt: Attempt, what: str) -> None:
+            self.notifications.append((attempt.id, what, round(self.clock.now, 3)))
 
-        return self.worker.arrive(Attempt(id, "c", work, slots, deadline, None, tell))
+        return self.worker.arrive(Attempt(id, "c", work, slots, deadline, None, notify))
 
-    def ends(self) -> dict[str, float]:
-        return {id: at for id, what, at in self.said if what == "done"}
+    def completion_times(self) -> dict[str, float]:
+        return {id: at for id, what, at in self.notifications if what == "done"}
 
 
 @pytest.mark.parametrize(
@@ -123,80 +123,82 @@
         ({"strain": 0.5, "crowded": 1.0}, [("a", 1.0), ("b", 1.0)], {"a": 1.5, "b": 1.5}),  # too many held
     ],
 )
-def test_jobs_take_the_time_that_cores_speed_and_strain_give(
+def test_job_duration_follows_from_cores_speed_and_strain(
     kind: dict[str, Any], jobs: list[tuple[str, float]], ends: dict[str, float]
 ) -> None:
-    bench = Bench(**kind)
+    harness = WorkerHarness(**kind)
     for id, work in jobs:
-        assert bench.send(id, work)
-    bench.clock.run(20.0)
-    assert bench.ends() == ends
-
-
-def test_the_head_of_the_queue_waits_until_it_fits_and_holds_up_what_is_behind() -> None:
-    bench = Bench(slots=4, cores=4)
-    bench.send("a", 2.0, slots=3)
-    bench.send("big", 1.0, slots=2)
-    bench.send("small", 1.0, slots=1)  # there is room for it, but it is not its turn
-    bench.clock.run(20.0)
-    assert bench.ends() == {"a": 2.0, "big": 3.0, "small": 3.0}
-
-
-def test_beyond_the_queue_jobs_are_turned_away() -> None:
-    bench = Bench(queue=2)
-    assert [bench.send(str(k)) for k in range(6)] == [True] * 4 + [False] * 2
-
-
-def test_what_changes_on_the_way_changes_the_end() -> None:
-    bench = Bench()
-    bench.send("a", 2.0)
-    bench.clock.run(1.0)
-    bench.worker.slowdown = 2.0
-    bench.worker.reschedule()
-    bench.clock.run(2.0)
-    bench.worker.paused = True
-    bench.worker.reschedule()
-    bench.clock.run(5.0)
-    bench.worker.paused, bench.worker.slowdown = False, 1.0
-    bench.worker.reschedule()
-    bench.clock.run(9.0)
-    assert bench.ends() == {"a": 5.5}  # 1 s whole, 1 s at half, 3 s none, and the half that was left
-
-
-def test_a_cold_worker_warms_up_and_falls_over_when_pushed() -> None:
-    bench = Bench(queue=100)
-    worker, falls = bench.worker, []
-    worker.on_collapse = lambda worker, informed: falls.append(informed)
-    bench.clock.run(1.0)
+        assert harness.send(id, work)
+    harness.clock.run(20.0)
+    assert harness.completion_times() == ends
+
+
+def test_the_head_of_the_queue_blocks_the_jobs_behind_it() -> None:
+    harness = WorkerHarness(slots=4, cores=4)
+    harness.send("a", 2.0, slots=3)
+    harness.send("big", 1.0, slots=2)
+    harness.send("small", 1.0, slots=1)  # there is room for it, but it is not its turn
+    harness.clock.run(20.0)
+    assert harness.completion_times() == {"a": 2.0, "big": 3.0, "small": 3.0}
+
+
+def test_jobs_are_rejected_when_the_queue_is_full() -> None:
+    harness = WorkerHarness(queue=2)
+    assert [harness.send(str(k)) for k in range(6)] == [True] * 4 + [False] * 2
+
+
+def test_slowdown_and_pause_delay_running_jobs() -> None:
+    harness = WorkerHarness()
+    harness.send("a", 2.0)
+    harness.clock.run(1.0)
+    harness.worker.slowdown = 2.0
+    harness.worker.reschedule()
+    harness.clock.run(2.0)
+    harness.worker.paused = True
+    harness.worker.reschedule()
+    harness.clock.run(5.0)
+    harness.worker.paused, harness.worker.slowdown = False, 1.0
+    harness.worker.reschedule()
+    harness.clock.run(9.0)
+    assert harness.completion_times() == {
+        "a": 5.5
+    }  # 1 s whole, 1 s at half, 3 s none, and the half that was left
+
+
+def test_a_cold_worker_warms_up_and_collapses_under_overload() -> None:
+    harness = WorkerHarness(queue=100)
+    worker, collapses = harness.worker, []
+    worker.on_collapse = lambda worker, informed: collapses.append(informed)
+    harness.clock.run(1.0)
     worker.start()
     assert worker.warmth(1.0) == 0.2 and round(worker.warmth(6.0), 3) == 0.6 and worker.warmth(11.0) == 1.0
     # Four times 2 cores x 0.2 for a second is 1.6, and two mean jobs of slack.
     for k in range(9):
-        bench.send(str(k), 0.3)
-    assert falls == [] or len(falls) == 1
+        harness.send(str(k), 0.3)
+    assert collapses == [] or len(collapses) == 1
     for k in range(9):
-        bench.send(f"more{k}", 0.3)
-    assert falls == [1.0] and not worker.alive and worker.collapsed
+        harness.send(f"more{k}", 0.3)
+    assert collapses == [1.0] and not worker.alive and worker.collapsed
     worker.start()
-    bench.clock.run(12.5)
+    harness.clock.run(12.5)
     for k in range(18):
-        bench.send(f"warm{k}", 0.3)
-    assert falls == [1.0]  # warm by now: pushed, but standing
+        harness.send(f"warm{k}", 0.3)
+    assert collapses == [1.0]  # warm by now: pushed, but standing
 
 
-def test_work_whose_time_is_up_may_not_be_begun() -> None:
-    for drops, begun in ((True, 1), (False, 2)):
-        bench = Bench(cores=1, slots=1, drops_expired=drops)
-        bench.send("a", 2.0)
-        bench.send("late", 1.0, deadline=1.0)
-        bench.clock.run(9.0)
-        assert sum(what == "started" for _, what, _ in bench.said) == begun
+def test_expired_jobs_are_dropped_before_they_start_if_configured() -> None:
+    for drops_expired, started in ((True, 1), (False, 2)):
+        harness = WorkerHarness(cores=1, slots=1, drops_expired=drops_expired)
+        harness.send("a", 2.0)
+        harness.send("late", 1.0, deadline=1.0)
+        harness.clock.run(9.0)
+        assert sum(what == "started" for _, what, _ in harness.notifications) == started
 
 
 # ---- service
 
 
-def test_service_is_worth_in_time_over_worth_asked() -> None:
+def test_service_is_earned_over_offered_value() -> None:
     spec = JobClass("c", 1.0, 100.0, aim=100.0, stretch=2.0, give_up=5000.0, worth=4.0, late_worth=0.25)
     metrics = ServiceMetrics([spec], Prices(0.1, 0.072, 0.03))
     for k, at in enumerate((0.2, 0.5, None, None)):  # in time by 0.1 + 2 x 0.1
@@ -207,18 +209,18 @@
         else:
             metrics.record_success(ask, k + at)
     metrics.crossings, metrics.spent_work = 2, 0.3
-    told = metrics.statistics()
-    assert told["whole"] == (4 + 1) / 16 and told["late_fail"] == 0.25 and told["crossings"] == 0.5
-    assert told["waste"] == pytest.approx(0.1 / 0.4)
+    result = metrics.statistics()
+    assert result["whole"] == (4 + 1) / 16 and result["late_fail"] == 0.25 and result["crossings"] == 0.5
+    assert result["waste"] == pytest.approx(0.1 / 0.4)
     parts = 0.55 * 5 / 16 + 0.15 * 5 / 16 + 0.30 * 5 / 16
-    assert told["service"] == pytest.approx(parts - 0.1 * 0.25 - 0.072 * 0.25 - 0.03 * 0.5)
+    assert result["service"] == pytest.approx(parts - 0.1 * 0.25 - 0.072 * 0.25 - 0.03 * 0.5)
 
 
 # ---- scenarios
 
 
 @pytest.mark.parametrize(
-    ("wrong", "says"),
+    ("invalid", "message"),
     [
         ({"secconds": 3}, "secconds"),
         ({"seconds": 0}, "> 0"),
@@ -232,33 +234,33 @@
         ({"classes": [{"name": "x", "share": 1.0, "work": 5.0, "aim": -1.0}]}, "aim"),
     ],
 )
-def test_a_wrong_scenario_is_refused_in_one_line(wrong: dict[str, Any], says: str) -> None:
+def test_an_invalid_scenario_is_rejected_in_one_line(invalid: dict[str, Any], message: str) -> None:
     with pytest.raises(ScenarioError) as fault:
-        small(**wrong)
-    assert says in str(fault.value) and "\n" not in str(fault.value)
+        small_scenario(**invalid)
+    assert message in str(fault.value) and "\n" not in str(fault.value)
 
 
 SHIPPED = sorted((ROOT / "scenarios").glob("*.toml"))
 
 
-def test_a_load_that_would_never_end_is_refused() -> None:
+def test_an_excessive_number_of_requests_is_rejected() -> None:
     classes = [{"name": "x", "share": 1.0, "work": 0.001}]
     with pytest.raises(ScenarioError, match="at most 5000000"):
-        play(small(classes=classes, clients={"load": 20.0}), 1)
+        play(small_scenario(classes=classes, clients={"load": 20.0}), 1)
 
 
-def test_the_shipped_scenarios_are_good_and_use_most_troubles() -> None:
-    told = [load(path) for path in SHIPPED]
-    assert len(told) >= 12 and [s.name for s in told] == [path.stem for path in SHIPPED]
-    assert all(s.says for s in told)
-    used = {trouble.kind for s in told for trouble in s.troubles}
-    assert used <= set(KINDS) and len(used) >= 14
+def test_the_shipped_scenarios_are_valid_and_use_most_kinds_of_faults() -> None:
+    result = [load(path) for path in SHIPPED]
+    assert len(result) >= 12 and [s.name for s in result] == [path.stem for path in SHIPPED]
+    assert all(s.says for s in result)
+    kinds_used = {trouble.kind for s in result for trouble in s.troubles}
+    assert kinds_used <= set(KINDS) and len(kinds_used) >= 14
 
 
 # ---- determinism
 
 
-def test_the_same_scenario_and_seed_give_the_same_trace_in_two_processes() -> None:
+def test_scenario_and_seed_determine_the_trace_across_processes() -> None:
     # Guards: anything that hangs on hashes, addresses or the real clock makes runs that nobody can repeat.
     code = (
         "import structlog; structlog.configure(logger_factory=structlog.ReturnLoggerFactory());"
@@ -274,12 +276,12 @@
         )  # fmt: skip
         found.add(run.stdout)
     assert len(found) == 1
-    one, two = play(small(), 1), play(small(), 2)
-    assert one.trace != two.trace and one.trace == play(small(), 1).trace
+    first, second = play(small_scenario(), 1), play(small_scenario(), 2)
+    assert first.trace != second.trace and first.trace == play(small_scenario(), 1).trace
 
 
-def test_every_policy_meets_the_same_first_tries() -> None:
-    runs = [play(small(), 4, name) for name in ("module", "random", "oracle")]
+def test_every_policy_sees_the_same_first_requests() -> None:
+    runs = [play(small_scenario(), 4, name) for name in ("module", "random", "oracle")]
     assert len({run.requests for run in runs}) == 1
     assert len({run.trace for run in runs}) == 3
 
@@ -287,29 +289,29 @@
 # ---- the checker against broken nodes
 
 
-class Mute(BasicPolicy):
+class NeverAnswers(BasicPolicy):
     """Answers nothing and sends nothing."""
 
     def _request(self, event: m.Request) -> list[m.Action]:
         return []
 
 
-class Resends(RandomPolicy):
+class RetriesUnsafely(RandomPolicy):
     """Sends again whatever may have run."""
 
     def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
         if event.id in self.jobs and not event.final:
             self.jobs[event.id]["ran"] = False
-            acts = super()._attempt_ended(
+            actions = super()._attempt_ended(
                 m.AttemptEnded(
                     event.id, event.attempt, event.worker, m.AttemptOutcome.FULL, event.elapsed, False
                 )
             )
-            return acts
+            return actions
         return super()._attempt_ended(event)
 
 
-class Refuses(RandomPolicy):
+class RefusesAfterExecution(RandomPolicy):
     """Refuses what may have run."""
 
     def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
@@ -320,33 +322,33 @@
         return super()._attempt_ended(event)
 
 
-class Newest(RandomPolicy):
+class PrefersNewestWorker(RandomPolicy):
     """Sends everything to the worker that started last."""
 
     def choose(self, usable: list[str], job: dict[str, Any]) -> str | None:
         return max(usable, key=lambda w: (self.workers[w].up_since or 0.0, w))
 
 
-def broken_run(monkeypatch: pytest.MonkeyPatch, policy: type, **more: Any) -> Result:
+def run_with_policy(monkeypatch: pytest.MonkeyPatch, policy: type, **overrides: Any) -> Result:
     monkeypatch.setitem(policies.POLICIES, "broken", policy)
-    return play(small(**more), 3, "broken")
+    return play(small_scenario(**overrides), 3, "broken")
 
 
-def rules_of(result: Result) -> set[str]:
+def broken_rules(result: Result) -> set[str]:
     return {violation.split(" at ")[0] for violation in result.violations}
 
 
 VANISH = [{"kind": "vanish", "at": 3.0, "lasts": 4.0, "part": 0.5, "silent": False}]
 
 
-def test_a_node_that_answers_nothing_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_that_never_answers_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Broker, "_answer_without_module", lambda self, request: None)
-    found = broken_run(monkeypatch, Mute)
-    assert rules_of(found) == {"lost"} and "never answered" in found.violations[0]
+    found = run_with_policy(monkeypatch, NeverAnswers)
+    assert broken_rules(found) == {"lost"} and "never answered" in found.violations[0]
     assert "accepted by n" in found.violations[0]  # the events that led there
 
 
-def test_a_late_answer_and_one_for_nothing_are_caught() -> None:
+def test_late_and_unsolicited_answers_are_detected() -> None:
     checker = Checker(2.0, 0.008)
     for id, answered in (("in time", 3.007), ("late", 3.009)):
         checker.accepted(1.0, id, "n0", 3.0, True)
@@ -359,7 +361,7 @@
     assert "9 ms late" in str(checker.violations[0]) and "accepted by n0" in str(checker.violations[0])
 
 
-def test_a_stopped_node_is_not_blamed_for_what_fell_due_meanwhile() -> None:
+def test_requests_due_during_a_stop_of_their_node_are_excused() -> None:
     checker = Checker(2.0, 0.008)
     for id, deadline in (("due", 3.0), ("not yet", 9.0)):
         checker.accepted(1.0, id, "n0", deadline, True)
@@ -368,7 +370,7 @@
     assert [v.request for v in checker.violations] == ["not yet"] and checker.lost_by_death == 1
 
 
-def test_a_request_in_the_buffers_of_a_stopped_node_counts_from_when_it_is_read() -> None:
+def test_requests_buffered_during_a_stop_count_from_when_they_are_read() -> None:
     checker = Checker(2.0, 0.008)
     for id, at, answered in (("before", 1.0, 9.009), ("in time", 3.0, 11.007), ("late", 3.0, 11.009)):
         checker.accepted(at, id, "n0", 9.0, True)
@@ -378,67 +380,70 @@
     assert [v.request for v in checker.violations] == ["before", "late"]
 
 
-def test_a_node_that_answers_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Broker._answer
+def test_a_node_that_answers_twice_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Broker._answer
 
-    def twice(self: Broker, request: Any, how: Any, word: str) -> None:
-        right(self, request, how, word)
-        how()
+    def answer_twice(self: Broker, request: Any, send_answer: Any, reason: str) -> None:
+        original(self, request, send_answer, reason)
+        send_answer()
 
-    monkeypatch.setattr(Broker, "_answer", twice)
-    found = broken_run(monkeypatch, RandomPolicy)
-    assert rules_of(found) == {"lost"} and "answered again" in found.violations[0]
+    monkeypatch.setattr(Broker, "_answer", answer_twice)
+    found = run_with_policy(monkeypatch, RandomPolicy)
+    assert broken_rules(found) == {"lost"} and "answered again" in found.violations[0]
 
 
-def test_a_node_that_sends_again_what_may_have_run_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    found = broken_run(monkeypatch, Resends, troubles=VANISH)
-    assert "duplicate" in rules_of(found)
-    assert play(small(troubles=VANISH), 3, "random").passed  # and one that does not is not blamed
+def test_a_node_that_repeats_unsafe_jobs_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    found = run_with_policy(monkeypatch, RetriesUnsafely, troubles=VANISH)
+    assert "duplicate" in broken_rules(found)
+    assert play(small_scenario(troubles=VANISH), 3, "random").passed  # and one that does not is not blamed
 
 
-def test_a_node_that_refuses_what_may_have_run_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert rules_of(broken_run(monkeypatch, Refuses, troubles=VANISH)) == {"refused"}
+def test_a_node_that_refuses_after_execution_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert broken_rules(run_with_policy(monkeypatch, RefusesAfterExecution, troubles=VANISH)) == {"refused"}
 
 
-def test_a_node_that_sends_to_what_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = EndpointRegistry.apply
+def test_a_node_that_sends_to_a_draining_worker_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = EndpointRegistry.apply
 
-    def deaf(self: EndpointRegistry, listing: Any) -> None:
+    def apply_serving_only(self: EndpointRegistry, listing: Any) -> None:
         if all(p.state is m.WorkerState.SERVING for p in listing.members):
-            right(self, listing)
+            original(self, listing)
 
-    monkeypatch.setattr(EndpointRegistry, "apply", deaf)
-    found = broken_run(
+    monkeypatch.setattr(EndpointRegistry, "apply", apply_serving_only)
+    found = run_with_policy(
         monkeypatch, RandomPolicy, troubles=[{"kind": "drain", "at": 2.0, "lasts": 8.0, "part": 0.5}]
     )
-    assert "drain" in rules_of(found)
+    assert "drain" in broken_rules(found)
 
 
-def test_a_node_that_pushes_a_cold_worker_over_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    found = broken_run(
-        monkeypatch, Newest, clients={"load": 0.9}, troubles=[VANISH[0] | {"lasts": 2.0, "part": 0.2}]
+def test_a_node_that_overloads_a_cold_worker_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    found = run_with_policy(
+        monkeypatch,
+        PrefersNewestWorker,
+        clients={"load": 0.9},
+        troubles=[VANISH[0] | {"lasts": 2.0, "part": 0.2}],
     )
-    assert "cold" in rules_of(found) and "collapsed while cold" in "".join(found.violations)
+    assert "cold" in broken_rules(found) and "collapsed while cold" in "".join(found.violations)
 
 
-def test_a_node_that_makes_answers_up_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = Broker._answer
+def test_a_node_that_invents_answers_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Broker._answer
 
-    def invent(self: Broker, request: Any, how: Any, word: str) -> None:
-        right(self, request, lambda: request.client.served(b"made up"), word)
+    def answer_invented(self: Broker, request: Any, send_answer: Any, reason: str) -> None:
+        original(self, request, lambda: request.client.served(b"made up"), reason)
 
-    monkeypatch.setattr(Broker, "_answer", invent)
-    assert rules_of(broken_run(monkeypatch, RandomPolicy)) == {"invented"}
+    monkeypatch.setattr(Broker, "_answer", answer_invented)
+    assert broken_rules(run_with_policy(monkeypatch, RandomPolicy)) == {"invented"}
 
 
-def test_what_dies_with_its_node_is_no_fault_of_the_node() -> None:
+def test_requests_of_a_killed_node_are_no_violation() -> None:
     checker = Checker(2.0, 0.008)
     checker.accepted(1.0, "a", "n0", 3.0, False)
     checker.accepted(1.0, "b", "n1", 3.0, False)
     checker.node_killed(2.0, "n0")
     checker.finish(9.0)
     assert checker.lost_by_death == 1 and [v.request for v in checker.violations] == ["b"]
-    run = play(small(troubles=[{"kind": "kill-nodes", "at": 4.0, "lasts": 2.0, "part": 0.5}]), 5)
+    run = play(small_scenario(troubles=[{"kind": "kill-nodes", "at": 4.0, "lasts": 2.0, "part": 0.5}]), 5)
     assert run.passed and run.lost_by_death > 0 and run.counts["reset"]
 
 
@@ -446,40 +451,40 @@
 
 
 @pytest.mark.parametrize("name", ["site-loss-with-nodes", "rolling", "errors"])
-def test_the_node_keeps_the_rules_and_serves_through_what_goes_wrong(name: str) -> None:
+def test_the_node_keeps_the_rules_and_serves_under_faults(name: str) -> None:
     run = play(load(ROOT / "scenarios" / f"{name}.toml"), 2)
     assert run.passed, run.violations[:3]
     assert run.figures["service"] > 0.7 and run.requests > 1000
 
 
-def test_a_node_that_sends_to_what_is_out_by_hand_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    out = [{"kind": "out-by-hand", "at": 2.0, "lasts": 8.0, "part": 0.5}]
-    assert play(small(troubles=out), 3, "random").passed
+def test_a_node_that_sends_to_an_ejected_worker_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    ejections = [{"kind": "out-by-hand", "at": 2.0, "lasts": 8.0, "part": 0.5}]
+    assert play(small_scenario(troubles=ejections), 3, "random").passed
     monkeypatch.setattr(EndpointRegistry, "eject", lambda self, id, since: None)
-    found = broken_run(monkeypatch, RandomPolicy, troubles=out)
-    assert rules_of(found) == {"drain"} and "ejected by hand" in found.violations[0]
+    found = run_with_policy(monkeypatch, RandomPolicy, troubles=ejections)
+    assert broken_rules(found) == {"drain"} and "ejected by hand" in found.violations[0]
 
 
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - FLEET_KINDS - {"upgrades"}))
-def test_every_trouble_begins_ends_and_breaks_no_rule(kind: str) -> None:
+def test_every_kind_of_fault_takes_effect_and_breaks_no_rule(kind: str) -> None:
     trouble = {"kind": kind, "at": 2.0, "lasts": 4.0, "part": 0.3, "size": 1.5, "extra": 1.0}
-    run = play(small(troubles=[trouble], clients={"load": 0.4}), 6)
+    run = play(small_scenario(troubles=[trouble], clients={"load": 0.4}), 6)
     assert run.passed, (kind, run.violations[:2])
-    calm = play(small(clients={"load": 0.4}), 6)
+    undisturbed = play(small_scenario(clients={"load": 0.4}), 6)
     assert run.troubles[0]["kind"] == kind
-    assert run.trace != calm.trace
+    assert run.trace != undisturbed.trace
 
 
-def test_call_backs_come_early_twice_and_after_a_restart() -> None:
+def test_blocked_and_duplicate_call_backs_break_no_rule() -> None:
     troubles = [
         {"kind": "call-backs", "at": 1.0, "lasts": 9.0, "part": 0.3, "size": 0.5},
         {"kind": "kill-nodes", "at": 4.0, "lasts": 0.5, "part": 0.5},
         {"kind": "vanish", "at": 6.0, "lasts": 2.0, "part": 0.3},
     ]
-    assert play(small(troubles=troubles), 8).passed
+    assert play(small_scenario(troubles=troubles), 8).passed
 
 
-def test_the_command_plays_a_scenario_and_writes_all_of_it(tmp_path: Path) -> None:
+def test_the_command_runs_a_scenario_and_writes_json(tmp_path: Path) -> None:
     file = tmp_path / "run.json"
     scenario = tmp_path / "s.toml"
     scenario.write_text(
@@ -490,19 +495,19 @@
         cwd=ROOT, capture_output=True, text=True, check=False,
     )  # fmt: skip
     assert run.returncode == 0 and "rules kept" in run.stdout and "mean of 2" in run.stdout
-    told = json.loads(file.read_bytes())
-    assert [r["seed"] for r in told] == [1, 2]
-    assert msgspec.convert(told[0], Result, strict=False).figures == told[0]["figures"]
-    wrong = subprocess.run(
+    result = json.loads(file.read_bytes())
+    assert [r["seed"] for r in result] == [1, 2]
+    assert msgspec.convert(result[0], Result, strict=False).figures == result[0]["figures"]
+    invalid = subprocess.run(
         [sys.executable, "-m", "bitternpath", "emulate", "nowhere.toml"],
         cwd=ROOT,
         capture_output=True,
         check=False,
     )
-    assert wrong.returncode == 2
+    assert invalid.returncode == 2
 
 
-def on_sockets(path: Path, **more: Any) -> tuple[subprocess.CompletedProcess[str], Any]:
+def run_on_sockets(path: Path, **overrides: Any) -> tuple[subprocess.CompletedProcess[str], Any]:
     """A short run with real nodes."""
     scenario, file = path / "s.toml", path / "s.json"
     lines = [
@@ -512,7 +517,7 @@
     lines += [f'[[sites]]\nname = "{name}"\nworkers = 3' for name in "ab"]
     lines += ['[[classes]]\nname = "lookup"\nshare = 1\nwork = 60\nsafe = true\ngive_up = 2500']
     lines += ['[[classes]]\nname = "reminder"\nshare = 1\nwork = 60\ngive_up = 2500']
-    for trouble in more.get("troubles", []):
+    for trouble in overrides.get("troubles", []):
         lines += ["[[troubles]]", *(f"{key} = {json.dumps(value)}" for key, value in trouble.items())]
     scenario.write_text("\n".join(lines) + "\n")
     run = subprocess.run(
@@ -522,7 +527,7 @@
     return run, json.loads(file.read_bytes())[0] if file.exists() else None
 
 
-def test_real_nodes_on_sockets_keep_the_rules_while_workers_and_nodes_go(tmp_path: Path) -> None:
+def test_real_nodes_keep_the_rules_while_workers_and_nodes_fail(tmp_path: Path) -> None:
     troubles = [
         {"kind": "vanish", "at": 1.0, "lasts": 2.0, "part": 0.3},
         {"kind": "vanish", "at": 1.5, "lasts": 1.5, "part": 0.2, "silent": False},
@@ -530,23 +535,23 @@
         {"kind": "call-backs", "at": 0.5, "lasts": 4.0, "part": 0.0, "size": 0.5},
         {"kind": "reload-nodes", "at": 0.5, "lasts": 1.0},
     ]
-    run, told = on_sockets(tmp_path, troubles=troubles)
+    run, result = run_on_sockets(tmp_path, troubles=troubles)
     if run.returncode == 1 and "void" in run.stderr:
         pytest.skip("the machine is too busy to blame a node")
     assert run.returncode == 0, run.stdout + run.stderr
-    assert "rules kept" in run.stdout and told["requests"] > 100 and told["counts"].get("in time")
+    assert "rules kept" in run.stdout and result["requests"] > 100 and result["counts"].get("in time")
 
 
-def test_real_nodes_are_upgraded_under_load_while_workers_are_out_by_hand(tmp_path: Path) -> None:
+def test_real_nodes_are_upgraded_under_load_during_manual_ejections(tmp_path: Path) -> None:
     troubles = [
         {"kind": "upgrades", "at": 1.0, "lasts": 1.0},
         {"kind": "out-by-hand", "at": 0.5, "lasts": 4.0, "part": 0.3},
     ]
-    run, told = on_sockets(tmp_path, troubles=troubles)
+    run, result = run_on_sockets(tmp_path, troubles=troubles)
     if run.returncode == 1 and "void" in run.stderr:
         pytest.skip("the machine is too busy to blame a node")
     assert run.returncode == 0, run.stdout + run.stderr
-    assert "rules kept" in run.stdout and told["requests"] > 100 and not told["counts"].get("reset")
+    assert "rules kept" in run.stdout and result["requests"] > 100 and not result["counts"].get("reset")
     virtual = tmp_path / "s.toml"
     refused = subprocess.run(
         [sys.executable, "-m", "bitternpath", "emulate", str(virtual)], cwd=ROOT, capture_output=True
@@ -554,7 +559,7 @@
     assert refused.returncode == 2 and b"upgrades: on sockets only" in refused.stderr
 
 
-def test_a_run_on_a_machine_that_is_too_busy_is_void() -> None:
+def test_a_run_on_an_overloaded_machine_is_void() -> None:
     code = (
         "from bitternpath.testing.emulator.sockets import play;"
         "from bitternpath.testing.emulator.scenario_file import made_from;"
@@ -585,17 +590,15 @@
 """
 
 
-@pytest.mark.parametrize(("late", "found"), [(20, "[]"), (400, "ms late")])
-def test_clients_read_an_answer_that_comes_within_the_grace_and_see_how_late_another_is(
-    late: int, found: str
-) -> None:
+@pytest.mark.parametrize(("late_ms", "found"), [(20, "[]"), (400, "ms late")])
+def test_clients_read_answers_within_the_grace_and_measure_later_ones(late_ms: int, found: str) -> None:
     code = f"""
 import subprocess, sys
 from bitternpath.testing.emulator.scenario_file import made_from
 from bitternpath.testing.emulator.sockets import node, play
 class Popen(subprocess.Popen):
     def __init__(self, args, **kwargs):
-        super().__init__([sys.executable, "-c", {LATE_NODE!r}, "{late}"], **kwargs)
+        super().__init__([sys.executable, "-c", {LATE_NODE!r}, "{late_ms}"], **kwargs)
 node.subprocess.Popen = Popen
 classes = [{{"name": "x", "share": 1.0, "work": 5.0, "give_up": 300.0}}]
 s = made_from({{"name": "s", "seconds": 1.0, "sites": [{{"name": "a", "workers": 1}}],
@@ -611,7 +614,7 @@
     assert found in run.stdout and ("never answered" in run.stdout) is False
 
 
-def test_an_answer_is_excused_by_as_much_as_the_machine_was_seen_to_hold_up() -> None:
+def test_a_late_answer_is_excused_by_at_most_the_measured_wait() -> None:
     waits = ProcessorWaits()
     waits.record(4.93, "n1", 0.04)  # before the deadline at 5.0, near it
     waits.record(5.03, "", 0.02)
@@ -624,20 +627,20 @@
     assert waits.explains(0.045, "n3", 1.0, 5.0, 5.05)
 
 
-def test_a_held_port_is_given_to_nobody_else_and_can_be_listened_on_again_and_again() -> None:
-    held = ReservedPort()
+def test_a_reserved_port_is_assigned_once_and_can_be_bound_repeatedly() -> None:
+    reserved = ReservedPort()
     others = [ReservedPort() for _ in range(200)]
-    assert len({port.number for port in [held, *others]}) == 201
+    assert len({port.number for port in [reserved, *others]}) == 201
     for _ in range(2):
-        with socket.create_server(("127.0.0.1", held.number)) as server:
+        with socket.create_server(("127.0.0.1", reserved.number)) as server:
             socket.create_connection(server.getsockname()).close()
         with pytest.raises(ConnectionRefusedError):
-            socket.create_connection(("127.0.0.1", held.number))
-    for port in [held, *others]:
+            socket.create_connection(("127.0.0.1", reserved.number))
+    for port in [reserved, *others]:
         port.close()
 
 
-def test_an_interrupted_demo_stops_all_that_it_started() -> None:
+def test_an_interrupted_demo_stops_its_child_processes() -> None:
     demo = subprocess.Popen([sys.executable, "-m", "bitternpath", "demo"], cwd=ROOT, stdout=subprocess.PIPE)
     assert demo.stdout is not None
     for line in demo.stdout:
@@ -650,8 +653,10 @@
     assert not any(Path(f"/proc/{child}").exists() for child in children)
 
 
-def test_a_node_imports_nothing_of_the_lab_nor_of_the_fleet() -> None:
+def test_a_node_imports_neither_the_emulator_nor_the_fleet() -> None:
     found = "[m for m in sys.modules if m.rpartition('.')[2] in ('emulator', 'fleet', 'lmdb', 'blake3')]"
-    look = f"import sys, bitternpath.cli.run, bitternpath.balancer.node; print({found})"
-    run = subprocess.run([sys.executable, "-c", look], cwd=ROOT, capture_output=True, text=True, check=True)
+    program = f"import sys, bitternpath.cli.run, bitternpath.balancer.node; print({found})"
+    run = subprocess.run(
+        [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True
+    )
     assert run.stdout.strip() == "[]" and len(POLICIES) == 7
