--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,5 +1,5 @@
-"""The emulator: the world model in tables, the checker against broken nodes, determinism, scenarios end to
-end."""
+"""The emulator: models against tables of values, the checker against faulty nodes, determinism, and whole
+scenarios in virtual time and on sockets."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     return scenario_from(SMALL | overrides, "test")
 
 
-# ---- time
+# ---- virtual time
 
 
 def test_calls_due_at_the_same_time_run_in_scheduling_order() -> None:
@@ -87,7 +87,7 @@
 
 
 class WorkerHarness:
-    """One worker and what it said."""
+    """A worker on a simulated clock, with its notifications."""
 
     def __init__(self, **kind: Any) -> None:
         self.clock, self.notifications = Scheduler(), list[tuple[str, str, float]]()
@@ -118,9 +118,9 @@
         ({}, [("a", 1.0)], {"a": 1.0}),
         ({"speed": 0.5}, [("a", 1.0)], {"a": 2.0}),
         ({}, [("a", 1.0), ("b", 2.0), ("c", 1.0)], {"a": 1.0, "b": 2.0, "c": 2.0}),  # c waits for a
-        ({"cores": 1}, [("a", 1.0), ("b", 1.0)], {"a": 2.0, "b": 2.0}),  # they share the core
+        ({"cores": 1}, [("a", 1.0), ("b", 1.0)], {"a": 2.0, "b": 2.0}),  # both share the core
         ({"cores": 1}, [("a", 1.0), ("b", 2.0)], {"a": 2.0, "b": 3.0}),
-        ({"strain": 0.5, "crowded": 1.0}, [("a", 1.0), ("b", 1.0)], {"a": 1.5, "b": 1.5}),  # too many held
+        ({"strain": 0.5, "crowded": 1.0}, [("a", 1.0), ("b", 1.0)], {"a": 1.5, "b": 1.5}),  # one job too many
     ],
 )
 def test_job_duration_follows_from_cores_speed_and_strain(
@@ -137,7 +137,7 @@
     harness = WorkerHarness(slots=4, cores=4)
     harness.send("a", 2.0, slots=3)
     harness.send("big", 1.0, slots=2)
-    harness.send("small", 1.0, slots=1)  # there is room for it, but it is not its turn
+    harness.send("small", 1.0, slots=1)  # it would fit, but jobs start in order
     harness.clock.run(20.0)
     assert harness.completion_times() == {"a": 2.0, "big": 3.0, "small": 3.0}
 
@@ -162,7 +162,7 @@
     harness.clock.run(9.0)
     assert harness.completion_times() == {
         "a": 5.5
-    }  # 1 s whole, 1 s at half, 3 s none, and the half that was left
+    }  # 1 s at full speed, 1 s at half, 3 s paused, then the remaining 0.5 s of work
 
 
 def test_a_cold_worker_warms_up_and_collapses_under_overload() -> None:
@@ -172,7 +172,8 @@
     harness.clock.run(1.0)
     worker.start()
     assert worker.warmth(1.0) == 0.2 and round(worker.warmth(6.0), 3) == 0.6 and worker.warmth(11.0) == 1.0
-    # Four times 2 cores x 0.2 for a second is 1.6, and two mean jobs of slack.
+    # The threshold is 4 times the capacity (2 cores x 0.2) for 1 s, 1.6 in all, and the slack of two mean
+    # jobs.
     for k in range(9):
         harness.send(str(k), 0.3)
     assert collapses == [] or len(collapses) == 1
@@ -183,7 +184,7 @@
     harness.clock.run(12.5)
     for k in range(18):
         harness.send(f"warm{k}", 0.3)
-    assert collapses == [1.0]  # warm by now: pushed, but standing
+    assert collapses == [1.0]  # warm by now: the same load does no harm
 
 
 def test_expired_jobs_are_dropped_before_they_start_if_configured() -> None:
@@ -195,13 +196,13 @@
         assert sum(what == "started" for _, what, _ in harness.notifications) == started
 
 
-# ---- service
+# ---- service metrics
 
 
 def test_service_is_earned_over_offered_value() -> None:
     spec = JobClass("c", 1.0, 100.0, aim=100.0, stretch=2.0, give_up=5000.0, worth=4.0, late_worth=0.25)
     metrics = ServiceMetrics([spec], Prices(0.1, 0.072, 0.03))
-    for k, at in enumerate((0.2, 0.5, None, None)):  # in time by 0.1 + 2 x 0.1
+    for k, at in enumerate((0.2, 0.5, None, None)):  # target time: 0.1 s and twice the work of 0.1 s
         ask = Operation(spec, "a", 0.1, float(k))
         metrics.record_arrival(ask)
         if at is None:
@@ -261,7 +262,7 @@
 
 
 def test_scenario_and_seed_determine_the_trace_across_processes() -> None:
-    # Guards: anything that hangs on hashes, addresses or the real clock makes runs that nobody can repeat.
+    # Hash order, object addresses or the real clock must not influence a run, or nobody could repeat it.
     code = (
         "import structlog; structlog.configure(logger_factory=structlog.ReturnLoggerFactory());"
         "from bitternpath.testing.emulator.scenario_file import load;"
@@ -286,18 +287,18 @@
     assert len({run.trace for run in runs}) == 3
 
 
-# ---- the checker against broken nodes
+# ---- the checker against faulty nodes
 
 
 class NeverAnswers(BasicPolicy):
-    """Answers nothing and sends nothing."""
+    """Neither sends nor answers a request."""
 
     def _request(self, event: m.Request) -> list[m.Action]:
         return []
 
 
 class RetriesUnsafely(RandomPolicy):
-    """Sends again whatever may have run."""
+    """Repeats jobs that may have run, as if they had been rejected."""
 
     def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
         if event.id in self.jobs and not event.final:
@@ -312,7 +313,7 @@
 
 
 class RefusesAfterExecution(RandomPolicy):
-    """Refuses what may have run."""
+    """Refuses requests whose job may have run."""
 
     def _attempt_ended(self, event: m.AttemptEnded) -> list[m.Action]:
         job = self.jobs.get(event.id)
@@ -345,7 +346,7 @@
     monkeypatch.setattr(Broker, "_answer_without_module", lambda self, request: None)
     found = run_with_policy(monkeypatch, NeverAnswers)
     assert broken_rules(found) == {"lost"} and "never answered" in found.violations[0]
-    assert "accepted by n" in found.violations[0]  # the events that led there
+    assert "accepted by n" in found.violations[0]  # the events before the violation are listed
 
 
 def test_late_and_unsolicited_answers_are_detected() -> None:
@@ -395,7 +396,8 @@
 def test_a_node_that_repeats_unsafe_jobs_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     found = run_with_policy(monkeypatch, RetriesUnsafely, troubles=VANISH)
     assert "duplicate" in broken_rules(found)
-    assert play(small_scenario(troubles=VANISH), 3, "random").passed  # and one that does not is not blamed
+    # a policy without the fault is not blamed
+    assert play(small_scenario(troubles=VANISH), 3, "random").passed
 
 
 def test_a_node_that_refuses_after_execution_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -508,7 +510,7 @@
 
 
 def run_on_sockets(path: Path, **overrides: Any) -> tuple[subprocess.CompletedProcess[str], Any]:
-    """A short run with real nodes."""
+    """A short run with real nodes; the process and the JSON result."""
     scenario, file = path / "s.toml", path / "s.json"
     lines = [
         'name = "s"', "seconds = 6", "[clients]", "load = 0.4", "[discovery]", "notice_s = 0.5",
@@ -572,7 +574,7 @@
     assert "VoidError: void: the emulator itself was" in run.stderr
 
 
-# A node that answers each request so many ms after its time is up.
+# A node that answers each request a number of ms after its deadline.
 LATE_NODE = """
 import asyncio, json, os, sys
 async def serve(reader, writer):
@@ -616,14 +618,14 @@
 
 def test_a_late_answer_is_excused_by_at_most_the_measured_wait() -> None:
     waits = ProcessorWaits()
-    waits.record(4.93, "n1", 0.04)  # before the deadline at 5.0, near it
+    waits.record(4.93, "n1", 0.04)  # shortly before the deadline at 5.0
     waits.record(5.03, "", 0.02)
-    waits.record(3.0, "n1", 9.0)  # neither near the arrival nor near the end
+    waits.record(3.0, "n1", 9.0)  # neither near the arrival nor near the deadline
     waits.record(5.0, "n2", 9.0)  # another node
     assert waits.explains(0.055, "n1", 1.0, 5.0, 5.05)
     assert not waits.explains(0.065, "n1", 1.0, 5.0, 5.05)
     assert not waits.explains(0.021, "n3", 1.0, 5.0, 5.05)
-    waits.record(1.05, "n3", 0.03)  # when the request came
+    waits.record(1.05, "n3", 0.03)  # at the arrival of the request
     assert waits.explains(0.045, "n3", 1.0, 5.0, 5.05)
 
 
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -1,4 +1,5 @@
-"""Fleets of real processes with faults between them; the relays that play the faults; the reckoning after."""
+"""Fleets of real processes under faults, the relays that inject them, and the checks of the records at the
+end."""
 
 from __future__ import annotations
 
@@ -20,7 +21,7 @@
 
 
 def run_seeds(build: str, seeds: list[int], scenario: str) -> list[str]:
-    """What came of each, three at a time."""
+    """Runs the seeds, three at a time; one line of outcome each."""
     code = (
         "import sys, structlog; structlog.configure(logger_factory=structlog.ReturnLoggerFactory())\n"
         "from bitternpath.testing.emulator.fleet import processes\n"
@@ -28,7 +29,7 @@
         "from bitternpath.testing.emulator.sockets.play import VoidError, play_on_sockets\n"
         f"processes.BUILD = {build!r}\n"
         "if processes.BUILD:\n"
-        "    processes.RECOVERY_LIMIT = 5.0\n"  # it may never come right
+        "    processes.RECOVERY_LIMIT = 5.0\n"  # a broken build may never recover
         "seed = int(sys.argv[1])\n"
         "try:\n"
         f"    result = play_on_sockets({scenario}, seed)\n"
@@ -64,7 +65,7 @@
 
 
 def relayed_connection() -> tuple[MemoryReactorClock, Relay, Any, Any]:
-    """A relay with one connection through it: the reactor, the relay, and both ends' protocols."""
+    """A relay with one connection: the reactor, the relay, and the protocols of both sides."""
     reactor: Any = MemoryReactorClock()
     relay = Relay(reactor, lambda: 7)
     client_side = reactor.tcpServers[0][1].buildProtocol(None)
@@ -88,7 +89,7 @@
     server_side.dataReceived(b" and again")
     assert (server_side.transport.value(), client_side.transport.value()) == (b"there", b"back and again")
     assert not client_side.transport.disconnecting
-    relay.repair()  # what has lost bytes is of no more use
+    relay.repair()  # connections that lost bytes are reset
     assert client_side.transport.disconnected and server_side.transport.disconnected
 
 
--- a/tests/test_large_fleet_days.py
+++ b/tests/test_large_fleet_days.py
@@ -1,4 +1,5 @@
-"""Days of the large fleet in the emulator, short: what the operators' bench showed stays mended."""
+"""Shortened runs of the large fleet in the emulator; they guard against faults that the operators' test bench
+found."""
 
 from __future__ import annotations
 
@@ -17,7 +18,8 @@
 from bitternpath.testing.emulator.world import World
 
 SCENARIO = Path(__file__).parent.parent / "scenarios" / "large-fleet.toml"
-SHORT_FAULTS = {"replace": (2.0, 2.0), "kill-nodes": (7.0, 1.5), "site-loss": (10.0, 3.0)}  # kind: at, lasts
+# kind: start and duration in s
+SHORT_FAULTS = {"replace": (2.0, 2.0), "kill-nodes": (7.0, 1.5), "site-loss": (10.0, 3.0)}
 
 
 @pytest.fixture(autouse=True)
@@ -35,8 +37,10 @@
 
 
 def test_a_shortened_run_of_the_large_fleet() -> None:
-    """Before: 254 calls to discovery, 19 of 40 nodes ever told; new workers without a job; 0.55 dials a call;
-    service below that of two plain policies which have a list that discovery pushes."""
+    """Guards against nodes that exhaust discovery's capacity, so that some never get a list: 254 calls to
+    discovery, 19 of 40 nodes ever informed, new workers without a job, 0.55 dials per call, and service
+    below that of two plain policies with pushed lists.
+    """
     world = World(short_scenario(), 3, "module", traced=False)
     run = world.run()
     assert run.passed, run.violations
@@ -72,7 +76,7 @@
     clock.callLater(2.5, subscribe, "late")
     clock.run(4.0)
     assert replies == [
-        ("n4", "failed", 0.0),  # more are waiting than it could ever serve
+        ("n4", "failed", 0.0),  # the queue is longer than can ever be served
         ("n5", "failed", 0.0),
         ("n0", "granted", 0.5),
         ("n1", "granted", 1.0),
