--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -23,7 +23,7 @@
     Channels,
     FixedRandom,
     copy_process,
-    encoded,
+    encode,
     lose_channel,
 )
 
@@ -133,7 +133,7 @@
                 tuple(leadership.proposed_starts.items()),
             )
         pending_requests = tuple(
-            (pending_request.awaited, pending_request.received_at, encoded(pending_request.request))
+            (pending_request.awaited, pending_request.received_at, encode(pending_request.request))
             for pending_request in pending
         )
         nodes = tuple(
--- a/bitternpath/testing/emulator/fleet/search/states.py
+++ b/bitternpath/testing/emulator/fleet/search/states.py
@@ -11,7 +11,7 @@
 
 from bitternpath.replication.log import ReplicatedLog
 
-encoded = msgspec.msgpack.Encoder().encode
+encode = msgspec.msgpack.Encoder().encode
 
 
 class FixedRandom:
@@ -33,7 +33,7 @@
         case list():
             return [_copy_value(v) if isinstance(v, list) else v for v in value]
         case dict():
-            return {position_in_queue: copy(v) for position_in_queue, v in value.items()}
+            return {key: copy(v) for key, v in value.items()}
         case set():
             return set(value)
         case ReplicatedLog():
@@ -55,7 +55,7 @@
 
     def with_message(self, sender: str, to: str, message: Any) -> Channels:
         queues_by_pair = dict(self.queues)
-        queues_by_pair[sender, to] = (*queues_by_pair.get((sender, to), ()), (encoded(message), message))
+        queues_by_pair[sender, to] = (*queues_by_pair.get((sender, to), ()), (encode(message), message))
         return Channels(tuple(sorted(queues_by_pair.items(), key=lambda pair: pair[0])))
 
     def deliverable(self, shuffled: bool) -> Iterator[tuple[str, str, Any, Channels]]:
--- a/bitternpath/testing/emulator/troubles/fleet.py
+++ b/bitternpath/testing/emulator/troubles/fleet.py
@@ -139,8 +139,8 @@
     """Drops all data silently, in one direction or both."""
     relays = _pick_relays(world, fault, random)
     for relay in relays:
-        link = random.random()
-        relay.block(forward=link < 0.67, backward=link > 0.33)
+        draw = random.random()
+        relay.block(forward=draw < 0.67, backward=draw > 0.33)
     _repair_at_end(fault, relays)
 
 
@@ -149,8 +149,8 @@
     """Delays both directions by `size` s and limits them to `extra` bytes per second (0: no limit)."""
     relays = _pick_relays(world, fault, random)
     for relay in relays:
-        for link in (relay.forward, relay.backward):
-            link.delay, link.rate = fault.size, fault.extra
+        for direction in (relay.forward, relay.backward):
+            direction.delay, direction.rate = fault.size, fault.extra
     _repair_at_end(fault, relays)
 
 
@@ -177,8 +177,8 @@
     fleet = world.fleet
     relays = []
     for (sender, server), relay in fleet.relays.items():
-        at = fault.site if sender == "operator" else fleet.site_of(sender)
-        if sender != "operator" and (at == fault.site) != (fleet.site_of(server) == fault.site):
+        sender_site = fault.site if sender == "operator" else fleet.site_of(sender)
+        if sender != "operator" and (sender_site == fault.site) != (fleet.site_of(server) == fault.site):
             relay.block(forward=True, backward=True)
             relays.append(relay)
     fault.targets = [fault.site]
