--- a/bitternpath/testing/emulator/fleet/search/leases.py
+++ b/bitternpath/testing/emulator/fleet/search/leases.py
@@ -103,7 +103,7 @@
     def mutable_node(self, name: str) -> LeaseHolder:
         holder: LeaseHolder = copy_process(self.nodes[name])
         self.nodes[name] = holder
-        # the audit log has no effect on leases, so an empty one keeps the states comparable
+        # the content of the audit log has no effect on leases
         holder.audit_log = audit.AuditLog("b")
         return holder
 
--- a/bitternpath/testing/emulator/troubles/register.py
+++ b/bitternpath/testing/emulator/troubles/register.py
@@ -93,7 +93,7 @@
 
 
 def stagger_over_nodes(world: Any, fault: ActiveFault, action: Callable[[Any], object]) -> None:
-    """Calls `injector` with each node, spread evenly over the duration of the fault; noted in
+    """Calls `action` with each node, spread evenly over the duration of the fault; noted in
     `fault.targets`."""
     nodes = list(world.nodes.values())
     for index, node in enumerate(nodes):
