--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -26,7 +26,7 @@
 sys.path.insert(0, str(ROOT))
 structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 
-from bitternpath.testing.emulator.scenario_file import load, made_from  # noqa: E402
+from bitternpath.testing.emulator.scenario_file import load, scenario_from  # noqa: E402
 from bitternpath.testing.emulator.world import Result, World, play  # noqa: E402
 
 SCENARIOS = ROOT / "scenarios"
@@ -70,7 +70,7 @@
         wall = json.loads(file.read_bytes())[0]
         virtual = play(load(SCENARIOS / f"{name}.toml"), 1)
         one, two = virtual.figures["service"], wall["figures"]["service"]
-        kept = "kept" if virtual.kept and not wall["violations"] else str(wall["violations"][:2])
+        kept = "kept" if virtual.passed and not wall["violations"] else str(wall["violations"][:2])
         rows.append([name, f"{one:.3f}", f"{two:.3f}", f"{two - one:+.3f}", kept])
         file.unlink()
     print(table(["scenario", "virtual", "sockets", "difference", "rules"], rows))
@@ -99,7 +99,7 @@
     }  # fmt: skip
     policies = ("module", "least", "oracle")
     work = [
-        (made_from(base | {"name": name, "troubles": told}, name), seed, policy)
+        (scenario_from(base | {"name": name, "troubles": told}, name), seed, policy)
         for name, told in single.items()
         for policy in policies
         for seed in range(1, seeds + 1)
@@ -125,7 +125,7 @@
             both = [[r.by_second.get(s, 1.0) for r in found[name, p]] for p in ("oracle", "module")]
             seconds[s] = statistics.mean(both[0]) - statistics.mean(both[1])
         worst_second = max(seconds, key=lambda s: seconds[s])
-        broken = sum(not r.kept for r in found[name, "module"])
+        broken = sum(not r.passed for r in found[name, "module"])
         rows.append(
             [name, *(f"{mean(name, p):.3f}" for p in policies), f"{gap:.3f}",
              f"{worst} ({classes[worst]:.3f})",
@@ -162,7 +162,7 @@
         told = base | {"sites": sites, "seconds": seconds, "clients": {"load": 0.5}}
         spent = {}
         for policy in ("module", "random"):
-            world = World(made_from(told, "speed"), 1, policy, traced=False)
+            world = World(scenario_from(told, "speed"), 1, policy, traced=False)
             begun = time.perf_counter()
             result = world.run()
             spent[policy] = (time.perf_counter() - begun) / max(result.requests, 1) * 1e6
@@ -237,7 +237,7 @@
         "front_notice_s": day["front_notice"] / 1e6,
         "troubles": told,
     }  # fmt: skip
-    return made_from(made, "day"), day
+    return scenario_from(made, "day"), day
 
 
 def _play_day(given: tuple[str, str]) -> float:
--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -1,7 +1,7 @@
-"""The fleet's rules, held against the processes' own records after a run on sockets. Pure.
+"""Checks the fleet's rules against the processes' own records after a run on sockets. Pure.
 
-What counts is what happened: lines that processes wrote before they acted, answers that commands got, and
-what the stewards' records say at the end. All processes of a run share one machine's wall clock.
+The inputs are the entries that processes wrote before they acted, the answers to commands, and the
+servers' records at the end. All processes of a run share one machine's wall clock.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from bitternpath.balancer.fleet import audit
 
-SAME = 0.005  # s within which two clock readings of one machine may be out of order
+CLOCK_TOLERANCE = 0.005  # s by which two clock readings on one machine may be out of order
 
 
-class Served(Struct, frozen=True):
-    """Invocations taken by a process under one version and fence. Times in Unix s."""
+class ServedSpan(Struct, frozen=True):
+    """Invocations that a process accepted under one version and fencing token. Times in Unix s."""
 
     process: str
     version: int
@@ -26,89 +26,100 @@
     last: float
 
 
-def served(process: str, lines: list[audit.AuditEntry]) -> list[Served]:
-    found = []
-    for line in lines:
-        if line.what == audit.INVOCATIONS_SERVED and line.fencing_token:
-            told = msgspec.json.decode(line.detail)
-            found.append(Served(process, line.version, line.fencing_token, told["first"], told["last"]))
-    return found
-
-
-def apart(spans: list[Served]) -> list[str]:
-    """Rule 2: no two processes with a lease act more than one version apart."""
-    broken = []
-    for k, one in enumerate(spans):
-        for other in spans[k + 1 :]:
-            together = min(one.last, other.last) - max(one.first, other.first)
-            if one.process != other.process and together > SAME and abs(one.version - other.version) > 1:
-                broken.append(
-                    f"apart: {one.process} took jobs under version {one.version} and {other.process} under "
-                    f"{other.version}, both for {together:.3f} s from {max(one.first, other.first):.3f} on"
+def served_spans(process: str, entries: list[audit.AuditEntry]) -> list[ServedSpan]:
+    spans = []
+    for entry in entries:
+        if entry.what == audit.INVOCATIONS_SERVED and entry.fencing_token:
+            detail = msgspec.json.decode(entry.detail)
+            spans.append(
+                ServedSpan(process, entry.version, entry.fencing_token, detail["first"], detail["last"])
+            )
+    return spans
+
+
+def check_versions_apart(spans: list[ServedSpan]) -> list[str]:
+    """Rule 2: no two processes with a lease act on versions that are more than one apart."""
+    violations = []
+    for index, first_span in enumerate(spans):
+        for second_span in spans[index + 1 :]:
+            overlap = min(first_span.last, second_span.last) - max(first_span.first, second_span.first)
+            if (
+                first_span.process != second_span.process
+                and overlap > CLOCK_TOLERANCE
+                and abs(first_span.version - second_span.version) > 1
+            ):
+                violations.append(
+                    f"apart: {first_span.process} accepted jobs under version {first_span.version} and "
+                    f"{second_span.process} under {second_span.version}, "
+                    f"both for {overlap:.3f} s from {max(first_span.first, second_span.first):.3f} on"
                 )
-    return broken
+    return violations
 
 
-def over(spans: list[Served], accounts: dict[str, dict[str, Any]]) -> list[str]:
-    """Rule 3: no act under a lease that the stewards had let go of."""
-    broken = []
+def check_ended_leases(spans: list[ServedSpan], accounts: dict[str, dict[str, Any]]) -> list[str]:
+    """Rule 3: no process acts under a lease that the servers had ended."""
+    violations = []
     for span in spans:
-        for fencing_token, at, why in accounts.get(span.process, {}).get("let_go", ()):
-            if fencing_token == span.fencing_token and why != "it ended" and span.last > at + SAME:
-                broken.append(
-                    f"over: {span.process} took a job at {span.last:.3f} under fence "
-                    f"{fencing_token}, which was let go of at {at:.3f}"
+        for fencing_token, at, reason in accounts.get(span.process, {}).get("let_go", ()):
+            if (
+                fencing_token == span.fencing_token
+                and reason != "it ended"
+                and span.last > at + CLOCK_TOLERANCE
+            ):
+                violations.append(
+                    f"over: {span.process} accepted a job at {span.last:.3f} under fencing token "
+                    f"{fencing_token}, which ended at {at:.3f}"
                 )
-    return broken
+    return violations
 
 
-def fences(process: str, lines: list[audit.AuditEntry]) -> list[str]:
-    """Rule 3: nor with a lower fence after a higher one."""
-    under = [
-        line.fencing_token for line in lines if line.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
+def check_fencing_tokens(process: str, entries: list[audit.AuditEntry]) -> list[str]:
+    """Rule 3: no process acts with a lower fencing token after a higher one."""
+    tokens = [
+        entry.fencing_token for entry in entries if entry.what in (audit.LEASE_STARTED, audit.VERSION_APPLIED)
     ]
-    if under != sorted(under):
-        return [f"fence: {process} acted under fences {under}"]
+    if tokens != sorted(tokens):
+        return [f"fence: {process} acted under fencing tokens {tokens}"]
     return []
 
 
-def heard(process: str, lines: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
-    """Rule 4: each line that was written is in the audit, or named as missing; none else is there."""
-    told = [msgspec.convert(line, audit.AuditEntry) for line in account["lines"]] if account else []
-    written = {line.number: line for line in lines}
-    broken = [
-        f"audit: {process}: line {line.number} is in the audit and was never written"
-        for line in told
-        if written.get(line.number) != line
+def check_audit(process: str, entries: list[audit.AuditEntry], account: dict[str, Any] | None) -> list[str]:
+    """Rule 4: each entry that was written is in the audit or reported as missing, and there are no others."""
+    audited = [msgspec.convert(entry, audit.AuditEntry) for entry in account["lines"]] if account else []
+    written = {entry.number: entry for entry in entries}
+    violations = [
+        f"audit: {process}: entry {entry.number} is in the audit but was never written"
+        for entry in audited
+        if written.get(entry.number) != entry
     ]
     if account and account["faults"]:
-        broken.append(f"audit: {process}: {account['faults'][0]}, though nobody changed it")
-    known = {line.number for line in told}
-    lacks = [number for number in written if number not in known]
+        violations.append(f"audit: {process}: {account['faults'][0]}, though no entry was altered")
+    audited_numbers = {entry.number for entry in audited}
+    missing = [number for number in written if number not in audited_numbers]
     dropped = account["dropped"] if account else 0
-    if lacks and not dropped and not (account and account["unheard"]):
-        broken.append(f"audit: {process}: line {lacks[0]} is not in the audit, and nothing says so")
-    return broken
+    if missing and not dropped and not (account and account["unheard"]):
+        violations.append(f"audit: {process}: entry {missing[0]} is not in the audit nor reported as missing")
+    return violations
 
 
-def kept(records: dict[str, dict[str, Any]], promised: dict[str, int]) -> list[str]:
-    """Rule 1: what was answered for is there, and all stewards have the same versions."""
-    broken = []
+def check_changes(records: dict[str, dict[str, Any]], acknowledged: dict[str, int]) -> list[str]:
+    """Rule 1: every acknowledged change is there, and all servers have the same versions."""
+    violations = []
     newest = max(records.values(), key=lambda record: int(record["applied"]), default=None)
     if newest is None:
-        return ["lost: no steward is left to ask"]
-    for id, version in promised.items():
+        return ["lost: no consensus server is left to query"]
+    for id, version in acknowledged.items():
         if newest["ids"].get(id) != version:
-            broken.append(
+            violations.append(
                 f"lost: change {id} was answered as version {version}, found {newest['ids'].get(id)}"
             )
     digests: dict[int, tuple[str, bytes]] = {}
-    for steward, record in records.items():
+    for server, record in records.items():
         for agreed in record["changes"]:
             version = agreed["version"]
             if version > record["released"]:
                 continue
-            name, digest = digests.setdefault(version, (steward, agreed["digest"]))
+            name, digest = digests.setdefault(version, (server, agreed["digest"]))
             if digest != agreed["digest"]:
-                broken.append(f"changed: version {version} differs between {name} and {steward}")
-    return broken
+                violations.append(f"changed: version {version} differs between {name} and {server}")
+    return violations
--- a/bitternpath/testing/emulator/fleet/search/explore.py
+++ b/bitternpath/testing/emulator/fleet/search/explore.py
@@ -1,4 +1,4 @@
-"""Exploring all states that can be reached from one, by all moves of each."""
+"""Exploration of all states reachable from an initial one."""
 
 from __future__ import annotations
 
@@ -8,64 +8,69 @@
 
 from msgspec import Struct
 
-Move = tuple[str, Callable[[Any], None]]  # its name, and what it does to a state
+Move = tuple[str, Callable[[Any], None]]  # description, and the change that it makes to a state
 
 
 class State(Protocol):
-    """A state of what is searched; `broken` says which rule does not hold in it, empty where all do."""
+    """A search state; `violation` names the rule that it breaks, empty if it breaks none."""
 
-    broken: str
+    violation: str
 
     def copy(self) -> Self: ...
     def key(self) -> Hashable: ...
     def moves(self) -> Iterator[Move]: ...
 
 
-Step = tuple[int, int, State]  # its number, by how many moves it was reached, and itself
-Waiting = deque[Step]
+Step = tuple[int, int, State]  # number, depth in moves, state
+Frontier = deque[Step]
 
 
-class Found(Struct, frozen=True):
-    """What came of a search."""
+class SearchResult(Struct, frozen=True):
+    """The outcome of a search."""
 
     states: int
     moves: int
     depth: int
-    whole: bool  # nothing within the scope was left out
-    broken: str = ""
-    trail: tuple[str, ...] = ()  # the moves that lead there
-
-
-def search(begin: State, most: int, next_: Callable[[Waiting], Step] = deque.popleft) -> Found:
-    """All states that can be reached, at most so many; ends at the first broken one.
-
-    Breadth-first, so that its trail is a shortest one; with `deque.pop` depth-first, and fewer are held."""
-    seen = {hash(begin.key())}  # of 64 bits: two states of a million taken for one at 3 in 100 million
-    came: list[tuple[int, str]] = [(-1, "")]  # per state: from which, by which move
-    waiting: Waiting = deque([(0, 0, begin)])
-    moves = deepest = 0
-    while waiting:
-        at, depth, state = next_(waiting)
-        deepest = max(deepest, depth)
-        for name, do in state.moves():
-            after = state.copy()
-            do(after)
+    complete: bool  # whether everything within the scope was covered
+    violation: str = ""
+    trace: tuple[str, ...] = ()  # the moves that lead to the violation
+
+
+def search(initial: State, max_states: int, pop: Callable[[Frontier], Step] = deque.popleft) -> SearchResult:
+    """Visits the reachable states, at most `max_states`; stops at the first violation.
+
+    Breadth-first, so that a trace is a shortest one. With `deque.pop` the search is depth-first and holds
+    fewer states in memory.
+    """
+    # 64-bit hashes: the probability that two of a million states collide is 3 in 100 million
+    seen = {hash(initial.key())}
+    origins: list[tuple[int, str]] = [(-1, "")]  # state number: the previous state and the move from it
+    frontier: Frontier = deque([(0, 0, initial)])
+    moves = max_depth = 0
+    while frontier:
+        number, depth, state = pop(frontier)
+        max_depth = max(max_depth, depth)
+        for name, apply in state.moves():
+            successor = state.copy()
+            apply(successor)
             moves += 1
-            if after.broken:
-                return Found(len(seen), moves, depth + 1, False, after.broken, _trail(came, at, name))
-            key = hash(after.key())
+            if successor.violation:
+                return SearchResult(
+                    len(seen), moves, depth + 1, False, successor.violation, _trace(origins, number, name)
+                )
+            key = hash(successor.key())
             if key not in seen:
-                if len(seen) >= most:
-                    return Found(len(seen), moves, deepest, False)
+                if len(seen) >= max_states:
+                    return SearchResult(len(seen), moves, max_depth, False)
                 seen.add(key)
-                came.append((at, name))
-                waiting.append((len(came) - 1, depth + 1, after))
-    return Found(len(seen), moves, deepest, True)
+                origins.append((number, name))
+                frontier.append((len(origins) - 1, depth + 1, successor))
+    return SearchResult(len(seen), moves, max_depth, True)
 
 
-def _trail(came: list[tuple[int, str]], at: int, last: str) -> tuple[str, ...]:
-    names = [last]
-    while at > 0:
-        at, name = came[at]
+def _trace(origins: list[tuple[int, str]], number: int, last_move: str) -> tuple[str, ...]:
+    names = [last_move]
+    while number > 0:
+        number, name = origins[number]
         names.append(name)
     return tuple(reversed(names))
--- a/bitternpath/testing/emulator/fleet/search/states.py
+++ b/bitternpath/testing/emulator/fleet/search/states.py
@@ -1,4 +1,4 @@
-"""What the searched states are made of: copies of processes, and what is on the way between them."""
+"""Building blocks of search states: copies of processes, and messages in transit."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from bitternpath.replication.log import ReplicatedLog
 
-encoded = msgspec.msgpack.Encoder().encode
+encode = msgspec.msgpack.Encoder().encode
 
 
 class FixedRandom:
-    """A random source that always says the same: what it would draw is a move of the search."""
+    """A random source with constant results: what it would decide is a move of the search instead."""
 
     @staticmethod
     def random() -> float:
@@ -23,66 +23,73 @@
 
     @staticmethod
     def shuffle(values: list[Any]) -> None:
-        """As they are."""
+        """Leaves the order unchanged."""
 
 
-def _copied(value: Any) -> Any:
-    """One level deeper than `copy`: processes change lists, sets, dicts and objects of theirs in place."""
+def _copy_value(value: Any) -> Any:
+    """Copies one level deeper than `copy`, since processes change their lists, sets, dicts and logs in
+    place."""
     match value:
         case list():
-            return [_copied(v) if isinstance(v, list) else v for v in value]
+            return [_copy_value(v) if isinstance(v, list) else v for v in value]
         case dict():
-            return {k: copy(v) for k, v in value.items()}
+            return {key: copy(v) for key, v in value.items()}
         case set():
             return set(value)
         case ReplicatedLog():
-            return copied(value)
+            return copy_process(value)
     return value
 
 
-def copied(thing: Any) -> Any:
-    """Another process in the same state."""
-    twin = copy(thing)
-    twin.__dict__.update({name: _copied(value) for name, value in thing.__dict__.items()})
-    return twin
+def copy_process(process: Any) -> Any:
+    """A copy of a process in the same state."""
+    clone = copy(process)
+    clone.__dict__.update({name: _copy_value(value) for name, value in process.__dict__.items()})
+    return clone
 
 
 class Channels(Struct, frozen=True):
-    """What is on the way from one process to another."""
+    """Messages in transit, by sender and receiver."""
 
     queues: tuple[tuple[tuple[str, str], tuple[tuple[bytes, Any], ...]], ...] = ()
 
-    def with_message(self, sender: str, to: str, said: Any) -> Channels:
-        all_ = dict(self.queues)
-        all_[sender, to] = (*all_.get((sender, to), ()), (encoded(said), said))
-        return Channels(tuple(sorted(all_.items(), key=lambda pair: pair[0])))
+    def with_message(self, sender: str, to: str, message: Any) -> Channels:
+        queues_by_pair = dict(self.queues)
+        queues_by_pair[sender, to] = (*queues_by_pair.get((sender, to), ()), (encode(message), message))
+        return Channels(tuple(sorted(queues_by_pair.items(), key=lambda pair: pair[0])))
 
     def deliverable(self, shuffled: bool) -> Iterator[tuple[str, str, Any, Channels]]:
-        """What may come next: from whom, to whom, what; and what is on the way after that."""
-        for at, ((sender, to), queue) in enumerate(self.queues):
-            for k, (_, said) in enumerate(queue if shuffled else queue[:1]):
-                rest = queue[:k] + queue[k + 1 :]
-                kept = (((sender, to), rest),) if rest else ()
-                yield sender, to, said, Channels(self.queues[:at] + kept + self.queues[at + 1 :])
-
-    def cut(self) -> Iterator[tuple[str, str, Channels]]:
-        """All that is on one way is lost: which, and what is left."""
-        for at, ((sender, to), _) in enumerate(self.queues):
-            yield sender, to, Channels(self.queues[:at] + self.queues[at + 1 :])
+        """Yields each message that may arrive next, as sender, receiver, message and the channels after
+        it."""
+        for position, ((sender, to), queue) in enumerate(self.queues):
+            for position_in_queue, (_, message) in enumerate(queue if shuffled else queue[:1]):
+                undelivered = queue[:position_in_queue] + queue[position_in_queue + 1 :]
+                kept_channel = (((sender, to), undelivered),) if undelivered else ()
+                yield (
+                    sender,
+                    to,
+                    message,
+                    Channels(self.queues[:position] + kept_channel + self.queues[position + 1 :]),
+                )
+
+    def losses(self) -> Iterator[tuple[str, str, Channels]]:
+        """Yields each channel that may lose its messages, and the channels after that."""
+        for position, ((sender, to), _) in enumerate(self.queues):
+            yield sender, to, Channels(self.queues[:position] + self.queues[position + 1 :])
 
     def key(self, shuffled: bool) -> Hashable:
-        told = ((pair, [content for content, _ in queue]) for pair, queue in self.queues)
-        return tuple((pair, tuple(sorted(queue) if shuffled else queue)) for pair, queue in told)
+        contents = ((pair, [content for content, _ in queue]) for pair, queue in self.queues)
+        return tuple((pair, tuple(sorted(queue) if shuffled else queue)) for pair, queue in contents)
 
 
-class Connected(Protocol):
-    """A state with messages on the way, and a number of moves of each kind that are left."""
+class SearchedState(Protocol):
+    """A state with messages in transit and a remaining budget for each kind of move."""
 
-    left: dict[str, int]
+    remaining: dict[str, int]
     channels: Channels
 
 
-def cut(state: Connected, rest: Channels) -> None:
-    """All that is on one way is lost."""
-    state.left["cut"] -= 1
-    state.channels = rest
+def lose_channel(state: SearchedState, next_channels: Channels) -> None:
+    """Loses all messages of one channel."""
+    state.remaining["cut"] -= 1
+    state.channels = next_channels
--- a/bitternpath/testing/emulator/sockets/run.py
+++ b/bitternpath/testing/emulator/sockets/run.py
@@ -1,7 +1,7 @@
-"""What the parts of a run on sockets need of one another: interfaces, below all of them.
+"""Interfaces between the parts of a run on sockets, without dependencies on the implementations.
 
-`SocketWorld` (`world.py`) is the `Run`, `SocketNode` (`node.py`) a `RunningNode`, `FleetOnSockets`
-(`emulator/fleet/processes.py`) the `RunningFleet`.
+`SocketWorld` (`world.py`) implements `Run`, `SocketNode` (`node.py`) `RunningNode`, and `FleetProcesses`
+(`emulator/fleet/processes.py`) `RunningFleet`.
 """
 
 from __future__ import annotations
@@ -12,66 +12,67 @@
 from typing import Any, Protocol
 
 from bitternpath.testing.emulator.checker import Checker
-from bitternpath.testing.emulator.clients import Clients, Front, Try
+from bitternpath.testing.emulator.clients import ClientRequest, Clients, LoadBalancer
 from bitternpath.testing.emulator.discovery import Directory
 from bitternpath.testing.emulator.network import Network
 from bitternpath.testing.emulator.scenario import Scenario
-from bitternpath.testing.emulator.service import Tally
+from bitternpath.testing.emulator.service import ServiceMetrics
 from bitternpath.testing.emulator.sockets.pool import ClientConnection, ConnectionPool
 from bitternpath.testing.emulator.worker import Worker
 
 
 class RunningNode(Protocol):
-    """One node, whichever process is its present life."""
+    """One node, whichever process currently runs."""
 
     name: str
     site: str
     port: int
-    up: bool
+    alive: bool
     process: Any  # subprocess.Popen
-    news: ConnectionPool  # call-backs of workers
+    call_back_pool: ConnectionPool  # for call-backs of workers
 
 
 class RunningFleet(Protocol):
-    """The processes that keep the fleet's record."""
+    """The consensus servers that keep the fleet's record."""
 
-    def environ(self, name: str) -> dict[str, str]:
-        """What tells a process of them, as environment variables."""
+    def environment(self, name: str) -> dict[str, str]:
+        """The environment variables that give a process of the fleet the servers' addresses."""
 
     def program(self) -> list[str]:
         """The command that runs a process of the fleet, without its arguments."""
 
 
 class WorkerAddresses(Protocol):
-    """Where workers are reached."""
+    """The addresses of the workers' servers."""
 
     def address(self, node: str, worker: str) -> str:
         """The `ip:port` at which that node reaches that worker."""
 
 
 class Run(Protocol):
-    """A scenario that is being played; times are seconds of the run."""
+    """A run of a scenario; times are seconds of the run."""
 
     scenario: Scenario
     reactor: Any
     folder: Path  # for the nodes' files and logs
-    later: Any  # the run's clock
+    scheduler: Any  # the run's clock, with `callLater`
     random: Random
     net: Network
-    tally: Tally
+    metrics: ServiceMetrics
     checker: Checker
     directory: Directory
-    front: Front
-    front_notice: float  # s until the front notices that a node is gone
+    load_balancer: LoadBalancer
+    failure_detection_s: float  # s until the load balancer notices that a node has died
     clients: Clients
     workers: dict[str, Worker]
-    asks: dict[str, Try]  # by request
-    connections: dict[str, ClientConnection]  # by request
-    informed: dict[str, dict[str, float]]  # by worker and node: the worker's start as the node knows it
-    losing: set[str]  # workers whose call-backs are lost
-    call_backs_twice: float  # share of them
-    operated: bool  # whether nodes need a console
-    faults: list[str]
+    client_requests: dict[str, ClientRequest]  # by request id
+    connections: dict[str, ClientConnection]  # by request id
+    # worker: node: the worker's start time as reported to that node
+    known_starts: dict[str, dict[str, float]]
+    blocked_call_backs: set[str]  # workers whose call-backs don't get through
+    duplicate_call_backs: float  # share of call-backs that are delivered twice
+    needs_console: bool  # whether nodes need a console
+    failures: list[str]
 
     @property
     def nodes(self) -> Mapping[str, RunningNode]:
@@ -79,17 +80,17 @@
 
     @property
     def fleet(self) -> RunningFleet | None:
-        """The fleet, where the scenario has one."""
+        """The fleet, if the scenario has one."""
 
     @property
     def worker_servers(self) -> WorkerAddresses:
-        """The workers' listeners."""
+        """The workers' servers."""
 
     def now(self) -> float:
-        """s of the run."""
+        """s since the start of the run."""
 
     def to_client(self, client_site: str, node_site: str) -> float:
         """Delay in s of an answer from a node to a client."""
 
-    def excuse(self, now: float, node: RunningNode, told: Try) -> None:
-        """Note where the machine held an answer up, and not the node."""
+    def excuse_delay(self, now: float, node: RunningNode, client_request: ClientRequest) -> None:
+        """Records an answer whose delay is due to the machine rather than to the node."""
