--- a/bitternpath/balancer/amqp/__init__.py
+++ b/bitternpath/balancer/amqp/__init__.py
@@ -1,1 +1,1 @@
-"""AMQP 0-9-1: frames and state machines (pure), publishers, subscribers (an upstream client), listener."""
+"""AMQP 0-9-1 server: frame codec and state machine (no I/O), publishers, subscribers (as upstream client)."""
--- a/bitternpath/balancer/amqp/errors.py
+++ b/bitternpath/balancer/amqp/errors.py
@@ -1,4 +1,4 @@
-"""The reply codes of AMQP 0-9-1 (specification, 1.4 'Constants') and the errors that carry them."""
+"""Reply codes of AMQP 0-9-1 (specification, 1.4 'Constants'), and exceptions that carry them."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 NOT_IMPLEMENTED = 540
 
 REPLY_CODE_NAMES = {code: name for name, code in list(globals().items()) if isinstance(code, int)}
-MAX_REPLY_TEXT = 255  # bytes of a short string
+MAX_REPLY_TEXT = 255  # bytes; reply texts are short strings
 
 
 class AmqpError(Exception):
-    """A rule of the specification was broken; `method` is the (class, method) that failed, or (0, 0)."""
+    """Protocol error; `method` is the (class id, method id) that failed, or (0, 0)."""
 
     def __init__(self, code: int, reason: str, method: tuple[int, int] = (0, 0)) -> None:
         super().__init__(reason)
@@ -31,14 +31,14 @@
 
     @property
     def text(self) -> str:
-        """The reply text: the code's name and why, as long as a short string may be."""
+        """Reply text: the name of the code and the reason, truncated to a short string."""
         text = f"{REPLY_CODE_NAMES[self.code]} - {self}".encode()
         return text[:MAX_REPLY_TEXT].decode(errors="ignore")
 
 
 class SoftError(AmqpError):
-    """Closes the channel."""
+    """Error that closes the channel."""
 
 
 class HardError(AmqpError):
-    """Closes the connection."""
+    """Error that closes the connection."""
--- a/bitternpath/balancer/amqp/frames.py
+++ b/bitternpath/balancer/amqp/frames.py
@@ -1,9 +1,10 @@
-"""Frames out of bytes (specification 2.3 and 4.2) and what they carry. Pure.
+"""Frame codec of AMQP 0-9-1 (specification 2.3 and 4.2). No I/O.
 
-Framing is ours. Methods, their arguments' types and properties are pamqp's classes, and it reads and writes
-tables; only the loop over a method's arguments is ours, for pamqp's takes a fifth of a job's time. A scan
-without copies checks that every length fits and that tables are neither deep nor full: pamqp copies what
-is left of a table for each of its entries, so one of many entries would cost the square of its size.
+Framing is implemented here. The classes of methods and properties, the types of their arguments, and the
+codec of tables are pamqp's. The loop over the arguments of a method is implemented here too, as pamqp's takes
+a fifth of the time of a job. Before decoding, a scan without copies checks all lengths, and limits the depth
+and the number of entries of tables: pamqp copies the rest of a table for each entry, so its cost is quadratic
+in the number of entries.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8
 FRAME_TYPES = frozenset((METHOD, HEADER, BODY, HEARTBEAT))
 FRAME_END = 0xCE
-FRAME_OVERHEAD = 8  # bytes of a frame round its payload
+FRAME_OVERHEAD = 8  # bytes of a frame besides its payload
 PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
 
-INITIAL_FRAME_MAX = 8192  # bytes, until the peers have agreed (at least 4096 by specification 4.2.1)
-MAX_ARGUMENTS_SIZE = 8192  # bytes of a method or of properties; longer ones have no honest use
-MAX_TABLE_DEPTH = 8  # tables and arrays inside one another
-MAX_TABLE_ENTRIES = 256  # of a table with all in it
+INITIAL_FRAME_MAX = 8192  # bytes until tune-ok; the specification (4.2.1) requires at least 4096
+MAX_ARGUMENTS_SIZE = 8192  # bytes of a method or of properties; no legitimate use needs more
+MAX_TABLE_DEPTH = 8  # nested tables and arrays
+MAX_TABLE_ENTRIES = 256  # entries of a table, nested ones included
 
 _FRAME_HEADER = struct.Struct(">BHI")
 _LONG = struct.Struct(">I")
@@ -37,7 +38,7 @@
 
 
 class RawFrame(Struct):
-    """A frame whose payload has not been looked into."""
+    """Frame with an undecoded payload."""
 
     kind: int
     channel: int
@@ -45,17 +46,17 @@
 
 
 class FrameReader:
-    """Takes frames out of the one buffer of a connection."""
+    """Reads frames from the receive buffer of a connection."""
 
     __slots__ = ("_header", "buffer", "desynchronized", "frame_max")
 
     def __init__(self, buffer: Buffer) -> None:
         self.buffer, self.frame_max = buffer, INITIAL_FRAME_MAX
         self._header: tuple[Any, ...] | None = None
-        self.desynchronized = False  # where frames begin is not known any more: nothing can be read
+        self.desynchronized = False  # True: frame boundaries are unknown, nothing more can be read
 
     def next(self) -> RawFrame | None:
-        """The next whole frame, or None until more is fed; HardError 501 on what is none."""
+        """Return the next frame, or None until it is complete; HardError 501 for an invalid frame."""
         buffer = self.buffer
         if self._header is None:
             if len(buffer) < 7:
@@ -81,9 +82,9 @@
         return RawFrame(kind, channel, payload[:-1])
 
 
-# ---- what is inside
+# ---- payloads
 
-_FIELD_SIZES = {  # sizes of table values by their type octet (errata of RabbitMQ to specification 4.2.5.5)
+_FIELD_SIZES = {  # bytes of table values by type octet (RabbitMQ's errata to specification 4.2.5.5)
     b: size
     for types, size in ((b"tbB", 1), (b"su", 2), (b"Iif", 4), (b"lLdT", 8), (b"D", 5), (b"V\x00", 0))
     for b in types
@@ -100,10 +101,10 @@
 
 
 def scan_table(data: bytes, offset: int, end: int) -> int:
-    """Check the table at `at`, which must end by `end`; where it ends. ValueError says what is wrong."""
+    """Check the table at `offset` and return its end, at most `end`; ValueError if it is invalid."""
     entries = 0
     size = _read_length(data, offset, end)
-    # What is being read, outermost first: where it ends, and whether its entries have names.
+    # Tables and arrays being read, outermost first: end offset, and whether the entries have names.
     stack = [(offset + 4 + size, True)]
     offset += 4
     while stack:
@@ -142,10 +143,11 @@
 
 
 def _parse_arguments(data: bytes, offset: int, types: list[str]) -> list[Any]:
-    """Arguments of these types, which must fill the data exactly; ValueError says what is wrong.
+    """Parse arguments of these types, which must fill the data exactly; ValueError if they do not.
 
-    pamqp's own loop over them costs twice as much and does not see what is cut off; its types and its tables
-    are used as they are."""
+    pamqp's own loop takes twice the time and does not detect truncated arguments. Its codecs of single values
+    are used here.
+    """
     end, bits, values = len(data), 0, list[Any]()
     for kind in types:
         if kind == "bit":
@@ -189,12 +191,12 @@
 
 
 def method_ids(method: Method | type[Method]) -> tuple[int, int]:
-    """The numbers of a method's class and of itself."""
+    """Return class id and method id."""
     return method.index >> 16, method.index & 0xFFFF
 
 
 def parse_method(payload: bytes) -> Method:
-    """The method that a frame carries; HardError 502 or 540 where it carries none."""
+    """Parse the payload of a method frame; HardError 502 if it is invalid, 540 if the method is unknown."""
     if len(payload) < 4:
         raise HardError(SYNTAX_ERROR, "method frame without a method")
     if len(payload) > MAX_ARGUMENTS_SIZE:
@@ -212,13 +214,13 @@
             _ARGUMENT_NAMES[cls], _parse_arguments(payload, 4, _ARGUMENT_TYPES[cls]), strict=True
         ):
             setattr(method, name, value)
-    except Exception as error:  # pamqp has no one error for what it cannot read
+    except Exception as error:  # pamqp raises various types for invalid input
         raise HardError(SYNTAX_ERROR, f"{cls.name}: {error}", method_ids(cls)) from error
     return method
 
 
 class ContentHeader(Struct):
-    """What a content header says."""
+    """Parsed content header."""
 
     class_id: int
     size: int
@@ -226,7 +228,7 @@
 
 
 def parse_content_header(payload: bytes) -> ContentHeader:
-    """The content header that a frame carries; HardError 502 where it carries none."""
+    """Parse the payload of a content header frame; HardError 502 if it is invalid."""
     if not 14 <= len(payload) <= MAX_ARGUMENTS_SIZE:
         raise HardError(
             SYNTAX_ERROR, f"content header of {len(payload)} bytes; 14 to {MAX_ARGUMENTS_SIZE} allowed"
@@ -240,14 +242,14 @@
         values = _parse_arguments(payload, 14, [kind for _, kind in present])
         for (name, _), value in zip(present, values, strict=True):
             setattr(properties, name, value)
-    except Exception as error:  # as above
+    except Exception as error:  # pamqp raises various types for invalid input
         raise HardError(SYNTAX_ERROR, f"content header: {error}") from error
     return ContentHeader(class_id, size, properties)
 
 
 def _encode_short_string(text: str) -> bytes:
     data = text.encode()
-    return bytes((len(data),)) + data  # ValueError beyond 255, as the wire has it
+    return bytes((len(data),)) + data  # bytes() raises ValueError over 255, the limit of the type
 
 
 _ENCODERS: dict[str, Any] = {kind: packer.pack for kind, packer in _INTEGERS.items()}
@@ -264,7 +266,7 @@
 
 
 def encode_method(channel: int, method: Method) -> bytes:
-    """A method, marshalled by the plan that pamqp's class gives."""
+    """Encode a method frame by the argument names and types of pamqp's class."""
     chunks, bits, byte = [_LONG.pack(method.index)], 0, 0
     cls: Any = type(method)
     for name, kind in zip(_ARGUMENT_NAMES[cls], _ARGUMENT_TYPES[cls], strict=True):
@@ -294,7 +296,7 @@
 
 
 def encode_message(channel: int, method: Method, properties: Any, data: bytes, frame_max: int) -> bytes:
-    """A method with its content: header and as many body frames as the agreed size asks for."""
+    """Encode a method with its content header, and its body in frames of the negotiated size."""
     chunks = [encode_method(channel, method), _encode_content_header(channel, len(data), properties)]
     max_payload = frame_max - FRAME_OVERHEAD
     chunks += [
--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -1,7 +1,7 @@
-"""Publishers as clients of the core: a message on a class queue is a request, owed one answer. No I/O.
+"""Publishers as clients of the core: a message to a class queue is a request with exactly one answer. No I/O.
 
-The answer is sent in two forms: a message to `reply-to`, and in confirm mode an ack (served) or a nack
-(rejected, failed). Requests of a publisher that has disconnected still run; their answers are dropped.
+The answer has two forms: a message to `reply-to`, and in confirm mode an ack (served) or a nack (rejected,
+failed). Requests of a disconnected publisher still run; their answers are dropped.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class PublisherClient:
-    """The client (`core.requests.Client`) of one published message."""
+    """Client (`core.requests.Client`) of one published message; `number` is its confirm tag, 0 for none."""
 
     __slots__ = ("channel", "correlation", "id", "number", "publishers", "reply_to")
 
@@ -57,11 +57,11 @@
         self.publishers.complete(self, "failed", b"")
 
     def disconnected(self) -> bool:
-        return False  # a publisher is told through a queue, which may outlive its connection
+        return False  # replies go through a queue, which may outlive its connection
 
 
 class Publishers:
-    """Takes what is published, on all connections."""
+    """Processes published messages of all connections."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self.clock, self.broker, self.queues, self.subscribers = clock, broker, queues, subscribers
         self.classes = {spec.name: spec for spec in classes}
         self.retry_after, self.max_waiting = retry_after, max_waiting
-        self.waiting = 0  # requests that wait for their answers
+        self.waiting = 0  # requests without an answer
         self.stopping = False
         self.counts: Counter[str] = Counter()
         self._generated_ids, self._run_id = 0, os.urandom(6).hex()
@@ -85,10 +85,10 @@
     def full(self) -> bool:
         return self.waiting >= self.max_waiting
 
-    # ---- what comes
+    # ---- published messages
 
     def publish(self, channel: Channel, event: MessagePublished) -> None:
-        """A message; SoftError or HardError where it may not be published so."""
+        """Process a published message; raises SoftError or HardError if it must not be published."""
         method, properties = event.method, event.properties
         if method.immediate:
             raise e.HardError(e.NOT_IMPLEMENTED, "immediate is not implemented", method_ids(method))
@@ -114,7 +114,7 @@
     def _route_to_queue(
         self, channel: Channel, method: c.Basic.Publish, event: MessagePublished, key: str
     ) -> bool:
-        """Into a private queue, or back to the publisher; False where the queue is full."""
+        """Route to a private queue, or return an unroutable mandatory message; False if the queue is full."""
         queue = self.queues.find(channel.session.vhost, key) if method.exchange == "" else None
         if queue is not None:
             accepted = queue.put(Message(str(method.exchange), key, event.properties, event.body))
@@ -142,7 +142,7 @@
             self._send_outcome(client, "failed", b"", {REASON: str(error)})
             return
         if self.broker.has_seen(id):
-            # Nothing of this message ran, but the first of that id may: not before that is forgotten.
+            # This message did not run, but the first one with its id may: retry once that id is forgotten.
             self._refuse(client, RECENT_ID_MS, "message-id in use")
         elif self.stopping or self.full:
             self._refuse(client, self.retry_after(name), "draining" if self.stopping else "full")
@@ -166,7 +166,7 @@
                 )
             )
 
-    # ---- what goes back
+    # ---- answers
 
     def _refuse(self, client: PublisherClient, retry_after: float, reason: str) -> None:
         self.counts["refused_untaken"] += 1
@@ -176,7 +176,7 @@
     def complete(
         self, client: PublisherClient, outcome: str, result: bytes, headers: dict[str, Any] | None = None
     ) -> None:
-        """The one final answer of a request."""
+        """Send the final answer of an accepted request."""
         self.waiting -= 1
         client.channel.session.waiting -= 1
         self._send_outcome(client, outcome, result, headers or {})
@@ -199,7 +199,7 @@
         self._confirm(channel, client.number, outcome == "served")
 
     def _send_reply(self, channel: Channel, message: Message) -> bool:
-        """Hand an answer to whoever waits for it; False where nobody does."""
+        """Route a reply to its direct reply-to consumer or private queue; False if there is none."""
         if message.routing_key == REPLY_TO:
             if not channel.open or channel.reply_consumer_tag is None:
                 return False
--- a/bitternpath/balancer/amqp/queues.py
+++ b/bitternpath/balancer/amqp/queues.py
@@ -1,7 +1,8 @@
-"""Private queues: exclusive, bounded, in memory; and what a channel knows of its consumers. Pure.
+"""Private queues (exclusive, bounded, in memory), and the state of channels and their consumers. No I/O.
 
-Class queues are no queues: what is published there is a request, and the core holds it. A private
-queue is one connection's, for answers."""
+Class queues hold no messages: a message published to one becomes a request of the core. A private queue
+belongs to one connection, which uses it for replies.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +11,11 @@
 
 from msgspec import Struct
 
-MAX_UNACKED = 4096  # deliveries of a channel that wait to be acknowledged
+MAX_UNACKED = 4096  # unacknowledged deliveries per channel
 
 
 class Message(Struct):
-    """A message on its way to somebody."""
+    """A message to be delivered or returned."""
 
     exchange: str
     routing_key: str
@@ -24,36 +25,36 @@
 
     @property
     def size(self) -> int:
-        """Bytes that it counts for."""
-        return len(self.body) + 256  # properties are bounded; this is what short ones take
+        """Bytes that the message counts for in a queue."""
+        return len(self.body) + 256  # an estimate of short properties; their size is bounded elsewhere
 
 
 class Unacked(Protocol):
-    """What was delivered and has not been acknowledged."""
+    """An unacknowledged delivery."""
 
     def ack(self) -> None: ...
 
     def reject(self, requeue: bool) -> None: ...
 
     def on_channel_closed(self) -> None:
-        """Its channel is gone."""
+        """Settle the delivery: its channel is closed."""
 
 
 class Consumer(Protocol):
-    """A consumer on a channel, of either kind."""
+    """A consumer on a channel: of a class queue or of a private queue."""
 
     tag: str
-    unacked_count: int  # deliveries not acknowledged
+    unacked_count: int  # deliveries without an acknowledgement
 
     def stop(self) -> None:
-        """Cancelled: nothing new."""
+        """End new deliveries: the consumer was cancelled."""
 
     def on_channel_closed(self) -> None:
-        """Its channel is gone."""
+        """Remove the consumer: its channel is closed."""
 
 
 class Channel:
-    """What a channel has going. `session` is the connection's."""
+    """State of an open channel. `session` is the session of its connection."""
 
     __slots__ = (
         "channel_prefetch",
@@ -74,12 +75,12 @@
     def __init__(self, session: Any, number: int) -> None:
         self.session, self.number, self.open = session, number, True
         self.confirm_mode = False
-        self.publish_count = 0  # messages since confirm.select
-        self.last_delivery_tag = 0  # delivery tag
+        self.publish_count = 0  # messages published since confirm.select
+        self.last_delivery_tag = 0  # 0: no delivery yet
         self.unacked: dict[int, Unacked] = {}
         self.consumers: dict[str, Consumer] = {}
-        self.prefetch = self.channel_prefetch = 0  # of each new consumer, of all together; 0: no limit
-        self.flow_active = True  # the peer has not asked for a pause
+        self.prefetch = self.channel_prefetch = 0  # limits of a new consumer and of the channel; 0: no limit
+        self.flow_active = True  # False: the peer paused deliveries by channel.flow
         self.reply_consumer_tag: str | None = None  # the consumer of amq.rabbitmq.reply-to
         self.last_declared_queue = ""
 
@@ -88,7 +89,7 @@
         return self.last_delivery_tag
 
     def has_capacity(self, prefetch: int, unacked_count: int) -> bool:
-        """Whether one more may be delivered to a consumer with that prefetch and so many out."""
+        """Whether a consumer with this prefetch and unacked count may get one more delivery."""
         if not self.open or not self.flow_active:
             return False
         if len(self.unacked) >= min(self.channel_prefetch or MAX_UNACKED, MAX_UNACKED):
@@ -97,7 +98,7 @@
 
 
 class PrivateQueue:
-    """Messages for whoever declared the queue."""
+    """Queue of messages for the connection that declared it."""
 
     __slots__ = ("bytes", "consumers", "max_bytes", "messages", "name", "session")
 
@@ -105,10 +106,10 @@
         self.name, self.session, self.max_bytes = name, session, max_bytes
         self.messages: deque[Message] = deque()
         self.bytes = 0
-        self.consumers: deque[QueueConsumer] = deque()  # the next one in turn first
+        self.consumers: deque[QueueConsumer] = deque()  # in round-robin order
 
     def put(self, message: Message) -> bool:
-        """Take a message in; False where the queue is full."""
+        """Append a message and deliver it if a consumer has capacity; False if the queue is full."""
         if self.bytes + message.size > self.max_bytes:
             return False
         self.messages.append(message)
@@ -117,7 +118,7 @@
         return True
 
     def requeue(self, message: Message) -> None:
-        """It was delivered before and comes first again. It had its place: the bound does not keep it out."""
+        """Put a delivered message back at the head. The size limit does not apply to it."""
         message.redelivered = True
         self.messages.appendleft(message)
         self.bytes += message.size
@@ -130,7 +131,7 @@
         return message
 
     def deliver_waiting(self) -> None:
-        """Deliver what there is to those that have room, in turn."""
+        """Deliver waiting messages to consumers with capacity, in turn."""
         for _ in range(len(self.consumers)):
             while self.messages and self.consumers[0].has_capacity():
                 message = self.get()
@@ -177,7 +178,7 @@
 
 
 class UnackedMessage:
-    """A private message that was delivered and not acknowledged. `taker` is None after basic.get."""
+    """Unacknowledged message of a private queue. `consumer` is None after basic.get."""
 
     __slots__ = ("consumer", "message", "queue")
 
--- a/bitternpath/balancer/amqp/send_queue.py
+++ b/bitternpath/balancer/amqp/send_queue.py
@@ -1,37 +1,38 @@
-"""What waits to be written to a connection, and how much of it has left. Pure.
+"""Queue of bytes to be written to a connection, with confirmation of what was written. No I/O.
 
-A message that was never handed to the system never arrived: only what still waits here may be taken back,
-or be said not to have run. Pieces are handed over one at a time, so that it is known when each has
-left."""
+An entry that was never submitted to the transport cannot have reached the peer: only such an entry can be
+withdrawn, and only its request is known not to have run. Chunks are submitted one at a time, so that the
+completion of each write is known.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import Any
 
-MAX_CHUNK_SIZE = 64 * 1024  # bytes handed to the system at a time, or one entry where it is longer
+MAX_CHUNK_SIZE = 64 * 1024  # bytes submitted at a time; a longer entry is a chunk of its own
 
 
 class Entry:
-    """Bytes that belong together, and whose they are."""
+    """Bytes that are written together, and a context object that `chunk_written` returns."""
 
     __slots__ = ("context", "data", "submitted")
 
     def __init__(self, data: bytes, context: Any = None) -> None:
         self.data, self.context = data, context
-        self.submitted = False  # to the system, which may write it any time
+        self.submitted = False  # to the transport, which may write it any time
 
 
 class SendQueue:
-    """The entries of one connection, in order."""
+    """Entries of one connection, in order of sending."""
 
     __slots__ = ("_submitted_contexts", "_submitted_size", "_waiting", "size")
 
     def __init__(self) -> None:
         self._waiting: deque[Entry] = deque()
-        self._submitted_contexts: list[Any] = []  # marks of the piece that is on its way
+        self._submitted_contexts: list[Any] = []  # contexts of the chunk that is being written
         self._submitted_size = 0
-        self.size = 0  # bytes that have not left yet
+        self.size = 0  # bytes that are not written yet
 
     def add(self, data: bytes, context: Any = None) -> Entry:
         entry = Entry(data, context)
@@ -40,7 +41,7 @@
         return entry
 
     def withdraw(self, entry: Entry) -> bool:
-        """Take an entry back; False where it is too late."""
+        """Remove an entry; False if it was submitted already."""
         if entry.submitted:
             return False
         self.size -= len(entry.data)
@@ -48,7 +49,7 @@
         return True
 
     def next_chunk(self) -> bytes:
-        """The next piece, which counts as handed over; empty where nothing waits."""
+        """Return the next chunk and mark its entries as submitted; empty if none waits."""
         chunk, size = [], 0
         while self._waiting and (not size or size + len(self._waiting[0].data) <= MAX_CHUNK_SIZE):
             entry = self._waiting.popleft()
@@ -61,7 +62,7 @@
         return b"".join(chunk)
 
     def chunk_written(self) -> list[Any]:
-        """All that was handed over has left: the marks that were in it."""
+        """Record that the submitted chunk was written; returns the contexts of its entries."""
         contexts, self._submitted_contexts = self._submitted_contexts, []
         self.size -= self._submitted_size
         self._submitted_size = 0
--- a/bitternpath/balancer/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -1,9 +1,10 @@
-"""The AMQP listener and its connections: the part of `amqp/` that touches Twisted.
+"""AMQP listener and connections on Twisted.
 
-Reading is bounded by turns: so many events of a connection, then the others have theirs. A publisher is
-not read while it, or all of them together, have as many requests waiting as the operators allow;
-connections with subscribers always are, for acknowledgements come that way: there, what is too much is
-refused at once."""
+Each connection processes a bounded number of events per turn, so that one cannot starve the others. A
+publisher is not read while it alone, or all publishers together, have as many unanswered requests as the
+settings allow. Connections with subscribers are always read, since acknowledgements arrive on them; excess
+requests on such a connection are refused at once.
+"""
 
 from __future__ import annotations
 
@@ -35,25 +36,24 @@
 
 log = structlog.get_logger(part="amqp")
 
-EVENTS_PER_TURN = 64  # events of one connection before the others have their turn
+EVENTS_PER_TURN = 64  # events of one connection per turn of the reactor
 LOGIN_TIMEOUT = 3000.0  # ms from connecting to an accepted login
-CLOSE_TIMEOUT = 2000.0  # ms for the answer to our close
-CHECK_INTERVAL = 0.25  # s between looks for those that have run out of time, and for heartbeats due
-MAX_CONCURRENT_LOGINS = 2  # passwords hashed at a time: each takes 16 MB and a core for some 50 ms
-MAX_QUEUED_LOGINS = 64  # beyond these a login is refused
-MAX_UNPROCESSED_BYTES = 256 * 1024  # bytes read and not looked at yet
-MAX_UNPROCESSED_BYTES_BEFORE_LOGIN = 16 * 1024  # the same of those that have not logged in
-RESUME_FRACTION = 0.75  # of a bound that was reached: where publishers are read again
+CLOSE_TIMEOUT = 2000.0  # ms for the peer to reply to connection.close
+CHECK_INTERVAL = 0.25  # seconds between checks for timeouts and due heartbeats
+MAX_CONCURRENT_LOGINS = 2  # each password hash takes 16 MB and a core for some 50 ms
+MAX_QUEUED_LOGINS = 64  # further logins are refused
+MAX_UNPROCESSED_BYTES = 256 * 1024  # bytes received and not processed; reading pauses above
+MAX_UNPROCESSED_BYTES_BEFORE_LOGIN = 16 * 1024  # bytes; the limit before authentication
+RESUME_FRACTION = 0.75  # share of a reached limit at which publishers are read again
 BACKLOG = 256
-UNSENT_WORK_TIMEOUT = (
-    1.0  # s after the signal to end in which subscribers may still get what was taken and not sent
-)
-UNSENT_WORK_POLL = 0.05  # s
+# Seconds after the stop signal during which accepted requests may still be delivered to subscribers.
+UNSENT_WORK_TIMEOUT = 1.0
+UNSENT_WORK_POLL = 0.05  # seconds
 _LOOPBACK = re.compile(r"127\..*|::1|::ffff:127\..*")
 
 
 def credentials(mechanism: str, response: bytes) -> tuple[str, bytes] | None:
-    """The user and the password of PLAIN (RFC 4616) or AMQPLAIN (a field table without its length)."""
+    """Return user and password of PLAIN (RFC 4616) or AMQPLAIN (a field table without its length)."""
     if mechanism == "PLAIN":
         parts = response.split(b"\x00")
         if len(parts) != 3:
@@ -72,7 +72,7 @@
 
 @implementer(IPullProducer)
 class AmqpConnection(Protocol):
-    """One connection."""
+    """One AMQP connection on a Twisted transport."""
 
     transport: Any
 
@@ -85,10 +85,10 @@
             server.session_limits, self._schedule_flush,
         )  # fmt: skip
         self.connected_at = self.last_received_at = self.last_sent_at = 0.0
-        self.closing_since = 0.0  # when our close was said
+        self.closing_since = 0.0  # when connection.close was sent or the connection closed; 0: neither
         self.reading = True
-        self.writing = False  # a piece is on its way
-        self.blocked = False  # connection.blocked has been told
+        self.writing = False  # a chunk is being written
+        self.blocked = False  # connection.blocked was sent
         self.connected = False
         self.session_ended = self.aborted = False
         self._turn_scheduled = False
@@ -108,7 +108,7 @@
             self.process_events()
 
     def process_events(self) -> None:
-        """Look at what has come, as much as a turn allows."""
+        """Process received events, at most EVENTS_PER_TURN."""
         self._turn_scheduled = False
         for _ in range(EVENTS_PER_TURN):
             if not self.connected or self._is_throttled():
@@ -134,14 +134,14 @@
             self.process_events()
 
     def _is_throttled(self) -> bool:
-        """Whether nothing more of this publisher is looked at for now."""
+        """Whether this publisher is not read for now; never for a connection with subscribers."""
         session, publishers = self.session, self.server.publishers
         if not session.has_published or session.has_active_work:
             return False
         return session.waiting >= self.server.settings.publisher_waiting or publishers.full
 
     def _after_events(self) -> None:
-        """After a turn: end, hold back, or read on."""
+        """After a turn: end the session of a closed connection, pause or resume reading, and write."""
         phase = self.machine.phase
         if phase is sm.Phase.CLOSED or phase is sm.Phase.CLOSING:
             self._end_session()
@@ -181,7 +181,7 @@
                 self.machine.send_method(0, method)
 
     def resume_if_capacity(self) -> None:
-        """Answers were given: go on where this connection was held back, if there is room now."""
+        """Resume a paused connection if the waiting requests fell below RESUME_FRACTION of both limits."""
         settings, publishers = self.server.settings, self.server.publishers
         if self.reading or publishers.waiting > RESUME_FRACTION * publishers.max_waiting:
             return
@@ -195,21 +195,21 @@
         self.server.schedule_flush(self)
 
     def flush(self) -> None:
-        """Hand over what waits, one piece at a time, so that it is known what has left."""
+        """Start writing the send queue, one chunk at a time, so that each completed write is known."""
         if not self.connected or self.aborted:
             return
         if not self.writing and self.send_queue.size:
             self.writing = True
-            # As a producer it hears when all that was handed over has been written.
+            # The transport calls resumeProducing of its producer once all submitted bytes are written.
             self.transport.registerProducer(self, False)
         elif not self.send_queue.size and self.machine.phase is sm.Phase.CLOSED:
             self.transport.loseConnection()
         if self.send_queue.size > self.server.settings.unread_bytes:
             self.server.counts["slow_readers"] += 1
-            self.abort("reads too slowly")
+            self.abort("unread output over the limit")
 
     def resumeProducing(self) -> None:
-        """All that was handed over has been written."""
+        """Confirm the written chunk and submit the next one."""
         for context in self.send_queue.chunk_written():
             if isinstance(context, Delivery):
                 self.server.subscribers.delivery_written(context)
@@ -218,7 +218,7 @@
             self.last_sent_at = self.server.clock()
             self.transport.write(data)
             return
-        if self.send_queue.size:  # what waits has been taken back: nothing to write, but to be counted off
+        if self.send_queue.size:  # only withdrawn entries wait: count them off without a write
             self.send_queue.chunk_written()
         self.writing = False
         self.transport.unregisterProducer()
@@ -226,28 +226,28 @@
             self.transport.loseConnection()
 
     def stopProducing(self) -> None:
-        """The connection is going down; connectionLost tells the rest."""
+        """Do nothing: connectionLost follows and ends the session."""
 
     # ---- time
 
     def check_timeouts(self, now: float) -> None:
-        """Heartbeats (specification 4.2.7), and those that are slow to log in or to close."""
+        """Enforce the login and close timeouts, and send and check heartbeats (specification 4.2.7)."""
         machine = self.machine
         if not machine.authenticated and now > self.connected_at + LOGIN_TIMEOUT:
             self.server.counts["logins_late"] += 1
-            self.abort("no login in time")
+            self.abort("login timed out")
             return
         closing = machine.phase in (sm.Phase.CLOSING, sm.Phase.CLOSED)
         if closing:
             self.closing_since = self.closing_since or now
             if now > self.closing_since + CLOSE_TIMEOUT:
-                self.abort("no answer to the close")
+                self.abort("close timed out")
             return
         interval = machine.heartbeat * 1000.0
         if not interval or not machine.authenticated:
             return
         if not self.reading:
-            self.last_received_at = now  # it is we who do not listen
+            self.last_received_at = now  # reading is paused on this side
         if now > self.last_received_at + 2 * interval:
             self.server.counts["heartbeats_missed"] += 1
             self.abort("two heartbeats missed")
@@ -282,7 +282,7 @@
 
 
 class AmqpServer(Factory):
-    """The listener, and what its connections share."""
+    """Listener, and the state that its connections share."""
 
     noisy = False
 
@@ -309,20 +309,20 @@
         self.port: Any = None
         self._last_number = 0
         self._flush_pending: dict[AmqpConnection, None] = {}
-        self.paused: dict[AmqpConnection, None] = {}  # those that are not read for now
+        self.paused: dict[AmqpConnection, None] = {}  # connections that are not read for now
         self._queued_logins: list[tuple[AmqpConnection, sm.LoginRequested]] = []
         self._active_logins = 0
         self.apply(settings)
 
     def apply(self, settings: Amqp) -> None:
-        """Settings as they are now; limits hold for connections that come from now on."""
+        """Apply new settings; limits of a connection apply to new connections only."""
         self.settings = settings
         self.session_limits = SessionLimits(
             settings.subscribers, settings.reply_queues, settings.reply_queue_bytes
         )
         self.subscribers.prefetch_cap = settings.prefetch_cap
         self.subscribers.requeue_unstarted = frozenset(settings.requeue_unstarted)
-        # Other fronts turn away what comes while the core holds `room`: half of it stays theirs.
+        # HTTP requests are refused while the core holds `request_capacity` requests: AMQP may use half of it.
         self.publishers.max_waiting = max(min(settings.max_waiting, self.request_capacity() // 2), 1)
 
     def limits(self) -> sm.Limits:
@@ -344,7 +344,7 @@
         return AmqpConnection(self, self._last_number, getattr(addr, "host", ""))
 
     def report(self) -> dict[str, object]:
-        """For the line of counts."""
+        """Return fields for the log event `counts`."""
         fields: dict[str, object] = {"amqp_connections": len(self.connections)}
         fields |= {
             "amqp_waiting": self.publishers.waiting,
@@ -368,7 +368,7 @@
     # ---- writing in batches
 
     def schedule_flush(self, connection: AmqpConnection) -> None:
-        """It has something to write, or room again: looked at once this batch is done."""
+        """Flush the connection, and resume paused ones, once the current batch of events is processed."""
         if not self._flush_pending:
             self.reactor.callLater(0, self._flush_connections)
         self._flush_pending[connection] = None
@@ -407,7 +407,10 @@
                 self._verify_password(connection, users.get(login_credentials[0]), login_credentials[1])
 
     def _verify_password(self, connection: AmqpConnection, user: User | None, password: bytes) -> None:
-        """In a thread: the hash is slow on purpose. An unknown user takes as long as a known one."""
+        """Check the password in a thread, as the hash is slow by design.
+
+        An unknown user takes as long as a known one, so that timing does not reveal which users exist.
+        """
         self._active_logins += 1
         stored = user.password if user is not None else NOBODY
         verification = deferToThread(matches, password, stored)
@@ -443,8 +446,7 @@
     # ---- the end
 
     def stop(self) -> None:
-        """The node is ending: nothing new is taken, and subscribers are cancelled once nothing waits for
-        them."""
+        """Stop accepting for a shutdown; subscribers are cancelled once no accepted request waits for one."""
         self.stopping = self.publishers.stopping = True
         self.port.stopListening()
         self._cancel_subscribers_when_sent(self.clock() + UNSENT_WORK_TIMEOUT * 1000.0)
@@ -458,7 +460,7 @@
             connection.session.cancel_subscribers()
 
     def close(self) -> None:
-        """All has been answered: say goodbye."""
+        """Close all connections, once all requests are answered."""
         for connection in list(self.connections):
             if connection.machine.authenticated:
                 connection.close(e.CONNECTION_FORCED, "the node is ending")
--- a/bitternpath/balancer/amqp/session.py
+++ b/bitternpath/balancer/amqp/session.py
@@ -1,7 +1,8 @@
-"""What a connection has open and what its methods do: channels, queues, consumers, acknowledgements. No I/O.
+"""Session of a connection: its channels, queues and consumers, and the handlers of AMQP methods. No I/O.
 
-`Session.handle` takes the machine's events in order. Soft errors close their channel here, hard ones the
-connection; both leave everybody else alone."""
+`Session.handle` accepts the events of the state machine in order. A soft error closes its channel and a hard
+error its connection; other channels and connections are not affected.
+"""
 
 from __future__ import annotations
 
@@ -28,11 +29,11 @@
 from bitternpath.balancer.amqp.send_queue import Entry, SendQueue
 from bitternpath.balancer.amqp.subscribers import Subscriber, Subscribers
 
-_QUEUE_NAME = re.compile(r"[a-zA-Z0-9\-_.:]{1,127}")  # of a queue (specification 1.2 'queue-name')
+_QUEUE_NAME = re.compile(r"[a-zA-Z0-9\-_.:]{1,127}")  # specification 1.2, 'queue-name'
 
 
 class SessionLimits:
-    """How much one connection may have, from the operator file."""
+    """Limits of one connection, from the operator file."""
 
     __slots__ = ("queue_bytes", "queues", "subscribers")
 
@@ -41,8 +42,10 @@
 
 
 class Session:
-    """One connection that may do things. `machine` is its protocol state, `outbox` what waits to be
-    written."""
+    """State of one connection above the protocol.
+
+    `machine` is its protocol state; `send_queue` holds the bytes that wait to be written.
+    """
 
     def __init__(
         self,
@@ -57,22 +60,22 @@
     ) -> None:
         self.number, self.machine, self.send_queue = number, machine, send_queue
         self.publishers, self.subscribers, self.queues, self.limits = publishers, subscribers, queues, limits
-        self.on_change = on_change  # called when something waits to be written, or an answer has been given
+        self.on_change = on_change  # called when bytes wait to be written, or a request was answered
         self.vhost = ""
-        self.waiting = 0  # requests of this connection that wait for their answers
-        self.active_work = 0  # its consumers of class queues, and the deliveries that are out
-        self.pending_result_bytes = 0  # bytes of results that came ahead of their acknowledgements
-        self.has_published = False  # it has published a request
+        self.waiting = 0  # published requests without an answer
+        self.active_work = 0  # consumers of class queues and their unacknowledged deliveries
+        self.pending_result_bytes = 0  # bytes of results whose deliveries are not acknowledged yet
+        self.has_published = False  # whether the connection has published a message
         self.channels: dict[int, Channel] = {}
-        self.own_queues: dict[str, PrivateQueue] = {}  # private queues that it declared
+        self.own_queues: dict[str, PrivateQueue] = {}  # private queues that this connection declared
         self._generated_names = 0
 
     @property
     def has_active_work(self) -> bool:
-        """Whether work is or may be out there: then it must be read, for acknowledgements come that way."""
+        """Whether the peer has or may get deliveries: it must be read, or acknowledgements would stall."""
         return self.active_work > 0
 
-    # ---- what is said to the peer
+    # ---- sent methods
 
     def send_method(self, channel: int, method: Method) -> None:
         if self.machine.is_open(channel):
@@ -82,12 +85,12 @@
     def deliver(
         self, channel: Channel, tag: str, number: int, message: Message, context: Any = None
     ) -> Entry:
-        """basic.deliver with its content; the entry tells whether it has left."""
+        """Queue basic.deliver with its content; the returned entry can be withdrawn until it is submitted."""
         method = c.Basic.Deliver(tag, number, message.redelivered, message.exchange, message.routing_key)
         return self._content(channel, method, message, context)
 
     def return_message(self, channel: Channel, code: int, text: str, message: Message) -> None:
-        """basic.return: a mandatory message that reached nobody."""
+        """Queue basic.return for a mandatory message that is unroutable."""
         self._content(channel, c.Basic.Return(code, text, message.exchange, message.routing_key), message)
 
     def _content(self, channel: Channel, method: Method, message: Message, context: Any = None) -> Entry:
@@ -98,10 +101,10 @@
         self.on_change()
         return entry
 
-    # ---- what comes
+    # ---- received events
 
     def handle(self, event: sm.Event) -> None:
-        """One event of the machine."""
+        """Process one event of the state machine."""
         if isinstance(event, sm.MessagePublished):
             self._handle_with_errors(event.channel, event.method, self._publish, event)
         elif isinstance(event, sm.MethodReceived):
@@ -135,21 +138,23 @@
         HANDLERS[type(event.method)](self, channel, event.method)
 
     def _close_channel(self, number: int) -> None:
-        """A channel is gone: what was out on it is settled, its consumers and endpoints go."""
+        """Drop a closed channel: end its consumers and endpoints, and settle its unacked deliveries."""
         channel = self.channels.pop(number, None)
         if channel is None:
             return
         channel.open = False
-        for consumer in channel.consumers.values():  # first, so that nothing is sent there again
+        for (
+            consumer
+        ) in channel.consumers.values():  # before settling, so that nothing is delivered here again
             consumer.on_channel_closed()
-        for unacked in reversed(channel.unacked.values()):  # what is put back keeps its order
+        for unacked in reversed(channel.unacked.values()):  # requeued messages keep their order
             unacked.on_channel_closed()
         channel.unacked.clear()
         channel.consumers.clear()
         self.on_change()
 
     def end(self) -> None:
-        """The connection is gone."""
+        """Drop all channels and private queues: the connection is closed."""
         for number in list(self.channels):
             self._close_channel(number)
         for queue in self.own_queues.values():
@@ -158,7 +163,7 @@
         self.own_queues.clear()
 
     def cancel_subscribers(self) -> None:
-        """The node is ending: tell those that can hear it, and send nothing new."""
+        """Stop all subscribers for a shutdown; basic.cancel goes to peers with `consumer_cancel_notify`."""
         for channel in self.channels.values():
             for tag, consumer in list(channel.consumers.items()):
                 if isinstance(consumer, Subscriber):
@@ -179,7 +184,7 @@
         self._capacity_changed(channel)
 
     def _flow_ok(self, channel: Channel, method: c.Channel.FlowOk) -> None:
-        """The answer to what we never ask: legal, and nothing to do."""
+        """Ignore flow-ok: legal, though this side never sends channel.flow."""
 
     def _confirm_select(self, channel: Channel, method: c.Confirm.Select) -> None:
         channel.confirm_mode = True
@@ -187,8 +192,11 @@
             self.send_method(channel.number, c.Confirm.SelectOk())
 
     def _qos(self, channel: Channel, method: c.Basic.Qos) -> None:
-        """As RabbitMQ reads it: `global` is of the channel and at once, else of consumers that start
-        later."""
+        """Set the prefetch with RabbitMQ's semantics.
+
+        With `global`, the limit applies to the whole channel and at once; otherwise to each consumer that
+        starts later.
+        """
         if method.prefetch_size:
             raise e.HardError(e.NOT_IMPLEMENTED, f"prefetch-size {method.prefetch_size}; 0 is allowed")
         if method.global_:
@@ -258,14 +266,14 @@
         return queue
 
     def _find_queue(self, name: str, any_owner: bool = False) -> PrivateQueue | None:
-        """A private queue; 405 where it is another connection's."""
+        """Return a private queue, or None; SoftError 405 if another connection owns it."""
         queue = self.queues.find(self.vhost, name)
         if queue is not None and queue.session is not self:
             raise e.SoftError(e.RESOURCE_LOCKED, f"queue {name!r:.80} is exclusive to another connection")
         return queue
 
     def _queue_name(self, channel: Channel, name: str | None) -> str:
-        """An empty name is the last queue that the channel declared (specification 1.7.2.3)."""
+        """Resolve an empty name to the last queue declared on the channel (specification 1.7.2.3)."""
         return str(name or channel.last_declared_queue)
 
     def _queue_bind(self, channel: Channel, method: c.Queue.Bind) -> None:
@@ -282,7 +290,7 @@
         self.send_method(channel.number, c.Queue.UnbindOk())
 
     def _check_binding(self, name: str, exchange: str | None, key: str | None) -> None:
-        """Check that such a binding is there: of a class to `jobs` by its name, and no other."""
+        """Check that the binding exists: only class queues are bound, to `jobs` by their names."""
         is_class = name in self.publishers.classes
         if not is_class and self._find_queue(name) is None:
             raise e.SoftError(e.NOT_FOUND, f"no queue {name!r:.80}")
@@ -322,7 +330,7 @@
                 self.send_method(consumer.channel.number, c.Basic.Cancel(consumer.tag, True))
 
     def _private_queue(self, channel: Channel, name: str | None) -> PrivateQueue:
-        """A private queue by name; 403 for a class, 404 for none."""
+        """Return a private queue by name; SoftError 403 for a class queue, 404 for an unknown name."""
         queue_name = self._queue_name(channel, name)
         if queue_name in self.publishers.classes:
             raise e.SoftError(
@@ -388,7 +396,7 @@
             self.send_method(channel.number, c.Basic.CancelOk(tag))
 
     def _cancel_ok(self, channel: Channel, method: c.Basic.CancelOk) -> None:
-        """Some clients answer our cancel though it asks for none."""
+        """Ignore cancel-ok: some clients reply to the server's cancel, which is sent with no-wait."""
 
     def _get(self, channel: Channel, method: c.Basic.Get) -> None:
         queue = self._private_queue(channel, method.queue)
@@ -421,7 +429,7 @@
             unacked.reject(bool(method.requeue))
 
     def _take_unacked(self, channel: Channel, number: int | None, multiple: bool) -> list[Any]:
-        """What a delivery tag names, and with `multiple` all before it (0: all there is)."""
+        """Remove and return the delivery with a tag; with `multiple` all up to the tag, or all for tag 0."""
         number = number or 0
         if not multiple:
             unacked = channel.unacked.pop(number, None)
--- a/bitternpath/balancer/amqp/state_machine.py
+++ b/bitternpath/balancer/amqp/state_machine.py
@@ -1,16 +1,16 @@
-"""The server's side of an AMQP 0-9-1 connection and its channels: bytes in, events out. Pure.
+"""State machine of the server side of an AMQP 0-9-1 connection and its channels. No I/O.
 
-Theory of operation (specification 2.2.4, 2.2.5 and 4.2). `feed` takes bytes, `next` gives one event at a
-time and None until more is fed, and what the machine itself answers (start, tune, open-ok, close-ok, errors)
-goes to the outbox. Nothing outside changes a phase: whoever uses the machine calls `login`, `fail`,
+Implements sections 2.2.4, 2.2.5 and 4.2 of the specification. `feed` accepts received bytes. `next` returns
+one event at a time, and None until more bytes are fed. Protocol replies (start, tune, open-ok, close-ok,
+errors) are added to the send queue. Callers never set a phase; they call `login`, `refuse_login`, `fail`,
 `close_channel` and `close`.
 
-Rules of this file:
-- CONNECTION and CHANNEL are the whole of what is allowed, by phase and by what has come; where a pair is not
-  in the table, the specification's error for it is raised and nothing is changed.
-- A soft error closes its channel: channel.close is sent, and everything that comes on the channel until
-  close-ok is read and dropped, bodies too. A hard error closes the connection in the same way.
-- After the peer's close, or the answer to ours, nothing more is read.
+Invariants:
+- CONNECTION_TRANSITIONS and CHANNEL_TRANSITIONS list all legal inputs by phase. Any other input raises the
+  error that the specification assigns to it, and changes no state.
+- A soft error closes its channel: channel.close is sent, and all frames on the channel are discarded until
+  close-ok arrives, content included. A hard error closes the connection in the same way.
+- After the peer's close, or its close-ok to ours, nothing more is read.
 """
 
 from __future__ import annotations
@@ -27,14 +27,13 @@
 from bitternpath.balancer.amqp.send_queue import SendQueue
 from bitternpath.net.buffer import Buffer
 
-MAX_BODY_SIZE = 64 * 1024  # bytes of a message, as on HTTP
-MAX_INCOMPLETE_BYTES = (
-    1 << 20
-)  # bytes of messages that have come in part, on all channels of a connection together
+MAX_BODY_SIZE = 64 * 1024  # bytes of a message body; the same limit as over HTTP
+# Bytes of partially received messages, on all channels of a connection together.
+MAX_INCOMPLETE_BYTES = 1 << 20
 
 
 class Phase(Enum):
-    """Of a connection."""
+    """Phase of a connection. The values are part of the texts of connection.close."""
 
     HEADER = "the protocol header has not come"
     START = "start sent, start-ok awaited"
@@ -46,7 +45,7 @@
     CLOSED = "over"
 
 
-# What may come on channel 0 in which phase, and which phase follows.
+# The methods that are legal on channel 0 in each phase, and the phase that follows.
 CONNECTION_TRANSITIONS: dict[tuple[Phase, type[Method]], Phase] = {
     (Phase.START, c.Connection.StartOk): Phase.LOGIN,
     (Phase.TUNE, c.Connection.TuneOk): Phase.OPENING,
@@ -61,7 +60,7 @@
 
 
 class ChannelPhase(Enum):
-    """Of a channel."""
+    """Phase of a channel."""
 
     CLOSED = "not open"
     OPEN = "open"
@@ -71,7 +70,7 @@
 
 
 class ChannelInput(Enum):
-    """What may come on a channel."""
+    """Kind of a frame or method on a channel. The values are part of the texts of connection.close."""
 
     OPEN = "channel.open"
     CLOSE = "channel.close"
@@ -82,7 +81,8 @@
     BODY = "a content body"
 
 
-# BODY stays BODY, and HEADER of an empty message leads to OPEN, by what the header says of its length.
+# The legal inputs of a channel in each phase, and the phase that follows. By the body size in the content
+# header, an incomplete body stays in BODY, and the header of an empty message leads to OPEN at once.
 CHANNEL_TRANSITIONS: dict[tuple[ChannelPhase, ChannelInput], ChannelPhase] = {
     (ChannelPhase.CLOSED, ChannelInput.OPEN): ChannelPhase.OPEN,
     (ChannelPhase.OPEN, ChannelInput.METHOD): ChannelPhase.OPEN,
@@ -93,7 +93,7 @@
     (ChannelPhase.CLOSING, ChannelInput.CLOSE): ChannelPhase.CLOSED,
     (ChannelPhase.CLOSING, ChannelInput.CLOSE_OK): ChannelPhase.CLOSED,
 }
-# The error for all that is not in the table, by phase; while CLOSING the rest is dropped instead.
+# The error for any other input, by phase. In CLOSING other inputs are discarded instead.
 PHASE_ERRORS = {
     ChannelPhase.CLOSED: (e.CHANNEL_ERROR, "the channel is not open"),
     ChannelPhase.OPEN: (e.UNEXPECTED_FRAME, "not expected on an open channel"),
@@ -107,7 +107,7 @@
     c.Channel.CloseOk: ChannelInput.CLOSE_OK,
     c.Basic.Publish: ChannelInput.PUBLISH,
 }
-# What a client may send on a channel; all else is the server's to say (503) or not here (540).
+# Methods that a client may send on an open channel. Others are for servers only (503) or unsupported (540).
 CLIENT_METHODS = frozenset(
     (
         c.Channel.Flow, c.Channel.FlowOk, c.Exchange.Declare, c.Exchange.Delete, c.Queue.Declare,
@@ -122,7 +122,7 @@
 
 
 class LoginRequested(Struct):
-    """Somebody wants in; answer with `Machine.login` or `Machine.refuse_login`."""
+    """start-ok was received: answer with `login` or `refuse_login` of the state machine."""
 
     mechanism: str
     response: bytes
@@ -130,7 +130,7 @@
 
 
 class ConnectionOpened(Struct):
-    """The connection is open, on this virtual host (already checked)."""
+    """The connection is open on this virtual host, which the user may access."""
 
     vhost: str
 
@@ -140,7 +140,7 @@
 
 
 class ChannelClosed(Struct):
-    """The channel is closed, by the peer or by an error of its: what was out on it is lost."""
+    """The channel was closed by the peer or by an error: its unacknowledged deliveries are lost."""
 
     channel: int
 
@@ -153,7 +153,7 @@
 
 
 class MessagePublished(Struct):
-    """A whole message."""
+    """A complete message was published."""
 
     channel: int
     method: c.Basic.Publish
@@ -162,7 +162,7 @@
 
 
 class ConnectionClosed(Struct):
-    """The connection has been closed in order; `why` is what the peer said."""
+    """The connection was closed by the protocol; `reason` is the text of the peer's close."""
 
     reason: str
 
@@ -179,7 +179,7 @@
 
 
 class _Channel:
-    """A channel's phase and the message that is coming on it."""
+    """Phase of a channel, and the message that is being received on it."""
 
     __slots__ = ("chunks", "phase", "properties", "publish", "received", "remaining")
 
@@ -192,11 +192,11 @@
 
 
 class Limits(Struct, frozen=True):
-    """What the server offers."""
+    """Limits and virtual hosts that the server offers."""
 
     channel_max: int = 64
     frame_max: int = 131072
-    heartbeat: int = 60  # s
+    heartbeat: int = 60  # seconds
     vhosts: tuple[str, ...] = ("/",)
 
 
@@ -217,7 +217,7 @@
 
 
 class ConnectionStateMachine:
-    """One connection, seen from the server."""
+    """Protocol state of one connection, from the server's side."""
 
     def __init__(self, limits: Limits, send_queue: SendQueue) -> None:
         self.limits, self.phase, self.send_queue = limits, Phase.HEADER, send_queue
@@ -225,10 +225,10 @@
         self.reader = f.FrameReader(self.buffer)
         self.channels: dict[int, _Channel] = {}
         self.channel_max, self.heartbeat = limits.channel_max, limits.heartbeat
-        self.capabilities: dict[str, Any] = {}  # that the peer says it has
-        self.error: e.HardError | None = None  # why the machine closed the connection
+        self.capabilities: dict[str, Any] = {}  # announced by the peer
+        self.error: e.HardError | None = None  # the error for which this side closed the connection
         self.vhosts = limits.vhosts
-        self._incomplete_bytes = 0  # bytes of messages that have come in part
+        self._incomplete_bytes = 0  # bytes of partially received messages
 
     @property
     def frame_max(self) -> int:
@@ -243,7 +243,7 @@
             self.buffer.append(data)
 
     def next(self) -> Event | None:
-        """The next event; None until more is fed, or while a login is being looked at."""
+        """Return the next event; None until more bytes are fed, or while a login is being checked."""
         while self.phase not in (Phase.LOGIN, Phase.CLOSED) and not self.reader.desynchronized:
             try:
                 if self.phase is Phase.HEADER:
@@ -263,29 +263,29 @@
                 return event
         return None
 
-    # ---- what the user of the machine decides
+    # ---- actions of the caller
 
     def send_method(self, channel: int, method: Method) -> None:
         self.send_queue.add(f.encode_method(channel, method))
 
     def login(self, vhosts: tuple[str, ...]) -> None:
-        """The peer may come in, on these virtual hosts."""
+        """Accept the login for these virtual hosts, and send tune."""
         self.vhosts = vhosts
         self.phase = Phase.TUNE
         offer = self.limits
         self.send_method(0, c.Connection.Tune(offer.channel_max, offer.frame_max, offer.heartbeat))
 
     def refuse_login(self) -> None:
-        """Tell those that can hear it (authentication_failure_close); the rest only see the close."""
+        """Close the connection; with a 403 where the peer announced `authentication_failure_close`."""
         if self.capabilities.get("authentication_failure_close"):
             self.fail(e.HardError(e.ACCESS_REFUSED, "login refused", f.method_ids(c.Connection.StartOk)))
         else:
             self.phase = Phase.CLOSED
 
     def fail(self, error: e.HardError) -> None:
-        """Close the connection for an error."""
+        """Close the connection with an error."""
         if self.phase in (Phase.CLOSING, Phase.CLOSED):
-            self.phase = Phase.CLOSED  # an error while closing: there is nothing left to say
+            self.phase = Phase.CLOSED  # a second error sends no second close
             return
         self.error = error
         if self.phase is Phase.HEADER:
@@ -301,7 +301,7 @@
             self._incomplete_bytes = 0
 
     def close_channel(self, number: int, error: e.SoftError) -> None:
-        """Close one channel for an error; its user forgets it at once."""
+        """Close one channel with an error. The caller must drop its own state of the channel at once."""
         channel = self.channels.get(number)
         if channel is not None and channel.phase is not ChannelPhase.CLOSING:
             self.send_method(number, c.Channel.Close(error.code, error.text, *error.method))
@@ -309,17 +309,17 @@
             channel.phase = ChannelPhase.CLOSING
 
     def is_open(self, number: int) -> bool:
-        """Whether something may be sent on the channel."""
+        """Whether methods may be sent on the channel."""
         channel = self.channels.get(number)
         return channel is not None and channel.phase is not ChannelPhase.CLOSING
 
-    # ---- what comes
+    # ---- received frames
 
     def _protocol_header(self) -> bool:
         length = min(len(self.buffer), len(f.PROTOCOL_HEADER))
         received = self.buffer.peek(length)
         if received != f.PROTOCOL_HEADER[:length]:
-            # Specification 4.2.2: answer with the header that is spoken here, and close.
+            # Specification 4.2.2: answer with the supported protocol header, and close.
             self.send_queue.add(f.PROTOCOL_HEADER)
             raise e.HardError(e.NOT_IMPLEMENTED, f"protocol header {received!r}; AMQP 0-9-1 is spoken here")
         if length < len(f.PROTOCOL_HEADER):
@@ -385,7 +385,10 @@
         return ConnectionClosed("closed") if next_phase is Phase.CLOSED else None
 
     def _apply_tune(self, method: c.Connection.TuneOk) -> None:
-        """What the peer chose (specification 1.4.2.6): no more than was offered; 0 is no limit."""
+        """Apply tune-ok (specification 1.4.2.6): at most the offered limits; 0 selects the offer.
+
+        A heartbeat of 0 disables heartbeats.
+        """
         offer = self.limits
         channels = method.channel_max or offer.channel_max
         size = method.frame_max or offer.frame_max
@@ -408,7 +411,7 @@
         next_phase = CHANNEL_TRANSITIONS.get((phase, kind))
         if next_phase is None:
             if phase is ChannelPhase.CLOSING:
-                return None  # dropped until close-ok comes
+                return None  # discarded until close-ok arrives
             code, reason = PHASE_ERRORS[phase]
             name = method.name if method is not None else kind.value
             raise e.HardError(
@@ -439,7 +442,7 @@
     def _content(
         self, raw: f.RawFrame, channel: _Channel, method: Method | None, next_phase: ChannelPhase
     ) -> Event | None:
-        """Publish, content header or content body, in the phase that it belongs to."""
+        """Process basic.publish, a content header or a body frame that is legal in the current phase."""
         if isinstance(method, c.Basic.Publish):
             channel.publish, channel.phase = method, next_phase
             return None
--- a/bitternpath/balancer/amqp/subscribers.py
+++ b/bitternpath/balancer/amqp/subscribers.py
@@ -1,9 +1,10 @@
-"""Subscribers as endpoints: the upstream client that delivers calls, and the source that names them. No I/O.
+"""Subscribers as endpoints: an upstream client that delivers calls, and a source of endpoints. No I/O.
 
-What proves what (docs/design/amqp.md): a delivery that was never handed to the system never ran. One that
-was may have run, until its subscriber acknowledges it (served), rejects it (failed), or requeues it: then
-it was handed back unstarted only if the operators say so of its class. Where the channel is gone and the
-result had been published already, the call is served."""
+Outcome of a call (docs/design/amqp.md): a delivery that was never submitted to the transport never ran. A
+submitted one may have run until its subscriber acknowledges it (served), rejects it (failed) or requeues it;
+a requeued one counts as not started only for the classes that the operators list. If the channel closes after
+the result was published, the call is served.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +24,13 @@
 from bitternpath.balancer.core.statistics import BACKEND_CALLS
 
 SOURCE = PROTOCOL = "amqp"
-RESULT_PREFIX = "amq.result."  # what subscribers publish there, to the default exchange, is a result
-MAX_PENDING_RESULT_BYTES = 8 << 20  # bytes of results that wait for the acks of one connection
-MAX_ARGUMENT_LENGTH = 64  # characters of x-site and x-kind
+RESULT_PREFIX = "amq.result."  # routing keys of results, which subscribers publish to the default exchange
+MAX_PENDING_RESULT_BYTES = 8 << 20  # bytes of results on one connection without their acks
+MAX_ARGUMENT_LENGTH = 64  # characters of the consumer arguments x-site and x-kind
 
 
 class Subscriber:
-    """A consumer of a class queue: an endpoint with as many places as its prefetch."""
+    """Consumer of a class queue: an endpoint with as many slots as its prefetch allows."""
 
     __slots__ = (
         "channel",
@@ -57,7 +58,7 @@
 
     @property
     def slots(self) -> int:
-        """Calls that may be out at once."""
+        """Maximum number of unacknowledged calls."""
         cap = self.subscribers.prefetch_cap
         return min(self.prefetch or cap, self.channel.channel_prefetch or cap, cap)
 
@@ -72,7 +73,7 @@
     def to_endpoint(self) -> Endpoint:
         state = self.state
         if state is m.WorkerState.SERVING and not self.channel.flow_active:
-            state = m.WorkerState.DRAINING  # for as long as its peer wants nothing new
+            state = m.WorkerState.DRAINING  # while the peer pauses deliveries by channel.flow
         return Endpoint(
             self.endpoint, "", self.zone, self.kind, 0, state, self.size, self.up_since,
             PROTOCOL, SOURCE, frozenset((self.job_class,)), self.slots,
@@ -86,13 +87,13 @@
 
 
 class Delivery:
-    """A call that was delivered and not acknowledged."""
+    """Unacknowledged delivery of a call."""
 
     __slots__ = ("call", "entry", "number", "result", "subscriber", "token")
 
     def __init__(self, call: UpstreamCall, subscriber: Subscriber, number: int, token: str) -> None:
         self.call, self.subscriber, self.number, self.token = call, subscriber, number, token
-        self.result: bytes | None = None  # published by the subscriber ahead of its ack
+        self.result: bytes | None = None  # published by the subscriber before its ack
         self.entry: Entry | None = None
 
     def ack(self) -> None:
@@ -106,7 +107,7 @@
 
 
 class Subscribers:
-    """All of them, on all connections."""
+    """All subscribers of all connections."""
 
     broker: Broker
 
@@ -127,10 +128,10 @@
     def count_of_class(self, job_class: str) -> int:
         return sum(s.job_class == job_class for s in self.by_endpoint.values())
 
-    # ---- the source
+    # ---- source of endpoints
 
     def add(self, channel: Channel, tag: str, job_class: str, arguments: dict[str, Any]) -> Subscriber:
-        """A new subscriber; SoftError 406 where its arguments are wrong."""
+        """Add a subscriber; SoftError 406 if its arguments are invalid."""
         self._subscriber_count += 1
         subscriber = Subscriber(self, channel, tag, job_class, f"amqp-{self._subscriber_count}")
         subscriber.zone = self._text_argument(arguments, "x-site")
@@ -163,11 +164,11 @@
         return number
 
     def update_endpoint(self, subscriber: Subscriber) -> None:
-        """Tell the registry how things are with a subscriber."""
+        """Report the state of a subscriber to the endpoint registry."""
         self.apply_listing(Listing(0, False, (subscriber.to_endpoint(),), SOURCE))
 
     def drain(self, subscriber: Subscriber) -> None:
-        """Nothing new for it; what it has may still be acknowledged."""
+        """End new deliveries; unacknowledged ones may still be acknowledged."""
         if subscriber.state is not m.WorkerState.SERVING:
             return
         subscriber.state = m.WorkerState.DRAINING
@@ -176,14 +177,14 @@
         self._remove_if_drained(subscriber)
 
     def withdraw_unsent(self, subscriber: Subscriber) -> None:
-        """What has not left for it is taken back: as if it had never been sent."""
+        """Withdraw deliveries that were not submitted yet; their calls end as never sent."""
         unacked = list(subscriber.channel.unacked.values())
         for delivery in [d for d in unacked if isinstance(d, Delivery) and d.subscriber is subscriber]:
             if self._withdraw(delivery):
                 self.broker.call_ended(delivery.call, m.AttemptOutcome.NO_CONNECTION)
 
     def remove(self, subscriber: Subscriber) -> None:
-        """Its channel is gone, and with it what was out there (see `lost`)."""
+        """Remove a subscriber; deliveries on a closed channel are settled by `on_channel_closed`."""
         if subscriber.state is not m.WorkerState.GONE:
             subscriber.state = m.WorkerState.GONE
             subscriber.channel.session.active_work -= 1
@@ -194,19 +195,19 @@
         if subscriber.state is m.WorkerState.DRAINING and not subscriber.unacked_count:
             self.remove(subscriber)
 
-    # ---- the upstream client
+    # ---- upstream client
 
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
         subscriber = self.by_endpoint.get(endpoint.id)
         if subscriber is None:
             self.broker.call_ended(call, m.AttemptOutcome.NO_CONNECTION)
             return
-        if not subscriber.has_capacity():  # the module's word was older than the last change there
+        if not subscriber.has_capacity():  # the module decided before the last change of capacity
             self.counts["no_room_at_subscriber"] += 1
             self.broker.call_ended(call, m.AttemptOutcome.FULL)
             return
         channel, number = subscriber.channel, subscriber.channel.next_delivery_tag()
-        token = os.urandom(12).hex()  # not to be guessed by others that may publish here
+        token = os.urandom(12).hex()  # unguessable for other publishers
         delivery = Delivery(call, subscriber, number, token)
         call.transport_state = delivery
         request = call.request
@@ -224,13 +225,13 @@
         self.counts["deliveries"] += 1
 
     def cancel(self, call: UpstreamCall) -> None:
-        """What has left cannot be called back: its place stays taken until it is acknowledged."""
+        """Withdraw an unsent delivery; a submitted one occupies its slot until it is acknowledged."""
         delivery = call.transport_state
         if isinstance(delivery, Delivery) and self._by_token.get(delivery.token) is delivery:
             self._withdraw(delivery)
 
     def _withdraw(self, delivery: Delivery) -> bool:
-        """Take a delivery out of the outbox, if it is still there: then it never ran."""
+        """Remove a delivery from the send queue; True if it was not submitted yet, and so never ran."""
         subscriber, entry = delivery.subscriber, delivery.entry
         if entry is None or not subscriber.channel.session.send_queue.withdraw(entry):
             return False
@@ -239,21 +240,21 @@
         return True
 
     def _release(self, delivery: Delivery) -> None:
-        """Its place is free again, and nothing more is taken for it."""
+        """Free the slot of a delivery, and accept no further result for it."""
         if self._by_token.pop(delivery.token, None) is not None:
             delivery.subscriber.unacked_count -= 1
             delivery.subscriber.channel.session.active_work -= 1
             delivery.subscriber.channel.session.pending_result_bytes -= len(delivery.result or b"")
 
-    # ---- what comes back
+    # ---- results and acknowledgements
 
     def delivery_written(self, delivery: Delivery) -> None:
-        """Its last byte has gone to the system: within the prefetch, it counts as begun."""
+        """Count a delivery as started: it was written to the transport, within the prefetch."""
         self.broker.statistics.count(BACKEND_CALLS)
         self.broker.call_started(delivery.call)
 
     def result(self, token: str, correlation: str | None, body: bytes) -> bool:
-        """A result has been published; False where nobody waits for it."""
+        """Store a published result until its ack; False if no delivery waits for it."""
         delivery = self._by_token.get(token)
         unexpected = delivery is None or delivery.call.finished or delivery.result is not None
         if unexpected or (correlation and correlation != delivery.call.id):  # type: ignore[union-attr]
@@ -284,10 +285,10 @@
             self.finished(delivery, m.AttemptOutcome.FULL if unstarted else m.AttemptOutcome.RESET)
 
     def on_channel_closed(self, delivery: Delivery) -> None:
-        """The channel or the connection is gone."""
+        """Settle a delivery whose channel or connection is closed."""
         entry = delivery.entry
         if entry is not None and delivery.subscriber.channel.session.send_queue.withdraw(entry):
-            self.finished(delivery, m.AttemptOutcome.NO_CONNECTION)  # no byte of it was handed to the system
+            self.finished(delivery, m.AttemptOutcome.NO_CONNECTION)  # never submitted to the transport
         elif delivery.result is not None:
             self.finished(delivery, m.AttemptOutcome.OK, delivery.result)
         else:
--- a/bitternpath/balancer/amqp/translation.py
+++ b/bitternpath/balancer/amqp/translation.py
@@ -1,6 +1,6 @@
-"""Payloads between AMQP and the platform's own words (docs/operate/amqp.md has the table). Pure.
+"""Translation between AMQP messages and request payloads (see docs/operate/amqp.md). No I/O.
 
-| the platform's | AMQP |
+| HTTP | AMQP |
 | --- | --- |
 | path `/CLASS` | routing key `CLASS` |
 | any longer path, or a query | header `x-target` |
@@ -10,8 +10,9 @@
 | `Content-Type` | `content-type` |
 | body | body |
 
-All else that a publisher sets (other headers, content-encoding, type, app-id) reaches subscribers
-unchanged; HTTP endpoints have no use for it."""
+Other headers, content-encoding, type, app-id and priority reach subscribers unchanged; HTTP endpoints do not
+get them.
+"""
 
 from __future__ import annotations
 
@@ -30,17 +31,17 @@
 
 
 class AmqpPayload(RequestPayload):
-    """A payload that a publisher gave, with the properties as they came."""
+    """Payload of a published message, with its original properties."""
 
     properties: Any = None
 
 
 class InvalidMessage(ValueError):
-    """What a publisher gave cannot become a request; the text says why."""
+    """A published message is no valid request; the text is sent to the publisher as the reason."""
 
 
 def text_of(value: Any) -> str:
-    """A header's value as text, whatever type the peer chose for it."""
+    """Convert a header value of any AMQP type to text."""
     if isinstance(value, bytes | bytearray):
         return bytes(value).decode("utf-8", "replace")
     if isinstance(value, bool):
@@ -49,7 +50,7 @@
 
 
 def payload_from(job_class: str, properties: Any, body: bytes) -> AmqpPayload:
-    """The payload of a published message."""
+    """Return the request payload of a published message."""
     headers: dict[bytes, bytes] = {b"x-call-class": job_class.encode()}
     published_headers = properties.headers or {}
     for name in FORWARDED_HEADERS:
@@ -72,7 +73,7 @@
 
 
 def request_id_from(properties: Any) -> str | None:
-    """The message-id, None where there is none."""
+    """Return the message-id, or None."""
     if not properties.message_id:
         return None
     if not _ID.fullmatch(properties.message_id):
@@ -81,7 +82,7 @@
 
 
 def budget_from(properties: Any) -> float | None:
-    """The expiration in ms, None where there is none."""
+    """Return the expiration in ms, or None."""
     if not properties.expiration:
         return None
     if not _BUDGET.fullmatch(properties.expiration):
@@ -90,13 +91,13 @@
 
 
 def route_key_from(headers: dict[bytes, bytes]) -> int | None:
-    """The route key that a payload's headers carry."""
+    """Return the route key from the header x-route-hash, or None."""
     key = headers.get(b"x-route-hash", b"").decode()
     return int(key, 16) % 2**53 if _ROUTE_KEY.fullmatch(key) else None
 
 
 def delivery_properties(payload: Payload, id: str, job_class: str, remaining_ms: float, reply_to: str) -> Any:
-    """What a subscriber is told beside the body; `left` is in ms."""
+    """Return the properties of a delivery; `remaining_ms` becomes its expiration."""
     headers: dict[str, Any] = {}
     properties = Properties()
     if isinstance(payload, AmqpPayload):
