--- a/bitternpath/balancer/__init__.py
+++ b/bitternpath/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer: the older node in service (`deploy/balancer.toml`), which passes jobs to workers."""
+"""The balancer: the older kind of node (`deploy/balancer.toml`), which forwards jobs to workers."""
--- a/bitternpath/balancer/handover/__init__.py
+++ b/bitternpath/balancer/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What the older and the newer process of one node tell each other during an upgrade."""
+"""Hand-over of listening socket and state from the older to the newer process of a node during an upgrade."""
--- a/bitternpath/balancer/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -1,4 +1,4 @@
-"""An upgrade, from either side: taking over from the predecessor, and handing over to the successor."""
+"""Both sides of an upgrade: taking over from the predecessor, and handing over to the successor."""
 
 from __future__ import annotations
 
@@ -41,13 +41,15 @@
 connect: Any = connectProtocol
 log = structlog.get_logger(part="handover")
 
-WELCOME_TIMEOUT = 1.5  # s: one under load answers within milliseconds; without an answer the node is alone
-ACKNOWLEDGE_TIMEOUT = 1.0  # s for the other process to acknowledge a call-back, else the endpoint retries
-RESERVED_DESCRIPTORS = 4  # the upgrade socket, a link each way, the folder
+# Seconds for the predecessor's answer, which takes milliseconds even under load. Without an answer this
+# process starts without a predecessor.
+WELCOME_TIMEOUT = 1.5
+ACKNOWLEDGE_TIMEOUT = 1.0  # seconds for the acknowledgement of a relayed callback, else the endpoint retries
+RESERVED_DESCRIPTORS = 4  # the upgrade socket, a link to each neighbour, the socket directory
 
 
 class Handover:
-    """The links of this process to the older and to the newer one of its node."""
+    """Links of this process to the older process (predecessor) and the newer one (successor) of its node."""
 
     def __init__(
         self,
@@ -63,9 +65,9 @@
         self.reactor, self.broker, self.registry, self.module = reactor, broker, registry, module
         self.sockets, self.lifecycle = sockets, lifecycle
         self.upgrade_socket = UpgradeSocket(reactor, folder, f"bitternpath-{name}.sock")
-        self.links: dict[Link, None] = {}  # that were greeted
-        self.listen = ""  # the address that both share
-        self.listener: Callable[[], Any] = lambda: None  # the listening socket
+        self.links: dict[Link, None] = {}  # with a completed handshake
+        self.listen = ""  # address that both processes listen on
+        self.listener: Callable[[], Any] = lambda: None  # returns the listening socket
         self._predecessor: Link | None = None
         self._successor: Link | None = None
         self._join_result: Deferred[int | None] | None = None
@@ -74,11 +76,10 @@
         self._pending_relays: dict[int, tuple[set[Link], Callable[[bool], None], Any]] = {}
         self._last_relay_number = 0
 
-    # ---- the newer process
+    # ---- as the newer process
 
     def join(self, listen: str) -> Deferred[int | None]:
-        """Ask the process that serves for its work; fires with the listening descriptor, or with None where
-        this process is alone."""
+        """Join the predecessor; fires with its listening descriptor, or with None if there is none."""
         self.listen = listen
         self._join_result = Deferred()
         self._timer = self.reactor.callLater(WELCOME_TIMEOUT, self._start_without_predecessor, "no answer")
@@ -135,7 +136,7 @@
         self._finish_join(descriptor)
 
     def restore_learned_weights(self) -> None:
-        """Give the module what the older process has learned; the module must have its list by now."""
+        """Load the predecessor's learned weights into the module, which must know its workers by now."""
         if self._learned_weights is not None:
             left_out = restore_learned_weights(self.module, self._learned_weights)
             log.info(
@@ -146,7 +147,7 @@
             self._learned_weights = None
 
     def ready(self) -> None:
-        """This process serves: the older one may leave the accepting to it, and the next one finds it."""
+        """Announce that this process serves: the predecessor stops accepting, and a successor can connect."""
         if self._predecessor is not None:
             self._predecessor.send(Ready())
         self._open_upgrade_socket()
@@ -157,7 +158,7 @@
         except (OSError, CannotListenError) as error:
             log.warning("upgrade_socket_not_opened", path=str(self.upgrade_socket.path), why=error)
 
-    # ---- the older process
+    # ---- as the older process
 
     def _on_hello(self, link: Link, message: Hello) -> None:
         listening: socket.socket | None = self.listener()
@@ -180,14 +181,14 @@
         self._add_link(link)
         log.info("successor_joined", taken=len(request_ids))
 
-    # ---- both
+    # ---- on both sides
 
     def _add_link(self, link: Link) -> None:
         self.links[link] = None
         self._update_capacity_share()
 
     def _update_capacity_share(self) -> None:
-        """While others live each has a part of what the node may hold and send, the one left the whole."""
+        """Divide the node's capacity equally among its processes."""
         share = 1.0 / (1 + len(self.links))
         self.sockets.share(share)
         self.module.capacity_share = share
@@ -221,22 +222,24 @@
     def _on_link_lost(self, link: Link) -> None:
         self.links.pop(link, None)
         for number in list(self._pending_relays):
-            self._on_acknowledged(number, link)  # its jobs have died with it
+            self._on_acknowledged(number, link)  # its jobs ended with the process
         if link is self._predecessor:
             self._predecessor = None
-            self._start_without_predecessor("the link broke")
+            self._start_without_predecessor("link closed")
         if link is self._successor:
             self._successor = None
             if self.lifecycle.apply(LifecycleEvent.SUCCESSOR_LOST):
                 log.warning("successor_lost")
-                self._open_upgrade_socket()  # it had put its own in place
+                self._open_upgrade_socket()  # the successor had replaced the file
         self._update_capacity_share()
 
-    # ---- call-backs
+    # ---- callbacks
 
     def relay(self, report: CallReport, on_result: Callable[[bool], None]) -> bool:
-        """Pass a call-back on to the other processes, of which one may know the job; `then` hears whether all
-        have it. False: there is none."""
+        """Relay a callback to the other processes, one of which may own the job; False if there are none.
+
+        `on_result` is called with whether all of them acknowledged it in time.
+        """
         return self._relay(report, on_result, None)
 
     def _relay(self, report: CallReport, on_result: Callable[[bool], None], source: Link | None) -> bool:
@@ -254,7 +257,7 @@
 
     def _on_acknowledged(self, number: int, link: Link) -> None:
         if number not in self._pending_relays:
-            return  # too late
+            return  # acknowledged after the timeout
         pending_links, on_result, timer = self._pending_relays[number]
         pending_links.discard(link)
         if not pending_links:
--- a/bitternpath/balancer/handover/learned_weights.py
+++ b/bitternpath/balancer/handover/learned_weights.py
@@ -1,8 +1,8 @@
-"""The learned weights of the decision module, as they are handed to the newer process of a node.
+"""Learned weights of the decision module, as handed to the newer process of a node.
 
-Every part is taken by itself: a worker that is listed and has not started anew, a class of the same name and
-effect. What does not fit is left out, and the module learns it anew. Times are ms on the clock that both
-processes share (Unix time, anchored once).
+Workers and classes are restored one by one: a worker if it is listed and has not restarted, a class if its
+name and effect match. Others are left out, and the module learns them anew. Times are in ms on the clock that
+both processes share (Unix time, anchored once).
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     cold: tuple[float, float]  # last_cold_send_at, last_cold_work
     wait: tuple[float, float]  # queue_wait, queue_wait_seen_at
     faults: dict[str, tuple[int, float, float]]
-    ends: list[float]  # when jobs there should end that the older process sent
+    ends: list[float]  # expected ends of the jobs that the older process sent there
 
 
 class LearnedClass(Struct):
@@ -37,7 +37,7 @@
     ended: int
     pace: dict[str, float]
     threshold: float
-    neurons: dict[str, tuple[float, float, float]]  # by worker: w+ and w- towards it, and q
+    neurons: dict[str, tuple[float, float, float]]  # by worker: weights w+ and w- towards it, and q
 
 
 class LearnedWeights(Struct):
@@ -47,7 +47,7 @@
 
 
 def learned_weights_of(module: Dispatcher) -> LearnedWeights:
-    """The learned state of a module, as it is now."""
+    """Return the current learned state of a module."""
     workers = []
     for worker in module.workers.values():
         in_flight = [
@@ -96,7 +96,7 @@
 
 
 def restore_learned_weights(module: Dispatcher, learned: LearnedWeights) -> list[str]:
-    """Load into the module what fits it; returns the names of workers and classes that were left out."""
+    """Load matching weights into a module; returns the names of workers and classes that were left out."""
     left_out = []
     if _finite(learned.means):
         module.mean_wait, module.mean_run, module.last_start_at = learned.means
--- a/bitternpath/balancer/handover/link.py
+++ b/bitternpath/balancer/handover/link.py
@@ -1,4 +1,4 @@
-"""The link between two processes of one node: a Unix stream socket under `$TMPDIR`."""
+"""Link between two processes of a node: a Unix stream socket under `$TMPDIR`."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 log = structlog.get_logger(part="handover")
 
-MAX_SOCKET_PATH = 100  # bytes that the system takes for the address of a Unix socket, with some to spare
+MAX_SOCKET_PATH = 100  # bytes; a little below the limit of the system for addresses of Unix sockets
 
 
 @implementer(IFileDescriptorReceiver)
 class Link(Protocol):
-    """One end of the link. `receive` is called with each message, `lost` once at the end."""
+    """One end of a link. `on_message` is called with each message, `on_lost` once at its end."""
 
     transport: Any
 
@@ -32,7 +32,7 @@
         self.on_message = on_message
         self.on_lost = on_lost
         self.decoder = MessageDecoder()
-        self.descriptor: int | None = None  # that came and is not taken yet
+        self.descriptor: int | None = None  # received, not taken yet
         self.open = False
 
     def connectionMade(self) -> None:
@@ -49,7 +49,7 @@
                     self.on_message(self, message)
         except LinkError as error:
             log.warning("handover_link_failed", why=error)
-            self.open = False  # whatever else has come by now
+            self.open = False  # ignores messages that were received after it
             self.close()
 
     def send(self, message: Message, descriptor: int | None = None) -> None:
@@ -87,17 +87,21 @@
 
 
 class UpgradePort(Port):
-    """Its file is another process's by the time it closes: Twisted would remove it."""
+    """Unix port that leaves its socket file in place at its close, when the file belongs to another process.
+
+    Twisted would remove the file.
+    """
 
     def connectionLost(self, reason: Failure) -> None:
         TcpPort.connectionLost(self, reason)  # type: ignore[no-untyped-call]
 
 
 class UpgradeSocket:
-    """The socket file at which the next process of this node finds this one.
+    """Socket file through which the next process of this node connects to this one.
 
-    It is put in place in one step, over that of an earlier process. It is never removed: connecting to a
-    stale one fails."""
+    The file atomically replaces that of an earlier process. It is never removed: connecting to a stale file
+    fails.
+    """
 
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
         self.reactor, self.path = reactor, folder / name
@@ -117,7 +121,7 @@
         return f"/proc/self/fd/{self._directory_descriptor}/{name}"
 
     def open(self, create_link: Callable[[], Link]) -> None:
-        """Listen, in place of the process before. Raises OSError or CannotListenError."""
+        """Listen, and replace the file of an earlier process. Raises OSError or CannotListenError."""
         if self._port is not None:
             self._port.stopListening()
         temporary_name = f"{self.path.name}.{os.getpid()}"
--- a/bitternpath/balancer/handover/messages.py
+++ b/bitternpath/balancer/handover/messages.py
@@ -1,8 +1,9 @@
-"""What goes over the link between two processes of one node: one JSON object a line. Pure.
+"""Messages of the link between two processes of a node: one JSON object per line. No I/O.
 
-The newer process says `Hello`; the older one answers `Welcome`, and sends its listening descriptor with it,
-or `Declined`. From then on both tell the ids that they take and pass call-backs on that are not theirs; the
-newer one says `Ready` once it serves. There is no goodbye: the end of the connection says all.
+The newer process sends `Hello`. The older one answers with `Welcome` and its listening descriptor, or with
+`Declined`. From then on both announce the ids of requests that they accept, and relay callbacks for requests
+that they do not know. The newer process sends `Ready` once it serves. Closing the connection ends the link;
+there is no message for it. Tags and names of fields are read by processes of other releases.
 """
 
 from __future__ import annotations
@@ -14,24 +15,23 @@
 from bitternpath.balancer.core.requests import CallReport
 from bitternpath.balancer.handover.learned_weights import LearnedWeights
 
-VERSION = 1  # of these messages; two processes that differ in it serve side by side without a link
-MAX_LINE_SIZE = (
-    16 << 20
-)  # bytes: a welcome tells of the whole list and of what was learned, a KB or two a worker
+VERSION = 1  # version of the messages; two processes of different versions serve side by side without a link
+# Bytes of a message: Welcome has the endpoint list and the learned weights, one or two KB per worker.
+MAX_LINE_SIZE = 16 << 20
 
 
 class LinkError(Exception):
-    """What came over the link cannot be used; the text says why."""
+    """Received data is no valid message."""
 
 
 class Hello(Struct, tag="hello"):
     version: int
-    listen: str  # the address that both share
+    listen: str  # address that both processes listen on
 
 
 class Welcome(Struct, tag="welcome"):
     listing: Listing
-    request_ids: list[str] = field(name="taken")  # ids of requests that are under way or were of late
+    request_ids: list[str] = field(name="taken")  # ids of current and recent requests
     learned: LearnedWeights
 
 
@@ -40,7 +40,7 @@
 
 
 class Ready(Struct, tag="ready"):
-    """The newer process serves."""
+    """The newer process is serving."""
 
 
 class RequestAccepted(Struct, tag="taken"):
@@ -48,14 +48,14 @@
 
 
 class CallbackRelayed(Struct, tag="passed"):
-    """A call-back for a request that the sender does not know."""
+    """Callback for a request that the sender does not know."""
 
     number: int
     report: CallReport = field(name="news")
 
 
 class Acknowledged(Struct, tag="heard"):
-    """The call-back of that number has been taken in."""
+    """The callback of that number was processed."""
 
     number: int
 
@@ -71,19 +71,19 @@
 
 
 class MessageDecoder:
-    """Takes messages out of the bytes of one direction."""
+    """Decodes the byte stream of one direction into messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that are whole now; LinkError where one cannot be read."""
+        """Return the messages that are complete; LinkError if one is invalid or too long."""
         self._buffer += data
         *complete, incomplete = self._buffer.split(b"\n")
         self._buffer = incomplete
         if len(incomplete) > MAX_LINE_SIZE:
-            raise LinkError(f"a line of more than {MAX_LINE_SIZE} bytes")
+            raise LinkError(f"message of more than {MAX_LINE_SIZE} bytes")
         try:
             return [_decoder.decode(encoded) for encoded in complete]
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise LinkError(f"not a message of the link: {error}") from error
+            raise LinkError(f"invalid message: {error}") from error
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -1,4 +1,4 @@
-"""One node in service: its parts put together, its start, reloads of its configuration, and its end."""
+"""Process of a node: assembly of its components, start, reload of the configuration, and shutdown."""
 
 from __future__ import annotations
 
@@ -45,23 +45,23 @@
 
 log = structlog.get_logger(part="node")
 
-REPORT_INTERVAL = 10.0  # s between log lines `counts`
-AT_START_ONLY = ("listen", "console", "name")  # the listeners are made from these
-AMQP_CLOSE_DELAY = 0.2  # s for the answers to connection.close
+REPORT_INTERVAL = 10.0  # seconds between log events `counts`
+AT_START_ONLY = ("listen", "console", "name")  # settings of the listeners, which are created at the start
+AMQP_CLOSE_DELAY = 0.2  # seconds for replies to connection.close
 RELOAD_COUNTERS = {True: "reconfig_ok", False: "reconfig_failed"}  # by whether the files were valid
-# s for which the start waits for the first message of discovery, which an agent sends at once: its list
-# counts as known from the start on, and the list handed over by the process before lags.
+# Seconds that the start waits for the first message of discovery, which an agent sends at once. Endpoints of
+# that list count as known from the start, and a list handed over by the predecessor may be outdated.
 FIRST_MESSAGE_TIMEOUT = 0.5
 
 
 class Node:
-    """One process of a node: owns its parts and connects them to one another."""
+    """One process of a node: owns its components and connects them."""
 
     def __init__(self, loaded: Loaded, reactor: Any) -> None:
         config = loaded.platform
         self.loaded = loaded
         self.reactor = reactor
-        self.file_configuration = loaded  # as read from the files, without the fleet's plan
+        self.file_configuration = loaded  # as read from the files, without the plan of the fleet
         self.startup_settings = loaded.operator.settings
         self.clock = Clock()
         self.lifecycle = Lifecycle()
@@ -78,7 +78,7 @@
         self.broker.statistics.register(
             (BACKEND_CALLS, *RELOAD_COUNTERS.values()), {"inflight": lambda: self.broker.unanswered}
         )
-        # Where the list has to be asked for, the module decides when; else the node's own agent tells it.
+        # If the list is sent on request, the module decides when to subscribe; else the local agent sends it.
         subscribes_on_request = config.settings.list_on_request
         on_failure = self.broker.subscription_failed if subscribes_on_request else None
         self.subscription = DiscoverySubscription(
@@ -106,7 +106,7 @@
         self.exit_code = 0
 
     def _make_amqp_server(self) -> AmqpServer:
-        """The AMQP server with its publishers and subscribers. Imported here: what is off costs nothing."""
+        """Create the AMQP server. Imports are local, so that a node without AMQP does not load it."""
         from bitternpath.balancer.amqp.publishers import Publishers
         from bitternpath.balancer.amqp.queues import Queues
         from bitternpath.balancer.amqp.server import AmqpServer
@@ -134,7 +134,7 @@
         )
 
     def _set_up_console(self, name: str, console_address: Address) -> None:
-        """The console, the hand-over and manual ejections. Imported here: what is off costs nothing."""
+        """Create console, hand-over and manual ejections, with local imports as for AMQP."""
         from bitternpath.balancer.handover.handover import RESERVED_DESCRIPTORS, Handover
         from bitternpath.balancer.http.console import CALLERS, Console
         from bitternpath.balancer.http.operations import Operations
@@ -164,7 +164,7 @@
         self.handler.relay = handover.relay
 
     def _make_record_client(self) -> RecordClient:
-        """This node's client of the fleet's record. Imported here: what is off costs nothing."""
+        """Create the client of the fleet's record, with local imports as for AMQP."""
         from bitternpath.balancer.fleet.record_client import RecordClient
 
         config = self.loaded.platform
@@ -177,11 +177,11 @@
         return record_client
 
     def _plan_changed(self, plan: Plan) -> None:
-        """The fleet's plan has changed."""
+        """Apply a new plan of the fleet."""
         self._apply_configuration(self.file_configuration)
 
     def _plan_fault(self, plan: Plan) -> str:
-        """Why this node cannot act on that plan; empty: it can."""
+        """Return why this node cannot apply the plan; empty if it can."""
         from bitternpath.balancer.fleet.plan import PlanError
         from bitternpath.balancer.fleet.plan_settings import with_plan
 
@@ -192,7 +192,7 @@
         return ""
 
     def _overlay_plan(self, loaded: Loaded) -> Loaded:
-        """The configuration with the fleet's plan on top; ConfigError where the two conflict, now or soon."""
+        """Overlay the fleet's current and upcoming plans; ConfigError if one conflicts with the files."""
         if self.record_client is None:
             return loaded
         from bitternpath.balancer.fleet.plan import PlanError
@@ -201,15 +201,15 @@
         try:
             new, *_ = [with_plan(loaded.platform, plan) for plan in self.record_client.holder.current_plans]
         except (PlanError, ValueError) as error:
-            raise ConfigError(f"at odds with what the fleet has agreed: {error}") from error
+            raise ConfigError(f"conflicts with the fleet's plan: {error}") from error
         return Loaded(new, loaded.operator)
 
     def _is_serving(self) -> bool:
-        """Whether this process listens, has an endpoint list, and is not told to stop."""
+        """Whether this process listens, has an endpoint list, and is not stopping."""
         return self.lifecycle.behavior.ready_for_operators and self._has_endpoints()
 
     def _retry_after(self, job_class: str) -> float:
-        """The module's advice (ms) for a request that the node itself has no capacity for."""
+        """Return the module's retry delay (ms) for a request that exceeds the capacity of the node."""
         return self.module.retry_after(self.module.class_states[job_class])
 
     def _has_endpoints(self) -> bool:
@@ -220,7 +220,7 @@
         self.broker.endpoints_changed(listing)
 
     def begin(self) -> None:
-        """Start, as soon as an older process of this node has handed its work over or there is none."""
+        """Start once the predecessor has handed over, or at once if there is none."""
         joining: Any = maybeDeferred(self._join)
         joining.addCallback(self.start).addErrback(self._on_start_failure)
 
@@ -232,14 +232,14 @@
         return self.handover.join(f"{host}:{port}")
 
     def _on_start_failure(self, failure: Failure) -> None:
-        """The node cannot start: log why, and end the process with 1."""
+        """Log why the node cannot start, and end the process with exit code 1."""
         expected = isinstance(failure.value, CannotListenError)
         log.error("start_failed", why=failure.getErrorMessage() if expected else failure.getTraceback())
         self.exit_code = 1
         self.reactor.callWhenRunning(self._finish)
 
     def start(self, descriptor: int | None = None) -> None:
-        """Serve; on the listening socket `descriptor`, where an older process has handed it over."""
+        """Load the known endpoints, then serve; `descriptor` is the predecessor's listening socket."""
         if self.lifecycle.phase is not Phase.STARTING:
             return
         if self.manual_ejections is not None:
@@ -248,7 +248,7 @@
         self.upstream_client.listed(listing)
         self.broker.endpoints_changed(listing, at_start=True)
         if self.handover is not None:
-            self.broker.process_batch()  # so that the module knows the workers whose learned weights follow
+            self.broker.process_batch()  # the module must know the workers before their learned weights
             self.handover.restore_learned_weights()
         if self.loaded.platform.settings.list_on_request:
             self._serve(descriptor)
@@ -258,9 +258,9 @@
         self.subscription.start()
 
     def _serve(self, descriptor: int | None) -> None:
-        """Listen: discovery has sent its first message, or has been silent for `FIRST_MESSAGE_WAIT`."""
+        """Listen, after the first message of discovery or FIRST_MESSAGE_TIMEOUT."""
         if self.lifecycle.phase is not Phase.STARTING:
-            return  # told to stop meanwhile
+            return  # stopped meanwhile
         try:
             self._listen(descriptor)
         except Exception:
@@ -304,7 +304,7 @@
         log.info("counts", **fields)
 
     def reload(self, read: Callable[[Loaded], Loaded]) -> None:
-        """Apply the configuration as it is in the files now, all of it or nothing."""
+        """Read the configuration files again and apply them, completely or not at all."""
         statistics = self.broker.statistics
         try:
             file_configuration = read(self.file_configuration)
@@ -317,7 +317,7 @@
         log.info("reloaded", **self._apply_configuration(file_configuration))
 
     def _apply_configuration(self, file_configuration: Loaded) -> dict[str, object]:
-        """Run with these files and the fleet's plan on top; returns fields for the log."""
+        """Apply these files with the fleet's plan on top; returns fields for the log."""
         before = self.loaded.platform
         loaded = self._overlay_plan(file_configuration)
         self.file_configuration = file_configuration
@@ -329,7 +329,7 @@
             self._apply_settings(new.settings)
         fields: dict[str, object] = {"discovery": f"{new.discovery[0]}:{new.discovery[1]}"}
         changed = [key for key in AT_START_ONLY if getattr(before, key) != getattr(new, key)]
-        # What was asked for stays different from what runs: say so again after the next reload.
+        # Keep the running values of settings that need a restart, so that the next reload reports them again.
         config: Config = replace(new, **{key: getattr(before, key) for key in changed})
         changed += changed_at_start_only(self.startup_settings, loaded.operator.settings)
         if self.amqp is not None:
@@ -340,10 +340,10 @@
         return fields
 
     def _apply_settings(self, settings: m.Settings) -> None:
-        """Change servers, statistics and module in one step, for all requests from now on."""
+        """Change servers, statistics and module in one step, for all later requests."""
         self.broker.statistics.add_classes(c.name for c in settings.classes)
         self.broker.settings_changed(settings)
-        self.broker.process_batch()  # the module must know each class before a server accepts a request of it
+        self.broker.process_batch()  # the module must know a class before servers accept requests of it
         self.handler.set_classes(settings.classes)
         if self.amqp is not None:
             self.amqp.publishers.classes = {c.name: c for c in settings.classes}
@@ -352,12 +352,12 @@
         )
 
     def stop(self) -> None:
-        """Answer all accepted requests, then end."""
+        """Answer all accepted requests, then end the process."""
         if self.lifecycle.stopping:
             return
         self.lifecycle.apply(LifecycleEvent.STOP)
         log.info("stopping", waiting=self.broker.unanswered, phase=self.lifecycle.phase.value)
-        if self.lifecycle.phase is Phase.GONE:  # it has not served yet
+        if self.lifecycle.phase is Phase.GONE:  # it did not serve yet
             self._finish()
             return
         self.listener.stop()
@@ -368,7 +368,7 @@
         self.shutdown.begin()
 
     def _close(self) -> None:
-        """Nothing is owed any more: close what is open, and end the process."""
+        """Close all connections once no work is pending, and end the process."""
         self._report()
         self.subscription.stop()
         if self.amqp is not None:
@@ -384,7 +384,7 @@
 
 
 def serve(loaded: Loaded, reload_files: Callable[[Loaded], Loaded]) -> int:
-    """Run a node until it ends; returns the exit code. `read_again` reads the files anew at SIGHUP."""
+    """Run a node until it ends; returns the exit code. `reload_files` reads the files again at SIGHUP."""
     from twisted.internet import reactor as installed_reactor
 
     reactor: Any = installed_reactor
@@ -399,10 +399,10 @@
     signal.signal(signal.SIGHUP, on_hangup)
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP, signal.SIGTERM))  # __main__ has them wait
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP, signal.SIGTERM))  # blocked by __main__
     node.begin()
     gc.collect()
-    gc.freeze()  # what is there now stays: collections need not look at it again
-    gc.enable()  # __main__ has it off
+    gc.freeze()  # objects of the start are permanent: later collections skip them
+    gc.enable()  # disabled by __main__
     reactor.run(installSignalHandlers=False)
     return node.exit_code
--- a/bitternpath/balancer/node_shutdown.py
+++ b/bitternpath/balancer/node_shutdown.py
@@ -1,4 +1,4 @@
-"""When a stopping node may end: nothing is owed to clients or endpoints, and no client holds a connection."""
+"""Decides when a stopping process may end: no pending work, and no connections held by clients."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from bitternpath.balancer.core.lifecycle import NEW_CONNECTIONS_UNTIL_MS, Lifecycle, Phase
 from bitternpath.balancer.http.listener import Listener
 
-FLUSH_DELAY = 0.1  # s for the last answers and DELETEs to be written
-UNSENT_ANSWER_LIMIT = 1000.0  # ms: a client that doesn't read its answer for longer doesn't delay the end
-PARTIAL_REQUEST_LIMIT = 2000.0  # ms: a request that began to arrive longer ago does not delay the end
+FLUSH_DELAY = 0.1  # seconds for the last answers and DELETEs to be written
+UNSENT_ANSWER_LIMIT = 1000.0  # ms; a client that does not read its answer for longer does not delay the end
+PARTIAL_REQUEST_LIMIT = 2000.0  # ms; a request that began to arrive longer ago does not delay the end
 
 
 class Shutdown:
@@ -37,7 +37,7 @@
         self._recheck: Any = None
 
     def begin(self) -> None:
-        """The stop signal came: end once no new connections arrive and nothing is pending."""
+        """After the stop signal: end once no new connections arrive and no work is pending."""
         self.reactor.callLater(NEW_CONNECTIONS_UNTIL_MS / 1000.0 + 2 * FLUSH_DELAY, self._close_when_idle)
 
     def _close_when_idle(self) -> None:
@@ -54,7 +54,7 @@
             self.reactor.callLater(FLUSH_DELAY, self._close_now)
 
     def _schedule_recheck(self) -> None:
-        """Nothing reports the close of the last connection that clients hold: check again soon."""
+        """Check again after FLUSH_DELAY: no event reports the close of the clients' last connection."""
         if self._recheck is None or not self._recheck.active():
             self._recheck = self.reactor.callLater(FLUSH_DELAY, self._close_if_idle)
 
@@ -65,7 +65,7 @@
         return begun or bool(self.broker.unanswered or self.broker.in_progress)
 
     def _has_unsent_answers(self) -> bool:
-        """Whether the end would lose an answer: given in this very turn, or to a client that reads slowly."""
+        """Whether the end would lose an answer that is not written yet, or that a slow client is reading."""
         since = self.clock() - UNSENT_ANSWER_LIMIT
         return any(c.has_unsent_answer() and c.idle_since > since for c in self.listener.connections)
 
