--- a/tests/amqp_disconnects.py
+++ b/tests/amqp_disconnects.py
@@ -1,5 +1,7 @@
-"""Cuts a connection at every step of publish, deliver, result, ack and answer, and holds what came of it
-against the rules. The ledger is kept by the stand-ins, never by the node."""
+"""Breaks a connection at each step of publish, deliver, result, ack and answer, and checks the outcome.
+
+Runs are counted by the scripted peers, not by the node.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +12,14 @@
 from msgspec import Struct
 from pamqp import frame
 
-BUDGET = 600  # ms that the publisher gives
+BUDGET = 600  # ms; expiration of the published message
 
 
 class Disconnect(Struct, frozen=True):
-    """`whose` wire breaks after `offset` bytes `way` ("in" to the node, "out" of it), counted from the
-    publish."""
+    """The wire of `peer` breaks after `offset` bytes in a direction, counted from the publish.
+
+    `direction` is "in" to the node or "out" of it; `position` names the frame.
+    """
 
     peer: str
     direction: str
@@ -24,7 +28,7 @@
 
 
 class Outcome(Struct):
-    """What came of one run."""
+    """Outcome of one scenario."""
 
     runs: int
     answers: list[str]
@@ -42,7 +46,7 @@
 
 
 def _record(peer: Peer) -> tuple[bytearray, bytearray]:
-    """What passes on a wire from now on: in, out."""
+    """Record all bytes that pass on a wire from now on: in, out."""
     recorded = bytearray(), bytearray()
     feed, received = peer.feed, peer.wire.protocol.dataReceived
 
@@ -59,7 +63,7 @@
 
 
 def disconnect_points(key: str, shutdown: bool) -> Iterator[Disconnect]:
-    """Every cut: before, inside and after each frame that passes when nothing breaks."""
+    """Yield all break points: before, inside and after each frame of an undisturbed scenario."""
     rig, publisher, worker, _, _ = _setup(key)
     recordings = {"publisher": _record(publisher), "worker": _record(worker)}
     _publish(rig, publisher, key, shutdown)
@@ -79,14 +83,14 @@
 
 def _publish(rig: AmqpRig, publisher: Peer, key: str, shutdown: bool) -> None:
     rig.publish_request(publisher, "a", key, expiration=str(BUDGET))
-    if shutdown:  # SIGTERM comes while the work is under way
+    if shutdown:  # SIGTERM while the request is in progress
         for peer in rig.peers:
             peer.wire.transfer()
         rig.server.stop()
 
 
 def run_scenario(key: str, disconnect: Disconnect, shutdown: bool, second_subscriber: bool) -> Outcome:
-    """Play one run with the cut; `second`: another subscriber is there that nothing happens to."""
+    """Run a scenario with a break; `second_subscriber` adds a subscriber whose connection stays up."""
     rig, publisher, worker, _, run_counts = _setup(key)
     if second_subscriber:
         other = rig.peer()
@@ -114,7 +118,7 @@
 def _violations(
     rig: AmqpRig, key: str, publisher: Peer, runs: int, answers: list[str], confirms: list[str]
 ) -> list[str]:
-    """The rules that do not hold."""
+    """Return the violated rules."""
     violations = []
     if key == "reminder" and runs > 1:
         violations.append(f"ran {runs} times")
@@ -131,7 +135,7 @@
     if answers == ["refused"] and runs and key == "reminder":
         violations.append("refused after a run")
     if not rig.is_idle():
-        violations.append("something is still owed")
+        violations.append("requests are still pending")
     answered = sum(rig.broker.counts[kind] for kind in ("served", "rejected", "failed"))
     if answered > 1:
         violations.append(f"the core answered {answered} times")
--- a/tests/amqp_rig.py
+++ b/tests/amqp_rig.py
@@ -1,7 +1,8 @@
-"""A node's AMQP side without sockets: scripted peers on wires that a test cuts where it likes, on one clock.
+"""Test rig for the AMQP server without sockets: scripted peers on simulated connections and one clock.
 
-The core, the decision module and all of `amqp/` are the real ones; the wire stands for a TCP connection:
-bytes pass in order, and what was handed over may or may not arrive when it breaks."""
+The core, the decision module and all of `amqp/` are the real ones. A `Wire` replaces a TCP connection: bytes
+arrive in order, and a test can break it after any byte, so that submitted bytes may or may not arrive.
+"""
 
 from __future__ import annotations
 
@@ -37,8 +38,10 @@
 
 
 class Wire:
-    """The transport of the node's end. `out_left` and `in_left`: bytes that still pass before the wire
-    breaks."""
+    """Transport of the node's end of a connection.
+
+    It breaks after `out_limit` more bytes from the node, or `in_limit` more bytes to it.
+    """
 
     def __init__(self, rig: AmqpRig, peer: Peer) -> None:
         self.rig, self.peer = rig, peer
@@ -52,7 +55,7 @@
         self.connected, self.paused, self.closing, self.stalled = True, False, False, False
         self.protocol.makeConnection(self)  # type: ignore[arg-type]
 
-    # what the protocol calls
+    # called by the protocol
 
     def setTcpNoDelay(self, on: bool) -> None: ...
 
@@ -79,10 +82,10 @@
     def abortConnection(self) -> None:
         self.disconnect(ConnectionLost())
 
-    # what the rig does
+    # called by the rig
 
     def transfer(self) -> bool:
-        """Pass on what there is, both ways; whether anything moved."""
+        """Transfer pending bytes in both directions; returns whether there was any progress."""
         if not self.connected:
             return False
         progressed = False
@@ -124,7 +127,7 @@
 
 
 class ReceivedMessage:
-    """What a peer was sent: a method, with its content where it has one."""
+    """A method that a peer received, with its content if it has one."""
 
     def __init__(self, channel: int, method: Any) -> None:
         self.channel, self.method = channel, method
@@ -267,7 +270,7 @@
         return confirmations
 
     def deliveries(self) -> list[ReceivedMessage]:
-        """Jobs that were handed out to it."""
+        """Jobs that were delivered to this peer."""
         return [
             message
             for message in self.all(c.Basic.Deliver)
@@ -276,7 +279,7 @@
 
 
 def run_jobs(peer: Peer, run_counts: Counter[str], action: str = "ack") -> None:
-    """Make the peer run what it is handed: publish a result, then acknowledge. `ledger` counts runs by id."""
+    """Make a peer run delivered jobs: publish a result, then acknowledge. `run_counts` counts runs by id."""
 
     def run(message: ReceivedMessage) -> None:
         properties = message.properties
@@ -296,7 +299,7 @@
 
 
 class RecordingHttpClient:
-    """An upstream client of the other protocol: records calls, and answers as a test says."""
+    """Upstream client for HTTP endpoints that records calls; tests end them."""
 
     def __init__(self) -> None:
         self.calls: list[UpstreamCall] = []
@@ -310,7 +313,7 @@
 
 
 class RecordingCaller:
-    """A consumer of another front."""
+    """Client of an HTTP request that records its answers."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[Any, ...]] = []
@@ -330,7 +333,7 @@
 
 
 class AmqpRig:
-    """The node's core with its AMQP side."""
+    """Core of a node with its AMQP server, on a simulated clock."""
 
     def __init__(self, http_endpoints: int = 0, **settings: Any) -> None:
         self.reactor = Reactor()
@@ -381,7 +384,7 @@
         return float(self.reactor.seconds() * 1000.0 + 1e6)
 
     def run_until_idle(self) -> None:
-        """Let everything happen that needs no time."""
+        """Process all events that are due without advancing the clock."""
         for _ in range(10_000):
             progressed = False
             due = [
@@ -394,10 +397,10 @@
                 progressed = peer.wire.transfer() or progressed
             if not progressed:
                 return
-        raise AssertionError("it never came to rest")
+        raise AssertionError("events do not end")
 
     def advance(self, ms: float, step: float = 5.0) -> None:
-        """Time passes in steps."""
+        """Advance the clock in steps."""
         self.run_until_idle()
         for _ in range(int(ms / step)):
             self.reactor.advance(step / 1000.0)
@@ -407,7 +410,7 @@
         return Peer(self, **options).open(*(channels or (1,)))
 
     def publisher(self, **options: Any) -> Peer:
-        """A peer that confirms and listens for direct replies."""
+        """Return a peer in confirm mode that consumes direct replies."""
         peer = self.peer(**options)
         peer.send(c.Confirm.Select())
         peer.send(c.Basic.Consume(queue="amq.rabbitmq.reply-to", consumer_tag="replies", no_ack=True))
@@ -419,7 +422,7 @@
         peer.publish(key, b"body of " + id.encode(), **(properties | options))
 
     def submit(self, id: str, job_class: str = "reminder", budget: float = 9000.0) -> RecordingCaller:
-        """A request of another front."""
+        """Submit a request as the HTTP server does."""
         from bitternpath.balancer.core.requests import RequestPayload
 
         caller = RecordingCaller()
@@ -433,5 +436,5 @@
         return caller
 
     def is_idle(self) -> bool:
-        """Nobody waits for anything any more."""
+        """Whether no request is in progress or unanswered."""
         return not self.broker.in_progress and not self.broker.unanswered and not self.publishers.waiting
--- a/tests/test_amqp_clients.py
+++ b/tests/test_amqp_clients.py
@@ -1,4 +1,4 @@
-"""AMQP over sockets: a real node, and a client library that knows nothing of it (pika)."""
+"""AMQP over sockets: a real node and an independent client library (pika)."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         self.answers[properties.correlation_id] = properties.headers["x-outcome"], body
 
     def publish(self, id: str, key: str = "reminder", exchange: str = "", **extra: Any) -> str:
-        """The confirm, which comes with the final answer: served or not."""
+        """Publish and return the confirm ("ack" or "nack"), which arrives with the final answer."""
         properties = {
             "message_id": id,
             "correlation_id": id,
@@ -81,7 +81,7 @@
 
 
 class Subscriber(threading.Thread):
-    """Consumes in a thread of its own; `does` runs a job and says how it ended."""
+    """Consumes in its own thread; `action` is "ack" (publish a result, then ack) or "hold" (neither)."""
 
     def __init__(self, rig: Rig, key: str = "reminder", action: str = "ack", prefetch: int = 2) -> None:
         super().__init__(daemon=True)
@@ -120,7 +120,7 @@
             pass
 
     def run_on_connection_thread(self, callback: Any) -> None:
-        """Have something done on the connection's own thread."""
+        """Call a function on the thread of the connection."""
         self.connection.add_callback_threadsafe(callback)
 
 
@@ -181,7 +181,7 @@
 
 
 def _consume_without_ack(port: int, pipe: Any) -> None:
-    """A subscriber as a process of its own that takes a job and never ends it."""
+    """Consume in a separate process, and never acknowledge the job."""
     connection = pika.BlockingConnection(pika.ConnectionParameters("127.0.0.1", port))
     channel = connection.channel()
     channel.basic_consume("reminder", lambda ch, method, properties, body: pipe.send(properties.message_id))
@@ -200,7 +200,7 @@
     thread = threading.Thread(target=lambda: confirms.append(publisher.publish("m")), daemon=True)
     thread.start()
     assert ours.poll(20) and ours.recv() == "m"
-    other = Subscriber(rig)  # ready to take it, were it sent again
+    other = Subscriber(rig)  # would get the job if it were sent again
     assert process.pid is not None
     os.kill(process.pid, signal.SIGKILL)
     thread.join(20)
@@ -234,7 +234,7 @@
                 pika.BlockingConnection(parameters(rig, user, password, "/council"))
         with pytest.raises(ProbableAccessDeniedError, match="530"):
             pika.BlockingConnection(parameters(rig, "a", "secret", "/"))
-        # A bad file changes nothing; a good one holds for those who come.
+        # An invalid file changes nothing; a valid one applies to new connections.
         file.write_text(base + "heartbeat = -1\n")
         rig.reload(json.dumps(rig.conf), "event=reload_failed")
         file.write_text(base.replace(":0", ":1") + f'[amqp.users.b]\npassword = "{hashed(b"secret")}"\n')
@@ -266,7 +266,7 @@
 
 
 def test_an_amqp_flood_leaves_capacity_for_http(tmp_path: Path) -> None:
-    # Guards: the core takes so many at once; a publisher alone could have filled it and HTTP was turned away.
+    # Guards against one publisher filling the capacity of the core, so that HTTP requests are refused.
     with running(tmp_path, accept, flags=FLAGS) as rig:
         connection = pika.BlockingConnection(parameters(rig))
         channel = connection.channel()
--- a/tests/test_amqp_disconnects.py
+++ b/tests/test_amqp_disconnects.py
@@ -1,4 +1,4 @@
-"""The connection is cut at every step, on both sides, before, inside and after each frame."""
+"""Connections that break at each step, on both sides: before, inside and after each frame."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize("shutdown", [False, True], ids=["", "sigterm"])
 @pytest.mark.parametrize("key", ["reminder", "lookup"])
 def test_a_disconnect_at_any_byte_violates_no_rule(key: str, shutdown: bool) -> None:
-    # Guards: lost answers, unsafe runs twice, answers that disagree, and requests that are owed for ever.
+    # Guards against lost answers, repeated unsafe runs, contradicting answers and requests pending for ever.
     points = list(disconnect_points(key, shutdown))
     assert len(points) >= 60 and {(point.peer, point.direction) for point in points} == {
         (peer, direction) for peer in ("publisher", "worker") for direction in ("in", "out")
@@ -21,13 +21,12 @@
 
 
 def test_a_safe_class_is_served_wherever_its_first_subscriber_disconnects() -> None:
-    # Guards: what may run again has to go elsewhere while there is time; a cut costs it nothing.
+    # Guards against failing a safe request that could have been retried at the other subscriber in time.
     points = [point for point in disconnect_points("lookup", False) if point.peer == "worker"]
     outcomes = [run_scenario("lookup", point, False, True) for point in points]
     assert [outcome.answers for outcome in outcomes] == [["served"]] * len(points)
-    assert (
-        max(outcome.runs for outcome in outcomes) == 2
-    )  # some had run when the wire broke: that is allowed here
+    # Some jobs ran before the connection broke: a second run is allowed for a safe class.
+    assert max(outcome.runs for outcome in outcomes) == 2
 
 
 def test_an_unsafe_class_runs_at_most_once_and_is_served_if_its_result_is_known() -> None:
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -1,4 +1,4 @@
-"""AMQP through the core: publishers, subscribers, and what proves what, without sockets."""
+"""AMQP through the core, without sockets: publishers, subscribers, and the outcomes of calls."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return rig, rig.publisher(), workers, run_counts
 
 
-# ---- the ways an attempt may end
+# ---- outcomes of an attempt
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
     rig, publisher, _, run_counts = rig_with("requeue", 2, requeue_unstarted=["reminder"])
     rig.publish_request(publisher, "a", key)
     rig.advance(9000)
-    # The first: tried elsewhere and at last refused, for it never ran. The second: a safe class may go again.
+    # The reminder is retried and finally refused, as it counts as not started. The lookup is safe to retry.
     assert sum(run_counts.values()) >= 2
     assert publisher.answers()[0][0] == "refused" and rig.is_idle()
     headers = publisher.all(c.Basic.Deliver)[0].properties.headers
@@ -76,7 +76,7 @@
 def test_a_refusal_is_sent_at_once_with_the_retry_after_of_the_module() -> None:
     rig = AmqpRig()
     publisher = rig.publisher()
-    rig.publish_request(publisher, "a", expiration="20")  # nobody serves it, and there is next to no time
+    rig.publish_request(publisher, "a", expiration="20")  # no endpoint, and little time
     rig.advance(20)
     (
         outcome,
@@ -93,7 +93,7 @@
     assert publisher.answers() == [] and run_counts["a"] == 1
     rig.advance(20)
     assert publisher.answers() == [("failed", "c-a", b"")] and publisher.confirms() == [("nack", 1)]
-    # An ack after the time limit is legal and changes nothing; its place is free again.
+    # A late ack is legal and frees the slot; it does not change the answer.
     (subscriber,) = [s for s in rig.subscribers.by_endpoint.values() if s.job_class == "reminder"]
     assert subscriber.unacked_count == 1
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
@@ -109,11 +109,11 @@
         rig.publish_request(publisher, f"a{k}", "lookup")
         rig.advance(50)
     outcomes = Counter(outcome for outcome, *_ in publisher.answers())
-    assert outcomes["served"] >= 26  # the silent one holds no more than its four places
+    assert outcomes["served"] >= 26  # the silent one occupies at most its four slots
     assert len(silent.deliveries()) <= 4 and len(good.deliveries()) >= 26
 
 
-# ---- what a lost connection proves
+# ---- lost connections
 
 
 def test_a_reminder_delivered_but_not_acknowledged_does_not_run_again() -> None:
@@ -165,20 +165,20 @@
     caller = rig.submit("a")
     rig.advance(3500)
     assert worker.heartbeats >= 3 and caller.answers == [] and worker.wire.connected
-    rig.advance(1000)  # two intervals without a byte from it
+    rig.advance(1000)  # two heartbeat intervals without a byte from the peer
     assert not worker.wire.connected and caller.answers == [("failed",)] and run_counts == {"a": 1}
 
 
 def test_an_unsent_delivery_is_sent_to_another_subscriber() -> None:
-    # Guards: a delivery that waits behind a stalled socket goes elsewhere when the connection breaks.
+    # Guards against failing a delivery that still waited behind a stalled socket when the connection broke.
     rig, publisher, workers, run_counts = rig_with("hold", 2)
     for worker in workers:
-        worker.wire.stalled = True  # its window is full
+        worker.wire.stalled = True  # the TCP window is full
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
     with_pending_data = [w for w in workers if w.wire.pending]
     assert len(with_pending_data) == 1 and run_counts == {}
-    # The first piece was handed to the system; what waits behind it was not.
+    # The first chunk was submitted to the transport; entries behind it were not.
     rig.publish_request(publisher, "b")
     rig.publish_request(publisher, "d")
     rig.run_until_idle()
@@ -190,7 +190,7 @@
         for u in w.wire.protocol.session.channels[1].unacked.values()
         if not u.entry.submitted  # type: ignore[attr-defined]
     }
-    assert waiting  # of three, at most two were the first of their wires
+    assert waiting  # of three requests, at most two are the first on their wires
     stalled, other = workers
     other.wire.stalled = False
     stalled.wire.disconnect(ConnectionError())
@@ -262,7 +262,7 @@
     rig.server.stop()
     rig.run_until_idle()
     assert [x.consumer_tag for x in worker.methods(c.Basic.Cancel)] == (["t"] if supports_cancel else [])
-    rig.publish_request(publisher, "late")  # refused at once: it was not taken
+    rig.publish_request(publisher, "late")  # not accepted, so refused at once
     rig.run_until_idle()
     assert publisher.answers() == [("refused", "c-late", b"")]
     worker.send(c.Basic.Ack(worker.deliveries()[0].method.delivery_tag))
@@ -290,7 +290,7 @@
 
 def test_accepted_requests_are_still_delivered_during_shutdown() -> None:
     rig, publisher, (worker,), run_counts = rig_with("hold")
-    for k in range(5):  # one more than there are places
+    for k in range(5):  # one more than there are slots
         rig.publish_request(publisher, f"a{k}")
     rig.run_until_idle()
     rig.server.stop()
@@ -306,7 +306,7 @@
 
 @pytest.mark.parametrize("action", ["close", "error", "cut", "hard"])
 def test_a_subscriber_is_no_endpoint_after_its_channel_closed(action: str) -> None:
-    # Guards: the module would go on sending to a consumer that nobody can reach.
+    # Guards against sending calls to a consumer whose channel is closed.
     rig, _, (worker,), _ = rig_with("hold")
     assert len([p for p in rig.registry.endpoints.values() if p.source == "amqp"]) == 2
     if action == "close":
@@ -321,11 +321,11 @@
     assert not rig.registry.endpoints and not rig.module.workers and not rig.subscribers.by_endpoint
 
 
-# ---- who publishes
+# ---- publishers
 
 
 def test_input_of_one_peer_is_processed_in_bounded_turns() -> None:
-    # Guards: a peer's thousand messages that came in one piece would hold up all other sockets.
+    # Guards against a peer that sends thousands of messages at once and so delays all other sockets.
     from bitternpath.balancer.amqp.server import EVENTS_PER_TURN
 
     rig = AmqpRig()
@@ -421,7 +421,7 @@
         rig.publish_request(flood, f"f{k}")
     rig.publish_request(other, "one")
     rig.run_until_idle()
-    assert flood.wire.protocol.session.waiting == 50 and flood.wire.paused  # read no further
+    assert flood.wire.protocol.session.waiting == 50 and flood.wire.paused  # not read any further
     assert rig.broker.has_seen("one") and not other.wire.paused
     run_jobs(worker, run_counts)
     for message in worker.deliveries():
@@ -451,7 +451,7 @@
 
 
 def test_a_connection_with_unacked_deliveries_is_always_read() -> None:
-    # Guards: its acks come the same way; not to read it would hold up everybody's answers until the deadline.
+    # Guards against pausing a connection that carries acks, which delays answers until their deadlines.
     rig = AmqpRig(max_waiting=4)
     both = rig.publisher()
     both.subscribe("reminder")
@@ -543,7 +543,7 @@
 
 
 def test_a_complete_list_of_discovery_does_not_affect_subscribers() -> None:
-    # Guards: discovery's whole list names its own endpoints only, and the module takes it for all there are.
+    # Guards against removing subscribers when discovery sends a complete list, which has only its endpoints.
     rig, publisher, _, _ = rig_with()
     from bitternpath.balancer.core.endpoint_registry import Endpoint, Listing
 
@@ -554,7 +554,7 @@
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
     assert publisher.answers() == [("served", "c-a", b"ran")]
-    # An endpoint of discovery's that bears the name of a subscriber does not take its place.
+    # An endpoint from discovery with the name of a subscriber does not replace the subscriber.
     name = next(iter(rig.subscribers.by_endpoint))
     rig.registry.apply(
         Listing(9, True, (Endpoint(name, "h:9", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
@@ -564,7 +564,7 @@
 
 
 def test_http_callbacks_do_not_affect_calls_at_subscribers() -> None:
-    # Guards: anybody who reaches the HTTP listener could end a subscriber's job as 'returned'.
+    # Guards against HTTP clients that end the jobs of subscribers by forged callbacks.
     from bitternpath.balancer.core.requests import CallReport, CallState
 
     rig, publisher, _, _ = rig_with("hold")
--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -1,4 +1,4 @@
-"""Frames and state machines: what is read, what is refused with which code, and who else is hurt (nobody)."""
+"""Frame codec and state machine: accepted input, error codes, and isolation of other connections."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def sent_frames(machine: sm.ConnectionStateMachine) -> list[tuple[int, Any]]:
-    """What the machine had to say since the last look."""
+    """Return and remove the frames in the send queue."""
     data, frames = b"", []
     while piece := machine.send_queue.next_chunk():
         data += piece
@@ -80,7 +80,7 @@
     return struct.pack(">I", len(data)) + data
 
 
-# ---- the tables
+# ---- transition tables
 
 
 def test_channels_accept_exactly_the_transitions_of_the_table() -> None:
@@ -179,10 +179,10 @@
 @pytest.mark.parametrize(
     ("data", "code"),
     [
-        (raw(1, 1, b"\x00\x3c\x00\x0a", 0xCD), e.FRAME_ERROR),  # wrong end
-        (raw(4, 1, b"x"), e.FRAME_ERROR),  # no such type
+        (raw(1, 1, b"\x00\x3c\x00\x0a", 0xCD), e.FRAME_ERROR),  # wrong frame end
+        (raw(4, 1, b"x"), e.FRAME_ERROR),  # unknown frame type
         (raw(0x41, 1, b"x"), e.FRAME_ERROR),
-        (struct.pack(">BHI", 1, 1, 131072), e.FRAME_ERROR),  # longer than agreed, though nothing of it has come
+        (struct.pack(">BHI", 1, 1, 131072), e.FRAME_ERROR),  # over the limit, from its header alone
         (struct.pack(">BHI", 3, 1, 0xFFFFFFFF), e.FRAME_ERROR),
         (raw(8, 1, b""), e.FRAME_ERROR),  # a heartbeat on a channel
         (raw(1, 1, b""), e.SYNTAX_ERROR),
@@ -190,17 +190,17 @@
         (raw(1, 1, b"\x00\x3c\xff\xff"), e.NOT_IMPLEMENTED),  # unknown method
         (raw(1, 1, b"\x00\x99\x00\x0a"), e.NOT_IMPLEMENTED),  # unknown class
         (raw(1, 1, b"\x00\x3c\x00\x28" + b"\x00" * 9000), e.SYNTAX_ERROR),
-        (raw(1, 1, b"\x00\x3c\x00\x28\x00\x00\x05ab"), e.SYNTAX_ERROR),  # a string cut off
+        (raw(1, 1, b"\x00\x3c\x00\x28\x00\x00\x05ab"), e.SYNTAX_ERROR),  # truncated string
         (raw(1, 1, frame.marshal(c.Basic.Publish(), 1)[7:-1] + b"more"), e.SYNTAX_ERROR),
         (raw(1, 1, b"\x00\x32\x00\x0a\x00\x00\x00\x00" + table(b"\x01kQ")), e.SYNTAX_ERROR),  # field type
         (raw(1, 1, b"\x00\x32\x00\x0a\x00\x00\x00\x00" + struct.pack(">I", 5000)), e.SYNTAX_ERROR),
         (raw(1, 1, b"\x00\x32\x00\x0a\x00\x00\x00\x00" + table(b"\x09k")), e.SYNTAX_ERROR),
         (raw(1, 1, b"\x00\x32\x00\x0a\x00\x00\x02\xff\xfe\x00\x00\x00\x00\x00"), e.SYNTAX_ERROR),  # not UTF-8
-        (frame.marshal(c.Basic.Deliver("t", 1, False, "", "k"), 1), e.COMMAND_INVALID),  # the server's to send
+        (frame.marshal(c.Basic.Deliver("t", 1, False, "", "k"), 1), e.COMMAND_INVALID),  # for servers only
         (frame.marshal(c.Tx.Select(), 1), e.NOT_IMPLEMENTED),
         (frame.marshal(c.Basic.Publish(), 3), e.CHANNEL_ERROR),  # not open
-        (frame.marshal(c.Channel.Open(), 1), e.UNEXPECTED_FRAME),  # open already
-        (frame.marshal(c.Channel.Open(), 65), e.CHANNEL_ERROR),  # more than agreed
+        (frame.marshal(c.Channel.Open(), 1), e.UNEXPECTED_FRAME),  # already open
+        (frame.marshal(c.Channel.Open(), 65), e.CHANNEL_ERROR),  # over channel-max
         (frame.marshal(header.ContentHeader(0, 1), 1), e.UNEXPECTED_FRAME),
         (frame.marshal(body.ContentBody(b"x"), 1), e.UNEXPECTED_FRAME),
         (frame.marshal(c.Basic.Publish(), 1) + frame.marshal(c.Basic.Publish(), 1), e.UNEXPECTED_FRAME),
@@ -215,7 +215,7 @@
             + frame.marshal(body.ContentBody(b"abc"), 1),
             e.UNEXPECTED_FRAME,
         ),
-        (  # and one that is shorter: the next method comes too early
+        (  # a body shorter than its header says, followed by a method
             frame.marshal(c.Basic.Publish(), 1)
             + frame.marshal(header.ContentHeader(0, 9), 1)
             + frame.marshal(body.ContentBody(b"abc"), 1)
@@ -237,12 +237,12 @@
             and close.reply_code == code
             and close.reply_text.startswith(e.REPLY_CODE_NAMES[code])
         )
-        # While it closes nothing else counts, until close-ok comes.
+        # While closing, all input is ignored until close-ok arrives.
         machine.feed(frame.marshal(c.Channel.Open(), 2) + raw(1, 1, b"\x00\x3c\x00\x0a"))
         assert events(machine) == [] and sent_frames(machine) == [] and machine.phase is sm.Phase.CLOSING
         machine.feed(frame.marshal(c.Connection.CloseOk(), 0))
         closing_events = [type(event) for event in events(machine)]
-        # Where the framing is lost nothing more can be read, and time ends it.
+        # Once frame boundaries are lost nothing more can be read; a timeout closes the connection.
         assert closing_events == ([] if machine.reader.desynchronized else [sm.ConnectionClosed])
         assert machine.phase is (sm.Phase.CLOSING if machine.reader.desynchronized else sm.Phase.CLOSED)
 
@@ -261,7 +261,8 @@
 
 
 def test_tables_with_many_entries_are_rejected_before_decoding() -> None:
-    # Guards: pamqp copies the rest of a table for each entry; 8 KiB of them would take it some 10 ms a frame.
+    # Guards against quadratic time in pamqp, which copies the rest of a table for each entry: a table of 8 KiB
+    # would take some 10 ms per frame.
     for entry in (b"\x01kV", b"\x00t\x01"):
         data = table(entry * (f.MAX_TABLE_ENTRIES + 1))
         with pytest.raises(ValueError, match="entries"):
@@ -409,7 +410,7 @@
 
 
 def test_little_is_buffered_before_the_login() -> None:
-    # Guards: a stranger could make the node keep what it likes while its password is being looked at.
+    # Guards against unlimited buffering for an unauthenticated peer while its password is checked.
     rig = AmqpRig()
     peer = Peer(rig)
     peer.wire.protocol.server.log_in = lambda connection, login: None  # type: ignore[method-assign]
@@ -488,7 +489,7 @@
     rig = AmqpRig()
     peer = rig.peer(1, 2)
     peer.send(method, 1)
-    peer.send(c.Confirm.Select(), 1)  # for a closed channel: ignored until close-ok
+    peer.send(c.Confirm.Select(), 1)  # ignored until close-ok: the channel is closing
     peer.publish("nowhere", b"x", 1)
     peer.send(c.Channel.CloseOk(), 1)
     peer.send(c.Channel.Open(), 1)
@@ -534,7 +535,7 @@
         c.Basic.Cancel("none"),
         c.Basic.Recover(True),
         c.Queue.Declare(queue="own", exclusive=True),
-        c.Queue.Purge(queue=""),  # the last one declared
+        c.Queue.Purge(queue=""),  # empty: the queue declared last
         c.Queue.Delete(queue="own"),
         c.Queue.Declare(queue="quiet", exclusive=True, nowait=True),
         c.Confirm.Select(nowait=True),
@@ -560,7 +561,7 @@
     assert [x.reply_code for x in second.methods(c.Channel.Close)] == [405]
     second.send(c.Channel.CloseOk())
     first.send(c.Queue.Declare(queue="mine2", exclusive=True))
-    first.send(c.Queue.Declare(queue="mine3", exclusive=True))  # one too many
+    first.send(c.Queue.Declare(queue="mine3", exclusive=True))  # over the limit of two
     rig.run_until_idle()
     assert [x.reply_code for x in first.methods(c.Channel.Close)] == [406]
     first.wire.disconnect(ConnectionError())
@@ -588,7 +589,7 @@
     assert rig.server.buildProtocol(None) is not None
 
 
-# ---- anything at all
+# ---- arbitrary input
 
 
 inputs = st.one_of(
@@ -615,7 +616,7 @@
 )  # fmt: skip
 
 
-FUZZ_EXAMPLES = int(os.environ.get("FUZZ_EXAMPLES", "0"))  # `make fuzz`: so many, new ones each time
+FUZZ_EXAMPLES = int(os.environ.get("FUZZ_EXAMPLES", "0"))  # set by `make fuzz`; examples are random then
 
 
 @settings(
@@ -626,7 +627,7 @@
 )
 @given(st.lists(inputs, max_size=25), st.integers(1, 4096))
 def test_no_input_affects_other_connections(sent: list[bytes], step: int) -> None:
-    # Guards: whatever a peer sends, the node goes on, others are served, and nothing stays owed.
+    # Guards against input that crashes the node, disturbs other connections or leaves requests pending.
     rig = AmqpRig()
     run_counts = Counter[str]()
     worker = rig.peer()
@@ -643,7 +644,7 @@
     faulty.wire.disconnect(ConnectionError())
     rig.advance(3200, 50.0)
     outcomes = [outcome for outcome, *_ in publisher.answers()]
-    # The peer may have subscribed and dropped the job: then it failed, once.
+    # The faulty peer may have subscribed and dropped the job, which then failed once.
     assert outcomes in (["served"], ["failed"], ["refused"]) and run_counts["good"] <= 1
     assert rig.broker.counts["exceptions"] == 0 and worker.wire.connected and publisher.wire.connected
     rig.advance(9000, 250.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""The parts of an upgrade without processes: the life cycle, what goes over the link, what was learned."""
+"""Parts of an upgrade without processes: lifecycle, messages of the link, learned weights, callbacks."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 P = Phase
 
 
-# ---- the life cycle
+# ---- lifecycle
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,7 @@
         MessageDecoder().feed(data)
 
 
-# ---- what was learned
+# ---- learned weights
 
 
 def trained(seed: int, workers: int = 4) -> DispatcherHarness:
@@ -196,11 +196,11 @@
     assert all(0.0 <= q <= 1.0 for q in fresh.dispatcher.class_states["a"].network.q)
 
 
-# ---- the link, between two sides on a clock
+# ---- links between processes, on a simulated clock
 
 
 class ProcessHarness:
-    """A process with its end of the link, on a clock and without sockets."""
+    """A process with its ends of links, without sockets."""
 
     def __init__(self, reactor: Any, folder: Path, name: str) -> None:
         listing = Listing(1, True, (Endpoint("s", "h:1", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
@@ -238,7 +238,7 @@
     reactor = Reactor()
     process = ProcessHarness(reactor, tmp_path, "n")
     report, results = CallReport("x", "s", CallState.DONE, None, b"r"), list[bool]()
-    assert not process.handover.relay(report, results.append)  # nobody is there
+    assert not process.handover.relay(report, results.append)  # no other process
     link = process.connect()
     transport: Any = link.transport
     assert process.handover.relay(report, results.append) and not results
@@ -249,12 +249,13 @@
     elif event == "lost":
         link.connectionLost()
     reactor.advance(ACKNOWLEDGE_TIMEOUT)
-    link.dataReceived(encode_message(Acknowledged(message.number)))  # too late, and so nothing
+    link.dataReceived(encode_message(Acknowledged(message.number)))  # ignored after the timeout
     assert results == [event != "silence"]
 
 
 def test_a_callback_for_an_unknown_job_is_relayed_to_all_other_processes(tmp_path: Path) -> None:
-    # Guards: only the older one was asked, and its word that it has the news counted for the newer one's job.
+    # Guards against relaying to the older process only, whose acknowledgement was taken for a job of the newer
+    # one.
     process, results = ProcessHarness(Reactor(), tmp_path, "n"), list[bool]()
     links = [process.connect(), process.connect()]
     assert process.handover.relay(CallReport("x", "s", CallState.DONE, None, b"r"), results.append)
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change while jobs are open: the file, the module, and a real node."""
+"""Changes of settings while jobs are open: the file, the module, and a real node."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def modified(value: Any, *path: str | int) -> str:
-    """The file with another value there, or without it (GONE)."""
+    """Return the file with another value at a path, or without the key (REMOVED)."""
     file: Any = copy.deepcopy(FILE)
     parent = file
     for key in path[:-1]:
@@ -111,7 +111,7 @@
     (old,) = sends(harness.request("old"))
     apply_settings(harness, job_class(effect=m.Effect.SAFE), try_limit=1)
     (new,) = sends(harness.request("new"))
-    for n in range(1, 4):  # the old one has four attempts, of which none ran
+    for n in range(1, 4):  # the old job has four attempts; none of them ran
         (old,) = sends(harness.end_attempt("old", old.worker, m.AttemptOutcome.FULL, n - 1))
     assert isinstance(finals(harness.end_attempt("old", old.worker, m.AttemptOutcome.RESET, 3))[0], m.Fail)
     assert isinstance(finals(harness.end_attempt("new", new.worker, m.AttemptOutcome.RESET))[0], m.Refuse)
@@ -145,7 +145,7 @@
     )
     first = [sends(harness.request(f"f{k}", "old", 60_000.0)) for k in range(2)]
     for k, (send,) in enumerate(first):
-        harness.end_attempt(f"f{k}", send.worker, m.AttemptOutcome.FULL, after=1.0)  # both are full
+        harness.end_attempt(f"f{k}", send.worker, m.AttemptOutcome.FULL, after=1.0)  # both workers are full
     apply_settings(harness, job_class("stays"))
     draining = m.WorkerEntry("w0", "a", "k", 0, m.WorkerState.DRAINING)
     harness.handle(m.WorkerList(m.ListKind.CHANGES, [draining]))
@@ -171,7 +171,7 @@
         rig.reload(json.dumps(rig.conf | {"settings": changed_settings}))
         statistics = rig.statistics()
         assert statistics["app.calls.text.success"] == 0 and statistics["app.reconfig_ok"] == 1
-        assert rig.submit("r2", "/reminder")[0] == 404  # dropped
+        assert rig.submit("r2", "/reminder")[0] == 404  # removed class
         for name in ("lookup", "reminder"):
             endpoint.tell(name, "done", result=name)
         assert [job.result()[:2] for job in open_requests] == [(200, b"lookup"), (200, b"reminder")]
@@ -184,4 +184,4 @@
         statistics = rig.statistics()
         assert statistics["app.calls.text.success"] == 1 == statistics["app.calls.text.busy"]
         assert statistics["app.calls.reminder.success"] == 1 == statistics["app.reconfig_failed"]
-        assert rig.submit("t3", "/text")[0] == 503  # what was in use goes on
+        assert rig.submit("t3", "/text")[0] == 503  # the previous settings stay in use
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -52,7 +52,7 @@
 def test_rule_4_an_endpoint_that_just_started_is_not_overloaded(tmp_path: Path) -> None:
     with running(tmp_path, done, done, (done, time.time() * 1000)) as rig, ThreadPoolExecutor(8) as pool:
         assert {r[0] for r in pool.map(rig.submit, [f"a{k}" for k in range(40)])} == {200}
-        assert rig.endpoints[2].posts <= 1  # its first gaps are minutes long with these figures
+        assert rig.endpoints[2].posts <= 1  # its initial intervals between calls are minutes here
 
 
 def test_sigterm_answers_accepted_requests_and_exits_with_0(tmp_path: Path) -> None:
@@ -73,7 +73,7 @@
 
 
 def test_a_partially_sent_request_does_not_delay_shutdown(tmp_path: Path) -> None:
-    # Guards: the node waited 30 s for the rest of it, and would have been killed meanwhile.
+    # Guards against waiting 30 s for the rest of the request: the node would be killed meanwhile.
     with running(tmp_path, done) as rig:
         connection = rig.open()
         connection.connect()
@@ -104,7 +104,7 @@
 
 
 def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(tmp_path: Path) -> None:
-    # Guards: an endpoint that drops repeats by a key of the client's (Idempotency-Key) never saw the key.
+    # Guards against dropping end-to-end headers: endpoints that deduplicate by Idempotency-Key need the key.
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
         rig.endpoints[0].server = peer  # type: ignore[assignment]
         rig.change(rig.endpoints[0], "up")
@@ -162,7 +162,7 @@
 
 
 def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    # Guards: SIGHUP ended the process, and PROXY_DISCOVERY would have kept the watch at the old address.
+    # Guards against a process that ends at SIGHUP, and against PROXY_DISCOVERY overriding the new address.
     with running(tmp_path, done, done) as rig:
         old = rig.discovery
         rig.revision = 5
@@ -177,7 +177,7 @@
             rig.reload(bad, "event=reload_failed")
         assert len(rig.logged("event=reload_failed")) == 3 and not old.left.is_set()
         rig.reload(good)
-        assert not old.left.is_set() and old.watched.qsize() == 1  # nothing has moved
+        assert not old.left.is_set() and old.watched.qsize() == 1  # the watch is unchanged
         new = rig.discovery = Discovery(rig)
         rig.reload(json.dumps(rig.conf | {"discovery": new.address, "listen": "127.0.0.1:1"}))
         assert rig.logged("needs_restart=listen")
@@ -192,14 +192,14 @@
 
 
 def test_sighup_while_a_watch_cannot_be_opened(tmp_path: Path) -> None:
-    # Guards: the wait before the next attempt at the address before must not hold up the move, and the
-    # list in hand serves meanwhile.
+    # Guards against delaying the move by the retry delay of the previous address. Meanwhile requests are
+    # served by the known list.
     with running(tmp_path, done) as rig:
-        until(lambda: rig.logged("event=endpoint_list_applied "))  # the first watch has spoken
+        until(lambda: rig.logged("event=endpoint_list_applied "))  # from the first watch
         nowhere = json.dumps(rig.conf | {"discovery": "127.0.0.1:9"})
         rig.reload(nowhere)
         until(lambda: len(rig.logged("event=subscription_lost")) >= 3)
-        assert not rig.discovery.left.is_set()  # the old watch is kept until another speaks
+        assert not rig.discovery.left.is_set()  # the old watch stays until a new one has sent a message
         assert rig.submit("a")[0] == 200
         new = Discovery(rig)
         rig.reload(nowhere)
@@ -241,7 +241,8 @@
 
 
 def test_calls_succeed_with_more_client_connections_than_sockets(tmp_path: Path) -> None:
-    # Guards: at the limit idle connections go and accepting waits, so that calls still find sockets.
+    # Guards against clients that take all sockets: at the limit, idle connections are closed and accepting
+    # pauses, so that calls still get sockets.
     with running(tmp_path, done, sockets=64) as rig, contextlib.ExitStack() as stack:
         for _ in range(100):
             connection = stack.enter_context(contextlib.closing(rig.open()))
@@ -253,7 +254,8 @@
 
 
 def test_idle_connections_are_closed_for_new_ones(tmp_path: Path) -> None:
-    # Guards: at most 80 connections a second made room, so that where more came requests were not taken.
+    # Guards against closing at most 80 idle connections per second: at higher rates requests were not
+    # accepted.
     with running(tmp_path, done, sockets=64) as rig, contextlib.ExitStack() as stack:
         for k in range(400):
             connection = stack.enter_context(contextlib.closing(rig.open()))
@@ -264,7 +266,8 @@
 
 
 def test_silent_and_slow_connections_time_out_but_idle_keep_alive_ones_stay(shared: Rig) -> None:
-    # Guards: silent connections had no timer, half-sent requests had 30 s, and trickling must renew nothing.
+    # Guards against silent connections without a timeout, 30 s for partial requests, and timeouts that are
+    # extended by single bytes.
     with contextlib.ExitStack() as stack:
         silent, partial, trickling, idle = (stack.enter_context(shared.socket()) for _ in range(4))
         for sock in (partial, trickling):
@@ -285,8 +288,8 @@
 
 
 def test_an_error_response_reaches_a_client_that_keeps_sending(shared: Rig) -> None:
-    # Guards: closed with unread input the connection was reset, and the answer lost; nothing after an error
-    # may be taken for a request, and what is dropped must not be held in memory.
+    # Guards against closing with unread input, which resets the connection and loses the answer. Input after
+    # an error must not be parsed as a request, nor kept in memory.
     memory = Path(f"/proc/{shared.process.pid}/status")
     before = shared.endpoints[0].posts
     with shared.socket() as sock:
@@ -299,11 +302,11 @@
     assert data.startswith(b"HTTP/1.1 413 ") and data.count(b"HTTP/1.1") == 1
     assert shared.endpoints[0].posts == before
     peak = next(line for line in memory.read_text().splitlines() if line.startswith("VmHWM"))
-    assert int(peak.split()[1]) < 60_000  # kB, of which the interpreter has some 25,000
+    assert int(peak.split()[1]) < 60_000  # kB; the interpreter takes some 25,000
 
 
 def test_waiting_requests_leave_sockets_for_callbacks(tmp_path: Path) -> None:
-    # Guards: waiting requests held every socket of the listener, so that no call-back could end one.
+    # Guards against waiting requests that occupy all sockets of the listener, so that no callback ends them.
     with running(tmp_path, accept, sockets=64) as rig, ThreadPoolExecutor(60) as pool:
         capacity = Sockets(64).requests
         requests = [pool.submit(rig.submit, f"a{k}", body=b"a%d" % k) for k in range(60)]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process, and words that come while it starts."""
+"""Shutdown of a process, and signals during its start."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def starting(tmp_path: Path) -> Iterator[Rig]:
-    """A node whose next process waits in the midst of its start: its configuration is a pipe."""
+    """A node whose next process blocks during its start, since its configuration file is a pipe."""
     with running(tmp_path, done) as rig:
         rig.terminate()
         assert rig.process.wait(20) == 0
@@ -39,7 +39,7 @@
 
 
 def test_sighup_during_the_start_does_not_end_the_process(starting: Rig) -> None:
-    # Guards: a SIGHUP to all nodes while some were starting was the end of those.
+    # Guards against a SIGHUP to all nodes that ends those that are still starting.
     text, replacement = json.dumps(starting.conf), starting.file.with_suffix(".later")
     replacement.write_text(text)
     with starting.file.open("w") as pipe:  # opens as soon as the process reads
@@ -50,9 +50,7 @@
     log_text = ""
     for line in starting.process.stderr:
         log_text += line
-        if (
-            "event=reloaded" in log_text and "event=listening" in log_text
-        ):  # and nothing that was told is lost
+        if "event=reloaded" in log_text and "event=listening" in log_text:  # the signal is not lost
             return
     raise AssertionError(log_text)
 
@@ -67,7 +65,7 @@
 
 @pytest.mark.parametrize("longest", [400.0, 1000.0, 3000.0, 8000.0])
 def test_late_requests_are_answered_before_the_process_may_be_killed(longest: float) -> None:
-    # Guards: with short deadlines the kill comes earlier than 3.7 s, and found answers still owed.
+    # Guards against unanswered requests at the kill, which with short deadlines follows earlier than 3.7 s.
     classes = [
         {**c, "giveUp": min(longest, 400.0) if k else longest} for k, c in enumerate(SETTINGS["classes"])
     ]
@@ -84,7 +82,8 @@
 
 
 def test_a_request_completed_late_in_the_shutdown_is_answered_in_time(tmp_path: Path) -> None:
-    # Guards: as above, on real connections; its own deadline is far later. It was answered after 3.5 s.
+    # Guards against the same on real connections, for a request with a much later deadline: its answer came
+    # after 3.5 s.
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
         classes = [{**c, "giveUp": 300.0} for c in SETTINGS["classes"]]
         rig.reload(json.dumps(rig.conf | {"settings": {**SETTINGS, "classes": classes}}))
@@ -97,7 +96,7 @@
         rig.terminate()
         rig.says("event=stopping")
         sock.sendall(b"b")
-        assert b"X-Call-Id: a" in peer.asked()[1]  # and is never answered
+        assert b"X-Call-Id: a" in peer.asked()[1]  # the endpoint never answers
         assert message(sock).startswith(b"HTTP/1.1 500 ")
         assert time.monotonic() - stop_sent_at < 3.0  # due after 0.8 s
         assert rig.process.wait(20) == 0
@@ -106,7 +105,7 @@
 def test_a_node_that_cannot_reach_discovery_shuts_down_cleanly(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig, Peer() as peer:
         rig.reload(json.dumps(rig.conf | {"discovery": peer.address}))
-        peer.accept()  # and says nothing
+        peer.accept()  # and sends nothing
         rig.discovery.changes.put(None)
         assert rig.submit("a")[0] == 200
         rig.terminate()
@@ -115,14 +114,14 @@
 
 @pytest.mark.parametrize("turn", range(3))
 def test_a_request_that_crosses_the_close_is_answered_or_not_forwarded(tmp_path: Path, turn: int) -> None:
-    # Both are right; to send it on and end the connection without an answer loses it.
+    # Guards against forwarding the request and closing the connection without an answer.
     with running(tmp_path, done) as rig, rig.socket() as sock:
         sock.sendall(b"POST /lookup HTTP/1.1\r\nX-Call-Id: a\r\nContent-Length: 0\r\n\r\n")
         assert message(sock).startswith(b"HTTP/1.1 200")
         rig.terminate()
         rig.says("event=stopping")
         rig.process.send_signal(signal.SIGSTOP)
-        time.sleep(0.2 * turn)  # the look for resting connections falls due by time alone: before, at, after
+        time.sleep(0.2 * turn)  # before, at and after the timed check for idle connections
         sock.sendall(b"POST /lookup HTTP/1.1\r\nX-Call-Id: b\r\nContent-Length: 0\r\n\r\n")
         time.sleep(0.6)
         rig.process.send_signal(signal.SIGCONT)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade with real processes: one socket, two processes, clients and workers that notice nothing."""
+"""Upgrades with real processes: two processes share a socket, without effect on clients and workers."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
 
 
 def start_clients(rig: Rig, pool: ThreadPoolExecutor) -> tuple[threading.Event, list[Future[list[Any]]]]:
-    """Four that ask until they are told to end, on connections kept for as long as the node lets them; what
-    became of each id."""
+    """Start four clients that send requests over keep-alive connections until the returned event is set.
+
+    The futures return the status, or "broken", of each id.
+    """
     stop = threading.Event()
 
     def send_requests(number: int) -> list[tuple[str, object]]:
@@ -100,7 +102,7 @@
         older.kill()
         older.wait(20)
         assert isinstance(lost.exception(), ConnectionError | OSError)
-        assert endpoint.tell("lost", "done", result="r") == 204  # nobody waits for it
+        assert endpoint.tell("lost", "done", result="r") == 204  # no client waits for it any more
         endpoint.does = done
         assert rig.submit("b")[0] == 200
 
@@ -112,12 +114,12 @@
         older, good = rig.process, rig.file.read_text()
         rig.file.write_text(good[:100])
         assert rig.spawn().wait(20) == 2
-        # Its console's address is taken: one line, and the end. The log of both is one.
+        # The address of its console is in use: it logs one line and exits. Both processes share a log.
         rig.file.write_text(json.dumps({**rig.conf, "listen": rig.address, "console": rig.console}))
         failed = rig.spawn()
         assert failed.wait(20) == 1 and failed.stderr is not None
         assert [line for line in failed.stderr.read().splitlines() if "event=start_failed" in line]
-        # It joins, is stopped from outside before it is ready, and is killed.
+        # A successor joins, and its connection ends before it is ready.
         with socket.socket(socket.AF_UNIX) as incomplete:
             incomplete.connect(str(rig.tmp / "bitternpath-n0.sock"))
             incomplete.sendall(encode_message(Hello(VERSION, rig.address)))
@@ -188,7 +190,7 @@
         upgrade_socket = rig.tmp / "bitternpath-n0.sock"
         upgrade_socket.unlink()
         upgrade_socket.write_text("rubbish")
-        rig.replace(joins=False)  # finds nobody, and listens beside the older one
+        rig.replace(joins=False)  # finds no predecessor, and listens beside it
         assert (
             rig.logged("event=predecessor_not_found")
             and upgrade_socket.is_socket()
