--- a/bitternpath/balancer/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -89,12 +89,12 @@
         self.reading = True
         self.writing = False  # a chunk is being written
         self.blocked = False  # connection.blocked was sent
-        self.connected = False
+        self.is_connected = False
         self.session_ended = self.aborted = False
         self._turn_scheduled = False
 
     def connectionMade(self) -> None:
-        self.connected = True
+        self.is_connected = True
         self.transport.setTcpNoDelay(True)
         self.connected_at = self.last_received_at = self.last_sent_at = self.server.clock()
         self.server.connections[self] = None
@@ -111,7 +111,7 @@
         """Process received events, at most EVENTS_PER_TURN."""
         self._turn_scheduled = False
         for _ in range(EVENTS_PER_TURN):
-            if not self.connected or self._is_throttled():
+            if not self.is_connected or self._is_throttled():
                 break
             event = self.machine.next()
             if event is None:
@@ -164,7 +164,7 @@
             log.warning("amqp_error", peer=self.host, code=error.code, why=str(error))
 
     def _set_reading(self, enabled: bool) -> None:
-        if enabled != self.reading and self.connected:
+        if enabled != self.reading and self.is_connected:
             self.reading = enabled
             if enabled:
                 self.server.paused.pop(self, None)
@@ -196,7 +196,7 @@
 
     def flush(self) -> None:
         """Start writing the send queue, one chunk at a time, so that each completed write is known."""
-        if not self.connected or self.aborted:
+        if not self.is_connected or self.aborted:
             return
         if not self.writing and self.send_queue.size:
             self.writing = True
@@ -263,7 +263,7 @@
         self._after_events()
 
     def abort(self, reason: str) -> None:
-        if self.connected and not self.aborted:
+        if self.is_connected and not self.aborted:
             self.aborted = True
             log.info("amqp_connection_dropped", peer=self.host, why=reason)
             self._end_session()
@@ -275,7 +275,7 @@
             self.session.end()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.connected = False
+        self.is_connected = False
         self._end_session()
         self.machine.phase = sm.Phase.CLOSED
         self.server.connection_lost(self)
@@ -294,14 +294,9 @@
         publishers: Publishers,
         subscribers: Subscribers,
         broker: Broker,
-        request_capacity: Callable[[], int],
+        capacity: Callable[[], int],
     ) -> None:
-        self.reactor, self.clock, self.broker, self.request_capacity = (
-            reactor,
-            clock,
-            broker,
-            request_capacity,
-        )
+        self.reactor, self.clock, self.broker, self.capacity = reactor, clock, broker, capacity
         self.publishers, self.subscribers, self.queues = publishers, subscribers, publishers.queues
         self.connections: dict[AmqpConnection, None] = {}
         self.counts = publishers.counts
@@ -323,7 +318,7 @@
         self.subscribers.prefetch_cap = settings.prefetch_cap
         self.subscribers.requeue_unstarted = frozenset(settings.requeue_unstarted)
         # HTTP requests are refused while the core holds `request_capacity` requests: AMQP may use half of it.
-        self.publishers.max_waiting = max(min(settings.max_waiting, self.request_capacity() // 2), 1)
+        self.publishers.max_waiting = max(min(settings.max_waiting, self.capacity() // 2), 1)
 
     def limits(self) -> sm.Limits:
         settings = self.settings
@@ -392,7 +387,7 @@
     def _next_login(self) -> None:
         while self._queued_logins and self._active_logins < MAX_CONCURRENT_LOGINS:
             connection, login = self._queued_logins.pop(0)
-            if not connection.connected:
+            if not connection.is_connected:
                 continue
             login_credentials = credentials(login.mechanism, login.response)
             users = self.settings.users
@@ -433,13 +428,13 @@
         verification.addBoth(on_done)
 
     def _accept_login(self, connection: AmqpConnection, vhosts: tuple[str, ...]) -> None:
-        if connection.connected and connection.machine.phase is sm.Phase.LOGIN:
+        if connection.is_connected and connection.machine.phase is sm.Phase.LOGIN:
             connection.machine.login(vhosts)
             connection.process_events()
 
     def _refuse_login(self, connection: AmqpConnection) -> None:
         self.counts["logins_refused"] += 1
-        if connection.connected and connection.machine.phase is sm.Phase.LOGIN:
+        if connection.is_connected and connection.machine.phase is sm.Phase.LOGIN:
             connection.machine.refuse_login()
             connection.process_events()
 
--- a/bitternpath/balancer/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -54,7 +54,7 @@
     def __init__(
         self,
         reactor: Any,
-        folder: Path,
+        directory: Path,
         name: str,
         broker: Broker,
         registry: EndpointRegistry,
@@ -64,7 +64,7 @@
     ) -> None:
         self.reactor, self.broker, self.registry, self.module = reactor, broker, registry, module
         self.sockets, self.lifecycle = sockets, lifecycle
-        self.upgrade_socket = UpgradeSocket(reactor, folder, f"bitternpath-{name}.sock")
+        self.upgrade_socket = UpgradeSocket(reactor, directory, f"bitternpath-{name}.sock")
         self.links: dict[Link, None] = {}  # with a completed handshake
         self.listen = ""  # address that both processes listen on
         self.listener: Callable[[], Any] = lambda: None  # returns the listening socket
--- a/bitternpath/balancer/handover/link.py
+++ b/bitternpath/balancer/handover/link.py
@@ -103,8 +103,8 @@
     fails.
     """
 
-    def __init__(self, reactor: Any, folder: Path, name: str) -> None:
-        self.reactor, self.path = reactor, folder / name
+    def __init__(self, reactor: Any, directory: Path, name: str) -> None:
+        self.reactor, self.path = reactor, directory / name
         self._port: Any = None
         self._directory_descriptor: int | None = (
             None  # an open descriptor, where the path is too long for the system
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -304,16 +304,16 @@
     assert len(worker.methods(c.Basic.Cancel)) == 2
 
 
-@pytest.mark.parametrize("action", ["close", "error", "cut", "hard"])
+@pytest.mark.parametrize("action", ["close", "soft error", "disconnect", "hard error"])
 def test_a_subscriber_is_no_endpoint_after_its_channel_closed(action: str) -> None:
     # Guards against sending calls to a consumer whose channel is closed.
     rig, _, (worker,), _ = rig_with("hold")
     assert len([p for p in rig.registry.endpoints.values() if p.source == "amqp"]) == 2
     if action == "close":
         worker.send(c.Channel.Close(200, "", 0, 0))
-    elif action == "error":
+    elif action == "soft error":
         worker.send(c.Basic.Get(queue="nowhere"))
-    elif action == "hard":
+    elif action == "hard error":
         worker.send(c.Tx.Select())
     else:
         worker.wire.disconnect(ConnectionError())
--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -44,8 +44,8 @@
 def sent_frames(machine: sm.ConnectionStateMachine) -> list[tuple[int, Any]]:
     """Return and remove the frames in the send queue."""
     data, frames = b"", []
-    while piece := machine.send_queue.next_chunk():
-        data += piece
+    while chunk := machine.send_queue.next_chunk():
+        data += chunk
     while data:
         used, channel, received_frame = frame.unmarshal(data)
         frames.append((channel, received_frame))
@@ -60,15 +60,15 @@
     return received
 
 
-def message(channel: int, data: bytes, piece: int = 4088, **properties: Any) -> bytes:
-    parts = [
+def message(channel: int, data: bytes, chunk: int = 4088, **properties: Any) -> bytes:
+    frames = [
         frame.marshal(c.Basic.Publish(0, "", "reminder"), channel),
         frame.marshal(header.ContentHeader(0, len(data), c.Basic.Properties(**properties)), channel),
     ]
-    parts += [
-        frame.marshal(body.ContentBody(data[k : k + piece]), channel) for k in range(0, len(data), piece)
+    frames += [
+        frame.marshal(body.ContentBody(data[k : k + chunk]), channel) for k in range(0, len(data), chunk)
     ]
-    return b"".join(parts)
+    return b"".join(frames)
 
 
 def raw(kind: int, channel: int, payload: bytes, end: int = 0xCE) -> bytes:
@@ -165,11 +165,11 @@
     interleaved = b"".join(
         x for pair in zip(frames[0], [*frames[1], b"", b"", b""], strict=False) for x in pair
     )
-    got = []
+    received = []
     for k in range(0, len(interleaved), step):
         machine.feed(interleaved[k : k + step])
-        got += events(machine)
-    assert [(g.channel, g.body) for g in got if isinstance(g, sm.MessagePublished)] == [
+        received += events(machine)
+    assert [(g.channel, g.body) for g in received if isinstance(g, sm.MessagePublished)] == [
         (2, b"b" * 5000),
         (1, b"a" * 9000),
     ]
@@ -225,10 +225,10 @@
     ],
 )  # fmt: skip
 def test_a_protocol_violation_closes_the_connection_with_its_code(data: bytes, code: int) -> None:
-    for pieces in ([data], [data[k : k + 1] for k in range(len(data))]):
+    for chunks in ([data], [data[k : k + 1] for k in range(len(data))]):
         machine = opened(1)
-        for piece in pieces:
-            machine.feed(piece)
+        for chunk in chunks:
+            machine.feed(chunk)
             events(machine)
         assert machine.error is not None and machine.error.code == code
         ((channel, close),) = sent_frames(machine)
@@ -274,11 +274,11 @@
 
 def test_a_message_over_the_size_limit_is_a_soft_error_and_its_rest_is_dropped() -> None:
     machine = opened(1, 2)
-    machine.feed(message(1, b"x" * (sm.MAX_BODY_SIZE + 1), piece=100_000))
+    machine.feed(message(1, b"x" * (sm.MAX_BODY_SIZE + 1), chunk=100_000))
     assert events(machine) == [sm.ChannelClosed(1)]
     ((channel, close),) = sent_frames(machine)
     assert (channel, close.reply_code, close.class_id, close.method_id) == (1, 311, 60, 40)
-    machine.feed(message(2, b"y" * sm.MAX_BODY_SIZE, piece=100_000))
+    machine.feed(message(2, b"y" * sm.MAX_BODY_SIZE, chunk=100_000))
     (event,) = events(machine)
     assert isinstance(event, sm.MessagePublished) and len(event.body) == sm.MAX_BODY_SIZE
     machine.feed(message(1, b"dropped") + frame.marshal(c.Channel.CloseOk(), 1))
@@ -290,7 +290,7 @@
     machine = opened(*range(1, 33))
     for channel in range(1, 33):
         machine.feed(
-            message(channel, b"x" * sm.MAX_BODY_SIZE, piece=60_000)[:-5544]
+            message(channel, b"x" * sm.MAX_BODY_SIZE, chunk=60_000)[:-5544]
         )  # the last piece is missing
         events(machine)
     assert machine.error is not None and machine.error.code == e.RESOURCE_ERROR
@@ -333,8 +333,8 @@
     reader.frame_max = 4096
     reader.buffer.append(data)
     kinds = []
-    while (got := reader.next()) is not None:
-        kinds.append((got.kind, len(got.payload)))
+    while (raw := reader.next()) is not None:
+        kinds.append((raw.kind, len(raw.payload)))
     assert kinds[2:] == [(3, 4088), (3, 4088), (3, 1824)]
 
 
@@ -543,7 +543,7 @@
     ):
         peer.send(method)
     rig.run_until_idle()
-    names = [got.method.name for got in peer.received if got.channel == 1]
+    names = [message.method.name for message in peer.received if message.channel == 1]
     assert names == [
         "Channel.OpenOk", "Queue.DeclareOk", "Queue.DeclareOk", "Queue.BindOk", "Exchange.DeclareOk",
         "Exchange.DeclareOk", "Exchange.DeleteOk", "Queue.DeleteOk", "Basic.CancelOk", "Basic.RecoverOk",
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -202,13 +202,13 @@
 class ProcessHarness:
     """A process with its ends of links, without sockets."""
 
-    def __init__(self, reactor: Any, folder: Path, name: str) -> None:
+    def __init__(self, reactor: Any, directory: Path, name: str) -> None:
         listing = Listing(1, True, (Endpoint("s", "h:1", "z", "k", 0, m.WorkerState.SERVING, 1.0, 0.0),))
         self.lifecycle, self.sockets, self.registry = Lifecycle(), Sockets(256), EndpointRegistry(listing)
         self.module = DispatcherHarness(workers=1).dispatcher
         self.broker = Broker(reactor, reactor.seconds, self.registry, {}, self.module.handle)
         self.handover = Handover(
-            reactor, folder, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
+            reactor, directory, name, self.broker, self.registry, self.module, self.sockets, self.lifecycle
         )
 
     def connect(self) -> Link:
@@ -231,7 +231,7 @@
     )
 
 
-@pytest.mark.parametrize("event", ["heard", "lost", "silence"])
+@pytest.mark.parametrize("event", ["acknowledged", "lost", "timeout"])
 def test_a_relayed_callback_is_answered_once_acknowledged_or_undeliverable(
     tmp_path: Path, event: str
 ) -> None:
@@ -244,13 +244,13 @@
     assert process.handover.relay(report, results.append) and not results
     (message,) = MessageDecoder().feed(transport.value())
     assert isinstance(message, CallbackRelayed) and message.report.result == b"r"
-    if event == "heard":
+    if event == "acknowledged":
         link.dataReceived(encode_message(Acknowledged(message.number)))
     elif event == "lost":
         link.connectionLost()
     reactor.advance(ACKNOWLEDGE_TIMEOUT)
     link.dataReceived(encode_message(Acknowledged(message.number)))  # ignored after the timeout
-    assert results == [event != "silence"]
+    assert results == [event != "timeout"]
 
 
 def test_a_callback_for_an_unknown_job_is_relayed_to_all_other_processes(tmp_path: Path) -> None:
@@ -295,12 +295,12 @@
 
 
 def test_a_socket_path_over_the_limit_is_addressed_by_its_directory(tmp_path: Path) -> None:
-    folder = tmp_path / ("x" * 120)
-    folder.mkdir()
-    upgrade_socket = UpgradeSocket(Reactor(), folder, "name.sock")
+    directory = tmp_path / ("x" * 120)
+    directory.mkdir()
+    upgrade_socket = UpgradeSocket(Reactor(), directory, "name.sock")
     address = upgrade_socket.address("name.sock")
     assert len(os.fsencode(address)) <= MAX_SOCKET_PATH
-    (folder / "name.sock").write_text("here")
+    (directory / "name.sock").write_text("here")
     assert Path(address).read_text() == "here"
 
 
