--- a/bitternpath/balancer/amqp/session.py
+++ b/bitternpath/balancer/amqp/session.py
@@ -143,9 +143,8 @@
         if channel is None:
             return
         channel.open = False
-        for (
-            consumer
-        ) in channel.consumers.values():  # before settling, so that nothing is delivered here again
+        # Consumers first, so that nothing is delivered here again.
+        for consumer in channel.consumers.values():
             consumer.on_channel_closed()
         for unacked in reversed(channel.unacked.values()):  # requeued messages keep their order
             unacked.on_channel_closed()
--- a/bitternpath/balancer/amqp/state_machine.py
+++ b/bitternpath/balancer/amqp/state_machine.py
@@ -64,8 +64,8 @@
 
     CLOSED = "not open"
     OPEN = "open"
-    HEADER = "publish has come, the content header is awaited"
-    BODY = "part of a body is awaited"
+    HEADER = "publish received, content header awaited"
+    BODY = "body frame awaited"
     CLOSING = "close sent, close-ok awaited"
 
 
--- a/bitternpath/balancer/handover/link.py
+++ b/bitternpath/balancer/handover/link.py
@@ -87,9 +87,9 @@
 
 
 class UpgradePort(Port):
-    """Unix port that leaves its socket file in place at its close, when the file belongs to another process.
+    """Unix port that does not remove its socket file at its close, as Twisted's does.
 
-    Twisted would remove the file.
+    By then the file belongs to another process.
     """
 
     def connectionLost(self, reason: Failure) -> None:
@@ -106,9 +106,8 @@
     def __init__(self, reactor: Any, directory: Path, name: str) -> None:
         self.reactor, self.path = reactor, directory / name
         self._port: Any = None
-        self._directory_descriptor: int | None = (
-            None  # an open descriptor, where the path is too long for the system
-        )
+        # Open descriptor of the directory, if the path of the socket is too long for an address.
+        self._directory_descriptor: int | None = None
 
     def address(self, name: str) -> str:
         path = str(self.path.with_name(name))
--- a/tests/test_amqp_wire.py
+++ b/tests/test_amqp_wire.py
@@ -289,9 +289,8 @@
 def test_incomplete_messages_on_all_channels_share_one_limit() -> None:
     machine = opened(*range(1, 33))
     for channel in range(1, 33):
-        machine.feed(
-            message(channel, b"x" * sm.MAX_BODY_SIZE, chunk=60_000)[:-5544]
-        )  # the last piece is missing
+        # The last body frame is missing.
+        machine.feed(message(channel, b"x" * sm.MAX_BODY_SIZE, chunk=60_000)[:-5544])
         events(machine)
     assert machine.error is not None and machine.error.code == e.RESOURCE_ERROR
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -254,7 +254,7 @@
 
 
 def test_a_callback_for_an_unknown_job_is_relayed_to_all_other_processes(tmp_path: Path) -> None:
-    # Guards against relaying to the older process only, whose acknowledgement was taken for a job of the newer
+    # Guards against relaying to the older process only, and taking its acknowledgement for a job of the newer
     # one.
     process, results = ProcessHarness(Reactor(), tmp_path, "n"), list[bool]()
     links = [process.connect(), process.connect()]
