--- a/bitternpath/testing/simulation/connector.py
+++ b/bitternpath/testing/simulation/connector.py
@@ -15,7 +15,7 @@
 from bitternpath.testing.simulation.reactor import VirtualReactor
 from bitternpath.testing.simulation.streams import Stream
 
-OPENING_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # delays of the retransmissions of a SYN, in seconds
+SYN_RETRIES_S = (1.0, 2.0, 4.0, 8.0)  # delays of the retransmissions of a SYN, in seconds
 
 
 class Connector:
@@ -41,7 +41,7 @@
             self._timer = self.reactor.callLater(self.timeout, self._failed, timed_out())
         self.factory.startedConnecting(self)
         if self.state == "connecting":
-            self._open(self._attempt, 0)
+            self._send_syn(self._attempt, 0)
 
     def disconnect(self) -> None:
         """Stop connecting, or close the connection."""
@@ -67,17 +67,17 @@
         if self.state == "disconnected":
             self.factory.doStop()
 
-    def _open(self, attempt: int, tries: int) -> None:
+    def _send_syn(self, attempt: int, tries: int) -> None:
         """Send a SYN and schedule its retransmission."""
         if not self._is_current(attempt) or not self.reactor.host.powered:
             return
         scheduler = self._network.scheduler
         path = self._network.path(self.reactor.host.ip, self.target[0])
-        scheduler.push(path.arrival(scheduler.now, 0), self._opening_arrives, path, attempt)
-        if tries < len(OPENING_RETRIES_S):
-            scheduler.push(scheduler.now + OPENING_RETRIES_S[tries], self._open, attempt, tries + 1)
+        scheduler.push(path.arrival(scheduler.now, 0), self._syn_arrives, path, attempt)
+        if tries < len(SYN_RETRIES_S):
+            scheduler.push(scheduler.now + SYN_RETRIES_S[tries], self._send_syn, attempt, tries + 1)
 
-    def _opening_arrives(self, path: Path, attempt: int) -> None:
+    def _syn_arrives(self, path: Path, attempt: int) -> None:
         host = self._network.hosts.get(self.target[0])
         back = self._network.path(self.target[0], self.reactor.host.ip)
         if host is None or not host.powered or path.partitioned or back.partitioned:
--- a/bitternpath/testing/simulation/paths.py
+++ b/bitternpath/testing/simulation/paths.py
@@ -22,7 +22,7 @@
     """The path of packets from one host to another."""
 
     __slots__ = (
-        "_free_at",
+        "_idle_at",
         "_random",
         "blocked_directions",
         "bytes_per_s",
@@ -44,7 +44,7 @@
         self.partitioned_since = 0.0
         self.bytes_per_s: float | None = None  # None: unlimited
         self.blocked_directions: dict[BlockedDirection, None] = {}
-        self._free_at = 0.0
+        self._idle_at = 0.0
 
     def arrival(self, now: float, size: int) -> float:
         """The arrival time of a packet that is sent now."""
@@ -52,8 +52,8 @@
         if self.stream_loss and self._random.random() < self.stream_loss:
             transit_s += self._random.uniform(MIN_RETRANSMISSION_S, MAX_RETRANSMISSION_S)
         if self.bytes_per_s is not None and size:
-            self._free_at = max(self._free_at, now) + max(size, PACKET_BYTES) / self.bytes_per_s
-            return self._free_at + transit_s
+            self._idle_at = max(self._idle_at, now) + max(size, PACKET_BYTES) / self.bytes_per_s
+            return self._idle_at + transit_s
         return now + transit_s
 
     def loses_datagram(self) -> bool:
--- a/bitternpath/testing/simulation/runs/shrink.py
+++ b/bitternpath/testing/simulation/runs/shrink.py
@@ -24,20 +24,20 @@
 
 
 def shrink(
-    plan: RunPlan, checker: str, max_runs: int = MAX_RUNS, played: Callable[[RunPlan], RunReport] = play
+    plan: RunPlan, checker: str, max_runs: int = MAX_RUNS, run_plan: Callable[[RunPlan], RunReport] = play
 ) -> Shrunk:
     """Remove events as long as `checker` still reports a violation, in `max_runs` runs at most."""
-    return _Shrinking(plan, checker, max_runs, played).shrink()
+    return _Shrinking(plan, checker, max_runs, run_plan).shrink()
 
 
 class _Shrinking:
     def __init__(
-        self, plan: RunPlan, checker: str, max_runs: int, played: Callable[[RunPlan], RunReport]
+        self, plan: RunPlan, checker: str, max_runs: int, run_plan: Callable[[RunPlan], RunReport]
     ) -> None:
         self._plan = msgspec.structs.replace(plan, checker=checker)
         self._checker = checker
         self._max_runs = max_runs
-        self._played = played
+        self._run_plan = run_plan
         self._runs = 0
         self._report = RunReport(plan)
 
@@ -74,7 +74,7 @@
 
     def _fails(self, events: list[Event]) -> bool:
         self._runs += 1
-        report = self._played(self._with(events))
+        report = self._run_plan(self._with(events))
         failed = self._checker in report.checkers
         if failed:
             self._report = report
--- a/bitternpath/testing/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -107,7 +107,7 @@
         """Reset the connection."""
         if self.connected and not self._aborting:
             self._aborting = True
-            self.reactor.callLater(0, self._lose, ConnectionAborted())
+            self.reactor.callLater(0, self._close, ConnectionAborted())
 
     def loseWriteConnection(self) -> None:
         """Send the end of the stream after the buffer; reading continues."""
@@ -210,18 +210,18 @@
         """Close the connection because of a time-out in the kernel."""
         if self.connected:
             self.connection.stop_sending(self)
-            self.reactor.read(lambda: self._lose(reason))
+            self.reactor.read(lambda: self._close(reason))
 
     def killed(self, resets: bool) -> None:
         """Close the socket of an ended process, with a reset if `resets` is set or bytes are unread."""
         if not self.closed:
             resets = resets or bool(self.incoming)
-            self._shut()
+            self._release()
             self.connection.send(self, Packet.RESET if resets else Packet.END)
 
     def lost_power(self) -> None:
         """Close because the host lost power; the peer receives nothing."""
-        self._shut()
+        self._release()
         self.power_lost = True
         self.connection.stop_sending(self)
 
@@ -239,11 +239,11 @@
             self.incoming.clear()
             self.peer.consumed(len(data))
             if not self.reactor.run(self.protocol.dataReceived, data):
-                self._lose(ConnectionLost("dataReceived raised"))
+                self._close(ConnectionLost("dataReceived raised"))
         if not self.connected or self._aborting:
             return
         if self.reset_received and not self.incoming:
-            self._lose(ConnectionLost("reset by peer"))
+            self._close(ConnectionLost("reset by peer"))
         elif self.end_received and not (self.incoming or self._paused or self.disconnecting):
             self._read_end()
 
@@ -253,9 +253,9 @@
         self._read_end_reported = True
         half: Any = IHalfCloseableProtocol(self.protocol, None)
         if half is None or self._write_closed:
-            self._lose(ConnectionDone())
+            self._close(ConnectionDone())
         elif not self.reactor.run(half.readConnectionLost):
-            self._lose(ConnectionLost("readConnectionLost raised"))
+            self._close(ConnectionLost("readConnectionLost raised"))
 
     # ---- writing and closing
 
@@ -285,7 +285,7 @@
         if self._backlog:
             self.reactor.callLater(0.01, self._close_when_sent)
         else:
-            self._lose(ConnectionDone())
+            self._close(ConnectionDone())
 
     def _close_writing(self) -> None:
         if not self.connected or self.disconnecting:
@@ -299,13 +299,13 @@
         if half is not None:
             half.writeConnectionLost()
 
-    def _lose(self, reason: Exception) -> None:
+    def _close(self, reason: Exception) -> None:
         """Close the socket, then notify the protocol."""
         if not self.connected:
             return
         aborted = isinstance(reason, ConnectionAborted) or bool(self.incoming)
         ended = self._write_closed
-        self._shut()
+        self._release()
         if aborted:
             self.connection.send(self, Packet.RESET)
         elif not ended:
@@ -318,7 +318,7 @@
         if self.connector is not None:
             self.reactor.run(self.connector.connectionLost, failure(reason))
 
-    def _shut(self) -> None:
+    def _release(self) -> None:
         self.connected = False
         self.closed = True
         self._backlog.clear()
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from bitternpath.configuration.retirement import MembershipReports
-from bitternpath.replication import membership_reconciler as member_changes
+from bitternpath.replication import membership_reconciler
 from bitternpath.replication.consensus import Raft
 from bitternpath.replication.group import ReplicaGroup
 from bitternpath.replication.log import ReplicatedLog
@@ -33,18 +33,18 @@
     def change_members(group: Any, now: float, members: Members) -> bool:
         return group.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
 
-    def at_once(current: Members, desired: DesiredMembers, _: MemberStatus) -> Members | None:
+    def replace_members(current: Members, desired: DesiredMembers, _: MemberStatus) -> Members | None:
         changed = Members(desired.members, (), desired.generation)
         return None if set(current.voters) == set(desired.members) else changed
 
     yield patch.object(Raft, "may_change_members", new_callable=PropertyMock, return_value=True)
     yield patch.object(ReplicaGroup, "change_members", change_members)
-    yield patch.object(member_changes, "next_members", at_once)
+    yield patch.object(membership_reconciler, "next_members", replace_members)
 
 
 def removal_before_successor() -> Patches:
     """Removes members that aren't wanted before those that take their place have anything."""
-    next_members = member_changes.next_members
+    next_members = membership_reconciler.next_members
 
     def remove_first(current: Members, desired: DesiredMembers, status: MemberStatus) -> Members | None:
         for voter in current.voters:
@@ -53,7 +53,7 @@
                 return Members(voters, current.learners, desired.generation)
         return next_members(current, desired, status)
 
-    yield patch.object(member_changes, "next_members", remove_first)
+    yield patch.object(membership_reconciler, "next_members", remove_first)
 
 
 def retirement_without_reports() -> Patches:
@@ -75,10 +75,10 @@
 def repeat_after_reset() -> Patches:
     """A message that was sent to an owner whose link ended is promised not to run."""
 
-    def lost(append: Any, failure: Any) -> None:
+    def retry_or_reject(append: Any, failure: Any) -> None:
         append._retry_or_reject()
 
-    yield patch.object(appends._PendingAppend, "_response_lost", lost)
+    yield patch.object(appends._PendingAppend, "_response_lost", retry_or_reject)
 
 
 def voter_before_it_caught_up() -> Patches:
@@ -108,10 +108,10 @@
 def truncation_keeps_members() -> Patches:
     """A membership whose entry is removed from the log stays in force (section 4.1 of the thesis)."""
 
-    def nothing(log: Any) -> None:
+    def keep_members(log: Any) -> None:
         """The members stay."""
 
-    yield patch.object(ReplicatedLog, "_update_members", nothing)
+    yield patch.object(ReplicatedLog, "_update_members", keep_members)
 
 
 def candidate_with_an_older_log() -> Patches:
--- a/tests/system/small_actors.py
+++ b/tests/system/small_actors.py
@@ -61,19 +61,19 @@
     def call(self, method: str, address: str, path: str, body: Any = None, **headers: str) -> Answer:
         """Begin a call; its answer is filled in once it has come. `_` in header names stands for `-`."""
         answer = Answer(self.world.now)
-        sent = Headers({name.replace("_", "-"): [value] for name, value in headers.items()})
+        header_fields = Headers({name.replace("_", "-"): [value] for name, value in headers.items()})
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         producer: Any = Body(data) if body is not None else None
         url = f"http://{address}{path}".encode()
-        started = self._agent.request(method.encode(), url, sent, producer)
-        started.addCallback(self._head, answer)
-        started.addTimeout(CALL_S, self.reactor)
-        started.addErrback(self._failed, answer)
-        started.addBoth(self._ended, answer)
+        pending = self._agent.request(method.encode(), url, header_fields, producer)
+        pending.addCallback(self._read_response, answer)
+        pending.addTimeout(CALL_S, self.reactor)
+        pending.addErrback(self._failed, answer)
+        pending.addBoth(self._ended, answer)
         return answer
 
     @inlineCallbacks
-    def _head(self, response: Any, answer: Answer) -> Any:
+    def _read_response(self, response: Any, answer: Answer) -> Any:
         answer.headers = {
             name.decode(): values[0].decode() for name, values in response.headers.getAllRawHeaders()
         }
--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -18,13 +18,13 @@
 
 MESSAGES, MESSAGE_EVERY_S, MESSAGE_BYTES = 16, 0.05, 20_000
 BURST = 40
-LATER_S = 6.0  # delay of messages that must outlive the fault
+DELAY_S = 6.0  # delay of messages that must outlive the fault
 RETIRE_AT_S = 1.5
 STALL_S = 1.2
 STORES = ("s1", "s2", "s3")
 
 
-def kept_messages() -> list[Event]:
+def queued_messages() -> list[Event]:
     """Messages that are still queued when the fault comes, but those with a key."""
     kinds = list(Kind)
     return [
@@ -33,7 +33,7 @@
             at=number * MESSAGE_EVERY_S,
             kind=kinds[number % len(kinds)],
             key=f"key-{number % 3}" if kinds[number % len(kinds)] is Kind.ENDPOINT else "",
-            delay_s=0.0 if kinds[number % len(kinds)] is Kind.ENDPOINT else LATER_S,
+            delay_s=0.0 if kinds[number % len(kinds)] is Kind.ENDPOINT else DELAY_S,
             size=MESSAGE_BYTES,
         )
         for number in range(MESSAGES)
@@ -45,7 +45,7 @@
     for after_s in (0.02, 0.07, 0.15):
         for victim in STORES:
             events = [
-                *kept_messages(),
+                *queued_messages(),
                 Retire(number=101, at=RETIRE_AT_S, node="s4"),
                 Fault(number=102, at=RETIRE_AT_S + after_s, kind=FaultKind.WIPE, nodes=(victim,), lasts=0.5),
             ]
@@ -58,7 +58,7 @@
     for stalled in STORES:
         for victim in STORES:
             events = [
-                *kept_messages(),
+                *queued_messages(),
                 Retire(number=101, at=RETIRE_AT_S, node="s4"),
                 Fault(
                     number=103, at=RETIRE_AT_S - 0.05, kind=FaultKind.STALL, nodes=(stalled,), lasts=STALL_S
@@ -73,7 +73,7 @@
     for after_s in (0.1, 0.05, 0.2):
         for victim in STORES:
             events = [
-                *kept_messages(),
+                *queued_messages(),
                 Retire(number=101, at=RETIRE_AT_S, node="s4"),
                 Retire(number=103, at=RETIRE_AT_S, node="s5"),
                 Fault(number=102, at=RETIRE_AT_S + after_s, kind=FaultKind.WIPE, nodes=(victim,), lasts=2.5),
@@ -92,11 +92,11 @@
 def all_lose_power_while_disks_stall() -> Iterator[RunPlan]:
     """Messages for later come all at once while no storage machine can write; then all lose power."""
     burst = [
-        Message(number=number, at=1.0, kind=Kind.LISTED, delay_s=LATER_S) for number in range(1, BURST + 1)
+        Message(number=number, at=1.0, kind=Kind.LISTED, delay_s=DELAY_S) for number in range(1, BURST + 1)
     ]
     stalls = [
-        Fault(number=200 + place, at=0.98, kind=FaultKind.STALL, nodes=(store,), lasts=STALL_S)
-        for place, store in enumerate(STORES)
+        Fault(number=200 + index, at=0.98, kind=FaultKind.STALL, nodes=(store,), lasts=STALL_S)
+        for index, store in enumerate(STORES)
     ]
     counted = ("e1", "e2", "e3", *STORES)
     for after_s in (0.1, 0.2, 0.3, 0.5):
@@ -113,10 +113,10 @@
         for turn in range(9)
     ]
     for seed in range(6):
-        yield _plan(Layout(), [*kept_messages(), *faults], seed)
+        yield _plan(Layout(), [*queued_messages(), *faults], seed)
 
 
-def days_of_all_kinds() -> Iterator[RunPlan]:
+def mixed_runs() -> Iterator[RunPlan]:
     """Drawn plans with all kinds of faults."""
     for seed in range(2000, 2003):
         yield draw(seed, SCENARIOS["mixed"])
@@ -140,7 +140,7 @@
     "retirement_without_reports": DetectingRun(
         a_disk_is_lost_while_another_machine_retires_slowly, "check_lost"
     ),
-    "link_number_used_again": DetectingRun(days_of_all_kinds, "check_mixed"),
+    "link_number_used_again": DetectingRun(mixed_runs, "check_mixed"),
     "voter_before_it_caught_up": DetectingRun(a_disk_is_lost_while_two_machines_retire, "check_lost"),
     "candidate_with_an_older_log": DetectingRun(stores_lose_power_in_turn, "fault"),
     "acknowledged_before_it_is_stored": DetectingRun(all_lose_power_while_disks_stall, "check_lost"),
@@ -154,12 +154,12 @@
     longest_test_s = 120
 
     def test_each_is_detected(self) -> None:
-        for name, catch in DETECTING_RUNS.items():
+        for name, run in DETECTING_RUNS.items():
             with self.subTest(build=name):
-                self.assertTrue(any(self.is_caught(name, catch, plan) for plan in catch.family()))
+                self.assertTrue(any(self.is_detected(name, run, plan) for plan in run.family()))
 
     def test_unmodified_build_passes_the_same_runs(self) -> None:
-        for family in dict.fromkeys(catch.family for catch in DETECTING_RUNS.values()):
+        for family in dict.fromkeys(run.family for run in DETECTING_RUNS.values()):
             for plan in family():
                 with self.subTest(family=family.__name__, events=plan.events[-2:]):
                     report = play(plan)
@@ -170,9 +170,9 @@
         self.assertEqual(set(BUILDS), set(DETECTING_RUNS))
 
     @staticmethod
-    def is_caught(name: str, catch: DetectingRun, plan: RunPlan) -> bool:
+    def is_detected(name: str, run: DetectingRun, plan: RunPlan) -> bool:
         with broken(BUILDS[name]):
-            return catch.checker in play(plan).checkers
+            return run.checker in play(plan).checkers
 
 
 if __name__ == "__main__":
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -24,9 +24,9 @@
 from tests.system.small_actors import CALLER_IP, Answer, SmallSystem
 
 GROUP = "configuration"
-CUT_S = 20.0
-ANSWER_S = 1.0  # operators move on after it
-APPLY_S = 3.0  # config_apply_ms
+PARTITION_S = 20.0
+ANSWER_TIMEOUT_S = 1.0  # operators move on after it
+APPLY_TIMEOUT_S = 3.0  # config_apply_ms
 CONTACT_S = 4.0  # contact_ms: only then the bound begins for machines that were cut off
 ELECTION_S = 4.0  # by then the larger side takes orders; measured: see docs/design/control-safety/point-1.md
 POLL_S = 0.3
@@ -41,66 +41,66 @@
 
 
 @dataclass
-class Watch:
+class Monitor:
     """Operators that ask all edge nodes all the time, and a look at what is in force there."""
 
     system: SmallSystem
     acknowledged: list[Acknowledged] = field(default_factory=list)
-    late: list[str] = field(default_factory=list)
-    wrong: list[str] = field(default_factory=list)
-    in_force: dict[str, int] = field(default_factory=dict)
+    unanswered: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    versions: dict[str, int] = field(default_factory=dict)
     incarnations: dict[str, int] = field(default_factory=dict)
-    alone: set[str] = field(default_factory=set)  # nodes that reach no majority
-    alone_since: float = 0.0
+    partitioned: set[str] = field(default_factory=set)  # nodes that reach no majority
+    partitioned_since: float = 0.0
 
     def start(self) -> None:
         """Begin to ask."""
-        self._ask()
+        self._poll()
 
-    def _ask(self) -> None:
+    def _poll(self) -> None:
         world = self.system.world
-        world.at(world.now + POLL_S, self._ask)
+        world.at(world.now + POLL_S, self._poll)
         for index, edge in enumerate(world.edges()):
             if edge.state is not NodeState.UP:
                 continue
-            floor = max((each.version for each in self.acknowledged), default=0)
+            newest = max((each.version for each in self.acknowledged), default=0)
             answer = self.system.version(index)
-            world.at(world.now + ANSWER_S, self._look, edge, answer, floor)
-            self._look_at_force(edge)
+            world.at(world.now + ANSWER_TIMEOUT_S, self._check_answer, edge, answer, newest)
+            self._check_version(edge)
 
-    def _look_at_force(self, edge: SimulatedNode) -> None:
+    def _check_version(self, edge: SimulatedNode) -> None:
         if self.incarnations.setdefault(edge.name, edge.incarnations) != edge.incarnations:
             self.incarnations[edge.name] = edge.incarnations
-            self.in_force.pop(edge.name, None)  # a new life may begin from nothing
+            self.versions.pop(edge.name, None)  # a new life may begin from nothing
         version = version_at(edge)
-        if version < self.in_force.get(edge.name, 0):
-            self.wrong.append(f"{edge.name} went back to {version}")
-        self.in_force[edge.name] = version
-
-    def _look(self, edge: SimulatedNode, answer: Answer, floor: int) -> None:
-        began_alone = edge.name in self.alone and answer.began >= self.alone_since
-        if began_alone and 200 <= answer.status < 500:
-            self.wrong.append(f"{edge.name} said {answer.status} at {answer.ended}, alone")
+        if version < self.versions.get(edge.name, 0):
+            self.violations.append(f"{edge.name} went back to {version}")
+        self.versions[edge.name] = version
+
+    def _check_answer(self, edge: SimulatedNode, answer: Answer, newest: int) -> None:
+        was_partitioned = edge.name in self.partitioned and answer.began >= self.partitioned_since
+        if was_partitioned and 200 <= answer.status < 500:
+            self.violations.append(f"{edge.name} said {answer.status} at {answer.ended}, alone")
         if edge.state is NodeState.UP and not answer.status:
-            self.late.append(f"{edge.name} said nothing to a read of {answer.began}: {answer.error}")
-        if answer.status == 200 and answer.json()["version"] < floor:
-            self.wrong.append(f"{edge.name} read {answer.body[:40]!r} after {floor} was acknowledged")
+            self.unanswered.append(f"{edge.name} said nothing to a read of {answer.began}: {answer.error}")
+        if answer.status == 200 and answer.json()["version"] < newest:
+            self.violations.append(f"{edge.name} read {answer.body[:40]!r} after {newest} was acknowledged")
 
-    def leave_alone(self, *names: str) -> None:
+    def set_partitioned(self, *names: str) -> None:
         """These reach no majority from now on."""
-        self.alone, self.alone_since = set(names), self.system.world.now
+        self.partitioned, self.partitioned_since = set(names), self.system.world.now
 
     def order(self, version: int, base: int, edge: int) -> Answer:
         """Send a configuration, and note its acknowledgement."""
         world = self.system.world
         answer = self.system.put(version, base, edge)
 
-        def look() -> None:
+        def record_acknowledgement() -> None:
             if answer.status == 200:
                 self.acknowledged.append(Acknowledged(version, answer.ended))
 
-        for pause in range(1, 21):
-            world.at(world.now + pause * 0.1, look)
+        for tenths in range(1, 21):
+            world.at(world.now + tenths * 0.1, record_acknowledgement)
         return answer
 
 
@@ -111,16 +111,16 @@
 
 def owners(system: SmallSystem) -> list[int]:
     """Which edge nodes take themselves for the configuration's owner."""
-    found = []
+    indexes = []
     for index, edge in enumerate(system.world.edges()):
         member = edge.process.node.member if edge.process is not None else None
         if member is not None and member.is_owner():
-            found.append(index)
-    return found
+            indexes.append(index)
+    return indexes
 
 
 @dataclass
-class Course:
+class Scenario:
     """What a scenario does to the owner, and how it ends."""
 
     begin: Callable[[SmallSystem, SimulatedNode], None]
@@ -138,30 +138,32 @@
     return [node.ip for node in system.world.nodes.values() if node is not without]
 
 
-def cut_from(names: Callable[[SmallSystem, SimulatedNode], list[str]], out: bool, into: bool) -> Course:
+def partition_from(
+    names: Callable[[SmallSystem, SimulatedNode], list[str]], outbound: bool, inbound: bool
+) -> Scenario:
     """Cut the owner's ways out, into it, or both."""
 
     def begin(system: SmallSystem, owner: SimulatedNode) -> None:
-        for ip in names(system, owner):
-            if out:
+        for ip in peers(system, owner):
+            if outbound:
                 system.world.partition(owner.name, ip, both=False)
-            if into:
+            if inbound:
                 system.world.partition(ip, owner.name, both=False)
 
     def end(system: SmallSystem, owner: SimulatedNode) -> None:
         system.world.heal_host(owner.name)
 
-    return Course(begin, end)
+    return Scenario(begin, end)
 
 
-COURSES = {
-    "from the core": cut_from(core_ips, True, True),
-    "from all nodes": cut_from(node_ips, True, True),
-    "it hears the core and can't send": cut_from(core_ips, True, False),
-    "it sends to the core and can't hear": cut_from(core_ips, False, True),
-    "it sends to all and can't hear": cut_from(node_ips, False, True),
-    "it hears all and can't send": cut_from(node_ips, True, False),
-    "frozen": Course(
+SCENARIOS = {
+    "from the core": partition_from(core_ips, True, True),
+    "from all nodes": partition_from(node_ips, True, True),
+    "it hears the core and can't send": partition_from(core_ips, True, False),
+    "it sends to the core and can't hear": partition_from(core_ips, False, True),
+    "it sends to all and can't hear": partition_from(node_ips, False, True),
+    "it hears all and can't send": partition_from(node_ips, True, False),
+    "frozen": Scenario(
         lambda system, owner: system.world.freeze(owner.name),
         lambda system, owner: system.world.thaw(owner.name),
         reachable=False,
@@ -169,122 +171,122 @@
 }
 
 
-class CutOffTest(unittest.TestCase):
+class PartitionedOwnerTest(unittest.TestCase):
     """Twenty seconds without the owner, in each way."""
 
     longest_test_s = 45
 
-    def begin(self, seed: int) -> tuple[SmallSystem, Watch, int]:
+    def begin(self, seed: int) -> tuple[SmallSystem, Monitor, int]:
         system = SmallSystem(seed, Plan(core_edges=3, other_edges=2))
         system.bootstrap()
-        watch = Watch(system)
-        watch.acknowledged.append(Acknowledged(1, system.world.now))
-        watch.start()
+        monitor = Monitor(system)
+        monitor.acknowledged.append(Acknowledged(1, system.world.now))
+        monitor.start()
         system.world.run_for(2.0)
         (owner,) = owners(system)
-        return system, watch, owner
+        return system, monitor, owner
 
-    def play(self, seed: int, course: Course) -> Watch:
-        system, watch, index = self.begin(seed)
+    def play(self, seed: int, scenario: Scenario) -> Monitor:
+        system, monitor, index = self.begin(seed)
         world = system.world
         owner = world.edges()[index]
-        other = next(place for place, edge in enumerate(world.edges()) if edge.counted and place != index)
-        course.begin(system, owner)
-        watch.leave_alone(owner.name)
-        alone = [watch.order(9, 1, index)]
+        other = next(number for number, edge in enumerate(world.edges()) if edge.counted and number != index)
+        scenario.begin(system, owner)
+        monitor.set_partitioned(owner.name)
+        rejected = [monitor.order(9, 1, index)]
         world.run_for(ELECTION_S)
-        alone.append(watch.order(9, 1, index))
-        accepted = watch.order(3, 1, other)
+        rejected.append(monitor.order(9, 1, index))
+        accepted = monitor.order(3, 1, other)
         world.run_for(1.0)
         self.assertEqual(accepted.status, 200, "the larger side doesn't take orders")
-        again = watch.order(3, 1, other)
-        world.run_for(CUT_S - ELECTION_S - 1.0)
-        self.assertEqual(again.status, 200)
-        for answer in alone:
-            self.assertEqual(answer.status, 503 if course.reachable else 0, answer)
-            if course.reachable:
-                self.assertLess(answer.ended - answer.began, ANSWER_S)
-        watch.leave_alone()
-        course.end(system, owner)
-        joined = world.now
-        while any(version_at(edge) != 3 for edge in world.edges()) and world.now < joined + 10:
+        repeated = monitor.order(3, 1, other)
+        world.run_for(PARTITION_S - ELECTION_S - 1.0)
+        self.assertEqual(repeated.status, 200)
+        for answer in rejected:
+            self.assertEqual(answer.status, 503 if scenario.reachable else 0, answer)
+            if scenario.reachable:
+                self.assertLess(answer.ended - answer.began, ANSWER_TIMEOUT_S)
+        monitor.set_partitioned()
+        scenario.end(system, owner)
+        healed_at = world.now
+        while any(version_at(edge) != 3 for edge in world.edges()) and world.now < healed_at + 10:
             world.run_for(0.1)
-        self.assertLess(world.now - joined, APPLY_S)
+        self.assertLess(world.now - healed_at, APPLY_TIMEOUT_S)
         world.run_for(5.0)
         self.assertEqual(len(owners(system)), 1)
-        final = watch.order(5, 3, index)
+        final = monitor.order(5, 3, index)
         world.run_for(2.0)
         self.assertEqual(final.status, 200)
         self.assertEqual((world.violations, world.failures), ([], []))
-        return watch
+        return monitor
 
     def test_each_way(self) -> None:
-        for label, course in COURSES.items():
+        for label, scenario in SCENARIOS.items():
             for seed in range(2):
                 with self.subTest(label, seed=seed):
-                    watch = self.play(seed, course)
-                    self.assertEqual((watch.wrong, watch.late), ([], []))
+                    monitor = self.play(seed, scenario)
+                    self.assertEqual((monitor.violations, monitor.unanswered), ([], []))
 
     def test_restarted_while_cut_with_seeds_of_its_side_only(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
-                system, watch, index = self.begin(seed)
+                system, monitor, index = self.begin(seed)
                 world = system.world
                 owner, outer = world.edges()[index], world.edges()[-1]
                 other = next(
-                    place for place, each in enumerate(world.edges()) if each.counted and place != index
+                    number for number, each in enumerate(world.edges()) if each.counted and number != index
                 )
                 for node in (owner, outer):  # both are on the smaller side, with each other
-                    near = (owner.ip, outer.ip, CALLER_IP)
-                    world.isolate(node.name, [ip for ip in node_ips(system, node) if ip not in near])
-                watch.leave_alone(owner.name, outer.name)
+                    reachable_ips = (owner.ip, outer.ip, CALLER_IP)
+                    world.isolate(node.name, [ip for ip in node_ips(system, node) if ip not in reachable_ips])
+                monitor.set_partitioned(owner.name, outer.name)
                 for node in (owner, outer):
                     world.change_settings(node.name, seeds=[owner.control, outer.control])
                     world.kill(node.name)
                 world.run_for(ELECTION_S)
-                accepted = watch.order(3, 1, other)
-                lost = [watch.order(9, 1, index), watch.order(9, 0, len(world.edges()) - 1)]
-                world.run_for(CUT_S - ELECTION_S)
-                self.assertEqual([accepted.status, *(answer.status for answer in lost)], [200, 503, 503])
-                watch.leave_alone()
+                accepted = monitor.order(3, 1, other)
+                rejected = [monitor.order(9, 1, index), monitor.order(9, 0, len(world.edges()) - 1)]
+                world.run_for(PARTITION_S - ELECTION_S)
+                self.assertEqual([accepted.status, *(answer.status for answer in rejected)], [200, 503, 503])
+                monitor.set_partitioned()
                 world.heal_host(owner.name)
                 world.heal_host(outer.name)
-                joined = world.now
-                while any(version_at(edge) != 3 for edge in world.edges()) and world.now < joined + 10:
+                healed_at = world.now
+                while any(version_at(edge) != 3 for edge in world.edges()) and world.now < healed_at + 10:
                     world.run_for(0.1)
-                self.assertLess(world.now - joined, APPLY_S)
+                self.assertLess(world.now - healed_at, APPLY_TIMEOUT_S)
                 world.run_for(3.0)
                 self.assertEqual(len(owners(system)), 1)
-                self.assertEqual(len(systems(system)), 1)
-                self.assertEqual((watch.wrong, watch.late, world.violations), ([], [], []))
+                self.assertEqual(len(founded_systems(system)), 1)
+                self.assertEqual((monitor.violations, monitor.unanswered, world.violations), ([], [], []))
 
     def test_a_part_without_members_that_was_forgotten_is_found_again(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
-                system, watch, index = self.begin(seed)
+                system, monitor, index = self.begin(seed)
                 world = system.world
                 outer = [edge for edge in world.edges() if not edge.counted]
-                near = [CALLER_IP, *(edge.ip for edge in outer)]
+                reachable_ips = [CALLER_IP, *(edge.ip for edge in outer)]
                 for edge in outer:  # restarted, they know of nobody but each other
-                    world.isolate(edge.name, [ip for ip in node_ips(system, edge) if ip not in near])
+                    world.isolate(edge.name, [ip for ip in node_ips(system, edge) if ip not in reachable_ips])
                     world.change_settings(edge.name, seeds=[each.control for each in outer])
                     world.kill(edge.name)
-                watch.leave_alone(*(edge.name for edge in outer))
+                monitor.set_partitioned(*(edge.name for edge in outer))
                 world.run_for(FORGET_AFTER_S + 5.0)
-                accepted = watch.order(3, 1, index)
+                accepted = monitor.order(3, 1, index)
                 world.run_for(2.0)
                 self.assertEqual(accepted.status, 200)
-                watch.leave_alone()
+                monitor.set_partitioned()
                 for edge in outer:
                     world.heal_host(edge.name)
-                joined = world.now
-                while any(version_at(edge) != 3 for edge in world.edges()) and world.now < joined + 20:
+                healed_at = world.now
+                while any(version_at(edge) != 3 for edge in world.edges()) and world.now < healed_at + 20:
                     world.run_for(0.1)
-                self.assertLess(world.now - joined, CONTACT_S + APPLY_S)
-                self.assertEqual((watch.wrong, watch.late, world.violations), ([], [], []))
+                self.assertLess(world.now - healed_at, CONTACT_S + APPLY_TIMEOUT_S)
+                self.assertEqual((monitor.violations, monitor.unanswered, world.violations), ([], [], []))
 
 
-def systems(system: SmallSystem) -> set[str]:
+def founded_systems(system: SmallSystem) -> set[str]:
     """The systems that nodes take themselves for founders of."""
     members = [edge.process.node.member for edge in system.world.edges() if edge.process is not None]
     foundings = [member.bootstrap_state.decision for member in members if member is not None]
@@ -295,28 +297,28 @@
     """What the runs above are for: each broken build fails one that is named here."""
 
     def play(self, label: str, seeds: int = 3) -> list[str]:
-        found: list[str] = []
+        problems: list[str] = []
         for seed in range(seeds):
             try:
-                watch = CutOffTest().play(seed, COURSES[label])
+                monitor = PartitionedOwnerTest().play(seed, SCENARIOS[label])
             except AssertionError as error:
-                found.append(str(error))
+                problems.append(str(error))
             else:
-                found += watch.wrong + watch.late
-        return found
+                problems += monitor.violations + monitor.unanswered
+        return problems
 
     def test_broken_no_confirmation_before_a_read(self) -> None:
         def read(processor: ChangeProcessor) -> Deferred[OperatorResult]:
             return succeed(processor._current() if processor.group.is_owner() else not_owner())
 
         with patch.object(ChangeProcessor, "read", read):
-            found = self.play("from all nodes")
-        self.assertTrue(any("alone" in each for each in found), found)
+            problems = self.play("from all nodes")
+        self.assertTrue(any("alone" in each for each in problems), problems)
 
     def test_broken_answers_without_a_bound(self) -> None:
         with patch.object(operator_calls, "ANSWER_TIMEOUT_S", 3.0):
-            found = self.play("frozen")
-        self.assertTrue(any("said nothing" in each for each in found), found)
+            problems = self.play("frozen")
+        self.assertTrue(any("said nothing" in each for each in problems), problems)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -84,8 +84,8 @@
     def test_it_is_unready_at_once_and_stays_so(self) -> None:
         self.assertEqual(Client(self.servers["readiness"]).send(READY).statuses(), [200])
         self.shut_down()
-        asked = self.reactor.seconds()
-        while self.reactor.seconds() < asked + UNREADY_WITHIN_S:
+        shutdown_at = self.reactor.seconds()
+        while self.reactor.seconds() < shutdown_at + UNREADY_WITHIN_S:
             client = Client(self.servers["readiness"]).send(READY)
             self.assertEqual(client.statuses(), [503])
             client.lose(clean=True)
@@ -110,8 +110,8 @@
         self.shut_down()
         self.reactor.pump([0.05] * 20)
         self.pending[0].callback(Acceptance(AcceptResult.ACCEPTED, "s0.r1"))
-        found: FoundMessage | LookupFailure = LookupFailure.UNKNOWN_MESSAGE
-        self.pending[1].callback(found)
+        result: FoundMessage | LookupFailure = LookupFailure.UNKNOWN_MESSAGE
+        self.pending[1].callback(result)
         self.reactor.pump([0.05] * 100)
         self.assertEqual((message.statuses(), state.statuses()), ([202], [404]))
 
--- a/tests/system/test_own_days.py
+++ b/tests/system/test_own_days.py
@@ -64,23 +64,26 @@
 
     def test_each_variant_of_the_five_points_occurs(self) -> None:
         for kind, variants in VARIANTS.items():
-            seen = {
-                word for entry in entries() if entry["kind"] == kind for word in entry.get("how", "").split()
+            occurring = {
+                variant
+                for entry in entries()
+                if entry["kind"] == kind
+                for name in entry.get("how", "").split()
             }
             with self.subTest(kind):
-                self.assertEqual(set(variants.split()) - seen, set())
+                self.assertEqual(set(variants.split()) - occurring, set())
 
     def test_each_kind_without_variants_occurs(self) -> None:
         self.assertEqual(set(PLAIN) - {entry["kind"] for entry in entries()}, set())
 
     def test_losses_hit_both_kinds_of_counted_machines(self) -> None:
         for kind in ON_BOTH:
-            places = {entry.get("on", "core") for entry in entries() if entry["kind"] == kind}
+            machine_kinds = {entry.get("on", "core") for entry in entries() if entry["kind"] == kind}
             with self.subTest(kind):
-                self.assertLessEqual({"core", "store"}, places)
+                self.assertLessEqual({"core", "store"}, machine_kinds)
 
 
-CALM: dict[str, object] = {
+PASSING_RESULT: dict[str, object] = {
     "breaks": {},
     "fault": None,
     "short": [],
@@ -92,7 +95,7 @@
 
 class Verdicts(unittest.TestCase):
     def test_a_day_without_problems_passes(self) -> None:
-        self.assertEqual(problems_of(CALM, floor=0.3), ())
+        self.assertEqual(problems_of(PASSING_RESULT, floor=0.3), ())
 
     def test_each_cause_of_a_failed_gate_is_named(self) -> None:
         bad = {
@@ -103,9 +106,9 @@
             "unserved": 0.7,
             "parts": [["whole day", 0.4, 0.2]],
         }
-        found = problems_of(bad, floor=0.3)
+        problems = problems_of(bad, floor=0.3)
         self.assertEqual(
-            found,
+            problems,
             (
                 "LOST 2",
                 "fault: exits",
--- a/tests/system/test_repairs.py
+++ b/tests/system/test_repairs.py
@@ -13,7 +13,7 @@
 from bitternpath.testing.simulation.replica_checker import InvariantViolationError
 
 CATCH_UP_S = 4.2
-AWAY_S = 0.6  # between the loss of a machine and its return
+DOWNTIME_S = 0.6  # between the loss of a machine and its return
 MB = 1 << 20
 
 
@@ -23,7 +23,7 @@
     for number in range(rounds):
         name = names[(number * 2) % len(names)]
         world.stop(name, graceful=False, wipe=True)
-        world.run(AWAY_S)
+        world.run(DOWNTIME_S)
         world.start(name)
         world.run(CATCH_UP_S)
         world.check_nothing_lost()
@@ -48,7 +48,7 @@
         for first, second in (("s0", "s1"), ("s2", "s3"), ("s4", "s0")):
             for name in (first, second):
                 world.stop(name, graceful=False, wipe=True)
-            world.run(AWAY_S)
+            world.run(DOWNTIME_S)
             for name in (first, second):
                 world.start(name)
             world.run(CATCH_UP_S)
@@ -61,7 +61,7 @@
                 world = self.world(5, RepairPlan(groups=6))
                 for number in range(4):
                     world.stop(f"s{number}", graceful=graceful)
-                    world.run(AWAY_S)
+                    world.run(DOWNTIME_S)
                     world.add_machine(f"s{number + 3}", world.machines[f"s{number}"].zone)
                     world.start(f"s{number + 3}")
                     world.run(CATCH_UP_S)
@@ -74,7 +74,7 @@
                 plan = RepairPlan(groups=groups, tolerated=tolerated, state_bytes=state, commands_per_s=50)
                 world = self.world(6, plan)
                 world.stop("s1", graceful=False, wipe=True)
-                world.run(AWAY_S)
+                world.run(DOWNTIME_S)
                 world.start("s1")
                 world.measure()
                 self.assertTrue(world.run_until(world.repaired, CATCH_UP_S / 2), world.times)
@@ -82,7 +82,7 @@
     def test_a_wiped_machine_leaves_no_group_exposed_for_a_second(self) -> None:
         world = self.world(7, RepairPlan(groups=10, state_bytes=MB))
         world.stop("s2", graceful=False, wipe=True)
-        world.run(AWAY_S)
+        world.run(DOWNTIME_S)
         world.start("s2")
         world.measure()
         world.run(2.0)
@@ -114,7 +114,7 @@
         self.assertLess(max(times.exposed_s for times in world.times.values()), 0.1)
 
 
-def still_serves(world: RepairWorld, seconds: float = 1.0) -> None:
+def check_groups_commit(world: RepairWorld, seconds: float = 1.0) -> None:
     """Every group commits something. Raises `InvariantViolationError`."""
     before = {group: checker.acknowledged for group, checker in world.checkers.items()}
     world.run(seconds)
@@ -142,7 +142,7 @@
     world.stop("s1", graceful=False)
     world.run(3.0)
     world.check_nothing_lost()
-    still_serves(world)
+    check_groups_commit(world)
 
 
 def successor_is_slow(seed: int) -> None:
@@ -151,28 +151,28 @@
     world.fill()
     world.traffic()
     world.stop("s0", graceful=False)
-    world.run(AWAY_S)
+    world.run(DOWNTIME_S)
     world.add_machine("t0", "z0")
     world.start("t0")
     world.isolated.add("t0")
     world.run(CATCH_UP_S)
-    still_serves(world)
+    check_groups_commit(world)
     world.isolated.clear()
     world.run(CATCH_UP_S)
     world.stop("s1", graceful=False)
     world.run(2.0)
     world.check_nothing_lost()
-    still_serves(world)
+    check_groups_commit(world)
 
 
 class LeavingMemberTest(unittest.TestCase):
     """A member that the placement no longer names is needed until those that stay have everything."""
 
-    def test_it_takes_part_after_a_restart(self) -> None:
+    def test_it_participates_after_a_restart(self) -> None:
         for seed in range(3):
             leaving_machine_restarts(seed)
 
-    def test_a_slow_successor_holds_nobody_up(self) -> None:
+    def test_a_slow_successor_blocks_no_group(self) -> None:
         for seed in range(3):
             successor_is_slow(seed)
 
@@ -188,10 +188,10 @@
             successor_is_slow(0)
 
     def test_removal_before_the_others_have_it(self) -> None:
-        def at_once(voters: Sequence[str], desired: Sequence[str], *_: object) -> str | None:
+        def remove_immediately(voters: Sequence[str], desired: Sequence[str], *_: object) -> str | None:
             return next((name for name in voters if name not in desired), None)
 
-        patched = mock.patch.object(reconfiguration, "_voter_to_remove", at_once)
+        patched = mock.patch.object(reconfiguration, "_voter_to_remove", remove_immediately)
         with patched, self.assertRaises(InvariantViolationError):
             leaving_machine_restarts(0)
 
--- a/tests/system/test_sent_once.py
+++ b/tests/system/test_sent_once.py
@@ -74,7 +74,7 @@
 
     def answer(self, request_id: bytes) -> None:
         response = HEAD % request_id + BODY
-        sent = {
+        responses = {
             Fault.RESET_WITHIN: response[:30],
             Fault.CLOSE_WITHIN: response[:30],
             Fault.RESET_AFTER: response[:-5],
@@ -85,7 +85,7 @@
         if Server.fault in UNANSWERED:
             Server.unanswered.append((self, response))
             return
-        self.transport.write(sent.get(Server.fault, b""))
+        self.transport.write(responses.get(Server.fault, b""))
         if Server.fault.name.startswith("RESET"):
             Server.reactor.callLater(0, self.transport.abortConnection)  # type: ignore[attr-defined]
         elif Server.fault.name.startswith("CLOSE"):
@@ -171,7 +171,7 @@
 class SentOnce(SentOnceCase):
     """Each client, each fault, over a new connection and over a kept one."""
 
-    def test_a_call_arrives_once(self) -> None:
+    def test_a_call_arrives_exactly_once(self) -> None:
         for name in ("worker", "receiver", "platform"):
             for fault in Fault:
                 for warm in (False, True):
@@ -192,29 +192,29 @@
                     self.assertIs(result.outcome, expected)
 
 
-class RepeatingWorkers(WorkerClient):
+class RetryingWorkerClient(WorkerClient):
     """Broken: a delivery without an answer is sent again."""
 
     def deliver(self, target: WorkerTarget, message: Message, deadline_ms: int) -> Deferred[DeliveryResult]:
         first = super().deliver(target, message, deadline_ms)
-        again = super().deliver
+        resend = super().deliver
         return first.addCallback(
-            lambda result: again(target, message, deadline_ms) if result.status == 0 else result
+            lambda result: resend(target, message, deadline_ms) if result.status == 0 else result
         )
 
 
 class BrokenBuilds(SentOnceCase):
     """Repeat after a reset: builds that do it are caught by the same run."""
 
-    def test_a_client_that_repeats_is_caught(self) -> None:
-        call = self.worker(RepeatingWorkers(self.loopback.reactor))
+    def test_a_client_that_retries_is_detected(self) -> None:
+        call = self.worker(RetryingWorkerClient(self.loopback.reactor))
         results: list[Any] = []
         Server.fault = Fault.RESET_BEFORE
         call("r1").addBoth(results.append)
         self.loopback.until(lambda: bool(results))
         self.assertEqual(len(Server.arrived), 2)
 
-    def test_a_library_that_repeats_by_itself_is_caught(self) -> None:
+    def test_a_library_that_retries_is_detected(self) -> None:
         platform = EndpointListClient(self.loopback.reactor, self.address)
         platform._agent._pool.retryAutomatically = True
         self.ended(self.platform(platform)("warm"))
--- a/tests/system/test_simulation_answers.py
+++ b/tests/system/test_simulation_answers.py
@@ -9,18 +9,18 @@
 from tests.system.small_actors import HOST, Answer, SmallSystem, configuration
 from tests.system.test_simulation_faults import FaultCase
 
-TOLD_AFTER_S = 2.0  # RULES, LOST: from then on no node says that there is no such message
-ASKERS_WAIT_S = 2.0
+KNOWN_AFTER_S = 2.0  # RULES, LOST: from then on no node says that there is no such message
+READ_TIMEOUT_S = 2.0
 SEEDS = (1, 2, 3)
 UNKNOWN = (404, 410)
 SHARDS = ("queue-0", "queue-1", "queue-2")
 
 
-def steps(system: SmallSystem, seconds: float, each: Callable[[], None], pause: float = 0.25) -> None:
+def run_steps(system: SmallSystem, seconds: float, action: Callable[[], None], step_s: float = 0.25) -> None:
     """Let time pass, and do something at each step."""
-    for _ in range(round(seconds / pause)):
-        each()
-        system.world.run_for(pause)
+    for _ in range(round(seconds / step_s)):
+        action()
+        system.world.run_for(step_s)
 
 
 class StatesCase(FaultCase):
@@ -32,30 +32,30 @@
         self.system.bootstrap()
         self.world.run_for(2.0)
         self.sent: list[tuple[str, Answer]] = []
-        self.asked: list[tuple[str, Answer]] = []
-        steps(self.system, 3.0, self.step)
+        self.reads: list[tuple[str, Answer]] = []
+        run_steps(self.system, 3.0, self.step)
         fault()
-        steps(self.system, 8.0, self.step)
-        self.world.run_for(ASKERS_WAIT_S)
+        run_steps(self.system, 8.0, self.step)
+        self.world.run_for(READ_TIMEOUT_S)
 
     def step(self) -> None:
         self.sent.append(self.system.send())
-        ripe = self.world.now - TOLD_AFTER_S
+        known_before = self.world.now - KNOWN_AFTER_S
         for name, accepted in self.sent[-16:]:
-            if accepted.status == 202 and accepted.ended < ripe:
+            if accepted.status == 202 and accepted.ended < known_before:
                 for edge in range(len(self.world.edges())):
-                    named = self.system.state(accepted, name, edge)
-                    bare = self.system.state(Answer(0.0), name, edge)
-                    self.asked += [(name, named), (name, bare)]
+                    by_message_id = self.system.state(accepted, name, edge)
+                    by_request_id = self.system.state(Answer(0.0), name, edge)
+                    self.reads += [(name, by_message_id), (name, by_request_id)]
 
     def check(self) -> None:
         accepted = [name for name, answer in self.sent if answer.status == 202]
         self.assertGreater(len(accepted), 20)
-        self.assertGreater(sum(answer.status == 200 for _, answer in self.asked), 100)
-        unknown = [(name, answer) for name, answer in self.asked if answer.status in UNKNOWN]
+        self.assertGreater(sum(answer.status == 200 for _, answer in self.reads), 100)
+        unknown = [(name, answer) for name, answer in self.reads if answer.status in UNKNOWN]
         self.assertEqual(unknown, [])
-        late = [(name, answer) for name, answer in self.asked if answer.status == 0]
-        self.assertEqual(late, [], "each asker has an answer in time: 200, or 503")
+        unanswered = [(name, answer) for name, answer in self.reads if answer.status == 0]
+        self.assertEqual(unanswered, [], "each asker has an answer in time: 200, or 503")
         self.assertEqual(self.world.failures, [])
 
 
@@ -64,14 +64,14 @@
 
     longest_test_s = 50
 
-    def owned(self) -> str:
+    def owner_of_first_shard(self) -> str:
         return self.owner(SHARDS[0])
 
     def test_frozen_owner_resumes(self) -> None:
         def stop() -> None:
-            name = self.owned()
+            name = self.owner_of_first_shard()
             self.world.freeze(name)
-            steps(self.system, 3.0, self.step)
+            run_steps(self.system, 3.0, self.step)
             self.world.thaw(name)
 
         for seed in SEEDS:
@@ -80,28 +80,28 @@
                 self.check()
 
     def test_owner_partitioned_from_other_members(self) -> None:
-        def cut() -> None:
-            name = self.owned()
+        def partition() -> None:
+            name = self.owner_of_first_shard()
             others = [other for other in self.world.nodes if other != name and other.startswith("storage")]
             for other in others:
                 self.world.partition(name, other)
-            steps(self.system, 3.0, self.step)
+            run_steps(self.system, 3.0, self.step)
             for other in others:
                 self.world.heal_partition(name, other)
 
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(seed, cut)
+                self.play(seed, partition)
                 self.check()
 
-    def cut_off_with_an_edge(self) -> None:
+    def partition_owner_with_an_edge(self) -> None:
         """An owner and an edge node reach each other, and no other storage node reaches them."""
-        names = {self.owned(), self.world.edges()[2].name}
+        names = {self.owner_of_first_shard(), self.world.edges()[2].name}
         others = [other for other in self.world.nodes if other.startswith("storage") and other not in names]
         for name in names:
             for other in others:
                 self.world.partition(name, other)
-        steps(self.system, 3.0, self.step)
+        run_steps(self.system, 3.0, self.step)
         for name in names:
             for other in others:
                 self.world.heal_partition(name, other)
@@ -109,7 +109,7 @@
     def test_owner_partitioned_together_with_an_edge_node(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(seed, self.cut_off_with_an_edge)
+                self.play(seed, self.partition_owner_with_an_edge)
                 self.check()
 
     def test_all_owners_killed_at_once(self) -> None:
@@ -129,7 +129,7 @@
 
     request_id: str
     lease_id: str
-    given: float
+    received_at: float
     ends: list[Answer] = field(default_factory=list)
 
 
@@ -215,9 +215,9 @@
                 self.world.thaw(owner)
                 self.assertEqual(second.request_id, first.request_id)
                 self.assertNotEqual(second.lease_id, first.lease_id)
-                self.assertGreaterEqual(second.given - first.given, 3.0)
-                taken = [self.end(job).status for job in (first, second, first, second)]
-                self.assertEqual(taken, [409, 200, 409, 200])
+                self.assertGreaterEqual(second.received_at - first.received_at, 3.0)
+                statuses = [self.end(job).status for job in (first, second, first, second)]
+                self.assertEqual(statuses, [409, 200, 409, 200])
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -24,7 +24,7 @@
 Run = Callable[[int], list[str]]
 
 
-def started(seed: int, plan: Plan | None = None) -> SmallSystem:
+def started_system(seed: int, plan: Plan | None = None) -> SmallSystem:
     """A system at rest, with the first configuration."""
     system = SmallSystem(f"broken-{seed}", plan)
     system.bootstrap()
@@ -35,14 +35,16 @@
 def owner_of_configuration(system: SmallSystem) -> int:
     """The edge node that owns the configuration, by its place in the list."""
     names = [node.name for node in system.world.edges()]
-    told = [told for told in system.world.ownerships if told.group == "configuration" and told.gained]
-    return names.index(told[-1].node)
+    change = [
+        change for change in system.world.ownerships if change.group == "configuration" and change.gained
+    ]
+    return names.index(gained[-1].node)
 
 
-def ask_until_answered(system: SmallSystem, call: Callable[[int], Answer], tries: int = 30) -> Answer:
+def call_until_answered(system: SmallSystem, call: Callable[[int], Answer], attempts: int = 30) -> Answer:
     """Send unchanged, to one node after the other, until an answer is clear."""
     answer = Answer(system.world.now)
-    for attempt in range(tries):
+    for attempt in range(attempts):
         answer = call(attempt % 3)
         system.world.run_for(0.5)
         if answer.status and answer.status < 500:
@@ -50,9 +52,9 @@
     return answer
 
 
-def found_in(system: SmallSystem, *more: str) -> list[str]:
+def problems_of(system: SmallSystem, *texts: str) -> list[str]:
     """What checkers of the inside found, and more."""
-    return [violation.rule for violation in system.world.violations] + [text for text in more if text]
+    return [violation.rule for violation in system.world.violations] + [text for text in texts if text]
 
 
 # ---- runs
@@ -60,7 +62,7 @@
 
 def read_at_an_owner_that_does_not_know_it_was_replaced(seed: int) -> list[str]:
     """Answers of the others take long to come back, so the owner goes on for a while when it isn't heard."""
-    system = started(seed)
+    system = started_system(seed)
     world = system.world
     owner = owner_of_configuration(system)
     edges = world.edges()
@@ -83,34 +85,34 @@
         accepted = [order.ended for order in orders if order.status == 200]
         accepted_at = min(accepted, default=0.0)
     world.run_for(2.0)
-    old = [
+    stale = [
         read
         for read in reads
         if accepted_at and read.began > accepted_at and read.status == 200 and read.json()["version"] < 2
     ]
-    return found_in(system, f"{len(old)} reads of an old version" if old else "")
+    return problems_of(system, f"{len(stale)} reads of an old version" if stale else "")
 
 
 def resent_after_many_changes_and_restarts(seed: int) -> list[str]:
     """An order whose acknowledgement was lost is sent again unchanged when its entry is in a snapshot."""
-    system = started(seed, Plan(logs=SMALL_LOGS))
+    system = started_system(seed, Plan(logs=SMALL_LOGS))
     world = system.world
-    ask_until_answered(system, lambda edge: system.put(2, 1, edge))
+    call_until_answered(system, lambda edge: system.put(2, 1, edge))
     for version in range(3, 35):
         order = system.put(version, version - 1, timeout_ms=1000 + version)
         world.run_for(0.1)
         if order.status != 200:
-            ask_until_answered(system, lambda edge, v=version: system.put(v, v - 1, edge, 1000 + v))  # type: ignore[misc]
+            call_until_answered(system, lambda edge, v=version: system.put(v, v - 1, edge, 1000 + v))  # type: ignore[misc]
     for node in world.edges():
         world.kill(node.name)
     world.run_for(4.0)
-    again = ask_until_answered(system, lambda edge: system.put(2, 1, edge))
-    return found_in(system, f"refused with {again.status}" if again.status != 200 else "")
+    repeated = call_until_answered(system, lambda edge: system.put(2, 1, edge))
+    return problems_of(system, f"refused with {repeated.status}" if repeated.status != 200 else "")
 
 
 def all_lose_power_and_one_its_disk(seed: int) -> list[str]:
     """Right after an acknowledgement, while one disk stalls; who has the version comes back last."""
-    system = started(seed)
+    system = started_system(seed)
     world = system.world
     owner = world.edges()[owner_of_configuration(system)]
     slow, other = [node for node in world.edges() if node.counted and node is not owner]
@@ -119,17 +121,17 @@
     while not order.status and order.ended < 0:
         world.run_for(0.001)
     for node in list(world.nodes.values()):
-        late = 4.0 if node is owner else 0.5
-        (world.wipe if node is other else world.lose_power)(node.name, late)
+        down_s = 4.0 if node is owner else 0.5
+        (world.wipe if node is other else world.lose_power)(node.name, down_s)
     world.run_for(12.0)
-    read = ask_until_answered(system, system.version)
+    read = call_until_answered(system, system.version)
     lost = order.status == 200 and (read.status != 200 or read.json()["version"] != 2)
-    return found_in(system, f"an acknowledged version is gone: {read.status}" if lost else "")
+    return problems_of(system, f"an acknowledged version is gone: {read.status}" if lost else "")
 
 
 def all_lose_power_right_after_an_acknowledgement(seed: int) -> list[str]:
     """All disks stall for a moment when the order comes; the acknowledgement is read, and all is dark."""
-    system = started(seed)
+    system = started_system(seed)
     world = system.world
     for node in world.edges():
         world.stall_disk(node.name, 0.1)
@@ -139,26 +141,26 @@
     for name in list(world.nodes):
         world.lose_power(name)
     world.run_for(6.0)
-    read = ask_until_answered(system, system.version)
+    read = call_until_answered(system, system.version)
     lost = order.status == 200 and (read.status != 200 or read.json()["version"] != 2)
-    return found_in(system, f"an acknowledged version is gone: {read.status}" if lost else "")
+    return problems_of(system, f"an acknowledged version is gone: {read.status}" if lost else "")
 
 
 # ---- the builds
 
 
-def hasty_propose(self: ConfigurationMember, command: bytes) -> Deferred[object]:
+def propose_without_commit(self: ConfigurationMember, command: bytes) -> Deferred[object]:
     """Acknowledged before it is committed."""
     self.host.propose("configuration", command).addErrback(lambda _: None)
     return succeed(True)
 
 
-def hasty_barrier(self: ReplicaHost, group: str) -> Deferred[None]:
+def barrier_without_quorum(self: ReplicaHost, group: str) -> Deferred[None]:
     """Nobody is asked whether this is the owner still."""
     return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
 
-def forgetful_snapshot(self: ConfigurationState) -> bytes:
+def snapshot_without_digests(self: ConfigurationState) -> bytes:
     """Digests of accepted orders are left out of the snapshot."""
     orders, self._orders = self._orders, type(self._orders)()
     try:
@@ -167,7 +169,7 @@
         self._orders = orders
 
 
-def identity_of_the_machine(self: SimulatedNodeDisk) -> str:
+def identity_from_host_name(self: SimulatedNodeDisk) -> str:
     """An empty disk counts as the one before."""
     self._random.getrandbits(32)
     return f"{sum(self._reactor.name.encode()):08x}"
@@ -196,24 +198,24 @@
 class BrokenBuilds(unittest.TestCase):
     """Each build is caught by its run."""
 
-    def assert_caught(self, run: Run) -> None:
+    def assert_detected(self, run: Run) -> None:
         for seed in SEEDS:
             if run(seed):
                 return
         self.fail(f"{run.__name__} finds nothing in {len(SEEDS)} seeds")
 
     def test_acknowledged_before_commit(self) -> None:
-        with patch.object(ConfigurationMember, "propose", hasty_propose):
-            self.assert_caught(all_lose_power_right_after_an_acknowledgement)
+        with patch.object(ConfigurationMember, "propose", propose_without_commit):
+            self.assert_detected(all_lose_power_right_after_an_acknowledgement)
 
     def test_no_confirmation_before_an_answer(self) -> None:
-        with patch.object(ReplicaHost, "read_barrier", hasty_barrier):
-            self.assert_caught(read_at_an_owner_that_does_not_know_it_was_replaced)
+        with patch.object(ReplicaHost, "read_barrier", barrier_without_quorum):
+            self.assert_detected(read_at_an_owner_that_does_not_know_it_was_replaced)
 
     def test_digests_not_in_the_snapshot(self) -> None:
-        with patch.object(ConfigurationState, "snapshot", forgetful_snapshot):
-            self.assert_caught(resent_after_many_changes_and_restarts)
+        with patch.object(ConfigurationState, "snapshot", snapshot_without_digests):
+            self.assert_detected(resent_after_many_changes_and_restarts)
 
     def test_vote_after_losing_the_disk(self) -> None:
-        with patch.object(SimulatedNodeDisk, "load_identity", identity_of_the_machine):
-            self.assert_caught(all_lose_power_and_one_its_disk)
+        with patch.object(SimulatedNodeDisk, "load_identity", identity_from_host_name):
+            self.assert_detected(all_lose_power_and_one_its_disk)
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -17,8 +17,8 @@
 
 CHANGES = 150
 LOSS_EVERY_S = 11.0  # a loss lasts 6 s at most, and `catch_up_s` after it
-SETTLE_S = 6.0
-LOOK_S, PAUSE_S = 0.06, 0.02
+STABILIZATION_S = 6.0
+POLL_S, ORDER_INTERVAL_S = 0.06, 0.02
 
 
 @dataclass
@@ -33,27 +33,27 @@
         """Send the order for the next version."""
         self._attempt(self.version + 1, 0)
 
-    def _attempt(self, version: int, tries: int) -> None:
+    def _attempt(self, version: int, attempts: int) -> None:
         world = self.system.world
         edge = world.random("operator").randrange(len(world.edges()))
         answer = self.system.put(version, version - 1, edge, 1000 + version)
-        world.at(world.now + LOOK_S, self._look, version, tries, answer)
+        world.at(world.now + POLL_S, self._check_answer, version, attempts, answer)
 
-    def _look(self, version: int, tries: int, answer: Answer) -> None:
+    def _check_answer(self, version: int, attempts: int, answer: Answer) -> None:
         world = self.system.world
         if answer.status == 200:
             self.version = version
             if version < CHANGES:
-                world.at(world.now + PAUSE_S, self.begin)
+                world.at(world.now + ORDER_INTERVAL_S, self.begin)
         elif answer.ended < 0:
-            world.at(world.now + LOOK_S, self._look, version, tries, answer)
+            world.at(world.now + POLL_S, self._check_answer, version, attempts, answer)
         elif 400 <= answer.status < 500:
             self.refused.append(answer)
         else:
-            world.at(world.now + min(0.1 * (tries + 1), 0.5), self._attempt, version, tries + 1)
+            world.at(world.now + min(0.1 * (attempts + 1), 0.5), self._attempt, version, attempts + 1)
 
 
-def one_loss(system: SmallSystem, orders: Orders) -> None:
+def inject_loss(system: SmallSystem, orders: Orders) -> None:
     """A counted machine is lost for a while, or for good; while there are orders, again and again."""
     world = system.world
     if orders.version >= CHANGES:
@@ -61,7 +61,7 @@
     random = world.random("losses")
     counted = [node for node in world.edges() + world.storages() if node.counted]
     name = random.choice(counted).name
-    back = world.now + random.uniform(0.3, 6.0)
+    heal_at = world.now + random.uniform(0.3, 6.0)
     match random.randrange(7):
         case 0:
             world.kill(name)
@@ -71,15 +71,15 @@
             world.wipe(name)
         case 3:
             world.freeze(name)
-            world.at(back, world.thaw, name)
+            world.at(heal_at, world.thaw, name)
         case 4:
             world.isolate(name, both=random.random() < 0.5)
-            world.at(back, world.heal_host, name)
+            world.at(heal_at, world.heal_host, name)
         case 5:
             world.replace(name)
         case 6:
             world.terminate(name)
-    world.at(world.now + LOSS_EVERY_S, one_loss, system, orders)
+    world.at(world.now + LOSS_EVERY_S, inject_loss, system, orders)
 
 
 class ManyChanges(unittest.TestCase):
@@ -93,11 +93,11 @@
                 system.bootstrap()
                 orders = Orders(system)
                 orders.begin()
-                world.at(world.now + 2.0, one_loss, system, orders)
+                world.at(world.now + 2.0, inject_loss, system, orders)
                 while orders.version < CHANGES and not orders.refused:
                     world.run_for(1.0)
                     self.assertLess(world.now, 60.0, f"version {orders.version}")
-                world.run_for(LOSS_EVERY_S + SETTLE_S)
+                world.run_for(LOSS_EVERY_S + STABILIZATION_S)
                 nodes = world.edges() + world.storages()
                 self.assertEqual(orders.refused, [])
                 self.assertEqual({node.process.node.base.feed.version for node in nodes}, {CHANGES})
@@ -133,50 +133,52 @@
         nodes = world.edges() + world.storages()
         for first, second in combinations(nodes, 2):
             world.limit_bandwidth(first.name, second.name, LINK_BYTES_PER_S)
-        stop = world.now + ORDERS_S
-        self._order(system, 2, stop)
+        stop_at = world.now + ORDERS_S
+        self._order(system, 2, stop_at)
         world.run_for(3.0)
-        owner = [told.node for told in world.ownerships if told.group == "configuration" and told.gained][-1]
+        owner = [
+            change.node for change in world.ownerships if change.group == "configuration" and change.gained
+        ][-1]
         wiped = next(node for node in world.edges() if node.counted and node.name != owner)
         world.wipe(wiped.name, down_s=0.5)
         world.run_for(0.5)
         began = world.now
         while not self._complete(system, owner):
             world.run_for(0.1)
-            self.assertLess(world.now, stop, "not complete while orders went on")
-        took = world.now - began
-        world.run_until(stop + 5.0)
+            self.assertLess(world.now, stop_at, "not complete while orders went on")
+        elapsed_s = world.now - began
+        world.run_until(stop_at + 5.0)
         self.assertEqual(len({node.process.node.base.feed.version for node in nodes}), 1)
         self.assertEqual((world.failures, world.violations), ([], []))
-        return took
+        return elapsed_s
 
-    def _order(self, system: SmallSystem, version: int, stop: float) -> None:
+    def _order(self, system: SmallSystem, version: int, stop_at: float) -> None:
         world = system.world
         edge = world.random("operator").randrange(3)
         address, base = world.edges()[edge].control, str(version - 1)
         answer = system.caller.call("PUT", address, "/config", large_configuration(version), If_Match=base)
-        world.at(world.now + LOOK_S, self._look, system, version, stop, answer)
+        world.at(world.now + POLL_S, self._check_answer, system, version, stop_at, answer)
 
-    def _look(self, system: SmallSystem, version: int, stop: float, answer: Answer) -> None:
+    def _check_answer(self, system: SmallSystem, version: int, stop_at: float, answer: Answer) -> None:
         world = system.world
         self.assertFalse(400 <= answer.status < 500, answer)
         if answer.ended < 0:
-            world.at(world.now + LOOK_S, self._look, system, version, stop, answer)
+            world.at(world.now + POLL_S, self._check_answer, system, version, stop_at, answer)
         elif answer.status != 200:
-            self._order(system, version, stop)
-        elif world.now < stop:
-            world.at(world.now + 0.1, self._order, system, version + 1, stop)
+            self._order(system, version, stop_at)
+        elif world.now < stop_at:
+            world.at(world.now + 0.1, self._order, system, version + 1, stop_at)
 
     def _complete(self, system: SmallSystem, owner: str) -> bool:
         """Whether the members are exactly the edge nodes' present disks."""
         world = system.world
         members = world.nodes[owner].process.node.base.host.members("configuration")
-        present = {
+        current = {
             node.process.node.base.transport.member_id
             for node in world.edges()
             if node.counted and node.process
         }
-        return set(members.voters) == present and not members.learners
+        return set(members.voters) == current and not members.learners
 
     def test_wiped_member_catches_up_in_time(self) -> None:
         for name, logs in (("small logs", SMALL_LOGS), ("usual logs", LogSizes())):
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -36,7 +36,7 @@
     SystemRuleParameters,
 )
 
-TERMS = SystemRuleParameters(
+PARAMETERS = SystemRuleParameters(
     max_attempts=2,
     timeout_s=1.5,
     retention_s=90.0,
@@ -63,8 +63,8 @@
 def order(version: int, base: int, outcome: OrderOutcome = ACKNOWLEDGED, **fields: object) -> OrderSent:
     """A change, sent at the second that is its version."""
     document = {"version": version, "routes": [route("/listed/")]}
-    made = OrderSent(version, base, float(version), version + 0.1, outcome, True, document, 412)
-    return replace(made, **fields)  # type: ignore[arg-type]
+    base_order = OrderSent(version, base, float(version), version + 0.1, outcome, True, document, 412)
+    return replace(base_order, **fields)  # type: ignore[arg-type]
 
 
 def read(version: int, at: float, **document: object) -> ConfigRead:
@@ -83,15 +83,15 @@
     return Retirement(call, "storage-1", "edge-1", at, at + 0.1, status, state, valid)
 
 
-def state(at: float, status: int, told: str = "", stamp: str = "", body: bytes | None = None) -> StateRead:
+def state(at: float, status: int, name: str = "", stamp: str = "", body: bytes | None = None) -> StateRead:
     """An answer about the message `a`."""
-    return StateRead("a", "edge-2", at, at + 0.1, status, told, stamp, body)
+    return StateRead("a", "edge-2", at, at + 0.1, status, name, stamp, body)
 
 
 def run(at: float, **fields: object) -> Run:
     """A run of the message `a`."""
-    made = Run("a", at, "listed", "POST", "/listed/1", b"body")
-    return replace(made, **fields)  # type: ignore[arg-type]
+    base_run = Run("a", at, "listed", "POST", "/listed/1", b"body")
+    return replace(base_run, **fields)  # type: ignore[arg-type]
 
 
 def history(**lists: object) -> SystemHistory:
@@ -301,52 +301,52 @@
     """Each checker on both of its histories."""
 
     def test_each_checker_reports_broken_histories_only(self) -> None:
-        for check, rule, what, broken, sound in CASES:
-            with self.subTest(check=check.__name__, what=what):
-                rules = {violation.rule for violation in check(broken, TERMS)}  # type: ignore[attr-defined]
+        for check, rule, description, broken, correct in CASES:
+            with self.subTest(check=check.__name__, description=description):
+                rules = {violation.rule for violation in check(broken, PARAMETERS)}  # type: ignore[attr-defined]
                 self.assertEqual(rules, {rule})
-                self.assertEqual(list(check(sound, TERMS)), [])  # type: ignore[call-overload]
+                self.assertEqual(list(check(correct, PARAMETERS)), [])  # type: ignore[call-overload]
 
     def test_all_new_checkers_have_a_case(self) -> None:
-        tried = {case[0] for case in CASES}
+        covered = {case[0] for case in CASES}
         new = {check for check in CHECKS if check.__module__.startswith("bitternpath.testing.simulation")}
-        self.assertEqual(new, tried)
+        self.assertEqual(new, covered)
 
     def test_finding_names_its_checker(self) -> None:
         broken = history(orders=[FIRST, ADDING], reads=[read(1, 2.2)])
-        self.assertIn("check_older_read", {item.checker for item in check_run(broken, TERMS)})
+        self.assertIn("check_older_read", {item.checker for item in check_run(broken, PARAMETERS)})
 
 
 class TestConnectivity(unittest.TestCase):
     """In touch and stable, as RULES define them."""
 
-    def contact(self, *disruptions: Disruption) -> Connectivity:
-        return Connectivity(history(disruptions=list(disruptions)), TERMS)
+    def connectivity(self, *disruptions: Disruption) -> Connectivity:
+        return Connectivity(history(disruptions=list(disruptions)), PARAMETERS)
 
     def test_core_is_unstable_for_contact_ms_after_a_change(self) -> None:
-        contact = self.contact(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
-        self.assertFalse(contact.stable(13.9, 13.95))
-        self.assertTrue(contact.stable(14.1, 14.2))
+        connectivity = self.connectivity(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
+        self.assertFalse(connectivity.stable(13.9, 13.95))
+        self.assertTrue(connectivity.stable(14.1, 14.2))
 
     def test_disrupted_machine_is_not_connected(self) -> None:
-        contact = self.contact(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
-        self.assertFalse(contact.connected(["edge-1"], 20.0, 20.1))
-        self.assertTrue(contact.connected(["edge-2"], 20.0, 20.1))
+        connectivity = self.connectivity(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
+        self.assertFalse(connectivity.connected(["edge-1"], 20.0, 20.1))
+        self.assertTrue(connectivity.connected(["edge-2"], 20.0, 20.1))
 
     def test_majority_of_the_core_down(self) -> None:
-        contact = self.contact(
+        connectivity = self.connectivity(
             disruption(DisruptionKind.DOWN, 1.0, inf, "edge-1"),
             disruption(DisruptionKind.DOWN, 1.0, inf, "edge-2"),
         )
-        self.assertFalse(contact.connected(["edge-3"], 20.0, 20.1))
+        self.assertFalse(connectivity.connected(["edge-3"], 20.0, 20.1))
 
     def test_longest_fault_free_interval(self) -> None:
-        contact = self.contact(
+        connectivity = self.connectivity(
             disruption(DisruptionKind.FROZEN, 3.0, 6.0, "edge-1"),
             disruption(DisruptionKind.FROZEN, 5.0, 7.0, "edge-2"),
         )
-        self.assertEqual(contact.longest_fault_free_s(0.0, 20.0), 13.0)
-        self.assertEqual(contact.longest_fault_free_s(4.0, 6.5), 0.0)
+        self.assertEqual(connectivity.longest_fault_free_s(0.0, 20.0), 13.0)
+        self.assertEqual(connectivity.longest_fault_free_s(4.0, 6.5), 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -18,7 +18,7 @@
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
-PATIENCE_S = 1.0  # of an operator, before it moves on to another node
+OPERATOR_TIMEOUT_S = 1.0  # of an operator, before it moves on to another node
 CALLS_S = 3.0
 CALL_EVERY_S = 0.15
 
@@ -26,14 +26,14 @@
 def calls_of(system: SmallSystem, node: SimulatedNode) -> list[Callable[[], Answer]]:
     """Every kind of order and question, proper ones and others."""
     call, control = system.caller.call, node.control
-    patched = {"version": 3, "remove": {"routes": ["r-1"]}}
+    patch_document = {"version": 3, "remove": {"routes": ["r-1"]}}
     retire = f"/retire/{system.world.storages()[0].name}"
     return [
         lambda: call("PUT", control, "/config", configuration(2, 1500), If_Match="1"),
         lambda: call("PUT", control, "/config", configuration(1), If_Match="0"),  # accepted before
         lambda: call("PUT", control, "/config", configuration(9), If_Match="7"),  # on a version that isn't
         lambda: call("PUT", control, "/config", b"{", If_Match="1"),
-        lambda: call("PATCH", control, "/config", patched, If_Match="1"),
+        lambda: call("PATCH", control, "/config", patch_document, If_Match="1"),
         lambda: call("GET", control, "/config"),
         lambda: call("POST", control, retire, {"duration_s": 10}),
         lambda: call("POST", control, "/retire/nobody", {"duration_s": 10}),
@@ -43,53 +43,55 @@
 
 def owner_of_configuration(system: SmallSystem) -> SimulatedNode:
     """The edge node that owns the configuration."""
-    told = [told for told in system.world.ownerships if told.group == "configuration" and told.gained]
-    return system.world.nodes[told[-1].node]
+    change = [
+        change for change in system.world.ownerships if change.group == "configuration" and change.gained
+    ]
+    return system.world.nodes[gained[-1].node]
 
 
 class PartitionedOwner(unittest.TestCase):
     longest_test_s = 30
 
-    def play(self, kind: str, way: str, after_s: float) -> list[Answer]:
+    def play(self, kind: str, direction: str, after_s: float) -> list[Answer]:
         """The answers of one node that is cut off, in one direction or both."""
-        system = SmallSystem(f"cut-off-{kind}-{way}-{after_s}", Plan(storages=4))
+        system = SmallSystem(f"cut-off-{kind}-{direction}-{after_s}", Plan(storages=4))
         world = system.world
         system.bootstrap()
         world.run_for(2.0)
         owner = owner_of_configuration(system)
-        chosen = {
+        target = {
             "owner": owner,
             "member": next(edge for edge in world.edges() if edge.counted and edge is not owner),
             "other": next(edge for edge in world.edges() if not edge.counted),
         }[kind]
         for name in world.nodes:
-            if name != chosen.name and way != "in":
-                world.partition(chosen.name, name, both=False)
-            if name != chosen.name and way != "out":
-                world.partition(name, chosen.name, both=False)
+            if name != target.name and direction != "in":
+                world.partition(target.name, name, both=False)
+            if name != target.name and direction != "out":
+                world.partition(name, target.name, both=False)
         world.run_for(after_s)
         random, answers = world.random("calls"), list[Answer]()
         end = world.now + CALLS_S
         while world.now < end:
-            answers.append(random.choice(calls_of(system, chosen))())
+            answers.append(random.choice(calls_of(system, target))())
             world.run_for(CALL_EVERY_S)
         world.run_for(3.0)
         return answers
 
     def test_prompt_503_only(self) -> None:
         for kind in ("owner", "member", "other"):
-            for way in ("both", "out", "in"):
+            for direction in ("both", "out", "in"):
                 for after_s in (0.0, 0.4, 2.0):
-                    with self.subTest(kind, way=way, after_s=after_s):
-                        answers = self.play(kind, way, after_s)
+                    with self.subTest(kind, direction=direction, after_s=after_s):
+                        answers = self.play(kind, direction, after_s)
                         self.assertEqual({answer.status for answer in answers}, {503})
-                        self.assertLess(max(each.ended - each.began for each in answers), PATIENCE_S)
+                        self.assertLess(max(each.ended - each.began for each in answers), OPERATOR_TIMEOUT_S)
 
     def test_build_without_quorum_confirmation_is_detected(self) -> None:
-        def hasty(self: ReplicaHost, group: str) -> Deferred[None]:
+        def without_quorum(self: ReplicaHost, group: str) -> Deferred[None]:
             return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
-        with patch.object(ReplicaHost, "read_barrier", hasty):
+        with patch.object(ReplicaHost, "read_barrier", without_quorum):
             statuses = {answer.status for answer in self.play("owner", "both", 0.0)}
         self.assertTrue(statuses & {200, 400, 404, 409, 412}, statuses)
 
@@ -104,7 +106,7 @@
                 system.bootstrap()
                 world.run_for(2.0)
                 owner = owner_of_configuration(system)
-                others = [place for place, edge in enumerate(world.edges()) if edge is not owner]
+                others = [index for index, edge in enumerate(world.edges()) if edge is not owner]
                 world.freeze(owner.name)
                 world.run_for(2.5)
                 order = system.put(2, 1, others[0])
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -14,7 +14,7 @@
 from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import Answer, SmallSystem
 
-SETTLE_S = 6.0  # after the last fault, until all must be well again
+STABILIZATION_S = 6.0  # after the last fault, until all must be well again
 
 
 class FaultCase(unittest.TestCase):
@@ -30,7 +30,7 @@
     def send(self, edge: int = 0) -> None:
         self.accepted.append(self.system.send(edge))
 
-    def send_until_taken(self) -> None:
+    def send_until_accepted(self) -> None:
         """As a client does: a 503 is a promise that the message wasn't taken."""
         for _ in range(5):
             name, answer = self.system.send()
@@ -44,18 +44,18 @@
     def owner(self, group: str) -> str:
         """The node that owns a group, by what replicas said last."""
         last: dict[str, Ownership] = {}
-        for told in self.world.ownerships:
-            if told.group == group and told.gained:
-                last[group] = told
+        for change in self.world.ownerships:
+            if change.group == group and change.gained:
+                last[group] = change
         return last[group].node
 
-    def check_well(self, versions: int = 2) -> None:
+    def check_recovered(self, versions: int = 2) -> None:
         """An order is taken and in force everywhere; all accepted messages ran and are done."""
-        self.world.run_for(SETTLE_S)
+        self.world.run_for(STABILIZATION_S)
         order = self.system.put(versions, versions - 1)
         self.world.run_for(2.0)
         self.assertEqual(order.status, 200, order)
-        self.send_until_taken()
+        self.send_until_accepted()
         states = [(self.system.state(answer, name), name) for name, answer in self.accepted]
         versions_seen = [self.system.version(edge) for edge in range(len(self.world.edges()))]
         self.world.run_for(2.0)
@@ -67,18 +67,18 @@
         self.assertEqual(self.world.failures, [])
         self.assertEqual(self.world.violations, [])
 
-    def during(self, fault: Callable[[], object]) -> None:
+    def check_fault(self, fault: Callable[[], object]) -> None:
         """Send, play the fault, check."""
-        self.send_until_taken()
+        self.send_until_accepted()
         fault()
-        self.check_well()
+        self.check_recovered()
 
 
 class ProcessFaults(FaultCase):
     def test_kill(self) -> None:
         for name in list(self.world.nodes):
             self.world.kill(name)
-        self.check_well()
+        self.check_recovered()
         self.assertTrue(all(node.incarnations == 2 for node in self.world.nodes.values()))
 
     def test_simultaneous_power_loss(self) -> None:
@@ -87,12 +87,12 @@
         self.assertEqual(self.accepted[0][1].status, 202)
         for name in list(self.world.nodes):
             self.world.lose_power(name)
-        self.check_well()
+        self.check_recovered()
 
     def test_wipe(self) -> None:
-        self.during(lambda: self.world.wipe(self.owner("queue-0")))
+        self.check_fault(lambda: self.world.wipe(self.owner("queue-0")))
         self.world.wipe(self.owner("configuration"))
-        self.check_well(3)
+        self.check_recovered(3)
 
     def test_freeze_and_thaw(self) -> None:
         name = self.owner("configuration")
@@ -100,18 +100,18 @@
         self.world.run_for(3.0)
         self.assertNotEqual(self.owner("configuration"), name)
         self.world.thaw(name)
-        self.check_well()
+        self.check_recovered()
 
     def test_terminate(self) -> None:
         name = self.world.edges()[0].name
-        self.during(lambda: self.world.terminate(name))
+        self.check_fault(lambda: self.world.terminate(name))
         self.assertEqual(self.world.nodes[name].exit_codes, [0])
         self.assertEqual(self.world.nodes[name].incarnations, 2)
 
     def test_reload(self) -> None:
         name = self.world.edges()[1].name
         seeds = self.world.current_seeds()[:1]
-        self.during(lambda: self.world.reload(name, seeds=seeds))
+        self.check_fault(lambda: self.world.reload(name, seeds=seeds))
         self.assertEqual(len(self.world.nodes[name].process.node.base.view.seeds), 1)
 
     def test_slow(self) -> None:
@@ -119,14 +119,14 @@
         self.world.slow(name, 10.0)
         self.world.run_for(2.0)
         self.world.slow(name, 1.0)
-        self.check_well()
+        self.check_recovered()
 
     def test_add_and_replace(self) -> None:
         added = self.world.add_node("edge", counted=False)
         self.world.run_for(1.0)
         old = self.world.storages()[0].name
         new = self.world.replace(old)
-        self.check_well()
+        self.check_recovered()
         self.assertIs(self.world.nodes[old].state, NodeState.REMOVED)
         self.assertEqual((added.state, new.state), (NodeState.UP, NodeState.UP))
         self.assertNotEqual(new.ip, self.world.nodes[old].ip)
@@ -139,21 +139,21 @@
         self.world.run_for(3.0)
         self.assertNotEqual(self.owner("configuration"), name)
         self.world.heal_host(name)
-        self.check_well()
+        self.check_recovered()
 
     def test_one_way_partition(self) -> None:
         name = self.owner("queue-2")
         self.world.isolate(name, both=False)
         self.world.run_for(3.0)
         self.world.heal_host(name)
-        self.check_well()
+        self.check_recovered()
 
     def test_partition_between_two_nodes(self) -> None:
         first, second = [node.name for node in self.world.storages()][:2]
         self.world.partition(first, second)
         self.world.run_for(3.0)
         self.world.heal_partition(first, second)
-        self.check_well()
+        self.check_recovered()
 
     def test_resets(self) -> None:
         random = Random(5)
@@ -161,19 +161,19 @@
         for _ in range(20):
             self.world.reset(*random.sample(names, 2))
             self.world.run_for(0.1)
-        self.check_well()
+        self.check_recovered()
 
     def test_limited_bandwidth(self) -> None:
         first, second = [node.name for node in self.world.storages()][:2]
         self.world.limit_bandwidth(first, second, 30_000.0)
         self.world.run_for(2.0)
         self.world.limit_bandwidth(first, second, None)
-        self.check_well()
+        self.check_recovered()
 
 
 class DiskFaults(FaultCase):
     def test_stall(self) -> None:
-        self.during(lambda: self.world.stall_disk(self.owner("queue-0"), 2.0))
+        self.check_fault(lambda: self.world.stall_disk(self.owner("queue-0"), 2.0))
 
     def test_full(self) -> None:
         name = self.owner("queue-0")
@@ -181,7 +181,7 @@
         self.send(0)
         self.world.run_for(2.0)
         self.world.limit_disk(name, None)
-        self.check_well()
+        self.check_recovered()
 
     def test_damaged_disk_is_quarantined(self) -> None:
         name = self.owner("queue-1")
@@ -190,7 +190,7 @@
         path = next(path for path in disk.paths() if path.endswith(".log"))
         disk.corrupt_byte(path, 40)
         self.world.nodes[name].start()
-        self.check_well()
+        self.check_recovered()
         self.assertTrue(any(path.startswith("damaged-") for path in disk.paths()))
 
 
@@ -222,11 +222,11 @@
 
     def test_in_processes_with_different_hash_seeds(self) -> None:
         code = "from tests.system.test_simulation_faults import faulty_run; print(faulty_run(3).digest())"
-        seen = set()
+        digests_seen = set()
         for hash_seed in ("1", "2"):
             environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
             done = subprocess.run(
                 [sys.executable, "-c", code], env=environment, capture_output=True, text=True, check=True
             )
-            seen.add(done.stdout)
-        self.assertEqual(len(seen), 1, seen)
+            digests_seen.add(done.stdout)
+        self.assertEqual(len(digests_seen), 1, digests_seen)
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -8,13 +8,13 @@
 from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import SmallSystem
 
-LATEST_S = 12.0  # for the first configuration
+FOUNDING_TIMEOUT_S = 12.0  # for the first configuration
 FOUNDED = "event=system_bootstrapped system="
 
 
-def one_loss(world: World, random: Random, name: str) -> None:
+def inject_loss(world: World, random: Random, name: str) -> None:
     """A process ends and comes back, or is held up for a while."""
-    back = world.now + random.uniform(0.1, 2.0)
+    heal_at = world.now + random.uniform(0.1, 2.0)
     match random.randrange(5):
         case 0:
             world.kill(name, random.uniform(0.1, 1.0))
@@ -24,10 +24,10 @@
             world.terminate(name)
         case 3:
             world.freeze(name)
-            world.at(back, world.thaw, name)
+            world.at(heal_at, world.thaw, name)
         case 4:
             world.isolate(name, both=random.random() < 0.5)
-            world.at(back, world.heal_host, name)
+            world.at(heal_at, world.heal_host, name)
 
 
 class LossesDuringBootstrap(unittest.TestCase):
@@ -40,7 +40,7 @@
         order = system.put(1, 0)
         while order.status != 200:
             world.run_for(0.5)
-            self.assertLess(world.now, LATEST_S, "not founded")
+            self.assertLess(world.now, FOUNDING_TIMEOUT_S, "not founded")
             if order.ended >= 0 and order.status != 200:
                 order = system.put(1, 0, world.random("operator").randrange(3))
         world.run_for(4.0)
@@ -67,11 +67,11 @@
                 random = system.world.random("losses")
                 for _ in range(1 + seed % 3):
                     name = random.choice(list(system.world.nodes))
-                    system.world.at(random.uniform(0.3, 4.0), one_loss, system.world, random, name)
+                    system.world.at(random.uniform(0.3, 4.0), inject_loss, system.world, random, name)
                 self.check_founded(system)
 
 
-APPLY_S = 3.0  # `config_apply_ms` of the settings
+APPLY_TIMEOUT_S = 3.0  # `config_apply_ms` of the settings
 
 
 class SeedsInTheMinority(unittest.TestCase):
@@ -87,21 +87,23 @@
         world.run_for(1.0)
         node = random.choice([node for node in world.nodes.values() if node.has_disk])
         spare = next(edge for edge in world.edges() if not edge.counted)
-        side = [node.name] if node.role == "edge" and random.random() < 0.5 else [node.name, spare.name]
-        rest = [name for name in world.nodes if name not in side]
-        for name in side:
-            world.isolate(name, others=rest)
+        minority = [node.name] if node.role == "edge" and random.random() < 0.5 else [node.name, spare.name]
+        majority = [name for name in world.nodes if name not in minority]
+        for name in minority:
+            world.isolate(name, others=majority)
             world.change_settings(name, seeds=[world.nodes[name].control or spare.control])
         random.choice([world.kill, world.wipe, world.lose_power])(node.name, 0.5)
         if random.random() < 0.5:
-            world.kill(side[-1])
+            world.kill(minority[-1])
         world.run_for(random.uniform(2.0, 20.0))
-        order = system.put(2, 1, next(place for place, edge in enumerate(world.edges()) if edge.name in rest))
+        order = system.put(
+            2, 1, next(number for number, edge in enumerate(world.edges()) if edge.name in majority)
+        )
         world.run_for(2.0)
         self.assertEqual(order.status, 200, order)
-        for name in side:
+        for name in minority:
             world.heal_host(name)
-        world.run_for(APPLY_S)
+        world.run_for(APPLY_TIMEOUT_S)
         versions = {node.process.node.base.feed.version for node in world.nodes.values()}
         systems = {line.partition(FOUNDED)[2].split()[0] for line in world.log if FOUNDED in line}
         self.assertEqual((versions, len(systems)), ({2}, 1))
--- a/tests/system/test_simulation_mass_faults.py
+++ b/tests/system/test_simulation_mass_faults.py
@@ -16,7 +16,7 @@
 from tests.system.small_actors import SmallSystem
 
 SHARE = 0.1
-CALM_S = 20.0
+OBSERVATION_S = 20.0
 READY_WITHIN_S = 2.0  # PROTOCOL, "Ingress": a node that misses two questions, one a second, is out
 
 
@@ -32,19 +32,19 @@
     def test_a_process_runs_in_a_tenth_of_the_time(self) -> None:
         node = self.world.edges()[0]
         samples = 1000
-        standing = 0
+        frozen_samples = 0
         for _ in range(samples):
             self.world.run_for(QUOTA_PERIOD_S / 100)
             reactor = node._reactor
             assert reactor is not None
-            standing += reactor.frozen
-        self.assertAlmostEqual(standing / samples, 1 - SHARE, delta=0.02)
+            frozen_samples += reactor.frozen
+        self.assertAlmostEqual(frozen_samples / samples, 1 - SHARE, delta=0.02)
 
     def test_owners_keep_their_groups_while_nothing_else_happens(self) -> None:
         """A process that stands still for 90 ms isn't taken for dead; planned transfers come first."""
-        self.world.run_for(INITIAL_DELAY_S + CALM_S)
+        self.world.run_for(INITIAL_DELAY_S + OBSERVATION_S)
         before = len(self.world.ownerships)
-        self.world.run_for(CALM_S)
+        self.world.run_for(OBSERVATION_S)
         self.assertEqual(self.world.ownerships[before:], [])
 
     def test_messages_and_orders_are_accepted(self) -> None:
@@ -70,7 +70,7 @@
         self.assertIs(node.state, NodeState.UP)
 
 
-def played(*faults: Fault, layout: Layout | None = None) -> Run:
+def play_faults(*faults: Fault, layout: Layout | None = None) -> Run:
     """A run with these faults and nothing else."""
     run = Run(RunPlan(seed=5, scenario="named", seconds=12.0, layout=layout or Layout(), events=faults))
     report = run.play()
@@ -89,22 +89,23 @@
 
     def test_halves_are_cut_and_joined(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.HALVES, nodes=("e1", "s1"), lasts=3.0)
-        run = played(fault)
-        cuts, joins = self.events(run, "cut"), self.events(run, "join")
-        self.assertEqual(len(cuts), 2 * 4)  # two machines from the other four that count
+        run = play_faults(fault)
+        starts, ends = self.events(run, "cut"), self.events(run, "join")
+        self.assertEqual(len(starts), 2 * 4)  # two machines from the other four that count
         self.assertEqual(
-            sorted(rest.split(" both")[0] for _, rest in cuts), sorted(rest for _, rest in joins)
+            sorted(rest.split(" both")[0] for _, rest in starts), sorted(rest for _, rest in ends)
         )
         self.assertEqual(
-            {round(join - cut, 3) for (cut, _), (join, _) in zip(cuts, joins, strict=True)}, {3.0}
+            {round(end - start, 3) for (start, _), (end, _) in zip(starts, ends, strict=True)},
+            {3.0},
         )
         other_edge = run.world.edges()[-1].name
-        self.assertFalse([rest for _, rest in cuts if other_edge in rest])
+        self.assertFalse([rest for _, rest in starts if other_edge in rest])
 
     def test_a_herd_is_killed_at_one_moment(self) -> None:
         nodes = ("e1", "e2", "s1", "s2", "s3", "e4")
         kills = self.events(
-            played(Fault(number=1, at=1.0, kind=FaultKind.HERD_KILLED, nodes=nodes, lasts=0.4)), "kill"
+            play_faults(Fault(number=1, at=1.0, kind=FaultKind.HERD_KILLED, nodes=nodes, lasts=0.4)), "kill"
         )
         self.assertEqual(len(kills), len(nodes))
         self.assertEqual(len({at for at, _ in kills}), 1)
@@ -119,7 +120,7 @@
             gap_s=0.5,
             wiped=("s2",),
         )
-        run = played(fault)
+        run = play_faults(fault)
         ((first, _), (third, _)) = self.events(run, "power_loss")
         ((second, wiped),) = self.events(run, "wipe")
         self.assertEqual(wiped, run.directory.name("s2"))
@@ -127,12 +128,12 @@
 
     def test_a_clock_is_stepped(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.CLOCK_STEP, nodes=("s1",), step_ms=-6000)
-        run = played(fault)
+        run = play_faults(fault)
         self.assertLess(run.world.nodes[run.directory.name("s1")].skew_ms, -5000)
 
     def test_links_lose_packets_and_are_well_again(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.LOSSY, nodes=("s1",), lasts=2.0)
-        run = played(fault)
+        run = play_faults(fault)
         shares = [float(rest.split()[2]) for _, rest in self.events(run, "lossy")]
         self.assertEqual(shares, [0.05] * 6 + [0.0] * 6)
 
@@ -144,15 +145,15 @@
 
     def test_faults_at_one_time_are_pairs(self) -> None:
         kill = Fault(number=1, at=1.0, kind=FaultKind.KILL, nodes=("s1",), lasts=0.5)
-        cut = Fault(number=2, at=1.2, kind=FaultKind.PARTITION, nodes=("e1",), lasts=0.5)
+        partition = Fault(number=2, at=1.2, kind=FaultKind.PARTITION, nodes=("e1",), lasts=0.5)
         late = Fault(number=3, at=11.0, kind=FaultKind.RESET, nodes=("e1",))
-        run = Run(RunPlan(seed=1, scenario="named", seconds=12.0, events=(cut, kill, late)))
+        run = Run(RunPlan(seed=1, scenario="named", seconds=12.0, events=(partition, kill, late)))
         coverage = coverage_of(run.plan, run.world.recorder, run.history)
         self.assertEqual(dict(coverage.pairs), {(FaultKind.KILL, FaultKind.PARTITION): 1})
 
     def test_a_crash_that_falls_into_a_change_is_counted(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.REPLACE, nodes=("s1",))
-        coverage = played(fault).report.coverage
+        coverage = play_faults(fault).report.coverage
         for kind in (TransitionKind.LEARNER_ADDED, TransitionKind.VOTER_ADDED, TransitionKind.MEMBER_REMOVED):
             self.assertGreater(coverage.transitions[kind], 0, kind)
         self.assertGreater(
--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -22,12 +22,12 @@
     transport: Any
 
     def __init__(self) -> None:
-        self.made = False
+        self.established = False
         self.data = b""
         self.lost = ""
 
     def connectionMade(self) -> None:
-        self.made = True
+        self.established = True
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
@@ -71,8 +71,8 @@
     def setUp(self) -> None:
         self.world = World(1)
         self.a, self.b = self.world.host(A), self.world.host(B)
-        self.accept = ServerFactory()
-        self.port: Any = self.b.listenTCP(PORT, self.accept)
+        self.acceptor = ServerFactory()
+        self.port: Any = self.b.listenTCP(PORT, self.acceptor)
 
     def dial(
         self, timeout: float = 1.0, port: int = PORT, run_s: float = 0.1
@@ -85,8 +85,8 @@
 
     def pair(self) -> tuple[RecordingProtocol, RecordingProtocol]:
         end, _ = self.dial()
-        self.assertTrue(end.made)
-        return end, self.accept.ends[-1]
+        self.assertTrue(end.established)
+        return end, self.acceptor.ends[-1]
 
     def set_user_timeout(self, end: RecordingProtocol, milliseconds: int) -> None:
         end.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
@@ -122,9 +122,9 @@
         self.world.partition(B, A, both=False)
         self.world.at(0.5, self.world.heal_partition, A, B)
         end, _ = self.dial(timeout=3.0, run_s=0.9)
-        self.assertFalse(end.made)
+        self.assertFalse(end.established)
         self.world.run_for(0.2)
-        self.assertTrue(end.made)
+        self.assertTrue(end.established)
 
     def test_reset_loses_bytes_in_flight(self) -> None:
         near, far = self.pair()
@@ -206,44 +206,44 @@
 
     def test_frozen_process_receives_everything_when_thawed(self) -> None:
         near, far = self.pair()
-        heard: list[str] = []
-        far.dataReceived = lambda data: heard.append(f"data {len(data)}")  # type: ignore[method-assign]
-        self.b.callLater(0.2, heard.append, "timer")
+        events: list[str] = []
+        far.dataReceived = lambda data: events.append(f"data {len(data)}")  # type: ignore[method-assign]
+        self.b.callLater(0.2, events.append, "timer")
         self.b.freeze()
         for _ in range(3):
             near.transport.write(b"12345")
             self.world.run_for(0.1)
         late, factory = self.dial()
-        self.assertEqual((heard, late.made, factory.failed), ([], True, ""))  # the kernel answers
-        accepted = len(self.accept.ends)
+        self.assertEqual((events, late.established, factory.failed), ([], True, ""))  # the kernel answers
+        accepted = len(self.acceptor.ends)
         self.b.thaw()
         self.world.run_for(0.0)
-        self.assertEqual(heard, ["timer", "data 15"])
-        self.assertEqual(len(self.accept.ends), accepted + 1)
+        self.assertEqual(events, ["timer", "data 15"])
+        self.assertEqual(len(self.acceptor.ends), accepted + 1)
 
     def test_backpressure_of_a_peer_that_does_not_read(self) -> None:
         near, far = self.pair()
-        told: list[str] = []
+        calls: list[str] = []
 
         class Producer:
             def pauseProducing(self) -> None:
-                told.append("pause")
+                calls.append("pause")
 
             def resumeProducing(self) -> None:
-                told.append("resume")
+                calls.append("resume")
 
             def stopProducing(self) -> None:
-                told.append("stop")
+                calls.append("stop")
 
         near.transport.registerProducer(Producer(), True)
         far.transport.pauseProducing()
         for _ in range(10):
             near.transport.write(b"x" * (100 << 10))
         self.world.run_for(1.0)
-        self.assertEqual((told[:1], far.data), (["pause"], b""))
+        self.assertEqual((calls[:1], far.data), (["pause"], b""))
         far.transport.resumeProducing()
         self.world.run_for(1.0)
-        self.assertEqual((told[-1], len(far.data)), ("resume", 1000 << 10))
+        self.assertEqual((calls[-1], len(far.data)), ("resume", 1000 << 10))
 
     def test_limited_bandwidth_delays_bytes(self) -> None:
         near, far = self.pair()
@@ -283,11 +283,11 @@
 class Datagrams(unittest.TestCase):
     def test_datagrams_arrive_or_are_lost(self) -> None:
         world = World(2)
-        got: list[bytes] = []
+        received: list[bytes] = []
 
         class Receiver(DatagramProtocol):
             def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-                got.append(datagram)
+                received.append(datagram)
 
         sender = DatagramProtocol()
         world.host(A).listenUDP(PORT, sender)
@@ -302,12 +302,12 @@
         world.run_for(0.1)
         world.heal_partition(A, B)
         world.run_for(1.0)
-        self.assertEqual(got, [b"one"])
+        self.assertEqual(received, [b"one"])
         world.set_packet_loss(A, B, 0.5)
         for _ in range(100):
             transport.write(b"x", (B, PORT))
         world.run_for(1.0)
-        self.assertTrue(30 < len(got) < 70, len(got))
+        self.assertTrue(30 < len(received) < 70, len(received))
 
 
 class Reactors(unittest.TestCase):
@@ -316,16 +316,16 @@
         reactor = world.host(A)
         fired: list[tuple[str, float]] = []
 
-        def note(name: str) -> None:
+        def record(name: str) -> None:
             fired.append((name, round(world.now, 3)))
 
-        later = reactor.callLater(1.0, note, "later")
+        later = reactor.callLater(1.0, record, "later")
         later.reset(2.0)
-        sooner = reactor.callLater(5.0, note, "sooner")
+        sooner = reactor.callLater(5.0, record, "sooner")
         sooner.reset(0.5)
-        delayed = reactor.callLater(1.0, note, "delayed")
+        delayed = reactor.callLater(1.0, record, "delayed")
         delayed.delay(0.5)
-        cancelled = reactor.callLater(1.0, note, "cancelled")
+        cancelled = reactor.callLater(1.0, record, "cancelled")
         cancelled.cancel()
         world.run_until(10.0)
         self.assertEqual(fired, [("sooner", 0.5), ("delayed", 1.5), ("later", 2.0)])
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -18,18 +18,18 @@
 TERM_S = 7.0  # a process that was asked to end is back after this, at the latest
 
 
-def lost_from_to(plan: RunPlan) -> list[tuple[float, float, str]]:
+def loss_intervals(plan: RunPlan) -> list[tuple[float, float, str]]:
     """When each machine that counts was lost, by the plan."""
     core = [f"e{number}" for number in range(1, plan.layout.core_edges + 1)]
-    spans = []
+    intervals = []
     for event in plan.events:
         if not isinstance(event, Fault) or event.kind in MASS_KINDS:
             continue
         back = TERM_S if event.kind is FaultKind.TERM else event.lasts
         for node in event.nodes:
             if node in core or node.startswith("s"):
-                spans.append((event.at, event.at + back + CATCH_UP_S, node))
-    return spans
+                intervals.append((event.at, event.at + back + CATCH_UP_S, node))
+    return intervals
 
 
 class RandomPlans(unittest.TestCase):
@@ -44,9 +44,9 @@
         for scenario in SCENARIOS.values():
             for seed in SEEDS:
                 plan = draw(seed, scenario)
-                spans = lost_from_to(plan)
-                for begin, _, _ in spans:
-                    lost = {name for at, until, name in spans if at <= begin < until - 0.001}
+                intervals = loss_intervals(plan)
+                for begin, _, _ in intervals:
+                    lost = {name for at, until, name in intervals if at <= begin < until - 0.001}
                     self.assertLessEqual(len(lost), plan.layout.tolerated, (scenario.name, seed))
 
     def test_no_other_loss_during_a_mass_fault(self) -> None:
@@ -56,7 +56,9 @@
                 for event in plan.events:
                     if isinstance(event, Fault) and event.kind in MASS_KINDS:
                         during = [
-                            span for span in lost_from_to(plan) if span[0] <= event.at < span[1] - 0.001
+                            interval
+                            for interval in loss_intervals(plan)
+                            if each[0] <= event.at < each[1] - 0.001
                         ]
                         self.assertEqual(during, [], (scenario.name, seed, event.at))
 
@@ -89,7 +91,7 @@
 class Shrinking(unittest.TestCase):
     """Delta debugging, with a stand-in for the run."""
 
-    def played(self, plan: RunPlan) -> RunReport:
+    def fake_run(self, plan: RunPlan) -> RunReport:
         """Fails where both of two events are there."""
         self.runs += 1
         numbers = {event.number for event in plan.events}
@@ -100,7 +102,7 @@
         self.runs = 0
         plan = draw(1, SCENARIOS["mixed"])
         self.assertGreater(len(plan.events), 80)
-        shrunk = shrink(plan, "check", played=self.played)
+        shrunk = shrink(plan, "check", run_plan=self.fake_run)
         self.assertEqual([event.number for event in shrunk.plan.events], [11, 73])
         self.assertEqual(shrunk.plan.checker, "check")
         self.assertEqual(shrunk.report.checkers, ["check"])
@@ -108,7 +110,7 @@
 
     def test_number_of_runs_is_limited(self) -> None:
         self.runs = 0
-        shrink(draw(1, SCENARIOS["mixed"]), "check", max_runs=9, played=self.played)
+        shrink(draw(1, SCENARIOS["mixed"]), "check", max_runs=9, run_plan=self.fake_run)
         self.assertLessEqual(self.runs, 10)
 
 
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -13,7 +13,7 @@
 from tests.system.small_actors import Answer, Caller, SmallSystem
 
 CATCH_UP_S = 4.2
-REPAIRED_S = CATCH_UP_S / 2  # from the return of a machine until all its groups have all their members
+REPAIR_TIMEOUT_S = CATCH_UP_S / 2  # from the return of a machine until all its groups have all their members
 DOWN_S = 0.5
 
 
@@ -35,9 +35,9 @@
     def owner(self, group: str) -> str:
         """The node that owns a group, by what replicas said last."""
         last: dict[str, Ownership] = {}
-        for told in self.world.ownerships:
-            if told.group == group and told.gained:
-                last[group] = told
+        for change in self.world.ownerships:
+            if change.group == group and change.gained:
+                last[group] = change
         return last[group].node
 
     def members(self, group: str) -> Members | None:
@@ -47,28 +47,28 @@
         owner = max(owners, key=lambda host: host.current_term(group), default=None)
         return owner.committed_members(group) if owner is not None else None
 
-    def whole(self, group: str, here: list[str], copies: int) -> bool:
+    def is_complete(self, group: str, nodes: list[str], copies: int) -> bool:
         """Whether a group has that many voters, all of them present disks."""
-        found = self.members(group)
-        present = {host.member_id for host in map(self.host, here) if host is not None}
+        members = self.members(group)
+        current = {host.member_id for host in map(self.host, nodes) if host is not None}
         return (
-            found is not None
-            and len(found.voters) == copies
-            and not found.learners
-            and set(found.voters) <= present
+            members is not None
+            and len(members.voters) == copies
+            and not members.learners
+            and set(members.voters) <= current
         )
 
-    def all_whole(self) -> bool:
+    def all_complete(self) -> bool:
         core = [node.name for node in self.world.edges() if node.counted]
         stores = [node.name for node in self.world.storages()]
-        groups = {told.group for told in self.world.ownerships} - {CONFIGURATION_GROUP}
-        return self.whole(CONFIGURATION_GROUP, core, len(core)) and all(
-            self.whole(group, stores, 3) for group in groups
+        groups = {change.group for change in self.world.ownerships} - {CONFIGURATION_GROUP}
+        return self.is_complete(CONFIGURATION_GROUP, core, len(core)) and all(
+            self.is_complete(group, stores, 3) for group in groups
         )
 
-    def seconds_until(self, holds: Callable[[], bool], longest: float) -> float:
+    def seconds_until(self, condition: Callable[[], bool], longest: float) -> float:
         began = self.world.now
-        while not holds():
+        while not condition():
             self.world.run_for(0.02)
             self.assertLess(self.world.now - began, longest)
         return self.world.now - began
@@ -77,7 +77,7 @@
         for edge in range(len(self.world.edges())):
             self.accepted.append(self.system.send(edge))
 
-    def check_well(self) -> None:
+    def check_recovered(self) -> None:
         """All that was accepted is done, and the newest configuration is there."""
         self.world.run_for(4.0)
         accepted = [(name, answer) for name, answer in self.accepted if answer.status == 202]
@@ -97,26 +97,26 @@
         """Core and storage in turn, owners too; each as soon as the one before counts as back."""
         self.make(21)
         for name in ("owner", "e3", "s1", "owner", "s3", "e1", "s2"):
-            lost = self.owner(CONFIGURATION_GROUP) if name == "owner" else self.named(name)
+            lost = self.owner(CONFIGURATION_GROUP) if name == "owner" else self.node_name(name)
             self.send()
             self.world.wipe(lost, DOWN_S)
             self.world.run_for(DOWN_S)
-            taken = self.seconds_until(self.all_whole, REPAIRED_S)
-            self.world.run_for(CATCH_UP_S - taken)
-        self.check_well()
+            elapsed_s = self.seconds_until(self.all_complete, REPAIR_TIMEOUT_S)
+            self.world.run_for(CATCH_UP_S - elapsed_s)
+        self.check_recovered()
 
-    def named(self, short: str) -> str:
-        nodes = self.world.edges() if short[0] == "e" else self.world.storages()
-        return nodes[int(short[1:]) - 1].name
+    def node_name(self, planned: str) -> str:
+        nodes = self.world.edges() if planned[0] == "e" else self.world.storages()
+        return nodes[int(planned[1:]) - 1].name
 
     def test_successive_replacements(self) -> None:
         self.make(22)
         for name in ("e1", "s1", "e1", "s1", "e1", "s1"):
             self.send()
-            self.world.replace(self.named(name))
-            taken = self.seconds_until(self.all_whole, CATCH_UP_S - 1.0)
-            self.world.run_for(CATCH_UP_S - taken)
-        self.check_well()
+            self.world.replace(self.node_name(name))
+            elapsed_s = self.seconds_until(self.all_complete, CATCH_UP_S - 1.0)
+            self.world.run_for(CATCH_UP_S - elapsed_s)
+        self.check_recovered()
 
 
 class RetirementTest(RepairCase):
@@ -174,7 +174,7 @@
         self.assertEqual({answer.body for answer in answers if answer.status == 200}, {b'{"state": "done"}'})
         self.world.remove(name)
         self.send()
-        self.check_well()
+        self.check_recovered()
 
     def test_retired_machine_frees_its_disk_space(self) -> None:
         self.make(25, storages=4)
@@ -186,7 +186,7 @@
         self.assertEqual(self.call(self.retire, name).status, 200)
         self.seconds_until(lambda: self.done(name), 6.0)
         self.seconds_until(lambda: not host.groups, 3.0)
-        self.check_well()
+        self.check_recovered()
 
     def test_replaced_machine_that_returns_is_harmless(self) -> None:
         """It was frozen while another took its place; it gives up what it keeps, and comes in again."""
@@ -205,8 +205,8 @@
         other = next(node.name for node in self.world.storages() if node.name != name)
         self.world.replace(other)
         self.world.run_for(CATCH_UP_S)
-        self.assertTrue(self.all_whole())
-        self.check_well()
+        self.assertTrue(self.all_complete())
+        self.check_recovered()
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_take_over_calls.py
+++ b/tests/system/test_simulation_take_over_calls.py
@@ -7,8 +7,8 @@
 from tests.system.small_actors import Answer, SmallSystem
 
 JOINED_BEFORE_S = (0.02, 0.1, 0.2, 0.3, 0.45, 0.6, 0.9)  # the new machine's start, before the owner is killed
-ASKED_FOR_S = 5.0  # `ack_ms`: so long an operator sends a call again
-ASKED_EVERY_S = 0.1
+RETRY_FOR_S = 5.0  # `ack_ms`: so long an operator sends a call again
+RETRY_INTERVAL_S = 0.1
 
 
 def owner_of_configuration(system: SmallSystem) -> str:
@@ -24,7 +24,7 @@
 
     longest_test_s = 25
 
-    def test_a_valid_request_is_never_refused_for_good(self) -> None:
+    def test_a_valid_request_is_never_permanently_refused(self) -> None:
         for joined_before_s in JOINED_BEFORE_S:
             with self.subTest(joined_before_s=joined_before_s):
                 answers = self.answers_after(joined_before_s)
@@ -45,10 +45,10 @@
         world.kill(killed, None)
         others = [edge for edge in world.edges() if edge.name != killed]
         answers: list[Answer] = []
-        for turn in range(round(ASKED_FOR_S / ASKED_EVERY_S)):
-            control = others[turn % len(others)].control
+        for attempt in range(round(RETRY_FOR_S / RETRY_INTERVAL_S)):
+            control = others[attempt % len(others)].control
             answers.append(system.caller.call("POST", control, f"/retire/{retired}", {"duration_s": 10}))
-            world.run_for(ASKED_EVERY_S)
+            world.run_for(RETRY_INTERVAL_S)
             if any(answer.status == 200 for answer in answers):
                 break
         world.run_for(1.0)
