--- a/tests/system/__init__.py
+++ b/tests/system/__init__.py
@@ -12,24 +12,24 @@
 from twisted.python.failure import Failure
 
 _Result = TypeVar("_Result")
-TURN_S = 0.02  # the longest wait for events in one turn of a loopback reactor
-PATIENCE_S = 10.0  # after which a test that waits for an event has failed
+TURN_S = 0.02  # maximum wait for events in one turn of a loopback reactor
+PATIENCE_S = 10.0  # time-out of a test that waits for an event
 
 
 class Loopback:
-    """A reactor of a test's own, for connections over 127.0.0.1. It waits for events, never for a time."""
+    """A separate reactor for connections over 127.0.0.1; tests wait for events, never for a time."""
 
     def __init__(self) -> None:
         self.reactor: Any = EPollReactor()
         self.reactor.startRunning(installSignalHandlers=False)
 
     def listen(self, factory: Any) -> str:
-        """Listen on a free port; the address."""
+        """Listen on a free port; returns the address."""
         port = self.reactor.listenTCP(0, factory, interface="127.0.0.1")
         return f"127.0.0.1:{port.getHost().port}"
 
     def listen_with(self, protocol: Callable[[], Protocol]) -> str:
-        """Listen with a new protocol for each connection; the address."""
+        """Listen with a new protocol for each connection; returns the address."""
         return self.listen(Factory.forProtocol(protocol))  # type: ignore[arg-type]
 
     def until(self, condition: Callable[[], bool]) -> None:
@@ -37,18 +37,18 @@
         give_up = self.reactor.seconds() + PATIENCE_S
         while not condition():
             if self.reactor.seconds() > give_up:
-                raise AssertionError("what the test waits for has not come")
+                raise AssertionError("the condition did not hold in time")
             self.reactor.iterate(TURN_S)
 
     def result(self, deferred: Deferred[_Result]) -> _Result:
-        """Run until the Deferred has its result."""
+        """Run until a Deferred has its result, and return it."""
         results: list[_Result] = []
         deferred.addCallback(results.append)
         self.until(lambda: bool(results))
         return results[0]
 
     def close(self) -> None:
-        """End every connection, listener and thread (one that is left keeps the process from ending)."""
+        """Close all connections and listeners and stop all threads, which would keep the process alive."""
         if self.reactor.threadpool is not None:
             self.reactor.threadpool.stop()
         for call in self.reactor.getDelayedCalls():
--- a/tests/system/broken_builds.py
+++ b/tests/system/broken_builds.py
@@ -1,8 +1,8 @@
-"""Deliberate faults, each switched on by patching the program while a run is played.
+"""Broken builds: deliberate faults, injected by patching the program while a run is played.
 
-Four more, with runs of their own, are in `test_simulation_broken`. Three that are in no dictionary below are
-caught by schedules of one group only (`replication/test_safety_arguments`): they need an order of messages
-that runs seldom have.
+Four more, with runs of their own, are in `test_simulation_broken`. Three that `BUILDS` doesn't contain are
+detected only by schedules of a single group (`replication/test_safety_arguments`), since they need an order
+of messages that is rare in runs.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def two_member_changes_at_once() -> Patches:
-    """Changes any number of members in one step, and before the step before is committed."""
+    """Changes any number of members in one step, without waiting until the previous step is committed."""
 
     def change_members(group: Any, now: float, members: Members) -> bool:
         return group.raft.propose(now, EntryKind.MEMBERS, msgspec.msgpack.encode(members)) is not None
@@ -43,7 +43,7 @@
 
 
 def removal_before_successor() -> Patches:
-    """Removes members that aren't wanted before those that take their place have anything."""
+    """Removes members before their successors have any state."""
     next_members = membership_reconciler.next_members
 
     def remove_first(current: Members, desired: DesiredMembers, status: MemberStatus) -> Members | None:
@@ -57,12 +57,12 @@
 
 
 def retirement_without_reports() -> Patches:
-    """Says that a machine is empty as soon as its shards are placed elsewhere, whatever owners report."""
+    """Reports a machine as empty as soon as its shards are placed elsewhere, without reports of owners."""
     yield patch.object(MembershipReports, "holds_no_replica", lambda reports, node, groups: True)
 
 
 def link_number_used_again() -> Patches:
-    """All requests on a link have numbers that an earlier one had."""
+    """Reuses request numbers on a link."""
     request = Link.request
 
     def same_number(link: Any, make: Any) -> Any:
@@ -73,7 +73,7 @@
 
 
 def repeat_after_reset() -> Patches:
-    """A message that was sent to an owner whose link ended is promised not to run."""
+    """Answers that a message will not run although it was sent to an owner whose link then ended."""
 
     def retry_or_reject(append: Any, failure: Any) -> None:
         append._retry_or_reject()
@@ -82,12 +82,12 @@
 
 
 def voter_before_it_caught_up() -> Patches:
-    """A learner becomes a voter whatever it has of the log."""
+    """Makes a learner a voter regardless of its log."""
     yield patch.object(ReplicaGroup, "caught_up", lambda group, member: True)
 
 
 def vote_not_on_disk() -> Patches:
-    """A member forgets in a restart for whom it voted, and in which term."""
+    """Doesn't store term and vote, so that a restarted member may vote twice in a term."""
     flush = ReplicatedLog.flush
 
     def without_vote(log: Any, term: int, vote: str) -> Any:
@@ -97,7 +97,7 @@
 
 
 def commits_entries_of_earlier_terms() -> Patches:
-    """A leader commits what a majority has, of whichever term it is (fig. 8 of the Raft paper)."""
+    """A leader commits entries of earlier terms by counting replicas (fig. 8 of the Raft paper)."""
 
     def commit_upto(raft: Any, index: int) -> None:
         raft.commit_index = max(raft.commit_index, index)
@@ -106,21 +106,21 @@
 
 
 def truncation_keeps_members() -> Patches:
-    """A membership whose entry is removed from the log stays in force (section 4.1 of the thesis)."""
+    """A membership stays in force after its entry was truncated (section 4.1 of the Raft thesis)."""
 
     def keep_members(log: Any) -> None:
-        """The members stay."""
+        """Leave the members unchanged."""
 
     yield patch.object(ReplicatedLog, "_update_members", keep_members)
 
 
 def candidate_with_an_older_log() -> Patches:
-    """A member votes for whoever asks first, whatever the candidate has of the log (section 5.4.1)."""
+    """A member votes for the first candidate regardless of its log (section 5.4.1 of the Raft paper)."""
     yield patch.object(Raft, "_is_up_to_date", lambda raft, request: True)
 
 
 def acknowledged_before_it_is_stored() -> Patches:
-    """A follower's response doesn't wait for its write."""
+    """A follower responds before its write is durable."""
 
     def deliver_at_once(raft: Any) -> Any:
         writes = []
@@ -137,7 +137,7 @@
 
 @contextmanager
 def broken(build: Callable[[], Patches]) -> Iterator[None]:
-    """Run the program as this build has it."""
+    """Apply the patches of a broken build."""
     with ExitStack() as stack:
         for patched in build():
             stack.enter_context(patched)
--- a/tests/system/small_actors.py
+++ b/tests/system/small_actors.py
@@ -1,4 +1,4 @@
-"""The least of actors for tests of the simulated world itself: a platform's list, a worker, calls."""
+"""Minimal actors for tests of the simulation: the platform's list, a worker and HTTP calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Of one call; status 0: none came."""
+    """The answer to one call; status 0: there was none."""
 
     began: float
     ended: float = -1.0
@@ -36,7 +36,7 @@
 
 
 class Body:
-    """A request's body, written at once."""
+    """A request body that is written at once."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.length = data, len(data)
@@ -48,18 +48,18 @@
         return done
 
     def stopProducing(self) -> None:
-        """All is written."""
+        """Do nothing: the body has been written."""
 
 
 class Caller:
-    """Calls nodes, each call over its own connection."""
+    """Calls nodes, with a new connection for each call."""
 
     def __init__(self, world: World, ip: str = CALLER_IP) -> None:
         self.world, self.reactor = world, world.host(ip)
         self._agent: Any = Agent(self.reactor, connectTimeout=CALL_S)  # type: ignore[arg-type]
 
     def call(self, method: str, address: str, path: str, body: Any = None, **headers: str) -> Answer:
-        """Begin a call; its answer is filled in once it has come. `_` in header names stands for `-`."""
+        """Start a call; the returned answer is filled in later. `_` in header names stands for `-`."""
         answer = Answer(self.world.now)
         header_fields = Headers({name.replace("_", "-"): [value] for name, value in headers.items()})
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -100,7 +100,7 @@
 
 
 class _Request(Request):
-    """Without the date that Twisted writes into each answer: it is the real one, and runs must be equal."""
+    """A request without the Date header of Twisted, whose wall clock would make runs differ."""
 
     def setHeader(self, name: bytes, value: bytes) -> None:
         if name != b"Date":
@@ -108,14 +108,14 @@
 
 
 def serve(world: World, ip: str, port: int, handle: Any) -> None:
-    """An HTTP server; `handle(request)` gives the body."""
+    """Start an HTTP server; `handle(request)` returns the body."""
     site = Site(_Handler(handle), requestFactory=_Request, reactor=world.host(ip))  # type: ignore[no-untyped-call]
     site.noisy = False
     world.host(ip).listenTCP(port, site)
 
 
 class Platform:
-    """The platform's list."""
+    """The platform's endpoint list."""
 
     def __init__(self, world: World) -> None:
         self.entries: list[dict[str, Any]] = []
@@ -128,12 +128,12 @@
 
 
 class Worker:
-    """Ends each delivery at once."""
+    """A worker that completes each delivery at once."""
 
     def __init__(self, world: World, platform: Platform, service: str) -> None:
         self.world = world
         self.runs: list[tuple[float, str]] = []
-        self.handle = self._work  # a test may put another in its place
+        self.handle = self._work  # tests may replace it
         serve(world, WORKER_IP, WORKER_PORT, lambda request: self.handle(request))
         platform.entries.append(
             {
@@ -161,7 +161,7 @@
 
 
 def configuration(version: int, timeout_ms: int = 1000) -> dict[str, Any]:
-    """A whole configuration with one route."""
+    """A complete configuration with one route."""
     return {
         "version": version,
         "routes": [
@@ -215,7 +215,7 @@
         self.world.start()
 
     def put(self, version: int, base: int, edge: int = 0, timeout_ms: int = 1000) -> Answer:
-        """Send a whole configuration."""
+        """Send a complete configuration."""
         address = self.world.edges()[edge].control
         body = configuration(version, timeout_ms)
         return self.caller.call(
@@ -223,11 +223,11 @@
         )
 
     def version(self, edge: int = 0) -> Answer:
-        """Ask for the configuration."""
+        """Read the configuration."""
         return self.caller.call("GET", self.world.edges()[edge].control, "/config")
 
     def send(self, edge: int = 0) -> tuple[str, Answer]:
-        """Send a message; its id and the answer."""
+        """Send a message; returns its id and the answer."""
         self.sent += 1
         request_id = f"m-{self.sent}"
         front = self.world.edges()[edge].front
@@ -236,7 +236,7 @@
         )
 
     def state(self, answer: Answer, request_id: str, edge: int = 0) -> Answer:
-        """Ask for a message's state."""
+        """Read a message's state."""
         name = answer.headers.get("X-Message-Id", request_id)
         return self.caller.call("GET", self.world.edges()[edge].front, f"/message/{name}", Host=HOST)
 
--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -1,6 +1,6 @@
-"""Each broken build is caught by a named family of runs, in which the program as it is keeps the rules.
+"""Each broken build is detected by a family of runs that the unmodified program passes.
 
-A family varies what the catch depends on, the machine that is hit and the moment, so that it doesn't hang on
+A family varies the affected machine and the time of the fault, so that detection doesn't depend on
 milliseconds. The builds are in `broken_builds`; four more, with their own runs, in `test_simulation_broken`.
 """
 
@@ -18,14 +18,14 @@
 
 MESSAGES, MESSAGE_EVERY_S, MESSAGE_BYTES = 16, 0.05, 20_000
 BURST = 40
-DELAY_S = 6.0  # delay of messages that must outlive the fault
+DELAY_S = 6.0  # delay of messages that have to be queued until after the fault
 RETIRE_AT_S = 1.5
 STALL_S = 1.2
 STORES = ("s1", "s2", "s3")
 
 
 def queued_messages() -> list[Event]:
-    """Messages that are still queued when the fault comes, but those with a key."""
+    """Messages that are still queued at the time of the fault, except those with an order key."""
     kinds = list(Kind)
     return [
         Message(
@@ -41,7 +41,7 @@
 
 
 def a_disk_is_lost_while_another_machine_retires() -> Iterator[RunPlan]:
-    """Just after the order to retire, another storage machine loses its disk."""
+    """Another storage machine loses its disk right after the order to retire."""
     for after_s in (0.02, 0.07, 0.15):
         for victim in STORES:
             events = [
@@ -53,8 +53,7 @@
 
 
 def a_disk_is_lost_while_another_machine_retires_slowly() -> Iterator[RunPlan]:
-    """A storage machine's disk stalls while another one retires, so that its groups are long in changing;
-    then a third loses its disk."""
+    """A stalled disk delays member changes while another machine retires; then a third one loses its disk."""
     for stalled in STORES:
         for victim in STORES:
             events = [
@@ -82,7 +81,7 @@
 
 
 def all_stores_are_killed_under_a_burst() -> Iterator[RunPlan]:
-    """Messages come all at once, and all storage processes are killed while they are being written."""
+    """All storage processes are killed while a burst of messages is being written."""
     burst = [Message(number=number, at=1.0, kind=Kind.LISTED) for number in range(1, BURST + 1)]
     for after_s in (0.008, 0.012, 0.016, 0.02, 0.025):
         fault = Fault(number=101, at=1.0 + after_s, kind=FaultKind.KILL, nodes=STORES, lasts=0.5)
@@ -90,7 +89,7 @@
 
 
 def all_lose_power_while_disks_stall() -> Iterator[RunPlan]:
-    """Messages for later come all at once while no storage machine can write; then all lose power."""
+    """A burst of delayed messages arrives while no storage machine can write; then all lose power."""
     burst = [
         Message(number=number, at=1.0, kind=Kind.LISTED, delay_s=DELAY_S) for number in range(1, BURST + 1)
     ]
@@ -105,7 +104,7 @@
 
 
 def stores_lose_power_in_turn() -> Iterator[RunPlan]:
-    """Each storage machine loses power for a moment, one after the other, while messages are accepted."""
+    """Storage machines briefly lose power one after the other while messages are accepted."""
     faults = [
         Fault(
             number=101 + turn, at=1.0 + 0.7 * turn, kind=FaultKind.POWER, nodes=(STORES[turn % 3],), lasts=0.3
@@ -117,7 +116,7 @@
 
 
 def mixed_runs() -> Iterator[RunPlan]:
-    """Drawn plans with all kinds of faults."""
+    """Generated plans with all kinds of faults."""
     for seed in range(2000, 2003):
         yield draw(seed, SCENARIOS["mixed"])
 
@@ -128,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectingRun:
-    """Which runs catch a build, and by which checker."""
+    """The runs that detect a build, and the checker that reports it."""
 
     family: Callable[[], Iterator[RunPlan]]
     checker: str
@@ -149,7 +148,7 @@
 
 
 class BrokenBuilds(unittest.TestCase):
-    """All builds, and the program as it is."""
+    """All broken builds, and the unmodified one."""
 
     longest_test_s = 120
 
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -1,9 +1,9 @@
-"""A control machine cut off, in the simulated world: what operators are told, what followers have in force.
+"""A partitioned control machine in the simulation: answers to operators, versions in force on followers.
 
-The owner of the configuration is cut off for twenty seconds, one way or both, from the core or from
-everything, or frozen; operators reach both sides all the while. `Watch` asks every edge node every 0.3 s,
-and looks at every answer: in time, no 2xx or 4xx from a node without a majority, reads never older than what
-was acknowledged before they began. Versions in force on the nodes never go back.
+The owner of the configuration is partitioned for 20 s in one or both directions, from the core or from all
+nodes, or is frozen; operators reach both sides. `Monitor` reads from every edge node every 0.3 s and checks
+that answers come in time, that a node without a majority answers no 2xx or 4xx, that no read is older than
+what was acknowledged before it began, and that versions in force never go back.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 GROUP = "configuration"
 PARTITION_S = 20.0
-ANSWER_TIMEOUT_S = 1.0  # operators move on after it
-APPLY_TIMEOUT_S = 3.0  # config_apply_ms
-CONTACT_S = 4.0  # contact_ms: only then the bound begins for machines that were cut off
-ELECTION_S = 4.0  # by then the larger side takes orders; measured: see docs/design/control-safety/point-1.md
+ANSWER_TIMEOUT_S = 1.0  # after this time, operators call another node
+APPLY_TIMEOUT_S = 3.0  # `config_apply_ms`
+CONTACT_S = 4.0  # `contact_ms`: APPLY_TIMEOUT_S counts from this time after the end of a partition
+ELECTION_S = 4.0  # until the majority accepts orders, as measured in docs/design/control-safety/point-1.md
 POLL_S = 0.3
 
 
 @dataclass
 class Acknowledged:
-    """A version, and when its acknowledgement had come."""
+    """A version and the time of its acknowledgement."""
 
     version: int
     at: float
@@ -42,7 +42,7 @@
 
 @dataclass
 class Monitor:
-    """Operators that ask all edge nodes all the time, and a look at what is in force there."""
+    """Operators that continuously read from all edge nodes, and checks of the versions in force there."""
 
     system: SmallSystem
     acknowledged: list[Acknowledged] = field(default_factory=list)
@@ -54,7 +54,7 @@
     partitioned_since: float = 0.0
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start polling."""
         self._poll()
 
     def _poll(self) -> None:
@@ -71,7 +71,7 @@
     def _check_version(self, edge: SimulatedNode) -> None:
         if self.incarnations.setdefault(edge.name, edge.incarnations) != edge.incarnations:
             self.incarnations[edge.name] = edge.incarnations
-            self.versions.pop(edge.name, None)  # a new life may begin from nothing
+            self.versions.pop(edge.name, None)  # a new incarnation may start without a version
         version = version_at(edge)
         if version < self.versions.get(edge.name, 0):
             self.violations.append(f"{edge.name} went back to {version}")
@@ -80,18 +80,18 @@
     def _check_answer(self, edge: SimulatedNode, answer: Answer, newest: int) -> None:
         was_partitioned = edge.name in self.partitioned and answer.began >= self.partitioned_since
         if was_partitioned and 200 <= answer.status < 500:
-            self.violations.append(f"{edge.name} said {answer.status} at {answer.ended}, alone")
+            self.violations.append(f"{edge.name}: {answer.status} at {answer.ended} without a majority")
         if edge.state is NodeState.UP and not answer.status:
-            self.unanswered.append(f"{edge.name} said nothing to a read of {answer.began}: {answer.error}")
+            self.unanswered.append(f"{edge.name} did not answer a read of {answer.began}: {answer.error}")
         if answer.status == 200 and answer.json()["version"] < newest:
             self.violations.append(f"{edge.name} read {answer.body[:40]!r} after {newest} was acknowledged")
 
     def set_partitioned(self, *names: str) -> None:
-        """These reach no majority from now on."""
+        """Set the nodes that reach no majority from now on."""
         self.partitioned, self.partitioned_since = set(names), self.system.world.now
 
     def order(self, version: int, base: int, edge: int) -> Answer:
-        """Send a configuration, and note its acknowledgement."""
+        """Send a configuration and record its acknowledgement."""
         world = self.system.world
         answer = self.system.put(version, base, edge)
 
@@ -105,12 +105,12 @@
 
 
 def version_at(edge: SimulatedNode) -> int:
-    """In force on a node."""
+    """The version in force on a node."""
     return int(edge.process.node.base.feed.version)
 
 
 def owners(system: SmallSystem) -> list[int]:
-    """Which edge nodes take themselves for the configuration's owner."""
+    """Indexes of the edge nodes that consider themselves owner of the configuration."""
     indexes = []
     for index, edge in enumerate(system.world.edges()):
         member = edge.process.node.member if edge.process is not None else None
@@ -121,27 +121,27 @@
 
 @dataclass
 class Scenario:
-    """What a scenario does to the owner, and how it ends."""
+    """A fault of the owner, and its end."""
 
     begin: Callable[[SmallSystem, SimulatedNode], None]
     end: Callable[[SmallSystem, SimulatedNode], None]
-    reachable: bool = True  # for operators
+    reachable: bool = True  # whether operators reach the owner
 
 
 def core_ips(system: SmallSystem, without: SimulatedNode) -> list[str]:
-    """Of the other counted edge nodes."""
+    """Addresses of the other counted edge nodes."""
     return [edge.ip for edge in system.world.edges() if edge.counted and edge is not without]
 
 
 def node_ips(system: SmallSystem, without: SimulatedNode) -> list[str]:
-    """Of all other nodes."""
+    """Addresses of all other nodes."""
     return [node.ip for node in system.world.nodes.values() if node is not without]
 
 
 def partition_from(
-    names: Callable[[SmallSystem, SimulatedNode], list[str]], outbound: bool, inbound: bool
+    peers: Callable[[SmallSystem, SimulatedNode], list[str]], outbound: bool, inbound: bool
 ) -> Scenario:
-    """Cut the owner's ways out, into it, or both."""
+    """A partition of the owner from some peers, in one or both directions."""
 
     def begin(system: SmallSystem, owner: SimulatedNode) -> None:
         for ip in peers(system, owner):
@@ -159,10 +159,10 @@
 SCENARIOS = {
     "from the core": partition_from(core_ips, True, True),
     "from all nodes": partition_from(node_ips, True, True),
-    "it hears the core and can't send": partition_from(core_ips, True, False),
-    "it sends to the core and can't hear": partition_from(core_ips, False, True),
-    "it sends to all and can't hear": partition_from(node_ips, False, True),
-    "it hears all and can't send": partition_from(node_ips, True, False),
+    "outbound to the core": partition_from(core_ips, True, False),
+    "inbound from the core": partition_from(core_ips, False, True),
+    "inbound from all nodes": partition_from(node_ips, False, True),
+    "outbound to all nodes": partition_from(node_ips, True, False),
     "frozen": Scenario(
         lambda system, owner: system.world.freeze(owner.name),
         lambda system, owner: system.world.thaw(owner.name),
@@ -172,7 +172,7 @@
 
 
 class PartitionedOwnerTest(unittest.TestCase):
-    """Twenty seconds without the owner, in each way."""
+    """20 s with a partitioned or frozen owner, in each scenario."""
 
     longest_test_s = 45
 
@@ -198,7 +198,7 @@
         rejected.append(monitor.order(9, 1, index))
         accepted = monitor.order(3, 1, other)
         world.run_for(1.0)
-        self.assertEqual(accepted.status, 200, "the larger side doesn't take orders")
+        self.assertEqual(accepted.status, 200, "the majority doesn't accept orders")
         repeated = monitor.order(3, 1, other)
         world.run_for(PARTITION_S - ELECTION_S - 1.0)
         self.assertEqual(repeated.status, 200)
@@ -236,7 +236,7 @@
                 other = next(
                     number for number, each in enumerate(world.edges()) if each.counted and number != index
                 )
-                for node in (owner, outer):  # both are on the smaller side, with each other
+                for node in (owner, outer):  # both are in the minority and reach each other
                     reachable_ips = (owner.ip, outer.ip, CALLER_IP)
                     world.isolate(node.name, [ip for ip in node_ips(system, node) if ip not in reachable_ips])
                 monitor.set_partitioned(owner.name, outer.name)
@@ -267,7 +267,7 @@
                 world = system.world
                 outer = [edge for edge in world.edges() if not edge.counted]
                 reachable_ips = [CALLER_IP, *(edge.ip for edge in outer)]
-                for edge in outer:  # restarted, they know of nobody but each other
+                for edge in outer:  # after the restart they know only each other
                     world.isolate(edge.name, [ip for ip in node_ips(system, edge) if ip not in reachable_ips])
                     world.change_settings(edge.name, seeds=[each.control for each in outer])
                     world.kill(edge.name)
@@ -287,14 +287,14 @@
 
 
 def founded_systems(system: SmallSystem) -> set[str]:
-    """The systems that nodes take themselves for founders of."""
+    """Identifiers of the systems that nodes know as founded."""
     members = [edge.process.node.member for edge in system.world.edges() if edge.process is not None]
     foundings = [member.bootstrap_state.decision for member in members if member is not None]
     return {founding.system for founding in foundings if founding is not None}
 
 
 class BrokenBuildsTest(unittest.TestCase):
-    """What the runs above are for: each broken build fails one that is named here."""
+    """Each broken build fails one of the scenarios above."""
 
     def play(self, label: str, seeds: int = 3) -> list[str]:
         problems: list[str] = []
@@ -313,12 +313,12 @@
 
         with patch.object(ChangeProcessor, "read", read):
             problems = self.play("from all nodes")
-        self.assertTrue(any("alone" in each for each in problems), problems)
+        self.assertTrue(any("without a majority" in each for each in problems), problems)
 
     def test_broken_answers_without_a_bound(self) -> None:
         with patch.object(operator_calls, "ANSWER_TIMEOUT_S", 3.0):
             problems = self.play("frozen")
-        self.assertTrue(any("said nothing" in each for each in problems), problems)
+        self.assertTrue(any("did not answer" in each for each in problems), problems)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -20,7 +20,7 @@
 
 
 class PendingRequests(ClientServerCase):
-    """What a server responds when its process is about to end."""
+    """Responses of a server whose process is about to end."""
 
     def test_a_message_whose_outcome_is_unknown_gets_504(self) -> None:
         client = self.send(HEAD + b"\r\n")
@@ -28,7 +28,7 @@
         self.server.answer_pending()
         self.assertEqual(client.statuses(), [504])
         self.assertTrue(client.closed)
-        self.accept()  # the result comes after all
+        self.accept()  # the result arrives late
         self.assertEqual(client.statuses(), [504])
 
     def test_complete_requests_get_one_response_each(self) -> None:
@@ -56,7 +56,7 @@
 
 
 class Sigterm(DiskCase):
-    """The edge process in virtual time, with a node that gives no results."""
+    """The edge process in virtual time, with a node that never returns a result."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/system/test_own_days.py
+++ b/tests/system/test_own_days.py
@@ -1,4 +1,4 @@
-"""Our own days of trouble: their files can be read, all variants occur; and the verdicts of the table."""
+"""The project's own fault scenarios (days): the files are valid, all variants occur, verdicts are correct."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "bad_config": "cut_short unknown_service same_place no_weight no_timeout old_version same_version "
     "stale_match shared_key",
 }
-"""Each kind of the five points that has variants, with those that the days must bring about."""
+"""Kinds of faults with variants, and the variants that the days must contain."""
 
 PLAIN = (
     "config_race",
@@ -38,11 +38,11 @@
 )
 
 ON_BOTH = ("core_cut", "node_kill", "node_freeze", "replace_core", "after_ack_wipe", "after_ack_kill")
-"""Kinds that hit the machines of the configuration's group and those of the queues."""
+"""Kinds that must affect both the machines of the configuration group and those of the queues."""
 
 
 def days() -> dict[str, dict]:
-    """Each day's table by the name of its file."""
+    """The table of each day, by file name."""
     return {path.stem: tomllib.loads(path.read_text())["day"][0] for path in sorted(DAYS.glob("*.toml"))}
 
 
@@ -65,10 +65,7 @@
     def test_each_variant_of_the_five_points_occurs(self) -> None:
         for kind, variants in VARIANTS.items():
             occurring = {
-                variant
-                for entry in entries()
-                if entry["kind"] == kind
-                for name in entry.get("how", "").split()
+                name for entry in entries() if entry["kind"] == kind for name in entry.get("how", "").split()
             }
             with self.subTest(kind):
                 self.assertEqual(set(variants.split()) - occurring, set())
--- a/tests/system/test_repairs.py
+++ b/tests/system/test_repairs.py
@@ -1,4 +1,4 @@
-"""Losses one after the other, in virtual time: each repair is complete before the next loss may come."""
+"""Successive losses in virtual time: each repair is complete before the next loss may occur."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from bitternpath.testing.simulation.replica_checker import InvariantViolationError
 
 CATCH_UP_S = 4.2
-DOWNTIME_S = 0.6  # between the loss of a machine and its return
+DOWNTIME_S = 0.6  # time between the loss of a machine and its return
 MB = 1 << 20
 
 
 def wipe_in_turn(world: RepairWorld, rounds: int) -> None:
-    """Wipe a machine; as soon as it has been back for `CATCH_UP_S`, the next."""
+    """Wipe machines one after the other, each `CATCH_UP_S` after the return of the previous one."""
     names = sorted(world.machines)
     for number in range(rounds):
         name = names[(number * 2) % len(names)]
@@ -30,7 +30,7 @@
 
 
 class SecondLossTest(unittest.TestCase):
-    """A loss right after a repair takes nothing that was acknowledged, in any group."""
+    """A loss right after a repair loses no acknowledged command, in any group."""
 
     def world(self, seed: int, plan: RepairPlan) -> RepairWorld:
         world = RepairWorld(seed, plan)
@@ -55,7 +55,7 @@
             world.check_nothing_lost()
 
     def test_machines_replaced_in_turn(self) -> None:
-        """Each by an empty one at another address; then the next one goes."""
+        """Each machine is replaced by an empty one at another address before the next one is lost."""
         for graceful in (False, True):
             with self.subTest(graceful=graceful):
                 world = self.world(5, RepairPlan(groups=6))
@@ -68,7 +68,7 @@
                     world.check_nothing_lost()
 
     def test_every_repair_is_complete_well_before_the_next_loss(self) -> None:
-        """All groups of a machine at once, with traffic: half of `catch_up_s` is left."""
+        """All groups of a machine are repaired under traffic in half of `catch_up_s`."""
         for tolerated, groups, state in ((1, 1, 8 * MB), (1, 20, MB), (2, 10, MB // 2)):
             with self.subTest(tolerated=tolerated, groups=groups):
                 plan = RepairPlan(groups=groups, tolerated=tolerated, state_bytes=state, commands_per_s=50)
@@ -89,7 +89,7 @@
         self.assertLess(max(times.exposed_s for times in world.times.values()), 0.5)
 
     def test_a_member_that_is_brought_up_by_entries_gets_them_once(self) -> None:
-        """Negative answers that were under way had all of it sent again: 51 MB for 20."""
+        """Rejections in flight once caused everything to be sent again: 51 MB instead of 20 MB."""
         plan = RepairPlan(groups=10, state_bytes=2 * MB, commands_per_s=50, link_bytes_per_s=60e6)
         for seed in range(3):
             world = self.world(seed, plan)
@@ -102,7 +102,7 @@
             self.assertLess(world.bytes_sent, 1.25 * plan.groups * plan.state_bytes)
 
     def test_a_retired_machine_leaves_no_group_without_an_owner(self) -> None:
-        """It passes ownership on before it goes; else each of its groups waits for an election."""
+        """It transfers ownership first; otherwise each of its groups waits for an election."""
         world = self.world(8, RepairPlan(groups=9))
         world.add_machine("s3", "z0")
         world.start("s3")
@@ -115,7 +115,7 @@
 
 
 def check_groups_commit(world: RepairWorld, seconds: float = 1.0) -> None:
-    """Every group commits something. Raises `InvariantViolationError`."""
+    """Check that every group commits commands. Raises `InvariantViolationError`."""
     before = {group: checker.acknowledged for group, checker in world.checkers.items()}
     world.run(seconds)
     for group, checker in world.checkers.items():
@@ -124,15 +124,15 @@
 
 
 def leaving_machine_restarts(seed: int) -> None:
-    """A machine is to be emptied and its successor is slow; it starts again with its disk, and then another
-    machine is lost: what the leaving one has is needed."""
+    """A retiring machine with a slow successor restarts with its disk, then another machine is lost, so that
+    the state on the retiring machine is needed."""
     world = RepairWorld(seed, RepairPlan(groups=3))
     world.fill()
     world.traffic()
     world.add_machine("s3", "z0")
     world.start("s3")
     world.run(1.0)
-    world.isolated.add("s3")  # it hears of the placement, and nothing of the groups
+    world.isolated.add("s3")  # it receives the placement, but no messages of the groups
     world.controller.retire("s0")
     world.run(0.5)
     world.stop("s0", graceful=False)
@@ -146,7 +146,7 @@
 
 
 def successor_is_slow(seed: int) -> None:
-    """A machine is lost, and what comes in its place hears nothing of the groups for a while."""
+    """A machine is lost, and its replacement receives no messages of the groups for a while."""
     world = RepairWorld(seed, RepairPlan(groups=3, state_bytes=MB // 4))
     world.fill()
     world.traffic()
@@ -166,7 +166,7 @@
 
 
 class LeavingMemberTest(unittest.TestCase):
-    """A member that the placement no longer names is needed until those that stay have everything."""
+    """A member that the placement no longer names is needed until the remaining ones have all state."""
 
     def test_it_participates_after_a_restart(self) -> None:
         for seed in range(3):
@@ -178,7 +178,7 @@
 
 
 class BrokenBuildTest(unittest.TestCase):
-    """What the steps exclude is found by the runs above."""
+    """Builds without a safeguard of member changes fail the runs above."""
 
     def test_a_voter_before_it_has_caught_up(self) -> None:
         with (
--- a/tests/system/test_sent_once.py
+++ b/tests/system/test_sent_once.py
@@ -1,7 +1,7 @@
-"""Real sockets: whatever becomes of a connection, a call arrives once and a response ends its own call.
+"""Clients on real sockets: a call arrives exactly once whatever happens to the connection.
 
-Nothing here waits for a time: timers of the client are fired by hand, and a second call that is answered
-shows that the first one didn't come again meanwhile.
+No test waits for time to pass: timers of the client are fired by hand, and the answer to a second call shows
+that the first one was not repeated in the meantime.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Fault(Enum):
-    """What the server does to a call that it has read."""
+    """How the server handles a call that it has read."""
 
     NONE = "answers"
     RESET_BEFORE = "resets before the head"
@@ -46,15 +46,15 @@
     CLOSE_WITHIN = "closes within the head"
     CLOSE_AFTER = "closes after the head"
     NO_RESPONSE = "never answers"
-    LATE = "answers after the client's time is up"
-    REDIRECT = "sends the client elsewhere"
+    LATE = "answers after the client's time-out"
+    REDIRECT = "redirects the client"
 
 
 UNANSWERED = (Fault.NO_RESPONSE, Fault.LATE)
 
 
 class Server(Protocol):
-    """A worker, a receiver or the platform."""
+    """A worker, a receiver of call-backs or the platform."""
 
     transport: Any
     fault = Fault.NONE
@@ -99,7 +99,7 @@
     """One client against one server."""
 
     def setUp(self) -> None:
-        for limit in CLIENT_LIMITS:  # on a busy machine they would run out by themselves
+        for limit in CLIENT_LIMITS:  # on a busy machine the default time-outs could expire
             patched = patch(limit, float(DEADLINE_MS // 1000))
             patched.start()
             self.addCleanup(patched.stop)
@@ -132,9 +132,9 @@
         }
 
     def arrivals(self, call: Call, fault: Fault, warm: bool) -> tuple[int, list[Any]]:
-        """How often a call arrives that meets `fault`, and what it ended with.
+        """The number of times that a call with `fault` arrives, and its results.
 
-        `warm`: over a connection that has carried a call before, which is where libraries repeat.
+        `warm`: over a connection that has carried a call before, on which libraries retry.
         """
         if warm:
             self.ended(call("warm"))
@@ -163,13 +163,13 @@
         self.assertNotIn("Failure", type(results[0]).__name__)
 
     def fire_timers(self) -> None:
-        """Let the client's time run out: its timers are due now, one after the other."""
+        """Let the client time out: make its timers due now, one after the other."""
         for call in self.loopback.reactor.getDelayedCalls():
             call.reset(0)
 
 
 class SentOnce(SentOnceCase):
-    """Each client, each fault, over a new connection and over a kept one."""
+    """Each client and each fault, over a new and over a persistent connection."""
 
     def test_a_call_arrives_exactly_once(self) -> None:
         for name in ("worker", "receiver", "platform"):
@@ -193,7 +193,7 @@
 
 
 class RetryingWorkerClient(WorkerClient):
-    """Broken: a delivery without an answer is sent again."""
+    """A broken client that resends a delivery without an answer."""
 
     def deliver(self, target: WorkerTarget, message: Message, deadline_ms: int) -> Deferred[DeliveryResult]:
         first = super().deliver(target, message, deadline_ms)
@@ -204,7 +204,7 @@
 
 
 class BrokenBuilds(SentOnceCase):
-    """Repeat after a reset: builds that do it are caught by the same run."""
+    """Clients that retry after a reset fail the checks above."""
 
     def test_a_client_that_retries_is_detected(self) -> None:
         call = self.worker(RetryingWorkerClient(self.loopback.reactor))
--- a/tests/system/test_simulation_answers.py
+++ b/tests/system/test_simulation_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the whole service in virtual time while owners of shards are stopped, cut off and killed."""
+"""Answers of the whole service in virtual time while owners of shards are frozen, partitioned and killed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.system.small_actors import HOST, Answer, SmallSystem, configuration
 from tests.system.test_simulation_faults import FaultCase
 
-KNOWN_AFTER_S = 2.0  # RULES, LOST: from then on no node says that there is no such message
+KNOWN_AFTER_S = 2.0  # RULES, LOST: time from the acceptance after which no node answers 404 for a message
 READ_TIMEOUT_S = 2.0
 SEEDS = (1, 2, 3)
 UNKNOWN = (404, 410)
@@ -17,14 +17,14 @@
 
 
 def run_steps(system: SmallSystem, seconds: float, action: Callable[[], None], step_s: float = 0.25) -> None:
-    """Let time pass, and do something at each step."""
+    """Run for a while and call `action` before each step."""
     for _ in range(round(seconds / step_s)):
         action()
         system.world.run_for(step_s)
 
 
 class StatesCase(FaultCase):
-    """Messages are sent all the time, and every edge node is asked for all of them."""
+    """Messages are sent continuously, and their states are read from every edge node."""
 
     def play(self, seed: int, fault: Callable[[], None]) -> None:
         self.system = SmallSystem(f"answers-{seed}")
@@ -55,12 +55,12 @@
         unknown = [(name, answer) for name, answer in self.reads if answer.status in UNKNOWN]
         self.assertEqual(unknown, [])
         unanswered = [(name, answer) for name, answer in self.reads if answer.status == 0]
-        self.assertEqual(unanswered, [], "each asker has an answer in time: 200, or 503")
+        self.assertEqual(unanswered, [], "each read is answered in time, by 200 or 503")
         self.assertEqual(self.world.failures, [])
 
 
 class States(StatesCase):
-    """LOST: never 404 for a message that was accepted over 2 s ago."""
+    """LOST: no 404 for a message that was accepted more than 2 s ago."""
 
     longest_test_s = 50
 
@@ -95,7 +95,7 @@
                 self.check()
 
     def partition_owner_with_an_edge(self) -> None:
-        """An owner and an edge node reach each other, and no other storage node reaches them."""
+        """Partition an owner and an edge node together from all other storage nodes."""
         names = {self.owner_of_first_shard(), self.world.edges()[2].name}
         others = [other for other in self.world.nodes if other.startswith("storage") and other not in names]
         for name in names:
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """A job as a worker was given it, and the answers to its ends."""
+    """A job that a worker received, and the answers to the reports of its end."""
 
     request_id: str
     lease_id: str
@@ -134,7 +134,7 @@
 
 
 class PullCase(FaultCase):
-    """A service whose workers pull, each call through another edge node."""
+    """A service with pulling workers, whose calls rotate over the edge nodes."""
 
     def begin(self, seed: int) -> None:
         self.system = SmallSystem(f"jobs-{seed}")
@@ -151,7 +151,7 @@
         self.calls = 0
 
     def call(self, path: str, **headers: str) -> Answer:
-        """To one edge node after the other."""
+        """Call the edge nodes in turn."""
         self.calls += 1
         edges = self.world.edges()
         front = edges[self.calls % len(edges)].front
@@ -164,10 +164,10 @@
             if answer.status == 200:
                 request_id, lease_id = answer.headers["X-Request-Id"], answer.headers["X-Lease-Id"]
                 return Job(request_id, lease_id, self.world.now)
-        raise AssertionError("no job came")
+        raise AssertionError("no job received")
 
     def end(self, job: Job, status: int = 200) -> Answer:
-        """As a worker does: again until there is a clear answer."""
+        """Report the end as a worker does: repeat until the answer is final."""
         for _ in range(20):
             stamp = f"stamp-{job.lease_id}"
             answer = self.call(
@@ -180,11 +180,11 @@
             if answer.status in (200, 409):
                 job.ends.append(answer)
                 return answer
-        raise AssertionError("no clear answer")
+        raise AssertionError("no final answer")
 
 
 class Jobs(PullCase):
-    """MIXED and TWICE for workers that pull."""
+    """MIXED and TWICE for pulling workers."""
 
     def test_repeated_end_is_accepted_by_each_node_and_owner(self) -> None:
         for seed in SEEDS:
@@ -211,7 +211,7 @@
                 shard = accepted.headers["X-Message-Id"].partition(".")[0].removeprefix("s")
                 owner = self.owner(f"queue-{shard}")
                 self.world.freeze(owner)
-                second = self.pull()  # once visible_ms are over at the successor
+                second = self.pull()  # after `visible_ms` at the new owner
                 self.world.thaw(owner)
                 self.assertEqual(second.request_id, first.request_id)
                 self.assertNotEqual(second.lease_id, first.lease_id)
--- a/tests/system/test_simulation_broken.py
+++ b/tests/system/test_simulation_broken.py
@@ -1,6 +1,6 @@
-"""Named runs of the whole service, each of which catches a build with one safeguard taken out.
+"""Runs of the whole service, each of which detects a build without a particular safeguard.
 
-A run gives what it found broken, in words; the system as it is gives nothing.
+A run returns descriptions of the problems that it found; the unmodified system has none.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def started_system(seed: int, plan: Plan | None = None) -> SmallSystem:
-    """A system at rest, with the first configuration."""
+    """A stable system with the first configuration."""
     system = SmallSystem(f"broken-{seed}", plan)
     system.bootstrap()
     system.world.run_for(1.5)
@@ -33,16 +33,16 @@
 
 
 def owner_of_configuration(system: SmallSystem) -> int:
-    """The edge node that owns the configuration, by its place in the list."""
+    """The index of the edge node that owns the configuration."""
     names = [node.name for node in system.world.edges()]
-    change = [
+    gained = [
         change for change in system.world.ownerships if change.group == "configuration" and change.gained
     ]
     return names.index(gained[-1].node)
 
 
 def call_until_answered(system: SmallSystem, call: Callable[[int], Answer], attempts: int = 30) -> Answer:
-    """Send unchanged, to one node after the other, until an answer is clear."""
+    """Repeat a call unchanged at one node after the other until the answer is final."""
     answer = Answer(system.world.now)
     for attempt in range(attempts):
         answer = call(attempt % 3)
@@ -53,7 +53,7 @@
 
 
 def problems_of(system: SmallSystem, *texts: str) -> list[str]:
-    """What checkers of the inside found, and more."""
+    """Violated invariants of replica groups, and the non-empty `texts`."""
     return [violation.rule for violation in system.world.violations] + [text for text in texts if text]
 
 
@@ -61,13 +61,13 @@
 
 
 def read_at_an_owner_that_does_not_know_it_was_replaced(seed: int) -> list[str]:
-    """Answers of the others take long to come back, so the owner goes on for a while when it isn't heard."""
+    """Slow answers of the other members let a partitioned owner continue for a while."""
     system = started_system(seed)
     world = system.world
     owner = owner_of_configuration(system)
     edges = world.edges()
     others = [node for node in edges if node is not edges[owner]]
-    for factor in (100.0, 200.0, 300.0, 400.0):  # at once would be a silence in which the owner gives up
+    for factor in (100.0, 200.0, 300.0, 400.0):  # in one step, the owner would step down
         for other in others:
             world.network.path(other.ip, edges[owner].ip).factor = factor
         world.run_for(1.0)
@@ -94,7 +94,7 @@
 
 
 def resent_after_many_changes_and_restarts(seed: int) -> list[str]:
-    """An order whose acknowledgement was lost is sent again unchanged when its entry is in a snapshot."""
+    """An order is resent unchanged, as after a lost acknowledgement, when its entry is in a snapshot."""
     system = started_system(seed, Plan(logs=SMALL_LOGS))
     world = system.world
     call_until_answered(system, lambda edge: system.put(2, 1, edge))
@@ -111,7 +111,7 @@
 
 
 def all_lose_power_and_one_its_disk(seed: int) -> list[str]:
-    """Right after an acknowledgement, while one disk stalls; who has the version comes back last."""
+    """All lose power right after an acknowledgement while one disk stalls; the owner restarts last."""
     system = started_system(seed)
     world = system.world
     owner = world.edges()[owner_of_configuration(system)]
@@ -126,11 +126,11 @@
     world.run_for(12.0)
     read = call_until_answered(system, system.version)
     lost = order.status == 200 and (read.status != 200 or read.json()["version"] != 2)
-    return problems_of(system, f"an acknowledged version is gone: {read.status}" if lost else "")
+    return problems_of(system, f"an acknowledged version was lost: {read.status}" if lost else "")
 
 
 def all_lose_power_right_after_an_acknowledgement(seed: int) -> list[str]:
-    """All disks stall for a moment when the order comes; the acknowledgement is read, and all is dark."""
+    """All disks stall briefly when the order arrives; all lose power right after the acknowledgement."""
     system = started_system(seed)
     world = system.world
     for node in world.edges():
@@ -143,25 +143,25 @@
     world.run_for(6.0)
     read = call_until_answered(system, system.version)
     lost = order.status == 200 and (read.status != 200 or read.json()["version"] != 2)
-    return problems_of(system, f"an acknowledged version is gone: {read.status}" if lost else "")
+    return problems_of(system, f"an acknowledged version was lost: {read.status}" if lost else "")
 
 
-# ---- the builds
+# ---- broken builds
 
 
 def propose_without_commit(self: ConfigurationMember, command: bytes) -> Deferred[object]:
-    """Acknowledged before it is committed."""
+    """Acknowledge a command before it is committed."""
     self.host.propose("configuration", command).addErrback(lambda _: None)
     return succeed(True)
 
 
 def barrier_without_quorum(self: ReplicaHost, group: str) -> Deferred[None]:
-    """Nobody is asked whether this is the owner still."""
+    """Read without confirmation of the ownership by a quorum."""
     return succeed(None) if self.is_owner(group) else fail(NotOwnerError())
 
 
 def snapshot_without_digests(self: ConfigurationState) -> bytes:
-    """Digests of accepted orders are left out of the snapshot."""
+    """Omit the digests of accepted orders from the snapshot."""
     orders, self._orders = self._orders, type(self._orders)()
     try:
         return real_snapshot(self)
@@ -170,7 +170,7 @@
 
 
 def identity_from_host_name(self: SimulatedNodeDisk) -> str:
-    """An empty disk counts as the one before."""
+    """Give an empty disk the identity of the previous one."""
     self._random.getrandbits(32)
     return f"{sum(self._reactor.name.encode()):08x}"
 
@@ -179,7 +179,7 @@
 
 
 class UnmodifiedBuild(unittest.TestCase):
-    """The runs find nothing in the system as it is."""
+    """The runs find no problem in the unmodified system."""
 
     longest_test_s = 20
 
@@ -196,13 +196,13 @@
 
 
 class BrokenBuilds(unittest.TestCase):
-    """Each build is caught by its run."""
+    """Each broken build is detected by its run."""
 
     def assert_detected(self, run: Run) -> None:
         for seed in SEEDS:
             if run(seed):
                 return
-        self.fail(f"{run.__name__} finds nothing in {len(SEEDS)} seeds")
+        self.fail(f"{run.__name__} finds no problem in {len(SEEDS)} seeds")
 
     def test_acknowledged_before_commit(self) -> None:
         with patch.object(ConfigurationMember, "propose", propose_without_commit):
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -1,7 +1,7 @@
-"""Hundreds of changes of the configuration under losses that the tolerance allows, with logs kept short.
+"""Hundreds of changes of the configuration with small logs, under losses within the fault tolerance.
 
-A member that was restarted, wiped, frozen, cut off or replaced at any moment of it comes to the newest
-version, by snapshots and entries, and no order is refused (issue 37, point 4).
+A member that is restarted, wiped, frozen, partitioned or replaced at any time reaches the newest version, by
+snapshots and entries, and no order is refused (issue 37, point 4).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 CHANGES = 150
-LOSS_EVERY_S = 11.0  # a loss lasts 6 s at most, and `catch_up_s` after it
+LOSS_EVERY_S = 11.0  # a loss lasts at most 6 s, followed by `catch_up_s`
 STABILIZATION_S = 6.0
 POLL_S, ORDER_INTERVAL_S = 0.06, 0.02
 
 
 @dataclass
 class Orders:
-    """One operator that sends the next order as soon as the last is acknowledged, to any node."""
+    """An operator that sends the next order to any node once the previous one is acknowledged."""
 
     system: SmallSystem
     version: int = 1
@@ -54,7 +54,7 @@
 
 
 def inject_loss(system: SmallSystem, orders: Orders) -> None:
-    """A counted machine is lost for a while, or for good; while there are orders, again and again."""
+    """Lose a counted machine temporarily or permanently, and repeat this until all orders are done."""
     world = system.world
     if orders.version >= CHANGES:
         return
@@ -106,14 +106,14 @@
                 self.assertTrue(snapshots)
 
 
-CATCH_UP_S = 4.4  # of the settings
-ROUTES = 300  # about 85 KB a configuration
+CATCH_UP_S = 4.4  # `catch_up_s`
+ROUTES = 300  # a configuration of about 85 KB
 LINK_BYTES_PER_S = 1_000_000.0
 ORDERS_S = 8.0
 
 
 def large_configuration(version: int) -> dict[str, Any]:
-    """A configuration whose every version is about 85 KB."""
+    """A configuration of about 85 KB."""
     document = configuration(version, 1000 + version)
     route = document["routes"][0]
     document["routes"] += [{**route, "name": f"r-x{n}", "path_prefix": f"/x{n}/"} for n in range(ROUTES)]
@@ -121,12 +121,12 @@
 
 
 class SnapshotTransfers(unittest.TestCase):
-    """A state of some size, over narrow links, while it changes faster than it is sent once."""
+    """Transfer of a large state over slow links, while it changes faster than it is sent."""
 
     longest_test_s = 30
 
     def complete_after(self, logs: LogSizes, seed: int) -> float:
-        """Seconds from a wiped member's start until it votes and its former self doesn't."""
+        """Seconds from a wiped member's start until it is a voter and its former member id is not."""
         system = SmallSystem(f"transfer-{seed}", Plan(logs=logs))
         world = system.world
         system.bootstrap()
@@ -170,7 +170,7 @@
             world.at(world.now + 0.1, self._order, system, version + 1, stop_at)
 
     def _complete(self, system: SmallSystem, owner: str) -> bool:
-        """Whether the members are exactly the edge nodes' present disks."""
+        """Whether the members are exactly the current disks of the edge nodes."""
         world = system.world
         members = world.nodes[owner].process.node.base.host.members("configuration")
         current = {
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of simulated runs: each fires on a history that breaks its rule, not on the nearest sound one."""
+"""Checkers of simulated runs: each reports a history that violates its rule, and not a similar correct one."""
 
 from __future__ import annotations
 
@@ -56,12 +56,12 @@
 
 
 def route(prefix: str, service: str = "listed") -> dict[str, str]:
-    """A route as documents have it."""
+    """A route of a document."""
     return {"host": HOST, "path_prefix": prefix, "service": service}
 
 
 def order(version: int, base: int, outcome: OrderOutcome = ACKNOWLEDGED, **fields: object) -> OrderSent:
-    """A change, sent at the second that is its version."""
+    """A change that is sent at `version` seconds."""
     document = {"version": version, "routes": [route("/listed/")]}
     base_order = OrderSent(version, base, float(version), version + 0.1, outcome, True, document, 412)
     return replace(base_order, **fields)  # type: ignore[arg-type]
@@ -74,7 +74,7 @@
 
 
 def probe(status: int, at: float, path: str = "/extra/x", incarnation: int = 0) -> RouteProbe:
-    """A message on a route that comes and goes."""
+    """A message on a route that is added and removed."""
     return RouteProbe(f"p{at}", "edge-1", incarnation, at, at + 0.1, HOST, path, status)
 
 
@@ -102,7 +102,7 @@
 
 
 def disruption(kind: DisruptionKind, at: float, until: float, *nodes: str) -> Disruption:
-    """Trouble on some machines."""
+    """A disruption of some machines."""
     return Disruption(kind, frozenset(nodes), at, until)
 
 
@@ -113,7 +113,7 @@
 FROZEN_EDGE = disruption(DisruptionKind.FROZEN, 12.0, 13.0, "edge-1")
 DONE, READ, ORDER = "done", RetireCall.READ, RetireCall.ORDER
 
-# checker, rule, what is wrong, a history that breaks it, and one near it that doesn't
+# checker, rule, description of the violation, a history that violates the rule, and a similar correct one
 CASES: tuple[tuple[Callable[..., object], Enum, str, SystemHistory, SystemHistory], ...] = (
     (
         configuration.check_older_read,
@@ -139,7 +139,7 @@
     (
         configuration.check_read_content,
         Rule.CONFIG,
-        "content that nobody sent",
+        "content that was never sent",
         history(orders=[FIRST], reads=[read(1, 3.0, limits={})]),
         history(orders=[FIRST], reads=[read(1, 3.0)]),
     ),
@@ -153,7 +153,7 @@
     (
         configuration.check_base_in_force,
         Rule.CONFIG,
-        "a refused one was built on",
+        "based on a refused version",
         history(orders=[FIRST, order(2, 1, REFUSED), order(4, 2)]),
         history(orders=[FIRST, order(2, 1, REFUSED), order(2, 1, UNCLEAR), order(4, 2)]),
     ),
@@ -167,7 +167,7 @@
     (
         configuration.check_applied,
         Rule.CONFIG,
-        "dropped route still there",
+        "removed route still in use",
         history(orders=[FIRST, ADDING, DROPPING], probes=[probe(202, 11.2)]),
         history(
             orders=[FIRST, ADDING, DROPPING],
@@ -185,7 +185,7 @@
     (
         control.check_retirement_refused,
         SystemRule.RETIRE,
-        "a proper order refused",
+        "a valid order refused",
         history(retirements=[retirement(ORDER, 5.0, 409)]),
         history(retirements=[retirement(ORDER, 5.0, 409, valid=False)]),
     ),
@@ -199,21 +199,21 @@
     (
         control.check_retirement_done,
         SystemRule.RETIRE,
-        "done, and then not",
+        "running again after done",
         history(retirements=[retirement(READ, 5.0, 200, DONE), retirement(READ, 6.0, 200, "running")]),
         history(retirements=[retirement(READ, 5.0, 200, "running"), retirement(READ, 6.0, 200, DONE)]),
     ),
     (
         control.check_acknowledged_in_time,
         SystemRule.ACKS,
-        "no acknowledgement in quiet time",
+        "no acknowledgement without faults",
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0)]),
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0)], disruptions=[replace(FROZEN_EDGE, at=7.0)]),
     ),
     (
         control.check_acknowledged_in_time,
         SystemRule.ACKS,
-        "no acknowledgement, though none was lost on its way",
+        "no acknowledgement, though none was lost",
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0)]),
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0, lost_answers=2)]),
     ),
@@ -234,14 +234,14 @@
     (
         messages.check_budget,
         SystemRule.BUDGET,
-        "comes after six failures",
+        "runs after six failures",
         history(answers=[Answer("a", at, 500, "") for at in range(11, 17)], runs=[run(18.0)]),
         history(answers=[Answer("a", at, 500, "") for at in range(11, 16)], runs=[run(18.0)]),
     ),
     (
         messages.check_budget,
         SystemRule.BUDGET,
-        "comes after three refusals",
+        "runs after three rejections",
         history(answers=[Answer("a", at, 422, "") for at in range(11, 14)], runs=[run(18.0)]),
         history(answers=[Answer("a", at, 422, "") for at in range(11, 13)], runs=[run(18.0)]),
     ),
@@ -262,7 +262,7 @@
     (
         messages.check_states,
         Rule.MIXED,
-        "done, and then queued",
+        "queued again after done",
         history(answers=[SUCCESS], state_reads=[state(12.0, 200, DONE, "stamp"), state(13.0, 200, "queued")]),
         history(answers=[SUCCESS], state_reads=[state(11.5, 200, "queued"), state(12.0, 200, DONE, "stamp")]),
     ),
@@ -298,7 +298,7 @@
 
 
 class TestChecks(unittest.TestCase):
-    """Each checker on both of its histories."""
+    """Each checker on a violating and on a correct history."""
 
     def test_each_checker_reports_broken_histories_only(self) -> None:
         for check, rule, description, broken, correct in CASES:
@@ -318,7 +318,7 @@
 
 
 class TestConnectivity(unittest.TestCase):
-    """In touch and stable, as RULES define them."""
+    """Connected and stable machines, as defined in RULES."""
 
     def connectivity(self, *disruptions: Disruption) -> Connectivity:
         return Connectivity(history(disruptions=list(disruptions)), PARAMETERS)
--- a/tests/system/test_simulation_cut_off.py
+++ b/tests/system/test_simulation_cut_off.py
@@ -1,7 +1,7 @@
-"""What a control machine answers that is cut off from all others, or has been frozen (issue 37, point 1).
+"""Answers of a control machine that is partitioned from all others or was frozen (issue 37, point 1).
 
-No answer that decides anything (2xx, 4xx) without contact with a majority after the call came, and 503 soon
-enough for the operator's next try.
+It answers 2xx or 4xx only after contact with a majority since the call, and otherwise 503, early enough for
+the operator's next attempt.
 """
 
 from __future__ import annotations
@@ -18,20 +18,22 @@
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
-OPERATOR_TIMEOUT_S = 1.0  # of an operator, before it moves on to another node
+OPERATOR_TIMEOUT_S = 1.0  # after this time, an operator calls another node
 CALLS_S = 3.0
 CALL_EVERY_S = 0.15
 
 
 def calls_of(system: SmallSystem, node: SimulatedNode) -> list[Callable[[], Answer]]:
-    """Every kind of order and question, proper ones and others."""
+    """All kinds of orders and reads, valid and invalid."""
     call, control = system.caller.call, node.control
     patch_document = {"version": 3, "remove": {"routes": ["r-1"]}}
     retire = f"/retire/{system.world.storages()[0].name}"
     return [
         lambda: call("PUT", control, "/config", configuration(2, 1500), If_Match="1"),
-        lambda: call("PUT", control, "/config", configuration(1), If_Match="0"),  # accepted before
-        lambda: call("PUT", control, "/config", configuration(9), If_Match="7"),  # on a version that isn't
+        lambda: call("PUT", control, "/config", configuration(1), If_Match="0"),  # accepted earlier
+        lambda: call(
+            "PUT", control, "/config", configuration(9), If_Match="7"
+        ),  # based on a version that doesn't exist
         lambda: call("PUT", control, "/config", b"{", If_Match="1"),
         lambda: call("PATCH", control, "/config", patch_document, If_Match="1"),
         lambda: call("GET", control, "/config"),
@@ -43,7 +45,7 @@
 
 def owner_of_configuration(system: SmallSystem) -> SimulatedNode:
     """The edge node that owns the configuration."""
-    change = [
+    gained = [
         change for change in system.world.ownerships if change.group == "configuration" and change.gained
     ]
     return system.world.nodes[gained[-1].node]
@@ -53,7 +55,7 @@
     longest_test_s = 30
 
     def play(self, kind: str, direction: str, after_s: float) -> list[Answer]:
-        """The answers of one node that is cut off, in one direction or both."""
+        """The answers of a node that is partitioned in one or both directions."""
         system = SmallSystem(f"cut-off-{kind}-{direction}-{after_s}", Plan(storages=4))
         world = system.world
         system.bootstrap()
@@ -98,7 +100,7 @@
 
 class FrozenOwner(unittest.TestCase):
     def test_requests_queued_while_frozen_get_no_stale_answer(self) -> None:
-        """Calls come while the owner is frozen and others go on; it answers after it has gone on."""
+        """Calls arrive while the owner is frozen and others proceed; it answers after its thaw."""
         for seed in range(6):
             with self.subTest(seed=seed):
                 system = SmallSystem(f"frozen-{seed}", Plan(storages=4))
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the simulated world against the whole service; and the same seed gives the same run."""
+"""Faults of the simulated world against the whole service, and reproducibility of runs by their seed."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import Answer, SmallSystem
 
-STABILIZATION_S = 6.0  # after the last fault, until all must be well again
+STABILIZATION_S = 6.0  # time from the last fault until the system must have recovered
 
 
 class FaultCase(unittest.TestCase):
-    """Plays one fault in a system at work, and looks whether the system is well afterwards."""
+    """Injects one fault into a running system and checks that the system recovers."""
 
     def setUp(self) -> None:
         self.system = SmallSystem(11)
@@ -31,7 +31,7 @@
         self.accepted.append(self.system.send(edge))
 
     def send_until_accepted(self) -> None:
-        """As a client does: a 503 is a promise that the message wasn't taken."""
+        """Retry as a client does: 503 guarantees that the message was not accepted."""
         for _ in range(5):
             name, answer = self.system.send()
             self.world.run_for(1.0)
@@ -42,7 +42,7 @@
         self.fail("503 for 5 s")
 
     def owner(self, group: str) -> str:
-        """The node that owns a group, by what replicas said last."""
+        """The node that gained the ownership of a group last."""
         last: dict[str, Ownership] = {}
         for change in self.world.ownerships:
             if change.group == group and change.gained:
@@ -50,7 +50,7 @@
         return last[group].node
 
     def check_recovered(self, versions: int = 2) -> None:
-        """An order is taken and in force everywhere; all accepted messages ran and are done."""
+        """Check that an order comes into force on all nodes, and that all accepted messages are done."""
         self.world.run_for(STABILIZATION_S)
         order = self.system.put(versions, versions - 1)
         self.world.run_for(2.0)
@@ -68,7 +68,7 @@
         self.assertEqual(self.world.violations, [])
 
     def check_fault(self, fault: Callable[[], object]) -> None:
-        """Send, play the fault, check."""
+        """Send a message, inject the fault, and check the recovery."""
         self.send_until_accepted()
         fault()
         self.check_recovered()
--- a/tests/system/test_simulation_founding.py
+++ b/tests/system/test_simulation_founding.py
@@ -1,4 +1,4 @@
-"""Losses while the system is founded: it is founded once, whichever process ends or is held up, and when."""
+"""Faults during the bootstrap: exactly one system is founded, whichever process fails or stalls, and when."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from bitternpath.testing.simulation.world import Plan, World
 from tests.system.small_actors import SmallSystem
 
-FOUNDING_TIMEOUT_S = 12.0  # for the first configuration
+FOUNDING_TIMEOUT_S = 12.0  # from the start of the run until the first configuration is accepted
 FOUNDED = "event=system_bootstrapped system="
 
 
 def inject_loss(world: World, random: Random, name: str) -> None:
-    """A process ends and comes back, or is held up for a while."""
+    """Restart, freeze or isolate a process."""
     heal_at = world.now + random.uniform(0.1, 2.0)
     match random.randrange(5):
         case 0:
@@ -34,7 +34,7 @@
     longest_test_s = 35
 
     def check_founded(self, system: SmallSystem) -> None:
-        """One system, one first configuration, in force everywhere, by a time."""
+        """Check that one system is founded in time, with one first configuration in force on all nodes."""
         world = system.world
         world.run_until(8.0)
         order = system.put(1, 0)
@@ -51,7 +51,7 @@
         self.assertEqual((world.failures, world.violations), ([], []))
 
     def test_first_seed_fails_at_any_time(self) -> None:
-        """Only it decides; it once did so only in its first life."""
+        """Only the first seed decides on the bootstrap; once it did so only in its first incarnation."""
         for moment in (0.4, 0.9, 1.3, 1.6, 1.9, 2.3):
             for fault in ("kill", "lose_power", "terminate"):
                 with self.subTest(fault, moment=moment):
@@ -71,11 +71,11 @@
                 self.check_founded(system)
 
 
-APPLY_TIMEOUT_S = 3.0  # `config_apply_ms` of the settings
+APPLY_TIMEOUT_S = 3.0  # `config_apply_ms`
 
 
 class SeedsInTheMinority(unittest.TestCase):
-    """A node starts again while it is cut off, with settings whose seeds are all on its side."""
+    """A node restarts in a partition with settings that name only seeds of the same side."""
 
     longest_test_s = 20
 
--- a/tests/system/test_simulation_mass_faults.py
+++ b/tests/system/test_simulation_mass_faults.py
@@ -1,4 +1,4 @@
-"""Faults of many machines at once, and processor quotas, in the simulation; what runs of them met."""
+"""Faults of many machines at once and processor quotas in the simulation, and the coverage of runs."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 SHARE = 0.1
 OBSERVATION_S = 20.0
-READY_WITHIN_S = 2.0  # PROTOCOL, "Ingress": a node that misses two questions, one a second, is out
+READY_WITHIN_S = 2.0  # PROTOCOL, "Ingress": a node that misses two probes, one per second, is removed
 
 
 class Quotas(unittest.TestCase):
-    """Each process runs 10 of 100 ms."""
+    """Each process runs for 10 ms of every 100 ms."""
 
     def setUp(self) -> None:
         self.system = SmallSystem("quota", Plan(processor_share=SHARE))
@@ -41,7 +41,7 @@
         self.assertAlmostEqual(frozen_samples / samples, 1 - SHARE, delta=0.02)
 
     def test_owners_keep_their_groups_while_nothing_else_happens(self) -> None:
-        """A process that stands still for 90 ms isn't taken for dead; planned transfers come first."""
+        """A process that is throttled for 90 ms isn't considered dead; waits for planned transfers first."""
         self.world.run_for(INITIAL_DELAY_S + OBSERVATION_S)
         before = len(self.world.ownerships)
         self.world.run_for(OBSERVATION_S)
@@ -71,7 +71,7 @@
 
 
 def play_faults(*faults: Fault, layout: Layout | None = None) -> Run:
-    """A run with these faults and nothing else."""
+    """Play a run with these faults and no other events."""
     run = Run(RunPlan(seed=5, scenario="named", seconds=12.0, layout=layout or Layout(), events=faults))
     report = run.play()
     assert report.passed, [*map(str, report.findings), *report.errors]
@@ -79,7 +79,7 @@
 
 
 class MassFaults(unittest.TestCase):
-    """Each kind does what its name says, and the system is well afterwards."""
+    """Each kind of fault has its effect, and the system recovers."""
 
     longest_test_s = 15
 
@@ -91,7 +91,7 @@
         fault = Fault(number=1, at=1.0, kind=FaultKind.HALVES, nodes=("e1", "s1"), lasts=3.0)
         run = play_faults(fault)
         starts, ends = self.events(run, "cut"), self.events(run, "join")
-        self.assertEqual(len(starts), 2 * 4)  # two machines from the other four that count
+        self.assertEqual(len(starts), 2 * 4)  # two machines from the four other counted ones
         self.assertEqual(
             sorted(rest.split(" both")[0] for _, rest in starts), sorted(rest for _, rest in ends)
         )
@@ -139,7 +139,7 @@
 
 
 class CoverageOfRuns(unittest.TestCase):
-    """What is counted."""
+    """Counting of concurrent faults and transitions."""
 
     longest_test_s = 15
 
@@ -174,7 +174,7 @@
         self.assertEqual(total.runs, 2)
         text = "\n".join(total.lines())
         self.assertIn("coverage of 2 runs", text)
-        self.assertIn("bootstrap: 8", text)  # configuration and three shards, in each run
+        self.assertIn("bootstrap: 8", text)  # the configuration and three shards in each run
         self.assertIn((FaultKind.LOSSY, FaultKind.LOSSY), total.never_crossed())
 
 
--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -1,4 +1,4 @@
-"""Simulated TCP and UDP: order, cuts, half-open ends, resets, refusals, windows, as real sockets do."""
+"""Simulated TCP and UDP behave like real sockets: order, partitions, half-open ends, resets, windows."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordingProtocol(Protocol):
-    """Keeps what it hears."""
+    """Records the events of a connection."""
 
     transport: Any
 
@@ -47,13 +47,13 @@
         return self.end
 
     def startedConnecting(self, connector: Any) -> None:
-        """Nothing to do."""
+        """Ignored."""
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         self.failed = reason.type.__name__
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """The protocol knows."""
+        """Ignored: the protocol records it."""
 
 
 class ServerFactory(Factory):
@@ -170,7 +170,9 @@
         self.assertEqual((near.lost, far.lost), ("TimeoutError", ""))
         self.world.heal_partition(A, B)
         self.world.run_for(1.0)
-        self.assertEqual((far.data, far.lost), (b"", ""))  # what the sender gave up is lost: half-open
+        self.assertEqual(
+            (far.data, far.lost), (b"", "")
+        )  # half-open: the bytes of the closed sender are lost
         far.transport.write(b"any")
         self.world.run_for(1.0)
         self.assertEqual(far.lost, "ConnectionLost")
@@ -214,7 +216,9 @@
             near.transport.write(b"12345")
             self.world.run_for(0.1)
         late, factory = self.dial()
-        self.assertEqual((events, late.established, factory.failed), ([], True, ""))  # the kernel answers
+        self.assertEqual(
+            (events, late.established, factory.failed), ([], True, "")
+        )  # the kernel accepts the connection
         accepted = len(self.acceptor.ends)
         self.b.thaw()
         self.world.run_for(0.0)
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -1,4 +1,4 @@
-"""Plans of simulated runs: drawn by a seed, within what may be lost, written and read, and reduced."""
+"""Plans of simulated runs: generation from a seed within the tolerated losses, storage, and reduction."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from bitternpath.testing.simulation.runs.single_run import run_seed, scenario_of
 
 SEEDS = range(40)
-TERM_S = 7.0  # a process that was asked to end is back after this, at the latest
+TERM_S = 7.0  # maximum time from SIGTERM until the process runs again
 
 
 def loss_intervals(plan: RunPlan) -> list[tuple[float, float, str]]:
-    """When each machine that counts was lost, by the plan."""
+    """The intervals in which a plan loses a counted machine, with its name."""
     core = [f"e{number}" for number in range(1, plan.layout.core_edges + 1)]
     intervals = []
     for event in plan.events:
@@ -33,7 +33,7 @@
 
 
 class RandomPlans(unittest.TestCase):
-    """What a seed draws."""
+    """Plans generated from a seed."""
 
     def test_same_seed_same_plan(self) -> None:
         for scenario in SCENARIOS.values():
@@ -56,9 +56,7 @@
                 for event in plan.events:
                     if isinstance(event, Fault) and event.kind in MASS_KINDS:
                         during = [
-                            interval
-                            for interval in loss_intervals(plan)
-                            if each[0] <= event.at < each[1] - 0.001
+                            each for each in loss_intervals(plan) if each[0] <= event.at < each[1] - 0.001
                         ]
                         self.assertEqual(during, [], (scenario.name, seed, event.at))
 
@@ -78,7 +76,7 @@
 
 
 class SavedPlans(unittest.TestCase):
-    """Plans as files."""
+    """Plans stored as files."""
 
     def test_round_trip(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -89,13 +87,13 @@
 
 
 class Shrinking(unittest.TestCase):
-    """Delta debugging, with a stand-in for the run."""
+    """Delta debugging with a fake run."""
 
     def fake_run(self, plan: RunPlan) -> RunReport:
-        """Fails where both of two events are there."""
+        """Fail if the plan contains both of two events."""
         self.runs += 1
         numbers = {event.number for event in plan.events}
-        broken = Finding("check", Violation(Rule.LOST, "", "both are there"))
+        broken = Finding("check", Violation(Rule.LOST, "", "both are present"))
         return RunReport(plan, [broken] if {11, 73} <= numbers else [])
 
     def test_only_relevant_events_remain(self) -> None:
@@ -115,7 +113,7 @@
 
 
 class Runs(unittest.TestCase):
-    """Whole runs: one seed of each scenario keeps the rules, and a seed gives one run."""
+    """Complete runs: one seed of each scenario violates no rule, and equal seeds give equal runs."""
 
     longest_test_s = 75
 
--- a/tests/system/test_simulation_repairs.py
+++ b/tests/system/test_simulation_repairs.py
@@ -1,4 +1,4 @@
-"""Repairs in the whole service, in virtual time: members of all groups, retirements, replicas that go."""
+"""Repairs in the whole service in virtual time: members of all groups, retirements, removed replicas."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from tests.system.small_actors import Answer, Caller, SmallSystem
 
 CATCH_UP_S = 4.2
-REPAIR_TIMEOUT_S = CATCH_UP_S / 2  # from the return of a machine until all its groups have all their members
+REPAIR_TIMEOUT_S = CATCH_UP_S / 2  # from the return of a machine until all its groups have all members
 DOWN_S = 0.5
 
 
 class RepairCase(unittest.TestCase):
-    """A system at work."""
+    """A running system with messages in progress."""
 
     def make(self, seed: int, **plan: int) -> None:
         self.system = SmallSystem(seed, Plan(**plan))  # type: ignore[arg-type]
@@ -33,7 +33,7 @@
         return process.node.base.host if process is not None else None
 
     def owner(self, group: str) -> str:
-        """The node that owns a group, by what replicas said last."""
+        """The node that gained the ownership of a group last."""
         last: dict[str, Ownership] = {}
         for change in self.world.ownerships:
             if change.group == group and change.gained:
@@ -41,14 +41,14 @@
         return last[group].node
 
     def members(self, group: str) -> Members | None:
-        """As committed, by the owner of the highest epoch: a frozen one takes itself for owner still."""
+        """Members committed by the owner of the highest epoch; a frozen former owner is out of date."""
         hosts = [host for host in map(self.host, self.world.nodes) if host is not None]
         owners = [host for host in hosts if host.is_owner(group)]
         owner = max(owners, key=lambda host: host.current_term(group), default=None)
         return owner.committed_members(group) if owner is not None else None
 
     def is_complete(self, group: str, nodes: list[str], copies: int) -> bool:
-        """Whether a group has that many voters, all of them present disks."""
+        """Whether a group has `copies` voters, all of them current disks, and no learners."""
         members = self.members(group)
         current = {host.member_id for host in map(self.host, nodes) if host is not None}
         return (
@@ -78,7 +78,7 @@
             self.accepted.append(self.system.send(edge))
 
     def check_recovered(self) -> None:
-        """All that was accepted is done, and the newest configuration is there."""
+        """Check that all accepted messages are done."""
         self.world.run_for(4.0)
         accepted = [(name, answer) for name, answer in self.accepted if answer.status == 202]
         states = [(self.system.state(answer, name), name) for name, answer in accepted]
@@ -91,10 +91,10 @@
 
 
 class RepairTimeTest(RepairCase):
-    """From a machine's return until every group is whole again."""
+    """Time from a machine's return until every group has all members."""
 
     def test_successive_disk_losses(self) -> None:
-        """Core and storage in turn, owners too; each as soon as the one before counts as back."""
+        """Core and storage machines in turn, also owners, each once the previous one has caught up."""
         self.make(21)
         for name in ("owner", "e3", "s1", "owner", "s3", "e1", "s2"):
             lost = self.owner(CONFIGURATION_GROUP) if name == "owner" else self.node_name(name)
@@ -120,7 +120,7 @@
 
 
 class RetirementTest(RepairCase):
-    """An order to empty a machine, on its way."""
+    """Progress of an order to retire a machine."""
 
     def retire(self, name: str) -> Answer:
         caller = Caller(self.world, "10.99.0.7")
@@ -133,13 +133,13 @@
         return caller.call("GET", control, f"/retire/{name}")
 
     def call(self, make: Callable[[str], Answer], name: str) -> Answer:
-        """Until there is a clear answer."""
+        """Repeat a call until the answer is final."""
         for _ in range(8):
             answer = make(name)
             self.world.run_for(0.6)
             if answer.status not in (0, 503):
                 return answer
-        self.fail(f"no clear answer: {answer}")
+        self.fail(f"no final answer: {answer}")
 
     def done(self, name: str) -> bool:
         answer = self.state(name)
@@ -147,7 +147,7 @@
         return answer.status == 200 and answer.json() == {"state": "done"}
 
     def test_retirement_right_after_a_leader_change(self) -> None:
-        """The new owner's followers are none at first (found by simactors, seeds 12, 68, 84 and others)."""
+        """A new owner has no followers at first, and once refused orders (simactors, seeds 12, 68, 84)."""
         for delay in (0.6, 0.8, 1.0, 1.2, 1.5):
             self.make(23, storages=5)
             self.world.kill(self.owner(CONFIGURATION_GROUP), 3.0)
@@ -158,7 +158,7 @@
             self.seconds_until(lambda: self.done(name), 6.0)  # noqa: B023
 
     def test_retirement_survives_its_owner_and_stays_done(self) -> None:
-        """It said `running` again after `done` (found by simactors, seed 228)."""
+        """After a change of the owner, `running` was reported again after `done` (simactors, seed 228)."""
         self.make(24, storages=5)
         name = self.world.storages()[0].name
         self.send()
@@ -189,7 +189,7 @@
         self.check_recovered()
 
     def test_replaced_machine_that_returns_is_harmless(self) -> None:
-        """It was frozen while another took its place; it gives up what it keeps, and comes in again."""
+        """A machine that was replaced while frozen removes its replicas and can become a member again."""
         self.make(26, storages=4)
         name = self.owner("queue-0")
         self.send()
--- a/tests/system/test_simulation_runs.py
+++ b/tests/system/test_simulation_runs.py
@@ -1,7 +1,7 @@
-"""Runs that once broke a rule, shrunk to a few events: each is played again and keeps all rules.
+"""Regression tests: runs that once violated a rule, shrunk to a few events.
 
-A file of `tests/system/runs/` is what `bitternpath campaign --way system` wrote for a failing seed; its
-`checker` is the one that failed.
+The files in `tests/system/runs/` were written by `bitternpath campaign --way system` for a failing seed;
+`checker` is the checker that failed.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 def replay(test: unittest.TestCase, name: str) -> None:
-    """Play a file's plan and say what it broke."""
+    """Play the plan of a file and check that it violates no rule."""
     report = play(load_plan(RUNS / f"{name}.json"))
     test.assertEqual([str(finding) for finding in report.findings], [])
     test.assertEqual(report.errors, [])
 
 
 class ShrunkRuns(unittest.TestCase):
-    """One test a file."""
+    """One test for each file."""
 
     def test_members_that_joined_restart(self) -> None:
-        """Two members that joined later and a wiped third come back from a loss of power: they must elect.
+        """Two members that joined later and a wiped third one must elect an owner after a loss of power.
 
-        They have no founding file; each waited for a leader to speak, and the configuration had no owner.
+        They have no founding file. Each of them waited for a leader, so the configuration had no owner.
         """
         replay(self, "members_that_joined_restart")
 
--- a/tests/system/test_simulation_take_over_calls.py
+++ b/tests/system/test_simulation_take_over_calls.py
@@ -1,4 +1,4 @@
-"""The operator's calls in the second after a take-over of the configuration, in the whole service."""
+"""Calls of an operator in the second after a take-over of the configuration, in the whole service."""
 
 from __future__ import annotations
 
@@ -6,13 +6,21 @@
 
 from tests.system.small_actors import Answer, SmallSystem
 
-JOINED_BEFORE_S = (0.02, 0.1, 0.2, 0.3, 0.45, 0.6, 0.9)  # the new machine's start, before the owner is killed
-RETRY_FOR_S = 5.0  # `ack_ms`: so long an operator sends a call again
+JOINED_BEFORE_S = (
+    0.02,
+    0.1,
+    0.2,
+    0.3,
+    0.45,
+    0.6,
+    0.9,
+)  # from the start of the new machine to the kill of the owner
+RETRY_FOR_S = 5.0  # `ack_ms`: how long an operator repeats a call
 RETRY_INTERVAL_S = 0.1
 
 
 def owner_of_configuration(system: SmallSystem) -> str:
-    """The node that last gained the configuration."""
+    """The node that gained the ownership of the configuration last."""
     gained = [
         change for change in system.world.ownerships if change.group == "configuration" and change.gained
     ]
@@ -20,7 +28,7 @@
 
 
 class RetirementsInATakeOver(unittest.TestCase):
-    """A fourth storage machine joins, and the configuration's owner is killed; then one may be retired."""
+    """Retirement after a fourth storage machine joined and the configuration's owner was killed."""
 
     longest_test_s = 25
 
@@ -33,7 +41,7 @@
                 self.assertIn(200, statuses)
 
     def answers_after(self, joined_before_s: float) -> list[Answer]:
-        """Ask one of the nodes that are left each tenth of a second until the request is taken."""
+        """Repeat the request every 0.1 s at the remaining nodes in turn until it is accepted."""
         system = SmallSystem(f"take-over-{joined_before_s}")
         world = system.world
         system.bootstrap()
--- a/tests/system/test_simulation_world.py
+++ b/tests/system/test_simulation_world.py
@@ -1,4 +1,4 @@
-"""The simulated world: real roles found the system, take orders and messages, and live through faults."""
+"""The simulated world: real roles bootstrap the system and accept orders and messages."""
 
 from __future__ import annotations
 
