--- a/tests/system/__init__.py
+++ b/tests/system/__init__.py
@@ -12,8 +12,8 @@
 from twisted.python.failure import Failure
 
 _Result = TypeVar("_Result")
-TURN_S = 0.02  # maximum wait for events in one turn of a loopback reactor
-PATIENCE_S = 10.0  # time-out of a test that waits for an event
+MAX_TURN_S = 0.02  # maximum wait for events in one turn of a loopback reactor
+EVENT_TIMEOUT_S = 10.0  # time-out of a test that waits for an event
 
 
 class Loopback:
@@ -33,12 +33,12 @@
         return self.listen(Factory.forProtocol(protocol))  # type: ignore[arg-type]
 
     def until(self, condition: Callable[[], bool]) -> None:
-        """Run until the condition holds; fails after `PATIENCE_S`."""
-        give_up = self.reactor.seconds() + PATIENCE_S
+        """Run until the condition holds; fails after `EVENT_TIMEOUT_S`."""
+        deadline = self.reactor.seconds() + EVENT_TIMEOUT_S
         while not condition():
-            if self.reactor.seconds() > give_up:
+            if self.reactor.seconds() > deadline:
                 raise AssertionError("the condition did not hold in time")
-            self.reactor.iterate(TURN_S)
+            self.reactor.iterate(MAX_TURN_S)
 
     def result(self, deferred: Deferred[_Result]) -> _Result:
         """Run until a Deferred has its result, and return it."""
--- a/tests/system/test_cut_off.py
+++ b/tests/system/test_cut_off.py
@@ -220,14 +220,14 @@
         self.assertEqual((world.violations, world.failures), ([], []))
         return monitor
 
-    def test_each_way(self) -> None:
+    def test_each_scenario(self) -> None:
         for label, scenario in SCENARIOS.items():
             for seed in range(2):
                 with self.subTest(label, seed=seed):
                     monitor = self.play(seed, scenario)
                     self.assertEqual((monitor.violations, monitor.unanswered), ([], []))
 
-    def test_restarted_while_cut_with_seeds_of_its_side_only(self) -> None:
+    def test_restart_in_a_partition_with_seeds_of_its_side_only(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
                 system, monitor, index = self.begin(seed)
@@ -260,7 +260,7 @@
                 self.assertEqual(len(founded_systems(system)), 1)
                 self.assertEqual((monitor.violations, monitor.unanswered, world.violations), ([], [], []))
 
-    def test_a_part_without_members_that_was_forgotten_is_found_again(self) -> None:
+    def test_forgotten_nodes_without_members_rejoin(self) -> None:
         for seed in range(4):
             with self.subTest(seed=seed):
                 system, monitor, index = self.begin(seed)
@@ -293,7 +293,7 @@
     return {founding.system for founding in foundings if founding is not None}
 
 
-class BrokenBuildsTest(unittest.TestCase):
+class BrokenBuildTest(unittest.TestCase):
     """Each broken build fails one of the scenarios above."""
 
     def play(self, label: str, seeds: int = 3) -> list[str]:
@@ -307,7 +307,7 @@
                 problems += monitor.violations + monitor.unanswered
         return problems
 
-    def test_broken_no_confirmation_before_a_read(self) -> None:
+    def test_reads_without_quorum_confirmation_are_detected(self) -> None:
         def read(processor: ChangeProcessor) -> Deferred[OperatorResult]:
             return succeed(processor._current() if processor.group.is_owner() else not_owner())
 
@@ -315,7 +315,7 @@
             problems = self.play("from all nodes")
         self.assertTrue(any("without a majority" in each for each in problems), problems)
 
-    def test_broken_answers_without_a_bound(self) -> None:
+    def test_late_answers_are_detected(self) -> None:
         with patch.object(operator_calls, "ANSWER_TIMEOUT_S", 3.0):
             problems = self.play("frozen")
         self.assertTrue(any("did not answer" in each for each in problems), problems)
--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -81,7 +81,7 @@
     def shut_down(self) -> None:
         self.process.shut_down(lambda: self.ends.append(self.reactor.seconds()))
 
-    def test_it_is_unready_at_once_and_stays_so(self) -> None:
+    def test_it_is_unready_immediately_and_permanently(self) -> None:
         self.assertEqual(Client(self.servers["readiness"]).send(READY).statuses(), [200])
         self.shut_down()
         shutdown_at = self.reactor.seconds()
@@ -104,7 +104,7 @@
         self.assertEqual(len(self.ends), 1)
         self.assertLess(self.ends[0], self.grace_s)
 
-    def test_a_result_that_comes_in_time_is_the_response(self) -> None:
+    def test_a_result_in_time_is_the_response(self) -> None:
         message = Client(self.servers["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
         state = Client(self.servers["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
         self.shut_down()
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of simulated runs: each reports a history that violates its rule, and not a similar correct one."""
+"""Checkers of simulated runs: each reports a history that violates its rule, and no similar correct one."""
 
 from __future__ import annotations
 
--- a/tests/system/test_simulation_faults.py
+++ b/tests/system/test_simulation_faults.py
@@ -172,10 +172,10 @@
 
 
 class DiskFaults(FaultCase):
-    def test_stall(self) -> None:
+    def test_stalled_disk(self) -> None:
         self.check_fault(lambda: self.world.stall_disk(self.owner("queue-0"), 2.0))
 
-    def test_full(self) -> None:
+    def test_full_disk(self) -> None:
         name = self.owner("queue-0")
         self.world.limit_disk(name, 100)
         self.send(0)
--- a/tests/system/test_simulation_mass_faults.py
+++ b/tests/system/test_simulation_mass_faults.py
@@ -40,7 +40,7 @@
             frozen_samples += reactor.frozen
         self.assertAlmostEqual(frozen_samples / samples, 1 - SHARE, delta=0.02)
 
-    def test_owners_keep_their_groups_while_nothing_else_happens(self) -> None:
+    def test_owners_keep_their_groups_without_faults(self) -> None:
         """A process that is throttled for 90 ms isn't considered dead; waits for planned transfers first."""
         self.world.run_for(INITIAL_DELAY_S + OBSERVATION_S)
         before = len(self.world.ownerships)
@@ -87,7 +87,7 @@
         lines = [line.split(" ", 2) for line in run.world.trace]
         return [(float(at), rest) for at, name, rest in lines if name == kind]
 
-    def test_halves_are_cut_and_joined(self) -> None:
+    def test_halves_are_partitioned_and_healed(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.HALVES, nodes=("e1", "s1"), lasts=3.0)
         run = play_faults(fault)
         starts, ends = self.events(run, "cut"), self.events(run, "join")
@@ -131,7 +131,7 @@
         run = play_faults(fault)
         self.assertLess(run.world.nodes[run.directory.name("s1")].skew_ms, -5000)
 
-    def test_links_lose_packets_and_are_well_again(self) -> None:
+    def test_lossy_links_recover(self) -> None:
         fault = Fault(number=1, at=1.0, kind=FaultKind.LOSSY, nodes=("s1",), lasts=2.0)
         run = play_faults(fault)
         shares = [float(rest.split()[2]) for _, rest in self.events(run, "lossy")]
@@ -167,7 +167,7 @@
         changes = list(membership_changes(before, after))
         self.assertEqual((set(changes), len(changes)), (expected, 3))
 
-    def test_counts_add_up_and_name_what_was_never_met(self) -> None:
+    def test_counts_add_up_and_name_pairs_that_never_overlapped(self) -> None:
         total = Coverage()
         for seed in (1, 2):
             total.add(play(draw(seed, SCENARIOS["herds"])).coverage)
--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -335,7 +335,7 @@
         self.assertEqual(fired, [("sooner", 0.5), ("delayed", 1.5), ("later", 2.0)])
         self.assertFalse(later.active())
 
-    def test_what_an_actor_raises_ends_the_run(self) -> None:
+    def test_an_exception_of_an_actor_ends_the_run(self) -> None:
         world = World(4)
         world.host(A).callLater(1.0, lambda: 1 // 0)
         with self.assertRaises(ZeroDivisionError):
