--- a/tests/system/test_last_answers.py
+++ b/tests/system/test_last_answers.py
@@ -20,7 +20,7 @@
 
 
 class PendingRequests(ClientServerCase):
-    """What a server responds when its process is about to end."""
+    """Responses of a server whose process is about to end."""
 
     def test_a_message_whose_outcome_is_unknown_gets_504(self) -> None:
         client = self.send(HEAD + b"\r\n")
@@ -28,7 +28,7 @@
         self.server.answer_pending()
         self.assertEqual(client.statuses(), [504])
         self.assertTrue(client.closed)
-        self.accept()  # the result comes after all
+        self.accept()  # the result arrives late
         self.assertEqual(client.statuses(), [504])
 
     def test_complete_requests_get_one_response_each(self) -> None:
@@ -56,7 +56,7 @@
 
 
 class Sigterm(DiskCase):
-    """The edge process in virtual time, with a node that gives no results."""
+    """The edge process in virtual time, with a node that never returns a result."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -81,11 +81,11 @@
     def shut_down(self) -> None:
         self.process.shut_down(lambda: self.ends.append(self.reactor.seconds()))
 
-    def test_it_is_unready_at_once_and_stays_so(self) -> None:
+    def test_it_is_unready_immediately_and_permanently(self) -> None:
         self.assertEqual(Client(self.servers["readiness"]).send(READY).statuses(), [200])
         self.shut_down()
-        asked = self.reactor.seconds()
-        while self.reactor.seconds() < asked + UNREADY_WITHIN_S:
+        shutdown_at = self.reactor.seconds()
+        while self.reactor.seconds() < shutdown_at + UNREADY_WITHIN_S:
             client = Client(self.servers["readiness"]).send(READY)
             self.assertEqual(client.statuses(), [503])
             client.lose(clean=True)
@@ -104,14 +104,14 @@
         self.assertEqual(len(self.ends), 1)
         self.assertLess(self.ends[0], self.grace_s)
 
-    def test_a_result_that_comes_in_time_is_the_response(self) -> None:
+    def test_a_result_in_time_is_the_response(self) -> None:
         message = Client(self.servers["front"]).send(HEAD + b"X-Deadline-Ms: 60000\r\n\r\n")
         state = Client(self.servers["front"]).send(b"GET /message/r1 HTTP/1.1\r\nHost: a\r\n\r\n")
         self.shut_down()
         self.reactor.pump([0.05] * 20)
         self.pending[0].callback(Acceptance(AcceptResult.ACCEPTED, "s0.r1"))
-        found: FoundMessage | LookupFailure = LookupFailure.UNKNOWN_MESSAGE
-        self.pending[1].callback(found)
+        result: FoundMessage | LookupFailure = LookupFailure.UNKNOWN_MESSAGE
+        self.pending[1].callback(result)
         self.reactor.pump([0.05] * 100)
         self.assertEqual((message.statuses(), state.statuses()), ([202], [404]))
 
--- a/tests/system/test_simulation_answers.py
+++ b/tests/system/test_simulation_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the whole service in virtual time while owners of shards are stopped, cut off and killed."""
+"""Answers of the whole service in virtual time while owners of shards are frozen, partitioned and killed."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from tests.system.small_actors import HOST, Answer, SmallSystem, configuration
 from tests.system.test_simulation_faults import FaultCase
 
-TOLD_AFTER_S = 2.0  # RULES, LOST: from then on no node says that there is no such message
-ASKERS_WAIT_S = 2.0
+KNOWN_AFTER_S = 2.0  # RULES, LOST: time from the acceptance after which no node answers 404 for a message
+READ_TIMEOUT_S = 2.0
 SEEDS = (1, 2, 3)
 UNKNOWN = (404, 410)
 SHARDS = ("queue-0", "queue-1", "queue-2")
 
 
-def steps(system: SmallSystem, seconds: float, each: Callable[[], None], pause: float = 0.25) -> None:
-    """Let time pass, and do something at each step."""
-    for _ in range(round(seconds / pause)):
-        each()
-        system.world.run_for(pause)
+def run_steps(system: SmallSystem, seconds: float, action: Callable[[], None], step_s: float = 0.25) -> None:
+    """Run for a while and call `action` before each step."""
+    for _ in range(round(seconds / step_s)):
+        action()
+        system.world.run_for(step_s)
 
 
 class StatesCase(FaultCase):
-    """Messages are sent all the time, and every edge node is asked for all of them."""
+    """Messages are sent continuously, and their states are read from every edge node."""
 
     def play(self, seed: int, fault: Callable[[], None]) -> None:
         self.system = SmallSystem(f"answers-{seed}")
@@ -32,46 +32,46 @@
         self.system.bootstrap()
         self.world.run_for(2.0)
         self.sent: list[tuple[str, Answer]] = []
-        self.asked: list[tuple[str, Answer]] = []
-        steps(self.system, 3.0, self.step)
+        self.reads: list[tuple[str, Answer]] = []
+        run_steps(self.system, 3.0, self.step)
         fault()
-        steps(self.system, 8.0, self.step)
-        self.world.run_for(ASKERS_WAIT_S)
+        run_steps(self.system, 8.0, self.step)
+        self.world.run_for(READ_TIMEOUT_S)
 
     def step(self) -> None:
         self.sent.append(self.system.send())
-        ripe = self.world.now - TOLD_AFTER_S
+        known_before = self.world.now - KNOWN_AFTER_S
         for name, accepted in self.sent[-16:]:
-            if accepted.status == 202 and accepted.ended < ripe:
+            if accepted.status == 202 and accepted.ended < known_before:
                 for edge in range(len(self.world.edges())):
-                    named = self.system.state(accepted, name, edge)
-                    bare = self.system.state(Answer(0.0), name, edge)
-                    self.asked += [(name, named), (name, bare)]
+                    by_message_id = self.system.state(accepted, name, edge)
+                    by_request_id = self.system.state(Answer(0.0), name, edge)
+                    self.reads += [(name, by_message_id), (name, by_request_id)]
 
     def check(self) -> None:
         accepted = [name for name, answer in self.sent if answer.status == 202]
         self.assertGreater(len(accepted), 20)
-        self.assertGreater(sum(answer.status == 200 for _, answer in self.asked), 100)
-        unknown = [(name, answer) for name, answer in self.asked if answer.status in UNKNOWN]
+        self.assertGreater(sum(answer.status == 200 for _, answer in self.reads), 100)
+        unknown = [(name, answer) for name, answer in self.reads if answer.status in UNKNOWN]
         self.assertEqual(unknown, [])
-        late = [(name, answer) for name, answer in self.asked if answer.status == 0]
-        self.assertEqual(late, [], "each asker has an answer in time: 200, or 503")
+        unanswered = [(name, answer) for name, answer in self.reads if answer.status == 0]
+        self.assertEqual(unanswered, [], "each read is answered in time, by 200 or 503")
         self.assertEqual(self.world.failures, [])
 
 
 class States(StatesCase):
-    """LOST: never 404 for a message that was accepted over 2 s ago."""
+    """LOST: no 404 for a message that was accepted more than 2 s ago."""
 
     longest_test_s = 50
 
-    def owned(self) -> str:
+    def owner_of_first_shard(self) -> str:
         return self.owner(SHARDS[0])
 
     def test_frozen_owner_resumes(self) -> None:
         def stop() -> None:
-            name = self.owned()
+            name = self.owner_of_first_shard()
             self.world.freeze(name)
-            steps(self.system, 3.0, self.step)
+            run_steps(self.system, 3.0, self.step)
             self.world.thaw(name)
 
         for seed in SEEDS:
@@ -80,28 +80,28 @@
                 self.check()
 
     def test_owner_partitioned_from_other_members(self) -> None:
-        def cut() -> None:
-            name = self.owned()
+        def partition() -> None:
+            name = self.owner_of_first_shard()
             others = [other for other in self.world.nodes if other != name and other.startswith("storage")]
             for other in others:
                 self.world.partition(name, other)
-            steps(self.system, 3.0, self.step)
+            run_steps(self.system, 3.0, self.step)
             for other in others:
                 self.world.heal_partition(name, other)
 
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(seed, cut)
+                self.play(seed, partition)
                 self.check()
 
-    def cut_off_with_an_edge(self) -> None:
-        """An owner and an edge node reach each other, and no other storage node reaches them."""
-        names = {self.owned(), self.world.edges()[2].name}
+    def partition_owner_with_an_edge(self) -> None:
+        """Partition an owner and an edge node together from all other storage nodes."""
+        names = {self.owner_of_first_shard(), self.world.edges()[2].name}
         others = [other for other in self.world.nodes if other.startswith("storage") and other not in names]
         for name in names:
             for other in others:
                 self.world.partition(name, other)
-        steps(self.system, 3.0, self.step)
+        run_steps(self.system, 3.0, self.step)
         for name in names:
             for other in others:
                 self.world.heal_partition(name, other)
@@ -109,7 +109,7 @@
     def test_owner_partitioned_together_with_an_edge_node(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.play(seed, self.cut_off_with_an_edge)
+                self.play(seed, self.partition_owner_with_an_edge)
                 self.check()
 
     def test_all_owners_killed_at_once(self) -> None:
@@ -125,16 +125,16 @@
 
 @dataclass(slots=True)
 class Job:
-    """A job as a worker was given it, and the answers to its ends."""
+    """A job that a worker received, and the answers to the reports of its end."""
 
     request_id: str
     lease_id: str
-    given: float
+    received_at: float
     ends: list[Answer] = field(default_factory=list)
 
 
 class PullCase(FaultCase):
-    """A service whose workers pull, each call through another edge node."""
+    """A service with pulling workers, whose calls rotate over the edge nodes."""
 
     def begin(self, seed: int) -> None:
         self.system = SmallSystem(f"jobs-{seed}")
@@ -151,7 +151,7 @@
         self.calls = 0
 
     def call(self, path: str, **headers: str) -> Answer:
-        """To one edge node after the other."""
+        """Call the edge nodes in turn."""
         self.calls += 1
         edges = self.world.edges()
         front = edges[self.calls % len(edges)].front
@@ -164,10 +164,10 @@
             if answer.status == 200:
                 request_id, lease_id = answer.headers["X-Request-Id"], answer.headers["X-Lease-Id"]
                 return Job(request_id, lease_id, self.world.now)
-        raise AssertionError("no job came")
+        raise AssertionError("no job received")
 
     def end(self, job: Job, status: int = 200) -> Answer:
-        """As a worker does: again until there is a clear answer."""
+        """Report the end as a worker does: repeat until the answer is final."""
         for _ in range(20):
             stamp = f"stamp-{job.lease_id}"
             answer = self.call(
@@ -180,11 +180,11 @@
             if answer.status in (200, 409):
                 job.ends.append(answer)
                 return answer
-        raise AssertionError("no clear answer")
+        raise AssertionError("no final answer")
 
 
 class Jobs(PullCase):
-    """MIXED and TWICE for workers that pull."""
+    """MIXED and TWICE for pulling workers."""
 
     def test_repeated_end_is_accepted_by_each_node_and_owner(self) -> None:
         for seed in SEEDS:
@@ -211,13 +211,13 @@
                 shard = accepted.headers["X-Message-Id"].partition(".")[0].removeprefix("s")
                 owner = self.owner(f"queue-{shard}")
                 self.world.freeze(owner)
-                second = self.pull()  # once visible_ms are over at the successor
+                second = self.pull()  # after `visible_ms` at the new owner
                 self.world.thaw(owner)
                 self.assertEqual(second.request_id, first.request_id)
                 self.assertNotEqual(second.lease_id, first.lease_id)
-                self.assertGreaterEqual(second.given - first.given, 3.0)
-                taken = [self.end(job).status for job in (first, second, first, second)]
-                self.assertEqual(taken, [409, 200, 409, 200])
+                self.assertGreaterEqual(second.received_at - first.received_at, 3.0)
+                statuses = [self.end(job).status for job in (first, second, first, second)]
+                self.assertEqual(statuses, [409, 200, 409, 200])
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_changes.py
+++ b/tests/system/test_simulation_changes.py
@@ -1,7 +1,7 @@
-"""Hundreds of changes of the configuration under losses that the tolerance allows, with logs kept short.
+"""Hundreds of changes of the configuration with small logs, under losses within the fault tolerance.
 
-A member that was restarted, wiped, frozen, cut off or replaced at any moment of it comes to the newest
-version, by snapshots and entries, and no order is refused (issue 37, point 4).
+A member that is restarted, wiped, frozen, partitioned or replaced at any time reaches the newest version, by
+snapshots and entries, and no order is refused (issue 37, point 4).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from tests.system.small_actors import Answer, SmallSystem, configuration
 
 CHANGES = 150
-LOSS_EVERY_S = 11.0  # a loss lasts 6 s at most, and `catch_up_s` after it
-SETTLE_S = 6.0
-LOOK_S, PAUSE_S = 0.06, 0.02
+LOSS_EVERY_S = 11.0  # a loss lasts at most 6 s, followed by `catch_up_s`
+STABILIZATION_S = 6.0
+POLL_S, ORDER_INTERVAL_S = 0.06, 0.02
 
 
 @dataclass
 class Orders:
-    """One operator that sends the next order as soon as the last is acknowledged, to any node."""
+    """An operator that sends the next order to any node once the previous one is acknowledged."""
 
     system: SmallSystem
     version: int = 1
@@ -33,35 +33,35 @@
         """Send the order for the next version."""
         self._attempt(self.version + 1, 0)
 
-    def _attempt(self, version: int, tries: int) -> None:
+    def _attempt(self, version: int, attempts: int) -> None:
         world = self.system.world
         edge = world.random("operator").randrange(len(world.edges()))
         answer = self.system.put(version, version - 1, edge, 1000 + version)
-        world.at(world.now + LOOK_S, self._look, version, tries, answer)
+        world.at(world.now + POLL_S, self._check_answer, version, attempts, answer)
 
-    def _look(self, version: int, tries: int, answer: Answer) -> None:
+    def _check_answer(self, version: int, attempts: int, answer: Answer) -> None:
         world = self.system.world
         if answer.status == 200:
             self.version = version
             if version < CHANGES:
-                world.at(world.now + PAUSE_S, self.begin)
+                world.at(world.now + ORDER_INTERVAL_S, self.begin)
         elif answer.ended < 0:
-            world.at(world.now + LOOK_S, self._look, version, tries, answer)
+            world.at(world.now + POLL_S, self._check_answer, version, attempts, answer)
         elif 400 <= answer.status < 500:
             self.refused.append(answer)
         else:
-            world.at(world.now + min(0.1 * (tries + 1), 0.5), self._attempt, version, tries + 1)
+            world.at(world.now + min(0.1 * (attempts + 1), 0.5), self._attempt, version, attempts + 1)
 
 
-def one_loss(system: SmallSystem, orders: Orders) -> None:
-    """A counted machine is lost for a while, or for good; while there are orders, again and again."""
+def inject_loss(system: SmallSystem, orders: Orders) -> None:
+    """Lose a counted machine temporarily or permanently, and repeat this until all orders are done."""
     world = system.world
     if orders.version >= CHANGES:
         return
     random = world.random("losses")
     counted = [node for node in world.edges() + world.storages() if node.counted]
     name = random.choice(counted).name
-    back = world.now + random.uniform(0.3, 6.0)
+    heal_at = world.now + random.uniform(0.3, 6.0)
     match random.randrange(7):
         case 0:
             world.kill(name)
@@ -71,15 +71,15 @@
             world.wipe(name)
         case 3:
             world.freeze(name)
-            world.at(back, world.thaw, name)
+            world.at(heal_at, world.thaw, name)
         case 4:
             world.isolate(name, both=random.random() < 0.5)
-            world.at(back, world.heal_host, name)
+            world.at(heal_at, world.heal_host, name)
         case 5:
             world.replace(name)
         case 6:
             world.terminate(name)
-    world.at(world.now + LOSS_EVERY_S, one_loss, system, orders)
+    world.at(world.now + LOSS_EVERY_S, inject_loss, system, orders)
 
 
 class ManyChanges(unittest.TestCase):
@@ -93,11 +93,11 @@
                 system.bootstrap()
                 orders = Orders(system)
                 orders.begin()
-                world.at(world.now + 2.0, one_loss, system, orders)
+                world.at(world.now + 2.0, inject_loss, system, orders)
                 while orders.version < CHANGES and not orders.refused:
                     world.run_for(1.0)
                     self.assertLess(world.now, 60.0, f"version {orders.version}")
-                world.run_for(LOSS_EVERY_S + SETTLE_S)
+                world.run_for(LOSS_EVERY_S + STABILIZATION_S)
                 nodes = world.edges() + world.storages()
                 self.assertEqual(orders.refused, [])
                 self.assertEqual({node.process.node.base.feed.version for node in nodes}, {CHANGES})
@@ -106,14 +106,14 @@
                 self.assertTrue(snapshots)
 
 
-CATCH_UP_S = 4.4  # of the settings
-ROUTES = 300  # about 85 KB a configuration
+CATCH_UP_S = 4.4  # `catch_up_s`
+ROUTES = 300  # a configuration of about 85 KB
 LINK_BYTES_PER_S = 1_000_000.0
 ORDERS_S = 8.0
 
 
 def large_configuration(version: int) -> dict[str, Any]:
-    """A configuration whose every version is about 85 KB."""
+    """A configuration of about 85 KB."""
     document = configuration(version, 1000 + version)
     route = document["routes"][0]
     document["routes"] += [{**route, "name": f"r-x{n}", "path_prefix": f"/x{n}/"} for n in range(ROUTES)]
@@ -121,62 +121,64 @@
 
 
 class SnapshotTransfers(unittest.TestCase):
-    """A state of some size, over narrow links, while it changes faster than it is sent once."""
+    """Transfer of a large state over slow links, while it changes faster than it is sent."""
 
     longest_test_s = 30
 
     def complete_after(self, logs: LogSizes, seed: int) -> float:
-        """Seconds from a wiped member's start until it votes and its former self doesn't."""
+        """Seconds from a wiped member's start until it is a voter and its former member id is not."""
         system = SmallSystem(f"transfer-{seed}", Plan(logs=logs))
         world = system.world
         system.bootstrap()
         nodes = world.edges() + world.storages()
         for first, second in combinations(nodes, 2):
             world.limit_bandwidth(first.name, second.name, LINK_BYTES_PER_S)
-        stop = world.now + ORDERS_S
-        self._order(system, 2, stop)
+        stop_at = world.now + ORDERS_S
+        self._order(system, 2, stop_at)
         world.run_for(3.0)
-        owner = [told.node for told in world.ownerships if told.group == "configuration" and told.gained][-1]
+        owner = [
+            change.node for change in world.ownerships if change.group == "configuration" and change.gained
+        ][-1]
         wiped = next(node for node in world.edges() if node.counted and node.name != owner)
         world.wipe(wiped.name, down_s=0.5)
         world.run_for(0.5)
         began = world.now
         while not self._complete(system, owner):
             world.run_for(0.1)
-            self.assertLess(world.now, stop, "not complete while orders went on")
-        took = world.now - began
-        world.run_until(stop + 5.0)
+            self.assertLess(world.now, stop_at, "not complete while orders went on")
+        elapsed_s = world.now - began
+        world.run_until(stop_at + 5.0)
         self.assertEqual(len({node.process.node.base.feed.version for node in nodes}), 1)
         self.assertEqual((world.failures, world.violations), ([], []))
-        return took
+        return elapsed_s
 
-    def _order(self, system: SmallSystem, version: int, stop: float) -> None:
+    def _order(self, system: SmallSystem, version: int, stop_at: float) -> None:
         world = system.world
         edge = world.random("operator").randrange(3)
         address, base = world.edges()[edge].control, str(version - 1)
         answer = system.caller.call("PUT", address, "/config", large_configuration(version), If_Match=base)
-        world.at(world.now + LOOK_S, self._look, system, version, stop, answer)
+        world.at(world.now + POLL_S, self._check_answer, system, version, stop_at, answer)
 
-    def _look(self, system: SmallSystem, version: int, stop: float, answer: Answer) -> None:
+    def _check_answer(self, system: SmallSystem, version: int, stop_at: float, answer: Answer) -> None:
         world = system.world
         self.assertFalse(400 <= answer.status < 500, answer)
         if answer.ended < 0:
-            world.at(world.now + LOOK_S, self._look, system, version, stop, answer)
+            world.at(world.now + POLL_S, self._check_answer, system, version, stop_at, answer)
         elif answer.status != 200:
-            self._order(system, version, stop)
-        elif world.now < stop:
-            world.at(world.now + 0.1, self._order, system, version + 1, stop)
+            self._order(system, version, stop_at)
+        elif world.now < stop_at:
+            world.at(world.now + 0.1, self._order, system, version + 1, stop_at)
 
     def _complete(self, system: SmallSystem, owner: str) -> bool:
-        """Whether the members are exactly the edge nodes' present disks."""
+        """Whether the members are exactly the current disks of the edge nodes."""
         world = system.world
         members = world.nodes[owner].process.node.base.host.members("configuration")
-        present = {
+        current = {
             node.process.node.base.transport.member_id
             for node in world.edges()
             if node.counted and node.process
         }
-        return set(members.voters) == present and not members.learners
+        return set(members.voters) == current and not members.learners
 
     def test_wiped_member_catches_up_in_time(self) -> None:
         for name, logs in (("small logs", SMALL_LOGS), ("usual logs", LogSizes())):
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of simulated runs: each fires on a history that breaks its rule, not on the nearest sound one."""
+"""Checkers of simulated runs: each reports a history that violates its rule, and no similar correct one."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     SystemRuleParameters,
 )
 
-TERMS = SystemRuleParameters(
+PARAMETERS = SystemRuleParameters(
     max_attempts=2,
     timeout_s=1.5,
     retention_s=90.0,
@@ -56,15 +56,15 @@
 
 
 def route(prefix: str, service: str = "listed") -> dict[str, str]:
-    """A route as documents have it."""
+    """A route of a document."""
     return {"host": HOST, "path_prefix": prefix, "service": service}
 
 
 def order(version: int, base: int, outcome: OrderOutcome = ACKNOWLEDGED, **fields: object) -> OrderSent:
-    """A change, sent at the second that is its version."""
+    """A change that is sent at `version` seconds."""
     document = {"version": version, "routes": [route("/listed/")]}
-    made = OrderSent(version, base, float(version), version + 0.1, outcome, True, document, 412)
-    return replace(made, **fields)  # type: ignore[arg-type]
+    base_order = OrderSent(version, base, float(version), version + 0.1, outcome, True, document, 412)
+    return replace(base_order, **fields)  # type: ignore[arg-type]
 
 
 def read(version: int, at: float, **document: object) -> ConfigRead:
@@ -74,7 +74,7 @@
 
 
 def probe(status: int, at: float, path: str = "/extra/x", incarnation: int = 0) -> RouteProbe:
-    """A message on a route that comes and goes."""
+    """A message on a route that is added and removed."""
     return RouteProbe(f"p{at}", "edge-1", incarnation, at, at + 0.1, HOST, path, status)
 
 
@@ -83,15 +83,15 @@
     return Retirement(call, "storage-1", "edge-1", at, at + 0.1, status, state, valid)
 
 
-def state(at: float, status: int, told: str = "", stamp: str = "", body: bytes | None = None) -> StateRead:
+def state(at: float, status: int, name: str = "", stamp: str = "", body: bytes | None = None) -> StateRead:
     """An answer about the message `a`."""
-    return StateRead("a", "edge-2", at, at + 0.1, status, told, stamp, body)
+    return StateRead("a", "edge-2", at, at + 0.1, status, name, stamp, body)
 
 
 def run(at: float, **fields: object) -> Run:
     """A run of the message `a`."""
-    made = Run("a", at, "listed", "POST", "/listed/1", b"body")
-    return replace(made, **fields)  # type: ignore[arg-type]
+    base_run = Run("a", at, "listed", "POST", "/listed/1", b"body")
+    return replace(base_run, **fields)  # type: ignore[arg-type]
 
 
 def history(**lists: object) -> SystemHistory:
@@ -102,7 +102,7 @@
 
 
 def disruption(kind: DisruptionKind, at: float, until: float, *nodes: str) -> Disruption:
-    """Trouble on some machines."""
+    """A disruption of some machines."""
     return Disruption(kind, frozenset(nodes), at, until)
 
 
@@ -113,7 +113,7 @@
 FROZEN_EDGE = disruption(DisruptionKind.FROZEN, 12.0, 13.0, "edge-1")
 DONE, READ, ORDER = "done", RetireCall.READ, RetireCall.ORDER
 
-# checker, rule, what is wrong, a history that breaks it, and one near it that doesn't
+# checker, rule, description of the violation, a history that violates the rule, and a similar correct one
 CASES: tuple[tuple[Callable[..., object], Enum, str, SystemHistory, SystemHistory], ...] = (
     (
         configuration.check_older_read,
@@ -139,7 +139,7 @@
     (
         configuration.check_read_content,
         Rule.CONFIG,
-        "content that nobody sent",
+        "content that was never sent",
         history(orders=[FIRST], reads=[read(1, 3.0, limits={})]),
         history(orders=[FIRST], reads=[read(1, 3.0)]),
     ),
@@ -153,7 +153,7 @@
     (
         configuration.check_base_in_force,
         Rule.CONFIG,
-        "a refused one was built on",
+        "based on a refused version",
         history(orders=[FIRST, order(2, 1, REFUSED), order(4, 2)]),
         history(orders=[FIRST, order(2, 1, REFUSED), order(2, 1, UNCLEAR), order(4, 2)]),
     ),
@@ -167,7 +167,7 @@
     (
         configuration.check_applied,
         Rule.CONFIG,
-        "dropped route still there",
+        "removed route still in use",
         history(orders=[FIRST, ADDING, DROPPING], probes=[probe(202, 11.2)]),
         history(
             orders=[FIRST, ADDING, DROPPING],
@@ -185,7 +185,7 @@
     (
         control.check_retirement_refused,
         SystemRule.RETIRE,
-        "a proper order refused",
+        "a valid order refused",
         history(retirements=[retirement(ORDER, 5.0, 409)]),
         history(retirements=[retirement(ORDER, 5.0, 409, valid=False)]),
     ),
@@ -199,21 +199,21 @@
     (
         control.check_retirement_done,
         SystemRule.RETIRE,
-        "done, and then not",
+        "running again after done",
         history(retirements=[retirement(READ, 5.0, 200, DONE), retirement(READ, 6.0, 200, "running")]),
         history(retirements=[retirement(READ, 5.0, 200, "running"), retirement(READ, 6.0, 200, DONE)]),
     ),
     (
         control.check_acknowledged_in_time,
         SystemRule.ACKS,
-        "no acknowledgement in quiet time",
+        "no acknowledgement without faults",
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0)]),
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0)], disruptions=[replace(FROZEN_EDGE, at=7.0)]),
     ),
     (
         control.check_acknowledged_in_time,
         SystemRule.ACKS,
-        "no acknowledgement, though none was lost on its way",
+        "no acknowledgement, though none was lost",
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0)]),
         history(orders=[order(3, 1, UNCLEAR, ended_at=11.0, lost_answers=2)]),
     ),
@@ -234,14 +234,14 @@
     (
         messages.check_budget,
         SystemRule.BUDGET,
-        "comes after six failures",
+        "runs after six failures",
         history(answers=[Answer("a", at, 500, "") for at in range(11, 17)], runs=[run(18.0)]),
         history(answers=[Answer("a", at, 500, "") for at in range(11, 16)], runs=[run(18.0)]),
     ),
     (
         messages.check_budget,
         SystemRule.BUDGET,
-        "comes after three refusals",
+        "runs after three rejections",
         history(answers=[Answer("a", at, 422, "") for at in range(11, 14)], runs=[run(18.0)]),
         history(answers=[Answer("a", at, 422, "") for at in range(11, 13)], runs=[run(18.0)]),
     ),
@@ -262,7 +262,7 @@
     (
         messages.check_states,
         Rule.MIXED,
-        "done, and then queued",
+        "queued again after done",
         history(answers=[SUCCESS], state_reads=[state(12.0, 200, DONE, "stamp"), state(13.0, 200, "queued")]),
         history(answers=[SUCCESS], state_reads=[state(11.5, 200, "queued"), state(12.0, 200, DONE, "stamp")]),
     ),
@@ -298,55 +298,55 @@
 
 
 class TestChecks(unittest.TestCase):
-    """Each checker on both of its histories."""
+    """Each checker on a violating and on a correct history."""
 
     def test_each_checker_reports_broken_histories_only(self) -> None:
-        for check, rule, what, broken, sound in CASES:
-            with self.subTest(check=check.__name__, what=what):
-                rules = {violation.rule for violation in check(broken, TERMS)}  # type: ignore[attr-defined]
+        for check, rule, description, broken, correct in CASES:
+            with self.subTest(check=check.__name__, description=description):
+                rules = {violation.rule for violation in check(broken, PARAMETERS)}  # type: ignore[attr-defined]
                 self.assertEqual(rules, {rule})
-                self.assertEqual(list(check(sound, TERMS)), [])  # type: ignore[call-overload]
+                self.assertEqual(list(check(correct, PARAMETERS)), [])  # type: ignore[call-overload]
 
     def test_all_new_checkers_have_a_case(self) -> None:
-        tried = {case[0] for case in CASES}
+        covered = {case[0] for case in CASES}
         new = {check for check in CHECKS if check.__module__.startswith("bitternpath.testing.simulation")}
-        self.assertEqual(new, tried)
+        self.assertEqual(new, covered)
 
     def test_finding_names_its_checker(self) -> None:
         broken = history(orders=[FIRST, ADDING], reads=[read(1, 2.2)])
-        self.assertIn("check_older_read", {item.checker for item in check_run(broken, TERMS)})
+        self.assertIn("check_older_read", {item.checker for item in check_run(broken, PARAMETERS)})
 
 
 class TestConnectivity(unittest.TestCase):
-    """In touch and stable, as RULES define them."""
+    """Connected and stable machines, as defined in RULES."""
 
-    def contact(self, *disruptions: Disruption) -> Connectivity:
-        return Connectivity(history(disruptions=list(disruptions)), TERMS)
+    def connectivity(self, *disruptions: Disruption) -> Connectivity:
+        return Connectivity(history(disruptions=list(disruptions)), PARAMETERS)
 
     def test_core_is_unstable_for_contact_ms_after_a_change(self) -> None:
-        contact = self.contact(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
-        self.assertFalse(contact.stable(13.9, 13.95))
-        self.assertTrue(contact.stable(14.1, 14.2))
+        connectivity = self.connectivity(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
+        self.assertFalse(connectivity.stable(13.9, 13.95))
+        self.assertTrue(connectivity.stable(14.1, 14.2))
 
     def test_disrupted_machine_is_not_connected(self) -> None:
-        contact = self.contact(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
-        self.assertFalse(contact.connected(["edge-1"], 20.0, 20.1))
-        self.assertTrue(contact.connected(["edge-2"], 20.0, 20.1))
+        connectivity = self.connectivity(disruption(DisruptionKind.DOWN, 10.0, inf, "edge-1"))
+        self.assertFalse(connectivity.connected(["edge-1"], 20.0, 20.1))
+        self.assertTrue(connectivity.connected(["edge-2"], 20.0, 20.1))
 
     def test_majority_of_the_core_down(self) -> None:
-        contact = self.contact(
+        connectivity = self.connectivity(
             disruption(DisruptionKind.DOWN, 1.0, inf, "edge-1"),
             disruption(DisruptionKind.DOWN, 1.0, inf, "edge-2"),
         )
-        self.assertFalse(contact.connected(["edge-3"], 20.0, 20.1))
+        self.assertFalse(connectivity.connected(["edge-3"], 20.0, 20.1))
 
     def test_longest_fault_free_interval(self) -> None:
-        contact = self.contact(
+        connectivity = self.connectivity(
             disruption(DisruptionKind.FROZEN, 3.0, 6.0, "edge-1"),
             disruption(DisruptionKind.FROZEN, 5.0, 7.0, "edge-2"),
         )
-        self.assertEqual(contact.longest_fault_free_s(0.0, 20.0), 13.0)
-        self.assertEqual(contact.longest_fault_free_s(4.0, 6.5), 0.0)
+        self.assertEqual(connectivity.longest_fault_free_s(0.0, 20.0), 13.0)
+        self.assertEqual(connectivity.longest_fault_free_s(4.0, 6.5), 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_plans.py
+++ b/tests/system/test_simulation_plans.py
@@ -1,4 +1,4 @@
-"""Plans of simulated runs: drawn by a seed, within what may be lost, written and read, and reduced."""
+"""Plans of simulated runs: generation from a seed within the tolerated losses, storage, and reduction."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from bitternpath.testing.simulation.runs.single_run import run_seed, scenario_of
 
 SEEDS = range(40)
-TERM_S = 7.0  # a process that was asked to end is back after this, at the latest
+TERM_S = 7.0  # maximum time from SIGTERM until the process runs again
 
 
-def lost_from_to(plan: RunPlan) -> list[tuple[float, float, str]]:
-    """When each machine that counts was lost, by the plan."""
+def loss_intervals(plan: RunPlan) -> list[tuple[float, float, str]]:
+    """The intervals in which a plan loses a counted machine, with its name."""
     core = [f"e{number}" for number in range(1, plan.layout.core_edges + 1)]
-    spans = []
+    intervals = []
     for event in plan.events:
         if not isinstance(event, Fault) or event.kind in MASS_KINDS:
             continue
         back = TERM_S if event.kind is FaultKind.TERM else event.lasts
         for node in event.nodes:
             if node in core or node.startswith("s"):
-                spans.append((event.at, event.at + back + CATCH_UP_S, node))
-    return spans
+                intervals.append((event.at, event.at + back + CATCH_UP_S, node))
+    return intervals
 
 
 class RandomPlans(unittest.TestCase):
-    """What a seed draws."""
+    """Plans generated from a seed."""
 
     def test_same_seed_same_plan(self) -> None:
         for scenario in SCENARIOS.values():
@@ -44,9 +44,9 @@
         for scenario in SCENARIOS.values():
             for seed in SEEDS:
                 plan = draw(seed, scenario)
-                spans = lost_from_to(plan)
-                for begin, _, _ in spans:
-                    lost = {name for at, until, name in spans if at <= begin < until - 0.001}
+                intervals = loss_intervals(plan)
+                for begin, _, _ in intervals:
+                    lost = {name for at, until, name in intervals if at <= begin < until - 0.001}
                     self.assertLessEqual(len(lost), plan.layout.tolerated, (scenario.name, seed))
 
     def test_no_other_loss_during_a_mass_fault(self) -> None:
@@ -56,7 +56,7 @@
                 for event in plan.events:
                     if isinstance(event, Fault) and event.kind in MASS_KINDS:
                         during = [
-                            span for span in lost_from_to(plan) if span[0] <= event.at < span[1] - 0.001
+                            each for each in loss_intervals(plan) if each[0] <= event.at < each[1] - 0.001
                         ]
                         self.assertEqual(during, [], (scenario.name, seed, event.at))
 
@@ -76,7 +76,7 @@
 
 
 class SavedPlans(unittest.TestCase):
-    """Plans as files."""
+    """Plans stored as files."""
 
     def test_round_trip(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -87,20 +87,20 @@
 
 
 class Shrinking(unittest.TestCase):
-    """Delta debugging, with a stand-in for the run."""
+    """Delta debugging with a fake run."""
 
-    def played(self, plan: RunPlan) -> RunReport:
-        """Fails where both of two events are there."""
+    def fake_run(self, plan: RunPlan) -> RunReport:
+        """Fail if the plan contains both of two events."""
         self.runs += 1
         numbers = {event.number for event in plan.events}
-        broken = Finding("check", Violation(Rule.LOST, "", "both are there"))
+        broken = Finding("check", Violation(Rule.LOST, "", "both are present"))
         return RunReport(plan, [broken] if {11, 73} <= numbers else [])
 
     def test_only_relevant_events_remain(self) -> None:
         self.runs = 0
         plan = draw(1, SCENARIOS["mixed"])
         self.assertGreater(len(plan.events), 80)
-        shrunk = shrink(plan, "check", played=self.played)
+        shrunk = shrink(plan, "check", run_plan=self.fake_run)
         self.assertEqual([event.number for event in shrunk.plan.events], [11, 73])
         self.assertEqual(shrunk.plan.checker, "check")
         self.assertEqual(shrunk.report.checkers, ["check"])
@@ -108,12 +108,12 @@
 
     def test_number_of_runs_is_limited(self) -> None:
         self.runs = 0
-        shrink(draw(1, SCENARIOS["mixed"]), "check", max_runs=9, played=self.played)
+        shrink(draw(1, SCENARIOS["mixed"]), "check", max_runs=9, run_plan=self.fake_run)
         self.assertLessEqual(self.runs, 10)
 
 
 class Runs(unittest.TestCase):
-    """Whole runs: one seed of each scenario keeps the rules, and a seed gives one run."""
+    """Complete runs: one seed of each scenario violates no rule, and equal seeds give equal runs."""
 
     longest_test_s = 75
 
--- a/tests/system/test_simulation_take_over_calls.py
+++ b/tests/system/test_simulation_take_over_calls.py
@@ -1,4 +1,4 @@
-"""The operator's calls in the second after a take-over of the configuration, in the whole service."""
+"""Calls of an operator in the second after a take-over of the configuration, in the whole service."""
 
 from __future__ import annotations
 
@@ -6,13 +6,21 @@
 
 from tests.system.small_actors import Answer, SmallSystem
 
-JOINED_BEFORE_S = (0.02, 0.1, 0.2, 0.3, 0.45, 0.6, 0.9)  # the new machine's start, before the owner is killed
-ASKED_FOR_S = 5.0  # `ack_ms`: so long an operator sends a call again
-ASKED_EVERY_S = 0.1
+JOINED_BEFORE_S = (
+    0.02,
+    0.1,
+    0.2,
+    0.3,
+    0.45,
+    0.6,
+    0.9,
+)  # from the start of the new machine to the kill of the owner
+RETRY_FOR_S = 5.0  # `ack_ms`: how long an operator repeats a call
+RETRY_INTERVAL_S = 0.1
 
 
 def owner_of_configuration(system: SmallSystem) -> str:
-    """The node that last gained the configuration."""
+    """The node that gained the ownership of the configuration last."""
     gained = [
         change for change in system.world.ownerships if change.group == "configuration" and change.gained
     ]
@@ -20,11 +28,11 @@
 
 
 class RetirementsInATakeOver(unittest.TestCase):
-    """A fourth storage machine joins, and the configuration's owner is killed; then one may be retired."""
+    """Retirement after a fourth storage machine joined and the configuration's owner was killed."""
 
     longest_test_s = 25
 
-    def test_a_valid_request_is_never_refused_for_good(self) -> None:
+    def test_a_valid_request_is_never_permanently_refused(self) -> None:
         for joined_before_s in JOINED_BEFORE_S:
             with self.subTest(joined_before_s=joined_before_s):
                 answers = self.answers_after(joined_before_s)
@@ -33,7 +41,7 @@
                 self.assertIn(200, statuses)
 
     def answers_after(self, joined_before_s: float) -> list[Answer]:
-        """Ask one of the nodes that are left each tenth of a second until the request is taken."""
+        """Repeat the request every 0.1 s at the remaining nodes in turn until it is accepted."""
         system = SmallSystem(f"take-over-{joined_before_s}")
         world = system.world
         system.bootstrap()
@@ -45,10 +53,10 @@
         world.kill(killed, None)
         others = [edge for edge in world.edges() if edge.name != killed]
         answers: list[Answer] = []
-        for turn in range(round(ASKED_FOR_S / ASKED_EVERY_S)):
-            control = others[turn % len(others)].control
+        for attempt in range(round(RETRY_FOR_S / RETRY_INTERVAL_S)):
+            control = others[attempt % len(others)].control
             answers.append(system.caller.call("POST", control, f"/retire/{retired}", {"duration_s": 10}))
-            world.run_for(ASKED_EVERY_S)
+            world.run_for(RETRY_INTERVAL_S)
             if any(answer.status == 200 for answer in answers):
                 break
         world.run_for(1.0)
