--- a/bitternpath/cli/system_disk.py
+++ b/bitternpath/cli/system_disk.py
@@ -14,7 +14,7 @@
 from bitternpath.storage.errors import CorruptDocumentError, CorruptJournalError
 from bitternpath.storage.identity import read_identity
 from bitternpath.storage.journal import Journal, open_journal
-from bitternpath.storage.quarantine import quarantine_folders
+from bitternpath.storage.quarantine import quarantine_directories
 from bitternpath.transport.errors import CodecError
 from bitternpath.transport.feed_messages import FeedUpdate
 
@@ -32,7 +32,7 @@
     try:
         with tempfile.TemporaryDirectory() as scratch:
             scratch_copy = Path(scratch) / DATA_COPY
-            quarantined = quarantine_folders(folder)
+            quarantined = quarantine_directories(folder)
             shutil.copytree(folder, scratch_copy, ignore=shutil.ignore_patterns(*quarantined))
             _print_content(scratch_copy)
         for name in quarantined:
--- a/bitternpath/storage/commands.py
+++ b/bitternpath/storage/commands.py
@@ -48,7 +48,7 @@
     done: DoneCallback | None
 
 
-def batch_of(commands: Sequence[JournalCommand]) -> Batch:
+def make_batch(commands: Sequence[JournalCommand]) -> Batch:
     """Put commands into one batch, in their order."""
     snapshots = [command.snapshot for command in commands if command.snapshot is not None]
     return Batch([command.record for command in commands], snapshots)
--- a/bitternpath/storage/identity.py
+++ b/bitternpath/storage/identity.py
@@ -20,43 +20,43 @@
 _FORMAT = re.compile(rb"[0-9a-f]{8}")
 
 
-def draw_identity() -> str:
+def generate_identity() -> str:
     """Draw a random identity."""
     return secrets.token_hex(_BYTES)
 
 
 def load_identity(
-    data_dir: Path, files: FileSystem | None = None, draw: Callable[[], str] = draw_identity
+    data_dir: Path, files: FileSystem | None = None, generate: Callable[[], str] = generate_identity
 ) -> str:
     """Return the disk's identity; one is drawn and made durable first where the disk has none.
 
     Args:
         data_dir: made where it is missing.
         files: used in place of the operating system's files below `data_dir`.
-        draw: returns a new identity.
+        generate: returns a new identity.
 
     Raises:
         CorruptJournalError: the file holds something else.
         OSError: the file can't be read or written.
     """
     if files is not None:
-        return _load(files, draw)
+        return _load(files, generate)
     if not data_dir.is_dir():
         data_dir.mkdir(parents=True, exist_ok=True)
         fsync_directory(data_dir.parent)
     local_files = LocalFileSystem(data_dir)
     try:
-        return _load(local_files, draw)
+        return _load(local_files, generate)
     finally:
         local_files.close()
 
 
-def _load(files: FileSystem, draw: Callable[[], str]) -> str:
+def _load(files: FileSystem, generate: Callable[[], str]) -> str:
     if IDENTITY_FILE in files.list_names(""):
         identity = _parse(files.read(IDENTITY_FILE))
         files.sync_directory("")  # the process that drew it may have died before its own sync
         return identity
-    identity = draw()
+    identity = generate()
     files.write_at(_DRAFT, 0, identity.encode())
     files.truncate(_DRAFT, len(identity))
     files.sync(_DRAFT)
--- a/bitternpath/storage/journal_writer_thread.py
+++ b/bitternpath/storage/journal_writer_thread.py
@@ -8,7 +8,7 @@
 import logbook
 
 from bitternpath.net.reactor import ThreadCallReactor
-from bitternpath.storage.commands import JournalCommand, batch_of
+from bitternpath.storage.commands import JournalCommand, make_batch
 from bitternpath.storage.journal_writer import RETRY_SECONDS, CompletedCallback, CorruptSnapshotCallback
 from bitternpath.storage.segments import SegmentLog
 
@@ -115,13 +115,13 @@
 
     def _seconds_to_checkpoint(self) -> float | None:
         """Seconds until a step of a checkpoint may be tried; None where none is due."""
-        if not self._log.wants_checkpoint:
+        if not self._log.checkpoint_due:
             return None
         return max(self._checkpoint_from - time.monotonic(), 0.0)
 
     def _write(self, commands: list[JournalCommand]) -> bool:
         """Write commands as one batch, as often as it takes; False where the writer was stopped meanwhile."""
-        batch = batch_of(commands)
+        batch = make_batch(commands)
         while True:
             try:
                 self._log.write(batch)
--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -12,7 +12,7 @@
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.identity import load_identity
 from bitternpath.storage.journal import Journal, open_journal
-from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_folders
+from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_directories
 
 
 class NodeDisk(Protocol):
@@ -86,7 +86,7 @@
 
     def was_quarantined(self) -> bool:
         """See `NodeDisk`."""
-        return bool(quarantine_folders(self._data_dir))
+        return bool(quarantine_directories(self._data_dir))
 
     def quarantine_content(self, max_bytes: int | None) -> str:
         """See `NodeDisk`."""
--- a/bitternpath/storage/quarantine.py
+++ b/bitternpath/storage/quarantine.py
@@ -21,7 +21,7 @@
 _FILE_SYSTEMS_OWN = "lost+found"  # in a data directory that is the root of a file system
 
 
-def quarantine_folders(data_dir: Path) -> list[str]:
+def quarantine_directories(data_dir: Path) -> list[str]:
     """Names of the quarantine's directories; one at most, unless a process was killed on the way."""
     names = os.listdir(data_dir) if data_dir.is_dir() else []
     return sorted(name for name in names if _COMPLETE.fullmatch(name) or _UNFINISHED.fullmatch(name))
@@ -42,7 +42,7 @@
     Raises:
         OSError: this or `finish_quarantine` has to be called again.
     """
-    earlier = [name for name in quarantine_folders(data_dir) if _COMPLETE.fullmatch(name)]
+    earlier = [name for name in quarantine_directories(data_dir) if _COMPLETE.fullmatch(name)]
     for name in earlier:
         _remove_content(data_dir / name)  # first of all, since a full disk may not take another directory
     number = 1 + max((int(name.partition("-")[2]) for name in earlier), default=0)
@@ -57,7 +57,7 @@
 
 def finish_quarantine(data_dir: Path) -> None:
     """Go on where a process was killed while it quarantined a disk's content. Raises `OSError`."""
-    for name in quarantine_folders(data_dir):
+    for name in quarantine_directories(data_dir):
         if _UNFINISHED.fullmatch(name):
             _move_content(data_dir, name)
 
--- a/bitternpath/storage/segment_files.py
+++ b/bitternpath/storage/segment_files.py
@@ -18,18 +18,18 @@
     """
 
     def __init__(
-        self, files: FileSystem, draw_salt: Callable[[], int], segment_bytes: int, loaded: LoadedSegments
+        self, files: FileSystem, generate_salt: Callable[[], int], segment_bytes: int, loaded: LoadedSegments
     ) -> None:
         """Go on with the segments that were loaded.
 
         Args:
             files: the data directory.
-            draw_salt: returns a random number of 32 bits, for each new segment.
+            generate_salt: returns a random number of 32 bits, for each new segment.
             segment_bytes: size above which a segment is closed.
             loaded: what `load_segments` found.
         """
         self._files = files
-        self._draw_salt = draw_salt
+        self._generate_salt = generate_salt
         self._segment_bytes = segment_bytes
         self._current = loaded.current
         self._closed = loaded.closed
@@ -109,7 +109,7 @@
 
     def _begin(self, number: int) -> Segment:
         path = segment_path(number)
-        salt = self._draw_salt()
+        salt = self._generate_salt()
         self._files.truncate(path, 0)
         self._files.write_at(path, 0, encode_segment_header(salt))
         self._files.sync(path)
--- a/bitternpath/storage/segments.py
+++ b/bitternpath/storage/segments.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         files: FileSystem,
-        draw_salt: Callable[[], int],
+        generate_salt: Callable[[], int],
         checkpoint_bytes: int,
         segment_bytes: int = SEGMENT_BYTES,
     ) -> None:
@@ -43,7 +43,7 @@
 
         Args:
             files: the data directory.
-            draw_salt: returns a random number of 32 bits, for each new segment.
+            generate_salt: returns a random number of 32 bits, for each new segment.
             checkpoint_bytes: size of all segments above which the first checkpoint is due.
             segment_bytes: size above which a segment is closed.
 
@@ -56,7 +56,7 @@
         files.make_directory(DIRECTORY)
         self._snapshots = SnapshotFiles(files)
         self._scrubber = Scrubber(files)
-        self._segments = SegmentFiles(files, draw_salt, segment_bytes, load_segments(files, self._states))
+        self._segments = SegmentFiles(files, generate_salt, segment_bytes, load_segments(files, self._states))
         self._checkpointer = Checkpointer(self._segments, self._states, self._append, checkpoint_bytes)
         self._verify_states()
         self._remove_unnamed_snapshots()
@@ -158,7 +158,7 @@
     # ---- checkpoints
 
     @property
-    def wants_checkpoint(self) -> bool:
+    def checkpoint_due(self) -> bool:
         """Whether `checkpoint_step` has something to do."""
         return self._checkpointer.is_due
 
--- a/bitternpath/testing/simulation/journal_writer.py
+++ b/bitternpath/testing/simulation/journal_writer.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from bitternpath.net.clock import Clock
-from bitternpath.storage.commands import JournalCommand, batch_of
+from bitternpath.storage.commands import JournalCommand, make_batch
 from bitternpath.storage.journal_writer import RETRY_SECONDS, CompletedCallback, CorruptSnapshotCallback
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.testing.simulation.file_system import SimulatedCrashError, SimulatedFileSystem
@@ -52,7 +52,7 @@
         for _ in range(steps):
             if group := self._log.scrub_step():
                 self._snapshot_corrupted(group)
-            if self._log.wants_checkpoint:
+            if self._log.checkpoint_due:
                 self._log.checkpoint_step()
 
     def submit(self, command: JournalCommand) -> None:
@@ -65,7 +65,7 @@
         """Write all waiting commands at once."""
         commands = self._writing + self._waiting
         if commands and not self._ended:
-            self._log.write(batch_of(commands))
+            self._log.write(make_batch(commands))
         self._ended = True
         return True
 
@@ -106,7 +106,7 @@
         self._begin_batch()
 
     def _write(self, commands: Sequence[JournalCommand]) -> None:
-        self._log.write(batch_of(commands))
-        if self._log.wants_checkpoint:
+        self._log.write(make_batch(commands))
+        if self._log.checkpoint_due:
             with suppress(OSError):  # retried after the next batch
                 self._log.checkpoint_step()
--- a/tests/system/cli/test_system_commands.py
+++ b/tests/system/cli/test_system_commands.py
@@ -81,7 +81,7 @@
 
 def make_folder(folder: Path) -> None:
     """Write a data folder with two groups, one of which has a snapshot and an entry after it."""
-    load_identity(folder, draw=lambda: "0123abcd")
+    load_identity(folder, generate=lambda: "0123abcd")
     log = SegmentLog(LocalFileSystem(folder), lambda: SALT, 1 << 30)
     records = [
         bootstrap_record(group, PersistentState(snapshot=Snapshot(members=MEMBERS))) for group in ("g", "h")
--- a/tests/system/replication/test_snapshot_transfer.py
+++ b/tests/system/replication/test_snapshot_transfer.py
@@ -24,7 +24,7 @@
 from bitternpath.testing.simulation.replica_group import GROUP, Process
 from tests.system.replication.loaded_group import LoadedGroup
 from tests.system.replication.quiet_logs import QuietLogsTestCase
-from tests.system.storage.state_machines import LastCommands, SilentListener
+from tests.system.storage.state_machines import LastCommands, NoOpListener
 
 TRIO = Members(("a", "b", "c"))
 SMALL_CHUNK = 150  # bytes
@@ -282,7 +282,7 @@
     def open(simulation: LoadedGroup, process: Process, groups: list[str]) -> None:
         for group in groups:
             process.host.open_group(
-                group, LastCommands(GROUP_BYTES >> 17), simulation.founders, SilentListener()
+                group, LastCommands(GROUP_BYTES >> 17), simulation.founders, NoOpListener()
             )
 
     def test_many_snapshots_share_one_rate_limit(self) -> None:
--- a/tests/system/roles/node_case.py
+++ b/tests/system/roles/node_case.py
@@ -90,7 +90,7 @@
 
     def make_disk(self) -> None:
         """Write the disk of a founder with two groups."""
-        load_identity(self.data, draw=lambda: OLD_IDENTITY)
+        load_identity(self.data, generate=lambda: OLD_IDENTITY)
         BootstrapFile(self.data).store(DECISION)
         LocalDisk(self.data).write_document(CACHE_DOCUMENT, b"any")
         log = SegmentLog(LocalFileSystem(self.data), lambda: 7, 1 << 30)
--- a/tests/system/roles/test_process.py
+++ b/tests/system/roles/test_process.py
@@ -28,7 +28,7 @@
 from bitternpath.roles.storage_process import StorageProcess
 from bitternpath.storage.files import LocalFileSystem
 from bitternpath.storage.identity import read_identity
-from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_folders
+from bitternpath.storage.quarantine import finish_quarantine, quarantine_content, quarantine_directories
 from bitternpath.storage.segments import SegmentLog
 from bitternpath.transport.operator_messages import OperatorRequest
 from bitternpath.transport.shard_messages import RefusalReason, Refused
@@ -200,7 +200,7 @@
         next_process = self.build("edge")
         self.assertEqual(next_process.base.view.local_node.disk, identity)
         self.assertFalse(next_process.settings.bootstrap)
-        self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
+        self.assertEqual(quarantine_directories(self.data), ["damaged-1"])
 
     def test_only_the_last_quarantine_is_kept(self) -> None:
         for number in (1, 2, 3):
@@ -210,7 +210,7 @@
             self.make_disk()
             flip(self.data / SEGMENT, 40)
             self.build("storage")
-            self.assertEqual(quarantine_folders(self.data), [f"damaged-{number}"])
+            self.assertEqual(quarantine_directories(self.data), [f"damaged-{number}"])
 
     def test_a_quarantine_does_not_fill_a_small_disk(self) -> None:
         self.make_disk()
@@ -219,7 +219,7 @@
         flip(self.data / "identity", 0)
         node = self.build("storage", disk_mb=1)
         self.assertEqual(self.contents(self.data / "damaged-1"), {})
-        self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
+        self.assertEqual(quarantine_directories(self.data), ["damaged-1"])
         self.check_new_identity(node)
 
     def test_a_quarantine_within_its_size_limit_is_kept(self) -> None:
@@ -266,7 +266,7 @@
                     quarantine_content(self.data)
                 node = self.build("edge")
                 self.check_new_identity(node)
-                self.assertEqual(quarantine_folders(self.data), ["damaged-1"])
+                self.assertEqual(quarantine_directories(self.data), ["damaged-1"])
                 self.assertEqual((self.data / "damaged-1" / "identity").read_text(), OLD_IDENTITY)
 
     def test_without_an_unfinished_quarantine_nothing_is_moved(self) -> None:
--- a/tests/system/storage/state_machines.py
+++ b/tests/system/storage/state_machines.py
@@ -26,7 +26,7 @@
         self.commands.extend(msgspec.msgpack.decode(data, type=list[bytes]))
 
 
-class SilentListener:
+class NoOpListener:
     """`replication.interfaces.GroupListener` that does nothing."""
 
     def became_owner(self, epoch: int) -> None: ...
--- a/tests/system/storage/test_full_disks.py
+++ b/tests/system/storage/test_full_disks.py
@@ -21,7 +21,7 @@
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
 from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from tests.system.storage.quiet import QuietTestCase
-from tests.system.storage.state_machines import LastCommands, SilentListener
+from tests.system.storage.state_machines import LastCommands, NoOpListener
 
 DISK_BYTES = 64 << 10  # a disk of 64 MB at a thousandth of its size
 LOG_SHARE = 0.35  # of the disk, before a checkpoint
@@ -128,7 +128,7 @@
             HostOptions(_seeded(), SYSTEM_TIMING, bounds),
         )
         machine = LastCommands(state_commands)
-        host.open_group("g", machine, Members(("a",)), SilentListener())
+        host.open_group("g", machine, Members(("a",)), NoOpListener())
         while not host.is_owner("g"):
             clock.advance(0.01)
         made, most = 0, 0
--- a/tests/system/storage/test_refused_writes.py
+++ b/tests/system/storage/test_refused_writes.py
@@ -86,7 +86,7 @@
                 log.write(batch(("g", storage_write(first, 2)), ("h", storage_write(first, 2))))
             disk.capacity = disk.used + room
             refused = 0
-            while log.wants_checkpoint:
+            while log.checkpoint_due:
                 try:
                     log.checkpoint_step()
                 except OSError:
--- a/tests/system/storage/test_scrub.py
+++ b/tests/system/storage/test_scrub.py
@@ -27,7 +27,7 @@
 from bitternpath.testing.simulation.journal_writer import VirtualTimeJournalWriter
 from tests.system.storage import log_samples
 from tests.system.storage.quiet import QuietTestCase
-from tests.system.storage.state_machines import LastCommands, SilentListener
+from tests.system.storage.state_machines import LastCommands, NoOpListener
 
 SEGMENT_BYTES = 4_000
 STEPS = 60  # chunks: more than there are files, twice
@@ -49,7 +49,7 @@
         options = HostOptions(Random(1), SYSTEM_TIMING, bounds)
         self.host = ReplicaHost(self.clock, "a", journal, MessageTransport(lambda *_: None), options)
         self.machine = LastCommands(40)
-        self.host.open_group("g", self.machine, Members(("a",)), SilentListener())
+        self.host.open_group("g", self.machine, Members(("a",)), NoOpListener())
         while not self.host.is_owner("g"):
             self.clock.advance(0.01)
         for number in range(150):
--- a/tests/system/storage/test_segment_loading.py
+++ b/tests/system/storage/test_segment_loading.py
@@ -59,7 +59,7 @@
         self.assertIn("snapshots/g%2F1-1-1.snap", disk.paths())
         log.write(Batch([TombstoneRecord("g/1")], []))
         self.assertNotIn("snapshots/g%2F1-1-1.snap", disk.paths())
-        while log.wants_checkpoint:
+        while log.checkpoint_due:
             log.checkpoint_step()
         self.assertNotIn(FIRST_SEGMENT, disk.paths())
         again = open_segment_log(disk)
@@ -75,7 +75,7 @@
                 before = first + 1, 1
                 snapshot = Snapshot(*before, MEMBERS, b"s" * first)
                 log.write(batch(("g", StorageWrite(1, 1, "", None, (), snapshot, before))))
-            if log.wants_checkpoint:
+            if log.checkpoint_due:
                 log.checkpoint_step()
             self.assertEqual(log.bytes_used, disk.used)
         self.assertEqual(open_segment_log(disk).bytes_used, disk.used)
@@ -139,7 +139,7 @@
         log.write(batch(("g", storage_write(6))))
         disk.truncate(SECOND_SEGMENT, 3)
         log = open_segment_log(disk, checkpoint_bytes=50)
-        while log.wants_checkpoint:
+        while log.checkpoint_due:
             log.checkpoint_step()
         self.assertEqual(disk.paths(), [SECOND_SEGMENT])
         self.assertEqual(loaded_states(disk)["g"].entries, list(entries(1, 5)))
--- a/tests/system/storage/write_history.py
+++ b/tests/system/storage/write_history.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from bitternpath.replication.records import Entry, EntryKind, PersistentState, Snapshot, StorageWrite
-from bitternpath.storage.commands import Batch, JournalCommand, NewSnapshot, batch_of
+from bitternpath.storage.commands import Batch, JournalCommand, NewSnapshot, make_batch
 from bitternpath.storage.group_state import GroupState, GroupStates, write_record
 from bitternpath.storage.records import TombstoneRecord
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
@@ -46,7 +46,7 @@
         """Write one batch, and do a step of a checkpoint if one is due."""
         commands = [self._command() for _ in range(self.random.randint(1, 3))]
         self.seen.append(self._expected_states())
-        self.pending = batch_of(commands)
+        self.pending = make_batch(commands)
         self._write()
 
     def retry(self) -> None:
@@ -60,7 +60,7 @@
         self.log.write(self.pending)
         self.pending = None
         self.acknowledged = len(self.seen) - 1
-        if self.log.wants_checkpoint:
+        if self.log.checkpoint_due:
             self.log.checkpoint_step()
 
     def _expected_states(self) -> dict[str, PersistentState]:
