--- a/benchmarks/takeovers.py
+++ b/benchmarks/takeovers.py
@@ -20,7 +20,7 @@
 from statistics import median, quantiles
 
 from bitternpath.queue.sharding import shard_for
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 from bitternpath.testing.simulation.events import Event, Fault, FaultKind, Layout, Message, Retire, RunPlan
 from bitternpath.testing.simulation.runs.play import Run
 
@@ -67,7 +67,9 @@
     """Messages of all keys in turn, and the fault."""
     count = round(SECONDS / SEND_EVERY_S)
     events: list[Event] = [
-        Message(number=100 + turn, at=turn * SEND_EVERY_S, kind=Kind.ENDPOINT, key=f"key-{turn % KEYS}")
+        Message(
+            number=100 + turn, at=turn * SEND_EVERY_S, kind=DeliveryKind.ENDPOINT, key=f"key-{turn % KEYS}"
+        )
         for turn in range(count)
     ]
     fault = FAULTS[case.kind]
--- a/bitternpath/testing/fault_injection/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -59,7 +59,7 @@
 
 def ended_times(history: History, parameters: RuleParameters) -> dict[str, float]:
     """When each message that was sent had ended or will, by retention (RULES, "Ended")."""
-    taken = {(end.lease_id, end.status) for end in history.ends if end.taken}
+    taken = {(end.lease_id, end.status) for end in history.ends if end.accepted}
     failures: Counter[str] = Counter()
     ended = {request_id: send.at + parameters.retention_s for request_id, send in history.sends.items()}
     for answer in history.answers:
@@ -131,7 +131,7 @@
     winners: dict[str, set[str]] = defaultdict(set)
     taken: set[tuple[str, int]] = set()
     for end in history.ends:
-        if end.taken:
+        if end.accepted:
             taken.add((end.lease_id, end.status))
             if _succeeded(end):
                 winners[end.request_id].add(end.lease_id)
@@ -263,7 +263,7 @@
 def check_callbacks(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """Each message that has ended and asked for it has had its call-back taken."""
     ended = ended_times(history, parameters)
-    taken = {got.request_id for got in history.callbacks if got.taken}
+    taken = {got.request_id for got in history.callbacks if got.accepted}
     for send in history.accepted():
         has_ended = ended[send.request_id] <= history.finished
         if send.wants_callback and has_ended and send.request_id not in taken:
@@ -296,7 +296,7 @@
             done.setdefault(event.request_id, _Success(began[event.request_id], event.at))
     leased = {run.lease_id: run.at for run in history.runs if run.lease_id}
     for end in history.ends:
-        if end.taken and _succeeded(end):
+        if end.accepted and _succeeded(end):
             done.setdefault(end.request_id, _Success(leased.get(end.lease_id, end.at), end.at))
     return done
 
--- a/bitternpath/testing/fault_injection/clients.py
+++ b/bitternpath/testing/fault_injection/clients.py
@@ -13,8 +13,8 @@
 from bitternpath.testing.fault_injection.actor_context import ActorContext
 from bitternpath.testing.fault_injection.http_client import Call, Unanswered, send_call
 from bitternpath.testing.fault_injection.load_balancer import LoadBalancer
-from bitternpath.testing.fault_injection.plan import HOSTS, PREFIXES, SHARES, Port, Reachable
-from bitternpath.testing.fault_injection.records import Kind, Send, SendOutcome
+from bitternpath.testing.fault_injection.plan import HOSTS, PREFIXES, SHARES, Port, ReachableNode
+from bitternpath.testing.fault_injection.records import DeliveryKind, Send, SendOutcome
 
 DEADLINE_MS = 1_500  # of a message, over all attempts
 MIN_TIMEOUT_S = 0.05  # of an attempt close to the deadline
@@ -24,7 +24,7 @@
 ORDER_KEYS = 12
 DELAYED_SHARE = 0.2  # of pulled messages
 MAX_DELAY_S = 2.0
-BODY_BYTES = {Kind.LISTED: 600, Kind.ENDPOINT: 1_200, Kind.PULLED: 2_500}
+BODY_BYTES = {DeliveryKind.LISTED: 600, DeliveryKind.ENDPOINT: 1_200, DeliveryKind.PULLED: 2_500}
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 
 
@@ -32,7 +32,7 @@
 class MessageSpec:
     """A message to be sent; each attempt gets a request id of its own."""
 
-    kind: Kind
+    kind: DeliveryKind
     body: bytes
     order_key: str = ""
     delay_s: float = 0.0
@@ -43,8 +43,8 @@
     """A random message; kinds occur by their `SHARES`."""
     kind = random.choices(list(SHARES), list(SHARES.values()))[0]
     body = random.randbytes(BODY_BYTES[kind])
-    key = f"key-{random.randrange(ORDER_KEYS)}" if kind is Kind.ENDPOINT else ""
-    delayed = kind is Kind.PULLED and random.random() < DELAYED_SHARE
+    key = f"key-{random.randrange(ORDER_KEYS)}" if kind is DeliveryKind.ENDPOINT else ""
+    delayed = kind is DeliveryKind.PULLED and random.random() < DELAYED_SHARE
     delay_s = round(random.uniform(0.2, MAX_DELAY_S), 3) if delayed else 0.0
     return MessageSpec(kind, body, key, delay_s)
 
@@ -88,7 +88,7 @@
         self.open -= 1
         return send
 
-    def _prepare(self, spec: MessageSpec, node: Reachable, random: Random) -> Send:
+    def _prepare(self, spec: MessageSpec, node: ReachableNode, random: Random) -> Send:
         request_id = f"{random.getrandbits(64):016x}"
         target = f"{PREFIXES[spec.kind]}{random.getrandbits(24):06x}/x?n={random.getrandbits(16)}"
         send = Send(
@@ -100,12 +100,12 @@
             spec.body,
             spec.order_key,
             spec.delay_s,
-            wants_callback=spec.kind is not Kind.LISTED,
+            wants_callback=spec.kind is not DeliveryKind.LISTED,
         )
         self._history.sends[request_id] = send
         return send
 
-    async def _attempt(self, send: Send, node: Reachable, give_up_at: float) -> float | None:
+    async def _attempt(self, send: Send, node: ReachableNode, give_up_at: float) -> float | None:
         """Send it; seconds until the next attempt, None if there is none."""
         timeout_s = max(give_up_at - self._clock(), MIN_TIMEOUT_S)
         answer = await send_call(
--- a/bitternpath/testing/fault_injection/configuration_changes.py
+++ b/bitternpath/testing/fault_injection/configuration_changes.py
@@ -8,7 +8,7 @@
 
 from bitternpath.testing.fault_injection.http_client import Call
 from bitternpath.testing.fault_injection.plan import TIMEOUT_MS, route_document
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 
 TIMEOUTS_MS = (TIMEOUT_MS, TIMEOUT_MS + 200, TIMEOUT_MS + 400)
 START_TARGET_MS = 1_200
@@ -27,7 +27,7 @@
     routes[0] = {**routes[0], "timeout_ms": timeout_ms, "start_target_ms": start_target_ms}
     if number % 2:
         routes.append(
-            route_document(Kind.LISTED, TIMEOUT_MS, f"{EXTRA_ROUTE}-{number}", extra_prefix(number))
+            route_document(DeliveryKind.LISTED, TIMEOUT_MS, f"{EXTRA_ROUTE}-{number}", extra_prefix(number))
         )
     wanted["routes"] = routes
     return wanted
--- a/bitternpath/testing/fault_injection/control_calls.py
+++ b/bitternpath/testing/fault_injection/control_calls.py
@@ -10,7 +10,7 @@
 from twisted.internet.task import deferLater
 
 from bitternpath.testing.fault_injection.http_client import Call, Reply, send_call
-from bitternpath.testing.fault_injection.plan import Port, Reachable
+from bitternpath.testing.fault_injection.plan import Port, ReachableNode
 from bitternpath.testing.fault_injection.records import Clock, OrderOutcome
 
 NODE_TIMEOUT_S = 1.0  # then the operator calls another node
@@ -22,7 +22,7 @@
 RETRIED_STATUSES = (408, 429)
 MAX_REFUSALS = 3
 
-Nodes = Callable[[], Sequence[Reachable]]
+Nodes = Callable[[], Sequence[ReachableNode]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         self._nodes = nodes
         self._random = random
 
-    async def send(self, node: Reachable, call: Call) -> Reply | None:
+    async def send(self, node: ReachableNode, call: Call) -> Reply | None:
         """Call one node and follow redirects; None if there is no complete answer."""
         address = node.address(Port.CONTROL)
         for _ in range(MAX_REDIRECTS + 1):
@@ -54,7 +54,7 @@
             address = answer.headers.get("location", "").removeprefix("http://").partition("/")[0]
         return None
 
-    def choose(self) -> Reachable:
+    def choose(self) -> ReachableNode:
         """A random node."""
         return self._random.choice(self._nodes())
 
--- a/bitternpath/testing/fault_injection/http_workers.py
+++ b/bitternpath/testing/fault_injection/http_workers.py
@@ -68,7 +68,7 @@
         self._connections: list[ServerConnection] = []
         self.port, self.address = serve(context.reactor, host, self.handle, port)
 
-    def listed(self) -> dict[str, Any]:
+    def list_entry(self) -> dict[str, Any]:
         """Its entry in the platform's endpoint list, as JSON values."""
         return {
             "service": self.service,
@@ -86,11 +86,13 @@
         if connection not in self._connections:
             self._connections = [known for known in self._connections if not known.closed] + [connection]
         if request.method == b"GET" and request.path == b"/healthz":
-            return succeed(Reply(200 if len(self._running) < self._slots else 503, self._named("")))
+            return succeed(
+                Reply(200 if len(self._running) < self._slots else 503, self._identity_headers(""))
+            )
         request_id = _header(request, b"x-request-id")
-        refusal = self._refusal(request, request_id)
+        refusal = self._rejection_status(request, request_id)
         if refusal:
-            return succeed(Reply(refusal, {**self._named(request_id), **NOT_EXECUTED}))
+            return succeed(Reply(refusal, {**self._identity_headers(request_id), **NOT_EXECUTED}))
         return self._take(request, request_id, connection)
 
     def close(self) -> None:
@@ -100,7 +102,7 @@
             if not connection.closed:
                 connection.transport.abortConnection()
 
-    def _refusal(self, request: Request, request_id: str) -> int:
+    def _rejection_status(self, request: Request, request_id: str) -> int:
         expected = _header(request, b"x-expect-instance")
         if expected and expected != self.instance:
             return 421
@@ -157,14 +159,14 @@
     def _answer(self, job: Job, status: int) -> None:
         """Answer a run that has ended."""
         stamp = self._behavior.stamp(self.instance) if status == 200 else ""
-        headers = self._named(job.request_id)
+        headers = self._identity_headers(job.request_id)
         if stamp:
             headers["X-Server-Stamp"] = stamp
         if status != 504:
-            self._note(Answer(job.request_id, self._clock(), status, stamp), job.connection)
+            self._record_answer(Answer(job.request_id, self._clock(), status, stamp), job.connection)
         job.answer.callback(Reply(status, headers, b"ok" if stamp else b""))
 
-    def _note(self, answer: Answer, connection: ServerConnection) -> None:
+    def _record_answer(self, answer: Answer, connection: ServerConnection) -> None:
         def lost() -> None:
             if self._clock() - answer.at < READ_MARGIN_AFTER_ANSWER_S:
                 answer.read = False
@@ -172,7 +174,7 @@
         connection.on_lost = lost
         self._history.answers.append(answer)
 
-    def _named(self, request_id: str) -> dict[str, str]:
+    def _identity_headers(self, request_id: str) -> dict[str, str]:
         named = {"X-Instance-Id": self.instance}
         if request_id:
             named["X-Request-Id"] = request_id
@@ -205,7 +207,9 @@
         self._recent = [at for at in self._recent if at > now - window] + [now]
         if len(self._recent) > self._rate_per_s * window * BOUNDS["origin_rate_over"] + CEILING_ALLOWANCE:
             self.over_rate += 1
-            return succeed(Reply(429, {**self._named(_header(request, b"x-request-id")), **NOT_EXECUTED}))
+            return succeed(
+                Reply(429, {**self._identity_headers(_header(request, b"x-request-id")), **NOT_EXECUTED})
+            )
         return super().handle(request, connection)
 
 
--- a/bitternpath/testing/fault_injection/load_balancer.py
+++ b/bitternpath/testing/fault_injection/load_balancer.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from bitternpath.testing.fault_injection.http_client import Call, Reply, Unanswered, send_call
-from bitternpath.testing.fault_injection.plan import Port, Reachable
+from bitternpath.testing.fault_injection.plan import Port, ReachableNode
 
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.9
@@ -18,7 +18,7 @@
 class LoadBalancer:
     """Probes the readiness of edge nodes and picks among those that are ready."""
 
-    def __init__(self, reactor: Any, edges: Sequence[Reachable], random: Random) -> None:
+    def __init__(self, reactor: Any, edges: Sequence[ReachableNode], random: Random) -> None:
         """`edges` may change later."""
         self._reactor = reactor
         self._edges = edges
@@ -40,11 +40,11 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def ready(self) -> list[Reachable]:
+    def ready(self) -> list[ReachableNode]:
         """The nodes that get new connections."""
         return [edge for edge in self._edges if self._failed_probes[edge.name] < MAX_FAILED_PROBES]
 
-    def choose(self, zone: str = "") -> Reachable:
+    def choose(self, zone: str = "") -> ReachableNode:
         """The node of a new connection: a ready one, preferably of that zone; any node if none is ready."""
         ready = self.ready()
         in_zone = [edge for edge in ready if edge.zone == zone]
--- a/bitternpath/testing/fault_injection/plan.py
+++ b/bitternpath/testing/fault_injection/plan.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any, Protocol, TypeVar
 
-from bitternpath.testing.fault_injection.records import Kind, RuleParameters
+from bitternpath.testing.fault_injection.records import DeliveryKind, RuleParameters
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
 ParametersType = TypeVar("ParametersType", bound=RuleParameters)
@@ -20,8 +20,12 @@
 TIMEOUT_MS = 1_500
 MAX_ATTEMPTS = 4
 RETENTION_S = 90.0
-SERVICES = {Kind.LISTED: "listed", Kind.ENDPOINT: "endpoint", Kind.PULLED: "pulled"}
-SHARES = {Kind.LISTED: 0.45, Kind.ENDPOINT: 0.25, Kind.PULLED: 0.30}  # of all messages
+SERVICES = {DeliveryKind.LISTED: "listed", DeliveryKind.ENDPOINT: "endpoint", DeliveryKind.PULLED: "pulled"}
+SHARES = {
+    DeliveryKind.LISTED: 0.45,
+    DeliveryKind.ENDPOINT: 0.25,
+    DeliveryKind.PULLED: 0.30,
+}  # of all messages
 RATE_PER_S = 19.5  # of the endpoint, as at both sites of SYSTEM, unless the load needs more
 RATE_OVER_LOAD = 2.0  # the endpoint's rate over what is sent to it: order keys load the shards unevenly
 HOSTS = {kind: f"{name}.example" for kind, name in SERVICES.items()}
@@ -47,7 +51,7 @@
 INTERNAL_PORTS = 4
 
 
-class Reachable(Protocol):
+class ReachableNode(Protocol):
     """A node that is called."""
 
     @property
@@ -100,7 +104,7 @@
     @property
     def endpoint_rate(self) -> float:
         """`rate_per_s` of the endpoint."""
-        return max(RATE_PER_S, self.rate * SHARES[Kind.ENDPOINT] * RATE_OVER_LOAD)
+        return max(RATE_PER_S, self.rate * SHARES[DeliveryKind.ENDPOINT] * RATE_OVER_LOAD)
 
     def parameters(self) -> RuleParameters:
         """Parameters of the rules by which the history is judged."""
@@ -119,7 +123,7 @@
         ceiling_window_s=BOUNDS["ceiling_window_s"],
         origin_rate_over=BOUNDS["origin_rate_over"],
         early_s=BOUNDS["early_ms"] / 1000,
-        rates={SERVICES[Kind.ENDPOINT]: endpoint_rate},
+        rates={SERVICES[DeliveryKind.ENDPOINT]: endpoint_rate},
         **more,
     )
 
@@ -163,8 +167,8 @@
     """The document of the first PUT."""
     return {
         "version": 1,
-        "routes": [route_document(kind, TIMEOUT_MS) for kind in Kind],
-        "services": [service_document(kind, plan.endpoint_rate, endpoint) for kind in Kind],
+        "routes": [route_document(kind, TIMEOUT_MS) for kind in DeliveryKind],
+        "services": [service_document(kind, plan.endpoint_rate, endpoint) for kind in DeliveryKind],
         "limits": limits_document(),
     }
 
@@ -179,7 +183,7 @@
     }
 
 
-def route_document(kind: Kind, timeout_ms: int, name: str = "", prefix: str = "") -> dict[str, Any]:
+def route_document(kind: DeliveryKind, timeout_ms: int, name: str = "", prefix: str = "") -> dict[str, Any]:
     """A route as the operator writes it."""
     return {
         "name": name or f"route-{SERVICES[kind]}",
@@ -188,17 +192,17 @@
         "route_type": "deferred",
         "timeout_ms": timeout_ms,
         "target_latency_ms": 200,
-        "priority": list(Kind).index(kind),
+        "priority": list(DeliveryKind).index(kind),
         "service": SERVICES[kind],
         "max_attempts": MAX_ATTEMPTS,
-        "ordered": kind is Kind.ENDPOINT,
+        "ordered": kind is DeliveryKind.ENDPOINT,
         "retention_s": RETENTION_S,
-        "callback_url": kind is not Kind.LISTED,
+        "callback_url": kind is not DeliveryKind.LISTED,
         "start_target_ms": 1200,
     }
 
 
-def service_document(kind: Kind, endpoint_rate: float, endpoint: str) -> dict[str, Any]:
+def service_document(kind: DeliveryKind, endpoint_rate: float, endpoint: str) -> dict[str, Any]:
     """A service as the operator writes it."""
     return {
         "name": SERVICES[kind],
@@ -206,8 +210,8 @@
         "max_connections": 64,
         "protocol": "h1",
         "tls": False,
-        "rate_per_s": endpoint_rate if kind is Kind.ENDPOINT else 0.0,
+        "rate_per_s": endpoint_rate if kind is DeliveryKind.ENDPOINT else 0.0,
         "idempotent": False,
-        "pull_mode": kind is Kind.PULLED,
-        "endpoint": endpoint if kind is Kind.ENDPOINT else None,
+        "pull_mode": kind is DeliveryKind.PULLED,
+        "endpoint": endpoint if kind is DeliveryKind.ENDPOINT else None,
     }
--- a/bitternpath/testing/fault_injection/records.py
+++ b/bitternpath/testing/fault_injection/records.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-class Kind(Enum):
+class DeliveryKind(Enum):
     """Who runs a message: workers of the platform's list, one endpoint in order, or workers that pull."""
 
     LISTED = "listed"
@@ -34,7 +34,7 @@
     request_id: str
     at: float
     node: str
-    kind: Kind
+    kind: DeliveryKind
     target: str
     body: bytes
     order_key: str = ""
@@ -93,24 +93,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnd:
-    """The answer to a pulling worker that reported the end of a job; `taken`: 200, else 409."""
+    """The answer to a pulling worker that reported the end of a job; `accepted`: 200, else 409."""
 
     request_id: str
     lease_id: str
     at: float
     status: int  # that the worker gave
-    taken: bool
+    accepted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class CallbackReceived:
-    """A call-back reached its receiver. `taken`: it was answered with 200."""
+    """A call-back reached its receiver. `accepted`: it was answered with 200."""
 
     request_id: str
     at: float
     state: str
     stamp: str
-    taken: bool
+    accepted: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/bitternpath/testing/fault_injection/statistics.py
+++ b/bitternpath/testing/fault_injection/statistics.py
@@ -8,7 +8,13 @@
 from math import ceil
 
 from bitternpath.testing.fault_injection.checker import Violation, ended_times
-from bitternpath.testing.fault_injection.records import History, Kind, RuleParameters, Send, SendOutcome
+from bitternpath.testing.fault_injection.records import (
+    DeliveryKind,
+    History,
+    RuleParameters,
+    Send,
+    SendOutcome,
+)
 
 SLOW_START_AFTER_S = 2.0  # a start that is later is shown with its history
 HISTORIES_SHOWN = 5  # of each broken rule; the others are counted
@@ -27,7 +33,7 @@
 class KindStatistics:
     """What became of the messages of one kind."""
 
-    kind: Kind
+    kind: DeliveryKind
     tries: int
     accepted: int
     not_executed: int
@@ -53,7 +59,7 @@
     return Latency(percentile(times, 0.5), percentile(times, 0.99), max(times, default=0.0))
 
 
-def kind_statistics(history: History, parameters: RuleParameters, kind: Kind) -> KindStatistics:
+def kind_statistics(history: History, parameters: RuleParameters, kind: DeliveryKind) -> KindStatistics:
     """Statistics of one kind of message."""
     sends = {request_id: send for request_id, send in history.sends.items() if send.kind is kind}
     successes = [a for a in history.answers if a.status == 200 and a.at <= history.finished]
@@ -100,7 +106,7 @@
     lines = [
         "kind      tries accepted refused unclear unsent done dead  runs again  start p50     p99 ms",
     ]
-    for kind in Kind:
+    for kind in DeliveryKind:
         row = kind_statistics(history, parameters, kind)
         lines.append(
             f"{kind.value:9s} {row.tries:5d} {row.accepted:8d} {row.not_executed:7d} {row.unclear:7d}"
@@ -116,7 +122,7 @@
     )
     statuses = Counter(send.status for send in history.sends.values() if send.status not in (0, 202))
     lines.append(f"answers other than 202: {dict(sorted(statuses.items()))}")
-    taken = sum(got.taken for got in history.callbacks)
+    taken = sum(got.accepted for got in history.callbacks)
     lines.append(f"call-backs: {len(history.callbacks)} came, {taken} taken")
     return lines
 
@@ -125,7 +131,7 @@
     """The history of each kind's accepted message that began last after its sending, where that was late."""
     first = {run.request_id: run.at for run in reversed(history.runs)}
     lines: list[str] = []
-    for kind in Kind:
+    for kind in DeliveryKind:
         sends = [s for s in history.accepted() if s.kind is kind and s.request_id in first]
         slowest = max(sends, key=lambda s: first[s.request_id] - s.at - s.delay_s, default=None)
         if slowest is None:
@@ -169,12 +175,12 @@
         (w.at, f"extended {w.lease_id}") for w in history.lease_extensions if w.request_id == request_id
     ]
     events += [
-        (e.at, f"end {e.status} of {e.lease_id} taken={e.taken}")
+        (e.at, f"end {e.status} of {e.lease_id} taken={e.accepted}")
         for e in history.ends
         if e.request_id == request_id
     ]
     events += [
-        (c.at, f"call-back {c.state} {c.stamp} taken={c.taken}")
+        (c.at, f"call-back {c.state} {c.stamp} taken={c.accepted}")
         for c in history.callbacks
         if c.request_id == request_id
     ]
--- a/bitternpath/testing/fault_injection/world.py
+++ b/bitternpath/testing/fault_injection/world.py
@@ -22,7 +22,7 @@
 from bitternpath.testing.fault_injection.plan import SERVICES, SHARES, Plan, first_configuration
 from bitternpath.testing.fault_injection.processes import Process
 from bitternpath.testing.fault_injection.pulling_worker import PullingWorker
-from bitternpath.testing.fault_injection.records import History, Kind, Send
+from bitternpath.testing.fault_injection.records import DeliveryKind, History, Send
 from bitternpath.testing.fault_injection.state_readers import StateReaders
 from bitternpath.testing.fault_injection.statistics import second_line
 
@@ -78,7 +78,7 @@
         self.balancer = LoadBalancer(reactor, plan.edges, Random(plan.seed + 3))
         self.receiver = CallbackReceiver(self.context, Random(plan.seed + 4))
         self.listed = self._listed_workers(random)
-        service = SERVICES[Kind.ENDPOINT]
+        service = SERVICES[DeliveryKind.ENDPOINT]
         self.endpoint = Endpoint(
             self.context,
             JobBehavior(random, *ENDPOINT_WORK_S),
@@ -108,7 +108,7 @@
 
         Raises `SystemNotReadyError`.
         """
-        self.platform.publish([worker.listed() for worker in self.listed])
+        self.platform.publish([worker.list_entry() for worker in self.listed])
         for process in self.processes.values():
             process.start()
         self.balancer.start()
@@ -157,7 +157,7 @@
     def unended(self) -> list[Send]:
         """Accepted messages that have not ended, or whose call-back has not been accepted."""
         ended = ended_times(self.history, self.parameters)
-        delivered = {got.request_id for got in self.history.callbacks if got.taken}
+        delivered = {got.request_id for got in self.history.callbacks if got.accepted}
         return [
             send
             for send in self.history.accepted()
@@ -175,7 +175,7 @@
 
     def _listed_workers(self, random: Random) -> list[HttpWorker]:
         behavior = JobBehavior(random, *LISTED_WORK_S)
-        service = SERVICES[Kind.LISTED]
+        service = SERVICES[DeliveryKind.LISTED]
         return [
             HttpWorker(self.context, behavior, WorkerDescription(service, f"i-{number}", LISTED_SLOTS))
             for number in range(1, LISTED_WORKERS + 1)
@@ -184,14 +184,14 @@
     def _pulling_workers(self, random: Random) -> list[PullingWorker]:
         short = JobBehavior(random, *PULLED_WORK_S)
         long = JobBehavior(random, *LONG_PULLED_WORK_S)
-        busy = self.plan.rate * SHARES[Kind.PULLED] * sum(PULLED_WORK_S) / 2
+        busy = self.plan.rate * SHARES[DeliveryKind.PULLED] * sum(PULLED_WORK_S) / 2
         count = max(MIN_PULLERS, round(busy * PULLING_SLOTS_PER_BUSY))
         return [
             PullingWorker(
                 self.context,
                 self.balancer,
                 long if number % LONG_PULLER_EVERY == 0 else short,
-                WorkerDescription(SERVICES[Kind.PULLED], f"p-{number}"),
+                WorkerDescription(SERVICES[DeliveryKind.PULLED], f"p-{number}"),
                 random,
             )
             for number in range(count)
--- a/bitternpath/testing/simulation/actors/clients.py
+++ b/bitternpath/testing/simulation/actors/clients.py
@@ -13,7 +13,7 @@
 from bitternpath.testing.fault_injection.http_client import Call, Reply, send_call
 from bitternpath.testing.fault_injection.load_balancer import LoadBalancer
 from bitternpath.testing.fault_injection.plan import HOSTS, Port
-from bitternpath.testing.fault_injection.records import Kind, Send, SendOutcome
+from bitternpath.testing.fault_injection.records import DeliveryKind, Send, SendOutcome
 from bitternpath.testing.fault_injection.state_readers import STATE_TIMEOUT_S
 from bitternpath.testing.simulation.actors.in_flight import InFlight
 from bitternpath.testing.simulation.actors.operators import Operators
@@ -92,9 +92,9 @@
         node = random.choice(edges)
         path = f"{random.choice(self._prefixes())}{random.getrandbits(32):08x}"
         request_id = f"probe-{event.number}-{random.getrandbits(32):08x}"
-        host, sent_at = HOSTS[Kind.LISTED], self._world.now
+        host, sent_at = HOSTS[DeliveryKind.LISTED], self._world.now
         self._history.sends[request_id] = Send(
-            request_id, sent_at, node.name, Kind.LISTED, path, PROBE_BODY, outcome=SendOutcome.UNCLEAR
+            request_id, sent_at, node.name, DeliveryKind.LISTED, path, PROBE_BODY, outcome=SendOutcome.UNCLEAR
         )
         incarnation = self._directory.incarnation(node.name)
         headers = {"Host": host, "X-Request-Id": request_id, "X-Deadline-Ms": str(DEADLINE_MS)}
@@ -110,7 +110,7 @@
         """Prefixes of routes of the newest documents, and one that no document ever had."""
         prefixes = [UNKNOWN_PREFIX]
         for document in self._operators.documents[-PROBED_DOCUMENTS:]:
-            prefixes += [route["path_prefix"] for route in document["routes"][len(Kind) :]]
+            prefixes += [route["path_prefix"] for route in document["routes"][len(DeliveryKind) :]]
         return prefixes
 
 
--- a/bitternpath/testing/simulation/actors/node_directory.py
+++ b/bitternpath/testing/simulation/actors/node_directory.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAddress:
-    """`fault_injection.plan.Reachable` for a simulated node."""
+    """`fault_injection.plan.ReachableNode` for a simulated node."""
 
     name: str
     zone: str
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -25,7 +25,7 @@
 from bitternpath.testing.fault_injection.job_behavior import JobBehavior
 from bitternpath.testing.fault_injection.plan import RATE_PER_S, SERVICES
 from bitternpath.testing.fault_injection.pulling_worker import PullingWorker
-from bitternpath.testing.fault_injection.records import Answer, Kind
+from bitternpath.testing.fault_injection.records import Answer, DeliveryKind
 from bitternpath.testing.simulation.checks.history import Drain, SystemHistory
 from bitternpath.testing.simulation.events import RunPlan, WorkerDeparture, WorkerFault, WorkerFaultKind
 from bitternpath.testing.simulation.settings import PLATFORM_IP, PLATFORM_PORT
@@ -67,8 +67,10 @@
         if self.fault is fault:
             self.fault = None
 
-    def _refusal(self, request: Request, request_id: str) -> int:
-        return super()._refusal(request, request_id) or (503 if self.fault is WorkerFaultKind.REFUSING else 0)
+    def _rejection_status(self, request: Request, request_id: str) -> int:
+        return super()._rejection_status(request, request_id) or (
+            503 if self.fault is WorkerFaultKind.REFUSING else 0
+        )
 
     def _answer(self, job: Job, status: int) -> None:
         if self.fault is WorkerFaultKind.FAILING:
@@ -77,8 +79,8 @@
             return
         super()._answer(job, status)
 
-    def _note(self, answer: Answer, connection: ServerConnection) -> None:
-        super()._note(answer, connection)
+    def _record_answer(self, answer: Answer, connection: ServerConnection) -> None:
+        super()._record_answer(answer, connection)
         self.on_answer(answer, connection.transport.getPeer().host)
 
     def _answer_faulty(self, fault: WorkerFaultKind, job: Job) -> bool:
@@ -95,9 +97,11 @@
             transport.write(SHORT_RESPONSE % (job.request_id.encode(), stamp.encode()))
             transport.loseConnection()
         elif fault is WorkerFaultKind.OTHER_ID:
-            job.answer.callback(Reply(200, {**self._named(OTHER_ID), "X-Server-Stamp": stamp}, b"ok"))
+            job.answer.callback(
+                Reply(200, {**self._identity_headers(OTHER_ID), "X-Server-Stamp": stamp}, b"ok")
+            )
         elif fault is WorkerFaultKind.NO_STAMP:
-            job.answer.callback(Reply(200, self._named(job.request_id), b"ok"))
+            job.answer.callback(Reply(200, self._identity_headers(job.request_id), b"ok"))
         else:
             return False
         return True
@@ -122,7 +126,7 @@
         self._lag = Random(f"{plan.seed}/list")
         self.listed = [self._start(index) for index in range(LISTED_WORKERS)]
         self.platform.publish(list(self._entries.values()))
-        service = SERVICES[Kind.ENDPOINT]
+        service = SERVICES[DeliveryKind.ENDPOINT]
         self.endpoint = FaultyEndpoint(
             self._context(ENDPOINT_IP),
             self._behavior("endpoint", ENDPOINT_WORK_S),
@@ -168,12 +172,12 @@
         worker = FaultyWorker(
             self._context(ip),
             self._behavior(instance, LISTED_WORK_S),
-            WorkerDescription(SERVICES[Kind.LISTED], instance, LISTED_SLOTS),
+            WorkerDescription(SERVICES[DeliveryKind.LISTED], instance, LISTED_SLOTS),
             ip,
             WORKER_PORT,
         )
         worker.on_answer = self._record_read
-        self._entries[instance] = worker.listed()
+        self._entries[instance] = worker.list_entry()
         return worker
 
     def _record_read(self, answer: Answer, sender: str) -> None:
@@ -211,7 +215,7 @@
             self._context(f"{PULLER_NETWORK}.{number + 1}"),
             balancer,
             self._behavior(f"puller {number}", seconds),
-            WorkerDescription(SERVICES[Kind.PULLED], f"p-{number}"),
+            WorkerDescription(SERVICES[DeliveryKind.PULLED], f"p-{number}"),
             Random(f"{self._seed}/puller/{number}"),
         )
 
--- a/bitternpath/testing/simulation/events.py
+++ b/bitternpath/testing/simulation/events.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 
 
 class FaultKind(Enum):
@@ -90,7 +90,7 @@
 
     number: int
     at: float
-    kind: Kind
+    kind: DeliveryKind
     key: str = ""
     delay_s: float = 0.0
     zone: str = ""
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 from bitternpath.testing.simulation.events import (
     Event,
@@ -37,7 +37,7 @@
 LONGEST_GAP_S = 3.0  # maximum time between the earliest permitted time and any other fault
 FIRST_FAULT_S = 1.0
 ORDER_KEYS = 5
-KIND_WEIGHTS = {Kind.LISTED: 4, Kind.ENDPOINT: 3, Kind.PULLED: 3}
+KIND_WEIGHTS = {DeliveryKind.LISTED: 4, DeliveryKind.ENDPOINT: 3, DeliveryKind.PULLED: 3}
 DELAYED_SHARE, MAX_DELAY_S = 0.2, 2.0
 SIZES = (20, 200, 2_000, 20_000)
 STATE_READ_SHARE, MAX_STATE_READ_DELAY_S = 0.5, 8.0
@@ -312,7 +312,7 @@
     messages: list[Event] = []
     for at in _times(random, scenario.messages, scenario.seconds):
         kind = random.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
-        key = f"key-{random.randrange(ORDER_KEYS)}" if kind is Kind.ENDPOINT else ""
+        key = f"key-{random.randrange(ORDER_KEYS)}" if kind is DeliveryKind.ENDPOINT else ""
         is_delayed, reads_state = (
             random.random() < DELAYED_SHARE and not key,
             random.random() < STATE_READ_SHARE,
--- a/bitternpath/testing/simulation/runs/play.py
+++ b/bitternpath/testing/simulation/runs/play.py
@@ -20,7 +20,7 @@
     rule_parameters,
     service_document,
 )
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 from bitternpath.testing.fault_injection.state_readers import StateReaders
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 from bitternpath.testing.simulation.actors.clients import CLIENT_IP, SimulatedClients, seeded
@@ -197,7 +197,9 @@
         if self.operators.in_flight or self.clients.in_flight:
             return False
         ended = ended_times(self.history, self.parameters)
-        delivered = {notification.request_id for notification in self.history.callbacks if notification.taken}
+        delivered = {
+            notification.request_id for notification in self.history.callbacks if notification.accepted
+        }
         return all(
             ended[send.request_id] <= self.world.now
             and (not send.wants_callback or send.request_id in delivered)
@@ -255,8 +257,8 @@
     """The first configuration document."""
     return {
         "version": 1,
-        "routes": [route_document(kind, TIMEOUT_MS) for kind in Kind],
-        "services": [service_document(kind, RATE_PER_S, endpoint) for kind in Kind],
+        "routes": [route_document(kind, TIMEOUT_MS) for kind in DeliveryKind],
+        "services": [service_document(kind, RATE_PER_S, endpoint) for kind in DeliveryKind],
         "limits": limits_document(),
     }
 
--- a/tests/system/replication/test_refused_terms.py
+++ b/tests/system/replication/test_refused_terms.py
@@ -27,7 +27,7 @@
     Members,
     RoleChangeCause,
 )
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 from bitternpath.testing.simulation.events import Fault, FaultKind, RunPlan
 from bitternpath.testing.simulation.events import Message as Sent
 from bitternpath.testing.simulation.refused_terms import RefusedTermChecker, refusing_term
@@ -114,7 +114,7 @@
         Fault(number=number, at=8.0 * number - 6.0, kind=FaultKind.TERM, nodes=(f"s{number}",))
         for number in (1, 2, 3)
     ]
-    messages = [Sent(number=100 + number, at=0.1 * number, kind=Kind.LISTED) for number in range(120)]
+    messages = [Sent(number=100 + number, at=0.1 * number, kind=DeliveryKind.LISTED) for number in range(120)]
     return RunPlan(seed=3, scenario="named", seconds=24.0, events=(*faults, *messages))
 
 
--- a/tests/system/test_broken_builds.py
+++ b/tests/system/test_broken_builds.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from bitternpath.testing.fault_injection.records import Kind
+from bitternpath.testing.fault_injection.records import DeliveryKind
 from bitternpath.testing.simulation.events import Event, Fault, FaultKind, Layout, Message, Retire, RunPlan
 from bitternpath.testing.simulation.runs.draw import SCENARIOS, draw
 from bitternpath.testing.simulation.runs.play import play
@@ -26,14 +26,14 @@
 
 def queued_messages() -> list[Event]:
     """Messages that are still queued at the time of the fault, except those with an order key."""
-    kinds = list(Kind)
+    kinds = list(DeliveryKind)
     return [
         Message(
             number=number + 1,
             at=number * MESSAGE_EVERY_S,
             kind=kinds[number % len(kinds)],
-            key=f"key-{number % 3}" if kinds[number % len(kinds)] is Kind.ENDPOINT else "",
-            delay_s=0.0 if kinds[number % len(kinds)] is Kind.ENDPOINT else DELAY_S,
+            key=f"key-{number % 3}" if kinds[number % len(kinds)] is DeliveryKind.ENDPOINT else "",
+            delay_s=0.0 if kinds[number % len(kinds)] is DeliveryKind.ENDPOINT else DELAY_S,
             size=MESSAGE_BYTES,
         )
         for number in range(MESSAGES)
@@ -82,7 +82,7 @@
 
 def all_stores_are_killed_under_a_burst() -> Iterator[RunPlan]:
     """All storage processes are killed while a burst of messages is being written."""
-    burst = [Message(number=number, at=1.0, kind=Kind.LISTED) for number in range(1, BURST + 1)]
+    burst = [Message(number=number, at=1.0, kind=DeliveryKind.LISTED) for number in range(1, BURST + 1)]
     for after_s in (0.008, 0.012, 0.016, 0.02, 0.025):
         fault = Fault(number=101, at=1.0 + after_s, kind=FaultKind.KILL, nodes=STORES, lasts=0.5)
         yield _plan(Layout(), [*burst, fault])
@@ -91,7 +91,8 @@
 def all_lose_power_while_disks_stall() -> Iterator[RunPlan]:
     """A burst of delayed messages arrives while no storage machine can write; then all lose power."""
     burst = [
-        Message(number=number, at=1.0, kind=Kind.LISTED, delay_s=DELAY_S) for number in range(1, BURST + 1)
+        Message(number=number, at=1.0, kind=DeliveryKind.LISTED, delay_s=DELAY_S)
+        for number in range(1, BURST + 1)
     ]
     stalls = [
         Fault(number=200 + index, at=0.98, kind=FaultKind.STALL, nodes=(store,), lasts=STALL_S)
--- a/tests/system/test_fault_injection_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -10,9 +10,9 @@
     Answer,
     Arrival,
     CallbackReceived,
+    DeliveryKind,
     FinalState,
     History,
-    Kind,
     LeaseEnd,
     LeaseExtension,
     OrderOutcome,
@@ -43,7 +43,7 @@
 
 def send(name: str, at: float = 0.0, outcome: SendOutcome = SendOutcome.ACCEPTED, **fields: object) -> Send:
     """A try that was answered after 0.1 s."""
-    made = Send(name, at, "edge-1", Kind.ENDPOINT, "/t", BODY, outcome=outcome, ended_at=at + 0.1)
+    made = Send(name, at, "edge-1", DeliveryKind.ENDPOINT, "/t", BODY, outcome=outcome, ended_at=at + 0.1)
     return replace(made, **fields)  # type: ignore[arg-type]
 
 
--- a/tests/system/test_simulation_checks.py
+++ b/tests/system/test_simulation_checks.py
@@ -12,7 +12,7 @@
 from bitternpath.testing.fault_injection.plan import HOSTS
 from bitternpath.testing.fault_injection.records import (
     Answer,
-    Kind,
+    DeliveryKind,
     OrderOutcome,
     OrderSent,
     Run,
@@ -52,7 +52,7 @@
     edges=frozenset({"edge-1", "edge-2", "edge-3"}),
 )
 ACKNOWLEDGED, REFUSED, UNCLEAR = OrderOutcome.ACKNOWLEDGED, OrderOutcome.REFUSED, OrderOutcome.UNCLEAR
-HOST = HOSTS[Kind.LISTED]
+HOST = HOSTS[DeliveryKind.LISTED]
 
 
 def route(prefix: str, service: str = "listed") -> dict[str, str]:
@@ -96,7 +96,7 @@
 
 def history(**lists: object) -> SystemHistory:
     """A history of a few events, with the message `a`, accepted at 10.1."""
-    send = Send("a", 10.0, "edge-1", Kind.LISTED, "/listed/1", b"body", "k")
+    send = Send("a", 10.0, "edge-1", DeliveryKind.LISTED, "/listed/1", b"body", "k")
     send.outcome, send.status, send.ended_at = SendOutcome.ACCEPTED, 202, 10.1
     return SystemHistory(sends={"a": send}, finished=50.0, **lists)  # type: ignore[arg-type]
 
