--- a/bitternpath/testing/emulator/fleet/final_checks.py
+++ b/bitternpath/testing/emulator/fleet/final_checks.py
@@ -115,11 +115,11 @@
             )
     digests: dict[int, tuple[str, bytes]] = {}
     for server, record in records.items():
-        for agreed in record["changes"]:
-            version = agreed["version"]
+        for change in record["changes"]:
+            version = change["version"]
             if version > record["released"]:
                 continue
-            name, digest = digests.setdefault(version, (server, agreed["digest"]))
-            if digest != agreed["digest"]:
+            name, digest = digests.setdefault(version, (server, change["digest"]))
+            if digest != change["digest"]:
                 violations.append(f"changed: version {version} differs between {name} and {server}")
     return violations
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -236,9 +236,9 @@
     ],
 )
 def test_an_invalid_scenario_is_rejected_in_one_line(invalid: dict[str, Any], message: str) -> None:
-    with pytest.raises(ScenarioError) as fault:
+    with pytest.raises(ScenarioError) as raised:
         small_scenario(**invalid)
-    assert message in str(fault.value) and "\n" not in str(fault.value)
+    assert message in str(raised.value) and "\n" not in str(raised.value)
 
 
 SHIPPED = sorted((ROOT / "scenarios").glob("*.toml"))
@@ -251,10 +251,10 @@
 
 
 def test_the_shipped_scenarios_are_valid_and_use_most_kinds_of_faults() -> None:
-    result = [load(path) for path in SHIPPED]
-    assert len(result) >= 12 and [s.name for s in result] == [path.stem for path in SHIPPED]
-    assert all(s.says for s in result)
-    kinds_used = {trouble.kind for s in result for trouble in s.troubles}
+    scenarios = [load(path) for path in SHIPPED]
+    assert len(scenarios) >= 12 and [s.name for s in scenarios] == [path.stem for path in SHIPPED]
+    assert all(s.says for s in scenarios)
+    kinds_used = {fault.kind for s in scenarios for fault in s.troubles}
     assert kinds_used <= set(KINDS) and len(kinds_used) >= 14
 
 
@@ -469,8 +469,8 @@
 
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - FLEET_KINDS - {"upgrades"}))
 def test_every_kind_of_fault_takes_effect_and_breaks_no_rule(kind: str) -> None:
-    trouble = {"kind": kind, "at": 2.0, "lasts": 4.0, "part": 0.3, "size": 1.5, "extra": 1.0}
-    run = play(small_scenario(troubles=[trouble], clients={"load": 0.4}), 6)
+    fault = {"kind": kind, "at": 2.0, "lasts": 4.0, "part": 0.3, "size": 1.5, "extra": 1.0}
+    run = play(small_scenario(troubles=[fault], clients={"load": 0.4}), 6)
     assert run.passed, (kind, run.violations[:2])
     undisturbed = play(small_scenario(clients={"load": 0.4}), 6)
     assert run.troubles[0]["kind"] == kind
@@ -519,8 +519,8 @@
     lines += [f'[[sites]]\nname = "{name}"\nworkers = 3' for name in "ab"]
     lines += ['[[classes]]\nname = "lookup"\nshare = 1\nwork = 60\nsafe = true\ngive_up = 2500']
     lines += ['[[classes]]\nname = "reminder"\nshare = 1\nwork = 60\ngive_up = 2500']
-    for trouble in overrides.get("troubles", []):
-        lines += ["[[troubles]]", *(f"{key} = {json.dumps(value)}" for key, value in trouble.items())]
+    for fault in overrides.get("troubles", []):
+        lines += ["[[troubles]]", *(f"{key} = {json.dumps(value)}" for key, value in fault.items())]
     scenario.write_text("\n".join(lines) + "\n")
     run = subprocess.run(
         [sys.executable, "-m", "bitternpath", "emulate", str(scenario), "--sockets", "--json", str(file)],
