--- a/bitternpath/testing/emulator/checker.py
+++ b/bitternpath/testing/emulator/checker.py
@@ -2,8 +2,8 @@
 count. Pure.
 
 Observed are the requests that a node accepted and their answers, the attempts as they were sent and as
-they reached a worker, what the worker did with them, and when each node was told of which endpoint change.
-A violation names the request, the worker, the time and the preceding events.
+they reached a worker, what the worker did with them, and which endpoint changes each node was informed of
+and when. A violation names the request, the worker, the time and the preceding events.
 """
 
 from __future__ import annotations
@@ -173,7 +173,7 @@
                 now,
                 request,
                 worker,
-                f"sent {now - since:.2f} s after the node was told that it drains or has ended",
+                f"sent {now - since:.2f} s after the node learned that the worker drains or has ended",
             )
         since = self._ejected_since.get((node, worker))
         if since is not None and now > since + self.drain_grace + self.slack:
--- a/bitternpath/testing/emulator/report.py
+++ b/bitternpath/testing/emulator/report.py
@@ -30,7 +30,7 @@
         f"{result.scenario}, seed {result.seed}, {result.policy}: service {figures['service']:.3f} "
         f"(whole {figures['whole']:.3f}, worst 10 s {figures['worst_10_s']:.3f}, "
         f"worst class {figures['worst_class']:.3f}; waste {figures['waste']:.3f}, "
-        f"late failures {figures['late_fail']:.3f}, crossings {figures['crossings']:.2f} a request)",
+        f"late failures {figures['late_fail']:.3f}, crossings {figures['crossings']:.2f} per request)",
         soft_wrap=True,
     )
     table = Table(title=None)
