--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -564,9 +564,9 @@
 def test_a_run_on_an_overloaded_machine_is_void() -> None:
     code = (
         "from bitternpath.testing.emulator.sockets import play;"
-        "from bitternpath.testing.emulator.scenario_file import made_from;"
+        "from bitternpath.testing.emulator.scenario_file import scenario_from;"
         "play.MAX_LATENESS = -1.0;"
-        "s = made_from({'name': 's', 'seconds': 0.3, 'sites': [{'name': 'a', 'workers': 1}],"
+        "s = scenario_from({'name': 's', 'seconds': 0.3, 'sites': [{'name': 'a', 'workers': 1}],"
         " 'classes': [{'name': 'x', 'share': 1.0, 'work': 5.0, 'give_up': 300.0}]}, 's');"
         "play.play_on_sockets(s, 1)"
     )
@@ -596,14 +596,14 @@
 def test_clients_read_answers_within_the_grace_and_measure_later_ones(late_ms: int, found: str) -> None:
     code = f"""
 import subprocess, sys
-from bitternpath.testing.emulator.scenario_file import made_from
+from bitternpath.testing.emulator.scenario_file import scenario_from
 from bitternpath.testing.emulator.sockets import node, play
 class Popen(subprocess.Popen):
     def __init__(self, args, **kwargs):
         super().__init__([sys.executable, "-c", {LATE_NODE!r}, "{late_ms}"], **kwargs)
 node.subprocess.Popen = Popen
 classes = [{{"name": "x", "share": 1.0, "work": 5.0, "give_up": 300.0}}]
-s = made_from({{"name": "s", "seconds": 1.0, "sites": [{{"name": "a", "workers": 1}}],
+s = scenario_from({{"name": "s", "seconds": 1.0, "sites": [{{"name": "a", "workers": 1}}],
     "clients": {{"rate": 5.0, "retries": 0}}, "classes": classes}}, "s")
 result = play.play_on_sockets(s, 1)
 assert result.requests
