--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -39,12 +39,12 @@
 class PublisherClient:
     """Client (`core.requests.Client`) of one published message; `number` is its confirm tag, 0 for none."""
 
-    __slots__ = ("channel", "correlation", "id", "number", "publishers", "reply_to")
+    __slots__ = ("channel", "confirm_tag", "correlation", "id", "publishers", "reply_to")
 
     def __init__(
-        self, publishers: Publishers, channel: Channel, number: int, properties: Any, id: str
+        self, publishers: Publishers, channel: Channel, confirm_tag: int, properties: Any, id: str
     ) -> None:
-        self.publishers, self.channel, self.number, self.id = publishers, channel, number, id
+        self.publishers, self.channel, self.confirm_tag, self.id = publishers, channel, confirm_tag, id
         self.reply_to, self.correlation = properties.reply_to, properties.correlation_id
 
     def served(self, result: bytes) -> None:
@@ -98,18 +98,18 @@
             raise e.SoftError(
                 e.PRECONDITION_FAILED, f"no consumer of {REPLY_TO} on this channel", method_ids(method)
             )
-        number = 0
+        confirm_tag = 0
         if channel.confirm_mode:
             channel.publish_count += 1
-            number = channel.publish_count
+            confirm_tag = channel.publish_count
         key = str(method.routing_key)
         if key in self.classes:
-            self._submit(channel, number, key, properties, event.body)
+            self._submit(channel, confirm_tag, key, properties, event.body)
         elif method.exchange == "" and key.startswith(RESULT_PREFIX):
             self.subscribers.result(key[len(RESULT_PREFIX) :], properties.correlation_id, event.body)
-            self._confirm(channel, number, True)
+            self._confirm(channel, confirm_tag, True)
         else:
-            self._confirm(channel, number, self._route_to_queue(channel, method, event, key))
+            self._confirm(channel, confirm_tag, self._route_to_queue(channel, method, event, key))
 
     def _route_to_queue(
         self, channel: Channel, method: c.Basic.Publish, event: MessagePublished, key: str
@@ -126,19 +126,19 @@
             channel.session.return_message(channel, e.NO_ROUTE, e.REPLY_CODE_NAMES[e.NO_ROUTE], message)
         return True
 
-    def _submit(self, channel: Channel, number: int, name: str, properties: Any, body: bytes) -> None:
+    def _submit(self, channel: Channel, confirm_tag: int, name: str, properties: Any, body: bytes) -> None:
         spec, now = self.classes[name], self.clock()
         try:
             id = request_id_from(properties)
             if id is None:
                 self._generated_ids += 1
                 id = f"amqp-{self._run_id}-{self._generated_ids:x}"
-            client = PublisherClient(self, channel, number, properties, id)
+            client = PublisherClient(self, channel, confirm_tag, properties, id)
             budget = budget_from(properties)
             payload = payload_from(name, properties, body)
         except InvalidMessage as error:
             self.counts["malformed"] += 1
-            client = PublisherClient(self, channel, number, properties, properties.message_id or "")
+            client = PublisherClient(self, channel, confirm_tag, properties, properties.message_id or "")
             self._send_outcome(client, "failed", b"", {REASON: str(error)})
             return
         if self.broker.has_seen(id):
@@ -196,7 +196,7 @@
                 self.counts["answers_dropped"] += 1
         elif not channel.open:
             self.counts["answers_dropped"] += 1
-        self._confirm(channel, client.number, outcome == "served")
+        self._confirm(channel, client.confirm_tag, outcome == "served")
 
     def _send_reply(self, channel: Channel, message: Message) -> bool:
         """Route a reply to its direct reply-to consumer or private queue; False if there is none."""
@@ -209,7 +209,9 @@
         return queue is not None and queue.put(message)
 
     @staticmethod
-    def _confirm(channel: Channel, number: int, served: bool) -> None:
-        if number and channel.open:
-            confirm: Any = c.Basic.Ack(number, False) if served else c.Basic.Nack(number, False, False)
+    def _confirm(channel: Channel, confirm_tag: int, served: bool) -> None:
+        if confirm_tag and channel.open:
+            confirm: Any = (
+                c.Basic.Ack(confirm_tag, False) if served else c.Basic.Nack(confirm_tag, False, False)
+            )
             channel.session.send_method(channel.number, confirm)
--- a/bitternpath/balancer/amqp/queues.py
+++ b/bitternpath/balancer/amqp/queues.py
@@ -163,11 +163,11 @@
         return self.channel.has_capacity(self.prefetch, self.unacked_count)
 
     def deliver(self, message: Message) -> None:
-        tag = self.channel.next_delivery_tag()
+        delivery_tag = self.channel.next_delivery_tag()
         if not self.no_ack:
             self.unacked_count += 1
-            self.channel.unacked[tag] = UnackedMessage(self, message)
-        self.channel.session.deliver(self.channel, self.tag, tag, message)
+            self.channel.unacked[delivery_tag] = UnackedMessage(self, message)
+        self.channel.session.deliver(self.channel, self.tag, delivery_tag, message)
 
     def stop(self) -> None:
         if self in self.queue.consumers:
--- a/bitternpath/balancer/amqp/session.py
+++ b/bitternpath/balancer/amqp/session.py
@@ -83,10 +83,12 @@
             self.on_change()
 
     def deliver(
-        self, channel: Channel, tag: str, number: int, message: Message, context: Any = None
+        self, channel: Channel, consumer_tag: str, delivery_tag: int, message: Message, context: Any = None
     ) -> Entry:
         """Queue basic.deliver with its content; the returned entry can be withdrawn until it is submitted."""
-        method = c.Basic.Deliver(tag, number, message.redelivered, message.exchange, message.routing_key)
+        method = c.Basic.Deliver(
+            consumer_tag, delivery_tag, message.redelivered, message.exchange, message.routing_key
+        )
         return self._content(channel, method, message, context)
 
     def return_message(self, channel: Channel, code: int, text: str, message: Message) -> None:
@@ -117,15 +119,15 @@
             self.vhost = event.vhost
 
     def _handle_with_errors(
-        self, number: int, method: Method, handler: Callable[[Channel, Any], None], event: Any
+        self, channel_number: int, method: Method, handler: Callable[[Channel, Any], None], event: Any
     ) -> None:
-        channel = self.channels[number]
+        channel = self.channels[channel_number]
         try:
             handler(channel, event)
         except e.SoftError as error:
             error.method = method_ids(method)
-            self.machine.close_channel(number, error)
-            self._close_channel(number)
+            self.machine.close_channel(channel_number, error)
+            self._close_channel(channel_number)
         except e.HardError as error:
             error.method = method_ids(method)
             self.machine.fail(error)
@@ -137,9 +139,9 @@
     def _command(self, channel: Channel, event: sm.MethodReceived) -> None:
         HANDLERS[type(event.method)](self, channel, event.method)
 
-    def _close_channel(self, number: int) -> None:
+    def _close_channel(self, channel_number: int) -> None:
         """Drop a closed channel: end its consumers and endpoints, and settle its unacked deliveries."""
-        channel = self.channels.pop(number, None)
+        channel = self.channels.pop(channel_number, None)
         if channel is None:
             return
         channel.open = False
@@ -154,8 +156,8 @@
 
     def end(self) -> None:
         """Drop all channels and private queues: the connection is closed."""
-        for number in list(self.channels):
-            self._close_channel(number)
+        for channel_number in list(self.channels):
+            self._close_channel(channel_number)
         for queue in self.own_queues.values():
             queue.purge()
             self.queues.remove(self.vhost, queue)
@@ -405,11 +407,11 @@
         if message is None:
             self.send_method(channel.number, c.Basic.GetEmpty())
             return
-        number = channel.next_delivery_tag()
+        delivery_tag = channel.next_delivery_tag()
         if not method.no_ack:
-            channel.unacked[number] = UnackedMessage(None, message, queue)
+            channel.unacked[delivery_tag] = UnackedMessage(None, message, queue)
         ok = c.Basic.GetOk(
-            number, message.redelivered, message.exchange, message.routing_key, len(queue.messages)
+            delivery_tag, message.redelivered, message.exchange, message.routing_key, len(queue.messages)
         )
         self._content(channel, ok, message)
 
@@ -427,17 +429,17 @@
         for unacked in self._take_unacked(channel, method.delivery_tag, False):
             unacked.reject(bool(method.requeue))
 
-    def _take_unacked(self, channel: Channel, number: int | None, multiple: bool) -> list[Any]:
+    def _take_unacked(self, channel: Channel, delivery_tag: int | None, multiple: bool) -> list[Any]:
         """Remove and return the delivery with a tag; with `multiple` all up to the tag, or all for tag 0."""
-        number = number or 0
+        delivery_tag = delivery_tag or 0
         if not multiple:
-            unacked = channel.unacked.pop(number, None)
+            unacked = channel.unacked.pop(delivery_tag, None)
             if unacked is None:
-                raise e.SoftError(e.PRECONDITION_FAILED, f"unknown delivery tag {number}")
+                raise e.SoftError(e.PRECONDITION_FAILED, f"unknown delivery tag {delivery_tag}")
             return [unacked]
-        if number > channel.last_delivery_tag:
-            raise e.SoftError(e.PRECONDITION_FAILED, f"unknown delivery tag {number}")
-        tags = [tag for tag in channel.unacked if tag <= number or number == 0]
+        if delivery_tag > channel.last_delivery_tag:
+            raise e.SoftError(e.PRECONDITION_FAILED, f"unknown delivery tag {delivery_tag}")
+        tags = [tag for tag in channel.unacked if tag <= delivery_tag or delivery_tag == 0]
         return [channel.unacked.pop(tag) for tag in tags]
 
     def _recover(self, channel: Channel, method: c.Basic.Recover) -> None:
--- a/bitternpath/balancer/amqp/subscribers.py
+++ b/bitternpath/balancer/amqp/subscribers.py
@@ -89,10 +89,10 @@
 class Delivery:
     """Unacknowledged delivery of a call."""
 
-    __slots__ = ("call", "entry", "number", "result", "subscriber", "token")
+    __slots__ = ("call", "delivery_tag", "entry", "result", "subscriber", "token")
 
-    def __init__(self, call: UpstreamCall, subscriber: Subscriber, number: int, token: str) -> None:
-        self.call, self.subscriber, self.number, self.token = call, subscriber, number, token
+    def __init__(self, call: UpstreamCall, subscriber: Subscriber, delivery_tag: int, token: str) -> None:
+        self.call, self.subscriber, self.delivery_tag, self.token = call, subscriber, delivery_tag, token
         self.result: bytes | None = None  # published by the subscriber before its ack
         self.entry: Entry | None = None
 
@@ -206,9 +206,9 @@
             self.counts["no_room_at_subscriber"] += 1
             self.broker.call_ended(call, m.AttemptOutcome.FULL)
             return
-        channel, number = subscriber.channel, subscriber.channel.next_delivery_tag()
+        channel, delivery_tag = subscriber.channel, subscriber.channel.next_delivery_tag()
         token = os.urandom(12).hex()  # unguessable for other publishers
-        delivery = Delivery(call, subscriber, number, token)
+        delivery = Delivery(call, subscriber, delivery_tag, token)
         call.transport_state = delivery
         request = call.request
         remaining = call.expires - self.clock()
@@ -217,8 +217,8 @@
         )
         redelivered = any(earlier.may_have_run for earlier in request.calls[: call.number])
         message = Message("", subscriber.job_class, properties, request.payload.body, redelivered)
-        delivery.entry = channel.session.deliver(channel, subscriber.tag, number, message, delivery)
-        channel.unacked[number] = delivery
+        delivery.entry = channel.session.deliver(channel, subscriber.tag, delivery_tag, message, delivery)
+        channel.unacked[delivery_tag] = delivery
         subscriber.unacked_count += 1
         channel.session.active_work += 1
         self._by_token[token] = delivery
@@ -235,7 +235,7 @@
         subscriber, entry = delivery.subscriber, delivery.entry
         if entry is None or not subscriber.channel.session.send_queue.withdraw(entry):
             return False
-        subscriber.channel.unacked.pop(delivery.number, None)
+        subscriber.channel.unacked.pop(delivery.delivery_tag, None)
         self._release(delivery)
         return True
 
--- a/tests/test_amqp_flow.py
+++ b/tests/test_amqp_flow.py
@@ -120,8 +120,8 @@
     rig, publisher, (first, second), run_counts = rig_with("hold", 2)
     rig.publish_request(publisher, "a")
     rig.run_until_idle()
-    holder = next(w for w in (first, second) if w.deliveries())
-    holder.wire.disconnect(ConnectionError())
+    assigned = next(w for w in (first, second) if w.deliveries())
+    assigned.wire.disconnect(ConnectionError())
     rig.advance(9000)
     assert run_counts == {"a": 1} and publisher.answers() == [("failed", "c-a", b"")]
     assert publisher.confirms() == [("nack", 1)] and rig.is_idle()
@@ -131,12 +131,12 @@
     rig, publisher, workers, run_counts = rig_with("hold", 2)
     rig.publish_request(publisher, "a", "lookup")
     rig.run_until_idle()
-    holder, other = sorted(workers, key=lambda w: -len(w.deliveries()))
+    assigned, other = sorted(workers, key=lambda w: -len(w.deliveries()))
     run_jobs(other, run_counts)
-    holder.wire.disconnect(ConnectionError())
+    assigned.wire.disconnect(ConnectionError())
     rig.advance(500)
     assert run_counts == {"a": 2} and publisher.answers() == [("served", "c-a", b"ran")]
-    assert not holder.deliveries()[0].method.redelivered and other.deliveries()[0].method.redelivered
+    assert not assigned.deliveries()[0].method.redelivered and other.deliveries()[0].method.redelivered
 
 
 @pytest.mark.parametrize("loss", ["connection", "channel", "heartbeats"])
