--- a/bitternpath/balancer/amqp/publishers.py
+++ b/bitternpath/balancer/amqp/publishers.py
@@ -37,7 +37,10 @@
 
 
 class PublisherClient:
-    """Client (`core.requests.Client`) of one published message; `number` is its confirm tag, 0 for none."""
+    """Client (`core.requests.Client`) of one published message.
+
+    `confirm_tag` is the delivery tag of its publisher confirm; 0: the channel is not in confirm mode.
+    """
 
     __slots__ = ("channel", "confirm_tag", "correlation", "id", "publishers", "reply_to")
 
--- a/bitternpath/balancer/amqp/queues.py
+++ b/bitternpath/balancer/amqp/queues.py
@@ -76,7 +76,7 @@
         self.session, self.number, self.open = session, number, True
         self.confirm_mode = False
         self.publish_count = 0  # messages published since confirm.select
-        self.last_delivery_tag = 0  # 0: no delivery yet
+        self.last_delivery_tag = 0  # tags start at 1
         self.unacked: dict[int, Unacked] = {}
         self.consumers: dict[str, Consumer] = {}
         self.prefetch = self.channel_prefetch = 0  # limits of a new consumer and of the channel; 0: no limit
--- a/bitternpath/balancer/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -317,7 +317,7 @@
         )
         self.subscribers.prefetch_cap = settings.prefetch_cap
         self.subscribers.requeue_unstarted = frozenset(settings.requeue_unstarted)
-        # HTTP requests are refused while the core holds `capacity` requests; AMQP may use half of it.
+        # HTTP requests are refused while the core holds `capacity` requests; AMQP may use half of them.
         self.publishers.max_waiting = max(min(settings.max_waiting, self.capacity() // 2), 1)
 
     def limits(self) -> sm.Limits:
