--- a/bitternpath/balancer/amqp/queues.py
+++ b/bitternpath/balancer/amqp/queues.py
@@ -76,7 +76,7 @@
         self.session, self.number, self.open = session, number, True
         self.confirm_mode = False
         self.publish_count = 0  # messages published since confirm.select
-        self.last_delivery_tag = 0  # 0: no delivery yet
+        self.last_delivery_tag = 0  # tags start at 1
         self.unacked: dict[int, Unacked] = {}
         self.consumers: dict[str, Consumer] = {}
         self.prefetch = self.channel_prefetch = 0  # limits of a new consumer and of the channel; 0: no limit
@@ -163,11 +163,11 @@
         return self.channel.has_capacity(self.prefetch, self.unacked_count)
 
     def deliver(self, message: Message) -> None:
-        tag = self.channel.next_delivery_tag()
+        delivery_tag = self.channel.next_delivery_tag()
         if not self.no_ack:
             self.unacked_count += 1
-            self.channel.unacked[tag] = UnackedMessage(self, message)
-        self.channel.session.deliver(self.channel, self.tag, tag, message)
+            self.channel.unacked[delivery_tag] = UnackedMessage(self, message)
+        self.channel.session.deliver(self.channel, self.tag, delivery_tag, message)
 
     def stop(self) -> None:
         if self in self.queue.consumers:
