--- a/bitternpath/storage/__init__.py
+++ b/bitternpath/storage/__init__.py
@@ -2,12 +2,12 @@
 
 On-disk formats and recovery are described in `docs/design/storage.md`. Modules, from the bottom up:
 
-- `errors`: what is raised for content that isn't what was written
+- `errors`: exceptions for corrupt files
 - `files`: file system operations, behind a protocol that tests and simulations replace
 - `records`, `record_format`: records of the write-ahead log and their framing
-- `group_state`: the state of each replica group, as the records build it
-- `segment_loading`, `segment_files`, `snapshots`: reading and writing of the log's files
-- `checkpoint`, `scrub`, `segments`: bounding, verifying and operating the log
-- `journal_writer`, `journal_writer_thread`, `journal`: group commit in a thread of its own
-- `documents`, `document_writer`, `identity`, `quarantine`, `node_disk`: the rest of a data directory
+- `group_state`: the state of each replica group, built by replaying the records
+- `segment_loading`, `segment_files`, `snapshots`: reading and writing the log's files
+- `checkpoint`, `scrub`, `segments`: truncating, verifying and operating the log
+- `journal_writer`, `journal_writer_thread`, `journal`: group commit in a dedicated thread
+- `documents`, `document_writer`, `identity`, `quarantine`, `node_disk`: the other files of a data directory
 """
--- a/bitternpath/storage/journal.py
+++ b/bitternpath/storage/journal.py
@@ -1,8 +1,8 @@
-"""The write-ahead log of all replica groups of a process, as the groups use it.
+"""Interface of the replica groups to the write-ahead log that all groups of a process share.
 
-`Journal` belongs to the reactor's thread. A `JournalWriter` owns the files: it takes all commands that wait,
-writes and syncs them together (group commit), and reports back. `JournalWriterThread` is the one of a
-process; simulations have one in virtual time (`testing/simulation/journal_writer.py`).
+`Journal` is used in the reactor's thread only. A `JournalWriter` owns the files: it writes and syncs all
+queued commands together (group commit) and reports their completion. A process uses `JournalWriterThread`,
+a simulation a writer in virtual time (`testing/simulation/journal_writer.py`).
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from bitternpath.storage.records import TombstoneRecord
 from bitternpath.storage.segments import SEGMENT_BYTES, SegmentLog
 
-CHECKPOINT_BYTES = 32 << 20  # of all segments; half of the smallest disk (64 MB)
-SALT_BITS = 32  # as wide as a CRC-32, whose initial value it is
+CHECKPOINT_BYTES = 32 << 20  # total size of all segments; half of the smallest supported disk (64 MB)
+SALT_BITS = 32  # the salt is the initial value of a CRC-32
 
 
 class Journal:
     """`replication.interfaces.GroupJournal` on a write-ahead log."""
 
     def __init__(self, log: SegmentLog, writer: JournalWriter) -> None:
-        """Load each group's state, and start the writer.
+        """Load each group's state and start the writer.
 
         Raises:
-            CorruptJournalError: a snapshot's file isn't what was written.
-            OSError: it can't be read.
+            CorruptJournalError: a snapshot file is missing or corrupt.
+            OSError: a snapshot file can't be read.
         """
         self._log = log
         self._writer = writer
@@ -44,57 +44,63 @@
 
     @property
     def failing(self) -> bool:
-        """Whether the disk refuses writes; they are repeated until it takes them."""
+        """Whether writes to the disk fail; they are retried until they succeed."""
         return self._writer.failing
 
     @property
     def bytes_used(self) -> int:
-        """Bytes of segments and snapshots on the disk."""
+        """Total size of the segments and snapshots on the disk."""
         return self._log.bytes_used
 
     @property
     def snapshot_bytes_required(self) -> int:
-        """Bytes of all snapshots and of the largest one again: its successor is written beside it."""
+        """Total size of all snapshots plus the largest.
+
+        A new snapshot is written before the previous snapshot of its group is removed.
+        """
         return self._log.snapshot_bytes_required
 
     def on_corrupt_snapshot(self, corrupted: CorruptSnapshotCallback) -> None:
-        """Call `corrupted` with each group whose snapshot the scrub finds corrupt: it must be rewritten."""
+        """Call `corrupted` with each group whose snapshot the scrub finds corrupt and must be rewritten."""
         self._snapshot_corrupted = corrupted
 
     def groups(self) -> tuple[str, ...]:
-        """Return the groups that the disk held at the start and that were neither taken nor removed since."""
+        """Return the groups loaded from the disk whose state was neither consumed nor removed since."""
         return tuple(self._loaded)
 
     def take_persistent_state(self, group: str) -> PersistentState | None:
-        """Return what the disk held of a group at the start, once; None if it held none."""
+        """Return a group's state as loaded from the disk, and release it.
+
+        None if the disk had no state of the group, and from the second call on.
+        """
         return self._loaded.pop(group, None)
 
     def tombstone_generation(self, group: str) -> int | None:
-        """Return the generation of a group's tombstone (`TombstoneRecord`); None where it has none.
+        """Return the generation of a group's tombstone (`TombstoneRecord`), or None if there is none.
 
-        A group that has one was on this disk before, and may have voted.
+        A tombstone means that this disk stored a replica of the group before, which may have voted.
         """
         return self._tombstones.get(group)
 
     def write(self, group: str, write: StorageWrite, done: DoneCallback) -> None:
-        """Queue a write of the consensus module; `done` is called once it is durable."""
+        """Queue a write of the consensus module; `done` is called when it is durable."""
         new = None
         if write.snapshot is not None and write.snapshot.data:
             new = NewSnapshot(group, write.snapshot)
         self._writer.submit(JournalCommand(write_record(group, write), new, done))
 
     def bootstrap_group(self, group: str, state: PersistentState) -> None:
-        """Queue the first state of a group that begins here. Later writes of the group are done after it."""
+        """Queue the initial state of a group that is bootstrapped here, ahead of the group's later writes."""
         self._writer.submit(JournalCommand(bootstrap_record(group, state), None, None))
 
     def remove_group(self, group: str, generation: int) -> None:
-        """Queue the removal of a group's state, given up at that generation of its members."""
+        """Queue a tombstone, which removes a group's state, with the generation of the group's members."""
         self._loaded.pop(group, None)
         self._tombstones[group] = generation
         self._writer.submit(JournalCommand(TombstoneRecord(group, generation), None, None))
 
     def close(self) -> None:
-        """Write what waits, unless the disk fails, and close the files."""
+        """Write all queued commands, unless the disk fails, and close the files."""
         if self._writer.stop():
             self._log.close()
 
@@ -115,16 +121,16 @@
     checkpoint_bytes: int = CHECKPOINT_BYTES,
     segment_bytes: int = SEGMENT_BYTES,
 ) -> Journal:
-    """Load the log of a data directory, and start its thread. Blocks while it loads.
+    """Load the log of a data directory and start its writer thread. Blocks during loading.
 
     Args:
-        data_dir: made where it is missing.
+        data_dir: created if it doesn't exist.
         reactor: callbacks run in its thread.
-        checkpoint_bytes: size of all segments above which a checkpoint is made.
+        checkpoint_bytes: total size of all segments above which a checkpoint is written.
         segment_bytes: size above which a segment is closed.
 
     Raises:
-        CorruptJournalError: what was synced doesn't read back.
+        CorruptJournalError: synced data is missing or corrupt.
         OSError: a file can't be read or written.
     """
     data_dir.mkdir(parents=True, exist_ok=True)
--- a/bitternpath/storage/journal_writer_thread.py
+++ b/bitternpath/storage/journal_writer_thread.py
@@ -1,4 +1,4 @@
-"""Journal writer in a thread of its own."""
+"""Journal writer that runs in a dedicated thread."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 log = logbook.Logger("disk")
 
-STOP_SECONDS = 2.0  # for what waits to be written when the process ends
-SCRUB_SECONDS = 0.25  # between chunks of the scrub: 1 MiB/s, so 64 MB in about a minute
+STOP_SECONDS = 2.0  # time limit for writing the queued commands at shutdown
+SCRUB_SECONDS = 0.25  # interval between chunks of the scrub: 1 MiB/s, so 64 MB take about a minute
 
 
 class JournalWriterThread:
-    """`JournalWriter` in a thread.
+    """`JournalWriter` that runs in a dedicated thread.
 
-    Work in order of priority: batches; steps of a checkpoint, one between two batches, so that no batch waits
-    long; the scrub, only while nothing waits.
+    Batches have priority over checkpoints, and checkpoints over the scrub. At most one step of a checkpoint
+    runs between two batches, to bound the latency of a batch; the scrub runs only while the queue is empty.
     """
 
     _log: SegmentLog
@@ -31,15 +31,15 @@
     _thread: threading.Thread
 
     def __init__(self, reactor: ThreadCallReactor) -> None:
-        """Make a writer whose callbacks run in that reactor's thread; `start` begins the work."""
+        """Create a writer whose callbacks run in the reactor's thread; `start` starts the writer's thread."""
         self._reactor = reactor
         self._waiting: list[JournalCommand] = []
         self._changed = threading.Condition()  # guards `_waiting`
         self._stopping = threading.Event()
         self._write_failing = False
         self._checkpoint_failing = False
-        self._checkpoint_from = 0.0  # when the next step of a checkpoint may be tried, by `time.monotonic`
-        self._scrub_from = 0.0  # when the next chunk of the scrub is due, by `time.monotonic`
+        self._checkpoint_from = 0.0  # earliest time of the next checkpoint step, in `time.monotonic` seconds
+        self._scrub_from = 0.0  # time at which the next chunk of the scrub is due, likewise
 
     @property
     def failing(self) -> bool:
@@ -58,7 +58,7 @@
         self._thread.start()
 
     def submit(self, command: JournalCommand) -> None:
-        """Add a command; wakes the thread."""
+        """Add a command to the queue and wake the thread."""
         with self._changed:
             self._waiting.append(command)
             self._changed.notify()
@@ -71,13 +71,13 @@
         self._thread.join(STOP_SECONDS)
         return not self._thread.is_alive()
 
-    # ---- in the thread
+    # The methods below run in the writer's thread.
 
     def _run(self) -> None:
         try:
             self._work()
         except BaseException:
-            # Nothing will be written any more: owners of groups have to know.
+            # No further write will complete: report the journal as failing, so that no more messages are accepted.
             self._write_failing = True
             log.exception("event=journal_writer_crashed")
 
@@ -91,9 +91,10 @@
                 self._scrub()
 
     def _next_commands(self) -> list[JournalCommand] | None:
-        """Wait for work; return all commands that wait.
+        """Wait for work and return all queued commands.
 
-        An empty list: a checkpoint or the scrub goes on. None: the writer is stopped and nothing waits.
+        Returns an empty list if a checkpoint step or the scrub is due, and None if the writer was stopped and
+        the queue is empty.
         """
         with self._changed:
             while not self._waiting:
@@ -108,19 +109,22 @@
             return commands
 
     def _seconds_to_work(self) -> float:
-        """Seconds until there is something to do besides commands."""
+        """Return the seconds until a checkpoint step or the scrub is due."""
         scrub = max(self._scrub_from - time.monotonic(), 0.0)
         checkpoint = self._seconds_to_checkpoint()
         return scrub if checkpoint is None else min(scrub, checkpoint)
 
     def _seconds_to_checkpoint(self) -> float | None:
-        """Seconds until a step of a checkpoint may be tried; None where none is due."""
+        """Return the seconds until the next checkpoint step may run, or None if no checkpoint is due."""
         if not self._log.checkpoint_due:
             return None
         return max(self._checkpoint_from - time.monotonic(), 0.0)
 
     def _write(self, commands: list[JournalCommand]) -> bool:
-        """Write commands as one batch, as often as it takes; False where the writer was stopped meanwhile."""
+        """Write commands as one batch, and retry until it succeeds.
+
+        Returns False if the writer is stopped before.
+        """
         batch = make_batch(commands)
         while True:
             try:
@@ -135,7 +139,10 @@
                 return False
 
     def _step_checkpoint(self) -> None:
-        """Do one step. Where it fails, batches go on: they may need less space."""
+        """Do one step of a checkpoint.
+
+        If it fails, batches are still written, since they may need less space than the checkpoint.
+        """
         try:
             self._log.checkpoint_step()
         except OSError:
--- a/bitternpath/storage/segment_files.py
+++ b/bitternpath/storage/segment_files.py
@@ -1,4 +1,7 @@
-"""Segment files of the write-ahead log: appends batches, begins and removes segments. Blocks."""
+"""Segment files of the write-ahead log: appending batches, creating and removing segments.
+
+All operations block.
+"""
 
 from __future__ import annotations
 
@@ -11,22 +14,22 @@
 
 
 class SegmentFiles:
-    """The segments: one that is appended to, and the closed ones before it.
+    """The current segment, to which batches are appended, and the closed segments before it.
 
     Attributes:
-        bytes_used: size of all segments; another thread may read it.
+        bytes_used: total size of all segments; safe to read from another thread.
     """
 
     def __init__(
         self, files: FileSystem, generate_salt: Callable[[], int], segment_bytes: int, loaded: LoadedSegments
     ) -> None:
-        """Go on with the segments that were loaded.
+        """Continue the segments that were loaded.
 
         Args:
             files: the data directory.
-            generate_salt: returns a random number of 32 bits, for each new segment.
+            generate_salt: returns a random 32-bit number for each new segment.
             segment_bytes: size above which a segment is closed.
-            loaded: what `load_segments` found.
+            loaded: result of `load_segments`.
         """
         self._files = files
         self._generate_salt = generate_salt
@@ -34,24 +37,25 @@
         self._current = loaded.current
         self._closed = loaded.closed
         self._last_batch = loaded.last_batch
-        self._tail_may_be_torn = False  # there may be bytes behind the current segment's `end`
-        self._unfinished_segment_path = ""  # of a next segment that the disk refused; it may be there in part
+        self._tail_may_be_torn = False  # the current segment may have bytes after its `end`
+        # The next segment, if creating it failed: the file may exist with an incomplete header. Else empty.
+        self._unfinished_segment_path = ""
         self.bytes_used = 0
         self._update_total()
 
     @property
     def current(self) -> Segment:
-        """The segment that is appended to."""
+        """The segment to which batches are appended."""
         return self._current
 
     @property
     def oldest_closed(self) -> int | None:
-        """Number of the oldest closed segment; None where there is none."""
+        """Number of the oldest closed segment, or None if no segment is closed."""
         return min(self._closed, default=None)
 
     @property
     def synced_sizes(self) -> dict[str, int]:
-        """Bytes of each segment that are synced, by path, closed ones first."""
+        """Synced size of each segment by path, closed segments first."""
         sizes = {segment_path(number): size for number, size in self._closed.items()}
         if self._current.end:
             sizes[self._current.path] = self._current.end
@@ -61,7 +65,7 @@
         """Write records as the next batch; they are durable when this returns.
 
         Raises:
-            OSError: nothing of the batch counts. The same batch, or another one, may be tried next.
+            OSError: the batch wasn't appended. It may be retried, or a different batch written instead.
         """
         if not self._current.end or self._current.end > self._segment_bytes:
             self.roll()
@@ -79,9 +83,10 @@
         self._update_total()
 
     def roll(self) -> None:
-        """Close the current segment and begin the next one; one without a header is begun instead.
+        """Close the current segment and create the next.
 
-        Raises `OSError`; the current segment is then still appended to.
+        A current segment without a header isn't closed but created anew. Raises `OSError`; batches are then
+        still appended to the current segment.
         """
         before = self._current
         if not before.end:
@@ -98,9 +103,9 @@
         self._update_total()
 
     def remove_closed(self, number: int) -> None:
-        """Remove a closed segment, which must be the oldest one, and make its removal durable.
+        """Remove a closed segment, which must be the oldest, and make the removal durable.
 
-        Raises `OSError`; then it is to be tried again.
+        Raises `OSError`; the removal must then be retried.
         """
         self._files.remove(segment_path(number))
         self._files.sync_directory(DIRECTORY)
@@ -117,10 +122,10 @@
         return Segment(number, salt, SEGMENT_HEADER_BYTES)
 
     def _remove_unfinished_segment(self) -> None:
-        """Remove a next segment that the disk refused, before the current one is appended to.
+        """Remove the file of a next segment whose creation failed, before appending to the current segment.
 
-        While it is there, the current one would be taken at loading for one that was synced completely, and a
-        torn batch at its end for corruption.
+        As long as that file exists, loading treats the current segment as closed and completely synced, and
+        would report a torn batch at its end as corruption.
         """
         if self._unfinished_segment_path:
             self._files.remove(self._unfinished_segment_path)
--- a/bitternpath/storage/segment_loading.py
+++ b/bitternpath/storage/segment_loading.py
@@ -1,12 +1,12 @@
-"""Reads the segments of the write-ahead log at the start of a process.
+"""Recovery of the write-ahead log: reads the segments when a process starts.
 
 Loading relies on two invariants of writing (`segment_files`, `checkpoint`):
 
-- A batch is written only after the batch before it was synced, and a segment is begun only after the one
-  before it was synced completely. So only the end of the last segment can be torn.
-- Segments are removed the oldest first, each removal synced: what is left is a run of consecutive segments.
+- A batch is written only after the previous batch was synced, and a segment is created only after the
+  previous segment was synced completely. So only the end of the last segment can be torn.
+- Segments are removed oldest first, and each removal is synced. So the remaining segments are consecutive.
 
-A torn tail is cut off. Everything else that doesn't read back is corruption.
+A torn tail is truncated. Any other unreadable data is reported as corruption.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
     """A segment that can be appended to.
 
     Attributes:
-        number: consecutive, from 1 on.
-        salt: initial value of its checksums.
-        end: bytes up to which it is synced; 0: it has no header yet.
+        number: sequence number; the first segment is 1.
+        salt: initial value of the checksums of its records.
+        end: synced size in bytes; 0 if the header isn't written yet.
     """
 
     number: int
@@ -46,18 +46,18 @@
 
     @property
     def path(self) -> str:
-        """Path of the file."""
+        """Path of the segment's file, relative to the data directory."""
         return segment_path(self.number)
 
 
 @dataclass(slots=True)
 class LoadedSegments:
-    """What was found.
+    """Result of loading the segments of a log.
 
     Attributes:
-        current: the last segment, which is appended to.
+        current: the last segment, to which further batches are appended.
         closed: sizes in bytes of the segments before it, by number.
-        last_batch: number of the last batch; 0: there is none.
+        last_batch: number of the last batch; 0 if the log is empty.
     """
 
     current: Segment
@@ -66,15 +66,15 @@
 
 
 def segment_path(number: int) -> str:
-    """Path of the segment's file."""
+    """Return the path of a segment's file, relative to the data directory."""
     return f"{DIRECTORY}/segment-{number:08d}.log"
 
 
 def load_segments(files: FileSystem, states: GroupStates) -> LoadedSegments:
-    """Apply all complete batches to `states`, cut off a torn tail, and sync what is left.
+    """Apply all complete batches to `states`, truncate a torn tail, and sync the last segment.
 
     Raises:
-        CorruptJournalError: what was synced doesn't read back.
+        CorruptJournalError: synced data is missing or corrupt.
         OSError: a file can't be read, truncated or synced.
     """
     return _SegmentLoader(files, states).load()
@@ -97,7 +97,7 @@
         return LoadedSegments(current, closed, self._last_batch)
 
     def _load_closed(self, number: int) -> int:
-        """Apply a segment that was synced completely; its size in bytes."""
+        """Apply a segment that was synced completely; returns its size in bytes."""
         segment, size = self._load_segment(number)
         if segment is None or segment.end != size:
             raise CorruptJournalError(segment_path(number), segment.end if segment else 0, "no intact record")
@@ -108,10 +108,10 @@
         if segment is None:
             if size > SEGMENT_HEADER_BYTES:
                 raise CorruptJournalError(segment_path(number), 0, "no segment header")
-            return Segment(number, 0, 0)  # the process ended before its header was synced
+            return Segment(number, 0, 0)  # the process ended before it had synced the header
         if segment.end != size:
             self._files.truncate(segment.path, segment.end)
-        # Complete batches may have been written by a process that was killed before it synced them.
+        # The last complete batch may not be synced yet, if the process that wrote it was killed.
         self._files.sync(segment.path)
         self._files.sync_directory(DIRECTORY)
         return segment
@@ -120,7 +120,8 @@
         """Apply the complete batches of a segment.
 
         Returns:
-            The segment, up to its last complete batch, or None where it has no header; and the file's size.
+            The segment, with `end` after its last complete batch, or None if the header isn't intact; and the
+            size of the file.
         """
         path = segment_path(number)
         data = self._files.read(path)
@@ -132,7 +133,7 @@
         records: list[Record] = []
         while (frame := read_frame(path, salt, data, offset)) is not None:
             if not self._last_batch:
-                self._last_batch = frame.batch - 1  # segments before it were removed
+                self._last_batch = frame.batch - 1  # earlier segments were removed by a checkpoint
             if frame.batch != self._last_batch + 1:
                 break
             records.append(frame.record)
--- a/bitternpath/storage/segments.py
+++ b/bitternpath/storage/segments.py
@@ -1,7 +1,7 @@
-"""The write-ahead log on disk: segments, the snapshots that their records name, and what both hold.
+"""The write-ahead log on disk: segments, the snapshots that their records reference, and the group states.
 
-Blocks; one thread at a time. A snapshot's file is durable before the record that names it is written, and it
-is removed only after a record that names a later one was synced.
+All operations block; the module isn't thread-safe. A snapshot file is durable before the record that
+references it is written, and is removed only after a record that references a later snapshot was synced.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 log = logbook.Logger("disk")
 
-SEGMENT_BYTES = 8 << 20  # a segment is closed above this; small against the smallest disk (64 MB)
+SEGMENT_BYTES = 8 << 20  # a segment is closed above this size; a small fraction of the smallest disk (64 MB)
 
 
 class SegmentLog:
-    """The write-ahead log's files, and the state of each group that they hold."""
+    """The write-ahead log's files and the group states recovered from them."""
 
     def __init__(
         self,
@@ -39,16 +39,16 @@
         checkpoint_bytes: int,
         segment_bytes: int = SEGMENT_BYTES,
     ) -> None:
-        """Load what is on the disk.
+        """Load the log from the disk.
 
         Args:
             files: the data directory.
-            generate_salt: returns a random number of 32 bits, for each new segment.
-            checkpoint_bytes: size of all segments above which the first checkpoint is due.
+            generate_salt: returns a random 32-bit number for each new segment.
+            checkpoint_bytes: total size of all segments above which the first checkpoint is due.
             segment_bytes: size above which a segment is closed.
 
         Raises:
-            CorruptJournalError: what was synced doesn't read back.
+            CorruptJournalError: synced data is missing or corrupt.
             OSError: a file can't be read or written.
         """
         self._files = files
@@ -61,24 +61,24 @@
         self._verify_states()
         self._remove_unnamed_snapshots()
 
-    # ---- reading
+    # Reading
 
     @property
     def groups(self) -> tuple[str, ...]:
-        """The groups of which the log holds a state."""
+        """Names of the groups whose state is in the log."""
         return tuple(self._states.by_group)
 
     @property
     def states(self) -> GroupStates:
-        """The groups' states; not to be changed by the reader."""
+        """The states of all groups; callers must not modify them."""
         return self._states
 
     def persistent_state(self, group: str) -> PersistentState:
-        """Return a group's state, with the data of its snapshot.
+        """Return a group's state, including the data of its snapshot.
 
         Raises:
-            CorruptJournalError: the snapshot's file isn't what was written.
-            OSError: it can't be read.
+            CorruptJournalError: the snapshot file is missing or corrupt.
+            OSError: the snapshot file can't be read.
         """
         state = self._states.by_group[group]
         snapshot = self._snapshots.read(group, state.snapshot)
@@ -92,12 +92,15 @@
 
     @property
     def bytes_used(self) -> int:
-        """Bytes of all files; safe to read from another thread."""
+        """Total size of all files; safe to read from another thread."""
         return self._segments.bytes_used + self._snapshots.bytes_used
 
     @property
     def snapshot_bytes_required(self) -> int:
-        """Bytes of all snapshots and of the largest one again: its successor is written beside it."""
+        """Total size of all snapshots plus the largest.
+
+        A new snapshot is written before the previous snapshot of its group is removed.
+        """
         return self._snapshots.bytes_used + self._snapshots.largest_bytes
 
     def _verify_states(self) -> None:
@@ -106,16 +109,17 @@
                 segment = self._segments.current
                 raise CorruptJournalError(segment.path, segment.end, f"group {group}: {inconsistency}")
 
-    # ---- writing
+    # Writing
 
     def write(self, batch: Batch) -> None:
         """Write a batch; it is durable when this returns.
 
-        On a full disk a complete checkpoint is made at once, whatever the log's size: superseded segments may
-        hold the space that the batch needs, and no checkpoint is made between the attempts at a batch.
+        If the disk is full, a complete checkpoint is written immediately, whatever the size of the log:
+        removing superseded segments may free the space that the batch needs, and the writer starts no
+        checkpoint between two attempts at a batch.
 
         Raises:
-            OSError: the call may be repeated with the same batch.
+            OSError: the write failed and may be retried with the same batch.
         """
         try:
             self._write(batch)
@@ -147,7 +151,7 @@
         self._snapshots.remove_except(named)
 
     def _free_space(self) -> bool:
-        """Remove drafts and make a complete checkpoint; whether there is less on the disk after it."""
+        """Remove drafts and write a complete checkpoint; returns whether disk usage decreased."""
         before = self.bytes_used
         self._snapshots.remove_drafts()
         if self._checkpointer.would_free_space:
@@ -155,33 +159,34 @@
                 pass
         return self.bytes_used < before
 
-    # ---- checkpoints
+    # Checkpoints
 
     @property
     def checkpoint_due(self) -> bool:
-        """Whether `checkpoint_step` has something to do."""
+        """Whether a checkpoint is due or in progress."""
         return self._checkpointer.is_due
 
     def checkpoint_step(self) -> bool:
-        """Do one step of a checkpoint: a group's state, or the removal of a segment.
+        """Do one step of a checkpoint: write a group's state or remove a segment.
 
         Returns:
-            Whether there is more to do.
+            Whether the checkpoint has further steps.
 
         Raises:
-            OSError: the step is tried again by the next call.
+            OSError: the step failed; the next call retries it.
         """
         return self._checkpointer.step()
 
-    # ---- scrubbing
+    # Scrubbing
 
     def scrub_step(self) -> str | None:
-        """Read a chunk of what is on the disk and verify it.
+        """Read and verify one chunk of the files.
 
-        A corrupt segment makes a checkpoint due, which supersedes it from memory.
+        A corrupt segment makes a checkpoint due, which writes the group states from memory and removes the
+        segment.
 
         Returns:
-            A group whose snapshot was found corrupt, for it to be written again; else None.
+            The group whose snapshot is corrupt and must be rewritten, or None.
         """
         corrupt = self._scrubber.step(self._scrub_targets())
         if corrupt is None:
