--- a/bitternpath/storage/commands.py
+++ b/bitternpath/storage/commands.py
@@ -1,4 +1,4 @@
-"""Commands to the journal writer, and the batches that it makes of them."""
+"""Commands to the journal writer, and the batches that it combines them into."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewSnapshot:
-    """A snapshot of a group that isn't on disk yet and that a record of the same batch names."""
+    """A snapshot of a group that isn't on disk yet and that a record of the same batch references."""
 
     group: str
     snapshot: Snapshot
@@ -24,9 +24,9 @@
     """Records that are written and synced together.
 
     Attributes:
-        records: in the order in which they are applied.
-        snapshots: those that the records name and that aren't on disk yet; each is removed once it is, so
-            that a batch that is repeated after an error goes on with the rest.
+        records: records in the order in which they are applied.
+        snapshots: snapshots that the records reference and that aren't on disk yet. Each is removed from the
+            list when it is on disk, so that a retry of the batch writes only the remaining snapshots.
     """
 
     records: Sequence[Record]
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalCommand:
-    """One record to be written.
+    """A command to write one record.
 
     Attributes:
-        record: the record.
-        snapshot: the new snapshot that it names, if it names one that has data.
-        done: called once both are synced.
+        record: the record to write.
+        snapshot: the new snapshot that the record references; None if there is none or it has no data.
+        done: called when the record and the snapshot are synced.
     """
 
     record: Record
@@ -49,6 +49,6 @@
 
 
 def make_batch(commands: Sequence[JournalCommand]) -> Batch:
-    """Put commands into one batch, in their order."""
+    """Combine commands into one batch, in their order."""
     snapshots = [command.snapshot for command in commands if command.snapshot is not None]
     return Batch([command.record for command in commands], snapshots)
--- a/bitternpath/storage/document_writer.py
+++ b/bitternpath/storage/document_writer.py
@@ -1,4 +1,4 @@
-"""Writes a document again and again, in a thread: a disk that stalls must not hold the reactor up."""
+"""Writes successive versions of a document in a thread, so that a stalled disk doesn't block the reactor."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 log = logbook.Logger("storage")
 
-RETRY_S = 1.0  # between attempts at a write that the disk refused
+RETRY_S = 1.0  # interval between attempts at a failed write
 
 
 class DocumentWriter:
-    """Keeps a document up to date; of several contents that wait only the last is written.
+    """Updates a document asynchronously; if several contents are pending, only the latest is written.
 
-    A write that fails is repeated after `RETRY_S`, with the last content that has arrived meanwhile.
-    Failures are logged once, until a write succeeds.
+    A failed write is retried after `RETRY_S` seconds, with the latest content. Only the first of several
+    consecutive failures is logged.
     """
 
     def __init__(self, reactor: ThreadPoolReactor, path: Path, disk: NodeDisk | None = None) -> None:
-        """Write nothing yet.
+        """Create a writer. Doesn't access the disk.
 
         Args:
-            reactor: writes run in its pool of threads.
-            path: the document's file.
-            disk: used in place of the local disk below the file's directory.
+            reactor: writes run in its thread pool.
+            path: path of the document's file.
+            disk: replaces the local disk whose data directory is the parent of `path`.
         """
         self._reactor = reactor
         self._name = path.name
         self._disk = disk or LocalDisk(path.parent)
         self._waiting: bytes | None = None
-        self._busy = False  # a write runs, or the pause after one that failed
+        self._busy = False  # a write or the pause before a retry is in progress
         self._failing = False
 
     def write(self, content: bytes) -> None:
-        """Replace the document's content soon."""
+        """Schedule the replacement of the document's content."""
         self._waiting = content
         if not self._busy:
             self._write_next()
--- a/bitternpath/storage/documents.py
+++ b/bitternpath/storage/documents.py
@@ -1,8 +1,8 @@
-"""Documents: small files with a checksum, replaced as one.
+"""Documents: small files with a checksum that are replaced atomically.
 
-A document is written as a draft, synced, renamed, and its directory synced, so that after a loss of power
-the old content or the new one is there, complete. A file is a header (magic, format version, length, CRC-32
-of the content; big-endian) and the content.
+A document is written as a draft, which is synced and renamed; then the directory is synced. So after a power
+loss the file has either the complete old content or the complete new content. A file consists of a header
+(magic, format version, length, CRC-32 of the content; big-endian) and the content.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 
 
 def read_document(path: Path) -> bytes | None:
-    """Read a document's content, without making it durable; None where there is no file.
+    """Read a document's content without making it durable; None if there is no file.
 
-    For a reader that doesn't act on it; see `load_document`. Raises `CorruptDocumentError` and `OSError`.
+    Only for callers that take no action based on the content; others use `load_document`. Raises
+    `CorruptDocumentError` and `OSError`.
     """
     try:
         data = path.read_bytes()
@@ -34,7 +35,7 @@
 
 
 def decode_document(path: Path, data: bytes) -> bytes:
-    """Return the content of a file that holds `data`; raises `CorruptDocumentError`, which names `path`."""
+    """Decode the bytes of a document's file. Raises `CorruptDocumentError`, which reports `path`."""
     if len(data) < HEADER_BYTES:
         raise CorruptDocumentError(path, 0, f"{len(data)} bytes, less than the header")
     magic, version, length, checksum = _HEADER.unpack_from(data)
@@ -47,15 +48,16 @@
 
 
 def encode_document(content: bytes) -> bytes:
-    """Encode the file of a document."""
+    """Encode the bytes of a document's file."""
     return _HEADER.pack(_MAGIC, FORMAT_VERSION, len(content), zlib.crc32(content)) + content
 
 
 def load_document(files: FileSystem, name: str) -> bytes | None:
-    """Read a document's content for a node that will act on it; None where there is no file.
+    """Read a document's content and make it durable; None if there is no file.
 
-    The directory is synced first: the process that wrote the document may have died before its own sync, and
-    what a node has acted on must not be lost with the power. Raises `CorruptDocumentError` and `OSError`.
+    The directory is synced before this returns: the process that wrote the document may have been killed
+    before its own sync, and content on which a node has acted must not be lost in a power loss. Raises
+    `CorruptDocumentError` and `OSError`.
     """
     try:
         data = files.read(name)
@@ -76,6 +78,6 @@
 
 
 def remove_document(files: FileSystem, name: str) -> None:
-    """Remove a document durably; no error where it is missing. Raises `OSError`."""
+    """Remove a document durably; no error if it doesn't exist. Raises `OSError`."""
     files.remove(name)
     files.sync_directory("")
--- a/bitternpath/storage/errors.py
+++ b/bitternpath/storage/errors.py
@@ -1,8 +1,8 @@
 """Errors of the storage package.
 
-A `CorruptionError` is a fault of the disk, or of whoever changed its files: reading again doesn't help, and
-the content has to be given up. Operations that the operating system refuses (a full or failing disk) raise
-`OSError` as they are; these may succeed when they are repeated.
+A `CorruptionError` is caused by a disk fault or by an outside change of the files. It isn't transient: the
+content is lost. Operations that fail in the operating system (full or failing disk) raise `OSError`; a retry
+may succeed.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class StorageError(Exception):
-    """Base class of the package's own errors."""
+    """Base class of the errors that the storage package defines."""
 
 
 class CorruptionError(StorageError):
-    """A file doesn't hold what was written to it. Not retriable.
+    """The content of a file differs from what was written. Not retriable.
 
     Attributes:
-        file: the file's path, relative to the data directory or absolute, as the reader knew it.
-        offset: byte in the file up to which it is intact.
-        reason: what is wrong there, for the log.
+        file: path of the file, either absolute or relative to the data directory.
+        offset: offset in bytes up to which the file is intact.
+        reason: description of the corruption, for the log.
     """
 
     def __init__(self, file: str | Path, offset: int, reason: str) -> None:
-        """Describe the damage; the error's text has all three."""
+        """Create an error whose message has the file, the offset and the reason."""
         super().__init__(f"{file} at offset {offset}: {reason}")
         self.file = file
         self.offset = offset
@@ -36,4 +36,4 @@
 
 
 class CorruptDocumentError(CorruptionError):
-    """A document is corrupt."""
+    """A document's header or checksum is invalid."""
--- a/bitternpath/storage/files.py
+++ b/bitternpath/storage/files.py
@@ -1,8 +1,8 @@
 """File system operations of the storage package, behind a protocol.
 
-Tests and simulations replace it by one that loses, tears and refuses writes
-(`testing/simulation/file_system.py`). All paths are relative to the data directory, with `/` between
-directory and name; the empty path is the data directory itself.
+Tests and simulations use an implementation that loses, tears and rejects writes
+(`testing/simulation/file_system.py`). All paths are relative to the data directory, with `/` as separator;
+the empty path is the data directory itself.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from pathlib import Path
 from typing import Protocol
 
-FILE_MODE = 0o600  # messages of clients are readable by the service's user only
+FILE_MODE = 0o600  # the files contain client messages, which only the service's user may read
 
 
 class FileSystem(Protocol):
-    """What the storage package needs of a file system. Every operation blocks and may raise `OSError`."""
+    """File system operations that the storage package uses. All of them block and may raise `OSError`."""
 
     def make_directory(self, directory: str) -> None:
-        """Make a directory where it is missing, and make its name durable."""
+        """Create a directory if it doesn't exist, and make its name durable."""
 
     def list_names(self, directory: str) -> list[str]:
         """Return the sorted names of the files in a directory."""
@@ -27,28 +27,28 @@
         """Return the content of a file."""
 
     def read_range(self, path: str, offset: int, size: int) -> bytes:
-        """Return `size` bytes from the offset on, or fewer up to the end of the file."""
+        """Return `size` bytes starting at `offset`, or fewer if the file ends before."""
 
     def size(self, path: str) -> int:
-        """Return the length of a file in bytes."""
+        """Return the size of a file in bytes."""
 
     def write_at(self, path: str, offset: int, data: bytes) -> None:
-        """Write all of `data`, to a new file where there is none. After an error any part may be written."""
+        """Write all of `data`; creates the file if it doesn't exist. A failed write may be partial."""
 
     def truncate(self, path: str, size: int) -> None:
-        """Set the length of a file in bytes; the file is made where it is missing."""
+        """Set the size of a file in bytes; creates the file if it doesn't exist."""
 
     def sync(self, path: str) -> None:
-        """Make what was written to a file durable: it survives a loss of power."""
+        """Make the content of a file durable, so that it survives a power loss."""
 
     def sync_directory(self, directory: str) -> None:
-        """Make names that were added, renamed and removed in a directory durable."""
+        """Make all additions, renames and removals of names in a directory durable."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in place of a file of that name."""
+        """Rename a file; replaces an existing file with the new name."""
 
     def remove(self, path: str) -> None:
-        """Remove a file; no error where it is missing."""
+        """Remove a file; no error if it doesn't exist."""
 
     def close(self) -> None:
         """Close all files."""
@@ -57,16 +57,21 @@
 class LocalFileSystem:
     """`FileSystem` on the operating system's files.
 
-    A file that was written to stays open until it is renamed or removed, or until `close`.
+    A file is opened by the first write, truncation or sync, and closed when it is renamed or removed, or by
+    `close`.
     """
 
     def __init__(self, data_dir: Path) -> None:
-        """Open no file yet; `data_dir` is the root of all paths."""
+        """Create a file system with `data_dir` as root. Opens no files."""
         self._root = data_dir
         self._descriptors: dict[str, int] = {}
 
     def make_directory(self, directory: str) -> None:
-        """See `FileSystem`. One that exists is synced too: its maker may have died before its sync."""
+        """See `FileSystem`.
+
+        The parent of an existing directory is synced, too: the process that created the directory may have
+        been killed before its own sync.
+        """
         path = self._root / directory
         path.mkdir(parents=True, exist_ok=True)
         fsync_directory(path.parent)
@@ -141,7 +146,7 @@
 
 
 def fsync_directory(directory: Path) -> None:
-    """Make names that were added, renamed or removed in a directory durable. Raises `OSError`."""
+    """Make all additions, renames and removals of names in a directory durable. Raises `OSError`."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/bitternpath/storage/group_state.py
+++ b/bitternpath/storage/group_state.py
@@ -1,6 +1,6 @@
-"""The persistent state of each replica group, built from the records of the write-ahead log. Pure.
+"""The persistent state of each replica group, built from the records of the write-ahead log. No I/O.
 
-This is what the owner of the log's files keeps in memory beside them: checkpoints are written from it.
+The owner of the log's files has these states in memory and writes checkpoints from them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
     """Persistent state of one group. The fields are those of `WriteRecord`.
 
     Attributes:
-        gap: the first missing entry, as a sentence, where a record's entries didn't join the log; else empty.
+        gap: error message that names the first missing entry, if a record's entries didn't continue the log;
+            else empty.
     """
 
     term: int = 0
@@ -36,7 +37,7 @@
     gap: str = ""
 
     def apply(self, record: WriteRecord) -> None:
-        """Truncate the log first, then drop its compacted part, then append."""
+        """Apply a record: truncate the log, then drop compacted entries, then append new entries."""
         self.term = record.term
         self.vote = record.vote
         if record.truncate_from is not None:
@@ -53,7 +54,7 @@
         self.entries.extend(record.entries)
 
     def inconsistency(self) -> str:
-        """Say why this can't be the state of a group; empty where it can."""
+        """Return why this state is invalid, or an empty string if it is valid."""
         if self.gap:
             return self.gap
         last_index = self.compacted_index + len(self.entries)
@@ -63,21 +64,21 @@
 
 
 class GroupStates:
-    """The states of all groups, as the records give them in order.
+    """The states of all groups after the records applied so far.
 
     Attributes:
-        by_group: state of each group that is on the disk.
+        by_group: state of each group on the disk.
         tombstones: groups that were removed from the disk, with the generation of `TombstoneRecord`. A group
-            may be in both: removed once and joined again.
+            that was removed and joined again is in both.
     """
 
     def __init__(self) -> None:
-        """Begin without any group."""
+        """Create an empty set of groups."""
         self.by_group: dict[str, GroupState] = {}
         self.tombstones: dict[str, int] = {}
 
     def apply(self, record: Record) -> None:
-        """Apply the next record."""
+        """Apply the next record of the log."""
         match record:
             case WriteRecord():
                 self.by_group.setdefault(record.group, GroupState()).apply(record)
@@ -96,7 +97,7 @@
 
 
 def write_record(group: str, write: StorageWrite) -> WriteRecord:
-    """Make the record of one write of the consensus module."""
+    """Return the record of one write of the consensus module."""
     compacted_index, compacted_term = write.compacted_through
     return WriteRecord(
         group,
@@ -111,7 +112,7 @@
 
 
 def checkpoint_record(group: str, state: GroupState) -> CheckpointRecord:
-    """Make the record that supersedes all records of a group so far."""
+    """Return the record that supersedes all earlier records of a group."""
     return CheckpointRecord(
         group,
         state.term,
@@ -124,9 +125,9 @@
 
 
 def bootstrap_record(group: str, state: PersistentState) -> CheckpointRecord:
-    """Make the first record of a group that is bootstrapped here, rather than joined through a leader.
+    """Return the first record of a group that is bootstrapped here, rather than joined through a leader.
 
-    Its snapshot has no data: the state machine begins empty.
+    Its snapshot has no data, since the state machine is empty at first.
     """
     compacted_index, compacted_term = state.compacted_through
     return CheckpointRecord(
--- a/bitternpath/storage/identity.py
+++ b/bitternpath/storage/identity.py
@@ -1,7 +1,7 @@
-"""Identity of a disk: 8 hex digits, drawn when the disk is empty.
+"""Identity of a disk: 8 random hex digits, generated when the disk is empty.
 
-It is part of a replica's member id, so that a replica that lost its disk, and with it its votes, is another
-member of its groups.
+It is part of a replica's member id: a replica that lost its disk, and its votes with it, becomes a new member
+of its groups.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 def generate_identity() -> str:
-    """Draw a random identity."""
+    """Return a random identity."""
     return secrets.token_hex(_BYTES)
 
 
 def load_identity(
     data_dir: Path, files: FileSystem | None = None, generate: Callable[[], str] = generate_identity
 ) -> str:
-    """Return the disk's identity; one is drawn and made durable first where the disk has none.
+    """Return the disk's identity. If there is none, an identity is generated and made durable first.
 
     Args:
-        data_dir: made where it is missing.
-        files: used in place of the operating system's files below `data_dir`.
+        data_dir: created if it doesn't exist.
+        files: replaces the operating system's files below `data_dir`.
         generate: returns a new identity.
 
     Raises:
-        CorruptJournalError: the file holds something else.
+        CorruptJournalError: the file's content isn't an identity.
         OSError: the file can't be read or written.
     """
     if files is not None:
@@ -54,7 +54,7 @@
 def _load(files: FileSystem, generate: Callable[[], str]) -> str:
     if IDENTITY_FILE in files.list_names(""):
         identity = _parse(files.read(IDENTITY_FILE))
-        files.sync_directory("")  # the process that drew it may have died before its own sync
+        files.sync_directory("")  # the process that wrote the file may have been killed before its own sync
         return identity
     identity = generate()
     files.write_at(_DRAFT, 0, identity.encode())
@@ -66,7 +66,7 @@
 
 
 def read_identity(data_dir: Path) -> str | None:
-    """Return the disk's identity, None where it has none; none is drawn.
+    """Return the disk's identity, or None if there is none. Doesn't generate an identity.
 
     Raises `CorruptJournalError` and `OSError`.
     """
--- a/bitternpath/storage/journal_writer_thread.py
+++ b/bitternpath/storage/journal_writer_thread.py
@@ -77,7 +77,7 @@
         try:
             self._work()
         except BaseException:
-            # No further write will complete: report the journal as failing, so that no more messages are accepted.
+            # No further write will complete. A failing journal makes the node refuse new messages.
             self._write_failing = True
             log.exception("event=journal_writer_crashed")
 
--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -1,4 +1,4 @@
-"""The data directory of a node as its role uses it, behind a protocol that simulations replace."""
+"""Access of a node's role to its data directory, behind a protocol that simulations implement."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 
 class NodeDisk(Protocol):
-    """Identity, journal and documents of a data directory. Each operation blocks and may raise `OSError`."""
+    """Identity, journal and documents of a data directory. All operations block and may raise `OSError`."""
 
     def load_identity(self) -> str:
-        """Return the disk's identity, drawn where it has none. Nothing is read of a disk before this.
+        """Return the disk's identity, or generate it if there is none.
 
-        Raises `CorruptJournalError`.
+        Must be called before any other read. Raises `CorruptJournalError`.
         """
 
     def open_journal(self, reactor: ThreadCallReactor, checkpoint_bytes: int) -> Journal:
         """Load the write-ahead log and start its writer; raises `CorruptJournalError`.
 
-        `checkpoint_bytes` is the size of all segments above which a checkpoint is made.
+        `checkpoint_bytes` is the total size of all segments above which a checkpoint is written.
         """
 
     def read_document(self, name: str) -> bytes | None:
-        """Return a document's content, None where there is none; raises `CorruptDocumentError`."""
+        """Return a document's content, or None if it doesn't exist; raises `CorruptDocumentError`."""
 
     def write_document(self, name: str, content: bytes) -> None:
         """Replace a document; it is durable when this returns."""
 
     def remove_document(self, name: str) -> None:
-        """Remove a document durably; no error where it is missing."""
+        """Remove a document durably; no error if it doesn't exist."""
 
     def was_quarantined(self) -> bool:
-        """Whether content of this disk was quarantined: then it isn't in its first life."""
+        """Whether content of this disk was ever quarantined, so that the disk isn't new."""
 
     def quarantine_content(self, max_bytes: int | None) -> str:
-        """Quarantine all content as corrupt, and keep it where it isn't more than `max_bytes`.
+        """Quarantine all content as corrupt, and delete it if it is larger than `max_bytes`.
 
-        Returns the name of the quarantine's directory.
+        Returns the name of the quarantine directory.
         """
 
 
@@ -53,11 +53,11 @@
     """`NodeDisk` on the operating system's files."""
 
     def __init__(self, data_dir: Path) -> None:
-        """Open nothing yet."""
+        """Create a disk with that data directory. Opens no files."""
         self._data_dir = data_dir
 
     def load_identity(self) -> str:
-        """See `NodeDisk`. A quarantine that was interrupted is finished first."""
+        """See `NodeDisk`. Completes an interrupted quarantine first."""
         finish_quarantine(self._data_dir)
         return load_identity(self._data_dir)
 
@@ -66,7 +66,7 @@
         return open_journal(self._data_dir, reactor, checkpoint_bytes)
 
     def read_document(self, name: str) -> bytes | None:
-        """See `NodeDisk`. The error names the path below which the disk was opened."""
+        """See `NodeDisk`. The error reports the document's path including the data directory."""
         with closing(LocalFileSystem(self._data_dir)) as files:
             try:
                 return load_document(files, name)
--- a/bitternpath/storage/quarantine.py
+++ b/bitternpath/storage/quarantine.py
@@ -1,9 +1,9 @@
-"""Quarantine: the content of a corrupt disk is moved away, so that its old identity is never read again.
+"""Quarantine: moves the content of a corrupt disk aside, so that its old identity is never used again.
 
-A corrupt disk counts as lost. Its content moves into a directory `damaged-N` below the data directory, which
-is named `damaged-N.moving` until all of it is there: a process that is killed on the way goes on at the next
-start, before a new identity is drawn. The directory stays, also when it is emptied, and marks the disk as
-previously used.
+A corrupt disk counts as lost. Its content is moved into a subdirectory `damaged-N` of the data directory. The
+subdirectory is named `damaged-N.moving` until the move is complete; a move that was interrupted by the end of
+the process is completed at the next start, before a new identity is generated. The subdirectory is never
+removed, even when its content is deleted, because it records that the disk was used before.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 _MOVING_SUFFIX = ".moving"
 _COMPLETE = re.compile(r"damaged-(\d+)")
 _UNFINISHED = re.compile(r"damaged-(\d+)\.moving")
-_FILE_SYSTEMS_OWN = "lost+found"  # in a data directory that is the root of a file system
+_FILE_SYSTEMS_OWN = "lost+found"  # belongs to the file system, if the data directory is a mount point
 
 
 def quarantine_directories(data_dir: Path) -> list[str]:
-    """Names of the quarantine's directories; one at most, unless a process was killed on the way."""
+    """Return the names of the quarantine directories; more than one only if a move was interrupted."""
     names = os.listdir(data_dir) if data_dir.is_dir() else []
     return sorted(name for name in names if _COMPLETE.fullmatch(name) or _UNFINISHED.fullmatch(name))
 
 
 def quarantine_content(data_dir: Path, max_bytes: int | None = None) -> str:
-    """Move everything that a data directory holds into the quarantine.
+    """Move the content of a data directory into quarantine.
 
-    What was quarantined before is removed: the space is needed.
+    Content that was quarantined earlier is deleted to free space.
 
     Args:
         data_dir: the data directory.
-        max_bytes: what is quarantined now is removed too, where it is more than this; None: never.
+        max_bytes: size above which the newly quarantined content is deleted, too; None for no limit.
 
     Returns:
-        Name of the directory, `damaged-N`.
+        Name of the quarantine directory, `damaged-N`.
 
     Raises:
-        OSError: this or `finish_quarantine` has to be called again.
+        OSError: the move is incomplete; this function or `finish_quarantine` must be called again.
     """
     earlier = [name for name in quarantine_directories(data_dir) if _COMPLETE.fullmatch(name)]
     for name in earlier:
-        _remove_content(data_dir / name)  # first of all, since a full disk may not take another directory
+        _remove_content(data_dir / name)  # must precede the mkdir, which may fail on a full disk
     number = 1 + max((int(name.partition("-")[2]) for name in earlier), default=0)
     name = f"damaged-{number}"
     (data_dir / (name + _MOVING_SUFFIX)).mkdir(exist_ok=True)
@@ -56,7 +56,7 @@
 
 
 def finish_quarantine(data_dir: Path) -> None:
-    """Go on where a process was killed while it quarantined a disk's content. Raises `OSError`."""
+    """Complete a move into quarantine that was interrupted by the end of a process. Raises `OSError`."""
     for name in quarantine_directories(data_dir):
         if _UNFINISHED.fullmatch(name):
             _move_content(data_dir, name)
--- a/bitternpath/storage/record_format.py
+++ b/bitternpath/storage/record_format.py
@@ -1,14 +1,14 @@
 """Encoding of the write-ahead log's records and segment headers.
 
-A record is a header and an Avro body. The header, little-endian: magic (4 bytes), CRC-32 of everything behind
-the checksum (4), length of the body (4), batch number (4), kind (1), flags (1). All records that are synced
-together are one batch; the last of them has the flag `LAST_OF_BATCH`. A batch is written only after the one
-before it was synced, so an intact record of a later batch behind a corrupt one proves that the corrupt one
-had been synced.
-
-A segment begins with a header of its own: magic, format version, salt, CRC-32. The salt is drawn for each
-segment and is the initial value of each record's CRC-32, so that payload bytes chosen by a client can't pass
-for a record.
+A record consists of a header and an Avro body. The header, little-endian: magic (4 bytes), CRC-32 of all
+bytes after the checksum (4), length of the body (4), batch number (4), kind (1), flags (1). All records that
+are synced together form a batch; the last of them has the flag `LAST_OF_BATCH`. A batch is written only after
+the previous batch was synced. So an intact record of a later batch after a corrupt record proves that the
+corrupt record had been synced.
+
+A segment starts with a segment header: magic, format version, salt, CRC-32. The salt is a random number,
+different in each segment, and the initial value of each record's CRC-32, so that payload bytes chosen by a
+client can't be mistaken for a record.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from bitternpath.transport.codec import RecordCodec
 from bitternpath.transport.errors import CodecError
 
-FORMAT_VERSION = 1  # of a segment
+FORMAT_VERSION = 1  # version of the segment format
 MAGIC = b"\xb1WAL"
 SEGMENT_MAGIC = b"BTWL"
-LAST_OF_BATCH = 1  # flag
+LAST_OF_BATCH = 1  # bit of the flags field
 
 _HEADER = struct.Struct("<4sIIIBB")  # magic, checksum, body length, batch, kind, flags
-_CHECKED_FIELDS = struct.Struct("<IIBB")  # the header's fields behind the checksum
+_CHECKED_FIELDS = struct.Struct("<IIBB")  # the header's fields after the checksum
 _CHECKED_FROM = _HEADER.size - _CHECKED_FIELDS.size
 _SEGMENT = struct.Struct("<4sII")  # magic, format version, salt
 _SEGMENT_CHECKSUM = struct.Struct("<I")
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordFrame:
-    """An intact record, as found in a segment.
+    """An intact record read from a segment.
 
     Attributes:
         start: offset of the header in the segment.
-        end: offset behind the body.
+        end: offset of the first byte after the body.
         batch: number of the batch.
-        is_last: whether the batch ends with it.
+        is_last: whether this is the last record of the batch.
         record: the decoded body.
     """
 
@@ -70,7 +70,7 @@
 
 
 def decode_segment_header(data: bytes) -> int | None:
-    """Return the salt of the segment that begins with `data`; None where its header isn't intact."""
+    """Return the salt of the segment that starts with `data`, or None if its header isn't intact."""
     if len(data) < SEGMENT_HEADER_BYTES:
         return None
     magic, version, salt = _SEGMENT.unpack_from(data)
@@ -80,7 +80,7 @@
 
 
 def encode_batch(salt: int, batch: int, records: Sequence[Record]) -> bytes:
-    """Encode the records of one batch, for a segment with that salt."""
+    """Encode the records of one batch for a segment with the given salt."""
     parts = []
     for position, record in enumerate(records, 1):
         kind = _KINDS[type(record)]
@@ -94,10 +94,10 @@
 
 
 def read_frame(file: str, salt: int, data: bytes, offset: int) -> RecordFrame | None:
-    """Decode the record at an offset of a segment's data; None where none is intact there.
+    """Decode the record at an offset of a segment's data; None if there is no intact record.
 
     Raises:
-        CorruptJournalError: a body with the right checksum is no record; `file` names the segment in it.
+        CorruptJournalError: a body with a valid checksum can't be decoded; `file` is the path to report.
     """
     start = offset + HEADER_BYTES
     if start > len(data):
@@ -117,7 +117,7 @@
 
 
 def contains_batch_from(file: str, salt: int, data: bytes, offset: int, batch: int) -> bool:
-    """Whether an intact record of that batch or a later one begins anywhere from the offset on."""
+    """Whether `data` has an intact record of the given batch or a later batch at or after the offset."""
     position = data.find(MAGIC, offset)
     while position >= 0:
         frame = read_frame(file, salt, data, position)
--- a/bitternpath/storage/records.py
+++ b/bitternpath/storage/records.py
@@ -1,7 +1,7 @@
 """Record types of the write-ahead log. Their encoding is in `record_format`.
 
-Each record is stored as an Avro body without a schema: the order and the types of the fields are the format,
-their names are not. A field may not be added, removed or moved without a new `record_format.FORMAT_VERSION`.
+Each record is stored as an Avro body without a schema: the order and the types of the fields determine the
+format, their names don't. Adding, removing or moving a field requires a new `record_format.FORMAT_VERSION`.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReference:
-    """Names a snapshot, whose data is in a file of its own (`snapshots.file_name`).
+    """Reference to a snapshot, whose data is in a separate file (`snapshots.file_name`).
 
     Attributes:
         index: index of the last log entry that the snapshot covers.
         term: term of that entry.
         members: the group's members after that entry.
-        size: bytes of data. 0: there is no file, the state is empty.
+        size: size of the data in bytes; 0 if the state is empty and there is no file.
     """
 
     index: int
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """One `replication.records.StorageWrite` of a group: a change of the state that the earlier records give.
+    """A `replication.records.StorageWrite` of a group: a change to the state after the earlier records.
 
     Attributes:
         group: name of the replica group.
         term: current term.
-        vote: member voted for in this term; empty where none was.
-        truncate_from: index from which on entries are removed before `entries` are added; None: none are.
-        compacted_index: index of the last entry that was compacted away; entries up to it are dropped.
+        vote: member voted for in this term; empty if there was no vote.
+        truncate_from: first index of the entries to remove before `entries` are appended, or None.
+        compacted_index: index of the last compacted entry; entries up to this index are dropped.
         compacted_term: term of that entry.
-        snapshot: the snapshot that replaces the earlier one; None: it stays.
+        snapshot: the snapshot that replaces the previous snapshot; None if it is unchanged.
         entries: new entries, with consecutive indices.
     """
 
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckpointRecord:
-    """The complete state of a group, which supersedes all earlier records of it.
+    """The complete state of a group, which supersedes all earlier records of the group.
 
     Written by checkpoints, and as the first record of a group that is bootstrapped here. The fields are
     those of `WriteRecord`.
@@ -81,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TombstoneRecord:
-    """The group was removed from this disk, after members that don't include this replica were committed.
+    """Records that a group was removed from this disk after a membership without this replica was committed.
 
     Attributes:
         group: name of the replica group.
-        generation: generation of these members (`Members.generation`). The replica may have voted before: it
-            must not be bootstrapped again, and counts again only in members of a later generation.
+        generation: generation of that membership (`Members.generation`). Since the replica may have voted
+            before, it must not be bootstrapped again, and counts again only in members of a later generation.
     """
 
     group: str
--- a/bitternpath/storage/scrub.py
+++ b/bitternpath/storage/scrub.py
@@ -1,7 +1,7 @@
-"""Checksum scrub: reads synced files again, chunk by chunk, and verifies them.
+"""Checksum scrub: rereads synced files in chunks and verifies them.
 
-Corruption is found this way while memory and the other replicas still have the file's content. Blocks; for
-the thread that owns the files.
+This detects corruption while the file's content still exists in memory and on other replicas. All operations
+block and must run in the thread that owns the files.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 from bitternpath.storage.snapshots import HEADER_BYTES as SNAPSHOT_HEADER_BYTES
 from bitternpath.storage.snapshots import encode_header as encode_snapshot_header
 
-CHUNK_BYTES = 256 << 10  # read at once: a batch that arrives meanwhile waits a few milliseconds at most
+CHUNK_BYTES = 256 << 10  # a batch that arrives during the read of a chunk is delayed by a few milliseconds
 
 
 class FileVerifier(Protocol):
-    """Verifies one file, whose bytes it gets in order."""
+    """Verifies the content of one file incrementally."""
 
     def update(self, chunk: bytes) -> None:
-        """Take the next bytes."""
+        """Process the next bytes of the file."""
 
     def is_intact(self) -> bool:
-        """Whether all bytes so far are what was written."""
+        """Whether all bytes processed so far form a valid file."""
 
 
 class SegmentVerifier:
-    """Expects a segment's header and intact records up to the end."""
+    """Verifies that a segment consists of a header and intact records."""
 
     def __init__(self, path: str) -> None:
-        """Begin with the file at `path`, which errors name."""
+        """Create a verifier; `path` is the file's path for error messages."""
         self._path = path
         self._unverified = b""
         self._salt: int | None = None
         self._header_read = False
 
     def update(self, chunk: bytes) -> None:
-        """Take the next bytes; the rest of a record that isn't complete yet waits for the next chunk."""
+        """Process the next bytes; an incomplete record is buffered until the next chunk."""
         self._unverified += chunk
         if not self._header_read and len(self._unverified) >= SEGMENT_HEADER_BYTES:
             self._salt = decode_segment_header(self._unverified)
@@ -53,27 +53,27 @@
 
     def _intact_bytes(self, salt: int) -> int:
         offset = 0
-        with suppress(CorruptJournalError):  # then what is left is no record
+        with suppress(CorruptJournalError):  # the remaining bytes then count as unverified
             while (frame := read_frame(self._path, salt, self._unverified, offset)) is not None:
                 offset = frame.end
         return offset
 
     def is_intact(self) -> bool:
-        """Whether there was a header, and nothing but records behind it."""
+        """Whether the header is intact and only intact records follow it."""
         return self._salt is not None and not self._unverified
 
 
 class SnapshotVerifier:
-    """Expects a snapshot's header that fits the data behind it."""
+    """Verifies that a snapshot's header matches its data."""
 
     def __init__(self) -> None:
-        """Begin with a file."""
+        """Create a verifier that has processed no bytes."""
         self._header = b""
         self._checksum = 0
         self._size = 0
 
     def update(self, chunk: bytes) -> None:
-        """Take the next bytes, those of the header first."""
+        """Process the next bytes, starting with the header."""
         missing = SNAPSHOT_HEADER_BYTES - len(self._header)
         self._header += chunk[:missing]
         data = chunk[missing:] if missing else chunk
@@ -81,7 +81,7 @@
         self._size += len(data)
 
     def is_intact(self) -> bool:
-        """Whether the header has the checksum and the length of the data."""
+        """Whether the header matches the checksum and the length of the data."""
         return self._header == encode_snapshot_header(self._checksum, self._size)
 
 
@@ -90,9 +90,9 @@
     """A file to be verified.
 
     Attributes:
-        path: the file.
-        size: bytes up to which it was synced.
-        is_segment: a segment, else a snapshot.
+        path: path of the file, relative to the data directory.
+        size: synced size in bytes.
+        is_segment: whether the file is a segment; otherwise it is a snapshot.
     """
 
     path: str
@@ -100,29 +100,29 @@
     is_segment: bool
 
     def verifier(self) -> FileVerifier:
-        """Make the verifier for the kind of file."""
+        """Return a new verifier for this type of file."""
         return SegmentVerifier(self.path) if self.is_segment else SnapshotVerifier()
 
 
 class Scrubber:
-    """Verifies all files in turn, ordered by path, one chunk a step."""
+    """Verifies all files in the order of their paths, repeatedly, one chunk per step."""
 
     def __init__(self, files: FileSystem) -> None:
-        """Begin with the first file by path."""
+        """Create a scrubber that starts with the first file by path."""
         self._files = files
-        self._target: ScrubTarget | None = None  # being read
-        self._verifier: FileVerifier = SnapshotVerifier()  # of the target
-        self._offset = 0  # in the target
-        self._last_verified = ""  # path
+        self._target: ScrubTarget | None = None  # the file being verified
+        self._verifier: FileVerifier = SnapshotVerifier()  # replaced for each target
+        self._offset = 0  # offset of the next chunk in the target
+        self._last_verified = ""  # path of the last file that was verified completely
 
     def step(self, targets: Sequence[ScrubTarget]) -> ScrubTarget | None:
-        """Read one chunk.
+        """Read and verify one chunk.
 
         Args:
-            targets: all files that there are now, in any order.
+            targets: all current files, in any order.
 
         Returns:
-            The file that this step found to be corrupt; a file that can't be read counts as that.
+            The file if this step found it corrupt or unreadable, else None.
         """
         paths = {target.path for target in targets}
         if self._target is None or self._target.path not in paths:
@@ -148,7 +148,7 @@
             return b""
 
     def _begin_next(self, targets: Sequence[ScrubTarget]) -> None:
-        """Choose the next file by path; behind the last one, the first one again."""
+        """Select the next file by path, and the first file after the last."""
         ordered = sorted((target for target in targets if target.size), key=lambda target: target.path)
         later = [target for target in ordered if target.path > self._last_verified]
         self._target = next(iter(later or ordered), None)
--- a/bitternpath/storage/snapshots.py
+++ b/bitternpath/storage/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshot files: one for each snapshot, written as a draft, synced and renamed before a record names it.
+"""Snapshot files, one per snapshot.
 
-A file is a header (magic, format version, CRC-32 of the data, length of the data; little-endian) and the
-data.
+A file is written as a draft, synced and renamed before a record references the snapshot. Its content is a
+header (magic, format version, CRC-32 of the data, length of the data; little-endian) followed by the data.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 DIRECTORY = "snapshots"
 FORMAT_VERSION = 1
 _SUFFIX = ".snap"
-_DRAFT_SUFFIX = ".new"  # behind `_SUFFIX`
+_DRAFT_SUFFIX = ".new"  # appended to the complete file name
 _MAGIC = b"BTSN"
-_HEADER = struct.Struct("<4sIIQ")  # magic, format version, CRC-32 of the data, its length
+_HEADER = struct.Struct("<4sIIQ")  # magic, format version, CRC-32 of the data, length of the data
 HEADER_BYTES = _HEADER.size
 
 
 class SnapshotFiles:
-    """The directory of snapshots. Its files' sizes are known without a look at the disk.
+    """The directory of snapshots, with the sizes of its files cached in memory.
 
     Attributes:
-        bytes_used: size of all files; another thread may read it.
-        largest_bytes: size of the largest one; another thread may read it.
+        bytes_used: total size of all files; safe to read from another thread.
+        largest_bytes: size of the largest file; safe to read from another thread.
     """
 
     def __init__(self, files: FileSystem) -> None:
-        """List what is there. Raises `OSError`."""
+        """Create the directory if it doesn't exist, and list its files. Raises `OSError`."""
         self._files = files
         self._sizes: dict[str, int] = {}
         self.bytes_used = 0
@@ -44,7 +44,7 @@
         self._update_totals()
 
     def write(self, group: str, snapshot: Snapshot) -> None:
-        """Write a file; it is durable when this returns. May be repeated after an `OSError`."""
+        """Write a snapshot; it is durable when this returns. May be retried after an `OSError`."""
         name = file_name(group, snapshot.index, snapshot.term)
         draft_name = name + _DRAFT_SUFFIX
         draft = f"{DIRECTORY}/{draft_name}"
@@ -61,11 +61,11 @@
         self._update_totals()
 
     def read(self, group: str, reference: SnapshotReference) -> Snapshot:
-        """Read the snapshot that a record names.
+        """Read the snapshot that a record references.
 
         Raises:
-            CorruptJournalError: the file is missing, or doesn't hold what was written.
-            OSError: it can't be read.
+            CorruptJournalError: the file is missing or corrupt.
+            OSError: the file can't be read.
         """
         if not reference.size:
             return Snapshot(reference.index, reference.term, reference.members, b"")
@@ -84,15 +84,15 @@
 
     @property
     def sizes(self) -> dict[str, int]:
-        """Sizes of the files that are complete, by path."""
+        """Sizes of all files but drafts, by path."""
         return {f"{DIRECTORY}/{name}": size for name, size in self._sizes.items() if name.endswith(_SUFFIX)}
 
     def remove_drafts(self) -> None:
-        """Remove what is left of files that the disk refused. Raises `OSError`."""
+        """Remove the drafts of snapshots that couldn't be written. Raises `OSError`."""
         self._remove([name for name in self._sizes if name.endswith(_DRAFT_SUFFIX)])
 
     def remove_except(self, names: set[str]) -> None:
-        """Remove all files but these. Raises `OSError`; what couldn't be removed goes at the next call."""
+        """Remove all files except `names`. Raises `OSError`; the next call retries the remaining removals."""
         self._remove([name for name in self._sizes if name not in names])
 
     def _remove(self, names: list[str]) -> None:
@@ -107,10 +107,10 @@
 
 
 def encode_header(checksum: int, size: int) -> bytes:
-    """Encode the header of a file whose data has that CRC-32 and that many bytes."""
+    """Encode a file header. `checksum` is the CRC-32 of the data, `size` its length in bytes."""
     return _HEADER.pack(_MAGIC, FORMAT_VERSION, checksum, size)
 
 
 def file_name(group: str, index: int, term: int) -> str:
-    """Name a snapshot's file; characters of the group that a file name can't have are percent-encoded."""
+    """Return the name of a snapshot's file; special characters in the group's name are percent-encoded."""
     return f"{quote(group, safe='')}-{index}-{term}{_SUFFIX}"
