--- a/bitternpath/storage/document_writer.py
+++ b/bitternpath/storage/document_writer.py
@@ -36,22 +36,22 @@
         self._reactor = reactor
         self._name = path.name
         self._disk = disk or LocalDisk(path.parent)
-        self._waiting: bytes | None = None
+        self._pending: bytes | None = None
         self._busy = False  # a write or the pause before a retry is in progress
         self._failing = False
 
     def write(self, content: bytes) -> None:
         """Schedule the replacement of the document's content."""
-        self._waiting = content
+        self._pending = content
         if not self._busy:
             self._write_next()
 
     def _write_next(self) -> None:
-        content = self._waiting
+        content = self._pending
         if content is None:
             self._busy = False
             return
-        self._waiting = None
+        self._pending = None
         self._busy = True
         reactor = cast(IReactorFromThreads, self._reactor)
         pool = self._reactor.getThreadPool()
@@ -66,6 +66,6 @@
         if not self._failing:
             log.warning("event=document_write_failed file={} error={!r}", self._name, str(failure.value))
         self._failing = True
-        if self._waiting is None:
-            self._waiting = content
+        if self._pending is None:
+            self._pending = content
         self._reactor.callLater(RETRY_S, self._write_next)
--- a/bitternpath/storage/documents.py
+++ b/bitternpath/storage/documents.py
@@ -37,7 +37,7 @@
 def decode_document(path: Path, data: bytes) -> bytes:
     """Decode the bytes of a document's file. Raises `CorruptDocumentError`, which reports `path`."""
     if len(data) < HEADER_BYTES:
-        raise CorruptDocumentError(path, 0, f"{len(data)} bytes, less than the header")
+        raise CorruptDocumentError(path, 0, f"{len(data)} bytes, shorter than the header")
     magic, version, length, checksum = _HEADER.unpack_from(data)
     content = data[HEADER_BYTES:]
     if magic != _MAGIC or version != FORMAT_VERSION:
--- a/bitternpath/storage/group_state.py
+++ b/bitternpath/storage/group_state.py
@@ -59,7 +59,7 @@
             return self.gap
         last_index = self.compacted_index + len(self.entries)
         if not self.compacted_index <= self.snapshot.index <= last_index:
-            return f"the snapshot at {self.snapshot.index} doesn't meet the log"
+            return f"snapshot index {self.snapshot.index} is outside the log"
         return ""
 
 
--- a/bitternpath/storage/journal.py
+++ b/bitternpath/storage/journal.py
@@ -84,10 +84,10 @@
 
     def write(self, group: str, write: StorageWrite, done: DoneCallback) -> None:
         """Queue a write of the consensus module; `done` is called when it is durable."""
-        new = None
+        new_snapshot = None
         if write.snapshot is not None and write.snapshot.data:
-            new = NewSnapshot(group, write.snapshot)
-        self._writer.submit(JournalCommand(write_record(group, write), new, done))
+            new_snapshot = NewSnapshot(group, write.snapshot)
+        self._writer.submit(JournalCommand(write_record(group, write), new_snapshot, done))
 
     def bootstrap_group(self, group: str, state: PersistentState) -> None:
         """Queue the initial state of a group that is bootstrapped here, ahead of the group's later writes."""
--- a/bitternpath/storage/journal_writer_thread.py
+++ b/bitternpath/storage/journal_writer_thread.py
@@ -33,13 +33,14 @@
     def __init__(self, reactor: ThreadCallReactor) -> None:
         """Create a writer whose callbacks run in the reactor's thread; `start` starts the writer's thread."""
         self._reactor = reactor
-        self._waiting: list[JournalCommand] = []
-        self._changed = threading.Condition()  # guards `_waiting`
+        self._queue: list[JournalCommand] = []
+        self._queue_changed = threading.Condition()  # guards `_queue`
         self._stopping = threading.Event()
         self._write_failing = False
         self._checkpoint_failing = False
-        self._checkpoint_from = 0.0  # earliest time of the next checkpoint step, in `time.monotonic` seconds
-        self._scrub_from = 0.0  # time at which the next chunk of the scrub is due, likewise
+        # Earliest times of the next checkpoint step and of the next chunk of the scrub, by `time.monotonic`.
+        self._next_checkpoint_at = 0.0
+        self._next_scrub_at = 0.0
 
     @property
     def failing(self) -> bool:
@@ -53,21 +54,21 @@
         self._log = log
         self._completed = completed
         self._snapshot_corrupted = snapshot_corrupted
-        self._scrub_from = time.monotonic() + SCRUB_SECONDS
+        self._next_scrub_at = time.monotonic() + SCRUB_SECONDS
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
 
     def submit(self, command: JournalCommand) -> None:
         """Add a command to the queue and wake the thread."""
-        with self._changed:
-            self._waiting.append(command)
-            self._changed.notify()
+        with self._queue_changed:
+            self._queue.append(command)
+            self._queue_changed.notify()
 
     def stop(self) -> bool:
         """See `JournalWriter`."""
-        with self._changed:
+        with self._queue_changed:
             self._stopping.set()
-            self._changed.notify()
+            self._queue_changed.notify()
         self._thread.join(STOP_SECONDS)
         return not self._thread.is_alive()
 
@@ -75,13 +76,13 @@
 
     def _run(self) -> None:
         try:
-            self._work()
+            self._process_queue()
         except BaseException:
             # No further write will complete. A failing journal makes the node refuse new messages.
             self._write_failing = True
             log.exception("event=journal_writer_crashed")
 
-    def _work(self) -> None:
+    def _process_queue(self) -> None:
         while (commands := self._next_commands()) is not None:
             if commands and not self._write(commands):
                 return
@@ -96,21 +97,21 @@
         Returns an empty list if a checkpoint step or the scrub is due, and None if the writer was stopped and
         the queue is empty.
         """
-        with self._changed:
-            while not self._waiting:
+        with self._queue_changed:
+            while not self._queue:
                 if self._stopping.is_set():
                     return None
                 seconds = self._seconds_to_work()
                 if seconds == 0.0:
                     return []
-                self._changed.wait(seconds)
-            commands = self._waiting
-            self._waiting = []
+                self._queue_changed.wait(seconds)
+            commands = self._queue
+            self._queue = []
             return commands
 
     def _seconds_to_work(self) -> float:
         """Return the seconds until a checkpoint step or the scrub is due."""
-        scrub = max(self._scrub_from - time.monotonic(), 0.0)
+        scrub = max(self._next_scrub_at - time.monotonic(), 0.0)
         checkpoint = self._seconds_to_checkpoint()
         return scrub if checkpoint is None else min(scrub, checkpoint)
 
@@ -118,7 +119,7 @@
         """Return the seconds until the next checkpoint step may run, or None if no checkpoint is due."""
         if not self._log.checkpoint_due:
             return None
-        return max(self._checkpoint_from - time.monotonic(), 0.0)
+        return max(self._next_checkpoint_at - time.monotonic(), 0.0)
 
     def _write(self, commands: list[JournalCommand]) -> bool:
         """Write commands as one batch, and retry until it succeeds.
@@ -147,11 +148,11 @@
             self._log.checkpoint_step()
         except OSError:
             self._checkpoint_failing = True
-            self._checkpoint_from = time.monotonic() + RETRY_SECONDS
+            self._next_checkpoint_at = time.monotonic() + RETRY_SECONDS
         else:
             self._checkpoint_failing = False
 
     def _scrub(self) -> None:
-        self._scrub_from = time.monotonic() + SCRUB_SECONDS
+        self._next_scrub_at = time.monotonic() + SCRUB_SECONDS
         if group := self._log.scrub_step():
             self._reactor.callFromThread(self._snapshot_corrupted, group)
--- a/bitternpath/storage/node_disk.py
+++ b/bitternpath/storage/node_disk.py
@@ -70,9 +70,9 @@
         with closing(LocalFileSystem(self._data_dir)) as files:
             try:
                 return load_document(files, name)
-            except CorruptDocumentError as damage:
+            except CorruptDocumentError as error:
                 path = self._data_dir / name
-                raise CorruptDocumentError(path, damage.offset, damage.reason) from damage
+                raise CorruptDocumentError(path, error.offset, error.reason) from error
 
     def write_document(self, name: str, content: bytes) -> None:
         """See `NodeDisk`."""
--- a/bitternpath/storage/quarantine.py
+++ b/bitternpath/storage/quarantine.py
@@ -17,14 +17,14 @@
 
 _MOVING_SUFFIX = ".moving"
 _COMPLETE = re.compile(r"damaged-(\d+)")
-_UNFINISHED = re.compile(r"damaged-(\d+)\.moving")
-_FILE_SYSTEMS_OWN = "lost+found"  # belongs to the file system, if the data directory is a mount point
+_INCOMPLETE = re.compile(r"damaged-(\d+)\.moving")
+_LOST_AND_FOUND = "lost+found"  # belongs to the file system, if the data directory is a mount point
 
 
 def quarantine_directories(data_dir: Path) -> list[str]:
     """Return the names of the quarantine directories; more than one only if a move was interrupted."""
     names = os.listdir(data_dir) if data_dir.is_dir() else []
-    return sorted(name for name in names if _COMPLETE.fullmatch(name) or _UNFINISHED.fullmatch(name))
+    return sorted(name for name in names if _COMPLETE.fullmatch(name) or _INCOMPLETE.fullmatch(name))
 
 
 def quarantine_content(data_dir: Path, max_bytes: int | None = None) -> str:
@@ -50,7 +50,7 @@
     (data_dir / (name + _MOVING_SUFFIX)).mkdir(exist_ok=True)
     fsync_directory(data_dir)
     finish_quarantine(data_dir)
-    if max_bytes is not None and _bytes_in(data_dir / name) > max_bytes:
+    if max_bytes is not None and _directory_size(data_dir / name) > max_bytes:
         _remove_content(data_dir / name)
     return name
 
@@ -58,20 +58,20 @@
 def finish_quarantine(data_dir: Path) -> None:
     """Complete a move into quarantine that was interrupted by the end of a process. Raises `OSError`."""
     for name in quarantine_directories(data_dir):
-        if _UNFINISHED.fullmatch(name):
+        if _INCOMPLETE.fullmatch(name):
             _move_content(data_dir, name)
 
 
-def _move_content(data_dir: Path, unfinished: str) -> None:
-    directory = data_dir / unfinished
+def _move_content(data_dir: Path, incomplete: str) -> None:
+    directory = data_dir / incomplete
     for name in sorted(os.listdir(data_dir)):
         if _COMPLETE.fullmatch(name):
             shutil.rmtree(data_dir / name)
-        elif name not in (unfinished, _FILE_SYSTEMS_OWN):
+        elif name not in (incomplete, _LOST_AND_FOUND):
             os.rename(data_dir / name, directory / name)
     fsync_directory(directory)
     fsync_directory(data_dir)
-    os.rename(directory, data_dir / unfinished.removesuffix(_MOVING_SUFFIX))
+    os.rename(directory, data_dir / incomplete.removesuffix(_MOVING_SUFFIX))
     fsync_directory(data_dir)
 
 
@@ -84,5 +84,5 @@
     fsync_directory(directory)
 
 
-def _bytes_in(directory: Path) -> int:
+def _directory_size(directory: Path) -> int:
     return sum(path.stat().st_size for path in directory.rglob("*") if path.is_file())
--- a/bitternpath/storage/record_format.py
+++ b/bitternpath/storage/record_format.py
@@ -30,7 +30,7 @@
 
 _HEADER = struct.Struct("<4sIIIBB")  # magic, checksum, body length, batch, kind, flags
 _CHECKED_FIELDS = struct.Struct("<IIBB")  # the header's fields after the checksum
-_CHECKED_FROM = _HEADER.size - _CHECKED_FIELDS.size
+_CHECKED_OFFSET = _HEADER.size - _CHECKED_FIELDS.size
 _SEGMENT = struct.Struct("<4sII")  # magic, format version, salt
 _SEGMENT_CHECKSUM = struct.Struct("<I")
 HEADER_BYTES = _HEADER.size
@@ -81,16 +81,16 @@
 
 def encode_batch(salt: int, batch: int, records: Sequence[Record]) -> bytes:
     """Encode the records of one batch for a segment with the given salt."""
-    parts = []
+    chunks = []
     for position, record in enumerate(records, 1):
         kind = _KINDS[type(record)]
         body = _CODECS[kind].encode(record)
         flags = LAST_OF_BATCH if position == len(records) else 0
         checked_fields = _CHECKED_FIELDS.pack(len(body), batch, kind, flags)
         checksum = _checksum(salt, checked_fields, body)
-        parts.append(_HEADER.pack(MAGIC, checksum, len(body), batch, kind, flags))
-        parts.append(body)
-    return b"".join(parts)
+        chunks.append(_HEADER.pack(MAGIC, checksum, len(body), batch, kind, flags))
+        chunks.append(body)
+    return b"".join(chunks)
 
 
 def read_frame(file: str, salt: int, data: bytes, offset: int) -> RecordFrame | None:
@@ -107,7 +107,7 @@
     if magic != MAGIC or end > len(data):
         return None
     body = memoryview(data)[start:end]
-    if _checksum(salt, data[offset + _CHECKED_FROM : start], body) != checksum:
+    if _checksum(salt, data[offset + _CHECKED_OFFSET : start], body) != checksum:
         return None
     try:
         record: Record = _CODECS[RecordKind(kind)].decode(bytes(body))
@@ -118,12 +118,12 @@
 
 def contains_batch_from(file: str, salt: int, data: bytes, offset: int, batch: int) -> bool:
     """Whether `data` has an intact record of the given batch or a later batch at or after the offset."""
-    position = data.find(MAGIC, offset)
-    while position >= 0:
-        frame = read_frame(file, salt, data, position)
+    candidate = data.find(MAGIC, offset)
+    while candidate >= 0:
+        frame = read_frame(file, salt, data, candidate)
         if frame is not None and frame.batch >= batch:
             return True
-        position = data.find(MAGIC, position + 1)
+        candidate = data.find(MAGIC, candidate + 1)
     return False
 
 
--- a/bitternpath/storage/segment_files.py
+++ b/bitternpath/storage/segment_files.py
@@ -88,18 +88,18 @@
         A current segment without a header isn't closed but created anew. Raises `OSError`; batches are then
         still appended to the current segment.
         """
-        before = self._current
-        if not before.end:
-            self._current = self._begin(before.number)
+        previous = self._current
+        if not previous.end:
+            self._current = self._begin(previous.number)
             return
         if self._tail_may_be_torn:
-            self._files.truncate(before.path, before.end)
-            self._files.sync(before.path)
+            self._files.truncate(previous.path, previous.end)
+            self._files.sync(previous.path)
             self._tail_may_be_torn = False
-        self._unfinished_segment_path = segment_path(before.number + 1)
-        self._current = self._begin(before.number + 1)
+        self._unfinished_segment_path = segment_path(previous.number + 1)
+        self._current = self._begin(previous.number + 1)
         self._unfinished_segment_path = ""
-        self._closed[before.number] = before.end
+        self._closed[previous.number] = previous.end
         self._update_total()
 
     def remove_closed(self, number: int) -> None:
--- a/bitternpath/storage/segment_loading.py
+++ b/bitternpath/storage/segment_loading.py
@@ -89,9 +89,9 @@
     def load(self) -> LoadedSegments:
         names = self._files.list_names(DIRECTORY)
         numbers = sorted(int(match[1]) for match in map(_FILE_NAME.fullmatch, names) if match)
-        for before, after in pairwise(numbers):
-            if after != before + 1:
-                raise CorruptJournalError(segment_path(before + 1), 0, "the segment is missing")
+        for previous, number in pairwise(numbers):
+            if number != previous + 1:
+                raise CorruptJournalError(segment_path(previous + 1), 0, "the segment is missing")
         closed = {number: self._load_closed(number) for number in numbers[:-1]}
         current = self._load_last(numbers[-1]) if numbers else Segment(1, 0, 0)
         return LoadedSegments(current, closed, self._last_batch)
--- a/bitternpath/storage/segments.py
+++ b/bitternpath/storage/segments.py
@@ -130,8 +130,8 @@
 
     def _write(self, batch: Batch) -> None:
         while batch.snapshots:
-            new = batch.snapshots[0]
-            self._snapshots.write(new.group, new.snapshot)
+            new_snapshot = batch.snapshots[0]
+            self._snapshots.write(new_snapshot.group, new_snapshot.snapshot)
             batch.snapshots.pop(0)
         self._append(batch.records)
         if any(isinstance(record, TombstoneRecord) or record.snapshot for record in batch.records):
@@ -152,12 +152,12 @@
 
     def _free_space(self) -> bool:
         """Remove drafts and write a complete checkpoint; returns whether disk usage decreased."""
-        before = self.bytes_used
+        bytes_before = self.bytes_used
         self._snapshots.remove_drafts()
         if self._checkpointer.would_free_space:
             while self._checkpointer.step():
                 pass
-        return self.bytes_used < before
+        return self.bytes_used < bytes_before
 
     # Checkpoints
 
