--- a/tests/system/storage/test_directory_syncs.py
+++ b/tests/system/storage/test_directory_syncs.py
@@ -21,7 +21,7 @@
 
 NAME = "founding"
 SEEDS = 8  # of what a loss of power leaves
-STEPS_OF_DOCUMENT = 6  # operations of one write, and one more
+DOCUMENT_STEPS = 6  # operations of one write, and one more
 
 make_strict_disk = partial(SimulatedFileSystem, fsync_persists_name=False)
 
@@ -52,8 +52,8 @@
             disk.lose_power(Random(seed))
             self.assertIsNone(load_document(disk, NAME))
 
-    def test_a_completed_write_is_kept_and_another_leaves_the_old_or_the_new_content(self) -> None:
-        for steps in range(1, STEPS_OF_DOCUMENT + 1):
+    def test_writes_are_durable_and_atomic(self) -> None:
+        for steps in range(1, DOCUMENT_STEPS + 1):
             for seed in range(SEEDS):
                 disk = make_strict_disk()
                 store_document(disk, NAME, b"old")
@@ -62,10 +62,10 @@
                 allowed = (b"new content",) if completed else (b"old", b"new content")
                 self.assertIn(load_document(disk, NAME), allowed, (steps, seed))
 
-    def test_what_a_process_has_read_is_kept(self) -> None:
+    def test_content_that_was_read_is_durable(self) -> None:
         """Its writer was killed between the rename and the sync of the directory. A founding member that took
         part on the strength of it had no bootstrap decision after the next loss of power."""
-        for steps in range(1, STEPS_OF_DOCUMENT + 1):
+        for steps in range(1, DOCUMENT_STEPS + 1):
             for seed in range(SEEDS):
                 disk = make_strict_disk()
                 self.crash(disk, partial(store_document, disk, NAME, b"new"), steps)
@@ -73,13 +73,13 @@
                 disk.lose_power(Random(seed))
                 self.assertEqual(load_document(disk, NAME) if read else None, read, (steps, seed))
 
-    def test_a_removed_document_does_not_come_back(self) -> None:
+    def test_the_removal_of_a_document_is_durable(self) -> None:
         self.assert_removal_is_durable(remove_document)
 
-    def test_builds_without_a_sync_of_the_directory_are_caught(self) -> None:
+    def test_builds_without_a_sync_of_the_directory_are_detected(self) -> None:
         checks = (
-            self.test_a_completed_write_is_kept_and_another_leaves_the_old_or_the_new_content,
-            self.test_what_a_process_has_read_is_kept,
+            self.test_writes_are_durable_and_atomic,
+            self.test_content_that_was_read_is_durable,
         )
         for check in checks:
             with (
@@ -89,7 +89,7 @@
             ):
                 check()
 
-    def test_a_build_that_removes_without_a_sync_is_caught(self) -> None:
+    def test_a_build_that_removes_without_a_sync_is_detected(self) -> None:
         def unsynced(files: FileSystem, name: str) -> None:
             with without_directory_syncs():
                 remove_document(files, name)
@@ -99,8 +99,8 @@
 
 
 class Identity(unittest.TestCase):
-    def assert_used_identity_is_found_again(self) -> None:
-        for steps in range(1, STEPS_OF_DOCUMENT + 1):
+    def assert_used_identity_is_durable(self) -> None:
+        for steps in range(1, DOCUMENT_STEPS + 1):
             for seed in range(SEEDS):
                 disk = make_strict_disk()
                 disk.crash_at = steps
@@ -112,11 +112,11 @@
                 self.assertEqual(load_identity(Path(), disk, lambda: "33333333"), used, (steps, seed))
 
     def test_an_identity_that_was_used_is_never_lost(self) -> None:
-        self.assert_used_identity_is_found_again()
+        self.assert_used_identity_is_durable()
 
-    def test_a_build_without_a_sync_of_the_directory_is_caught(self) -> None:
+    def test_a_build_without_a_sync_of_the_directory_is_detected(self) -> None:
         with without_directory_syncs(), self.assertRaises(AssertionError):
-            self.assert_used_identity_is_found_again()
+            self.assert_used_identity_is_durable()
 
 
 class JournalAndSnapshots(test_power_loss.PowerLoss):
@@ -127,7 +127,7 @@
     def make_disk(self) -> SimulatedFileSystem:
         return make_strict_disk()
 
-    def test_a_build_without_a_sync_of_a_directory_is_caught(self) -> None:
+    def test_a_build_without_a_sync_of_a_directory_is_detected(self) -> None:
         real = SimulatedFileSystem.sync_directory
         for directory in (segment_loading.DIRECTORY, snapshots.DIRECTORY):
 
@@ -140,7 +140,7 @@
                 patch.object(SimulatedFileSystem, "sync_directory", unsynced),
                 self.assertRaises(Exception) as caught,
             ):
-                self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+                self.test_acknowledged_batches_survive_a_power_loss_at_any_step()
             self.assertNotIsInstance(caught.exception, SimulatedCrashError)
 
 
--- a/tests/system/storage/test_full_disks.py
+++ b/tests/system/storage/test_full_disks.py
@@ -55,7 +55,7 @@
             [NewSnapshot("g", snapshot)],
         )
 
-    def test_a_snapshot_gets_the_space_that_old_segments_hold(self) -> None:
+    def test_a_snapshot_gets_the_space_of_superseded_segments(self) -> None:
         """Both the snapshot and the journal's rest fit; but the batch was tried again and again for ever, and
         no checkpoint came between."""
         disk, log = self.superseded_log()
@@ -67,7 +67,7 @@
             open_segment_log(disk).persistent_state("g").snapshot, log.persistent_state("g").snapshot
         )
 
-    def test_a_build_that_frees_nothing_is_caught(self) -> None:
+    def test_a_build_that_frees_no_space_is_detected(self) -> None:
         disk, log = self.superseded_log()
         disk.capacity = 52_000
         with patch.object(SegmentLog, "_free_space", lambda self: False):
@@ -91,12 +91,12 @@
         """A checkpoint on a full disk left the next segment with a part of its header. Batches went on in
         the one before; killed within one of them, the process found its disk corrupt and gave it up."""
         record = write_record("g", StorageWrite(40, 2, "a", None, (), None, (1, 1)))
-        for room in range(1, 60):
+        for free_bytes in range(1, 60):
             disk, log = self.superseded_log()
             disk.capacity = disk.used + 5
             with self.assertRaises(OSError):
                 log.checkpoint_step()
-            disk.capacity = disk.used + room
+            disk.capacity = disk.used + free_bytes
             with suppress(OSError):
                 log.write(Batch([record], []))
             disk.restart()
@@ -125,35 +125,35 @@
             "a",
             Journal(open_segment_log(disk), journal_writer),
             MessageTransport(lambda *_: None),
-            HostOptions(_seeded(), SYSTEM_TIMING, bounds),
+            HostOptions(_seeded_random(), SYSTEM_TIMING, bounds),
         )
         machine = LastCommands(state_commands)
         host.open_group("g", machine, Members(("a",)), NoOpListener())
         while not host.is_owner("g"):
             clock.advance(0.01)
-        made, most = 0, 0
+        accepted, max_used = 0, 0
         for number in range(10 * DISK_BYTES // CHANGE_BYTES):
             result = host.propose("g", b"%08d" % number + bytes(CHANGE_BYTES - 8))
             result.addErrback(lambda _: None)
             for _ in range(4):
                 clock.advance(0.001)
-            most = max(most, disk.used)
+            max_used = max(max_used, disk.used)
             if journal_writer.failing:
                 break
-            made = number
-        return made, most
+            accepted = number
+        return accepted, max_used
 
     def test_a_state_of_a_third_of_the_disk_never_fills_it(self) -> None:
-        made, most = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds_for_disk(DISK_BYTES))
-        self.assertEqual(made, 10 * DISK_BYTES // CHANGE_BYTES - 1)
-        self.assertLess(most, DISK_BYTES)
-        print(f"\nstate of a third of the disk: {most / DISK_BYTES:.2f} of it used at most")
+        accepted, max_used = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds_for_disk(DISK_BYTES))
+        self.assertEqual(accepted, 10 * DISK_BYTES // CHANGE_BYTES - 1)
+        self.assertLess(max_used, DISK_BYTES)
+        print(f"\nstate of a third of the disk: {max_used / DISK_BYTES:.2f} of it used at most")
 
-    def test_a_build_with_the_bounds_of_large_disks_is_caught(self) -> None:
+    def test_a_build_with_the_bounds_of_large_disks_is_detected(self) -> None:
         """Entries between snapshots took half of the disk and more, and a checkpoint wrote them twice."""
         bounds = CompactionBounds(size=DISK_BYTES // 2, host_size=DISK_BYTES // 2)
-        made, _ = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds)
-        self.assertLess(made, 10 * DISK_BYTES // CHANGE_BYTES - 1)
+        accepted, _ = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds)
+        self.assertLess(accepted, 10 * DISK_BYTES // CHANGE_BYTES - 1)
 
     def test_bounds_of_disks(self) -> None:
         self.assertEqual(bounds_for_disk(0), CompactionBounds())
@@ -161,5 +161,5 @@
         self.assertEqual(bounds_for_disk(1 << 40), CompactionBounds())
 
 
-def _seeded() -> Random:
+def _seeded_random() -> Random:
     return Random(1)
--- a/tests/system/storage/test_identity.py
+++ b/tests/system/storage/test_identity.py
@@ -30,10 +30,10 @@
                 with suppress(SimulatedCrashError):
                     used = load_identity(Path(), disk, lambda drawn=drawn: next(drawn))  # type: ignore[misc]
                 disk.lose_power(Random(seed))
-                found = load_identity(Path(), disk, lambda drawn=drawn: next(drawn))  # type: ignore[misc]
-                self.assertIn(found, (used,) if used else ("11111111", "22222222"))
+                loaded = load_identity(Path(), disk, lambda drawn=drawn: next(drawn))  # type: ignore[misc]
+                self.assertIn(loaded, (used,) if used else ("11111111", "22222222"))
                 disk.lose_power(Random(seed))
-                self.assertEqual(load_identity(Path(), disk, lambda: "33333333"), found)
+                self.assertEqual(load_identity(Path(), disk, lambda: "33333333"), loaded)
 
     def test_a_corrupt_identity_is_reported(self) -> None:
         disk = SimulatedFileSystem()
--- a/tests/system/storage/test_journal.py
+++ b/tests/system/storage/test_journal.py
@@ -67,7 +67,7 @@
         self.clock.advance(0.01)
         self.assertEqual(self.done, [1, 2])
 
-    def test_what_was_loaded_is_taken_once(self) -> None:
+    def test_a_loaded_state_is_returned_once(self) -> None:
         self.write(1)
         self.clock.advance(1)
         journal = Journal(open_segment_log(self.disk), VirtualTimeJournalWriter(self.clock, self.disk, 0.01))
@@ -87,8 +87,8 @@
 
     def test_writes_survive_a_restart(self) -> None:
         # 300 syncs may take a busy disk seconds.
-        unhurried = patch.object(journal_writer_thread, "STOP_SECONDS", 60.0)
-        with tempfile.TemporaryDirectory() as folder, unhurried:
+        longer_stop_timeout = patch.object(journal_writer_thread, "STOP_SECONDS", 60.0)
+        with tempfile.TemporaryDirectory() as folder, longer_stop_timeout:
             data_dir = Path(folder) / "data"
             journal = open_journal(data_dir, self.Reactor(), checkpoint_bytes=20_000, segment_bytes=4_000)
             done: list[int] = []
@@ -97,12 +97,12 @@
             journal.write("h", storage_write(2, 0, snapshot=Snapshot(1, 1, MEMBERS, b"state")), lambda: None)
             journal.close()
             self.assertEqual(done, list(range(1, 301)))
-            again = open_journal(data_dir, self.Reactor())
-            self.assertEqual(again.bytes_used, sum(p.stat().st_size for p in data_dir.glob("*/*")))
-            states, other = again.take_persistent_state("g"), again.take_persistent_state("h")
-            again.close()
+            reopened = open_journal(data_dir, self.Reactor())
+            self.assertEqual(reopened.bytes_used, sum(p.stat().st_size for p in data_dir.glob("*/*")))
+            states, other_states = reopened.take_persistent_state("g"), reopened.take_persistent_state("h")
+            reopened.close()
             self.assertEqual(states and len(states.entries), 300)
-            self.assertEqual(other and other.snapshot.data, b"state")
+            self.assertEqual(other_states and other_states.snapshot.data, b"state")
 
 
 class WriterThread(unittest.TestCase):
@@ -129,16 +129,16 @@
     def test_a_refused_checkpoint_delays_no_write(self) -> None:
         disk = SimulatedFileSystem()
         log = open_segment_log(disk, checkpoint_bytes=1)
-        asked, written = threading.Event(), threading.Event()
+        attempted, written = threading.Event(), threading.Event()
 
         def refuse() -> None:
-            asked.set()
+            attempted.set()
             raise OSError(errno.ENOSPC, "full")
 
         log.checkpoint_step = refuse  # type: ignore[method-assign]
         journal = Journal(log, JournalWriterThread(LocalFiles.Reactor()))
         journal.write("g", storage_write(1), lambda: None)
-        self.assertTrue(asked.wait(10))
+        self.assertTrue(attempted.wait(10))
         journal.write("g", storage_write(2), written.set)
         self.assertTrue(written.wait(10))
         self.assertTrue(journal.failing)
--- a/tests/system/storage/test_power_loss.py
+++ b/tests/system/storage/test_power_loss.py
@@ -24,9 +24,9 @@
 
     def assert_state_is_allowed(self, disk: SimulatedFileSystem, history: History, case: object) -> None:
         """What a process finds is the state after the last acknowledged batch, or after a later one."""
-        self.assertIn(loaded_states(disk), history.seen[history.acknowledged :], case)
+        self.assertIn(loaded_states(disk), history.batch_states[history.acknowledged :], case)
 
-    def test_power_loss_at_each_step_keeps_what_was_acknowledged(self) -> None:
+    def test_acknowledged_batches_survive_a_power_loss_at_any_step(self) -> None:
         """Batches, snapshots, segments, several checkpoints; a crash at every operation on the disk."""
         batches = 40
         complete = self.make_disk()
@@ -48,13 +48,13 @@
                 disk.lose_power(Random(seed))
                 self.assert_state_is_allowed(disk, history, (crash_at, seed))
 
-    def test_repeated_losses_and_kills(self) -> None:
+    def test_repeated_power_losses_and_kills(self) -> None:
         """The disk goes through many processes; each begins with what the one before left."""
         for seed in range(150):
             random = Random(seed)
             disk = self.make_disk()
             history = History(seed)
-            for life in range(6):
+            for process in range(6):
                 disk.crash_at = disk.steps + random.randint(1, 60)
                 with suppress(SimulatedCrashError):
                     history.open(disk)
@@ -63,42 +63,42 @@
                 if random.random() < 0.6:
                     disk.lose_power(random)
                 disk.restart()
-                self.assert_state_is_allowed(disk, history, (seed, life))
+                self.assert_state_is_allowed(disk, history, (seed, process))
                 self._continue_from(history, disk)
 
     @staticmethod
     def _continue_from(history: History, disk: SimulatedFileSystem) -> None:
         """Let the history go on from what is on the disk."""
-        found = loaded_states(disk)
-        last = max(position for position, states in enumerate(history.seen) if states == found)
-        history.seen = [history.seen[last]]
+        loaded = loaded_states(disk)
+        last = max(position for position, states in enumerate(history.batch_states) if states == loaded)
+        history.batch_states = [history.batch_states[last]]
         history.acknowledged = 0
         history.states = open_segment_log(disk).states
-        history.snapshots = {group: state.snapshot for group, state in found.items()}
+        history.snapshots = {group: state.snapshot for group, state in loaded.items()}
 
-    def test_a_build_that_acknowledges_before_the_sync_is_caught(self) -> None:
+    def test_a_build_that_acknowledges_before_the_sync_is_detected(self) -> None:
         def unsynced(self: SimulatedFileSystem, path: str) -> None:
             if not path.startswith("journal") or self.size(path) <= SEGMENT_HEADER_BYTES:
                 real(self, path)
 
         real = SimulatedFileSystem.sync
         with patch.object(SimulatedFileSystem, "sync", unsynced), self.assertRaises(AssertionError):
-            self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+            self.test_acknowledged_batches_survive_a_power_loss_at_any_step()
 
-    def test_a_build_that_removes_old_segments_before_the_checkpoint_is_complete_is_caught(self) -> None:
-        def hasty(self: Checkpointer, group: str) -> None:
+    def test_a_build_that_removes_segments_before_the_checkpoint_is_complete_is_detected(self) -> None:
+        def remove_early(self: Checkpointer, group: str) -> None:
             if (oldest := self._segments.oldest_closed) is not None:
                 self._segments.remove_closed(oldest)
             real(self, group)
 
         real = Checkpointer._write_state
         with (
-            patch.object(Checkpointer, "_write_state", hasty),
+            patch.object(Checkpointer, "_write_state", remove_early),
             self.assertRaises((AssertionError, CorruptJournalError)),
         ):
-            self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+            self.test_acknowledged_batches_survive_a_power_loss_at_any_step()
 
-    def test_a_build_that_names_a_snapshot_before_its_directory_is_synced_is_caught(self) -> None:
+    def test_a_build_that_references_a_snapshot_before_its_directory_is_synced_is_detected(self) -> None:
         def unsynced(self: SimulatedFileSystem, directory: str) -> None:
             if directory != snapshots.DIRECTORY:
                 real(self, directory)
@@ -106,7 +106,7 @@
         real = SimulatedFileSystem.sync_directory
         caught = AssertionError, CorruptJournalError
         with patch.object(SimulatedFileSystem, "sync_directory", unsynced), self.assertRaises(caught):
-            self.test_power_loss_at_each_step_keeps_what_was_acknowledged()
+            self.test_acknowledged_batches_survive_a_power_loss_at_any_step()
 
 
 if __name__ == "__main__":
--- a/tests/system/storage/test_refused_writes.py
+++ b/tests/system/storage/test_refused_writes.py
@@ -22,25 +22,25 @@
 
 
 class RefusedWrites(unittest.TestCase):
-    def test_a_full_disk_at_each_byte_leaves_no_garbage_and_the_batch_is_kept(self) -> None:
+    def test_a_disk_full_at_any_byte_leaves_no_garbage_and_the_batch_can_be_retried(self) -> None:
         snapshot = Snapshot(1, 1, MEMBERS, b"state")
         empty = SimulatedFileSystem()
         open_segment_log(empty).write(batch(("g", storage_write(1))))
         needed = empty.used
         open_segment_log(empty).write(batch(("g", storage_write(2, 3, snapshot=snapshot))))
         needed = empty.used - needed
-        for room in range(needed + 1):
+        for free_bytes in range(needed + 1):
             disk = SimulatedFileSystem()
             log = open_segment_log(disk)
             log.write(batch(("g", storage_write(1))))
-            disk.capacity = disk.used + room
-            waiting = batch(("g", storage_write(2, 3, snapshot=snapshot)))
-            if room < needed:
+            disk.capacity = disk.used + free_bytes
+            pending = batch(("g", storage_write(2, 3, snapshot=snapshot)))
+            if free_bytes < needed:
                 for _ in range(2):
                     with self.assertRaises(OSError):
-                        log.write(waiting)
+                        log.write(pending)
                 disk.capacity = None
-            log.write(waiting)
+            log.write(pending)
             disk.capacity = None
             log.write(batch(("g", StorageWrite(1, 1, "", None, entries(5, 1), None, (1, 1)))))
             self.assertEqual(loaded_states(disk)["g"].entries, list(entries(2, 4)))
@@ -63,7 +63,7 @@
                         disk.capacity = disk.used + random.choice([0, 50, 500])
                         history.retry()
             disk.lose_power(random)
-            self.assertIn(loaded_states(disk), history.seen[history.acknowledged :], seed)
+            self.assertIn(loaded_states(disk), history.batch_states[history.acknowledged :], seed)
 
     def test_a_failed_sync_is_repeated_with_the_data(self) -> None:
         """After a failed sync the pages count as clean: syncing again without writing again keeps nothing."""
@@ -78,13 +78,13 @@
         disk.lose_power(Random(3))
         self.assertEqual(loaded_states(disk)["g"].entries, list(entries(1, 2)))
 
-    def test_a_checkpoint_that_the_disk_refuses_goes_on_later(self) -> None:
-        for room in range(0, 600, 7):
+    def test_a_failed_checkpoint_is_resumed(self) -> None:
+        for free_bytes in range(0, 600, 7):
             disk = SimulatedFileSystem()
             log = open_segment_log(disk, checkpoint_bytes=600, segment_bytes=200)
             for first in range(1, 40, 2):
                 log.write(batch(("g", storage_write(first, 2)), ("h", storage_write(first, 2))))
-            disk.capacity = disk.used + room
+            disk.capacity = disk.used + free_bytes
             refused = 0
             while log.checkpoint_due:
                 try:
--- a/tests/system/storage/test_scrub.py
+++ b/tests/system/storage/test_scrub.py
@@ -54,19 +54,19 @@
             self.clock.advance(0.01)
         for number in range(150):
             self.host.propose("g", b"%08d" % number + bytes(92))
-            self.settle(0.004)
+            self.advance(0.004)
 
-    def settle(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.001)):
             self.clock.advance(0.001)
 
-    def files(self, folder: str) -> list[str]:
-        return [path for path in self.disk.paths() if path.startswith(folder)]
+    def files(self, directory: str) -> list[str]:
+        return [path for path in self.disk.paths() if path.startswith(directory)]
 
-    def test_intact_files_are_left_alone(self) -> None:
+    def test_intact_files_are_not_rewritten(self) -> None:
         before = self.disk.steps
         self.journal_writer.scrub(STEPS)
-        self.settle(0.1)
+        self.advance(0.1)
         self.assertEqual(self.disk.steps, before)
 
     def assert_repaired(self, path: str, offset: int) -> None:
@@ -74,7 +74,7 @@
         with self.assertRaises(CorruptJournalError):
             open_segment_log(self.disk).persistent_state("g")
         self.journal_writer.scrub(STEPS)
-        self.settle(0.1)
+        self.advance(0.1)
         state = open_segment_log(self.disk).persistent_state("g")
         raft = self.host.groups["g"].raft
         self.assertEqual((state.snapshot, state.entries), (raft.snapshot, raft.log.entries))
@@ -86,7 +86,7 @@
             self.assert_repaired(self.files("journal")[0], offset)
             for number in range(60):
                 self.host.propose("g", b"%08d" % number + bytes(92))
-                self.settle(0.004)
+                self.advance(0.004)
             if len(self.files("journal")) < 2:
                 self.fail("there is no closed segment any more")
 
@@ -95,7 +95,7 @@
             (path,) = self.files("snapshots")
             self.assert_repaired(path, offset)
 
-    def test_a_build_that_scrubs_nothing_is_caught(self) -> None:
+    def test_a_build_that_scrubs_nothing_is_detected(self) -> None:
         (path,) = self.files("snapshots")
         with (
             patch.object(SegmentLog, "scrub_step", lambda self: None),
@@ -107,16 +107,16 @@
 class ChunkedFiles(unittest.TestCase):
     """A segment that comes in chunks, whichever bytes each of them has."""
 
-    def test_a_segment_is_intact_or_not_whatever_its_chunks_are(self) -> None:
+    def test_the_size_of_chunks_does_not_affect_the_result(self) -> None:
         disk = SimulatedFileSystem()
         log = log_samples.open_segment_log(disk)
         for first in range(1, 6):
             log.write(log_samples.batch(("g", log_samples.storage_write(first))))
         path = log_samples.FIRST_SEGMENT
         content = disk.read(path)
-        damaged = content[:-3] + bytes((content[-3] ^ 1,)) + content[-2:]
+        corrupt = content[:-3] + bytes((content[-3] ^ 1,)) + content[-2:]
         for size in (1, 7, SEGMENT_HEADER_BYTES, SEGMENT_HEADER_BYTES + 1, 100, len(content)):
-            for data, expected in ((content, True), (damaged, False)):
+            for data, expected in ((content, True), (corrupt, False)):
                 with self.subTest(size=size, expected=expected):
                     verifier = SegmentVerifier(path)
                     for offset in range(0, len(data), size):
@@ -138,12 +138,12 @@
     def test_the_thread_scrubs_while_it_has_nothing_to_write(self) -> None:
         scrubbed = threading.Event()
         with (
-            tempfile.TemporaryDirectory() as folder,
+            tempfile.TemporaryDirectory() as directory,
             patch.object(journal_writer_thread, "SCRUB_SECONDS", 0.001),
             patch.object(SegmentLog, "scrub_step", lambda self: "g"),
         ):
             thread = JournalWriterThread(Reactor())
-            files = LocalFileSystem(Path(folder))
+            files = LocalFileSystem(Path(directory))
             thread.start(open_segment_log(files), lambda commands: None, lambda group: scrubbed.set())
             self.assertTrue(scrubbed.wait(20))
             self.assertTrue(thread.stop())
--- a/tests/system/storage/test_segment_loading.py
+++ b/tests/system/storage/test_segment_loading.py
@@ -116,7 +116,7 @@
                 open_segment_log(torn).persistent_state("g").entries, list(entries(1, 1)), offset
             )
 
-    def test_a_segment_whose_header_was_not_synced_is_begun_again(self) -> None:
+    def test_a_segment_whose_header_was_not_synced_is_created_again(self) -> None:
         for size in range(SEGMENT_HEADER_BYTES + 1):
             disk = SimulatedFileSystem()
             log = open_segment_log(disk, segment_bytes=100)
@@ -155,7 +155,7 @@
         disk.lose_power(Random(1))
         self.assertEqual(open_segment_log(disk).persistent_state("g").term, 9)
 
-    def test_a_clients_bytes_that_look_like_a_record_prove_nothing(self) -> None:
+    def test_payload_bytes_that_look_like_a_record_are_ignored(self) -> None:
         """A torn record whose body holds what would be an intact record of a later batch."""
         disk = SimulatedFileSystem()
         log = open_segment_log(disk)
--- a/tests/system/storage/write_history.py
+++ b/tests/system/storage/write_history.py
@@ -21,8 +21,8 @@
     """Writes random batches to a log, and knows the states after each.
 
     Attributes:
-        seen: the groups' states before the first batch and after each one.
-        acknowledged: position in `seen` of the states after the last batch that was synced.
+        batch_states: the groups' states before the first batch and after each one.
+        acknowledged: position in `batch_states` of the states after the last batch that was synced.
         states: the groups' states after the last batch.
         snapshots: the last snapshot of each group.
         pending: the batch that the disk has refused, until it takes it.
@@ -33,7 +33,7 @@
         self.checkpoint_bytes = checkpoint_bytes
         self.segment_bytes = segment_bytes
         self.states = GroupStates()
-        self.seen: list[dict[str, PersistentState]] = [{}]
+        self.batch_states: list[dict[str, PersistentState]] = [{}]
         self.acknowledged = 0
         self.snapshots: dict[str, Snapshot] = {}
         self.pending: Batch | None = None
@@ -45,7 +45,7 @@
     def step(self) -> None:
         """Write one batch, and do a step of a checkpoint if one is due."""
         commands = [self._command() for _ in range(self.random.randint(1, 3))]
-        self.seen.append(self._expected_states())
+        self.batch_states.append(self._expected_states())
         self.pending = make_batch(commands)
         self._write()
 
@@ -59,7 +59,7 @@
         assert self.pending is not None
         self.log.write(self.pending)
         self.pending = None
-        self.acknowledged = len(self.seen) - 1
+        self.acknowledged = len(self.batch_states) - 1
         if self.log.checkpoint_due:
             self.log.checkpoint_step()
 
@@ -82,8 +82,8 @@
         write = self._storage_write(group, state or GroupState(term=1))
         record = write_record(group, write)
         self.states.apply(record)
-        new = None if write.snapshot is None else NewSnapshot(group, write.snapshot)
-        return JournalCommand(record, new, None)
+        new_snapshot = None if write.snapshot is None else NewSnapshot(group, write.snapshot)
+        return JournalCommand(record, new_snapshot, None)
 
     def _storage_write(self, group: str, state: GroupState) -> StorageWrite:
         random = self.random
