--- a/tests/system/storage/quiet.py
+++ b/tests/system/storage/quiet.py
@@ -1,4 +1,4 @@
-"""Tests whose log lines are of no interest."""
+"""Test case that suppresses log output."""
 
 from __future__ import annotations
 
--- a/tests/system/storage/state_machines.py
+++ b/tests/system/storage/state_machines.py
@@ -1,4 +1,4 @@
-"""A state machine of a bounded size, and a listener, for replica groups under test."""
+"""State machine of limited size and no-op listener for replica groups under test."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LastCommands:
-    """`replication.interfaces.StateMachine` whose state is the last commands, a fixed number of them."""
+    """`replication.interfaces.StateMachine` whose state is the last `number` commands."""
 
     def __init__(self, number: int) -> None:
         self.commands: deque[bytes] = deque(maxlen=number)
--- a/tests/system/storage/test_directory_syncs.py
+++ b/tests/system/storage/test_directory_syncs.py
@@ -1,5 +1,8 @@
-"""Each writer of files on a disk on which every name that was added, renamed or removed without a sync of its
-directory is kept or lost by itself at a loss of power (DEPLOY, "On the machines")."""
+"""Tests of all file writers for missing syncs of directories.
+
+On this simulated disk a power loss keeps or drops each name that was added, renamed or removed without a sync
+of its directory independently of the others (DEPLOY, "On the machines").
+"""
 
 from __future__ import annotations
 
@@ -20,14 +23,14 @@
 from tests.system.storage import test_power_loss
 
 NAME = "founding"
-SEEDS = 8  # of what a loss of power leaves
-DOCUMENT_STEPS = 6  # operations of one write, and one more
+SEEDS = 8  # number of random outcomes of a power loss per case
+DOCUMENT_STEPS = 6  # disk operations of one write, plus one
 
 make_strict_disk = partial(SimulatedFileSystem, fsync_persists_name=False)
 
 
 def without_directory_syncs() -> AbstractContextManager[object]:
-    """A build that doesn't sync directories."""
+    """Simulate a build that doesn't sync directories."""
     return patch.object(SimulatedFileSystem, "sync_directory", lambda self, directory: None)
 
 
@@ -35,7 +38,7 @@
     """The bootstrap decision, and the feed's cache."""
 
     def crash(self, disk: SimulatedFileSystem, work: Callable[[], None], steps: int) -> bool:
-        """Do the work, with the process killed after so many operations; whether it was completed."""
+        """Do the work, killing the process after `steps` disk operations; returns whether it completed."""
         disk.crash_at = disk.steps + steps
         completed = False
         with suppress(SimulatedCrashError):
@@ -63,8 +66,9 @@
                 self.assertIn(load_document(disk, NAME), allowed, (steps, seed))
 
     def test_content_that_was_read_is_durable(self) -> None:
-        """Its writer was killed between the rename and the sync of the directory. A founding member that took
-        part on the strength of it had no bootstrap decision after the next loss of power."""
+        """The writer of a document is killed between the rename and the sync of the directory. Without a sync
+        in the reader, a founding member that acted on the document lost its bootstrap decision at the next
+        power loss."""
         for steps in range(1, DOCUMENT_STEPS + 1):
             for seed in range(SEEDS):
                 disk = make_strict_disk()
@@ -120,7 +124,7 @@
 
 
 class JournalAndSnapshots(test_power_loss.PowerLoss):
-    """All power losses of the write-ahead log, on this disk."""
+    """The power loss tests of the write-ahead log, on this disk."""
 
     longest_test_s = 20
 
--- a/tests/system/storage/test_full_disks.py
+++ b/tests/system/storage/test_full_disks.py
@@ -1,4 +1,4 @@
-"""Tests of disks that fill: a checkpoint and two snapshots fit at once, or the batch waits, uncorrupted."""
+"""Tests of full disks: a checkpoint and two snapshots fit together, or the batch fails without corruption."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from tests.system.storage.quiet import QuietTestCase
 from tests.system.storage.state_machines import LastCommands, NoOpListener
 
-DISK_BYTES = 64 << 10  # a disk of 64 MB at a thousandth of its size
-LOG_SHARE = 0.35  # of the disk, before a checkpoint
+DISK_BYTES = 64 << 10  # a disk of 64 MB, scaled down by 1000
+LOG_SHARE = 0.35  # share of the disk for segments above which a checkpoint is due
 CHANGE_BYTES = 100
 SEGMENT_BYTES = 8 << 10
 
@@ -36,7 +36,7 @@
 
 class RefusedBatches(QuietTestCase):
     def superseded_log(self) -> tuple[SimulatedFileSystem, SegmentLog]:
-        """A log whose segments hold little that is still needed, and a snapshot."""
+        """Return a log with a snapshot and mostly superseded records, and its disk."""
         disk = SimulatedFileSystem()
         log = open_segment_log(disk)
         first = Snapshot(1, 1, Members(("a",)), bytes(20_000))
@@ -56,8 +56,8 @@
         )
 
     def test_a_snapshot_gets_the_space_of_superseded_segments(self) -> None:
-        """Both the snapshot and the journal's rest fit; but the batch was tried again and again for ever, and
-        no checkpoint came between."""
+        """The snapshot fits on the disk once superseded segments are removed. The batch used to be retried
+        forever, because no checkpoint ran between the attempts."""
         disk, log = self.superseded_log()
         disk.capacity = 52_000
         self.assertGreater(disk.used + 21_000, disk.capacity)
@@ -88,8 +88,9 @@
         self.assertEqual(open_segment_log(disk).persistent_state("g").snapshot.index, 2)
 
     def test_a_refused_segment_does_not_make_a_torn_tail_look_like_corruption(self) -> None:
-        """A checkpoint on a full disk left the next segment with a part of its header. Batches went on in
-        the one before; killed within one of them, the process found its disk corrupt and gave it up."""
+        """A checkpoint on a full disk left a next segment with an incomplete header, and batches were still
+        appended to the current segment. After a kill during such a batch, loading reported the torn tail as
+        corruption, and the disk was discarded."""
         record = write_record("g", StorageWrite(40, 2, "a", None, (), None, (1, 1)))
         for free_bytes in range(1, 60):
             disk, log = self.superseded_log()
@@ -113,10 +114,10 @@
 
 
 class SmallDisk(QuietTestCase):
-    """One group alone on a disk of 64 MB, at a thousandth of the size, for ten times what the disk holds."""
+    """A single group on a disk of 64 MB, scaled down by 1000, writes ten times the capacity of the disk."""
 
     def run_changes(self, state_commands: int, bounds: CompactionBounds) -> tuple[int, int]:
-        """How many changes were made, and the most bytes that the disk held."""
+        """Return the number of changes that were written, and the maximum disk usage in bytes."""
         clock, disk = Clock(), SimulatedFileSystem()
         disk.capacity = DISK_BYTES
         journal_writer = VirtualTimeJournalWriter(clock, disk, 0.001)
@@ -150,7 +151,7 @@
         print(f"\nstate of a third of the disk: {max_used / DISK_BYTES:.2f} of it used at most")
 
     def test_a_build_with_the_bounds_of_large_disks_is_detected(self) -> None:
-        """Entries between snapshots took half of the disk and more, and a checkpoint wrote them twice."""
+        """Entries between snapshots used more than half of the disk, and a checkpoint wrote them twice."""
         bounds = CompactionBounds(size=DISK_BYTES // 2, host_size=DISK_BYTES // 2)
         accepted, _ = self.run_changes(DISK_BYTES // 3 // CHANGE_BYTES, bounds)
         self.assertLess(accepted, 10 * DISK_BYTES // CHANGE_BYTES - 1)
--- a/tests/system/storage/test_journal.py
+++ b/tests/system/storage/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of the journal: group commit, retries, the thread, the operating system's files."""
+"""Tests of the journal: group commit, retries, the writer thread, and files of the operating system."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 class LocalFiles(unittest.TestCase):
-    """The thread and the operating system's files. The reactor stands in for one that runs calls at once."""
+    """The writer thread on files of the operating system, with a fake reactor that runs calls immediately."""
 
     class Reactor:
         @staticmethod
@@ -86,7 +86,7 @@
             call(*arguments)  # type: ignore[operator]
 
     def test_writes_survive_a_restart(self) -> None:
-        # 300 syncs may take a busy disk seconds.
+        # 300 syncs can take several seconds on a busy disk.
         longer_stop_timeout = patch.object(journal_writer_thread, "STOP_SECONDS", 60.0)
         with tempfile.TemporaryDirectory() as folder, longer_stop_timeout:
             data_dir = Path(folder) / "data"
@@ -145,7 +145,7 @@
         journal.close()
 
     def test_a_crashed_thread_is_reported_as_failing(self) -> None:
-        """Nothing is written any more: who owns a group must know."""
+        """No further write completes, so the node must refuse new messages."""
 
         def refuse(batch: Batch) -> None:
             raise RuntimeError("a fault of ours")
--- a/tests/system/storage/test_power_loss.py
+++ b/tests/system/storage/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Tests of the write-ahead log under power losses and kills at any operation on the disk."""
+"""Tests of the write-ahead log with power losses and kills at any disk operation."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 
 
 class PowerLoss(unittest.TestCase):
-    """On a disk on which the sync of a new file makes its name durable, too."""
+    """Power losses on a disk where the sync of a new file also makes its name durable."""
 
     def make_disk(self) -> SimulatedFileSystem:
         return SimulatedFileSystem()
 
     def assert_state_is_allowed(self, disk: SimulatedFileSystem, history: History, case: object) -> None:
-        """What a process finds is the state after the last acknowledged batch, or after a later one."""
+        """Assert that the loaded state is that after the last acknowledged batch or a later batch."""
         self.assertIn(loaded_states(disk), history.batch_states[history.acknowledged :], case)
 
     def test_acknowledged_batches_survive_a_power_loss_at_any_step(self) -> None:
-        """Batches, snapshots, segments, several checkpoints; a crash at every operation on the disk."""
+        """The history has batches, snapshots, segments and several checkpoints; each disk operation crashes
+        once."""
         batches = 40
         complete = self.make_disk()
         history = History(1)
@@ -49,7 +50,7 @@
                 self.assert_state_is_allowed(disk, history, (crash_at, seed))
 
     def test_repeated_power_losses_and_kills(self) -> None:
-        """The disk goes through many processes; each begins with what the one before left."""
+        """Several processes use the same disk in turn; each starts with the files that the previous left."""
         for seed in range(150):
             random = Random(seed)
             disk = self.make_disk()
@@ -68,7 +69,7 @@
 
     @staticmethod
     def _continue_from(history: History, disk: SimulatedFileSystem) -> None:
-        """Let the history go on from what is on the disk."""
+        """Continue the history with the state on the disk."""
         loaded = loaded_states(disk)
         last = max(position for position, states in enumerate(history.batch_states) if states == loaded)
         history.batch_states = [history.batch_states[last]]
--- a/tests/system/storage/test_refused_writes.py
+++ b/tests/system/storage/test_refused_writes.py
@@ -1,4 +1,4 @@
-"""Tests of the write-ahead log on disks that refuse writes and syncs."""
+"""Tests of the write-ahead log on disks where writes and syncs fail."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
             self.assertEqual(loaded_states(disk)["g"].entries, list(entries(2, 4)))
 
     def test_a_full_disk_then_power_loss(self) -> None:
-        """The batch that was refused is tried again, in vain or with success, until the power goes."""
+        """A failed batch is retried, with or without success, until the power loss."""
         for seed in range(300):
             random = Random(seed)
             disk, history = SimulatedFileSystem(), History(seed)
@@ -66,7 +66,7 @@
             self.assertIn(loaded_states(disk), history.batch_states[history.acknowledged :], seed)
 
     def test_a_failed_sync_is_repeated_with_the_data(self) -> None:
-        """After a failed sync the pages count as clean: syncing again without writing again keeps nothing."""
+        """After a failed sync the kernel marks the pages clean, so a second sync alone doesn't write them."""
         disk = SimulatedFileSystem()
         log = open_segment_log(disk)
         log.write(batch(("g", storage_write(1))))
--- a/tests/system/storage/test_scrub.py
+++ b/tests/system/storage/test_scrub.py
@@ -1,4 +1,4 @@
-"""Tests of the checksum scrub: corruption is found while the process runs, and repaired from memory."""
+"""Tests of the checksum scrub, which detects corruption in a running process and repairs it from memory."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from tests.system.storage.state_machines import LastCommands, NoOpListener
 
 SEGMENT_BYTES = 4_000
-STEPS = 60  # chunks: more than there are files, twice
+STEPS = 60  # chunks; enough to read all files twice
 
 
 def open_segment_log(files: FileSystem) -> SegmentLog:
@@ -40,7 +40,7 @@
 
 class Scrub(QuietTestCase):
     def setUp(self) -> None:
-        """A group alone, with several segments and a snapshot."""
+        """Start a group of one member and write several segments and a snapshot."""
         super().setUp()
         self.clock, self.disk = Clock(), SimulatedFileSystem()
         self.journal_writer = VirtualTimeJournalWriter(self.clock, self.disk, 0.001)
@@ -105,7 +105,7 @@
 
 
 class ChunkedFiles(unittest.TestCase):
-    """A segment that comes in chunks, whichever bytes each of them has."""
+    """Verification of a segment in chunks of any size."""
 
     def test_the_size_of_chunks_does_not_affect_the_result(self) -> None:
         disk = SimulatedFileSystem()
@@ -125,7 +125,7 @@
 
 
 class Reactor:
-    """Takes calls from threads, and hands them out."""
+    """Fake reactor that runs calls from threads immediately."""
 
     def __init__(self) -> None:
         self.clock = Clock()
--- a/tests/system/storage/test_segment_loading.py
+++ b/tests/system/storage/test_segment_loading.py
@@ -1,4 +1,4 @@
-"""Tests of loading the write-ahead log: what was written, torn tails, corrupt records."""
+"""Tests of loading the write-ahead log: round trips, torn tails, corrupt records."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.assertEqual((states["h"].compacted_through, states["h"].entries), ((1, 1), []))
 
     def test_compaction_of_entries_that_were_not_written_yet(self) -> None:
-        """Entries 4 and 5 came and went between two writes: the next one starts behind them."""
+        """Entries 4 and 5 were appended and compacted between two writes; the next starts at entry 6."""
         disk = SimulatedFileSystem()
         log = open_segment_log(disk)
         log.write(batch(("g", storage_write(1, 3))))
@@ -145,7 +145,7 @@
         self.assertEqual(loaded_states(disk)["g"].entries, list(entries(1, 5)))
 
     def test_records_that_a_killed_process_left_unsynced_are_synced_before_use(self) -> None:
-        """Else the next process could vote by them, and a loss of power would take them back."""
+        """Otherwise the next process could act on a vote that a power loss then reverts."""
         disk = SimulatedFileSystem()
         log = open_segment_log(disk)
         log.write(batch(("g", storage_write(1))))
@@ -156,7 +156,7 @@
         self.assertEqual(open_segment_log(disk).persistent_state("g").term, 9)
 
     def test_payload_bytes_that_look_like_a_record_are_ignored(self) -> None:
-        """A torn record whose body holds what would be an intact record of a later batch."""
+        """The body of a torn record contains a record of a later batch that is intact but for its salt."""
         disk = SimulatedFileSystem()
         log = open_segment_log(disk)
         log.write(batch(("g", storage_write(1))))
--- a/tests/system/storage/write_history.py
+++ b/tests/system/storage/write_history.py
@@ -1,4 +1,4 @@
-"""A random history of writes to a write-ahead log, with the states that it may be found in."""
+"""A random history of writes to a write-ahead log, with the expected states after each batch."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from bitternpath.testing.simulation.file_system import SimulatedFileSystem
 from tests.system.storage.log_samples import MEMBERS, open_segment_log
 
-TOMBSTONE_SHARE = 0.05  # of the records of a group that is there
-TRUNCATION_SHARE = 0.2  # of the writes that may truncate the log
-SNAPSHOT_SHARE = 0.2  # of the writes that may name a new snapshot
+TOMBSTONE_SHARE = 0.05  # share of tombstones in the records of an existing group
+TRUNCATION_SHARE = 0.2  # share of the writes that truncate the log, where they can
+SNAPSHOT_SHARE = 0.2  # share of the writes that reference a new snapshot, where they can
 
 
 class History:
-    """Writes random batches to a log, and knows the states after each.
+    """Writes random batches to a log and records the expected states after each batch.
 
     Attributes:
-        batch_states: the groups' states before the first batch and after each one.
-        acknowledged: position in `batch_states` of the states after the last batch that was synced.
-        states: the groups' states after the last batch.
-        snapshots: the last snapshot of each group.
-        pending: the batch that the disk has refused, until it takes it.
+        batch_states: states of the groups before the first batch and after each batch.
+        acknowledged: index in `batch_states` of the states after the last synced batch.
+        states: states of the groups after the last batch.
+        snapshots: the latest snapshot of each group.
+        pending: the batch that failed and must be retried, or None.
     """
 
     def __init__(self, seed: int, checkpoint_bytes: int = 1_500, segment_bytes: int = 400) -> None:
@@ -43,14 +43,14 @@
         self.log = open_segment_log(disk, self.checkpoint_bytes, self.segment_bytes)
 
     def step(self) -> None:
-        """Write one batch, and do a step of a checkpoint if one is due."""
+        """Write one batch, and do a checkpoint step if one is due."""
         commands = [self._command() for _ in range(self.random.randint(1, 3))]
         self.batch_states.append(self._expected_states())
         self.pending = make_batch(commands)
         self._write()
 
     def retry(self) -> None:
-        """Repeat what the disk has refused until the disk takes it."""
+        """Retry the failed batch until it succeeds."""
         while self.pending is not None:
             with suppress(OSError):
                 self._write()
