--- a/bitternpath/storage/checkpoint.py
+++ b/bitternpath/storage/checkpoint.py
@@ -70,17 +70,17 @@
         """
         oldest = self._segments.oldest_closed
         if self._pending is None:
-            self._begin()
+            self._start()
         elif self._pending:
             self._write_state(self._pending[-1])
             self._pending.pop()
         elif oldest is not None and oldest < self._first_needed:
             self._segments.remove_closed(oldest)
         else:
-            self._end()
+            self._finish()
         return self._pending is not None
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         self._segments.roll()
         self._pending = sorted(self._states.by_group | self._states.tombstones)
         self._first_needed = self._segments.current.number
@@ -95,7 +95,7 @@
             records.append(checkpoint_record(group, state))
         self._append(records)
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self._pending = None
         self._requested = False
         self._bytes_after_last_checkpoint = self._segments.bytes_used
--- a/bitternpath/storage/scrub.py
+++ b/bitternpath/storage/scrub.py
@@ -126,7 +126,7 @@
         """
         paths = {target.path for target in targets}
         if self._target is None or self._target.path not in paths:
-            self._begin_next(targets)
+            self._select_next(targets)
         target = self._target
         if target is None:
             return None
@@ -147,7 +147,7 @@
         except OSError:
             return b""
 
-    def _begin_next(self, targets: Sequence[ScrubTarget]) -> None:
+    def _select_next(self, targets: Sequence[ScrubTarget]) -> None:
         """Select the next file by path, and the first file after the last."""
         ordered = sorted((target for target in targets if target.size), key=lambda target: target.path)
         later = [target for target in ordered if target.path > self._last_verified]
--- a/bitternpath/storage/segment_files.py
+++ b/bitternpath/storage/segment_files.py
@@ -90,14 +90,14 @@
         """
         previous = self._current
         if not previous.end:
-            self._current = self._begin(previous.number)
+            self._current = self._create_segment(previous.number)
             return
         if self._tail_may_be_torn:
             self._files.truncate(previous.path, previous.end)
             self._files.sync(previous.path)
             self._tail_may_be_torn = False
         self._unfinished_segment_path = segment_path(previous.number + 1)
-        self._current = self._begin(previous.number + 1)
+        self._current = self._create_segment(previous.number + 1)
         self._unfinished_segment_path = ""
         self._closed[previous.number] = previous.end
         self._update_total()
@@ -112,7 +112,7 @@
         del self._closed[number]
         self._update_total()
 
-    def _begin(self, number: int) -> Segment:
+    def _create_segment(self, number: int) -> Segment:
         path = segment_path(number)
         salt = self._generate_salt()
         self._files.truncate(path, 0)
--- a/tests/system/storage/test_journal.py
+++ b/tests/system/storage/test_journal.py
@@ -148,7 +148,7 @@
         """No further write completes, so the node must refuse new messages."""
 
         def refuse(batch: Batch) -> None:
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("injected error")
 
         log = open_segment_log(SimulatedFileSystem())
         log.write = refuse  # type: ignore[method-assign]
--- a/tests/system/storage/test_refused_writes.py
+++ b/tests/system/storage/test_refused_writes.py
@@ -71,10 +71,10 @@
         log = open_segment_log(disk)
         log.write(batch(("g", storage_write(1))))
         disk.failing_syncs = 1
-        again = batch(("g", storage_write(2)))
+        retried = batch(("g", storage_write(2)))
         with self.assertRaises(OSError):
-            log.write(again)
-        log.write(again)
+            log.write(retried)
+        log.write(retried)
         disk.lose_power(Random(3))
         self.assertEqual(loaded_states(disk)["g"].entries, list(entries(1, 2)))
 
--- a/tests/system/storage/test_segment_loading.py
+++ b/tests/system/storage/test_segment_loading.py
@@ -62,8 +62,8 @@
         while log.checkpoint_due:
             log.checkpoint_step()
         self.assertNotIn(FIRST_SEGMENT, disk.paths())
-        again = open_segment_log(disk)
-        self.assertEqual((again.groups, again.tombstones), ((), {"g/1": 0}))
+        reopened = open_segment_log(disk)
+        self.assertEqual((reopened.groups, reopened.tombstones), ((), {"g/1": 0}))
 
     def test_bytes_used_are_those_of_the_files(self) -> None:
         disk = SimulatedFileSystem()
@@ -92,10 +92,10 @@
         for size in range(complete, len(data)):
             torn = SimulatedFileSystem()
             torn.write_at(FIRST_SEGMENT, 0, data[:size])
-            again = open_segment_log(torn)
-            self.assertEqual(again.persistent_state("g").entries, list(entries(1, 1)), size)
+            reopened = open_segment_log(torn)
+            self.assertEqual(reopened.persistent_state("g").entries, list(entries(1, 1)), size)
             self.assertEqual(torn.size(FIRST_SEGMENT), complete)
-            again.write(batch(("g", storage_write(2, term=5))))
+            reopened.write(batch(("g", storage_write(2, term=5))))
             self.assertEqual(
                 loaded_states(torn)["g"].entries,
                 [*entries(1, 1), *entries(2, 1, term=5)],
@@ -125,8 +125,8 @@
             disk.truncate(SECOND_SEGMENT, size)
             if size == SEGMENT_HEADER_BYTES:
                 disk.corrupt_byte(SECOND_SEGMENT, 3)
-            again = open_segment_log(disk)
-            again.write(batch(("g", storage_write(6, term=2))))
+            reopened = open_segment_log(disk)
+            reopened.write(batch(("g", storage_write(6, term=2))))
             self.assertEqual(
                 loaded_states(disk)["g"].entries,
                 [*entries(1, 5), *entries(6, 1, term=2)],
