--- a/bitternpath/testing/emulator/fleet/campaign.py
+++ b/bitternpath/testing/emulator/fleet/campaign.py
@@ -14,7 +14,7 @@
 FAULTS_START = 4.0  # s; the fleet is bootstrapped by then
 FAULTS_WINDOW = 40.0  # s during which faults start
 FAULT_DURATION = 0.3, 9.0  # s, shortest and longest
-CHANGE_INTERVAL = 2.5
+CHANGE_INTERVAL = 2.5  # s between changes, times a factor drawn from 0.2 to 2.0
 RECOVERY_LIMIT = 90.0  # s after the last fault
 TERMS = p.LeaseTerms(lease=3.0, drift=0.02, catch_up=4.0)
 
@@ -66,7 +66,7 @@
 
     scheduler.callLater(FAULTS_START, submit_change)
     scheduler.run(faults_end)
-    stuck = "not looked at"
+    stuck = "not checked"
     until = faults_end + RECOVERY_LIMIT
     while stuck and scheduler.now < until and not fleet.checker.violations:
         scheduler.run(scheduler.now + 1.0)
--- a/bitternpath/testing/emulator/fleet/world.py
+++ b/bitternpath/testing/emulator/fleet/world.py
@@ -31,7 +31,7 @@
 # s, ranges of the time that a node's disk takes: usual, and in 40% of the writes
 FILE_WRITE_TIME, FILE_WRITE_STALL = (0.0002, 0.003), (0.05, 1.5)
 ACT_INTERVAL = 0.25  # s between acts of a node
-RELEASE = (1, 0, 0)
+RELEASE = (1, 0, 0)  # software version that every process reports
 
 
 class LocalClock:
--- a/bitternpath/testing/emulator/sockets/node.py
+++ b/bitternpath/testing/emulator/sockets/node.py
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).parents[4]
 READY_TIMEOUT = 30.0  # s within which a node must become ready
 PREDECESSOR_EXIT_TIMEOUT = 3.7  # s after SIGTERM after which a replaced process is killed
-MAX_SOCKETS = 1024
+MAX_SOCKETS = 1024  # limit in the configuration of each node
 POLL_INTERVAL = 0.05  # s between checks of a process that is ending or starting
 
 
