--- a/bitternpath/testing/fault_injection/actor_context.py
+++ b/bitternpath/testing/fault_injection/actor_context.py
@@ -1,4 +1,4 @@
-"""What all actors of a test environment share."""
+"""The context that all actors of a test environment share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActorContext:
-    """An actor's reactor, its clock (seconds since the beginning), and the history that it writes to."""
+    """An actor's reactor, its clock (seconds since the start of the run) and its history of observations."""
 
     reactor: Any
     clock: Clock
--- a/bitternpath/testing/fault_injection/callback_receiver.py
+++ b/bitternpath/testing/fault_injection/callback_receiver.py
@@ -1,4 +1,4 @@
-"""The receiver of call-backs."""
+"""The HTTP server that receives call-backs."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 from bitternpath.testing.fault_injection.plan import LOOPBACK
 from bitternpath.testing.fault_injection.records import CallbackReceived
 
-FAILED_CALLBACK_SHARE = 0.1  # of call-backs that the receiver answers with 503
+FAILED_CALLBACK_SHARE = 0.1  # share of call-backs that the receiver answers with 503
 
 
 class CallbackReceiver:
-    """Accepts call-backs; fails a share of them with 503, and rejects those that name no ended message."""
+    """Accepts call-backs; answers a share of them with 503.
+
+    Rejects with 400 those whose message is unknown or whose state is not final.
+    """
 
     def __init__(self, context: ActorContext, random: Random, host: str = LOOPBACK) -> None:
         self._clock = context.clock
--- a/bitternpath/testing/fault_injection/checker.py
+++ b/bitternpath/testing/fault_injection/checker.py
@@ -1,4 +1,4 @@
-"""Checks a history against the rules (RULES, "Messages", "Requests and answers"). Pure."""
+"""Checks a history against the rules (RULES, "Messages", "Requests and answers"). Pure functions."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
     SendOutcome,
 )
 
-READ_MARGIN_S = 0.05  # a success counts as received if it was complete so long before the time-out
-VISIBLE_SLACK_S = 0.1  # between a grant at the owner and its arrival at the worker
-CEILING_ALLOWANCE = 5  # arrivals beyond the rate in any window (RULES, CEILING)
+# A success counts as read by its sender if the worker answered at least this long before the time-out.
+READ_MARGIN_S = 0.05
+VISIBLE_SLACK_S = 0.1  # maximum time from the grant of a lease by the owner to its arrival at the worker
+CEILING_ALLOWANCE = 5  # arrivals allowed over the rate in any window (RULES, CEILING)
 
 
 class Rule(Enum):
-    """What can be broken."""
+    """Rules that can be violated."""
 
     LOST = "LOST"
     ORDER = "ORDER"
@@ -45,20 +46,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule; `request_id` is empty where no single message broke it."""
+    """A violated rule; `request_id` is empty if the violation does not concern a single message."""
 
-    rule: Enum  # a `Rule`; checkers of simulated runs have further ones
+    rule: Enum  # a `Rule`, or a rule that only the checkers of simulated runs have
     request_id: str
     text: str
 
 
 def check(history: History, parameters: RuleParameters) -> list[Violation]:
-    """All violations of a history."""
+    """Return all violations of a history."""
     return [violation for checker in CHECKS for violation in checker(history, parameters)]
 
 
 def ended_times(history: History, parameters: RuleParameters) -> dict[str, float]:
-    """When each message that was sent had ended or will, by retention (RULES, "Ended")."""
+    """Return the time at which each message has ended, at the latest by its retention (RULES, "Ended")."""
     accepted_ends = {(end.lease_id, end.status) for end in history.ends if end.accepted}
     failures: Counter[str] = Counter()
     ended = {request_id: send.at + parameters.retention_s for request_id, send in history.sends.items()}
@@ -74,20 +75,22 @@
 
 
 def check_lost(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """Accepted messages run, and until they have ended they are kept with their bytes."""
+    """Accepted messages run, and are stored with their bodies until they have ended."""
     ended = ended_times(history, parameters)
     started = {run.request_id for run in history.runs if run.at <= history.finished}
     for send in history.accepted():
         final_state = history.final_states.get(send.request_id)
         if ended[send.request_id] <= history.finished:
             if final_state is not None and not final_state.state:
-                yield Violation(Rule.LOST, send.request_id, "has ended, and its state does not come back")
+                yield Violation(Rule.LOST, send.request_id, "has ended, but its state could not be read")
             continue
         if final_state is None or final_state.body != send.body:
-            yield Violation(Rule.LOST, send.request_id, "has not ended, and its body does not come back")
+            yield Violation(
+                Rule.LOST, send.request_id, "has not ended, but its body could not be read unchanged"
+            )
         elif final_state.state != "queued":
             yield Violation(
-                Rule.LOST, send.request_id, f"has not ended and is said to be {final_state.state!r}"
+                Rule.LOST, send.request_id, f"has not ended but is reported as {final_state.state!r}"
             )
         elif send.request_id not in started:
             yield Violation(Rule.LOST, send.request_id, "never ran")
@@ -96,7 +99,7 @@
 
 
 def check_lost_answers(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """Around a planned stop, a request that was read gets its complete answer."""
+    """A node that is stopped as planned answers every request that it has read."""
     unplanned = [outage for outage in history.outages if not outage.planned]
     for send in history.sends.values():
         exceeds_slack = send.ended_at - send.at > parameters.loss_slack_s
@@ -110,11 +113,11 @@
             stop.node == send.node and stop.planned and stop.at <= send.ended_at <= stop.until
             for stop in history.outages
         ):
-            yield Violation(Rule.LOST, send.request_id, f"{send.node} was stopped and left it without answer")
+            yield Violation(Rule.LOST, send.request_id, f"{send.node} was stopped and did not answer it")
 
 
 def check_order(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """A message begins after all of its key have ended that were accepted before it was sent."""
+    """A message starts after all messages with its key that were accepted before it was sent have ended."""
     ended = ended_times(history, parameters)
     by_key: dict[str, list[Send]] = defaultdict(list)
     for send in history.accepted():
@@ -126,12 +129,14 @@
             by_key[send_of_run.order_key] if send_of_run is not None and send_of_run.order_key else ()
         ):
             if earlier_send.ended_at < send_of_run.at and ended[earlier_send.request_id] > run.at:  # type: ignore[union-attr]
-                text = f"began at {run.at:.3f}, before {earlier_send.request_id} of the same key had ended"
+                text = (
+                    f"started at {run.at:.3f}, before {earlier_send.request_id} with the same key had ended"
+                )
                 yield Violation(Rule.ORDER, run.request_id, text)
 
 
 def check_two_ends(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """At most one lease of a message has its success taken, and a taken end stays taken."""
+    """The success of at most one lease of a message is accepted, and no accepted end is refused later."""
     successful_leases: dict[str, set[str]] = defaultdict(set)
     accepted_ends: set[tuple[str, int]] = set()
     for end in history.ends:
@@ -140,18 +145,20 @@
             if _succeeded(end):
                 successful_leases[end.request_id].add(end.lease_id)
         elif (end.lease_id, end.status) in accepted_ends:
-            text = f"the end of lease {end.lease_id} was taken before and is refused now"
+            text = f"the end of lease {end.lease_id} was accepted before and is refused now"
             yield Violation(Rule.TWICE, end.request_id, text)
     for request_id, leases in successful_leases.items():
         if len(leases) > 1:
-            yield Violation(Rule.TWICE, request_id, f"ends of the leases {sorted(leases)} were all taken")
+            yield Violation(
+                Rule.TWICE, request_id, f"successes of the leases {sorted(leases)} were all accepted"
+            )
 
 
 def check_runs_again(history: History, parameters: RuleParameters) -> Iterator[Violation]:
     """No run follows a success that its sender has read, unless there was an unplanned outage.
 
-    That is: from `contact_ms` before the run with the success to the next arrival. An outage between the two
-    may have taken the process that knew of the success.
+    The outage must overlap the time from `contact_ms` before the successful run to the next run: it may have
+    ended the process that held the success.
     """
     unplanned = [outage for outage in history.outages if not outage.planned]
     successes = _acknowledged_successes(history, parameters)
@@ -165,11 +172,11 @@
 
 
 def check_visible(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """A pulled job is not handed out again before `visible_ms` have passed since its worker's last word."""
+    """A pulled job is leased again only `visible_ms` after its grant or last extension, or after its end."""
     lease_extensions: dict[str, list[float]] = defaultdict(list)
     for extension in history.lease_extensions:
         lease_extensions[extension.lease_id].append(extension.at)
-    # An end may be taken as soon as it was sent, however late its answer comes.
+    # An end can take effect as soon as it was sent, however late it is answered.
     end_sent_at = {answer.lease_id: answer.at for answer in history.answers if answer.lease_id}
     latest_runs: dict[str, Run] = {}
     for run in history.runs:
@@ -181,12 +188,12 @@
             continue
         extension_times = [at for at in lease_extensions[previous_run.lease_id] if at < run.at]
         if run.at < max([previous_run.at, *extension_times]) + parameters.visible_s - VISIBLE_SLACK_S:
-            text = f"handed out at {run.at:.3f} while lease {previous_run.lease_id} was held"
+            text = f"leased again at {run.at:.3f} while lease {previous_run.lease_id} was valid"
             yield Violation(Rule.VISIBLE, run.request_id, text)
 
 
 def check_ceiling(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """Arrivals at a limited service in each sliding window."""
+    """Arrivals at a rate-limited service stay within the limit in each sliding window."""
     for service, rate in parameters.rates.items():
         arrival_times = sorted(arrival.at for arrival in history.arrivals if arrival.service == service)
         max_arrivals = rate * parameters.ceiling_window_s * parameters.origin_rate_over + CEILING_ALLOWANCE
@@ -199,7 +206,7 @@
 
 
 def check_mixed(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """`done` comes with the stamp of a run, `dead_letter` after the end, a body with its own bytes."""
+    """`done` has the stamp of a run, `dead_letter` is reported after the end, and bodies are unchanged."""
     stamps: dict[str, set[str]] = defaultdict(set)
     for answer in history.answers:
         if answer.stamp:
@@ -217,32 +224,34 @@
     ]
     for request_id, at, state, stamp in reported_states:
         if state == "done" and stamp not in stamps[request_id]:
-            yield Violation(Rule.MIXED, request_id, f"said to be done with the stamp {stamp!r} of no run")
+            yield Violation(Rule.MIXED, request_id, f"reported as done with the stamp {stamp!r} of no run")
         if state == "dead_letter" and ended.get(request_id, inf) > at:
-            yield Violation(Rule.MIXED, request_id, f"said to be dead at {at:.3f}, before its end")
+            yield Violation(Rule.MIXED, request_id, f"reported as dead at {at:.3f}, before its end")
     for final_state in history.final_states.values():
         send = history.sends.get(final_state.request_id)
         if send is not None and final_state.body is not None and final_state.body != send.body:
-            yield Violation(Rule.MIXED, final_state.request_id, "its body comes back with other bytes")
+            yield Violation(Rule.MIXED, final_state.request_id, "its body was read with different bytes")
 
 
 def check_refused(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """What was promised not to run does not."""
+    """A message whose answer promised that it does not run never runs."""
     for run in history.runs:
         send = history.sends.get(run.request_id)
         if send is not None and send.outcome is SendOutcome.NOT_EXECUTED:
-            text = f"was refused with {send.status} at {send.ended_at:.3f} and runs at {run.at:.3f}"
+            text = f"was refused with {send.status} at {send.ended_at:.3f} but ran at {run.at:.3f}"
             yield Violation(Rule.REFUSED, run.request_id, text)
 
 
 def check_unasked(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """Workers run what clients sent, unchanged."""
+    """Workers run only messages that clients sent, unchanged."""
     for run in history.runs:
         send = history.sends.get(run.request_id)
         if send is None:
-            yield Violation(Rule.UNASKED, run.request_id, "runs, and no client sent it")
+            yield Violation(Rule.UNASKED, run.request_id, "ran, but no client sent it")
         elif (run.method, run.target, run.body) != ("POST", send.target, send.body):
-            yield Violation(Rule.UNASKED, run.request_id, f"runs changed, as {run.method} {run.target}")
+            yield Violation(
+                Rule.UNASKED, run.request_id, f"ran with changed content, as {run.method} {run.target}"
+            )
 
 
 def check_early(history: History, parameters: RuleParameters) -> Iterator[Violation]:
@@ -255,7 +264,7 @@
 
 
 def check_configuration(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """One valid change wins on each version, and what was acknowledged last is read back."""
+    """At most one change of each version is acknowledged, only if valid, and no older one is read back."""
     acknowledged = [order for order in history.orders if order.outcome is OrderOutcome.ACKNOWLEDGED]
     acknowledged_documents: dict[int, set[str]] = defaultdict(set)
     for order in acknowledged:
@@ -271,13 +280,13 @@
 
 
 def check_callbacks(history: History, parameters: RuleParameters) -> Iterator[Violation]:
-    """Each message that has ended and asked for it has had its call-back taken."""
+    """Each ended message that has a call-back URL has had its call-back accepted."""
     ended = ended_times(history, parameters)
     delivered = {callback.request_id for callback in history.callbacks if callback.accepted}
     for send in history.accepted():
         has_ended = ended[send.request_id] <= history.finished
         if send.wants_callback and has_ended and send.request_id not in delivered:
-            yield Violation(Rule.CALLBACK, send.request_id, "has ended, and no call-back was taken")
+            yield Violation(Rule.CALLBACK, send.request_id, "has ended, but no call-back was accepted")
 
 
 def _succeeded(end: LeaseEnd) -> bool:
@@ -286,14 +295,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Success:
-    """When the run with a success began, and when its sender had read the answer."""
+    """The start of a successful run, and the time at which its sender had read the answer."""
 
     started_at: float
     read_at: float
 
 
 def _acknowledged_successes(history: History, parameters: RuleParameters) -> dict[str, _Success]:
-    """The first success of each message that its sender has read well before the time-out."""
+    """Return the first success of each message that its sender has read before the time-out."""
     started_at: dict[str, float] = {}
     events: list[Run | Answer] = sorted([*history.runs, *history.answers], key=lambda event: event.at)
     successes: dict[str, _Success] = {}
@@ -323,7 +332,7 @@
             acknowledged.add(change)
         elif order.outcome is OrderOutcome.REFUSED and change in acknowledged:
             text = (
-                f"version {order.version} was acknowledged, and refused with {order.status} when sent again"
+                f"version {order.version} was acknowledged, but refused with {order.status} when sent again"
             )
             yield Violation(Rule.CONFIG, "", text)
 
@@ -332,13 +341,13 @@
     document = history.read_back
     version = document.get("version", 0) if isinstance(document, dict) else 0
     if not isinstance(version, int) or version < newest.version:
-        text = f"version {newest.version} was acknowledged and {version} is read back"
+        text = f"version {newest.version} was acknowledged, but {version} was read back"
         yield Violation(Rule.CONFIG, "", text)
         return
     requests = [order for order in history.orders if order.version == version and order.valid]
     possible_documents = [order.document for order in requests if order.outcome is not OrderOutcome.REFUSED]
     if document not in possible_documents:
-        yield Violation(Rule.CONFIG, "", f"version {version} is read back and isn't what was sent")
+        yield Violation(Rule.CONFIG, "", f"version {version} was read back with content that was not sent")
 
 
 CHECKS: tuple[Callable[[History, RuleParameters], Iterator[Violation]], ...] = (
--- a/bitternpath/testing/fault_injection/clients.py
+++ b/bitternpath/testing/fault_injection/clients.py
@@ -16,13 +16,13 @@
 from bitternpath.testing.fault_injection.plan import HOSTS, PREFIXES, SHARES, Port, ReachableNode
 from bitternpath.testing.fault_injection.records import DeliveryKind, Send, SendOutcome
 
-DEADLINE_MS = 1_500  # of a message, over all attempts
-MIN_TIMEOUT_S = 0.05  # of an attempt close to the deadline
+DEADLINE_MS = 1_500  # deadline of a message, over all its attempts
+MIN_TIMEOUT_S = 0.05  # minimum time-out of an attempt that starts close to the deadline
 CONNECT_RETRY_DELAY_S = 0.05
 MAX_SEND_ATTEMPTS = 3
-MAX_RETRY_AFTER_S = 1.0  # of `Retry-After`, as the deadline is near
+MAX_RETRY_AFTER_S = 1.0  # cap on `Retry-After`, because the deadline is short
 ORDER_KEYS = 12
-DELAYED_SHARE = 0.2  # of pulled messages
+DELAYED_SHARE = 0.2  # share of pulled messages that have a delay
 MAX_DELAY_S = 2.0
 BODY_BYTES = {DeliveryKind.LISTED: 600, DeliveryKind.ENDPOINT: 1_200, DeliveryKind.PULLED: 2_500}
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
@@ -36,11 +36,11 @@
     body: bytes
     order_key: str = ""
     delay_s: float = 0.0
-    zone: str = ""  # of the client
+    zone: str = ""  # zone of the client
 
 
 def draw_message(random: Random) -> MessageSpec:
-    """A random message; kinds occur by their `SHARES`."""
+    """Return a random message; the kinds are weighted by `SHARES`."""
     kind = random.choices(list(SHARES), list(SHARES.values()))[0]
     body = random.randbytes(BODY_BYTES[kind])
     key = f"key-{random.randrange(ORDER_KEYS)}" if kind is DeliveryKind.ENDPOINT else ""
@@ -50,7 +50,7 @@
 
 
 class Clients:
-    """Sends messages: given ones, or random ones as a Poisson process."""
+    """Sends specified messages, or random ones as a Poisson process."""
 
     def __init__(self, context: ActorContext, balancer: LoadBalancer, callback_url: str) -> None:
         self._reactor = context.reactor
@@ -58,7 +58,7 @@
         self._history = context.history
         self._balancer = balancer
         self._callback_url = callback_url
-        self.in_flight = 0  # messages in flight, or waiting for their next attempt
+        self.in_flight = 0  # number of messages that are in flight or wait for their next attempt
 
     def run(self, until: float, rate: float, random: Random, failed: Callable[[Any], None]) -> None:
         """Send random messages until `until`; `failed` receives an error of the test environment itself."""
@@ -106,7 +106,7 @@
         return send
 
     async def _attempt(self, send: Send, node: ReachableNode, give_up_at: float) -> float | None:
-        """Send it; seconds until the next attempt, None if there is none."""
+        """Make one attempt; return the seconds until the next one, None if there is none."""
         timeout_s = max(give_up_at - self._clock(), MIN_TIMEOUT_S)
         answer = await send_call(
             self._reactor, node.address(Port.FRONT), self._call(send, timeout_s), timeout_s
--- a/bitternpath/testing/fault_injection/configuration_changes.py
+++ b/bitternpath/testing/fault_injection/configuration_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration that operators send: the documents, and the calls that carry them."""
+"""Configuration changes that operators send: the documents and the calls that carry them."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 TIMEOUTS_MS = (TIMEOUT_MS, TIMEOUT_MS + 200, TIMEOUT_MS + 400)
 START_TARGET_MS = 1_200
-START_TARGETS = 300  # different values that changes go through
+START_TARGETS = 300  # number of different start targets, used in turn
 EXTRA_ROUTE = "route-extra"
 JSON = "application/json"
 
 
 def changed_document(document: dict[str, Any], number: int, version: int) -> dict[str, Any]:
-    """The document with another time-out and start target of a route, and an extra route added or removed."""
+    """Return the document with another time-out and start target, and an extra route added or removed."""
     new_document = copy.deepcopy(document)
     new_document["version"] = version
     routes = [route for route in new_document["routes"] if not route["name"].startswith(EXTRA_ROUTE)]
     timeout_ms = TIMEOUTS_MS[number % len(TIMEOUTS_MS)]
-    start_target_ms = START_TARGET_MS + number % START_TARGETS  # so that no two changes are the same
+    start_target_ms = START_TARGET_MS + number % START_TARGETS  # unique among `START_TARGETS` changes
     routes[0] = {**routes[0], "timeout_ms": timeout_ms, "start_target_ms": start_target_ms}
     if number % 2:
         routes.append(
@@ -34,23 +34,23 @@
 
 
 def extra_prefix(number: int) -> str:
-    """The path prefix of the route that the change of that number adds."""
+    """Return the path prefix of the route that change `number` adds."""
     return f"/extra-{number}/"
 
 
 def invalid_document(new_document: dict[str, Any]) -> dict[str, Any]:
-    """The document with a route that names an unknown service."""
+    """Return the document with a route to an unknown service."""
     first, *other_routes = new_document["routes"]
     return {**new_document, "routes": [{**first, "service": "nowhere"}, *other_routes]}
 
 
 def put_call(base: int, new_document: dict[str, Any]) -> Call:
-    """A call that replaces the configuration of version `base`."""
+    """Return a call that replaces the configuration of version `base`."""
     return Call("PUT", "/config", _headers(base), json.dumps(new_document).encode())
 
 
 def patch_call(document: dict[str, Any], new_document: dict[str, Any]) -> Call:
-    """A call that sends only the routes in which `wanted` differs from `document`."""
+    """Return a call that sends only the routes in which `new_document` differs from `document`."""
     before = {route["name"]: route for route in document["routes"]}
     after = {route["name"]: route for route in new_document["routes"]}
     patch = {
--- a/bitternpath/testing/fault_injection/configuration_operator.py
+++ b/bitternpath/testing/fault_injection/configuration_operator.py
@@ -1,4 +1,4 @@
-"""An operator that creates the configuration, changes it all the time and reads it back at the end."""
+"""An operator that creates the configuration, changes it periodically and reads it back at the end."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from bitternpath.testing.fault_injection.plan import Plan
 from bitternpath.testing.fault_injection.records import OrderOutcome, OrderSent
 
-ORDER_RETRY_FOR_S = 8.0  # beyond `ack_ms`, so that the record says how late an acknowledgement was
-FIRST_ORDER_RETRY_FOR_S = 25.0  # the first configuration is sent again until it is accepted
+ORDER_RETRY_FOR_S = 8.0  # longer than `ack_ms`, so that late acknowledgements are recorded with their delay
+FIRST_ORDER_RETRY_FOR_S = 25.0  # maximum time for which the first configuration is retried
 CHANGE_INTERVAL_S = 1.0
-INVALID_EVERY = 5  # each fifth change is invalid
-RACE_EVERY = 4  # each fourth other one competes with another change of the same version
+INVALID_EVERY = 5  # every fifth change is invalid
+RACE_EVERY = 4  # every fourth change, unless it is invalid, competes with another of the same version
 MAX_REFRESH_CALLS = 10
-REPEAT_EVERY = 3  # each third is sent again after its acknowledgement
+REPEAT_EVERY = 3  # every third change, unless invalid or competing, is sent again after its acknowledgement
 
 
 class Operator:
-    """Changes the configuration. `document` is the newest one that was acknowledged."""
+    """Changes the configuration; `document` is the newest acknowledged one."""
 
     def __init__(self, context: ActorContext, plan: Plan) -> None:
         self._reactor = context.reactor
@@ -45,7 +45,7 @@
         self.busy = False
 
     async def create_configuration(self, document: dict[str, Any]) -> bool:
-        """Send the first configuration; whether it was accepted."""
+        """Send the first configuration; return whether it was acknowledged."""
         order = await self._order(put_call(0, document), 0, document, FIRST_ORDER_RETRY_FOR_S)
         return order.outcome is OrderOutcome.ACKNOWLEDGED
 
@@ -54,7 +54,7 @@
         Deferred.fromCoroutine(self._change_all(until)).addErrback(failed)
 
     async def read_back(self, seconds: float) -> None:
-        """Read the configuration repeatedly for `seconds`; the last answer counts."""
+        """Read the configuration repeatedly for `seconds`, and record the last answer."""
         until = self._clock() + seconds
         while self._clock() < until:
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
@@ -76,7 +76,7 @@
         self.busy = False
 
     async def _change(self) -> None:
-        """One change, by PUT or PATCH in turn; at times sent a second time after its acknowledgement."""
+        """Send one change, by PUT and PATCH in turn; every third is repeated once acknowledged."""
         base = self.document["version"]
         new_document = self._next_document(self._changes)
         call = (
@@ -91,7 +91,7 @@
             await self._refresh()
 
     async def _race(self) -> None:
-        """Send two changes of the same version at once, under the same new version."""
+        """Send two changes concurrently, with the same base version and the same new version."""
         base = self.document["version"]
         first, second = self._next_document(self._changes), self._next_document(self._changes + 1)
         second["version"] = first["version"]
@@ -102,13 +102,13 @@
         await self._refresh()
 
     async def _send_invalid(self) -> None:
-        """A route that names an unknown service."""
+        """Send a change with a route to an unknown service."""
         new_document = invalid_document(self._next_document(self._changes))
         base = self.document["version"]
         await self._order(put_call(base, new_document), base, new_document, valid=False)
 
     async def _refresh(self) -> None:
-        """Read what is in force, after an unclear outcome or competing changes."""
+        """Read the configuration in force after an unclear outcome or competing changes."""
         for _ in range(MAX_REFRESH_CALLS):
             answer = await self._calls.send(self._calls.choose(), Call("GET", "/config"))
             if answer is not None and answer.status == 200:
--- a/bitternpath/testing/fault_injection/control_calls.py
+++ b/bitternpath/testing/fault_injection/control_calls.py
@@ -1,4 +1,4 @@
-"""An operator's calls (PROTOCOL): time-out of a node, redirects, retries with exponential back-off."""
+"""An operator's calls (PROTOCOL), with a time-out for each node, redirects and exponential back-off."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from bitternpath.testing.fault_injection.plan import Port, ReachableNode
 from bitternpath.testing.fault_injection.records import Clock, OrderOutcome
 
-NODE_TIMEOUT_S = 1.0  # then the operator calls another node
+NODE_TIMEOUT_S = 1.0  # after this the operator calls another node
 MAX_REDIRECTS = 2
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
 BACKOFF_FACTOR = 1.5
-FINAL_STATUSES = (400, 409, 412, 413, 422)  # are not retried; another 4xx is, until `MAX_REFUSALS`
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # not retried; another 4xx is retried until `MAX_REFUSALS`
 RETRIED_STATUSES = (408, 429)
 MAX_REFUSALS = 3
 
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """What became of a change; `status` of the last answer, 0 if there was none."""
+    """The outcome of a change, and the status of the last answer (0: no answer)."""
 
     outcome: OrderOutcome
     status: int
 
 
 class ControlCalls:
-    """Calls nodes for one operator; `nodes()` lists those to choose from."""
+    """Calls nodes for one operator; `nodes()` returns the candidates."""
 
     def __init__(self, reactor: Any, clock: Clock, nodes: Nodes, random: Random) -> None:
         self._reactor = reactor
@@ -43,7 +43,7 @@
         self._random = random
 
     async def send(self, node: ReachableNode, call: Call) -> Reply | None:
-        """Call one node and follow redirects; None if there is no complete answer."""
+        """Call one node and follow redirects; return None if there is no complete answer."""
         address = node.address(Port.CONTROL)
         for _ in range(MAX_REDIRECTS + 1):
             answer = await send_call(self._reactor, address, call, NODE_TIMEOUT_S)
@@ -55,13 +55,13 @@
         return None
 
     def choose(self) -> ReachableNode:
-        """A random node."""
+        """Return a random node."""
         return self._random.choice(self._nodes())
 
     async def send_until_decided(self, call: Call, give_up_at: float, lost_answers: int = 0) -> OrderResult:
-        """Send a change to one node after the other until it is acknowledged or refused, or time is up.
+        """Send a change to random nodes until it is acknowledged or refused, or until `give_up_at`.
 
-        The first `lost_answers` answers count as lost: the operator waits for its time-out, and goes on.
+        The first `lost_answers` answers are dropped: the operator waits for its time-out and retries.
         """
         backoff_s = MIN_BACKOFF_S
         refusals = 0
--- a/bitternpath/testing/fault_injection/demo.py
+++ b/bitternpath/testing/fault_injection/demo.py
@@ -1,4 +1,4 @@
-"""`bitternpath system demo`: the whole system on loopback, with faults, judged by the rules."""
+"""`bitternpath system demo`: the whole system on loopback, with faults, checked against the rules."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def print_line(line: str) -> None:
-    """Print a line at once."""
+    """Print a line and flush it."""
     print(line, flush=True)
 
 
 def run_demo(seconds: float, rate: float, seed: int, faults: bool, keep: Path | None) -> int:
-    """Run and judge; 0 if all rules were kept, 1 if one was broken or the run failed."""
+    """Run the demo and return the exit code: 0 if all rules were kept, 1 if one was violated or it failed."""
     plan = make_plan(rate, seconds, EDGES, STORAGE, seed)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
@@ -37,7 +37,7 @@
 
 
 class _Demo:
-    """One run with its verdict."""
+    """One run, and the check of its history."""
 
     def __init__(self, plan: Plan, folder: Path, faults: bool) -> None:
         self._reactor = monotonic_reactor()
@@ -54,7 +54,7 @@
         self._exit_code = 1
 
     def run(self) -> int:
-        """Until the verdict, or Ctrl-C."""
+        """Run until the results are printed, or until Ctrl-C; return the exit code."""
         self._reactor.callWhenRunning(self._begin)
         try:
             self._reactor.run()
@@ -91,10 +91,10 @@
             if process.unexpected_exit_codes
         }
         for name, codes in unexpected_exits.items():
-            print_line(f"FAULT {name} ended by itself, exit codes {codes}; the end of its log:")
+            print_line(f"FAULT {name} exited unexpectedly, exit codes {codes}; the end of its log:")
             print_line("\n".join(world.processes[name].log.read_text(errors="replace").splitlines()[-20:]))
         for error in world.errors:
-            print_line(f"error in the test environment itself, the result is void:\n{error}")
+            print_line(f"error in the test environment itself, the result is invalid:\n{error}")
         if not violations and not unexpected_exits and not world.errors:
             print_line("rules kept")
             self._exit_code = 0
@@ -104,7 +104,7 @@
 
     def _failed(self, failure: Failure) -> None:
         if isinstance(failure.value, SystemNotReadyError):
-            print_line(f"the system did not come up: {failure.value}")
+            print_line(f"the system did not become ready: {failure.value}")
             for process in self._world.processes.values():
                 print_line("\n".join(process.log.read_text(errors="replace").splitlines()[-3:]))
         else:
--- a/bitternpath/testing/fault_injection/endpoint_list.py
+++ b/bitternpath/testing/fault_injection/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of worker endpoints."""
+"""The HTTP server of the platform's list of worker endpoints."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from bitternpath.testing.fault_injection.plan import LOOPBACK
 from bitternpath.testing.fault_injection.records import Clock
 
-PAGE_SIZE = 3  # few instances a page, so that readers have to follow the pages
+PAGE_SIZE = 3  # instances per page; small, so that readers have to follow the page tokens
 RATE_PER_S = 44.0
 JSON = {"Content-Type": "application/json"}
 
 
 class EndpointListServer:
-    """Answers `GET /instances`; with 429 beyond `RATE_PER_S` calls in a second."""
+    """Answers `GET /instances`, or 429 after `RATE_PER_S` calls within a second."""
 
     def __init__(self, reactor: Any, clock: Clock, host: str = LOOPBACK, port: int = 0) -> None:
         self._clock = clock
@@ -31,7 +31,7 @@
         self.port, self.address = serve(reactor, host, self._handle, port)
 
     def publish(self, entries: Sequence[dict[str, Any]]) -> None:
-        """List these workers from now on."""
+        """Replace the listed workers."""
         self._entries = list(entries)
 
     def _handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
--- a/bitternpath/testing/fault_injection/fault_schedule.py
+++ b/bitternpath/testing/fault_injection/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Stops processes during the traffic and starts them again."""
+"""Stops processes during the traffic and restarts them."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class StopTarget(Enum):
-    """Which process is stopped."""
+    """The process that is stopped."""
 
-    EDGE = "an edge node"  # one without a disk where there is one: it doesn't count as a loss
+    EDGE = "an edge node"  # a node without a disk if there is one, as it doesn't count as a lost machine
     STORAGE = "a storage node"
     OWNER = "the configuration's owner"
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledStop:
-    """A stop at the fraction `share` of the traffic's duration; by SIGKILL if `kill`, else by SIGTERM."""
+    """A stop at the fraction `share` of the traffic's duration, by SIGKILL if `kill`, else by SIGTERM."""
 
     share: float
     target: StopTarget
@@ -52,7 +52,7 @@
 
 
 class FaultSchedule:
-    """Carries out the scheduled stops."""
+    """Executes the scheduled stops."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         owner_poller: ConfigurationOwnerPoller,
         report: Callable[[str], None],
     ) -> None:
-        """`report` receives a line of text for each fault."""
+        """Create the schedule; `report` receives the lines of text about each fault."""
         self._reactor = context.reactor
         self._clock = context.clock
         self._history = context.history
@@ -71,10 +71,10 @@
         self._owner_poller = owner_poller
         self._report = report
         self._random = Random(plan.seed + 2)
-        self.pending = 0  # faults to come, or whose process has not been started again
+        self.pending = 0  # number of faults that are scheduled or whose process has not been restarted
 
     def run(self, failed: Callable[[Any], None]) -> None:
-        """Schedule all stops from now on; `failed` receives an error of the test environment itself."""
+        """Schedule all stops, relative to now; `failed` receives an error of the test environment itself."""
         for stop in SCHEDULED_STOPS:
             self.pending += 1
             Deferred.fromCoroutine(self._carry_out(stop)).addErrback(failed)
@@ -93,18 +93,18 @@
         await deferLater(self._reactor, RESTART_AFTER_S)
         process.start()
         self._history.outages[index] = replace(self._history.outages[index], until=self._clock())
-        self._report(f"{name} is started again")
+        self._report(f"{name} is restarted")
         self.pending -= 1
 
     async def _terminate(self, process: Process) -> None:
-        """SIGTERM, then SIGKILL after the grace period."""
+        """Send SIGTERM, and SIGKILL after the grace period."""
         started_at = self._clock()
         process.terminate()
         while process.running() and self._clock() - started_at < BOUNDS["grace_s"]:
             await deferLater(self._reactor, POLL_INTERVAL_S)
         ended_in_time = not process.running()
         process.kill()
-        result = "has ended" if ended_in_time else "was killed at the end of its grace"
+        result = "exited" if ended_in_time else "was killed at the end of its grace period"
         self._report(f"{process.machine.name} {result} after {self._clock() - started_at:.2f} s")
 
     def _choose(self, target: StopTarget) -> str:
--- a/bitternpath/testing/fault_injection/http_client.py
+++ b/bitternpath/testing/fault_injection/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client for the test environment: one call on one connection, without retries."""
+"""An HTTP/1.1 client for the test environment: one connection per call, without retries."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request to send. Header names are as written."""
+    """A request to send. Header names are sent as written."""
 
     method: str
     target: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A complete answer. Header names are in lower case in answers that were read."""
+    """A complete answer. Header names of received answers are in lower case."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -36,22 +36,22 @@
 
 
 class CallFailure(Enum):
-    """Why there is no complete answer."""
+    """The reason why there is no complete answer."""
 
     NO_CONNECTION = "no connection"  # nothing was sent
     CLOSED = "closed"
-    TIMED_OUT = "silent"
+    TIMED_OUT = "timed out"
     MALFORMED = "malformed"
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of `host:port`."""
+    """Split `host:port` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def send_call(reactor: Any, address: str, call: Call, timeout_s: float) -> Deferred[Reply | CallFailure]:
-    """Send one request on a new connection; never fails."""
+    """Send one request on a new connection; the Deferred never fails."""
     from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
 
     protocol = _CallProtocol(address, call)
@@ -112,12 +112,12 @@
         self.finish(CallFailure.CLOSED)
 
     def connection_failed(self, failure: Failure) -> None:
-        """There is no connection."""
+        """Handle a failed connection attempt."""
         failure.trap(ConnectError)  # type: ignore[no-untyped-call]
         self.finish(CallFailure.NO_CONNECTION)
 
     def finish(self, answer: Reply | CallFailure) -> None:
-        """Give the result, once, and close."""
+        """Fire the result and close the connection; later calls have no effect."""
         if self._finished:
             return
         self._finished = True
--- a/bitternpath/testing/fault_injection/http_server.py
+++ b/bitternpath/testing/fault_injection/http_server.py
@@ -13,13 +13,13 @@
 from bitternpath.net.http1 import HttpError, Request, RequestReader, response
 from bitternpath.testing.fault_injection.http_client import Reply
 
-KEEP_ALIVE_S = 4  # for which an idle connection is kept, as answers say in `Keep-Alive`
+KEEP_ALIVE_S = 4  # time until an idle connection is closed, announced in `Keep-Alive`
 
 Handler = Callable[[Request, "ServerConnection"], "Deferred[Reply]"]
 
 
 class ServerConnection(Protocol, TimeoutMixin):
-    """A connection of a small server: one request at a time, kept while it is used."""
+    """A persistent connection of a server; handles one request at a time."""
 
     transport: Any
 
@@ -28,16 +28,16 @@
         self._reactor = reactor
         self._reader = RequestReader()
         self._pending_reply: Deferred[Any] | None = None
-        self.on_lost: Callable[[], None] | None = None  # called at the end of the connection
+        self.on_lost: Callable[[], None] | None = None  # called when the connection ends
         self.closed = False
 
     def connectionMade(self) -> None:
-        """Begin to count the idle time."""
+        """Start the idle time-out."""
         self.transport.setTcpNoDelay(True)
         self.setTimeout(KEEP_ALIVE_S)  # type: ignore[no-untyped-call]
 
     def dataReceived(self, data: bytes) -> None:
-        """Handle a request as soon as it is complete."""
+        """Handle each request as soon as it is complete."""
         self._reader.feed(data)
         self._handle_next()
 
@@ -53,7 +53,7 @@
             self.on_lost()
 
     def callLater(self, period: float, func: Callable[[], object]) -> Any:
-        """The time-out's clock (see `TimeoutMixin`)."""
+        """Schedule the time-out on the reactor of the test environment (see `TimeoutMixin`)."""
         return self._reactor.callLater(period, func)
 
     def timeoutConnection(self) -> None:
@@ -89,7 +89,7 @@
 
 
 class ServerFactory(Factory):
-    """Makes the connections of a small server."""
+    """Creates the connections of a server."""
 
     noisy = False
 
@@ -98,11 +98,11 @@
         self._reactor = reactor
 
     def buildProtocol(self, addr: Any) -> ServerConnection:
-        """A connection that passes requests to the handler."""
+        """Return a connection that passes requests to the handler."""
         return ServerConnection(self._handler, self._reactor)
 
 
 def serve(reactor: Any, host: str, handler: Handler, port_number: int = 0) -> tuple[Any, str]:
-    """Listen on a port of `host`, a free one if none is given; the port object and its address."""
+    """Listen on a port of `host` (0: a free one); return the port object and its address."""
     port = reactor.listenTCP(port_number, ServerFactory(handler, reactor), interface=host)
     return port, f"{host}:{port.getHost().port}"
--- a/bitternpath/testing/fault_injection/http_workers.py
+++ b/bitternpath/testing/fault_injection/http_workers.py
@@ -1,4 +1,4 @@
-"""Workers that receive jobs over HTTP: those of the platform's list, and an endpoint with a rate limit."""
+"""Workers that receive jobs over HTTP: the listed ones of the platform, and a rate-limited endpoint."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 from bitternpath.testing.fault_injection.records import Answer, Arrival, Run
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
-QUEUE_CAPACITY = 4  # jobs that wait beyond the slots
-READ_MARGIN_AFTER_ANSWER_S = 0.1  # a connection that ends sooner may have ended before the answer was read
+QUEUE_CAPACITY = 4  # maximum number of jobs that wait for a slot
+# If a connection ends within this time after the answer, the answer may not have been read.
+READ_MARGIN_AFTER_ANSWER_S = 0.1
 NOT_EXECUTED = {"X-Not-Executed": "1"}
 DEFAULT_DEADLINE_MS = 60_000
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerDescription:
-    """What a worker serves, the id of its incarnation, and how many jobs it runs at once."""
+    """A worker's service, the id of its incarnation, and its number of concurrent jobs."""
 
     service: str
     instance: str
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request that is queued or being processed; `ends_at` is its deadline on the actor's clock."""
+    """A request that is queued or being processed; `deadline` is on the actor's clock."""
 
     request_id: str
     request: Request
@@ -45,7 +46,7 @@
 
 
 class HttpWorker:
-    """A worker that receives jobs over HTTP, on an address of its own."""
+    """A worker that receives jobs over HTTP at its own address."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         host: str = LOOPBACK,
         port: int = 0,
     ) -> None:
-        """Listens at once; port 0 takes a free one."""
+        """Start to listen; port 0 selects a free port."""
         self._reactor = context.reactor
         self._clock = context.clock
         self._history = context.history
@@ -69,7 +70,7 @@
         self.port, self.address = serve(context.reactor, host, self.handle, port)
 
     def list_entry(self) -> dict[str, Any]:
-        """Its entry in the platform's endpoint list, as JSON values."""
+        """Return the worker's entry in the platform's endpoint list, as JSON values."""
         return {
             "service": self.service,
             "address": self.address,
@@ -82,7 +83,7 @@
         }
 
     def handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
-        """Answers a delivery or a health check."""
+        """Answer a delivery or a health check."""
         if connection not in self._connections:
             self._connections = [opened for opened in self._connections if not opened.closed] + [connection]
         if request.method == b"GET" and request.path == b"/healthz":
@@ -123,7 +124,7 @@
         return job.answer
 
     def _cancel_job(self, job: Job) -> None:
-        """Its connection has closed: drop it from the queue, or abort its run."""
+        """Remove a job from the queue, or abort its run, because its connection has closed."""
         if job in self._waiting:
             self._waiting.remove(job)
         if job.timer is not None and job.timer.active():
@@ -157,7 +158,7 @@
         self._start_next()
 
     def _answer(self, job: Job, status: int) -> None:
-        """Answer a run that has ended."""
+        """Answer the request of a finished run."""
         stamp = self._behavior.stamp(self.instance) if status == 200 else ""
         headers = self._identity_headers(job.request_id)
         if stamp:
@@ -182,7 +183,7 @@
 
 
 class Endpoint(HttpWorker):
-    """An endpoint that no list names; records arrivals, and rejects those over its rate limit with 429."""
+    """A worker outside the platform's list; records arrivals, and answers 429 over its rate limit."""
 
     def __init__(
         self,
@@ -198,7 +199,7 @@
         self.rejected_over_rate = 0
 
     def handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
-        """As `HttpWorker.handle`, within the rate."""
+        """Answer like `HttpWorker.handle`, but reject deliveries over the rate limit."""
         if request.method == b"GET":
             return super().handle(request, connection)
         now = self._clock()
--- a/bitternpath/testing/fault_injection/job_behavior.py
+++ b/bitternpath/testing/fault_injection/job_behavior.py
@@ -4,13 +4,13 @@
 
 from random import Random
 
-FAILED_ATTEMPT_SHARE = 0.05  # of attempts that are answered with 500
-REJECTED_MESSAGE_SHARE = 0.02  # of messages that each worker answers with 422
-POISON_MESSAGE_SHARE = 0.02  # of messages that each worker answers with 500
+FAILED_ATTEMPT_SHARE = 0.05  # share of attempts that are answered with 500
+REJECTED_MESSAGE_SHARE = 0.02  # share of messages that every worker answers with 422
+POISON_MESSAGE_SHARE = 0.02  # share of messages that every worker answers with 500
 
 
 class JobBehavior:
-    """Draws how long a job takes and how it ends; durations are uniform between two bounds in seconds."""
+    """Draws the duration of a job, uniform between two bounds in seconds, and its status."""
 
     def __init__(self, random: Random, shortest_s: float, longest_s: float) -> None:
         self._random = random
@@ -19,14 +19,13 @@
         self._stamps = 0
 
     def seconds(self) -> float:
-        """Duration of the next run."""
+        """Return the duration of the next run."""
         return self._random.uniform(self._shortest_s, self._longest_s)
 
     def status(self, request_id: str) -> int:
-        """HTTP status of a run of this message: 200, 422 (rejected for good) or 500 (failed).
+        """Return the HTTP status of a run: 200, 422 (rejected permanently) or 500 (failed).
 
-        Whether a message is rejected or always fails depends on its id alone; other failures are drawn for
-        each run.
+        Permanent rejections and failures depend only on the message id; other failures are drawn per run.
         """
         draw = Random(request_id).random()
         if draw < REJECTED_MESSAGE_SHARE:
@@ -39,6 +38,6 @@
         return 200
 
     def stamp(self, instance: str) -> str:
-        """A stamp for a successful run, different for each."""
+        """Return a unique stamp for a successful run."""
         self._stamps += 1
         return f"{instance}.{self._stamps}.{self._random.getrandbits(32):08x}"
--- a/bitternpath/testing/fault_injection/load.py
+++ b/bitternpath/testing/fault_injection/load.py
@@ -1,4 +1,4 @@
-"""`bitternpath system load`: the same world without faults, as a tool that measures."""
+"""`bitternpath system load`: measures the system under load in the same environment, without faults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleStatistics:
-    """Of all processes of a role, while the traffic lasted. What follows it isn't counted."""
+    """Statistics of all processes of a role during the traffic, without the time after it."""
 
     role: str
     processes: int
@@ -32,13 +32,13 @@
     data_bytes_start: int
     data_bytes_end: int
     written_bytes_a_message: float
-    peak_memory_mb_start: float  # of the largest process
+    peak_memory_mb_start: float  # maximum over the processes
     peak_memory_mb_end: float
 
 
 @dataclass(frozen=True, slots=True)
 class LoadStatistics:
-    """Of one measurement."""
+    """Results of one measurement."""
 
     rate_wanted: float
     seconds: float
@@ -51,14 +51,14 @@
     latency_p50_ms: float
     latency_p99_ms: float
     latency_most_ms: float
-    rehearsal_cores: float  # of this tool itself: near 1 it is the bottleneck
+    rehearsal_cores: float  # processor use of this tool; a value near 1 means that it is the bottleneck
     violations: int
     roles: tuple[RoleStatistics, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadParameters:
-    """What is measured: messages a second, for how many seconds, on how many nodes of each role."""
+    """Messages per second, duration in seconds, nodes of each role, and the seed of the traffic."""
 
     rate: float
     seconds: float
@@ -68,7 +68,7 @@
 
 
 def run_load(load: LoadParameters, file: Path | None) -> int:
-    """Measure; 0 where all went well, 1 where a rule was broken or the system did not come up."""
+    """Measure and return the exit code: 1 if a rule was violated or the system did not become ready."""
     plan = make_plan(load.rate, load.seconds, load.edges, load.storage, load.seed)
     with tempfile.TemporaryDirectory(prefix="bitternpath-load-") as folder:
         return _Load(plan, Path(folder), file).run()
@@ -86,7 +86,7 @@
         self._exit_code = 1
 
     def run(self) -> int:
-        """Until the figures are there, or Ctrl-C."""
+        """Run until the results are printed, or until Ctrl-C; return the exit code."""
         self._reactor.callWhenRunning(self._begin)
         try:
             self._reactor.run()
@@ -115,7 +115,7 @@
             self._file.write_text(json.dumps(asdict(statistics), indent=1) + "\n")
         self._exit_code = 1 if violations or world.errors else 0
         for error in world.errors:
-            print(f"error in the measurement itself, the result is void:\n{error}")
+            print(f"error in the measurement itself, the result is invalid:\n{error}")
 
     def _usages(self) -> dict[str, Usage]:
         return {name: process.usage() for name, process in self._world.processes.items()}
@@ -169,7 +169,7 @@
 
     def _failed(self, failure: Failure) -> None:
         if isinstance(failure.value, SystemNotReadyError):
-            print(f"the system did not come up: {failure.value}", file=sys.stderr)
+            print(f"the system did not become ready: {failure.value}", file=sys.stderr)
         else:
             print(failure.getTraceback(), file=sys.stderr)
 
@@ -179,20 +179,20 @@
 
 
 def report_lines(statistics: LoadStatistics) -> list[str]:
-    """The figures as text."""
+    """Return the results as lines of text."""
     lines = [
-        f"rate {statistics.rate_wanted:g}/s wanted, {statistics.accepted_a_second:.1f}/s accepted"
-        f" ({statistics.accepted}; {statistics.refused_or_unclear} tries not),"
+        f"rate {statistics.rate_wanted:g}/s requested, {statistics.accepted_a_second:.1f}/s accepted"
+        f" ({statistics.accepted}; {statistics.refused_or_unclear} attempts not),"
         f" {statistics.runs_a_second:.1f} runs/s,"
         f" 202 p50 {statistics.latency_p50_ms:.1f} p99 {statistics.latency_p99_ms:.1f}"
-        f" most {statistics.latency_most_ms:.1f} ms, this tool {statistics.rehearsal_cores:.2f} cores,"
-        f" {statistics.violations} rules broken"
+        f" maximum {statistics.latency_most_ms:.1f} ms, this tool {statistics.rehearsal_cores:.2f} cores,"
+        f" {statistics.violations} rule violations"
     ]
     for role in statistics.roles:
         lines.append(
             f"{role.role:8s} {role.processes} processes: {role.processor_ms_a_message:.2f} ms of processor"
-            f" time a message, {role.cores_a_process:.2f} cores each, files {role.data_bytes_start} ->"
-            f" {role.data_bytes_end} bytes, written {role.written_bytes_a_message:.0f} bytes a message,"
+            f" time per message, {role.cores_a_process:.2f} cores each, files {role.data_bytes_start} ->"
+            f" {role.data_bytes_end} bytes, written {role.written_bytes_a_message:.0f} bytes per message,"
             f" peak memory {role.peak_memory_mb_start:.0f} -> {role.peak_memory_mb_end:.0f} MB"
         )
     return lines
--- a/bitternpath/testing/fault_injection/load_balancer.py
+++ b/bitternpath/testing/fault_injection/load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer of the platform, which picks edge nodes for new connections (PROTOCOL, "Ingress")."""
+"""The platform's load balancer, which selects edge nodes for new connections (PROTOCOL, "Ingress")."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.9
-MAX_FAILED_PROBES = 2  # in a row; then a node gets no new connections until it answers 200 again
+# After this many consecutive failures a node gets no new connections until it answers 200 again.
+MAX_FAILED_PROBES = 2
 
 
 class LoadBalancer:
-    """Probes the readiness of edge nodes and picks among those that are ready."""
+    """Probes the readiness of edge nodes and selects among the ready ones."""
 
     def __init__(self, reactor: Any, edges: Sequence[ReachableNode], random: Random) -> None:
-        """`edges` may change later."""
+        """Create the load balancer; the caller may change `edges` later."""
         self._reactor = reactor
         self._edges = edges
         self._random = random
@@ -27,7 +28,7 @@
         self._timer: Any = None
 
     def start(self) -> None:
-        """Begin to probe."""
+        """Probe all nodes now and periodically."""
         self._timer = self._reactor.callLater(PROBE_INTERVAL_S, self.start)
         for edge in self._edges:
             probe = send_call(
@@ -36,16 +37,16 @@
             probe.addCallback(self._answered, edge.name)
 
     def stop(self) -> None:
-        """Probe no more."""
+        """Stop probing."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def ready(self) -> list[ReachableNode]:
-        """The nodes that get new connections."""
+        """Return the nodes that get new connections."""
         return [edge for edge in self._edges if self._failed_probes[edge.name] < MAX_FAILED_PROBES]
 
     def choose(self, zone: str = "") -> ReachableNode:
-        """The node of a new connection: a ready one, preferably of that zone; any node if none is ready."""
+        """Return a random ready node, preferably in `zone`; any node if none is ready."""
         ready = self.ready()
         in_zone = [edge for edge in ready if edge.zone == zone]
         return self._random.choice(in_zone or ready or list(self._edges))
--- a/bitternpath/testing/fault_injection/owner_poller.py
+++ b/bitternpath/testing/fault_injection/owner_poller.py
@@ -1,4 +1,4 @@
-"""Finds the owner of the configuration by the internal protocol of edge nodes."""
+"""Finds the owner of the configuration group over the internal protocol of edge nodes."""
 
 from __future__ import annotations
 
@@ -26,34 +26,34 @@
         descriptor = NodeDescriptor("rehearsal", "", NodeKind.TOOL, "", False, "", int(time.time() * 1000), 0)
         self._hub = NodeHub(reactor, self, lambda: descriptor, Random())
         self._addresses = [edge.address(Port.INTERNAL) for edge in edges]
-        self._owners: dict[str, int] = {}  # epochs by node, of those that say they own the configuration
+        self._owners: dict[str, int] = {}  # epochs, by name, of the nodes that claim to own the configuration
         self._timer: Any = None
 
     def start(self) -> None:
-        """Connect, and begin to poll."""
+        """Connect to the nodes and start polling."""
         for address in self._addresses:
             self._hub.dial(address, LINK_USER)
         self._poll()
 
     def stop(self) -> None:
-        """Stop polling, and close the links."""
+        """Stop polling and close the links."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._hub.stop()
 
     def owner(self) -> str:
-        """The name of the owner by the latest answers; empty if none claims the ownership."""
+        """Return the name of the owner according to the latest answers; empty if no node claims ownership."""
         return max(self._owners, key=lambda name: self._owners[name], default="")
 
     def link_opened(self, link: Link) -> None:
-        """Nothing to do: the node is polled with the others."""
+        """Do nothing: all linked nodes are polled periodically."""
 
     def link_closed(self, link: Link) -> None:
-        """Forget the node's answer."""
+        """Discard the node's last answer."""
         self._owners.pop(link.peer_name, None)
 
     def received(self, link: Link, record: Any) -> None:
-        """Ignored: only answers matter."""
+        """Ignore records other than answers to the polls."""
 
     def _poll(self) -> None:
         self._timer = self._reactor.callLater(POLL_INTERVAL_S, self._poll)
--- a/bitternpath/testing/fault_injection/plan.py
+++ b/bitternpath/testing/fault_injection/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a run: machines with their addresses, the first configuration, and the mix of the traffic."""
+"""The plan of a run: machines with their addresses, the first configuration, and the traffic mix."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 ParametersType = TypeVar("ParametersType", bound=RuleParameters)
 
 REGION = "loopback"
-LOOPBACK = "127.0.0.1"  # of what isn't a machine of the system
-FIRST_PORT, LAST_PORT = 20_000, 32_000  # below the ports that the kernel gives to clients
+LOOPBACK = "127.0.0.1"  # address of workers and other actors outside the system
+FIRST_PORT, LAST_PORT = 20_000, 32_000  # below the kernel's ephemeral ports
 MAX_DISK_EDGES = 3
 TIMEOUT_MS = 1_500
 MAX_ATTEMPTS = 4
@@ -25,22 +25,24 @@
     DeliveryKind.LISTED: 0.45,
     DeliveryKind.ENDPOINT: 0.25,
     DeliveryKind.PULLED: 0.30,
-}  # of all messages
-RATE_PER_S = 19.5  # of the endpoint, as at both sites of SYSTEM, unless the load needs more
-RATE_OVER_LOAD = 2.0  # the endpoint's rate over what is sent to it: order keys load the shards unevenly
+}  # shares of all messages
+# Minimum rate limit of the endpoint, as at both sites of SYSTEM; a higher load raises it.
+RATE_PER_S = 19.5
+# Factor from the load of the endpoint to its rate limit; order keys load the shards unevenly.
+RATE_OVER_LOAD = 2.0
 HOSTS = {kind: f"{name}.example" for kind, name in SERVICES.items()}
 PREFIXES = {kind: f"/{name}/" for kind, name in SERVICES.items()}
 
 
 class Role(Enum):
-    """What a process is started as."""
+    """The role that a process runs."""
 
     EDGE = "edge"
     STORAGE = "storage"
 
 
 class Port(Enum):
-    """Ports, the same on all machines, counted from the first."""
+    """Listening ports as offsets from the first port, the same on all machines."""
 
     FRONT = 0
     READINESS = 1
@@ -52,23 +54,23 @@
 
 
 class ReachableNode(Protocol):
-    """A node that is called."""
+    """A node that actors can call."""
 
     @property
     def name(self) -> str:
-        """Name of its machine."""
+        """The name of its machine."""
 
     @property
     def zone(self) -> str:
         """Its zone."""
 
     def address(self, port: Port) -> str:
-        """Where it listens, `ip:port`."""
+        """Return the address of a listening port, `ip:port`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One machine: an address of its own on loopback."""
+    """A machine, which has its own address on loopback."""
 
     name: str
     role: Role
@@ -78,43 +80,43 @@
     first_port: int
 
     def address(self, port: Port) -> str:
-        """Where the machine listens."""
+        """Return the address of a listening port, `ip:port`."""
         return f"{self.ip}:{self.first_port + port.value}"
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run of the test environment."""
+    """Parameters of one run of the test environment."""
 
-    rate: float  # messages a second
+    rate: float  # messages per second
     seconds: float
     machines: tuple[Machine, ...]
     seed: int
 
     @property
     def edges(self) -> tuple[Machine, ...]:
-        """Edge machines."""
+        """The edge machines."""
         return tuple(machine for machine in self.machines if machine.role is Role.EDGE)
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """Control addresses in the settings of all processes."""
+        """The control addresses that the settings of all processes list as seeds."""
         return tuple(machine.address(Port.CONTROL) for machine in self.edges if machine.disk)[:3]
 
     @property
     def endpoint_rate(self) -> float:
-        """`rate_per_s` of the endpoint."""
+        """The endpoint's rate limit, `rate_per_s`."""
         return max(RATE_PER_S, self.rate * SHARES[DeliveryKind.ENDPOINT] * RATE_OVER_LOAD)
 
     def parameters(self) -> RuleParameters:
-        """Parameters of the rules by which the history is judged."""
+        """Return the parameters of the rules for this plan."""
         return rule_parameters(RuleParameters, self.endpoint_rate)
 
 
 def rule_parameters(
     parameters_type: type[ParametersType], endpoint_rate: float, **extra_parameters: Any
 ) -> ParametersType:
-    """Terms by the bounds and the routes; `more` are fields that only this kind of terms has."""
+    """Return rule parameters from the bounds and routes; a subclass gets its own fields in addition."""
     return parameters_type(
         max_attempts=MAX_ATTEMPTS,
         timeout_s=TIMEOUT_MS / 1000,
@@ -131,7 +133,7 @@
 
 
 def make_plan(rate: float, seconds: float, edges: int, storage: int, seed: int) -> Plan:
-    """Machines in three zones; the first edge machines carry a disk."""
+    """Return a plan with machines in three zones; the first `MAX_DISK_EDGES` edge machines have a disk."""
     roles = [Role.EDGE] * edges + [Role.STORAGE] * storage
     ips = [f"127.0.1.{number}" for number in range(1, len(roles) + 1)]
     first_port = _free_ports(ips, Random())
@@ -147,7 +149,7 @@
 
 
 def _free_ports(ips: list[str], random: Random) -> int:
-    """The first of a row of ports that nobody uses on any of the addresses."""
+    """Return the first of 8 consecutive ports that are free on all addresses."""
     while True:
         first_port = random.randrange(FIRST_PORT, LAST_PORT, 16)
         if all(_is_free(ip, first_port + offset) for ip in ips for offset in range(8)):
@@ -166,7 +168,7 @@
 
 
 def first_configuration(plan: Plan, endpoint: str) -> dict[str, Any]:
-    """The document of the first PUT."""
+    """Return the document of the first PUT."""
     return {
         "version": 1,
         "routes": [route_document(kind, TIMEOUT_MS) for kind in DeliveryKind],
@@ -176,7 +178,7 @@
 
 
 def limits_document() -> dict[str, int]:
-    """Limits as the operator writes them."""
+    """Return the limits in the operator's format."""
     return {
         "max_header_bytes": 16384,
         "max_body_bytes": 262144,
@@ -186,7 +188,7 @@
 
 
 def route_document(kind: DeliveryKind, timeout_ms: int, name: str = "", prefix: str = "") -> dict[str, Any]:
-    """A route as the operator writes it."""
+    """Return a route in the operator's format."""
     return {
         "name": name or f"route-{SERVICES[kind]}",
         "host": HOSTS[kind],
@@ -205,7 +207,7 @@
 
 
 def service_document(kind: DeliveryKind, endpoint_rate: float, endpoint: str) -> dict[str, Any]:
-    """A service as the operator writes it."""
+    """Return a service in the operator's format."""
     return {
         "name": SERVICES[kind],
         "health_path": "/healthz",
--- a/bitternpath/testing/fault_injection/processes.py
+++ b/bitternpath/testing/fault_injection/processes.py
@@ -1,4 +1,4 @@
-"""The system's processes: settings files, start, stop, restart, and what the kernel says of them."""
+"""The system's processes: settings files, start, stop, restart, and their resource usage from the kernel."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from bitternpath.testing.fault_injection.plan import INTERNAL_PORTS, REGION, Machine, Plan, Port, Role
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
-REPOSITORY_ROOT = Path(__file__).resolve().parents[3]  # the processes begin at the repository's root (DEPLOY)
+REPOSITORY_ROOT = Path(__file__).resolve().parents[3]  # working directory of the processes (DEPLOY)
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 MEMORY_MB = 300
 MEGABYTE = 1 << 20
@@ -22,17 +22,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far."""
+    """Resources that a process has used since its start."""
 
     processor_s: float
     peak_memory_mb: float
-    data_bytes: int  # in files of its data folder
-    written_bytes: int  # that it has sent to disk
-    cpu_wait_s: float  # that it was ready to run while the machine did something else
+    data_bytes: int  # size of the files in its data folder
+    written_bytes: int  # bytes written to disk
+    cpu_wait_s: float  # time for which it was runnable but had no processor
 
 
 class Process:
-    """One machine's process, over its lives."""
+    """The process of one machine, over its restarts."""
 
     def __init__(self, plan: Plan, machine: Machine, folder: Path, platform: str) -> None:
         self.plan = plan
@@ -45,11 +45,11 @@
         self._child: subprocess.Popen[bytes] | None = None
         self._log_file: IO[bytes] | None = None
         self._starts = 0
-        self.unexpected_exit_codes: list[int] = []  # exit codes
+        self.unexpected_exit_codes: list[int] = []
         self._stopping = False
 
     def start(self) -> None:
-        """Start a life; the first one on an empty disk founds the system."""
+        """Start the process; the first start has `bootstrap` set, which creates the system on empty disks."""
         self._settings.write_text(
             settings_text(self.plan, self.machine, self._data_folder, self._platform, not self._starts)
         )
@@ -72,7 +72,7 @@
         )
 
     def kill(self) -> None:
-        """SIGKILL, and wait for the end."""
+        """Send SIGKILL and wait for the exit."""
         if self._child is not None:
             self._stopping = True
             self._child.kill()
@@ -80,13 +80,13 @@
             self._release_child()
 
     def terminate(self) -> None:
-        """SIGTERM; `running` tells when it has ended."""
+        """Send SIGTERM without waiting; `running` returns False after the exit."""
         if self._child is not None:
             self._stopping = True
             self._child.send_signal(signal.SIGTERM)
 
     def running(self) -> bool:
-        """Whether it lives. An end that nobody asked for is kept in `unexpected_exit_codes`."""
+        """Return whether it is running; record an unrequested exit in `unexpected_exit_codes`."""
         if self._child is None:
             return False
         code = self._child.poll()
@@ -98,7 +98,7 @@
         return False
 
     def usage(self) -> Usage:
-        """From the kernel; zeros where the process doesn't live."""
+        """Return the usage from the kernel; zeros, except `data_bytes`, if the process isn't running."""
         data_bytes = sum(path.stat().st_size for path in self._files())
         if self._child is None:
             return Usage(0.0, 0.0, data_bytes, 0, 0.0)
@@ -113,7 +113,7 @@
         return Usage(ticks / TICKS_PER_S, peak_mb, data_bytes, int(written_bytes), self.cpu_wait_s())
 
     def cpu_wait_s(self) -> float:
-        """How long this life was ready to run and had no processor (kernel: sched-stats, second field)."""
+        """Return how long it has been runnable without a processor (kernel: sched-stats, field 2)."""
         if self._child is None:
             return 0.0
         try:
@@ -143,7 +143,7 @@
 
 
 def settings_text(plan: Plan, machine: Machine, data_folder: Path, platform: str, bootstrap: bool) -> str:
-    """The settings file of a process, as DEPLOY shows it."""
+    """Return the settings file of a process, in the format of DEPLOY."""
     is_edge = machine.role is Role.EDGE
     internal_port = machine.first_port + Port.INTERNAL.value
     lines = [
--- a/bitternpath/testing/fault_injection/pulling_worker.py
+++ b/bitternpath/testing/fault_injection/pulling_worker.py
@@ -18,11 +18,12 @@
 from bitternpath.testing.fault_injection.records import Answer, LeaseEnd, LeaseExtension, Run
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
-PULL_WAIT_MS = 1_000  # of a long poll
+PULL_WAIT_MS = 1_000  # duration of a long poll
 PULL_TIMEOUT_S = 2.5
 LEASE_CALL_TIMEOUT_S = 1.5
-END_RETRY_FOR_S = 20.0  # an end without a clear answer is sent again for so long
-REPEATED_END_SHARE = 0.1  # of ends that are sent once more after their answer: it must stay the same
+END_RETRY_FOR_S = 20.0  # maximum time for which an end without a clear answer is retried
+# Share of ends that are sent again after their answer; the second answer must be the same.
+REPEATED_END_SHARE = 0.1
 RETRY_DELAY_S = 0.2
 
 
@@ -48,11 +49,11 @@
         self._stopping = False
 
     def start(self, failed: Callable[[Any], None]) -> None:
-        """Poll until it is stopped; `failed` receives an error of the test environment itself."""
+        """Poll until `stop`; `failed` receives an error of the test environment itself."""
         Deferred.fromCoroutine(self._poll()).addErrback(failed)
 
     def stop(self) -> None:
-        """Poll no more."""
+        """Stop after the current poll or job."""
         self._stopping = True
 
     async def _poll(self) -> None:
@@ -83,7 +84,7 @@
             await self._report_end(request_id, lease_id, status, stamp)
 
     async def _work_and_extend(self, request_id: str, lease_id: str) -> bool:
-        """Process, and extend the lease three times in each `visible_ms`; False if the lease was lost."""
+        """Process, and extend the lease three times per `visible_ms`; return False if the lease was lost."""
         finish_at = self._clock() + self._behavior.seconds()
         extension_interval_s = BOUNDS["visible_ms"] / 1000 / 3
         while self._clock() < finish_at:
--- a/bitternpath/testing/fault_injection/records.py
+++ b/bitternpath/testing/fault_injection/records.py
@@ -1,4 +1,4 @@
-"""Observations of the actors around the system. Times are seconds of one monotonic clock."""
+"""Observations of the actors around the system. Times are in seconds on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DeliveryKind(Enum):
-    """Who runs a message: workers of the platform's list, one endpoint in order, or workers that pull."""
+    """How a message reaches a worker: by the platform's list, at one endpoint in order, or by pulling."""
 
     LISTED = "listed"
     ENDPOINT = "endpoint"
@@ -17,7 +17,7 @@
 
 
 class SendOutcome(Enum):
-    """Outcome of one attempt, as far as its client knows."""
+    """Outcome of one attempt, as its client observed it."""
 
     OPEN = "open"  # not answered yet
     ACCEPTED = "accepted"
@@ -44,12 +44,12 @@
     ended_at: float = 0.0
     status: int = 0  # 0: no answer
     message_id: str = ""
-    connection_closed: bool = False  # the connection closed before a complete answer
+    connection_closed: bool = False  # whether the connection closed before a complete answer
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A worker began to work on a message."""
+    """A worker started to process a message."""
 
     request_id: str
     at: float
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A delivery reached an endpoint, whether it ran or not."""
+    """A delivery arrived at an endpoint, whether it ran or not."""
 
     at: float
     service: str
@@ -72,19 +72,19 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A worker answered that it has run a message."""
+    """A worker's answer after a run of a message."""
 
     request_id: str
     at: float
     status: int
     stamp: str
-    read: bool = True  # the connection was still open a moment later
-    lease_id: str = ""  # of a pulled job; its answer counts once it was taken
+    read: bool = True  # whether the connection stayed open long enough for the answer to be read
+    lease_id: str = ""  # lease of a pulled job, whose answer counts only if a `LeaseEnd` accepted it
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseExtension:
-    """A pulling worker extended its lease, acknowledged by 200."""
+    """An extension of a pulling worker's lease, acknowledged with 200; `at` is when it was sent."""
 
     request_id: str
     lease_id: str
@@ -93,18 +93,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnd:
-    """The answer to a pulling worker that reported the end of a job; `accepted`: 200, else 409."""
+    """The answer to a pulling worker that reported the end of a job: 200 if `accepted`, else 409."""
 
     request_id: str
     lease_id: str
     at: float
-    status: int  # that the worker gave
+    status: int  # job status that the worker reported
     accepted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class CallbackReceived:
-    """A call-back reached its receiver. `accepted`: it was answered with 200."""
+    """A call-back that arrived at its receiver; `accepted` if it was answered with 200."""
 
     request_id: str
     at: float
@@ -125,7 +125,7 @@
 
 
 class OrderOutcome(Enum):
-    """Outcome of a change, as far as its operator knows."""
+    """Outcome of a configuration change, as its operator observed it."""
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderSent:
-    """A change that the operator sent, with its result; `document` is what it makes, as JSON values."""
+    """A configuration change that the operator sent, and its outcome; `document` is the new configuration."""
 
     version: int
     base: int
@@ -144,12 +144,12 @@
     valid: bool
     document: Any
     status: int = 0
-    lost_answers: int = 0  # that were given and never reached the operator
+    lost_answers: int = 0  # number of answers that were dropped on the way to the operator
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A process was stopped at `at` and started again at `until` (infinity: not yet)."""
+    """A process was stopped at `at` and restarted at `until` (infinity: not restarted yet)."""
 
     node: str
     at: float
@@ -175,13 +175,13 @@
     finished: float = 0.0
 
     def accepted(self) -> Iterator[Send]:
-        """Attempts that were answered with 202."""
+        """Return the attempts that were answered with 202."""
         return (send for send in self.sends.values() if send.outcome is SendOutcome.ACCEPTED)
 
 
 @dataclass(frozen=True, slots=True)
 class RuleParameters:
-    """Parameters of the rules by which a history is judged (RULES; DEPLOY, `bounds`)."""
+    """Parameters of the rules that a history is checked against (RULES; DEPLOY, `bounds`)."""
 
     max_attempts: int
     timeout_s: float
@@ -192,7 +192,7 @@
     ceiling_window_s: float
     origin_rate_over: float
     early_s: float
-    rates: dict[str, float]  # by service
+    rates: dict[str, float]  # rate limit per second, by service
 
 
 Clock = Callable[[], float]
--- a/bitternpath/testing/fault_injection/state_readers.py
+++ b/bitternpath/testing/fault_injection/state_readers.py
@@ -13,14 +13,14 @@
 from bitternpath.testing.fault_injection.plan import HOSTS, Port
 from bitternpath.testing.fault_injection.records import FinalState, Send
 
-STATE_TIMEOUT_S = 2.0  # of one call
+STATE_TIMEOUT_S = 2.0  # time-out of one call
 STATE_RETRY_DELAY_S = 0.3
-MAX_STATE_READS = 15  # calls for one answer, each of any node
+MAX_STATE_READS = 15  # maximum calls for one answer, each to a random node
 CONCURRENT_STATE_READS = 16
 
 
 class StateReaders:
-    """Read the state of messages, and the bodies of those that aren't done."""
+    """Reads the states of messages, and the bodies of those that aren't done."""
 
     def __init__(self, context: ActorContext, balancer: LoadBalancer) -> None:
         self._reactor = context.reactor
@@ -30,7 +30,7 @@
         self._concurrency = DeferredSemaphore(CONCURRENT_STATE_READS)
 
     async def read_all(self, sends: list[Send]) -> None:
-        """Read the state of each, a limited number at once."""
+        """Read the state of each message, up to `CONCURRENT_STATE_READS` at a time."""
         await gatherResults([self._concurrency.run(self._read, send) for send in sends])
 
     async def _read(self, send: Send) -> None:
@@ -47,7 +47,7 @@
         self._history.final_states[send.request_id] = final_state
 
     async def _get(self, send: Send, resource: str) -> Reply | None:
-        """The answer with 200; None if no node gave one in `MAX_STATE_READS` calls."""
+        """Return the answer with 200; None if `MAX_STATE_READS` calls got none."""
         call = Call("GET", f"/{resource}/{send.message_id}", {"Host": HOSTS[send.kind]})
         for _ in range(MAX_STATE_READS):
             address = self._balancer.choose().address(Port.FRONT)
--- a/bitternpath/testing/fault_injection/statistics.py
+++ b/bitternpath/testing/fault_injection/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of a run, computed from its history. Pure."""
+"""Statistics of a run, computed from its history. Pure functions."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     SendOutcome,
 )
 
-SLOW_START_AFTER_S = 2.0  # a start that is later is shown with its history
-HISTORIES_SHOWN = 5  # of each broken rule; the others are counted
+SLOW_START_AFTER_S = 2.0  # the history of a message that starts later is printed
+HISTORIES_SHOWN = 5  # maximum violations printed for each rule; the others are only counted
 
 
 @dataclass(frozen=True, slots=True)
 class Latency:
-    """Times until the 202, in milliseconds."""
+    """Latency from the sending to the 202, in milliseconds."""
 
     p50: float
     p99: float
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KindStatistics:
-    """What became of the messages of one kind."""
+    """Statistics of the messages of one delivery kind."""
 
     kind: DeliveryKind
     tries: int
@@ -43,24 +43,24 @@
     done: int
     dead: int
     runs: int
-    repeated_runs: int  # after a success
-    start_p50_ms: float  # from the sending, delay aside, to the first run
+    repeated_runs: int  # runs after a success
+    start_p50_ms: float  # time from the sending to the first run, without the requested delay
     start_p99_ms: float
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The smallest value that `share` of the values don't exceed; 0 where there are none."""
+    """Return the smallest value that `share` of the values don't exceed; 0 if there are no values."""
     return sorted(values)[max(ceil(share * len(values)) - 1, 0)] if values else 0.0
 
 
 def latency(sends: Iterable[Send]) -> Latency:
-    """Of the accepted ones among these attempts."""
+    """Return the latency of the accepted attempts."""
     times_ms = [(s.ended_at - s.at) * 1000 for s in sends if s.outcome is SendOutcome.ACCEPTED]
     return Latency(percentile(times_ms, 0.5), percentile(times_ms, 0.99), max(times_ms, default=0.0))
 
 
 def kind_statistics(history: History, parameters: RuleParameters, kind: DeliveryKind) -> KindStatistics:
-    """Statistics of one kind of message."""
+    """Compute the statistics of one delivery kind."""
     sends = {request_id: send for request_id, send in history.sends.items() if send.kind is kind}
     successes = [a for a in history.answers if a.status == 200 and a.at <= history.finished]
     succeeded_at = {a.request_id: a.at for a in reversed(successes) if a.request_id in sends}
@@ -93,7 +93,7 @@
 
 
 def second_line(second: int, sends: list[Send], done: int, waiting: int, cpu_wait_share: float) -> str:
-    """The line of a second; `sends` are the tries that ended in it."""
+    """Return the line of one second; `sends` are the attempts that ended in it."""
     accepted = sum(send.outcome is SendOutcome.ACCEPTED for send in sends)
     refused = sum(send.outcome is SendOutcome.NOT_EXECUTED for send in sends)
     unclear = sum(send.outcome in (SendOutcome.UNCLEAR, SendOutcome.NOT_SENT) for send in sends)
@@ -101,12 +101,12 @@
     return (
         f"{second:4d} s  accepted {accepted:4d}  done {done:4d}  refused {refused:3d}  unclear {unclear:3d}"
         f"  waiting {waiting:4d}  202 p50 {times.p50:6.1f} ms  p99 {times.p99:7.1f} ms"
-        f"  held up {cpu_wait_share:4.0%}"
+        f"  cpu wait {cpu_wait_share:4.0%}"
     )
 
 
 def summary_lines(history: History, parameters: RuleParameters) -> list[str]:
-    """A table by kind, and the operator's orders."""
+    """Return a table by delivery kind, and lines about the operator's orders and the call-backs."""
     lines = [
         "kind      tries accepted refused unclear unsent done dead  runs again  start p50     p99 ms",
     ]
@@ -121,18 +121,18 @@
     decision_times_ms = [(order.ended_at - order.sent_at) * 1000 for order in history.orders if order.valid]
     outcome_counts = ", ".join(f"{orders.count(name)} {name}" for name in dict.fromkeys(orders))
     lines.append(
-        f"orders: {outcome_counts}; until the clear answer p50 {percentile(decision_times_ms, 0.5):.0f} ms,"
-        f" most {max(decision_times_ms, default=0.0):.0f} ms"
+        f"orders: {outcome_counts}; time to the final answer p50 {percentile(decision_times_ms, 0.5):.0f} ms,"
+        f" maximum {max(decision_times_ms, default=0.0):.0f} ms"
     )
     statuses = Counter(send.status for send in history.sends.values() if send.status not in (0, 202))
     lines.append(f"answers other than 202: {dict(sorted(statuses.items()))}")
     accepted = sum(callback.accepted for callback in history.callbacks)
-    lines.append(f"call-backs: {len(history.callbacks)} came, {accepted} taken")
+    lines.append(f"call-backs: {len(history.callbacks)} received, {accepted} accepted")
     return lines
 
 
 def slow_start_lines(history: History) -> list[str]:
-    """The history of each kind's accepted message that began last after its sending, where that was late."""
+    """Return the history of the slowest start of each delivery kind, if it exceeds `SLOW_START_AFTER_S`."""
     first_starts = {run.request_id: run.at for run in reversed(history.runs)}
     lines: list[str] = []
     for kind in DeliveryKind:
@@ -150,7 +150,7 @@
 
 
 def violation_lines(history: History, violations: list[Violation]) -> list[str]:
-    """Each broken rule, with the history of the message; of many, some."""
+    """Return the violations of each rule with the histories of their messages, up to `HISTORIES_SHOWN`."""
     lines: list[str] = []
     for rule in dict.fromkeys(violation.rule for violation in violations):
         broken = [violation for violation in violations if violation.rule is rule]
@@ -162,7 +162,7 @@
 
 
 def message_history(history: History, request_id: str) -> list[str]:
-    """All observations of a message, ordered by time."""
+    """Return all observations of a message, ordered by time."""
     send = history.sends.get(request_id)
     events: list[tuple[float, str]] = []
     if send is not None:
@@ -187,12 +187,12 @@
         if extension.request_id == request_id
     ]
     events += [
-        (end.at, f"end {end.status} of {end.lease_id} taken={end.accepted}")
+        (end.at, f"end {end.status} of {end.lease_id} accepted={end.accepted}")
         for end in history.ends
         if end.request_id == request_id
     ]
     events += [
-        (callback.at, f"call-back {callback.state} {callback.stamp} taken={callback.accepted}")
+        (callback.at, f"call-back {callback.state} {callback.stamp} accepted={callback.accepted}")
         for callback in history.callbacks
         if callback.request_id == request_id
     ]
@@ -200,6 +200,6 @@
     if final_state is not None:
         size = "none" if final_state.body is None else f"{len(final_state.body)} bytes"
         events.append(
-            (final_state.at, f"found {final_state.state or 'no answer'} {final_state.stamp} body {size}")
+            (final_state.at, f"read as {final_state.state or 'no answer'} {final_state.stamp} body {size}")
         )
     return [f"{at:8.3f} {text}" for at, text in sorted(events, key=lambda event: event[0])]
--- a/bitternpath/testing/fault_injection/time_bounds.py
+++ b/bitternpath/testing/fault_injection/time_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of the settings (DEPLOY, "Settings of a process"), as at both sites of SYSTEM."""
+"""Values of the `bounds` settings (DEPLOY, "Settings of a process"), as at both sites of SYSTEM."""
 
 from __future__ import annotations
 
--- a/bitternpath/testing/fault_injection/world.py
+++ b/bitternpath/testing/fault_injection/world.py
@@ -1,4 +1,4 @@
-"""The test environment: real processes of the system; clients, workers, platform and operator in this one."""
+"""The test environment: the system in its own processes, and the other actors in this process."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from bitternpath.testing.fault_injection.state_readers import StateReaders
 from bitternpath.testing.fault_injection.statistics import second_line
 
-READY_WITHIN_S = 15.0  # after the first configuration
-FINISH_S = 20.0  # after the traffic, for what was accepted
-CALLBACK_FINISH_S = 3.0  # after the last end, for call-backs that are still owed
+READY_WITHIN_S = 15.0  # time-out from the first configuration until all edge nodes are ready
+FINISH_S = 20.0  # maximum time after the traffic for accepted messages to end
+CALLBACK_FINISH_S = 3.0  # additional time for the last call-backs
 POLL_INTERVAL_S = 0.25
 READ_BACK_S = 4.0  # `contact_ms`
 LISTED_WORKERS = 4
@@ -37,20 +37,20 @@
 ENDPOINT_SLOTS = 40
 ENDPOINT_WORK_S = (0.05, 0.15)
 PULLED_WORK_S = (0.08, 0.3)
-LONG_PULLED_WORK_S = (1.2, 2.4)  # of some pullers, which have to extend their leases
+LONG_PULLED_WORK_S = (1.2, 2.4)  # for every `LONG_PULLER_EVERY`-th puller, which has to extend its leases
 LONG_PULLER_EVERY = 8
 MIN_PULLERS = 8
-PULLING_SLOTS_PER_BUSY = 2.5  # pulling slots over those that are busy on average
+PULLING_SLOTS_PER_BUSY = 2.5  # ratio of pulling slots to the average number of busy ones
 
-MAX_CPU_WAIT_SHARE = 0.15  # of each second: beyond it heartbeats come late
+MAX_CPU_WAIT_SHARE = 0.15  # share of each second; above it heartbeats are late
 
 
 class SystemNotReadyError(Exception):
-    """The system did not become ready in time; the text says which stage it reached. A retry may help."""
+    """The system did not become ready in time; the message names the failed stage. A retry may succeed."""
 
 
 def monotonic_reactor() -> Any:
-    """The reactor, with timers on the monotonic clock."""
+    """Return the reactor, with its timers on the monotonic clock."""
     from twisted.internet import reactor
 
     running: Any = reactor
@@ -59,7 +59,7 @@
 
 
 class World:
-    """Builds the environment of a plan; each stage of a run is a method."""
+    """The environment of a plan; each stage of a run is a method."""
 
     def __init__(self, reactor: Any, plan: Plan, folder: Path, report: Callable[[str], None]) -> None:
         self.reactor = reactor
@@ -91,16 +91,15 @@
         self._second_timer = LoopingCall(self._report_second)
         self._reported_seconds = 0
         self._cpu_wait_s: dict[str, float] = {}
-        self.cpu_wait_shares: list[
-            float
-        ] = []  # by second: the longest share that a process waited for a processor
+        # By second: the longest share for which a process waited for a processor.
+        self.cpu_wait_shares: list[float] = []
 
     def now(self) -> float:
-        """Seconds since the environment was built."""
+        """Return the seconds since the environment was created."""
         return time.monotonic() - self._started_at
 
     def failed(self, failure: Any) -> None:
-        """Record an error of the environment itself, which makes the result void."""
+        """Record an error of the environment itself, which makes the result invalid."""
         self.errors.append(failure.getTraceback())
 
     async def start(self) -> None:
@@ -120,7 +119,7 @@
         while len(self.balancer.ready()) < len(self.plan.edges):
             if self.now() > give_up_at:
                 ready = [edge.name for edge in self.balancer.ready()]
-                raise SystemNotReadyError(f"ready are {ready} of {len(self.plan.edges)} edge nodes")
+                raise SystemNotReadyError(f"only {ready} of {len(self.plan.edges)} edge nodes are ready")
             await deferLater(self.reactor, POLL_INTERVAL_S)
         self._report(f"{self.now():6.2f} s  all edge nodes are ready")
         for puller in self.pullers:
@@ -144,7 +143,7 @@
         await self.operator.read_back(READ_BACK_S)
 
     def stop(self) -> None:
-        """Stop all that was started."""
+        """Stop all timers, workers and processes."""
         if self._second_timer.running:
             self._second_timer.stop()
         for puller in self.pullers:
@@ -155,7 +154,7 @@
             process.kill()
 
     def unfinished(self) -> list[Send]:
-        """Accepted messages that have not ended, or whose call-back has not been accepted."""
+        """Return the accepted messages that have not ended or whose call-back has not been accepted."""
         ended = ended_times(self.history, self.parameters)
         delivered = {callback.request_id for callback in self.history.callbacks if callback.accepted}
         return [
@@ -170,7 +169,7 @@
         while self.unfinished() and self.now() < give_up_at:
             await deferLater(self.reactor, POLL_INTERVAL_S)
         self._report(
-            f"{self.now():6.2f} s  traffic is over; {len(self.unfinished())} messages or call-backs are open"
+            f"{self.now():6.2f} s  traffic ended; {len(self.unfinished())} messages or call-backs are open"
         )
 
     def _listed_workers(self, random: Random) -> list[HttpWorker]:
@@ -208,7 +207,7 @@
         )
 
     def _sample_cpu_wait(self) -> None:
-        """Record the share of the last second that processes waited for a processor."""
+        """Record the longest share of the last second for which a process waited for a processor."""
         shares = [0.0]
         for name, process in self.processes.items():
             if not process.running():
@@ -219,10 +218,12 @@
         self.cpu_wait_shares.append(max(shares))
 
     def cpu_wait_line(self) -> str:
-        """A line about the processor time that the system had to wait for."""
+        """Return a line about the time for which processes waited for a processor."""
         average = sum(self.cpu_wait_shares) / max(len(self.cpu_wait_shares), 1)
         maximum = max(self.cpu_wait_shares, default=0.0)
-        text = f"held up by the machine: {average:.0%} of a second on average, {maximum:.0%} most"
+        text = f"cpu wait: {average:.0%} of a second on average, {maximum:.0%} maximum"
         return text + (
-            "; TOO BUSY, times and elections are not the system's own" if average > MAX_CPU_WAIT_SHARE else ""
+            "; MACHINE TOO BUSY, latencies and elections are not representative"
+            if average > MAX_CPU_WAIT_SHARE
+            else ""
         )
--- a/tests/system/test_fault_injection_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -1,4 +1,4 @@
-"""Checkers of fault-injection runs: each reports a history that breaks its rule, not the nearest valid."""
+"""Checkers of fault-injection runs: each reports a violation, but not a valid history close to it."""
 
 from __future__ import annotations
 
@@ -42,33 +42,33 @@
 
 
 def send(name: str, at: float = 0.0, outcome: SendOutcome = SendOutcome.ACCEPTED, **fields: object) -> Send:
-    """A try that was answered after 0.1 s."""
+    """An attempt that was answered after 0.1 s."""
     attempt = Send(name, at, "edge-1", DeliveryKind.ENDPOINT, "/t", BODY, outcome=outcome, ended_at=at + 0.1)
     return replace(attempt, **fields)  # type: ignore[arg-type]
 
 
 def run(name: str, at: float, lease: str = "", **fields: object) -> Run:
-    """A run of what `send` sends."""
+    """A run of a message of `send`."""
     return replace(Run(name, at, "s", "POST", "/t", BODY, lease), **fields)  # type: ignore[arg-type]
 
 
 def success(name: str, at: float, stamp: str = "s", lease: str = "") -> Answer:
-    """A worker's success."""
+    """An answer with 200."""
     return Answer(name, at, 200, stamp, lease_id=lease)
 
 
 def failure(name: str, at: float) -> Answer:
-    """A worker's 500."""
+    """An answer with 500."""
     return Answer(name, at, 500, "")
 
 
 def lease_end(name: str, lease: str, at: float, status: int = 200, accepted: bool = True) -> LeaseEnd:
-    """The answer to the end of a lease."""
+    """The answer to a worker that reported the end of a lease."""
     return LeaseEnd(name, lease, at, status, accepted)
 
 
 def order(version: int, outcome: OrderOutcome, base: int = 0, valid: bool = True, mark: int = 0) -> OrderSent:
-    """A change of the configuration."""
+    """A configuration change."""
     document = {"version": version, "mark": mark}
     return OrderSent(version, base, float(version), version + 0.1, outcome, valid, document, 412)
 
@@ -80,7 +80,7 @@
 
 
 def history(*sends: Send, **lists: object) -> History:
-    """A history of a few events."""
+    """A history of these sends and lists of events."""
     return History(sends={item.request_id: item for item in sends}, finished=FINISHED, **lists)  # type: ignore[arg-type]
 
 
@@ -95,17 +95,17 @@
 CLOSED_SEND = send("a", outcome=SendOutcome.UNCLEAR, connection_closed=True, ended_at=1.0)
 PULLED_TWICE = [run("a", 1.0, "1"), run("a", 3.2, "2")]
 
-# rule, what is wrong, a history that breaks it, and one near it that doesn't
+# The rule, the name of the case, a history that violates the rule, and a similar one that doesn't.
 CASES: tuple[tuple[Rule, str, History, History], ...] = (
     (
         Rule.LOST,
-        "not ended, and no body comes",
+        "a message has not ended, and its body cannot be read",
         history(SEND_A, runs=[RUN_A], final_states=final_state_of_a(51.0, "queued")),
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A]),
     ),
     (
         Rule.LOST,
-        "not ended, and said to be done",
+        "a message has not ended, but is reported as done",
         history(
             SEND_A,
             runs=[RUN_A],
@@ -116,13 +116,13 @@
     ),
     (
         Rule.LOST,
-        "never runs",
+        "an accepted message never runs",
         history(SEND_A, final_states=final_state_of_a(51.0, "queued", "", BODY)),
         history(send("a", outcome=SendOutcome.UNCLEAR)),
     ),
     (
         Rule.LOST,
-        "one failure of two is no end",
+        "one failure of two attempts does not end a message",
         history(
             SEND_A,
             runs=[RUN_A],
@@ -133,7 +133,7 @@
     ),
     (
         Rule.LOST,
-        "a pulled job whose end was not taken has not ended",
+        "a pulled job whose end was refused has not ended",
         history(
             SEND_A,
             runs=[run("a", 1.0, "1")],
@@ -149,31 +149,31 @@
     ),
     (
         Rule.LOST,
-        "ended, and its state never comes",
+        "a message has ended, but its state cannot be read",
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A], final_states=final_state_of_a(51.0, "")),
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A], final_states=final_state_of_a(51.0, "done", "s")),
     ),
     (
         Rule.LOST,
-        "no answer around a planned stop",
+        "a node that is stopped as planned does not answer",
         history(CLOSED_SEND, outages=[PLANNED_STOP]),
         history(CLOSED_SEND, outages=[PLANNED_STOP, replace(KILL, at=-3.0, until=-1.0)]),
     ),
     (
         Rule.LOST,
-        "broken off at once, before it was read",
+        "a connection that closes at once may close before the request was read",
         history(CLOSED_SEND, outages=[PLANNED_STOP]),
         history(replace(CLOSED_SEND, ended_at=0.1), outages=[PLANNED_STOP]),
     ),
     (
         Rule.ORDER,
-        "the successor begins early",
+        "the next message of a key starts before the previous one has ended",
         history(KEYED_SEND_A, KEYED_SEND_B, runs=[RUN_A, run("b", 1.1)], answers=[SUCCESS_A, SUCCESS_B]),
         history(KEYED_SEND_A, KEYED_SEND_B, runs=[RUN_A, run("b", 1.3)], answers=[SUCCESS_A, SUCCESS_B]),
     ),
     (
         Rule.ORDER,
-        "the successor begins after one failure of two",
+        "the next message of a key starts after one failure of two attempts",
         history(
             KEYED_SEND_A,
             KEYED_SEND_B,
@@ -189,7 +189,7 @@
     ),
     (
         Rule.ORDER,
-        "what goes on after the end of the run counts as well",
+        "order is checked after `History.finished`, too",
         history(
             KEYED_SEND_A, KEYED_SEND_B, runs=[run("a", 51.0), run("b", 51.1)], answers=[success("a", 51.2)]
         ),
@@ -199,7 +199,7 @@
     ),
     (
         Rule.LOST,
-        "a run after the end of the run came too late",
+        "a run after `History.finished` is too late",
         history(
             SEND_A,
             runs=[run("a", 51.0)],
@@ -215,7 +215,7 @@
     ),
     (
         Rule.ORDER,
-        "only messages that were accepted before the sending go first",
+        "only messages that were accepted before the send have to end first",
         history(
             KEYED_SEND_A, KEYED_SEND_B, runs=[run("b", 0.9), RUN_A], answers=[success("b", 0.95), SUCCESS_A]
         ),
@@ -228,7 +228,7 @@
     ),
     (
         Rule.TWICE,
-        "two ends are taken",
+        "successes of two leases are accepted",
         history(
             SEND_A,
             runs=[run("a", 1.0, "1"), run("a", 9.0, "2")],
@@ -244,7 +244,7 @@
     ),
     (
         Rule.TWICE,
-        "an end is taken, then refused",
+        "an end is accepted, then refused",
         history(
             SEND_A,
             answers=[success("a", 1.0, lease="1")],
@@ -258,7 +258,7 @@
     ),
     (
         Rule.TWICE,
-        "a run after a success that was read, in calm",
+        "a run follows a success that was read, without an outage in between",
         history(
             SEND_A,
             runs=[run("a", 11.0), run("a", 12.0)],
@@ -274,7 +274,7 @@
     ),
     (
         Rule.TWICE,
-        "an outage between the success and the next arrival is an excuse, however long before that it ended",
+        "an outage between a success and the next run allows the run, however early it ended",
         history(
             SEND_A,
             runs=[RUN_A, run("a", 17.6)],
@@ -290,7 +290,7 @@
     ),
     (
         Rule.TWICE,
-        "a planned stop is no excuse",
+        "a planned stop does not allow a repeated run",
         history(SEND_A, runs=[RUN_A, run("a", 4.0)], answers=[SUCCESS_A], outages=[PLANNED_STOP]),
         history(
             SEND_A,
@@ -307,7 +307,7 @@
     ),
     (
         Rule.VISIBLE,
-        "handed out while it is held",
+        "a job is leased again while its lease is valid",
         history(
             SEND_A,
             runs=[run("a", 1.0, "1"), run("a", 4.5, "2")],
@@ -321,7 +321,7 @@
     ),
     (
         Rule.VISIBLE,
-        "an end may be taken before its answer comes",
+        "an end can take effect before its answer arrives",
         history(SEND_A, runs=PULLED_TWICE, answers=[Answer("a", 3.3, 500, "", lease_id="1")]),
         history(
             SEND_A,
@@ -332,19 +332,19 @@
     ),
     (
         Rule.CEILING,
-        "more arrivals than a window may have",
+        "a window has more arrivals than the limit",
         history(arrivals=[Arrival(number * 0.45, "limited") for number in range(11)]),
         history(arrivals=[Arrival(number * 0.5, "limited") for number in range(11)]),
     ),
     (
         Rule.MIXED,
-        "a state with the stamp of no run",
+        "a state has the stamp of no run",
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A], final_states=final_state_of_a(51.0, "done", "t")),
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A], final_states=final_state_of_a(51.0, "done", "s")),
     ),
     (
         Rule.MIXED,
-        "a call-back with the stamp of no run",
+        "a call-back has the stamp of no run",
         history(
             SEND_A,
             runs=[RUN_A],
@@ -360,7 +360,7 @@
     ),
     (
         Rule.MIXED,
-        "said to be dead before its end",
+        "a message is reported as dead before its end",
         history(
             SEND_A,
             runs=[RUN_A, run("a", 3.0)],
@@ -376,7 +376,7 @@
     ),
     (
         Rule.MIXED,
-        "other bytes come back",
+        "a body is read with different bytes",
         history(
             SEND_A,
             runs=[RUN_A],
@@ -389,31 +389,31 @@
     ),
     (
         Rule.REFUSED,
-        "runs after a promise",
+        "a message runs although its answer promised that it does not",
         history(send("a", outcome=SendOutcome.NOT_EXECUTED), runs=[RUN_A], answers=[SUCCESS_A]),
         history(send("a", outcome=SendOutcome.UNCLEAR), runs=[RUN_A], answers=[SUCCESS_A]),
     ),
     (
         Rule.UNASKED,
-        "no client sent it",
+        "a message runs that no client sent",
         history(runs=[RUN_A], answers=[SUCCESS_A]),
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A]),
     ),
     (
         Rule.UNASKED,
-        "runs with another target",
+        "a message runs with another target",
         history(SEND_A, runs=[replace(RUN_A, target="/T")], answers=[SUCCESS_A]),
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A]),
     ),
     (
         Rule.UNASKED,
-        "runs with another body",
+        "a message runs with another body",
         history(SEND_A, runs=[replace(RUN_A, body=b"")], answers=[SUCCESS_A]),
         history(SEND_A, runs=[RUN_A], answers=[SUCCESS_A]),
     ),
     (
         Rule.EARLY,
-        "runs before its delay is over",
+        "a message runs before its delay is over",
         history(send("a", delay_s=1.2), runs=[RUN_A], answers=[SUCCESS_A]),
         history(send("a", delay_s=1.05), runs=[RUN_A], answers=[SUCCESS_A]),
     ),
@@ -425,13 +425,13 @@
     ),
     (
         Rule.CONFIG,
-        "nothing is read back",
+        "no configuration is read back",
         history(orders=[FIRST_CHANGE]),
         history(orders=[FIRST_CHANGE], read_back=FIRST_CHANGE.document),
     ),
     (
         Rule.CONFIG,
-        "something else is read back",
+        "a document that was not sent is read back",
         history(orders=[FIRST_CHANGE], read_back={"version": 1, "mark": 9}),
         history(
             orders=[FIRST_CHANGE, order(2, OrderOutcome.UNCLEAR, 1, mark=9)],
@@ -461,7 +461,7 @@
     ),
     (
         Rule.CALLBACK,
-        "owed, and never taken",
+        "a call-back is never accepted",
         history(
             send("a", wants_callback=True),
             runs=[RUN_A],
@@ -479,12 +479,12 @@
 
 
 def broken_rules(observed: History) -> set[Rule]:
-    """The rules that a history breaks."""
+    """The rules that a history violates."""
     return {violation.rule for violation in check(observed, PARAMETERS)}
 
 
 class TestCheckers(unittest.TestCase):
-    """The table of cases."""
+    """The checkers, with the table of cases."""
 
     def test_each_checker_reports_its_violation(self) -> None:
         for rule, name, broken, _ in CASES:
@@ -515,7 +515,7 @@
 
 
 class TestEndedTimes(unittest.TestCase):
-    """When messages have ended."""
+    """The times at which messages have ended."""
 
     def test_message_ends_when_its_retention_is_over(self) -> None:
         observed = history(SEND_A)
@@ -530,7 +530,7 @@
 
 
 class TestReport(unittest.TestCase):
-    """What is printed of a broken rule."""
+    """The report about a violated rule."""
 
     def test_message_history_is_ordered_by_time(self) -> None:
         observed = history(SEND_A, runs=[RUN_A, run("a", 7.6)], answers=[SUCCESS_A])
