--- a/bitternpath/testing/fault_injection/statistics.py
+++ b/bitternpath/testing/fault_injection/statistics.py
@@ -34,7 +34,7 @@
     """Statistics of the messages of one delivery kind."""
 
     kind: DeliveryKind
-    tries: int
+    attempts: int
     accepted: int
     not_executed: int
     unclear: int
@@ -113,7 +113,7 @@
     for kind in DeliveryKind:
         row = kind_statistics(history, parameters, kind)
         lines.append(
-            f"{kind.value:9s} {row.tries:5d} {row.accepted:8d} {row.not_executed:7d} {row.unclear:7d}"
+            f"{kind.value:9s} {row.attempts:5d} {row.accepted:8d} {row.not_executed:7d} {row.unclear:7d}"
             f" {row.not_sent:6d} {row.done:4d} {row.dead:4d} {row.runs:5d} {row.repeated_runs:5d}"
             f" {row.start_p50_ms:10.0f} {row.start_p99_ms:7.0f}"
         )
--- a/tests/system/test_fault_injection_checker.py
+++ b/tests/system/test_fault_injection_checker.py
@@ -67,9 +67,11 @@
     return LeaseEnd(name, lease, at, status, accepted)
 
 
-def order(version: int, outcome: OrderOutcome, base: int = 0, valid: bool = True, mark: int = 0) -> OrderSent:
+def order(
+    version: int, outcome: OrderOutcome, base: int = 0, valid: bool = True, variant: int = 0
+) -> OrderSent:
     """A configuration change."""
-    document = {"version": version, "mark": mark}
+    document = {"version": version, "variant": variant}
     return OrderSent(version, base, float(version), version + 0.1, outcome, valid, document, 412)
 
 
@@ -432,10 +434,10 @@
     (
         Rule.CONFIG,
         "a document that was not sent is read back",
-        history(orders=[FIRST_CHANGE], read_back={"version": 1, "mark": 9}),
+        history(orders=[FIRST_CHANGE], read_back={"version": 1, "variant": 9}),
         history(
-            orders=[FIRST_CHANGE, order(2, OrderOutcome.UNCLEAR, 1, mark=9)],
-            read_back={"version": 2, "mark": 9},
+            orders=[FIRST_CHANGE, order(2, OrderOutcome.UNCLEAR, 1, variant=9)],
+            read_back={"version": 2, "variant": 9},
         ),
     ),
     (
@@ -450,8 +452,8 @@
     (
         Rule.CONFIG,
         "two changes of one version are acknowledged",
-        history(orders=[FIRST_CHANGE, order(1, ACKNOWLEDGED, mark=1)], read_back=FIRST_CHANGE.document),
-        history(orders=[FIRST_CHANGE, order(1, REFUSED, mark=1)], read_back=FIRST_CHANGE.document),
+        history(orders=[FIRST_CHANGE, order(1, ACKNOWLEDGED, variant=1)], read_back=FIRST_CHANGE.document),
+        history(orders=[FIRST_CHANGE, order(1, REFUSED, variant=1)], read_back=FIRST_CHANGE.document),
     ),
     (
         Rule.CONFIG,
