--- a/bitternpath/testing/fault_injection/demo.py
+++ b/bitternpath/testing/fault_injection/demo.py
@@ -1,4 +1,4 @@
-"""`bitternpath system demo`: the whole system on loopback, with faults, judged by the rules."""
+"""`bitternpath system demo`: the whole system on loopback, with faults, checked against the rules."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def print_line(line: str) -> None:
-    """Print a line at once."""
+    """Print a line and flush it."""
     print(line, flush=True)
 
 
 def run_demo(seconds: float, rate: float, seed: int, faults: bool, keep: Path | None) -> int:
-    """Run and judge; 0 if all rules were kept, 1 if one was broken or the run failed."""
+    """Run the demo and return the exit code: 0 if all rules were kept, 1 if one was violated or it failed."""
     plan = make_plan(rate, seconds, EDGES, STORAGE, seed)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
@@ -37,7 +37,7 @@
 
 
 class _Demo:
-    """One run with its verdict."""
+    """One run, and the check of its history."""
 
     def __init__(self, plan: Plan, folder: Path, faults: bool) -> None:
         self._reactor = monotonic_reactor()
@@ -49,18 +49,18 @@
             plan,
             self._world.processes,
             self._owner_poller,
-            self._report_at,
+            self._print_fault,
         )
-        self._code = 1
+        self._exit_code = 1
 
     def run(self) -> int:
-        """Until the verdict, or Ctrl-C."""
+        """Run until the results are printed, or until Ctrl-C; return the exit code."""
         self._reactor.callWhenRunning(self._begin)
         try:
             self._reactor.run()
         finally:
             self._world.stop()
-        return self._code
+        return self._exit_code
 
     def _begin(self) -> None:
         Deferred.fromCoroutine(self._run_stages()).addErrback(self._failed).addBoth(self._end)
@@ -73,38 +73,38 @@
         if self._faults:
             self._fault_schedule.run(world.failed)
         await world.traffic()
-        while self._fault_schedule.open or world.operator.busy:
+        while self._fault_schedule.pending or world.operator.busy:
             await deferLater(self._reactor, POLL_INTERVAL_S)
         await world.finish()
-        self._judge()
+        self._report_results()
 
-    def _judge(self) -> None:
+    def _report_results(self) -> None:
         world = self._world
         violations = check(world.history, world.parameters)
         lines = [world.cpu_wait_line(), *summary_lines(world.history, world.parameters)]
         lines += slow_start_lines(world.history)
         for line in lines + violation_lines(world.history, violations):
             print_line(line)
-        ended = {
+        unexpected_exits = {
             name: process.unexpected_exit_codes
             for name, process in world.processes.items()
             if process.unexpected_exit_codes
         }
-        for name, codes in ended.items():
-            print_line(f"FAULT {name} ended by itself, exit codes {codes}; the end of its log:")
+        for name, codes in unexpected_exits.items():
+            print_line(f"FAULT {name} exited unexpectedly, exit codes {codes}; the end of its log:")
             print_line("\n".join(world.processes[name].log.read_text(errors="replace").splitlines()[-20:]))
         for error in world.errors:
-            print_line(f"error in the test environment itself, the result is void:\n{error}")
-        if not violations and not ended and not world.errors:
+            print_line(f"error in the test environment itself, the result is invalid:\n{error}")
+        if not violations and not unexpected_exits and not world.errors:
             print_line("rules kept")
-            self._code = 0
+            self._exit_code = 0
 
-    def _report_at(self, line: str) -> None:
+    def _print_fault(self, line: str) -> None:
         print_line(f"        {self._world.now():6.2f} s  {line}")
 
     def _failed(self, failure: Failure) -> None:
         if isinstance(failure.value, SystemNotReadyError):
-            print_line(f"the system did not come up: {failure.value}")
+            print_line(f"the system did not become ready: {failure.value}")
             for process in self._world.processes.values():
                 print_line("\n".join(process.log.read_text(errors="replace").splitlines()[-3:]))
         else:
--- a/bitternpath/testing/fault_injection/http_workers.py
+++ b/bitternpath/testing/fault_injection/http_workers.py
@@ -1,4 +1,4 @@
-"""Workers that receive jobs over HTTP: those of the platform's list, and an endpoint with a rate limit."""
+"""Workers that receive jobs over HTTP: the listed ones of the platform, and a rate-limited endpoint."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 from bitternpath.testing.fault_injection.records import Answer, Arrival, Run
 from bitternpath.testing.fault_injection.time_bounds import BOUNDS
 
-QUEUE_CAPACITY = 4  # jobs that wait beyond the slots
-READ_MARGIN_AFTER_ANSWER_S = 0.1  # a connection that ends sooner may have ended before the answer was read
+QUEUE_CAPACITY = 4  # maximum number of jobs that wait for a slot
+# If a connection ends within this time after the answer, the answer may not have been read.
+READ_MARGIN_AFTER_ANSWER_S = 0.1
 NOT_EXECUTED = {"X-Not-Executed": "1"}
 DEFAULT_DEADLINE_MS = 60_000
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerDescription:
-    """What a worker serves, the id of its incarnation, and how many jobs it runs at once."""
+    """A worker's service, the id of its incarnation, and its number of concurrent jobs."""
 
     service: str
     instance: str
@@ -34,18 +35,18 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request that is queued or being processed; `ends_at` is its deadline on the actor's clock."""
+    """A request that is queued or being processed; `deadline` is on the actor's clock."""
 
     request_id: str
     request: Request
     connection: ServerConnection
-    ends_at: float
+    deadline: float
     answer: Deferred[Reply] = field(default_factory=Deferred)
     timer: Any = None
 
 
 class HttpWorker:
-    """A worker that receives jobs over HTTP, on an address of its own."""
+    """A worker that receives jobs over HTTP at its own address."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         host: str = LOOPBACK,
         port: int = 0,
     ) -> None:
-        """Listens at once; port 0 takes a free one."""
+        """Start to listen; port 0 selects a free port."""
         self._reactor = context.reactor
         self._clock = context.clock
         self._history = context.history
@@ -69,7 +70,7 @@
         self.port, self.address = serve(context.reactor, host, self.handle, port)
 
     def list_entry(self) -> dict[str, Any]:
-        """Its entry in the platform's endpoint list, as JSON values."""
+        """Return the worker's entry in the platform's endpoint list, as JSON values."""
         return {
             "service": self.service,
             "address": self.address,
@@ -82,9 +83,9 @@
         }
 
     def handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
-        """Answers a delivery or a health check."""
+        """Answer a delivery or a health check."""
         if connection not in self._connections:
-            self._connections = [known for known in self._connections if not known.closed] + [connection]
+            self._connections = [opened for opened in self._connections if not opened.closed] + [connection]
         if request.method == b"GET" and request.path == b"/healthz":
             return succeed(
                 Reply(200 if len(self._running) < self._slots else 503, self._identity_headers(""))
@@ -93,7 +94,7 @@
         refusal = self._rejection_status(request, request_id)
         if refusal:
             return succeed(Reply(refusal, {**self._identity_headers(request_id), **NOT_EXECUTED}))
-        return self._take(request, request_id, connection)
+        return self._enqueue(request, request_id, connection)
 
     def close(self) -> None:
         """Stop listening, and reset open connections."""
@@ -110,28 +111,28 @@
             return 400
         if request_id in self._running:
             return 409
-        full = len(self._running) >= self._slots and len(self._waiting) >= QUEUE_CAPACITY
-        return 503 if full else 0
+        queue_is_full = len(self._running) >= self._slots and len(self._waiting) >= QUEUE_CAPACITY
+        return 503 if queue_is_full else 0
 
-    def _take(self, request: Request, request_id: str, connection: ServerConnection) -> Deferred[Reply]:
+    def _enqueue(self, request: Request, request_id: str, connection: ServerConnection) -> Deferred[Reply]:
         deadline = _header(request, b"x-deadline-ms")
         deadline_ms = int(deadline) if deadline.isdigit() else DEFAULT_DEADLINE_MS
         job = Job(request_id, request, connection, self._clock() + deadline_ms / 1000)
-        job.answer = Deferred(lambda _: self._dropped(job))
+        job.answer = Deferred(lambda _: self._cancel_job(job))
         self._waiting.append(job)
-        self._next()
+        self._start_next()
         return job.answer
 
-    def _dropped(self, job: Job) -> None:
-        """Its connection has closed: drop it from the queue, or abort its run."""
+    def _cancel_job(self, job: Job) -> None:
+        """Remove a job from the queue, or abort its run, because its connection has closed."""
         if job in self._waiting:
             self._waiting.remove(job)
         if job.timer is not None and job.timer.active():
             job.timer.cancel()
             self._running.discard(job.request_id)
-            self._next()
+            self._start_next()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         while self._waiting and len(self._running) < self._slots:
             job = self._waiting.pop(0)
             self._running.add(job.request_id)
@@ -147,17 +148,17 @@
                 order_key=_header(request, b"x-order-key"),
             )
             self._history.runs.append(run)
-            seconds = min(self._behavior.seconds(), max(job.ends_at - self._clock(), 0.0))
+            seconds = min(self._behavior.seconds(), max(job.deadline - self._clock(), 0.0))
             job.timer = self._reactor.callLater(seconds, self._finish, job)
 
     def _finish(self, job: Job) -> None:
         self._running.discard(job.request_id)
-        status = self._behavior.status(job.request_id) if self._clock() < job.ends_at else 504
+        status = self._behavior.status(job.request_id) if self._clock() < job.deadline else 504
         self._answer(job, status)
-        self._next()
+        self._start_next()
 
     def _answer(self, job: Job, status: int) -> None:
-        """Answer a run that has ended."""
+        """Answer the request of a finished run."""
         stamp = self._behavior.stamp(self.instance) if status == 200 else ""
         headers = self._identity_headers(job.request_id)
         if stamp:
@@ -182,7 +183,7 @@
 
 
 class Endpoint(HttpWorker):
-    """An endpoint that no list names; records arrivals, and rejects those over its rate limit with 429."""
+    """A worker outside the platform's list; records arrivals, and answers 429 over its rate limit."""
 
     def __init__(
         self,
@@ -194,19 +195,22 @@
     ) -> None:
         super().__init__(context, behavior, description, host)
         self._rate_per_s = rate_per_s
-        self._recent: list[float] = []
-        self.over_rate = 0
+        self._recent_arrivals: list[float] = []
+        self.rejected_over_rate = 0
 
     def handle(self, request: Request, connection: ServerConnection) -> Deferred[Reply]:
-        """As `HttpWorker.handle`, within the rate."""
+        """Answer like `HttpWorker.handle`, but reject deliveries over the rate limit."""
         if request.method == b"GET":
             return super().handle(request, connection)
         now = self._clock()
         self._history.arrivals.append(Arrival(now, self.service))
         window = BOUNDS["ceiling_window_s"]
-        self._recent = [at for at in self._recent if at > now - window] + [now]
-        if len(self._recent) > self._rate_per_s * window * BOUNDS["origin_rate_over"] + CEILING_ALLOWANCE:
-            self.over_rate += 1
+        self._recent_arrivals = [at for at in self._recent_arrivals if at > now - window] + [now]
+        if (
+            len(self._recent_arrivals)
+            > self._rate_per_s * window * BOUNDS["origin_rate_over"] + CEILING_ALLOWANCE
+        ):
+            self.rejected_over_rate += 1
             return succeed(
                 Reply(429, {**self._identity_headers(_header(request, b"x-request-id")), **NOT_EXECUTED})
             )
