--- a/bitternpath/balancer/amqp/server.py
+++ b/bitternpath/balancer/amqp/server.py
@@ -30,7 +30,7 @@
 from bitternpath.balancer.amqp.session import Session, SessionLimits
 from bitternpath.balancer.amqp.subscribers import Delivery, Subscribers
 from bitternpath.balancer.config.operator import Amqp, User
-from bitternpath.balancer.config.passwords import NOBODY, matches
+from bitternpath.balancer.config.passwords import DUMMY_HASH, verify_password
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.net.sockets import BurstPort
 
@@ -407,8 +407,8 @@
         An unknown user takes as long as a known one, so that timing does not reveal which users exist.
         """
         self._active_logins += 1
-        stored = user.password if user is not None else NOBODY
-        verification = deferToThread(matches, password, stored)
+        stored = user.password if user is not None else DUMMY_HASH
+        verification = deferToThread(verify_password, password, stored)
 
         def on_verified(matched: bool) -> None:
             if matched and user is not None:
--- a/bitternpath/balancer/config/load.py
+++ b/bitternpath/balancer/config/load.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 from bitternpath.balancer.config import platform
-from bitternpath.balancer.config.operator import Effective, read
+from bitternpath.balancer.config.operator import EffectiveSettings, read_settings
 from bitternpath.balancer.config.platform import Config, ConfigError
 
-LEAST_SOCKETS = 64  # that the limit must leave besides AMQP's
+MIN_SOCKETS = 64  # that the limit must leave besides AMQP's
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,15 +17,15 @@
     """What a node runs with."""
 
     platform: Config
-    operator: Effective
+    operator: EffectiveSettings
 
 
 def load_all(
     environ: Mapping[str, str], config: str | None, operator_file: str | None, flags: Mapping[str, str]
 ) -> Loaded:
     """Read everything; ConfigError names the first fault."""
-    operator = read(operator_file, environ, flags)
-    return _fit(Loaded(platform.load(environ, config), operator))
+    operator = read_settings(operator_file, environ, flags)
+    return _check_compatible(Loaded(platform.load(environ, config), operator))
 
 
 def reload_all(
@@ -36,31 +36,33 @@
     flags: Mapping[str, str],
 ) -> Loaded:
     """Read everything again while `running` is in use."""
-    operator = read(operator_file, environ, flags)
-    return _fit(Loaded(platform.reload(running.platform, environ, config), operator))
+    operator = read_settings(operator_file, environ, flags)
+    return _check_compatible(Loaded(platform.reload(running.platform, environ, config), operator))
 
 
-def _fit(loaded: Loaded) -> Loaded:
+def _check_compatible(loaded: Loaded) -> Loaded:
     """What each file allows must also fit the other."""
-    amqp, told = loaded.operator.settings.amqp, loaded.platform
+    amqp, node_config = loaded.operator.settings.amqp, loaded.platform
     if not amqp.listen:
         return loaded
     try:
         platform.address(amqp.listen)
     except ValueError as error:
-        where = loaded.operator.origin["amqp.listen"]
-        raise ConfigError(f"{where}: amqp.listen = {amqp.listen!r}: {error}") from error
-    names = [c.name for c in told.settings.classes]
+        source = loaded.operator.origin["amqp.listen"]
+        raise ConfigError(f"{source}: amqp.listen = {amqp.listen!r}: {error}") from error
+    class_names = [c.name for c in node_config.settings.classes]
     for name in amqp.requeue_unstarted:
-        if name not in names:
-            where = loaded.operator.origin["amqp.requeue_unstarted"]
+        if name not in class_names:
+            source = loaded.operator.origin["amqp.requeue_unstarted"]
             raise ConfigError(
-                f"{where}: amqp.requeue_unstarted = {name!r}: no such class; allowed are {', '.join(names)}"
+                f"{source}: amqp.requeue_unstarted = {name!r}: no such class; "
+                f"allowed are {', '.join(class_names)}"
             )
-    if told.sockets - amqp.max_connections < LEAST_SOCKETS:
-        where = loaded.operator.origin.get("amqp.max_connections", "default")
+    if node_config.sockets - amqp.max_connections < MIN_SOCKETS:
+        source = loaded.operator.origin.get("amqp.max_connections", "default")
         raise ConfigError(
-            f"{where}: amqp.max_connections = {amqp.max_connections}: limits.sockets is {told.sockets} and "
-            f"{LEAST_SOCKETS} must be left; at most {max(told.sockets - LEAST_SOCKETS, 0)} is allowed"
+            f"{source}: amqp.max_connections = {amqp.max_connections}: limits.sockets is "
+            f"{node_config.sockets} and {MIN_SOCKETS} must be left; "
+            f"at most {max(node_config.sockets - MIN_SOCKETS, 0)} is allowed"
         )
     return loaded
--- a/bitternpath/balancer/config/logs.py
+++ b/bitternpath/balancer/config/logs.py
@@ -15,36 +15,36 @@
 import structlog
 import ujson
 
-FIRST = ["at", "level", "part", "event"]  # the keys that lead a line, in this order
+LEADING_KEYS = ["at", "level", "part", "event"]  # the keys that lead a line, in this order
 
-Line = structlog.typing.EventDict
+LogEvent = structlog.typing.EventDict
 
 
-def stamp(logger: Any, method: str, line: Line) -> Line:
+def add_time_and_level(logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
     """Add when and how severe it is."""
-    line["at"] = f"{time():.3f}"
-    line["level"] = "error" if method == "exception" else method
-    return line
+    event_dict["at"] = f"{time():.3f}"
+    event_dict["level"] = "error" if method == "exception" else method
+    return event_dict
 
 
-def shorten(logger: Any, method: str, line: Line) -> Line:
+def format_values(logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
     """Numbers are rounded to a tenth, everything else that no format knows becomes text."""
-    for key, value in line.items():
+    for key, value in event_dict.items():
         if isinstance(value, float):
-            line[key] = round(value, 1)
+            event_dict[key] = round(value, 1)
         elif not isinstance(value, str | int | None):
-            line[key] = str(value)
-    return line
+            event_dict[key] = str(value)
+    return event_dict
 
 
-def trace(logger: Any, method: str, line: Line) -> Line:
+def rename_traceback(logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
     """The traceback under the name that lines have always had for it."""
-    if "exception" in line:
-        line["trace"] = line.pop("exception")
-    return line
+    if "exception" in event_dict:
+        event_dict["trace"] = event_dict.pop("exception")
+    return event_dict
 
 
-class Bound:
+class RateLimiter:
     """At most so many lines of one event in a second: strangers can provoke some of them at will.
 
     Where lines were left out, the event's next one says how many, as `left_out`.
@@ -54,31 +54,40 @@
         self.per_second, self.clock = per_second, clock
         self._seen: dict[str, tuple[int, int, int]] = {}  # event: second, lines in it, left out since
 
-    def __call__(self, logger: Any, method: str, line: Line) -> Line:
+    def __call__(self, logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
         """Pass a line on, or raise `structlog.DropEvent`."""
-        event, second = str(line.get("event")), int(self.clock())
-        at, count, left_out = self._seen.get(event, (second, 0, 0))
-        if at != second:
-            at, count = second, 0
+        event, second = str(event_dict.get("event")), int(self.clock())
+        last_second, count, left_out = self._seen.get(event, (second, 0, 0))
+        if last_second != second:
+            last_second, count = second, 0
         if count >= self.per_second:
-            self._seen[event] = at, count, left_out + 1
+            self._seen[event] = last_second, count, left_out + 1
             raise structlog.DropEvent
-        self._seen[event] = at, count + 1, 0
+        self._seen[event] = last_second, count + 1, 0
         if left_out:
-            line["left_out"] = left_out
-        return line
+            event_dict["left_out"] = left_out
+        return event_dict
 
 
-def renderer(form: str) -> Any:
+def renderer(format: str) -> Any:
     """`kv` or `json`: the last processor."""
-    if form == "json":
-        return structlog.processors.JSONRenderer(serializer=lambda line, **_: ujson.dumps(dict(line)))
-    return structlog.processors.LogfmtRenderer(key_order=FIRST, drop_missing=True, bool_as_flag=False)
+    if format == "json":
+        return structlog.processors.JSONRenderer(
+            serializer=lambda event_dict, **_: ujson.dumps(dict(event_dict))
+        )
+    return structlog.processors.LogfmtRenderer(key_order=LEADING_KEYS, drop_missing=True, bool_as_flag=False)
 
 
-def processors(form: str, per_second: int) -> list[Any]:
+def processors(format: str, per_second: int) -> list[Any]:
     """All of them, in the order in which a line passes through."""
-    return [Bound(per_second), stamp, structlog.processors.format_exc_info, trace, shorten, renderer(form)]
+    return [
+        RateLimiter(per_second),
+        add_time_and_level,
+        structlog.processors.format_exc_info,
+        rename_traceback,
+        format_values,
+        renderer(format),
+    ]
 
 
 def _from_twisted(event: dict[str, Any]) -> None:
@@ -87,16 +96,16 @@
 
     if event["log_level"] >= LogLevel.error:
         failure = event.get("log_failure")
-        more = {"trace": failure.getTraceback()} if failure is not None else {}
-        structlog.get_logger(part="twisted").error(formatEvent(event), **more)
+        fields = {"trace": failure.getTraceback()} if failure is not None else {}
+        structlog.get_logger(part="twisted").error(formatEvent(event), **fields)
 
 
-def start(level: str, form: str = "kv", per_second: int = 50, stream: TextIO = sys.stderr) -> None:
+def configure(level: str, format: str = "kv", per_second: int = 50, stream: TextIO = sys.stderr) -> None:
     """Write log lines from `level` on, at most `per_second` of one event, and Twisted's errors."""
     from twisted.logger import globalLogBeginner
 
     structlog.configure(
-        processors=processors(form, per_second),
+        processors=processors(format, per_second),
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.WriteLoggerFactory(file=stream),
         cache_logger_on_first_use=True,
--- a/bitternpath/balancer/config/operator.py
+++ b/bitternpath/balancer/config/operator.py
@@ -150,13 +150,13 @@
 
 
 # What a running node cannot change; a reload names those that differ.
-AT_START_ONLY = (
+RESTART_ONLY_KEYS = (
     "log.level", "log.format", "log.per_second", "amqp.listen", "amqp.max_connections",
     *(f"fleet.{key}" for key in Fleet.__struct_fields__),
 )  # fmt: skip
 
 
-class Effective:
+class EffectiveSettings:
     """The settings and where each value came from."""
 
     def __init__(self, settings: Operator, origin: dict[str, str]) -> None:
@@ -164,12 +164,12 @@
 
     def lines(self) -> Iterator[str]:
         """`section.key = value (origin)`, for people; secrets are left out."""
-        for path, _ in keys():
+        for path, _ in setting_keys():
             value = self.value(path)
-            shown = (
+            displayed = (
                 {name: {"vhosts": u.vhosts} for name, u in value.items()} if path == "amqp.users" else value
             )
-            yield f"{path} = {msgspec.json.encode(shown).decode()} ({self.origin.get(path, 'default')})"
+            yield f"{path} = {msgspec.json.encode(displayed).decode()} ({self.origin.get(path, 'default')})"
 
     def value(self, path: str) -> Any:
         """The value of a key, which is named `section.key`."""
@@ -177,63 +177,68 @@
         return getattr(getattr(self.settings, section), key)
 
 
-def keys() -> Iterator[tuple[str, Any]]:
+def setting_keys() -> Iterator[tuple[str, Any]]:
     """Every key as `section.key` with its type."""
     for section in Operator.__struct_fields__:
-        kind = get_type_hints(Operator)[section]
-        for key, hint in get_type_hints(kind, include_extras=True).items():
+        section_type = get_type_hints(Operator)[section]
+        for key, hint in get_type_hints(section_type, include_extras=True).items():
             yield f"{section}.{key}", hint
 
 
-def meant(hint: Any) -> Meta:
+def key_metadata(hint: Any) -> Meta:
     """What the schema says of a key in words."""
-    found: Meta = next((note for note in getattr(hint, "__metadata__", ()) if isinstance(note, Meta)), Meta())
-    return found
+    metadata: Meta = next(
+        (annotation for annotation in getattr(hint, "__metadata__", ()) if isinstance(annotation, Meta)),
+        Meta(),
+    )
+    return metadata
 
 
-def variable(path: str) -> str:
+def environment_variable(path: str) -> str:
     """The environment variable that sets a key."""
     return PREFIX + path.replace(".", "_").upper()
 
 
-def flag(path: str) -> str:
+def flag_name(path: str) -> str:
     """The command's option that sets a key."""
     return "--" + path.replace(".", "-").replace("_", "-")
 
 
-def read(path: str | None, environ: Mapping[str, str], flags: Mapping[str, str]) -> Effective:
+def read_settings(
+    path: str | None, environ: Mapping[str, str], flags: Mapping[str, str]
+) -> EffectiveSettings:
     """Read all three. `path` (else BITTERNPATH_OPERATOR_FILE) names the file; `flags` has values by key."""
     path = path or environ.get(FILE_VARIABLE) or None
     tree: dict[str, Any] = {}
     origin: dict[str, str] = {}
     if path is not None:
-        tree = _file(path)
+        tree = _read_file(path)
         _convert(tree, Operator, path, tree)
-        for section, given in tree.items():
-            origin |= {f"{section}.{key}": path for key in given}
-    known = dict(keys())
-    variables = {variable(key): key for key in known}
+        for section, values in tree.items():
+            origin |= {f"{section}.{key}": path for key in values}
+    types = dict(setting_keys())
+    variables = {environment_variable(key): key for key in types}
     for name in sorted(environ):
         if name.startswith(PREFIX) and name != FILE_VARIABLE and name not in variables:
-            allowed = _some([FILE_VARIABLE, *variables])
+            allowed = _joined([FILE_VARIABLE, *variables])
             raise ConfigError(f"environment: {name} = {environ[name]!r}: unknown; allowed are {allowed}")
     for name, key in variables.items():
         if name in environ:
-            _set(tree, key, _text(environ[name], known[key], name))
+            _set_value(tree, key, _parse_text(environ[name], types[key], name))
             origin[key] = name
     for key, text in flags.items():
-        _set(tree, key, _text(text, known[key], flag(key)))
-        origin[key] = flag(key)
-    return Effective(_convert(tree, Operator, path or "settings", tree), origin)
+        _set_value(tree, key, _parse_text(text, types[key], flag_name(key)))
+        origin[key] = flag_name(key)
+    return EffectiveSettings(_convert(tree, Operator, path or "settings", tree), origin)
 
 
-def changed_at_start_only(before: Operator, now: Operator) -> list[str]:
+def changes_requiring_restart(before: Operator, now: Operator) -> list[str]:
     """The keys that differ and wait for a restart."""
-    old, new = Effective(before, {}), Effective(now, {})
-    return [path for path in AT_START_ONLY if old.value(path) != new.value(path)]
+    old, new = EffectiveSettings(before, {}), EffectiveSettings(now, {})
+    return [path for path in RESTART_ONLY_KEYS if old.value(path) != new.value(path)]
 
 
-def _file(path: str) -> dict[str, Any]:
+def _read_file(path: str) -> dict[str, Any]:
     import tomllib  # not needed where there is no file
 
     try:
@@ -244,60 +249,61 @@
         raise ConfigError(f"{path}: not TOML: {' '.join(str(error).split())}") from error
 
 
-def _set(tree: dict[str, Any], path: str, value: Any) -> None:
+def _set_value(tree: dict[str, Any], path: str, value: Any) -> None:
     section, _, key = path.partition(".")
     tree.setdefault(section, {})[key] = value
 
 
-def _text(text: str, kind: Any, where: str) -> Any:
+def _parse_text(text: str, kind: Any, source: str) -> Any:
     """A value given as text: lists with commas, tables as JSON, the rest as it stands."""
     origin = get_origin(kind.__origin__ if hasattr(kind, "__metadata__") else kind)
     if origin is dict:
         try:
             value: Any = msgspec.json.decode(text)
         except msgspec.DecodeError as error:
-            raise ConfigError(f"{where}: {text!r}: not JSON: {error}") from error
+            raise ConfigError(f"{source}: {text!r}: not JSON: {error}") from error
     elif origin is list:
         value = [part.strip() for part in text.split(",") if part.strip()]
     else:
         value = text
-    made = _convert(value, kind, where, value, strict=False)
-    return msgspec.to_builtins(made)
+    converted = _convert(value, kind, source, value, strict=False)
+    return msgspec.to_builtins(converted)
 
 
-_AT = re.compile(r" - at `(?:key in )?\$([^`]*)`$")
-_UNKNOWN = re.compile(r"unknown field `([^`]*)`")
+_ERROR_PATH = re.compile(r" - at `(?:key in )?\$([^`]*)`$")
+_UNKNOWN_FIELD = re.compile(r"unknown field `([^`]*)`")
 
 
-def _convert(value: Any, kind: Any, where: str, tree: Any, strict: bool = True) -> Any:
+def _convert(value: Any, kind: Any, source: str, tree: Any, strict: bool = True) -> Any:
     try:
         return msgspec.convert(value, kind, strict=strict)
     except msgspec.ValidationError as error:
         text = str(error)
-        found = _AT.search(text)
-        path = (found[1] if found else "").strip(".")
-        said = _AT.sub("", text)
-        if unknown := _UNKNOWN.search(said):
-            full = ".".join(part for part in (path, unknown[1]) if part)
-            given = _at(tree, full)
+        match = _ERROR_PATH.search(text)
+        path = (match[1] if match else "").strip(".")
+        message = _ERROR_PATH.sub("", text)
+        if unknown := _UNKNOWN_FIELD.search(message):
+            full_path = ".".join(part for part in (path, unknown[1]) if part)
+            rejected = _value_at(tree, full_path)
             raise ConfigError(
-                f"{where}: {full} = {given!r}: unknown key; allowed are {_some(_fields(kind, path))}"
+                f"{source}: {full_path} = {rejected!r}: unknown key; "
+                f"allowed are {_joined(_field_names(kind, path))}"
             ) from error
-        hint = kind if hasattr(kind, "__metadata__") else dict(keys()).get(path)
-        allowed = _allowed(hint) if hint is not None else said[0].lower() + said[1:]
+        hint = kind if hasattr(kind, "__metadata__") else dict(setting_keys()).get(path)
+        allowed = _allowed(hint) if hint is not None else message[0].lower() + message[1:]
         if path.endswith("password"):
-            raise ConfigError(f"{where}: {path}: not a hash; `bitternpath user hash` makes one") from error
-        head = f"{where}: {path} = " if path else f"{where}: "
-        raise ConfigError(f"{head}{_at(tree, path)!r}: {allowed}") from error
+            raise ConfigError(f"{source}: {path}: not a hash; `bitternpath user hash` makes one") from error
+        prefix = f"{source}: {path} = " if path else f"{source}: "
+        raise ConfigError(f"{prefix}{_value_at(tree, path)!r}: {allowed}") from error
 
 
 def _allowed(hint: Any) -> str:
     """What a key may be, in words."""
-    kind, meta = getattr(hint, "__origin__", hint), meant(hint)
+    kind, meta = getattr(hint, "__origin__", hint), key_metadata(hint)
     if meta.title:
         return f"allowed is {meta.title}"
     if get_origin(kind) is Literal:
-        return f"allowed are {_some(get_args(kind))}"
+        return f"allowed are {_joined(get_args(kind))}"
     if kind is float:
         return f"allowed is a number from {meta.ge:g} to {meta.le:g}"
     if kind is int:
@@ -307,7 +313,7 @@
     return "allowed is a list of texts" if get_origin(kind) is list else "allowed is a table"
 
 
-def _at(tree: Any, path: str) -> Any:
+def _value_at(tree: Any, path: str) -> Any:
     """What stands at a path such as `amqp.vhosts[0]`; `...` is any key of a table."""
     for part in re.findall(r"[^.\[\]]+|\.{3}", path):
         try:
@@ -317,7 +323,7 @@
     return tree
 
 
-def _fields(kind: Any, path: str) -> list[str]:
+def _field_names(kind: Any, path: str) -> list[str]:
     for part in [p for p in path.split(".") if p]:
         hints = get_type_hints(kind) if isinstance(kind, type) and issubclass(kind, Struct) else {}
         kind = hints.get(part, User)  # below `users` there are names, then the fields of one
@@ -325,5 +331,5 @@
     return list(getattr(kind, "__struct_fields__", ()))
 
 
-def _some(names: Any) -> str:
+def _joined(names: Any) -> str:
     return ", ".join(names)
--- a/bitternpath/balancer/config/platform.py
+++ b/bitternpath/balancer/config/platform.py
@@ -18,8 +18,8 @@
 Address = tuple[str, int]
 
 
-SECTIONS = ("allowed", "rules")  # of the settings: objects of which every key counts
-OPTIONAL = ("known",)  # what the node once held: a file for a running node need not have it
+CHECKED_SECTIONS = ("allowed", "rules")  # of the settings: objects of which every key counts
+OPTIONAL_KEYS = ("known",)  # what the node once held: a file for a running node need not have it
 
 
 class ConfigError(Exception):
@@ -58,13 +58,13 @@
     if not path:
         raise ConfigError("no configuration: set PROXY_CONFIG or give --config")
     try:
-        told = ujson.loads(Path(path).read_bytes())
+        document = ujson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise ConfigError(f"{path}: not JSON: {error}") from error
     try:
-        return _config(told, environ)
+        return _config(document, environ)
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]} is missing") from error
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
@@ -77,59 +77,66 @@
     A file that lacks a key that the one in use has is cut, not changed, also where the environment or a
     default could stand in for it.
     """
-    told = load(environ, path)
-    lacks = sorted(running.keys - told.keys)
-    if lacks:
+    reloaded = load(environ, path)
+    missing_keys = sorted(running.keys - reloaded.keys)
+    if missing_keys:
         raise ConfigError(
-            f"{path or environ.get('PROXY_CONFIG')}: {lacks[0]} is missing; the file in use has it"
+            f"{path or environ.get('PROXY_CONFIG')}: {missing_keys[0]} is missing; the file in use has it"
         )
-    filed = told.discovery_in_file
-    if filed is None or filed == running.discovery_in_file:
-        filed = running.discovery
-    return replace(told, discovery=filed)
+    discovery = reloaded.discovery_in_file
+    if discovery is None or discovery == running.discovery_in_file:
+        discovery = running.discovery
+    return replace(reloaded, discovery=discovery)
 
 
-def _above_0(name: str, value: Any) -> None:
+def _check_positive(name: str, value: Any) -> None:
     """No text, no truth value, not infinite and no NaN."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < inf:
         raise ValueError(f"{name}: must be a number above 0, not {value!r:.40}")
 
 
-def _keys(told: dict[str, Any]) -> frozenset[str]:
+def _required_keys(document: dict[str, Any]) -> frozenset[str]:
     """What every later file has to name as well: all at the top and in `settings`, and in each class."""
-    conf = told["settings"]
-    inner = [*conf, *(f"{name}.{key}" for name in SECTIONS for key in conf.get(name) or ())]
-    each = set.intersection(*(set(c) for c in conf["classes"]))
-    top = [key for key in told if key not in OPTIONAL]
+    settings = document["settings"]
+    settings_keys = [
+        *settings,
+        *(f"{name}.{key}" for name in CHECKED_SECTIONS for key in settings.get(name) or ()),
+    ]
+    class_keys = set.intersection(*(set(c) for c in settings["classes"]))
+    top_level_keys = [key for key in document if key not in OPTIONAL_KEYS]
     return frozenset(
-        [*top, *(f"settings.{key}" for key in inner), *(f"settings.classes.{key}" for key in each)]
+        [
+            *top_level_keys,
+            *(f"settings.{key}" for key in settings_keys),
+            *(f"settings.classes.{key}" for key in class_keys),
+        ]
     )
 
 
-def _config(told: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    conf = told["settings"]
-    allowed, limits = conf.get("allowed") or {}, told.get("limits") or {}
-    known, filed = told.get("known"), told.get("discovery")
-    for job_class in conf["classes"]:
-        _above_0("aim", job_class["aim"])
-        _above_0("giveUp", job_class["giveUp"])
+def _config(document: dict[str, Any], environ: Mapping[str, str]) -> Config:
+    settings = document["settings"]
+    allowed, limits = settings.get("allowed") or {}, document.get("limits") or {}
+    known, discovery_text = document.get("known"), document.get("discovery")
+    for job_class in settings["classes"]:
+        _check_positive("aim", job_class["aim"])
+        _check_positive("giveUp", job_class["giveUp"])
     if "tryLimit" in allowed:
-        _above_0("tryLimit", allowed["tryLimit"])
-    discovery_in_file = address(filed) if filed else None
-    console = environ.get("PROXY_CONSOLE") or told.get("console")
+        _check_positive("tryLimit", allowed["tryLimit"])
+    discovery_in_file = address(discovery_text) if discovery_text else None
+    console = environ.get("PROXY_CONSOLE") or document.get("console")
     config = Config(
-        name=str(environ.get("PROXY_NAME") or told.get("name") or "node"),
-        listen=address(environ.get("PROXY_LISTEN") or told["listen"]),
-        discovery=address(environ.get("PROXY_DISCOVERY") or told["discovery"]),
+        name=str(environ.get("PROXY_NAME") or document.get("name") or "node"),
+        listen=address(environ.get("PROXY_LISTEN") or document["listen"]),
+        discovery=address(environ.get("PROXY_DISCOVERY") or document["discovery"]),
         discovery_in_file=discovery_in_file,
-        seed=int(str(told.get("seed") or "0"), 16),
+        seed=int(str(document.get("seed") or "0"), 16),
         sockets=int(limits.get("sockets") or 1024),
         known=listing_from(known) if known else Listing(0, True, ()),
-        settings=settings_from(conf),
+        settings=settings_from(settings),
         dial_timeout=float(allowed.get("dialTimeout") or 1000.0),
         idle_timeout=float(allowed.get("connIdle") or 10_000.0),
         console=address(console) if console else None,
-        keys=_keys(told),
+        keys=_required_keys(document),
     )
     if config.sockets < 64:
         raise ValueError(f"limits.sockets: at least 64 are needed, not {config.sockets}")
--- a/bitternpath/balancer/handover/handover.py
+++ b/bitternpath/balancer/handover/handover.py
@@ -190,7 +190,7 @@
     def _update_capacity_share(self) -> None:
         """Divide the node's capacity equally among its processes."""
         share = 1.0 / (1 + len(self.links))
-        self.sockets.share(share)
+        self.sockets.set_share(share)
         self.module.capacity_share = share
         self.broker.on_accepted = self._request_accepted if self.links else None
 
--- a/bitternpath/balancer/http/client_connection.py
+++ b/bitternpath/balancer/http/client_connection.py
@@ -83,13 +83,13 @@
     def __init__(self, listener: ConnectionOwner) -> None:
         self.listener = listener
         self.reader = http1.RequestReader()
-        self.begun_at = 0.0  # ms: when the message that is being read began
+        self.message_started_at = 0.0  # ms: when the message that is being read began
         self.idle_since = 0.0  # ms: connected, or last answered
         self.request: AcceptedRequest | None = None
         self.keep_alive = True  # of the request that is being answered
         self.open = False
         self.input_truncated = False  # more came ahead of an answer than is kept
-        self.answered = False  # at least once
+        self.response_sent = False  # at least once
         self.relayed = False  # its call-back has been passed on to another process of this node
         self.only_callbacks = True  # has carried no request
         self.discarded_bytes = 0  # beyond what is kept, and after the last answer
@@ -104,15 +104,15 @@
         if not self.open or self.input_truncated:
             self._discard(data)
             return
-        if not self.reader.begun:
-            self.begun_at = self.listener.clock()
-            if self.answered and not self.busy:
+        if not self.reader.has_partial_message:
+            self.message_started_at = self.listener.clock()
+            if self.response_sent and not self.busy:
                 self.listener.mark_idle(self)
-        room = max(PENDING_LIMIT - len(self.reader.buffer), 0)
-        if self.busy and len(data) > room:
+        capacity = max(PENDING_LIMIT - len(self.reader.buffer), 0)
+        if self.busy and len(data) > capacity:
             self.input_truncated = True
-            self._discard(data[room:])
-            data = data[:room]
+            self._discard(data[capacity:])
+            data = data[:capacity]
         self.reader.feed(data)
         if not self.busy:
             self.advance()
@@ -127,15 +127,15 @@
         while self.open and not self.busy:
             try:
                 message = self.reader.next()
-                self._continue()
+                self._send_continue()
             except http1.HttpError as error:
                 self.keep_alive = False
-                self.answer(error.status, str(error).encode())
+                self.send_response(error.status, str(error).encode())
                 return
             if not isinstance(message, http1.Request):
                 if self.input_truncated:
                     self.keep_alive = False
-                    self.answer(413, b"too much ahead of an answer")
+                    self.send_response(413, b"too much ahead of an answer")
                 break
             self.keep_alive = message.keep_alive
             try:
@@ -143,28 +143,28 @@
             except Exception:
                 log.exception("request_handling_failed", target=message.target.decode("latin-1"))
                 self.keep_alive = False
-                self.answer(500)
+                self.send_response(500)
                 return
-            self.begun_at = self.listener.clock()
+            self.message_started_at = self.listener.clock()
 
-    def _continue(self) -> None:
-        head = self.reader.awaited()
+    def _send_continue(self) -> None:
+        head = self.reader.incomplete_message()
         if head is not None and head.headers.pop(b"expect", b"").lower() == b"100-continue":
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     @property
-    def since(self) -> float:
+    def last_activity(self) -> float:
         """Time (ms) of the last activity: connecting, the last answer, or the begin of a message after it."""
-        return max(self.idle_since, self.begun_at) if self.answered else self.idle_since
+        return max(self.idle_since, self.message_started_at) if self.response_sent else self.idle_since
 
-    def check_time(self, now: float) -> None:
+    def check_timeout(self, now: float) -> None:
         """Close it if a message is overdue; trickling bytes renew nothing. Once answered it may idle."""
-        if not self.open or self.busy or self.since + MESSAGE_TIMEOUT > now:
+        if not self.open or self.busy or self.last_activity + MESSAGE_TIMEOUT > now:
             return
-        if self.reader.begun:
+        if self.reader.has_partial_message:
             self.keep_alive = False
-            self.answer(408)
-        elif not self.answered:
+            self.send_response(408)
+        elif not self.response_sent:
             self.drop()
 
     @property
@@ -175,26 +175,30 @@
     @property
     def idle(self) -> bool:
         """Whether it is open, owes nothing and has read no part of a message."""
-        return self.open and not self.busy and not self.reader.begun
+        return self.open and not self.busy and not self.reader.has_partial_message
 
-    def answer(self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
+    def send_response(
+        self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()
+    ) -> None:
         """Write the answer that is due on this connection."""
         self.request = None
         self.relayed = False
         if not self.open:
             return
-        keep = self.keep_alive and self.listener.lifecycle.behavior.keep_alive and self.listener.accepting
-        self.transport.write(http1.response(status, body, headers, keep))
-        self.answered = True
+        keep_alive = (
+            self.keep_alive and self.listener.lifecycle.behavior.keep_alive and self.listener.accepting
+        )
+        self.transport.write(http1.response(status, body, headers, keep_alive))
+        self.response_sent = True
         self.idle_since = self.listener.clock()
-        if keep:
+        if keep_alive:
             self.listener.mark_idle(self)
         else:
             self.close()
 
-    def has_unsent_answer(self) -> bool:
+    def has_unsent_response(self) -> bool:
         """Whether an answer was written of which the socket hasn't taken all."""
-        return self.answered and has_unsent(self.transport)
+        return self.response_sent and has_unsent(self.transport)
 
     def close(self) -> None:
         """Close after an answer: what the client still sends is read and discarded for a while."""
@@ -224,17 +228,19 @@
     # ---- core.requests.Client
 
     def served(self, result: bytes) -> None:
-        self.reply(200, result)
+        self.send_deferred_response(200, result)
 
     def rejected(self, retry_after: float) -> None:
-        self.reply(503, b"", ((b"Retry-After", b"%.3f" % (max(retry_after, 0.0) / 1000.0)),))
+        self.send_deferred_response(503, b"", ((b"Retry-After", b"%.3f" % (max(retry_after, 0.0) / 1000.0)),))
 
     def failed(self) -> None:
-        self.reply(500)
+        self.send_deferred_response(500)
 
-    def reply(self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
+    def send_deferred_response(
+        self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()
+    ) -> None:
         """Write an answer that was not given in the turn in which the request was read."""
-        self.answer(status, body, headers)
-        if self.reader.begun or self.input_truncated:
+        self.send_response(status, body, headers)
+        if self.reader.has_partial_message or self.input_truncated:
             # Handle what came meanwhile; in a later turn, since the broker is in the middle of a batch.
             self.listener.reactor.callLater(0, self.advance)
--- a/bitternpath/balancer/http/console.py
+++ b/bitternpath/balancer/http/console.py
@@ -24,54 +24,56 @@
 
 log = structlog.get_logger(part="console")
 
-CALLERS = 24  # connections at once; as many descriptors are kept for them
+MAX_CONSOLE_CONNECTIONS = 24  # connections at once; as many descriptors are kept for them
 # s for a call to arrive completely. Twice the second in which answers are due: after a stall of the process
 # timers expire before sockets are read, and unread input must not pass for half a call.
 CALL_TIMEOUT = 2.0
-FRESH = 0.1  # s: a connection younger than that is not silent yet, its call may be on the way
-LINGER = 0.5  # s in which the rest of a bad call is read and dropped, so that the answer to it arrives
+RECENT_CONNECTION_AGE = 0.1  # s: a connection younger than that is not silent yet, its call may be on the way
+LINGER_TIMEOUT = (
+    0.5  # s in which the rest of a bad call is read and dropped, so that the answer to it arrives
+)
 BODY_LIMIT = 1024  # bytes: a body is one id
 BACKLOG = 256
-TEXT = ((b"Content-Type", b"text/plain; charset=utf-8"),)
+TEXT_HEADERS = ((b"Content-Type", b"text/plain; charset=utf-8"),)
 
-_ID = re.compile(rb"[\x21-\x7e]{1,200}")
+_VISIBLE_ASCII_ID = re.compile(rb"[\x21-\x7e]{1,200}")
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class ConsoleResponse:
     """The answer to a call."""
 
     status: int
     body: bytes = b""
-    headers: tuple[tuple[bytes, bytes], ...] = TEXT
+    headers: tuple[tuple[bytes, bytes], ...] = TEXT_HEADERS
 
 
-Call = Callable[[bytes], Answer]  # takes the body
-Routes = Mapping[bytes, tuple[bytes, Call]]  # path: method, what answers it
+CallHandler = Callable[[bytes], ConsoleResponse]  # takes the body
+Routes = Mapping[bytes, tuple[bytes, CallHandler]]  # path: method, what answers it
 
 
-def one_id(body: bytes) -> str:
+def parse_id(body: bytes) -> str:
     """The id in a body, without surrounding white space; ValueError where the body is not one id."""
-    found = body.strip()
-    if not _ID.fullmatch(found):
+    id = body.strip()
+    if not _VISIBLE_ASCII_ID.fullmatch(id):
         raise ValueError("the body must be one id: 1 to 200 visible ASCII characters")
-    return found.decode()
+    return id.decode()
 
 
-def answer(routes: Routes, call: http1.Request) -> Answer:
+def dispatch(routes: Routes, call: http1.Request) -> ConsoleResponse:
     """Answer a complete call."""
-    method, serve = routes.get(call.path, (b"", None))
-    if serve is None:
-        return Answer(404, b"no such path; allowed are " + b", ".join(routes) + b"\n")
+    method, handle = routes.get(call.path, (b"", None))
+    if handle is None:
+        return ConsoleResponse(404, b"no such path; allowed are " + b", ".join(routes) + b"\n")
     if call.method != method:
-        return Answer(405, b"allowed is " + method + b"\n", ((b"Allow", method),))
+        return ConsoleResponse(405, b"allowed is " + method + b"\n", ((b"Allow", method),))
     try:
-        return serve(call.body)
+        return handle(call.body)
     except ValueError as error:
-        return Answer(400, f"{error}\n".encode())
+        return ConsoleResponse(400, f"{error}\n".encode())
 
 
-class Caller(Protocol):
+class ConsoleConnection(Protocol):
     """One connection with one call; input after the call is ignored."""
 
     transport: Any
@@ -80,64 +82,66 @@
         self.console = console
         self.reader = http1.RequestReader(BODY_LIMIT)
         self.timer: Any = None
-        self.since = console.reactor.seconds()
-        self.over = False  # has been answered
+        self.opened_at = console.reactor.seconds()
+        self.finished = False  # has been answered
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.timer = self.console.reactor.callLater(CALL_TIMEOUT, self.too_slow)
-        self.console.joined(self)
+        self.timer = self.console.reactor.callLater(CALL_TIMEOUT, self.timed_out)
+        self.console.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.over:
+        if self.finished:
             return
         self.reader.feed(data)
         try:
             call = self.reader.next()
-            head = self.reader.awaited()
+            head = self.reader.incomplete_message()
             if head is not None and head.headers.pop(b"expect", b"").lower() == b"100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         except http1.HttpError as error:
-            self.respond(Answer(error.status, f"{error}\n".encode()))
+            self.respond(ConsoleResponse(error.status, f"{error}\n".encode()))
             return
         if isinstance(call, http1.Request):
             try:
-                self.respond(answer(self.console.routes, call))
+                self.respond(dispatch(self.console.routes, call))
             except Exception:
                 log.exception("console_call_failed", path=call.path.decode("latin-1"))
-                self.respond(Answer(500))
+                self.respond(ConsoleResponse(500))
 
-    def too_slow(self) -> None:
+    def timed_out(self) -> None:
         """The call is overdue, or the time to linger after the answer is over."""
         self.timer = None
-        if self.over:
+        if self.finished:
             self.transport.abortConnection()
-        elif self.reader.begun:
-            self.respond(Answer(408, b"a call must arrive whole within %g s\n" % CALL_TIMEOUT))
+        elif self.reader.has_partial_message:
+            self.respond(ConsoleResponse(408, b"a call must arrive whole within %g s\n" % CALL_TIMEOUT))
         else:
             self.drop()
 
-    def respond(self, answer: Answer) -> None:
+    def respond(self, response: ConsoleResponse) -> None:
         """Write the answer; the rest of the input is read and dropped for a while."""
-        self.over = True
-        self.transport.write(http1.response(answer.status, answer.body, answer.headers, keep_alive=False))
+        self.finished = True
+        self.transport.write(
+            http1.response(response.status, response.body, response.headers, keep_alive=False)
+        )
         self.transport.loseWriteConnection()
-        self.console.answer_written(self)
+        self.console.response_written(self)
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.console.reactor.callLater(LINGER, self.too_slow)
+        self.timer = self.console.reactor.callLater(LINGER_TIMEOUT, self.timed_out)
 
     def drop(self) -> None:
         """Close without an answer."""
-        self.over = True
+        self.finished = True
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.over = True
+        self.finished = True
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.console.left(self)
+        self.console.connection_closed(self)
 
 
 class Console(Factory):
@@ -148,41 +152,41 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, where: tuple[str, int], routes: Routes) -> None:
+    def __init__(self, reactor: Any, address: tuple[str, int], routes: Routes) -> None:
         self.reactor = reactor
-        self.where = where
+        self.address = address
         self.routes = routes
         # Those that were answered and those that were not, each the oldest first.
-        self.answered: OrderedDict[Caller, None] = OrderedDict()
-        self.silent: OrderedDict[Caller, None] = OrderedDict()
+        self.answered: OrderedDict[ConsoleConnection, None] = OrderedDict()
+        self.unanswered: OrderedDict[ConsoleConnection, None] = OrderedDict()
         self.port: Any = None
 
     def listen(self) -> None:
         """Listen on the console's address."""
         factory: Any = self
-        host, port = self.where
+        host, port = self.address
         self.port = BurstPort(port, factory, BACKLOG, host, self.reactor)
         self.port.startListening()
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
-        return Caller(self)
+        return ConsoleConnection(self)
 
-    def joined(self, caller: Caller) -> None:
+    def connection_opened(self, connection: ConsoleConnection) -> None:
         """A caller has connected; above the limit another one is closed."""
-        self.silent[caller] = None
-        if len(self.silent) + len(self.answered) > CALLERS:
-            oldest = next(iter(self.silent))
-            if self.answered and oldest.since > self.reactor.seconds() - FRESH:
+        self.unanswered[connection] = None
+        if len(self.unanswered) + len(self.answered) > MAX_CONSOLE_CONNECTIONS:
+            oldest = next(iter(self.unanswered))
+            if self.answered and oldest.opened_at > self.reactor.seconds() - RECENT_CONNECTION_AGE:
                 oldest = next(iter(self.answered))
-            self.left(oldest)
+            self.connection_closed(oldest)
             oldest.drop()
 
-    def answer_written(self, caller: Caller) -> None:
+    def response_written(self, connection: ConsoleConnection) -> None:
         """A caller has been answered."""
-        self.silent.pop(caller, None)
-        self.answered[caller] = None
+        self.unanswered.pop(connection, None)
+        self.answered[connection] = None
 
-    def left(self, caller: Caller) -> None:
+    def connection_closed(self, connection: ConsoleConnection) -> None:
         """A caller's connection is gone."""
-        self.silent.pop(caller, None)
-        self.answered.pop(caller, None)
+        self.unanswered.pop(connection, None)
+        self.answered.pop(connection, None)
--- a/bitternpath/balancer/http/discovery_subscription.py
+++ b/bitternpath/balancer/http/discovery_subscription.py
@@ -41,8 +41,8 @@
     """Splits the bytes of a subscription into JSON objects; each stands on one line or, indented, on many."""
 
     def __init__(self) -> None:
-        self._line = bytearray()  # incomplete
-        self._object = bytearray()  # complete lines of an incomplete object
+        self._incomplete_line = bytearray()  # incomplete
+        self._incomplete_object = bytearray()  # complete lines of an incomplete object
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
@@ -51,22 +51,22 @@
         Raises:
             ValueError: not JSON, too large, or an object cut off by an empty line.
         """
-        *lines, rest = (self._line + data).split(b"\n")
-        self._line = rest
-        if len(self._line) + len(self._object) > LIST_LIMIT:
+        *lines, incomplete = (self._incomplete_line + data).split(b"\n")
+        self._incomplete_line = incomplete
+        if len(self._incomplete_line) + len(self._incomplete_object) > LIST_LIMIT:
             raise ValueError("list too large")
         for line in lines:
             if not line.strip():
-                if self._object:
+                if self._incomplete_object:
                     raise ValueError("an incomplete list")
                 yield None
                 continue
-            bare = _STRING.sub(b"", line)  # no string goes over a line's end
-            self._depth += sum(map(bare.count, b"{[")) - sum(map(bare.count, b"}]"))
-            self._object += line
+            without_strings = _STRING.sub(b"", line)  # no string goes over a line's end
+            self._depth += sum(map(without_strings.count, b"{[")) - sum(map(without_strings.count, b"}]"))
+            self._incomplete_object += line
             if self._depth <= 0:
-                message = ujson.loads(self._object)
-                self._object = bytearray()
+                message = ujson.loads(self._incomplete_object)
+                self._incomplete_object = bytearray()
                 self._depth = 0
                 yield message
 
@@ -80,10 +80,10 @@
         self.subscription = subscription
         self.address = address
         self.reader = ResponseReader(body_limit=None)
-        self.lists = JsonObjectStream()
+        self.objects = JsonObjectStream()
         self.dropped = False
         self.resync = False  # the complete list was requested
-        self.dialled: Deferred[Any] | None = None
+        self.connecting: Deferred[Any] | None = None
         self.timeout: Any = subscription.reactor.callLater(OPEN_TIMEOUT, self._timed_out, OPEN_TIMEOUT)
 
     def connectionMade(self) -> None:
@@ -92,8 +92,8 @@
             return
         host = b"%b:%d" % (self.address[0].encode(), self.address[1])
         self.resync = self.subscription.resync
-        after = 0 if self.resync else self.subscription.registry.revision
-        target = b"/v1/endpoints?stream=1&index=%d" % after
+        revision = 0 if self.resync else self.subscription.registry.revision
+        target = b"/v1/endpoints?stream=1&index=%d" % revision
         self.transport.write(request(b"GET", target, [(b"Host", host)]))
 
     def dataReceived(self, data: bytes) -> None:
@@ -106,7 +106,7 @@
                 return
             if getattr(head, "status", 0) != 200:
                 raise HttpError(400, f"the subscription was not granted: {getattr(head, 'status', 0)}")
-            for message in self.lists.feed(self.reader.piece()):
+            for message in self.objects.feed(self.reader.read_body()):
                 listing = listing_from(message) if message is not None else None
                 self._message_received()
                 if listing is None:
@@ -115,7 +115,7 @@
                 if not self.subscription.registry.apply(listing, resync):
                     self.subscription.resync = True
                     raise HttpError(400, f"revision {listing.revision} is older than the list in force")
-            if self.reader.ended:
+            if self.reader.body_complete:
                 raise HttpError(400, "the subscription ended")
         except (HttpError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
             log.warning("subscription_broken", why=repr(error))
@@ -139,7 +139,7 @@
         log.warning("subscription_silent", seconds=seconds)
         self.timeout = None
         self._expect_message_within(MESSAGE_TIMEOUT)  # it goes on until another one is granted
-        self.subscription.silent(self)
+        self.subscription.message_overdue(self)
 
     def drop(self) -> None:
         """Close it without further reports."""
@@ -147,13 +147,13 @@
         self.cancel_timeout()
         if self.transport is not None:
             self.transport.abortConnection()
-        elif self.dialled is not None:
-            self.dialled.cancel()
+        elif self.connecting is not None:
+            self.connecting.cancel()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.cancel_timeout()
         if not self.dropped:
-            self.subscription.lost(self, reason.getErrorMessage())
+            self.subscription.connection_lost(self, reason.getErrorMessage())
 
 
 class DiscoverySubscription:
@@ -170,19 +170,19 @@
         registry: EndpointRegistry,
         address: Address,
         random: Random,
-        failed: Callable[[], None] | None = None,
+        on_failure: Callable[[], None] | None = None,
     ) -> None:
         self.reactor = reactor
         self.registry = registry
         self.address = address
         self.random = random
-        self.failed = failed
+        self.on_failure = on_failure
         self.backoff = INITIAL_BACKOFF
-        self.granted_once = False  # discovery has answered at least once
+        self.has_been_granted = False  # discovery has answered at least once
         self.on_first_message: Callable[[], object] = lambda: None  # called when the first message comes
         self._current: _SubscriptionConnection | None = None  # granted
         self._pending: list[_SubscriptionConnection] = []  # not granted yet; oldest first
-        self._again: Any = None  # the timer of the next attempt
+        self._retry_timer: Any = None  # the timer of the next attempt
         self.resync = False  # revisions began anew: request the complete list
         self._failure_reported = False  # `failed` was called, and nobody has called `start` yet
         self._stopped = False
@@ -199,15 +199,15 @@
             self._pending.pop(0).drop()
         connection = _SubscriptionConnection(self, self.address)
         self._pending.append(connection)
-        within = MAX_PENDING * OPEN_TIMEOUT  # s for which an attempt is kept
-        dialled = connection.dialled = dial(self.reactor, *self.address, within, connection)
-        dialled.addErrback(lambda failure: self._connect_failed(connection, failure))
+        timeout = MAX_PENDING * OPEN_TIMEOUT  # s for which an attempt is kept
+        connecting = connection.connecting = dial(self.reactor, *self.address, timeout, connection)
+        connecting.addErrback(lambda failure: self._connect_failed(connection, failure))
 
     def _connect_failed(self, connection: _SubscriptionConnection, failure: Failure) -> None:
         connection.cancel_timeout()
-        self.lost(connection, failure.getErrorMessage())
+        self.connection_lost(connection, failure.getErrorMessage())
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Discovery has another address from now on."""
         if address != self.address:
             self.address = address
@@ -215,70 +215,72 @@
             self.start()
 
     @property
-    def _newest(self) -> _SubscriptionConnection | None:
+    def _latest(self) -> _SubscriptionConnection | None:
         return self._pending[-1] if self._pending else self._current
 
     def _cancel_pending(self) -> None:
         pending, self._pending = self._pending, []
         for connection in pending:
             connection.drop()
-        if self._again is not None and self._again.active():
-            self._again.cancel()
-        self._again = None
+        if self._retry_timer is not None and self._retry_timer.active():
+            self._retry_timer.cancel()
+        self._retry_timer = None
         self._failure_reported = False
 
     def granted(self, connection: _SubscriptionConnection) -> None:
         """A message has come on this connection: it replaces the one before."""
-        if not self.granted_once:
-            self.granted_once = True
+        if not self.has_been_granted:
+            self.has_been_granted = True
             self.on_first_message()
         if connection in self._pending:
-            before, self._current = self._current, connection
+            previous, self._current = self._current, connection
             self._pending.remove(connection)
             self._cancel_pending()
             self.backoff = INITIAL_BACKOFF
             self.resync = False
-            if before is not None:
-                before.drop()
+            if previous is not None:
+                previous.drop()
 
-    def silent(self, connection: _SubscriptionConnection) -> None:
+    def message_overdue(self, connection: _SubscriptionConnection) -> None:
         """A line is overdue: open another subscription, unless an attempt is due."""
-        waits = self._failure_reported or (self._again is not None and self._again.active())
-        if self._stopped or waits or connection is not self._newest:
+        retry_pending = self._failure_reported or (
+            self._retry_timer is not None and self._retry_timer.active()
+        )
+        if self._stopped or retry_pending or connection is not self._latest:
             return
-        if self.failed is None:
+        if self.on_failure is None:
             self._open()
         elif connection is self._current:
-            self._fail()
+            self._report_failure()
         else:
             self._pending.remove(connection)
             connection.drop()
-            self._fail()
+            self._report_failure()
 
-    def _fail(self) -> None:
+    def _report_failure(self) -> None:
         self._failure_reported = True
-        if self.failed is not None:
-            self.failed()
+        if self.on_failure is not None:
+            self.on_failure()
 
-    def lost(self, connection: _SubscriptionConnection, why: str) -> None:
+    def connection_lost(self, connection: _SubscriptionConnection, reason: str) -> None:
         """A connection has ended, or could not be opened."""
-        newest = connection is self._newest
+        is_latest = connection is self._latest
         if connection is self._current:
             self._current = None
         elif connection in self._pending:
             self._pending.remove(connection)
-        if self._stopped or connection.dropped or not newest:
+        if self._stopped or connection.dropped or not is_latest:
             return  # another attempt is in progress
-        if self._failure_reported or (self._again is not None and self._again.active()):
+        if self._failure_reported or (self._retry_timer is not None and self._retry_timer.active()):
             return
-        if self.failed is not None:
-            log.info("subscription_lost", why=why)
-            self._fail()
+        if self.on_failure is not None:
+            log.info("subscription_lost", why=reason)
+            self._report_failure()
             return
-        wait = self.backoff * (0.5 + self.random.random())
+        delay = self.backoff * (0.5 + self.random.random())
         self.backoff = min(2 * self.backoff, MAX_BACKOFF)
-        log.info("subscription_lost", why=why, again_in=wait)
-        self._again = self.reactor.callLater(wait, self._open)
+        log.info("subscription_lost", why=reason, again_in=delay)
+        self._retry_timer = self.reactor.callLater(delay, self._open)
 
     def stop(self) -> None:
         """Close it for good."""
--- a/bitternpath/balancer/http/listener.py
+++ b/bitternpath/balancer/http/listener.py
@@ -51,7 +51,7 @@
         self.stopped_at: float | None = None  # ms: when the stop signal came
         self.port: Any = None
         self.accepting = True
-        self._room_check_scheduled = False
+        self._capacity_check_scheduled = False
 
     def listen(self, host: str, port: int, shared: bool = False, descriptor: int | None = None) -> None:
         """Listen on the address, or on the socket that another process of this node has handed over."""
@@ -64,7 +64,7 @@
             os.close(descriptor)
         self.port.shared = shared
         self.port.startListening()
-        self.lifecycle.listeners.append(self._accept_if_room)
+        self.lifecycle.listeners.append(self._update_accepting)
         self._check_timeouts()
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
@@ -75,7 +75,7 @@
         self.connections[connection] = None
         self.idle_connections[connection] = None
         self.sockets.clients += 1
-        self._make_room()
+        self._close_excess_connections()
 
     def connection_closed(self, connection: ClientConnection) -> None:
         """A connection is gone."""
@@ -84,7 +84,7 @@
         self.idle_connections.pop(connection, None)
         self.lingering.pop(connection, None)
         self.closing.discard(connection)
-        self._accept_if_room()
+        self._update_accepting()
 
     def mark_idle(self, connection: ClientConnection) -> None:
         """No answer is due on it: it is the last one to be closed for room."""
@@ -106,48 +106,48 @@
         self.lingering.pop(connection, None)
         self.closing.add(connection)
 
-    def _accept_if_room(self) -> None:
-        self._accept(self.lifecycle.behavior.accepts and not self.sockets.clients_full())
+    def _update_accepting(self) -> None:
+        self._set_accepting(self.lifecycle.behavior.accepts and not self.sockets.clients_full())
 
-    def _accept(self, on: bool) -> None:
-        if on == self.accepting:
+    def _set_accepting(self, accepting: bool) -> None:
+        if accepting == self.accepting:
             return
-        self.accepting = on
-        if on:
+        self.accepting = accepting
+        if accepting:
             self.port.startReading()
         else:
             self.broker.counts["accepting_paused"] += 1
             self.port.stopReading()
 
-    def _make_room(self) -> None:
+    def _close_excess_connections(self) -> None:
         """Close the connections that have been idle for longest, so that the next ones can be accepted.
 
         One that has been idle for a moment only is spared: its request may be on the way."""
-        over = len(self.connections) - len(self.closing) - (self.sockets.for_clients - BURST)
-        before = self.clock() - RECENTLY_IDLE
+        excess = len(self.connections) - len(self.closing) - (self.sockets.client_limit - BURST)
+        idle_before = self.clock() - RECENTLY_IDLE
         for group in (self.lingering, self.idle_connections):
-            while over > 0 and group:
+            while excess > 0 and group:
                 oldest = next(iter(group))
-                if oldest.since > before:
+                if oldest.last_activity > idle_before:
                     break
                 oldest.drop()
-                over -= 1
-        self._accept_if_room()
-        if not self.accepting and not self._room_check_scheduled:
-            self._room_check_scheduled = True
-            self.reactor.callLater(CLOSE_RETRY_INTERVAL, self._make_room_again)
+                excess -= 1
+        self._update_accepting()
+        if not self.accepting and not self._capacity_check_scheduled:
+            self._capacity_check_scheduled = True
+            self.reactor.callLater(CLOSE_RETRY_INTERVAL, self._recheck_capacity)
 
-    def _make_room_again(self) -> None:
-        self._room_check_scheduled = False
-        self._make_room()
+    def _recheck_capacity(self) -> None:
+        self._capacity_check_scheduled = False
+        self._close_excess_connections()
 
     def _check_timeouts(self) -> None:
         self.reactor.callLater(TIMEOUT_CHECK_INTERVAL, self._check_timeouts)
         now = self.clock()
         for connection in list(self.idle_connections):
-            connection.check_time(now)
+            connection.check_timeout(now)
         for connection in list(self.lingering):
-            if connection.since + LINGER_TIME > now:
+            if connection.last_activity + LINGER_TIME > now:
                 break
             connection.drop()
 
@@ -160,19 +160,19 @@
         self.reactor.callLater(NEW_CONNECTIONS_UNTIL_MS / 1000.0, self._close_idle)
 
     @property
-    def clients_hold_connections(self) -> bool:
+    def has_client_connections(self) -> bool:
         """Whether clients hold connections that they may still use."""
-        over = (
+        expired = (
             self.stopped_at is not None
             and self.clock()
             > self.stopped_at + idle_connection_time_after_stop(self.handler.longest_deadline)
         )
-        return not over and any(c.open and not c.only_callbacks for c in self.connections)
+        return not expired and any(c.open and not c.only_callbacks for c in self.connections)
 
     def _close_idle(self) -> None:
         self.reactor.callLater(CLOSE_RETRY_INTERVAL, self._close_idle)
-        if not self.lifecycle.behavior.closes_idle and self.clients_hold_connections:
+        if not self.lifecycle.behavior.closes_idle and self.has_client_connections:
             return
-        before = self.clock() - RECENTLY_IDLE
-        for connection in [c for c in self.idle_connections if c.idle and c.since <= before]:
+        idle_before = self.clock() - RECENTLY_IDLE
+        for connection in [c for c in self.idle_connections if c.idle and c.last_activity <= idle_before]:
             connection.drop()
--- a/bitternpath/balancer/http/request_handler.py
+++ b/bitternpath/balancer/http/request_handler.py
@@ -26,9 +26,9 @@
 CALLBACK_PATH = b"/_jobs/news"
 READY_PATH = b"/ready"
 
-_ID = re.compile(rb"[\x21-\x7e]{1,%d}" % MAX_ID_LENGTH)
-_BUDGET = re.compile(rb"[0-9]{1,9}")
-_KEY = re.compile(rb"[0-9A-Fa-f]{1,16}")
+_REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,%d}" % MAX_ID_LENGTH)
+_BUDGET_MS = re.compile(rb"[0-9]{1,9}")
+_ROUTE_HASH = re.compile(rb"[0-9A-Fa-f]{1,16}")
 
 
 def parse_call_report(body: bytes) -> CallReport:
@@ -43,11 +43,13 @@
     if not isinstance(fields["id"], str) or not isinstance(fields["from"], str):
         raise ValueError("id and from must be strings")
     if result is None:
-        data = b""
+        result_bytes = b""
     else:
-        data = result.encode() if isinstance(result, str) else ujson.dumps(result).encode()
+        result_bytes = result.encode() if isinstance(result, str) else ujson.dumps(result).encode()
     state = CallState(fields["state"])
-    return CallReport(fields["id"], fields["from"], state, None if share is None else float(share), data)
+    return CallReport(
+        fields["id"], fields["from"], state, None if share is None else float(share), result_bytes
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,31 +100,31 @@
         elif path == READY_PATH:
             self._serve_readiness(connection, message)
         elif path.split(b"/", 2)[1] not in self.classes:
-            connection.answer(404)
+            connection.send_response(404)
         elif message.method != b"POST":
-            connection.answer(405, b"", ((b"Allow", b"POST"),))
+            connection.send_response(405, b"", ((b"Allow", b"POST"),))
         else:
             self._submit(connection, message)
 
     def _serve_readiness(self, connection: ClientConnection, message: http1.Request) -> None:
         if message.method != b"GET":
-            connection.answer(405, b"", ((b"Allow", b"GET"),))
+            connection.send_response(405, b"", ((b"Allow", b"GET"),))
             return
         phase_allows = self.lifecycle.behavior.ready_for_clients
         ready = self.checks.is_ready() and phase_allows and self.fleet_admits()
-        connection.answer(200 if ready else 503)
+        connection.send_response(200 if ready else 503)
 
     def _serve_callback(self, connection: ClientConnection, message: http1.Request) -> None:
         if message.method != b"POST":
-            connection.answer(405, b"", ((b"Allow", b"POST"),))
+            connection.send_response(405, b"", ((b"Allow", b"POST"),))
             return
         try:
             report = parse_call_report(message.body)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            connection.answer(400, str(error).encode())
+            connection.send_response(400, str(error).encode())
             return
         if self.broker.call_reported(report) or not self.relay(report, partial(self._relayed, connection)):
-            connection.answer(204)
+            connection.send_response(204)
         else:
             connection.relayed = True
             connection.listener.mark_busy(connection)
@@ -131,31 +133,33 @@
     def _relayed(connection: ClientConnection, ok: bool) -> None:
         if not ok:
             connection.keep_alive = False  # the endpoint retries, perhaps at the other process
-        connection.reply(204 if ok else 503)
+        connection.send_deferred_response(204 if ok else 503)
 
     def _submit(self, connection: ClientConnection, message: http1.Request) -> None:
         headers = message.headers
         name = message.path.split(b"/", 2)[1]
-        spec = self.classes[name]
+        job_class = self.classes[name]
         id = headers.get(b"x-call-id", b"")
-        budget = headers.get(b"x-budget-ms")
-        if not _ID.fullmatch(id):
-            connection.answer(400, b"X-Call-Id is missing or malformed")
+        budget_ms = headers.get(b"x-budget-ms")
+        if not _REQUEST_ID.fullmatch(id):
+            connection.send_response(400, b"X-Call-Id is missing or malformed")
         elif headers.get(b"x-call-class", name) != name:
-            connection.answer(400, b"X-Call-Class differs from the path")
-        elif budget is not None and not _BUDGET.fullmatch(budget):
-            connection.answer(400, b"X-Budget-Ms is malformed")
+            connection.send_response(400, b"X-Call-Class differs from the path")
+        elif budget_ms is not None and not _BUDGET_MS.fullmatch(budget_ms):
+            connection.send_response(400, b"X-Budget-Ms is malformed")
         elif self.broker.has_seen(id.decode()):
-            connection.answer(409, b"X-Call-Id is in use")
-        elif self.broker.unanswered >= self.sockets.requests:
+            connection.send_response(409, b"X-Call-Id is in use")
+        elif self.broker.unanswered >= self.sockets.request_limit:
             # Requests in progress need sockets for their call-backs; close this connection to make room.
             connection.keep_alive = False
-            connection.rejected(self.checks.retry_after(spec.name))
+            connection.rejected(self.checks.retry_after(job_class.name))
             self.broker.counts["no_room"] += 1
-            self.broker.statistics.count_outcome(spec.name, "rejected")
+            self.broker.statistics.count_outcome(job_class.name, "rejected")
         else:
-            deadline = connection.begun_at + (spec.max_deadline if budget is None else float(budget))
-            request = _accepted_request(connection, message, spec.name, deadline)
+            deadline = connection.message_started_at + (
+                job_class.max_deadline if budget_ms is None else float(budget_ms)
+            )
+            request = _accepted_request(connection, message, job_class.name, deadline)
             connection.request = request
             connection.only_callbacks = False
             connection.listener.mark_busy(connection)
@@ -166,7 +170,7 @@
     client: ClientConnection, message: http1.Request, job_class: str, deadline: float
 ) -> AcceptedRequest:
     headers = message.headers
-    key = headers.get(b"x-route-hash", b"")
+    route_hash = headers.get(b"x-route-hash", b"")
     info = parse_call_info(headers[b"x-call-info"]) if b"x-call-info" in headers else {}
     return AcceptedRequest(
         headers[b"x-call-id"].decode(),
@@ -174,7 +178,7 @@
         deadline,
         client,
         message,
-        int(key, 16) % 2**53 if _KEY.fullmatch(key) else None,
+        int(route_hash, 16) % 2**53 if _ROUTE_HASH.fullmatch(route_hash) else None,
         info.get("work"),
         info.get("slots", 1.0),
         info.get("mem", 0.0),
--- a/bitternpath/balancer/http/upstream_client.py
+++ b/bitternpath/balancer/http/upstream_client.py
@@ -24,10 +24,10 @@
 # s for which a connection rests after a response. A faulty endpoint may respond twice, some ms apart;
 # on a connection that is in use again the second would pass for the response to another call.
 DUPLICATE_RESPONSE_WAIT = 0.05
-SWEEP = 0.5  # s between checks for connections that have been idle for too long
-ANSWER_TIMEOUT = 1.0  # s for the response to a DELETE, and for one that a call no longer waits for
-DELETES = 32  # in flight at once; more are not sent
-DELETES_PER_ENDPOINT = 2
+SWEEP_INTERVAL = 0.5  # s between checks for connections that have been idle for too long
+RESPONSE_TIMEOUT = 1.0  # s for the response to a DELETE, and for one that a call no longer waits for
+MAX_DELETES = 32  # in flight at once; more are not sent
+MAX_DELETES_PER_ENDPOINT = 2
 
 PER_CALL_HEADERS = frozenset((b"x-call-id", b"x-budget-ms"))  # headers that each call sets anew
 
@@ -58,9 +58,9 @@
         self.pools: dict[str, AddressPool] = {}
         self.deletes = 0
         self.counts: Counter[str] = Counter()
-        self._started: dict[str, float] = {}  # endpoint: when its process last started
+        self._process_started_at: dict[str, float] = {}  # endpoint: when its process last started
 
-    def set_times(self, dial_timeout: float, idle_timeout: float) -> None:
+    def set_timeouts(self, dial_timeout: float, idle_timeout: float) -> None:
         """Timeouts (ms) of the settings: to connect, and after which endpoints close idle connections."""
         self.dial_timeout = dial_timeout / 1000.0
         self.reuse.set_idle_timeout(idle_timeout)
@@ -72,7 +72,7 @@
 
     def run(self) -> None:
         """Close connections that idle for too long, from now on."""
-        self.reactor.callLater(SWEEP, self._sweep)
+        self.reactor.callLater(SWEEP_INTERVAL, self._sweep)
 
     # ---- core.requests.UpstreamClient
 
@@ -91,7 +91,7 @@
             if not call.accepted:
                 exchange.abort()
             else:
-                exchange.answer_within(ANSWER_TIMEOUT)
+                exchange.expect_response_within(RESPONSE_TIMEOUT)
             return
         for pool in self.pools.values():
             if exchange in pool.waiting:
@@ -102,17 +102,17 @@
         if endpoint is None:
             return
         pool = self.pools.get(endpoint.host_port)
-        if pool is None or pool.deletes >= DELETES_PER_ENDPOINT or self.deletes >= DELETES:
+        if pool is None or pool.deletes >= MAX_DELETES_PER_ENDPOINT or self.deletes >= MAX_DELETES:
             self.counts["deletes_left_out"] += 1
             return
         headers = [(b"Host", endpoint.host_port.encode()), (b"X-Call-Id", call.id.encode())]
         exchange = Exchange(http1.request(b"DELETE", b"/jobs/" + quote(call.id, safe="").encode(), headers))
         pool.deletes += 1
         self.deletes += 1
-        self.reactor.callLater(ANSWER_TIMEOUT, self._delete_over, pool, exchange)
+        self.reactor.callLater(RESPONSE_TIMEOUT, self._release_delete_slot, pool, exchange)
         self._queue(endpoint.host_port, exchange)
 
-    def _delete_over(self, pool: AddressPool, exchange: Exchange) -> None:
+    def _release_delete_slot(self, pool: AddressPool, exchange: Exchange) -> None:
         """The slot of a DELETE is free again after a fixed time, answered or not."""
         pool.deletes -= 1
         self.deletes -= 1
@@ -131,19 +131,19 @@
             if connection.idle_since < since:
                 connection.abort()
             elif connection.open and peek(connection.transport) is None:  # else its loss is reported soon
-                self._send(connection, exchange)
+                self._send_exchange(connection, exchange)
                 return
         pool.waiting.append(exchange)
         if pool.dials >= len(pool.waiting) or self._dial(pool):
             return
         # No socket is left. A connection of this pool may become free within the connect timeout.
-        wait = self.dial_timeout if pool.busy else 0.0
-        self.reactor.callLater(wait, self._queue_timed_out, pool, exchange)
+        timeout = self.dial_timeout if pool.busy else 0.0
+        self.reactor.callLater(timeout, self._queue_timed_out, pool, exchange)
 
     def _queue_timed_out(self, pool: AddressPool, exchange: Exchange) -> None:
         if exchange in pool.waiting:
             pool.waiting.remove(exchange)
-            self._not_sent(exchange)
+            self._report_unsent(exchange)
 
     def _dial(self, pool: AddressPool) -> bool:
         if self.sockets.endpoints_full() and not self._close_oldest_idle():
@@ -155,16 +155,18 @@
         self.sockets.endpoints += 1
         self.counts["dials"] += 1
         pool.dials += 1
-        dialled = dial(self.reactor, host, int(port), self.dial_timeout, Connection(self, pool))
-        dialled.addCallbacks(self.connection_opened, self._connect_failed, errbackArgs=(pool,))
-        dialled.addErrback(lambda failure: log.error("connect_handling_failed", why=failure.getTraceback()))
+        connecting = dial(self.reactor, host, int(port), self.dial_timeout, Connection(self, pool))
+        connecting.addCallbacks(self.connection_opened, self._connect_failed, errbackArgs=(pool,))
+        connecting.addErrback(
+            lambda failure: log.error("connect_handling_failed", why=failure.getTraceback())
+        )
         return True
 
     def connection_opened(self, connection: Connection) -> None:
         """A connection that was being opened is up."""
         connection.pool.dials -= 1
         connection.idle_since = self.clock()
-        self._connection_free(connection, connection.pool)
+        self._use_free_connection(connection, connection.pool)
 
     def _connect_failed(self, failure: Failure, pool: AddressPool) -> None:
         pool.dials -= 1
@@ -173,35 +175,35 @@
         self.counts["dials_failed"] += 1
         # The exchange that has waited longest is the one that this dial was for.
         while len(pool.waiting) > pool.dials:
-            self._not_sent(pool.waiting.popleft())
+            self._report_unsent(pool.waiting.popleft())
 
-    def _not_sent(self, exchange: Exchange) -> None:
+    def _report_unsent(self, exchange: Exchange) -> None:
         """No byte of the request was written: it never ran."""
         if exchange.call is not None:
             self.broker.call_ended(exchange.call, m.AttemptOutcome.NO_CONNECTION)
 
-    def _send(self, connection: Connection, exchange: Exchange) -> None:
+    def _send_exchange(self, connection: Connection, exchange: Exchange) -> None:
         connection.pool.busy[connection] = None
         call = exchange.call
         if call is None:
-            connection.answer_within(ANSWER_TIMEOUT)
+            connection.expect_response_within(RESPONSE_TIMEOUT)
         else:
             call.transport_state = connection
-            exchange.data = self._request(call, connection.pool.address)
+            exchange.data = self._build_request(call, connection.pool.address)
         connection.send(exchange)
 
-    def _request(self, call: UpstreamCall, address: str) -> bytes:
+    def _build_request(self, call: UpstreamCall, address: str) -> bytes:
         message: Payload = call.request.payload
-        left = max(int(call.expires - self.clock()), 1)
+        remaining_ms = max(int(call.expires - self.clock()), 1)
         headers = [
             (b"Host", address.encode()),
             (b"X-Call-Id", call.id.encode()),
-            (b"X-Budget-Ms", b"%d" % left),
+            (b"X-Budget-Ms", b"%d" % remaining_ms),
             *(header for header in http1.end_to_end(message.headers) if header[0] not in PER_CALL_HEADERS),
         ]
         return http1.request(message.method, message.target, headers, message.body)
 
-    def _connection_free(self, connection: Connection, pool: AddressPool) -> None:
+    def _use_free_connection(self, connection: Connection, pool: AddressPool) -> None:
         """A connection is free: send what waits for one, or keep it idle."""
         while pool.waiting and connection.open:
             exchange = pool.waiting.popleft()
@@ -213,16 +215,16 @@
             if call is not None and (
                 self.registry.serving(call.endpoint) is None or self.clock() > call.start_deadline
             ):
-                self._not_sent(exchange)
+                self._report_unsent(exchange)
                 continue
-            self._send(connection, exchange)
+            self._send_exchange(connection, exchange)
             return
         if connection.open and self.reuse.allows_reuse():
             pool.idle.append(connection)
         elif connection.open:
             connection.abort()
 
-    def answered(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
+    def response_received(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
         """The response of an exchange is complete."""
         call = exchange.call
         if call is not None and isinstance(message, http1.Response):
@@ -231,12 +233,12 @@
             if not call.accepted:
                 self._report_outcome(call, message)
         connection.reused, connection.idle_since = True, self.clock()
-        self.reactor.callLater(DUPLICATE_RESPONSE_WAIT, self._rest_over, connection)
+        self.reactor.callLater(DUPLICATE_RESPONSE_WAIT, self._release, connection)
 
-    def _rest_over(self, connection: Connection) -> None:
+    def _release(self, connection: Connection) -> None:
         if connection.open:
             del connection.pool.busy[connection]
-            self._connection_free(connection, connection.pool)
+            self._use_free_connection(connection, connection.pool)
 
     def _report_outcome(self, call: UpstreamCall, message: http1.Response) -> None:
         if message.status == 202:
@@ -249,7 +251,7 @@
         else:
             self.broker.call_ended(call, m.AttemptOutcome.ERROR)
 
-    def lost(self, connection: Connection, exchange: Exchange | None) -> None:
+    def connection_lost(self, connection: Connection, exchange: Exchange | None) -> None:
         """A connection is gone, with the exchange that it carried."""
         self.sockets.endpoints -= 1
         if connection in connection.pool.idle:
@@ -275,7 +277,7 @@
         return True
 
     def _sweep(self) -> None:
-        self.reactor.callLater(SWEEP, self._sweep)
+        self.reactor.callLater(SWEEP_INTERVAL, self._sweep)
         self.reuse.sweep()
         due = self.clock() - self.reuse.reuse_limit
         for pool in self.pools.values():
@@ -283,18 +285,18 @@
                 pool.idle.pop(0).abort()
             for connection in pool.busy:  # an answer may never end, though a call-back came
                 if connection.exchange and connection.exchange.call and connection.exchange.call.finished:
-                    connection.answer_within(ANSWER_TIMEOUT)
-        known = {endpoint.host_port for endpoint in self.registry.endpoints.values()}
-        for pool in [pool for pool in self.pools.values() if pool.address not in known]:
+                    connection.expect_response_within(RESPONSE_TIMEOUT)
+        current_addresses = {endpoint.host_port for endpoint in self.registry.endpoints.values()}
+        for pool in [pool for pool in self.pools.values() if pool.address not in current_addresses]:
             if not (pool.idle or pool.waiting or pool.dials or pool.deletes):
                 del self.pools[pool.address]
 
-    def listed(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Close the connections to processes that are gone or have restarted."""
         for endpoint in listing.members:
-            before = self._started.get(endpoint.id, endpoint.up_since)
-            self._started[endpoint.id] = endpoint.up_since
-            if endpoint.state is m.WorkerState.GONE or endpoint.up_since > before:
+            previous_start = self._process_started_at.get(endpoint.id, endpoint.up_since)
+            self._process_started_at[endpoint.id] = endpoint.up_since
+            if endpoint.state is m.WorkerState.GONE or endpoint.up_since > previous_start:
                 self.close_idle(endpoint.host_port)
 
     def close_idle(self, address: str) -> None:
--- a/bitternpath/balancer/http/upstream_connection.py
+++ b/bitternpath/balancer/http/upstream_connection.py
@@ -44,10 +44,10 @@
     def clock(self) -> Callable[[], float]:
         """The node's clock, in ms."""
 
-    def answered(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
+    def response_received(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
         """The response of an exchange is complete."""
 
-    def lost(self, connection: Connection, exchange: Exchange | None) -> None:
+    def connection_lost(self, connection: Connection, exchange: Exchange | None) -> None:
         """A connection is gone, with the exchange that it carried."""
 
     def closed_by_endpoint(self, idle: float) -> None:
@@ -96,7 +96,7 @@
     def stopProducing(self) -> None:
         """The connection is closing; `connectionLost` does the rest."""
 
-    def answer_within(self, seconds: float) -> None:
+    def expect_response_within(self, seconds: float) -> None:
         """Abort the connection unless its response is complete by then."""
         if self.open and self.timer is None:
             self.timer = self.client.reactor.callLater(seconds, self.abort)
@@ -119,16 +119,16 @@
             return
         if message is None:
             return
-        self._answered(exchange, message)
+        self._response_complete(exchange, message)
 
-    def _answered(self, exchange: Exchange, message: http1.Message) -> None:
+    def _response_complete(self, exchange: Exchange, message: http1.Message) -> None:
         self.exchange = None
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if not message.keep_alive or self.reader.begun:
+        if not message.keep_alive or self.reader.has_partial_message:
             self.abort()
-        self.client.answered(self, exchange, message)
+        self.client.response_received(self, exchange, message)
 
     def abort(self) -> None:
         """Close now, whatever is in flight."""
@@ -151,11 +151,11 @@
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         exchange, self.exchange = self.exchange, None
-        message = self.reader.end() if exchange is not None and exchange.written else None
+        message = self.reader.finish_at_close() if exchange is not None and exchange.written else None
         if exchange is not None and message is not None:
-            self.client.answered(self, exchange, message)
+            self.client.response_received(self, exchange, message)
             exchange = None
-        self.client.lost(self, exchange)
+        self.client.connection_lost(self, exchange)
 
 
 class AddressPool:
--- a/bitternpath/balancer/node.py
+++ b/bitternpath/balancer/node.py
@@ -19,7 +19,7 @@
 
 from bitternpath.balancer import messages as m
 from bitternpath.balancer.config.load import Loaded
-from bitternpath.balancer.config.operator import changed_at_start_only
+from bitternpath.balancer.config.operator import changes_requiring_restart
 from bitternpath.balancer.config.platform import Address, Config, ConfigError, address
 from bitternpath.balancer.core.broker import Broker
 from bitternpath.balancer.core.clock import Clock
@@ -130,18 +130,18 @@
             publishers,
             subscribers,
             self.broker,
-            lambda: self.sockets.requests,
+            lambda: self.sockets.request_limit,
         )
 
     def _set_up_console(self, name: str, console_address: Address) -> None:
         """Create console, hand-over and manual ejections, with local imports as for AMQP."""
         from bitternpath.balancer.handover.handover import RESERVED_DESCRIPTORS, Handover
-        from bitternpath.balancer.http.console import CALLERS, Console
+        from bitternpath.balancer.http.console import MAX_CONSOLE_CONNECTIONS, Console
         from bitternpath.balancer.http.operations import Operations
         from bitternpath.balancer.store.ejection_files import EjectionFiles
         from bitternpath.balancer.store.manual_ejections import ManualEjections
 
-        self.sockets.reserve(CALLERS + RESERVED_DESCRIPTORS)
+        self.sockets.reserve(MAX_CONSOLE_CONNECTIONS + RESERVED_DESCRIPTORS)
         directory, name = Path(tempfile.gettempdir()), quote(name, safe="")
         manual_ejections = self.manual_ejections = ManualEjections(
             self.reactor, self.clock, self.registry, EjectionFiles(directory / f"bitternpath-{name}-out")
@@ -213,10 +213,10 @@
         return self.module.retry_after(self.module.class_states[job_class])
 
     def _has_endpoints(self) -> bool:
-        return self.subscription.granted_once or bool(self.registry.endpoints)
+        return self.subscription.has_been_granted or bool(self.registry.endpoints)
 
     def _endpoints_changed(self, listing: Listing) -> None:
-        self.upstream_client.listed(listing)
+        self.upstream_client.apply_listing(listing)
         self.broker.endpoints_changed(listing)
 
     def begin(self) -> None:
@@ -245,7 +245,7 @@
         if self.manual_ejections is not None:
             self.manual_ejections.run()
         listing = Listing(self.registry.revision, True, tuple(self.registry.endpoints.values()))
-        self.upstream_client.listed(listing)
+        self.upstream_client.apply_listing(listing)
         self.broker.endpoints_changed(listing, at_start=True)
         if self.handover is not None:
             self.broker.process_batch()  # the module must know the workers before their learned weights
@@ -323,15 +323,15 @@
         self.file_configuration = file_configuration
         new = loaded.platform
         self.sockets.resize(new.sockets)
-        self.upstream_client.set_times(new.dial_timeout, new.idle_timeout)
-        self.subscription.move(new.discovery)
+        self.upstream_client.set_timeouts(new.dial_timeout, new.idle_timeout)
+        self.subscription.set_address(new.discovery)
         if new.settings != before.settings:
             self._apply_settings(new.settings)
         fields: dict[str, object] = {"discovery": f"{new.discovery[0]}:{new.discovery[1]}"}
         changed = [key for key in AT_START_ONLY if getattr(before, key) != getattr(new, key)]
         # Keep the running values of settings that need a restart, so that the next reload reports them again.
         config: Config = replace(new, **{key: getattr(before, key) for key in changed})
-        changed += changed_at_start_only(self.startup_settings, loaded.operator.settings)
+        changed += changes_requiring_restart(self.startup_settings, loaded.operator.settings)
         if self.amqp is not None:
             self.amqp.apply(loaded.operator.settings.amqp)
         if changed:
--- a/bitternpath/balancer/node_shutdown.py
+++ b/bitternpath/balancer/node_shutdown.py
@@ -47,7 +47,7 @@
     def _close_if_idle(self) -> None:
         if self._closing:
             return
-        if self.lifecycle.phase is Phase.HANDING_OVER and self.listener.clients_hold_connections:
+        if self.lifecycle.phase is Phase.HANDING_OVER and self.listener.has_client_connections:
             self._schedule_recheck()
         elif not self._has_pending_work():
             self._closing = True
@@ -61,13 +61,15 @@
     def _has_pending_work(self) -> bool:
         # A connection that holds part of a request counts: it may be complete, and so accepted, any moment.
         since = self.clock() - PARTIAL_REQUEST_LIMIT
-        begun = any(c.reader.begun and c.begun_at > since for c in self.listener.connections)
+        begun = any(
+            c.reader.has_partial_message and c.message_started_at > since for c in self.listener.connections
+        )
         return begun or bool(self.broker.unanswered or self.broker.in_progress)
 
     def _has_unsent_answers(self) -> bool:
         """Whether the end would lose an answer that is not written yet, or that a slow client is reading."""
         since = self.clock() - UNSENT_ANSWER_LIMIT
-        return any(c.has_unsent_answer() and c.idle_since > since for c in self.listener.connections)
+        return any(c.has_unsent_response() and c.idle_since > since for c in self.listener.connections)
 
     def _close_now(self) -> None:
         self._closing = False
--- a/bitternpath/balancer/store/ejection_files.py
+++ b/bitternpath/balancer/store/ejection_files.py
@@ -14,7 +14,7 @@
 NAME_LIMIT = 255  # bytes that a file system takes for a name
 
 
-def name_of(id: str) -> str:
+def file_name(id: str) -> str:
     """The file name of an id: all but letters, digits and `-_~` is escaped, so no id leaves the folder."""
     return quote(id, safe="").replace(".", "%2E") + SUFFIX
 
@@ -27,7 +27,7 @@
 
     def add(self, id: str) -> None:
         """Eject; no effect where it is ejected already."""
-        name = name_of(id)
+        name = file_name(id)
         if len(name) > NAME_LIMIT:
             raise OSError(f"an id of that length cannot be stored: {len(name)} of {NAME_LIMIT} bytes")
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -35,18 +35,18 @@
 
     def remove(self, id: str) -> None:
         """Reinstate; no effect where it is not ejected."""
-        (self.folder / name_of(id)).unlink(missing_ok=True)
+        (self.folder / file_name(id)).unlink(missing_ok=True)
 
     def read(self) -> dict[str, float]:
         """Id: ejected since (Unix ms). Raises FileNotFoundError where the folder does not exist."""
-        found: dict[str, float] = {}
+        ejections: dict[str, float] = {}
         with os.scandir(self.folder) as entries:
             for entry in entries:
                 id = unquote(entry.name.removesuffix(SUFFIX))
-                if name_of(id) != entry.name or not entry.is_file(follow_symlinks=False):
+                if file_name(id) != entry.name or not entry.is_file(follow_symlinks=False):
                     continue
                 try:
-                    found[id] = entry.stat(follow_symlinks=False).st_mtime * 1000.0
+                    ejections[id] = entry.stat(follow_symlinks=False).st_mtime * 1000.0
                 except FileNotFoundError:  # reinstated in this moment
                     continue
-        return found
+        return ejections
--- a/bitternpath/balancer/store/manual_ejections.py
+++ b/bitternpath/balancer/store/manual_ejections.py
@@ -33,17 +33,17 @@
     def poll(self) -> None:
         """Apply what is on disk now."""
         try:
-            found = self.store.read()
+            stored = self.store.read()
         except FileNotFoundError:
             return  # nothing was ever ejected, or the folder is gone: that reinstates nothing
         except OSError as error:
             log.warning("manual_ejections_read_failed", folder=str(self.store.folder), why=error)
             return
         ejected = self.registry.ejected_by(BY_OPERATOR)
-        for id in found.keys() - ejected:
-            self.registry.eject(id, found[id])
+        for id in stored.keys() - ejected:
+            self.registry.eject(id, stored[id])
         for id in ejected:
-            if id not in found:
+            if id not in stored:
                 self.registry.reinstate(id, self.clock())
 
     def eject(self, id: str) -> bool:
--- a/bitternpath/cli/consensus_server.py
+++ b/bitternpath/cli/consensus_server.py
@@ -8,7 +8,7 @@
 import click
 
 from bitternpath.balancer.config import logs
-from bitternpath.balancer.config.operator import Fleet, read
+from bitternpath.balancer.config.operator import Fleet, read_settings
 from bitternpath.balancer.config.platform import ConfigError
 from bitternpath.cli.options import given, operator_options
 from bitternpath.cli.run import fault
@@ -44,7 +44,7 @@
     """
     context = click.get_current_context()
     try:
-        settings = read(operator_file, os.environ, given(flags)).settings
+        settings = read_settings(operator_file, os.environ, given(flags)).settings
         fleet = _checked_settings(settings.fleet)
     except ConfigError as error:
         context.exit(fault(error))
@@ -52,7 +52,7 @@
     from bitternpath.balancer.fleet.store import StoreError
 
     log_settings = settings.log
-    logs.start(log_settings.level, log_settings.format, log_settings.per_second)
+    logs.configure(log_settings.level, log_settings.format, log_settings.per_second)
     try:
         context.exit(run(fleet, found))
     except StoreError as error:
--- a/bitternpath/cli/fleet_client.py
+++ b/bitternpath/cli/fleet_client.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from bitternpath.balancer.config.operator import read
+from bitternpath.balancer.config.operator import read_settings
 from bitternpath.balancer.config.platform import Address, ConfigError, address
 from bitternpath.cli.options import given, operator_options
 from bitternpath.cli.run import fault
@@ -53,7 +53,7 @@
         flags = {name: arguments.pop(name) for name in list(arguments) if "__" in name}
         context = click.get_current_context()
         try:
-            settings = read(operator_file, os.environ, given(flags)).settings.fleet
+            settings = read_settings(operator_file, os.environ, given(flags)).settings.fleet
             if not settings.stewards:
                 raise ConfigError(
                     "fleet.stewards: no consensus server is named; give --fleet-stewards or --operator-file"
--- a/bitternpath/cli/options.py
+++ b/bitternpath/cli/options.py
@@ -7,7 +7,7 @@
 
 import click
 
-from bitternpath.balancer.config.operator import flag, keys, meant, variable
+from bitternpath.balancer.config.operator import environment_variable, flag_name, key_metadata, setting_keys
 
 
 def operator_options(function: Callable[..., Any]) -> Callable[..., Any]:
@@ -25,15 +25,15 @@
 
 
 def _options(function: Callable[..., Any], sections: tuple[str, ...] | None) -> Callable[..., Any]:
-    for path, hint in reversed(list(keys())):
+    for path, hint in reversed(list(setting_keys())):
         if sections is not None and path.partition(".")[0] not in sections:
             continue
         function = click.option(
-            flag(path),
+            flag_name(path),
             path.replace(".", "__"),
             metavar="VALUE",
             default=None,
-            help=f"{meant(hint).description} [{variable(path)}]",
+            help=f"{key_metadata(hint).description} [{environment_variable(path)}]",
         )(function)
     return click.option(
         "--operator-file",
--- a/bitternpath/cli/run.py
+++ b/bitternpath/cli/run.py
@@ -26,7 +26,7 @@
     from bitternpath.balancer.config import logs
 
     log_settings = loaded.operator.settings.log
-    logs.start(log_settings.level, log_settings.format, log_settings.per_second)
+    logs.configure(log_settings.level, log_settings.format, log_settings.per_second)
 
     def read_again(running: Loaded) -> Loaded:
         return reload_all(running, os.environ, config, operator_file, flags)
--- a/bitternpath/cli/user.py
+++ b/bitternpath/cli/user.py
@@ -23,7 +23,7 @@
 @click.argument("name")
 def hash_(name: str) -> None:
     """Print the operator file's lines for NAME; asks for the password, or reads it from standard input."""
-    from bitternpath.balancer.config.passwords import hashed
+    from bitternpath.balancer.config.passwords import hash_password
 
     if sys.stdin.isatty():
         password = click.prompt("Password", hide_input=True, confirmation_prompt=True)
@@ -32,4 +32,4 @@
     if not password:
         raise click.UsageError("the password is empty; 1 byte or more is needed")
     quoted = '"' + name.replace("\\", "\\\\").replace('"', '\\"') + '"'
-    click.echo(f'[amqp.users.{quoted}]\npassword = "{hashed(password.encode())}"')
+    click.echo(f'[amqp.users.{quoted}]\npassword = "{hash_password(password.encode())}"')
--- a/bitternpath/delivery/responses.py
+++ b/bitternpath/delivery/responses.py
@@ -82,8 +82,8 @@
         if head.headers.get(b"x-request-id") != self._request_id:
             return Progress.INVALID
         if not self._bodiless:
-            self._reader.piece()
-            if not self._reader.ended:
+            self._reader.read_body()
+            if not self._reader.body_complete:
                 return Progress.PARTIAL
         self._record_complete(head)
         return Progress.COMPLETE
--- a/bitternpath/net/http1.py
+++ b/bitternpath/net/http1.py
@@ -10,19 +10,19 @@
 
 HEAD_LIMIT = 16 * 1024
 BODY_LIMIT = 64 * 1024
-LINE_LIMIT = 1024  # a chunk's size line
+CHUNK_LINE_LIMIT = 1024  # a chunk's size line
 
 Headers = dict[bytes, bytes]
 
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _TARGET = re.compile(rb"/[\x21\x22\x24-\x7e]*")  # what any server can read: ASCII, and no fragment
-_REQUEST = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) (\S+) HTTP/1\.([01])")
-_STATUS = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: .*)?")
+_REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) (\S+) HTTP/1\.([01])")
+_STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: .*)?")
 _DIGITS = re.compile(rb"[0-9]{1,12}")
 _HEX = re.compile(rb"[0-9A-Fa-f]{1,8}")
-_VALUE = re.compile(rb"[\t\x20-\x7e]*")
+_FIELD_VALUE = re.compile(rb"[\t\x20-\x7e]*")
 # Those that say where a message ends, what it is and whose: given twice, each reader may take another one.
-ONCE = frozenset(
+SINGLETON_FIELDS = frozenset(
     b"content-length transfer-encoding host content-type x-call-id x-call-class x-route-hash x-budget-ms"
     b" x-again x-call-info".split()
 )
@@ -31,14 +31,14 @@
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer upgrade"
     b" transfer-encoding content-length host expect".split()
 )
-_CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+_CONTROL_CHARACTER = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 
 
 class HttpError(Exception):
     """Input that cannot be read as a message; `status` is what a server answers."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -66,60 +66,60 @@
     status: int = 200
 
 
-class _Body:
+class _BodyReader:
     """The state of a body that is being read."""
 
-    __slots__ = ("left", "limit", "mode", "size")
+    __slots__ = ("limit", "mode", "remaining", "size")
 
-    def __init__(self, mode: str, left: int, limit: int | None) -> None:
+    def __init__(self, mode: str, remaining: int, limit: int | None) -> None:
         self.mode = mode  # "length", "close", or of chunks: "size", "chunk", "end", "trailer"; "done"
-        self.left, self.limit, self.size = left, limit, 0
+        self.remaining, self.limit, self.size = remaining, limit, 0
         if mode == "length":
-            self.count(left)
-            self.mode = "length" if left else "done"
+            self.count(remaining)
+            self.mode = "length" if remaining else "done"
 
-    def count(self, more: int) -> None:
-        self.size += more
+    def count(self, length: int) -> None:
+        self.size += length
         if self.limit is not None and self.size > self.limit:
             raise HttpError(413, "body too large")
 
     def read(self, buffer: Buffer) -> bytes:
         """All of the body that the buffer holds now."""
-        pieces = []
+        chunks = []
         while self.mode != "done":
             if self.mode in ("length", "chunk"):
-                piece = buffer.take(self.left)
-                self.left -= len(piece)
-                pieces.append(piece)
-                if self.left:
+                data = buffer.take(self.remaining)
+                self.remaining -= len(data)
+                chunks.append(data)
+                if self.remaining:
                     break
                 self.mode = "done" if self.mode == "length" else "end"
             elif self.mode == "close":
-                pieces.append(buffer.take(len(buffer)))
-                self.count(len(pieces[-1]))
+                chunks.append(buffer.take(len(buffer)))
+                self.count(len(chunks[-1]))
                 break
-            elif not self._line(buffer):
+            elif not self._read_chunk_line(buffer):
                 break
-        return b"".join(pieces)
+        return b"".join(chunks)
 
-    def _line(self, buffer: Buffer) -> bool:
+    def _read_chunk_line(self, buffer: Buffer) -> bool:
         """Read one line of the chunk framing; False while it is not complete."""
-        at = buffer.find(b"\n")
-        if at < 0 or at > LINE_LIMIT:
-            if max(at, len(buffer)) > LINE_LIMIT:
+        index = buffer.find(b"\n")
+        if index < 0 or index > CHUNK_LINE_LIMIT:
+            if max(index, len(buffer)) > CHUNK_LINE_LIMIT:
                 raise HttpError(400, "chunk line too long")
             return False
-        ended = buffer.take(at + 1)
-        if not ended.endswith(b"\r\n"):
+        raw_line = buffer.take(index + 1)
+        if not raw_line.endswith(b"\r\n"):
             raise HttpError(400, "chunk line without CR LF")
-        line = _line_of(ended[:-1])
+        line = _strip_line_ending(raw_line[:-1])
         if self.mode == "size":
             size = line.partition(b";")[0].rstrip(b" \t")
             if not _HEX.fullmatch(size):
                 raise HttpError(400, "bad chunk size")
-            self.left = int(size, 16)
-            self.count(self.left)
-            self.mode = "chunk" if self.left else "trailer"
+            self.remaining = int(size, 16)
+            self.count(self.remaining)
+            self.mode = "chunk" if self.remaining else "trailer"
         elif self.mode == "end":
             if line:
                 raise HttpError(400, "chunk longer than its size")
@@ -137,14 +137,14 @@
     def __init__(self, body_limit: int | None = BODY_LIMIT) -> None:
         self.buffer = Buffer()
         self.body_limit = body_limit
-        self._seen = self._head_size = 0  # bytes known to hold no line's end; bytes of head taken
+        self._scanned = self._head_size = 0  # bytes known to hold no line's end; bytes of head taken
         self._lines: list[bytes] = []
         self._message: Message | None = None
-        self._body: _Body | None = None
-        self._parts: list[bytes] = []
+        self._body: _BodyReader | None = None
+        self._body_data: list[bytes] = []
 
     @property
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a message has been read."""
         return self._message is not None or bool(self._lines) or len(self.buffer) > 0
 
@@ -156,19 +156,19 @@
         if self._message is None:
             lines = self._head_lines()
             if lines is not None:
-                self._message, self._body = self.start(lines)
+                self._message, self._body = self.parse_head(lines)
         return self._message
 
-    def piece(self) -> bytes:
+    def read_body(self) -> bytes:
         """What has come of the body since the last call, for bodies that never end."""
         return self._body.read(self.buffer) if self._body else b""
 
-    def awaited(self) -> Message | None:
+    def incomplete_message(self) -> Message | None:
         """The message whose head has come but not all of its body."""
         return self._message
 
     @property
-    def ended(self) -> bool:
+    def body_complete(self) -> bool:
         """Whether the body that `piece` reads has ended."""
         return self._body is not None and self._body.mode == "done"
 
@@ -177,28 +177,28 @@
         message, body = self.head(), self._body
         if message is None or body is None:
             return None
-        piece = body.read(self.buffer)
-        if piece:
-            self._parts.append(piece)
+        data = body.read(self.buffer)
+        if data:
+            self._body_data.append(data)
         return self._finish(message) if body.mode == "done" else None
 
-    def end(self) -> Message | None:
+    def finish_at_close(self) -> Message | None:
         """The peer has closed: the message that this ends, if it is one whose end is the close."""
         if self._message is not None and self._body is not None and self._body.mode == "close":
             return self._finish(self._message)
         return None
 
     def _finish(self, message: Message) -> Message:
-        message.body = b"".join(self._parts)
-        self._message, self._body, self._parts = None, None, []
+        message.body = b"".join(self._body_data)
+        self._message, self._body, self._body_data = None, None, []
         return message
 
     def _head_lines(self) -> list[bytes] | None:
         """The lines of the head once it is complete. A line may end in LF alone; empty ones may lead."""
         buffer = self.buffer
-        while (at := buffer.find(b"\n", self._seen)) >= 0:
-            line, self._seen = _line_of(buffer.take(at + 1)[:-1]), 0
-            self._head_size += at + 1
+        while (index := buffer.find(b"\n", self._scanned)) >= 0:
+            line, self._scanned = _strip_line_ending(buffer.take(index + 1)[:-1]), 0
+            self._head_size += index + 1
             if self._head_size > HEAD_LIMIT:
                 break
             if line:
@@ -206,75 +206,75 @@
             elif self._lines:
                 lines, self._lines, self._head_size = self._lines, [], 0
                 return lines
-        self._seen = len(buffer)
+        self._scanned = len(buffer)
         if self._head_size + len(buffer) > HEAD_LIMIT:
             raise HttpError(431, "head too large")
         return None
 
-    def start(self, lines: list[bytes]) -> tuple[Message, _Body]:
+    def parse_head(self, lines: list[bytes]) -> tuple[Message, _BodyReader]:
         raise NotImplementedError
 
-    def _framed(self, headers: Headers, otherwise: str, minor: bytes) -> _Body:
-        coding, length = headers.get(b"transfer-encoding"), headers.get(b"content-length")
-        if coding is not None:
+    def _body_framing(self, headers: Headers, default_mode: str, minor: bytes) -> _BodyReader:
+        transfer_coding, length = headers.get(b"transfer-encoding"), headers.get(b"content-length")
+        if transfer_coding is not None:
             if length is not None or minor == b"0":
                 raise HttpError(400, "conflicting lengths")
-            if coding.lower() != b"chunked":
+            if transfer_coding.lower() != b"chunked":
                 raise HttpError(501, "unknown transfer coding")
-            return _Body("size", 0, self.body_limit)
+            return _BodyReader("size", 0, self.body_limit)
         if length is None:
-            return _Body(otherwise, 0, self.body_limit)
+            return _BodyReader(default_mode, 0, self.body_limit)
         if not _DIGITS.fullmatch(length):
             raise HttpError(400, "bad length")
-        return _Body("length", int(length), self.body_limit)
+        return _BodyReader("length", int(length), self.body_limit)
 
 
 class RequestReader(Reader):
-    def start(self, lines: list[bytes]) -> tuple[Message, _Body]:
-        match = _REQUEST.fullmatch(lines[0])
+    def parse_head(self, lines: list[bytes]) -> tuple[Message, _BodyReader]:
+        match = _REQUEST_LINE.fullmatch(lines[0])
         if match is None:
             raise HttpError(400, "bad request line")
         method, target, minor = match.groups()
         if not _TARGET.fullmatch(target):
             raise HttpError(400, "bad target")
-        headers = _headers(lines[1:])
+        headers = _parse_headers(lines[1:])
         if method in (b"POST", b"PUT", b"PATCH") and not headers.keys() & {
             b"content-length",
             b"transfer-encoding",
         }:
             raise HttpError(411, "length required")
-        body = self._framed(headers, "length", minor)
-        return Request(headers, b"", _keeps(headers, minor), method, target), body
+        body = self._body_framing(headers, "length", minor)
+        return Request(headers, b"", _is_persistent(headers, minor), method, target), body
 
 
 class ResponseReader(Reader):
-    def start(self, lines: list[bytes]) -> tuple[Message, _Body]:
-        match = _STATUS.fullmatch(lines[0])
+    def parse_head(self, lines: list[bytes]) -> tuple[Message, _BodyReader]:
+        match = _STATUS_LINE.fullmatch(lines[0])
         if match is None:
             raise HttpError(400, "bad status line")
         minor, status = match[1], int(match[2])
-        headers = _headers(lines[1:])
-        bare = status < 200 or status in (204, 304)
-        body = _Body("length", 0, None) if bare else self._framed(headers, "close", minor)
-        keep = _keeps(headers, minor) and body.mode != "close"
-        return Response(headers, b"", keep, status), body
+        headers = _parse_headers(lines[1:])
+        bodiless = status < 200 or status in (204, 304)
+        body = _BodyReader("length", 0, None) if bodiless else self._body_framing(headers, "close", minor)
+        keep_alive = _is_persistent(headers, minor) and body.mode != "close"
+        return Response(headers, b"", keep_alive, status), body
 
 
-def _line_of(line: bytes) -> bytes:
+def _strip_line_ending(line: bytes) -> bytes:
     line = line.removesuffix(b"\r")
-    if _CONTROL.search(line):
+    if _CONTROL_CHARACTER.search(line):
         raise HttpError(400, "control character")
     return line
 
 
-def _headers(lines: list[bytes]) -> Headers:
+def _parse_headers(lines: list[bytes]) -> Headers:
     headers: Headers = {}
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not _TOKEN.fullmatch(name):
             raise HttpError(400, "bad header")
         name, value = name.lower(), value.strip(b" \t")
-        if name in ONCE and (name in headers or not _VALUE.fullmatch(value)):
+        if name in SINGLETON_FIELDS and (name in headers or not _FIELD_VALUE.fullmatch(value)):
             raise HttpError(400, "header repeated or not in ASCII")
         headers[name] = headers[name] + b"," + value if name in headers else value
     return headers
@@ -282,11 +282,15 @@
 
 def end_to_end(headers: Headers) -> list[tuple[bytes, bytes]]:
     """The headers that a gateway passes on: neither hop by hop nor named in Connection."""
-    named = {name.strip().lower() for name in headers.get(b"connection", b"").split(b",")}
-    return [header for header in headers.items() if header[0] not in HOP_BY_HOP and header[0] not in named]
+    connection_options = {name.strip().lower() for name in headers.get(b"connection", b"").split(b",")}
+    return [
+        header
+        for header in headers.items()
+        if header[0] not in HOP_BY_HOP and header[0] not in connection_options
+    ]
 
 
-def _keeps(headers: Headers, minor: bytes) -> bool:
+def _is_persistent(headers: Headers, minor: bytes) -> bool:
     options = {option.strip().lower() for option in headers.get(b"connection", b"").split(b",")}
     return b"close" not in options and (minor == b"1" or b"keep-alive" in options)
 
--- a/bitternpath/net/sockets.py
+++ b/bitternpath/net/sockets.py
@@ -15,8 +15,8 @@
 # spare descriptor, discovery, and sockets that the system has not let go of yet.
 RESERVED = 24
 BURST = 8  # connections accepted at a time; as many sockets are kept free for the next ones
-FOR_ENDPOINTS = 0.25  # the share of the rest that clients and call-backs leave to endpoint connections
-FOR_CALL_BACKS = 0.25  # the share of the listener's that requests leave to call-backs
+ENDPOINT_SHARE = 0.25  # the share of the rest that clients and call-backs leave to endpoint connections
+CALLBACK_SHARE = 0.25  # the share of the listener's that requests leave to call-backs
 
 
 class BurstPort(Port):
@@ -32,14 +32,14 @@
     @property
     def address(self) -> str:
         """Where it listens, as HOST:PORT; the port may have been left to the system."""
-        where = self.getHost()  # type: ignore[no-untyped-call]
-        return f"{where.host}:{where.port}"
+        host = self.getHost()  # type: ignore[no-untyped-call]
+        return f"{host.host}:{host.port}"
 
     def createInternetSocket(self) -> socket:
-        made: socket = super().createInternetSocket()  # type: ignore[no-untyped-call]
+        created: socket = super().createInternetSocket()  # type: ignore[no-untyped-call]
         if self.shared:
-            made.setsockopt(SOL_SOCKET, SO_REUSEPORT, 1)
-        return made
+            created.setsockopt(SOL_SOCKET, SO_REUSEPORT, 1)
+        return created
 
 
 class Sockets:
@@ -47,55 +47,55 @@
 
     def __init__(self, limit: int) -> None:
         self.clients = self.endpoints = self.reserved = 0
-        self.part = 1.0
+        self.fraction = 1.0
         self.resize(limit)
 
-    def reserve(self, many: int) -> None:
+    def reserve(self, count: int) -> None:
         """Keep so many more for another front, which counts them itself."""
-        self.reserved += many
+        self.reserved += count
         self.resize(self.limit)
 
-    def share(self, part: float) -> None:
+    def set_share(self, fraction: float) -> None:
         """How much of the limit is this process's, where another one of the node lives as well."""
-        self.part = part
+        self.fraction = fraction
         self.resize(self.limit)
 
     def resize(self, limit: int) -> None:
         self.limit = limit
-        self.total = max(int(limit * self.part) - RESERVED - self.reserved, 8)
-        self.for_clients = int(self.total * (1 - FOR_ENDPOINTS))
-        self.requests = int(self.for_clients * (1 - FOR_CALL_BACKS))  # that may wait at once
+        self.total = max(int(limit * self.fraction) - RESERVED - self.reserved, 8)
+        self.client_limit = int(self.total * (1 - ENDPOINT_SHARE))
+        self.request_limit = int(self.client_limit * (1 - CALLBACK_SHARE))  # that may wait at once
 
     def clients_full(self) -> bool:
-        return self.clients >= self.for_clients
+        return self.clients >= self.client_limit
 
     def endpoints_full(self) -> bool:
-        return self.endpoints >= self.total - self.for_clients
+        return self.endpoints >= self.total - self.client_limit
 
 
 def peek(transport: Any) -> bytes | None:
     """What has come on a connection and waits to be read: its first byte, b"" for its end, None for
     nothing."""
     try:
-        found: bytes = transport.getHandle().recv(1, MSG_PEEK)
+        first_byte: bytes = transport.getHandle().recv(1, MSG_PEEK)
     except BlockingIOError:
         return None
     except OSError:
         return b""
-    return found
+    return first_byte
 
 
-class _Dialled(Factory):
+class _SingleProtocolFactory(Factory):
     noisy = False
 
     def __init__(self, protocol: Protocol) -> None:
-        self.made = protocol
+        self.protocol_instance = protocol
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
-        return self.made
+        return self.protocol_instance
 
 
 def dial(reactor: Any, host: str, port: int, timeout: float, protocol: Protocol) -> Deferred[Any]:
     """Connect `protocol`; fires with it once the connection is up, fails after `timeout` seconds."""
-    factory: Any = _Dialled(protocol)
+    factory: Any = _SingleProtocolFactory(protocol)
     return TCP4ClientEndpoint(reactor, host, port, timeout).connect(factory)
--- a/bitternpath/net/writing.py
+++ b/bitternpath/net/writing.py
@@ -25,7 +25,7 @@
     if write_some is None or has_unsent(transport) or not transport.connected:
         transport.write(data)
         return
-    taken = write_some(data)
-    written = taken if isinstance(taken, int) else 0  # an error: the next write meets it in the reactor
+    result = write_some(data)
+    written = result if isinstance(result, int) else 0  # an error: the next write meets it in the reactor
     if written < len(data):
         transport.write(data[written:] if written else data)
--- a/tests/system/ingress/server_case.py
+++ b/tests/system/ingress/server_case.py
@@ -194,7 +194,7 @@
         while (response := reader.next()) is not None:
             assert isinstance(response, Response)
             responses.append(response)
-        if reader.begun:
+        if reader.has_partial_message:
             raise AssertionError(f"incomplete response: {self.wire.written!r}")
         return responses
 
--- a/tests/test_amqp_clients.py
+++ b/tests/test_amqp_clients.py
@@ -27,7 +27,7 @@
 )
 from rig import Rig, accept, done, running, until
 
-from bitternpath.balancer.config.passwords import hashed
+from bitternpath.balancer.config.passwords import hash_password
 
 FLAGS = ("--amqp-listen", "127.0.0.1:0", "--amqp-max-connections", "64")
 REPLY_TO = "amq.rabbitmq.reply-to"
@@ -226,7 +226,9 @@
 def test_users_their_vhosts_and_a_reload(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     base = '[amqp]\nlisten = "127.0.0.1:0"\nmax_connections = 64\nvhosts = ["/", "/council"]\n'
-    file.write_text(base + f'[amqp.users.a]\npassword = "{hashed(b"secret")}"\nvhosts = ["/council"]\n')
+    file.write_text(
+        base + f'[amqp.users.a]\npassword = "{hash_password(b"secret")}"\nvhosts = ["/council"]\n'
+    )
     with running(tmp_path, flags=("--operator-file", str(file))) as rig:
         pika.BlockingConnection(parameters(rig, "a", "secret", "/council")).close()
         for user, password in (("a", "wrong"), ("b", "secret"), ("guest", "guest"), ("a", "")):
@@ -237,7 +239,9 @@
         # An invalid file changes nothing; a valid one applies to new connections.
         file.write_text(base + "heartbeat = -1\n")
         rig.reload(json.dumps(rig.conf), "event=reload_failed")
-        file.write_text(base.replace(":0", ":1") + f'[amqp.users.b]\npassword = "{hashed(b"secret")}"\n')
+        file.write_text(
+            base.replace(":0", ":1") + f'[amqp.users.b]\npassword = "{hash_password(b"secret")}"\n'
+        )
         rig.reload(json.dumps(rig.conf))
         assert "needs_restart=amqp.listen" in rig.logged("event=reloaded")[-1]
         pika.BlockingConnection(parameters(rig, "b", "secret")).close()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -13,7 +13,15 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from bitternpath.balancer.core.statistics import Statistics
-from bitternpath.balancer.http.console import CALL_TIMEOUT, CALLERS, FRESH, Answer, Caller, Console, one_id
+from bitternpath.balancer.http.console import (
+    CALL_TIMEOUT,
+    MAX_CONSOLE_CONNECTIONS,
+    RECENT_CONNECTION_AGE,
+    Console,
+    ConsoleConnection,
+    ConsoleResponse,
+    parse_id,
+)
 
 READY = b"GET /ops/readiness HTTP/1.1\r\n\r\n"
 
@@ -39,13 +47,13 @@
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
         routes = {
-            b"/ops/readiness": (b"GET", lambda body: Answer(200)),
-            b"/ops/w/down": (b"POST", lambda body: Answer(200, one_id(body).encode())),
+            b"/ops/readiness": (b"GET", lambda body: ConsoleResponse(200)),
+            b"/ops/w/down": (b"POST", lambda body: ConsoleResponse(200, parse_id(body).encode())),
         }
         self.console = Console(self.reactor, ("127.0.0.1", 0), routes)
 
-    def call(self, data: bytes = b"") -> tuple[Caller, Wire]:
-        caller, wire = Caller(self.console), Wire()
+    def call(self, data: bytes = b"") -> tuple[ConsoleConnection, Wire]:
+        caller, wire = ConsoleConnection(self.console), Wire()
         wire.tell = caller.connectionLost
         caller.makeConnection(wire)
         if data:
@@ -102,25 +110,25 @@
     desk.reactor.advance(0.02)
     assert silent.aborted and b" 408 " in half.value()
     desk.reactor.advance(1.0)
-    assert half.aborted and not desk.console.silent and not desk.console.answered
+    assert half.aborted and not desk.console.unanswered and not desk.console.answered
 
 
 def test_any_number_of_silent_callers_keeps_out_no_whole_call() -> None:
     desk = Desk()
     wires = []
-    for k in range(10 * CALLERS):
+    for k in range(10 * MAX_CONSOLE_CONNECTIONS):
         wires.append(desk.call(READY[: k % 9])[1])
-        desk.reactor.advance(FRESH / 50)
+        desk.reactor.advance(RECENT_CONNECTION_AGE / 50)
         assert desk.status(READY) == 200
-        assert len(desk.console.silent) + len(desk.console.answered) <= CALLERS
+        assert len(desk.console.unanswered) + len(desk.console.answered) <= MAX_CONSOLE_CONNECTIONS
     assert wires[0].aborted
 
 
 def test_a_caller_that_has_just_come_is_not_the_one_to_go() -> None:
     desk = Desk()
-    for _ in range(CALLERS):
+    for _ in range(MAX_CONSOLE_CONNECTIONS):
         desk.call(READY)
-        desk.reactor.advance(FRESH)
+        desk.reactor.advance(RECENT_CONNECTION_AGE)
     fresh, wire = desk.call()
     for _ in range(5):
         desk.call()
--- a/tests/test_discovery_subscription.py
+++ b/tests/test_discovery_subscription.py
@@ -138,7 +138,7 @@
     for way in ways:
         HANGS[way](scene.next(1.0 + TOLD))
         if moves:  # SIGHUP in the middle, each time to another place
-            scene.subscription.move(("h", scene.subscription.address[1] + 1))
+            scene.subscription.set_address(("h", scene.subscription.address[1] + 1))
             HANGS[way](scene.lines[-1])
     line = scene.next(1.0 + TOLD)
     line.comes_up()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bitternpath.net.buffer import COMPACT_FROM, Buffer
+from bitternpath.net.buffer import COMPACTION_THRESHOLD, Buffer
 from bitternpath.net.http1 import (
     BODY_LIMIT,
     HEAD_LIMIT,
@@ -58,7 +58,7 @@
     reader = RequestReader()
     got = [m for m in fed(reader, data, step) if isinstance(m, Req)]
     assert [(m.method, m.target, m.body, m.keep_alive) for m in got] == want
-    assert not reader.begun
+    assert not reader.has_partial_message
 
 
 BAD = [
@@ -127,7 +127,7 @@
 def test_answers(data: bytes, want: list[tuple[object, ...]], step: int) -> None:
     reader = ResponseReader()
     got: list[Message | None] = list(fed(reader, data, step))
-    got.append(reader.end())
+    got.append(reader.finish_at_close())
     assert [(m.status, m.body, m.keep_alive) for m in got if isinstance(m, Response)] == want
 
 
@@ -146,7 +146,7 @@
 def test_the_buffer_gives_back_what_it_took_in_and_does_not_keep_it() -> None:
     buffer = Buffer()
     for k in range(100):
-        buffer.append(bytes([k]) * COMPACT_FROM)
+        buffer.append(bytes([k]) * COMPACTION_THRESHOLD)
         assert buffer.find(bytes([k])) == 0
-        assert buffer.take(COMPACT_FROM) == bytes([k]) * COMPACT_FROM
-    assert len(buffer) == 0 and len(buffer._data) <= 2 * COMPACT_FROM
+        assert buffer.take(COMPACTION_THRESHOLD) == bytes([k]) * COMPACTION_THRESHOLD
+    assert len(buffer) == 0 and len(buffer._data) <= 2 * COMPACTION_THRESHOLD
--- a/tests/test_http_upstream_client.py
+++ b/tests/test_http_upstream_client.py
@@ -62,7 +62,7 @@
         self.pool = HttpUpstreamClient(self.reactor, clock, self.registry, Sockets(64), 250.0, 10_000.0)
         self.pool.broker = self  # type: ignore[assignment]
         self.pool._dial = self.dial  # type: ignore[method-assign]
-        self.pool.listed(Listing(1, True, (ROW,)))
+        self.pool.apply_listing(Listing(1, True, (ROW,)))
 
     def dial(self, line: Any) -> bool:
         line.dials += 1
@@ -191,7 +191,7 @@
         bench.rest()
     line = bench.pool.pools[ROW.host_port]
     assert line.idle == [connection] * rested
-    bench.pool.listed(Listing(2, False, (replace(ROW, up_since=9.0),)))
+    bench.pool.apply_listing(Listing(2, False, (replace(ROW, up_since=9.0),)))
     assert wire.disconnecting and not line.idle
     bench.rest()
     assert not line.idle
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -308,7 +308,7 @@
 def test_waiting_requests_leave_sockets_for_callbacks(tmp_path: Path) -> None:
     # Guards against waiting requests that occupy all sockets of the listener, so that no callback ends them.
     with running(tmp_path, accept, sockets=64) as rig, ThreadPoolExecutor(60) as pool:
-        capacity = Sockets(64).requests
+        capacity = Sockets(64).request_limit
         requests = [pool.submit(rig.submit, f"a{k}", body=b"a%d" % k) for k in range(60)]
         until(lambda: sum(answer.done() for answer in requests) >= 60 - capacity)
         rejected = [answer.result()[2] for answer in requests if answer.done()]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,8 +18,15 @@
 
 from bitternpath.balancer.config import logs
 from bitternpath.balancer.config.load import load_all
-from bitternpath.balancer.config.operator import Operator, changed_at_start_only, flag, keys, read, variable
-from bitternpath.balancer.config.passwords import NOBODY, hashed, matches
+from bitternpath.balancer.config.operator import (
+    Operator,
+    changes_requiring_restart,
+    environment_variable,
+    flag_name,
+    read_settings,
+    setting_keys,
+)
+from bitternpath.balancer.config.passwords import DUMMY_HASH, hash_password, verify_password
 from bitternpath.balancer.config.platform import ConfigError
 
 ROOT = Path(__file__).parent.parent
@@ -78,14 +85,14 @@
 )
 def test_a_fault_elsewhere_names_where(environ: dict[str, str], flags: dict[str, str], says: str) -> None:
     with pytest.raises(ConfigError) as fault:
-        read(None, environ, flags)
+        read_settings(None, environ, flags)
     assert str(fault.value).startswith(says) and "\n" not in str(fault.value)
 
 
 def test_flag_wins_over_environment_over_file_over_default(tmp_path: Path) -> None:
     where = file(tmp_path, "[amqp]\nheartbeat = 1\nchannel_max = 1\nframe_max = 5000\nvhosts = ['/', 'a']")
     environ = {"BITTERNPATH_AMQP_HEARTBEAT": "2", "BITTERNPATH_AMQP_CHANNEL_MAX": "2"}
-    told = read(where, environ, {"amqp.heartbeat": "3"})
+    told = read_settings(where, environ, {"amqp.heartbeat": "3"})
     amqp = told.settings.amqp
     assert (amqp.heartbeat, amqp.channel_max, amqp.frame_max, amqp.subscribers) == (3, 2, 5000, 64)
     want = {
@@ -102,15 +109,20 @@
     return ",".join(value) if isinstance(value, list) else json.dumps(value) if value == {} else str(value)
 
 
-@pytest.mark.parametrize("path", [path for path, _ in keys()])
+@pytest.mark.parametrize("path", [path for path, _ in setting_keys()])
 def test_every_key_can_be_given_in_all_three_ways(path: str) -> None:
     # Guards: a key whose type no text converts to would be known to the file alone.
     section, _, key = path.partition(".")
     default = as_text(msgspec.to_builtins(Operator())[section][key])
-    by_variable, by_flag = read(None, {variable(path): default}, {}), read(None, {}, {path: default})
+    by_variable, by_flag = (
+        read_settings(None, {environment_variable(path): default}, {}),
+        read_settings(None, {}, {path: default}),
+    )
     assert by_variable.settings == by_flag.settings == Operator()
-    assert by_variable.origin == {path: variable(path)} and by_flag.origin == {path: flag(path)}
-    assert flag(path) in command_help()
+    assert by_variable.origin == {path: environment_variable(path)} and by_flag.origin == {
+        path: flag_name(path)
+    }
+    assert flag_name(path) in command_help()
 
 
 _help: list[str] = []
@@ -128,7 +140,7 @@
     named = [ln[1:] for ln in text.splitlines() if ln.startswith("#") and not ln.startswith("# ")]
     shown = tomllib.loads("\n".join(named))
     assert msgspec.convert(shown, Operator) == Operator()
-    assert [f"{s}.{k}" for s, table in shown.items() for k in table] == [path for path, _ in keys()]
+    assert [f"{s}.{k}" for s, table in shown.items() for k in table] == [path for path, _ in setting_keys()]
 
 
 def test_what_the_two_files_say_must_fit_together(tmp_path: Path) -> None:
@@ -150,12 +162,12 @@
 
 def test_a_reload_names_what_waits_for_a_restart() -> None:
     def told(**flags: str) -> Operator:
-        return read(None, {}, {key.replace("__", "."): text for key, text in flags.items()}).settings
+        return read_settings(None, {}, {key.replace("__", "."): text for key, text in flags.items()}).settings
 
     before = told(amqp__listen="h:1")
-    assert changed_at_start_only(before, told(amqp__listen="h:1", amqp__heartbeat="5")) == []
+    assert changes_requiring_restart(before, told(amqp__listen="h:1", amqp__heartbeat="5")) == []
     now = told(amqp__listen="h:2", log__level="error")
-    assert changed_at_start_only(before, now) == ["log.level", "amqp.listen"]
+    assert changes_requiring_restart(before, now) == ["log.level", "amqp.listen"]
 
 
 def test_the_command_line(tmp_path: Path) -> None:
@@ -177,10 +189,12 @@
 def test_a_password_hash_goes_from_the_command_line_into_the_file(tmp_path: Path) -> None:
     made = command("user", "hash", 'a "b"', input="pass word\n")
     where = file(tmp_path, made.stdout)
-    user = read(where, {}, {}).settings.amqp.users['a "b"']
-    assert matches(b"pass word", user.password) and not matches(b"pass word ", user.password)
-    assert hashed(b"x") != hashed(b"x")  # salted
-    assert not matches(b"", NOBODY) and not matches(b"x", "scrypt:3:8:1:" + "00" * 16 + ":" + "00" * 32)
+    user = read_settings(where, {}, {}).settings.amqp.users['a "b"']
+    assert verify_password(b"pass word", user.password) and not verify_password(b"pass word ", user.password)
+    assert hash_password(b"x") != hash_password(b"x")  # salted
+    assert not verify_password(b"", DUMMY_HASH) and not verify_password(
+        b"x", "scrypt:3:8:1:" + "00" * 16 + ":" + "00" * 32
+    )
     assert command("user", "hash", "a", input="\n").returncode == 2
 
 
@@ -215,7 +229,7 @@
 def test_strangers_cannot_write_more_lines_than_the_bound() -> None:
     # Guards: a peer that sends rubbish as fast as it can must not fill the log, nor hide other events.
     now = [5.0]
-    bound = logs.Bound(3, lambda: now[0])
+    bound = logs.RateLimiter(3, lambda: now[0])
     passed = 0
     for _ in range(10):
         try:
