--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,24 +17,24 @@
         self.accepted: list[socket.socket] = []
 
     def accept(self) -> socket.socket:
-        made, _ = self.listener.accept()
-        made.settimeout(20)
-        self.accepted.append(made)
-        return made
+        connection, _ = self.listener.accept()
+        connection.settimeout(20)
+        self.accepted.append(connection)
+        return connection
 
-    def asked(self) -> tuple[socket.socket, bytes]:
+    def next_message(self) -> tuple[socket.socket, bytes]:
         """The next message on any connection, and that; those that end without one are passed over."""
-        silent = list(self.accepted)
+        pending = list(self.accepted)
         while True:
-            ready = select.select([self.listener, *silent], [], [], 20)[0]
+            ready = select.select([self.listener, *pending], [], [], 20)[0]
             assert ready, "nobody asks"
             for sock in ready:
                 if sock is self.listener:
-                    silent.append(self.accept())
-                elif got := message(sock):
-                    return sock, got
+                    pending.append(self.accept())
+                elif received := message(sock):
+                    return sock, received
                 else:
-                    silent.remove(sock)
+                    pending.remove(sock)
 
     def __enter__(self) -> Peer:
         return self
@@ -44,39 +44,39 @@
             sock.close()
 
 
-class Crowded(Peer):
+class FullBacklogPeer(Peer):
     """One that no new connection comes up at until the crowd in front of it is let in."""
 
     def __init__(self) -> None:
         super().__init__(backlog=0)
-        self.crowd: list[socket.socket] = []
-        while not self.crowd or select.select([], self.crowd[-1:], [], 0.2)[1]:
+        self.queued: list[socket.socket] = []
+        while not self.queued or select.select([], self.queued[-1:], [], 0.2)[1]:
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.listener.getsockname())
-            self.crowd.append(sock)
-        self.crowd.pop().close()  # this one did not come up
+            self.queued.append(sock)
+        self.queued.pop().close()  # this one did not come up
 
-    def let_in(self) -> None:
-        for _ in self.crowd:
+    def accept_queued(self) -> None:
+        for _ in self.queued:
             self.accept()
-        for sock in self.crowd:
+        for sock in self.queued:
             sock.close()
 
 
 def message(sock: socket.socket) -> bytes:
     """One message with a length and its body; what has come where the other side closes before its end."""
     data = b""
-    while b"\r\n\r\n" not in data and (more := sock.recv(1)):
-        data += more
+    while b"\r\n\r\n" not in data and (data_received := sock.recv(1)):
+        data += data_received
     lengths = [line for line in data.lower().split(b"\r\n") if line.startswith(b"content-length:")]
-    left = int(lengths[0].partition(b":")[2]) if lengths else 0
-    while left > 0 and (more := sock.recv(left)):
-        data, left = data + more, left - len(more)
+    remaining = int(lengths[0].partition(b":")[2]) if lengths else 0
+    while remaining > 0 and (data_received := sock.recv(remaining)):
+        data, remaining = data + data_received, remaining - len(data_received)
     return data
 
 
-def ended(sock: socket.socket) -> bool:
+def is_closed(sock: socket.socket) -> bool:
     """Whether the other side ends the connection, in order or not, without another byte."""
     try:
         return sock.recv(1) == b""
@@ -84,6 +84,6 @@
         return True
 
 
-def answer(sock: socket.socket, status: int, *headers: str) -> None:
+def respond(sock: socket.socket, status: int, *headers: str) -> None:
     lines = [f"HTTP/1.1 {status} x", "Content-Length: 0", *headers]
     sock.sendall(("\r\n".join(lines) + "\r\n\r\n").encode())
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -33,12 +33,12 @@
     "tick": 2.0,
 }  # fmt: skip
 
-Behaviour = Callable[["Endpoint", BaseHTTPRequestHandler, str], None]
+Behavior = Callable[["Endpoint", BaseHTTPRequestHandler, str], None]
 
 
 def done(endpoint: Endpoint, handler: BaseHTTPRequestHandler, id: str) -> None:
     accept(endpoint, handler, id)
-    endpoint.tell(id, "done", result=f"made by {endpoint.id}")
+    endpoint.send_callback(id, "done", result=f"made by {endpoint.id}")
 
 
 def accept(endpoint: Endpoint, handler: BaseHTTPRequestHandler, id: str) -> None:
@@ -53,8 +53,8 @@
     handler.close_connection = True
 
 
-def silent(endpoint: Endpoint, handler: BaseHTTPRequestHandler, id: str) -> None:
-    endpoint.rig.over.wait(30)
+def hang(endpoint: Endpoint, handler: BaseHTTPRequestHandler, id: str) -> None:
+    endpoint.rig.stopping.wait(30)
     handler.close_connection = True
 
 
@@ -85,30 +85,30 @@
 
 
 class Endpoint:
-    def __init__(self, rig: Rig, id: str, does: Behaviour, up_since: float = 0.0) -> None:
-        self.rig, self.id, self.does, self.up_since, self.phase = rig, id, does, up_since, "up"
-        self.got: list[tuple[str, str, bytes]] = []  # method, target, body
-        self.got_event = threading.Event()
+    def __init__(self, rig: Rig, id: str, behavior: Behavior, up_since: float = 0.0) -> None:
+        self.rig, self.id, self.behavior, self.up_since, self.phase = rig, id, behavior, up_since, "up"
+        self.requests: list[tuple[str, str, bytes]] = []  # method, target, body
+        self.post_received = threading.Event()
         self.deleted = threading.Event()
         self.server = Server(self.handle)
 
     def handle(self, handler: BaseHTTPRequestHandler) -> None:
         body = handler.rfile.read(int(handler.headers.get("Content-Length", 0)))
-        self.got.append((handler.command, handler.path, body))
+        self.requests.append((handler.command, handler.path, body))
         if handler.command == "DELETE":
             reply(handler, 200)
             self.deleted.set()
             return
-        self.got_event.set()
-        self.does(self, handler, handler.headers["X-Call-Id"])
+        self.post_received.set()
+        self.behavior(self, handler, handler.headers["X-Call-Id"])
 
     @property
     def posts(self) -> int:
-        return sum(method == "POST" for method, _, _ in self.got)
+        return sum(method == "POST" for method, _, _ in self.requests)
 
-    def tell(self, id: str, state: str, **more: Any) -> int:
-        news = {"id": id, "from": self.id, "state": state, **more}
-        return self.rig.send("POST", "/_jobs/news", json.dumps(news).encode())[0]
+    def send_callback(self, id: str, state: str, **fields: Any) -> int:
+        callback = {"id": id, "from": self.id, "state": state, **fields}
+        return self.rig.send("POST", "/_jobs/news", json.dumps(callback).encode())[0]
 
     def row(self) -> dict[str, Any]:
         return {"id": self.id, "host_port": self.server.address, "locality": "a", "flavor": "standard",
@@ -121,54 +121,56 @@
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
         self.changes: queue.Queue[dict[str, Any] | None] = queue.Queue()
-        self.watched: queue.Queue[str] = queue.Queue()
-        self.left = threading.Event()
-        self.server = Server(self.watch)
+        self.subscriptions: queue.Queue[str] = queue.Queue()
+        self.disconnected = threading.Event()
+        self.server = Server(self.serve_subscription)
         self.address = self.server.address
 
-    def watch(self, handler: BaseHTTPRequestHandler) -> None:
-        self.watched.put(handler.path)
+    def serve_subscription(self, handler: BaseHTTPRequestHandler) -> None:
+        self.subscriptions.put(handler.path)
         handler.wfile.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        threading.Thread(target=self._until_left, args=(handler,), daemon=True).start()
-        line: dict[str, Any] | None = self.rig.listing()
-        while line is not None:
-            data = json.dumps(line).encode() + b"\n"
+        threading.Thread(target=self._wait_for_disconnect, args=(handler,), daemon=True).start()
+        change: dict[str, Any] | None = self.rig.listing()
+        while change is not None:
+            data = json.dumps(change).encode() + b"\n"
             handler.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
-            line = self.changes.get()
+            change = self.changes.get()
         handler.close_connection = True
 
-    def _until_left(self, handler: BaseHTTPRequestHandler) -> None:
+    def _wait_for_disconnect(self, handler: BaseHTTPRequestHandler) -> None:
         with contextlib.suppress(OSError):
             handler.connection.recv(1)
-        self.left.set()
+        self.disconnected.set()
 
 
 class Rig:
     def __init__(
         self,
         path: Path,
-        *endpoints: tuple[Behaviour, float],
+        *endpoints: tuple[Behavior, float],
         sockets: int = 256,
         flags: tuple[str, ...] = (),
         console: bool = False,
         allowed: dict[str, Any] | None = None,
     ) -> None:
-        self.over = threading.Event()
+        self.stopping = threading.Event()
         self.revision = 1
-        self.endpoints = [Endpoint(self, f"s-{k}", does, up) for k, (does, up) in enumerate(endpoints)]
+        self.endpoints = [
+            Endpoint(self, f"s-{k}", behavior, up) for k, (behavior, up) in enumerate(endpoints)
+        ]
         self.discovery = Discovery(self)
-        self.conf = {
+        self.config = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "8c1f",
             "limits": {"sockets": sockets}, "known": self.listing(),
             "settings": {**SETTINGS, "allowed": {**SETTINGS["allowed"], **(allowed or {})}},
         }  # fmt: skip
         if console:
-            self.conf["console"] = "127.0.0.1:0"
+            self.config["console"] = "127.0.0.1:0"
         self.file = path / "config.json"
-        self.file.write_text(json.dumps(self.conf))
+        self.file.write_text(json.dumps(self.config))
         self.flags, self.tmp = flags, path / "tmp"
         self.tmp.mkdir()
-        self.older: list[subprocess.Popen[str]] = []
+        self.previous_processes: list[subprocess.Popen[str]] = []
         self.log: list[str] = []
         self.start()
 
@@ -180,8 +182,8 @@
             self.log.append(line)
             if "event=listening" in line:
                 break
-        told = dict(p.split("=", 1) for p in self.log[-1].split() if "=" in p)
-        self.address, self.console = told["address"], told.get("console", "")
+        fields = dict(p.split("=", 1) for p in self.log[-1].split() if "=" in p)
+        self.address, self.console = fields["address"], fields.get("console", "")
         threading.Thread(target=self.log.extend, args=(self.process.stderr,), daemon=True).start()
 
     def spawn(self) -> subprocess.Popen[str]:
@@ -197,13 +199,13 @@
 
     def upgrade(self, joins: bool = True) -> subprocess.Popen[str]:
         """Start a newer process at the same address and wait until it can serve; the older one."""
-        older, served = self.process, "event=successor_ready"
-        before = len(self.logged(served))
-        self.older.append(older)
-        self.file.write_text(json.dumps({**self.conf, "listen": self.address}))
+        older, ready_event = self.process, "event=successor_ready"
+        before = len(self.logged(ready_event))
+        self.previous_processes.append(older)
+        self.file.write_text(json.dumps({**self.config, "listen": self.address}))
         self.start()
-        until(lambda: self.operate("GET", "/ops/readiness")[0] == 200)
-        until(lambda: not joins or len(self.logged(served)) > before)
+        wait_until(lambda: self.call_console("GET", "/ops/readiness")[0] == 200)
+        wait_until(lambda: not joins or len(self.logged(ready_event)) > before)
         return older
 
     def replace(self, joins: bool = True) -> None:
@@ -222,7 +224,7 @@
         self.discovery.changes.put(
             {"revision": self.revision, "complete": False, "members": [endpoint.row()]}
         )
-        until(lambda: self.logged(f"event=endpoint_list_applied revision={self.revision} "))
+        wait_until(lambda: self.logged(f"event=endpoint_list_applied revision={self.revision} "))
 
     def open(self, **headers: str) -> HTTPConnection:
         return HTTPConnection(self.address, timeout=20)
@@ -231,29 +233,29 @@
         self, method: str, path: str, body: bytes = b"", **headers: str
     ) -> tuple[int, bytes, HTTPResponse]:
         connection = self.open()
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        connection.request(method, path, body, named)
-        answer = connection.getresponse()
-        data = answer.read()
+        header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
+        connection.request(method, path, body, header_fields)
+        response = connection.getresponse()
+        data = response.read()
         connection.close()
-        return answer.status, data, answer
+        return response.status, data, response
 
     def submit(
         self, id: str, path: str = "/lookup", budget: int = 9000, body: bytes = b"b"
     ) -> tuple[int, bytes, HTTPResponse]:
         return self.send("POST", path, body, X_Call_Id=id, X_Budget_Ms=str(budget))
 
-    def operate(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+    def call_console(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
         """One call to the console."""
         connection = HTTPConnection(self.console, timeout=20)
         connection.request(method, path, body or None)
-        answer = connection.getresponse()
-        told = answer.status, answer.read()
+        response = connection.getresponse()
+        result = response.status, response.read()
         connection.close()
-        return told
+        return result
 
     def statistics(self) -> dict[str, int]:
-        lines = self.operate("GET", "/ops/stats")[1].decode().splitlines()
+        lines = self.call_console("GET", "/ops/stats")[1].decode().splitlines()
         return {name: int(value.partition("|")[0]) for name, value in (line.split(":") for line in lines)}
 
     def socket(self) -> socket.socket:
@@ -266,39 +268,39 @@
             return sock.recv(4096)
 
     def close(self) -> None:
-        self.over.set()
+        self.stopping.set()
         self.discovery.changes.put(None)
-        for process in (self.process, *self.older):
+        for process in (self.process, *self.previous_processes):
             if process.poll() is None:
                 process.kill()
             process.wait(20)
 
-    def says(self, what: str, times: int = 1) -> None:
-        until(lambda: len(self.logged(what)) >= times)
+    def wait_for_log(self, text: str, times: int = 1) -> None:
+        wait_until(lambda: len(self.logged(text)) >= times)
 
     @property
     def posts(self) -> int:
         """Jobs that came to all endpoints."""
         return sum(p.posts for p in self.endpoints)
 
-    def logged(self, what: str) -> list[str]:
-        return [line for line in self.log if what in line]
+    def logged(self, text: str) -> list[str]:
+        return [line for line in self.log if text in line]
 
-    def reload(self, text: str, says: str = "event=reloaded") -> None:
+    def reload(self, text: str, expected: str = "event=reloaded") -> None:
         """Replace the configuration file, send SIGHUP, and wait for the node's word on it."""
-        before = len(self.logged(says))
+        before = len(self.logged(expected))
         self.file.write_text(text)
         self.process.send_signal(signal.SIGHUP)
-        until(lambda: len(self.logged(says)) > before)
+        wait_until(lambda: len(self.logged(expected)) > before)
 
     def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
 
 
-def until(true: Callable[[], object]) -> None:
+def wait_until(condition: Callable[[], object]) -> None:
     """Wait until something holds; only a hang ends it otherwise."""
     for _ in range(2000):
-        if true():
+        if condition():
             return
         time.sleep(0.01)
     raise AssertionError("it never came true")
@@ -307,14 +309,14 @@
 @contextlib.contextmanager
 def running(
     path: Path,
-    *endpoints: Behaviour | tuple[Behaviour, float],
+    *endpoints: Behavior | tuple[Behavior, float],
     sockets: int = 256,
     flags: tuple[str, ...] = (),
     console: bool = False,
     allowed: dict[str, Any] | None = None,
 ) -> Iterator[Rig]:
-    given = [p if isinstance(p, tuple) else (p, 0.0) for p in endpoints]
-    rig = Rig(path, *given, sockets=sockets, flags=flags, console=console, allowed=allowed)
+    specs = [p if isinstance(p, tuple) else (p, 0.0) for p in endpoints]
+    rig = Rig(path, *specs, sockets=sockets, flags=flags, console=console, allowed=allowed)
     try:
         yield rig
     finally:
--- a/tests/test_amqp_clients.py
+++ b/tests/test_amqp_clients.py
@@ -25,7 +25,7 @@
     ProbableAuthenticationError,
     UnroutableError,
 )
-from rig import Rig, accept, done, running, until
+from rig import Rig, accept, done, running, wait_until
 
 from bitternpath.balancer.config.passwords import hash_password
 
@@ -150,21 +150,21 @@
     ]
     for thread in threads:
         thread.start()
-    until(lambda: len(worker.unacked_tags) == 2)
+    wait_until(lambda: len(worker.unacked_tags) == 2)
     time.sleep(0.1)
     assert len(worker.ran) == 2  # the third waits at the node
     second = Subscriber(rig)
     worker.run_on_connection_thread(lambda: worker.channel.basic_cancel(worker.tag))
-    until(lambda: len(second.ran) == 1)
+    wait_until(lambda: len(second.ran) == 1)
     for tag in worker.unacked_tags:
         worker.run_on_connection_thread(lambda tag=tag: worker.channel.basic_ack(tag))
     for thread in threads:
         thread.join(20)
     assert sorted(publisher.answer(f"m{k}")[0] for k, publisher in enumerate(publishers)) == ["served"] * 3
-    until(lambda: not worker.channel.consumer_tags)
+    wait_until(lambda: not worker.channel.consumer_tags)
     worker.run_on_connection_thread(lambda: worker.channel.basic_consume("reminder", worker._run))
     second.run_on_connection_thread(second.connection.close)
-    until(lambda: rig.logged("source=amqp") and len(rig.logged("source=amqp")) >= 5)
+    wait_until(lambda: rig.logged("source=amqp") and len(rig.logged("source=amqp")) >= 5)
     worker.action = "ack"
     assert publishers[0].publish("again") == "ack" and worker.ran[-1] == "again"
 
@@ -176,7 +176,7 @@
         publisher.connection.close()
         worker.run_on_connection_thread(worker.connection.close)
         worker.join(20)
-    until(lambda: rig.logged("source=amqp"))
+    wait_until(lambda: rig.logged("source=amqp"))
     assert not rig.logged("level=error")
 
 
@@ -212,7 +212,7 @@
     confirms: list[str] = []
     thread = threading.Thread(target=lambda: confirms.append(publisher.publish("m")), daemon=True)
     thread.start()
-    until(lambda: worker.unacked_tags)
+    wait_until(lambda: worker.unacked_tags)
     rig.terminate()
     assert worker.cancelled.wait(20)
     worker.run_on_connection_thread(lambda: worker.channel.basic_ack(worker.unacked_tags[0]))
@@ -238,11 +238,11 @@
             pika.BlockingConnection(parameters(rig, "a", "secret", "/"))
         # An invalid file changes nothing; a valid one applies to new connections.
         file.write_text(base + "heartbeat = -1\n")
-        rig.reload(json.dumps(rig.conf), "event=reload_failed")
+        rig.reload(json.dumps(rig.config), "event=reload_failed")
         file.write_text(
             base.replace(":0", ":1") + f'[amqp.users.b]\npassword = "{hash_password(b"secret")}"\n'
         )
-        rig.reload(json.dumps(rig.conf))
+        rig.reload(json.dumps(rig.config))
         assert "needs_restart=amqp.listen" in rig.logged("event=reloaded")[-1]
         pika.BlockingConnection(parameters(rig, "b", "secret")).close()
         with pytest.raises(ProbableAuthenticationError):
@@ -253,20 +253,20 @@
     with running(tmp_path, done, flags=FLAGS) as rig:
         publisher = Publisher(rig)
         assert publisher.publish("m1") == "ack" and publisher.answer("m1") == ("served", b"made by s-0")
-        assert rig.endpoints[0].got == [("POST", "/reminder", b"work")]
+        assert rig.endpoints[0].requests == [("POST", "/reminder", b"work")]
 
 
 def test_requests_of_a_disconnected_publisher_still_run(tmp_path: Path) -> None:
     with running(tmp_path, accept, flags=FLAGS) as rig:
         connection = pika.BlockingConnection(parameters(rig))
         connection.channel().basic_publish("", "reminder", b"x", pika.BasicProperties(message_id="m"))
-        until(lambda: rig.endpoints[0].posts)
+        wait_until(lambda: rig.endpoints[0].posts)
         connection.close()
-        rig.endpoints[0].tell("m", "done", result="r")
+        rig.endpoints[0].send_callback("m", "done", result="r")
         rig.terminate()
         assert rig.process.wait(20) == 0
         assert "served=1" in rig.logged("event=counts")[-1] and rig.endpoints[0].posts == 1
-        assert not any(method == "DELETE" for method, _, _ in rig.endpoints[0].got)
+        assert not any(method == "DELETE" for method, _, _ in rig.endpoints[0].requests)
 
 
 def test_an_amqp_flood_leaves_capacity_for_http(tmp_path: Path) -> None:
@@ -277,13 +277,13 @@
         for k in range(300):
             channel.basic_publish("", "reminder", b"x", pika.BasicProperties(message_id=f"m{k}"))
         connection.process_data_events(0.1)
-        until(lambda: rig.endpoints[0].posts >= 20)
+        wait_until(lambda: rig.endpoints[0].posts >= 20)
         answers: list[int] = []
         thread = threading.Thread(target=lambda: answers.append(rig.submit("h", "/lookup")[0]), daemon=True)
         thread.start()
-        until(lambda: answers or any(target == "/lookup" for _, target, _ in rig.endpoints[0].got))
+        wait_until(lambda: answers or any(target == "/lookup" for _, target, _ in rig.endpoints[0].requests))
         assert not answers
-        rig.endpoints[0].tell("h", "done", result="r")
+        rig.endpoints[0].send_callback("h", "done", result="r")
         thread.join(20)
         assert answers == [200]
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -8,15 +8,15 @@
 import socket
 from pathlib import Path
 
-from peers import Crowded, answer, message
-from rig import Rig, done, running, until
+from peers import FullBacklogPeer, message, respond
+from rig import Rig, done, running, wait_until
 
 NO_CANCEL = {"cancel": False, "dialTimeout": 60000.0}  # nobody calls off what waits for a connection
 
 
-def crowded(rig: Rig) -> Crowded:
+def crowded(rig: Rig) -> FullBacklogPeer:
     """The one endpoint moves to a place where no new connection comes up yet."""
-    peer = Crowded()
+    peer = FullBacklogPeer()
     rig.endpoints[0].server = peer  # type: ignore[assignment]
     rig.change(rig.endpoints[0], "up")
     return peer
@@ -38,17 +38,17 @@
     with running(tmp_path, done, console=True, allowed=NO_CANCEL) as rig, crowded(rig) as peer:
         first = rig.socket()
         first.sendall(job("a"))
-        until(lambda: rig.statistics()["app.inflight"] == 1)
+        wait_until(lambda: rig.statistics()["app.inflight"] == 1)
         first.close()
-        until(lambda: rig.statistics()["app.inflight"] == 0)
+        wait_until(lambda: rig.statistics()["app.inflight"] == 0)
         second = rig.socket()
         second.sendall(job("b"))
-        until(lambda: rig.statistics()["app.inflight"] == 1)
-        peer.let_in()  # type: ignore[attr-defined]
-        at, got = peer.asked()  # type: ignore[attr-defined]
+        wait_until(lambda: rig.statistics()["app.inflight"] == 1)
+        peer.accept_queued()  # type: ignore[attr-defined]
+        at, got = peer.next_message()  # type: ignore[attr-defined]
         assert b"X-Call-Id: b\r\n" in got
-        answer(at, 202)
-        rig.endpoints[0].tell("b", "done", result="made")
+        respond(at, 202)
+        rig.endpoints[0].send_callback("b", "done", result="made")
         assert message(second).endswith(b"made")
 
 
@@ -57,8 +57,8 @@
     with running(tmp_path, done, console=True, allowed=NO_CANCEL) as rig, crowded(rig):
         with rig.socket() as sock:
             sock.sendall(job("a") + b"".join(job(f"b{k}") for k in range(4000)))
-            until(lambda: rig.statistics()["app.inflight"] == 1)
-        until(lambda: rig.statistics()["app.inflight"] == 0)
+            wait_until(lambda: rig.statistics()["app.inflight"] == 1)
+        wait_until(lambda: rig.statistics()["app.inflight"] == 0)
 
 
 def test_what_was_sent_too_far_ahead_gets_one_error_after_the_answers_that_are_due(tmp_path: Path) -> None:
@@ -92,9 +92,9 @@
     # Nothing tells the two apart before an answer is written (docs/questions/acceptance.md).
     with running(tmp_path, done, console=True, allowed=NO_CANCEL) as rig, crowded(rig), rig.socket() as sock:
         sock.sendall(job("a"))
-        until(lambda: rig.statistics()["app.inflight"] == 1)
+        wait_until(lambda: rig.statistics()["app.inflight"] == 1)
         sock.shutdown(socket.SHUT_WR)
-        until(lambda: rig.statistics()["app.inflight"] == 0)
+        wait_until(lambda: rig.statistics()["app.inflight"] == 0)
 
 
 def test_connections_that_find_no_descriptor_do_not_stop_the_node(tmp_path: Path) -> None:
@@ -103,7 +103,9 @@
         soft, hard = resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (32, hard))
         crowd = [rig.socket() for _ in range(64)]  # the node counts on 256
-        until(lambda: sum(bool(select.select([sock], [], [], 0)[0]) for sock in crowd) > 10)  # turned away
+        wait_until(
+            lambda: sum(bool(select.select([sock], [], [], 0)[0]) for sock in crowd) > 10
+        )  # turned away
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (soft, hard))
         for sock in crowd:
             sock.close()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from rig import accept, done, reset, running, until
+from rig import accept, done, reset, running, wait_until
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from bitternpath.balancer.core.statistics import Statistics
@@ -154,21 +154,21 @@
 
 def test_a_node_reports_what_its_clients_and_workers_saw(tmp_path: Path) -> None:
     with running(tmp_path, done, console=True) as rig, ThreadPoolExecutor(8) as pool:
-        assert rig.operate("GET", "/ops/readiness")[0] == 200
+        assert rig.call_console("GET", "/ops/readiness")[0] == 200
         assert set(rig.statistics().values()) == {0, 1}  # one host listed
         assert {r[0] for r in pool.map(rig.submit, [f"a{k}" for k in range(30)])} == {200}
         assert rig.submit("bad", "/nothing")[0] == 404
-        rig.endpoints[0].does = reset
+        rig.endpoints[0].behavior = reset
         assert rig.submit("r", "/reminder")[0] == 500
-        rig.endpoints[0].does = accept
+        rig.endpoints[0].behavior = accept
         posts = rig.endpoints[0].posts
         open_ = pool.submit(rig.submit, "open")
-        until(lambda: rig.endpoints[0].posts > posts)
+        wait_until(lambda: rig.endpoints[0].posts > posts)
         told = rig.statistics()
         assert told["app.calls.lookup.success"] == 30 and told["app.calls.reminder.failure"] == 1
         assert told["app.backend_calls"] == rig.endpoints[0].posts == 32
         assert told["app.inflight"] == 1 and told["app.hosts_listed"] == 1
-        rig.endpoints[0].tell("open", "done", result="r")
+        rig.endpoints[0].send_callback("open", "done", result="r")
         assert open_.result()[0] == 200
         rig.reload("", "event=reload_failed")
         assert rig.statistics()["app.reconfig_failed"] == 1 and rig.statistics()["app.inflight"] == 0
@@ -182,7 +182,7 @@
             with contextlib.suppress(OSError):  # the ones that have been silent for longest are gone by now
                 sock.sendall(READY[: k % 20])
         for k in range(40):
-            assert rig.operate("GET", "/ops/stats")[0] == 200
+            assert rig.call_console("GET", "/ops/stats")[0] == 200
             assert rig.submit(f"j{k}")[0] == 200
         for sock in silent:
             sock.close()
--- a/tests/test_discovery_subscription.py
+++ b/tests/test_discovery_subscription.py
@@ -12,7 +12,7 @@
 
 import pytest
 from peers import Peer, message
-from rig import Rig, done, running, until
+from rig import Rig, done, running, wait_until
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.task import Clock as Reactor
@@ -270,8 +270,8 @@
     tmp_path: Path,
 ) -> None:
     with running(tmp_path, done, done) as rig, Peer() as peer:
-        until(lambda: rig.logged("event=endpoint_list_applied "))
-        rig.reload(json.dumps(rig.conf | {"discovery": peer.address}))
+        wait_until(lambda: rig.logged("event=endpoint_list_applied "))
+        rig.reload(json.dumps(rig.config | {"discovery": peer.address}))
         sock, asked = granted(peer)
         assert b"index=1 " in asked
         sock.sendall(HEAD + told(1))  # and no more
@@ -280,7 +280,7 @@
         third.sendall(HEAD + told(2, rig.endpoints[0].row())[:-40])  # and the one after that half a line
         fourth, _ = granted(peer)
         fourth.sendall(HEAD + told(2, {**rig.endpoints[0].row(), "phase": "draining"}))
-        until(lambda: rig.logged("event=endpoint_list_applied revision=2 "))
+        wait_until(lambda: rig.logged("event=endpoint_list_applied revision=2 "))
         assert all(rig.submit(f"a{k}")[1] == b"made by s-1" for k in range(5))
 
 
@@ -289,9 +289,9 @@
     with running(tmp_path, done, done) as rig, Peer() as peer:
         rig.process.kill()
         rig.process.wait(20)
-        rig.older.append(rig.process)
+        rig.previous_processes.append(rig.process)
         rig.discovery.address = peer.address
-        rig.file.write_text(json.dumps(rig.conf | {"listen": rig.address, "discovery": peer.address}))
+        rig.file.write_text(json.dumps(rig.config | {"listen": rig.address, "discovery": peer.address}))
         rig.process = rig.spawn()
         sock, _ = granted(peer)
         with pytest.raises(ConnectionError):
@@ -308,7 +308,7 @@
     with running(tmp_path, done) as rig, Peer() as peer:
         rig.process.kill()
         rig.process.wait(20)
-        rig.older.append(rig.process)
+        rig.previous_processes.append(rig.process)
         rig.discovery.address = peer.address
         rig.start()
         peer.accept()
@@ -318,10 +318,10 @@
 def test_discovery_is_reached_again_though_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
     with running(tmp_path, done, sockets=64) as rig:
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-        rig.discovery.watched.get(timeout=20)
+        rig.discovery.subscriptions.get(timeout=20)
         crowd = [rig.socket() for _ in range(80)]
         rig.discovery.changes.put(None)  # the watch ends
-        rig.discovery.watched.get(timeout=20)
+        rig.discovery.subscriptions.get(timeout=20)
         rig.change(rig.endpoints[0], "draining")
         rig.change(rig.endpoints[0], "up")
         assert rig.submit("a")[0] == 200 and ready(rig)
--- a/tests/test_fleet_nodes.py
+++ b/tests/test_fleet_nodes.py
@@ -67,16 +67,16 @@
             changed = command(fleet, "change", "lookup.aim=4000", "--reason", "slower", "--required")
             assert changed.returncode == 0, changed.stderr
             assert "version 1 is in effect at 1 processes" in changed.stdout
-            rig.says("event=settings_applied")
+            rig.wait_for_log("event=settings_applied")
             assert command(fleet, "ban", "s-0", "--reason", "it errs", "--required").returncode == 0
             assert all(rig.submit(f"a{k}")[0] == 200 for k in range(10))
             assert rig.endpoints[0].posts == 0 and rig.endpoints[1].posts == 10
             # A ban at the node's own console stays when the fleet's ban of the same worker ends.
-            assert rig.operate("POST", "/ops/calendar-workers/down", b"s-0")[0] == 200
+            assert rig.call_console("POST", "/ops/calendar-workers/down", b"s-0")[0] == 200
             assert command(fleet, "back", "s-0", "--reason", "mended", "--required").returncode == 0
             assert all(rig.submit(f"b{k}")[0] == 200 for k in range(10))
             assert rig.endpoints[0].posts == 0
-            assert rig.operate("POST", "/ops/calendar-workers/up", b"s-0")[0] == 200
+            assert rig.call_console("POST", "/ops/calendar-workers/up", b"s-0")[0] == 200
             wait_until(lambda: rig.submit(f"c{rig.posts}")[0] == 200 and rig.endpoints[0].posts)
             wait_until(lambda: any(line[2] == "back by hand" for line in lines(fleet)))
             kinds = [line[2] for line in lines(fleet)]
@@ -138,7 +138,7 @@
             wait_until(lambda: in_effect(fleet, 1))
             wait_until(lambda: rig.send("GET", "/ready")[0] == 200)
             server.kill()
-            rig.says("event=serving_without_lease")
+            rig.wait_for_log("event=serving_without_lease")
             if alone == "leave":
                 assert rig.send("GET", "/ready")[0] == 503
                 status, _, answer = rig.submit("x")
@@ -164,7 +164,7 @@
             wait_until(lambda: in_effect(fleet, 1))
             wait_until(lambda: any(line[2] == "acts" or line[3] == 1 for line in lines(fleet)))
             server.kill()
-            rig.says("event=serving_without_lease")
+            rig.wait_for_log("event=serving_without_lease")
             rig.process.kill()
             rig.process.wait(20)
             rig.start()
@@ -193,7 +193,7 @@
             wait_until(lambda: any(a["faults"] for a in audit(fleet).values()))
             shown = command(fleet, "audit", "--node", "n0").stdout
             assert "line 1 is another one than was heard before: changed" in shown
-            rig.says("event=earlier_audit_log_corrupt")
+            rig.wait_for_log("event=earlier_audit_log_corrupt")
 
 
 def test_a_change_rejected_by_a_node_is_blocked_with_the_reason_until_it_is_withdrawn(
@@ -226,6 +226,6 @@
         fleet.start()
         fleet.change("a", p.LeastRelease((99,)))
         with node(tmp_path / "n", fleet) as rig:
-            rig.says("event=lease_refused")
+            rig.wait_for_log("event=lease_refused")
             assert "older than 99" in rig.logged("event=lease_refused")[0] and not holders(fleet)
             assert rig.submit("x")[0] == 200
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from peers import Peer, answer, ended, message
+from peers import Peer, is_closed, message, respond
 from rig import Rig, done, running
 
 RESTS_LONG = {"connIdle": 600_000.0}  # no connection is closed for its age
@@ -32,10 +32,10 @@
 
 def serves(rig: Rig, peer: Peer, id: str, sock: socket.socket) -> socket.socket:
     """The job comes, is taken, done and answered; the connection it came on."""
-    at, got = peer.asked()
+    at, got = peer.next_message()
     assert b"X-Call-Id: %b\r\n" % id.encode() in got
-    answer(at, 202)
-    rig.endpoints[0].tell(id, "done", result=f"made of {id}")
+    respond(at, 202)
+    rig.endpoints[0].send_callback(id, "done", result=f"made of {id}")
     with sock:
         assert message(sock).endswith(b"made of " + id.encode())
     return at
@@ -46,7 +46,7 @@
     with scripted(tmp_path) as (rig, peer):
         at = serves(rig, peer, "a", asks(rig, "a"))
         at.sendall(b"HTTP/1.1 50")
-        assert ended(at)
+        assert is_closed(at)
         serves(rig, peer, "b", asks(rig, "b"))
 
 
@@ -54,9 +54,9 @@
     # Guards: the call-back told the end of the job, and nobody gave the connection up any more.
     with scripted(tmp_path) as (rig, peer):
         sock = asks(rig, "a")
-        at, _ = peer.asked()
+        at, _ = peer.next_message()
         at.sendall(b"HTTP/1.1 202 x\r\nContent-Length: 9\r\n\r\nhalf")
-        rig.endpoints[0].tell("a", "done", result="made")
+        rig.endpoints[0].send_callback("a", "done", result="made")
         with sock:
             assert message(sock).endswith(b"made")
-        assert ended(at)
+        assert is_closed(at)
--- a/tests/test_manual_ejections.py
+++ b/tests/test_manual_ejections.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from rig import accept, done, running, until
+from rig import accept, done, running, wait_until
 from twisted.internet.task import Clock as Reactor
 
 from bitternpath.balancer import messages as m
@@ -136,8 +136,8 @@
 def test_nothing_new_goes_to_a_worker_that_is_out_also_after_an_upgrade(tmp_path: Path) -> None:
     with running(tmp_path, done, done, console=True) as rig:
         out, other = rig.endpoints
-        assert rig.operate("POST", DOWN, out.id.encode())[0] == 200
-        assert rig.operate("POST", DOWN, b"s-9")[0] == 404 == rig.operate("POST", UP, b"w" * 200)[0]
+        assert rig.call_console("POST", DOWN, out.id.encode())[0] == 200
+        assert rig.call_console("POST", DOWN, b"s-9")[0] == 404 == rig.call_console("POST", UP, b"w" * 200)[0]
         before = out.posts
         rig.change(out, "up")  # whatever the list says
         assert rig.statistics()["app.hosts_down"] == 1 and rig.statistics()["app.hosts_listed"] == 2
@@ -148,17 +148,17 @@
         for k in range(10):
             assert rig.submit(f"b{k}")[1] == b"made by s-1"
         assert out.posts == before and other.posts == 20
-        assert rig.operate("POST", UP, out.id.encode())[0] == 200
-        until(lambda: rig.statistics()["app.hosts_down"] == 0)
+        assert rig.call_console("POST", UP, out.id.encode())[0] == 200
+        wait_until(lambda: rig.statistics()["app.hosts_down"] == 0)
 
 
 def test_a_job_that_waits_for_a_place_does_not_go_to_a_worker_taken_out_meanwhile(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(4) as pool:
         endpoint = rig.endpoints[0]
         first = pool.submit(rig.submit, "first", "/reminder")
-        until(lambda: endpoint.posts == 1)
-        assert rig.operate("POST", DOWN, endpoint.id.encode())[0] == 200
+        wait_until(lambda: endpoint.posts == 1)
+        assert rig.call_console("POST", DOWN, endpoint.id.encode())[0] == 200
         held = pool.submit(rig.submit, "held", "/reminder", 600)
         assert held.result()[0] == 503 and endpoint.posts == 1
-        endpoint.tell("first", "done", result="r")
+        endpoint.send_callback("first", "done", result="r")
         assert first.result()[:2] == (200, b"r")
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -10,7 +10,7 @@
 
 import pytest
 from helpers import DispatcherHarness, finals, job_class, sends
-from rig import SETTINGS, accept, done, reject, running, until
+from rig import SETTINGS, accept, done, reject, running, wait_until
 from twisted.internet.testing import MemoryReactorClock
 
 from bitternpath.balancer import messages as m
@@ -164,20 +164,20 @@
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(4) as pool:
         endpoint = rig.endpoints[0]
         open_requests = [pool.submit(rig.submit, name, f"/{name}") for name in ("lookup", "reminder")]
-        until(lambda: endpoint.posts == 2)
+        wait_until(lambda: endpoint.posts == 2)
         lookup, _ = SETTINGS["classes"]
         classes = [{**lookup, "name": "text", "effect": "side_effect"}, lookup]
         changed_settings = SETTINGS | {"classes": classes, "allowed": SETTINGS["allowed"] | {"tryLimit": 1}}
-        rig.reload(json.dumps(rig.conf | {"settings": changed_settings}))
+        rig.reload(json.dumps(rig.config | {"settings": changed_settings}))
         statistics = rig.statistics()
         assert statistics["app.calls.text.success"] == 0 and statistics["app.reconfig_ok"] == 1
         assert rig.submit("r2", "/reminder")[0] == 404  # removed class
         for name in ("lookup", "reminder"):
-            endpoint.tell(name, "done", result=name)
+            endpoint.send_callback(name, "done", result=name)
         assert [job.result()[:2] for job in open_requests] == [(200, b"lookup"), (200, b"reminder")]
-        endpoint.does = done
+        endpoint.behavior = done
         assert rig.submit("t", "/text")[0] == 200 and rig.submit("l", "/lookup")[0] == 200
-        endpoint.does = reject
+        endpoint.behavior = reject
         posts = endpoint.posts
         assert rig.submit("t2", "/text")[0] == 503 and endpoint.posts == posts + 1
         rig.reload(VALID[:200], "event=reload_failed")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 
 import pytest
 from peers import Peer
-from rig import Discovery, Endpoint, Rig, accept, done, reject, reply, reset, running, silent, until
+from rig import Discovery, Endpoint, Rig, accept, done, hang, reject, reply, reset, running, wait_until
 
 from bitternpath.net.http1 import BODY_LIMIT, HEAD_LIMIT
 from bitternpath.net.sockets import Sockets
@@ -20,7 +20,7 @@
 
 
 def test_rule_1_an_accepted_request_is_answered_once_before_its_deadline(tmp_path: Path) -> None:
-    with running(tmp_path, silent) as rig:
+    with running(tmp_path, hang) as rig:
         status, body, _ = rig.submit("a", "/reminder", budget=600)
         assert (status, body) == (500, b"")
         assert rig.endpoints[0].posts == 1
@@ -59,13 +59,13 @@
     with running(tmp_path, accept) as rig, ThreadPoolExecutor(4) as pool:
         endpoint = rig.endpoints[0]
         first = pool.submit(rig.submit, "first")
-        until(lambda: endpoint.posts == 1)
+        wait_until(lambda: endpoint.posts == 1)
         rig.terminate()
-        until(lambda: rig.send("GET", "/ready")[0] == 503)
+        wait_until(lambda: rig.send("GET", "/ready")[0] == 503)
         second = pool.submit(rig.submit, "second")
-        until(lambda: endpoint.posts == 2)
+        wait_until(lambda: endpoint.posts == 2)
         for id in ("first", "second"):
-            assert endpoint.tell(id, "done", result=id) == 204
+            assert endpoint.send_callback(id, "done", result=id) == 204
         assert first.result()[:2] == (200, b"first")
         assert second.result()[:2] == (200, b"second")
         assert second.result()[2].getheader("Connection") == "close"
@@ -86,13 +86,13 @@
 def test_callbacks_may_be_early_repeated_or_for_unknown_calls(tmp_path: Path) -> None:
     def early(endpoint: Endpoint, handler: object, id: str) -> None:
         for state in ("started", "running", "done", "done", "failed"):
-            endpoint.tell(id, state, share=0.5, result="first")
+            endpoint.send_callback(id, state, share=0.5, result="first")
         reply(handler, 202)  # type: ignore[arg-type]
 
     with running(tmp_path, early) as rig:
         for k in range(3):
             assert rig.submit(f"a{k}", "/reminder")[:2] == (200, b"first")
-        assert rig.endpoints[0].tell("never seen", "done") == 204
+        assert rig.endpoints[0].send_callback("never seen", "done") == 204
         assert rig.endpoints[0].posts == 3
 
 
@@ -100,7 +100,7 @@
     with running(tmp_path, done) as rig:
         body = bytes(range(256)) * 256
         assert rig.submit("a", "/lookup/x%20y?b=%2F&c", body=body)[0] == 200
-        assert rig.endpoints[0].got == [("POST", "/lookup/x%20y?b=%2F&c", body)]
+        assert rig.endpoints[0].requests == [("POST", "/lookup/x%20y?b=%2F&c", body)]
 
 
 def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
         sent += ["Accept: a", "Accept: b", "Transfer-Encoding: chunked"]
         head = "\r\n".join(["POST /lookup HTTP/1.1", *sent])
         sock.sendall(f"{head}\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n".encode())
-        _, got = peer.asked()
+        _, got = peer.next_message()
         lines = got.lower().split(b"\r\n")
         names = [line.partition(b":")[0] for line in lines[1 : lines.index(b"")]]
         assert {b"idempotency-key: k 1", b"x-caller: east", b"traceparent: 00-1", b"accept: a,b"} <= {*lines}
@@ -126,22 +126,22 @@
 ) -> None:
     with running(tmp_path, accept) as rig, ThreadPoolExecutor(1) as pool:
         first = pool.submit(rig.submit, "a", "/reminder")
-        until(lambda: rig.endpoints[0].posts)
+        wait_until(lambda: rig.endpoints[0].posts)
         assert rig.submit("a", "/reminder")[0] == 409
-        assert rig.endpoints[0].tell("a", "done", result="r") == 204
-        assert first.result()[:2] == (200, b"r") and len(rig.endpoints[0].got) == 1
-        assert rig.submit("a", "/reminder")[0] == 409 and len(rig.endpoints[0].got) == 1
+        assert rig.endpoints[0].send_callback("a", "done", result="r") == 204
+        assert first.result()[:2] == (200, b"r") and len(rig.endpoints[0].requests) == 1
+        assert rig.submit("a", "/reminder")[0] == 409 and len(rig.endpoints[0].requests) == 1
 
 
 def test_a_job_is_cancelled_when_its_client_disconnects(tmp_path: Path) -> None:
     with running(tmp_path, accept) as rig:
         connection = rig.open()
         connection.request("POST", "/lookup", b"", {"X-Call-Id": "a", "X-Budget-Ms": "9000"})
-        until(lambda: rig.endpoints[0].posts)
-        rig.endpoints[0].tell("a", "started")
+        wait_until(lambda: rig.endpoints[0].posts)
+        rig.endpoints[0].send_callback("a", "started")
         connection.close()
         assert rig.endpoints[0].deleted.wait(20)
-        assert rig.endpoints[0].got[-1][:2] == ("DELETE", "/jobs/a")
+        assert rig.endpoints[0].requests[-1][:2] == ("DELETE", "/jobs/a")
 
 
 def test_calls_to_an_unreachable_endpoint_are_retried_elsewhere(tmp_path: Path) -> None:
@@ -154,11 +154,11 @@
 
 def test_a_broken_watch_resumes_from_its_last_index(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig:
-        assert rig.discovery.watched.get(timeout=20).endswith("index=1")
+        assert rig.discovery.subscriptions.get(timeout=20).endswith("index=1")
         rig.revision = 7
         rig.discovery.changes.put(rig.listing())
         rig.discovery.changes.put(None)
-        assert rig.discovery.watched.get(timeout=20) == "/v1/endpoints?stream=1&index=7"
+        assert rig.discovery.subscriptions.get(timeout=20) == "/v1/endpoints?stream=1&index=7"
 
 
 def test_sighup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
@@ -167,22 +167,22 @@
         old = rig.discovery
         rig.revision = 5
         old.changes.put(rig.listing())
-        until(lambda: rig.logged("event=endpoint_list_applied revision=5 "))
-        good = json.dumps(rig.conf)
+        wait_until(lambda: rig.logged("event=endpoint_list_applied revision=5 "))
+        good = json.dumps(rig.config)
         for bad in (
             "{",
-            json.dumps(rig.conf | {"discovery": "nowhere"}),
-            json.dumps(rig.conf | {"settings": {}}),
+            json.dumps(rig.config | {"discovery": "nowhere"}),
+            json.dumps(rig.config | {"settings": {}}),
         ):
             rig.reload(bad, "event=reload_failed")
-        assert len(rig.logged("event=reload_failed")) == 3 and not old.left.is_set()
+        assert len(rig.logged("event=reload_failed")) == 3 and not old.disconnected.is_set()
         rig.reload(good)
-        assert not old.left.is_set() and old.watched.qsize() == 1  # the watch is unchanged
+        assert not old.disconnected.is_set() and old.subscriptions.qsize() == 1  # the watch is unchanged
         new = rig.discovery = Discovery(rig)
-        rig.reload(json.dumps(rig.conf | {"discovery": new.address, "listen": "127.0.0.1:1"}))
+        rig.reload(json.dumps(rig.config | {"discovery": new.address, "listen": "127.0.0.1:1"}))
         assert rig.logged("needs_restart=listen")
-        assert new.watched.get(timeout=20).endswith("index=5")
-        assert old.left.wait(20)
+        assert new.subscriptions.get(timeout=20).endswith("index=5")
+        assert old.disconnected.wait(20)
         assert rig.submit("a")[0] == 200
         rig.change(rig.endpoints[0], "draining")
         assert rig.submit("b")[1] == b"made by s-1"
@@ -195,16 +195,18 @@
     # Guards against delaying the move by the retry delay of the previous address. Meanwhile requests are
     # served by the known list.
     with running(tmp_path, done) as rig:
-        until(lambda: rig.logged("event=endpoint_list_applied "))  # from the first watch
-        nowhere = json.dumps(rig.conf | {"discovery": "127.0.0.1:9"})
+        wait_until(lambda: rig.logged("event=endpoint_list_applied "))  # from the first watch
+        nowhere = json.dumps(rig.config | {"discovery": "127.0.0.1:9"})
         rig.reload(nowhere)
-        until(lambda: len(rig.logged("event=subscription_lost")) >= 3)
-        assert not rig.discovery.left.is_set()  # the old watch stays until a new one has sent a message
+        wait_until(lambda: len(rig.logged("event=subscription_lost")) >= 3)
+        assert (
+            not rig.discovery.disconnected.is_set()
+        )  # the old watch stays until a new one has sent a message
         assert rig.submit("a")[0] == 200
         new = Discovery(rig)
         rig.reload(nowhere)
-        rig.reload(json.dumps(rig.conf | {"discovery": new.address}))
-        assert new.watched.get(timeout=20).endswith("index=1") and rig.discovery.left.wait(20)
+        rig.reload(json.dumps(rig.config | {"discovery": new.address}))
+        assert new.subscriptions.get(timeout=20).endswith("index=1") and rig.discovery.disconnected.wait(20)
 
 
 @pytest.fixture(scope="module")
@@ -310,16 +312,16 @@
     with running(tmp_path, accept, sockets=64) as rig, ThreadPoolExecutor(60) as pool:
         capacity = Sockets(64).request_limit
         requests = [pool.submit(rig.submit, f"a{k}", body=b"a%d" % k) for k in range(60)]
-        until(lambda: sum(answer.done() for answer in requests) >= 60 - capacity)
+        wait_until(lambda: sum(answer.done() for answer in requests) >= 60 - capacity)
         rejected = [answer.result()[2] for answer in requests if answer.done()]
         assert {(r.status, r.getheader("Connection")) for r in rejected} == {(503, "close")}
         assert all(0 < float(r.getheader("Retry-After") or 0) <= 2 for r in rejected)
         reported: set[bytes] = set()
         while not all(answer.done() for answer in requests):
-            for _, _, id in rig.endpoints[0].got:
+            for _, _, id in rig.endpoints[0].requests:
                 if id not in reported:
                     reported.add(id)
-                    assert rig.endpoints[0].tell(id.decode(), "done", result="r") == 204
+                    assert rig.endpoints[0].send_callback(id.decode(), "done", result="r") == 204
         assert sum(answer.result()[:2] == (200, b"r") for answer in requests) == capacity == len(reported)
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,7 +12,7 @@
 
 import pytest
 from peers import Peer, message
-from rig import SETTINGS, Rig, done, running, until
+from rig import SETTINGS, Rig, done, running, wait_until
 from twisted.internet.task import Clock as Reactor
 
 from bitternpath.balancer.core.lifecycle import (
@@ -31,7 +31,7 @@
     with running(tmp_path, done) as rig:
         rig.terminate()
         assert rig.process.wait(20) == 0
-        rig.older.append(rig.process)
+        rig.previous_processes.append(rig.process)
         rig.file.unlink()
         os.mkfifo(rig.file)
         rig.process = rig.spawn()
@@ -40,7 +40,7 @@
 
 def test_sighup_during_the_start_does_not_end_the_process(starting: Rig) -> None:
     # Guards against a SIGHUP to all nodes that ends those that are still starting.
-    text, replacement = json.dumps(starting.conf), starting.file.with_suffix(".later")
+    text, replacement = json.dumps(starting.config), starting.file.with_suffix(".later")
     replacement.write_text(text)
     with starting.file.open("w") as pipe:  # opens as soon as the process reads
         replacement.rename(starting.file)
@@ -59,7 +59,7 @@
     with starting.file.open("w") as pipe:
         starting.process.send_signal(signal.SIGTERM)
         starting.process.send_signal(signal.SIGTERM)
-        pipe.write(json.dumps(starting.conf))
+        pipe.write(json.dumps(starting.config))
     assert starting.process.wait(20) == 0
 
 
@@ -86,17 +86,17 @@
     # after 3.5 s.
     with running(tmp_path, done) as rig, Peer() as peer, rig.socket() as sock:
         classes = [{**c, "giveUp": 300.0} for c in SETTINGS["classes"]]
-        rig.reload(json.dumps(rig.conf | {"settings": {**SETTINGS, "classes": classes}}))
+        rig.reload(json.dumps(rig.config | {"settings": {**SETTINGS, "classes": classes}}))
         rig.endpoints[0].server = peer  # type: ignore[assignment]
         rig.change(rig.endpoints[0], "up")
         head = b"POST /lookup HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 60000\r\nContent-Length: 1\r\n\r\n"
         sock.sendall(head)
-        until(lambda: rig.submit("b", "/nothing")[0] == 404)
+        wait_until(lambda: rig.submit("b", "/nothing")[0] == 404)
         stop_sent_at = time.monotonic()
         rig.terminate()
-        rig.says("event=stopping")
+        rig.wait_for_log("event=stopping")
         sock.sendall(b"b")
-        assert b"X-Call-Id: a" in peer.asked()[1]  # the endpoint never answers
+        assert b"X-Call-Id: a" in peer.next_message()[1]  # the endpoint never answers
         assert message(sock).startswith(b"HTTP/1.1 500 ")
         assert time.monotonic() - stop_sent_at < 3.0  # due after 0.8 s
         assert rig.process.wait(20) == 0
@@ -104,7 +104,7 @@
 
 def test_a_node_that_cannot_reach_discovery_shuts_down_cleanly(tmp_path: Path) -> None:
     with running(tmp_path, done) as rig, Peer() as peer:
-        rig.reload(json.dumps(rig.conf | {"discovery": peer.address}))
+        rig.reload(json.dumps(rig.config | {"discovery": peer.address}))
         peer.accept()  # and sends nothing
         rig.discovery.changes.put(None)
         assert rig.submit("a")[0] == 200
@@ -119,7 +119,7 @@
         sock.sendall(b"POST /lookup HTTP/1.1\r\nX-Call-Id: a\r\nContent-Length: 0\r\n\r\n")
         assert message(sock).startswith(b"HTTP/1.1 200")
         rig.terminate()
-        rig.says("event=stopping")
+        rig.wait_for_log("event=stopping")
         rig.process.send_signal(signal.SIGSTOP)
         time.sleep(0.2 * turn)  # before, at and after the timed check for idle connections
         sock.sendall(b"POST /lookup HTTP/1.1\r\nX-Call-Id: b\r\nContent-Length: 0\r\n\r\n")
