--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,11 +9,19 @@
 from pathlib import Path
 
 import pytest
-from rig import accept, done, reset, running, until
+from rig import accept, done, reset, running, wait_until
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from bitternpath.balancer.core.statistics import Statistics
-from bitternpath.balancer.http.console import CALL_TIMEOUT, CALLERS, FRESH, Answer, Caller, Console, one_id
+from bitternpath.balancer.http.console import (
+    CALL_TIMEOUT,
+    MAX_CONSOLE_CONNECTIONS,
+    RECENT_CONNECTION_AGE,
+    Console,
+    ConsoleConnection,
+    ConsoleResponse,
+    parse_id,
+)
 
 READY = b"GET /ops/readiness HTTP/1.1\r\n\r\n"
 
@@ -39,13 +47,13 @@
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
         routes = {
-            b"/ops/readiness": (b"GET", lambda body: Answer(200)),
-            b"/ops/w/down": (b"POST", lambda body: Answer(200, one_id(body).encode())),
+            b"/ops/readiness": (b"GET", lambda body: ConsoleResponse(200)),
+            b"/ops/w/down": (b"POST", lambda body: ConsoleResponse(200, parse_id(body).encode())),
         }
         self.console = Console(self.reactor, ("127.0.0.1", 0), routes)
 
-    def call(self, data: bytes = b"") -> tuple[Caller, Wire]:
-        caller, wire = Caller(self.console), Wire()
+    def call(self, data: bytes = b"") -> tuple[ConsoleConnection, Wire]:
+        caller, wire = ConsoleConnection(self.console), Wire()
         wire.tell = caller.connectionLost
         caller.makeConnection(wire)
         if data:
@@ -102,25 +110,25 @@
     desk.reactor.advance(0.02)
     assert silent.aborted and b" 408 " in half.value()
     desk.reactor.advance(1.0)
-    assert half.aborted and not desk.console.silent and not desk.console.answered
+    assert half.aborted and not desk.console.unanswered and not desk.console.answered
 
 
 def test_any_number_of_silent_callers_keeps_out_no_whole_call() -> None:
     desk = Desk()
     wires = []
-    for k in range(10 * CALLERS):
+    for k in range(10 * MAX_CONSOLE_CONNECTIONS):
         wires.append(desk.call(READY[: k % 9])[1])
-        desk.reactor.advance(FRESH / 50)
+        desk.reactor.advance(RECENT_CONNECTION_AGE / 50)
         assert desk.status(READY) == 200
-        assert len(desk.console.silent) + len(desk.console.answered) <= CALLERS
+        assert len(desk.console.unanswered) + len(desk.console.answered) <= MAX_CONSOLE_CONNECTIONS
     assert wires[0].aborted
 
 
 def test_a_caller_that_has_just_come_is_not_the_one_to_go() -> None:
     desk = Desk()
-    for _ in range(CALLERS):
+    for _ in range(MAX_CONSOLE_CONNECTIONS):
         desk.call(READY)
-        desk.reactor.advance(FRESH)
+        desk.reactor.advance(RECENT_CONNECTION_AGE)
     fresh, wire = desk.call()
     for _ in range(5):
         desk.call()
@@ -146,21 +154,21 @@
 
 def test_a_node_reports_what_its_clients_and_workers_saw(tmp_path: Path) -> None:
     with running(tmp_path, done, console=True) as rig, ThreadPoolExecutor(8) as pool:
-        assert rig.operate("GET", "/ops/readiness")[0] == 200
+        assert rig.call_console("GET", "/ops/readiness")[0] == 200
         assert set(rig.statistics().values()) == {0, 1}  # one host listed
         assert {r[0] for r in pool.map(rig.submit, [f"a{k}" for k in range(30)])} == {200}
         assert rig.submit("bad", "/nothing")[0] == 404
-        rig.endpoints[0].does = reset
+        rig.endpoints[0].behavior = reset
         assert rig.submit("r", "/reminder")[0] == 500
-        rig.endpoints[0].does = accept
+        rig.endpoints[0].behavior = accept
         posts = rig.endpoints[0].posts
         open_ = pool.submit(rig.submit, "open")
-        until(lambda: rig.endpoints[0].posts > posts)
+        wait_until(lambda: rig.endpoints[0].posts > posts)
         told = rig.statistics()
         assert told["app.calls.lookup.success"] == 30 and told["app.calls.reminder.failure"] == 1
         assert told["app.backend_calls"] == rig.endpoints[0].posts == 32
         assert told["app.inflight"] == 1 and told["app.hosts_listed"] == 1
-        rig.endpoints[0].tell("open", "done", result="r")
+        rig.endpoints[0].send_callback("open", "done", result="r")
         assert open_.result()[0] == 200
         rig.reload("", "event=reload_failed")
         assert rig.statistics()["app.reconfig_failed"] == 1 and rig.statistics()["app.inflight"] == 0
@@ -174,7 +182,7 @@
             with contextlib.suppress(OSError):  # the ones that have been silent for longest are gone by now
                 sock.sendall(READY[: k % 20])
         for k in range(40):
-            assert rig.operate("GET", "/ops/stats")[0] == 200
+            assert rig.call_console("GET", "/ops/stats")[0] == 200
             assert rig.submit(f"j{k}")[0] == 200
         for sock in silent:
             sock.close()
