--- a/bitternpath/cli/__init__.py
+++ b/bitternpath/cli/__init__.py
@@ -13,29 +13,29 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the command line; the exit code."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    if not given and "_BITTERNPATH_COMPLETE" not in os.environ:
+    argument_list = list(sys.argv[1:] if arguments is None else arguments)
+    if not argument_list and "_BITTERNPATH_COMPLETE" not in os.environ:
         # The platform's own start, as light as it can be: a restarting node is waited for.
         from bitternpath.cli.run import run
 
         return run(None, None, {})
-    if given in (["edge"], ["storage"]):
+    if argument_list in (["edge"], ["storage"]):
         # A role of the system; likewise as light as can be.
         from bitternpath.roles.process import run_role
 
-        return run_role(given[0])
-    if given[:1] == ["system"]:
+        return run_role(argument_list[0])
+    if argument_list[:1] == ["system"]:
         from bitternpath.cli.system import main as system
 
-        return system(given[1:])
+        return system(argument_list[1:])
     import click
 
     from bitternpath.cli.top import top
 
     try:
-        code: Any = top.main(given, prog_name="bitternpath", standalone_mode=False)
-    except click.exceptions.Exit as ended:
-        code = ended.exit_code
+        code: Any = top.main(argument_list, prog_name="bitternpath", standalone_mode=False)
+    except click.exceptions.Exit as exit_request:
+        code = exit_request.exit_code
     except click.Abort:
         code = 1
     except click.ClickException as error:
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -22,52 +22,54 @@
 
 REPORT_EACH = ("days", "search")  # ways of which each outcome is reported
 DEFAULT_FAULTS = 20
-FAULTS_OF_A_DAY = 5  # with real processes
-CORES_OF_A_DAY = 2  # that a run with real processes keeps busy
+DEFAULT_SOCKET_FAULTS = 5  # with real processes
+CORES_PER_SOCKET_RUN = 2  # that a run with real processes keeps busy
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
     """What became of one seed; `coverage` where the way counts it."""
 
-    kept: bool
+    passed: bool
     summary: str
     coverage: Coverage | None = None
 
 
-def _run(seed: int, faults: int) -> Outcome:
+def _run_fleet(seed: int, faults: int) -> Outcome:
     from bitternpath.testing.emulator.fleet.campaign import run_seed
 
     outcome = run_seed(seed, faults)
     return Outcome(outcome.passed, str(outcome))
 
 
-def _walk(seed: int, _: int) -> Outcome:
+def _run_random_schedule(seed: int, _: int) -> Outcome:
     from bitternpath.testing.emulator.fleet.random_schedule import run_schedule
 
-    broken = run_schedule(seed).violations
-    return Outcome(not broken, f"seed {seed}: {broken[0] if broken else 'rules kept'}")
+    violations = run_schedule(seed).violations
+    return Outcome(not violations, f"seed {seed}: {violations[0] if violations else 'rules kept'}")
 
 
-def _day(seed: int, faults: int) -> Outcome:
+def _run_on_sockets(seed: int, faults: int) -> Outcome:
     """In a process of its own: a reactor runs once."""
-    code = f"import sys; from bitternpath.cli.campaign import one_day; sys.exit(one_day({seed}, {faults}))"
-    run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=False)
-    return Outcome(run.returncode == 0, f"seed {seed}: {run.stdout.strip() or run.stderr.strip()}")
+    code = f"import sys; from bitternpath.cli.campaign import play_day; sys.exit(play_day({seed}, {faults}))"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=False)
+    return Outcome(
+        process.returncode == 0, f"seed {seed}: {process.stdout.strip() or process.stderr.strip()}"
+    )
 
 
-def _search(number: int, most: int) -> Outcome:
+def _search_states(scope_index: int, max_states: int) -> Outcome:
     from bitternpath.testing.emulator.fleet.search.explore import search
     from bitternpath.testing.emulator.fleet.search.scopes import SCOPES, initial_state
 
-    found = search(initial_state(SCOPES[number]), most, deque.pop)
-    summary = f"{found.violation}, after {'; '.join(found.trace)}" if found.violation else "rules kept"
-    coverage = "all" if found.complete else "the first"
-    searched = f"{coverage} {found.states} states, {found.moves} moves"
-    return Outcome(not found.violation, f"{SCOPES[number]}: {summary} in {searched}")
+    result = search(initial_state(SCOPES[scope_index]), max_states, deque.pop)
+    summary = f"{result.violation}, after {'; '.join(result.trace)}" if result.violation else "rules kept"
+    coverage = "all" if result.complete else "the first"
+    searched = f"{coverage} {result.states} states, {result.moves} moves"
+    return Outcome(not result.violation, f"{SCOPES[scope_index]}: {summary} in {searched}")
 
 
-def _system(seed: int, _: int) -> Outcome:
+def _run_system(seed: int, _: int) -> Outcome:
     """One run of the whole service; a failing one is shrunk and written down."""
     from bitternpath.testing.simulation.runs.single_run import describe, run_seed, shrink_and_save
 
@@ -78,7 +80,7 @@
     return Outcome(report.passed, summary, report.coverage)
 
 
-def one_day(seed: int, faults: int) -> int:
+def play_day(seed: int, faults: int) -> int:
     """Play one day with real processes and say in one line what came of it."""
     import structlog
 
@@ -87,14 +89,16 @@
 
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     scenario = scenario_for_seed(seed, faults)
-    kinds = ", ".join(f"{t.kind} {t.at:.1f}+{t.lasts:.1f}" for t in scenario.troubles[1:])
+    fault_kinds = ", ".join(
+        f"{fault.kind} {fault.at:.1f}+{fault.lasts:.1f}" for fault in scenario.troubles[1:]
+    )
     try:
         result = play_on_sockets(scenario, seed)
     except VoidError as error:
-        print(f"{error} ({kinds})")
+        print(f"{error} ({fault_kinds})")
         return 0
     summary = "; ".join(result.violations[:3]) or f"rules kept, {result.requests} requests"
-    print(f"{summary} ({kinds})")
+    print(f"{summary} ({fault_kinds})")
     return 0 if result.passed else 1
 
 
@@ -112,8 +116,12 @@
 
 
 WAYS: dict[str, Callable[[int, int], Outcome]] = {
-    "runs": _run, "walks": _walk, "days": _day, "search": _search, "system": _system,
-}  # fmt: skip
+    "runs": _run_fleet,
+    "walks": _run_random_schedule,
+    "days": _run_on_sockets,
+    "search": _search_states,
+    "system": _run_system,
+}
 
 
 @click.command(
@@ -142,12 +150,14 @@
         from bitternpath.testing.emulator.fleet.search.scopes import SCOPES
 
         faults, many = many, len(SCOPES)
-    faults = faults if faults is not None else (FAULTS_OF_A_DAY if way == "days" else DEFAULT_FAULTS)
+    faults = faults if faults is not None else (DEFAULT_SOCKET_FAULTS if way == "days" else DEFAULT_FAULTS)
     cores = jobs or os.cpu_count() or 1
-    begun, done, bad, void = time.monotonic(), 0, 0, 0
+    started_at, done, failed, void = time.monotonic(), 0, 0, 0
     coverages: list[Coverage] = []
     pool: Any = (
-        ThreadPoolExecutor(max(cores // CORES_OF_A_DAY, 1)) if way == "days" else ProcessPoolExecutor(cores)
+        ThreadPoolExecutor(max(cores // CORES_PER_SOCKET_RUN, 1))
+        if way == "days"
+        else ProcessPoolExecutor(cores)
     )
     with pool:
         outcomes: Iterable[Outcome] = pool.map(
@@ -156,15 +166,17 @@
         )  # fmt: skip
         for outcome in outcomes:
             done += 1
-            bad += not outcome.kept
+            failed += not outcome.passed
             void += "void" in outcome.summary
             if outcome.coverage is not None:
                 coverages.append(outcome.coverage)
-            if not outcome.kept or way in REPORT_EACH:
+            if not outcome.passed or way in REPORT_EACH:
                 click.echo(outcome.summary)
             elif done % max(many // 20, 1) == 0:
-                click.echo(f"{done} of {many}, {time.monotonic() - begun:.0f} s")
+                click.echo(f"{done} of {many}, {time.monotonic() - started_at:.0f} s")
     _report_coverage(coverages)
-    voids = f", {void} of them void" if void else ""
-    click.echo(f"{done} {way}{voids}: {bad} broke a rule or got stuck, {time.monotonic() - begun:.0f} s")
-    click.get_current_context().exit(1 if bad else 0)
+    void_text = f", {void} of them void" if void else ""
+    click.echo(
+        f"{done} {way}{void_text}: {failed} broke a rule or got stuck, {time.monotonic() - started_at:.0f} s"
+    )
+    click.get_current_context().exit(1 if failed else 0)
--- a/bitternpath/cli/check_config.py
+++ b/bitternpath/cli/check_config.py
@@ -9,8 +9,8 @@
 
 from bitternpath.balancer.config.load import load_all
 from bitternpath.balancer.config.platform import ConfigError
-from bitternpath.cli.options import given, settings_options
-from bitternpath.cli.run import fault
+from bitternpath.cli.options import given_flags, settings_options
+from bitternpath.cli.run import report_error
 
 
 @click.command(
@@ -27,9 +27,9 @@
     Ends with 0 where it is good, with 2 and one line where it is not.
     """
     try:
-        loaded = load_all(os.environ, config, operator_file, given(flags))
+        loaded = load_all(os.environ, config, operator_file, given_flags(flags))
     except ConfigError as error:
-        click.get_current_context().exit(fault(error))
+        click.get_current_context().exit(report_error(error))
     platform = loaded.platform
     click.echo(
         f"{platform.name}: listens on {platform.listen[0]}:{platform.listen[1]}, configuration is good"
--- a/bitternpath/cli/consensus_server.py
+++ b/bitternpath/cli/consensus_server.py
@@ -10,8 +10,8 @@
 from bitternpath.balancer.config import logs
 from bitternpath.balancer.config.operator import Fleet, read
 from bitternpath.balancer.config.platform import ConfigError
-from bitternpath.cli.options import given, operator_options
-from bitternpath.cli.run import fault
+from bitternpath.cli.options import given_flags, operator_options
+from bitternpath.cli.run import report_error
 
 
 def _checked_settings(fleet: Fleet) -> Fleet:
@@ -44,10 +44,10 @@
     """
     context = click.get_current_context()
     try:
-        settings = read(operator_file, os.environ, given(flags)).settings
+        settings = read(operator_file, os.environ, given_flags(flags)).settings
         fleet = _checked_settings(settings.fleet)
     except ConfigError as error:
-        context.exit(fault(error))
+        context.exit(report_error(error))
     from bitternpath.balancer.fleet.consensus_server import run
     from bitternpath.balancer.fleet.store import StoreError
 
@@ -56,4 +56,4 @@
     try:
         context.exit(run(fleet, found))
     except StoreError as error:
-        context.exit(fault(error))
+        context.exit(report_error(error))
--- a/bitternpath/cli/emulate.py
+++ b/bitternpath/cli/emulate.py
@@ -64,8 +64,8 @@
     results = []
     try:
         scenario_data = load(scenario)
-        for k in range(max(seeds, 1)):
-            results.append(play(scenario_data, seed + k, policy))
+        for offset in range(max(seeds, 1)):
+            results.append(play(scenario_data, seed + offset, policy))
             show(results[-1], console)
     except ScenarioError as error:
         raise click.UsageError(str(error)) from error
--- a/bitternpath/cli/fleet_client.py
+++ b/bitternpath/cli/fleet_client.py
@@ -13,8 +13,8 @@
 
 from bitternpath.balancer.config.operator import read
 from bitternpath.balancer.config.platform import Address, ConfigError, address
-from bitternpath.cli.options import given, operator_options
-from bitternpath.cli.run import fault
+from bitternpath.cli.options import given_flags, operator_options
+from bitternpath.cli.run import report_error
 
 
 class FleetClient:
@@ -53,7 +53,7 @@
         flags = {name: arguments.pop(name) for name in list(arguments) if "__" in name}
         context = click.get_current_context()
         try:
-            settings = read(operator_file, os.environ, given(flags)).settings.fleet
+            settings = read(operator_file, os.environ, given_flags(flags)).settings.fleet
             if not settings.stewards:
                 raise ConfigError(
                     "fleet.stewards: no consensus server is named; give --fleet-stewards or --operator-file"
@@ -61,7 +61,7 @@
             pairs = [each.partition("=") for each in settings.stewards]
             servers = {name: address(host_port) for name, _, host_port in pairs}
         except (ConfigError, ValueError) as error:
-            context.exit(fault(error))
+            context.exit(report_error(error))
         return function(FleetClient(servers, author or getpass.getuser(), within), **arguments)
 
     wrapper = click.option("--author", metavar="NAME", help="who gives the command; default: your user name")(
--- a/bitternpath/cli/lab.py
+++ b/bitternpath/cli/lab.py
@@ -9,17 +9,17 @@
 
 import click
 
-NEEDS = ("hdrh", "rich", "xxhash")
+REQUIRED_PACKAGES = ("hdrh", "rich", "xxhash")
 
 
 def needs_lab(function: Callable[..., Any]) -> Callable[..., Any]:
     """Ends with 2 and one line where the extra's packages are missing."""
 
     @wraps(function)
-    def checked(*arguments: Any, **more: Any) -> Any:
-        missing = [name for name in NEEDS if find_spec(name) is None]
+    def wrapper(*arguments: Any, **keyword_arguments: Any) -> Any:
+        missing = [name for name in REQUIRED_PACKAGES if find_spec(name) is None]
         if missing:
             raise click.UsageError(f"{', '.join(missing)} missing: pip install 'bitternpath[lab]'")
-        return function(*arguments, **more)
+        return function(*arguments, **keyword_arguments)
 
-    return checked
+    return wrapper
--- a/bitternpath/cli/on_sockets.py
+++ b/bitternpath/cli/on_sockets.py
@@ -17,26 +17,26 @@
 from bitternpath.testing.emulator.sockets.world import SocketWorld
 
 
-def _row(world: SocketWorld) -> dict[str, str]:
+def _latest_row(world: SocketWorld) -> dict[str, str]:
     """The last second that is over."""
     second = int(world.now()) - 1
     counts = world.metrics.counts
-    asked = sum(worth for key, worth in world.metrics.offered_value.items() if key[0] == second)
-    got = sum(worth for key, worth in world.metrics.earned_value.items() if key[0] == second)
+    offered_value = sum(value for key, value in world.metrics.offered_value.items() if key[0] == second)
+    earned_value = sum(value for key, value in world.metrics.earned_value.items() if key[0] == second)
     now = world.now()
-    troubles = [a.kind for a in world.active_faults if a.at <= now < a.at + a.lasts]
+    active_faults = [fault.kind for fault in world.active_faults if fault.at <= now < fault.at + fault.lasts]
     fleet = world.fleet.table_row() if world.fleet is not None else {}
     return {
         "s": str(max(second, 0)),
-        "asked": f"{asked:.0f}",
-        "so far": f"{got / asked:.0%}" if asked else "-",
+        "asked": f"{offered_value:.0f}",
+        "so far": f"{earned_value / offered_value:.0%}" if offered_value else "-",
         "refused": str(counts[second, "refused"]),
         "failed": str(counts[second, "failed"]),
         "waiting": str(world.clients.unfinished),
-        "up": str(sum(w.alive and w.reachable for w in world.workers.values())),
+        "up": str(sum(worker.alive and worker.reachable for worker in world.workers.values())),
         "nodes": str(sum(len(nodes) for nodes in world.load_balancer.admitted.values())),
         **fleet,
-        "trouble": ", ".join(troubles) or "-",
+        "trouble": ", ".join(active_faults) or "-",
     }
 
 
@@ -49,20 +49,20 @@
     workers = sum(site.workers for site in scenario.sites)
     console.print(f"{scenario.name}: {nodes} nodes, {workers} workers on loopback, {scenario.seconds:.0f} s")
 
-    def table() -> Table:
-        made = Table()
-        for head in rows[-1]:
-            made.add_column(head, justify="right")
+    def live_table() -> Table:
+        table = Table()
+        for column in rows[-1]:
+            table.add_column(column, justify="right")
         for row in rows[-12:]:
-            made.add_row(*row.values())
-        return made
+            table.add_row(*row.values())
+        return table
 
     live: Any = Live(console=console, auto_refresh=False) if console.is_terminal else None
 
-    def each_second(world: SocketWorld) -> None:
-        rows.append(_row(world))
+    def print_second(world: SocketWorld) -> None:
+        rows.append(_latest_row(world))
         if live is not None:
-            live.update(table(), refresh=True)
+            live.update(live_table(), refresh=True)
         else:
             line = "  ".join(f"{key} {value}" for key, value in rows[-1].items())
             console.print(line, soft_wrap=True)
@@ -70,9 +70,9 @@
     try:
         if live is not None:
             with live:
-                result = play_on_sockets(scenario, seed, each_second)
+                result = play_on_sockets(scenario, seed, print_second)
         else:
-            result = play_on_sockets(scenario, seed, each_second)
+            result = play_on_sockets(scenario, seed, print_second)
     except VoidError as error:
         raise click.ClickException(str(error)) from error
     except KeyboardInterrupt:
--- a/bitternpath/cli/options.py
+++ b/bitternpath/cli/options.py
@@ -42,6 +42,6 @@
     )(function)
 
 
-def given(flags: dict[str, str | None]) -> dict[str, str]:
+def given_flags(flags: dict[str, str | None]) -> dict[str, str]:
     """The flags that were given, by key."""
     return {name.replace("__", "."): text for name, text in flags.items() if text is not None}
--- a/bitternpath/cli/run.py
+++ b/bitternpath/cli/run.py
@@ -10,7 +10,7 @@
 from bitternpath.balancer.config.platform import ConfigError
 
 
-def fault(error: Exception) -> int:
+def report_error(error: Exception) -> int:
     """One line on standard error, and the exit code of a wrong configuration."""
     print(f"bitternpath: {error}", file=sys.stderr)
     return 2
@@ -21,14 +21,14 @@
     try:
         loaded = load_all(os.environ, config, operator_file, flags)
     except ConfigError as error:
-        return fault(error)
+        return report_error(error)
     from bitternpath.balancer import node  # the reactor is not needed to find a fault in a configuration
     from bitternpath.balancer.config import logs
 
     log_settings = loaded.operator.settings.log
     logs.start(log_settings.level, log_settings.format, log_settings.per_second)
 
-    def read_again(running: Loaded) -> Loaded:
-        return reload_all(running, os.environ, config, operator_file, flags)
+    def reload_configuration(current: Loaded) -> Loaded:
+        return reload_all(current, os.environ, config, operator_file, flags)
 
-    return node.serve(loaded, read_again)
+    return node.serve(loaded, reload_configuration)
--- a/bitternpath/cli/serve.py
+++ b/bitternpath/cli/serve.py
@@ -6,7 +6,7 @@
 
 import click
 
-from bitternpath.cli.options import given, settings_options
+from bitternpath.cli.options import given_flags, settings_options
 from bitternpath.cli.run import run
 
 
@@ -24,4 +24,4 @@
 
     Ends with 0 after SIGTERM, once all that was taken is answered; with 2 where the configuration is wrong.
     """
-    click.get_current_context().exit(run(config, operator_file, given(flags)))
+    click.get_current_context().exit(run(config, operator_file, given_flags(flags)))
--- a/bitternpath/cli/top.py
+++ b/bitternpath/cli/top.py
@@ -48,8 +48,8 @@
         if name not in COMMANDS:
             return None
         module = MODULES.get(name, name.replace("-", "_"))
-        made: click.Command = import_module(f"bitternpath.cli.{module}").command
-        return made
+        command: click.Command = import_module(f"bitternpath.cli.{module}").command
+        return command
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
