--- a/bitternpath/cli/__init__.py
+++ b/bitternpath/cli/__init__.py
@@ -1,6 +1,6 @@
 """The command line.
 
-Exit codes: 0 all went well; 1 it ran and something was wrong; 2 the command or the configuration is wrong.
+Exit codes: 0 success; 1 the command ran, and failed or found an error; 2 invalid arguments or configuration.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command line; the exit code."""
+    """Run the command line and return the exit code."""
     argument_list = list(sys.argv[1:] if arguments is None else arguments)
     if not argument_list and "_BITTERNPATH_COMPLETE" not in os.environ:
-        # The platform's own start, as light as it can be: a restarting node is waited for.
+        # How the platform starts a node; few imports, because clients wait for a restarting node.
         from bitternpath.cli.run import run
 
         return run(None, None, {})
     if argument_list in (["edge"], ["storage"]):
-        # A role of the system; likewise as light as can be.
+        # A role of the system; few imports for the same reason.
         from bitternpath.roles.process import run_role
 
         return run_role(argument_list[0])
--- a/bitternpath/cli/campaign.py
+++ b/bitternpath/cli/campaign.py
@@ -1,4 +1,4 @@
-"""`bitternpath campaign`: many runs of the fleet with faults, on all cores."""
+"""`bitternpath campaign`: many runs of the fleet or the system with faults, on all cores."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 if TYPE_CHECKING:
     from bitternpath.testing.simulation.runs.coverage import Coverage
 
-REPORT_EACH = ("days", "search")  # ways of which each outcome is reported
+REPORT_EACH = ("days", "search")  # ways that print every outcome, not only failures
 DEFAULT_FAULTS = 20
-DEFAULT_SOCKET_FAULTS = 5  # with real processes
-CORES_PER_SOCKET_RUN = 2  # that a run with real processes keeps busy
+DEFAULT_SOCKET_FAULTS = 5  # default number of faults in a run with real processes
+CORES_PER_SOCKET_RUN = 2  # number of cores that a run with real processes uses
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of one seed; `coverage` where the way counts it."""
+    """The result of one seed; `coverage` is set if the way measures it."""
 
     passed: bool
     summary: str
@@ -50,7 +50,7 @@
 
 
 def _run_on_sockets(seed: int, faults: int) -> Outcome:
-    """In a process of its own: a reactor runs once."""
+    """Run in a separate process, because a reactor cannot be restarted."""
     code = f"import sys; from bitternpath.cli.campaign import play_day; sys.exit(play_day({seed}, {faults}))"
     process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=False)
     return Outcome(
@@ -70,7 +70,7 @@
 
 
 def _run_system(seed: int, _: int) -> Outcome:
-    """One run of the whole service; a failing one is shrunk and written down."""
+    """Simulate the whole service once; a failing plan is shrunk and saved."""
     from bitternpath.testing.simulation.runs.single_run import describe, run_seed, shrink_and_save
 
     report = run_seed(seed)
@@ -81,7 +81,7 @@
 
 
 def play_day(seed: int, faults: int) -> int:
-    """Play one day with real processes and say in one line what came of it."""
+    """Play one scenario with real processes, print one line and return the exit code."""
     import structlog
 
     from bitternpath.testing.emulator.fleet.days import scenario_for_seed
@@ -103,7 +103,7 @@
 
 
 def _report_coverage(coverages: list[Coverage]) -> None:
-    """Print what all runs together met."""
+    """Print the combined coverage of all runs."""
     from bitternpath.testing.simulation.runs.coverage import Coverage
 
     if not coverages:
@@ -128,24 +128,24 @@
     epilog="""\b
 Examples:
   bitternpath campaign --many 10000                 # in virtual time, 20 faults each
-  bitternpath campaign --way walks --many 100000    # stewards under the worst scheduler
+  bitternpath campaign --way walks --many 100000    # consensus servers with random schedules
   bitternpath campaign --way days --many 100        # real processes, 5 faults each
-  bitternpath campaign --way search --many 1000000  # each state within small scopes, so many of each at most
+  bitternpath campaign --way search --many 1000000  # all states of small scopes, up to this many each
   bitternpath campaign --way system --many 1000 --jobs 8  # the whole service in virtual time
 """
 )
-@click.option("--way", type=click.Choice(list(WAYS)), default="runs", show_default=True, help="how to play")
-@click.option("--many", default=1000, show_default=True, help="how many seeds, or states of a scope")
-@click.option("--first", default=0, show_default=True, help="the first of them")
-@click.option("--faults", type=int, help="in each run [default: 20, and 5 with real processes]")
-@click.option("--jobs", type=click.IntRange(min=1), help="how many processes [default: all cores]")
+@click.option("--way", type=click.Choice(list(WAYS)), default="runs", show_default=True, help="kind of run")
+@click.option("--many", default=1000, show_default=True, help="number of seeds, or maximum states of a scope")
+@click.option("--first", default=0, show_default=True, help="first seed")
+@click.option("--faults", type=int, help="number of faults per run [default: 20; 5 with real processes]")
+@click.option("--jobs", type=click.IntRange(min=1), help="number of processes [default: all cores]")
 @needs_lab
 def command(way: str, many: int, first: int, faults: int | None, jobs: int | None, **_: Any) -> None:
-    """Play the fleet or the system with faults, seed after seed, and say which seeds broke a rule.
+    """Run the fleet or the system with faults, once per seed; print the seeds that violated a rule.
 
-    Ends with 0 where the rules were kept in all, with 1 where one was broken.
+    Exit status: 0 if all runs kept the rules, 1 otherwise.
     """
-    gc.enable()  # the program starts without, and each run leaves a whole world behind
+    gc.enable()  # disabled at start-up; without it the worlds of finished runs are not freed
     if way == "search":
         from bitternpath.testing.emulator.fleet.search.scopes import SCOPES
 
--- a/bitternpath/cli/check_config.py
+++ b/bitternpath/cli/check_config.py
@@ -1,4 +1,4 @@
-"""`bitternpath check-config`: what a node would run with."""
+"""`bitternpath check-config`: prints the effective configuration of a node."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 )
 @settings_options
 def command(config: str | None, operator_file: str | None, **flags: Any) -> None:
-    """Read the configuration and print every setting and where it came from.
+    """Check the configuration; print each setting with its origin.
 
-    Ends with 0 where it is good, with 2 and one line where it is not.
+    Exit status: 0 if it is valid; 2, with a one-line error, if it is not.
     """
     try:
         loaded = load_all(os.environ, config, operator_file, given_flags(flags))
--- a/bitternpath/cli/completion.py
+++ b/bitternpath/cli/completion.py
@@ -1,4 +1,4 @@
-"""`bitternpath completion`: the script with which a shell completes our commands and flags."""
+"""`bitternpath completion`: the shell script that completes commands and flags."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def command(shell: str) -> None:
-    """Print the completion script of a shell; its start-up file evaluates it."""
+    """Print the completion script of a shell, to be evaluated by its start-up file."""
     kind = get_completion_class(shell)
     assert kind is not None
     click.echo(kind(top, {}, "bitternpath", "_BITTERNPATH_COMPLETE").source())
--- a/bitternpath/cli/demo.py
+++ b/bitternpath/cli/demo.py
@@ -1,4 +1,4 @@
-"""`bitternpath demo`: real nodes, workers and clients on loopback for 20 s, one site lost on the way."""
+"""`bitternpath demo`: real nodes, workers and clients on loopback for 20 s, with the failure of one site."""
 
 from __future__ import annotations
 
@@ -73,19 +73,17 @@
   bitternpath demo --json demo.json
 """
 )
-@click.option("--fleet", is_flag=True, help="six nodes under three stewards, some of which fail; 30 s")
-@click.option("--seed", default=1, show_default=True, help="which day is drawn")
-@click.option(
-    "--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="write all figures there"
-)
+@click.option("--fleet", is_flag=True, help="six nodes and three consensus servers, some of which fail; 30 s")
+@click.option("--seed", default=1, show_default=True, help="seed of the run")
+@click.option("--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="file for all results")
 @needs_lab
 def command(fleet: bool, seed: int, file: Path | None, **_: Any) -> None:
-    """Three real nodes, 14 workers and their clients on loopback for 20 s; one site is lost on the way.
+    """Three real nodes, 14 workers and their clients on loopback for 20 s; one site fails meanwhile.
 
-    With --fleet: six nodes and three stewards; changes, a node stalled through some of them, the leader
-    killed, one site cut off.
+    With --fleet: six nodes and three consensus servers; the fleet is changed while a node is stalled, the
+    leader is killed and a site is partitioned.
 
-    Needs no file, no flag and no root. Ends with 0 where the rules were kept, with 1 where one was broken.
+    Needs no files, flags or root. Exit status: 0 if all rules were kept, 1 if one was violated.
     """
     from bitternpath.cli.on_sockets import run
     from bitternpath.testing.emulator.scenario_file import scenario_from
--- a/bitternpath/cli/emulate.py
+++ b/bitternpath/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`bitternpath emulate`: play a scenario."""
+"""`bitternpath emulate`: plays a scenario of the emulator."""
 
 from __future__ import annotations
 
@@ -18,24 +18,22 @@
 """
 )
 @click.argument("scenario", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--seed", default=1, show_default=True, help="which day is drawn from the scenario")
-@click.option("--seeds", default=1, show_default=True, help="so many days, from --seed on")
+@click.option("--seed", default=1, show_default=True, help="seed of the run")
+@click.option("--seeds", default=1, show_default=True, help="number of seeds, starting with --seed")
 @click.option(
     "--policy", default="module", show_default=True, help="module, or a reference policy; see below"
 )
-@click.option(
-    "--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="write all figures there"
-)
+@click.option("--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="file for all results")
 @click.option("--sockets/--virtual", default=False, help="real nodes on loopback, or virtual time (default)")
 @needs_lab
 def command(
     scenario: Path, seed: int, seeds: int, policy: str, file: Path | None, sockets: bool, **_: Any
 ) -> None:
-    """Play SCENARIO and say how well clients were served and whether the rules were kept.
+    """Play SCENARIO; report the service to clients and the violated rules.
 
-    Policies: module (the node's own), random, round-robin, least, two-choices, ewma, oracle (sees the
-    true state). Ends with 0 where the rules were kept, with 1 where one was broken, with 2 where the
-    scenario is wrong.
+    Policies: module (the node's own), random, round-robin, least, two-choices, ewma, oracle (knows the
+    true state). Exit status: 0 if all rules were kept, 1 if one was violated, 2 if the scenario is
+    invalid.
     """
     import structlog
     from rich.console import Console
@@ -53,7 +51,7 @@
         from bitternpath.cli.on_sockets import run
 
         if policy != "module" or seeds != 1:
-            raise click.UsageError("--sockets plays the node's own module, one seed at a time")
+            raise click.UsageError("--sockets needs the policy module and a single seed")
         try:
             scenario_data = load(scenario)
         except ScenarioError as error:
--- a/bitternpath/cli/lab.py
+++ b/bitternpath/cli/lab.py
@@ -1,4 +1,4 @@
-"""The lab is an extra of the package: say so where it is not installed."""
+"""Check for the packages of the optional extra `lab`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def needs_lab(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Ends with 2 and one line where the extra's packages are missing."""
+    """Raise a usage error (exit status 2) if packages of the extra are missing."""
 
     @wraps(function)
     def wrapper(*arguments: Any, **keyword_arguments: Any) -> Any:
--- a/bitternpath/cli/on_sockets.py
+++ b/bitternpath/cli/on_sockets.py
@@ -1,4 +1,4 @@
-"""Playing a scenario with real nodes, with a live table on a terminal and plain lines elsewhere."""
+"""Plays a scenario with real nodes; shows a live table on a terminal, and plain lines elsewhere."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _latest_row(world: SocketWorld) -> dict[str, str]:
-    """The last second that is over."""
+    """Return the table row of the last complete second."""
     second = int(world.now()) - 1
     counts = world.metrics.counts
     offered_value = sum(value for key, value in world.metrics.offered_value.items() if key[0] == second)
@@ -41,7 +41,7 @@
 
 
 def run(scenario: Scenario, seed: int, file: Path | None) -> int:
-    """Play it; the exit code."""
+    """Play a scenario, print the result and return the exit code."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     console = Console(highlight=False)
     rows: list[dict[str, str]] = []
@@ -76,7 +76,7 @@
     except VoidError as error:
         raise click.ClickException(str(error)) from error
     except KeyboardInterrupt:
-        console.print("interrupted: all that was started has been stopped")
+        console.print("interrupted: all nodes, workers and clients have been stopped")
         return 1
     show(result, console)
     if file is not None:
--- a/bitternpath/cli/options.py
+++ b/bitternpath/cli/options.py
@@ -1,4 +1,4 @@
-"""The options that `serve` and `check-config` share; one for each key of the operator file."""
+"""Options that several commands share, one for each key of the operator file."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 
 
 def operator_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds `--operator-file` and the flags of what a process without a front has: log and fleet."""
+    """Add `--operator-file` and the flags of the sections `log` and `fleet`, for the fleet commands."""
     return _options(function, ("log", "fleet"))
 
 
 def settings_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    """Adds `--config`, `--operator-file` and a flag for every key; they arrive as `config`, `operator_file`
-    and the keys' names with underscores."""
+    """Add `--config`, `--operator-file` and a flag for every key.
+
+    They are passed as `config`, `operator_file` and the key with two underscores for each dot.
+    """
     function = _options(function, None)
     return click.option(
-        "--config", metavar="FILE", help="the platform's JSON file; else PROXY_CONFIG names it"
+        "--config", metavar="FILE", help="the platform's JSON file; default: that in PROXY_CONFIG"
     )(function)
 
 
@@ -38,10 +40,10 @@
     return click.option(
         "--operator-file",
         metavar="FILE",
-        help="the operators' TOML file; else BITTERNPATH_OPERATOR_FILE names it",
+        help="the operators' TOML file; default: that in BITTERNPATH_OPERATOR_FILE",
     )(function)
 
 
 def given_flags(flags: dict[str, str | None]) -> dict[str, str]:
-    """The flags that were given, by key."""
+    """Return the values of the flags on the command line, by key."""
     return {name.replace("__", "."): text for name, text in flags.items() if text is not None}
--- a/bitternpath/cli/run.py
+++ b/bitternpath/cli/run.py
@@ -1,4 +1,4 @@
-"""Running a node, without what only the command line needs."""
+"""Runs a node; imports nothing that only the command-line parser needs."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def report_error(error: Exception) -> int:
-    """One line on standard error, and the exit code of a wrong configuration."""
+    """Print a one-line error and return the exit code of an invalid configuration."""
     print(f"bitternpath: {error}", file=sys.stderr)
     return 2
 
 
 def run(config: str | None, operator_file: str | None, flags: Mapping[str, str]) -> int:
-    """Run a node until it is told to stop; the exit code."""
+    """Run a node until it is stopped; return the exit code."""
     try:
         loaded = load_all(os.environ, config, operator_file, flags)
     except ConfigError as error:
         return report_error(error)
-    from bitternpath.balancer import node  # the reactor is not needed to find a fault in a configuration
+    from bitternpath.balancer import node  # imports the reactor, which an invalid configuration doesn't need
     from bitternpath.balancer.config import logs
 
     log_settings = loaded.operator.settings.log
--- a/bitternpath/cli/serve.py
+++ b/bitternpath/cli/serve.py
@@ -20,8 +20,8 @@
 )
 @settings_options
 def command(config: str | None, operator_file: str | None, **flags: Any) -> None:
-    """Run a node. A flag wins over the environment, that over the operator file, that over the default.
+    """Run a node. Precedence of settings: flag, environment, operator file, default.
 
-    Ends with 0 after SIGTERM, once all that was taken is answered; with 2 where the configuration is wrong.
+    Exit status: 0 after SIGTERM, when all accepted requests are answered; 2 if the configuration is invalid.
     """
     click.get_current_context().exit(run(config, operator_file, given_flags(flags)))
--- a/bitternpath/cli/top.py
+++ b/bitternpath/cli/top.py
@@ -1,4 +1,4 @@
-"""The tree of commands. Each sub-command is a module that is imported when it is called."""
+"""The command tree. The module of a sub-command is imported when it is called."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 import click
 
-COMMANDS = {  # in the order in which --help names them
+COMMANDS = {  # in the order of --help
     "serve": "Run a node (the default).",
-    "check-config": "Read the configuration, print every setting and where it came from, and end.",
-    "system": "The whole ingest and dispatch service: roles, checks, a view of a running system.",
-    "consensus-server": "Run one of the processes that keep the fleet's record.",
-    "fleet": "Ask the fleet, and change what all nodes act on.",
-    "user": "Make password hashes for the operator file.",
-    "demo": "Real nodes, workers and clients on loopback for 20 s, one site lost on the way.",
+    "check-config": "Check the configuration; print each setting with its origin.",
+    "system": "The whole ingest and dispatch service: roles, checks, state of a running system.",
+    "consensus-server": "Run a consensus server, a replica of the fleet's record.",
+    "fleet": "Query and change the fleet's record.",
+    "user": "Create password hashes for the operator file.",
+    "demo": "Real nodes, workers and clients on loopback for 20 s, with the failure of one site.",
     "emulate": "Play a scenario of the emulator, in virtual time or with real nodes.",
-    "campaign": "Many runs of the fleet with faults, on all cores.",
+    "campaign": "Many runs of the fleet or the system with faults, on all cores.",
     "completion": "Print the completion script of a shell.",
     "version": "Print the version.",
 }
 
-MODULES = {"system": "system_tree"}  # where it isn't the command's own name
-ALIASES = {"steward": "consensus-server"}  # earlier names, hidden from --help
+MODULES = {"system": "system_tree"}  # only modules whose name differs from the command
+ALIASES = {"steward": "consensus-server"}  # former names, hidden from --help
 
 EPILOG = """\b
 Examples:
@@ -32,14 +32,14 @@
 
 \b
 Exit codes:
-  0  all went well
-  1  it ran and something was wrong
-  2  the command or the configuration is wrong, in one line
+  0  success
+  1  the command ran, and failed or found an error
+  2  invalid arguments or configuration, with a one-line error
 """
 
 
 class Commands(click.Group):
-    """Sub-commands that cost nothing until they are called."""
+    """A group whose sub-commands are imported when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -56,7 +56,7 @@
     ) -> tuple[str | None, click.Command | None, list[str]]:
         current = ALIASES.get(args[0])
         if current is not None:
-            if not ctx.resilient_parsing:  # not while a shell completes
+            if not ctx.resilient_parsing:  # no output during shell completion
                 click.echo(f"bitternpath {args[0]}: the command is now called {current}", err=True)
             args = [current, *args[1:]]
         return super().resolve_command(ctx, args)
@@ -69,7 +69,7 @@
 @click.group(cls=Commands, invoke_without_command=True, epilog=EPILOG)
 @click.pass_context
 def top(ctx: click.Context) -> None:
-    """A node that takes jobs and passes each to one of many workers."""
+    """A node that accepts jobs and dispatches each to one of many workers."""
     if ctx.invoked_subcommand is None:
         from bitternpath.cli.run import run
 
--- a/bitternpath/cli/user.py
+++ b/bitternpath/cli/user.py
@@ -9,7 +9,7 @@
 
 @click.group()
 def command() -> None:
-    """Make password hashes for the operator file."""
+    """Create password hashes for the operator file."""
 
 
 @command.command(
@@ -22,7 +22,7 @@
 )
 @click.argument("name")
 def hash_(name: str) -> None:
-    """Print the operator file's lines for NAME; asks for the password, or reads it from standard input."""
+    """Print the operator file's lines for NAME; prompts for the password, or reads it from standard input."""
     from bitternpath.balancer.config.passwords import hashed
 
     if sys.stdin.isatty():
@@ -30,6 +30,6 @@
     else:
         password = sys.stdin.readline().rstrip("\r\n")
     if not password:
-        raise click.UsageError("the password is empty; 1 byte or more is needed")
+        raise click.UsageError("the password is empty; it needs at least 1 byte")
     quoted = '"' + name.replace("\\", "\\\\").replace('"', '\\"') + '"'
     click.echo(f'[amqp.users.{quoted}]\npassword = "{hashed(password.encode())}"')
--- a/bitternpath/cli/version.py
+++ b/bitternpath/cli/version.py
@@ -1,4 +1,4 @@
-"""`bitternpath version`."""
+"""`bitternpath version`: prints the version."""
 
 from __future__ import annotations
 
