--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -4,21 +4,23 @@
 
 import re
 
-MOST = 3
-FORM = "TEST | CAUSE | issue NUMBER"
-_LINE = re.compile(r"(?P<test>tests/\S+\.py::\S.*?) \| (?P<cause>\S.*?) \| issue [0-9]+")
+MAX_ENTRIES = 3
+ENTRY_FORMAT = "TEST | CAUSE | issue NUMBER"
+_ENTRY = re.compile(r"(?P<test>tests/\S+\.py::\S.*?) \| (?P<cause>\S.*?) \| issue [0-9]+")
 
 
-def entries(text: str) -> dict[str, str]:
+def parse_known_red(text: str) -> dict[str, str]:
     """The cause by test; ValueError where a line is not of the form or where there are too many."""
-    found: dict[str, str] = {}
+    causes: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
-        match = _LINE.fullmatch(line.strip())
-        if match is None or match["test"] in found:
-            raise ValueError(f"KNOWN-RED.txt, line {number}: must be '{FORM}', each test once: {line!r}")
-        found[match["test"]] = match["cause"]
-    if len(found) > MOST:
-        raise ValueError(f"KNOWN-RED.txt: {len(found)} tests, {MOST} at most")
-    return found
+        match = _ENTRY.fullmatch(line.strip())
+        if match is None or match["test"] in causes:
+            raise ValueError(
+                f"KNOWN-RED.txt, line {number}: must be '{ENTRY_FORMAT}', each test once: {line!r}"
+            )
+        causes[match["test"]] = match["cause"]
+    if len(causes) > MAX_ENTRIES:
+        raise ValueError(f"KNOWN-RED.txt: {len(causes)} tests, {MAX_ENTRIES} at most")
+    return causes
--- a/tests/parallel_runner/plugin.py
+++ b/tests/parallel_runner/plugin.py
@@ -36,10 +36,10 @@
 from tests.parallel_runner.messages import Batch, BatchEnded, Outcome, Report, TestEnded, TestStarted
 
 WORKER_MODULE = "tests.parallel_runner.worker"
-OUTPUT_TAIL_BYTES = 8_192  # what is shown of the output of a process that was lost
-END_LIMIT_S = 30.0  # a worker that was told to end: its threads and exit handlers may take this long
-EXIT_LIMIT_S = 5.0  # between the end of a worker's connection and that of its process
-IMPORT_FAILURES = (
+MAX_OUTPUT_TAIL_BYTES = 8_192  # what is shown of the output of a process that was lost
+SHUTDOWN_TIMEOUT_S = 30.0  # a worker that was told to end: its threads and exit handlers may take this long
+EXIT_TIMEOUT_S = 5.0  # between the end of a worker's connection and that of its process
+IMPORT_FAILURE_PREFIXES = (
     "nose2.loader.",
     "unittest.loader.",
 )  # tests that stand for modules
@@ -51,7 +51,7 @@
     """A test's process ended or was ended; the text says how."""
 
 
-class WorkerEndTest(unittest.TestCase):
+class WorkerProcessTest(unittest.TestCase):
     """Stands in the report for a worker process as a whole, where it fails outside of any test."""
 
     def runTest(self) -> None:
@@ -71,8 +71,8 @@
 def flatten(suite: unittest.TestSuite | Case) -> Iterator[Case]:
     """The tests of a suite, in order."""
     if isinstance(suite, unittest.TestSuite):
-        for part in suite:
-            yield from flatten(part)
+        for member in suite:
+            yield from flatten(member)
     else:
         yield suite
 
@@ -92,8 +92,8 @@
             batch = PendingBatch({})
             group.append(batch)
         batch.cases[test.id()] = test
-    found = [batch for group in grouped.values() for batch in group]
-    return sorted(found, key=lambda batch: -max(map(longest_test_s, batch.cases.values())))  # stable
+    pending = [batch for group in grouped.values() for batch in group]
+    return sorted(pending, key=lambda batch: -max(map(longest_test_s, batch.cases.values())))  # stable
 
 
 class Worker:
@@ -117,12 +117,12 @@
             on_error.pop_all()
         self.batch = PendingBatch({})
         self.running: str | None = None
-        self.last_news = time.monotonic()
+        self.last_message_at = time.monotonic()
 
-    def begin(self, batch: PendingBatch) -> None:
+    def start_batch(self, batch: PendingBatch) -> None:
         """Hands over a batch; a worker that is gone shows it by the end of its connection."""
         self.batch = batch
-        self.last_news = time.monotonic()
+        self.last_message_at = time.monotonic()
         with suppress(OSError):
             self.connection.send(batch.message())
 
@@ -131,25 +131,25 @@
         self._kill_group()
         status = self._process.wait()
         self._output.seek(0, os.SEEK_END)
-        self._output.seek(max(0, self._output.tell() - OUTPUT_TAIL_BYTES))
+        self._output.seek(max(0, self._output.tell() - MAX_OUTPUT_TAIL_BYTES))
         tail = self._output.read().decode("utf-8", "replace")
         self.close()
         return f"its process ended with status {status}; the end of its output:\n{tail}"
 
-    def end(self) -> int:
+    def shut_down(self) -> int:
         """Lets an idle process end by itself, kills it after `END_LIMIT_S`; its exit status."""
         with suppress(OSError):
             self.connection.send(None)
         try:
-            self._process.wait(END_LIMIT_S)
+            self._process.wait(SHUTDOWN_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self._kill_group()
         return self._process.wait()
 
-    def wait_briefly(self) -> None:
+    def wait_for_exit(self) -> None:
         """Gives a process whose connection has ended the time to end, so that its exit status is its own."""
         with suppress(subprocess.TimeoutExpired):
-            self._process.wait(EXIT_LIMIT_S)
+            self._process.wait(EXIT_TIMEOUT_S)
 
     def close(self) -> None:
         """Ends the process if it still runs, and closes what belongs to it."""
@@ -170,22 +170,22 @@
         self._result = result
         self.count = 0
 
-    def add(self, test: Case, reports: tuple[Report, ...]) -> None:
+    def add_result(self, test: Case, reports: tuple[Report, ...]) -> None:
         """A test's outcomes; a test without any is an error."""
         self.count += 1
         self._result.startTest(test)
         for report in reports or (Report(Outcome.ERROR, "the test ended without an outcome\n"),):
-            self._add_one(test, report)
+            self._add_outcome(test, report)
         self._result.stopTest(test)
 
     def add_error(self, test: Case, text: str) -> None:
-        self.add(test, (Report(Outcome.ERROR, text + "\n"),))
+        self.add_result(test, (Report(Outcome.ERROR, text + "\n"),))
 
-    def add_outside(self, text: str) -> None:
+    def add_unattributed_error(self, text: str) -> None:
         """An error outside of any test; it doesn't count as a test."""
-        self._add_one(WorkerEndTest(), Report(Outcome.ERROR, text + "\n"))
+        self._add_outcome(WorkerProcessTest(), Report(Outcome.ERROR, text + "\n"))
 
-    def _add_one(self, test: Case, report: Report) -> None:
+    def _add_outcome(self, test: Case, report: Report) -> None:
         # nose2 shows text in a traceback's place as it is
         match report.outcome:
             case Outcome.PASSED:
@@ -221,75 +221,77 @@
             while self.waiting or self.workers:
                 while self.waiting and len(self.workers) < self.processes:
                     self._start(Worker())
-                self._step()
+                self._process_messages()
         finally:
             for worker in self.workers:
                 worker.close()
 
     def _start(self, worker: Worker) -> None:
         self.workers.append(worker)
-        worker.begin(self.waiting.popleft())
+        worker.start_batch(self.waiting.popleft())
 
-    def _step(self) -> None:
+    def _process_messages(self) -> None:
         """Waits for messages, at most until a test's time is up."""
-        until = min(worker.last_news for worker in self.workers) + self.test_limit_s
-        ready = wait([worker.connection for worker in self.workers], max(0.0, until - time.monotonic()))
+        deadline = min(worker.last_message_at for worker in self.workers) + self.test_limit_s
+        ready = wait([worker.connection for worker in self.workers], max(0.0, deadline - time.monotonic()))
         for worker in list(self.workers):
             if worker.connection in ready:
                 self._receive(worker)
-            elif time.monotonic() - worker.last_news >= self.test_limit_s:
-                self._lose(worker, f"no news of it for {self.test_limit_s:g} s")
+            elif time.monotonic() - worker.last_message_at >= self.test_limit_s:
+                self._handle_lost_worker(worker, f"no news of it for {self.test_limit_s:g} s")
 
     def _receive(self, worker: Worker) -> None:
         try:
             message = worker.connection.recv()
         except (EOFError, OSError):
-            worker.wait_briefly()
-            self._lose(worker, "the connection to its process ended")
+            worker.wait_for_exit()
+            self._handle_lost_worker(worker, "the connection to its process ended")
             return
-        worker.last_news = time.monotonic()
+        worker.last_message_at = time.monotonic()
         match message:
             case TestStarted():
                 worker.running = message.test_id
             case TestEnded():
                 worker.running = None
-                self._ended(worker, message)
+                self._test_ended(worker, message)
             case BatchEnded():
                 self._batch_ended(worker, message)
 
-    def _ended(self, worker: Worker, message: TestEnded) -> None:
+    def _test_ended(self, worker: Worker, message: TestEnded) -> None:
         case = worker.batch.cases.pop(message.test_id, None)
         if case is not None:
-            self.report.add(case, message.reports)
+            self.report.add_result(case, message.reports)
         else:  # loaded by an id that isn't its own; the test that was meant is reported at the batch's end
-            texts = "\n".join(report.text for report in message.reports)
-            self.report.add_outside(f"{message.test_id} is none of the tests of the batch\n{texts}")
+            details = "\n".join(report.text for report in message.reports)
+            self.report.add_unattributed_error(
+                f"{message.test_id} is none of the tests of the batch\n{details}"
+            )
 
     def _batch_ended(self, worker: Worker, message: BatchEnded) -> None:
         for error in message.errors:
-            self.report.add_outside(error)
+            self.report.add_unattributed_error(error)
         for case in worker.batch.cases.values():
             self.report.add_error(case, "not run by its process: see the errors of its class or module")
         worker.batch = PendingBatch({})
         if self.waiting:
-            worker.begin(self.waiting.popleft())
+            worker.start_batch(self.waiting.popleft())
             return
         self.workers.remove(worker)
-        status = worker.end()
+        status = worker.shut_down()
         if status != 0:
-            self.report.add_outside(f"all tests done, but {worker.kill()}")
+            self.report.add_unattributed_error(f"all tests done, but {worker.kill()}")
         worker.close()
 
-    def _lose(self, worker: Worker, reason: str) -> None:
+    def _handle_lost_worker(self, worker: Worker, reason: str) -> None:
         """The test that ran, or else the next, is an error; the others of the batch wait again."""
         self.workers.remove(worker)
-        ending = worker.kill()
+        exit_description = worker.kill()
         cases = worker.batch.cases
-        victim = worker.running if worker.running in cases else next(iter(cases), None)
-        if victim is None:
-            self.report.add_outside(f"after a batch's last test: {reason}; {ending}")
+        failed_test_id = worker.running if worker.running in cases else next(iter(cases), None)
+        if failed_test_id is None:
+            self.report.add_unattributed_error(f"after a batch's last test: {reason}; {exit_description}")
             return
-        self.report.add_error(cases.pop(victim), f"{reason}; {ending}")
+        self.report.add_error(cases.pop(failed_test_id), f"{reason}; {exit_description}")
         if cases:
             self.waiting.appendleft(PendingBatch(cases))
 
@@ -315,12 +317,12 @@
 
     def _run(self, suite: unittest.TestSuite, result: PluggableTestResult) -> None:
         cases = list(flatten(suite))
-        not_loaded = [case for case in cases if case.id().startswith(IMPORT_FAILURES)]
-        loaded = [case for case in cases if not case.id().startswith(IMPORT_FAILURES)]
-        for case in not_loaded:
+        import_failures = [case for case in cases if case.id().startswith(IMPORT_FAILURE_PREFIXES)]
+        loaded = [case for case in cases if not case.id().startswith(IMPORT_FAILURE_PREFIXES)]
+        for case in import_failures:
             case.run(result)  # reports why
         report = BatchReport(result)
         waiting = deque(batches(loaded))
         Schedule(waiting, report, self._processes, self._test_limit_s).run()
         if report.count != len(loaded):
-            report.add_outside(f"{len(loaded)} tests loaded, {report.count} reported")
+            report.add_unattributed_error(f"{len(loaded)} tests loaded, {report.count} reported")
--- a/tests/parallel_runner/worker.py
+++ b/tests/parallel_runner/worker.py
@@ -23,7 +23,7 @@
 
     def __init__(self, connection: Connection) -> None:
         super().__init__()
-        self.outside_errors: list[str] = []
+        self.unattributed_errors: list[str] = []
         self._connection = connection
         self._reports: list[Report] = []
         self._in_test = False
@@ -48,7 +48,7 @@
         if self._in_test:
             self._reports.append(Report(Outcome.ERROR, text))
         else:  # a fixture of a class or module: `test` stands for it
-            self.outside_errors.append(f"{test}\n{text}")
+            self.unattributed_errors.append(f"{test}\n{text}")
 
     def addFailure(self, test: unittest.TestCase, err: ExcInfo) -> None:
         super().addFailure(test, err)
@@ -66,7 +66,7 @@
         if self._in_test:
             self._reports.append(Report(Outcome.SKIPPED, reason))
         else:
-            self.outside_errors.append(f"{test}: skipped as a whole, its tests were not run: {reason}")
+            self.unattributed_errors.append(f"{test}: skipped as a whole, its tests were not run: {reason}")
 
     def addExpectedFailure(self, test: unittest.TestCase, err: ExcInfo) -> None:
         super().addExpectedFailure(test, err)
@@ -93,7 +93,7 @@
     suite, load_errors = load(batch)
     result = ReportingResult(connection)
     suite.run(result)
-    connection.send(BatchEnded((*load_errors, *result.outside_errors)))
+    connection.send(BatchEnded((*load_errors, *result.unattributed_errors)))
 
 
 def main(descriptor: int) -> None:
--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -35,7 +35,7 @@
 }  # "": ours
 PACKAGES_OF_DOWNLOADS = frozenset(("ca-certificates",))  # of a command that calls pip
 PACKAGES_OF_WHEELS = frozenset(("libgcc-s1",))  # what compiled libraries in target/deps are linked to
-PIP = """#!/bin/sh
+PYTHON_STUB = """#!/bin/sh
 case "$*" in *compileall*) echo "$@" >> compiled; exit 0; esac
 echo "$@" >> calls
 [ ! -e pip-fails ] || exit 1
@@ -69,8 +69,8 @@
         KeyError: a program or module of which no package is known here.
     """
     packages = {PACKAGE_OF_PROGRAM[SHELL]}
-    for words in (command for script in scripts for command in simple_commands(script)):
-        program, *arguments = words[1:] if words[0] == "exec" else words
+    for command in (each for script in scripts for each in simple_commands(script)):
+        program, *arguments = command[1:] if command[0] == "exec" else command
         if program in SHELL_BUILTINS:
             continue
         if program.startswith(".venv/"):  # made by `python3 -m venv`
@@ -92,35 +92,35 @@
         self.addCleanup(shutil.rmtree, self.folder)
         self.requirements = self.folder / REQUIREMENTS
         self.requirements.write_text("one==1\n")
-        self.tools = self.folder / "tools"
-        self.tools.mkdir()
+        self.tools_dir = self.folder / "tools"
+        self.tools_dir.mkdir()
         for name in (*SHELL_TOOLS, "mkdir"):  # mkdir is the stand-in's
-            (self.tools / name).symlink_to(str(shutil.which(name)))
-        pip = self.tools / "python3"
-        pip.write_text(PIP)
-        pip.chmod(0o755)
+            (self.tools_dir / name).symlink_to(str(shutil.which(name)))
+        python_stub = self.tools_dir / "python3"
+        python_stub.write_text(PYTHON_STUB)
+        python_stub.chmod(0o755)
 
-    def build(self) -> int:
+    def run_build(self) -> int:
         """The exit code of one build."""
-        command = str(deploy_file()["build"])
-        arguments = [str(shutil.which("sh")), "-c", command]
-        return subprocess.run(arguments, cwd=self.folder, env={"PATH": str(self.tools)}).returncode
+        build_command = str(deploy_file()["build"])
+        arguments = [str(shutil.which("sh")), "-c", build_command]
+        return subprocess.run(arguments, cwd=self.folder, env={"PATH": str(self.tools_dir)}).returncode
 
-    def calls(self) -> list[str]:
+    def pip_calls(self) -> list[str]:
         """The arguments of each call of Python so far."""
-        record = self.folder / "calls"
-        return record.read_text().splitlines() if record.exists() else []
+        calls_file = self.folder / "calls"
+        return calls_file.read_text().splitlines() if calls_file.exists() else []
 
     def test_a_clean_checkout_is_built_from_wheels_only(self) -> None:
-        self.assertEqual(0, self.build())
-        self.assertEqual(1, len(self.calls()))
-        self.assertIn("-m pip install", self.calls()[0])
-        self.assertIn("--only-binary=:all:", self.calls()[0])
-        self.assertIn(f"-r {REQUIREMENTS}", self.calls()[0])
+        self.assertEqual(0, self.run_build())
+        self.assertEqual(1, len(self.pip_calls()))
+        self.assertIn("-m pip install", self.pip_calls()[0])
+        self.assertIn("--only-binary=:all:", self.pip_calls()[0])
+        self.assertIn(f"-r {REQUIREMENTS}", self.pip_calls()[0])
         self.assertTrue((self.folder / "target/deps/library").exists())
 
-    def test_libraries_are_compiled_for_the_level_at_which_the_roles_run(self) -> None:
-        self.build()
+    def test_libraries_are_compiled_at_the_optimization_level_of_the_roles(self) -> None:
+        self.run_build()
         (compiled,) = (self.folder / "compiled").read_text().splitlines()
         self.assertEqual("-OO -m compileall -q target/deps", compiled)
         roles = deploy_file()["roles"]
@@ -128,37 +128,37 @@
         for role in roles.values():
             self.assertTrue(role["run"].startswith("python3 -OO -m bitternpath "))
 
-    def test_a_second_build_does_nothing(self) -> None:
-        self.build()
-        self.assertEqual(0, self.build())
-        self.assertEqual(1, len(self.calls()))
+    def test_build_without_changes_does_nothing(self) -> None:
+        self.run_build()
+        self.assertEqual(0, self.run_build())
+        self.assertEqual(1, len(self.pip_calls()))
 
     def test_changed_requirements_are_built_from_scratch(self) -> None:
-        self.build()
+        self.run_build()
         (self.folder / "target/deps/left-over").touch()
         library = self.folder / "target/deps/library"
-        newer = library.stat().st_mtime_ns + 10**9
+        later_mtime = library.stat().st_mtime_ns + 10**9
         self.requirements.write_text("one==2\n")
         shutil.copystat(library, self.requirements)  # no newer than the libraries: only its content tells
-        self.assertLess(self.requirements.stat().st_mtime_ns, newer)
-        self.assertEqual(0, self.build())
-        self.assertEqual(2, len(self.calls()))
+        self.assertLess(self.requirements.stat().st_mtime_ns, later_mtime)
+        self.assertEqual(0, self.run_build())
+        self.assertEqual(2, len(self.pip_calls()))
         self.assertFalse((self.folder / "target/deps/left-over").exists())
 
-    def test_a_failed_build_reports_it_and_leaves_no_incomplete_libraries(self) -> None:
+    def test_failed_first_build_leaves_no_incomplete_libraries(self) -> None:
         (self.folder / "pip-fails").touch()
-        self.assertNotEqual(0, self.build())
+        self.assertNotEqual(0, self.run_build())
         self.assertFalse((self.folder / "target/deps").exists())
         (self.folder / "pip-fails").unlink()
-        self.assertEqual(0, self.build())
+        self.assertEqual(0, self.run_build())
 
-    def test_a_failed_build_keeps_the_libraries_of_the_one_before(self) -> None:
-        self.build()
+    def test_failed_rebuild_keeps_the_previous_libraries(self) -> None:
+        self.run_build()
         self.requirements.write_text("one==2\n")
         (self.folder / "pip-fails").touch()
-        self.assertNotEqual(0, self.build())
+        self.assertNotEqual(0, self.run_build())
         self.assertTrue((self.folder / "target/deps/library").exists())
-        self.assertNotEqual(0, self.build())
+        self.assertNotEqual(0, self.run_build())
 
 
 class DeployFileTest(unittest.TestCase):
@@ -169,19 +169,19 @@
         assert isinstance(packages, list)
         self.assertEqual([], [each for each in packages if not re.fullmatch(r"[a-z0-9][a-z0-9.+-]+", each)])
 
-    def test_packages_of_the_system_are_those_of_the_programs_that_build_and_run_start(self) -> None:
+    def test_system_packages_match_the_programs_it_starts(self) -> None:
         deployment = deploy_file()
         roles = deployment["roles"]
         assert isinstance(roles, dict)
         scripts = [str(deployment["build"]), *(role["run"] for role in roles.values())]
         self.assertEqual(sorted(packages_needed(scripts) | PACKAGES_OF_WHEELS), deployment["packages"])
 
-    def test_packages_of_the_balancer_are_those_of_the_programs_that_its_commands_start(self) -> None:
+    def test_balancer_packages_match_the_programs_it_starts(self) -> None:
         deployment = deploy_file("balancer.toml")
         scripts = [str(deployment[key]) for key in ("build", "run", "sim")]
         self.assertEqual(sorted(packages_needed(scripts)), deployment["packages"])
 
-    def test_a_program_of_which_no_package_is_known_is_found(self) -> None:
+    def test_programs_without_a_known_package_are_rejected(self) -> None:
         for script in (
             "tar -x && rm a",
             "(test -d a || install b)",
--- a/tests/system/test_campaign_command.py
+++ b/tests/system/test_campaign_command.py
@@ -16,18 +16,18 @@
 from bitternpath.testing.simulation.runs.coverage import Coverage
 
 
-def collects(seed: int, faults: int) -> campaign.Outcome:
+def run_reporting_gc_state(seed: int, faults: int) -> campaign.Outcome:
     """Stands for a run; kept where its process frees what runs leave behind."""
     return campaign.Outcome(gc.isenabled(), f"seed {seed}")
 
 
-class InThisProcess:
+class InProcessExecutor:
     """Stands for a `ProcessPoolExecutor`: calls that can't be pickled."""
 
     def __init__(self, processes: int) -> None:
         self.processes = processes
 
-    def __enter__(self) -> InThisProcess:
+    def __enter__(self) -> InProcessExecutor:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -41,20 +41,20 @@
     def test_finished_runs_are_freed_without_automatic_collection(self) -> None:
         gc.disable()
         self.addCleanup(gc.enable)
-        with patch.dict(campaign.WAYS, {"system": collects}):
+        with patch.dict(campaign.WAYS, {"system": run_reporting_gc_state}):
             result = CliRunner().invoke(
                 campaign.command, ["--way", "system", "--many", "2", "--jobs", "1"], standalone_mode=False
             )
         self.assertIn("0 broke a rule", result.output)
 
     def test_coverage_of_all_runs_is_printed(self) -> None:
-        def covers(seed: int, faults: int) -> campaign.Outcome:
+        def run_with_coverage(seed: int, faults: int) -> campaign.Outcome:
             pairs = Counter({(FaultKind.KILL, FaultKind.PARTITION): 2})
             return campaign.Outcome(True, f"seed {seed}", Coverage(pairs, runs=1))
 
         with (
-            patch.dict(campaign.WAYS, {"system": covers}),
-            patch.object(campaign, "ProcessPoolExecutor", InThisProcess),
+            patch.dict(campaign.WAYS, {"system": run_with_coverage}),
+            patch.object(campaign, "ProcessPoolExecutor", InProcessExecutor),
         ):
             result = CliRunner().invoke(campaign.command, ["--way", "system", "--many", "3", "--jobs", "1"])
         self.assertEqual(result.exit_code, 0, result.output)
--- a/tests/system/test_import_graph.py
+++ b/tests/system/test_import_graph.py
@@ -21,12 +21,12 @@
 
 def module_files(folder: Path, name: str) -> dict[str, Path]:
     """Dotted names of all modules of a package, with their files; a package stands for its `__init__`."""
-    found: dict[str, Path] = {}
+    files: dict[str, Path] = {}
     for path in sorted(folder.rglob("*.py")):
-        inside = path.relative_to(folder).with_suffix("").parts
-        parts = inside[:-1] if inside[-1] == "__init__" else inside
-        found[".".join((name, *parts))] = path
-    return found
+        relative_parts = path.relative_to(folder).with_suffix("").parts
+        name_parts = relative_parts[:-1] if relative_parts[-1] == "__init__" else relative_parts
+        files[".".join((name, *name_parts))] = path
+    return files
 
 
 def imported_names(tree: ast.AST, module: str, is_package: bool) -> Iterable[str]:
@@ -35,9 +35,9 @@
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            above = module.split(".") if is_package else module.split(".")[:-1]
-            start = above[: len(above) - node.level + 1] if node.level else []
-            origin = ".".join([*start, *([node.module] if node.module else [])])
+            parent_names = module.split(".") if is_package else module.split(".")[:-1]
+            base_names = parent_names[: len(parent_names) - node.level + 1] if node.level else []
+            origin = ".".join([*base_names, *([node.module] if node.module else [])])
             yield from (f"{origin}.{alias.name}" for alias in node.names)
 
 
@@ -54,8 +54,8 @@
     for module, path in modules.items():
         tree = ast.parse(path.read_text(), str(path))
         names = imported_names(tree, module, path.name == "__init__.py")
-        found = {known_module(name, modules) for name in names}
-        graph[module] = frozenset(each for each in found if each is not None and each != module)
+        imported = {known_module(name, modules) for name in names}
+        graph[module] = frozenset(each for each in imported if each is not None and each != module)
     return graph
 
 
@@ -64,7 +64,7 @@
     return module if modules[module].name == "__init__.py" else module.rpartition(".")[0]
 
 
-def within(inner: str, outer: str) -> bool:
+def is_same_or_nested(inner: str, outer: str) -> bool:
     """Whether a package is the other one or lies in it."""
     return inner == outer or inner.startswith(f"{outer}.")
 
@@ -75,36 +75,40 @@
     A package and one inside of it are not two layers but a whole and its part: only the graph of modules
     says in which order they are read. So imports between them don't count here.
     """
-    found: dict[str, set[str]] = {}
+    imports_by_package: dict[str, set[str]] = {}
     for module, imports in graph.items():
         package = package_of(module, modules)
         targets = {package_of(each, modules) for each in imports}
-        apart = {each for each in targets if not within(each, package) and not within(package, each)}
-        found.setdefault(package, set()).update(apart)
-    return {package: frozenset(targets) for package, targets in found.items()}
+        unrelated = {
+            each
+            for each in targets
+            if not is_same_or_nested(each, package) and not is_same_or_nested(package, each)
+        }
+        imports_by_package.setdefault(package, set()).update(unrelated)
+    return {package: frozenset(targets) for package, targets in imports_by_package.items()}
 
 
-def reachable(graph: Graph, start: str) -> frozenset[str]:
+def reachable(graph: Graph, origin: str) -> frozenset[str]:
     """All that can be reached from a node in one step or more."""
     seen: set[str] = set()
-    ahead = list(graph.get(start, ()))
-    while ahead:
-        node = ahead.pop()
+    pending = list(graph.get(origin, ()))
+    while pending:
+        node = pending.pop()
         if node not in seen:
             seen.add(node)
-            ahead.extend(graph.get(node, ()))
+            pending.extend(graph.get(node, ()))
     return frozenset(seen)
 
 
-def circles(graph: Graph) -> list[list[str]]:
+def import_cycles(graph: Graph) -> list[list[str]]:
     """Groups of nodes each of which reaches every other one of its group and itself, sorted."""
     reach = {node: reachable(graph, node) for node in graph}
-    in_circle = [node for node in sorted(graph) if node in reach[node]]
+    in_cycle = [node for node in sorted(graph) if node in reach[node]]
     groups: list[list[str]] = []
-    for node in in_circle:
-        same = [group for group in groups if group[0] in reach[node] and node in reach[group[0]]]
-        if same:
-            same[0].append(node)
+    for node in in_cycle:
+        same_cycle = [group for group in groups if group[0] in reach[node] and node in reach[group[0]]]
+        if same_cycle:
+            same_cycle[0].append(node)
         else:
             groups.append([node])
     return groups
@@ -117,17 +121,17 @@
     return {name: row for row, cell in enumerate(rows) for name in re.findall(r"`(\w+)/`", cell)}
 
 
-def misdirected(graph: Graph, layers: Mapping[str, int]) -> list[str]:
+def upward_imports(graph: Graph, layers: Mapping[str, int]) -> list[str]:
     """Imports between packages of the table that don't point down."""
-    found = []
+    violations = []
     for module, targets in graph.items():
         for target in targets:
             package, imported = (name.split(".")[1] if "." in name else "" for name in (module, target))
             if package == imported or package not in layers or imported not in layers:
                 continue
             if layers[imported] <= layers[package]:
-                found.append(f"{module} imports {target}")
-    return sorted(found)
+                violations.append(f"{module} imports {target}")
+    return sorted(violations)
 
 
 class ImportGraphTest(unittest.TestCase):
@@ -141,15 +145,15 @@
         cls.modules = module_files(Path(bitternpath.__file__).parent, PROGRAM)
         cls.graph = module_graph(cls.modules)
 
-    def test_the_whole_program_is_read(self) -> None:
+    def test_all_modules_are_parsed(self) -> None:
         self.assertIn(f"{PROGRAM}.roles.edge", self.graph)
         self.assertIn(f"{PROGRAM}.transport.links", self.graph[f"{PROGRAM}.roles.edge"])
 
-    def test_no_circle_between_modules(self) -> None:
-        self.assertEqual([], circles(self.graph))
+    def test_no_cycle_between_modules(self) -> None:
+        self.assertEqual([], import_cycles(self.graph))
 
-    def test_no_circle_between_packages(self) -> None:
-        self.assertEqual([], circles(package_graph(self.graph, self.modules)))
+    def test_no_cycle_between_packages(self) -> None:
+        self.assertEqual([], import_cycles(package_graph(self.graph, self.modules)))
 
 
 class LayersTest(unittest.TestCase):
@@ -161,9 +165,9 @@
         modules = module_files(Path(bitternpath.__file__).parent, PROGRAM)
         self.assertLessEqual(set(layers), {name.split(".")[1] for name in modules if "." in name})
         self.assertGreater(len(layers), 10)
-        self.assertEqual([], misdirected(module_graph(modules), layers))
+        self.assertEqual([], upward_imports(module_graph(modules), layers))
 
-    def test_what_counts(self) -> None:
+    def test_upward_and_sideways_imports_are_reported(self) -> None:
         layers = {"cli": 0, "roles": 1, "shards": 2, "ingress": 2, "net": 3}
         graph = {
             "p.roles.edge": frozenset(("p.cli.system", "p.net.clock", "p.roles.storage", "p.testing.world")),
@@ -171,25 +175,25 @@
             "p.testing.world": frozenset(("p.cli.system",)),
         }
         expected = ["p.roles.edge imports p.cli.system", "p.shards.appends imports p.ingress.interfaces"]
-        self.assertEqual(expected, misdirected(graph, layers))
+        self.assertEqual(expected, upward_imports(graph, layers))
 
 
-class CirclesTest(unittest.TestCase):
+class ImportCyclesTest(unittest.TestCase):
     """The search itself, on small graphs."""
 
-    def found(self, **graph: str) -> list[list[str]]:
-        return circles({node: frozenset(targets) for node, targets in graph.items()})
+    def cycles(self, **graph: str) -> list[list[str]]:
+        return import_cycles({node: frozenset(targets) for node, targets in graph.items()})
 
-    def test_a_chain_has_none(self) -> None:
-        self.assertEqual([], self.found(a="bc", b="c", c=""))
+    def test_chain_has_no_cycle(self) -> None:
+        self.assertEqual([], self.cycles(a="bc", b="c", c=""))
 
-    def test_a_long_circle_is_one_group(self) -> None:
-        self.assertEqual([["a", "b", "c"]], self.found(a="b", b="c", c="a", d="a"))
+    def test_long_cycle_is_one_group(self) -> None:
+        self.assertEqual([["a", "b", "c"]], self.cycles(a="b", b="c", c="a", d="a"))
 
-    def test_two_circles_are_two_groups(self) -> None:
-        self.assertEqual([["a", "b"], ["c", "d"]], self.found(a="b", b="ac", c="d", d="c"))
+    def test_two_cycles_are_two_groups(self) -> None:
+        self.assertEqual([["a", "b"], ["c", "d"]], self.cycles(a="b", b="ac", c="d", d="c"))
 
-    def test_relative_imports_and_those_for_types_count(self) -> None:
+    def test_relative_and_type_checking_imports_are_included(self) -> None:
         source = (
             "if TYPE_CHECKING:\n    from . import sibling\n"
             "def later():\n    from ..other.module import Name\n    import top.level\n"
