--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Has the tests that KNOWN-RED.txt names fail as known: they are passed over, and must not pass.
+"""Marks the tests listed in KNOWN-RED.txt as strict expected failures and prints them in the summary.
 
-Under pytest-xdist its processes collect, mark and run the tests; the one that was started reports.
+Under pytest-xdist the workers collect, mark and run the tests; the controller checks the list and reports.
 """
 
 from __future__ import annotations
@@ -28,28 +28,29 @@
 
 
 def runs_all_tests(config: pytest.Config) -> bool:
-    """Whether pytest was started without the name of a test or of a file of tests."""
+    """Return whether pytest was started without the path of a test or of a test file."""
     return not any("tests/" in argument for argument in config.invocation_params.args)
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_auto_num_workers(config: pytest.Config) -> int:
-    """What `-n auto` means: half of the cores; many tests start processes and have limits on time.
+    """Return the number of workers for `-n auto`: half of the cores.
 
-    None but this process for a part of the tests: there the start of others would take longest.
+    Many tests start processes and have time limits. Selected tests run in the controller, without workers:
+    starting the workers would take longer than the tests.
     """
     return max(1, (os.cpu_count() or 1) // 2) if runs_all_tests(config) else 0
 
 
 def reject_unknown_tests(config: pytest.Config, collected: Iterable[str]) -> None:
-    """UsageError where KNOWN-RED.txt names a test that is not there, if all tests are run."""
+    """Raise UsageError if KNOWN-RED.txt lists a test that does not exist; checked only if all tests run."""
     if runs_all_tests(config) and (unknown := sorted(config.stash[KNOWN_FAILURES].keys() - set(collected))):
         raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {unknown[0]}")
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    if not hasattr(config, "workerinput"):  # one of xdist's processes leaves that to the one that was started
+    if not hasattr(config, "workerinput"):  # xdist workers leave the check to the controller
         reject_unknown_tests(config, [item.nodeid for item in items])
     for item in items:
         if (cause := config.stash[KNOWN_FAILURES].get(item.nodeid)) is not None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests that fail for a real fault that is not mended yet; one line each, three at most."""
+"""Parser of KNOWN-RED.txt, the list of tests that fail because of a known, unfixed fault: at most three."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def parse_known_red(text: str) -> dict[str, str]:
-    """The cause by test; ValueError where a line is not of the form or where there are too many."""
+    """Return the cause of each listed test.
+
+    Raises:
+        ValueError: a line is malformed, a test is listed twice, or there are too many entries.
+    """
     causes: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
--- a/tests/parallel_runner/messages.py
+++ b/tests/parallel_runner/messages.py
@@ -1,7 +1,7 @@
-"""What the plugin and a worker process send each other: pickled values over a socket pair.
+"""Messages between the plugin and a worker process: pickled values over a socket pair.
 
-To the worker: the plugin's `sys.path`, then `Batch`es, and None to end. From the worker: `TestStarted` and
-`TestEnded` for each test of a batch, then `BatchEnded`.
+The plugin sends its `sys.path`, then any number of `Batch` messages, and None to shut the worker down. The
+worker sends `TestStarted` and `TestEnded` for each test of a batch, then `BatchEnded`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Outcome(enum.Enum):
-    """One thing that a test reported to its result; a test with subtests may report several."""
+    """Outcome of a test; a test with subtests may report several."""
 
     PASSED = enum.auto()
     FAILED = enum.auto()
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Report:
-    """An outcome and its text: a traceback, or the reason for a skip; empty for a pass."""
+    """An outcome with its traceback or skip reason; the text is empty for a passed test."""
 
     outcome: Outcome
     text: str = ""
@@ -31,21 +31,21 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """Tests to be run one after the other, by their ids (`package.module.Class.method`)."""
+    """Ids of tests to run sequentially, as `package.module.Class.method`."""
 
     test_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class TestStarted:
-    """The worker begins a test."""
+    """A test has started."""
 
     test_id: str
 
 
 @dataclass(frozen=True)
 class TestEnded:
-    """A test has ended; `reports` is empty where it reported nothing, which no sound test does."""
+    """A test has ended; `reports` is empty if it reported no outcome, which the plugin treats as an error."""
 
     test_id: str
     reports: tuple[Report, ...]
@@ -53,6 +53,6 @@
 
 @dataclass(frozen=True)
 class BatchEnded:
-    """The batch has ended; `errors` are those outside of a test: imports, fixtures of classes and modules."""
+    """A batch has ended; `errors` are those outside of tests: imports, class and module fixtures."""
 
     errors: tuple[str, ...]
--- a/tests/parallel_runner/plugin.py
+++ b/tests/parallel_runner/plugin.py
@@ -1,16 +1,15 @@
-"""The plugin of nose2: hands batches of the loaded tests to worker processes and reports what they send.
+"""nose2 plugin that distributes the loaded tests over worker processes and reports their outcomes.
 
-Each test that nose2 has loaded is reported once, whatever becomes of its process. A test whose process ends,
-or that reports nothing for `test_limit_s`, is an error; the tests of its batch that were not begun go to
-another process.
+Each loaded test is reported exactly once, even if its process dies. A test whose process exits, or sends no
+message for `test_limit_s`, is an error; the tests of its batch that have not started run in another process.
 
 Section `[parallel_runner]` of `unittest.cfg`:
-    processes      how many; 0: three quarters of the cores: some tests have limits on the wall
-                   clock, and start processes themselves
-    test_limit_s   seconds that a test may take
+    processes      number of worker processes; 0 means three quarters of the cores, since some tests
+                   have wall-clock limits and start processes themselves
+    test_limit_s   time limit of a test in seconds
 
-A test class whose tests take long says how long the longest does in its attribute `longest_test_s` (seconds
-on a core of its own): each of its tests is a batch of its own, and those of the longest classes begin first.
+A test class with slow tests declares the duration of its slowest test, in seconds on an otherwise idle core,
+as `longest_test_s`. Each of its tests is then a separate batch, and the slowest classes start first.
 """
 
 from __future__ import annotations
@@ -36,31 +35,29 @@
 from tests.parallel_runner.messages import Batch, BatchEnded, Outcome, Report, TestEnded, TestStarted
 
 WORKER_MODULE = "tests.parallel_runner.worker"
-MAX_OUTPUT_TAIL_BYTES = 8_192  # what is shown of the output of a process that was lost
-SHUTDOWN_TIMEOUT_S = 30.0  # a worker that was told to end: its threads and exit handlers may take this long
-EXIT_TIMEOUT_S = 5.0  # between the end of a worker's connection and that of its process
-IMPORT_FAILURE_PREFIXES = (
-    "nose2.loader.",
-    "unittest.loader.",
-)  # tests that stand for modules
+MAX_OUTPUT_TAIL_BYTES = 8_192  # output of a failed worker shown in the report
+SHUTDOWN_TIMEOUT_S = 30.0  # for a worker's threads and exit handlers after the shutdown message
+EXIT_TIMEOUT_S = 5.0  # for the process to exit after its connection was closed
+# Ids of the placeholder tests that the loaders create for modules that failed to import.
+IMPORT_FAILURE_PREFIXES = ("nose2.loader.", "unittest.loader.")
 
 Case: TypeAlias = unittest.TestCase
 
 
 class WorkerFailure(Exception):
-    """A test's process ended or was ended; the text says how."""
+    """Exception type under which errors reported by or about a worker process are shown."""
 
 
 class WorkerProcessTest(unittest.TestCase):
-    """Stands in the report for a worker process as a whole, where it fails outside of any test."""
+    """Placeholder in the report for a worker process that failed outside of any test."""
 
     def runTest(self) -> None:
-        """Never run: only errors are reported on it."""
+        """Never called; only errors are reported for this class."""
 
 
 @dataclass
 class PendingBatch:
-    """Tests of a batch that have not ended, by id; in order."""
+    """Tests of a batch that have not ended, by id, in the order of execution."""
 
     cases: dict[str, Case]
 
@@ -69,7 +66,7 @@
 
 
 def flatten(suite: unittest.TestSuite | Case) -> Iterator[Case]:
-    """The tests of a suite, in order."""
+    """Yield the tests of a suite in order."""
     if isinstance(suite, unittest.TestSuite):
         for member in suite:
             yield from flatten(member)
@@ -78,17 +75,17 @@
 
 
 def longest_test_s(test: Case) -> float:
-    """What the class of a test says of itself; 0 where it says nothing."""
+    """Return the `longest_test_s` of a test's class, 0 if it declares none."""
     return float(getattr(type(test), "longest_test_s", 0.0))
 
 
 def batches(tests: list[Case]) -> list[PendingBatch]:
-    """A batch for each class, and for each test of the classes with long tests; those come first."""
+    """Group tests into one batch per class, or per test for classes with slow tests; slowest first."""
     grouped: dict[tuple[type[Case], str], list[PendingBatch]] = {}
     for test in tests:
         group = grouped.setdefault((type(test), test.id() if longest_test_s(test) else ""), [])
         batch = next((batch for batch in group if test.id() not in batch.cases), None)
-        if batch is None:  # the first, or a test that was loaded twice and so is run twice
+        if batch is None:  # first test of the group, or a test that was loaded twice and therefore runs twice
             batch = PendingBatch({})
             group.append(batch)
         batch.cases[test.id()] = test
@@ -97,7 +94,7 @@
 
 
 class Worker:
-    """A worker process, its connection and the batch that it runs."""
+    """A worker process with its connection and its current batch."""
 
     def __init__(self) -> None:
         with ExitStack() as on_error:
@@ -111,7 +108,7 @@
                     stdout=self._output,
                     stderr=subprocess.STDOUT,
                     pass_fds=[theirs.fileno()],
-                    start_new_session=True,  # so that `kill` also ends what its tests have started
+                    start_new_session=True,  # lets `kill` also kill the processes that tests started
                 )
                 self.connection.send(tuple(sys.path))
             on_error.pop_all()
@@ -120,14 +117,14 @@
         self.last_message_at = time.monotonic()
 
     def start_batch(self, batch: PendingBatch) -> None:
-        """Hands over a batch; a worker that is gone shows it by the end of its connection."""
+        """Send a batch. A dead worker is detected later, by the end of its connection."""
         self.batch = batch
         self.last_message_at = time.monotonic()
         with suppress(OSError):
             self.connection.send(batch.message())
 
     def kill(self) -> str:
-        """Ends the process and what its tests have started; says how it ended, with the end of its output."""
+        """Kill the process and its children; return its exit status and the end of its output as a text."""
         self._kill_group()
         status = self._process.wait()
         self._output.seek(0, os.SEEK_END)
@@ -137,7 +134,7 @@
         return f"its process ended with status {status}; the end of its output:\n{tail}"
 
     def shut_down(self) -> int:
-        """Lets an idle process end by itself, kills it after `END_LIMIT_S`; its exit status."""
+        """Shut down an idle process, kill it after `SHUTDOWN_TIMEOUT_S`, and return its exit status."""
         with suppress(OSError):
             self.connection.send(None)
         try:
@@ -147,12 +144,12 @@
         return self._process.wait()
 
     def wait_for_exit(self) -> None:
-        """Gives a process whose connection has ended the time to end, so that its exit status is its own."""
+        """Wait for a process whose connection was closed, so that its exit status isn't that of a kill."""
         with suppress(subprocess.TimeoutExpired):
             self._process.wait(EXIT_TIMEOUT_S)
 
     def close(self) -> None:
-        """Ends the process if it still runs, and closes what belongs to it."""
+        """Kill the process group and close the connection and the output file."""
         self._kill_group()
         self._process.wait()
         self.connection.close()
@@ -164,14 +161,14 @@
 
 
 class BatchReport:
-    """Tells nose2's result what workers send."""
+    """Passes the outcomes sent by workers to nose2's result."""
 
     def __init__(self, result: PluggableTestResult) -> None:
         self._result = result
         self.count = 0
 
     def add_result(self, test: Case, reports: tuple[Report, ...]) -> None:
-        """A test's outcomes; a test without any is an error."""
+        """Report the outcomes of a test; a test without any is an error."""
         self.count += 1
         self._result.startTest(test)
         for report in reports or (Report(Outcome.ERROR, "the test ended without an outcome\n"),):
@@ -182,11 +179,11 @@
         self.add_result(test, (Report(Outcome.ERROR, text + "\n"),))
 
     def add_unattributed_error(self, text: str) -> None:
-        """An error outside of any test; it doesn't count as a test."""
+        """Report an error that belongs to no test; it isn't counted as a test."""
         self._add_outcome(WorkerProcessTest(), Report(Outcome.ERROR, text + "\n"))
 
     def _add_outcome(self, test: Case, report: Report) -> None:
-        # nose2 shows text in a traceback's place as it is
+        # nose2 prints a string in place of a traceback unchanged.
         match report.outcome:
             case Outcome.PASSED:
                 self._result.addSuccess(test)
@@ -201,13 +198,13 @@
                 failure = test.failureException
                 self._result.addExpectedFailure(test, (failure, failure(), report.text))
             case Outcome.UNEXPECTED_SUCCESS:
-                failure = test.failureException  # nose2 would count it and pass
+                failure = test.failureException  # nose2 would count it and let the run pass
                 self._result.addFailure(test, (failure, failure(), "unexpected success\n"))
 
 
 @dataclass
 class Schedule:
-    """The batches that wait, the workers that run one, and the report."""
+    """Assigns waiting batches to workers and collects their reports."""
 
     waiting: deque[PendingBatch]
     report: BatchReport
@@ -216,7 +213,7 @@
     workers: list[Worker] = field(default_factory=list)
 
     def run(self) -> None:
-        """Returns when each test is reported; ends all workers."""
+        """Run until each test is reported; closes all workers."""
         try:
             while self.waiting or self.workers:
                 while self.waiting and len(self.workers) < self.processes:
@@ -231,21 +228,21 @@
         worker.start_batch(self.waiting.popleft())
 
     def _process_messages(self) -> None:
-        """Waits for messages, at most until a test's time is up."""
+        """Wait for messages, at most until the earliest test limit expires, and process them."""
         deadline = min(worker.last_message_at for worker in self.workers) + self.test_limit_s
         ready = wait([worker.connection for worker in self.workers], max(0.0, deadline - time.monotonic()))
         for worker in list(self.workers):
             if worker.connection in ready:
                 self._receive(worker)
             elif time.monotonic() - worker.last_message_at >= self.test_limit_s:
-                self._handle_lost_worker(worker, f"no news of it for {self.test_limit_s:g} s")
+                self._handle_lost_worker(worker, f"no message from it for {self.test_limit_s:g} s")
 
     def _receive(self, worker: Worker) -> None:
         try:
             message = worker.connection.recv()
         except (EOFError, OSError):
             worker.wait_for_exit()
-            self._handle_lost_worker(worker, "the connection to its process ended")
+            self._handle_lost_worker(worker, "the connection to its process was closed")
             return
         worker.last_message_at = time.monotonic()
         match message:
@@ -261,11 +258,9 @@
         case = worker.batch.cases.pop(message.test_id, None)
         if case is not None:
             self.report.add_result(case, message.reports)
-        else:  # loaded by an id that isn't its own; the test that was meant is reported at the batch's end
+        else:  # the id loaded a test with another id; the requested test is reported when the batch ends
             details = "\n".join(report.text for report in message.reports)
-            self.report.add_unattributed_error(
-                f"{message.test_id} is none of the tests of the batch\n{details}"
-            )
+            self.report.add_unattributed_error(f"{message.test_id} does not belong to the batch\n{details}")
 
     def _batch_ended(self, worker: Worker, message: BatchEnded) -> None:
         for error in message.errors:
@@ -283,7 +278,7 @@
         worker.close()
 
     def _handle_lost_worker(self, worker: Worker, reason: str) -> None:
-        """The test that ran, or else the next, is an error; the others of the batch wait again."""
+        """Report the running or else the next test as an error and requeue the others of the batch."""
         self.workers.remove(worker)
         exit_description = worker.kill()
         cases = worker.batch.cases
@@ -297,7 +292,7 @@
 
 
 class ParallelRunner(Plugin):
-    """Replaces the way nose2 runs the loaded tests; `--serial` leaves it as it is."""
+    """Runs the loaded tests in worker processes; `--serial` disables it."""
 
     configSection = "parallel_runner"
 
@@ -305,10 +300,10 @@
         self._processes = self.config.as_int("processes", 0) or max(1, (os.cpu_count() or 1) * 3 // 4)
         self._test_limit_s = self.config.as_float("test_limit_s", 300.0)
         self._serial = False
-        self.addFlag(self._set_serial, None, "serial", "Run the tests in this process, one after the other")
+        self.addFlag(self._set_serial, None, "serial", "Run the tests sequentially in this process")
 
     def startTestRun(self, event: StartTestRunEvent) -> None:
-        """Hook of nose2, before the tests are run."""
+        """Replace the executor of the tests; a hook that nose2 calls before the run."""
         if not self._serial:
             event.executeTests = self._run
 
@@ -320,7 +315,7 @@
         import_failures = [case for case in cases if case.id().startswith(IMPORT_FAILURE_PREFIXES)]
         loaded = [case for case in cases if not case.id().startswith(IMPORT_FAILURE_PREFIXES)]
         for case in import_failures:
-            case.run(result)  # reports why
+            case.run(result)  # reports the import error
         report = BatchReport(result)
         waiting = deque(batches(loaded))
         Schedule(waiting, report, self._processes, self._test_limit_s).run()
--- a/tests/parallel_runner/worker.py
+++ b/tests/parallel_runner/worker.py
@@ -1,6 +1,6 @@
-"""A process that runs batches of tests: `python -m tests.parallel_runner.worker DESCRIPTOR`.
+"""Worker process that runs batches of tests: `python -m tests.parallel_runner.worker DESCRIPTOR`.
 
-DESCRIPTOR is the number of the inherited socket to the plugin.
+DESCRIPTOR is the file descriptor of the inherited socket to the plugin.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ReportingResult(unittest.TestResult):
-    """Sends each test's start and end to the plugin; keeps errors outside of tests for the batch's end."""
+    """Sends the start and end of each test to the plugin; collects errors outside of tests."""
 
     def __init__(self, connection: Connection) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
         text = self.errors[-1][1]
         if self._in_test:
             self._reports.append(Report(Outcome.ERROR, text))
-        else:  # a fixture of a class or module: `test` stands for it
+        else:  # a class or module fixture failed; `test` is its placeholder
             self.unattributed_errors.append(f"{test}\n{text}")
 
     def addFailure(self, test: unittest.TestCase, err: ExcInfo) -> None:
@@ -66,7 +66,9 @@
         if self._in_test:
             self._reports.append(Report(Outcome.SKIPPED, reason))
         else:
-            self.unattributed_errors.append(f"{test}: skipped as a whole, its tests were not run: {reason}")
+            self.unattributed_errors.append(
+                f"{test}: skipped by its fixture, its tests were not run: {reason}"
+            )
 
     def addExpectedFailure(self, test: unittest.TestCase, err: ExcInfo) -> None:
         super().addExpectedFailure(test, err)
@@ -77,19 +79,19 @@
 
 
 def load(batch: Batch) -> tuple[unittest.TestSuite, list[str]]:
-    """The batch's tests, and the errors of those that can't be loaded."""
+    """Load the tests of a batch; return them and the errors of those that can't be loaded."""
     suite = unittest.TestSuite()
     errors: list[str] = []
     for test_id in batch.test_ids:
         try:
             suite.addTest(unittest.defaultTestLoader.loadTestsFromName(test_id))
-        except Exception:  # whatever a module raises that is imported
+        except Exception:  # importing a module may raise anything
             errors.append(f"{test_id} can't be loaded\n{traceback.format_exc()}")
     return suite, errors
 
 
 def run_batch(batch: Batch, connection: Connection) -> None:
-    """Loads the batch's tests by their ids, runs them and reports."""
+    """Load and run the tests of a batch and send their outcomes."""
     suite, load_errors = load(batch)
     result = ReportingResult(connection)
     suite.run(result)
@@ -97,8 +99,8 @@
 
 
 def main(descriptor: int) -> None:
-    """Runs batches until the plugin sends None or is gone."""
-    os.set_inheritable(descriptor, False)  # not for the processes that tests start
+    """Run batches until the plugin sends None or closes the connection."""
+    os.set_inheritable(descriptor, False)  # processes started by tests must not inherit it
     with Connection(descriptor) as connection:
         sys.path[:] = connection.recv()
         while (batch := connection.recv()) is not None:
--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -1,6 +1,6 @@
-"""The build of `deploy/system.toml`: what it asks for, and when it builds anew.
+"""The build command of `deploy/system.toml`: the packages it requires, and when it rebuilds.
 
-The command runs in a shell as on the platform, with a pip that only writes down its arguments.
+The command runs in a shell as on the platform, with a stub of python3 and pip that records its arguments.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
     "python3": "python3",
     "sh": "dash",
 }
+# An empty string marks a module of this repository, which needs no package.
 PACKAGE_OF_MODULE = {
     "bitternpath": "",
     "compileall": "python3",
     "pip": "python3-pip",
     "venv": "python3-venv",
-}  # "": ours
-PACKAGES_OF_DOWNLOADS = frozenset(("ca-certificates",))  # of a command that calls pip
-PACKAGES_OF_WHEELS = frozenset(("libgcc-s1",))  # what compiled libraries in target/deps are linked to
+}
+PACKAGES_OF_DOWNLOADS = frozenset(("ca-certificates",))  # needed by commands that call pip
+PACKAGES_OF_WHEELS = frozenset(("libgcc-s1",))  # linked by compiled libraries in target/deps
 PYTHON_STUB = """#!/bin/sh
 case "$*" in *compileall*) echo "$@" >> compiled; exit 0; esac
 echo "$@" >> calls
@@ -45,12 +46,15 @@
 
 
 def deploy_file(name: str = "system.toml") -> dict[str, object]:
-    """A file of `deploy/`, parsed."""
+    """Parse a file of `deploy/`."""
     return tomllib.loads((ROOT / "deploy" / name).read_text())
 
 
 def simple_commands(script: str) -> list[list[str]]:
-    """The words of each simple command of a shell script that uses `&&`, `||`, `;` and parentheses only."""
+    """Split a shell script into the words of its simple commands.
+
+    Supports `&&`, `||`, `;` and parentheses only.
+    """
     lexer = shlex.shlex(script, posix=True, punctuation_chars="();&|")
     lexer.whitespace_split = True
     commands: list[list[str]] = [[]]
@@ -63,17 +67,17 @@
 
 
 def packages_needed(scripts: list[str]) -> set[str]:
-    """The Debian packages of the programs and Python modules that shell scripts start.
+    """Return the Debian packages of the programs and Python modules that shell scripts start.
 
     Raises:
-        KeyError: a program or module of which no package is known here.
+        KeyError: the tables above have no package for a program or module.
     """
     packages = {PACKAGE_OF_PROGRAM[SHELL]}
     for command in (each for script in scripts for each in simple_commands(script)):
         program, *arguments = command[1:] if command[0] == "exec" else command
         if program in SHELL_BUILTINS:
             continue
-        if program.startswith(".venv/"):  # made by `python3 -m venv`
+        if program.startswith(".venv/"):  # created by `python3 -m venv`
             packages |= PACKAGES_OF_DOWNLOADS if program.endswith("/pip") else set()
         else:
             packages.add(PACKAGE_OF_PROGRAM[program])
@@ -85,7 +89,7 @@
 
 
 class BuildCommandTest(unittest.TestCase):
-    """The command in an empty folder with its requirements, a shell and five tools."""
+    """The build command in an empty directory with a requirements file and only the tools of SHELL_TOOLS."""
 
     def setUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="bitternpath-build-"))
@@ -94,20 +98,20 @@
         self.requirements.write_text("one==1\n")
         self.tools_dir = self.folder / "tools"
         self.tools_dir.mkdir()
-        for name in (*SHELL_TOOLS, "mkdir"):  # mkdir is the stand-in's
+        for name in (*SHELL_TOOLS, "mkdir"):  # mkdir is used by the stub
             (self.tools_dir / name).symlink_to(str(shutil.which(name)))
         python_stub = self.tools_dir / "python3"
         python_stub.write_text(PYTHON_STUB)
         python_stub.chmod(0o755)
 
     def run_build(self) -> int:
-        """The exit code of one build."""
+        """Run the build command and return its exit status."""
         build_command = str(deploy_file()["build"])
         arguments = [str(shutil.which("sh")), "-c", build_command]
         return subprocess.run(arguments, cwd=self.folder, env={"PATH": str(self.tools_dir)}).returncode
 
     def pip_calls(self) -> list[str]:
-        """The arguments of each call of Python so far."""
+        """Return the arguments of each recorded call of the stub, compileall excepted."""
         calls_file = self.folder / "calls"
         return calls_file.read_text().splitlines() if calls_file.exists() else []
 
@@ -139,7 +143,9 @@
         library = self.folder / "target/deps/library"
         later_mtime = library.stat().st_mtime_ns + 10**9
         self.requirements.write_text("one==2\n")
-        shutil.copystat(library, self.requirements)  # no newer than the libraries: only its content tells
+        shutil.copystat(
+            library, self.requirements
+        )  # the same time stamp as the libraries: only the content differs
         self.assertLess(self.requirements.stat().st_mtime_ns, later_mtime)
         self.assertEqual(0, self.run_build())
         self.assertEqual(2, len(self.pip_calls()))
@@ -162,7 +168,7 @@
 
 
 class DeployFileTest(unittest.TestCase):
-    """What the deploy file names."""
+    """Packages and requirements declared by the deploy files."""
 
     def test_packages_is_a_list_of_names(self) -> None:
         packages = deploy_file()["packages"]
--- a/tests/system/test_campaign_command.py
+++ b/tests/system/test_campaign_command.py
@@ -1,4 +1,4 @@
-"""`bitternpath campaign`: what the command itself does."""
+"""The command `bitternpath campaign`, with the simulated runs replaced by stubs."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def run_reporting_gc_state(seed: int, faults: int) -> campaign.Outcome:
-    """Stands for a run; kept where its process frees what runs leave behind."""
+    """Stub of a run that passes if automatic garbage collection is enabled in its process."""
     return campaign.Outcome(gc.isenabled(), f"seed {seed}")
 
 
 class InProcessExecutor:
-    """Stands for a `ProcessPoolExecutor`: calls that can't be pickled."""
+    """Stub of `ProcessPoolExecutor` that makes the calls in this process, so that they need no pickling."""
 
     def __init__(self, processes: int) -> None:
         self.processes = processes
@@ -31,7 +31,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Nothing to end."""
+        """Do nothing: there are no processes to shut down."""
 
     def map(self, call: Callable[..., campaign.Outcome], *arguments: Any, chunksize: int = 1) -> Any:
         return map(call, *arguments)
--- a/tests/system/test_import_graph.py
+++ b/tests/system/test_import_graph.py
@@ -1,7 +1,7 @@
-"""Imports within the program go one way: no circle between modules, none between packages.
+"""Checks that neither modules nor packages of the program import each other in a cycle.
 
-The sources are parsed, nothing is imported. Imports for types only (`TYPE_CHECKING`) and imports inside of
-functions count like any other: a module that can't be understood without another one depends on it.
+The sources are parsed, not imported. Imports under `TYPE_CHECKING` and inside functions are included: a
+module that can't be understood without another module depends on it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def module_files(folder: Path, name: str) -> dict[str, Path]:
-    """Dotted names of all modules of a package, with their files; a package stands for its `__init__`."""
+    """Map the dotted names of all modules of a package to their files; a package's is its `__init__.py`."""
     files: dict[str, Path] = {}
     for path in sorted(folder.rglob("*.py")):
         relative_parts = path.relative_to(folder).with_suffix("").parts
@@ -30,7 +30,7 @@
 
 
 def imported_names(tree: ast.AST, module: str, is_package: bool) -> Iterable[str]:
-    """Dotted names that a module's imports could mean, relative ones made absolute."""
+    """Yield the absolute dotted names that a module's imports may refer to."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -42,14 +42,14 @@
 
 
 def known_module(name: str, modules: Mapping[str, Path]) -> str | None:
-    """The module that a dotted name is, or is defined in; None outside of the program."""
+    """Return the module that a dotted name denotes or is defined in; None if outside of the program."""
     while name and name not in modules:
         name = name.rpartition(".")[0]
     return name or None
 
 
 def module_graph(modules: Mapping[str, Path]) -> Graph:
-    """What each module imports of the program."""
+    """Return the modules of the program that each module imports."""
     graph: dict[str, frozenset[str]] = {}
     for module, path in modules.items():
         tree = ast.parse(path.read_text(), str(path))
@@ -60,20 +60,20 @@
 
 
 def package_of(module: str, modules: Mapping[str, Path]) -> str:
-    """The package that a module belongs to; a package belongs to itself."""
+    """Return the package of a module; that of a package is the package itself."""
     return module if modules[module].name == "__init__.py" else module.rpartition(".")[0]
 
 
 def is_same_or_nested(inner: str, outer: str) -> bool:
-    """Whether a package is the other one or lies in it."""
+    """Return whether two packages are the same or the first is nested in the second."""
     return inner == outer or inner.startswith(f"{outer}.")
 
 
 def package_graph(graph: Graph, modules: Mapping[str, Path]) -> Graph:
-    """What each package imports of others.
+    """Return the unrelated packages that each package imports.
 
-    A package and one inside of it are not two layers but a whole and its part: only the graph of modules
-    says in which order they are read. So imports between them don't count here.
+    A package and a package nested in it are not two layers, so imports between them are left out; the graph
+    of modules covers them.
     """
     imports_by_package: dict[str, set[str]] = {}
     for module, imports in graph.items():
@@ -89,7 +89,7 @@
 
 
 def reachable(graph: Graph, origin: str) -> frozenset[str]:
-    """All that can be reached from a node in one step or more."""
+    """Return the nodes that can be reached from a node in one or more steps."""
     seen: set[str] = set()
     pending = list(graph.get(origin, ()))
     while pending:
@@ -101,7 +101,7 @@
 
 
 def import_cycles(graph: Graph) -> list[list[str]]:
-    """Groups of nodes each of which reaches every other one of its group and itself, sorted."""
+    """Return the sorted groups of nodes that can all reach each other and themselves."""
     reach = {node: reachable(graph, node) for node in graph}
     in_cycle = [node for node in sorted(graph) if node in reach[node]]
     groups: list[list[str]] = []
@@ -115,14 +115,14 @@
 
 
 def layers_of(page: str) -> dict[str, int]:
-    """The number of each package's row, from 0 at the top, in the table under the heading "Layers"."""
+    """Return each package's row, counted from 0, in the table under the heading "Layers"."""
     section = page.partition("## Layers")[2].partition("\n## ")[0]
     rows = [line.split("|")[1] for line in section.splitlines() if line.startswith("| `")]
     return {name: row for row, cell in enumerate(rows) for name in re.findall(r"`(\w+)/`", cell)}
 
 
 def upward_imports(graph: Graph, layers: Mapping[str, int]) -> list[str]:
-    """Imports between packages of the table that don't point down."""
+    """Return the imports between packages of the table that don't point to a lower layer."""
     violations = []
     for module, targets in graph.items():
         for target in targets:
@@ -135,7 +135,7 @@
 
 
 class ImportGraphTest(unittest.TestCase):
-    """The program's own imports."""
+    """Import cycles of the program."""
 
     modules: ClassVar[Mapping[str, Path]]
     graph: ClassVar[Graph]
@@ -157,7 +157,7 @@
 
 
 class LayersTest(unittest.TestCase):
-    """The table "Layers" of docs/ARCHITECTURE.md."""
+    """Imports against the table "Layers" of docs/ARCHITECTURE.md."""
 
     def test_no_import_points_up_or_sideways(self) -> None:
         page = Path(bitternpath.__file__).parents[1] / "docs/ARCHITECTURE.md"
@@ -179,7 +179,7 @@
 
 
 class ImportCyclesTest(unittest.TestCase):
-    """The search itself, on small graphs."""
+    """Cycle detection on small graphs."""
 
     def cycles(self, **graph: str) -> list[list[str]]:
         return import_cycles({node: frozenset(targets) for node, targets in graph.items()})
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI makes of KNOWN-RED.txt."""
+"""Handling of KNOWN-RED.txt by the pytest configuration of this repository."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture(params=["-n0", "-n2"])
 def suite(pytester: pytest.Pytester, request: pytest.FixtureRequest) -> pytest.Pytester:
-    """One test that fails and five that pass, under this repository's rules; in one and more processes."""
+    """One failing and five passing tests with this repository's conftest.py, with and without xdist."""
     test_dir = pytester.mkdir("tests")
     for name in ("conftest.py", "known_red.py"):
         (test_dir / name).write_text((TESTS_DIR / name).read_text())
--- a/tests/test_parallel_runner.py
+++ b/tests/test_parallel_runner.py
@@ -1,4 +1,4 @@
-"""The plugin that spreads nose2's tests over processes: its verdicts, its count and its exit code."""
+"""Parallel runner of nose2: reported outcomes, number of tests and exit status."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-RUN_LIMIT_S = 120.0  # nose2 itself must end
+RUN_LIMIT_S = 120.0  # fails the test if nose2 hangs
 CONFIG = """
 [unittest]
 plugins = tests.parallel_runner.plugin
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """What a run of nose2 printed, how many tests it counted, and its exit status."""
+    """Output and exit status of a run of nose2."""
 
     output: str
     status: int
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def run(tmp_path: Path) -> Runner:
-    """Writes modules of tests into a package `probes` and runs nose2 over it."""
+    """Return a function that writes test modules into a package `probes` and runs nose2 on it."""
 
     def run_modules(*options: str, processes: int = 3, limit_s: float = 60, **modules: str) -> Run:
         package = tmp_path / "probes"
@@ -72,7 +72,7 @@
 
 
 def cases(name: str, *bodies: str) -> str:
-    """A class of tests: one for each body (an expression or statement), among four that pass."""
+    """Return the source of a test class: one test per body (expression or statement) and four that pass."""
     tests = "".join(f"    def test_m{index}(self): {body}\n" for index, body in enumerate(bodies))
     return f"class {name}(unittest.TestCase):\n{PASSING_TESTS}{tests}"
 
@@ -86,7 +86,9 @@
 def test_tests_run_in_workers_unless_serial(
     run: Runner, tmp_path: Path, options: tuple[str, ...], in_parent: bool
 ) -> None:
-    record_loading = "open('loaded', 'a').write(f'{os.getpid()}\\n')\n"  # nose2 itself loads first
+    record_loading = (
+        "open('loaded', 'a').write(f'{os.getpid()}\\n')\n"  # nose2's own process loads the module first
+    )
     result = run(*options, test_a=record_loading + cases("A", "open('ran', 'w').write(str(os.getpid()))"))
     assert (result.status, result.count) == (0, 5)
     parent = (tmp_path / "loaded").read_text().split("\n")[0]
@@ -144,7 +146,7 @@
 
 
 def test_an_unexpected_success_is_a_failure(run: Runner) -> None:
-    """As `unittest` has it; nose2 by itself counts it and passes."""
+    """`unittest` fails such a run; nose2 without the plugin counts the test and lets the run pass."""
     text = """
 class A(unittest.TestCase):
     @unittest.expectedFailure
@@ -165,7 +167,7 @@
     ],
 )
 def test_worker_death_fails_only_its_test(run: Runner, failure_statement: str, expected_message: str) -> None:
-    """Also with status 0: it is no pass. The tests of the class that come after it run elsewhere."""
+    """Exit status 0 is no pass either. The remaining tests of the class run in another worker."""
     text = cases("A", "pass", failure_statement, "pass", "open('after', 'w').close()")
     result = run(test_a=text, test_b=cases("B"))
     assert (result.status, result.count, result.summary()) == (1, 12, "FAILED (errors=1)")
@@ -182,7 +184,7 @@
 def test_hanging_test_is_terminated(run: Runner) -> None:
     result = run(test_a=cases("A", "time.sleep(600)"), test_b=cases("B", "time.sleep(0.5)"), limit_s=3)
     assert (result.status, result.count, result.summary()) == (1, 10, "FAILED (errors=1)")
-    assert "no news of it for 3 s" in result.output
+    assert "no message from it for 3 s" in result.output
 
 
 def test_large_output(run: Runner) -> None:
@@ -252,11 +254,13 @@
     result = run(test_a=cases("A", f"open('pid', 'w').write(str({start_child}.pid)), os._exit(1)"))
     assert result.status == 1
     stat = Path("/proc", (tmp_path / "pid").read_text(), "stat")
-    assert not stat.exists() or stat.read_text().rpartition(")")[2].split()[0] == "Z"  # ended, not yet reaped
+    assert (
+        not stat.exists() or stat.read_text().rpartition(")")[2].split()[0] == "Z"
+    )  # a zombie, not yet reaped
 
 
 def test_long_tests_run_in_separate_batches(run: Runner) -> None:
-    """Three tests of one class that wait for each other pass only where each has a process of its own."""
+    """Three tests of a class that wait for each other pass only if each runs in a separate process."""
     text = """
 class Slow(unittest.TestCase):
     longest_test_s = 10
