--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -1,7 +1,8 @@
-"""The tables of docs/results/acceptance.md: `python benchmarks/acceptance.py journal/ENTRY.json ...`.
+"""Prints the tables of docs/results/acceptance.md: `python benchmarks/acceptance.py journal/ENTRY.json ...`.
 
-One line for each run whose entry is named: its days, on how many a rule was broken or a node crashed, the
-gate, the score, and the mean score by kind of day. `--days` gives a line for each day instead."""
+Prints a row per run with the number of days, the numbers of days with a violated rule and with a crashed
+node, the gate, the score, and the mean score by kind of day. With `--days` prints a line per day instead.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 def load_runs(paths: list[str]) -> list[dict[str, Any]]:
-    """The scores among those entries, the oldest first."""
+    """Load journal entries and return those of score runs, sorted by path and so by age."""
     entries = [ujson.loads(Path(path).read_bytes()) for path in sorted(paths)]
     return [entry for entry in entries if entry.get("cmd") == "real-score" and entry.get("days")]
 
--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -1,10 +1,10 @@
-"""What AMQP costs against HTTP on the same core, and the cut table, in one run.
+"""Compares the cost of AMQP with that of HTTP on the same core, and prints the table of disconnects.
 
     .venv/bin/python benchmarks/amqp.py [--jobs 6000] [--connections 2000]
 
-Jobs over HTTP run at an HTTP endpoint, jobs over AMQP at an AMQP subscriber. CPU is the node's own, by /proc;
-peers are processes of their own. The bytes of an idle connection are the growth of the node's resident memory
-over so many that have logged in and opened one channel.
+Jobs over HTTP run at an HTTP endpoint, jobs over AMQP at an AMQP subscriber. CPU time is that of the node,
+from /proc; peers are separate processes. The memory of an idle connection is the growth of the node's
+resident memory divided by the number of connections, each logged in with one open channel.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 from start import Node  # noqa: E402
 
 c = commands
-MAX_JOBS_IN_FLIGHT = 16  # jobs that a client has out at once, over either protocol
+MAX_JOBS_IN_FLIGHT = 16  # per client, for both protocols
 
 
 class Client:
-    """A lean AMQP client: methods out of a stream, contents put together."""
+    """A minimal AMQP client with one channel."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.buffer = reader, writer, b""
@@ -91,7 +91,7 @@
 
 
 def run_subscriber(port: int, ready: Connection) -> None:
-    """Runs every job at once: a result, then the ack."""
+    """Process each job immediately: publish a result, then acknowledge the delivery."""
 
     async def main() -> None:
         client = await Client.connect(port)
@@ -113,7 +113,10 @@
 
 
 async def publish_jobs(port: int, jobs: int, id_prefix: str) -> list[float]:
-    """So many jobs, a window at a time, with confirms and direct replies; ms from publish to answer."""
+    """Publish jobs with confirms and direct replies, at most MAX_JOBS_IN_FLIGHT at a time.
+
+    Returns the latencies in ms from publish to reply.
+    """
     client = await Client.connect(port)
     client.send(c.Confirm.Select())
     client.send(c.Basic.Consume(queue="amq.rabbitmq.reply-to", consumer_tag="r", no_ack=True))
@@ -148,7 +151,7 @@
 
 
 async def send_requests(port: int, jobs: int, id_prefix: str) -> list[float]:
-    """So many jobs over HTTP on as many kept connections as the window is wide; ms from request to answer."""
+    """Send jobs over MAX_JOBS_IN_FLIGHT persistent HTTP connections; return their latencies in ms."""
     from standins import read_message
 
     latencies_ms: list[float] = []
@@ -174,7 +177,7 @@
 
 
 class AmqpNode(Node):
-    """A node with AMQP on, whose log says where."""
+    """A node with AMQP enabled; its log contains the port."""
 
     serve_options = (
         "--amqp-listen",
@@ -195,20 +198,23 @@
         raise SystemExit("the node does not listen for AMQP")
 
     def memory(self) -> float:
-        """Resident KB."""
+        """Return the resident memory in KB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return float(re.findall(r"VmRSS:\s+(\d+)", status)[0])
 
 
 def measure(node: Node, run: Any) -> tuple[float, float, list[float]]:
-    """CPU microseconds and wall seconds of a run, and its latencies."""
+    """Run a coroutine; return the node's CPU time in us, the wall time in s and the latencies."""
     cpu, wall = node.cpu_seconds(), time.perf_counter()
     latencies_ms = asyncio.run(run)
     return (node.cpu_seconds() - cpu) * 1e6, time.perf_counter() - wall, latencies_ms
 
 
 def print_disconnect_table() -> int:
-    """Cut points, lost answers and unsafe duplicates, by scripted peers; the number of faults."""
+    """Disconnect scripted peers at each point and print lost replies and unsafe duplicates.
+
+    Returns the number of violations.
+    """
     import structlog
     from amqp_disconnects import disconnect_points, run_scenario
 
@@ -242,7 +248,7 @@
 
 
 def compare(folder: Path, jobs: int, rounds: int) -> None:
-    """The same jobs over each protocol, each on a node of its own, so that they run at its own endpoint."""
+    """Run the same jobs over each protocol, on separate nodes so that each uses only its own endpoint."""
     address = folder / "node"
     worker = subprocess.Popen(
         [sys.executable, str(ROOT / "benchmarks" / "standins.py"), "0"],
@@ -263,7 +269,7 @@
                 process = context.Process(target=run_subscriber, args=(node.amqp_port, theirs), daemon=True)
                 process.start()
                 assert ours.poll(30)
-            for round_number in range(rounds + 1):  # the first warms up
+            for round_number in range(rounds + 1):  # round 0 is a warm-up and isn't counted
                 if process is not None:
                     run = publish_jobs(node.amqp_port, jobs, f"a{round_number}")
                 else:
@@ -294,7 +300,7 @@
 
 
 def measure_idle_connections(folder: Path, count: int) -> None:
-    """What connections that are open and silent take."""
+    """Measure the memory and CPU of idle connections."""
     node = AmqpNode(ROOT, folder, 0)
 
     async def measure_idle_clients() -> tuple[float, float]:
--- a/benchmarks/earlier.py
+++ b/benchmarks/earlier.py
@@ -1,4 +1,4 @@
-"""The decision module of an earlier revision, imported beside the present one."""
+"""Imports the decision module of an earlier revision next to the current one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 MODULE_NAME = "brain_before"
-# Names that earlier revisions use for what `messages` calls otherwise today.
+# Types and fields of `messages` by their names in earlier revisions.
 TYPE_NAMES = {
     "Alarm": "TimerFired", "Entry": "WorkerEntry", "Group": "DedupScope", "How": "AttemptOutcome",
     "JobNote": "JobProgress", "NEVER_RAN": "NOT_EXECUTED", "Outcome": "AttemptEnded",
@@ -37,7 +37,7 @@
 
 
 def earlier_dispatcher(revision: str) -> type[Any]:
-    """Class `Dispatcher` of a revision that has all decisions in `bitternpath/brain.py`: up to 44bd19b."""
+    """Return class `Dispatcher` of a revision with all decisions in `bitternpath/brain.py`: up to 44bd19b."""
     source = subprocess.run(
         ["git", "show", f"{revision}:bitternpath/brain.py"], cwd=ROOT, check=True, capture_output=True
     ).stdout
@@ -46,9 +46,9 @@
         path.write_bytes(source)
         spec = importlib.util.spec_from_file_location(MODULE_NAME, path)
         assert spec is not None and spec.loader is not None
-        sys.modules.setdefault("bitternpath.messages", messages)  # where it was then
+        sys.modules.setdefault("bitternpath.messages", messages)  # its module path in those revisions
         vars(bitternpath).setdefault("messages", messages)
-        vars(messages).setdefault("ProbeResult", type("ProbeResult", (), {}))  # earlier revisions name it
+        vars(messages).setdefault("ProbeResult", type("ProbeResult", (), {}))  # earlier revisions refer to it
         for earlier_name, current_name in TYPE_NAMES.items():
             vars(messages).setdefault(earlier_name, getattr(messages, current_name))
         for type_name, fields in FIELD_NAMES.items():
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -1,10 +1,9 @@
-"""What the emulator's figures are worth, as tables in Markdown.
+"""Evaluates the accuracy and the speed of the emulator; prints Markdown tables.
 
-.venv/bin/python benchmarks/emulator.py sockets SCENARIO...   virtual against wall time, seed 1
-.venv/bin/python benchmarks/emulator.py troubles [--seeds N]  what each trouble costs the module against
-the oracle .venv/bin/python benchmarks/emulator.py speed                 jobs a second of wall time;
-cost against workers .venv/bin/python benchmarks/emulator.py days FOLDER           days drawn by the
-operators' bench, see `days`
+.venv/bin/python benchmarks/emulator.py sockets SCENARIO...   virtual time compared with wall time, seed 1
+.venv/bin/python benchmarks/emulator.py troubles [--seeds N]  cost of each fault, module compared with oracle
+.venv/bin/python benchmarks/emulator.py speed                 jobs per second of wall time; CPU by fleet size
+.venv/bin/python benchmarks/emulator.py days FOLDER           days of the operators' bench, see `compare_days`
 """
 
 from __future__ import annotations
@@ -49,7 +48,7 @@
 
 
 def compare_sockets(names: list[str]) -> None:
-    """Each scenario in both kinds of time."""
+    """Run each scenario in virtual time and over sockets in wall time and compare the results."""
     rows = []
     for name in names:
         file = Path(f"/tmp/{name}-sockets.json")
@@ -85,7 +84,7 @@
 
 
 def measure_faults(seeds: int) -> None:
-    """Each trouble alone on the calm scenario's world: what it costs the module and the oracle."""
+    """Inject each fault separately into the calm scenario and compare the module with the oracle."""
     base = msgspec.to_builtins(load(SCENARIOS / "calm.toml")) | {"clients": {"load": 0.55}}
     faults = {
         "none": [],
@@ -152,7 +151,7 @@
 
 
 def measure_speed() -> None:
-    """Jobs a second, and what a job costs as the fleet grows at the same load a worker."""
+    """Measure jobs per second, and CPU time per job by fleet size at a constant load per worker."""
     rows = []
     for name in ("calm", "neighbours", "cyclone-week"):
         runs = [play(load(SCENARIOS / f"{name}.toml"), seed) for seed in (1, 2, 3)]
@@ -161,7 +160,7 @@
     print(format_table(["scenario (14 workers, 3 nodes)", "jobs", "jobs a second of wall time"], rows))
     base = msgspec.to_builtins(load(SCENARIOS / "calm.toml"))
     rows = []
-    for workers, nodes in ((14, 3), (100, 8), (500, 30)):  # 2,000 takes too long yet, see docs/results
+    for workers, nodes in ((14, 3), (100, 8), (500, 30)):  # 2,000 workers take too long, see docs/results
         sites = [
             {"name": f"s{k}", "workers": workers // 2, "nodes": max(nodes // 2, 1), "traffic": 1.0}
             for k in range(2)
@@ -189,7 +188,7 @@
 
 
 def scenario_of_day(day: dict[str, Any]) -> tuple[Any, dict[str, Any]]:
-    """A day of the operators' bench in our words, as far as both know the same things."""
+    """Convert a day of the operators' bench into a scenario, as far as the two models overlap."""
     tier, net, zones = day["tiers"][0], day["net"], day["zones"]
     kinds = [
         {"name": k["name"], "cores": k["cores"], "slots": k["slots"], "queue": k["queue"],
@@ -273,7 +272,10 @@
 
 
 def compare_days(folder: Path) -> None:
-    """`FOLDER/NAME.json` are days, `FOLDER/NAME.POLICY` what the operators' simulator made of them (G)."""
+    """Compare the emulator with the operators' simulator on the days in a folder.
+
+    `NAME.json` is a day, `NAME.POLICY` the score (G) that the simulator computed for it with a policy.
+    """
     policies = ("module", "random", "least")
     files = sorted(folder.glob("*.json"))
     runs = [(str(file), policy) for file in files for policy in policies]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,13 +1,13 @@
-"""What the fleet costs and how fast it is: the tables of docs/results/fleet.md.
+"""Measures the cost and the latency of the fleet: the tables of docs/results/fleet.md.
 
-.venv/bin/python benchmarks/fleet.py effect      # from a change to in effect, virtual time, 6 and 200 nodes
-.venv/bin/python benchmarks/fleet.py leader      # without a leader after SIGKILL and SIGSTOP, real stewards
-.venv/bin/python benchmarks/fleet.py straggler   # until one is up or shut out, virtual time
-.venv/bin/python benchmarks/fleet.py steward     # a leader's cost with 3, 50 and 200 agents of one process
-.venv/bin/python benchmarks/fleet.py lookup      # CPU of a lookup with an agent over one without, in turn
+.venv/bin/python benchmarks/fleet.py effect      # from proposal to effect, virtual time, 6 and 200 nodes
+.venv/bin/python benchmarks/fleet.py leader      # no leader after SIGKILL and SIGSTOP, real processes
+.venv/bin/python benchmarks/fleet.py straggler   # recovery or exclusion of a stalled node, virtual time
+.venv/bin/python benchmarks/fleet.py steward     # cost of a leader with 3, 50 and 200 agents in one process
+.venv/bin/python benchmarks/fleet.py lookup      # CPU of a lookup with and without an agent, alternating
 """
 
-# ruff: noqa: E402  (the rig of the tests stands beside)
+# ruff: noqa: E402  (sys.path must be extended first, to import the fixtures of the tests)
 from __future__ import annotations
 
 import asyncio
@@ -36,7 +36,7 @@
 
 CHANGE_COUNT = 60
 ROUNDS = 10
-MEASUREMENT_S = 20.0  # s over which a steward is measured
+MEASUREMENT_S = 20.0  # duration of the measurement of a consensus server
 
 
 def format_times(values: list[float], scale: float = 1000.0, unit: str = "ms") -> str:
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -1,10 +1,11 @@
-"""The decision module against the one of an earlier revision, in one run, as ratios.
+"""Compares the decision module with that of an earlier revision, as ratios of measurements in one run.
 
 .venv/bin/python benchmarks/large_fleet.py [--before REV] [--rounds N]
 
-CPU a job on a calm day with 14 and 60 workers; dials a call and calls to discovery a node on the herd of
-`scenarios/large-fleet.toml`; service on the whole scenario. CPU is the time inside the module's calls, the
-least of rounds that alternate: other work on the machine only adds to it.
+Measures CPU time per job in the calm scenario with 14 and 60 workers; connection attempts per call and
+discovery calls per node in the thundering herd of `scenarios/large-fleet.toml`; and the service level of the
+complete scenario. CPU time is that spent in the module's calls, as the minimum of alternating rounds, since
+other load on the machine can only increase it.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from bitternpath.testing.emulator.scenario_file import load, scenario_from  # noqa: E402
 from bitternpath.testing.emulator.world import World  # noqa: E402
 
-BASELINE_REVISION = "4194b88"  # before any change for the large fleet
+BASELINE_REVISION = "4194b88"  # last revision before the changes for large fleets
 BASELINE = "before"
 
 
@@ -40,7 +41,7 @@
 
 
 def cpu_us_per_job(scenario: Any, policy: str) -> float:
-    """us of a core that the module's own calls take for a job."""
+    """Return the time in us that the module's calls take per job."""
     world, cpu_seconds = World(scenario, 1, policy, traced=False), [0.0]
     create_policy = world.make_policy
 
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -1,11 +1,11 @@
-"""How many small changes of the service's own code its tests notice.
+"""Mutation testing of the service: how many small code changes its tests detect.
 
     python benchmarks/mutations.py --seed 1 --many 60 --jobs 2 --json mutations.json
 
-Draws places in the packages below by a seed, changes one at a time in a copy of the repository (a comparison
-turned, a condition negated or left out, `and` for `or`, a number off by one, a call or a write left out), and
-runs the tests of that package. A mutation is *caught* where a test fails or doesn't end; one that *survives*
-needs a test, or a reason why nothing follows from it. Written as a table, one row a mutation.
+Draws mutation sites in the packages below by seed, applies one mutation at a time to a copy of the repository
+(a changed comparison, a negated or dropped condition, `and` swapped with `or`, plus with minus, an inverted
+flag, a removed call), and runs the package's tests. A mutation is *caught* if a test fails or doesn't end;
+one that *survives* needs a test or a reason why it has no effect. Prints a table with a row per mutation.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from random import Random
 
 ROOT = Path(__file__).resolve().parents[1]
-TIME_LIMIT_S = 600.0  # for the tests of a package; a mutation that makes them hang is caught
+TIME_LIMIT_S = 600.0  # of a package's tests; a mutation that makes them hang counts as caught
 COPIED_PATHS = ("bitternpath", "tests", "unittest.cfg", "pyproject.toml", "KNOWN-RED.txt", "deploy", "docs")
 TEST_MODULES: dict[str, tuple[str, ...]] = {
     "replication": ("tests.system.replication", "tests.system.test_repairs"),
@@ -34,13 +34,14 @@
     "shards": ("tests.system.shards",),
     "storage": ("tests.system.storage",),
 }
+# Flags of record classes are not mutated: no decision of the program depends on them.
 RECORD_OPTIONS = (
     "frozen=",
     "slots=",
     "kw_only=",
     "array_like=",
     "eq=",
-)  # of records: nothing is decided by them
+)
 REPLACED_COMPARISONS: dict[type[ast.cmpop], type[ast.cmpop]] = {
     ast.Lt: ast.LtE,
     ast.LtE: ast.Lt,
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """One change: the file below `bitternpath/`, the line, and the line's code before and after."""
+    """A mutation: the file below `bitternpath/`, the line, and its code before and after."""
 
     package: str
     file: str
@@ -65,22 +66,22 @@
     kind: str
     before: str
     after: str
-    source: str  # of the whole module, changed
+    source: str  # source of the mutated module
 
 
 @dataclass(frozen=True)
 class Result:
-    """What the tests of the package said."""
+    """Result of the package's tests with a mutation."""
 
     mutation: Mutation
     caught: bool
-    by: str  # the first test that failed, or "timeout"
+    by: str  # first failed test, "timeout" or "exit STATUS"
     seconds: float
 
 
 @dataclass(frozen=True)
 class MutationSite:
-    """Where a change can be made: a node of a module, by its position in `ast.walk`."""
+    """A syntax node that can be mutated, identified by its position in `ast.walk` of its module."""
 
     package: str
     path: Path
@@ -90,7 +91,7 @@
 
 
 def mutation_sites(package: str, path: Path) -> Iterator[MutationSite]:
-    """All changes that can be made to a module."""
+    """Yield all mutation sites of a module."""
     source = path.read_text()
     lines = source.splitlines()
     for position, node in enumerate(ast.walk(ast.parse(source))):
@@ -101,7 +102,7 @@
 
 
 def apply_mutation(site: MutationSite) -> Mutation:
-    """The module with one change."""
+    """Apply a mutation to the source of its module."""
     tree = ast.parse(site.path.read_text())
     node = list(ast.walk(tree))[site.position]
     before = _first_code_line(node)
@@ -113,7 +114,7 @@
 
 
 def applicable_mutations(node: ast.AST) -> Iterator[tuple[str, Callable[[ast.AST], None]]]:
-    """The kinds of changes of a node, and what makes each."""
+    """Yield the kinds of mutations that apply to a node, each with the function that applies it."""
     if isinstance(node, ast.Compare) and type(node.ops[0]) in REPLACED_COMPARISONS:
         yield "comparison", _replace_comparison
     if isinstance(node, ast.BoolOp):
@@ -171,12 +172,12 @@
 
 
 def _first_code_line(node: ast.AST) -> str:
-    """The first line of a node's code."""
+    """Return the first line of a node's source, at most 100 characters."""
     return ast.unparse(node).splitlines()[0][:100]
 
 
 def draw_mutations(seed: int, count: int) -> list[Mutation]:
-    """So many mutations, the same number of each package; no two of one line."""
+    """Draw `count` mutations, evenly distributed over the packages and at most one per line."""
     random = Random(seed)
     mutations: list[Mutation] = []
     for package_index, package in enumerate(TEST_MODULES):
@@ -190,7 +191,7 @@
 
 
 def run_tests(mutation: Mutation) -> Result:
-    """Run the tests of the package on a copy of the repository with the mutation."""
+    """Run the package's tests on a copy of the repository with the mutation applied."""
     started_at = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="bitternpath-mutation-") as folder:
         copy_dir = Path(folder)
@@ -219,7 +220,7 @@
 
 
 def table_row(result: Result) -> str:
-    """A row of the table."""
+    """Format a row of the table."""
     mutation = result.mutation
     location = f"`{mutation.file}:{mutation.line}`"
     change = f"`{mutation.before}` → `{mutation.after}`".replace("|", "\\|")
@@ -228,7 +229,7 @@
 
 
 def main() -> None:
-    """Play the mutations and print the table, each row when it is there."""
+    """Test the mutations and print each row of the table as soon as its result is available."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--many", type=int, default=60)
--- a/benchmarks/operators.py
+++ b/benchmarks/operators.py
@@ -1,10 +1,11 @@
-"""What the operators' parts cost, how fast the console is, and what upgrades lose, in one run.
+"""Measures the CPU cost and latency of the console and the jobs lost in upgrades, in one run.
 
     .venv/bin/python benchmarks/operators.py [--rounds 5] [--lookups 2000] [--upgrades 10]
 
-CPU of a plain lookup with a console (and its figures read ten times a second) over that without one, medians
-of rounds that alternate; the slowest of 200 answers of the console while 8 clients ask all they can and
-30 silent callers hang on it; jobs, failures and broken connections over so many upgrades under their load.
+Prints the CPU time of a plain lookup with a console whose statistics are polled ten times a second, relative
+to that without one, as medians of alternating rounds; the slowest of 200 console replies under full load of 8
+clients and with 30 idle console connections; and the numbers of served and failed jobs and broken connections
+during a series of upgrades under the same load.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 @contextlib.contextmanager
 def running_endpoint(folder: Path) -> Iterator[int]:
-    """An endpoint; its call-backs go to the address in `folder/node`."""
+    """Run a stub endpoint and yield its port; callbacks go to the address in `folder/node`."""
     env = os.environ | {"NODE_FILE": str(folder / "node")}
     process = subprocess.Popen(
         [sys.executable, str(ROOT / "benchmarks" / "standins.py"), "0"], stdout=subprocess.PIPE, env=env
@@ -45,7 +46,7 @@
 
 
 async def call_console(port: int, path: str) -> tuple[int, float]:
-    """One call to the console: its status, and how long it took in ms."""
+    """Call the console; return the status and the latency in ms."""
     started_at = time.perf_counter()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"GET {path} HTTP/1.1\r\n\r\n".encode())
@@ -55,7 +56,7 @@
 
 
 async def is_ready(port: int) -> bool:
-    """Whether that process can serve; the shared address would speak for the older one."""
+    """Return whether a process is ready, by its own console: in an upgrade both share the service port."""
     try:
         return (await call_console(port, "/ops/readiness"))[0] == 200
     except OSError:
@@ -69,9 +70,9 @@
 
 
 def measure_console_cost(rounds: int, count: int) -> tuple[float, float]:
-    """CPU us of a lookup without and with a console."""
+    """Return the CPU time of a lookup in us without and with a console."""
     cpu_us: dict[bool, list[float]] = {False: [], True: []}
-    for round_number in range(rounds + 1):  # the first one fills the caches
+    for round_number in range(rounds + 1):  # round 0 warms the caches and isn't counted
         for with_console in (False, True) if round_number % 2 else (True, False):
             with tempfile.TemporaryDirectory() as name, running_endpoint(Path(name)) as endpoint:
                 node = Node(ROOT, Path(name), endpoint, console_port=free_port() if with_console else 0)
@@ -98,7 +99,10 @@
 
 
 async def measure_console_latency(node: Node) -> tuple[list[float], int]:
-    """ms of 200 answers of the console under full load and silent callers, and lookups served meanwhile."""
+    """Return the latencies in ms of 200 console calls under full load with idle console connections.
+
+    Also returns the number of lookups served meanwhile.
+    """
     stop_load, served = asyncio.Event(), 0
 
     async def client(client_index: int) -> None:
@@ -123,7 +127,10 @@
 
 
 async def run_upgrades(folder: Path, endpoint: int, node: Node, count: int) -> Counter[str]:
-    """Jobs by what became of them; clients keep their connections for as long as they are let."""
+    """Upgrade the node `count` times under load and count the jobs by outcome.
+
+    Clients reuse their connections until the node closes them.
+    """
     stop_load, counts = asyncio.Event(), Counter[str]()
 
     async def client(client_index: int) -> None:
--- a/benchmarks/play_days.py
+++ b/benchmarks/play_days.py
@@ -1,12 +1,12 @@
-"""Plays our own days of trouble on deployments, and prints a table of what they broke.
+"""Runs the project's own fault scenarios (days) on deployments and prints a table of the results.
 
     .venv/bin/python benchmarks/play_days.py --bench PATH --why "..." SITE.toml [SITE.toml ...]
         [--only PATTERN] [--jobs 4] [--reports FOLDER] [--seed N]
 
-A day is a TOML file of `benchmarks/days/`, written as a `[[day]]` of a site file; the number before its name
-is the point of issue 37 that it aims at (6: points crossed). PATH is the users' bench, also taken from the
-variable BITTERNPATH_BENCH. Run it from the root of the worktree whose sources are to be measured, and don't
-change anything there until it has ended. Ends with 1 if a day broke a rule, failed or could not be played.
+A day is a TOML file in `benchmarks/days/`, written as a `[[day]]` of a site file; the number before its name
+is the item of issue 37 that it covers (6: several items combined). PATH is the users' bench, by default the
+value of BITTERNPATH_BENCH. Run it from the root of the worktree to be measured and don't change the worktree
+during the run. Exits with 1 if a day violated a rule, failed or could not be run.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 DAYS = Path(__file__).parent / "days"
 
 MAX_UNSERVED_SHARE = 0.6
-"""Share of the requests owed; the users' gate (RULES, "The gate")."""
+"""Maximum share of due requests that are refused or fail; set by the users' gate (RULES, "The gate")."""
 
 
 @dataclass(frozen=True, slots=True)
 class DayRun:
-    """One day on one deployment."""
+    """A day to run on a deployment."""
 
     site: Path
     day: Path
@@ -40,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """What a play came to. `problems`: rules broken with their counts, faults, figures below the gate."""
+    """Result of a day run.
+
+    `failures` lists violated rules with their counts, faults, and values that miss the gate.
+    """
 
     day_run: DayRun
     failures: tuple[str, ...]
@@ -54,13 +57,13 @@
 
 
 def minimum_score(day: Path) -> float:
-    """Least share of the worth owed over the whole day, as the day's file sets it."""
+    """Return the minimum score of the whole day, as a share of the maximum, from the day's file."""
     table = tomllib.loads(day.read_text())["day"][0]
     return float(table.get("goal", {}).get("floor", 0.0))
 
 
 def gate_failures(report: dict[str, object], min_score: float) -> tuple[str, ...]:
-    """Why a day failed its gate, from the bench's report; empty if it passed."""
+    """Return the reasons in the bench's report why a day failed its gate; empty if it passed."""
     failures: list[str] = []
     violations = report.get("breaks")
     if isinstance(violations, dict):
@@ -85,13 +88,13 @@
 
 
 def snapshot_name(output: str) -> str:
-    """The snapshot that the bench names at the end of its output."""
+    """Return the name of the snapshot from the end of the bench's output, or an empty string."""
     words = output.split()
     return words[words.index("snapshot") + 1] if "snapshot" in words[:-1] else ""
 
 
 def run_day(bench: Path, day_run: DayRun, why: str, seed: int | None, folder: Path) -> DayResult:
-    """Runs the bench on one day. Its output and its report stay in `folder`."""
+    """Run the bench on one day; its output and its report are stored in `folder`."""
     name = f"{day_run.site.stem}--{day_run.day.stem}"
     report_path = folder / f"{name}.json"
     report_path.unlink(missing_ok=True)
@@ -118,7 +121,7 @@
 
 
 def table_row(result: DayResult) -> str:
-    """One line of the table."""
+    """Format a row of the table."""
     score = "-" if result.score is None else f"{result.score:.3f}"
     cells = [
         result.day_run.day.stem,
@@ -136,12 +139,12 @@
     sites: Annotated[list[Path], typer.Argument(help="Site files.", exists=True, dir_okay=False)],
     bench: Annotated[Path, typer.Option(envvar="BITTERNPATH_BENCH", help="The users' bench.", exists=True)],
     why: Annotated[str, typer.Option(help="One sentence for the journal.")],
-    only: Annotated[str, typer.Option(help="Pattern of the days' names.")] = "*",
-    jobs: Annotated[int, typer.Option(min=1, help="Days played at a time.")] = 4,
-    seed: Annotated[int | None, typer.Option(help="In place of the seed in each day.")] = None,
-    reports: Annotated[Path | None, typer.Option(help="Where outputs and reports stay.")] = None,
+    only: Annotated[str, typer.Option(help="Glob pattern of the days' names.")] = "*",
+    jobs: Annotated[int, typer.Option(min=1, help="Number of days run in parallel.")] = 4,
+    seed: Annotated[int | None, typer.Option(help="Overrides the seed of each day.")] = None,
+    reports: Annotated[Path | None, typer.Option(help="Directory for outputs and reports.")] = None,
 ) -> None:
-    """Plays each day on each site and prints a row for each as it ends."""
+    """Run each day on each site and print a row for each result."""
     folder = reports or Path(tempfile.mkdtemp(prefix="days-"))
     folder.mkdir(parents=True, exist_ok=True)
     day_runs = [DayRun(site, day) for day in sorted(DAYS.glob(f"{only}.toml")) for site in sites]
--- a/benchmarks/policy_host.py
+++ b/benchmarks/policy_host.py
@@ -1,4 +1,4 @@
-"""A reference policy on the simulator's wire: `python benchmarks/policy_host.py NAME`."""
+"""Runs a reference policy behind the simulator's protocol: `python benchmarks/policy_host.py NAME`."""
 
 from __future__ import annotations
 
--- a/benchmarks/repairs.py
+++ b/benchmarks/repairs.py
@@ -1,14 +1,14 @@
-"""How long a repair leaves replica groups one loss from no majority, in virtual time.
+"""Measures for how long replica groups are one failure from losing quorum in a repair, in virtual time.
 
     .venv/bin/python -m benchmarks.repairs [--groups 1,2,10,50] [--tolerated 1,2] [--state 0,1,8] [--seeds 3]
 
-Prints a Markdown table and, with `--chart FILE`, writes a chart (SVG) of the time to full redundancy by size
-of state; `--before FILE` adds the rows of a table that was printed earlier, as rings.
+Prints a Markdown table and, with `--chart FILE`, writes an SVG chart of the time to full redundancy by state
+size; `--before FILE` adds the rows of an earlier table as rings.
 
-All times are in ms after the return (the start of the process that has the empty disk, or the order):
-`learner`, `voter` and `complete` of the slowest group; `exposed` is the time, of the group for which it is
-longest, with no voter to spare, from the return on. `moved` is all that members sent one another until the
-end of the repair.
+All times are in ms after the start of the process with the empty disk, or after the retirement command.
+`learner`, `voter` and `complete` are those of the slowest group; `exposed` is the longest time of any group
+during which the loss of one more voter would have cost the quorum. `moved` is the traffic between members
+until the end of the repair.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from bitternpath.testing.simulation.repairs import RepairPlan, RepairWorld
 
-DOWNTIME_S = 1.0  # between a machine's end and the start of what comes after it
+DOWNTIME_S = 1.0  # between the stop of a machine and the start of it or its replacement
 REPAIR_TIMEOUT_S = 60.0
 MB = 1 << 20
 BYTES_PER_S_PER_MBIT = 125_000
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One measured repair, the worst of its seeds; times in ms."""
+    """Measurements of a repair; the worst of several seeds in the table."""
 
     repair: str
     groups: int
@@ -42,14 +42,14 @@
 
 
 def wipe_machine(world: RepairWorld) -> None:
-    """Power lost and the disk with it; the machine comes back at its address."""
+    """Power off a machine, erase its disk and restart it at the same address."""
     world.stop("s0", graceful=False, wipe=True)
     world.run(DOWNTIME_S)
     world.start("s0")
 
 
 def replace_machine(world: RepairWorld) -> None:
-    """Power lost for good; an empty machine comes at another address."""
+    """Power off a machine for good and start an empty one at another address."""
     world.stop("s0", graceful=False)
     world.run(DOWNTIME_S)
     world.add_machine("t0", world.machines["s0"].zone)
@@ -57,7 +57,7 @@
 
 
 def replace_after_sigterm(world: RepairWorld) -> None:
-    """As `replaced`, but the process was told to end."""
+    """Replace a machine as `replace_machine` does, after a graceful shutdown."""
     world.drain("s0")
     world.run(0.5)
     world.stop("s0", graceful=True)
@@ -67,7 +67,7 @@
 
 
 def retire_machine(world: RepairWorld) -> None:
-    """The operator's order, with a spare machine there."""
+    """Retire a machine by an operator command while a spare one is running."""
     world.add_machine("t0", world.machines["s0"].zone)
     world.start("t0")
     world.run(2.0)
@@ -83,7 +83,11 @@
 
 
 def measure_repair(repair: str, seed: int, plan: RepairPlan) -> Row:
-    """Play one repair."""
+    """Simulate one repair.
+
+    Raises:
+        SystemExit: the repair did not complete within REPAIR_TIMEOUT_S.
+    """
     world = RepairWorld(seed, plan)
     world.fill()
     world.traffic()
@@ -114,7 +118,7 @@
 
 
 def column_maxima(rows: list[Row]) -> Row:
-    """The longest of each column."""
+    """Combine rows of the same repair into one with the maximum of each column."""
     first_row = rows[0]
     return Row(
         first_row.repair,
@@ -130,7 +134,7 @@
 
 
 def print_row(row: Row) -> None:
-    """A line of the table."""
+    """Print a row of the table."""
     print(
         f"| {row.repair} | {row.tolerated} | {row.groups} | {row.state_mb:g} | {row.learner_ms:.0f} "
         f"| {row.voter_ms:.0f} | {row.complete_ms:.0f} | {row.exposed_ms:.0f} | {row.sent_mb:.1f} |",
@@ -139,7 +143,7 @@
 
 
 def read_table(path: Path) -> list[Row]:
-    """The rows of a table that was printed before."""
+    """Parse the rows of a table printed by an earlier run."""
     rows = []
     for line in path.read_text().splitlines():
         cells = [cell.strip() for cell in line.strip("| ").split("|")]
@@ -154,7 +158,7 @@
 
 
 def chart(before: list[Row], after: list[Row]) -> str:
-    """Time to full redundancy against the state of all groups together: rings before, dots after."""
+    """Return an SVG of the time to full redundancy by total state size; rings: `before`, dots: `after`."""
     max_x = max((row.state_mb * row.groups for row in after), default=0.0) or 1.0
     max_y = max(row.complete_ms for row in [*before, *after])
     elements = [
@@ -182,17 +186,19 @@
 
 
 def main() -> None:
-    """Measure all that was asked for."""
+    """Measure all selected combinations and print the table."""
     parser = argparse.ArgumentParser(description="Repairs in virtual time.")
     parser.add_argument("--groups", default="1,2,10,50")
     parser.add_argument("--tolerated", default="1,2")
-    parser.add_argument("--state", default="0,1", help="MB of each group")
+    parser.add_argument("--state", default="0,1", help="state size of each group in MB")
     parser.add_argument("--repairs", default=",".join(REPAIRS))
     parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--rate", type=float, default=20.0, help="commands a second of each group")
-    parser.add_argument("--link", type=float, default=1000.0, help="Mbit/s of each machine, each way")
+    parser.add_argument("--rate", type=float, default=20.0, help="commands per second and group")
+    parser.add_argument(
+        "--link", type=float, default=1000.0, help="link rate of each machine in Mbit/s, per direction"
+    )
     parser.add_argument("--chart", type=Path)
-    parser.add_argument("--before", type=Path, help="a table of an earlier run, for the chart")
+    parser.add_argument("--before", type=Path, help="table of an earlier run to add to the chart")
     options = parser.parse_args()
     print("| repair | f | groups | state, MB a group | learner | voter | complete | exposed | moved, MB |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -1,11 +1,10 @@
-"""Whether the dispatcher decides as the one of an earlier revision did: both are given the same events.
+"""Checks that the dispatcher makes the same decisions as that of an earlier revision for the same events.
 
 .venv/bin/python benchmarks/same_decisions.py [--before REV] [--seeds N] [--random N] [--jobs N] [SCENARIO ..]
 
-Plays scenarios in virtual time with N seeds (all that take seconds, where none is named), and N
-runs of random events under random settings. After each event the actions of both must be equal,
-and in the end the weights of all networks. Prints a line a scenario and ends with 1 at the first
-difference.
+Runs scenarios in virtual time with N seeds (by default all that take only seconds) and N sequences of
+random events under random settings. The actions of both must be equal after each event, and the weights
+of all networks at the end. Prints a row per scenario and exits with 1 at the first difference.
 """
 
 from __future__ import annotations
@@ -29,18 +28,18 @@
 from bitternpath.testing.emulator.scenario_file import load  # noqa: E402
 from bitternpath.testing.emulator.world import World  # noqa: E402
 
-BASELINE_REVISION = "44bd19b"  # the last revision with all decisions in brain.py
+BASELINE_REVISION = "44bd19b"  # last revision with all decisions in brain.py
 RANDOM_EVENTS = "random events"
-SLOW_SCENARIOS = frozenset({"big-fleet"})  # 100 nodes: tens of minutes of processor time a run
-SOCKET_SCENARIOS = frozenset({"fleet", "upgrades"})  # they can't be played in virtual time
+SLOW_SCENARIOS = frozenset({"big-fleet"})  # 100 nodes: tens of minutes of CPU time per run
+SOCKET_SCENARIOS = frozenset({"fleet", "upgrades"})  # can't run in virtual time
 
 
 class DecisionMismatch(Exception):
-    """The two decided otherwise."""
+    """The two dispatchers made different decisions."""
 
 
 class LockstepDispatcher:
-    """Both dispatchers under the same seed; the present one's actions are carried out."""
+    """Runs both dispatchers with the same seed and returns the actions of the current one."""
 
     baseline_type: type[Any]
     instances: list[LockstepDispatcher]
@@ -51,7 +50,7 @@
         self.instances.append(self)
 
     def handle(self, now: float, event: m.Event) -> list[m.Action]:
-        """Give the event to both; Difference where their actions are not equal."""
+        """Pass the event to both; raise DecisionMismatch if their actions differ."""
         actions, expected = self.current.handle(now, event), self.baseline.handle(now, event)
         self.events += 1
         self.actions += len(actions)
@@ -60,7 +59,7 @@
         return actions
 
     def compare_networks(self) -> None:
-        """Difference where any weight, q or threshold is not equal to the last bit."""
+        """Raise DecisionMismatch unless all weights, q and thresholds are bitwise equal."""
         for name, state in self.current.class_states.items():
             current, baseline = state.network, self.baseline.lines[name].net
             current_values = (
@@ -113,7 +112,7 @@
 
 
 def play_random_events(seed: int, count: int = 3_000) -> None:
-    """Requests, notes, outcomes, lists and new settings in random order."""
+    """Feed requests, progress reports, outcomes, worker lists, timers and new settings in random order."""
     random, now = Random(seed), 1_000_000.0
     lockstep, workers = LockstepDispatcher(random_settings(random), seed, now), random.choice((2, 8, 60))
     in_flight: list[tuple[str, int, str, float]] = []
@@ -151,7 +150,7 @@
 
 
 def play_scenario(scenario_run: tuple[str, str, int]) -> tuple[str, int, int]:
-    """Play one scenario; its name, the events and the actions that were equal."""
+    """Run one scenario; return its name and the numbers of events and of equal actions."""
     name, revision, seed = scenario_run
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     LockstepDispatcher.baseline_type, LockstepDispatcher.instances = earlier_dispatcher(revision), []
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -1,7 +1,8 @@
-"""A stand-in for benchmarks: an endpoint that takes every job and reports it done at once.
+"""Stub endpoint for benchmarks that accepts every job and immediately reports it as done.
 
-`python benchmarks/standins.py PORT` listens there and prints the port; the variable NODE_FILE names a
-file with the address of the node, to which the call-backs go."""
+`python benchmarks/standins.py PORT` listens on the port and prints it. The environment variable NODE_FILE
+names a file with the address of the node that receives the callbacks.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
-    """One HTTP message with a Content-Length: first line, headers, body."""
+    """Read an HTTP message with a Content-Length; return its start line, headers and body."""
     head = await reader.readuntil(b"\r\n\r\n")
     start_line, *lines = head[:-4].split(b"\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in lines)}
@@ -20,14 +21,14 @@
 
 
 class CallbackClient:
-    """Connections to the node's listener, kept and used again."""
+    """Sends callbacks to the node over pooled connections."""
 
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
         self.idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def send(self, body: bytes) -> None:
-        """Tried until it is answered, ten times at most."""
+        """Send a callback; retries until it succeeds, at most ten attempts."""
         for _ in range(10):
             try:
                 connection = (
@@ -50,7 +51,7 @@
 
 
 def job_handler(name: str, get_client: Callable[[], CallbackClient]) -> Callable[..., Awaitable[None]]:
-    """Takes each job and says at once that it has started and is done."""
+    """Return a connection handler that accepts each job and immediately reports it as done."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         tasks: set[asyncio.Task[None]] = set()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,9 @@
-"""What a start costs, and a plain lookup, against an earlier revision of this repository, in one run.
+"""Compares the start of a node and a plain lookup with those of an earlier revision of this repository.
 
     .venv/bin/python benchmarks/start.py [--before REV] [--rounds 7] [--lookups 2000]
 
-Prints resident memory at /ready, time to /ready and the node's CPU for one lookup, medians of rounds that
-alternate between the two trees. Exit 1 where memory grew by more than 3 MB or the time by more than 60 ms.
+Prints resident memory at /ready, time to /ready and the node's CPU time per lookup, as medians of rounds that
+alternate between the two trees. Exits with 1 if memory grew by more than 3 MB or the time by more than 60 ms.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from standins import read_message
 
 ROOT = Path(__file__).parent.parent
-BASELINE_REVISION = "9c0ecdd"  # the last revision with everything under net/
+BASELINE_REVISION = "9c0ecdd"  # last revision with all networking code under net/
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 SETTINGS: dict[str, Any] = {
     "allowed": {"cancel": True, "connIdle": 10000.0, "dialTimeout": 250.0, "tryLimit": 6},
@@ -46,9 +46,10 @@
 
 
 class Node:
-    """A node of one tree as a process, with one endpoint (port 0: none)."""
+    """A node process run from a source tree, with one endpoint (none if the port is 0)."""
 
-    serve_options: tuple[str, ...] = ()  # of `serve`; none: the platform's own start
+    # Options of `serve`; if empty, the node is started as on the platform, without `serve`.
+    serve_options: tuple[str, ...] = ()
 
     def __init__(self, tree: Path, folder: Path, endpoint: int, port: int = 0, console_port: int = 0) -> None:
         member = {"id": "s-0", "host_port": f"127.0.0.1:{endpoint}", "locality": "a", "flavor": "standard",
@@ -77,7 +78,7 @@
         )
         while not self.ready() and (endpoint or not self.log.read_text().count("event=listening")):
             if self.process.poll() is not None or time.perf_counter() > started_at + 30:
-                raise SystemExit(f"{tree}: the node did not come up")
+                raise SystemExit(f"{tree}: the node did not become ready")
         self.start_ms = (time.perf_counter() - started_at) * 1000
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         self.rss_mb = int(re.findall(r"VmRSS:\s+(\d+)", status)[0]) / 1024
@@ -92,7 +93,7 @@
             return False
 
     def cpu_seconds(self) -> float:
-        """CPU seconds so far."""
+        """Return the CPU time that the process has used."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
@@ -102,7 +103,7 @@
 
 
 async def run_lookups(port: int, count: int, concurrency: int, id_prefix: str) -> None:
-    """So many lookups over kept connections; each must be served."""
+    """Run lookups over `concurrency` persistent connections; each must succeed."""
 
     async def client(client_index: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -135,7 +136,7 @@
         subprocess.run(["tar", "x", "-C", str(baseline_tree)], input=archive.stdout, check=True)
         address = folder / "node"
         measurements: dict[str, list[tuple[float, float, float]]] = {"before": [], "now": []}
-        for round_number in range(options.rounds + 1):  # the first one fills the caches
+        for round_number in range(options.rounds + 1):  # round 0 warms the caches and isn't counted
             for variant, tree in (("before", baseline_tree), ("now", ROOT)):
                 env = os.environ | {"NODE_FILE": str(address)}
                 worker = subprocess.Popen(
--- a/benchmarks/takeovers.py
+++ b/benchmarks/takeovers.py
@@ -1,13 +1,13 @@
-"""How long a shard takes no message after its owner is lost, in virtual time.
+"""Measures for how long a shard accepts no messages after its owner fails, in virtual time.
 
     .venv/bin/python -m benchmarks.takeovers [--seeds 17] [--jobs 4] [--sync-ms 9] [--zone-ms 4]
 
-Plays the whole service with clients that send ordered messages all the time, and one fault of one storage
-machine, each of the three in turn. Prints a Markdown table by kind of fault, in ms from the fault: until a
-shard that the machine owned has another owner, and until the first 202 to a message of that shard that was
-sent after the fault; median, 90th percentile and worst. `kept`: shards that the machine still owns.
-Virtual time passes on links and disks, not while code runs: the times are those of time-outs, messages and
-syncs. `--chart FILE` draws each take-over as a dot.
+Simulates the service with clients that continuously send ordered messages, and injects one fault into one of
+the three storage nodes per run. Prints a Markdown table by kind of fault with the time in ms from the fault
+until a shard of the node has another owner, and until the first 202 to a message of that shard sent after
+the fault: median, 90th percentile and maximum. `kept` counts the shards that the node still owns.
+Virtual time passes on links and disks, not while code runs, so the results consist of timeouts, message
+delays and disk syncs. `--chart FILE` draws each takeover as a dot.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from bitternpath.testing.simulation.events import Event, Fault, FaultKind, Layout, Message, Retire, RunPlan
 from bitternpath.testing.simulation.runs.play import Run
 
-FAULT_AT_S = 9.0  # after planned transfers of ownership, which come 6 s after the start
+FAULT_AT_S = 9.0  # after the planned ownership transfers, which start at 6 s
 RUN_SECONDS = 14.0
 KEYS = 12
 SEND_INTERVAL_S = 0.02
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run."""
+    """Parameters of one simulated run."""
 
     kind: str
     faulty_node: str
@@ -56,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Takeover:
-    """A shard that the machine owned; ms after the fault, None where it kept its owner, or no 202 came."""
+    """Takeover of a shard of the faulty node, in ms after the fault.
+
+    The times are None if the owner did not change or no message was accepted.
+    """
 
     kind: str
     new_owner_ms: float | None
@@ -64,7 +67,7 @@
 
 
 def build_plan(case: Case) -> RunPlan:
-    """Messages of all keys in turn, and the fault."""
+    """Return a plan with messages that cycle through all keys, and the fault."""
     count = round(RUN_SECONDS / SEND_INTERVAL_S)
     events: list[Event] = [
         Message(
@@ -90,12 +93,13 @@
 
 
 def run_case(case: Case) -> list[Takeover]:
-    """The take-overs of one run."""
+    """Simulate one run and return its takeovers."""
     plan = build_plan(case)
     run = Run(plan)
     _set_delays(run, case)
     assert run._create_system(), run.report.findings
-    run._play_events()  # not to the end of all messages: they come faster than the endpoint's rate allows
+    # Doesn't wait for all deliveries: messages arrive faster than the endpoint's rate limit.
+    run._play_events()
     assert not run.report.errors, run.report.errors
     started_at = next(send.at for send in run.history.sends.values()) - plan.events[0].at
     return list(_takeovers(run, case, started_at + FAULT_AT_S))
@@ -148,7 +152,7 @@
 
 
 def table_row(kind: str, takeovers: list[Takeover]) -> str:
-    """A row of the table."""
+    """Format a row of the table."""
     owned = [takeover.new_owner_ms for takeover in takeovers if takeover.new_owner_ms is not None]
     accepted = [takeover.accepted_ms for takeover in takeovers if takeover.accepted_ms is not None]
     unchanged = len(takeovers) - len(owned)
@@ -162,7 +166,7 @@
 
 
 def chart(by_kind: dict[str, list[Takeover]]) -> str:
-    """Each take-over as a dot, by kind, from the fault to the first 202."""
+    """Return an SVG with a dot per takeover, by kind of fault: ms from the fault to the first 202."""
     max_ms = (
         max((takeover.accepted_ms or 0.0) for takeovers in by_kind.values() for takeover in takeovers) or 1.0
     )
@@ -187,12 +191,22 @@
 
 
 def main() -> None:
-    """Play all cases, print the table and write the chart."""
+    """Run all cases, print the table and write the chart."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--seeds", type=int, default=17)
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--sync-ms", type=float, default=0.0, help="of all disks; 0: 1 to 5, by machine")
-    parser.add_argument("--zone-ms", type=float, default=0.0, help="between zones; 0: as the world has it")
+    parser.add_argument(
+        "--sync-ms",
+        type=float,
+        default=0.0,
+        help="sync time of all disks in ms; 0: 1 to 5 ms, depending on the node",
+    )
+    parser.add_argument(
+        "--zone-ms",
+        type=float,
+        default=0.0,
+        help="delay between zones in ms; 0: the default of the simulated network",
+    )
     parser.add_argument("--chart", type=Path)
     options = parser.parse_args()
     cases = [
