--- a/benchmarks/amqp.py
+++ b/benchmarks/amqp.py
@@ -81,8 +81,8 @@
 
 def marshal_content(key: str, data: bytes, **properties: Any) -> bytes:
     return b"".join(
-        frame.marshal(part, 1)
-        for part in (
+        frame.marshal(frame_value, 1)
+        for frame_value in (
             c.Basic.Publish(0, "", key),
             header.ContentHeader(0, len(data), c.Basic.Properties(**properties)),
             body.ContentBody(data),
@@ -161,8 +161,10 @@
         for number in range(jobs // MAX_JOBS_IN_FLIGHT):
             started_at = time.perf_counter()
             message_id = f"{id_prefix}-{client_index}-{number}"
-            head = f"POST /lookup HTTP/1.1\r\nHost: n\r\nX-Call-Id: {message_id}\r\nX-Budget-Ms: 5000\r\n"
-            writer.write(head.encode() + b"Content-Length: 2\r\n\r\nhi")
+            request_head = (
+                f"POST /lookup HTTP/1.1\r\nHost: n\r\nX-Call-Id: {message_id}\r\nX-Budget-Ms: 5000\r\n"
+            )
+            writer.write(request_head.encode() + b"Content-Length: 2\r\n\r\nhi")
             status = (await read_message(reader))[0]
             assert status.startswith(b"HTTP/1.1 200"), status
             latencies_ms.append((time.perf_counter() - started_at) * 1000)
@@ -247,7 +249,7 @@
     return violation_count
 
 
-def compare(folder: Path, jobs: int, rounds: int) -> None:
+def compare_protocols(folder: Path, jobs: int, rounds: int) -> None:
     """Run the same jobs over each protocol, on separate nodes so that each uses only its own endpoint."""
     address = folder / "node"
     worker = subprocess.Popen(
@@ -264,11 +266,13 @@
         rows = []
         try:
             if variant == "amqp":
-                ours, theirs = multiprocessing.Pipe()
+                parent_connection, child_connection = multiprocessing.Pipe()
                 context = multiprocessing.get_context("spawn")
-                process = context.Process(target=run_subscriber, args=(node.amqp_port, theirs), daemon=True)
+                process = context.Process(
+                    target=run_subscriber, args=(node.amqp_port, child_connection), daemon=True
+                )
                 process.start()
-                assert ours.poll(30)
+                assert parent_connection.poll(30)
             for round_number in range(rounds + 1):  # round 0 is a warm-up and isn't counted
                 if process is not None:
                     run = publish_jobs(node.amqp_port, jobs, f"a{round_number}")
@@ -330,7 +334,7 @@
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(65536, hard_limit), hard_limit))
     with tempfile.TemporaryDirectory() as name:
-        compare(Path(name), options.jobs, options.rounds)
+        compare_protocols(Path(name), options.jobs, options.rounds)
         measure_idle_connections(Path(name), options.connections)
     return int(print_disconnect_table() > 0)
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -159,8 +159,8 @@
 for k, agent in enumerate(agents):
     reactor.callLater(k * 0.005, agent.begin)
 def report():
-    held = sum(agent.service_span.fencing_token != 0 for agent in agents)
-    print(held, count[0], flush=True)
+    lease_count = sum(agent.service_span.fencing_token != 0 for agent in agents)
+    print(lease_count, count[0], flush=True)
     reactor.callLater(0.5, report)
 report()
 reactor.run()
@@ -204,10 +204,10 @@
             deadline = started_at + MEASUREMENT_S
             while time.monotonic() < deadline:
                 last_line = next(output_lines)
-            wall = time.monotonic() - started_at
+            wall_seconds = time.monotonic() - started_at
             core_share, bytes_per_s = (
-                (cpu_seconds(pid) - cpu_before) / wall,
-                (int(last_line.split()[1]) - bytes_before) / wall,
+                (cpu_seconds(pid) - cpu_before) / wall_seconds,
+                (int(last_line.split()[1]) - bytes_before) / wall_seconds,
             )
             durations = []
             for index in range(20):
--- a/benchmarks/operators.py
+++ b/benchmarks/operators.py
@@ -138,13 +138,13 @@
         round_number = 0
         while not stop_load.is_set():
             round_number += 1
-            head = (
+            request_head = (
                 f"POST /lookup HTTP/1.1\r\nHost: n\r\n"
                 f"X-Call-Id: u-{client_index}-{round_number}\r\nX-Budget-Ms: 5000\r\n"
             )
             try:
                 connection = connection or await asyncio.open_connection("127.0.0.1", node.port)
-                connection[1].write(head.encode() + b"Content-Length: 2\r\n\r\nhi")
+                connection[1].write(request_head.encode() + b"Content-Length: 2\r\n\r\nhi")
                 start_line, headers, _ = await read_message(connection[0])
             except (OSError, asyncio.IncompleteReadError):
                 counts["broken connections"] += 1
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -145,8 +145,10 @@
             event = m.TimerFired(random.choice(("sweep", "sweep", "sweep", "watch")))
         actions = lockstep.handle(now, event)
         for action in [action for action in actions if isinstance(action, m.Send)]:
-            tries = [attempt for attempt in lockstep.current.jobs[action.id].attempts if attempt.in_flight]
-            in_flight.append((action.id, tries[-1].number, action.worker, now))
+            attempts_in_flight = [
+                attempt for attempt in lockstep.current.jobs[action.id].attempts if attempt.in_flight
+            ]
+            in_flight.append((action.id, attempts_in_flight[-1].number, action.worker, now))
 
 
 def play_scenario(scenario_run: tuple[str, str, int]) -> tuple[str, int, int]:
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -14,8 +14,8 @@
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
     """Read an HTTP message with a Content-Length; return its start line, headers and body."""
-    head = await reader.readuntil(b"\r\n\r\n")
-    start_line, *lines = head[:-4].split(b"\r\n")
+    head_bytes = await reader.readuntil(b"\r\n\r\n")
+    start_line, *lines = head_bytes[:-4].split(b"\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in lines)}
     return start_line, headers, await reader.readexactly(int(headers.get(b"content-length", b"0")))
 
@@ -37,8 +37,8 @@
                     else await asyncio.open_connection(self.host, self.port)
                 )
                 reader, writer = connection
-                head = b"POST /_jobs/news HTTP/1.1\r\nHost: n\r\nContent-Length: %d\r\n\r\n" % len(body)
-                writer.write(head + body)
+                head_bytes = b"POST /_jobs/news HTTP/1.1\r\nHost: n\r\nContent-Length: %d\r\n\r\n" % len(body)
+                writer.write(head_bytes + body)
                 start_line, headers, _ = await read_message(reader)
             except (OSError, asyncio.IncompleteReadError):
                 continue
--- a/benchmarks/takeovers.py
+++ b/benchmarks/takeovers.py
@@ -130,8 +130,8 @@
             new_owner_at.setdefault(change.group, change.at)
     for group in sorted(group for group, owner in owners.items() if owner == faulty_node):
         accepted = _first_accepted(run, int(group.removeprefix(GROUP_PREFIX)), shard_count, fault_at)
-        owned = new_owner_at.get(group)
-        yield Takeover(case.kind, _elapsed_ms(owned, fault_at), _elapsed_ms(accepted, fault_at))
+        owned_at = new_owner_at.get(group)
+        yield Takeover(case.kind, _elapsed_ms(owned_at, fault_at), _elapsed_ms(accepted, fault_at))
 
 
 def _storage_names(run: Run) -> list[str]:
@@ -153,10 +153,10 @@
 
 def table_row(kind: str, takeovers: list[Takeover]) -> str:
     """Format a row of the table."""
-    owned = [takeover.new_owner_ms for takeover in takeovers if takeover.new_owner_ms is not None]
+    new_owner_times = [takeover.new_owner_ms for takeover in takeovers if takeover.new_owner_ms is not None]
     accepted = [takeover.accepted_ms for takeover in takeovers if takeover.accepted_ms is not None]
-    unchanged = len(takeovers) - len(owned)
-    return f"| {kind} | {len(takeovers)} | {unchanged} | {_summary(owned)} | {_summary(accepted)} |"
+    unchanged = len(takeovers) - len(new_owner_times)
+    return f"| {kind} | {len(takeovers)} | {unchanged} | {_summary(new_owner_times)} | {_summary(accepted)} |"
 
 
 def _summary(values: list[float]) -> str:
--- a/tests/parallel_runner/plugin.py
+++ b/tests/parallel_runner/plugin.py
@@ -99,15 +99,15 @@
     def __init__(self) -> None:
         with ExitStack() as on_error:
             self._output = on_error.enter_context(tempfile.TemporaryFile())
-            ours, theirs = socket.socketpair()
-            with theirs:
-                self.connection = on_error.enter_context(Connection(ours.detach()))
+            parent_socket, child_socket = socket.socketpair()
+            with child_socket:
+                self.connection = on_error.enter_context(Connection(parent_socket.detach()))
                 self._process = subprocess.Popen(
-                    [sys.executable, "-m", WORKER_MODULE, str(theirs.fileno())],
+                    [sys.executable, "-m", WORKER_MODULE, str(child_socket.fileno())],
                     stdin=subprocess.DEVNULL,
                     stdout=self._output,
                     stderr=subprocess.STDOUT,
-                    pass_fds=[theirs.fileno()],
+                    pass_fds=[child_socket.fileno()],
                     start_new_session=True,  # lets `kill` also kill the processes that tests started
                 )
                 self.connection.send(tuple(sys.path))
