--- a/tests/system/test_import_graph.py
+++ b/tests/system/test_import_graph.py
@@ -1,7 +1,7 @@
-"""Imports within the program go one way: no circle between modules, none between packages.
+"""Checks that neither modules nor packages of the program import each other in a cycle.
 
-The sources are parsed, nothing is imported. Imports for types only (`TYPE_CHECKING`) and imports inside of
-functions count like any other: a module that can't be understood without another one depends on it.
+The sources are parsed, not imported. Imports under `TYPE_CHECKING` and inside functions are included: a
+module that can't be understood without another module depends on it.
 """
 
 from __future__ import annotations
@@ -20,118 +20,122 @@
 
 
 def module_files(folder: Path, name: str) -> dict[str, Path]:
-    """Dotted names of all modules of a package, with their files; a package stands for its `__init__`."""
-    found: dict[str, Path] = {}
+    """Map the dotted names of all modules of a package to their files; a package's is its `__init__.py`."""
+    files: dict[str, Path] = {}
     for path in sorted(folder.rglob("*.py")):
-        inside = path.relative_to(folder).with_suffix("").parts
-        parts = inside[:-1] if inside[-1] == "__init__" else inside
-        found[".".join((name, *parts))] = path
-    return found
+        relative_parts = path.relative_to(folder).with_suffix("").parts
+        name_parts = relative_parts[:-1] if relative_parts[-1] == "__init__" else relative_parts
+        files[".".join((name, *name_parts))] = path
+    return files
 
 
 def imported_names(tree: ast.AST, module: str, is_package: bool) -> Iterable[str]:
-    """Dotted names that a module's imports could mean, relative ones made absolute."""
+    """Yield the absolute dotted names that a module's imports may refer to."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            above = module.split(".") if is_package else module.split(".")[:-1]
-            start = above[: len(above) - node.level + 1] if node.level else []
-            origin = ".".join([*start, *([node.module] if node.module else [])])
+            parent_names = module.split(".") if is_package else module.split(".")[:-1]
+            base_names = parent_names[: len(parent_names) - node.level + 1] if node.level else []
+            origin = ".".join([*base_names, *([node.module] if node.module else [])])
             yield from (f"{origin}.{alias.name}" for alias in node.names)
 
 
 def known_module(name: str, modules: Mapping[str, Path]) -> str | None:
-    """The module that a dotted name is, or is defined in; None outside of the program."""
+    """Return the module that a dotted name denotes or is defined in; None if outside of the program."""
     while name and name not in modules:
         name = name.rpartition(".")[0]
     return name or None
 
 
 def module_graph(modules: Mapping[str, Path]) -> Graph:
-    """What each module imports of the program."""
+    """Return the modules of the program that each module imports."""
     graph: dict[str, frozenset[str]] = {}
     for module, path in modules.items():
         tree = ast.parse(path.read_text(), str(path))
         names = imported_names(tree, module, path.name == "__init__.py")
-        found = {known_module(name, modules) for name in names}
-        graph[module] = frozenset(each for each in found if each is not None and each != module)
+        imported = {known_module(name, modules) for name in names}
+        graph[module] = frozenset(each for each in imported if each is not None and each != module)
     return graph
 
 
 def package_of(module: str, modules: Mapping[str, Path]) -> str:
-    """The package that a module belongs to; a package belongs to itself."""
+    """Return the package of a module; that of a package is the package itself."""
     return module if modules[module].name == "__init__.py" else module.rpartition(".")[0]
 
 
-def within(inner: str, outer: str) -> bool:
-    """Whether a package is the other one or lies in it."""
+def is_same_or_nested(inner: str, outer: str) -> bool:
+    """Return whether two packages are the same or the first is nested in the second."""
     return inner == outer or inner.startswith(f"{outer}.")
 
 
 def package_graph(graph: Graph, modules: Mapping[str, Path]) -> Graph:
-    """What each package imports of others.
+    """Return the unrelated packages that each package imports.
 
-    A package and one inside of it are not two layers but a whole and its part: only the graph of modules
-    says in which order they are read. So imports between them don't count here.
+    A package and a package nested in it are not two layers, so imports between them are left out; the graph
+    of modules covers them.
     """
-    found: dict[str, set[str]] = {}
+    imports_by_package: dict[str, set[str]] = {}
     for module, imports in graph.items():
         package = package_of(module, modules)
         targets = {package_of(each, modules) for each in imports}
-        apart = {each for each in targets if not within(each, package) and not within(package, each)}
-        found.setdefault(package, set()).update(apart)
-    return {package: frozenset(targets) for package, targets in found.items()}
+        unrelated = {
+            each
+            for each in targets
+            if not is_same_or_nested(each, package) and not is_same_or_nested(package, each)
+        }
+        imports_by_package.setdefault(package, set()).update(unrelated)
+    return {package: frozenset(targets) for package, targets in imports_by_package.items()}
 
 
-def reachable(graph: Graph, start: str) -> frozenset[str]:
-    """All that can be reached from a node in one step or more."""
+def reachable(graph: Graph, origin: str) -> frozenset[str]:
+    """Return the nodes that can be reached from a node in one or more steps."""
     seen: set[str] = set()
-    ahead = list(graph.get(start, ()))
-    while ahead:
-        node = ahead.pop()
+    pending = list(graph.get(origin, ()))
+    while pending:
+        node = pending.pop()
         if node not in seen:
             seen.add(node)
-            ahead.extend(graph.get(node, ()))
+            pending.extend(graph.get(node, ()))
     return frozenset(seen)
 
 
-def circles(graph: Graph) -> list[list[str]]:
-    """Groups of nodes each of which reaches every other one of its group and itself, sorted."""
+def import_cycles(graph: Graph) -> list[list[str]]:
+    """Return the sorted groups of nodes that can all reach each other and themselves."""
     reach = {node: reachable(graph, node) for node in graph}
-    in_circle = [node for node in sorted(graph) if node in reach[node]]
+    in_cycle = [node for node in sorted(graph) if node in reach[node]]
     groups: list[list[str]] = []
-    for node in in_circle:
-        same = [group for group in groups if group[0] in reach[node] and node in reach[group[0]]]
-        if same:
-            same[0].append(node)
+    for node in in_cycle:
+        same_cycle = [group for group in groups if group[0] in reach[node] and node in reach[group[0]]]
+        if same_cycle:
+            same_cycle[0].append(node)
         else:
             groups.append([node])
     return groups
 
 
 def layers_of(page: str) -> dict[str, int]:
-    """The number of each package's row, from 0 at the top, in the table under the heading "Layers"."""
+    """Return each package's row, counted from 0, in the table under the heading "Layers"."""
     section = page.partition("## Layers")[2].partition("\n## ")[0]
     rows = [line.split("|")[1] for line in section.splitlines() if line.startswith("| `")]
     return {name: row for row, cell in enumerate(rows) for name in re.findall(r"`(\w+)/`", cell)}
 
 
-def misdirected(graph: Graph, layers: Mapping[str, int]) -> list[str]:
-    """Imports between packages of the table that don't point down."""
-    found = []
+def upward_imports(graph: Graph, layers: Mapping[str, int]) -> list[str]:
+    """Return the imports between packages of the table that don't point to a lower layer."""
+    violations = []
     for module, targets in graph.items():
         for target in targets:
             package, imported = (name.split(".")[1] if "." in name else "" for name in (module, target))
             if package == imported or package not in layers or imported not in layers:
                 continue
             if layers[imported] <= layers[package]:
-                found.append(f"{module} imports {target}")
-    return sorted(found)
+                violations.append(f"{module} imports {target}")
+    return sorted(violations)
 
 
 class ImportGraphTest(unittest.TestCase):
-    """The program's own imports."""
+    """Import cycles of the program."""
 
     modules: ClassVar[Mapping[str, Path]]
     graph: ClassVar[Graph]
@@ -141,19 +145,19 @@
         cls.modules = module_files(Path(bitternpath.__file__).parent, PROGRAM)
         cls.graph = module_graph(cls.modules)
 
-    def test_the_whole_program_is_read(self) -> None:
+    def test_all_modules_are_parsed(self) -> None:
         self.assertIn(f"{PROGRAM}.roles.edge", self.graph)
         self.assertIn(f"{PROGRAM}.transport.links", self.graph[f"{PROGRAM}.roles.edge"])
 
-    def test_no_circle_between_modules(self) -> None:
-        self.assertEqual([], circles(self.graph))
+    def test_no_cycle_between_modules(self) -> None:
+        self.assertEqual([], import_cycles(self.graph))
 
-    def test_no_circle_between_packages(self) -> None:
-        self.assertEqual([], circles(package_graph(self.graph, self.modules)))
+    def test_no_cycle_between_packages(self) -> None:
+        self.assertEqual([], import_cycles(package_graph(self.graph, self.modules)))
 
 
 class LayersTest(unittest.TestCase):
-    """The table "Layers" of docs/ARCHITECTURE.md."""
+    """Imports against the table "Layers" of docs/ARCHITECTURE.md."""
 
     def test_no_import_points_up_or_sideways(self) -> None:
         page = Path(bitternpath.__file__).parents[1] / "docs/ARCHITECTURE.md"
@@ -161,9 +165,9 @@
         modules = module_files(Path(bitternpath.__file__).parent, PROGRAM)
         self.assertLessEqual(set(layers), {name.split(".")[1] for name in modules if "." in name})
         self.assertGreater(len(layers), 10)
-        self.assertEqual([], misdirected(module_graph(modules), layers))
+        self.assertEqual([], upward_imports(module_graph(modules), layers))
 
-    def test_what_counts(self) -> None:
+    def test_upward_and_sideways_imports_are_reported(self) -> None:
         layers = {"cli": 0, "roles": 1, "shards": 2, "ingress": 2, "net": 3}
         graph = {
             "p.roles.edge": frozenset(("p.cli.system", "p.net.clock", "p.roles.storage", "p.testing.world")),
@@ -171,25 +175,25 @@
             "p.testing.world": frozenset(("p.cli.system",)),
         }
         expected = ["p.roles.edge imports p.cli.system", "p.shards.appends imports p.ingress.interfaces"]
-        self.assertEqual(expected, misdirected(graph, layers))
+        self.assertEqual(expected, upward_imports(graph, layers))
 
 
-class CirclesTest(unittest.TestCase):
-    """The search itself, on small graphs."""
+class ImportCyclesTest(unittest.TestCase):
+    """Cycle detection on small graphs."""
 
-    def found(self, **graph: str) -> list[list[str]]:
-        return circles({node: frozenset(targets) for node, targets in graph.items()})
+    def cycles(self, **graph: str) -> list[list[str]]:
+        return import_cycles({node: frozenset(targets) for node, targets in graph.items()})
 
-    def test_a_chain_has_none(self) -> None:
-        self.assertEqual([], self.found(a="bc", b="c", c=""))
+    def test_chain_has_no_cycle(self) -> None:
+        self.assertEqual([], self.cycles(a="bc", b="c", c=""))
 
-    def test_a_long_circle_is_one_group(self) -> None:
-        self.assertEqual([["a", "b", "c"]], self.found(a="b", b="c", c="a", d="a"))
+    def test_long_cycle_is_one_group(self) -> None:
+        self.assertEqual([["a", "b", "c"]], self.cycles(a="b", b="c", c="a", d="a"))
 
-    def test_two_circles_are_two_groups(self) -> None:
-        self.assertEqual([["a", "b"], ["c", "d"]], self.found(a="b", b="ac", c="d", d="c"))
+    def test_two_cycles_are_two_groups(self) -> None:
+        self.assertEqual([["a", "b"], ["c", "d"]], self.cycles(a="b", b="ac", c="d", d="c"))
 
-    def test_relative_imports_and_those_for_types_count(self) -> None:
+    def test_relative_and_type_checking_imports_are_included(self) -> None:
         source = (
             "if TYPE_CHECKING:\n    from . import sibling\n"
             "def later():\n    from ..other.module import Name\n    import top.level\n"
