--- a/bitternpath/testing/simulation/actors/machine_faults.py
+++ b/bitternpath/testing/simulation/actors/machine_faults.py
@@ -32,7 +32,7 @@
         self._lossy: set[str] = set()  # names of machines with lossy links
         self._injectors: dict[FaultKind, Callable[[Fault, str], None]] = {
             FaultKind.KILL: self._kill,
-            FaultKind.POWER: self._power,
+            FaultKind.POWER: self._lose_power,
             FaultKind.WIPE: self._wipe,
             FaultKind.FREEZE: self._freeze,
             FaultKind.PARTITION: self._partition,
@@ -46,7 +46,7 @@
             FaultKind.ADD: self._add,
             FaultKind.TERM: self._terminate,
             FaultKind.ALL_KILLED: self._kill,
-            FaultKind.ALL_POWER: self._power,
+            FaultKind.ALL_POWER: self._lose_power,
             FaultKind.HERD_KILLED: self._kill,
             FaultKind.CLOCK_STEP: self._step_clock,
             FaultKind.LOSSY: self._lose_packets,
@@ -91,7 +91,7 @@
         self._world.kill(name, self._down_s(fault))
         self._record_outage(DisruptionKind.DOWN, name, self._down_s(fault))
 
-    def _power(self, fault: Fault, name: str) -> None:
+    def _lose_power(self, fault: Fault, name: str) -> None:
         self._world.lose_power(name, self._down_s(fault))
         self._record_outage(DisruptionKind.DOWN, name, self._down_s(fault))
 
@@ -101,12 +101,12 @@
 
     def _freeze(self, fault: Fault, name: str) -> None:
         self._world.freeze(name)
-        self._later(fault.lasts, self._world.thaw, name)
+        self._schedule(fault.lasts, self._world.thaw, name)
         self._record_outage(DisruptionKind.FROZEN, name, fault.lasts)
 
     def _partition(self, fault: Fault, name: str) -> None:
         self._world.isolate(name, self._others(name))
-        self._later(fault.lasts, self._world.heal_host, name)
+        self._schedule(fault.lasts, self._world.heal_host, name)
         self._record_outage(DisruptionKind.PARTITION, name, fault.lasts)
 
     def _partition_one_way(self, fault: Fault, name: str) -> None:
@@ -115,7 +115,7 @@
                 self._world.partition(name, other, both=False)
             else:
                 self._world.partition(other, name, both=False)
-        self._later(fault.lasts, self._world.heal_host, name)
+        self._schedule(fault.lasts, self._world.heal_host, name)
         self._record_outage(DisruptionKind.PARTITION, name, fault.lasts)
 
     def _partition_with_seeds(self, fault: Fault, name: str) -> None:
@@ -123,11 +123,11 @@
         own = node.control or self._world.edges()[0].control
         self._world.reload(name, seeds=[own])
         self._partition(fault, name)
-        self._later(fault.lasts, self._world.write_seeds)
+        self._schedule(fault.lasts, self._world.write_seeds)
 
     def _slow(self, fault: Fault, name: str) -> None:
         self._world.slow(name, SLOW_FACTOR)
-        self._later(fault.lasts, self._restore_speed, name)
+        self._schedule(fault.lasts, self._restore_speed, name)
         self._record_outage(DisruptionKind.SLOWED, name, fault.lasts)
 
     def _stall(self, fault: Fault, name: str) -> None:
@@ -164,7 +164,7 @@
         self._lossy.add(name)
         for other in self._others(name):
             self._world.set_packet_loss(name, other, PACKET_LOSS)
-        self._later(fault.lasts, self._restore_links, name)
+        self._schedule(fault.lasts, self._restore_links, name)
         self._record_outage(DisruptionKind.LOSSY, name, fault.lasts)
 
     def _restore_links(self, name: str) -> None:
@@ -208,7 +208,7 @@
     def _down_s(fault: Fault) -> float:
         return max(fault.lasts, SHORTEST_DOWN_S)
 
-    def _later(self, seconds: float, call: Callable[..., object], *arguments: str) -> None:
+    def _schedule(self, seconds: float, call: Callable[..., object], *arguments: str) -> None:
         self._world.at(self._world.now + seconds, call, *arguments)
 
     def _record_outage(self, kind: DisruptionKind, name: str, lasts: float) -> None:
--- a/bitternpath/testing/simulation/actors/operators.py
+++ b/bitternpath/testing/simulation/actors/operators.py
@@ -40,7 +40,7 @@
 RETIRE_POLL_INTERVAL_S = 0.3
 RETIRE_TIMEOUT_S = 25.0  # for a retirement to be reported as done
 POLLS_AFTER_DONE = 6
-RIVAL_NUMBERS = 10_000  # distance between the numbers of rival changes
+RIVAL_NUMBER_STEP = 10_000  # distance between the numbers of rival changes
 MAX_READ_ATTEMPTS = 10
 
 
@@ -119,7 +119,9 @@
         if event.twice:
             sent.append(self._send(self._calls(random), change))
         for rival in range(1, event.rivals + 1):
-            number = 2 * (event.number + rival * RIVAL_NUMBERS) + 1  # odd numbers add a route of their own
+            number = (
+                2 * (event.number + rival * RIVAL_NUMBER_STEP) + 1
+            )  # odd numbers add a route of their own
             other = changed_document(before, number, version)
             rival_change = ConfigurationChange(put_call(base, other), base, other)
             sent.append(self._send(self._calls(random), rival_change))
--- a/bitternpath/testing/simulation/actors/workers.py
+++ b/bitternpath/testing/simulation/actors/workers.py
@@ -123,7 +123,7 @@
         )
         self._incarnations = [0] * LISTED_WORKERS
         self._entries: dict[str, dict[str, Any]] = {}
-        self._lag = Random(f"{plan.seed}/list")
+        self._list_delays = Random(f"{plan.seed}/list")
         self.listed = [self._start(index) for index in range(LISTED_WORKERS)]
         self.platform.publish(list(self._entries.values()))
         service = SERVICES[DeliveryKind.ENDPOINT]
@@ -184,10 +184,10 @@
         """Mark an answer as read if its receiver keeps running for as long as it may be in flight."""
         node = next(node for node in self._world.nodes.values() if node.ip == sender)
         incarnation = node.incarnations
-        answer.read = _runs(node)
+        answer.read = _is_running(node)
 
         def check_again() -> None:
-            answer.read = answer.read and _runs(node) and node.incarnations == incarnation
+            answer.read = answer.read and _is_running(node) and node.incarnations == incarnation
 
         self._world.at(self._world.now + READ_MARGIN_AFTER_ANSWER_S, check_again)
 
@@ -195,7 +195,7 @@
         """Show the current entries in the platform's list after a random delay."""
         entries = list(self._entries.values())
         self._world.at(
-            self._world.now + self._lag.uniform(0.0, MAX_LIST_LAG_S), self._show, entries, draining
+            self._world.now + self._list_delays.uniform(0.0, MAX_LIST_LAG_S), self._show, entries, draining
         )
 
     def _show(self, entries: list[dict[str, Any]], draining: str) -> None:
@@ -220,5 +220,5 @@
         )
 
 
-def _runs(node: SimulatedNode) -> bool:
+def _is_running(node: SimulatedNode) -> bool:
     return node.state.value == "up" and node.factor == 1.0
--- a/bitternpath/testing/simulation/checks/configuration.py
+++ b/bitternpath/testing/simulation/checks/configuration.py
@@ -69,11 +69,11 @@
         if not _answered(probe) or not connectivity.connected([probe.node], probe.sent_at, probe.ended_at):
             continue
         due = _acknowledged(history, probe.sent_at - parameters.config_apply_s)
-        least = max((order.version for order in due), default=NO_VERSION)
-        allowed = [version for version in _versions(history, probe) if version[0] >= least]
-        if allowed and not any(_fits(probe, document) for _, document in allowed):
+        min_version = max((order.version for order in due), default=NO_VERSION)
+        allowed = [version for version in _versions(history, probe) if version[0] >= min_version]
+        if allowed and not any(_is_consistent(probe, document) for _, document in allowed):
             text = f"{probe.node} answered {probe.status} to {probe.path} sent at {probe.sent_at:.3f}"
-            yield Violation(Rule.CONFIG, probe.request_id, f"{text}, as in versions below {least} only")
+            yield Violation(Rule.CONFIG, probe.request_id, f"{text}, as in versions below {min_version} only")
 
 
 def check_goes_back(history: SystemHistory, parameters: SystemRuleParameters) -> Iterator[Violation]:
@@ -88,7 +88,7 @@
         possible = [
             version
             for version, document in _versions(history, probe)
-            if version >= floor and _fits(probe, document)
+            if version >= floor and _is_consistent(probe, document)
         ]
         if possible:
             seen.append((probe.ended_at, min(possible)))
@@ -120,7 +120,7 @@
     return [(NO_VERSION, {"routes": []}), *sent]
 
 
-def _fits(probe: RouteProbe, document: Any) -> bool:
+def _is_consistent(probe: RouteProbe, document: Any) -> bool:
     has_route = any(
         route["host"] == probe.host and probe.path.startswith(route["path_prefix"])
         for route in document["routes"]
--- a/bitternpath/testing/simulation/connector.py
+++ b/bitternpath/testing/simulation/connector.py
@@ -79,10 +79,10 @@
 
     def _syn_arrives(self, path: Path, attempt: int) -> None:
         host = self._network.hosts.get(self.target[0])
-        back = self._network.path(self.target[0], self.reactor.host.ip)
-        if host is None or not host.powered or path.partitioned or back.partitioned:
+        reverse_path = self._network.path(self.target[0], self.reactor.host.ip)
+        if host is None or not host.powered or path.partitioned or reverse_path.partitioned:
             return
-        arrival = back.arrival(self._network.scheduler.now, 0)
+        arrival = reverse_path.arrival(self._network.scheduler.now, 0)
         answer = self._refused if self.target[1] not in host.ports else self._answered
         self._network.scheduler.push(arrival, self.reactor.read, lambda: answer(attempt))
 
--- a/bitternpath/testing/simulation/group_invariants.py
+++ b/bitternpath/testing/simulation/group_invariants.py
@@ -35,7 +35,7 @@
         self.violations: list[Violation] = []
         self._owners: dict[tuple[str, int], str] = {}
         self._applied: dict[str, dict[int, int]] = {}
-        self._refused_terms = RefusedTermChecker(lambda text: self._broken("refused term used again", text))
+        self._refused_terms = RefusedTermChecker(lambda text: self._report("refused term used again", text))
 
     def observe(self, node: str, host: ReplicaHost) -> None:
         """Watch the groups that a process will open."""
@@ -67,16 +67,16 @@
         self.recorder.ownership(node, group, epoch, True)
         previous = self._owners.setdefault((group, epoch), node)
         if previous != node:
-            self._broken("one owner an epoch", f"{group} epoch {epoch}: {previous} and {node}")
+            self._report("one owner an epoch", f"{group} epoch {epoch}: {previous} and {node}")
 
     def applied(self, node: str, group: str, index: int, command: bytes) -> None:
         """Check a command that a replica applied against those of the others."""
         checksums = self._applied.setdefault(group, {})
         checksum = zlib.crc32(command)
         if checksums.setdefault(index, checksum) != checksum:
-            self._broken("committed never lost", f"{group} entry {index}: {node} applied another command")
+            self._report("committed never lost", f"{group} entry {index}: {node} applied another command")
 
-    def _broken(self, rule: str, text: str) -> None:
+    def _report(self, rule: str, text: str) -> None:
         self.violations.append(Violation(self._seconds(), rule, text))
         self.recorder.event("violation", f"{rule}: {text}")
 
--- a/bitternpath/testing/simulation/reactor.py
+++ b/bitternpath/testing/simulation/reactor.py
@@ -168,7 +168,7 @@
         self.due_timers: list[Call] = []  # timers that fell due while the process was frozen
         self.pending_reads: list[Call] = []  # reads of sockets that became readable in that time
         self.sockets: dict[Any, None] = {}  # open ports and connections, in order of creation
-        self.on_stop: Callable[[], None] = _nothing
+        self.on_stop: Callable[[], None] = _do_nothing
         self.thread_work: Callable[[Call], object] = self._thread_work
         self.nameResolver = _NumericAddressResolver()
         self.propagates_errors = False  # whether a callback's exception ends the run; set for actors
@@ -306,5 +306,5 @@
         self.pending_reads.clear()
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Default of `VirtualReactor.on_stop`."""
--- a/bitternpath/testing/simulation/refused_terms.py
+++ b/bitternpath/testing/simulation/refused_terms.py
@@ -39,9 +39,9 @@
 class RefusedTermChecker:
     """Observes the consensus messages of all members; a member is identified by its disk."""
 
-    def __init__(self, broken: Callable[[str], object]) -> None:
-        """Create a checker that passes a description of each request of a refused term to `broken`."""
-        self._broken = broken
+    def __init__(self, report: Callable[[str], object]) -> None:
+        """Create a checker that passes a description of each request of a refused term to `report`."""
+        self._report = report
         self._highest_refusing: dict[tuple[str, str], int] = {}  # by member and group
 
     def observe(self, member: str, name: str, group: ReplicaGroup) -> None:
@@ -72,6 +72,6 @@
         refused = self._highest_refusing.get((member, group), 0)
         if isinstance(message, LeaderRequest) and message.term < refused:
             kind = type(message).__name__
-            self._broken(
+            self._report(
                 f"{group}: {member} sent {kind} of term {message.term} after it received term {refused}"
             )
--- a/bitternpath/testing/simulation/repair_controller.py
+++ b/bitternpath/testing/simulation/repair_controller.py
@@ -83,9 +83,9 @@
         groups = repaired_placement(self.groups, reachable, departed, self._tolerated)
         if groups != self.groups:
             self._placement_pending = True
-            self.world.clock.callLater(COMMIT_S, self._placed, groups)
+            self.world.clock.callLater(COMMIT_S, self._placement_committed, groups)
 
-    def _placed(self, groups: tuple[GroupPlacement, ...]) -> None:
+    def _placement_committed(self, groups: tuple[GroupPlacement, ...]) -> None:
         self._placement_pending = False
         self.groups = groups
         self._notify(self.connected)
--- a/bitternpath/testing/simulation/repairs.py
+++ b/bitternpath/testing/simulation/repairs.py
@@ -116,7 +116,7 @@
         self.clock = EventClock()
         self.checkers: dict[str, Checker] = {}
         self.machines: dict[str, Machine] = {}
-        self.registers: dict[tuple[str, str], CommandLogMachine] = {}  # by member and group
+        self.state_machines: dict[tuple[str, str], CommandLogMachine] = {}  # by member and group
         self.controller = Controller(self, plan.tolerated)
         self.times: dict[str, GroupTimes] = {}
         self.ended_at: dict[tuple[str, int], float] = {}  # by name and incarnation
@@ -224,8 +224,10 @@
         if placement.generation == 1:
             founders = Members(tuple(member.member for member in placement.members), (), 1)
         own_id, checker = process.host.member_id, self.checkers[placement.group]
-        register = self.registers[own_id, placement.group] = CommandLogMachine(own_id, checker)
-        process.host.open_group(placement.group, register, founders, Listener(own_id, checker, register))
+        state_machine = self.state_machines[own_id, placement.group] = CommandLogMachine(own_id, checker)
+        process.host.open_group(
+            placement.group, state_machine, founders, Listener(own_id, checker, state_machine)
+        )
         process.reconciler.group_opened(placement.group)
 
     @staticmethod
@@ -394,7 +396,7 @@
             owner = self.owner(group)
             if owner is None:
                 raise InvariantViolationError(f"{group} has no owner")
-            commands = self.registers[owner.host.member_id, group].commands
+            commands = self.state_machines[owner.host.member_id, group].commands
             if commands[: checker.acknowledged] != checker.committed[: checker.acknowledged]:
                 raise InvariantViolationError(f"{group}: the owner lacks acknowledged commands")
 
--- a/bitternpath/testing/simulation/replica_checker.py
+++ b/bitternpath/testing/simulation/replica_checker.py
@@ -97,14 +97,14 @@
 class Listener:
     """Reports ownership to the checker."""
 
-    def __init__(self, node: str, checker: Checker, register: CommandLogMachine) -> None:
+    def __init__(self, node: str, checker: Checker, state_machine: CommandLogMachine) -> None:
         self.node = node
         self.checker = checker
-        self.register = register
+        self.state_machine = state_machine
 
     def became_owner(self, epoch: int) -> None:
         """Report the new owner."""
-        self.checker.owns(epoch, self.node, len(self.register.commands))
+        self.checker.owns(epoch, self.node, len(self.state_machine.commands))
 
     def lost_ownership(self, cause: RoleChangeCause) -> None:
         """Ignored: only the next owner is checked."""
--- a/bitternpath/testing/simulation/replica_group.py
+++ b/bitternpath/testing/simulation/replica_group.py
@@ -52,7 +52,7 @@
     clock: ProcessClock
     journal_writer: VirtualTimeJournalWriter
     host: ReplicaHost
-    register: CommandLogMachine
+    state_machine: CommandLogMachine
 
 
 @dataclass(slots=True)
@@ -117,9 +117,9 @@
 
         options = HostOptions(Random(self.random.random()), TIMING, BOUNDS)
         host = ReplicaHost(clock, member, journal, MessageTransport(send), options)
-        register = CommandLogMachine(node.name, self.checker)
-        node.process = Process(member, clock, journal_writer, host, register)
-        host.open_group(GROUP, register, founders, Listener(node.name, self.checker, register))
+        state_machine = CommandLogMachine(node.name, self.checker)
+        node.process = Process(member, clock, journal_writer, host, state_machine)
+        host.open_group(GROUP, state_machine, founders, Listener(node.name, self.checker, state_machine))
 
     def _end(self, node: Node) -> None:
         process = node.process
@@ -180,7 +180,7 @@
         acknowledged = self.checker.acknowledged
 
         def confirmed(_: None) -> None:
-            if len(process.register.commands) < acknowledged:
+            if len(process.state_machine.commands) < acknowledged:
                 self.checker.fail(f"{process.member} read a state older than what was acknowledged before")
 
         deferred = process.host.read_barrier(GROUP)
@@ -234,8 +234,8 @@
             self._lose_power,
             self._freeze,
             self._isolate,
-            self._hand_over,
-            self._isolate_in_hand_over,
+            self._transfer_ownership,
+            self._isolate_during_transfer,
             self._fill_disk,
             self._slow_disk,
         ]
@@ -248,18 +248,18 @@
             if each.process is not None:
                 kind(each)
 
-    def _later(self, call: Callable[..., None], *arguments: Any, longest: float = 1.2) -> None:
+    def _schedule(self, call: Callable[..., None], *arguments: Any, longest: float = 1.2) -> None:
         self.clock.callLater(self.random.uniform(0.02, longest), call, *arguments)
 
     def _kill(self, node: Node) -> None:
         self._end(node)
         node.disk.restart()
-        self._later(self._restart, node)
+        self._schedule(self._restart, node)
 
     def _lose_power(self, node: Node) -> None:
         self._end(node)
         node.disk.lose_power(self.random)
-        self._later(self._restart, node)
+        self._schedule(self._restart, node)
 
     def _lose_power_everywhere(self) -> None:
         for node in self.nodes.values():
@@ -272,7 +272,7 @@
             node.disk.wipe()
             if not self.plan.empty_disk_keeps_identity:
                 node.wipes += 1
-            self._later(self._restart, node)
+            self._schedule(self._restart, node)
 
     def _restart(self, node: Node) -> None:
         if node.process is None:
@@ -282,30 +282,30 @@
         if node.process is None:
             return
         node.process.clock.freeze()
-        self._later(node.process.clock.thaw, longest=2.0)
+        self._schedule(node.process.clock.thaw, longest=2.0)
 
     def _isolate(self, node: Node) -> None:
         for other in self.nodes:
             pair = [(node.name, other), (other, node.name)]
             self.blocked.update(pair[:1] if self.random.random() < 0.2 else pair)
-        self._later(self.blocked.clear, longest=2.0)
+        self._schedule(self.blocked.clear, longest=2.0)
 
-    def _hand_over(self, node: Node) -> None:
+    def _transfer_ownership(self, node: Node) -> None:
         for each in self.nodes.values():
             if each.process is not None:
                 process = each.process
                 process.clock.run(partial(process.host.transfer_leadership, GROUP))
 
-    def _isolate_in_hand_over(self, node: Node) -> None:
+    def _isolate_during_transfer(self, node: Node) -> None:
         """Transfer ownership while the former owner receives nothing, so that it misses the election."""
         for each in self.nodes.values():
             if each.process is not None and each.process.host.transfer_leadership(GROUP):
                 self.blocked.update((other, each.name) for other in self.nodes)
-                self._later(self.blocked.clear)
+                self._schedule(self.blocked.clear)
 
     def _fill_disk(self, node: Node) -> None:
         node.disk.capacity = node.disk.used + self.random.randint(0, 300)
-        self._later(self._remove_disk_limit, node)
+        self._schedule(self._remove_disk_limit, node)
 
     @staticmethod
     def _remove_disk_limit(node: Node) -> None:
@@ -314,7 +314,7 @@
     def _slow_disk(self, node: Node) -> None:
         assert node.process is not None
         node.process.journal_writer.sync_seconds = self.random.choice([0.05, 0.3])
-        self._later(setattr, node.process.journal_writer, "sync_seconds", 0.001)
+        self._schedule(setattr, node.process.journal_writer, "sync_seconds", 0.001)
 
     # ---- running
 
@@ -349,7 +349,7 @@
     def _agrees(self) -> bool:
         """Whether all nodes run, are voters and have applied all committed commands."""
         for node in self.nodes.values():
-            if node.process is None or node.process.register.commands != self.checker.committed:
+            if node.process is None or node.process.state_machine.commands != self.checker.committed:
                 return False
             host = node.process.host
             if set(host.members(GROUP).voters) != {each.member for each in self.nodes.values()}:
@@ -378,6 +378,6 @@
                 host = node.process.host
                 descriptions.append(
                     f"{node.member} epoch {host.current_term(GROUP)} leader {host.leader(GROUP)!r} "
-                    f"members {host.members(GROUP)} applied {len(node.process.register.commands)}"
+                    f"members {host.members(GROUP)} applied {len(node.process.state_machine.commands)}"
                 )
         return f"committed {len(self.checker.committed)}; " + "; ".join(descriptions)
--- a/bitternpath/testing/simulation/runs/coverage.py
+++ b/bitternpath/testing/simulation/runs/coverage.py
@@ -16,7 +16,7 @@
 from bitternpath.testing.simulation.runs.draw import CATCH_UP_S
 from bitternpath.testing.simulation.transitions import Transition, TransitionKind
 
-NEAR_S = 0.3  # maximum time between a crash and a transition that count as concurrent
+CONCURRENT_WITHIN_S = 0.3  # maximum time between a crash and a transition that count as concurrent
 CRASH_EVENTS = frozenset(("kill", "power_loss", "wipe", "remove", "exit"))  # events of the trace
 
 
@@ -71,7 +71,9 @@
         *_retirements(history.retirements),
     ):
         coverage.transitions[change.kind] += 1
-        coverage.crashes[change.kind] += any(abs(change.at - crash) <= NEAR_S for crash in crashes)
+        coverage.crashes[change.kind] += any(
+            abs(change.at - crash) <= CONCURRENT_WITHIN_S for crash in crashes
+        )
     return coverage
 
 
--- a/bitternpath/testing/simulation/runs/draw.py
+++ b/bitternpath/testing/simulation/runs/draw.py
@@ -39,12 +39,12 @@
 ORDER_KEYS = 5
 KIND_WEIGHTS = {DeliveryKind.LISTED: 4, DeliveryKind.ENDPOINT: 3, DeliveryKind.PULLED: 3}
 DELAYED_SHARE, MAX_DELAY_S = 0.2, 2.0
-SIZES = (20, 200, 2_000, 20_000)
+MESSAGE_SIZES = (20, 200, 2_000, 20_000)
 STATE_READ_SHARE, MAX_STATE_READ_DELAY_S = 0.5, 8.0
-STEPS = (1, 1, 2, 3, 7)
-RIVALS = (1, 1, 2, 7)
-LOST_ANSWERS = (1, 1, 2, 3)
-LASTS_S = {
+VERSION_STEPS = (1, 1, 2, 3, 7)
+RIVAL_COUNTS = (1, 1, 2, 7)
+LOST_ANSWER_COUNTS = (1, 1, 2, 3)
+DURATIONS_S = {
     FaultKind.KILL: (0.3, 3.0),
     FaultKind.POWER: (0.3, 4.0),
     FaultKind.WIPE: (0.3, 3.0),
@@ -72,7 +72,7 @@
 )
 HERD_SHARES = (0.4, 0.7, 1.0)  # shares of all machines
 SHORTEST_CHAIN_GAP_S, LONGEST_CHAIN_GAP_S = 0.1, 1.5
-STEPS_MS = (-6_000, -1_500, -100, 100, 1_500, 6_000)
+CLOCK_STEPS_MS = (-6_000, -1_500, -100, 100, 1_500, 6_000)
 QUOTA_SHARE = 0.1  # processor share, see `Layout.processor_share`
 
 
@@ -207,7 +207,7 @@
                 break
             events.append(self._fault(at))
         if self._random.random() < self._scenario.final:
-            events.append(self._final())
+            events.append(self._final_power_loss())
         for at in _times(self._random, self._scenario.edge_faults, self._scenario.seconds):
             events.append(self._edge_fault(at))
         return events + self._retirements()
@@ -224,7 +224,7 @@
     def _fault(self, at: float) -> Fault:
         kinds = list(self._scenario.faults)
         kind = self._random.choices(kinds, [self._scenario.faults[kind] for kind in kinds])[0]
-        lasts = self._lasts(kind)
+        lasts = self._duration(kind)
         if kind in MASS_KINDS:
             return self._mass_fault(at, kind, lasts)
         if kind is FaultKind.ADD:
@@ -234,7 +234,7 @@
         name = self._random.choice(free)
         outage_s = GRACE_S + 1.0 if kind is FaultKind.TERM else lasts
         self._lost_until[name] = at + outage_s + CATCH_UP_S
-        step_ms = self._random.choice(STEPS_MS) if kind is FaultKind.CLOCK_STEP else 0
+        step_ms = self._random.choice(CLOCK_STEPS_MS) if kind is FaultKind.CLOCK_STEP else 0
         return Fault(number=0, at=at, kind=kind, nodes=(name,), lasts=lasts, step_ms=step_ms)
 
     def _candidates(self) -> list[str]:
@@ -249,7 +249,7 @@
         if kind is not FaultKind.POWER_CHAIN:
             return Fault(number=0, at=at, kind=kind, nodes=tuple(nodes), lasts=lasts)
         gap_s = round(self._random.uniform(SHORTEST_CHAIN_GAP_S, LONGEST_CHAIN_GAP_S), 3)
-        wiped = self._wiped(nodes)
+        wiped = self._wiped_nodes(nodes)
         self._all_until += gap_s * len(nodes)
         return Fault(number=0, at=at, kind=kind, nodes=tuple(nodes), lasts=lasts, gap_s=gap_s, wiped=wiped)
 
@@ -270,13 +270,13 @@
                 return self._random.sample(counted, self._random.randint(2, len(counted)))
         return counted
 
-    def _wiped(self, nodes: Sequence[str]) -> tuple[str, ...]:
+    def _wiped_nodes(self, nodes: Sequence[str]) -> tuple[str, ...]:
         """The machines that lose their disks in a mass fault: as many as are tolerated, or none."""
         if self._random.random() < 0.5:
             return ()
         return tuple(self._random.sample(nodes, min(self._scenario.layout.tolerated, len(nodes))))
 
-    def _final(self) -> Fault:
+    def _final_power_loss(self) -> Fault:
         """A loss of power of all counted machines; as many disks as are tolerated may be lost."""
         at = max([self._scenario.seconds - 0.5, self._all_until, *self._lost_until.values()])
         nodes = [*self._core, *self._stores]
@@ -288,22 +288,22 @@
             at=at,
             kind=FaultKind.ALL_POWER,
             nodes=tuple(nodes),
-            lasts=self._lasts(FaultKind.ALL_POWER),
+            lasts=self._duration(FaultKind.ALL_POWER),
             wiped=tuple(wiped),
         )
 
     def _edge_fault(self, at: float) -> Fault:
         kind = self._random.choice(EDGE_KINDS)
         return Fault(
-            number=0, at=at, kind=kind, nodes=(self._random.choice(self._others),), lasts=self._lasts(kind)
+            number=0, at=at, kind=kind, nodes=(self._random.choice(self._others),), lasts=self._duration(kind)
         )
 
     def _retirements(self) -> list[Event]:
         last = self._scenario.seconds - CATCH_UP_S
         return [Retire(number=0, at=self._random.uniform(0.5, last), node=name) for name in self._retired]
 
-    def _lasts(self, kind: FaultKind) -> float:
-        shortest, longest = LASTS_S.get(kind, (0.0, 0.0))
+    def _duration(self, kind: FaultKind) -> float:
+        shortest, longest = DURATIONS_S.get(kind, (0.0, 0.0))
         return round(self._random.uniform(shortest, longest), 3)
 
 
@@ -325,7 +325,7 @@
                 key=key,
                 delay_s=round(random.uniform(0.2, MAX_DELAY_S), 3) if is_delayed else 0.0,
                 zone=random.choice(zones),
-                size=random.choice(SIZES),
+                size=random.choice(MESSAGE_SIZES),
                 ask_after=round(random.uniform(0.1, MAX_STATE_READ_DELAY_S), 3) if reads_state else 0.0,
             )
         )
@@ -341,11 +341,11 @@
                 number=0,
                 at=at,
                 style=random.choice(styles),
-                step=random.choice(STEPS),
-                lost_answers=random.choice(LOST_ANSWERS) if random.random() < 0.3 else 0,
+                step=random.choice(VERSION_STEPS),
+                lost_answers=random.choice(LOST_ANSWER_COUNTS) if random.random() < 0.3 else 0,
                 again=random.random() < 0.3,
                 twice=random.random() < 0.2,
-                rivals=random.choice(RIVALS) if random.random() < 0.25 else 0,
+                rivals=random.choice(RIVAL_COUNTS) if random.random() < 0.25 else 0,
             )
         )
     return orders
--- a/bitternpath/testing/simulation/streams.py
+++ b/bitternpath/testing/simulation/streams.py
@@ -66,7 +66,7 @@
         self.connector: Any = None  # set at the client end only
         self.peer: Stream = self  # the other end; set by the connection
         self.connected = False
-        self.closed = False  # it was connected, or was closed before that
+        self.closed = False  # also set if it is given up before it was connected
         self.power_lost = False  # its host lost power: packets of the peer are answered by resets
         self.disconnecting = False
         self.incoming: deque[bytes] = deque()
--- a/tests/system/replication/loaded_group.py
+++ b/tests/system/replication/loaded_group.py
@@ -44,4 +44,4 @@
     def is_current(self, node: Node) -> bool:
         """Whether a node has applied all commands except the most recent ones in flight."""
         process = node.process
-        return process is not None and len(process.register.commands) >= len(self.checker.committed) - 12
+        return process is not None and len(process.state_machine.commands) >= len(self.checker.committed) - 12
--- a/tests/system/replication/test_cluster.py
+++ b/tests/system/replication/test_cluster.py
@@ -34,7 +34,7 @@
         self.assertEqual(result_of(result), b"x")
         for node in self.simulation.nodes.values():
             assert node.process is not None
-            self.assertEqual(node.process.register.commands, [b"x"])
+            self.assertEqual(node.process.state_machine.commands, [b"x"])
             self.assertEqual(node.process.host.leader(GROUP), owner.member)
 
     def test_leadership_transfer_takes_much_less_than_an_election(self) -> None:
--- a/tests/system/replication/test_replica_checker.py
+++ b/tests/system/replication/test_replica_checker.py
@@ -39,9 +39,9 @@
                 check()
 
     def test_a_snapshot_of_uncommitted_commands(self) -> None:
-        register = CommandLogMachine("n1", self.checker)
+        state_machine = CommandLogMachine("n1", self.checker)
         with self.assertRaises(InvariantViolationError):
-            register.restore(msgspec.msgpack.encode([b"y"]))
+            state_machine.restore(msgspec.msgpack.encode([b"y"]))
 
 
 if __name__ == "__main__":
--- a/tests/system/test_simulation_mass_faults.py
+++ b/tests/system/test_simulation_mass_faults.py
@@ -15,7 +15,7 @@
 from bitternpath.testing.simulation.world import Plan
 from tests.system.small_actors import SmallSystem
 
-SHARE = 0.1
+PROCESSOR_SHARE = 0.1
 OBSERVATION_S = 20.0
 READY_WITHIN_S = 2.0  # PROTOCOL, "Ingress": a node that misses two probes, one per second, is removed
 
@@ -24,7 +24,7 @@
     """Each process runs for 10 ms of every 100 ms."""
 
     def setUp(self) -> None:
-        self.system = SmallSystem("quota", Plan(processor_share=SHARE))
+        self.system = SmallSystem("quota", Plan(processor_share=PROCESSOR_SHARE))
         self.world = self.system.world
         self.system.bootstrap()
         self.world.run_for(2.0)
@@ -38,7 +38,7 @@
             reactor = node._reactor
             assert reactor is not None
             frozen_samples += reactor.frozen
-        self.assertAlmostEqual(frozen_samples / samples, 1 - SHARE, delta=0.02)
+        self.assertAlmostEqual(frozen_samples / samples, 1 - PROCESSOR_SHARE, delta=0.02)
 
     def test_owners_keep_their_groups_without_faults(self) -> None:
         """A process that is throttled for 90 ms isn't considered dead; waits for planned transfers first."""
--- a/tests/system/test_thousand_changes.py
+++ b/tests/system/test_thousand_changes.py
@@ -259,8 +259,8 @@
                 simulation.run_until(lambda: False, 0.01)
             simulation._start(node, simulation.founders)
             self.assertTrue(simulation.run_until(lambda: simulation.is_current(node), 5))
-            assert node.process is not None and isinstance(node.process.register, ConfigurationRegister)
-            state, commands = node.process.register.state, node.process.register.commands
+            assert node.process is not None and isinstance(node.process.state_machine, ConfigurationRegister)
+            state, commands = node.process.state_machine.state, node.process.state_machine.commands
             return all(state.accepted_version_of(command[:8]) is not None for command in commands)
 
     def test_changes_are_remembered_through_an_installed_snapshot(self) -> None:
