--- a/tests/system/test_simulation_network.py
+++ b/tests/system/test_simulation_network.py
@@ -83,7 +83,7 @@
         self.world.run_for(run_s)
         return end, factory
 
-    def pair(self) -> tuple[RecordingProtocol, RecordingProtocol]:
+    def connect(self) -> tuple[RecordingProtocol, RecordingProtocol]:
         end, _ = self.dial()
         self.assertTrue(end.established)
         return end, self.acceptor.ends[-1]
@@ -92,14 +92,14 @@
         end.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
 
     def test_bytes_arrive_in_order_before_the_end(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         for number in range(100):
-            near.transport.write(b"%03d" % number)
-        near.transport.loseConnection()
-        self.assertEqual(far.data, b"")
+            client.transport.write(b"%03d" % number)
+        client.transport.loseConnection()
+        self.assertEqual(server.data, b"")
         self.world.run_for(0.1)
-        self.assertEqual(far.data, b"".join(b"%03d" % number for number in range(100)))
-        self.assertEqual((near.lost, far.lost), ("ConnectionDone", "ConnectionDone"))
+        self.assertEqual(server.data, b"".join(b"%03d" % number for number in range(100)))
+        self.assertEqual((client.lost, server.lost), ("ConnectionDone", "ConnectionDone"))
 
     def test_a_closed_port_refuses(self) -> None:
         _, factory = self.dial(port=PORT + 1)
@@ -127,93 +127,93 @@
         self.assertTrue(end.established)
 
     def test_reset_loses_bytes_in_flight(self) -> None:
-        near, far = self.pair()
-        near.transport.write(b"lost")
+        client, server = self.connect()
+        client.transport.write(b"lost")
         self.world.reset(A, B)
         self.world.run_for(0.1)
-        self.assertEqual((far.data, near.lost, far.lost), (b"", "ConnectionLost", "ConnectionLost"))
+        self.assertEqual((server.data, client.lost, server.lost), (b"", "ConnectionLost", "ConnectionLost"))
 
     def test_abort_resets_the_peer(self) -> None:
-        near, far = self.pair()
-        near.transport.abortConnection()
-        self.assertEqual(near.lost, "")
+        client, server = self.connect()
+        client.transport.abortConnection()
+        self.assertEqual(client.lost, "")
         self.world.run_for(0.1)
-        self.assertEqual((near.lost, far.lost), ("ConnectionAborted", "ConnectionLost"))
+        self.assertEqual((client.lost, server.lost), ("ConnectionAborted", "ConnectionLost"))
 
     def test_bytes_held_by_a_partition_arrive_in_order_after_it(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         self.world.partition(A, B)
-        near.transport.write(b"first ")
+        client.transport.write(b"first ")
         self.world.run_for(5.0)
-        self.assertEqual((far.data, near.lost), (b"", ""))
+        self.assertEqual((server.data, client.lost), (b"", ""))
         self.world.heal_partition(A, B)
-        near.transport.write(b"second")
+        client.transport.write(b"second")
         self.world.run_for(1.0)
-        self.assertEqual(far.data, b"first second")
+        self.assertEqual(server.data, b"first second")
 
     def test_one_way_partition_holds_one_direction(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         self.world.partition(A, B, both=False)
-        near.transport.write(b"held")
-        far.transport.write(b"heard")
+        client.transport.write(b"held")
+        server.transport.write(b"heard")
         self.world.run_for(1.0)
-        self.assertEqual((far.data, near.data), (b"", b"heard"))
+        self.assertEqual((server.data, client.data), (b"", b"heard"))
 
     def test_user_timeout_ends_only_the_writing_side(self) -> None:
-        near, far = self.pair()
-        self.set_user_timeout(near, 2_000)
+        client, server = self.connect()
+        self.set_user_timeout(client, 2_000)
         self.world.partition(A, B)
-        near.transport.write(b"held")
+        client.transport.write(b"held")
         self.world.run_for(1.9)
-        self.assertEqual(near.lost, "")
+        self.assertEqual(client.lost, "")
         self.world.run_for(0.2)
-        self.assertEqual((near.lost, far.lost), ("TimeoutError", ""))
+        self.assertEqual((client.lost, server.lost), ("TimeoutError", ""))
         self.world.heal_partition(A, B)
         self.world.run_for(1.0)
         self.assertEqual(
-            (far.data, far.lost), (b"", "")
+            (server.data, server.lost), (b"", "")
         )  # half-open: the bytes of the closed sender are lost
-        far.transport.write(b"any")
+        server.transport.write(b"any")
         self.world.run_for(1.0)
-        self.assertEqual(far.lost, "ConnectionLost")
+        self.assertEqual(server.lost, "ConnectionLost")
 
     def test_user_timeout_where_only_acknowledgements_are_lost(self) -> None:
-        near, far = self.pair()
-        self.set_user_timeout(near, 2_000)
+        client, server = self.connect()
+        self.set_user_timeout(client, 2_000)
         self.world.partition(B, A, both=False)
-        near.transport.write(b"heard")
+        client.transport.write(b"heard")
         self.world.run_for(2.5)
-        self.assertEqual((far.data, near.lost, far.lost), (b"heard", "TimeoutError", ""))
+        self.assertEqual((server.data, client.lost, server.lost), (b"heard", "TimeoutError", ""))
 
     def test_short_partition_does_not_trigger_the_user_timeout(self) -> None:
-        near, far = self.pair()
-        self.set_user_timeout(near, 2_000)
+        client, server = self.connect()
+        self.set_user_timeout(client, 2_000)
         self.world.partition(A, B)
-        near.transport.write(b"held")
+        client.transport.write(b"held")
         self.world.run_for(1.0)
         self.world.heal_partition(A, B)
         self.world.run_for(5.0)
-        self.assertEqual((far.data, near.lost), (b"held", ""))
+        self.assertEqual((server.data, client.lost), (b"held", ""))
 
     def test_reset_during_a_partition_is_lost_with_the_bytes_before_it(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         self.world.partition(A, B)
-        near.transport.write(b"held")
+        client.transport.write(b"held")
         self.world.run_for(0.1)
-        near.transport.abortConnection()
+        client.transport.abortConnection()
         self.world.run_for(0.1)
         self.world.heal_partition(A, B)
         self.world.run_for(5.0)
-        self.assertEqual((near.lost, far.data, far.lost), ("ConnectionAborted", b"", ""))
+        self.assertEqual((client.lost, server.data, server.lost), ("ConnectionAborted", b"", ""))
 
     def test_frozen_process_receives_everything_when_thawed(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         events: list[str] = []
-        far.dataReceived = lambda data: events.append(f"data {len(data)}")  # type: ignore[method-assign]
+        server.dataReceived = lambda data: events.append(f"data {len(data)}")  # type: ignore[method-assign]
         self.b.callLater(0.2, events.append, "timer")
         self.b.freeze()
         for _ in range(3):
-            near.transport.write(b"12345")
+            client.transport.write(b"12345")
             self.world.run_for(0.1)
         late, factory = self.dial()
         self.assertEqual(
@@ -226,7 +226,7 @@
         self.assertEqual(len(self.acceptor.ends), accepted + 1)
 
     def test_backpressure_of_a_peer_that_does_not_read(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         calls: list[str] = []
 
         class Producer:
@@ -239,49 +239,49 @@
             def stopProducing(self) -> None:
                 calls.append("stop")
 
-        near.transport.registerProducer(Producer(), True)
-        far.transport.pauseProducing()
+        client.transport.registerProducer(Producer(), True)
+        server.transport.pauseProducing()
         for _ in range(10):
-            near.transport.write(b"x" * (100 << 10))
+            client.transport.write(b"x" * (100 << 10))
         self.world.run_for(1.0)
-        self.assertEqual((calls[:1], far.data), (["pause"], b""))
-        far.transport.resumeProducing()
+        self.assertEqual((calls[:1], server.data), (["pause"], b""))
+        server.transport.resumeProducing()
         self.world.run_for(1.0)
-        self.assertEqual((calls[-1], len(far.data)), ("resume", 1000 << 10))
+        self.assertEqual((calls[-1], len(server.data)), ("resume", 1000 << 10))
 
     def test_limited_bandwidth_delays_bytes(self) -> None:
-        near, far = self.pair()
+        client, server = self.connect()
         self.world.limit_bandwidth(A, B, 100_000.0)
         for _ in range(10):
-            near.transport.write(b"x" * 10_000)
+            client.transport.write(b"x" * 10_000)
         self.world.run_for(0.5)
-        self.assertTrue(40_000 <= len(far.data) <= 60_000, len(far.data))
+        self.assertTrue(40_000 <= len(server.data) <= 60_000, len(server.data))
         self.world.run_for(0.6)
-        self.assertEqual(len(far.data), 100_000)
+        self.assertEqual(len(server.data), 100_000)
 
     def test_peek_shows_unread_bytes_and_the_end(self) -> None:
-        near, far = self.pair()
-        handle = near.transport.getHandle()
+        client, server = self.connect()
+        handle = client.transport.getHandle()
         with self.assertRaises(BlockingIOError):
             handle.recv(1, socket.MSG_PEEK)
-        near.transport.pauseProducing()
-        far.transport.write(b"abc")
+        client.transport.pauseProducing()
+        server.transport.write(b"abc")
         self.world.run_for(0.1)
         self.assertEqual(handle.recv(1, socket.MSG_PEEK), b"a")
-        near.transport.resumeProducing()
+        client.transport.resumeProducing()
         self.world.run_for(0.1)
-        near.transport.pauseProducing()
-        far.transport.loseConnection()
+        client.transport.pauseProducing()
+        server.transport.loseConnection()
         self.world.run_for(0.1)
         self.assertEqual(handle.recv(1, socket.MSG_PEEK), b"")
 
     def test_half_close(self) -> None:
-        near, far = self.pair()
-        near.transport.write(b"question")
-        near.transport.loseWriteConnection()
+        client, server = self.connect()
+        client.transport.write(b"question")
+        client.transport.loseWriteConnection()
         self.world.run_for(0.1)
-        self.assertEqual((far.data, far.lost), (b"question", "ConnectionDone"))
-        self.assertEqual(near.lost, "ConnectionDone")
+        self.assertEqual((server.data, server.lost), (b"question", "ConnectionDone"))
+        self.assertEqual(client.lost, "ConnectionDone")
 
 
 class Datagrams(unittest.TestCase):
