--- a/bitternpath/balancer/config/__init__.py
+++ b/bitternpath/balancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a node is told: the platform's JSON file, the operators' TOML file, and how it logs."""
+"""Configuration of a node: the platform's JSON file, the operators' TOML file, and logging."""
--- a/bitternpath/balancer/config/load.py
+++ b/bitternpath/balancer/config/load.py
@@ -1,4 +1,4 @@
-"""Both files together: all or nothing."""
+"""Loads both configuration files; an error in either rejects both."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from bitternpath.balancer.config.operator import EffectiveSettings, read_settings
 from bitternpath.balancer.config.platform import Config, ConfigError
 
-MIN_SOCKETS = 64  # that the limit must leave besides AMQP's
+MIN_SOCKETS = 64  # sockets that must remain besides those of AMQP connections
 
 
 @dataclass(slots=True, frozen=True)
 class Loaded:
-    """What a node runs with."""
+    """The configuration in use."""
 
     platform: Config
     operator: EffectiveSettings
@@ -23,7 +23,7 @@
 def load_all(
     environ: Mapping[str, str], config: str | None, operator_file: str | None, flags: Mapping[str, str]
 ) -> Loaded:
-    """Read everything; ConfigError names the first fault."""
+    """Read both files; raises ConfigError for the first error."""
     operator = read_settings(operator_file, environ, flags)
     return _check_compatible(Loaded(platform.load(environ, config), operator))
 
@@ -35,13 +35,13 @@
     operator_file: str | None,
     flags: Mapping[str, str],
 ) -> Loaded:
-    """Read everything again while `running` is in use."""
+    """Read both files again while `running` is in use."""
     operator = read_settings(operator_file, environ, flags)
     return _check_compatible(Loaded(platform.reload(running.platform, environ, config), operator))
 
 
 def _check_compatible(loaded: Loaded) -> Loaded:
-    """What each file allows must also fit the other."""
+    """Check the values of each file against the other file."""
     amqp, node_config = loaded.operator.settings.amqp, loaded.platform
     if not amqp.listen:
         return loaded
--- a/bitternpath/balancer/config/logs.py
+++ b/bitternpath/balancer/config/logs.py
@@ -1,7 +1,7 @@
 """Structured log lines: key=value pairs, or JSON with the same names, on standard error.
 
-Each line has `at` (Unix seconds), `level`, `part` (the module), `event`, then what the call gave, and `trace`
-where an exception was under way. The processors below are small and each can be tried alone.
+Each line has `at` (Unix seconds), `level`, `part` (the module), `event`, then the fields of the call, and
+`trace` if an exception is being handled. Each processor below can be tested separately.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 import structlog
 import ujson
 
-LEADING_KEYS = ["at", "level", "part", "event"]  # the keys that lead a line, in this order
+LEADING_KEYS = ["at", "level", "part", "event"]  # the first keys of a line, in this order
 
 LogEvent = structlog.typing.EventDict
 
 
 def add_time_and_level(logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
-    """Add when and how severe it is."""
+    """Add the time and the level."""
     event_dict["at"] = f"{time():.3f}"
     event_dict["level"] = "error" if method == "exception" else method
     return event_dict
 
 
 def format_values(logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
-    """Numbers are rounded to a tenth, everything else that no format knows becomes text."""
+    """Round floats to one decimal; convert values of other types to strings."""
     for key, value in event_dict.items():
         if isinstance(value, float):
             event_dict[key] = round(value, 1)
@@ -38,24 +38,26 @@
 
 
 def rename_traceback(logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
-    """The traceback under the name that lines have always had for it."""
+    """Rename the traceback field to `trace`, the established key in log lines."""
     if "exception" in event_dict:
         event_dict["trace"] = event_dict.pop("exception")
     return event_dict
 
 
 class RateLimiter:
-    """At most so many lines of one event in a second: strangers can provoke some of them at will.
+    """Limits the lines per event and second, since untrusted peers can trigger some events at will.
 
-    Where lines were left out, the event's next one says how many, as `left_out`.
+    The first line of an event after dropped ones has their number as `left_out`.
     """
 
     def __init__(self, per_second: int, clock: Callable[[], float] = monotonic) -> None:
         self.per_second, self.clock = per_second, clock
-        self._seen: dict[str, tuple[int, int, int]] = {}  # event: second, lines in it, left out since
+        self._seen: dict[
+            str, tuple[int, int, int]
+        ] = {}  # event: second, lines in that second, dropped lines not reported yet
 
     def __call__(self, logger: Any, method: str, event_dict: LogEvent) -> LogEvent:
-        """Pass a line on, or raise `structlog.DropEvent`."""
+        """Return the event, or raise `structlog.DropEvent`."""
         event, second = str(event_dict.get("event")), int(self.clock())
         last_second, count, left_out = self._seen.get(event, (second, 0, 0))
         if last_second != second:
@@ -70,7 +72,7 @@
 
 
 def renderer(format: str) -> Any:
-    """`kv` or `json`: the last processor."""
+    """The last processor, for format `kv` or `json`."""
     if format == "json":
         return structlog.processors.JSONRenderer(
             serializer=lambda event_dict, **_: ujson.dumps(dict(event_dict))
@@ -79,7 +81,7 @@
 
 
 def processors(format: str, per_second: int) -> list[Any]:
-    """All of them, in the order in which a line passes through."""
+    """The processors in the order in which they run."""
     return [
         RateLimiter(per_second),
         add_time_and_level,
@@ -91,7 +93,7 @@
 
 
 def _from_twisted(event: dict[str, Any]) -> None:
-    """Twisted's own words, errors alone: the rest is chatter about every connection."""
+    """Log Twisted's errors; its other messages concern every connection and are dropped."""
     from twisted.logger import LogLevel, formatEvent
 
     if event["log_level"] >= LogLevel.error:
--- a/bitternpath/balancer/config/operator.py
+++ b/bitternpath/balancer/config/operator.py
@@ -149,7 +149,7 @@
     fleet: Fleet = Fleet()
 
 
-# What a running node cannot change; a reload names those that differ.
+# Keys that need a restart; a reload reports those that differ.
 RESTART_ONLY_KEYS = (
     "log.level", "log.format", "log.per_second", "amqp.listen", "amqp.max_connections",
     *(f"fleet.{key}" for key in Fleet.__struct_fields__),
@@ -157,13 +157,13 @@
 
 
 class EffectiveSettings:
-    """The settings and where each value came from."""
+    """The settings and the source of each value."""
 
     def __init__(self, settings: Operator, origin: dict[str, str]) -> None:
         self.settings, self.origin = settings, origin
 
     def lines(self) -> Iterator[str]:
-        """`section.key = value (origin)`, for people; secrets are left out."""
+        """Yield `section.key = value (origin)` for display, without secrets."""
         for path, _ in setting_keys():
             value = self.value(path)
             displayed = (
@@ -172,13 +172,13 @@
             yield f"{path} = {msgspec.json.encode(displayed).decode()} ({self.origin.get(path, 'default')})"
 
     def value(self, path: str) -> Any:
-        """The value of a key, which is named `section.key`."""
+        """The value of the key `section.key`."""
         section, _, key = path.partition(".")
         return getattr(getattr(self.settings, section), key)
 
 
 def setting_keys() -> Iterator[tuple[str, Any]]:
-    """Every key as `section.key` with its type."""
+    """Yield every key as `section.key` with its type."""
     for section in Operator.__struct_fields__:
         section_type = get_type_hints(Operator)[section]
         for key, hint in get_type_hints(section_type, include_extras=True).items():
@@ -186,7 +186,7 @@
 
 
 def key_metadata(hint: Any) -> Meta:
-    """What the schema says of a key in words."""
+    """The description and constraints of a key in the schema."""
     metadata: Meta = next(
         (annotation for annotation in getattr(hint, "__metadata__", ()) if isinstance(annotation, Meta)),
         Meta(),
@@ -200,14 +200,17 @@
 
 
 def flag_name(path: str) -> str:
-    """The command's option that sets a key."""
+    """The command-line option that sets a key."""
     return "--" + path.replace(".", "-").replace("_", "-")
 
 
 def read_settings(
     path: str | None, environ: Mapping[str, str], flags: Mapping[str, str]
 ) -> EffectiveSettings:
-    """Read all three. `path` (else BITTERNPATH_OPERATOR_FILE) names the file; `flags` has values by key."""
+    """Read file, environment and flags.
+
+    `path`, or else BITTERNPATH_OPERATOR_FILE, names the file; `flags` has values by key.
+    """
     path = path or environ.get(FILE_VARIABLE) or None
     tree: dict[str, Any] = {}
     origin: dict[str, str] = {}
@@ -233,19 +236,19 @@
 
 
 def changes_requiring_restart(before: Operator, now: Operator) -> list[str]:
-    """The keys that differ and wait for a restart."""
+    """The keys that differ and need a restart to take effect."""
     old, new = EffectiveSettings(before, {}), EffectiveSettings(now, {})
     return [path for path in RESTART_ONLY_KEYS if old.value(path) != new.value(path)]
 
 
 def _read_file(path: str) -> dict[str, Any]:
-    import tomllib  # not needed where there is no file
+    import tomllib  # only needed for a file
 
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from error
-    except ValueError as error:  # TOML's and Unicode's errors are among these
+    except ValueError as error:  # includes errors of TOML and Unicode decoding
         raise ConfigError(f"{path}: not TOML: {' '.join(str(error).split())}") from error
 
 
@@ -255,7 +258,7 @@
 
 
 def _parse_text(text: str, kind: Any, source: str) -> Any:
-    """A value given as text: lists with commas, tables as JSON, the rest as it stands."""
+    """Convert a string: comma-separated lists, JSON for tables, other types directly."""
     origin = get_origin(kind.__origin__ if hasattr(kind, "__metadata__") else kind)
     if origin is dict:
         try:
@@ -298,7 +301,7 @@
 
 
 def _allowed(hint: Any) -> str:
-    """What a key may be, in words."""
+    """Describe the allowed values of a key."""
     kind, meta = getattr(hint, "__origin__", hint), key_metadata(hint)
     if meta.title:
         return f"allowed is {meta.title}"
@@ -314,7 +317,7 @@
 
 
 def _value_at(tree: Any, path: str) -> Any:
-    """What stands at a path such as `amqp.vhosts[0]`; `...` is any key of a table."""
+    """The value at a path such as `amqp.vhosts[0]`, where `...` stands for any key of a table."""
     for part in re.findall(r"[^.\[\]]+|\.{3}", path):
         try:
             tree = tree[int(part)] if isinstance(tree, list) else tree[part]
@@ -326,7 +329,7 @@
 def _field_names(kind: Any, path: str) -> list[str]:
     for part in [p for p in path.split(".") if p]:
         hints = get_type_hints(kind) if isinstance(kind, type) and issubclass(kind, Struct) else {}
-        kind = hints.get(part, User)  # below `users` there are names, then the fields of one
+        kind = hints.get(part, User)  # `users` maps names to the fields of a user
         kind = get_args(kind)[-1] if get_origin(kind) is dict else kind
     return list(getattr(kind, "__struct_fields__", ()))
 
--- a/bitternpath/balancer/config/platform.py
+++ b/bitternpath/balancer/config/platform.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: a JSON file and the environment."""
+"""The platform's configuration of a node: a JSON file and PROXY_ environment variables."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 Address = tuple[str, int]
 
 
-CHECKED_SECTIONS = ("allowed", "rules")  # of the settings: objects of which every key counts
-OPTIONAL_KEYS = ("known",)  # what the node once held: a file for a running node need not have it
+CHECKED_SECTIONS = ("allowed", "rules")  # objects in the settings whose keys are required on reload
+OPTIONAL_KEYS = ("known",)  # initial endpoint list, not required on reload
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why, in one line."""
+    """An invalid configuration; the message is one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What the platform's file and the PROXY_ variables say, checked."""
+    """The validated values of the platform's file and the PROXY_ variables."""
 
     name: str
     listen: Address
     discovery: Address
-    discovery_in_file: Address | None  # which PROXY_DISCOVERY wins over at the start
+    discovery_in_file: Address | None  # overridden by PROXY_DISCOVERY at startup
     seed: int
     sockets: int
     known: Listing
     settings: m.Settings
     dial_timeout: float  # ms
     idle_timeout: float  # ms after which an endpoint closes an idle connection
-    console: Address | None = None  # where operators call; None: nowhere
-    keys: frozenset[str] = frozenset()  # that the file had, as paths
+    console: Address | None = None  # address of the operators' console; None: no console
+    keys: frozenset[str] = frozenset()  # paths of the keys in the file
 
 
 def address(text: str) -> Address:
-    """Read `host:port`, an IPv6 host in brackets; ValueError where it isn't one."""
+    """Parse `host:port`, with an IPv6 host in brackets; raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -53,7 +53,7 @@
 
 
 def load(environ: Mapping[str, str], path: str | None = None) -> Config:
-    """Read the file that `path` or PROXY_CONFIG names; the other PROXY_ variables win over its values."""
+    """Read the file at `path` or PROXY_CONFIG; the other PROXY_ variables override its values."""
     path = path or environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("no configuration: set PROXY_CONFIG or give --config")
@@ -72,10 +72,10 @@
 
 
 def reload(running: Config, environ: Mapping[str, str], path: str | None = None) -> Config:
-    """Read the file again. PROXY_DISCOVERY holds at the start: what the file says anew wins over it.
+    """Read the file again. A changed discovery address overrides PROXY_DISCOVERY, which applies at startup.
 
-    A file that lacks a key that the one in use has is cut, not changed, also where the environment or a
-    default could stand in for it.
+    A file without a key that the file in use has is taken for truncated and rejected, even if the environment
+    or a default would replace the key.
     """
     reloaded = load(environ, path)
     missing_keys = sorted(running.keys - reloaded.keys)
@@ -90,13 +90,13 @@
 
 
 def _check_positive(name: str, value: Any) -> None:
-    """No text, no truth value, not infinite and no NaN."""
+    """Raise ValueError unless the value is a positive finite number and not a boolean."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < inf:
         raise ValueError(f"{name}: must be a number above 0, not {value!r:.40}")
 
 
 def _required_keys(document: dict[str, Any]) -> frozenset[str]:
-    """What every later file has to name as well: all at the top and in `settings`, and in each class."""
+    """The key paths that a reloaded file must have too: top level, `settings`, and each class."""
     settings = document["settings"]
     settings_keys = [
         *settings,
--- a/bitternpath/balancer/http/client_connection.py
+++ b/bitternpath/balancer/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client to the listener: its requests in turn, their answers, and its time limits."""
+"""One client connection to the listener: its requests in order, their responses, and its timeouts."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 log = structlog.get_logger(part="listener")
 
-# ms from connecting to the end of the first message, and from the first byte of a later one to its last: a
-# client that sends nothing useful is owed an error or a close within 3 s, and is checked every 0.25 s.
+# ms from connecting to the end of the first request, and from the first to the last byte of a later one. A
+# client that sends no complete request must get an error or a close within 3 s; checks run every 0.25 s.
 MESSAGE_TIMEOUT = 2250.0
-# After an error the rest of the input is read and discarded, since a close with unread input would reset the
-# connection and destroy the answer: all of a body of 60 MB, and for as long as that may take.
+# Bytes of input read and discarded after an error: a close with unread input would reset the connection and
+# could destroy the response. Covers a body of 60 MB.
 LINGER_BYTES = 64 << 20
-# Bytes kept ahead of the answer that is due. More is read and discarded, since the close of a connection that
-# is not read goes unnoticed; the request that is cut off by it is answered as too large, and is the last one.
+# Bytes of pipelined input buffered while a response is due. More is read and discarded, since a close goes
+# unnoticed on a connection that is not read; the request truncated by it gets a 413 and is the last one.
 PENDING_LIMIT = 2 * http1.BODY_LIMIT
 
 
 class MessageHandler(typing.Protocol):
-    """What answers the messages of a connection (`http.request_handler.RequestHandler`)."""
+    """Handles the requests of a connection (`http.request_handler.RequestHandler`)."""
 
     def serve(self, connection: ClientConnection, message: http1.Request) -> None:
         """Answer a message on its connection, at once or later."""
 
 
 class ConnectionOwner(typing.Protocol):
-    """What a connection needs of its owner (`http.listener.Listener`), which tracks its state."""
+    """The listener that owns a connection and tracks its state (`http.listener.Listener`)."""
 
     reactor: Any
     accepting: bool
@@ -51,31 +51,31 @@
 
     @property
     def handler(self) -> MessageHandler:
-        """What answers messages."""
+        """The handler of the requests."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+        """Register a new connection."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
+        """Unregister a closed connection."""
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """No answer is due on it."""
+        """Record that no response is due on the connection."""
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """An answer is due on it."""
+        """Record that a response is due on the connection."""
 
     def mark_lingering(self, connection: ClientConnection) -> None:
-        """Its last answer was written; the rest of its input is discarded."""
+        """Record that the last response was written and remaining input is discarded."""
 
     def mark_closing(self, connection: ClientConnection) -> None:
-        """It is being closed without an answer."""
+        """Record that the connection is being closed without a response."""
 
 
 class ClientConnection(Protocol):
-    """One connection to the listener; it carries one request at a time.
+    """A client connection; it processes one request at a time.
 
-    Implements `core.requests.Client` for the request that it carries.
+    Implements `core.requests.Client` for the request in progress.
     """
 
     transport: Any
@@ -83,16 +83,16 @@
     def __init__(self, listener: ConnectionOwner) -> None:
         self.listener = listener
         self.reader = http1.RequestReader()
-        self.message_started_at = 0.0  # ms: when the message that is being read began
-        self.idle_since = 0.0  # ms: connected, or last answered
+        self.message_started_at = 0.0  # ms: when the first byte of the current message was read
+        self.idle_since = 0.0  # ms: when the client connected, or the last response was written
         self.request: AcceptedRequest | None = None
-        self.keep_alive = True  # of the request that is being answered
+        self.keep_alive = True  # whether the connection persists after the current request
         self.open = False
-        self.input_truncated = False  # more came ahead of an answer than is kept
-        self.response_sent = False  # at least once
-        self.relayed = False  # its call-back has been passed on to another process of this node
-        self.only_callbacks = True  # has carried no request
-        self.discarded_bytes = 0  # beyond what is kept, and after the last answer
+        self.input_truncated = False  # more input was pipelined than is buffered
+        self.response_sent = False  # at least one response was written
+        self.relayed = False  # its call-back was forwarded to another process of this node
+        self.only_callbacks = True  # no client request was accepted on it
+        self.discarded_bytes = 0  # bytes beyond PENDING_LIMIT, and after the last response
 
     def connectionMade(self) -> None:
         self.open = True
@@ -123,7 +123,7 @@
             self.transport.abortConnection()
 
     def advance(self) -> None:
-        """Handle the complete requests in the buffer, up to one that has to wait for its answer."""
+        """Process the complete requests in the buffer, until one waits for its response."""
         while self.open and not self.busy:
             try:
                 message = self.reader.next()
@@ -154,11 +154,14 @@
 
     @property
     def last_activity(self) -> float:
-        """Time (ms) of the last activity: connecting, the last answer, or the begin of a message after it."""
+        """Time (ms) of the last activity: connecting, the last response, or the start of a later message."""
         return max(self.idle_since, self.message_started_at) if self.response_sent else self.idle_since
 
     def check_timeout(self, now: float) -> None:
-        """Close it if a message is overdue; trickling bytes renew nothing. Once answered it may idle."""
+        """Time out an incomplete message; single bytes do not extend the timeout.
+
+        A connection that has carried a response may stay idle between messages.
+        """
         if not self.open or self.busy or self.last_activity + MESSAGE_TIMEOUT > now:
             return
         if self.reader.has_partial_message:
@@ -169,18 +172,18 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an answer is due that another part has to give."""
+        """Whether a response is due that the broker or another process provides."""
         return self.request is not None or self.relayed
 
     @property
     def idle(self) -> bool:
-        """Whether it is open, owes nothing and has read no part of a message."""
+        """Whether it is open, no response is due and no partial message was read."""
         return self.open and not self.busy and not self.reader.has_partial_message
 
     def send_response(
         self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()
     ) -> None:
-        """Write the answer that is due on this connection."""
+        """Write the response that is due; close the connection unless it persists."""
         self.request = None
         self.relayed = False
         if not self.open:
@@ -197,11 +200,11 @@
             self.close()
 
     def has_unsent_response(self) -> bool:
-        """Whether an answer was written of which the socket hasn't taken all."""
+        """Whether part of a written response has not been passed to the socket yet."""
         return self.response_sent and has_unsent(self.transport)
 
     def close(self) -> None:
-        """Close after an answer: what the client still sends is read and discarded for a while."""
+        """Close after a response; further input is read and discarded for a limited time."""
         if self.open:
             self.open = False
             self.reader = http1.RequestReader()  # frees the buffer
@@ -209,7 +212,7 @@
             self.listener.mark_lingering(self)
 
     def drop(self) -> None:
-        """Close without an answer; the socket is freed at once."""
+        """Close without a response, which frees the socket immediately."""
         self.open = False
         self.listener.mark_closing(self)
         self.transport.loseConnection()
@@ -222,7 +225,7 @@
         self.listener.connection_closed(self)
 
     def disconnected(self) -> bool:
-        """Whether the client has closed, by the state of the socket, read or not."""
+        """Whether the client has closed, also if the end of input has not been read yet."""
         return not self.open or peek(self.transport) == b""
 
     # ---- core.requests.Client
@@ -239,8 +242,8 @@
     def send_deferred_response(
         self, status: int, body: bytes = b"", headers: tuple[tuple[bytes, bytes], ...] = ()
     ) -> None:
-        """Write an answer that was not given in the turn in which the request was read."""
+        """Write a response after the reactor turn in which the request was read."""
         self.send_response(status, body, headers)
         if self.reader.has_partial_message or self.input_truncated:
-            # Handle what came meanwhile; in a later turn, since the broker is in the middle of a batch.
+            # Process pipelined input in a later turn, since the broker is in the middle of a batch.
             self.listener.reactor.callLater(0, self.advance)
--- a/bitternpath/balancer/http/connection_reuse.py
+++ b/bitternpath/balancer/http/connection_reuse.py
@@ -1,4 +1,4 @@
-"""Decides whether, and for how long, idle connections to endpoints are used again. Pure: no I/O, no clock.
+"""Decides whether, and for how long, idle connections to endpoints are reused. Pure: no I/O, no clock.
 
 Endpoints may close idle connections far earlier than the settings say; a call that crosses such a close is
 lost. Connections are reused within half of the shortest idle time after which an endpoint closed one; each
@@ -8,16 +8,16 @@
 
 from __future__ import annotations
 
-IDLE_SHARE = 0.6  # of the time after which an endpoint closes idle connections: ours are closed earlier
-REUSE_SHARE = 0.5  # of the shortest idle time seen at the close of an endpoint
-REUSE_GROWTH = 1.035  # at each sweep; doubles the time in 10 s
-RESET_TOLERANCE = 0.1  # by which the share of resets on reused connections may exceed that on new ones
+IDLE_SHARE = 0.6  # fraction of the endpoints' idle timeout after which the node closes connections
+REUSE_SHARE = 0.5  # fraction of the shortest idle time after which an endpoint closed
+REUSE_GROWTH = 1.035  # factor per sweep; doubles the limit in 10 s
+RESET_TOLERANCE = 0.1  # by which the reset rate on reused connections may exceed that on new ones
 RESET_SMOOTHING = 0.1  # weight of one call in the moving averages of resets
-RESET_DECAY = 0.98  # at each sweep; halves the share of reused connections in 17 s
+RESET_DECAY = 0.98  # factor per sweep; halves the reset rate of reused connections in 17 s
 
 
 class ReusePolicy:
-    """Idle times in ms, and the recent shares of reset calls on reused and on new connections."""
+    """Idle limits in ms, and the recent reset rates of calls on reused and on new connections."""
 
     __slots__ = ("idle_limit", "resets", "reuse_limit")
 
@@ -26,7 +26,7 @@
         self.set_idle_timeout(idle_timeout)
 
     def set_idle_timeout(self, idle_timeout: float) -> None:
-        """The time (ms) after which endpoints close idle connections by the settings."""
+        """Set the time (ms) after which endpoints close idle connections according to the settings."""
         self.idle_limit = idle_timeout * IDLE_SHARE
         self.reuse_limit = self.idle_limit
 
@@ -39,10 +39,10 @@
         self.resets[reused] += RESET_SMOOTHING * (reset - self.resets[reused])
 
     def allows_reuse(self) -> bool:
-        """Whether connections are worth keeping."""
+        """Whether idle connections are kept for reuse."""
         return self.resets[True] <= self.resets[False] + RESET_TOLERANCE
 
     def sweep(self) -> None:
-        """Forget a little of what was observed; called at a fixed interval."""
+        """Decay the observations; called at a fixed interval."""
         self.reuse_limit = min(self.reuse_limit * REUSE_GROWTH, self.idle_limit)
         self.resets[True] *= RESET_DECAY
--- a/bitternpath/balancer/http/console.py
+++ b/bitternpath/balancer/http/console.py
@@ -1,9 +1,9 @@
-"""The operators' console: one HTTP/1.1 call a connection (DAYS, 'Where operators call').
+"""The operators' console: one HTTP/1.1 request per connection (DAYS, 'Where operators call').
 
-Every answer is due within 1 s under any load, so nothing here blocks: a call is answered in the reactor turn
-in which its last byte is read. Connections without a complete call are bounded in number, and the one that
-has been silent for longest is closed first; they never keep a complete call out. Imported only where the node
-has a console address.
+Every response is due within 1 s under any load, so nothing here blocks: a request is answered in the reactor
+turn in which its last byte is read. The number of connections without a complete request is limited, and the
+oldest is closed first, so they never block a complete request. Imported only if the node has a console
+address.
 """
 
 from __future__ import annotations
@@ -24,15 +24,13 @@
 
 log = structlog.get_logger(part="console")
 
-MAX_CONSOLE_CONNECTIONS = 24  # connections at once; as many descriptors are kept for them
-# s for a call to arrive completely. Twice the second in which answers are due: after a stall of the process
-# timers expire before sockets are read, and unread input must not pass for half a call.
+MAX_CONSOLE_CONNECTIONS = 24  # concurrent connections; as many descriptors are reserved
+# s to receive a complete request. Twice the 1 s in which responses are due: after a stall of the process,
+# timers expire before sockets are read, and unread input must not be taken for an incomplete request.
 CALL_TIMEOUT = 2.0
-RECENT_CONNECTION_AGE = 0.1  # s: a connection younger than that is not silent yet, its call may be on the way
-LINGER_TIMEOUT = (
-    0.5  # s in which the rest of a bad call is read and dropped, so that the answer to it arrives
-)
-BODY_LIMIT = 1024  # bytes: a body is one id
+RECENT_CONNECTION_AGE = 0.1  # s: the request of a younger connection may be in transit
+LINGER_TIMEOUT = 0.5  # s in which the rest of a rejected request is discarded, so that the response arrives
+BODY_LIMIT = 1024  # bytes; a body contains one id
 BACKLOG = 256
 TEXT_HEADERS = ((b"Content-Type", b"text/plain; charset=utf-8"),)
 
@@ -41,19 +39,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ConsoleResponse:
-    """The answer to a call."""
+    """Status, body and header fields of a response."""
 
     status: int
     body: bytes = b""
     headers: tuple[tuple[bytes, bytes], ...] = TEXT_HEADERS
 
 
-CallHandler = Callable[[bytes], ConsoleResponse]  # takes the body
-Routes = Mapping[bytes, tuple[bytes, CallHandler]]  # path: method, what answers it
+CallHandler = Callable[[bytes], ConsoleResponse]  # called with the body of the request
+Routes = Mapping[bytes, tuple[bytes, CallHandler]]  # path: method and handler
 
 
 def parse_id(body: bytes) -> str:
-    """The id in a body, without surrounding white space; ValueError where the body is not one id."""
+    """Return the id in a body without surrounding white space; ValueError if the body is not one id."""
     id = body.strip()
     if not _VISIBLE_ASCII_ID.fullmatch(id):
         raise ValueError("the body must be one id: 1 to 200 visible ASCII characters")
@@ -61,7 +59,7 @@
 
 
 def dispatch(routes: Routes, call: http1.Request) -> ConsoleResponse:
-    """Answer a complete call."""
+    """Call the handler for a complete request and return its response."""
     method, handle = routes.get(call.path, (b"", None))
     if handle is None:
         return ConsoleResponse(404, b"no such path; allowed are " + b", ".join(routes) + b"\n")
@@ -74,7 +72,7 @@
 
 
 class ConsoleConnection(Protocol):
-    """One connection with one call; input after the call is ignored."""
+    """One connection with one request; input after the request is ignored."""
 
     transport: Any
 
@@ -83,7 +81,7 @@
         self.reader = http1.RequestReader(BODY_LIMIT)
         self.timer: Any = None
         self.opened_at = console.reactor.seconds()
-        self.finished = False  # has been answered
+        self.finished = False  # a response was sent, or the connection is closed
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -110,7 +108,7 @@
                 self.respond(ConsoleResponse(500))
 
     def timed_out(self) -> None:
-        """The call is overdue, or the time to linger after the answer is over."""
+        """Handle an overdue request, or the end of the linger time after a response."""
         self.timer = None
         if self.finished:
             self.transport.abortConnection()
@@ -120,7 +118,7 @@
             self.drop()
 
     def respond(self, response: ConsoleResponse) -> None:
-        """Write the answer; the rest of the input is read and dropped for a while."""
+        """Write the response; further input is discarded for LINGER_TIMEOUT."""
         self.finished = True
         self.transport.write(
             http1.response(response.status, response.body, response.headers, keep_alive=False)
@@ -132,7 +130,7 @@
         self.timer = self.console.reactor.callLater(LINGER_TIMEOUT, self.timed_out)
 
     def drop(self) -> None:
-        """Close without an answer."""
+        """Close without a response."""
         self.finished = True
         self.transport.abortConnection()
 
@@ -145,9 +143,9 @@
 
 
 class Console(Factory):
-    """All connections to the console's address.
+    """Accepts the connections to the console's address.
 
-    `where` is host and port; `routes` maps a path to its method and the function that answers it.
+    `address` is host and port; `routes` maps a path to its method and handler.
     """
 
     noisy = False
@@ -156,7 +154,7 @@
         self.reactor = reactor
         self.address = address
         self.routes = routes
-        # Those that were answered and those that were not, each the oldest first.
+        # Connections with and without a response, each oldest first.
         self.answered: OrderedDict[ConsoleConnection, None] = OrderedDict()
         self.unanswered: OrderedDict[ConsoleConnection, None] = OrderedDict()
         self.port: Any = None
@@ -172,7 +170,7 @@
         return ConsoleConnection(self)
 
     def connection_opened(self, connection: ConsoleConnection) -> None:
-        """A caller has connected; above the limit another one is closed."""
+        """Register a new connection; above the limit the oldest one is closed."""
         self.unanswered[connection] = None
         if len(self.unanswered) + len(self.answered) > MAX_CONSOLE_CONNECTIONS:
             oldest = next(iter(self.unanswered))
@@ -182,11 +180,11 @@
             oldest.drop()
 
     def response_written(self, connection: ConsoleConnection) -> None:
-        """A caller has been answered."""
+        """Record that a connection has its response."""
         self.unanswered.pop(connection, None)
         self.answered[connection] = None
 
     def connection_closed(self, connection: ConsoleConnection) -> None:
-        """A caller's connection is gone."""
+        """Unregister a closed connection."""
         self.unanswered.pop(connection, None)
         self.answered.pop(connection, None)
--- a/bitternpath/balancer/http/discovery_messages.py
+++ b/bitternpath/balancer/http/discovery_messages.py
@@ -1,4 +1,4 @@
-"""Discovery's list in its JSON form (PROTOCOL, 'Discovery')."""
+"""Parses the endpoint list that discovery sends as JSON (PROTOCOL, 'Discovery')."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def listing_from(message: dict[str, Any]) -> Listing:
-    """The list, or the changes to it, of one message.
+    """Parse one message: a complete list, or changes to it.
 
     Raises:
-        KeyError, ValueError, TypeError: the message is none.
+        KeyError, ValueError, TypeError: the message is malformed.
     """
     return Listing(
         int(message["revision"]),
--- a/bitternpath/balancer/http/discovery_subscription.py
+++ b/bitternpath/balancer/http/discovery_subscription.py
@@ -1,4 +1,4 @@
-"""The source of the platform's endpoints: a subscription to discovery keeps the registry up to date."""
+"""Keeps the endpoint registry up to date with a subscription to discovery."""
 
 from __future__ import annotations
 
@@ -20,17 +20,15 @@
 
 log = structlog.get_logger(part="discovery")
 
-# s from one complete line to the next, where one is due every 2 s: after that a subscription is silent, and
-# another one is opened. What was missed counts as known 6 s after the silence began (STANDING): two attempts
-# may hang before that.
+# s between complete lines, one of which is due every 2 s; after that another subscription is opened. Changes
+# must be applied within 6 s of the last line (STANDING), which leaves time for two attempts that hang.
 MESSAGE_TIMEOUT = 2.5
-OPEN_TIMEOUT = 1.0  # s from connecting to the first line: discovery's agent runs on the node's own machine
-MAX_PENDING = (
-    3  # attempts at once: one that hangs is kept, since all may be slow, while others are tried beside it
-)
-# s before the next attempt. The agent answers at no cost, and its changes count as known within 4 s.
+OPEN_TIMEOUT = 1.0  # s from connecting to the first line; discovery's agent runs on the same machine
+# Concurrent attempts: one that hangs is kept, since all may be slow, while others are started.
+MAX_PENDING = 3
+# s before the next attempt. Attempts at the local agent are cheap, and changes must be applied within 4 s.
 INITIAL_BACKOFF, MAX_BACKOFF = 0.1, 0.5
-LIST_LIMIT = 16 << 20  # bytes of one list
+LIST_LIMIT = 16 << 20  # bytes of one JSON object
 
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -38,11 +36,11 @@
 
 
 class JsonObjectStream:
-    """Splits the bytes of a subscription into JSON objects; each stands on one line or, indented, on many."""
+    """Splits the bytes of a subscription into JSON objects, each on one line or, indented, on several."""
 
     def __init__(self) -> None:
-        self._incomplete_line = bytearray()  # incomplete
-        self._incomplete_object = bytearray()  # complete lines of an incomplete object
+        self._incomplete_line = bytearray()
+        self._incomplete_object = bytearray()  # its complete lines
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
@@ -61,7 +59,7 @@
                     raise ValueError("an incomplete list")
                 yield None
                 continue
-            without_strings = _STRING.sub(b"", line)  # no string goes over a line's end
+            without_strings = _STRING.sub(b"", line)  # a JSON string contains no line break
             self._depth += sum(map(without_strings.count, b"{[")) - sum(map(without_strings.count, b"}]"))
             self._incomplete_object += line
             if self._depth <= 0:
@@ -72,7 +70,7 @@
 
 
 class _SubscriptionConnection(Protocol):
-    """One connection for a subscription: being opened, open, or dropped."""
+    """One connection of a subscription: connecting, open, or dropped."""
 
     transport: Any = None
 
@@ -82,7 +80,7 @@
         self.reader = ResponseReader(body_limit=None)
         self.objects = JsonObjectStream()
         self.dropped = False
-        self.resync = False  # the complete list was requested
+        self.resync = False  # whether the complete list was requested
         self.connecting: Deferred[Any] | None = None
         self.timeout: Any = subscription.reactor.callLater(OPEN_TIMEOUT, self._timed_out, OPEN_TIMEOUT)
 
@@ -126,7 +124,7 @@
         self.subscription.granted(self)
 
     def _expect_message_within(self, seconds: float) -> None:
-        """A complete line is due within that time; bytes alone do not count."""
+        """Restart the timeout for the next complete line; partial lines do not extend it."""
         self.cancel_timeout()
         self.timeout = self.subscription.reactor.callLater(seconds, self._timed_out, seconds)
 
@@ -138,11 +136,11 @@
     def _timed_out(self, seconds: float) -> None:
         log.warning("subscription_silent", seconds=seconds)
         self.timeout = None
-        self._expect_message_within(MESSAGE_TIMEOUT)  # it goes on until another one is granted
+        self._expect_message_within(MESSAGE_TIMEOUT)  # stays open until another subscription is granted
         self.subscription.message_overdue(self)
 
     def drop(self) -> None:
-        """Close it without further reports."""
+        """Close the connection without notifying the subscription."""
         self.dropped = True
         self.cancel_timeout()
         if self.transport is not None:
@@ -157,12 +155,13 @@
 
 
 class DiscoverySubscription:
-    """Keeps a subscription to discovery open. A silent one, or one to an address that discovery has left, is
-    kept until a new one is granted.
+    """Keeps a subscription to discovery open.
 
-    With an agent on the node's machine the next attempt comes after a short back-off. Where discovery is one
-    service for all nodes, `failed` is given: it is called once for each subscription that was refused, has
-    ended or is silent, and whoever decides when to try again calls `start`."""
+    A subscription whose messages are overdue, or whose address is outdated, stays open until a new one is
+    granted. With an agent on the same machine, retries follow after a short back-off. If discovery is a
+    service shared by all nodes, `on_failure` is set: it is called once for each subscription that was
+    refused, ended or timed out, and the caller decides when to retry with `start`.
+    """
 
     def __init__(
         self,
@@ -178,28 +177,28 @@
         self.random = random
         self.on_failure = on_failure
         self.backoff = INITIAL_BACKOFF
-        self.has_been_granted = False  # discovery has answered at least once
-        self.on_first_message: Callable[[], object] = lambda: None  # called when the first message comes
-        self._current: _SubscriptionConnection | None = None  # granted
-        self._pending: list[_SubscriptionConnection] = []  # not granted yet; oldest first
-        self._retry_timer: Any = None  # the timer of the next attempt
-        self.resync = False  # revisions began anew: request the complete list
-        self._failure_reported = False  # `failed` was called, and nobody has called `start` yet
+        self.has_been_granted = False  # a message was received at least once
+        self.on_first_message: Callable[[], object] = lambda: None  # called at the first message
+        self._current: _SubscriptionConnection | None = None  # the granted connection
+        self._pending: list[_SubscriptionConnection] = []  # attempts not granted yet, oldest first
+        self._retry_timer: Any = None
+        self.resync = False  # revisions were reset: request the complete list
+        self._failure_reported = False  # `on_failure` was called, but not `start` since
         self._stopped = False
 
     def start(self) -> None:
-        """Open a subscription; attempts in progress are dropped."""
+        """Open a subscription and drop pending attempts."""
         self._cancel_pending()
         if not self._stopped:
             self._open()
 
     def _open(self) -> None:
-        """Make another attempt, beside those that hang."""
+        """Start another attempt in addition to pending ones."""
         while len(self._pending) >= MAX_PENDING:
             self._pending.pop(0).drop()
         connection = _SubscriptionConnection(self, self.address)
         self._pending.append(connection)
-        timeout = MAX_PENDING * OPEN_TIMEOUT  # s for which an attempt is kept
+        timeout = MAX_PENDING * OPEN_TIMEOUT  # s until an attempt is abandoned
         connecting = connection.connecting = dial(self.reactor, *self.address, timeout, connection)
         connecting.addErrback(lambda failure: self._connect_failed(connection, failure))
 
@@ -208,7 +207,7 @@
         self.connection_lost(connection, failure.getErrorMessage())
 
     def set_address(self, address: Address) -> None:
-        """Discovery has another address from now on."""
+        """Change the address of discovery; an open subscription stays until the new one is granted."""
         if address != self.address:
             self.address = address
             self.backoff = INITIAL_BACKOFF
@@ -228,7 +227,7 @@
         self._failure_reported = False
 
     def granted(self, connection: _SubscriptionConnection) -> None:
-        """A message has come on this connection: it replaces the one before."""
+        """Make a connection that has delivered a message the current one."""
         if not self.has_been_granted:
             self.has_been_granted = True
             self.on_first_message()
@@ -242,7 +241,7 @@
                 previous.drop()
 
     def message_overdue(self, connection: _SubscriptionConnection) -> None:
-        """A line is overdue: open another subscription, unless an attempt is due."""
+        """Handle an overdue line: open another subscription, unless a retry is scheduled."""
         retry_pending = self._failure_reported or (
             self._retry_timer is not None and self._retry_timer.active()
         )
@@ -263,7 +262,7 @@
             self.on_failure()
 
     def connection_lost(self, connection: _SubscriptionConnection, reason: str) -> None:
-        """A connection has ended, or could not be opened."""
+        """Handle a connection that ended or could not be opened."""
         is_latest = connection is self._latest
         if connection is self._current:
             self._current = None
@@ -283,7 +282,7 @@
         self._retry_timer = self.reactor.callLater(delay, self._open)
 
     def stop(self) -> None:
-        """Close it for good."""
+        """Close the subscription permanently."""
         self._stopped = True
         self._cancel_pending()
         if self._current is not None:
--- a/bitternpath/balancer/http/listener.py
+++ b/bitternpath/balancer/http/listener.py
@@ -1,4 +1,4 @@
-"""The listener: accepts connections of clients and endpoints, bounds their number, closes them at the end."""
+"""The listener: accepts connections of clients and endpoints, limits their number, and closes them."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from bitternpath.net.sockets import BURST, BurstPort, Sockets
 
 TIMEOUT_CHECK_INTERVAL = 0.25  # s
-LINGER_TIME = 3000.0  # ms after the last answer in which the input is discarded
-BACKLOG = 1024  # connections that the system queues for us to accept
-# ms: connections idle for less are closed neither for room nor at the end, their request may be on the way.
+LINGER_TIME = 3000.0  # ms after the last response in which input is discarded
+BACKLOG = 1024  # established connections that the system queues until they are accepted
+# ms: connections idle for less are closed neither at the limit nor at shutdown: a request may be in transit.
 RECENTLY_IDLE = 100.0
-CLOSE_RETRY_INTERVAL = 0.1  # s until such connections are checked again
+CLOSE_RETRY_INTERVAL = 0.1  # s until recently idle connections are checked again
 
 
 class Listener(Factory):
-    """All connections to the node's address: accepts them, and closes idle ones for room and at the end."""
+    """Accepts the connections to the node's address; closes idle ones at the socket limit and at shutdown."""
 
     noisy = False
 
@@ -44,17 +44,17 @@
         self.handler = handler
         self.broker = handler.broker
         self.connections: dict[ClientConnection, None] = {}
-        # Those that wait for no answer, and those answered for the last time; each the oldest first.
+        # Connections without a due response, and those after their last response; each oldest first.
         self.idle_connections: OrderedDict[ClientConnection, None] = OrderedDict()
         self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()
-        self.closing: set[ClientConnection] = set()  # being closed without an answer
-        self.stopped_at: float | None = None  # ms: when the stop signal came
+        self.closing: set[ClientConnection] = set()  # being closed without a response
+        self.stopped_at: float | None = None  # ms: when the stop signal was received
         self.port: Any = None
         self.accepting = True
         self._capacity_check_scheduled = False
 
     def listen(self, host: str, port: int, shared: bool = False, descriptor: int | None = None) -> None:
-        """Listen on the address, or on the socket that another process of this node has handed over."""
+        """Listen on the address, or on the socket passed by another process of this node."""
         factory: Any = self
         if descriptor is None:
             self.port = BurstPort(port, factory, BACKLOG, host, self.reactor)
@@ -71,14 +71,14 @@
         return ClientConnection(self)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+        """Register a new connection."""
         self.connections[connection] = None
         self.idle_connections[connection] = None
         self.sockets.clients += 1
         self._close_excess_connections()
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
+        """Unregister a closed connection."""
         if self.connections.pop(connection, connection) is None:
             self.sockets.clients -= 1
         self.idle_connections.pop(connection, None)
@@ -87,21 +87,21 @@
         self._update_accepting()
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """No answer is due on it: it is the last one to be closed for room."""
+        """Record that no response is due: the connection becomes the last candidate for closing."""
         self.idle_connections[connection] = None
         self.idle_connections.move_to_end(connection)
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """An answer is due on it."""
+        """Record that a response is due on the connection."""
         self.idle_connections.pop(connection, None)
 
     def mark_lingering(self, connection: ClientConnection) -> None:
-        """Its last answer was written; the rest of its input is discarded."""
+        """Record that the last response was written and remaining input is discarded."""
         self.idle_connections.pop(connection, None)
         self.lingering[connection] = None
 
     def mark_closing(self, connection: ClientConnection) -> None:
-        """It is being closed without an answer."""
+        """Record that the connection is being closed without a response."""
         self.idle_connections.pop(connection, None)
         self.lingering.pop(connection, None)
         self.closing.add(connection)
@@ -120,9 +120,10 @@
             self.port.stopReading()
 
     def _close_excess_connections(self) -> None:
-        """Close the connections that have been idle for longest, so that the next ones can be accepted.
+        """Close the connections idle for longest, so that new ones can be accepted.
 
-        One that has been idle for a moment only is spared: its request may be on the way."""
+        Connections idle for less than RECENTLY_IDLE stay open: a request may be in transit.
+        """
         excess = len(self.connections) - len(self.closing) - (self.sockets.client_limit - BURST)
         idle_before = self.clock() - RECENTLY_IDLE
         for group in (self.lingering, self.idle_connections):
@@ -151,17 +152,17 @@
                 break
             connection.drop()
 
-    # ---- the end
+    # ---- shutdown
 
     def stop(self) -> None:
-        """Begin to stop: idle connections are closed as soon as the phase allows."""
+        """Start the shutdown: idle connections are closed as soon as the phase allows."""
         self.stopped_at = self.clock()
         self.broker.answer_deadline = self.stopped_at + answer_time_after_stop(self.handler.longest_deadline)
         self.reactor.callLater(NEW_CONNECTIONS_UNTIL_MS / 1000.0, self._close_idle)
 
     @property
     def has_client_connections(self) -> bool:
-        """Whether clients hold connections that they may still use."""
+        """Whether connections that clients may still use are open."""
         expired = (
             self.stopped_at is not None
             and self.clock()
--- a/bitternpath/balancer/http/operations.py
+++ b/bitternpath/balancer/http/operations.py
@@ -1,4 +1,4 @@
-"""The operators' calls of the console: readiness, statistics, manual ejections."""
+"""The console's handlers: readiness, statistics, manual ejections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def avoided_workers(dispatcher: Dispatcher, now: float) -> set[str]:
-    """Names of the workers that the dispatcher avoids at `now` (ms), for silence or for faults."""
+    """Names of the workers that the dispatcher avoids at `now` (ms): suspended, or blocked by faults."""
     workers, class_states = dispatcher.workers.values(), dispatcher.class_states.values()
     return {
         w.name
@@ -28,7 +28,7 @@
 
 
 class Operations:
-    """Implements the calls of the console."""
+    """Implements the requests to the console."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         broker.statistics.register(gauges=gauges)
 
     def routes(self) -> Routes:
-        """Path: method, what answers it."""
+        """The routes of the console: path to method and handler."""
         return {
             READINESS_PATH: (b"GET", self.readiness),
             STATS_PATH: (b"GET", self.stats),
@@ -60,11 +60,11 @@
         }
 
     def readiness(self, body: bytes) -> ConsoleResponse:
-        """200 where this process serves, else 503."""
+        """Return 200 if this process is serving, else 503."""
         return ConsoleResponse(200, b"ready\n") if self.is_serving() else ConsoleResponse(503, b"not ready\n")
 
     def stats(self, body: bytes) -> ConsoleResponse:
-        """All statistics, one a line."""
+        """Return all statistics, one per line."""
         return ConsoleResponse(200, self.broker.statistics.lines().encode())
 
     @staticmethod
@@ -83,7 +83,7 @@
         )
 
     def avoided_endpoint_count(self) -> int:
-        """How many listed endpoints the node avoids now: ejected, draining, or left out by the module."""
+        """Count the listed endpoints that are ejected, draining, or avoided by the dispatcher."""
         avoided_ids = avoided_workers(self.dispatcher, self.clock())
         return sum(
             p.id in avoided_ids or p.state is not m.WorkerState.SERVING
--- a/bitternpath/balancer/http/request_handler.py
+++ b/bitternpath/balancer/http/request_handler.py
@@ -1,4 +1,4 @@
-"""What the listener answers: requests of clients, call-backs of endpoints, and `/ready`."""
+"""Handles the requests to the listener: client requests, call-backs of endpoints, and `/ready`."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     """Parse a call-back's body.
 
     Raises:
-        ValueError, KeyError, TypeError, AttributeError: the body is no call-back.
+        ValueError, KeyError, TypeError, AttributeError: the body is not a valid call-back.
     """
     fields = ujson.loads(body)
     share = fields.get("share")
@@ -54,17 +54,17 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeChecks:
-    """What the handler asks the node."""
+    """State of the node that the handler queries."""
 
     is_ready: Callable[[], bool]  # whether the node has endpoints to send to
-    retry_after: Callable[[str], float]  # class: ms after which a rejected client may retry
+    retry_after: Callable[[str], float]  # ms after which a rejected client of this class may retry
 
 
 class RequestHandler:
-    """Answers the messages of all client connections, or submits them to the broker.
+    """Responds to the requests of all client connections, or submits them to the broker.
 
-    `relay` passes a call-back for an unknown request on to another process of this node, and returns False
-    where there is none; `fleet_admits` says whether the fleet agrees that clients are sent to this node.
+    `relay` forwards a call-back for an unknown request to another process of this node, and returns False if
+    there is none; `fleet_admits` returns whether the fleet allows clients to be sent to this node.
     """
 
     def __init__(
@@ -84,16 +84,16 @@
         self.set_classes(classes)
 
     def set_classes(self, classes: tuple[m.JobClass, ...]) -> None:
-        """Accept these classes from now on; requests of a class that is gone are still answered."""
+        """Accept requests of these classes; accepted requests of removed classes are still answered."""
         self.classes = {c.name.encode(): c for c in classes}
 
     @property
     def longest_deadline(self) -> float:
-        """The longest deadline of a class, in ms."""
+        """The longest maximum deadline of all classes, in ms."""
         return max(c.max_deadline for c in self.classes.values())
 
     def serve(self, connection: ClientConnection, message: http1.Request) -> None:
-        """Answer a message on its connection, at once or later."""
+        """Respond to a request on its connection, immediately or later."""
         path = message.path
         if path == CALLBACK_PATH:
             self._serve_callback(connection, message)
@@ -132,7 +132,9 @@
     @staticmethod
     def _relayed(connection: ClientConnection, ok: bool) -> None:
         if not ok:
-            connection.keep_alive = False  # the endpoint retries, perhaps at the other process
+            connection.keep_alive = (
+                False  # the endpoint retries on a new connection, which the other process may accept
+            )
         connection.send_deferred_response(204 if ok else 503)
 
     def _submit(self, connection: ClientConnection, message: http1.Request) -> None:
@@ -150,7 +152,7 @@
         elif self.broker.has_seen(id.decode()):
             connection.send_response(409, b"X-Call-Id is in use")
         elif self.broker.unanswered >= self.sockets.request_limit:
-            # Requests in progress need sockets for their call-backs; close this connection to make room.
+            # Requests in progress need sockets for their call-backs: close this connection to free one.
             connection.keep_alive = False
             connection.rejected(self.checks.retry_after(job_class.name))
             self.broker.counts["no_room"] += 1
--- a/bitternpath/balancer/http/upstream_client.py
+++ b/bitternpath/balancer/http/upstream_client.py
@@ -1,4 +1,4 @@
-"""Upstream calls over HTTP/1.1: which connection carries a call, when one opens, what a response means."""
+"""Upstream calls over HTTP/1.1: connection pooling, dialling, and the outcome of responses."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 log = structlog.get_logger(part="upstream")
 
-# s for which a connection rests after a response. A faulty endpoint may respond twice, some ms apart;
-# on a connection that is in use again the second would pass for the response to another call.
+# s for which a connection is not reused after a response. A faulty endpoint may respond twice, some ms apart;
+# on a reused connection the second response would be taken for that to the next call.
 DUPLICATE_RESPONSE_WAIT = 0.05
-SWEEP_INTERVAL = 0.5  # s between checks for connections that have been idle for too long
-RESPONSE_TIMEOUT = 1.0  # s for the response to a DELETE, and for one that a call no longer waits for
-MAX_DELETES = 32  # in flight at once; more are not sent
+SWEEP_INTERVAL = 0.5  # s between checks of idle connections
+RESPONSE_TIMEOUT = 1.0  # s to wait for the response to a DELETE, or to a call that has finished
+MAX_DELETES = 32  # concurrent DELETEs; more are not sent
 MAX_DELETES_PER_ENDPOINT = 2
 
-PER_CALL_HEADERS = frozenset((b"x-call-id", b"x-budget-ms"))  # headers that each call sets anew
+PER_CALL_HEADERS = frozenset((b"x-call-id", b"x-budget-ms"))  # headers that the node sets for each call
 
 
 class HttpUpstreamClient:
-    """Carries calls to endpoints over HTTP/1.1, each on the connection used last, or on a new one.
+    """Sends calls to endpoints over HTTP/1.1, on the most recently used idle connection or a new one.
 
-    Implements `core.requests.UpstreamClient`; `broker` is set once the broker is made. Timeouts are in ms.
+    Implements `core.requests.UpstreamClient`; `broker` is set after construction. Timeouts are in ms.
     """
 
     broker: Broker
@@ -58,32 +58,32 @@
         self.pools: dict[str, AddressPool] = {}
         self.deletes = 0
         self.counts: Counter[str] = Counter()
-        self._process_started_at: dict[str, float] = {}  # endpoint: when its process last started
+        self._process_started_at: dict[str, float] = {}  # endpoint id: start time of its process (ms)
 
     def set_timeouts(self, dial_timeout: float, idle_timeout: float) -> None:
-        """Timeouts (ms) of the settings: to connect, and after which endpoints close idle connections."""
+        """Set the connect timeout and the idle timeout of endpoints (ms)."""
         self.dial_timeout = dial_timeout / 1000.0
         self.reuse.set_idle_timeout(idle_timeout)
 
     def closed_by_endpoint(self, idle: float) -> None:
-        """An endpoint closed a connection that had been idle for that time (ms)."""
+        """Record that an endpoint closed a connection that had been idle for `idle` ms."""
         self.counts["closed_by_provider"] += 1
         self.reuse.closed_by_endpoint(idle)
 
     def run(self) -> None:
-        """Close connections that idle for too long, from now on."""
+        """Start the periodic check of idle connections."""
         self.reactor.callLater(SWEEP_INTERVAL, self._sweep)
 
     # ---- core.requests.UpstreamClient
 
     def start(self, call: UpstreamCall, endpoint: Endpoint) -> None:
-        """Send a call."""
+        """Send a call to an endpoint, or queue it until a connection is available."""
         exchange = Exchange(b"", call)
         call.transport_state = exchange
         self._queue(endpoint.host_port, exchange)
 
     def cancel(self, call: UpstreamCall) -> None:
-        """Cancel a call: before the 202 by closing its connection, after it by a DELETE."""
+        """Cancel a call: before its 202 by closing the connection, afterwards by a DELETE."""
         exchange = call.transport_state
         if call.accepted:
             self._delete(call)
@@ -113,7 +113,7 @@
         self._queue(endpoint.host_port, exchange)
 
     def _release_delete_slot(self, pool: AddressPool, exchange: Exchange) -> None:
-        """The slot of a DELETE is free again after a fixed time, answered or not."""
+        """Free the slot of a DELETE after a fixed time, whether or not a response has arrived."""
         pool.deletes -= 1
         self.deletes -= 1
         if exchange in pool.waiting:
@@ -130,13 +130,13 @@
             connection = pool.idle.pop()
             if connection.idle_since < since:
                 connection.abort()
-            elif connection.open and peek(connection.transport) is None:  # else its loss is reported soon
+            elif connection.open and peek(connection.transport) is None:  # otherwise connectionLost follows
                 self._send_exchange(connection, exchange)
                 return
         pool.waiting.append(exchange)
         if pool.dials >= len(pool.waiting) or self._dial(pool):
             return
-        # No socket is left. A connection of this pool may become free within the connect timeout.
+        # No socket is available. A connection of this pool may become free within the connect timeout.
         timeout = self.dial_timeout if pool.busy else 0.0
         self.reactor.callLater(timeout, self._queue_timed_out, pool, exchange)
 
@@ -163,7 +163,7 @@
         return True
 
     def connection_opened(self, connection: Connection) -> None:
-        """A connection that was being opened is up."""
+        """Use a newly established connection."""
         connection.pool.dials -= 1
         connection.idle_since = self.clock()
         self._use_free_connection(connection, connection.pool)
@@ -173,12 +173,12 @@
         self.sockets.endpoints -= 1
         log.debug("connect_failed", address=pool.address, why=failure.getErrorMessage())
         self.counts["dials_failed"] += 1
-        # The exchange that has waited longest is the one that this dial was for.
+        # This dial was started for the exchange that has waited longest.
         while len(pool.waiting) > pool.dials:
             self._report_unsent(pool.waiting.popleft())
 
     def _report_unsent(self, exchange: Exchange) -> None:
-        """No byte of the request was written: it never ran."""
+        """Report that no byte of the request was written, so the call never ran."""
         if exchange.call is not None:
             self.broker.call_ended(exchange.call, m.AttemptOutcome.NO_CONNECTION)
 
@@ -204,14 +204,14 @@
         return http1.request(message.method, message.target, headers, message.body)
 
     def _use_free_connection(self, connection: Connection, pool: AddressPool) -> None:
-        """A connection is free: send what waits for one, or keep it idle."""
+        """Send the next waiting exchange on a free connection, or keep the connection idle."""
         while pool.waiting and connection.open:
             exchange = pool.waiting.popleft()
             call = exchange.call
             if call is not None and not self.broker.may_start(call):
                 self.broker.call_ended(call, m.AttemptOutcome.CANCELLED)
                 continue
-            # It began to drain, or the start deadline passed, while the call waited for a connection.
+            # The endpoint started draining, or the start deadline passed, while the call was waiting.
             if call is not None and (
                 self.registry.serving(call.endpoint) is None or self.clock() > call.start_deadline
             ):
@@ -225,7 +225,7 @@
             connection.abort()
 
     def response_received(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
-        """The response of an exchange is complete."""
+        """Handle the complete response of an exchange."""
         call = exchange.call
         if call is not None and isinstance(message, http1.Response):
             call.transport_state = None
@@ -252,7 +252,7 @@
             self.broker.call_ended(call, m.AttemptOutcome.ERROR)
 
     def connection_lost(self, connection: Connection, exchange: Exchange | None) -> None:
-        """A connection is gone, with the exchange that it carried."""
+        """Handle the loss of a connection and of the exchange on it."""
         self.sockets.endpoints -= 1
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
@@ -283,7 +283,7 @@
         for pool in self.pools.values():
             while pool.idle and pool.idle[0].idle_since <= due:
                 pool.idle.pop(0).abort()
-            for connection in pool.busy:  # an answer may never end, though a call-back came
+            for connection in pool.busy:  # a response may stay incomplete although the call-back has arrived
                 if connection.exchange and connection.exchange.call and connection.exchange.call.finished:
                     connection.expect_response_within(RESPONSE_TIMEOUT)
         current_addresses = {endpoint.host_port for endpoint in self.registry.endpoints.values()}
@@ -292,7 +292,7 @@
                 del self.pools[pool.address]
 
     def apply_listing(self, listing: Listing) -> None:
-        """Close the connections to processes that are gone or have restarted."""
+        """Close the connections to processes that were removed or have restarted."""
         for endpoint in listing.members:
             previous_start = self._process_started_at.get(endpoint.id, endpoint.up_since)
             self._process_started_at[endpoint.id] = endpoint.up_since
@@ -300,7 +300,7 @@
                 self.close_idle(endpoint.host_port)
 
     def close_idle(self, address: str) -> None:
-        """Close the connections to an address that carry nothing, resting ones included."""
+        """Close the connections to an address that carry no exchange, including those just used."""
         pool = self.pools.get(address)
         if pool is not None:
             for connection in (*pool.idle, *(c for c in pool.busy if c.exchange is None)):
--- a/bitternpath/balancer/http/upstream_connection.py
+++ b/bitternpath/balancer/http/upstream_connection.py
@@ -28,13 +28,13 @@
     __slots__ = ("call", "data", "written")
 
     def __init__(self, data: bytes, call: UpstreamCall | None = None) -> None:
-        self.data = data  # not written yet
-        self.call = call  # None: a DELETE
-        self.written = False  # the last byte has been passed to the system
+        self.data = data  # bytes not written yet
+        self.call = call  # None for a DELETE
+        self.written = False  # whether the last byte was passed to the socket
 
 
 class ConnectionOwner(typing.Protocol):
-    """What a connection needs of its owner (`http.upstream_client.HttpUpstreamClient`)."""
+    """The interface of the client that owns a connection (`http.upstream_client.HttpUpstreamClient`)."""
 
     reactor: Any
     counts: Counter[str]
@@ -45,13 +45,13 @@
         """The node's clock, in ms."""
 
     def response_received(self, connection: Connection, exchange: Exchange, message: http1.Message) -> None:
-        """The response of an exchange is complete."""
+        """Handle the complete response of an exchange."""
 
     def connection_lost(self, connection: Connection, exchange: Exchange | None) -> None:
-        """A connection is gone, with the exchange that it carried."""
+        """Handle the loss of a connection and of the exchange on it."""
 
     def closed_by_endpoint(self, idle: float) -> None:
-        """An endpoint closed a connection that had been idle for that time (ms)."""
+        """Record that an endpoint closed a connection that had been idle for `idle` ms."""
 
 
 @implementer(IPullProducer)
@@ -65,8 +65,8 @@
         self.pool = pool
         self.reader = http1.ResponseReader()
         self.exchange: Exchange | None = None
-        self.idle_since = 0.0  # ms
-        self.reused = False  # has carried something before
+        self.idle_since = 0.0  # ms of the node's clock
+        self.reused = False  # whether it has carried an exchange before
         self.timer: Any = None
         self.open = False
 
@@ -75,13 +75,13 @@
         self.transport.setTcpNoDelay(True)
 
     def send(self, exchange: Exchange) -> None:
-        """Write the request; its outcome is reported to the client by `answered` or `lost`."""
+        """Write the request; `response_received` or `connection_lost` of the client reports its outcome."""
         self.exchange = exchange
-        # A producer is notified when all has been written: only then may the request have been received.
+        # A producer is called again when all was written: only then can the endpoint have the full request.
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """Write the request; called a second time when all of it has been written."""
+        """Write the request; the second call means that all of it was written."""
         exchange = self.exchange
         if exchange is not None and exchange.data:
             data, exchange.data = exchange.data, b""
@@ -94,17 +94,17 @@
         self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:
-        """The connection is closing; `connectionLost` does the rest."""
+        """Do nothing: `connectionLost` follows and cleans up."""
 
     def expect_response_within(self, seconds: float) -> None:
-        """Abort the connection unless its response is complete by then."""
+        """Abort the connection unless its response is complete within `seconds`."""
         if self.open and self.timer is None:
             self.timer = self.client.reactor.callLater(seconds, self.abort)
 
     def dataReceived(self, data: bytes) -> None:
         exchange = self.exchange
         if exchange is None or not exchange.written:
-            # Unsolicited bytes, be it half a line: what follows would pass for the response to another call.
+            # Unsolicited bytes, even part of a line, would be taken for the start of the next response.
             self.client.counts["unasked"] += 1
             self.abort()
             return
@@ -131,7 +131,7 @@
         self.client.response_received(self, exchange, message)
 
     def abort(self) -> None:
-        """Close now, whatever is in flight."""
+        """Close immediately; an exchange in flight is aborted."""
         if self.open:
             self.open = False
             if self.exchange is None:
@@ -165,8 +165,10 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.idle: list[Connection] = []  # the one used last at the end
+        self.idle: list[Connection] = []  # most recently used last
         self.waiting: deque[Exchange] = deque()
-        self.dials = 0  # connections being opened
+        self.dials = 0  # connection attempts in progress
         self.deletes = 0  # DELETEs in flight
-        self.busy: dict[Connection, None] = {}  # carrying an exchange, or resting after one
+        self.busy: dict[
+            Connection, None
+        ] = {}  # with an exchange, or within DUPLICATE_RESPONSE_WAIT after one
--- a/bitternpath/balancer/store/__init__.py
+++ b/bitternpath/balancer/store/__init__.py
@@ -1,1 +1,1 @@
-"""State of a node that outlasts one process of it."""
+"""State of a node that persists across restarts of its processes."""
--- a/bitternpath/balancer/store/manual_ejections.py
+++ b/bitternpath/balancer/store/manual_ejections.py
@@ -1,4 +1,4 @@
-"""Manual ejections: keeps the operators' commands, the files on disk and the registry in step."""
+"""Manual ejections: keeps operators' commands, the files on disk and the registry consistent."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 log = structlog.get_logger(part="manual_ejections")
 
-# s between polls of the folder: another process of the node may have added or removed ejections, and what
-# it has confirmed must be in effect here within the grace time of a drain, 2 s on the platform.
+# s between polls of the folder: another process of the node may change ejections, and a change that it has
+# confirmed must take effect here within the drain grace time, 2 s on the platform.
 POLL_INTERVAL = 0.25
 
 
 class ManualEjections:
-    """Makes the operators' ejections in the registry those on disk."""
+    """Applies the ejections on disk to the registry, and operators' commands to both."""
 
     def __init__(
         self, reactor: Any, clock: Callable[[], float], registry: EndpointRegistry, store: EjectionFiles
@@ -26,16 +26,16 @@
         self.reactor, self.clock, self.registry, self.store = reactor, clock, registry, store
 
     def run(self) -> None:
-        """Poll the folder from now on."""
+        """Start polling the folder."""
         self.poll()
         self.reactor.callLater(POLL_INTERVAL, self.run)
 
     def poll(self) -> None:
-        """Apply what is on disk now."""
+        """Apply the current ejections on disk."""
         try:
             stored = self.store.read()
         except FileNotFoundError:
-            return  # nothing was ever ejected, or the folder is gone: that reinstates nothing
+            return  # nothing was ever ejected, or the folder was removed; reinstates nothing
         except OSError as error:
             log.warning("manual_ejections_read_failed", folder=str(self.store.folder), why=error)
             return
@@ -47,7 +47,7 @@
                 self.registry.reinstate(id, self.clock())
 
     def eject(self, id: str) -> bool:
-        """Eject an endpoint; False where the id is unknown. Raises OSError where it cannot be stored."""
+        """Eject an endpoint; False if the id is unknown. Raises OSError if it cannot be stored."""
         if not self.registry.is_known(id):
             return False
         self.store.add(id)
@@ -55,7 +55,7 @@
         return True
 
     def reinstate(self, id: str) -> bool:
-        """Reinstate an endpoint; False where the id is unknown. Raises OSError where it stays ejected."""
+        """Reinstate an endpoint; False if the id is unknown. Raises OSError if it remains ejected."""
         if not self.registry.is_known(id):
             return False
         self.store.remove(id)
--- a/bitternpath/net/clock.py
+++ b/bitternpath/net/clock.py
@@ -1,4 +1,4 @@
-"""Time and timers, as the parts of the system that need nothing else of a reactor take them.
+"""Protocols for time and timers, for code that needs nothing else of a reactor.
 
 `twisted.internet.reactor`, `twisted.internet.task.Clock` (in tests) and the simulation's reactor are clocks.
 Twisted's own interfaces are zope interfaces, which type checkers can't check without a plugin.
--- a/bitternpath/net/http1.py
+++ b/bitternpath/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages out of bytes and back. Pure: nothing here knows of sockets or time."""
+"""Parses and serializes HTTP/1.1 messages. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 
 HEAD_LIMIT = 16 * 1024
 BODY_LIMIT = 64 * 1024
-CHUNK_LINE_LIMIT = 1024  # a chunk's size line
+CHUNK_LINE_LIMIT = 1024  # bytes of a chunk-size line or trailer field line
 
 Headers = dict[bytes, bytes]
 
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_TARGET = re.compile(rb"/[\x21\x22\x24-\x7e]*")  # what any server can read: ASCII, and no fragment
+_TARGET = re.compile(
+    rb"/[\x21\x22\x24-\x7e]*"
+)  # origin-form in ASCII without a fragment, which every server accepts
 _REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) (\S+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: .*)?")
 _DIGITS = re.compile(rb"[0-9]{1,12}")
 _HEX = re.compile(rb"[0-9A-Fa-f]{1,8}")
 _FIELD_VALUE = re.compile(rb"[\t\x20-\x7e]*")
-# Those that say where a message ends, what it is and whose: given twice, each reader may take another one.
+# Fields for framing, type and identity of a message. If one is repeated, recipients may use different values.
 SINGLETON_FIELDS = frozenset(
     b"content-length transfer-encoding host content-type x-call-id x-call-class x-route-hash x-budget-ms"
     b" x-again x-call-info".split()
 )
-# What concerns one connection alone (RFC 9110, 7.6.1), or is given anew by whoever writes a message.
+# Hop-by-hop fields (RFC 9110, 7.6.1), and fields that every sender generates itself.
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer upgrade"
     b" transfer-encoding content-length host expect".split()
@@ -35,7 +37,7 @@
 
 
 class HttpError(Exception):
-    """Input that cannot be read as a message; `status` is what a server answers."""
+    """Malformed input; `status` is the status code of a server's response to it."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -44,7 +46,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """What requests and answers share. Header names are in lower case."""
+    """The common part of requests and responses. Field names are in lower case."""
 
     headers: Headers = field(default_factory=dict)
     body: bytes = b""
@@ -67,12 +69,12 @@
 
 
 class _BodyReader:
-    """The state of a body that is being read."""
+    """Decodes a message body incrementally."""
 
     __slots__ = ("limit", "mode", "remaining", "size")
 
     def __init__(self, mode: str, remaining: int, limit: int | None) -> None:
-        self.mode = mode  # "length", "close", or of chunks: "size", "chunk", "end", "trailer"; "done"
+        self.mode = mode  # "length", "close", "done"; for chunked bodies "size", "chunk", "end", "trailer"
         self.remaining, self.limit, self.size = remaining, limit, 0
         if mode == "length":
             self.count(remaining)
@@ -84,7 +86,7 @@
             raise HttpError(413, "body too large")
 
     def read(self, buffer: Buffer) -> bytes:
-        """All of the body that the buffer holds now."""
+        """Remove and return the part of the body that is in the buffer."""
         chunks = []
         while self.mode != "done":
             if self.mode in ("length", "chunk"):
@@ -103,7 +105,7 @@
         return b"".join(chunks)
 
     def _read_chunk_line(self, buffer: Buffer) -> bool:
-        """Read one line of the chunk framing; False while it is not complete."""
+        """Read one line of the chunked coding; False if it is incomplete."""
         index = buffer.find(b"\n")
         if index < 0 or index > CHUNK_LINE_LIMIT:
             if max(index, len(buffer)) > CHUNK_LINE_LIMIT:
@@ -132,12 +134,12 @@
 
 
 class Reader:
-    """Takes the messages of one direction of one connection out of its buffer, one by one."""
+    """Parses the messages of one direction of a connection incrementally."""
 
     def __init__(self, body_limit: int | None = BODY_LIMIT) -> None:
         self.buffer = Buffer()
         self.body_limit = body_limit
-        self._scanned = self._head_size = 0  # bytes known to hold no line's end; bytes of head taken
+        self._scanned = self._head_size = 0  # bytes searched for a line end; head bytes consumed
         self._lines: list[bytes] = []
         self._message: Message | None = None
         self._body: _BodyReader | None = None
@@ -152,7 +154,7 @@
         self.buffer.append(data)
 
     def head(self) -> Message | None:
-        """The message whose body comes next, as soon as its head is complete."""
+        """The message whose body follows, or None until its head is complete."""
         if self._message is None:
             lines = self._head_lines()
             if lines is not None:
@@ -160,20 +162,20 @@
         return self._message
 
     def read_body(self) -> bytes:
-        """What has come of the body since the last call, for bodies that never end."""
+        """The part of the body received since the last call, for streaming bodies."""
         return self._body.read(self.buffer) if self._body else b""
 
     def incomplete_message(self) -> Message | None:
-        """The message whose head has come but not all of its body."""
+        """The message whose head is complete and whose body is not, if any."""
         return self._message
 
     @property
     def body_complete(self) -> bool:
-        """Whether the body that `piece` reads has ended."""
+        """Whether the body that `read_body` returns is complete."""
         return self._body is not None and self._body.mode == "done"
 
     def next(self) -> Message | None:
-        """The next complete message, or None until more is fed."""
+        """The next complete message, or None if more input is needed."""
         message, body = self.head(), self._body
         if message is None or body is None:
             return None
@@ -183,7 +185,7 @@
         return self._finish(message) if body.mode == "done" else None
 
     def finish_at_close(self) -> Message | None:
-        """The peer has closed: the message that this ends, if it is one whose end is the close."""
+        """Return the message whose body is delimited by the close of the connection, if any."""
         if self._message is not None and self._body is not None and self._body.mode == "close":
             return self._finish(self._message)
         return None
@@ -194,7 +196,7 @@
         return message
 
     def _head_lines(self) -> list[bytes] | None:
-        """The lines of the head once it is complete. A line may end in LF alone; empty ones may lead."""
+        """The lines of a complete head, else None. Accepts bare LF line ends and leading empty lines."""
         buffer = self.buffer
         while (index := buffer.find(b"\n", self._scanned)) >= 0:
             line, self._scanned = _strip_line_ending(buffer.take(index + 1)[:-1]), 0
@@ -281,7 +283,7 @@
 
 
 def end_to_end(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """The headers that a gateway passes on: neither hop by hop nor named in Connection."""
+    """The header fields that a gateway forwards: neither hop-by-hop nor listed in Connection."""
     connection_options = {name.strip().lower() for name in headers.get(b"connection", b"").split(b",")}
     return [
         header
--- a/bitternpath/net/reactor.py
+++ b/bitternpath/net/reactor.py
@@ -1,4 +1,4 @@
-"""The parts of Twisted's reactor beyond its clock, as protocols for the type checker.
+"""The interfaces of Twisted's reactor besides its clock, as protocols for the type checker.
 
 The names of methods and their arguments are Twisted's. `twisted.internet.reactor` and the simulation's
 reactor have all of them.
@@ -16,7 +16,7 @@
     """An outgoing connection that is being made (`IConnector`)."""
 
     def stopConnecting(self) -> None:
-        """Give the attempt up; an error where there is none."""
+        """Abort the attempt; raises an error if none is in progress."""
 
 
 class ListeningPort(Protocol):
@@ -41,7 +41,7 @@
         """Accept connections.
 
         Raises:
-            CannotListenError: the port is taken, or the address isn't the machine's.
+            CannotListenError: the port is in use, or the address isn't local.
         """
 
 
@@ -60,7 +60,7 @@
 
 
 class NodeReactor(TcpReactor, ThreadPoolReactor, Protocol):
-    """All that a process of the system needs: also datagrams, and an end."""
+    """All interfaces that a process needs, with datagrams and `stop`."""
 
     def listenUDP(
         self, port: int, protocol: Any, interface: str = "", maxPacketSize: int = 8192
--- a/bitternpath/net/sockets.py
+++ b/bitternpath/net/sockets.py
@@ -1,4 +1,4 @@
-"""Connections out, and how many sockets the node holds against its limit."""
+"""Outgoing connections, and the accounting of sockets against the node's limit."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.tcp import Port
 
-# Besides clients and endpoints: standard streams, the poller, the reactor's wakers, the listener and its
-# spare descriptor, discovery, and sockets that the system has not let go of yet.
+# Descriptors besides client and endpoint sockets: standard streams, the poller, the reactor's wakers, the
+# listener and its spare descriptor, discovery, and sockets that the system has not released yet.
 RESERVED = 24
-BURST = 8  # connections accepted at a time; as many sockets are kept free for the next ones
-ENDPOINT_SHARE = 0.25  # the share of the rest that clients and call-backs leave to endpoint connections
-CALLBACK_SHARE = 0.25  # the share of the listener's that requests leave to call-backs
+BURST = 8  # connections accepted per reactor turn; as many sockets are kept free for the next ones
+ENDPOINT_SHARE = 0.25  # fraction of the remaining sockets reserved for endpoint connections
+CALLBACK_SHARE = 0.25  # fraction of the listener's sockets reserved for call-backs
 
 
 class BurstPort(Port):
-    """Accepts a few connections at a time. Twisted's own rule lets that number grow past the socket limit.
+    """Accepts a fixed number of connections per turn; Twisted's default can exceed the socket limit.
 
-    Where two processes of a node share the address (`shared`), either can listen, or both on one socket: then
-    its end here must not shut it down there."""
+    If two processes of a node share the address (`shared`), they listen on separate sockets or on one that
+    both have open, so closing the port here must not shut the socket down.
+    """
 
     numberAccepts = property(lambda self: BURST, lambda self, value: None)
     _shouldShutdown = property(lambda self: False, lambda self, value: None)
@@ -31,7 +32,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as HOST:PORT; the port may have been left to the system."""
+        """The bound address as HOST:PORT; the system may have chosen the port."""
         host = self.getHost()  # type: ignore[no-untyped-call]
         return f"{host.host}:{host.port}"
 
@@ -43,7 +44,7 @@
 
 
 class Sockets:
-    """Counts sockets by side, so that neither can take the other's last ones."""
+    """Counts client and endpoint sockets separately, so that neither side can exhaust the other's."""
 
     def __init__(self, limit: int) -> None:
         self.clients = self.endpoints = self.reserved = 0
@@ -51,12 +52,12 @@
         self.resize(limit)
 
     def reserve(self, count: int) -> None:
-        """Keep so many more for another front, which counts them itself."""
+        """Reserve `count` more sockets for another listener, which counts them itself."""
         self.reserved += count
         self.resize(self.limit)
 
     def set_share(self, fraction: float) -> None:
-        """How much of the limit is this process's, where another one of the node lives as well."""
+        """Set the fraction of the limit for this process while other processes of the node run."""
         self.fraction = fraction
         self.resize(self.limit)
 
@@ -64,7 +65,7 @@
         self.limit = limit
         self.total = max(int(limit * self.fraction) - RESERVED - self.reserved, 8)
         self.client_limit = int(self.total * (1 - ENDPOINT_SHARE))
-        self.request_limit = int(self.client_limit * (1 - CALLBACK_SHARE))  # that may wait at once
+        self.request_limit = int(self.client_limit * (1 - CALLBACK_SHARE))  # concurrent requests
 
     def clients_full(self) -> bool:
         return self.clients >= self.client_limit
@@ -74,8 +75,7 @@
 
 
 def peek(transport: Any) -> bytes | None:
-    """What has come on a connection and waits to be read: its first byte, b"" for its end, None for
-    nothing."""
+    """Return the first unread byte of a connection: b"" at end of input, None if there is no input."""
     try:
         first_byte: bytes = transport.getHandle().recv(1, MSG_PEEK)
     except BlockingIOError:
@@ -96,6 +96,6 @@
 
 
 def dial(reactor: Any, host: str, port: int, timeout: float, protocol: Protocol) -> Deferred[Any]:
-    """Connect `protocol`; fires with it once the connection is up, fails after `timeout` seconds."""
+    """Connect `protocol`; the Deferred fires with it once connected, and fails after `timeout` seconds."""
     factory: Any = _SingleProtocolFactory(protocol)
     return TCP4ClientEndpoint(reactor, host, port, timeout).connect(factory)
