--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Peers on loopback that do as a test says, byte by byte: they hold, cut and send at a named point."""
+"""Peers on loopback whose connections a test accepts, reads and writes byte by byte."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Peer:
-    """A listener whose connections the test accepts, reads and writes itself."""
+    """A listener whose connections are controlled by the test."""
 
     def __init__(self, backlog: int = 16) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=backlog)
@@ -23,11 +23,11 @@
         return connection
 
     def next_message(self) -> tuple[socket.socket, bytes]:
-        """The next message on any connection, and that; those that end without one are passed over."""
+        """The connection with the next message, and the message; skips connections closed without one."""
         pending = list(self.accepted)
         while True:
             ready = select.select([self.listener, *pending], [], [], 20)[0]
-            assert ready, "nobody asks"
+            assert ready, "no message within 20 s"
             for sock in ready:
                 if sock is self.listener:
                     pending.append(self.accept())
@@ -45,7 +45,7 @@
 
 
 class FullBacklogPeer(Peer):
-    """One that no new connection comes up at until the crowd in front of it is let in."""
+    """A listener with a full backlog: new connections are established after `accept_queued`."""
 
     def __init__(self) -> None:
         super().__init__(backlog=0)
@@ -55,7 +55,7 @@
             sock.setblocking(False)
             sock.connect_ex(self.listener.getsockname())
             self.queued.append(sock)
-        self.queued.pop().close()  # this one did not come up
+        self.queued.pop().close()  # not established: the backlog is full
 
     def accept_queued(self) -> None:
         for _ in self.queued:
@@ -65,7 +65,7 @@
 
 
 def message(sock: socket.socket) -> bytes:
-    """One message with a length and its body; what has come where the other side closes before its end."""
+    """Read one message with Content-Length; a partial one if the peer closes early."""
     data = b""
     while b"\r\n\r\n" not in data and (data_received := sock.recv(1)):
         data += data_received
@@ -77,7 +77,7 @@
 
 
 def is_closed(sock: socket.socket) -> bool:
-    """Whether the other side ends the connection, in order or not, without another byte."""
+    """Whether the peer closes or resets the connection without sending another byte."""
     try:
         return sock.recv(1) == b""
     except ConnectionResetError:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A node as a process of its own, with a discovery and endpoints on loopback that do as a test says."""
+"""A node in a separate process, with discovery and endpoints on loopback that tests control."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 class Server:
-    """An HTTP server on a port of the system's choosing."""
+    """An HTTP server on a port chosen by the system."""
 
     def __init__(self, handle: Callable[[BaseHTTPRequestHandler], None]) -> None:
         class Handler(BaseHTTPRequestHandler):
@@ -116,7 +116,7 @@
 
 
 class Discovery:
-    """Tells the rig's list, then changes as they come; None among them ends the watch."""
+    """Serves the rig's endpoint list, then queued changes; None in the queue ends the subscription."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
@@ -175,7 +175,7 @@
         self.start()
 
     def start(self) -> None:
-        """A process of the node that listens; the one before, if there is one, goes on."""
+        """Start a process of the node and wait until it listens; an earlier process keeps running."""
         self.process = self.spawn()
         assert self.process.stderr is not None
         for line in self.process.stderr:
@@ -198,7 +198,7 @@
         )
 
     def upgrade(self, joins: bool = True) -> subprocess.Popen[str]:
-        """Start a newer process at the same address and wait until it can serve; the older one."""
+        """Start a new process at the same address, wait until it can serve, and return the old one."""
         older, ready_event = self.process, "event=successor_ready"
         before = len(self.logged(ready_event))
         self.previous_processes.append(older)
@@ -209,7 +209,7 @@
         return older
 
     def replace(self, joins: bool = True) -> None:
-        """Upgrade, and tell the older process to stop."""
+        """Start a new process and stop the old one with SIGTERM."""
         older = self.upgrade(joins)
         older.send_signal(signal.SIGTERM)
         assert older.wait(20) == 0
@@ -218,7 +218,7 @@
         return {"revision": self.revision, "complete": True, "members": [p.row() for p in self.endpoints]}
 
     def change(self, endpoint: Endpoint, phase: str) -> None:
-        """Tell it, and wait until the node has taken it in."""
+        """Announce a phase of an endpoint and wait until the node has applied it."""
         endpoint.phase = phase
         self.revision += 1
         self.discovery.changes.put(
@@ -246,7 +246,7 @@
         return self.send("POST", path, body, X_Call_Id=id, X_Budget_Ms=str(budget))
 
     def call_console(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-        """One call to the console."""
+        """Send one request to the console and return status and body."""
         connection = HTTPConnection(self.console, timeout=20)
         connection.request(method, path, body or None)
         response = connection.getresponse()
@@ -280,14 +280,14 @@
 
     @property
     def posts(self) -> int:
-        """Jobs that came to all endpoints."""
+        """Number of jobs that all endpoints received."""
         return sum(p.posts for p in self.endpoints)
 
     def logged(self, text: str) -> list[str]:
         return [line for line in self.log if text in line]
 
     def reload(self, text: str, expected: str = "event=reloaded") -> None:
-        """Replace the configuration file, send SIGHUP, and wait for the node's word on it."""
+        """Replace the configuration file, send SIGHUP, and wait for the expected log line."""
         before = len(self.logged(expected))
         self.file.write_text(text)
         self.process.send_signal(signal.SIGHUP)
@@ -298,12 +298,12 @@
 
 
 def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until something holds; only a hang ends it otherwise."""
+    """Wait until a condition is true; fail after at least 20 s."""
     for _ in range(2000):
         if condition():
             return
         time.sleep(0.01)
-    raise AssertionError("it never came true")
+    raise AssertionError("the condition did not become true within 2000 checks")
 
 
 @contextlib.contextmanager
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Tables for the parsers: every case is fed whole and byte by byte."""
+"""Tables of messages for the HTTP/1.1 parsers, passed in one piece and byte by byte."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
     request,
     response,
 )
-from bitternpath.net.http1 import Request as Req
+from bitternpath.net.http1 import Request as HttpRequest
 
 POST = b"POST /a?b=1 HTTP/1.1\r\n"
 CHUNKED = POST + b"Transfer-Encoding: chunked\r\n\r\n"
 
 
-def fed(reader: Reader, data: bytes, step: int) -> Iterator[Message]:
+def parse_in_steps(reader: Reader, data: bytes, step: int) -> Iterator[Message]:
     for at in range(0, len(data), step):
         reader.feed(data[at : at + step])
         while (message := reader.next()) is not None:
             yield message
 
 
-GOOD = [
-    ("bare", b"GET /ready HTTP/1.1\r\n\r\n", [(b"GET", b"/ready", b"", True)]),
-    ("line feeds alone", b"GET / HTTP/1.1\nA: b\n\n", [(b"GET", b"/", b"", True)]),
-    ("empty lines lead", b"\r\n\r\nGET / HTTP/1.1\r\n\r\n", [(b"GET", b"/", b"", True)]),
+VALID_REQUESTS = [
+    ("no body", b"GET /ready HTTP/1.1\r\n\r\n", [(b"GET", b"/ready", b"", True)]),
+    ("bare line feeds", b"GET / HTTP/1.1\nA: b\n\n", [(b"GET", b"/", b"", True)]),
+    ("leading empty lines", b"\r\n\r\nGET / HTTP/1.1\r\n\r\n", [(b"GET", b"/", b"", True)]),
     ("length", POST + b"Content-Length: 3\r\n\r\nabc", [(b"POST", b"/a?b=1", b"abc", True)]),
     ("length zero", POST + b"content-length: 0\r\n\r\n", [(b"POST", b"/a?b=1", b"", True)]),
-    ("chunks", CHUNKED + b"2;x=y\r\nab\r\nA\r\n0123456789\r\n0\r\nT: v\r\n\r\n", [(b"POST", b"/a?b=1", b"ab0123456789", True)]),
-    ("no chunk", CHUNKED + b"0\r\n\r\n", [(b"POST", b"/a?b=1", b"", True)]),
+    ("chunked", CHUNKED + b"2;x=y\r\nab\r\nA\r\n0123456789\r\n0\r\nT: v\r\n\r\n", [(b"POST", b"/a?b=1", b"ab0123456789", True)]),
+    ("last chunk only", CHUNKED + b"0\r\n\r\n", [(b"POST", b"/a?b=1", b"", True)]),
     ("close", b"GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", [(b"GET", b"/", b"", False)]),
-    ("old", b"GET / HTTP/1.0\r\n\r\n", [(b"GET", b"/", b"", False)]),
-    ("old but kept", b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", [(b"GET", b"/", b"", True)]),
+    ("HTTP/1.0", b"GET / HTTP/1.0\r\n\r\n", [(b"GET", b"/", b"", False)]),
+    ("HTTP/1.0 keep-alive", b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", [(b"GET", b"/", b"", True)]),
     (
-        "back to back",
+        "pipelined",
         CHUNKED + b"1\r\nz\r\n0\r\n\r\n" + POST + b"Content-Length: 2\r\n\r\nhiGET /x HTTP/1.1\r\n\r\n",
         [(b"POST", b"/a?b=1", b"z", True), (b"POST", b"/a?b=1", b"hi", True), (b"GET", b"/x", b"", True)],
     ),
@@ -53,15 +53,17 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
-@pytest.mark.parametrize(("data", "want"), [c[1:] for c in GOOD], ids=[c[0] for c in GOOD])
-def test_requests(data: bytes, want: list[tuple[object, ...]], step: int) -> None:
+@pytest.mark.parametrize(
+    ("data", "expected"), [c[1:] for c in VALID_REQUESTS], ids=[c[0] for c in VALID_REQUESTS]
+)
+def test_requests(data: bytes, expected: list[tuple[object, ...]], step: int) -> None:
     reader = RequestReader()
-    got = [m for m in fed(reader, data, step) if isinstance(m, Req)]
-    assert [(m.method, m.target, m.body, m.keep_alive) for m in got] == want
+    messages = [m for m in parse_in_steps(reader, data, step) if isinstance(m, HttpRequest)]
+    assert [(m.method, m.target, m.body, m.keep_alive) for m in messages] == expected
     assert not reader.has_partial_message
 
 
-BAD = [
+MALFORMED_REQUESTS = [
     (400, b"nonsense\r\n\r\n"),
     (400, b"GET  / HTTP/1.1\r\n\r\n"),
     (400, b"GET / HTTP/2.0\r\n\r\n"),
@@ -106,14 +108,14 @@
 
 
 @pytest.mark.parametrize("step", [1, 1 << 20])
-@pytest.mark.parametrize(("status", "data"), BAD)
-def test_what_is_malformed(status: int, data: bytes, step: int) -> None:
+@pytest.mark.parametrize(("status", "data"), MALFORMED_REQUESTS)
+def test_malformed_requests(status: int, data: bytes, step: int) -> None:
     with pytest.raises(HttpError) as error:
-        list(fed(RequestReader(), data, step))
+        list(parse_in_steps(RequestReader(), data, step))
     assert error.value.status == status
 
 
-ANSWERS = [
+RESPONSES = [
     (b"HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\nok", [(202, b"ok", True)]),
     (b"HTTP/1.1 204\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", [(204, b"", True), (503, b"", True)]),
     (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n",
@@ -123,27 +125,39 @@
 
 
 @pytest.mark.parametrize("step", [1, 1 << 20])
-@pytest.mark.parametrize(("data", "want"), ANSWERS)
-def test_answers(data: bytes, want: list[tuple[object, ...]], step: int) -> None:
+@pytest.mark.parametrize(("data", "expected"), RESPONSES)
+def test_responses(data: bytes, expected: list[tuple[object, ...]], step: int) -> None:
     reader = ResponseReader()
-    got: list[Message | None] = list(fed(reader, data, step))
-    got.append(reader.finish_at_close())
-    assert [(m.status, m.body, m.keep_alive) for m in got if isinstance(m, Response)] == want
+    messages: list[Message | None] = list(parse_in_steps(reader, data, step))
+    messages.append(reader.finish_at_close())
+    assert [(m.status, m.body, m.keep_alive) for m in messages if isinstance(m, Response)] == expected
 
 
 @pytest.mark.parametrize("step", [1, 1 << 20])
-def test_what_is_written_reads_back(step: int) -> None:
-    (asked,) = fed(RequestReader(), request(b"POST", b"/x?y", [(b"Host", b"h")], b"body"), step)
-    assert isinstance(asked, Req) and (asked.target, asked.body, asked.headers[b"host"]) == (
+def test_serialized_messages_can_be_parsed(step: int) -> None:
+    (parsed_request,) = parse_in_steps(
+        RequestReader(), request(b"POST", b"/x?y", [(b"Host", b"h")], b"body"), step
+    )
+    assert isinstance(parsed_request, HttpRequest) and (
+        parsed_request.target,
+        parsed_request.body,
+        parsed_request.headers[b"host"],
+    ) == (
         b"/x?y",
         b"body",
         b"h",
     )
-    (told,) = fed(ResponseReader(), response(429, b"no", ((b"Retry-After", b"1"),), False), step)
-    assert isinstance(told, Response) and (told.status, told.body, told.keep_alive) == (429, b"no", False)
+    (parsed_response,) = parse_in_steps(
+        ResponseReader(), response(429, b"no", ((b"Retry-After", b"1"),), False), step
+    )
+    assert isinstance(parsed_response, Response) and (
+        parsed_response.status,
+        parsed_response.body,
+        parsed_response.keep_alive,
+    ) == (429, b"no", False)
 
 
-def test_the_buffer_gives_back_what_it_took_in_and_does_not_keep_it() -> None:
+def test_buffer_returns_appended_bytes_and_frees_consumed_ones() -> None:
     buffer = Buffer()
     for k in range(100):
         buffer.append(bytes([k]) * COMPACTION_THRESHOLD)
--- a/tests/test_http_upstream_client.py
+++ b/tests/test_http_upstream_client.py
@@ -1,4 +1,4 @@
-"""The pool without sockets: what proves that a call never ran, and which connections are used."""
+"""The upstream client without sockets: proof that a call never ran, and reuse of connections."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 REJECTED = b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Wire(StringTransport):  # type: ignore[misc]
-    """A transport that the test lets write, as the system would."""
+class Transport(StringTransport):  # type: ignore[misc]
+    """A transport whose writes complete when the test calls `written`."""
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
         super().registerProducer(producer, streaming)
@@ -37,64 +37,64 @@
     def getHandle(self) -> Any:
         return self
 
-    come: bytes | None = None  # what the system has and nobody has read
+    unread: bytes | None = None  # first byte received but not read; b"" at end of input
 
     def recv(self, size: int, flags: int) -> bytes:
-        if self.come is None:
+        if self.unread is None:
             raise BlockingIOError
-        return self.come
+        return self.unread
 
     def written(self) -> None:
         if self.producer is not None:
             self.producer.resumeProducing()
 
 
-class Bench:
-    """A pool whose connections the test makes and breaks."""
+class ClientHarness:
+    """An upstream client whose connections the test opens and closes."""
 
     def __init__(self) -> None:
-        self.ends: list[m.AttemptOutcome | str] = []
+        self.outcomes: list[m.AttemptOutcome | str] = []
         self.now = 1e6
         self.registry = EndpointRegistry(Listing(1, True, (ROW,)))
         self.statistics = Statistics()
         clock: Any = lambda: self.now  # noqa: E731
         self.reactor = Reactor()
-        self.pool = HttpUpstreamClient(self.reactor, clock, self.registry, Sockets(64), 250.0, 10_000.0)
-        self.pool.broker = self  # type: ignore[assignment]
-        self.pool._dial = self.dial  # type: ignore[method-assign]
-        self.pool.apply_listing(Listing(1, True, (ROW,)))
+        self.client = HttpUpstreamClient(self.reactor, clock, self.registry, Sockets(64), 250.0, 10_000.0)
+        self.client.broker = self  # type: ignore[assignment]
+        self.client._dial = self.dial  # type: ignore[method-assign]
+        self.client.apply_listing(Listing(1, True, (ROW,)))
 
-    def dial(self, line: Any) -> bool:
-        line.dials += 1
+    def dial(self, pool: Any) -> bool:
+        pool.dials += 1
         return True
 
-    def call_ended(self, call: UpstreamCall, how: m.AttemptOutcome) -> None:
-        self.ends.append(how)
+    def call_ended(self, call: UpstreamCall, outcome: m.AttemptOutcome) -> None:
+        self.outcomes.append(outcome)
 
     def may_start(self, call: UpstreamCall) -> bool:
         return not call.finished
 
     def call_unusable(self, call: UpstreamCall) -> None:
-        self.ends.append("unusable")
+        self.outcomes.append("unusable")
 
     def call(self) -> UpstreamCall:
         payload = Request({}, b"body", True, b"POST", b"/job")
         call = UpstreamCall(AcceptedRequest("a", "job", 2e6, self, payload), 0, "s0", 1e6, 2e6)  # type: ignore[arg-type]
-        self.pool.start(call, ROW)
+        self.client.start(call, ROW)
         return call
 
-    def rest(self) -> None:
-        """The time in which a spoilt endpoint may answer a second time goes by."""
+    def wait_for_duplicate_response(self) -> None:
+        """Advance past the time in which a faulty endpoint may respond a second time."""
         self.reactor.advance(DUPLICATE_RESPONSE_WAIT)
 
-    def connect(self) -> tuple[Connection, Wire]:
-        connection, wire = Connection(self.pool, self.pool.pools[ROW.host_port]), Wire()
+    def connect(self) -> tuple[Connection, Transport]:
+        connection, wire = Connection(self.client, self.client.pools[ROW.host_port]), Transport()
         connection.makeConnection(wire)
-        self.pool.connection_opened(connection)
+        self.client.connection_opened(connection)
         return connection, wire
 
-    def carried(self) -> tuple[Connection, Wire]:
-        """A connection that has just carried a call, which was accepted."""
+    def connection_after_call(self) -> tuple[Connection, Transport]:
+        """A connection that has just connection_after_call an accepted call."""
         self.call()
         connection, wire = self.connect()
         wire.written()
@@ -103,12 +103,12 @@
 
 
 @pytest.mark.parametrize(
-    ("written", "answer", "want"),
+    ("written", "answer", "expected"),
     [
-        (False, b"", [m.AttemptOutcome.NO_CONNECTION]),  # a break before the last byte is written: never ran
+        (False, b"", [m.AttemptOutcome.NO_CONNECTION]),  # lost before the last byte was written: never ran
         (True, b"", [m.AttemptOutcome.RESET]),
         (True, ACCEPTED[:20], [m.AttemptOutcome.RESET]),
-        (True, ACCEPTED, []),  # call-backs tell the rest
+        (True, ACCEPTED, []),  # the call-backs report the outcome
         (True, b"HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", [m.AttemptOutcome.FULL]),
         (True, b"HTTP/1.1 504 x\r\nX-Rejected: 1\r\n\r\n", [m.AttemptOutcome.FULL]),
         (True, b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", [m.AttemptOutcome.ERROR]),
@@ -122,132 +122,131 @@
         ),
     ],
 )
-def test_what_becomes_of_a_call_when_its_connection_ends(
-    written: bool, answer: bytes, want: list[m.AttemptOutcome | str]
+def test_outcome_of_a_call_when_its_connection_ends(
+    written: bool, answer: bytes, expected: list[m.AttemptOutcome | str]
 ) -> None:
-    bench = Bench()
-    bench.call()
-    connection, wire = bench.connect()
+    harness = ClientHarness()
+    harness.call()
+    connection, wire = harness.connect()
     assert wire.value().endswith(b"Content-Length: 4\r\n\r\nbody")
     if written:
         wire.written()
     connection.dataReceived(answer)
     connection.connectionLost()
-    assert bench.ends == want
-    assert not bench.pool.pools[ROW.host_port].busy
+    assert harness.outcomes == expected
+    assert not harness.client.pools[ROW.host_port].busy
 
 
-def test_a_call_whose_endpoint_drains_while_it_dials_is_not_sent() -> None:
-    # Guards: the drain was told between the module's choice and the first byte.
-    bench = Bench()
-    bench.call()
-    bench.registry.apply(Listing(2, False, (replace(ROW, state=m.WorkerState.DRAINING),)))
-    _, wire = bench.connect()
-    assert bench.ends == [m.AttemptOutcome.NO_CONNECTION] and wire.value() == b""
+def test_call_is_not_sent_if_its_endpoint_starts_draining_during_the_dial() -> None:
+    # Guards against sending a call whose endpoint started draining after the dispatcher chose it.
+    harness = ClientHarness()
+    harness.call()
+    harness.registry.apply(Listing(2, False, (replace(ROW, state=m.WorkerState.DRAINING),)))
+    _, wire = harness.connect()
+    assert harness.outcomes == [m.AttemptOutcome.NO_CONNECTION] and wire.value() == b""
 
 
-def test_a_call_that_waits_for_a_connection_past_its_time_to_begin_is_not_sent() -> None:
-    # Guards: a repeat was chosen inside the window in which it is dropped, and went out after it.
-    bench = Bench()
-    bench.call().start_deadline = bench.now + 100.0
-    bench.now += 101.0
-    _, wire = bench.connect()
-    assert bench.ends == [m.AttemptOutcome.NO_CONNECTION] and wire.value() == b""
+def test_call_is_not_sent_after_its_start_deadline() -> None:
+    # Guards against sending a retry after its start deadline because it waited for a connection.
+    harness = ClientHarness()
+    harness.call().start_deadline = harness.now + 100.0
+    harness.now += 101.0
+    _, wire = harness.connect()
+    assert harness.outcomes == [m.AttemptOutcome.NO_CONNECTION] and wire.value() == b""
 
 
 @pytest.mark.parametrize("second", [ACCEPTED, REJECTED, b"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"])
-def test_a_second_answer_some_ms_late_is_not_taken_for_that_to_the_next_call(second: bytes) -> None:
-    # Guards: "never ran" passed for proven of a call that was just being carried out, and it was sent again.
-    bench = Bench()
-    connection, wire = bench.carried()
-    bench.reactor.advance(DUPLICATE_RESPONSE_WAIT / 2)
+def test_duplicate_response_is_not_matched_to_the_next_call(second: bytes) -> None:
+    # Guards against taking a second response for that to the next call, which was running and was sent again.
+    harness = ClientHarness()
+    connection, wire = harness.connection_after_call()
+    harness.reactor.advance(DUPLICATE_RESPONSE_WAIT / 2)
     wire.clear()
-    bench.call()
-    assert wire.value() == b"" and bench.pool.pools[ROW.host_port].dials == 1
+    harness.call()
+    assert wire.value() == b"" and harness.client.pools[ROW.host_port].dials == 1
     connection.dataReceived(second)
-    assert bench.ends == [] and wire.disconnecting
-    _, other = bench.connect()
+    assert harness.outcomes == [] and wire.disconnecting
+    _, other = harness.connect()
     assert other.value().startswith(b"POST /job")
 
 
-@pytest.mark.parametrize("come", [b"", b"H"])
-def test_a_connection_that_ends_or_speaks_before_anybody_has_heard_it_carries_no_call(come: bytes) -> None:
-    # Guards: a close that came while the batch was worked on made the call on it a reset.
-    bench = Bench()
-    _, wire = bench.carried()
-    bench.rest()
-    wire.come = come
+@pytest.mark.parametrize("unread", [b"", b"H"])
+def test_connection_with_unread_input_carries_no_call(unread: bytes) -> None:
+    # Guards against reusing a connection that was closed during the current batch: the call on it was reset.
+    harness = ClientHarness()
+    _, wire = harness.connection_after_call()
+    harness.wait_for_duplicate_response()
+    wire.unread = unread
     wire.clear()
-    bench.call()
-    assert wire.value() == b"" and bench.pool.pools[ROW.host_port].dials == 1
+    harness.call()
+    assert wire.value() == b"" and harness.client.pools[ROW.host_port].dials == 1
 
 
 @pytest.mark.parametrize("rested", [True, False])
-def test_connections_to_a_process_that_has_started_anew_are_closed(rested: bool) -> None:
-    # Guards: the next call on one would have ended as a reset, which costs jobs that must not run twice.
-    bench = Bench()
-    connection, wire = bench.carried()
+def test_connections_to_a_restarted_process_are_closed(rested: bool) -> None:
+    # Guards against a reset of the next call on such a connection, which fails jobs that must not run twice.
+    harness = ClientHarness()
+    connection, wire = harness.connection_after_call()
     if rested:
-        bench.rest()
-    line = bench.pool.pools[ROW.host_port]
-    assert line.idle == [connection] * rested
-    bench.pool.apply_listing(Listing(2, False, (replace(ROW, up_since=9.0),)))
-    assert wire.disconnecting and not line.idle
-    bench.rest()
-    assert not line.idle
-
-
-def test_a_freed_connection_takes_the_call_that_waits_for_a_dial() -> None:
-    bench = Bench()
-    bench.call()
-    connection, wire = bench.connect()
+        harness.wait_for_duplicate_response()
+    pool = harness.client.pools[ROW.host_port]
+    assert pool.idle == [connection] * rested
+    harness.client.apply_listing(Listing(2, False, (replace(ROW, up_since=9.0),)))
+    assert wire.disconnecting and not pool.idle
+    harness.wait_for_duplicate_response()
+    assert not pool.idle
+
+
+def test_free_connection_carries_a_call_that_waits_for_a_dial() -> None:
+    harness = ClientHarness()
+    harness.call()
+    connection, wire = harness.connect()
     wire.written()
-    bench.call()
+    harness.call()
     wire.clear()
     connection.dataReceived(ACCEPTED)
-    bench.rest()
-    assert wire.value().startswith(b"POST /job HTTP/1.1\r\n") and not bench.pool.pools[ROW.host_port].waiting
+    harness.wait_for_duplicate_response()
+    assert (
+        wire.value().startswith(b"POST /job HTTP/1.1\r\n") and not harness.client.pools[ROW.host_port].waiting
+    )
 
 
 @pytest.mark.parametrize(("idle", "reused"), [(400.0, True), (600.0, False)])
-def test_endpoints_that_close_early_have_their_connections_used_again_only_while_fresh(
-    idle: float, reused: bool
-) -> None:
-    # Guards: connections idle for longer than endpoints really allow were used again, and the calls reset.
-    bench = Bench()
+def test_early_closes_shorten_the_idle_time_for_reuse(idle: float, reused: bool) -> None:
+    # Guards against reusing connections idle for longer than endpoints really allow: the calls were reset.
+    harness = ClientHarness()
     pair = []
     for _ in range(2):
-        bench.call()
-        pair.append(bench.connect())
+        harness.call()
+        pair.append(harness.connect())
     for connection, wire in pair:
         wire.written()
         connection.dataReceived(ACCEPTED)
-    bench.rest()
-    line = bench.pool.pools[ROW.host_port]
-    assert len(line.idle) == 2
-    bench.now += 1000.0
-    pair[0][
-        0
-    ].connectionLost()  # in good order: the endpoint holds idle ones for 1 s, not for the 10 s it says
-    bench.now += idle - 1000.0
+    harness.wait_for_duplicate_response()
+    pool = harness.client.pools[ROW.host_port]
+    assert len(pool.idle) == 2
+    harness.now += 1000.0
+    # An orderly close: the endpoint closes idle connections after 1 s, not after the configured 10 s.
+    pair[0][0].connectionLost()
+    harness.now += idle - 1000.0
     wire = pair[1][1]
     wire.clear()
-    bench.call()
-    assert wire.value().startswith(b"POST") == reused and line.dials == (0 if reused else 1)
+    harness.call()
+    assert wire.value().startswith(b"POST") == reused and pool.dials == (0 if reused else 1)
 
 
-def test_kept_connections_are_not_used_while_calls_on_them_are_reset_more_than_on_new_ones() -> None:
-    # Guards: where something between resets kept connections, each second call on one was lost.
-    bench = Bench()
-    pool, line = bench.pool, None
+def test_connections_are_not_reused_while_reused_ones_are_reset_more_often() -> None:
+    # Guards against losing every second call where a middlebox resets reused connections.
+    harness = ClientHarness()
+    client, pool = harness.client, None
 
     def round(reset: bool) -> None:
-        nonlocal line
-        bench.call()
-        line = pool.pools[ROW.host_port]
-        connection = line.idle[-1] if line.idle else None
-        if line.waiting:
-            connection, wire = bench.connect()
+        nonlocal pool
+        harness.call()
+        pool = client.pools[ROW.host_port]
+        connection = pool.idle[-1] if pool.idle else None
+        if pool.waiting:
+            connection, wire = harness.connect()
             wire.written()
         else:
             connection = reused[0]
@@ -256,16 +255,16 @@
             connection.connectionLost(Failure(ConnectionLost()))
         else:
             connection.dataReceived(ACCEPTED)
-            bench.rest()
+            harness.wait_for_duplicate_response()
             reused[0] = connection
 
     reused: list[Any] = [None]
     for reset in (False, True, False, True):
         round(reset)
-    assert bench.ends == [m.AttemptOutcome.RESET, m.AttemptOutcome.RESET]
+    assert harness.outcomes == [m.AttemptOutcome.RESET, m.AttemptOutcome.RESET]
     round(False)
-    assert line is not None and not line.idle and pool.reuse.resets[True] > pool.reuse.resets[False]
+    assert pool is not None and not pool.idle and client.reuse.resets[True] > client.reuse.resets[False]
     for _ in range(100):
-        pool._sweep()
+        client._sweep()
     round(False)
-    assert len(line.idle) == 1
+    assert len(pool.idle) == 1
