--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -157,7 +157,7 @@
           lambda name: 0.0) for k in range(int(sys.argv[1]))
 ]
 for k, agent in enumerate(agents):
-    reactor.callLater(k * 0.005, agent.begin)
+    reactor.callLater(k * 0.005, agent.start)
 def report():
     lease_count = sum(agent.service_span.fencing_token != 0 for agent in agents)
     print(lease_count, count[0], flush=True)
