--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console and the figures: callers on a clock of their own, and a real node under calls of every kind."""
+"""The console and the statistics: connections on a virtual clock, and requests to a real node."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 READY = b"GET /ops/readiness HTTP/1.1\r\n\r\n"
 
 
-class Wire(StringTransport):
-    """Remembers what was done to it; `lost` tells the protocol."""
+class FakeTransport(StringTransport):
+    """A transport that records its closes; `on_abort` notifies the protocol."""
 
-    aborted = shut = False
-    tell: Callable[[], None] = staticmethod(lambda: None)
+    aborted = write_closed = False
+    on_abort: Callable[[], None] = staticmethod(lambda: None)
 
     def setTcpNoDelay(self, on: bool) -> None: ...
 
     def loseWriteConnection(self) -> None:
-        self.shut = True
+        self.write_closed = True
 
     def abortConnection(self) -> None:
         if not self.aborted:
             self.aborted = True
-            self.tell()
+            self.on_abort()
 
 
-class Desk:
+class ConsoleHarness:
     def __init__(self) -> None:
         self.reactor = MemoryReactorClock()
         routes = {
@@ -52,17 +52,17 @@
         }
         self.console = Console(self.reactor, ("127.0.0.1", 0), routes)
 
-    def call(self, data: bytes = b"") -> tuple[ConsoleConnection, Wire]:
-        caller, wire = ConsoleConnection(self.console), Wire()
-        wire.tell = caller.connectionLost
-        caller.makeConnection(wire)
+    def call(self, data: bytes = b"") -> tuple[ConsoleConnection, FakeTransport]:
+        connection, wire = ConsoleConnection(self.console), FakeTransport()
+        wire.on_abort = connection.connectionLost
+        connection.makeConnection(wire)
         if data:
-            caller.dataReceived(data)
-        return caller, wire
+            connection.dataReceived(data)
+        return connection, wire
 
     def status(self, data: bytes) -> int:
         _, wire = self.call(data)
-        assert wire.shut and b"Connection: close" in wire.value()
+        assert wire.write_closed and b"Connection: close" in wire.value()
         return int(wire.value().split()[1])
 
 
@@ -70,7 +70,7 @@
     ("call", "status"),
     [
         (READY, 200),
-        (READY + READY, 200),  # what comes after a call is not a second one
+        (READY + READY, 200),  # input after a request is not a second request
         (b"GET /ops/readiness?x=1 HTTP/1.0\r\n\r\n", 200),
         (b"GET /ops HTTP/1.1\r\n\r\n", 404),
         (b"GET /lookup HTTP/1.1\r\n\r\n", 404),
@@ -89,55 +89,55 @@
         (b"GET / HTTP/1.1\r\nX: " + b"x" * 20000, 431),
     ],
 )
-def test_a_call_gets_one_answer_in_the_turn_that_reads_it(call: bytes, status: int) -> None:
-    assert Desk().status(call) == status
+def test_request_is_answered_in_the_turn_that_reads_it(call: bytes, status: int) -> None:
+    assert ConsoleHarness().status(call) == status
 
 
-def test_a_call_in_pieces_is_one_call() -> None:
-    caller, wire = Desk().call()
+def test_fragmented_request_is_one_request() -> None:
+    connection, wire = ConsoleHarness().call()
     for k in range(len(READY)):
         assert not wire.value()
-        caller.dataReceived(READY[k : k + 1])
-    caller.dataReceived(READY)
+        connection.dataReceived(READY[k : k + 1])
+    connection.dataReceived(READY)
     assert wire.value().count(b"HTTP/1.1 200") == 1
 
 
-def test_silent_callers_go_when_their_time_is_over_half_a_call_with_an_answer() -> None:
-    desk = Desk()
-    (_, silent), (_, half) = desk.call(), desk.call(READY[:9])
-    desk.reactor.advance(CALL_TIMEOUT - 0.01)
-    assert not silent.aborted and not half.value()
-    desk.reactor.advance(0.02)
-    assert silent.aborted and b" 408 " in half.value()
-    desk.reactor.advance(1.0)
-    assert half.aborted and not desk.console.unanswered and not desk.console.answered
+def test_silent_connections_are_closed_and_partial_requests_get_408() -> None:
+    harness = ConsoleHarness()
+    (_, silent), (_, partial) = harness.call(), harness.call(READY[:9])
+    harness.reactor.advance(CALL_TIMEOUT - 0.01)
+    assert not silent.aborted and not partial.value()
+    harness.reactor.advance(0.02)
+    assert silent.aborted and b" 408 " in partial.value()
+    harness.reactor.advance(1.0)
+    assert partial.aborted and not harness.console.unanswered and not harness.console.answered
 
 
-def test_any_number_of_silent_callers_keeps_out_no_whole_call() -> None:
-    desk = Desk()
+def test_silent_connections_do_not_block_complete_requests() -> None:
+    harness = ConsoleHarness()
     wires = []
     for k in range(10 * MAX_CONSOLE_CONNECTIONS):
-        wires.append(desk.call(READY[: k % 9])[1])
-        desk.reactor.advance(RECENT_CONNECTION_AGE / 50)
-        assert desk.status(READY) == 200
-        assert len(desk.console.unanswered) + len(desk.console.answered) <= MAX_CONSOLE_CONNECTIONS
+        wires.append(harness.call(READY[: k % 9])[1])
+        harness.reactor.advance(RECENT_CONNECTION_AGE / 50)
+        assert harness.status(READY) == 200
+        assert len(harness.console.unanswered) + len(harness.console.answered) <= MAX_CONSOLE_CONNECTIONS
     assert wires[0].aborted
 
 
-def test_a_caller_that_has_just_come_is_not_the_one_to_go() -> None:
-    desk = Desk()
+def test_recent_connections_are_not_closed_at_the_limit() -> None:
+    harness = ConsoleHarness()
     for _ in range(MAX_CONSOLE_CONNECTIONS):
-        desk.call(READY)
-        desk.reactor.advance(RECENT_CONNECTION_AGE)
-    fresh, wire = desk.call()
+        harness.call(READY)
+        harness.reactor.advance(RECENT_CONNECTION_AGE)
+    newest, wire = harness.call()
     for _ in range(5):
-        desk.call()
+        harness.call()
     assert not wire.aborted
-    fresh.dataReceived(READY)
+    newest.dataReceived(READY)
     assert b" 200 " in wire.value()
 
 
-def test_figures_are_there_at_0_and_a_dropped_class_keeps_its_own() -> None:
+def test_counters_start_at_0_and_survive_the_removal_of_a_class() -> None:
     statistics = Statistics()
     statistics.add_classes(["a"])
     statistics.register(["backend_calls"], {"inflight": lambda: 3})
@@ -152,34 +152,34 @@
     ]  # fmt: skip
 
 
-def test_a_node_reports_what_its_clients_and_workers_saw(tmp_path: Path) -> None:
+def test_statistics_match_the_outcomes_at_clients_and_workers(tmp_path: Path) -> None:
     with running(tmp_path, done, console=True) as rig, ThreadPoolExecutor(8) as pool:
         assert rig.call_console("GET", "/ops/readiness")[0] == 200
-        assert set(rig.statistics().values()) == {0, 1}  # one host listed
+        assert set(rig.statistics().values()) == {0, 1}  # one endpoint listed
         assert {r[0] for r in pool.map(rig.submit, [f"a{k}" for k in range(30)])} == {200}
         assert rig.submit("bad", "/nothing")[0] == 404
         rig.endpoints[0].behavior = reset
         assert rig.submit("r", "/reminder")[0] == 500
         rig.endpoints[0].behavior = accept
         posts = rig.endpoints[0].posts
-        open_ = pool.submit(rig.submit, "open")
+        open_request = pool.submit(rig.submit, "open")
         wait_until(lambda: rig.endpoints[0].posts > posts)
-        told = rig.statistics()
-        assert told["app.calls.lookup.success"] == 30 and told["app.calls.reminder.failure"] == 1
-        assert told["app.backend_calls"] == rig.endpoints[0].posts == 32
-        assert told["app.inflight"] == 1 and told["app.hosts_listed"] == 1
+        statistics = rig.statistics()
+        assert statistics["app.calls.lookup.success"] == 30 and statistics["app.calls.reminder.failure"] == 1
+        assert statistics["app.backend_calls"] == rig.endpoints[0].posts == 32
+        assert statistics["app.inflight"] == 1 and statistics["app.hosts_listed"] == 1
         rig.endpoints[0].send_callback("open", "done", result="r")
-        assert open_.result()[0] == 200
+        assert open_request.result()[0] == 200
         rig.reload("", "event=reload_failed")
         assert rig.statistics()["app.reconfig_failed"] == 1 and rig.statistics()["app.inflight"] == 0
 
 
-def test_200_silent_callers_keep_out_no_call_and_no_job(tmp_path: Path) -> None:
+def test_200_silent_connections_block_neither_console_nor_jobs(tmp_path: Path) -> None:
     with running(tmp_path, done, console=True, sockets=128) as rig:
         host, _, port = rig.console.rpartition(":")
         silent = [socket.create_connection((host, int(port)), 20) for _ in range(200)]
         for k, sock in enumerate(silent):
-            with contextlib.suppress(OSError):  # the ones that have been silent for longest are gone by now
+            with contextlib.suppress(OSError):  # the oldest silent connections are closed by now
                 sock.sendall(READY[: k % 20])
         for k in range(40):
             assert rig.call_console("GET", "/ops/stats")[0] == 200
--- a/tests/test_crossing_closes.py
+++ b/tests/test_crossing_closes.py
@@ -1,4 +1,4 @@
-"""A client's close where it crosses an answer, the rest of a request, or the end of the node's loop.
+"""A client's close concurrent with a response, the rest of a request, or the shutdown of the node.
 
 Rows of docs/design/crossings.md, "Consumers that leave" and "Shutdown".
 """
@@ -25,16 +25,16 @@
 
 
 class Transport(StringTransport):
-    """What a connection writes. `dataBuffer`: what the socket hasn't taken, as a test says."""
+    """Records written data. `dataBuffer` simulates data not yet passed to the socket."""
 
     dataBuffer = b""
 
     def setTcpNoDelay(self, on: bool) -> None:
-        """No socket."""
+        """Do nothing: there is no socket."""
 
 
-class Owner:
-    """Stands for the listener, and for the broker and the handler behind it."""
+class StubListener:
+    """A stub for the listener, its broker and its handler."""
 
     accepting = True
 
@@ -64,58 +64,58 @@
         raise AttributeError(name)
 
 
-def connected(owner: Owner) -> tuple[ClientConnection, Transport]:
-    connection, transport = ClientConnection(owner), Transport()  # type: ignore[arg-type]
+def connected(listener: StubListener) -> tuple[ClientConnection, Transport]:
+    connection, transport = ClientConnection(listener), Transport()  # type: ignore[arg-type]
     connection.makeConnection(transport)  # type: ignore[arg-type]
     return connection, transport
 
 
 @pytest.mark.parametrize("answer", ["served", "rejected", "failed"])
-def test_an_answer_that_comes_after_the_close_is_dropped(answer: str) -> None:
-    owner = Owner()
-    connection, transport = connected(owner)
+def test_response_after_the_close_is_dropped(answer: str) -> None:
+    listener = StubListener()
+    connection, transport = connected(listener)
     connection.dataReceived(REQUEST)
     request = connection.request
     assert request is not None
     connection.connectionLost()
-    assert owner.withdrawn == [request]
+    assert listener.withdrawn == [request]
     arguments = {"served": (b"made",), "rejected": (10.0,), "failed": ()}[answer]
     getattr(connection, answer)(*arguments)
     assert transport.value() == b"" and connection.request is None
-    assert owner.closed == [connection] and len(owner.served) == 1
+    assert listener.closed == [connection] and len(listener.served) == 1
 
 
-def test_an_answer_that_comes_before_the_close_is_whole() -> None:
-    owner = Owner()
-    connection, transport = connected(owner)
+def test_response_before_the_close_is_complete() -> None:
+    listener = StubListener()
+    connection, transport = connected(listener)
     connection.dataReceived(REQUEST)
     connection.served(b"made")
     connection.connectionLost()
     assert transport.value().startswith(b"HTTP/1.1 200") and transport.value().endswith(b"made")
-    assert owner.withdrawn == []
+    assert listener.withdrawn == []
 
 
 @pytest.mark.parametrize("cut", range(1, len(REQUEST)))
-def test_a_request_whose_client_closes_before_its_last_byte_is_never_taken(cut: int) -> None:
-    owner = Owner()
-    connection, transport = connected(owner)
+def test_request_truncated_by_a_close_is_not_accepted(cut: int) -> None:
+    listener = StubListener()
+    connection, transport = connected(listener)
     connection.dataReceived(REQUEST[:cut])
     connection.connectionLost()
-    connection.dataReceived(REQUEST[cut:])  # bytes that were read in the turn of the close
-    assert owner.served == [] and owner.withdrawn == [] and transport.value() == b""
+    connection.dataReceived(REQUEST[cut:])  # bytes read in the same turn as the close
+    assert listener.served == [] and listener.withdrawn == [] and transport.value() == b""
 
 
-class Ending:
-    """A node that is about to end: its one connection's answer is written, and not yet on the socket."""
+class ShutdownHarness:
+    """A node that shuts down while the response on its connection is not on the socket yet."""
 
     def __init__(self) -> None:
         self.reactor = Clock()
         self.broker = self.listener = self
         self.unanswered, self.in_progress = 0, dict[str, object]()
         self.on_idle: Any = None
-        self.owner = Owner()
-        self.owner.clock = self.clock  # type: ignore[method-assign]
-        self.connection, self.transport = connected(self.owner)
+        self.stub_listener = StubListener()
+        self.stub_listener.clock = self.clock  # type: ignore[method-assign]
+        self.connection, self.transport = connected(self.stub_listener)
         self.connections = [self.connection]
         self.ended: list[float] = []
         lifecycle = Lifecycle()
@@ -129,10 +129,10 @@
     def end(self) -> None:
         self.ended.append(self.reactor.seconds())
 
-    def answer_in_the_last_turn(self) -> float:
-        """Answer just before the end is due, so that nothing is owed any more; the time."""
+    def respond_before_shutdown(self) -> float:
+        """Write a response just before the shutdown is due, and return the time at which it is due."""
         due = (NEW_CONNECTIONS_UNTIL_MS / 1000.0) + 3 * FLUSH_DELAY
-        self.reactor.advance(due - FLUSH_DELAY)  # idle: the end is planned
+        self.reactor.advance(due - FLUSH_DELAY)  # idle: the shutdown is scheduled
         self.reactor.advance(FLUSH_DELAY - 0.001)
         self.connection.dataReceived(REQUEST)
         self.connection.served(b"made")
@@ -141,25 +141,25 @@
         return due
 
 
-def test_an_answer_given_in_the_turn_of_the_end_is_sent_before_it() -> None:
-    # Guards: it was counted as served, and the reactor stopped before the socket had it.
-    node = Ending()
-    node.answer_in_the_last_turn()
+def test_response_written_in_the_last_turn_is_sent_before_exit() -> None:
+    # Guards against stopping the reactor before a response counted as served reaches the socket.
+    node = ShutdownHarness()
+    node.respond_before_shutdown()
     assert node.ended == []
     node.transport.dataBuffer = b""
     node.reactor.pump([FLUSH_DELAY] * 3)
     assert len(node.ended) == 1
 
 
-def test_a_client_that_does_not_read_its_answer_does_not_hold_the_end_up_for_long() -> None:
-    node = Ending()
-    due = node.answer_in_the_last_turn()
+def test_client_that_does_not_read_delays_the_exit_for_a_limited_time() -> None:
+    node = ShutdownHarness()
+    due = node.respond_before_shutdown()
     node.reactor.pump([0.05] * 60)
     assert len(node.ended) == 1
     assert UNSENT_ANSWER_LIMIT <= (node.ended[0] - due) * 1000.0 + 2 <= UNSENT_ANSWER_LIMIT + 300
 
 
-def test_requests_that_meet_the_end_of_the_loop_are_answered_or_never_begun(tmp_path: Path) -> None:
+def test_requests_during_shutdown_are_answered_or_never_started(tmp_path: Path) -> None:
     for attempt in range(ROUNDS):
         folder = tmp_path / str(attempt)
         folder.mkdir()
@@ -170,7 +170,7 @@
             for number in range(100_000):
                 try:
                     status = rig.submit(f"a{number}")[0]
-                except OSError:  # refused, reset or closed: the process ends, or has ended
+                except OSError:  # refused, reset or closed: the process is exiting or has exited
                     if rig.process.poll() is not None:
                         break
                     continue
--- a/tests/test_manual_ejections.py
+++ b/tests/test_manual_ejections.py
@@ -1,4 +1,4 @@
-"""Workers taken out by hand: on disk, in the registry, and at a real node."""
+"""Manual ejections of workers: on disk, in the registry, and at a real node."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return Endpoint(id, f"h:{port}", "z", "k", 0, state, 1.0, up_since)
 
 
-class Desk:
-    """Two processes of a node over one folder."""
+class TwoProcesses:
+    """Two processes of a node that share a folder."""
 
     def __init__(self, folder: Path) -> None:
         self.reactor = Reactor()
@@ -36,8 +36,8 @@
             ManualEjections(self.reactor, self.now, registry, EjectionFiles(folder))
             for registry in self.registries
         ]
-        self.heard: list[Listing] = []
-        self.registries[0].on_change = self.heard.append
+        self.changes: list[Listing] = []
+        self.registries[0].on_change = self.changes.append
         for ejections in self.ejections:
             ejections.run()
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("id", ["a", "../../etc/passwd", ".", "..", "a/b", "a%2Fb", "~%", "x.out", "w" * 251])
-def test_any_id_is_stored_under_a_name_of_its_own(tmp_path: Path, id: str) -> None:
+def test_any_id_is_stored_under_its_own_file_name(tmp_path: Path, id: str) -> None:
     store = EjectionFiles(tmp_path / "out")
     with pytest.raises(FileNotFoundError):
         store.read()
@@ -59,7 +59,7 @@
     assert [p.name for p in tmp_path.iterdir()] == ["out"]
 
 
-def test_an_id_too_long_to_store_and_rubbish_in_the_folder_are_no_bans(tmp_path: Path) -> None:
+def test_too_long_ids_and_foreign_files_are_no_ejections(tmp_path: Path) -> None:
     store = EjectionFiles(tmp_path)
     with pytest.raises(OSError, match="cannot be stored"):
         store.add("w" * 252)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "listings",
     [
         [Listing(2, False, (row("a"),))],
         [Listing(2, False, (row("a", up_since=UNIX),))],
@@ -80,66 +80,69 @@
         [Listing(2, True, (row("b"),)), Listing(3, True, (row("a"), row("b")))],
     ],
 )
-def test_a_ban_holds_whatever_the_list_says(tmp_path: Path, said: list[Listing]) -> None:
-    desk = Desk(tmp_path / "out")
-    registry = desk.registries[0]
-    assert desk.ejections[0].eject("a") and desk.heard[-1].members[0].state is m.WorkerState.DRAINING
-    for listing in said:
+def test_ejection_is_not_overridden_by_the_list(tmp_path: Path, listings: list[Listing]) -> None:
+    processes = TwoProcesses(tmp_path / "out")
+    registry = processes.registries[0]
+    assert (
+        processes.ejections[0].eject("a") and processes.changes[-1].members[0].state is m.WorkerState.DRAINING
+    )
+    for listing in listings:
         registry.apply(listing)
         assert registry.serving("a") is None and registry.is_known("a")
-        assert all(p.state is not m.WorkerState.SERVING for p in desk.heard[-1].members if p.id == "a")
+        assert all(p.state is not m.WorkerState.SERVING for p in processes.changes[-1].members if p.id == "a")
     assert registry.serving("b") and registry.discovery_listing().members[0].state is m.WorkerState.SERVING
-    assert desk.ejections[0].reinstate("a") and registry.serving("a") is not None
-    assert desk.heard[-1].members[0].id == "a"
+    assert processes.ejections[0].reinstate("a") and registry.serving("a") is not None
+    assert processes.changes[-1].members[0].id == "a"
 
 
-def test_what_one_process_is_told_the_other_one_keeps(tmp_path: Path) -> None:
-    desk = Desk(tmp_path / "out")
-    assert desk.ejections[0].eject("a") and desk.ejections[0].eject("a")
-    desk.reactor.advance(POLL_INTERVAL)
-    assert desk.registries[1].serving("a") is None
-    assert desk.ejections[1].reinstate("a") and desk.ejections[1].reinstate("a")
-    desk.reactor.advance(POLL_INTERVAL)
-    assert desk.registries[0].serving("a") and desk.registries[1].serving("a")
-    assert not desk.ejections[0].eject("nobody") and not desk.ejections[0].reinstate("nobody")
+def test_ejections_apply_to_both_processes(tmp_path: Path) -> None:
+    processes = TwoProcesses(tmp_path / "out")
+    assert processes.ejections[0].eject("a") and processes.ejections[0].eject("a")
+    processes.reactor.advance(POLL_INTERVAL)
+    assert processes.registries[1].serving("a") is None
+    assert processes.ejections[1].reinstate("a") and processes.ejections[1].reinstate("a")
+    processes.reactor.advance(POLL_INTERVAL)
+    assert processes.registries[0].serving("a") and processes.registries[1].serving("a")
+    assert not processes.ejections[0].eject("nobody") and not processes.ejections[0].reinstate("nobody")
 
 
-def test_a_ban_that_cannot_be_stored_changes_nothing_and_a_lost_folder_calls_nobody_back(
+def test_failed_store_changes_nothing_and_a_removed_folder_reinstates_nobody(
     tmp_path: Path,
 ) -> None:
     (tmp_path / "file").write_text("in the way")
-    desk = Desk(tmp_path / "file")
+    processes = TwoProcesses(tmp_path / "file")
     with pytest.raises(OSError):
-        desk.ejections[0].eject("a")
-    assert desk.registries[0].serving("a") and not desk.heard
-    desk = Desk(tmp_path / "out")
-    desk.ejections[0].eject("a")
+        processes.ejections[0].eject("a")
+    assert processes.registries[0].serving("a") and not processes.changes
+    processes = TwoProcesses(tmp_path / "out")
+    processes.ejections[0].eject("a")
     (tmp_path / "out").rename(tmp_path / "away")
-    desk.reactor.advance(4 * POLL_INTERVAL)
-    assert desk.registries[0].serving("a") is None
+    processes.reactor.advance(4 * POLL_INTERVAL)
+    assert processes.registries[0].serving("a") is None
 
 
-def test_one_called_back_is_cold_from_then_on_until_the_list_tells_of_its_start(tmp_path: Path) -> None:
-    # Guards: staff start a worker anew while it is out, and the list says so seconds after the call back.
-    registry = Desk(tmp_path / "out").registries[0]
+def test_reinstated_worker_is_cold_until_the_list_reports_its_start_time(tmp_path: Path) -> None:
+    # Guards against a wrong start time of a worker that was restarted while ejected: the list may report the
+    # restart seconds after the worker was reinstated.
+    registry = TwoProcesses(tmp_path / "out").registries[0]
     registry.eject("a", UNIX)
     registry.reinstate("a", UNIX + 5000.0)
-    found: Any = registry.serving("a")
+    endpoint: Any = registry.serving("a")
     assert (
-        found.up_since == UNIX + 5000.0 == registry.discovery_listing().members[0].up_since
-    )  # a newer process knows it
+        endpoint.up_since == UNIX + 5000.0 == registry.discovery_listing().members[0].up_since
+    )  # passed on to a new process
     registry.apply(Listing(2, False, (row("a", up_since=UNIX + 3000.0),)))
-    found = registry.serving("a")
-    assert found.up_since == UNIX + 3000.0
+    endpoint = registry.serving("a")
+    assert endpoint.up_since == UNIX + 3000.0
 
 
-def test_nothing_new_goes_to_a_worker_that_is_out_also_after_an_upgrade(tmp_path: Path) -> None:
+def test_ejected_worker_gets_no_jobs_also_after_an_upgrade(tmp_path: Path) -> None:
     with running(tmp_path, done, done, console=True) as rig:
-        out, other = rig.endpoints
-        assert rig.call_console("POST", DOWN, out.id.encode())[0] == 200
+        ejected, other = rig.endpoints
+        assert rig.call_console("POST", DOWN, ejected.id.encode())[0] == 200
         assert rig.call_console("POST", DOWN, b"s-9")[0] == 404 == rig.call_console("POST", UP, b"w" * 200)[0]
-        before = out.posts
-        rig.change(out, "up")  # whatever the list says
+        before = ejected.posts
+        rig.change(ejected, "up")  # the list does not override the ejection
         assert rig.statistics()["app.hosts_down"] == 1 and rig.statistics()["app.hosts_listed"] == 2
         for k in range(10):
             assert rig.submit(f"a{k}")[1] == b"made by s-1"
@@ -147,18 +150,18 @@
         assert rig.statistics()["app.hosts_down"] == 1
         for k in range(10):
             assert rig.submit(f"b{k}")[1] == b"made by s-1"
-        assert out.posts == before and other.posts == 20
-        assert rig.call_console("POST", UP, out.id.encode())[0] == 200
+        assert ejected.posts == before and other.posts == 20
+        assert rig.call_console("POST", UP, ejected.id.encode())[0] == 200
         wait_until(lambda: rig.statistics()["app.hosts_down"] == 0)
 
 
-def test_a_job_that_waits_for_a_place_does_not_go_to_a_worker_taken_out_meanwhile(tmp_path: Path) -> None:
+def test_queued_job_is_not_sent_to_a_worker_ejected_meanwhile(tmp_path: Path) -> None:
     with running(tmp_path, accept, console=True) as rig, ThreadPoolExecutor(4) as pool:
         endpoint = rig.endpoints[0]
         first = pool.submit(rig.submit, "first", "/reminder")
         wait_until(lambda: endpoint.posts == 1)
         assert rig.call_console("POST", DOWN, endpoint.id.encode())[0] == 200
-        held = pool.submit(rig.submit, "held", "/reminder", 600)
-        assert held.result()[0] == 503 and endpoint.posts == 1
+        queued = pool.submit(rig.submit, "queued", "/reminder", 600)
+        assert queued.result()[0] == 503 and endpoint.posts == 1
         endpoint.send_callback("first", "done", result="r")
         assert first.result()[:2] == (200, b"r")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The operators' settings, the command line and the log."""
+"""The operators' settings, the command line, and log formatting."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from bitternpath.balancer.config.platform import ConfigError
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
+CONFIG: dict[str, Any] = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": SETTINGS}
 
 
 def command(*arguments: str, **more: Any) -> subprocess.CompletedProcess[str]:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("[amqp", "not TOML"),
         ("[amqp]\nlisen = 'x'", "amqp.lisen = 'x': unknown key; allowed are listen"),
@@ -66,15 +66,17 @@
         ),
     ],
 )
-def test_a_fault_in_the_operator_file_is_one_line_and_2(tmp_path: Path, text: str, says: str) -> None:
+def test_error_in_the_operator_file_is_one_line_with_exit_code_2(
+    tmp_path: Path, text: str, message: str
+) -> None:
     where = file(tmp_path, text)
     run = command("check-config", "--operator-file", where)
     assert run.returncode == 2 and len(run.stderr.splitlines()) == 1
-    assert run.stderr.startswith(f"bitternpath: {where}: {says}") and "secret" not in run.stderr
+    assert run.stderr.startswith(f"bitternpath: {where}: {message}") and "secret" not in run.stderr
 
 
 @pytest.mark.parametrize(
-    ("environ", "flags", "says"),
+    ("environ", "flags", "message"),
     [
         ({"BITTERNPATH_AMQP_HEARTBEAT": "x"}, {}, "BITTERNPATH_AMQP_HEARTBEAT: 'x': allowed is a whole"),
         ({"BITTERNPATH_AMQP_HEARTBEAT": "-1"}, {}, "BITTERNPATH_AMQP_HEARTBEAT: '-1': allowed is a whole"),
@@ -83,25 +85,29 @@
         ({}, {"amqp.listen": "h"}, "--amqp-listen: 'h': allowed is HOST:PORT, or empty"),
     ],
 )
-def test_a_fault_elsewhere_names_where(environ: dict[str, str], flags: dict[str, str], says: str) -> None:
+def test_errors_in_environment_and_flags_name_their_source(
+    environ: dict[str, str], flags: dict[str, str], message: str
+) -> None:
     with pytest.raises(ConfigError) as fault:
         read_settings(None, environ, flags)
-    assert str(fault.value).startswith(says) and "\n" not in str(fault.value)
+    assert str(fault.value).startswith(message) and "\n" not in str(fault.value)
 
 
-def test_flag_wins_over_environment_over_file_over_default(tmp_path: Path) -> None:
+def test_precedence_of_flag_environment_file_and_default(tmp_path: Path) -> None:
     where = file(tmp_path, "[amqp]\nheartbeat = 1\nchannel_max = 1\nframe_max = 5000\nvhosts = ['/', 'a']")
     environ = {"BITTERNPATH_AMQP_HEARTBEAT": "2", "BITTERNPATH_AMQP_CHANNEL_MAX": "2"}
-    told = read_settings(where, environ, {"amqp.heartbeat": "3"})
-    amqp = told.settings.amqp
+    effective = read_settings(where, environ, {"amqp.heartbeat": "3"})
+    amqp = effective.settings.amqp
     assert (amqp.heartbeat, amqp.channel_max, amqp.frame_max, amqp.subscribers) == (3, 2, 5000, 64)
-    want = {
+    expected_origin = {
         "heartbeat": "--amqp-heartbeat",
         "channel_max": "BITTERNPATH_AMQP_CHANNEL_MAX",
         "frame_max": where,
     }
-    assert told.origin == {f"amqp.{key}": origin for key, origin in want.items()} | {"amqp.vhosts": where}
-    lines = list(told.lines())
+    assert effective.origin == {f"amqp.{key}": origin for key, origin in expected_origin.items()} | {
+        "amqp.vhosts": where
+    }
+    lines = list(effective.lines())
     assert f"amqp.frame_max = 5000 ({where})" in lines and "amqp.subscribers = 64 (default)" in lines
 
 
@@ -110,8 +116,8 @@
 
 
 @pytest.mark.parametrize("path", [path for path, _ in setting_keys()])
-def test_every_key_can_be_given_in_all_three_ways(path: str) -> None:
-    # Guards: a key whose type no text converts to would be known to the file alone.
+def test_every_key_can_be_set_by_file_environment_and_flag(path: str) -> None:
+    # Guards against a key whose type cannot be converted from text, so that only the file could set it.
     section, _, key = path.partition(".")
     default = as_text(msgspec.to_builtins(Operator())[section][key])
     by_variable, by_flag = (
@@ -134,7 +140,7 @@
     return _help[0]
 
 
-def test_the_shipped_operator_file_names_every_key_with_its_default_and_switches_nothing_on() -> None:
+def test_shipped_operator_file_lists_every_key_with_its_default_commented_out() -> None:
     text = (ROOT / "deploy" / "operator.toml").read_text()
     assert tomllib.loads(text) == {}
     named = [ln[1:] for ln in text.splitlines() if ln.startswith("#") and not ln.startswith("# ")]
@@ -143,9 +149,9 @@
     assert [f"{s}.{k}" for s, table in shown.items() for k in table] == [path for path, _ in setting_keys()]
 
 
-def test_what_the_two_files_say_must_fit_together(tmp_path: Path) -> None:
+def test_both_files_must_be_compatible(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
-    config.write_text(json.dumps(GOOD | {"limits": {"sockets": 128}}))
+    config.write_text(json.dumps(CONFIG | {"limits": {"sockets": 128}}))
 
     def fault(**flags: str) -> str:
         with pytest.raises(ConfigError) as error:
@@ -160,19 +166,19 @@
     assert load_all({}, str(config), None, {}).operator.settings == Operator()
 
 
-def test_a_reload_names_what_waits_for_a_restart() -> None:
-    def told(**flags: str) -> Operator:
+def test_reload_reports_changes_that_need_a_restart() -> None:
+    def settings(**flags: str) -> Operator:
         return read_settings(None, {}, {key.replace("__", "."): text for key, text in flags.items()}).settings
 
-    before = told(amqp__listen="h:1")
-    assert changes_requiring_restart(before, told(amqp__listen="h:1", amqp__heartbeat="5")) == []
-    now = told(amqp__listen="h:2", log__level="error")
+    before = settings(amqp__listen="h:1")
+    assert changes_requiring_restart(before, settings(amqp__listen="h:1", amqp__heartbeat="5")) == []
+    now = settings(amqp__listen="h:2", log__level="error")
     assert changes_requiring_restart(before, now) == ["log.level", "amqp.listen"]
 
 
 def test_the_command_line(tmp_path: Path) -> None:
     config = tmp_path / "config.json"
-    config.write_text(json.dumps(GOOD))
+    config.write_text(json.dumps(CONFIG))
     shown = command("check-config", "--config", str(config), "--amqp-heartbeat", "7")
     assert shown.returncode == 0 and "amqp.heartbeat = 7 (--amqp-heartbeat)" in shown.stdout
     assert command("nothing-of-the-kind").returncode == 2
@@ -182,13 +188,13 @@
     for sub in ("serve", "check-config", "user hash"):
         assert "Examples:" in command(*sub.split(), "--help").stdout
     assert "_BITTERNPATH_COMPLETE" in command("completion", "bash").stdout
-    made = command("completion", "zsh", env={"_BITTERNPATH_COMPLETE": "zsh_source"})
-    assert made.returncode == 0 and "bitternpath" in made.stdout
+    result = command("completion", "zsh", env={"_BITTERNPATH_COMPLETE": "zsh_source"})
+    assert result.returncode == 0 and "bitternpath" in result.stdout
 
 
-def test_a_password_hash_goes_from_the_command_line_into_the_file(tmp_path: Path) -> None:
-    made = command("user", "hash", 'a "b"', input="pass word\n")
-    where = file(tmp_path, made.stdout)
+def test_password_hash_of_the_command_works_in_the_file(tmp_path: Path) -> None:
+    result = command("user", "hash", 'a "b"', input="pass word\n")
+    where = file(tmp_path, result.stdout)
     user = read_settings(where, {}, {}).settings.amqp.users['a "b"']
     assert verify_password(b"pass word", user.password) and not verify_password(b"pass word ", user.password)
     assert hash_password(b"x") != hash_password(b"x")  # salted
@@ -198,24 +204,24 @@
     assert command("user", "hash", "a", input="\n").returncode == 2
 
 
-def written(form: str, **more: Any) -> str:
+def rendered(form: str, **more: Any) -> str:
     out = io.StringIO()
     log = structlog.wrap_logger(structlog.PrintLogger(out), logs.processors(form, 50), part="x")
     log.info("it is", plain=1, spaced='a "b"\nc', of=b"bytes", real=0.25, yes=True, **more)
     return out.getvalue()
 
 
-def test_a_log_line_has_the_same_names_and_values_in_both_forms() -> None:
-    kv, told = written("kv"), json.loads(written("json"))
+def test_log_line_has_the_same_fields_in_both_formats() -> None:
+    kv, json_event = rendered("kv"), json.loads(rendered("json"))
     assert kv.count("\n") == 1 and ' level=info part=x event="it is" plain=1 spaced="a \\"b\\"\\nc"' in kv
-    assert list(told) == ["part", "plain", "spaced", "of", "real", "yes", "event", "at", "level"]
+    assert list(json_event) == ["part", "plain", "spaced", "of", "real", "yes", "event", "at", "level"]
     assert {pair.split("=")[0] for pair in kv.replace('"it is"', "x").replace(' \\"b\\"', "").split()} == set(
-        told
+        json_event
     )
-    assert told["spaced"] == 'a "b"\nc' and told["real"] == 0.2
+    assert json_event["spaced"] == 'a "b"\nc' and json_event["real"] == 0.2
 
 
-def test_a_line_about_an_exception_has_its_trace() -> None:
+def test_log_line_of_an_exception_has_the_traceback() -> None:
     out = io.StringIO()
     log = structlog.wrap_logger(structlog.PrintLogger(out), logs.processors("json", 50))
     try:
@@ -226,18 +232,18 @@
     assert line["level"] == "error" and "ValueError: why" in line["trace"]
 
 
-def test_strangers_cannot_write_more_lines_than_the_bound() -> None:
-    # Guards: a peer that sends rubbish as fast as it can must not fill the log, nor hide other events.
+def test_rate_limit_of_log_lines_per_event() -> None:
+    # Guards against a peer that fills the log by sending garbage, or hides other events that way.
     now = [5.0]
-    bound = logs.RateLimiter(3, lambda: now[0])
+    rate_limiter = logs.RateLimiter(3, lambda: now[0])
     passed = 0
     for _ in range(10):
         try:
-            bound(None, "warning", {"event": "rubbish"})
+            rate_limiter(None, "warning", {"event": "rubbish"})
             passed += 1
         except structlog.DropEvent:
             pass
-    assert passed == 3 and bound(None, "warning", {"event": "other"}) == {"event": "other"}
+    assert passed == 3 and rate_limiter(None, "warning", {"event": "other"}) == {"event": "other"}
     now[0] = 6.0
-    assert bound(None, "warning", {"event": "rubbish"}) == {"event": "rubbish", "left_out": 7}
-    assert bound(None, "warning", {"event": "rubbish"}) == {"event": "rubbish"}
+    assert rate_limiter(None, "warning", {"event": "rubbish"}) == {"event": "rubbish", "left_out": 7}
+    assert rate_limiter(None, "warning", {"event": "rubbish"}) == {"event": "rubbish"}
