--- a/bitternpath/balancer/http/console.py
+++ b/bitternpath/balancer/http/console.py
@@ -170,7 +170,10 @@
         return ConsoleConnection(self)
 
     def connection_opened(self, connection: ConsoleConnection) -> None:
-        """Register a new connection; above the limit the oldest one is closed."""
+        """Register a new connection; above the limit close the oldest one without a response.
+
+        If even that one is recent, the oldest connection that has its response is closed instead.
+        """
         self.unanswered[connection] = None
         if len(self.unanswered) + len(self.answered) > MAX_CONSOLE_CONNECTIONS:
             oldest = next(iter(self.unanswered))
